--- a/cmd/firwood/main.go
+++ b/cmd/firwood/main.go
@@ -24,7 +24,7 @@
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/config"
-	"firwood.dev/firwood/internal/core"
+	"firwood.dev/firwood/internal/controller"
 	"firwood.dev/firwood/internal/http1"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/internal/tracing"
@@ -185,7 +185,7 @@
 	for _, s := range p.Shortfalls(t.FleetMachines) {
 		log.Error("a limit is too low for the fleet", "limit", s.Field, "has", s.Has, "needs", s.Needs, "machines", s.Machines, "for", s.Why)
 	}
-	c := core.New(p, t, log, client.DialTCP)
+	c := controller.New(p, t, log, client.DialTCP)
 	if t.Standby.Trace != "" {
 		tracer, err := tracing.New(t.Standby.Trace, p.Member)
 		if err != nil {
@@ -333,7 +333,7 @@
 			if m.Status != 200 {
 				return fmt.Errorf("the controller answered %d", m.Status)
 			}
-			var s core.StandbyStatus
+			var s controller.StandbyStatus
 			if err := json.Unmarshal(m.Body, &s); err != nil {
 				return err
 			}
@@ -345,7 +345,7 @@
 	return c
 }
 
-func printStandby(out io.Writer, s *core.StandbyStatus) {
+func printStandby(out io.Writer, s *controller.StandbyStatus) {
 	fmt.Fprintf(out, "%s, leader %s\n", s.Member, cmp.Or(s.Leader, "unknown"))
 	if !s.Enabled {
 		fmt.Fprintln(out, "standby is not enabled here")
@@ -377,7 +377,7 @@
 			if m.Status != 200 {
 				return fmt.Errorf("the controller answered %d", m.Status)
 			}
-			var r core.MorningReport
+			var r controller.MorningReport
 			if err := json.Unmarshal(m.Body, &r); err != nil {
 				return err
 			}
--- a/cmd/firwood/main_test.go
+++ b/cmd/firwood/main_test.go
@@ -10,7 +10,7 @@
 
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/cloud"
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
@@ -27,7 +27,7 @@
 // The worker's own account, asked of a stand-in.
 func TestWorkerCommand(t *testing.T) {
 	types := []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, Zones: []string{"x"}}}
-	c, stop := standin.NewCloud([]string{"n0"}, map[string]string{"n0": "127.0.0.1:1"}, types, time.Second, time.Minute)
+	c, stop := fake.NewCloud([]string{"n0"}, map[string]string{"n0": "127.0.0.1:1"}, types, time.Second, time.Minute)
 	defer stop()
 	h := cloud.New(client.DialTCP, c.Addr, 1000)
 	if _, err := h.Hire(wire.Hire{Request: "a", Type: "m", Zone: "x", Count: 1}, nil); err != nil {
--- a/internal/ledger/ledger.go
+++ b/internal/allocation/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger owns the answer to one question: which task may be on which
+// Package allocation owns the answer to one question: which task may be on which
 // machine. It is pure: time and messages come in, facts and commands go out.
 //
 // The invariants, which the generated histories of the tests hold it to:
@@ -26,7 +26,7 @@
 //  5. A result is durable before its task is forgotten.
 //  6. Type, zone, kind, team limit and the job's other tasks are checked again
 //     when a start is put into a message.
-package ledger
+package allocation
 
 import (
 	"cmp"
--- a/internal/ledger/placement.go
+++ b/internal/allocation/placement.go
@@ -1,4 +1,4 @@
-package ledger
+package allocation
 
 import (
 	"errors"
--- a/internal/ledger/token.go
+++ b/internal/allocation/token.go
@@ -1,4 +1,4 @@
-package ledger
+package allocation
 
 // A direct start that was answered may come again: a copy that the network kept.
 // While its attempt is listed it has no effect; once the attempt is forgotten it
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/connlimit"
 	"firwood.dev/firwood/internal/http1"
-	"firwood.dev/firwood/internal/sockets"
 )
 
 // Dialer opens a connection to an address.
@@ -62,14 +62,14 @@
 // more, the one that has lain idle longest makes room.
 type Pool struct {
 	dial   Dialer
-	budget *sockets.Budget
+	budget *connlimit.Budget
 
 	mu   sync.Mutex
 	idle *list.List // of *conn, the longest idle first
 }
 
 // NewPool makes a pool of connections that go out, within the budget.
-func NewPool(dial Dialer, b *sockets.Budget) *Pool {
+func NewPool(dial Dialer, b *connlimit.Budget) *Pool {
 	return &Pool{dial: dial, budget: b, idle: list.New()}
 }
 
--- a/internal/client/pool_test.go
+++ b/internal/client/pool_test.go
@@ -9,14 +9,14 @@
 	"testing"
 
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/sockets"
+	"firwood.dev/firwood/internal/connlimit"
 )
 
 // A pool never has more connections than its bound, whoever calls whom; the
 // one idle longest makes room, and when none is idle the caller is told so.
 func TestPoolBound(t *testing.T) {
 	const most = 3
-	budget := sockets.New(most)
+	budget := connlimit.New(most)
 	p := NewPool(DialTCP, budget)
 	held := func() int {
 		_, out := budget.Open()
--- a/internal/client/threads_test.go
+++ b/internal/client/threads_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/sockets"
+	"firwood.dev/firwood/internal/connlimit"
 )
 
 // Hundreds of hung machines, each with a call under way, take no thread each: the
@@ -34,7 +34,7 @@
 			arrived <- struct{}{}
 		}
 	}()
-	p := NewPool(DialTCP, sockets.New(2*hung))
+	p := NewPool(DialTCP, connlimit.New(2*hung))
 	var wg sync.WaitGroup
 	for i := 0; i < hung; i++ {
 		h := p.Host(l.Addr().String(), 1, 1<<10)
--- a/internal/sockets/sockets.go
+++ b/internal/connlimit/sockets.go
@@ -1,8 +1,8 @@
-// Package sockets owns the budget of connections that a process may have: what
+// Package connlimit owns the budget of connections that a process may have: what
 // comes in (workers, users, probes, other controllers) and what goes out to
 // workers share it by need. Incoming connections come first: without one a
 // worker's lease runs out, while a direct message only saves time.
-package sockets
+package connlimit
 
 import "sync"
 
--- a/internal/sockets/sockets_test.go
+++ b/internal/connlimit/sockets_test.go
@@ -1,4 +1,4 @@
-package sockets
+package connlimit
 
 import (
 	"math/rand/v2"
--- a/internal/core/account.go
+++ b/internal/controller/account.go
@@ -1,12 +1,12 @@
-package core
+package controller
 
 import (
 	"cmp"
 	"maps"
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
@@ -15,7 +15,7 @@
 // take-over, every machine that the jobs of the one before were about to need again.
 func (l *lead) relearn(now, wall clock.Micros) {
 	jobs := slices.Collect(maps.Values(l.lg.Jobs))
-	slices.SortFunc(jobs, func(a, b *ledger.Job) int {
+	slices.SortFunc(jobs, func(a, b *allocation.Job) int {
 		return cmp.Or(cmp.Compare(a.Submitted, b.Submitted), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
 	for _, j := range jobs {
@@ -23,7 +23,7 @@
 	}
 }
 
-func (l *lead) addJob(id string, rec *jobRecord, marked bool) *ledger.Job {
+func (l *lead) addJob(id string, rec *jobRecord, marked bool) *allocation.Job {
 	done := l.c.doneTasks(id, rec)
 	released := l.c.graph.ReleasedAt(id, clock.Micros(rec.At))
 	j := l.lg.AddJob(rec.Job, released, clock.Now(), marked, done.has)
@@ -35,7 +35,7 @@
 	return j
 }
 
-func (l *lead) addMachine(h *rental, name string) *ledger.Machine {
+func (l *lead) addMachine(h *rental, name string) *allocation.Machine {
 	now := clock.Now()
 	m := l.lg.AddMachine(name, h.rec.Type, h.rec.Zone, h.rec.Spot, l.pl.Size(h.rec.Type), now)
 	m.Since = h.at
@@ -67,7 +67,7 @@
 // withdraw takes a durable withdrawal. The time that its tasks have runs from the
 // confirmation, of which a leader that was refused by the state service may have
 // learnt late.
-func (l *lead) withdraw(j *ledger.Job, rec *jobRecord, now clock.Micros) {
+func (l *lead) withdraw(j *allocation.Job, rec *jobRecord, now clock.Micros) {
 	l.lg.Withdraw(j, now)
 	j.WithdrawnAt = now - max(clock.Wall()-clock.Micros(rec.End), 0)
 	l.jobs[j.Spec.ID].over = true
--- a/internal/core/archive.go
+++ b/internal/controller/archive.go
@@ -1,10 +1,10 @@
-package core
+package controller
 
 import (
 	"strings"
 
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/state"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/wire"
 )
 
@@ -54,7 +54,7 @@
 func (l *lead) markArchive(change wire.Change) {
 	a := &l.archiver
 	a.marking = true
-	l.write(&state.Write{Rank: state.Spare, Then: []wire.Change{change}}, func(state.Outcome) {
+	l.write(&kvstore.Write{Rank: kvstore.Spare, Then: []wire.Change{change}}, func(kvstore.Outcome) {
 		// The watch tells whether it was carried out.
 		l.after(archiveEvery, func() { a.marking = false })
 	})
@@ -126,10 +126,10 @@
 		return // the next time through
 	}
 	a.moving++
-	w := &state.Write{
-		Rank: state.Spare,
+	w := &kvstore.Write{
+		Rank: kvstore.Spare,
 		If:   []wire.Condition{{Key: item.Key, Version: item.Version}, {Key: to}},
 		Then: []wire.Change{{Put: to, Value: item.Value}, {Delete: item.Key}},
 	}
-	l.write(w, func(state.Outcome) { a.moving-- })
+	l.write(w, func(kvstore.Outcome) { a.moving-- })
 }
--- a/internal/core/asked.go
+++ b/internal/controller/asked.go
@@ -1,10 +1,10 @@
-package core
+package controller
 
 import (
 	"strings"
 
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/state"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/wire"
 )
 
@@ -43,11 +43,11 @@
 	}
 	c.nextAsked = now + askedEvery
 	// A write that is refused or late is made up for by the next.
-	c.store.Commit(&state.Write{
-		Rank:     state.Vital,
+	c.store.Commit(&kvstore.Write{
+		Rank:     kvstore.Vital,
 		Then:     []wire.Change{{Put: prefixAsked + c.cfg.Member, Value: v}},
 		Deadline: now + askedEvery,
-		Done:     func(state.Outcome, uint64) {},
+		Done:     func(kvstore.Outcome, uint64) {},
 	})
 }
 
--- a/internal/core/checkin.go
+++ b/internal/controller/checkin.go
@@ -1,10 +1,10 @@
-package core
+package controller
 
 import (
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
@@ -26,13 +26,13 @@
 		l.lg.HeardBy(m, now)
 		booting := m.UpAt == 0
 		res := l.lg.Report(m, rep, now)
-		if res == ledger.Deposed {
+		if res == allocation.Deposed {
 			l.c.log.Info("a worker has seen a higher token", "worker", rep.Machine, "token", rep.Token)
 			later(r, "deposed")
 			l.c.fenced(l.token)
 			return
 		}
-		if res == ledger.Taken {
+		if res == allocation.Taken {
 			if booting && m.Since > l.since {
 				l.pl.Booted(m.Type, now-m.Since)
 			}
@@ -83,7 +83,7 @@
 	l.lg.Ended = l.lg.Ended[:0]
 }
 
-func (l *lead) ended(e ledger.Ending, now clock.Micros) {
+func (l *lead) ended(e allocation.Ending, now clock.Micros) {
 	p, j := e.Placement, e.Placement.Job
 	t := &j.Tasks[p.Index]
 	if e.Why != wire.WhyDone && !j.Withdrawn {
@@ -118,7 +118,7 @@
 		t.NotBefore = now + wait
 		l.c.log.Info("task failed", "job", j.Spec.ID, "task", p.Index, "machine", p.Machine.Name, "fails", t.Fails)
 		l.blame(p.Machine, now)
-	case ledger.WhyVanished:
+	case allocation.WhyVanished:
 		if !j.Withdrawn {
 			j.Restarts++
 		}
--- a/internal/core/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"maps"
 	"slices"
 
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/state"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/wire"
 )
 
@@ -107,12 +107,12 @@
 	if len(keys) == 0 {
 		return
 	}
-	w := &state.Write{Rank: state.Spare, If: []wire.Condition{{Key: r.key(id), Version: r.version}}}
+	w := &kvstore.Write{Rank: kvstore.Spare, If: []wire.Condition{{Key: r.key(id), Version: r.version}}}
 	for _, key := range keys[:min(len(keys), l.c.cfg.Deployment.State.Effective().TxnOps)] {
 		w.Then = append(w.Then, wire.Change{Delete: key})
 	}
 	// What is left after this one, or after a failure, is found by the next sweep.
-	l.writeCleanup(w, func(state.Outcome) {})
+	l.writeCleanup(w, func(kvstore.Outcome) {})
 }
 
 // writeDerivedEnd makes the end of a job durable that is cancelled with one that it
@@ -128,21 +128,21 @@
 	if err != nil {
 		return
 	}
-	w := &state.Write{
-		Rank: state.Spare,
+	w := &kvstore.Write{
+		Rank: kvstore.Spare,
 		If:   []wire.Condition{{Key: prefixJob + id, Version: r.version}},
 		Then: []wire.Change{{Put: prefixJob + id, Value: value}},
 	}
-	l.writeCleanup(w, func(o state.Outcome) {
-		if o != state.Committed {
+	l.writeCleanup(w, func(o kvstore.Outcome) {
+		if o != kvstore.Committed {
 			l.after(cleanupRetry, func() { l.cleanup.ends = append(l.cleanup.ends, id) })
 		}
 	})
 }
 
-func (l *lead) writeCleanup(w *state.Write, then func(state.Outcome)) {
+func (l *lead) writeCleanup(w *kvstore.Write, then func(kvstore.Outcome)) {
 	l.cleanup.underWay++
-	l.write(w, func(o state.Outcome) {
+	l.write(w, func(o kvstore.Outcome) {
 		l.cleanup.underWay--
 		then(o)
 	})
--- a/internal/core/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/json"
@@ -6,11 +6,11 @@
 	"slices"
 	"testing"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/config"
-	"firwood.dev/firwood/internal/ledger"
-	"firwood.dev/firwood/internal/standin"
-	"firwood.dev/firwood/internal/state"
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/wire"
 )
 
@@ -25,8 +25,8 @@
 			t.Fatal(err)
 		}
 		done := false
-		c.store.Commit(&state.Write{Then: []wire.Change{{Put: key, Value: v}}, Done: func(o state.Outcome, _ uint64) {
-			if o != state.Committed {
+		c.store.Commit(&kvstore.Write{Then: []wire.Change{{Put: key, Value: v}}, Done: func(o kvstore.Outcome, _ uint64) {
+			if o != kvstore.Committed {
 				t.Errorf("%s is not stored: %v", key, o)
 			}
 			c.post(func() { done = true })
@@ -38,7 +38,7 @@
 	work(t, c, func() bool { return synced })
 }
 
-func keysOf(s *standin.State) []string {
+func keysOf(s *fake.State) []string {
 	return append(s.Keys(prefixAwaits), s.Keys(prefixDone)...)
 }
 
@@ -149,10 +149,10 @@
 		t.Fatalf("%d writes are under way", l.cleanup.underWay)
 	}
 	accepted := false
-	ok := c.store.Commit(&state.Write{
+	ok := c.store.Commit(&kvstore.Write{
 		If: []wire.Condition{{Key: prefixJob + "req-009999"}}, Then: []wire.Change{{Put: prefixJob + "req-009999", Value: []byte(`{"at":1}`)}},
 		Deadline: clock.Now() + submitWait,
-		Done:     func(o state.Outcome, _ uint64) { c.post(func() { accepted = o == state.Committed }) },
+		Done:     func(o kvstore.Outcome, _ uint64) { c.post(func() { accepted = o == kvstore.Committed }) },
 	})
 	if !ok {
 		t.Fatal("a submission is refused")
@@ -177,7 +177,7 @@
 		prefixJob + id: jobRecord{At: int64(clock.Wall()), Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", Tasks: tasks, Priority: wire.PriorityNormal}},
 		doneKey(id, 0): doneRecord{Bits: before.encode()}, // by the version before
 	})
-	s.SetLimits(standin.StateLimits{ValueBytes: 1 << 10, TxnOps: 3})
+	s.SetLimits(fake.StateLimits{ValueBytes: 1 << 10, TxnOps: 3})
 	j := l.lg.Jobs[id]
 	done := []int{0, 7, 6000, 12345, 33000, tasks - 1}
 	m := l.lg.AddMachine("i-1", "big", "x", false, l.pl.Size("big"), clock.Now())
@@ -186,7 +186,7 @@
 	for _, i := range done {
 		rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone})
 	}
-	if l.lg.Report(m, rep, clock.Now()) != ledger.Taken {
+	if l.lg.Report(m, rep, clock.Now()) != allocation.Taken {
 		t.Fatal("report not taken")
 	}
 	work(t, l.c, func() bool { l.durable(clock.Now() + clock.Second); return len(j.NotDurable()) == 0 })
@@ -196,7 +196,7 @@
 	l = leadAgain(t, l.c)
 	j = l.lg.Jobs[id]
 	for _, i := range append(done, 5, 32000) {
-		if j.Tasks[i].State != ledger.Done {
+		if j.Tasks[i].State != allocation.Done {
 			t.Errorf("task %d was done, and the next leader doesn't know", i)
 		}
 	}
@@ -216,7 +216,7 @@
 		}
 		for i := range 8 * len(bits) {
 			task := number*chunkOf(limits.ValueKB) + i
-			if bits.has(i) && task < tasks && j.Tasks[task].State != ledger.Done {
+			if bits.has(i) && task < tasks && j.Tasks[task].State != allocation.Done {
 				t.Errorf("the other version takes task %d for done", task)
 			}
 		}
--- a/internal/core/core.go
+++ b/internal/controller/core.go
@@ -1,8 +1,8 @@
-// Package core owns all state of a process: one goroutine works through a
+// Package controller owns all state of a process: one goroutine works through a
 // queue of commands in batches. It wires the pure parts (election, ledger,
 // planner) to the outside: what they decide is sent from here, and every
 // answer comes back here as a command.
-package core
+package controller
 
 import (
 	"context"
@@ -10,21 +10,21 @@
 	"sync/atomic"
 	"time"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/cloud"
 	"firwood.dev/firwood/internal/config"
+	"firwood.dev/firwood/internal/connlimit"
+	"firwood.dev/firwood/internal/dag"
 	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/election"
-	"firwood.dev/firwood/internal/finished"
-	"firwood.dev/firwood/internal/ledger"
+	"firwood.dev/firwood/internal/jobhistory"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/peer"
-	"firwood.dev/firwood/internal/pipeline"
 	"firwood.dev/firwood/internal/server"
-	"firwood.dev/firwood/internal/sockets"
 	"firwood.dev/firwood/internal/staleness"
 	"firwood.dev/firwood/internal/standby"
-	"firwood.dev/firwood/internal/state"
 	"firwood.dev/firwood/internal/tracing"
 	"firwood.dev/firwood/wire"
 )
@@ -38,18 +38,18 @@
 	tuning config.Tuning
 	log    *slog.Logger
 	q      *queue
-	store  *state.Client
+	store  *kvstore.Client
 	cloud  *cloud.Client
 	links  []*peer.Link
 	// Direct messages share the sockets with what comes in.
-	sockets   *sockets.Budget
+	sockets   *connlimit.Budget
 	toWorkers *client.Pool
 	directs   int // how many may be under way at a time
 	chunk     int // tasks in one progress key
-	teams     map[string]ledger.Team
+	teams     map[string]allocation.Team
 
 	view  view
-	graph *pipeline.Graph
+	graph *dag.Graph
 	el    *election.Machine
 	beats map[string]*beatSeen
 	lead  *lead // nil unless leader and rebuilt
@@ -62,10 +62,10 @@
 
 	// finished are the finished jobs of the view, finishedKept how many are kept,
 	// forgotten what is left of the others; lookups ask for those.
-	finished     *finished.Memory
+	finished     *jobhistory.Memory
 	finishedKept int
 	forgotten    forgottenJobs
-	lookups      *finished.Lookups
+	lookups      *jobhistory.Lookups
 
 	submitting map[string][]*server.Reply
 	counts     jobCounts
@@ -119,14 +119,14 @@
 	}
 	c := &Core{
 		cfg: cfg, tuning: tuning, log: log, dial: dial, ended: make(chan struct{}), q: newQueue(cfg.Deployment.Limits.MaxSockets, len(cfg.Others)),
-		store: state.New(dial, cfg.Outside.State, state.Limits{
+		store: kvstore.New(dial, cfg.Outside.State, kvstore.Limits{
 			RPS: d.State.RPS, WriteRPS: d.State.Effective().WriteRPS, TxnOps: d.State.Effective().TxnOps,
 		}, keyLock),
 		cloud:      cloud.New(dial, cfg.Outside.Cloud, d.Cloud.RPS),
-		sockets:    sockets.New(cfg.Sockets()),
+		sockets:    connlimit.New(cfg.Sockets()),
 		directs:    max(cfg.Sockets()/24, 4),
-		teams:      map[string]ledger.Team{},
-		graph:      pipeline.New(),
+		teams:      map[string]allocation.Team{},
+		graph:      dag.New(),
 		el:         election.New(election.Config{Member: cfg.Member, TTL: ttl, Slack: 50 * clock.Millisecond}),
 		beats:      map[string]*beatSeen{},
 		submitting: map[string][]*server.Reply{},
@@ -137,8 +137,8 @@
 		begunAt:    clock.Now(),
 	}
 	c.finishedKept = finishedKept(tuning.FinishedJobs, d.Limits.RAMMB)
-	c.finished = finished.NewMemory(c.finishedKept)
-	c.lookups = finished.NewLookups(mostLookups, min(4*d.State.Effective().TxnOps/keysOfJob, mostAsked))
+	c.finished = jobhistory.NewMemory(c.finishedKept)
+	c.lookups = jobhistory.NewLookups(mostLookups, min(4*d.State.Effective().TxnOps/keysOfJob, mostAsked))
 	c.toWorkers = client.NewPool(dial, c.sockets)
 	c.chunk = chunkOf(d.State.ValueKB)
 	w := &d.Workers
@@ -155,9 +155,9 @@
 	c.withdrawals = newWithdrawalLog(clock.FromSeconds(w.CancelS), d.State.WriteRPS)
 	c.delegate = delegation.NewDelegate(c.times, uint64(clock.Wall()), clock.Now())
 	for _, t := range d.Teams {
-		g := ledger.FromAmounts(t.CPUs, t.GPUs, 0)
-		m := ledger.FromAmounts(t.CPUsMax, t.GPUsMax, 0)
-		c.teams[t.Name] = ledger.Team{CPU: g.CPU, GPU: g.GPU, CPUMax: m.CPU, GPUMax: m.GPU}
+		g := allocation.FromAmounts(t.CPUs, t.GPUs, 0)
+		m := allocation.FromAmounts(t.CPUsMax, t.GPUsMax, 0)
+		c.teams[t.Name] = allocation.Team{CPU: g.CPU, GPU: g.GPU, CPUMax: m.CPU, GPUMax: m.GPU}
 	}
 	if tuning.Standby.Enabled {
 		c.replica = standby.NewReplica(c.delegate.Stamp(clock.Now()).Life)
@@ -171,7 +171,7 @@
 
 // Sockets is the budget of connections that the server shares with this process's
 // direct messages.
-func (c *Core) Sockets() *sockets.Budget { return c.sockets }
+func (c *Core) Sockets() *connlimit.Budget { return c.sockets }
 
 // MakeRoom closes a direct connection that lies idle; it may be called on any
 // goroutine.
--- a/internal/core/direct.go
+++ b/internal/controller/direct.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"errors"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
@@ -15,7 +15,7 @@
 // direct sends starts and stops straight to the workers: a report's answer
 // would wait for the next report.
 func (l *lead) direct(now clock.Micros) {
-	l.lg.Outbox(func(m *ledger.Machine) bool {
+	l.lg.Outbox(func(m *allocation.Machine) bool {
 		name := m.Name
 		a := l.machines[name]
 		if a == nil || a.deleting {
@@ -31,7 +31,7 @@
 		}
 		body, err := msg.MarshalJSON()
 		if err != nil {
-			l.lg.DirectEnded(m, starts, ledger.NotSent, now)
+			l.lg.DirectEnded(m, starts, allocation.NotSent, now)
 			return false
 		}
 		if a.host == nil {
@@ -44,17 +44,17 @@
 		l.directing++
 		go func() {
 			res, err := host.Do(client.Request{Method: "POST", Target: "/commands", Body: body, Timeout: directTimeout, Until: until})
-			result := ledger.Lost
+			result := allocation.Lost
 			var rep *wire.Report
 			var se *client.SendError
 			switch {
 			case errors.As(err, &se), errors.Is(err, client.ErrLate):
-				result = ledger.NotSent
+				result = allocation.NotSent
 			case err != nil:
 			case res.Status == 200:
-				result = ledger.Executed
+				result = allocation.Executed
 			case res.Status == 409, res.Status == 400:
-				result = ledger.Rejected
+				result = allocation.Rejected
 			}
 			if err == nil && (res.Status == 200 || res.Status == 409) {
 				r := &wire.Report{}
@@ -73,17 +73,17 @@
 	})
 }
 
-func (l *lead) directEnded(m *ledger.Machine, a *machineAux, starts []*ledger.Placement, result ledger.DirectResult, rep *wire.Report) {
+func (l *lead) directEnded(m *allocation.Machine, a *machineAux, starts []*allocation.Placement, result allocation.DirectResult, rep *wire.Report) {
 	now := clock.Now()
 	if l.lg.Machines[m.Name] != m {
 		return
 	}
 	l.lg.DirectEnded(m, starts, result, now)
-	if result != ledger.Executed {
+	if result != allocation.Executed {
 		// The way to this worker is bad; its reports' answers will do.
 		a.notUntil = now + 2*clock.Second
 	}
-	if rep != nil && l.lg.DirectReport(m, rep, now) == ledger.Deposed {
+	if rep != nil && l.lg.DirectReport(m, rep, now) == allocation.Deposed {
 		l.c.fenced(l.token)
 		return
 	}
--- a/internal/core/durable.go
+++ b/internal/controller/durable.go
@@ -1,20 +1,20 @@
-package core
+package controller
 
 import (
 	"cmp"
 	"maps"
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
-	"firwood.dev/firwood/internal/state"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/wire"
 )
 
 // mark makes it durable that tasks of the job may be started from now on: a
 // later leader then knows for which jobs it has to look, and that no other
 // job's tasks can be anywhere.
-func (l *lead) mark(j *ledger.Job) {
+func (l *lead) mark(j *allocation.Job) {
 	id := j.Spec.ID
 	a := l.jobs[id]
 	if a == nil || a.marking || j.Marked {
@@ -23,15 +23,15 @@
 	a.marking = true
 	// Conditional on the key's absence: one that is carried out late, or again,
 	// must not take back progress that was written meanwhile.
-	w := &state.Write{Rank: state.Needed, If: []wire.Condition{{Key: doneKey(id, 0)}}, Then: []wire.Change{progressChange(id, 0, nil, nil)}}
-	l.writeRev(w, func(o state.Outcome, rev uint64) {
+	w := &kvstore.Write{Rank: kvstore.Needed, If: []wire.Condition{{Key: doneKey(id, 0)}}, Then: []wire.Change{progressChange(id, 0, nil, nil)}}
+	l.writeRev(w, func(o kvstore.Outcome, rev uint64) {
 		l.dirty = true
 		switch o {
-		case state.Committed:
+		case kvstore.Committed:
 			a.marking = false
 			j.Marked = true
 			a.wrote(0, rev)
-		case state.Refused:
+		case kvstore.Refused:
 			a.marking = false
 		default: // it may be there already
 			l.c.view.wantSync(func(error) {
@@ -45,20 +45,20 @@
 }
 
 // write commits a change that is bound to the lock.
-func (l *lead) write(w *state.Write, then func(state.Outcome)) {
-	l.writeRev(w, func(o state.Outcome, _ uint64) { then(o) })
+func (l *lead) write(w *kvstore.Write, then func(kvstore.Outcome)) {
+	l.writeRev(w, func(o kvstore.Outcome, _ uint64) { then(o) })
 }
 
 // writeRev is the same where the revision matters.
-func (l *lead) writeRev(w *state.Write, then func(state.Outcome, uint64)) {
+func (l *lead) writeRev(w *kvstore.Write, then func(kvstore.Outcome, uint64)) {
 	w.Fence = l.token
 	w.Deadline = clock.Now() + 3*clock.Second
-	w.Done = func(o state.Outcome, rev uint64) {
+	w.Done = func(o kvstore.Outcome, rev uint64) {
 		l.c.post(func() {
 			if l.closed {
 				return
 			}
-			if o == state.Fenced {
+			if o == kvstore.Fenced {
 				l.c.fenced(l.token)
 				return
 			}
@@ -66,7 +66,7 @@
 		})
 	}
 	if !l.c.store.Commit(w) {
-		then(state.Refused, 0)
+		then(kvstore.Refused, 0)
 	}
 }
 
@@ -78,7 +78,7 @@
 		l.c.log.Info("machine types are too large for the state service; controllers learn them from the cloud alone", "bytes", len(v))
 		return
 	}
-	l.write(&state.Write{Rank: state.Needed, Then: []wire.Change{{Put: keyTypes, Value: v}}}, func(state.Outcome) {})
+	l.write(&kvstore.Write{Rank: kvstore.Needed, Then: []wire.Change{{Put: keyTypes, Value: v}}}, func(kvstore.Outcome) {})
 }
 
 // progressEvery bounds how often a job's progress is written.
@@ -130,7 +130,7 @@
 // savesAtOnce bounds the writes of progress that wait.
 const savesAtOnce = 8
 
-func (l *lead) saveProgress(id string, j *ledger.Job, a *jobAux, todo []int, now clock.Micros) {
+func (l *lead) saveProgress(id string, j *allocation.Job, a *jobAux, todo []int, now clock.Micros) {
 	a.writing, a.wroteAt = true, now
 	// What is more than a transaction takes is for the next one.
 	most := l.c.cfg.Deployment.State.Effective().TxnOps
@@ -146,22 +146,22 @@
 	l.saving++
 	// Conditional on the keys' versions: one that is carried out late must not take back
 	// what was written after it.
-	w := &state.Write{Rank: state.Spare}
+	w := &kvstore.Write{Rank: kvstore.Spare}
 	for key := range keys {
 		w.If = append(w.If, wire.Condition{Key: doneKey(id, key), Version: a.keys[key]})
 		w.Then = append(w.Then, a.layout.change(j, key))
 		a.wrote(key, 0)
 	}
-	l.writeRev(w, func(o state.Outcome, rev uint64) {
+	l.writeRev(w, func(o kvstore.Outcome, rev uint64) {
 		l.saving--
 		l.dirty = true
 		switch o {
-		case state.Committed:
+		case kvstore.Committed:
 			for key := range keys {
 				a.wrote(key, rev)
 			}
 			l.lg.MadeDurable(j, todo)
-		case state.Conflict, state.Unknown:
+		case kvstore.Conflict, kvstore.Unknown:
 			l.c.view.wantSync(func(error) {
 				a.writing = false
 				a.learnKeys(l.c.view.done[id])
@@ -174,7 +174,7 @@
 }
 
 // finish makes the end of a job durable; only then anybody is told.
-func (l *lead) finish(id string, j *ledger.Job, a *jobAux) {
+func (l *lead) finish(id string, j *allocation.Job, a *jobAux) {
 	rec := l.c.view.jobs[id]
 	if rec == nil || rec.over() {
 		return
@@ -189,19 +189,19 @@
 		return
 	}
 	a.writing = true
-	w := &state.Write{
-		Rank: state.Needed,
+	w := &kvstore.Write{
+		Rank: kvstore.Needed,
 		If:   []wire.Condition{{Key: prefixJob + id, Version: rec.version}},
 		Then: []wire.Change{{Put: prefixJob + id, Value: v}},
 	}
 	if l.c.store.Backlog() < backlogged {
 		l.addProgressDrops(w, id, a)
 	}
-	l.writeRev(w, func(o state.Outcome, rev uint64) {
+	l.writeRev(w, func(o kvstore.Outcome, rev uint64) {
 		a.writing = false
 		l.dirty = true
 		switch o {
-		case state.Committed:
+		case kvstore.Committed:
 			a.over = true
 			todo := j.NotDurable()
 			l.lg.MadeDurable(j, todo)
@@ -211,7 +211,7 @@
 				l.c.setJob(id, over)
 			}
 			l.logEnd(id, over)
-		case state.Conflict, state.Unknown:
+		case kvstore.Conflict, kvstore.Unknown:
 			// Withdrawn meanwhile, or done without our knowing: the view tells.
 			a.writing = true
 			l.c.view.wantSync(func(error) {
@@ -228,7 +228,7 @@
 
 // addProgressDrops adds the removal of a job's progress to the write of its end, as far
 // as one transaction takes it; the rest is cleaned up later, see cleanup.
-func (l *lead) addProgressDrops(w *state.Write, id string, a *jobAux) {
+func (l *lead) addProgressDrops(w *kvstore.Write, id string, a *jobAux) {
 	most := l.c.cfg.Deployment.State.Effective().TxnOps
 	for _, number := range slices.Sorted(maps.Keys(a.keys)) {
 		if len(w.Then) >= most {
@@ -249,7 +249,7 @@
 
 // shrinkWithdrawn shrinks the record of a withdrawn job, once no task of it can be
 // anywhere.
-func (l *lead) shrinkWithdrawn(id string, j *ledger.Job, a *jobAux) {
+func (l *lead) shrinkWithdrawn(id string, j *allocation.Job, a *jobAux) {
 	rec := *l.c.view.jobs[id]
 	rec.Job = nil
 	v, err := rec.MarshalJSON()
@@ -258,11 +258,11 @@
 	}
 	a.writing = true
 	// As long as the record is whole, a new leader has to reckon with its tasks.
-	w := &state.Write{Rank: state.Needed, Then: []wire.Change{{Put: prefixJob + id, Value: v}}}
+	w := &kvstore.Write{Rank: kvstore.Needed, Then: []wire.Change{{Put: prefixJob + id, Value: v}}}
 	l.addProgressDrops(w, id, a)
-	l.write(w, func(o state.Outcome) {
+	l.write(w, func(o kvstore.Outcome) {
 		a.writing = false
-		if o == state.Committed {
+		if o == kvstore.Committed {
 			l.lg.RemoveJob(j)
 			delete(l.jobs, id)
 		}
--- a/internal/core/faulty.go
+++ b/internal/controller/faulty.go
@@ -1,8 +1,8 @@
-package core
+package controller
 
 import (
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 )
 
 // faults is what failed tasks tell of a machine.
@@ -36,7 +36,7 @@
 // blame draws the conclusion from a task that failed on a machine. One that fails
 // several jobs gets no more, and is given back when it is empty; when others fail
 // too, something else is at fault, and all of them get nothing for a moment.
-func (l *lead) blame(m *ledger.Machine, now clock.Micros) {
+func (l *lead) blame(m *allocation.Machine, now clock.Micros) {
 	a := l.machines[m.Name]
 	if a == nil {
 		return
@@ -64,7 +64,7 @@
 // othersFail tells whether many of the other machines have failed tasks lately too.
 // All machines of a small fleet once failed what was started on them in the same
 // five seconds, and all were drained.
-func (l *lead) othersFail(m *ledger.Machine, now clock.Micros) bool {
+func (l *lead) othersFail(m *allocation.Machine, now clock.Micros) bool {
 	failed, others := 0, 0
 	for name, a := range l.machines {
 		if o := l.lg.Machines[name]; o == nil || o == m || o.UpAt == 0 || a.deleting {
@@ -82,7 +82,7 @@
 // enough and cannot be given back, since work goes on there. Once two of a fleet's
 // three machines, which the cloud had no others for, got nothing for eight minutes
 // because of replicas that ran on them without a fault.
-func (l *lead) tryAgain(m *ledger.Machine, a *machineAux, now clock.Micros) {
+func (l *lead) tryAgain(m *allocation.Machine, a *machineAux, now clock.Micros) {
 	f := &a.faults
 	if f.trialAt == 0 || now < f.trialAt || m.Idle() {
 		return
--- a/internal/core/fleet.go
+++ b/internal/controller/fleet.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"maps"
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
@@ -217,9 +217,9 @@
 
 // leave moves tasks off a machine that is about to be taken, unless they will
 // be done in time.
-func (l *lead) leave(m *ledger.Machine, now clock.Micros) {
+func (l *lead) leave(m *allocation.Machine, now clock.Micros) {
 	left := m.TakenAt - now
-	m.Places(func(p *ledger.Placement) {
+	m.Places(func(p *allocation.Placement) {
 		j := p.Job
 		if p.Stopping() {
 			return
@@ -261,7 +261,7 @@
 			idle[k]++
 		}
 		room[k] += m.Cap.CPU / 1000
-		m.Places(func(p *ledger.Placement) {
+		m.Places(func(p *allocation.Placement) {
 			if p.Job.Service() {
 				replicas[k] += p.Job.Need.CPU / 1000
 			} else {
--- a/internal/core/forgetting.go
+++ b/internal/controller/forgetting.go
@@ -1,16 +1,16 @@
-package core
+package controller
 
 import (
 	"slices"
 	"strings"
 
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/finished"
+	"firwood.dev/firwood/internal/jobhistory"
 	"firwood.dev/firwood/wire"
 )
 
 // Finished jobs' records stay in the state service for good. A controller remembers those
-// that ended or were asked for last, and looks the others up; see package finished.
+// that ended or were asked for last, and looks the others up; see package jobhistory.
 
 const (
 	// finishedPart is which part of the memory finished jobs may take, finishedBytes what
@@ -103,13 +103,13 @@
 // keeps the newest ones, and counts the others.
 type loadFilter struct {
 	others   []wire.Item
-	finished *finished.Newest[wire.Item]
+	finished *jobhistory.Newest[wire.Item]
 	// seen counts all finished jobs.
 	seen forgottenCounts
 }
 
 func newLoadFilter(kept int) *loadFilter {
-	return &loadFilter{finished: finished.NewNewest[wire.Item](kept)}
+	return &loadFilter{finished: jobhistory.NewNewest[wire.Item](kept)}
 }
 
 func (f *loadFilter) add(items []wire.Item) {
--- a/internal/core/lead.go
+++ b/internal/controller/lead.go
@@ -1,14 +1,14 @@
-package core
+package controller
 
 import (
 	"sync/atomic"
 	"time"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
-	"firwood.dev/firwood/internal/ledger"
-	"firwood.dev/firwood/internal/planner"
+	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/internal/staleness"
 )
 
@@ -18,8 +18,8 @@
 type lead struct {
 	c      *Core
 	token  uint64
-	lg     *ledger.Ledger
-	pl     *planner.Planner
+	lg     *allocation.Ledger
+	pl     *scheduler.Planner
 	closed bool
 	// deadline is the end of the entitlement, 0 once closed; startDeadline is the
 	// end of the time in which tasks may be started, no later than that.
@@ -147,14 +147,14 @@
 		gone:   map[string]clock.Micros{}, unknown: map[string]clock.Micros{},
 		view: staleness.NewTracker(c.staleness, readAt),
 	}
-	account := ledger.Config{
+	account := allocation.Config{
 		Token: token, Lease: clock.FromSeconds(d.Workers.LeaseS), Teams: c.teams,
 		MayFence: clock.FromSeconds(d.Workers.CancelS) / 2,
 	}
 	l.follow(&account)
-	l.lg = ledger.New(account)
+	l.lg = allocation.New(account)
 	t := &c.tuning
-	l.pl = planner.New(planner.Params{
+	l.pl = scheduler.New(scheduler.Params{
 		Alpha: t.Alpha, Beta: t.Beta, IdleWait: clock.FromSeconds(t.IdleWaitS), LaxIdleWait: clock.FromSeconds(t.LaxIdleWaitS),
 		Window: clock.FromSeconds(t.ScreenWindowS), Recency: clock.FromSeconds(t.RecencyS),
 		SpareMin: t.SpareMin, SpareMax: t.SpareMax,
--- a/internal/core/leadership.go
+++ b/internal/controller/leadership.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"time"
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/election"
-	"firwood.dev/firwood/internal/state"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/wire"
 )
 
@@ -53,7 +53,7 @@
 			go func() {
 				err := c.store.Renew(a.Lease, ttl/4)
 				c.post(func() {
-					c.act(c.el.Renewed(clock.Now(), a.Lease, err == nil, err == state.ErrGone))
+					c.act(c.el.Renewed(clock.Now(), a.Lease, err == nil, err == kvstore.ErrGone))
 				})
 			}()
 		case election.Revoke:
@@ -79,19 +79,19 @@
 	if err != nil {
 		return
 	}
-	w := &state.Write{
-		Rank:     state.Vital,
+	w := &kvstore.Write{
+		Rank:     kvstore.Vital,
 		If:       []wire.Condition{{Key: keyLock}},
 		Then:     []wire.Change{{Put: keyLock, Value: value, Lease: lease}},
 		Deadline: clock.Now() + c.ttl()/2,
 	}
-	w.Done = func(o state.Outcome, rev uint64) {
+	w.Done = func(o kvstore.Outcome, rev uint64) {
 		c.post(func() {
 			r := election.Open
 			switch o {
-			case state.Committed:
+			case kvstore.Committed:
 				r = election.Won
-			case state.Conflict, state.Refused, state.Fenced:
+			case kvstore.Conflict, kvstore.Refused, kvstore.Fenced:
 				r = election.Lost
 			}
 			c.act(c.el.Acquired(clock.Now(), r, rev))
--- a/internal/core/learn_test.go
+++ b/internal/controller/learn_test.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"math"
 	"testing"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	var attempt uint64
-	m.Places(func(p *ledger.Placement) { attempt = p.Attempt })
+	m.Places(func(p *allocation.Placement) { attempt = p.Attempt })
 	l.lg.Orders(m, now)
 	report("req-000001/1", attempt, wire.TaskRunning, "")
 	now += 50 * clock.Second
--- a/internal/core/lookup.go
+++ b/internal/controller/lookup.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"errors"
@@ -6,9 +6,9 @@
 	"strings"
 
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/finished"
+	"firwood.dev/firwood/internal/jobhistory"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/server"
-	"firwood.dev/firwood/internal/state"
 	"firwood.dev/firwood/wire"
 )
 
@@ -24,9 +24,9 @@
 
 // recall has a job that may have been forgotten looked up. An answer from the state service
 // is as new as the question.
-func (c *Core) recall(id string, until clock.Micros, then func(finished.Answer)) {
+func (c *Core) recall(id string, until clock.Micros, then func(jobhistory.Answer)) {
 	if !c.lookups.Ask(id, until, then) {
-		then(finished.NoAnswer)
+		then(jobhistory.NoAnswer)
 		return
 	}
 	c.lookUp(clock.Now())
@@ -70,7 +70,7 @@
 			continue
 		}
 		item, err := c.store.Get(key)
-		if errors.Is(err, state.ErrGone) {
+		if errors.Is(err, kvstore.ErrGone) {
 			continue // it was moved meanwhile, and is asked for again
 		}
 		if err != nil {
@@ -101,11 +101,11 @@
 
 // showForgotten answers a question for a job that is not in the view.
 func (c *Core) showForgotten(id string, r *server.Reply) {
-	c.recall(id, clock.Now()+userWait, func(answer finished.Answer) {
+	c.recall(id, clock.Now()+userWait, func(answer jobhistory.Answer) {
 		until := clock.Now() + userWait
 		rec := c.view.jobs[id]
 		switch {
-		case answer == finished.NoAnswer:
+		case answer == jobhistory.NoAnswer:
 			later(r, "the state service does not answer")
 		case rec == nil:
 			r.SendUntil(404, server.ErrorBody("no such job"), 0, until)
@@ -119,8 +119,8 @@
 
 // withdrawForgotten takes a withdrawal of a job that is not in the view.
 func (c *Core) withdrawForgotten(id string, r *server.Reply, tries int) {
-	c.recall(id, clock.Now()+userWait, func(answer finished.Answer) {
-		if answer == finished.NoAnswer {
+	c.recall(id, clock.Now()+userWait, func(answer jobhistory.Answer) {
+		if answer == jobhistory.NoAnswer {
 			later(r, "the state service does not answer")
 			return
 		}
@@ -144,9 +144,9 @@
 		return
 	}
 	for _, id := range ids {
-		c.recall(id, clock.Now()+userWait, func(answer finished.Answer) {
-			isAnswered = isAnswered && answer != finished.NoAnswer
-			absent[id] = answer == finished.Absent
+		c.recall(id, clock.Now()+userWait, func(answer jobhistory.Answer) {
+			isAnswered = isAnswered && answer != jobhistory.NoAnswer
+			absent[id] = answer == jobhistory.Absent
 			if left--; left > 0 {
 				return
 			}
@@ -169,8 +169,8 @@
 }
 
 func (c *Core) recallForOthers(id string) {
-	c.recall(id, clock.Now()+userWait, func(answer finished.Answer) {
-		if answer != finished.Present {
+	c.recall(id, clock.Now()+userWait, func(answer jobhistory.Answer) {
+		if answer != jobhistory.Present {
 			c.later(recallAgain, func() {
 				if c.view.jobs[id] == nil {
 					c.recallForOthers(id)
--- a/internal/core/pipelines.go
+++ b/internal/controller/pipelines.go
@@ -1,8 +1,8 @@
-package core
+package controller
 
 import (
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/pipeline"
+	"firwood.dev/firwood/internal/dag"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
@@ -31,8 +31,8 @@
 }
 
 // urgency is what a job itself asks for.
-func urgency(r *jobRecord) pipeline.Urgency {
-	u := pipeline.Urgency{Priority: wire.PriorityIndex(r.Job.Priority)}
+func urgency(r *jobRecord) dag.Urgency {
+	u := dag.Urgency{Priority: wire.PriorityIndex(r.Job.Priority)}
 	if r.Job.DeadlineS > 0 && r.Job.Kind != wire.KindService {
 		u.Deadline = clock.Micros(r.At) + clock.FromSeconds(r.Job.DeadlineS)
 	}
@@ -52,7 +52,7 @@
 			return // the rest comes with the same transaction
 		}
 		c.recallNeeds(needs)
-		c.carryOut(c.graph.Add(pipeline.Job{
+		c.carryOut(c.graph.Add(dag.Job{
 			ID: id, Needs: needs, Submitted: clock.Micros(r.At), Urgency: urgency(r),
 			Run: clock.FromSeconds(r.Job.EstimateS) + startTime,
 		}))
@@ -78,7 +78,7 @@
 	return !whole || c.graph.Blocked(id)
 }
 
-func (c *Core) carryOut(change pipeline.Change) {
+func (c *Core) carryOut(change dag.Change) {
 	for _, id := range change.Cancelled {
 		if r := c.view.jobs[id]; r != nil && r.State == "" {
 			r.cancelledWith = true
--- a/internal/core/plan.go
+++ b/internal/controller/plan.go
@@ -1,13 +1,13 @@
-package core
+package controller
 
 import (
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
-	"firwood.dev/firwood/internal/planner"
+	"firwood.dev/firwood/internal/scheduler"
 )
 
 // drain gives a machine nothing new and returns it when it is empty.
-func (l *lead) drain(m *ledger.Machine) { m.Draining = true }
+func (l *lead) drain(m *allocation.Machine) { m.Draining = true }
 
 // Between two plans lies planPart times what the last one took, within bounds.
 const (
@@ -17,11 +17,11 @@
 )
 
 func (l *lead) plan(now clock.Micros) {
-	var pending []planner.Hire
+	var pending []scheduler.Hire
 	for _, h := range l.rentals {
 		if !h.resolved {
-			pending = append(pending, planner.Hire{
-				Pool: planner.Pool{Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot}, Count: h.rec.Count,
+			pending = append(pending, scheduler.Hire{
+				Pool: scheduler.Pool{Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot}, Count: h.rec.Count,
 			})
 		}
 	}
@@ -36,7 +36,7 @@
 		if len(pending) >= l.rentalsAtOnce() {
 			break
 		}
-		pending = append(pending, planner.Hire{})
+		pending = append(pending, scheduler.Hire{})
 		l.rent(r, now)
 	}
 	for _, m := range d.Return {
@@ -47,11 +47,11 @@
 		l.drainedAt = now
 		l.c.log.Debug("replicas move together", "from", d.Drain.Name)
 		l.drain(d.Drain)
-		d.Drain.Places(func(p *ledger.Placement) { l.lg.Stop(p, clock.FromSeconds(p.Job.Spec.SaveS)) })
+		d.Drain.Places(func(p *allocation.Placement) { l.lg.Stop(p, clock.FromSeconds(p.Job.Spec.SaveS)) })
 	}
 	for _, s := range []struct {
 		kind string
-		r    *planner.SpareReport
+		r    *scheduler.SpareReport
 	}{{"spot", &d.Spot}, {"ordinary", &d.Ordinary}} {
 		l.c.log.Debug("screen", "kind", s.kind, "gaps", s.r.Gaps.Reason, "n", s.r.Gaps.N, "runs", s.r.Runs.Reason,
 			"open", s.r.Open, "x", s.r.Cost.X, "w", s.r.Cost.W, "e", s.r.Cost.E)
--- a/internal/core/probe.go
+++ b/internal/controller/probe.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"errors"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
@@ -61,13 +61,13 @@
 }
 
 // mayAsk tells whether a machine can be asked at all.
-func (l *lead) mayAsk(m *ledger.Machine, a *machineAux) bool {
+func (l *lead) mayAsk(m *allocation.Machine, a *machineAux) bool {
 	return a != nil && !a.deleting && m.Addr != "" && m.UpAt != 0 && !a.probes.busy
 }
 
 // isAmiss tells whether a machine has left a probe unanswered, or its report is overdue,
 // and it is time to ask again.
-func (l *lead) isAmiss(m *ledger.Machine, a *machineAux, now clock.Micros) bool {
+func (l *lead) isAmiss(m *allocation.Machine, a *machineAux, now clock.Micros) bool {
 	quiet := now - max(m.Heard, a.probes.at)
 	if a.probes.misses > 0 {
 		return quiet >= clock.Second/2
@@ -76,7 +76,7 @@
 	return now-max(m.Heard, l.awake) >= overdue && quiet >= probeEvery
 }
 
-func (l *lead) ask(m *ledger.Machine, a *machineAux, now clock.Micros) {
+func (l *lead) ask(m *allocation.Machine, a *machineAux, now clock.Micros) {
 	l.probing++
 	a.probes.busy, a.probes.at = true, now
 	if a.host == nil {
@@ -102,7 +102,7 @@
 }
 
 // asked takes the end of a probe that was sent at `sent`.
-func (l *lead) asked(m *ledger.Machine, a *machineAux, sent clock.Micros, rep *wire.Report, err error) {
+func (l *lead) asked(m *allocation.Machine, a *machineAux, sent clock.Micros, rep *wire.Report, err error) {
 	now := clock.Now()
 	p := &a.probes
 	p.busy = false
@@ -114,7 +114,7 @@
 		if l.promises.Zone(m.Zone) {
 			l.opening[m.Zone] = true // its zone is back
 		}
-		if l.lg.DirectReport(m, rep, now) == ledger.Deposed {
+		if l.lg.DirectReport(m, rep, now) == allocation.Deposed {
 			l.c.fenced(l.token)
 			return
 		}
@@ -143,7 +143,7 @@
 
 // answering tells whether the way to a machine's zone is open: most of the others
 // there that were asked since have answered.
-func (l *lead) answering(m *ledger.Machine, since clock.Micros) bool {
+func (l *lead) answering(m *allocation.Machine, since clock.Micros) bool {
 	answered, missed := 0, 0
 	for _, o := range l.lg.Machines {
 		a := l.machines[o.Name]
--- a/internal/core/progress.go
+++ b/internal/controller/progress.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/base64"
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"firwood.dev/firwood/internal/ledger"
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/wire"
 )
 
@@ -104,11 +104,11 @@
 }
 
 // change writes what a key holds of a job.
-func (p progressLayout) change(j *ledger.Job, key int) wire.Change {
+func (p progressLayout) change(j *allocation.Job, key int) wire.Change {
 	first, last := p.tasks(key, len(j.Tasks))
 	var bits bitmap
 	for i := first; i < last; i++ {
-		if j.Tasks[i].State == ledger.Done {
+		if j.Tasks[i].State == allocation.Done {
 			bits.set(i - first)
 		}
 	}
--- a/internal/core/promises.go
+++ b/internal/controller/promises.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/server"
-	"firwood.dev/firwood/internal/state"
 	"firwood.dev/firwood/wire"
 )
 
@@ -134,24 +134,24 @@
 	if !ok {
 		return
 	}
-	l.writeRev(&state.Write{
-		Rank: state.Vital,
+	l.writeRev(&kvstore.Write{
+		Rank: kvstore.Vital,
 		If:   []wire.Condition{{Key: keyPromises, Version: version}},
 		Then: []wire.Change{{Put: keyPromises, Value: v}},
-	}, func(o state.Outcome, rev uint64) {
+	}, func(o kvstore.Outcome, rev uint64) {
 		switch o {
-		case state.Committed:
+		case kvstore.Committed:
 			l.promises.Committed(rev)
 			l.c.seenPromises(w, rev)
 			l.c.log.Info("promises written", "zones", slices.Sorted(maps.Keys(w.Zones)), "members", slices.Sorted(maps.Keys(w.Members)))
-		case state.Unknown:
+		case kvstore.Unknown:
 			l.promises.Open()
 		default:
 			l.promises.Refused()
 		}
 		l.opened()
 		switch {
-		case o != state.Committed:
+		case o != kvstore.Committed:
 			// The view tells the version by the time of the next look.
 			l.c.view.wantSync(func(error) {}, clock.Now()+2*clock.Second)
 		case len(l.opening) > 0:
--- a/internal/core/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"testing"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
@@ -67,8 +67,8 @@
 func TestSilentZonesAreLeftWordOf(t *testing.T) {
 	l := rebuilt(t, "i-1", "i-2")
 	l.deadline.Store(1 << 62)
-	add := func(name, zone string) *ledger.Machine {
-		return l.lg.AddMachine(name, "big", zone, false, ledger.Resources{}, l.since)
+	add := func(name, zone string) *allocation.Machine {
+		return l.lg.AddMachine(name, "big", zone, false, allocation.Resources{}, l.since)
 	}
 	y := add("i-9", "y")
 	y.Since = l.since + clock.Second // rented by this leader, boots
--- a/internal/core/rentals.go
+++ b/internal/controller/rentals.go
@@ -1,15 +1,15 @@
-package core
+package controller
 
 import (
 	"errors"
 	"fmt"
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/cloud"
-	"firwood.dev/firwood/internal/ledger"
-	"firwood.dev/firwood/internal/planner"
-	"firwood.dev/firwood/internal/state"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/wire"
 )
 
@@ -35,7 +35,7 @@
 
 // rent begins a rental: its record comes first, so that whoever leads next knows
 // which machines may exist.
-func (l *lead) rent(r planner.Rent, now clock.Micros) {
+func (l *lead) rent(r scheduler.Rent, now clock.Micros) {
 	for n := r.Count; n > 0; n -= wire.MaxHire {
 		l.names++
 		h := &rental{
@@ -43,14 +43,14 @@
 			rec: rentalRecord{Type: r.Pool.Type, Zone: r.Pool.Zone, Spot: r.Pool.Spot, Count: min(n, wire.MaxHire), At: int64(clock.Wall())},
 		}
 		l.rentals[h.name] = h
-		l.recordRental(h, state.Needed, func() { l.sendRental(h) })
+		l.recordRental(h, kvstore.Needed, func() { l.sendRental(h) })
 	}
 }
 
 // recordRental writes the rental's record until it is durable, then goes on. Each
 // write is conditional on the record's version: one that is carried out late, or
 // again, must not take back the names of machines that have tasks by then.
-func (l *lead) recordRental(h *rental, rank state.Rank, then func()) {
+func (l *lead) recordRental(h *rental, rank kvstore.Rank, then func()) {
 	if h.writing {
 		h.stale = true
 		return
@@ -67,11 +67,11 @@
 		c.Value = v
 	}
 	dropped := c.Delete != ""
-	w := &state.Write{
+	w := &kvstore.Write{
 		Rank: rank, If: []wire.Condition{{Key: prefixRental + h.name, Version: h.version}}, Then: []wire.Change{c},
 	}
-	l.writeRev(w, func(o state.Outcome, rev uint64) {
-		if o != state.Committed {
+	l.writeRev(w, func(o kvstore.Outcome, rev uint64) {
+		if o != kvstore.Committed {
 			l.rereadRental(h, func() { l.recordRental(h, rank, then) })
 			return
 		}
@@ -127,9 +127,9 @@
 	h.shrinking = true
 	l.after(shrinkEvery, func() {
 		h.shrinking = false
-		rank := state.Needed
+		rank := kvstore.Needed
 		if l.c.store.Backlog() > backlogged {
-			rank = state.Spare
+			rank = kvstore.Spare
 		}
 		l.recordRental(h, rank, func() {})
 	})
@@ -153,7 +153,7 @@
 
 func (l *lead) hired(h *rental, names []string, err error) {
 	now := clock.Now()
-	pool := planner.Pool{Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot}
+	pool := scheduler.Pool{Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot}
 	l.dirty = true
 	switch {
 	case err == nil:
@@ -166,7 +166,7 @@
 				l.addMachine(h, n)
 			}
 		}
-		l.recordRental(h, state.Needed, func() {
+		l.recordRental(h, kvstore.Needed, func() {
 			// Only machines that the record names may get tasks.
 			for _, n := range h.rec.Machines {
 				if m := l.lg.Machines[n]; m != nil {
@@ -179,7 +179,7 @@
 		l.pl.Refused(pool, now)
 		l.c.log.Debug("nothing to hire", "hire", h.name, "zone", h.rec.Zone, "spot", h.rec.Spot, "error", err)
 		h.resolved, h.rec.Resolved = true, true
-		l.recordRental(h, state.Needed, func() {})
+		l.recordRental(h, kvstore.Needed, func() {})
 	default:
 		l.c.log.Debug("hire not answered", "hire", h.name, "error", err)
 		l.after(clock.Second, func() { l.sendRental(h) })
@@ -187,7 +187,7 @@
 }
 
 // delete returns a machine to the cloud.
-func (l *lead) delete(m *ledger.Machine) {
+func (l *lead) delete(m *allocation.Machine) {
 	a := l.machines[m.Name]
 	if a == nil || a.deleting {
 		return
--- a/internal/core/repeat_test.go
+++ b/internal/controller/repeat_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"testing"
@@ -6,9 +6,9 @@
 
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/planner"
-	"firwood.dev/firwood/internal/standin"
-	"firwood.dev/firwood/internal/state"
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/wire"
 )
 
@@ -32,13 +32,13 @@
 // Every transaction of a rental's and a mark's life comes again, at any later time:
 // none takes back what a later one has written.
 func TestRepeatedWritesTakeNothingBack(t *testing.T) {
-	s, stop := standin.NewState()
+	s, stop := fake.NewState()
 	defer stop()
 	l := rebuilt(t)
 	c := l.c
-	c.store = state.New(client.DialTCP, s.Addr, state.Limits{RPS: 1000, WriteRPS: 1000, TxnOps: 16}, keyLock)
+	c.store = kvstore.New(client.DialTCP, s.Addr, kvstore.Limits{RPS: 1000, WriteRPS: 1000, TxnOps: 16}, keyLock)
 	var token uint64
-	c.store.Commit(&state.Write{If: []wire.Condition{{Key: keyLock}}, Then: []wire.Change{{Put: keyLock, Value: []byte(`{"m":"a"}`)}}, Done: func(_ state.Outcome, rev uint64) {
+	c.store.Commit(&kvstore.Write{If: []wire.Condition{{Key: keyLock}}, Then: []wire.Change{{Put: keyLock, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, rev uint64) {
 		c.post(func() { token = rev })
 	}})
 	work(t, c, func() bool { return token != 0 })
@@ -46,7 +46,7 @@
 	l = newLead(c, token, clock.Now())
 	l.deadline.Store(1 << 62)
 	c.lead = l
-	l.rent(planner.Rent{Pool: planner.Pool{Type: "big", Zone: "x"}, Count: 2}, clock.Now())
+	l.rent(scheduler.Rent{Pool: scheduler.Pool{Type: "big", Zone: "x"}, Count: 2}, clock.Now())
 	var h *rental
 	for _, h = range l.rentals {
 	}
@@ -75,6 +75,6 @@
 	// An open end: the transaction was carried out, its answer lost. The next write
 	// finds the version that it left.
 	h.version = 1
-	l.recordRental(h, state.Needed, func() { h.version |= 1 << 40 })
+	l.recordRental(h, kvstore.Needed, func() { h.version |= 1 << 40 })
 	work(t, c, func() bool { return h.version>>40 == 1 })
 }
--- a/internal/core/small_test.go
+++ b/internal/controller/small_test.go
@@ -1,27 +1,27 @@
-package core
+package controller
 
 import (
 	"testing"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/config"
-	"firwood.dev/firwood/internal/ledger"
-	"firwood.dev/firwood/internal/standin"
-	"firwood.dev/firwood/internal/state"
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/wire"
 )
 
 // leadOnState makes a lead that holds the lock of a stand-in state service. Nothing
 // but the test works through its commands.
-func leadOnState(t *testing.T, limits config.State) (*standin.State, *lead) {
+func leadOnState(t *testing.T, limits config.State) (*fake.State, *lead) {
 	t.Helper()
-	s, stop := standin.NewState()
+	s, stop := fake.NewState()
 	t.Cleanup(stop)
 	c := rebuilt(t).c
 	c.cfg.Deployment.State = limits
 	c.chunk = chunkOf(limits.ValueKB)
-	c.store = state.New(client.DialTCP, s.Addr, state.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, TxnOps: limits.Effective().TxnOps}, keyLock)
+	c.store = kvstore.New(client.DialTCP, s.Addr, kvstore.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, TxnOps: limits.Effective().TxnOps}, keyLock)
 	c.store.SetShare(1)
 	c.view.rentals, c.view.loaded = map[string]*rentalRecord{}, true
 	return s, leadAgain(t, c)
@@ -35,7 +35,7 @@
 		c.lead = nil
 	}
 	var token uint64
-	c.store.Commit(&state.Write{Then: []wire.Change{{Put: keyLock, Value: []byte(`{"m":"a"}`)}}, Done: func(_ state.Outcome, rev uint64) {
+	c.store.Commit(&kvstore.Write{Then: []wire.Change{{Put: keyLock, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, rev uint64) {
 		c.post(func() { token = rev })
 	}})
 	work(t, c, func() bool { return token != 0 })
@@ -65,7 +65,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		core.store.Commit(&state.Write{If: []wire.Condition{{Key: prefixJob + id}}, Then: []wire.Change{{Put: prefixJob + id, Value: v}}, Done: func(state.Outcome, uint64) {}})
+		core.store.Commit(&kvstore.Write{If: []wire.Condition{{Key: prefixJob + id}}, Then: []wire.Change{{Put: prefixJob + id, Value: v}}, Done: func(kvstore.Outcome, uint64) {}})
 		core.view.wantSync(func(error) {}, clock.Now()+10*clock.Second)
 		work(t, core, func() bool { return l.lg.Jobs[id] != nil })
 		j := l.lg.Jobs[id]
@@ -74,7 +74,7 @@
 
 		complete := func(from, to int) {
 			for i := from; i < to; i++ {
-				j.Tasks[i].State = ledger.Waiting
+				j.Tasks[i].State = allocation.Waiting
 			}
 			m := l.lg.Machines["i-1"]
 			if m == nil {
@@ -85,7 +85,7 @@
 			for i := from; i < to; i++ {
 				rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone})
 			}
-			if l.lg.Report(m, rep, clock.Now()) != ledger.Taken {
+			if l.lg.Report(m, rep, clock.Now()) != allocation.Taken {
 				t.Fatal("report not taken")
 			}
 		}
--- a/internal/core/standby.go
+++ b/internal/controller/standby.go
@@ -1,44 +1,44 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/peer"
 	"firwood.dev/firwood/internal/standby"
-	"firwood.dev/firwood/internal/state"
 	"firwood.dev/firwood/wire"
 )
 
 // stream is the leader's side of what its followers copy; see package standby. It
-// implements ledger.Decisions.
+// implements allocation.Decisions.
 type stream struct {
 	publisher  *standby.Publisher
 	membership *standby.Membership
 }
 
-// Started implements ledger.Decisions.
+// Started implements allocation.Decisions.
 func (s *stream) Started(task string, attempt uint64, machine string) uint64 {
 	return s.publisher.Decide(standby.Decision{Kind: standby.Started, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
 }
 
-// Over implements ledger.Decisions.
+// Over implements allocation.Decisions.
 func (s *stream) Over(task string, attempt uint64, machine string) {
 	s.publisher.Decide(standby.Decision{Kind: standby.Over, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
 }
 
-// Doubted implements ledger.Decisions.
+// Doubted implements allocation.Decisions.
 func (s *stream) Doubted(id string) {
 	s.publisher.Decide(standby.Decision{Kind: standby.Started, Placement: standby.Doubt(id)})
 }
 
-// DoubtOver implements ledger.Decisions.
+// DoubtOver implements allocation.Decisions.
 func (s *stream) DoubtOver(id string) {
 	s.publisher.Decide(standby.Decision{Kind: standby.Over, Placement: standby.Doubt(id)})
 }
 
-// MaySend implements ledger.Decisions.
+// MaySend implements allocation.Decisions.
 func (s *stream) MaySend(number uint64) bool { return s.membership.MaySend(number) }
 
 // standbyVersion is what this member tells others of the messages that it takes.
@@ -68,7 +68,7 @@
 
 // follow sets a new leader's account up so that others can follow it, and has it begin
 // with what this member's replica of the last leader's account proves.
-func (l *lead) follow(account *ledger.Config) {
+func (l *lead) follow(account *allocation.Config) {
 	c := l.c
 	if c.replica == nil {
 		return
@@ -166,17 +166,17 @@
 		membership.Refused()
 		return
 	}
-	w := &state.Write{
-		Rank: state.Vital,
+	w := &kvstore.Write{
+		Rank: kvstore.Vital,
 		If:   []wire.Condition{{Key: keyStandby, Version: version}},
 		Then: []wire.Change{{Put: keyStandby, Value: value}},
 	}
-	l.writeRev(w, func(outcome state.Outcome, revision uint64) {
+	l.writeRev(w, func(outcome kvstore.Outcome, revision uint64) {
 		switch outcome {
-		case state.Committed:
+		case kvstore.Committed:
 			membership.Committed(revision)
 			l.c.log.Debug("members in step", "token", record.Token, "members", record.Members)
-		case state.Unknown:
+		case kvstore.Unknown:
 			membership.Unknown()
 		default:
 			// After a conflict the view tells what is there.
--- a/internal/core/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/json"
--- a/internal/core/token.go
+++ b/internal/controller/token.go
@@ -1,13 +1,13 @@
-package core
+package controller
 
 import (
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/state"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/wire"
 )
 
 // raiseToken has the token rise while attempts cannot be forgotten without that;
-// see package ledger. A worker takes a higher token for a change once in half its
+// see package allocation. A worker takes a higher token for a change once in half its
 // lease, so oftener would be of no use.
 func (l *lead) raiseToken(now clock.Micros) {
 	if l.raiseAt != 0 && now >= l.raiseAt {
@@ -19,9 +19,9 @@
 		return
 	}
 	l.issuing = true
-	l.writeRev(&state.Write{Rank: state.Needed, Then: []wire.Change{{Put: keyToken, Value: []byte(`{}`)}}}, func(o state.Outcome, rev uint64) {
+	l.writeRev(&kvstore.Write{Rank: kvstore.Needed, Then: []wire.Change{{Put: keyToken, Value: []byte(`{}`)}}}, func(o kvstore.Outcome, rev uint64) {
 		l.issuing = false
-		if o != state.Committed {
+		if o != kvstore.Committed {
 			return
 		}
 		l.issuedAt = clock.Now()
--- a/internal/core/users.go
+++ b/internal/controller/users.go
@@ -1,12 +1,12 @@
-package core
+package controller
 
 import (
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/server"
-	"firwood.dev/firwood/internal/state"
 	"firwood.dev/firwood/wire"
 )
 
@@ -56,11 +56,11 @@
 	if !ok {
 		return "unknown team"
 	}
-	need := ledger.FromAmounts(j.CPUs, j.GPUs, j.MemoryGB)
+	need := allocation.FromAmounts(j.CPUs, j.GPUs, j.MemoryGB)
 	fits := slices.ContainsFunc(c.types, func(k wire.MachineType) bool {
 		return (j.Types == nil || slices.Contains(j.Types, k.Name)) &&
 			(j.Zone == "" || slices.Contains(k.Zones, j.Zone)) &&
-			need.Fits(ledger.FromAmounts(k.CPUs, k.GPUs, k.MemoryGB))
+			need.Fits(allocation.FromAmounts(k.CPUs, k.GPUs, k.MemoryGB))
 	})
 	if !fits {
 		return "a task fits no allowed machine type"
@@ -123,23 +123,23 @@
 		return
 	}
 	c.submitting[j.ID] = []*server.Reply{r}
-	w := &state.Write{
+	w := &kvstore.Write{
 		If:       []wire.Condition{{Key: prefixJob + j.ID}, {Key: prefixArchive + j.ID}},
 		Then:     changes,
 		Deadline: clock.Now() + submitWait,
 	}
-	w.Done = func(o state.Outcome, rev uint64) { c.post(func() { c.submitted(j, rec, o, rev) }) }
+	w.Done = func(o kvstore.Outcome, rev uint64) { c.post(func() { c.submitted(j, rec, o, rev) }) }
 	if !c.store.Commit(w) {
 		delete(c.submitting, j.ID)
 		c.full(r)
 	}
 }
 
-func (c *Core) submitted(j *wire.Job, rec *jobRecord, o state.Outcome, rev uint64) {
+func (c *Core) submitted(j *wire.Job, rec *jobRecord, o kvstore.Outcome, rev uint64) {
 	id := j.ID
 	waiting := c.submitting[id]
 	delete(c.submitting, id)
-	if o == state.Committed && c.view.jobs[id] == nil {
+	if o == kvstore.Committed && c.view.jobs[id] == nil {
 		// The watch will bring it; a leader need not wait for that.
 		rec.version = rev
 		if rec.Parts > 0 {
@@ -151,7 +151,7 @@
 	}
 	for i, r := range waiting {
 		switch o {
-		case state.Committed:
+		case kvstore.Committed:
 			status := 201
 			if i > 0 {
 				status = 200
@@ -161,7 +161,7 @@
 				stage = cur.state() // with a job that it awaits
 			}
 			r.Send(status, statusBody(id, stage, nil, nil), 0)
-		case state.Conflict:
+		case kvstore.Conflict:
 			c.show(id, r)
 		default:
 			later(r, "the state service did not take it")
@@ -279,21 +279,21 @@
 		later(r, "cannot be encoded")
 		return
 	}
-	w := &state.Write{
+	w := &kvstore.Write{
 		If:       []wire.Condition{{Key: prefixJob + id, Version: rec.version}},
 		Then:     []wire.Change{{Put: prefixJob + id, Value: value}},
 		Deadline: clock.Now() + submitWait,
 	}
-	w.Done = func(o state.Outcome, rev uint64) {
+	w.Done = func(o kvstore.Outcome, rev uint64) {
 		c.post(func() {
 			switch o {
-			case state.Committed:
+			case kvstore.Committed:
 				over.version = rev
 				if cur := c.view.jobs[id]; cur == nil || cur.version < rev {
 					c.setJob(id, over)
 				}
 				r.Send(200, statusBody(id, wire.JobAborted, nil, nil), 0)
-			case state.Conflict:
+			case kvstore.Conflict:
 				c.view.wantSync(func(err error) {
 					if err != nil {
 						later(r, err.Error())
--- a/internal/core/watch.go
+++ b/internal/controller/watch.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/election"
-	"firwood.dev/firwood/internal/state"
+	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/wire"
 )
 
@@ -118,7 +118,7 @@
 	c.post(func() {
 		if err == nil {
 			c.apply(events)
-		} else if errors.Is(err, state.ErrCompacted) {
+		} else if errors.Is(err, kvstore.ErrCompacted) {
 			c.load()
 		}
 		then(err)
--- a/internal/pipeline/bench_test.go
+++ b/internal/dag/bench_test.go
@@ -1,4 +1,4 @@
-package pipeline
+package dag
 
 import (
 	"fmt"
--- a/internal/pipeline/graph.go
+++ b/internal/dag/graph.go
@@ -1,11 +1,11 @@
-// Package pipeline owns the graph of jobs that await others: which jobs may start,
+// Package dag owns the graph of jobs that await others: which jobs may start,
 // which are cancelled with a job that they need, and what priority and deadline
 // reach back from a job to those that it needs. It is pure. What it is told may come
 // in any order, since a view of the state service is loaded in the order of keys.
 //
 // Everything here is derived from durable records of jobs, so each controller, and
 // each new leader, comes to the same conclusions from the same records.
-package pipeline
+package dag
 
 import (
 	"slices"
--- a/internal/e2e/deployment_test.go
+++ b/internal/e2e/deployment_test.go
@@ -13,9 +13,9 @@
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/config"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/internal/http1"
 	"firwood.dev/firwood/internal/protocoltest"
-	"firwood.dev/firwood/internal/standin"
 	"firwood.dev/firwood/wire"
 )
 
@@ -95,8 +95,8 @@
 	dir     string
 	names   []string
 	nodes   map[string]*node
-	state   *standin.State
-	cloud   *standin.Cloud
+	state   *fake.State
+	cloud   *fake.Cloud
 	checker *protocoltest.Checker
 }
 
@@ -125,7 +125,7 @@
 	t.Helper()
 	d := &deployment{dir: t.TempDir(), names: []string{"n0", "n1", "n2"}, nodes: map[string]*node{}}
 	var stop func()
-	d.state, stop = standin.NewState()
+	d.state, stop = fake.NewState()
 	t.Cleanup(stop)
 	addresses := map[string]string{}
 	for _, name := range d.names {
@@ -133,8 +133,8 @@
 		addresses[name] = d.nodes[name].serve
 	}
 	d.checker = protocoltest.New(protocoltest.Config{Cancellation: cancellation})
-	d.cloud, stop = standin.NewCloudOn(standin.CloudConfig{
-		Network: standin.Loopback{}, Names: d.names, Controllers: addresses,
+	d.cloud, stop = fake.NewCloudOn(fake.CloudConfig{
+		Network: fake.Loopback{}, Names: d.names, Controllers: addresses,
 		Types:  []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.5, BootS: 1, Zones: []string{"x", "y"}}},
 		RunFor: d.runFor, Lease: lease, ReportEvery: 300 * time.Millisecond, Observer: d.checker,
 	})
--- a/internal/e2e/standby_test.go
+++ b/internal/e2e/standby_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/core"
+	"firwood.dev/firwood/internal/controller"
 	"firwood.dev/firwood/wire"
 )
 
@@ -34,9 +34,9 @@
 }
 
 // status is what a controller says of who stands by.
-func (n *node) status() (s core.StandbyStatus) {
+func (n *node) status() (s controller.StandbyStatus) {
 	if m := ask(n, "GET", "/ops/v1/standby", nil); m.Status != 200 || json.Unmarshal(m.Body, &s) != nil {
-		return core.StandbyStatus{}
+		return controller.StandbyStatus{}
 	}
 	return s
 }
@@ -70,7 +70,7 @@
 // inStep tells whether the leader has both others in step.
 func (d *deployment) inStep() bool {
 	leader := d.leader()
-	return leader != nil && !slices.ContainsFunc(leader.status().Followers, func(f core.FollowerStatus) bool { return !f.InStep })
+	return leader != nil && !slices.ContainsFunc(leader.status().Followers, func(f controller.FollowerStatus) bool { return !f.InStep })
 }
 
 // The leader is killed again and again under load, without a warning: nothing is started
--- a/internal/standin/cloud.go
+++ b/internal/fake/cloud.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
--- a/internal/standin/state.go
+++ b/internal/fake/state.go
@@ -1,7 +1,7 @@
-// Package standin owns our own stand-ins of the outside world: a state
+// Package fake owns our own stand-ins of the outside world: a state
 // service, a cloud and its workers, written from the published protocol, for
 // tests that run controllers on loopback, or in memory and simulated time.
-package standin
+package fake
 
 import (
 	"encoding/json"
--- a/internal/finished/lookups.go
+++ b/internal/jobhistory/lookups.go
@@ -1,4 +1,4 @@
-package finished
+package jobhistory
 
 import (
 	"slices"
--- a/internal/finished/memory.go
+++ b/internal/jobhistory/memory.go
@@ -1,11 +1,11 @@
-// Package finished bounds what a controller remembers of jobs that are over, and asks the
+// Package jobhistory bounds what a controller remembers of jobs that are over, and asks the
 // state service for those that it has forgotten. Their records stay there for good, since
 // users may ask at any time; a memory of all of them would end a process within days. It is
 // pure: jobs, instants and answers come in, questions go out.
 //
 // What must hold: a job that is not remembered is called unknown only on an answer of the
 // state service to a request that was sent after the question.
-package finished
+package jobhistory
 
 import (
 	"math"
--- a/internal/state/reads.go
+++ b/internal/kvstore/reads.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"errors"
--- a/internal/state/state.go
+++ b/internal/kvstore/state.go
@@ -1,8 +1,8 @@
-// Package state owns the dealings with the state service: reads and watches
+// Package kvstore owns the dealings with the state service: reads and watches
 // that prove how fresh they are, group commit of writes, and leases. It keeps
 // within this process's share of the service's two rates. It decides nothing;
 // results go to the callers' functions, on goroutines of this package.
-package state
+package kvstore
 
 import (
 	"errors"
--- a/internal/state/state_test.go
+++ b/internal/kvstore/state_test.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"errors"
@@ -11,13 +11,13 @@
 
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
-func open(t *testing.T) (*Client, *standin.State) {
+func open(t *testing.T) (*Client, *fake.State) {
 	t.Helper()
-	s, stop := standin.NewState()
+	s, stop := fake.NewState()
 	t.Cleanup(stop)
 	c := New(client.DialTCP, s.Addr, Limits{RPS: 1000, WriteRPS: 1000, TxnOps: 4}, "lead")
 	c.SetShare(1)
--- a/internal/planner/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -1,12 +1,12 @@
-package planner
+package scheduler
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"testing"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
@@ -14,14 +14,14 @@
 // the given part by running tasks of arrays and replicas, with so many more
 // arrays and services waiting.
 func fleet(n int, filled float64, waiting int) *scene {
-	s := newScene(map[string]ledger.Team{"a": {}, "b": {}})
+	s := newScene(map[string]allocation.Team{"a": {}, "b": {}})
 	rng := rand.New(rand.NewPCG(uint64(n), 8))
-	var ms []*ledger.Machine
+	var ms []*allocation.Machine
 	for i := 0; i < n; i++ {
 		ms = append(ms, s.machine(fmt.Sprintf("i-%06d", i), "big", []string{"x", "y", "z"}[i%3], i%4 != 0))
 	}
 	id := 0
-	add := func(service bool, tasks int) *ledger.Job {
+	add := func(service bool, tasks int) *allocation.Job {
 		id++
 		w := wire.Job{ID: fmt.Sprintf("req-%06d", id), Class: "array", Team: "a", Tasks: tasks, CPUs: 4, MemoryGB: 9, Spot: true,
 			EstimateS: 20 + 60*rng.Float64(), Priority: wire.PriorityHigh, Image: fmt.Sprint("array-", id%4), ImageGB: 0.6}
@@ -31,13 +31,13 @@
 		}
 		return s.job(w)
 	}
-	orders := map[*ledger.Machine]*wire.Report{}
+	orders := map[*allocation.Machine]*wire.Report{}
 	for _, m := range ms {
 		s.seqs[m.Name]++
 		orders[m] = &wire.Report{Machine: m.Name, Session: 1, Seq: s.seqs[m.Name], Token: 1, Addr: "127.0.0.1:1"}
 	}
 	fill := func(spot bool, size int) {
-		var j *ledger.Job
+		var j *allocation.Job
 		next := 0
 		for _, m := range ms {
 			if m.Spot != spot {
@@ -126,16 +126,16 @@
 func TestPlacementAgainstThePlainOne(t *testing.T) {
 	placed := 0
 	for seed := uint64(1); seed <= 300; seed++ {
-		build := func() (*scene, []*ledger.Job) {
+		build := func() (*scene, []*allocation.Job) {
 			rng := rand.New(rand.NewPCG(seed, 21))
-			s := newScene(map[string]ledger.Team{"a": {CPUMax: int64(20+rng.IntN(100)) * 1000}})
+			s := newScene(map[string]allocation.Team{"a": {CPUMax: int64(20+rng.IntN(100)) * 1000}})
 			for i := rng.IntN(30); i >= 0; i-- {
 				m := s.machine(fmt.Sprintf("i-%02d", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y", "z"}[rng.IntN(3)], rng.IntN(2) == 0)
 				if rng.IntN(2) == 0 {
 					m.Images[fmt.Sprint("img-", rng.IntN(3))] = s.now
 				}
 			}
-			var jobs []*ledger.Job
+			var jobs []*allocation.Job
 			for i := 0; i < 1+rng.IntN(8); i++ {
 				w := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: "a", Tasks: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(1 + rng.IntN(8)),
 					EstimateS: float64(5 + rng.IntN(90)), Spot: rng.IntN(2) == 0, Image: fmt.Sprint("img-", rng.IntN(3))}
@@ -155,7 +155,7 @@
 			}
 			got := map[string]string{}
 			for _, j := range s.l.Jobs {
-				j.Places(func(p *ledger.Placement) { got[wire.TaskID(j.Spec.ID, p.Index)] = p.Machine.Name })
+				j.Places(func(p *allocation.Placement) { got[wire.TaskID(j.Spec.ID, p.Index)] = p.Machine.Name })
 			}
 			return got
 		}
@@ -164,14 +164,14 @@
 		b, _ := build()
 		plain := place(b, func(r *round, e *entry) {
 			j := e.job
-			scores := map[*ledger.Machine]float64{}
+			scores := map[*allocation.Machine]float64{}
 			for _, m := range r.machines {
 				scores[m] = r.score(j, m)
 			}
 			for k := 0; k < min(len(e.tasks), e.limit); k++ {
-				var best *ledger.Machine
+				var best *allocation.Machine
 				for _, m := range r.machines {
-					if !m.Usable() || !ledger.Allowed(j, m) || !j.Need.Fits(r.free(m)) {
+					if !m.Usable() || !allocation.Allowed(j, m) || !j.Need.Fits(r.free(m)) {
 						continue
 					}
 					if j.Spec.Spread && best != nil && j.InZone(m.Zone) > j.InZone(best.Zone) {
--- a/internal/planner/boot_test.go
+++ b/internal/scheduler/boot_test.go
@@ -1,10 +1,10 @@
-package planner
+package scheduler
 
 import (
 	"testing"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
@@ -12,7 +12,7 @@
 // the others counted as overdue, and each was rented a second time.
 func TestTheFirstToBootSayLittleOfTheOthers(t *testing.T) {
 	s := newScene(nil)
-	var late []*ledger.Machine
+	var late []*allocation.Machine
 	for i := range 10 {
 		m := s.l.AddMachine(string(rune('a'+i)), "big", "x", true, s.pl.Size("big"), s.now)
 		m.Recorded = true
--- a/internal/planner/gang.go
+++ b/internal/scheduler/gang.go
@@ -1,11 +1,11 @@
-package planner
+package scheduler
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"firwood.dev/firwood/internal/ledger"
+	"firwood.dev/firwood/internal/allocation"
 )
 
 // A gang starts with its last task, whole machines are rare where most tasks take a
@@ -17,7 +17,7 @@
 
 // seat is a place for one task of a gang. Times are seconds from now.
 type seat struct {
-	m     *ledger.Machine
+	m     *allocation.Machine
 	free  bool    // there is room now
 	ends  float64 // ready, image and all, if what is there ends by itself
 	stops float64 // ready if work is stopped for it
@@ -51,19 +51,19 @@
 	j := e.job
 	var out []seat
 	for _, m := range r.machines {
-		if zone != "" && m.Zone != zone || !r.usable(m) || r.claims[m.Rank] || !ledger.Allowed(j, m) {
+		if zone != "" && m.Zone != zone || !r.usable(m) || r.claims[m.Rank] || !allocation.Allowed(j, m) {
 			continue
 		}
 		fetch, score := r.fetchTime(j, m), r.score(j, m)
 		room := r.free(m) // if nothing is stopped
-		var ends, vs []*ledger.Placement
+		var ends, vs []*allocation.Placement
 		listed := false
 		wait, loss, stopped := 0.0, 0.0, r.free(m)
 		for range r.pl.perMachine(j.Need, m.Type) {
 			s := seat{m: m, free: j.Need.Fits(room), ends: fetch, stops: math.Inf(1), score: score}
 			if !s.free && !listed {
 				listed = true
-				ends, vs = r.endings(m), stoppable(m, func(p *ledger.Placement) bool { return !p.Stopping() && r.below(e, p.Job) })
+				ends, vs = r.endings(m), stoppable(m, func(p *allocation.Placement) bool { return !p.Stopping() && r.below(e, p.Job) })
 				stopped = r.room(m)
 			}
 			for len(ends) > 0 && !j.Need.Fits(room) {
@@ -94,14 +94,14 @@
 }
 
 // endings lists what is on a machine, what ends first first.
-func (r *round) endings(m *ledger.Machine) []*ledger.Placement {
-	var out []*ledger.Placement
-	m.Places(func(p *ledger.Placement) {
+func (r *round) endings(m *allocation.Machine) []*allocation.Placement {
+	var out []*allocation.Placement
+	m.Places(func(p *allocation.Placement) {
 		if !p.Job.Service() || p.Stopping() {
 			out = append(out, p)
 		}
 	})
-	slices.SortFunc(out, func(a, b *ledger.Placement) int {
+	slices.SortFunc(out, func(a, b *allocation.Placement) int {
 		return cmp.Or(cmp.Compare(r.pl.remaining(a, r.now), r.pl.remaining(b, r.now)), cmp.Compare(a.Index, b.Index))
 	})
 	return out
@@ -109,7 +109,7 @@
 
 // lost is what stopping a task loses, in seconds of its machine: its run since the
 // last checkpoint, and a new start.
-func (r *round) lost(p *ledger.Placement) float64 {
+func (r *round) lost(p *allocation.Placement) float64 {
 	run := r.pl.ran(p, r.now)
 	if ck := p.Job.Spec.CheckpointS; ck > 0 {
 		run = min(run, ck)
@@ -119,7 +119,7 @@
 
 // fetchTime is how long, in seconds, a machine takes until it has a job's image:
 // fetches share its rate.
-func (r *round) fetchTime(j *ledger.Job, m *ledger.Machine) float64 {
+func (r *round) fetchTime(j *allocation.Job, m *allocation.Machine) float64 {
 	if _, ok := m.Images[j.Spec.Image]; ok {
 		return 0
 	}
@@ -193,7 +193,7 @@
 
 // claimFor bounds, in seconds, how long a gang may keep room from others: as long as
 // a machine rented now would take to be ready.
-func (r *round) claimFor(j *ledger.Job, seats []seat) float64 {
+func (r *round) claimFor(j *allocation.Job, seats []seat) float64 {
 	typ := seats[0].m.Type
 	return r.pl.BootTime(typ, 50).Seconds() + r.pl.fetch(j, typ)
 }
@@ -235,7 +235,7 @@
 func (r *round) claimSeats(e *entry, seats []seat, by float64) {
 	e.claims = true
 	need := e.job.Need
-	taken := map[*ledger.Machine]int{}
+	taken := map[*allocation.Machine]int{}
 	for _, s := range seats {
 		taken[s.m]++
 	}
@@ -253,7 +253,7 @@
 				have = have.Add(p.Job.Need)
 			}
 		}
-		for _, p := range stoppable(m, func(p *ledger.Placement) bool {
+		for _, p := range stoppable(m, func(p *allocation.Placement) bool {
 			return !p.Stopping() && r.below(e, p.Job) && drainDoubt*r.pl.remaining(p, r.now)+fetch > by
 		}) {
 			if want.Fits(have) {
@@ -263,7 +263,7 @@
 			have = have.Add(p.Job.Need)
 		}
 		free := m.Free()
-		r.held[m.Rank] = ledger.Resources{CPU: min(want.CPU, free.CPU), GPU: min(want.GPU, free.GPU), Mem: min(want.Mem, free.Mem)}
+		r.held[m.Rank] = allocation.Resources{CPU: min(want.CPU, free.CPU), GPU: min(want.GPU, free.GPU), Mem: min(want.Mem, free.Mem)}
 	}
 }
 
--- a/internal/planner/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -1,20 +1,20 @@
-package planner
+package scheduler
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"testing"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
 // shows has a machine report all that the ledger has placed on it, in a state.
-func (s *scene) shows(m *ledger.Machine, state string) {
+func (s *scene) shows(m *allocation.Machine, state string) {
 	s.l.Orders(m, s.now)
 	var tasks []wire.TaskReport
-	m.Places(func(p *ledger.Placement) {
+	m.Places(func(p *allocation.Placement) {
 		if !p.Stopping() {
 			tasks = append(tasks, wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.Index), Attempt: p.Attempt, State: state})
 		}
@@ -27,9 +27,9 @@
 
 // crowded has machines with two cards each, both taken by tasks of an array that end
 // at different times.
-func crowded(t *testing.T, machines int, spec wire.Job) (*scene, *ledger.Job) {
+func crowded(t *testing.T, machines int, spec wire.Job) (*scene, *allocation.Job) {
 	t.Helper()
-	s := newScene(map[string]ledger.Team{"a": {}, "b": {}})
+	s := newScene(map[string]allocation.Team{"a": {}, "b": {}})
 	spec.ID, spec.Tasks, spec.CPUs, spec.GPUs, spec.Team = "req-000001", 2*machines, 5, 1, "a"
 	batch := s.job(spec)
 	for i := range machines {
@@ -48,8 +48,8 @@
 	return s, batch
 }
 
-func stopping(j *ledger.Job) (n int) {
-	j.Places(func(p *ledger.Placement) {
+func stopping(j *allocation.Job) (n int) {
+	j.Places(func(p *allocation.Placement) {
 		if p.Stopping() {
 			n++
 		}
@@ -57,10 +57,10 @@
 	return n
 }
 
-func (s *scene) end(j *ledger.Job, i int) {
+func (s *scene) end(j *allocation.Job, i int) {
 	m := j.Tasks[i].Place.Machine
 	var tasks []wire.TaskReport
-	m.Places(func(p *ledger.Placement) {
+	m.Places(func(p *allocation.Placement) {
 		r := wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.Index), Attempt: p.Attempt, State: wire.TaskRunning}
 		if p.Job == j && p.Index == i {
 			r.State, r.Why = wire.TaskExited, wire.WhyDone
@@ -118,19 +118,19 @@
 		name  string
 		age   clock.Micros
 		rank  string
-		team  ledger.Team
+		team  allocation.Team
 		found bool // an earlier leader began the work
 		stops int
 	}{
-		{"young work", 3 * clock.Second, wire.PriorityHigh, ledger.Team{}, false, 2},
-		{"old work", 300 * clock.Second, wire.PriorityHigh, ledger.Team{}, false, 0},
-		{"work found just now, half of which may be over", 3 * clock.Second, wire.PriorityHigh, ledger.Team{}, true, 0},
-		{"work of its rank", 3 * clock.Second, wire.PriorityNormal, ledger.Team{}, false, 0},
-		{"work that is owed its room", 3 * clock.Second, wire.PriorityHigh, ledger.Team{GPU: 8000}, false, 0},
+		{"young work", 3 * clock.Second, wire.PriorityHigh, allocation.Team{}, false, 2},
+		{"old work", 300 * clock.Second, wire.PriorityHigh, allocation.Team{}, false, 0},
+		{"work found just now, half of which may be over", 3 * clock.Second, wire.PriorityHigh, allocation.Team{}, true, 0},
+		{"work of its rank", 3 * clock.Second, wire.PriorityNormal, allocation.Team{}, false, 0},
+		{"work that is owed its room", 3 * clock.Second, wire.PriorityHigh, allocation.Team{GPU: 8000}, false, 0},
 	} {
 		s, batch := crowded(t, 2, wire.Job{EstimateS: 1000})
 		s.pl.Teams["a"] = c.team
-		batch.Places(func(p *ledger.Placement) { p.Adopted = c.found })
+		batch.Places(func(p *allocation.Placement) { p.Adopted = c.found })
 		for _, m := range s.l.Machines {
 			m.Images["water"] = s.now
 		}
@@ -152,7 +152,7 @@
 // the four minutes that the users allow, and gangs start whole.
 func TestTheLargestGangIsNotStarved(t *testing.T) {
 	rng := rand.New(rand.NewPCG(9, 9))
-	s := newScene(map[string]ledger.Team{"a": {}, "b": {}})
+	s := newScene(map[string]allocation.Team{"a": {}, "b": {}})
 	s.pl.P.GangWeight = 0 // by claims alone, with nothing stopped
 	for i := range 8 {
 		s.machine(fmt.Sprintf("i-%02d", i), "big", "x", false)
@@ -160,8 +160,8 @@
 	for _, z := range []string{"x", "y", "z"} {
 		s.pl.pool(Pool{"big", z, false}).blockedUntil = 1e15
 	}
-	ends := map[*ledger.Placement]clock.Micros{}
-	var large *ledger.Job
+	ends := map[*allocation.Placement]clock.Micros{}
+	var large *allocation.Job
 	for n := 0; n < 400; n++ {
 		s.job(wire.Job{ID: fmt.Sprintf("req-%06d", n), Team: "a", Tasks: 1 + rng.IntN(2), CPUs: 5, GPUs: 1, EstimateS: 30})
 		if n%3 == 0 {
@@ -173,13 +173,13 @@
 		s.plan()
 		for _, m := range s.l.ByName() {
 			s.shows(m, wire.TaskRunning)
-			m.Places(func(p *ledger.Placement) {
+			m.Places(func(p *allocation.Placement) {
 				if ends[p] == 0 {
 					ends[p] = s.now + clock.FromSeconds(20+20*rng.Float64())
 				}
 			})
-			var over []*ledger.Placement
-			m.Places(func(p *ledger.Placement) {
+			var over []*allocation.Placement
+			m.Places(func(p *allocation.Placement) {
 				if s.now >= ends[p] && !p.Stopping() {
 					over = append(over, p)
 				}
@@ -207,7 +207,7 @@
 // A gang that loses a task before it has been complete gets another with the same
 // attempt; the images that the others have fetched are not given up.
 func TestAGangThatIsNotCompleteGetsWhatItLacks(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	for i := range 3 {
 		s.machine(fmt.Sprintf("i-%d", i), "big", "x", false)
 	}
@@ -237,7 +237,7 @@
 // A gang that no fleet to be had can hold waits, is known, and costs nothing: once
 // every pool has refused, nothing is rented for a part of it. Others are served.
 func TestAGangThatCannotFitCostsNothing(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	huge := s.job(wire.Job{ID: "req-000001", Team: "a", Kind: wire.KindGang, Tasks: 100000, CPUs: 10, GPUs: 2, EstimateS: 60, Types: []string{"big"}})
 	if d := s.plan(); len(d.Rent) == 0 {
 		t.Fatal("nothing is tried for a gang of whose size nothing is known")
--- a/internal/planner/guarantee_test.go
+++ b/internal/scheduler/guarantee_test.go
@@ -1,10 +1,10 @@
-package planner
+package scheduler
 
 import (
 	"fmt"
 	"testing"
 
-	"firwood.dev/firwood/internal/ledger"
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/wire"
 )
 
@@ -16,20 +16,20 @@
 	cpus := wire.Job{Tasks: 2, CPUs: 4}
 	for _, c := range []struct {
 		name string
-		team ledger.Team
+		team allocation.Team
 		jobs []wire.Job
 		want []bool
 	}{
-		{"none", ledger.Team{}, []wire.Job{both, cpus}, []bool{false, false}},
-		{"cards alone", ledger.Team{GPU: 4000}, []wire.Job{both, both, both}, []bool{true, true, false}},
-		{"cards alone, a job without any", ledger.Team{GPU: 4000}, []wire.Job{cpus, both}, []bool{false, true}},
-		{"processors alone", ledger.Team{CPU: 16000}, []wire.Job{both, cpus, cpus}, []bool{true, true, false}},
-		{"both, cards short", ledger.Team{CPU: 80000, GPU: 2000}, []wire.Job{both, both}, []bool{true, false}},
-		{"both, processors short", ledger.Team{CPU: 8000, GPU: 8000}, []wire.Job{both, both}, []bool{true, false}},
-		{"what comes after one that is too large", ledger.Team{GPU: 3000}, []wire.Job{{Tasks: 4, GPUs: 1}, both}, []bool{false, false}},
+		{"none", allocation.Team{}, []wire.Job{both, cpus}, []bool{false, false}},
+		{"cards alone", allocation.Team{GPU: 4000}, []wire.Job{both, both, both}, []bool{true, true, false}},
+		{"cards alone, a job without any", allocation.Team{GPU: 4000}, []wire.Job{cpus, both}, []bool{false, true}},
+		{"processors alone", allocation.Team{CPU: 16000}, []wire.Job{both, cpus, cpus}, []bool{true, true, false}},
+		{"both, cards short", allocation.Team{CPU: 80000, GPU: 2000}, []wire.Job{both, both}, []bool{true, false}},
+		{"both, processors short", allocation.Team{CPU: 8000, GPU: 8000}, []wire.Job{both, both}, []bool{true, false}},
+		{"what comes after one that is too large", allocation.Team{GPU: 3000}, []wire.Job{{Tasks: 4, GPUs: 1}, both}, []bool{false, false}},
 	} {
-		s := newScene(map[string]ledger.Team{"a": c.team})
-		var jobs []*ledger.Job
+		s := newScene(map[string]allocation.Team{"a": c.team})
+		var jobs []*allocation.Job
 		for i, w := range c.jobs {
 			w.ID, w.Team = fmt.Sprintf("req-%06d", i), "a"
 			jobs = append(jobs, s.job(w))
@@ -46,21 +46,21 @@
 // A machine is as full as what is shortest on it: with all cards taken there is no
 // room on it, however many processors are left, and no spare to count on.
 func TestRoomIsWhatIsShortest(t *testing.T) {
-	size := ledger.Resources{CPU: 12000, GPU: 2000, Mem: 96000}
+	size := allocation.Resources{CPU: 12000, GPU: 2000, Mem: 96000}
 	for _, c := range []struct {
-		used ledger.Resources
+		used allocation.Resources
 		want float64
 	}{
-		{ledger.Resources{}, 1},
-		{ledger.Resources{CPU: 5000, GPU: 1000, Mem: 36000}, 0.5},
-		{ledger.Resources{CPU: 10000, GPU: 2000, Mem: 72000}, 0},
-		{ledger.Resources{CPU: 3000, Mem: 72000}, 0.25},
+		{allocation.Resources{}, 1},
+		{allocation.Resources{CPU: 5000, GPU: 1000, Mem: 36000}, 0.5},
+		{allocation.Resources{CPU: 10000, GPU: 2000, Mem: 72000}, 0},
+		{allocation.Resources{CPU: 3000, Mem: 72000}, 0.25},
 	} {
 		if got := openPart(size.Sub(c.used), size); !near(got, c.want) {
 			t.Errorf("%v of %v used: %v is open, want %v", c.used, size, got, c.want)
 		}
 	}
-	if got := openPart(ledger.Resources{CPU: 4000}, ledger.Resources{CPU: 16000}); !near(got, 0.25) {
+	if got := openPart(allocation.Resources{CPU: 4000}, allocation.Resources{CPU: 16000}); !near(got, 0.25) {
 		t.Errorf("a machine without cards: %v", got)
 	}
 }
@@ -68,7 +68,7 @@
 // What was begun because it had waited too long is not stopped for what a guarantee
 // covers: else each plan places it, and stops it again.
 func TestNothingIsPlacedOnlyToBeStopped(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}, "b": {GPU: 100000}})
+	s := newScene(map[string]allocation.Team{"a": {}, "b": {GPU: 100000}})
 	m := s.machine("i-0", "big", "x", false)
 	for _, z := range s.pl.Zones {
 		s.pl.pool(Pool{"big", z, false}).blockedUntil = 1e15
@@ -84,7 +84,7 @@
 		}
 	}
 	// Other work beyond a guarantee does give way.
-	s = newScene(map[string]ledger.Team{"a": {}, "b": {GPU: 100000}})
+	s = newScene(map[string]allocation.Team{"a": {}, "b": {GPU: 100000}})
 	m = s.machine("i-0", "big", "x", false)
 	young := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
 	s.plan()
--- a/internal/planner/load_test.go
+++ b/internal/scheduler/load_test.go
@@ -1,4 +1,4 @@
-package planner
+package scheduler
 
 import (
 	"fmt"
@@ -6,19 +6,19 @@
 	"slices"
 	"testing"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
 // run plays workers for a second: what was placed starts, what is through with
 // its time completes.
-func (s *scene) run(took, first map[*ledger.Job]clock.Micros) {
+func (s *scene) run(took, first map[*allocation.Job]clock.Micros) {
 	s.now += clock.Second
 	for _, m := range s.l.ByName() {
 		s.seqs[m.Name]++
 		r := &wire.Report{Machine: m.Name, Session: 1, Seq: s.seqs[m.Name], Token: 1, Addr: "127.0.0.1:1"}
-		m.Places(func(p *ledger.Placement) {
+		m.Places(func(p *allocation.Placement) {
 			t := wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.Index), Attempt: p.Attempt, State: wire.TaskRunning}
 			if p.Started != 0 && s.now-p.Started >= took[p.Job] {
 				t.State, t.Why = wire.TaskExited, wire.WhyDone
@@ -47,13 +47,13 @@
 func TestNobodyStarvesUnderOverload(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 12))
-		s := newScene(map[string]ledger.Team{"a": {CPU: 64000, CPUMax: 160000}, "b": {CPU: 64000, CPUMax: 160000}})
+		s := newScene(map[string]allocation.Team{"a": {CPU: 64000, CPUMax: 160000}, "b": {CPU: 64000, CPUMax: 160000}})
 		for i := 0; i < 12; i++ {
 			s.machine(fmt.Sprintf("i-%02d", i), "big", []string{"x", "y", "z"}[i%3], true)
 		}
-		took, first := map[*ledger.Job]clock.Micros{}, map[*ledger.Job]clock.Micros{}
+		took, first := map[*allocation.Job]clock.Micros{}, map[*allocation.Job]clock.Micros{}
 		type sub struct {
-			j    *ledger.Job
+			j    *allocation.Job
 			at   clock.Micros
 			size int
 		}
--- a/internal/planner/model.go
+++ b/internal/scheduler/model.go
@@ -1,7 +1,7 @@
-// Package planner owns SNF-ICON: the order of waiting work, where it goes,
+// Package scheduler owns SNF-ICON: the order of waiting work, where it goes,
 // what is rented and given back, the screen, the spare target. It is pure: it
 // reads the ledger and returns decisions.
-package planner
+package scheduler
 
 import (
 	"maps"
--- a/internal/planner/place.go
+++ b/internal/scheduler/place.go
@@ -1,14 +1,14 @@
-package planner
+package scheduler
 
 import (
 	"container/heap"
 
-	"firwood.dev/firwood/internal/ledger"
+	"firwood.dev/firwood/internal/allocation"
 )
 
 // score orders machines for a job: the kind that it should use, the image at
 // hand, then the fullest, so that others run empty and can be given back.
-func (r *round) score(j *ledger.Job, m *ledger.Machine) float64 {
+func (r *round) score(j *allocation.Job, m *allocation.Machine) float64 {
 	s := 0.0
 	if j.Spec.Spot == m.Spot {
 		s += 100
@@ -49,18 +49,18 @@
 }
 
 // busyFor is how long, in seconds, a machine will be busy with what it has.
-func (r *round) busyFor(m *ledger.Machine) float64 {
+func (r *round) busyFor(m *allocation.Machine) float64 {
 	b := &r.busy[m.Rank]
 	if *b < 0 {
 		*b = 0
-		m.Places(func(p *ledger.Placement) { *b = max(*b, r.pl.remaining(p, r.now)) })
+		m.Places(func(p *allocation.Placement) { *b = max(*b, r.pl.remaining(p, r.now)) })
 	}
 	return *b
 }
 
 // option is a machine that a job may use now.
 type option struct {
-	m *ledger.Machine
+	m *allocation.Machine
 	s float64
 }
 
@@ -92,9 +92,9 @@
 
 // candidates lists the machines with room for a task of the job, pool by pool.
 // What has no room left for anything that waits is passed over from now on.
-func (r *round) candidates(j *ledger.Job, f func(*ledger.Machine)) {
+func (r *round) candidates(j *allocation.Job, f func(*allocation.Machine)) {
 	for _, v := range r.pools {
-		if len(v.open) == 0 || !ledger.Allowed(j, v.open[0]) {
+		if len(v.open) == 0 || !allocation.Allowed(j, v.open[0]) {
 			continue // a job's wishes are for pools, not for single machines
 		}
 		kept := v.open[:0]
@@ -112,7 +112,7 @@
 	}
 }
 
-func (r *round) hold(m *ledger.Machine, need ledger.Resources) {
+func (r *round) hold(m *allocation.Machine, need allocation.Resources) {
 	r.held[m.Rank] = r.held[m.Rank].Add(need)
 }
 
@@ -124,7 +124,7 @@
 		return 0
 	}
 	placed := 0
-	put := func(m *ledger.Machine) bool {
+	put := func(m *allocation.Machine) bool {
 		if !j.Need.Fits(r.free(m)) {
 			return false
 		}
@@ -142,7 +142,7 @@
 		return placed
 	}
 	var c options
-	r.candidates(j, func(m *ledger.Machine) { c = append(c, option{m, r.score(j, m)}) })
+	r.candidates(j, func(m *allocation.Machine) { c = append(c, option{m, r.score(j, m)}) })
 	heap.Init(&c)
 	for ; len(c) > 0 && placed < most; c.drop() {
 		for placed < most && put(c[0].m) {
@@ -152,7 +152,7 @@
 }
 
 // placeSpread places tasks one by one, each in the zone that has the fewest.
-func (r *round) placeSpread(j *ledger.Job, most int, put func(*ledger.Machine) bool) {
+func (r *round) placeSpread(j *allocation.Job, most int, put func(*allocation.Machine) bool) {
 	type zone struct {
 		name  string
 		c     options
@@ -160,7 +160,7 @@
 	}
 	var zones []*zone
 	byName := map[string]*zone{}
-	r.candidates(j, func(m *ledger.Machine) {
+	r.candidates(j, func(m *allocation.Machine) {
 		z := byName[m.Zone]
 		if z == nil {
 			z = &zone{name: m.Zone, count: j.InZone(m.Zone)}
@@ -197,7 +197,7 @@
 
 // rather tells whether a job is better off in zone a than in b: replicas outlive
 // a cut only where a controller inside can keep their leases alive.
-func (r *round) rather(j *ledger.Job, a, b string) bool {
+func (r *round) rather(j *allocation.Job, a, b string) bool {
 	return j.Service() && r.pl.Kept[a] && !r.pl.Kept[b]
 }
 
--- a/internal/planner/plan.go
+++ b/internal/scheduler/plan.go
@@ -1,10 +1,10 @@
-package planner
+package scheduler
 
 import (
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 )
 
 // Hire is a rental under way: asked for, no names yet.
@@ -21,11 +21,11 @@
 
 // Decision is what a plan wants done; placements are already in the ledger.
 type Decision struct {
-	Mark   []*ledger.Job
+	Mark   []*allocation.Job
 	Rent   []Rent
-	Return []*ledger.Machine
+	Return []*allocation.Machine
 	// Drain is a machine whose replicas go to others, nil if none.
-	Drain *ledger.Machine
+	Drain *allocation.Machine
 	// Spot and Ordinary tell how the spare targets came about.
 	Spot, Ordinary SpareReport
 }
@@ -42,17 +42,17 @@
 // fleet is full most of the time.
 type round struct {
 	pl       *Planner
-	l        *ledger.Ledger
+	l        *allocation.Ledger
 	now      clock.Micros
-	machines []*ledger.Machine
+	machines []*allocation.Machine
 	pools    []*poolView
-	least    ledger.Resources   // the least of what waits, in each dimension
-	held     []ledger.Resources // promised to jobs not yet marked, by rank
-	claims   []bool             // kept for a gang until more of it is free, by rank
-	busy     []float64          // seconds until the last task ends, by rank; -1: not worked out
-	freeing  []ledger.Resources // taken by tasks that are stopping, by rank; nil: not worked out
+	least    allocation.Resources   // the least of what waits, in each dimension
+	held     []allocation.Resources // promised to jobs not yet marked, by rank
+	claims   []bool                 // kept for a gang until more of it is free, by rank
+	busy     []float64              // seconds until the last task ends, by rank; -1: not worked out
+	freeing  []allocation.Resources // taken by tasks that are stopping, by rank; nil: not worked out
 	zones    map[string]*zoneView
-	owed     map[*ledger.Job]bool // what guarantees cover
+	owed     map[*allocation.Job]bool // what guarantees cover
 }
 
 // zoneView counts a zone's machines that were up, and those of them heard.
@@ -69,14 +69,14 @@
 // poolView is what a round knows of a pool.
 type poolView struct {
 	pool  Pool
-	count int               // machines that are, or boot
-	open  []*ledger.Machine // usable ones with room
+	count int                   // machines that are, or boot
+	open  []*allocation.Machine // usable ones with room
 
-	soft     []*ledger.Machine // see there
+	soft     []*allocation.Machine // see there
 	softDone bool
 }
 
-func (r *round) free(m *ledger.Machine) ledger.Resources { return m.Free().Sub(r.held[m.Rank]) }
+func (r *round) free(m *allocation.Machine) allocation.Resources { return m.Free().Sub(r.held[m.Rank]) }
 
 // view finds a pool; there are few.
 func (r *round) view(p Pool) *poolView {
@@ -99,7 +99,7 @@
 	return 0
 }
 
-func (pl *Planner) round(l *ledger.Ledger, q []*entry, now clock.Micros) *round {
+func (pl *Planner) round(l *allocation.Ledger, q []*entry, now clock.Micros) *round {
 	r := &round{pl: pl, l: l, now: now, machines: l.ByName(), zones: map[string]*zoneView{}}
 	pl.held = sized(pl.held, len(r.machines))
 	pl.busy = sized(pl.busy, len(r.machines))
@@ -113,7 +113,7 @@
 		if i == 0 {
 			r.least = n
 		}
-		r.least = ledger.Resources{CPU: min(r.least.CPU, n.CPU), GPU: min(r.least.GPU, n.GPU), Mem: min(r.least.Mem, n.Mem)}
+		r.least = allocation.Resources{CPU: min(r.least.CPU, n.CPU), GPU: min(r.least.GPU, n.GPU), Mem: min(r.least.Mem, n.Mem)}
 	}
 	for _, m := range r.machines {
 		v := r.view(Pool{m.Type, m.Zone, m.Spot})
@@ -139,7 +139,7 @@
 
 // usable tells whether a machine may get tasks now: it is heard, and nothing
 // speaks against its being told.
-func (r *round) usable(m *ledger.Machine) bool {
+func (r *round) usable(m *allocation.Machine) bool {
 	return m.Usable() && r.now >= max(m.DeafUntil, m.HeldUntil) && r.pl.hears(m, r.now)
 }
 
@@ -155,7 +155,7 @@
 
 // Plan places what fits, and works out what to rent and to give back; wall is
 // the time of day, which deadlines are reckoned in.
-func (pl *Planner) Plan(l *ledger.Ledger, now, wall clock.Micros, hires []Hire) Decision {
+func (pl *Planner) Plan(l *allocation.Ledger, now, wall clock.Micros, hires []Hire) Decision {
 	var d Decision
 	owed := pl.owed(l)
 	q := pl.queue(l, owed, now, wall)
@@ -183,7 +183,7 @@
 }
 
 // allowance is how many more tasks of a job its team's limit allows.
-func (r *round) allowance(j *ledger.Job) int {
+func (r *round) allowance(j *allocation.Job) int {
 	g := r.pl.Teams[j.Spec.Team]
 	u := r.l.TeamUse(j.Spec.Team)
 	n := len(j.Tasks)
--- a/internal/planner/planner.go
+++ b/internal/scheduler/planner.go
@@ -1,12 +1,12 @@
-package planner
+package scheduler
 
 import (
 	"maps"
 	"math"
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
@@ -26,7 +26,7 @@
 type Planner struct {
 	P     Params
 	Types map[string]wire.MachineType
-	Teams map[string]ledger.Team
+	Teams map[string]allocation.Team
 	Zones []string
 
 	// Due are the times within which users expect jobs to be done, in seconds
@@ -49,13 +49,13 @@
 	pools    map[Pool]*poolState
 
 	// Memory that plans use again.
-	held   []ledger.Resources
+	held   []allocation.Resources
 	busy   []float64
 	claims []bool
 }
 
 // New makes a planner that has learnt nothing.
-func New(p Params, types []wire.MachineType, teams map[string]ledger.Team, zones []string) *Planner {
+func New(p Params, types []wire.MachineType, teams map[string]allocation.Team, zones []string) *Planner {
 	pl := &Planner{
 		P: p, Types: map[string]wire.MachineType{}, Teams: teams, Zones: zones,
 		runs: map[string]*RunTimes{}, boots: map[string]*bootTimes{}, pools: map[Pool]*poolState{},
@@ -79,7 +79,7 @@
 // Classes lists the classes of which run times are known.
 func (pl *Planner) Classes() []string { return slices.Sorted(maps.Keys(pl.runs)) }
 
-func (pl *Planner) demand(j *ledger.Job) *Demand {
+func (pl *Planner) demand(j *allocation.Job) *Demand {
 	if j.Spec.Spot {
 		return &pl.spot
 	}
@@ -87,13 +87,13 @@
 }
 
 // Size is what a machine of a type holds.
-func (pl *Planner) Size(typ string) ledger.Resources {
+func (pl *Planner) Size(typ string) allocation.Resources {
 	t := pl.Types[typ]
-	return ledger.FromAmounts(t.CPUs, t.GPUs, t.MemoryGB)
+	return allocation.FromAmounts(t.CPUs, t.GPUs, t.MemoryGB)
 }
 
 // perMachine is how many tasks of a job a machine of a type holds.
-func (pl *Planner) perMachine(need ledger.Resources, typ string) int {
+func (pl *Planner) perMachine(need allocation.Resources, typ string) int {
 	size := pl.Size(typ)
 	n := math.MaxInt32
 	for _, d := range [][2]int64{{need.CPU, size.CPU}, {need.GPU, size.GPU}, {need.Mem, size.Mem}} {
@@ -106,7 +106,7 @@
 
 // share is how much of machines a job takes in all, of the type that holds most
 // of its tasks.
-func (pl *Planner) share(j *ledger.Job) float64 {
+func (pl *Planner) share(j *allocation.Job) float64 {
 	best := 0
 	for name := range pl.Types {
 		if j.Spec.Types == nil || slices.Contains(j.Spec.Types, name) {
@@ -117,12 +117,12 @@
 }
 
 // Machines is a job's need in machines of the type that holds most of it.
-func (pl *Planner) Machines(j *ledger.Job) int {
+func (pl *Planner) Machines(j *allocation.Job) int {
 	return max(int(math.Ceil(pl.share(j)-1e-9)), 1)
 }
 
 // Arrived takes a new job.
-func (pl *Planner) Arrived(j *ledger.Job, now clock.Micros) {
+func (pl *Planner) Arrived(j *allocation.Job, now clock.Micros) {
 	if w, ok := pl.Waits[j.Spec.Class]; ok {
 		d := pl.demand(j)
 		if d.wait == 0 || w < d.wait {
@@ -133,7 +133,7 @@
 }
 
 // Finished takes a task's run time.
-func (pl *Planner) Finished(j *ledger.Job, seconds float64, now clock.Micros) {
+func (pl *Planner) Finished(j *allocation.Job, seconds float64, now clock.Micros) {
 	pl.Class(j.Spec.Class).Observe(j.Spec.EstimateS, seconds, pl.P.SmoothService)
 	pl.demand(j).Finished(seconds, &pl.P)
 }
@@ -141,7 +141,7 @@
 // Ran takes a job's run time, the mean of its tasks'. The screen rests on jobs, as
 // arrivals do: the tasks of an array are no draws of their own, and a thousand of
 // them from a few jobs never fit anything.
-func (pl *Planner) Ran(j *ledger.Job, seconds float64, now clock.Micros) {
+func (pl *Planner) Ran(j *allocation.Job, seconds float64, now clock.Micros) {
 	pl.demand(j).Runs.Add(now, seconds)
 }
 
@@ -178,7 +178,7 @@
 }
 
 // remaining predicts the rest of a placement's run, in seconds.
-func (pl *Planner) remaining(p *ledger.Placement, now clock.Micros) float64 {
+func (pl *Planner) remaining(p *allocation.Placement, now clock.Micros) float64 {
 	if p.Job.Service() {
 		return math.Inf(1)
 	}
@@ -197,7 +197,7 @@
 // time, and what is known of one changes little within a second.
 const forecastFor = 1 * clock.Second
 
-func (pl *Planner) forecast(p *ledger.Placement, now clock.Micros) float64 {
+func (pl *Planner) forecast(p *allocation.Placement, now clock.Micros) float64 {
 	j := p.Job
 	safe := j.Tasks[p.Index].Progress
 	if j.Gang() {
@@ -215,7 +215,7 @@
 
 // ran is for how long, in seconds, a placement has had its place. One that an earlier
 // leader began was found at any time of its run: in the mean half of it is over.
-func (pl *Planner) ran(p *ledger.Placement, now clock.Micros) float64 {
+func (pl *Planner) ran(p *allocation.Placement, now clock.Micros) float64 {
 	run := (now - p.Since).Seconds()
 	if p.Adopted && !p.Job.Service() {
 		run += pl.expect(p.Job) / 2
@@ -224,12 +224,12 @@
 }
 
 // expect predicts how long a task of a job runs (46).
-func (pl *Planner) expect(j *ledger.Job) float64 {
+func (pl *Planner) expect(j *allocation.Job) float64 {
 	return pl.Class(j.Spec.Class).Predict(j.Spec.EstimateS)
 }
 
 // fetch is how long, in seconds, a machine of a type takes to fetch a job's image.
-func (pl *Planner) fetch(j *ledger.Job, typ string) float64 {
+func (pl *Planner) fetch(j *allocation.Job, typ string) float64 {
 	if t, ok := pl.Types[typ]; ok && t.FetchGBPerS > 0 {
 		return j.Spec.ImageGB / t.FetchGBPerS
 	}
@@ -238,7 +238,7 @@
 
 // hears tells whether a machine has reported lately, as far as this leader could
 // have heard it.
-func (pl *Planner) hears(m *ledger.Machine, now clock.Micros) bool {
+func (pl *Planner) hears(m *allocation.Machine, now clock.Micros) bool {
 	return now-max(m.Heard, pl.Since, pl.Awake) <= pl.Fresh
 }
 
@@ -251,7 +251,7 @@
 }
 
 // Ends predicts how long a placement will still run.
-func (pl *Planner) Ends(p *ledger.Placement, now clock.Micros) clock.Micros {
+func (pl *Planner) Ends(p *allocation.Placement, now clock.Micros) clock.Micros {
 	r := pl.remaining(p, now)
 	if math.IsInf(r, 1) || r > 1e6 {
 		return math.MaxInt64
--- a/internal/planner/planner_test.go
+++ b/internal/scheduler/planner_test.go
@@ -1,4 +1,4 @@
-package planner
+package scheduler
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"testing"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
@@ -152,25 +152,25 @@
 }
 
 type scene struct {
-	l    *ledger.Ledger
+	l    *allocation.Ledger
 	pl   *Planner
 	now  clock.Micros
 	seqs map[string]uint64
 }
 
-func newScene(teams map[string]ledger.Team) *scene {
+func newScene(teams map[string]allocation.Team) *scene {
 	types := []wire.MachineType{
 		{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 15, FetchGBPerS: 1, Zones: []string{"x", "y", "z"}},
 		{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.3, SpotPrice: 0.15, BootS: 15, FetchGBPerS: 1, Zones: []string{"x", "y"}},
 	}
-	s := &scene{l: ledger.New(ledger.Config{Token: 1, Lease: 30 * clock.Second, Teams: teams}), now: clock.Second, seqs: map[string]uint64{}}
+	s := &scene{l: allocation.New(allocation.Config{Token: 1, Lease: 30 * clock.Second, Teams: teams}), now: clock.Second, seqs: map[string]uint64{}}
 	s.pl = New(params(), types, teams, []string{"x", "y", "z"})
 	s.pl.Fresh = 3600 * clock.Second
 	s.l.Settle()
 	return s
 }
 
-func (s *scene) machine(name, typ, zone string, spot bool) *ledger.Machine {
+func (s *scene) machine(name, typ, zone string, spot bool) *allocation.Machine {
 	m := s.l.AddMachine(name, typ, zone, spot, s.pl.Size(typ), s.now)
 	m.Recorded = true
 	s.seqs[name]++
@@ -178,7 +178,7 @@
 	return m
 }
 
-func (s *scene) job(w wire.Job) *ledger.Job {
+func (s *scene) job(w wire.Job) *allocation.Job {
 	if w.Priority == "" {
 		w.Priority = wire.PriorityNormal
 	}
@@ -194,7 +194,7 @@
 	rng := rand.New(rand.NewPCG(6, 6))
 	placed, gangs := 0, 0
 	for n := 0; n < 400; n++ {
-		s := newScene(map[string]ledger.Team{"a": {CPU: 8000, CPUMax: 40000}, "b": {GPUMax: 3000}})
+		s := newScene(map[string]allocation.Team{"a": {CPU: 8000, CPUMax: 40000}, "b": {GPUMax: 3000}})
 		for i := rng.IntN(8); i >= 0; i-- {
 			s.machine(fmt.Sprint("i-", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y"}[rng.IntN(2)], rng.IntN(2) == 0)
 		}
@@ -224,7 +224,7 @@
 			}
 			s.now += clock.Second
 		}
-		use := map[string]ledger.Resources{}
+		use := map[string]allocation.Resources{}
 		for _, j := range s.l.Jobs {
 			zones := map[string]int{}
 			for i := range j.Tasks {
@@ -270,7 +270,7 @@
 
 // Smallest need first, inside rank and guarantee.
 func TestOrder(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {CPU: 4000}, "b": {}})
+	s := newScene(map[string]allocation.Team{"a": {CPU: 4000}, "b": {}})
 	s.machine("i-0", "big", "x", false)
 	s.job(wire.Job{ID: "req-000001", Team: "b", Tasks: 1, CPUs: 4, EstimateS: 50})
 	s.job(wire.Job{ID: "req-000002", Team: "b", Tasks: 1, CPUs: 4, EstimateS: 20})
@@ -290,7 +290,7 @@
 // A long job whose deadline is near goes before shorter ones; one that is late
 // anyway does not.
 func TestTightDeadline(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 20})
 	s.job(wire.Job{ID: "req-000002", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 100, DeadlineS: 230})
 	s.job(wire.Job{ID: "req-000003", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 100, DeadlineS: 150})
@@ -309,7 +309,7 @@
 
 // A replica that finds no room takes that of batch work, of what started last.
 func TestPreemption(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	m := s.machine("i-0", "small", "x", false)
 	old := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 2, EstimateS: 50})
 	s.pl.Plan(s.l, s.now, s.now, nil)
@@ -339,7 +339,7 @@
 
 // A gang of higher rank gets room whole, or nothing is stopped for it.
 func TestPreemptionForGang(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	for _, n := range []string{"i-0", "i-1"} {
 		s.machine(n, "small", "x", false)
 	}
@@ -376,7 +376,7 @@
 // All machines for a gang that wants one zone are rented in one zone, and in
 // the next one when that has refused.
 func TestRentsForOneZone(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 6, CPUs: 16, Types: []string{"big"}, Kind: wire.KindGang, OneZone: true})
 	zone := func() string {
 		d := s.pl.Plan(s.l, s.now, s.now, nil)
@@ -395,7 +395,7 @@
 // Where a replica is to go boots while its silent machine is not proven gone;
 // nothing of it is started before.
 func TestRentAheadForSilentMachines(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	s.pl.Fresh = 5 * clock.Second
 	m := s.machine("i-0", "small", "x", false)
 	j := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 1, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindService})
@@ -420,7 +420,7 @@
 
 // An empty pool is left alone for a while, and the next zone is asked.
 func TestRefusedPoolIsLeftAlone(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 3, CPUs: 16, EstimateS: 50, Types: []string{"big"}})
 	first := s.pl.Plan(s.l, s.now, s.now, nil).Rent
 	if len(first) == 0 {
@@ -444,7 +444,7 @@
 // A machine that is held because tasks fail on many gets nothing, and nothing is rented
 // in its place.
 func TestHeldMachineGetsNoWork(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	m := s.machine("i-0", "small", "x", false)
 	m.HeldUntil = s.now + 2*clock.Second
 	j := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 2, EstimateS: 50})
@@ -463,7 +463,7 @@
 // messages to it get no answer, and once it is not heard, it gets no work; the
 // first sign that it can be told ends that.
 func TestDeafMachineGetsNoWork(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	deaf, good := s.machine("i-0", "small", "x", false), s.machine("i-1", "small", "x", false)
 	one := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 4, EstimateS: 50})
 	s.pl.Plan(s.l, s.now, s.now, nil)
@@ -471,8 +471,8 @@
 		t.Fatalf("%d tasks are placed", one.Active())
 	}
 	_, starts := s.l.Direct(deaf, s.now)
-	s.l.DirectEnded(deaf, starts, ledger.Lost, s.now)
-	report := func(m *ledger.Machine, session uint64) {
+	s.l.DirectEnded(deaf, starts, allocation.Lost, s.now)
+	report := func(m *allocation.Machine, session uint64) {
 		s.seqs[m.Name]++
 		s.l.Report(m, &wire.Report{Machine: m.Name, Session: session, Seq: s.seqs[m.Name], Token: 1, Addr: "127.0.0.1:1"}, s.now)
 	}
@@ -482,7 +482,7 @@
 	report(deaf, 2)
 	two := s.job(wire.Job{ID: "req-000002", Team: "a", Tasks: 4, CPUs: 2, EstimateS: 50})
 	s.pl.Plan(s.l, s.now, s.now, nil)
-	two.Places(func(p *ledger.Placement) {
+	two.Places(func(p *allocation.Placement) {
 		if p.Machine == deaf {
 			t.Fatal("a machine that cannot be told got work")
 		}
@@ -491,11 +491,11 @@
 	if msg == nil {
 		t.Fatal("nobody asks whether it can be told")
 	}
-	s.l.DirectEnded(deaf, starts, ledger.Executed, s.now)
+	s.l.DirectEnded(deaf, starts, allocation.Executed, s.now)
 	good.Draining = true
 	s.pl.Plan(s.l, s.now, s.now, nil)
 	n := 0
-	two.Places(func(p *ledger.Placement) {
+	two.Places(func(p *allocation.Placement) {
 		if p.Machine == deaf {
 			n++
 		}
@@ -516,9 +516,9 @@
 // When a whole zone falls silent, what is rented for its replicas comes up in
 // another: in the silent one it would be heard no more than the rest.
 func TestNothingIsRentedInADarkZone(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	s.pl.Fresh = 5 * clock.Second
-	ms := map[string][]*ledger.Machine{}
+	ms := map[string][]*allocation.Machine{}
 	for i := 0; i < 12; i++ {
 		z := []string{"x", "y"}[i%2]
 		ms[z] = append(ms[z], s.machine(fmt.Sprintf("i-%02d", i), "small", z, false))
@@ -529,7 +529,7 @@
 		for _, m := range ms[zone] {
 			s.seqs[m.Name]++
 			r := &wire.Report{Machine: m.Name, Session: 1, Seq: s.seqs[m.Name], Token: 1, Addr: "127.0.0.1:1"}
-			m.Places(func(p *ledger.Placement) {
+			m.Places(func(p *allocation.Placement) {
 				r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.Index), Attempt: p.Attempt, State: wire.TaskRunning})
 			})
 			s.l.Report(m, r, s.now)
@@ -558,9 +558,9 @@
 	s.pl.SetTypes([]wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, Price: 1, BootS: 15, Zones: []string{"x", "y", "z"}}})
 	s.pl.Zones = []string{"x", "y", "z"}
 	s.pl.Kept = map[string]bool{"y": true, "z": true}
-	count := func(j *ledger.Job) map[string]int {
+	count := func(j *allocation.Job) map[string]int {
 		at := map[string]int{}
-		j.Places(func(p *ledger.Placement) { at[p.Machine.Zone]++ })
+		j.Places(func(p *allocation.Placement) { at[p.Machine.Zone]++ })
 		return at
 	}
 	j := s.job(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 5, CPUs: 1, MemoryGB: 1, Spread: true})
@@ -600,7 +600,7 @@
 		want string
 	}{{30 * clock.Second, "i-image"}, {600 * clock.Second, "i-bare"}} {
 		s := newScene(nil)
-		m := map[string]*ledger.Machine{}
+		m := map[string]*allocation.Machine{}
 		for _, n := range []string{"i-bare", "i-image"} {
 			m[n] = s.machine(n, "big", "x", false)
 		}
@@ -616,7 +616,7 @@
 			k.Heard = s.now
 		}
 		for i := range batch.Tasks {
-			batch.Tasks[i].Place.Phase = ledger.Present
+			batch.Tasks[i].Place.Phase = allocation.Present
 		}
 		s.job(wire.Job{ID: "req-000002", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "replica", ImageGB: 2})
 		s.pl.Plan(s.l, s.now, s.now, nil)
@@ -636,14 +636,14 @@
 		s.machine(fmt.Sprintf("i-%d", i), "big", "x", false)
 	}
 	most := map[string]map[string]bool{}
-	var jobs []*ledger.Job
+	var jobs []*allocation.Job
 	for i := 0; i < 12; i++ {
 		jobs = append(jobs, s.job(wire.Job{ID: fmt.Sprintf("req-%06d", i), Kind: wire.KindService, Priority: wire.PriorityProduction,
 			Tasks: 1, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("image-%d", i), ImageGB: 2}))
 	}
 	s.pl.Plan(s.l, s.now, s.now, nil)
 	for _, j := range jobs {
-		j.Places(func(p *ledger.Placement) {
+		j.Places(func(p *allocation.Placement) {
 			if most[p.Machine.Name] == nil {
 				most[p.Machine.Name] = map[string]bool{}
 			}
@@ -663,7 +663,7 @@
 // What a pipeline's last job asks for counts for those that it needs: a deadline that
 // reaches back makes a job tight, and late, like its own.
 func TestDeadlineReachesBack(t *testing.T) {
-	s := newScene(map[string]ledger.Team{"a": {}})
+	s := newScene(map[string]allocation.Team{"a": {}})
 	s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 20})
 	needed := s.job(wire.Job{ID: "req-000002", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 100})
 	first := func() string { return s.pl.queue(s.l, nil, s.now, s.now)[0].job.Spec.ID }
--- a/internal/planner/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -1,19 +1,19 @@
-package planner
+package scheduler
 
 import (
 	"cmp"
 	"container/heap"
 	"slices"
 
-	"firwood.dev/firwood/internal/ledger"
+	"firwood.dev/firwood/internal/allocation"
 )
 
 // room is what a machine will have once the tasks that are stopping are gone.
-func (r *round) room(m *ledger.Machine) ledger.Resources {
+func (r *round) room(m *allocation.Machine) allocation.Resources {
 	if r.freeing == nil {
-		r.freeing = make([]ledger.Resources, len(r.machines))
+		r.freeing = make([]allocation.Resources, len(r.machines))
 		for _, m := range r.machines {
-			m.Places(func(p *ledger.Placement) {
+			m.Places(func(p *allocation.Placement) {
 				if p.Stopping() {
 					r.freeing[m.Rank] = r.freeing[m.Rank].Add(p.Job.Need)
 				}
@@ -27,31 +27,31 @@
 // their team's guarantee covers. What loses least goes first. Gangs weigh that
 // themselves, see placeGang.
 func (r *round) preempt(q []*entry) {
-	var active []*ledger.Job // what may be stopped at all, for somebody
+	var active []*allocation.Job // what may be stopped at all, for somebody
 	for _, e := range q {
 		j := e.job
 		if e.left <= 0 || j.Gang() || j.Priority != 0 && !e.owed {
 			continue
 		}
 		if active == nil {
-			active = []*ledger.Job{}
+			active = []*allocation.Job{}
 			for _, v := range r.l.Jobs {
 				if v.Active() > 0 && !v.Gang() {
 					active = append(active, v)
 				}
 			}
 		}
-		if !slices.ContainsFunc(active, func(v *ledger.Job) bool { return r.below(e, v) }) {
+		if !slices.ContainsFunc(active, func(v *allocation.Job) bool { return r.below(e, v) }) {
 			continue // nobody's work is below this job's
 		}
-		r.preemptForTasks(e, func(p *ledger.Placement) bool { return !p.Stopping() && r.below(e, p.Job) })
+		r.preemptForTasks(e, func(p *allocation.Placement) bool { return !p.Stopping() && r.below(e, p.Job) })
 	}
 }
 
 // below tells whether work of a job may be stopped for another: it is of lower rank,
 // or the other is owed the room and it is not. What a guarantee covers gives way to
 // the same team's, to what is owed too, and to the first rank.
-func (r *round) below(e *entry, v *ledger.Job) bool {
+func (r *round) below(e *entry, v *allocation.Job) bool {
 	j := e.job
 	if v.Gang() || v == j {
 		return false
@@ -69,19 +69,19 @@
 
 // claim books room that is being freed for a job; its tasks are placed there
 // when it is.
-func (r *round) claim(m *ledger.Machine, need ledger.Resources) {
+func (r *round) claim(m *allocation.Machine, need allocation.Resources) {
 	r.freeing[m.Rank] = r.freeing[m.Rank].Sub(need)
 }
 
 // stop stops a task and counts what it frees.
-func (r *round) stop(p *ledger.Placement) {
+func (r *round) stop(p *allocation.Placement) {
 	r.freeing[p.Machine.Rank] = r.freeing[p.Machine.Rank].Add(p.Job.Need)
 	r.l.Stop(p, 0)
 }
 
 // soft lists a pool's machines where something may be stopped or is stopping:
 // most others are full of replicas, which nothing outranks.
-func (r *round) soft(v *poolView) []*ledger.Machine {
+func (r *round) soft(v *poolView) []*allocation.Machine {
 	if !v.softDone {
 		v.softDone = true
 		lesser := false
@@ -101,7 +101,7 @@
 // fetchLoss weighs, in lost work, the fetch that a replica would wait for on a
 // machine: on a busy day three in four of them got the places of batch work, and
 // waited for their image there.
-func (r *round) fetchLoss(j *ledger.Job, m *ledger.Machine) float64 {
+func (r *round) fetchLoss(j *allocation.Job, m *allocation.Machine) float64 {
 	if _, cached := m.Images[j.Spec.Image]; cached || !j.Service() {
 		return 0
 	}
@@ -118,11 +118,11 @@
 
 // preemptForTasks stops work for independent tasks, each time where it loses
 // least.
-func (r *round) preemptForTasks(e *entry, mayStop func(*ledger.Placement) bool) {
+func (r *round) preemptForTasks(e *entry, mayStop func(*allocation.Placement) bool) {
 	j := e.job
 	// What a start on the machine costs in lost work; more is better, as a
 	// heap of options has the highest on top.
-	weigh := func(m *ledger.Machine) (option, []*ledger.Placement, bool) {
+	weigh := func(m *allocation.Machine) (option, []*allocation.Placement, bool) {
 		have := r.room(m)
 		fetch := r.fetchLoss(j, m)
 		if j.Need.Fits(have) {
@@ -142,7 +142,7 @@
 	}
 	var c options
 	for _, v := range r.pools {
-		if soft := r.soft(v); len(soft) > 0 && ledger.Allowed(j, soft[0]) {
+		if soft := r.soft(v); len(soft) > 0 && allocation.Allowed(j, soft[0]) {
 			for _, m := range soft {
 				if o, _, ok := weigh(m); ok {
 					c = append(c, o)
@@ -178,14 +178,14 @@
 }
 
 // stoppable lists what may be stopped on a machine, what started last first.
-func stoppable(m *ledger.Machine, mayStop func(*ledger.Placement) bool) []*ledger.Placement {
-	var vs []*ledger.Placement
-	m.Places(func(p *ledger.Placement) {
+func stoppable(m *allocation.Machine, mayStop func(*allocation.Placement) bool) []*allocation.Placement {
+	var vs []*allocation.Placement
+	m.Places(func(p *allocation.Placement) {
 		if mayStop(p) {
 			vs = append(vs, p)
 		}
 	})
-	slices.SortFunc(vs, func(a, b *ledger.Placement) int {
+	slices.SortFunc(vs, func(a, b *allocation.Placement) int {
 		return cmp.Or(-cmp.Compare(a.Since, b.Since), cmp.Compare(a.Index, b.Index))
 	})
 	return vs
--- a/internal/planner/queue.go
+++ b/internal/scheduler/queue.go
@@ -1,17 +1,17 @@
-package planner
+package scheduler
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 )
 
 // entry is a waiting job in the order of the plan.
 type entry struct {
-	job   *ledger.Job
+	job   *allocation.Job
 	owed  bool
 	aged  bool // waits long, and nothing of it has started
 	tight bool // can still be in time, if it starts soon
@@ -35,7 +35,7 @@
 // is within it. A guarantee of 0 is none: it neither covers nor bounds what is used
 // of that resource, or jobs that take processors beside their cards would never be
 // owed anything by a guarantee in cards alone.
-func covers(g ledger.Team, need ledger.Resources) (speaks, within bool) {
+func covers(g allocation.Team, need allocation.Resources) (speaks, within bool) {
 	within = true
 	for _, d := range [][2]int64{{g.CPU, need.CPU}, {g.GPU, need.GPU}} {
 		if d[0] > 0 && d[1] > 0 {
@@ -48,20 +48,20 @@
 
 // owed tells which jobs fit into their team's guarantee together with the
 // team's earlier unfinished jobs.
-func (pl *Planner) owed(l *ledger.Ledger) map[*ledger.Job]bool {
-	byTeam := map[string][]*ledger.Job{}
+func (pl *Planner) owed(l *allocation.Ledger) map[*allocation.Job]bool {
+	byTeam := map[string][]*allocation.Job{}
 	for _, j := range l.Jobs {
 		if g := pl.Teams[j.Spec.Team]; !j.Withdrawn && !j.Complete() && (g.CPU > 0 || g.GPU > 0) {
 			byTeam[j.Spec.Team] = append(byTeam[j.Spec.Team], j)
 		}
 	}
-	out := map[*ledger.Job]bool{}
+	out := map[*allocation.Job]bool{}
 	for team, jobs := range byTeam {
-		slices.SortFunc(jobs, func(a, b *ledger.Job) int {
+		slices.SortFunc(jobs, func(a, b *allocation.Job) int {
 			return cmp.Or(cmp.Compare(a.Submitted, b.Submitted), cmp.Compare(a.Spec.ID, b.Spec.ID))
 		})
 		g := pl.Teams[team]
-		var sum ledger.Resources
+		var sum allocation.Resources
 		for _, j := range jobs {
 			sum = sum.Add(j.Need.Times(len(j.Tasks)))
 			if _, within := covers(g, sum); !within {
@@ -76,7 +76,7 @@
 }
 
 // queue lists the waiting jobs in SNF order, inside rank and guarantee.
-func (pl *Planner) queue(l *ledger.Ledger, owed map[*ledger.Job]bool, now, wall clock.Micros) []*entry {
+func (pl *Planner) queue(l *allocation.Ledger, owed map[*allocation.Job]bool, now, wall clock.Micros) []*entry {
 	var q []*entry
 	for _, j := range l.Jobs {
 		if j.Withdrawn || j.WaitingCount() == 0 || j.Active() == 0 && j.WaitingCount() == j.Doubts() {
@@ -103,7 +103,7 @@
 		held := false
 		for i := range j.Tasks {
 			t := &j.Tasks[i]
-			if t.State != ledger.Waiting || t.Doubt || t.Place != nil {
+			if t.State != allocation.Waiting || t.Doubt || t.Place != nil {
 				continue
 			}
 			if t.NotBefore > now {
@@ -149,7 +149,7 @@
 // time, with little to spare. By need and run time alone, the last tasks of a
 // long job wait for every shorter one that comes. A job that is late anyway has
 // no such claim.
-func (pl *Planner) tight(j *ledger.Job, run float64, wall clock.Micros) bool {
+func (pl *Planner) tight(j *allocation.Job, run float64, wall clock.Micros) bool {
 	due := pl.due(j)
 	if due == 0 {
 		return false
@@ -160,7 +160,7 @@
 
 // atBest is how long, in seconds, what waits of a job takes at the least: its
 // team's limit may not let all tasks run at a time.
-func (pl *Planner) atBest(j *ledger.Job, run float64) float64 {
+func (pl *Planner) atBest(j *allocation.Job, run float64) float64 {
 	g := pl.Teams[j.Spec.Team]
 	waves := 1.0
 	for _, d := range [][2]int64{{g.CPUMax, j.Need.CPU}, {g.GPUMax, j.Need.GPU}} {
@@ -173,7 +173,7 @@
 
 // due is when a job should be done, in seconds from the moment from which its waits
 // count; 0: no such time.
-func (pl *Planner) due(j *ledger.Job) float64 {
+func (pl *Planner) due(j *allocation.Job) float64 {
 	const alreadyLate = 0.001 // its time was over before it could start
 	switch {
 	case j.Service():
@@ -202,7 +202,7 @@
 // lateness is 0 for a job that can still be in time, 1 for one that can not, and
 // 2 for one that is late by half as much again: when not all can be done in
 // time, those that can are not held up by those that cannot.
-func (pl *Planner) lateness(j *ledger.Job, run float64, wall clock.Micros) int {
+func (pl *Planner) lateness(j *allocation.Job, run float64, wall clock.Micros) int {
 	due := pl.due(j)
 	if due == 0 {
 		return 0
--- a/internal/planner/rent.go
+++ b/internal/scheduler/rent.go
@@ -1,25 +1,25 @@
-package planner
+package scheduler
 
 import (
 	"cmp"
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 	"firwood.dev/firwood/wire"
 )
 
 // slot is a machine of the future: what will be free on it one boot time on.
 type slot struct {
-	free    ledger.Resources
-	machine *ledger.Machine // nil if not there yet
+	free    allocation.Resources
+	machine *allocation.Machine // nil if not there yet
 }
 
 // future holds the slots, pool by pool. Slots with no room left for anything
 // that waits are taken out as they are met.
 type future struct {
 	pools []*futurePool
-	least ledger.Resources
+	least allocation.Resources
 }
 
 type futurePool struct {
@@ -48,7 +48,7 @@
 }
 
 // take uses up to n places of a pool; it returns how many it found.
-func (f *future) take(v *futurePool, need ledger.Resources, n int) int {
+func (f *future) take(v *futurePool, need allocation.Resources, n int) int {
 	got := 0
 	kept := v.slots[:0]
 	for i := range v.slots {
@@ -74,7 +74,7 @@
 	f := &future{least: wanted[0].job.Need}
 	for _, e := range wanted {
 		n := e.job.Need
-		f.least = ledger.Resources{CPU: min(f.least.CPU, n.CPU), GPU: min(f.least.GPU, n.GPU), Mem: min(f.least.Mem, n.Mem)}
+		f.least = allocation.Resources{CPU: min(f.least.CPU, n.CPU), GPU: min(f.least.GPU, n.GPU), Mem: min(f.least.Mem, n.Mem)}
 	}
 	boots := map[string][2]clock.Micros{}
 	for _, m := range r.machines {
@@ -90,7 +90,7 @@
 			continue
 		}
 		s := slot{free: r.free(m), machine: m}
-		m.Places(func(p *ledger.Placement) {
+		m.Places(func(p *allocation.Placement) {
 			if !p.Job.Service() && r.pl.remaining(p, r.now) <= boot[0].Seconds() {
 				s.free = s.free.Add(p.Job.Need)
 			}
@@ -108,7 +108,7 @@
 // isExpected tells whether a machine that is not silent can be counted on to take tasks
 // soon. One that has just come up can: it has yet to see the token, which its next report
 // shows. When it was not counted on, every machine that came up was rented once more.
-func (r *round) isExpected(m *ledger.Machine, longestBoot clock.Micros) bool {
+func (r *round) isExpected(m *allocation.Machine, longestBoot clock.Micros) bool {
 	switch {
 	case m.Synced:
 		return true
@@ -216,7 +216,7 @@
 // onlyZone picks the zone that a job wants all its tasks in, if it wants that:
 // where its tasks are, else where most of them will find room, or a pool that
 // has not just refused. Machines rented in several zones would never do.
-func (r *round) onlyZone(j *ledger.Job, f *future) string {
+func (r *round) onlyZone(j *allocation.Job, f *future) string {
 	if !j.Spec.OneZone {
 		return ""
 	}
@@ -278,7 +278,7 @@
 	return out
 }
 
-func poolAllowed(j *ledger.Job, p Pool) bool {
+func poolAllowed(j *allocation.Job, p Pool) bool {
 	s := j.Spec
 	if p.Spot && !s.Spot || s.Zone != "" && s.Zone != p.Zone || s.Types != nil && !slices.Contains(s.Types, p.Type) {
 		return false
@@ -298,7 +298,7 @@
 }
 
 // offers lists the pools that may be asked for a job now.
-func (r *round) offers(j *ledger.Job, pressed bool, only string, f *future) []offer {
+func (r *round) offers(j *allocation.Job, pressed bool, only string, f *future) []offer {
 	var out []offer
 	for name, t := range r.pl.Types {
 		per := r.pl.perMachine(j.Need, name)
@@ -330,14 +330,14 @@
 
 // patient tells whether a job waits for a spot machine rather than have an ordinary
 // one rented. A gang does not: all its machines would have to come in that time.
-func (r *round) patient(j *ledger.Job) bool {
+func (r *round) patient(j *allocation.Job) bool {
 	return j.Spec.Spot && !j.Gang() && (j.Active() > 0 || r.now-j.Seen < r.pl.P.SpotPatience)
 }
 
 // best picks where to rent one more machine for a job: the cheapest by task,
 // then where the job is better off, then the zone with the fewest machines, so
 // that a loss hits little.
-func (r *round) best(j *ledger.Job, offers []offer, open func(zone string) bool) *futurePool {
+func (r *round) best(j *allocation.Job, offers []offer, open func(zone string) bool) *futurePool {
 	var best *futurePool
 	var cost float64
 	for _, o := range offers {
@@ -351,7 +351,7 @@
 	return best
 }
 
-func (r *round) nearer(j *ledger.Job, a, b *futurePool) bool {
+func (r *round) nearer(j *allocation.Job, a, b *futurePool) bool {
 	switch {
 	case r.rather(j, a.pool.Zone, b.pool.Zone):
 		return true
--- a/internal/planner/rent_test.go
+++ b/internal/scheduler/rent_test.go
@@ -1,4 +1,4 @@
-package planner
+package scheduler
 
 import (
 	"testing"
--- a/internal/planner/spares.go
+++ b/internal/scheduler/spares.go
@@ -1,12 +1,12 @@
-package planner
+package scheduler
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/ledger"
 )
 
 // spares chooses the spare target of each kind, rents what it lacks, and gives
@@ -30,7 +30,7 @@
 }
 
 // part is how much of a machine a need takes, of what it takes most of.
-func part(need, size ledger.Resources) float64 {
+func part(need, size allocation.Resources) float64 {
 	most := 0.0
 	for _, d := range [][2]int64{{need.CPU, size.CPU}, {need.GPU, size.GPU}, {need.Mem, size.Mem}} {
 		if d[1] > 0 {
@@ -43,7 +43,7 @@
 // openPart is how much of a machine is left for others: of what is shortest on it.
 // Reckoned in processors alone, machines whose cards were all taken once counted as
 // room for spares.
-func openPart(free, size ledger.Resources) float64 { return max(1-part(size.Sub(free), size), 0) }
+func openPart(free, size allocation.Resources) float64 { return max(1-part(size.Sub(free), size), 0) }
 
 // settledFor is how long a replica has to run before it may be moved.
 const settledFor = 45 * clock.Second
@@ -52,8 +52,8 @@
 // alone, and whose replicas all fit where there are others and their image is
 // at hand: moved there they are away for a moment only, and the machine can be
 // given back. The free room that the spare target keeps is not touched.
-func (r *round) consolidate(keep int) *ledger.Machine {
-	var best *ledger.Machine
+func (r *round) consolidate(keep int) *allocation.Machine {
+	var best *allocation.Machine
 	var spare float64
 	for _, m := range r.machines {
 		if m.Spot {
@@ -78,10 +78,10 @@
 	return best
 }
 
-func (r *round) movable(m *ledger.Machine) bool {
-	room := map[*ledger.Machine]ledger.Resources{}
+func (r *round) movable(m *allocation.Machine) bool {
+	room := map[*allocation.Machine]allocation.Resources{}
 	ok := true
-	m.Places(func(p *ledger.Placement) {
+	m.Places(func(p *allocation.Placement) {
 		j := p.Job
 		if !ok || !j.Service() || p.Stopping() || p.Started == 0 || r.now-p.Started < settledFor || j.Doubts() > 0 {
 			ok = false
@@ -94,7 +94,7 @@
 			}
 			// Within a zone nothing changes for the job's wishes; else they
 			// have to allow one more.
-			if o.Zone != m.Zone && !ledger.Allowed(j, o) || o.Type != m.Type && !ledger.Allowed(j, o) {
+			if o.Zone != m.Zone && !allocation.Allowed(j, o) || o.Type != m.Type && !allocation.Allowed(j, o) {
 				continue
 			}
 			free, seen := room[o]
@@ -152,7 +152,7 @@
 		case m.UpAt == 0:
 			in.Booting = append(in.Booting, max((r.pl.BootTime(m.Type, 50)-(r.now-m.Since)).Seconds(), 0))
 		}
-		m.Places(func(pc *ledger.Placement) {
+		m.Places(func(pc *allocation.Placement) {
 			if left := r.pl.remaining(pc, r.now); left > 0 {
 				nearest = min(nearest, left)
 			}
@@ -262,13 +262,13 @@
 	if spot {
 		dm = &r.pl.spot
 	}
-	var idle []*ledger.Machine
+	var idle []*allocation.Machine
 	for _, m := range r.machines {
-		if m.Spot == spot && m.Usable() && m.Idle() && r.held[m.Rank] == (ledger.Resources{}) {
+		if m.Spot == spot && m.Usable() && m.Idle() && r.held[m.Rank] == (allocation.Resources{}) {
 			idle = append(idle, m)
 		}
 	}
-	slices.SortStableFunc(idle, func(a, b *ledger.Machine) int { return -cmp.Compare(a.IdleAt, b.IdleAt) })
+	slices.SortStableFunc(idle, func(a, b *allocation.Machine) int { return -cmp.Compare(a.IdleAt, b.IdleAt) })
 	idleWait := r.pl.P.IdleWait
 	if r.kind(spot)/spareShare > leastSpareMax {
 		idleWait /= 2 // the spares, which have grown with the fleet, are what is kept
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -12,9 +12,9 @@
 	"github.com/tidwall/evio"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/connlimit"
 	"firwood.dev/firwood/internal/http1"
 	"firwood.dev/firwood/internal/peer"
-	"firwood.dev/firwood/internal/sockets"
 	"firwood.dev/firwood/wire"
 )
 
@@ -35,7 +35,7 @@
 	Serve, Peer string
 	// Sockets bounds the connections; MakeRoom closes one of those that the
 	// budget holds beside the incoming ones, if it can.
-	Sockets  *sockets.Budget
+	Sockets  *connlimit.Budget
 	MakeRoom func() bool
 	// Lease is how long a worker may be away before its connection is of no use.
 	Lease clock.Micros
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -15,8 +15,8 @@
 	"github.com/tidwall/evio"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/connlimit"
 	"firwood.dev/firwood/internal/peer"
-	"firwood.dev/firwood/internal/sockets"
 	"firwood.dev/firwood/wire"
 )
 
@@ -46,7 +46,7 @@
 		defer l.Close()
 		return l.Addr().String()
 	}
-	cfg := Config{Serve: port(), Peer: port(), Sockets: sockets.New(most), Idle: 60 * clock.Second, Half: clock.Second, Lease: 60 * clock.Second}
+	cfg := Config{Serve: port(), Peer: port(), Sockets: connlimit.New(most), Idle: 60 * clock.Second, Half: clock.Second, Lease: 60 * clock.Second}
 	s := New(cfg, app, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go s.Run() //nolint:errcheck // runs until the test process ends
 	for i := 0; i < 200; i++ {
@@ -200,7 +200,7 @@
 // A reply that is there before the request's turn ends is written then, and its
 // wake comes later. After a close has been decided it must not bring another answer.
 func TestAWakeAfterTheCloseSaysNothing(t *testing.T) {
-	s := New(Config{Sockets: sockets.New(10)}, &echo{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := New(Config{Sockets: connlimit.New(10)}, &echo{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c := &still{}
 	if _, _, action := s.opened(c); action != evio.None {
 		t.Fatal("no room")
--- a/internal/sim/chain_test.go
+++ b/internal/sim/chain_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
@@ -55,7 +55,7 @@
 // anything or can't tell, or is back in a new session in between. All use their replicas,
 // and are in doubt of no more than what runs.
 func TestAChainOfLeadersInDoubt(t *testing.T) {
-	for name, fault := range map[string]standin.MachineFault{"hanging": standin.Hanging, "deaf": standin.Deaf, "mute": standin.Mute} {
+	for name, fault := range map[string]fake.MachineFault{"hanging": fake.Hanging, "deaf": fake.Deaf, "mute": fake.Mute} {
 		t.Run(name, func(t *testing.T) {
 			options, seen := limited(true)
 			Run(t, options, func(c *Cluster) {
@@ -71,7 +71,7 @@
 				// Eight run at a time, and of eight the end may not be durable yet.
 				c.expectReplicas(seen.all()[1:], 16)
 				time.Sleep(20 * time.Second) // its lease ends, and with it its session
-				c.Cloud.SetFault(faulty, standin.Healthy)
+				c.Cloud.SetFault(faulty, fake.Healthy)
 				c.nextLeader()
 				c.UntilStage(c.Leader(), "req-000001", wire.JobDone, 8*time.Minute)
 			})
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -1,5 +1,5 @@
 // Package sim runs whole controllers in simulated time against the stand-ins of
-// package standin, over a network in memory. It is for tests inside a bubble of
+// package fake, over a network in memory. It is for tests inside a bubble of
 // testing/synctest: time passes only when everything waits, so minutes take a
 // moment, and no test depends on how busy the machine is.
 package sim
@@ -20,11 +20,11 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/config"
-	"firwood.dev/firwood/internal/core"
+	"firwood.dev/firwood/internal/controller"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/internal/peer"
 	"firwood.dev/firwood/internal/protocoltest"
 	"firwood.dev/firwood/internal/server"
-	"firwood.dev/firwood/internal/standin"
 	"firwood.dev/firwood/wire"
 )
 
@@ -104,9 +104,9 @@
 	t       testing.TB
 	options Options
 
-	Network *standin.Memory
-	State   *standin.State
-	Cloud   *standin.Cloud
+	Network *fake.Memory
+	State   *fake.State
+	Cloud   *fake.Cloud
 	Checker *protocoltest.Checker
 
 	nodes     []*node
@@ -120,7 +120,7 @@
 	name string
 	cfg  *config.Platform
 	// app is the present life, nil while there is none.
-	app  *core.Core
+	app  *controller.Core
 	end  context.CancelFunc
 	stop []func()
 }
@@ -140,13 +140,13 @@
 
 func start(t testing.TB, options Options) *Cluster {
 	options.setDefaults()
-	c := &Cluster{t: t, options: options, Network: standin.NewMemory()}
+	c := &Cluster{t: t, options: options, Network: fake.NewMemory()}
 	limits := map[string]protocoltest.Limit{}
 	for _, team := range options.Teams {
 		limits[team.Name] = protocoltest.Limit{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
 	}
 	c.Checker = protocoltest.New(protocoltest.Config{Cancellation: options.Cancellation, Limits: limits})
-	c.State, c.stopState = standin.NewStateOn(c.Network)
+	c.State, c.stopState = fake.NewStateOn(c.Network)
 	names, addresses := []string{}, map[string]string{}
 	for i := range options.Nodes {
 		name := fmt.Sprintf("n%d", i)
@@ -154,7 +154,7 @@
 		addresses[name] = fmt.Sprintf("%s:%d", name, servePort)
 		c.nodes = append(c.nodes, &node{name: name})
 	}
-	c.Cloud, c.stopCloud = standin.NewCloudOn(standin.CloudConfig{
+	c.Cloud, c.stopCloud = fake.NewCloudOn(fake.CloudConfig{
 		Network: c.Network, Names: names, Controllers: addresses,
 		Types:  []wire.MachineType{{Name: typeName, CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.5, BootS: options.Boot.Seconds(), Zones: options.Zones}},
 		RunFor: c.runFor, Lease: options.Lease, ReportEvery: options.ReportEvery, Boot: options.Boot,
@@ -207,7 +207,7 @@
 	}
 	c.stopCloud()
 	c.stopState()
-	for _, host := range append(c.Cloud.Machines(), standin.StateHost, standin.CloudHost, userHost) {
+	for _, host := range append(c.Cloud.Machines(), fake.StateHost, fake.CloudHost, userHost) {
 		c.Network.Down(host)
 	}
 	// What still waits for answers gives up.
@@ -225,7 +225,7 @@
 }
 
 // life is the present life of a controller, nil if there is none.
-func (c *Cluster) life(n *node) *core.Core {
+func (c *Cluster) life(n *node) *controller.Core {
 	c.lives.Lock()
 	defer c.lives.Unlock()
 	return n.app
@@ -261,7 +261,7 @@
 	if !slices.Contains(c.options.WithoutArchive, name) {
 		tuning.ArchiveFinishedAfterS = c.options.ArchiveAfter.Seconds()
 	}
-	n.app = core.New(n.cfg, tuning, log.With("member", name), dial)
+	n.app = controller.New(n.cfg, tuning, log.With("member", name), dial)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.end = cancel
 	go n.app.Run(ctx)
@@ -325,7 +325,7 @@
 	return func() { l.Close() }
 }
 
-func readFrames(conn net.Conn, app *core.Core) {
+func readFrames(conn net.Conn, app *controller.Core) {
 	defer conn.Close()
 	var frames peer.Frames
 	buffer := make([]byte, 32<<10)
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -4,13 +4,13 @@
 	"slices"
 	"time"
 
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/internal/server"
-	"firwood.dev/firwood/internal/standin"
 	"firwood.dev/firwood/wire"
 )
 
 // cut begins or ends a cut of a name.
-func (c *Cluster) cut(on bool, name string, cut standin.Between) {
+func (c *Cluster) cut(on bool, name string, cut fake.Between) {
 	if on {
 		c.Network.Cut(name, cut)
 	} else {
@@ -20,7 +20,7 @@
 
 // CutFromState begins or ends a cut between a controller and the state service.
 func (c *Cluster) CutFromState(name string, on bool) {
-	c.cut(on, "state of "+name, standin.Hosts(name, standin.StateHost))
+	c.cut(on, "state of "+name, fake.Hosts(name, fake.StateHost))
 }
 
 // CutFromPeers begins or ends a cut between a controller and all others.
--- a/internal/sim/finished_test.go
+++ b/internal/sim/finished_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
@@ -249,12 +249,12 @@
 // disturbMoves has one trouble after another while records are moved.
 func (c *Cluster) disturbMoves() {
 	time.Sleep(archiveAfter)
-	for _, fault := range []standin.StateFault{standin.AnswersLost, standin.CarriedOutLate, standin.Refused} {
+	for _, fault := range []fake.StateFault{fake.AnswersLost, fake.CarriedOutLate, fake.Refused} {
 		if leader := c.Leader(); leader != "" {
 			c.State.SetFault(leader, fault)
 			time.Sleep(2 * time.Second)
 			c.askForManyAtOnce(c.Others(leader)[0])
-			c.State.SetFault(leader, standin.Served)
+			c.State.SetFault(leader, fake.Served)
 			c.Restart(leader, 300*time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/meetings_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"firwood.dev/firwood/internal/config"
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
@@ -83,7 +83,7 @@
 		c.MustSubmit("n1", Array(2, 8, "b"))
 		for i, machine := range c.Cloud.Machines() {
 			if i%2 == 0 {
-				c.Cloud.SetFault(machine, standin.Hanging)
+				c.Cloud.SetFault(machine, fake.Hanging)
 			} else {
 				c.Network.Cut(machine, func(a, b string) bool { return a == machine || b == machine })
 			}
@@ -93,7 +93,7 @@
 		c.Restart(c.Leader(), 5*time.Second)
 		time.Sleep(20 * time.Second)
 		for _, machine := range c.Cloud.Machines() {
-			c.Cloud.SetFault(machine, standin.Healthy)
+			c.Cloud.SetFault(machine, fake.Healthy)
 		}
 		c.Network.HealAll()
 		c.UntilOn("req-000002", 8)
--- a/internal/sim/pipelines_test.go
+++ b/internal/sim/pipelines_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"firwood.dev/firwood/internal/config"
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
@@ -70,7 +70,7 @@
 		c.State.SetDown(true)
 		time.Sleep(8 * time.Second)
 		c.State.SetDown(false)
-		c.State.SetFault(leader, standin.Served)
+		c.State.SetFault(leader, fake.Served)
 		c.Start(leader)
 		c.MustSubmit("n1", after(25, "a", 20))
 		for _, n := range c.Nodes() {
@@ -151,7 +151,7 @@
 			c.MustSubmit(c.Nodes()[i%3], Array(i, 1, "a"))
 			last.Awaits = append(last.Awaits, name(i))
 			if i == awaited/2 {
-				c.State.SetLimits(standin.StateLimits{ValueBytes: 1 << 10, TxnOps: 10})
+				c.State.SetLimits(fake.StateLimits{ValueBytes: 1 << 10, TxnOps: 10})
 			}
 		}
 		c.MustSubmit("n1", last)
--- a/internal/sim/random_test.go
+++ b/internal/sim/random_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
@@ -125,21 +125,21 @@
 	if machines := h.Cloud.Machines(); len(machines) > 0 {
 		machine = h.pick(machines)
 	}
-	fault := func(f standin.StateFault) func(bool) {
+	fault := func(f fake.StateFault) func(bool) {
 		return func(on bool) {
 			if on {
 				h.State.SetFault(node, f)
 			} else {
-				h.State.SetFault(node, standin.Served)
+				h.State.SetFault(node, fake.Served)
 			}
 		}
 	}
-	machineFault := func(f standin.MachineFault) func(bool) {
+	machineFault := func(f fake.MachineFault) func(bool) {
 		return func(on bool) {
 			if on {
 				h.Cloud.SetFault(machine, f)
 			} else {
-				h.Cloud.SetFault(machine, standin.Healthy)
+				h.Cloud.SetFault(machine, fake.Healthy)
 			}
 		}
 	}
@@ -151,16 +151,16 @@
 			h.during(h.seconds(0.2, 50), func(on bool) { h.alive(n, !on) })
 		}
 	case 2:
-		h.during(h.seconds(1, 20), fault(standin.Refused))
+		h.during(h.seconds(1, 20), fault(fake.Refused))
 	case 3:
 		// The leader alone first, then everybody.
-		h.during(h.seconds(5, 15), fault(standin.Refused))
+		h.during(h.seconds(5, 15), fault(fake.Refused))
 		time.Sleep(h.seconds(0.2, 3))
 		h.during(h.seconds(2, 90), h.State.SetDown)
 	case 4:
-		h.during(h.seconds(1, 10), fault(standin.AnswersLost))
+		h.during(h.seconds(1, 10), fault(fake.AnswersLost))
 	case 5:
-		h.during(h.seconds(1, 10), fault(standin.CarriedOutLate))
+		h.during(h.seconds(1, 10), fault(fake.CarriedOutLate))
 	case 6:
 		h.during(h.seconds(5, 50), func(on bool) { h.CutFromState(node, on); h.CutFromPeers(node, on) })
 	case 7:
@@ -169,13 +169,13 @@
 		zone := h.pick(h.options.Zones)
 		h.during(h.seconds(5, 60), func(on bool) { h.CutZone(zone, on) })
 	case 9:
-		h.during(h.seconds(2, 50), machineFault(standin.Hanging))
+		h.during(h.seconds(2, 50), machineFault(fake.Hanging))
 	case 10:
-		h.during(h.seconds(2, 50), machineFault(standin.Deaf))
+		h.during(h.seconds(2, 50), machineFault(fake.Deaf))
 	case 11:
-		h.during(h.seconds(2, 50), machineFault(standin.Mute))
+		h.during(h.seconds(2, 50), machineFault(fake.Mute))
 	case 12:
-		h.during(h.seconds(2, 20), machineFault(standin.Slow))
+		h.during(h.seconds(2, 20), machineFault(fake.Slow))
 	}
 }
 
--- a/internal/sim/refused_test.go
+++ b/internal/sim/refused_test.go
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
 // refuseLeader has the state service refuse the leader alone, and returns its name.
 func refuseLeader(c *Cluster) string {
 	leader := c.Leader()
-	c.State.SetFault(leader, standin.Refused)
+	c.State.SetFault(leader, fake.Refused)
 	return leader
 }
 
@@ -32,7 +32,7 @@
 		c.State.SetDown(true)
 		c.Until("the tasks are gone", 3*time.Second, func() bool { return len(c.On("req-000001")) == 0 })
 		time.Sleep(80 * time.Second)
-		c.State.SetFault(leader, standin.Served)
+		c.State.SetFault(leader, fake.Served)
 		c.State.SetDown(false)
 		c.UntilOn("req-000002", 2)
 		time.Sleep(30 * time.Second)
@@ -57,7 +57,7 @@
 				c.State.SetDown(true)
 				time.Sleep(times.cancellation + 20*time.Second)
 				c.CutFromPeers(leader, false)
-				c.State.SetFault(leader, standin.Served)
+				c.State.SetFault(leader, fake.Served)
 				c.State.SetDown(false)
 				time.Sleep(30 * time.Second)
 				if late := c.Checker.LateStarts(); len(late) > 0 {
@@ -81,10 +81,10 @@
 		c.MustCancel(c.Others(leader)[0], "req-000001")
 		c.State.SetDown(true)
 		time.Sleep(c.options.Cancellation + 20*time.Second)
-		c.State.SetFault(leader, standin.ReadsRefused)
+		c.State.SetFault(leader, fake.ReadsRefused)
 		c.State.SetDown(false)
 		time.Sleep(8 * time.Second)
-		c.State.SetFault(leader, standin.Served)
+		c.State.SetFault(leader, fake.Served)
 		time.Sleep(20 * time.Second)
 		if late := c.Checker.LateStarts(); len(late) > 0 {
 			t.Errorf("started after the cancellation: %v", late)
@@ -103,20 +103,20 @@
 		time.Sleep(time.Second)
 		leader := c.Leader()
 		c.CutFromPeers(leader, true)
-		c.State.SetFault(leader, standin.RenewalsRefused)
+		c.State.SetFault(leader, fake.RenewalsRefused)
 		time.Sleep(4 * time.Second)
-		c.State.SetFault(leader, standin.Refused)
+		c.State.SetFault(leader, fake.Refused)
 		time.Sleep(100 * time.Millisecond) // the last read has come back
 		c.MustCancel(c.Others(leader)[0], name(2))
 		c.State.SetDown(true)
 		time.Sleep(2 * time.Second) // the entitlement ends
-		c.State.SetFault(leader, standin.ReadsRefused)
+		c.State.SetFault(leader, fake.ReadsRefused)
 		c.State.SetDown(false)
 		for i := range 8 {
 			c.Cloud.Fail(wire.TaskID(name(1), i)) // there is room for the other job
 			time.Sleep(time.Second / 2)
 		}
-		c.State.SetFault(leader, standin.Served)
+		c.State.SetFault(leader, fake.Served)
 		c.CutFromPeers(leader, false)
 		time.Sleep(20 * time.Second)
 		if late := c.Checker.LateStarts(); len(late) > 0 {
@@ -138,7 +138,7 @@
 				c.UntilOn("req-000002", 2)
 				leader := c.Leader()
 				c.CutFromPeers(leader, !heard)
-				c.State.SetFault(leader, standin.ReadsRefused)
+				c.State.SetFault(leader, fake.ReadsRefused)
 				time.Sleep(time.Second)
 				c.MustCancel(c.Others(leader)[0], "req-000001")
 				if heard {
@@ -149,7 +149,7 @@
 					t.Errorf("%d of 2 other tasks run", len(on))
 				}
 				c.CutFromPeers(leader, false)
-				c.State.SetFault(leader, standin.Served)
+				c.State.SetFault(leader, fake.Served)
 				c.UntilOn("req-000002", 2)
 			})
 		})
@@ -179,7 +179,7 @@
 			c.Until(name(i)+" is gone", 3*time.Second, func() bool { return len(c.On(name(i))) == 0 })
 		}
 		time.Sleep(75 * time.Second)
-		c.State.SetFault(leader, standin.Served)
+		c.State.SetFault(leader, fake.Served)
 		c.State.SetDown(false)
 		c.UntilOn("req-000006", 2)
 	})
--- a/internal/sim/reports_test.go
+++ b/internal/sim/reports_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
@@ -76,7 +76,7 @@
 		})
 		time.Sleep(5 * time.Second)
 		to := c.On(moved.ID)[0]
-		c.Cloud.SetFault(to, standin.Hanging)
+		c.Cloud.SetFault(to, fake.Hanging)
 		c.MustCancel("n1", filler.ID) // where the task was there is room again
 		time.Sleep(time.Second)
 		// The copies are what the new leader hears first of that machine.
@@ -89,7 +89,7 @@
 		}
 		c.Network.Heal("copies first")
 		time.Sleep(20 * time.Second)
-		c.Cloud.SetFault(to, standin.Healthy)
+		c.Cloud.SetFault(to, fake.Healthy)
 		time.Sleep(10 * time.Second)
 		c.UntilOn(moved.ID, 1)
 	})
@@ -101,7 +101,7 @@
 		c.MustSubmit("n0", Array(1, 2, "a"))
 		c.UntilOn("req-000001", 2)
 		for _, m := range c.Cloud.Machines() {
-			c.Cloud.SetFault(m, standin.Slow)
+			c.Cloud.SetFault(m, fake.Slow)
 		}
 		c.MustSubmit("n0", Array(2, 4, "a"))
 		c.MustSubmit("n0", Array(3, 2, "a"))
@@ -117,7 +117,7 @@
 			t.Errorf("started by a command of the ended leader: %v", late)
 		}
 		for _, m := range c.Cloud.Machines() {
-			c.Cloud.SetFault(m, standin.Healthy)
+			c.Cloud.SetFault(m, fake.Healthy)
 		}
 		c.UntilOn("req-000002", 4)
 		c.Until("the cancelled tasks are gone", c.options.Cancellation, func() bool { return len(c.On("req-000001")) == 0 })
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
@@ -76,12 +76,12 @@
 		c.UntilOn("req-000001", 8)
 		for i := range 5 {
 			hanging := c.Cloud.Machines()[i%2]
-			c.Cloud.SetFault(hanging, standin.Hanging)
+			c.Cloud.SetFault(hanging, fake.Hanging)
 			if leader := c.Leader(); leader != "" {
 				c.Restart(leader, time.Second)
 			}
 			time.Sleep(20 * time.Second)
-			c.Cloud.SetFault(hanging, standin.Healthy)
+			c.Cloud.SetFault(hanging, fake.Healthy)
 		}
 		c.UntilStage("n0", "req-000001", wire.JobDone, 8*time.Minute)
 		c.UntilStage("n2", "req-000002", wire.JobDone, 8*time.Minute)
@@ -97,7 +97,7 @@
 			leader := c.Leader()
 			behind, inStep := c.Others(leader)[0], c.Others(leader)[1]
 			time.Sleep(10 * time.Second)
-			c.Network.Cut("two", standin.Hosts(leader, behind))
+			c.Network.Cut("two", fake.Hosts(leader, behind))
 			c.MustSubmit(inStep, Array(round+1, 2, "a")) // what the other one lacks
 			time.Sleep(15 * time.Second)
 			c.Crash(leader)
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
@@ -83,7 +83,7 @@
 	c.MustSubmit("n0", Array(1, 40, "b"))
 	c.UntilOn("req-000001", 8)
 	time.Sleep(9 * time.Second) // all that there is to account for is accounted for
-	c.Cloud.SetFault(c.On("req-000001")[0], standin.Hanging)
+	c.Cloud.SetFault(c.On("req-000001")[0], fake.Hanging)
 }
 
 func (c *Cluster) starts() int {
@@ -152,7 +152,7 @@
 		c.CutFromPeers(leader, true)
 		c.startAfter(30 * time.Second) // what is told to nobody
 		for _, machine := range c.Cloud.Machines() {
-			c.Cloud.SetFault(machine, standin.Hanging) // nobody can tell of it
+			c.Cloud.SetFault(machine, fake.Hanging) // nobody can tell of it
 		}
 		time.Sleep(time.Second)
 		c.Crash(leader)
@@ -198,7 +198,7 @@
 		c.CutFromState("n1", false)
 		time.Sleep(40 * time.Second)
 		for _, machine := range c.Cloud.Machines() {
-			c.Cloud.SetFault(machine, standin.Hanging)
+			c.Cloud.SetFault(machine, fake.Hanging)
 		}
 		c.Crash("n2")
 		c.Until("n1 leads", time.Minute, func() bool { return c.Leader() == "n1" })
--- a/internal/sim/takeover_test.go
+++ b/internal/sim/takeover_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
@@ -35,7 +35,7 @@
 // A leader ends while machines with long tasks can't be reached, or don't hear the
 // new leader's answers.
 func TestMachinesOutOfReachAtATakeOver(t *testing.T) {
-	for name, fault := range map[string]standin.MachineFault{"hanging": standin.Hanging, "deaf": standin.Deaf, "mute": standin.Mute, "slow": standin.Slow} {
+	for name, fault := range map[string]fake.MachineFault{"hanging": fake.Hanging, "deaf": fake.Deaf, "mute": fake.Mute, "slow": fake.Slow} {
 		t.Run(name, func(t *testing.T) {
 			Run(t, Options{RunFor: long}, func(c *Cluster) {
 				c.MustSubmit("n0", Array(1, 8, "a"))
@@ -49,7 +49,7 @@
 				c.Restart(c.Leader(), 10*time.Second)
 				time.Sleep(15 * time.Second)
 				for _, m := range machines {
-					c.Cloud.SetFault(m, standin.Healthy)
+					c.Cloud.SetFault(m, fake.Healthy)
 				}
 				c.UntilOn("req-000001", 8)
 			})
--- a/internal/sim/transactions_test.go
+++ b/internal/sim/transactions_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/standin"
+	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/wire"
 )
 
@@ -24,7 +24,7 @@
 	Run(t, Options{RunFor: long}, func(c *Cluster) {
 		leader := c.Leader()
 		writer, reader := c.Others(leader)[0], c.Others(leader)[1]
-		c.State.SetFault(writer, standin.AnswersLost)
+		c.State.SetFault(writer, fake.AnswersLost)
 		job := Array(1, 1, "a")
 		if a := c.Submit(writer, job); a.Status != 503 {
 			t.Errorf("a submission whose write has no answer gets %d", a.Status)
@@ -62,9 +62,9 @@
 			c.MustSubmit("n0", Array(i, 3, "a"))
 		}
 		c.UntilOn("req-000003", 3)
-		c.State.SetFault(leader, standin.CarriedOutLate)
+		c.State.SetFault(leader, fake.CarriedOutLate)
 		time.Sleep(4 * time.Second)
-		c.State.SetFault(leader, standin.Served)
+		c.State.SetFault(leader, fake.Served)
 		for i := 1; i <= 3; i++ {
 			c.UntilStage("n1", fmt.Sprintf("req-%06d", i), wire.JobDone, 2*time.Minute)
 		}
@@ -152,7 +152,7 @@
 			t.Errorf("on machines that no record names: %v", running)
 		}
 		for _, machine := range c.Cloud.Machines() {
-			c.Cloud.SetFault(machine, standin.Hanging)
+			c.Cloud.SetFault(machine, fake.Hanging)
 		}
 		c.Crash(leader)
 		c.State.SetLate("")
@@ -160,7 +160,7 @@
 		c.Start(leader)
 		time.Sleep(15 * time.Second)
 		for _, machine := range c.Cloud.Machines() {
-			c.Cloud.SetFault(machine, standin.Healthy)
+			c.Cloud.SetFault(machine, fake.Healthy)
 		}
 		for i := 1; i <= 4; i++ {
 			c.UntilOn(name(i), 4)
@@ -172,7 +172,7 @@
 // ends: every question is answered, and nothing older than before.
 func TestSlowStateService(t *testing.T) {
 	Run(t, Options{RunFor: 10 * time.Second}, func(c *Cluster) {
-		c.Network.SetSlow(standin.StateHost, 250*time.Millisecond)
+		c.Network.SetSlow(fake.StateHost, 250*time.Millisecond)
 		for i := 1; i <= 6; i++ {
 			c.MustSubmit(c.Nodes()[i%3], Array(i, 2, "a"))
 		}
