--- a/internal/controller/asked.go
+++ b/internal/controller/asked.go
@@ -30,7 +30,7 @@
 
 // tellAsked says how many workers ask here, where the leader is not heard.
 func (c *Core) tellAsked(now clock.Micros) {
-	leader, _ := c.el.Holder()
+	leader, _ := c.el.LockHolder()
 	if c.lead != nil || leader == "" || leader == c.cfg.Member || len(c.workers) < askedLeast || now < c.nextAsked {
 		return
 	}
--- a/internal/controller/asked_test.go
+++ b/internal/controller/asked_test.go
@@ -59,7 +59,7 @@
 		k := l.c
 		k.lead = nil
 		now := 100 * clock.Second
-		k.el.Seen(now, election.Lock{Exists: true, Holder: "b", Lease: 3, Version: 9})
+		k.el.ObserveLock(now, election.Lock{Exists: true, Holder: "b", LeaseID: 3, Version: 9})
 		for i := range c.workers {
 			k.workers[string(rune('a'+i))] = now
 		}
@@ -80,10 +80,10 @@
 	k := l.c
 	k.lead = l
 	now := clock.Now()
-	k.el.Seen(now, election.Lock{})
+	k.el.ObserveLock(now, election.Lock{})
 	k.el.Tick(now)
-	k.el.Granted(now, 5)
-	k.el.Acquired(now, election.Won, 9)
+	k.el.HandleGrantResult(now, 5)
+	k.el.HandleAcquireResult(now, election.AcquireSucceeded, 9)
 	if !k.entitled() {
 		t.Fatal("not entitled")
 	}
--- a/internal/controller/checkin.go
+++ b/internal/controller/checkin.go
@@ -56,7 +56,7 @@
 // answerUntil is the last instant at which an answer to a report may go out: it
 // renews the worker's lease, and may start tasks.
 func (l *lead) answerUntil(commands []wire.Command) clock.Micros {
-	until := min(l.until(), l.view.RenewUntil())
+	until := min(l.until(), l.view.RenewLeasesUntil())
 	if slices.ContainsFunc(commands, func(c wire.Command) bool { return c.Op == wire.OpStart }) {
 		until = min(until, l.startUntil())
 	}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -50,7 +50,7 @@
 
 	view  view
 	graph *dag.Graph
-	el    *election.Machine
+	el    *election.Elector
 	beats map[string]*beatSeen
 	lead  *lead // nil unless leader and rebuilt
 	// rebuilding: the lock is ours, the view is not yet as new as the token.
@@ -75,7 +75,7 @@
 	// as last heard.
 	delegate *delegation.Delegate
 	held     map[string]clock.Micros
-	stamps   map[string]delegation.Stamp
+	stamps   map[string]delegation.Timestamp
 	// unsettledPromises are zones that this member, when it last led, may have promised
 	// to answer nobody as delegate in.
 	unsettledPromises map[string]bool
@@ -127,12 +127,12 @@
 		directs:    max(cfg.Sockets()/24, 4),
 		teams:      map[string]allocation.Team{},
 		graph:      dag.New(),
-		el:         election.New(election.Config{Member: cfg.Member, TTL: ttl, Slack: 50 * clock.Millisecond}),
+		el:         election.New(election.Config{Member: cfg.Member, TTL: ttl, TimerSlack: 50 * clock.Millisecond}),
 		beats:      map[string]*beatSeen{},
 		submitting: map[string][]*server.Reply{},
 		workers:    map[string]clock.Micros{},
 		held:       map[string]clock.Micros{},
-		stamps:     map[string]delegation.Stamp{},
+		stamps:     map[string]delegation.Timestamp{},
 		asked:      map[string]asked{},
 		begunAt:    clock.Now(),
 	}
@@ -150,8 +150,8 @@
 		try = clock.Second
 	}
 	trip := clock.FromSeconds(1.25*w.ReportS) + clock.Second/2 + clock.Micros(len(cfg.Others))*try
-	c.times = delegation.Times(clock.FromSeconds(w.CancelS), clock.FromSeconds(w.LeaseS), 3*beatEvery, trip)
-	c.staleness = staleness.ForWorkers(clock.FromSeconds(w.CancelS), clock.FromSeconds(w.LeaseS), ttl)
+	c.times = delegation.NewConfig(clock.FromSeconds(w.CancelS), clock.FromSeconds(w.LeaseS), 3*beatEvery, trip)
+	c.staleness = staleness.NewBounds(clock.FromSeconds(w.CancelS), clock.FromSeconds(w.LeaseS), ttl)
 	c.withdrawals = newWithdrawalLog(clock.FromSeconds(w.CancelS), d.State.WriteRPS)
 	c.delegate = delegation.NewDelegate(c.times, uint64(clock.Wall()), clock.Now())
 	for _, t := range d.Teams {
@@ -160,7 +160,7 @@
 		c.teams[t.Name] = allocation.Team{CPU: g.CPU, GPU: g.GPU, CPUMax: m.CPU, GPUMax: m.GPU}
 	}
 	if tuning.Standby.Enabled {
-		c.replica = standby.NewReplica(c.delegate.Stamp(clock.Now()).Life)
+		c.replica = standby.NewReplica(c.delegate.Timestamp(clock.Now()).Incarnation)
 	}
 	c.view.init()
 	return c
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -22,7 +22,7 @@
 			return false
 		}
 		// Nothing is started where a later leader would take the leases for over.
-		if l.promises.Zone(m.Zone) || now < a.notUntil || now-m.Heard > l.c.silentAfter() || l.directing >= l.c.directs {
+		if l.promises.MayConstrainZone(m.Zone) || now < a.notUntil || now-m.Heard > l.c.silentAfter() || l.directing >= l.c.directs {
 			return true
 		}
 		msg, starts := l.lg.Direct(m, now)
--- a/internal/controller/entitlement.go
+++ b/internal/controller/entitlement.go
@@ -18,9 +18,9 @@
 // renew takes over the election's view of the entitlement, and what the age of the
 // view allows.
 func (l *lead) renew() {
-	until := l.c.el.Until()
+	until := l.c.el.EntitledUntil()
 	l.deadline.Store(int64(until))
-	l.startDeadline.Store(int64(min(until, l.view.StartUntil())))
+	l.startDeadline.Store(int64(min(until, l.view.StartTasksUntil())))
 }
 
 // read makes the view new again where it is too old to start tasks on it.
@@ -43,9 +43,9 @@
 
 // hasRead takes the news that the view is as new as a read sent at an instant.
 func (l *lead) hasRead(sentAt clock.Micros) {
-	l.view.Read(sentAt)
+	l.view.RecordRead(sentAt)
 	l.renew()
-	l.lg.HoldStarts(!l.view.MayStart(clock.Now()))
+	l.lg.HoldStarts(!l.view.MayStartTasks(clock.Now()))
 	l.dirty = true
 	l.opened()
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -63,8 +63,8 @@
 			able = true
 		}
 	}
-	if able && now-max(l.view.ReadAt(), l.awake) > 2*l.c.ttl() {
-		l.c.log.Info("the state service answers no reads", "for_s", (now - l.view.ReadAt()).Seconds())
+	if able && now-max(l.view.LastReadSentAt(), l.awake) > 2*l.c.ttl() {
+		l.c.log.Info("the state service answers no reads", "for_s", (now - l.view.LastReadSentAt()).Seconds())
 		l.resign(now)
 		return true
 	}
@@ -91,7 +91,7 @@
 }
 
 func (l *lead) resign(now clock.Micros) {
-	l.c.act(l.c.el.Resign(now, standOff))
+	l.c.act(l.c.el.StepDown(now, standOff))
 	l.c.stepDown("handed over")
 }
 
@@ -111,15 +111,15 @@
 			return
 		}
 		for _, j := range l.lg.Jobs {
-			if j.Withdrawn && !l.lg.Gone(j) && clock.Now()-j.WithdrawnAt > l.c.times.Settle {
+			if j.Withdrawn && !l.lg.Gone(j) && clock.Now()-j.WithdrawnAt > l.c.times.CancellationGrace {
 				return
 			}
 		}
 		l.knewAt = now
 		for m, s := range stamps {
-			if !l.promises.Member(m) {
+			if !l.promises.MayConstrainMember(m) {
 				l.echoes[m] = s
-				l.bound.Echoed(m, now)
+				l.bound.RecordAck(m, now)
 			}
 		}
 	}, now+beatEvery)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -50,20 +50,20 @@
 	}
 	c.beats[b.Member] = &beatSeen{beat: b, at: now}
 	c.toldWithdrawals(b.Withdrawals)
-	if s := c.stamps[b.Member]; b.Life > s.Life || b.Life == s.Life && b.Stamp > s.At {
-		c.stamps[b.Member] = delegation.Stamp{Life: b.Life, At: b.Stamp}
+	if s := c.stamps[b.Member]; b.Life > s.Incarnation || b.Life == s.Incarnation && b.Stamp > s.At {
+		c.stamps[b.Member] = delegation.Timestamp{Incarnation: b.Life, At: b.Stamp}
 	}
-	echo := delegation.Stamp{Life: b.EchoLife, At: b.EchoStamp}
+	echo := delegation.Timestamp{Incarnation: b.EchoLife, At: b.EchoStamp}
 	if b.Leader == b.Member && c.lead == nil {
 		c.leaderHeard = now
 		c.learn(b, now)
-		c.delegate.Hear(now, b.Token, echo)
+		c.delegate.RecordLeaderHeartbeat(now, b.Token, echo)
 	}
-	if c.lead != nil && c.delegate.Mine(echo) {
-		c.lead.bound.Answered(b.Member, now, echo.At, b.QuietFor)
+	if c.lead != nil && c.delegate.IsOwnStamp(echo) {
+		c.lead.bound.RecordReceipt(b.Member, now, echo.At, b.QuietFor)
 	}
 	if b.Leader == b.Member && c.el.Phase() != election.Leader {
-		if _, token := c.el.Holder(); b.Token >= token {
+		if _, token := c.el.LockHolder(); b.Token >= token {
 			c.counts.take(b, now, c.isOver)
 		}
 	}
@@ -77,7 +77,7 @@
 
 // leader is who workers are sent to, as far as is known.
 func (c *Core) leader() string {
-	holder, token := c.el.Holder()
+	holder, token := c.el.LockHolder()
 	for m, b := range c.beats {
 		if b.beat.Leader == m && b.beat.Token > token && clock.Now()-b.at < 2*clock.Second {
 			holder, token = m, b.beat.Token
@@ -114,7 +114,7 @@
 		StandbyVersion: c.standbyVersion(),
 		Served:         c.store.LastOK() > c.store.LastRefused() && now-c.store.LastOK() < 12*clock.Second,
 	}
-	b.Leader, b.Token = c.el.Holder()
+	b.Leader, b.Token = c.el.LockHolder()
 	for m, at := range c.workers {
 		if now-at > c.silentAfter() {
 			delete(c.workers, m)
@@ -132,15 +132,15 @@
 		c.lead.tellCounts(b)
 		c.lead.tell(b)
 	}
-	s := c.delegate.Stamp(now)
-	b.Life, b.Stamp, b.QuietFor = s.Life, s.At, c.delegate.QuietFor(now)
+	s := c.delegate.Timestamp(now)
+	b.Life, b.Stamp, b.QuietFor = s.Incarnation, s.At, c.delegate.SilentFor(now)
 	b.Revision = c.view.rev
 	for i, l := range c.links {
 		echo := c.stamps[c.cfg.Others[i].Member]
 		if c.lead != nil {
 			echo = c.lead.echoes[c.cfg.Others[i].Member]
 		}
-		b.EchoLife, b.EchoStamp = echo.Life, echo.At
+		b.EchoLife, b.EchoStamp = echo.Incarnation, echo.At
 		b.Withdrawals = c.withdrawals.unknownTo(c.revisionOf(c.cfg.Others[i].Member), now)
 		l.Send(peer.Encode(b))
 	}
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -68,11 +68,11 @@
 	// stamps that give them the right to, knewAt is the last instant before which
 	// every withdrawal is known here.
 	bound  *delegation.Grants
-	echoes map[string]delegation.Stamp
+	echoes map[string]delegation.Timestamp
 	knewAt clock.Micros
 	// keeper holds what is promised to leaders to come, opening the zones about
 	// which that is being taken back, held the reports that wait for it.
-	promises *delegation.PromiseTracker
+	promises *delegation.ConstraintTracker
 	opening  map[string]bool
 	held     []waiting
 
@@ -164,7 +164,7 @@
 		GangWeight: t.GangWeight,
 	}, c.types, c.teams, d.Zones)
 	l.pl.Fresh, l.pl.Since = l.freshFor(), now
-	if c.times.For > 0 {
+	if c.times.GrantTTL > 0 {
 		l.pl.Kept = map[string]bool{c.cfg.Location: true}
 		for _, o := range c.cfg.Others {
 			l.pl.Kept[o.Location] = true
@@ -186,8 +186,8 @@
 	for _, o := range c.cfg.Others {
 		others = append(others, o.Member)
 	}
-	l.bound, l.echoes = delegation.NewGrants(c.times, now, c.delegate.QuietFor(now), others), map[string]delegation.Stamp{}
-	l.promises, l.opening = delegation.NewPromiseTracker(c.view.promises, c.view.promisesVersion), map[string]bool{}
+	l.bound, l.echoes = delegation.NewGrants(c.times, now, c.delegate.SilentFor(now), others), map[string]delegation.Timestamp{}
+	l.promises, l.opening = delegation.NewConstraintTracker(c.view.promises, c.view.promisesVersion), map[string]bool{}
 
 	wall := clock.Wall()
 	for name, rec := range c.view.rentals {
@@ -235,7 +235,7 @@
 	l.closed = true
 	l.deadline.Store(0)
 	l.startDeadline.Store(0)
-	l.c.unsettledPromises = l.promises.Zones()
+	l.c.unsettledPromises = l.promises.ConstrainedZones()
 	for _, h := range l.held {
 		later(h.r, "the lead is over")
 	}
@@ -255,10 +255,10 @@
 		l.woke(now)
 		// Withdrawals may have been confirmed before an outage that a leader which
 		// was refused alone never heard of: once it started their tasks again.
-		l.view.Regained(now)
+		l.view.RecordEntitlementRegained(now)
 		l.renew()
 	}
-	fresh := l.view.MayStart(now)
+	fresh := l.view.MayStartTasks(now)
 	l.lg.HoldStarts(!fresh)
 	if !fresh {
 		l.read(now)
--- a/internal/controller/lead_test.go
+++ b/internal/controller/lead_test.go
@@ -94,7 +94,7 @@
 	if answersEither(c, rep, now) {
 		t.Fatal("answers as delegate without a right")
 	}
-	c.delegate.Hear(now-back, 5, c.delegate.Stamp(now-back))
+	c.delegate.RecordLeaderHeartbeat(now-back, 5, c.delegate.Timestamp(now-back))
 	for i, want := range []bool{true, false, true, false} {
 		if got := c.answerAsDelegate(rep, &server.Reply{}, now); got != want {
 			t.Fatalf("report %d: answered as delegate %v", i, got)
@@ -103,7 +103,7 @@
 	if c.answerAsDelegate(&wire.Report{Machine: "i-1", Token: 6}, &server.Reply{}, now) {
 		t.Fatal("answers as delegate against a newer leader")
 	}
-	c.delegate.Hear(now, 5, c.delegate.Stamp(now))
+	c.delegate.RecordLeaderHeartbeat(now, 5, c.delegate.Timestamp(now))
 	if answersEither(c, rep, now) {
 		t.Fatal("holds a worker while the leader is heard")
 	}
@@ -127,8 +127,8 @@
 	c.beats["b"] = &beatSeen{beat: &peer.Beat{Member: "b", Served: true, Workers: 4}, at: now}
 	l.woke(now)
 	l.watchMachines(now)
-	if len(l.deletes) != 0 || len(l.promises.Zones()) != 0 || l.closed {
-		t.Fatalf("after a standstill: deletes %v, promises about %v, lead given up %v", l.deletes, l.promises.Zones(), l.closed)
+	if len(l.deletes) != 0 || len(l.promises.ConstrainedZones()) != 0 || l.closed {
+		t.Fatalf("after a standstill: deletes %v, promises about %v, lead given up %v", l.deletes, l.promises.ConstrainedZones(), l.closed)
 	}
 	if l.pl.Awake != now {
 		t.Fatal("the planner takes machines for silent")
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -10,7 +10,7 @@
 )
 
 // entitled tells whether this process may act for the controllers now.
-func (c *Core) entitled() bool { return c.el.Entitled(clock.Now()) }
+func (c *Core) entitled() bool { return c.el.IsEntitled(clock.Now()) }
 
 // Leads tells whether this process answers workers as leader; it may be called on
 // any goroutine.
@@ -39,34 +39,34 @@
 	ttl := c.ttl()
 	for _, a := range actions {
 		switch a.Kind {
-		case election.Grant:
+		case election.GrantLease:
 			go func() {
 				lease, err := c.store.Grant(ttl)
 				if err != nil {
 					c.log.Debug("no lease granted", "error", err)
 				}
-				c.post(func() { c.act(c.el.Granted(clock.Now(), lease)) })
+				c.post(func() { c.act(c.el.HandleGrantResult(clock.Now(), lease)) })
 			}()
-		case election.Acquire:
-			c.acquireInTurn(a.Lease)
-		case election.Renew:
+		case election.AcquireLock:
+			c.acquireInTurn(a.LeaseID)
+		case election.RenewLease:
 			go func() {
-				err := c.store.Renew(a.Lease, ttl/4)
+				err := c.store.Renew(a.LeaseID, ttl/4)
 				c.post(func() {
-					c.act(c.el.Renewed(clock.Now(), a.Lease, err == nil, err == kvstore.ErrGone))
+					c.act(c.el.HandleRenewResult(clock.Now(), a.LeaseID, err == nil, err == kvstore.ErrGone))
 				})
 			}()
-		case election.Revoke:
+		case election.RevokeLease:
 			go func() {
-				if err := c.store.Revoke(a.Lease); err != nil {
-					c.log.Debug("lease not revoked", "lease", a.Lease, "error", err)
+				if err := c.store.Revoke(a.LeaseID); err != nil {
+					c.log.Debug("lease not revoked", "lease", a.LeaseID, "error", err)
 				} else {
-					c.log.Debug("lease revoked", "lease", a.Lease)
+					c.log.Debug("lease revoked", "lease", a.LeaseID)
 				}
 				// What it held is gone now; nobody else may have noticed.
 				c.post(func() { c.view.wantSync(func(error) {}, clock.Now()+10*clock.Second) })
 			}()
-		case election.Refresh:
+		case election.RefreshLock:
 			c.view.wantSync(func(error) {}, clock.Now()+10*clock.Second)
 		}
 	}
@@ -87,19 +87,19 @@
 	}
 	w.Done = func(o kvstore.Outcome, rev uint64) {
 		c.post(func() {
-			r := election.Open
+			r := election.AcquireUnknown
 			switch o {
 			case kvstore.Committed:
-				r = election.Won
+				r = election.AcquireSucceeded
 			case kvstore.Conflict, kvstore.Refused, kvstore.Fenced:
-				r = election.Lost
+				r = election.AcquireFailed
 			}
-			c.act(c.el.Acquired(clock.Now(), r, rev))
+			c.act(c.el.HandleAcquireResult(clock.Now(), r, rev))
 			c.checkLead()
 		})
 	}
 	if !c.store.Commit(w) {
-		c.act(c.el.Acquired(clock.Now(), election.Lost, 0))
+		c.act(c.el.HandleAcquireResult(clock.Now(), election.AcquireFailed, 0))
 	}
 }
 
@@ -111,7 +111,7 @@
 	c.rebuilding = true
 	c.takeOverTimes = takeOverTimes{heard: c.leaderHeard, won: clock.Now(), token: c.el.Token()}
 	c.applyShares()
-	_, _, lease := c.el.Held()
+	_, _, lease := c.el.State()
 	c.log.Info("lock won", "token", c.el.Token(), "lease", lease)
 	c.takeOver()
 }
@@ -150,7 +150,7 @@
 		return
 	}
 	c.log.Info("lead given up", "why", why, "token", c.lead.token)
-	c.delegate.Led(c.lead.lg.Issued(), c.lead.knewAt)
+	c.delegate.EndTerm(c.lead.lg.Issued(), c.lead.knewAt)
 	c.lead.close()
 	c.lead = nil
 	c.rebuilding = false
@@ -160,7 +160,7 @@
 
 // fenced takes the news that the lock is not ours any more.
 func (c *Core) fenced(token uint64) {
-	c.act(c.el.Fenced(clock.Now(), token))
+	c.act(c.el.HandleFencedWrite(clock.Now(), token))
 	if c.el.Phase() != election.Leader {
 		c.stepDown("a write was fenced")
 	}
@@ -170,9 +170,9 @@
 func (c *Core) Close() {
 	done := make(chan struct{})
 	c.post(func() {
-		for _, a := range c.el.Resign(clock.Now(), 3600*clock.Second) {
-			if a.Kind == election.Revoke {
-				if err := c.store.Revoke(a.Lease); err != nil {
+		for _, a := range c.el.StepDown(clock.Now(), 3600*clock.Second) {
+			if a.Kind == election.RevokeLease {
+				if err := c.store.Revoke(a.LeaseID); err != nil {
 					c.log.Debug("lease not revoked", "error", err)
 				}
 			}
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -28,13 +28,13 @@
 		d.Limits = config.Limits{Cores: 1, RAMMB: 100, MaxSockets: 900}
 		return New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	}
-	if c := with("x", "y"); c.times.For != 0 {
+	if c := with("x", "y"); c.times.GrantTTL != 0 {
 		t.Fatal("rights where a cut of a zone would put off the proof that a lease is over")
 	}
 	c := with("x")
 	lease, cancel := 10*clock.Second, 35*clock.Second
-	if c.times.For < lease || c.times.Settle+c.times.For+lease >= cancel {
-		t.Fatalf("a right lasts %d us", c.times.For)
+	if c.times.GrantTTL < lease || c.times.CancellationGrace+c.times.GrantTTL+lease >= cancel {
+		t.Fatalf("a right lasts %d us", c.times.GrantTTL)
 	}
 	c.view.loaded = true
 	l := newLead(c, 9, clock.Now())
@@ -48,7 +48,7 @@
 		t.Fatal("answers as delegate though it never knew of all withdrawals")
 	}
 	l.knewAt = now
-	end := now + c.times.For
+	end := now + c.times.GrantTTL
 	var last, longest clock.Micros
 	// The worker reports, is sent on, and comes back after a round of the others.
 	for at := now; at < end+lease; {
@@ -71,7 +71,7 @@
 	if longest >= lease/2 || last < end-lease/2 {
 		t.Fatalf("answers lie up to %d us apart, the last %d us before the end", longest, end-last)
 	}
-	c.delegate.Hear(now, 10, c.delegate.Stamp(now)) // a newer leader is there
+	c.delegate.RecordLeaderHeartbeat(now, 10, c.delegate.Timestamp(now)) // a newer leader is there
 	if answersEither(c, rep, now) {
 		t.Fatal("answers as delegate while a newer leader is heard")
 	}
--- a/internal/controller/probe.go
+++ b/internal/controller/probe.go
@@ -111,7 +111,7 @@
 	}
 	if rep != nil {
 		p.misses, p.answered = 0, now
-		if l.promises.Zone(m.Zone) {
+		if l.promises.MayConstrainZone(m.Zone) {
 			l.opening[m.Zone] = true // its zone is back
 		}
 		if l.lg.DirectReport(m, rep, now) == allocation.Deposed {
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -12,16 +12,16 @@
 )
 
 // What a leader promises to those after it: zones that are silent, members that are not
-// heard. See delegation.Promises.
+// heard. See delegation.Constraints.
 
-func (c *Core) seenPromises(w delegation.Promises, version uint64) {
+func (c *Core) seenPromises(w delegation.Constraints, version uint64) {
 	if version <= c.view.promisesVersion {
 		return
 	}
 	c.view.promises, c.view.promisesVersion = w, version
 	c.unsettledPromises = nil
 	if c.lead != nil {
-		c.lead.promises.Seen(w, version)
+		c.lead.promises.ObserveStored(w, version)
 	}
 }
 
@@ -41,11 +41,11 @@
 	w, _ := l.promises.Current()
 	for _, m := range l.lg.Machines {
 		if z, ok := w.Zones[m.Zone]; ok {
-			l.lg.LastHeardBy(m, l.c.notBefore(now, z.At))
+			l.lg.LastHeardBy(m, l.c.notBefore(now, z.LastAnswerAt))
 		}
 	}
-	for m, end := range w.Members {
-		l.bound.Known(m, l.c.notBefore(now, end))
+	for m, end := range w.MemberGrantUntil {
+		l.bound.RecordInherited(m, l.c.notBefore(now, end))
 	}
 }
 
@@ -54,9 +54,9 @@
 	w, _ := l.promises.Current()
 	zones := map[string]clock.Micros{}
 	for z, p := range w.Zones {
-		zones[z] = l.bound.LatestBut(now, l.c.cfg.Member, p.By)
+		zones[z] = l.bound.LatestRenewalExcept(now, l.c.cfg.Member, p.KnownBy)
 	}
-	l.lg.Answered(l.bound.Latest(now), zones)
+	l.lg.Answered(l.bound.LatestRenewal(now), zones)
 }
 
 // updatePromises writes what has changed about who is heard. A zone of which no
@@ -65,7 +65,7 @@
 // then knows when the leases there end.
 func (l *lead) updatePromises(now clock.Micros) {
 	old, _ := l.promises.Current()
-	w := delegation.Promises{Zones: map[string]delegation.ZonePromise{}, Members: map[string]clock.Micros{}}
+	w := delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{}, MemberGrantUntil: map[string]clock.Micros{}}
 	wall := func(at clock.Micros) clock.Micros { return clock.Wall() - (now - at) }
 	for z, s := range l.zones(now) {
 		p, ok := old.Zones[z]
@@ -73,27 +73,27 @@
 		case l.opening[z] || !ok && (s.heard || !s.up):
 			continue
 		case !ok:
-			p = delegation.ZonePromise{At: wall(max(s.last, l.bound.Own())), By: []string{l.c.cfg.Member}}
-		case !slices.Contains(p.By, l.c.cfg.Member):
-			p.At = max(p.At, wall(l.bound.Own()))
-			p.By = append(slices.Clone(p.By), l.c.cfg.Member)
+			p = delegation.ZoneConstraint{LastAnswerAt: wall(max(s.last, l.bound.OwnRenewalsUntil())), KnownBy: []string{l.c.cfg.Member}}
+		case !slices.Contains(p.KnownBy, l.c.cfg.Member):
+			p.LastAnswerAt = max(p.LastAnswerAt, wall(l.bound.OwnRenewalsUntil()))
+			p.KnownBy = append(slices.Clone(p.KnownBy), l.c.cfg.Member)
 		}
 		w.Zones[z] = p
 	}
 	for _, o := range l.c.cfg.Others {
-		if b := l.c.beats[o.Member]; l.c.times.For == 0 || b != nil && now-b.at < silentMember {
+		if b := l.c.beats[o.Member]; l.c.times.GrantTTL == 0 || b != nil && now-b.at < silentMember {
 			continue
 		}
-		end, ok := old.Members[o.Member]
+		end, ok := old.MemberGrantUntil[o.Member]
 		switch {
 		case !ok && now-l.awake < silentMember:
 			continue
 		case !ok:
-			end = wall(l.bound.Right(o.Member))
+			end = wall(l.bound.GrantUntil(o.Member))
 		}
-		w.Members[o.Member] = end
+		w.MemberGrantUntil[o.Member] = end
 	}
-	if !w.Equal(old) || !l.promises.Settled() {
+	if !w.Equal(old) || !l.promises.IsConfirmed() {
 		l.writePromises(w)
 	}
 }
@@ -124,13 +124,13 @@
 	return out
 }
 
-func (l *lead) writePromises(w delegation.Promises) {
+func (l *lead) writePromises(w delegation.Constraints) {
 	v, err := promisesRecord{Promises: w}.MarshalJSON()
 	if err != nil || len(v) > int(l.c.cfg.Deployment.State.Effective().ValueKB*1024) {
 		l.c.dropped("what is to be promised is too large for the state service", "bytes", len(v))
 		return
 	}
-	version, ok := l.promises.Write(w)
+	version, ok := l.promises.BeginWrite(w)
 	if !ok {
 		return
 	}
@@ -141,13 +141,13 @@
 	}, func(o kvstore.Outcome, rev uint64) {
 		switch o {
 		case kvstore.Committed:
-			l.promises.Committed(rev)
+			l.promises.RecordCommit(rev)
 			l.c.seenPromises(w, rev)
-			l.c.log.Info("promises written", "zones", slices.Sorted(maps.Keys(w.Zones)), "members", slices.Sorted(maps.Keys(w.Members)))
+			l.c.log.Info("promises written", "zones", slices.Sorted(maps.Keys(w.Zones)), "members", slices.Sorted(maps.Keys(w.MemberGrantUntil)))
 		case kvstore.Unknown:
-			l.promises.Open()
+			l.promises.RecordUnknownOutcome()
 		default:
-			l.promises.Refused()
+			l.promises.RecordRefusal()
 		}
 		l.opened()
 		switch {
@@ -170,13 +170,13 @@
 // mustWait tells whether a report has to wait until the promise about its zone is
 // taken back, and takes care of that.
 func (l *lead) mustWait(rep *wire.Report, r *server.Reply, now clock.Micros) bool {
-	if !l.view.MayRenew(now) {
+	if !l.view.MayRenewLeases(now) {
 		// No answer may renew its lease before the next read, which is under way.
 		l.held = append(l.held, waiting{rep, r, now})
 		l.read(now)
 		return true
 	}
-	if !l.promises.Zone(rep.Zone) {
+	if !l.promises.MayConstrainZone(rep.Zone) {
 		return false
 	}
 	if m := l.lg.Machines[rep.Machine]; m != nil && !rep.Newer(m.Session, m.Seq) {
@@ -199,7 +199,7 @@
 	l.held = nil
 	for _, h := range held {
 		switch {
-		case !l.promises.Zone(h.rep.Zone) && l.view.MayRenew(now):
+		case !l.promises.MayConstrainZone(h.rep.Zone) && l.view.MayRenewLeases(now):
 			l.checkin(h.rep, h.r)
 		case now-h.at > clock.Second:
 			later(h.r, "the state service does not answer")
@@ -208,7 +208,7 @@
 		}
 	}
 	for z := range l.opening {
-		if !l.promises.Zone(z) {
+		if !l.promises.MayConstrainZone(z) {
 			delete(l.opening, z)
 		}
 	}
@@ -218,8 +218,8 @@
 // in a zone. A member that has not may: a leader that hears nobody of a zone may
 // itself be the one that is cut off from it.
 func (c *Core) promised(zone string) bool {
-	if c.lead != nil && c.lead.promises.Zone(zone) || c.unsettledPromises[zone] {
+	if c.lead != nil && c.lead.promises.MayConstrainZone(zone) || c.unsettledPromises[zone] {
 		return true
 	}
-	return slices.Contains(c.view.promises.Zones[zone].By, c.cfg.Member)
+	return slices.Contains(c.view.promises.Zones[zone].KnownBy, c.cfg.Member)
 }
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -18,9 +18,9 @@
 	c := l.c
 	plain := l.lg.LeaseEnd(l.lg.Machines["i-1"])
 	ago := 20 * clock.Second
-	c.view.promises = delegation.Promises{
-		Zones:   map[string]delegation.ZonePromise{"x": {At: clock.Wall() - ago, By: []string{"a"}}},
-		Members: map[string]clock.Micros{"b": clock.Wall() - ago},
+	c.view.promises = delegation.Constraints{
+		Zones:            map[string]delegation.ZoneConstraint{"x": {LastAnswerAt: clock.Wall() - ago, KnownBy: []string{"a"}}},
+		MemberGrantUntil: map[string]clock.Micros{"b": clock.Wall() - ago},
 	}
 	c.view.promisesVersion = 8
 	l = newLead(c, 10, clock.Now())
@@ -35,11 +35,11 @@
 	}
 	// It is being taken back; nothing goes out before that is durable.
 	w, _ := l.promises.Current()
-	if !l.promises.Zone("x") || l.promises.Settled() || len(w.Zones) != 1 {
+	if !l.promises.MayConstrainZone("x") || l.promises.IsConfirmed() || len(w.Zones) != 1 {
 		t.Fatal("the promise is not being taken back, or counts as taken back already")
 	}
-	l.promises.Committed(9)
-	c.view.promises, c.view.promisesVersion = delegation.Promises{}, 9
+	l.promises.RecordCommit(9)
+	c.view.promises, c.view.promisesVersion = delegation.Constraints{}, 9
 	l.opened()
 	if len(l.held) != 0 || m.Heard == 0 {
 		t.Fatal("the report that waited is not taken")
@@ -48,7 +48,7 @@
 		t.Fatal("a machine that was answered has its lease counted from before that")
 	}
 	// Word of a zone outlives the leader, with this member among those who know.
-	l.promises.Seen(delegation.Promises{Zones: map[string]delegation.ZonePromise{"y": {By: []string{"a", "b"}}, "z": {By: []string{"b"}}}}, 20)
+	l.promises.ObserveStored(delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"y": {KnownBy: []string{"a", "b"}}, "z": {KnownBy: []string{"b"}}}}, 20)
 	l.close()
 	c.lead = nil
 	c.view.loaded = true
@@ -56,7 +56,7 @@
 		t.Fatal("a promise is forgotten with the lead")
 	}
 	// One who has not promised anything is free to delegation.
-	c.unsettledPromises, c.view.promises = nil, delegation.Promises{Zones: map[string]delegation.ZonePromise{"z": {By: []string{"b"}}}}
+	c.unsettledPromises, c.view.promises = nil, delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"z": {KnownBy: []string{"b"}}}}
 	if c.promised("z") {
 		t.Fatal("bound by another member's promise")
 	}
@@ -74,13 +74,13 @@
 	y.Since = l.since + clock.Second // rented by this leader, boots
 	now := l.since + l.freshFor() + clock.Second
 	l.updatePromises(now)
-	if !l.promises.Zone("x") || l.promises.Zone("y") {
-		t.Fatalf("promised about %v", l.promises.Zones())
+	if !l.promises.MayConstrainZone("x") || l.promises.MayConstrainZone("y") {
+		t.Fatalf("promised about %v", l.promises.ConstrainedZones())
 	}
-	l.promises.Refused()
+	l.promises.RecordRefusal()
 	l.lg.Machines["i-2"].Heard = now
 	l.updatePromises(now)
-	if l.promises.Zone("x") {
+	if l.promises.MayConstrainZone("x") {
 		t.Fatal("a promise about a zone that is heard")
 	}
 }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -121,7 +121,7 @@
 
 // promisesRecord is the value of the key for what a leader promises to those after it.
 type promisesRecord struct {
-	Promises delegation.Promises `json:"w"`
+	Promises delegation.Constraints `json:"w"`
 }
 
 // askedRecord is how many workers ask a member.
--- a/internal/controller/records_easyjson.go
+++ b/internal/controller/records_easyjson.go
@@ -242,7 +242,7 @@
 func (v *promisesRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore1(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation(in *jlexer.Lexer, out *delegation.Promises) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation(in *jlexer.Lexer, out *delegation.Constraints) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -262,14 +262,14 @@
 			} else {
 				in.Delim('{')
 				if !in.IsDelim('}') {
-					out.Zones = make(map[string]delegation.ZonePromise)
+					out.Zones = make(map[string]delegation.ZoneConstraint)
 				} else {
 					out.Zones = nil
 				}
 				for !in.IsDelim('}') {
 					key := string(in.String())
 					in.WantColon()
-					var v4 delegation.ZonePromise
+					var v4 delegation.ZoneConstraint
 					easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation1(in, &v4)
 					(out.Zones)[key] = v4
 					in.WantComma()
@@ -282,9 +282,9 @@
 			} else {
 				in.Delim('{')
 				if !in.IsDelim('}') {
-					out.Members = make(map[string]clock.Micros)
+					out.MemberGrantUntil = make(map[string]clock.Micros)
 				} else {
-					out.Members = nil
+					out.MemberGrantUntil = nil
 				}
 				for !in.IsDelim('}') {
 					key := string(in.String())
@@ -295,7 +295,7 @@
 					} else {
 						v5 = clock.Micros(in.Int64())
 					}
-					(out.Members)[key] = v5
+					(out.MemberGrantUntil)[key] = v5
 					in.WantComma()
 				}
 				in.Delim('}')
@@ -310,7 +310,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation(out *jwriter.Writer, in delegation.Promises) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation(out *jwriter.Writer, in delegation.Constraints) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -334,7 +334,7 @@
 			out.RawByte('}')
 		}
 	}
-	if len(in.Members) != 0 {
+	if len(in.MemberGrantUntil) != 0 {
 		const prefix string = ",\"m\":"
 		if first {
 			first = false
@@ -345,7 +345,7 @@
 		{
 			out.RawByte('{')
 			v7First := true
-			for v7Name, v7Value := range in.Members {
+			for v7Name, v7Value := range in.MemberGrantUntil {
 				if v7First {
 					v7First = false
 				} else {
@@ -360,7 +360,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation1(in *jlexer.Lexer, out *delegation.ZonePromise) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation1(in *jlexer.Lexer, out *delegation.ZoneConstraint) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -378,22 +378,22 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.At = clock.Micros(in.Int64())
+				out.LastAnswerAt = clock.Micros(in.Int64())
 			}
 		case "b":
 			if in.IsNull() {
 				in.Skip()
-				out.By = nil
+				out.KnownBy = nil
 			} else {
 				in.Delim('[')
-				if out.By == nil {
+				if out.KnownBy == nil {
 					if !in.IsDelim(']') {
-						out.By = make([]string, 0, 4)
+						out.KnownBy = make([]string, 0, 4)
 					} else {
-						out.By = []string{}
+						out.KnownBy = []string{}
 					}
 				} else {
-					out.By = (out.By)[:0]
+					out.KnownBy = (out.KnownBy)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v8 string
@@ -402,7 +402,7 @@
 					} else {
 						v8 = string(in.String())
 					}
-					out.By = append(out.By, v8)
+					out.KnownBy = append(out.KnownBy, v8)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -417,21 +417,21 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation1(out *jwriter.Writer, in delegation.ZonePromise) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation1(out *jwriter.Writer, in delegation.ZoneConstraint) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"t\":"
 		out.RawString(prefix[1:])
-		out.Int64(int64(in.At))
+		out.Int64(int64(in.LastAnswerAt))
 	}
-	if len(in.By) != 0 {
+	if len(in.KnownBy) != 0 {
 		const prefix string = ",\"b\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v9, v10 := range in.By {
+			for v9, v10 := range in.KnownBy {
 				if v9 > 0 {
 					out.RawByte(',')
 				}
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -20,13 +20,13 @@
 // reach for four seconds, came here, tried it again, and was back after its lease.
 func (c *Core) answerAsDelegate(rep *wire.Report, r *server.Reply, now clock.Micros) bool {
 	if c.lead != nil {
-		c.delegate.Led(c.lead.lg.Issued(), c.lead.knewAt)
+		c.delegate.EndTerm(c.lead.lg.Issued(), c.lead.knewAt)
 	}
 	if !c.view.loaded || c.promised(rep.Zone) {
 		return false
 	}
-	token, until, ok := c.delegate.May(now, rep.Token)
-	if _, newest := c.el.Holder(); !ok || newest > token {
+	token, until, ok := c.delegate.MayAnswer(now, rep.Token)
+	if _, newest := c.el.LockHolder(); !ok || newest > token {
 		return false
 	}
 	w := &c.cfg.Deployment.Workers
@@ -44,7 +44,7 @@
 	c.held[rep.Machine] = now
 	// The answer goes out soon, or not at all.
 	until = min(until, now+clock.Second)
-	c.delegate.Answered(until)
+	c.delegate.RecordAnswer(until)
 	if c.lead != nil {
 		// It may yet renew its lock and go on, and must then count with this.
 		if m := c.lead.lg.Machines[rep.Machine]; m != nil {
--- a/internal/controller/standby_preference.go
+++ b/internal/controller/standby_preference.go
@@ -43,11 +43,11 @@
 		return
 	}
 	c.later(giveWayFor, func() {
-		_, _, held := c.el.Held()
+		_, _, held := c.el.State()
 		switch {
 		case held != lease:
 		case c.view.lock.Exists:
-			c.act(c.el.Acquired(clock.Now(), election.Lost, 0))
+			c.act(c.el.HandleAcquireResult(clock.Now(), election.AcquireFailed, 0))
 		default:
 			c.acquire(lease)
 		}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -25,7 +25,7 @@
 	rentals map[string]*rentalRecord
 	lock    election.Lock
 	// promises are those of leaders, with its version.
-	promises        delegation.Promises
+	promises        delegation.Constraints
 	promisesVersion uint64
 	// standby is the record of those in step with a leader, with its version.
 	standby        standby.Record
@@ -109,7 +109,7 @@
 			v.leads.Seen(version, r.Standby)
 			c.seenTakeOver(version)
 		}
-		v.lock = election.Lock{Exists: true, Holder: r.Member, Lease: r.Lease, Version: version}
+		v.lock = election.Lock{Exists: true, Holder: r.Member, LeaseID: r.Lease, Version: version}
 	case key == keyTypes:
 		var t wire.MachineTypes
 		if err := t.UnmarshalJSON(value); err != nil {
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -149,7 +149,7 @@
 	if c.el.Phase() == election.Leader && c.view.rev < c.el.Token() {
 		return
 	}
-	c.act(c.el.Seen(clock.Now(), c.view.lock))
+	c.act(c.el.ObserveLock(clock.Now(), c.view.lock))
 	c.act(c.el.Tick(clock.Now()))
 	c.checkLead()
 }
--- a/internal/delegation/delegation.go
+++ b/internal/delegation/delegation.go
@@ -20,200 +20,208 @@
 
 // Config holds the times.
 type Config struct {
-	// For is how long a right lasts from its stamp on; 0: there are none.
-	For clock.Micros
-	// Gap is how long a follower has not heard the leader before it answers as delegate.
-	Gap clock.Micros
-	// Settle is how long after a withdrawal the job's tasks may still be about
+	// GrantTTL is how long a right lasts from its stamp on; 0: there are none.
+	GrantTTL clock.Micros
+	// SilenceBeforeActing is how long a follower has not heard the leader before it answers as delegate.
+	SilenceBeforeActing clock.Micros
+	// CancellationGrace is how long after a withdrawal the job's tasks may still be about
 	// while the leader echoes stamps. What is told at a stamp plus For may live
 	// for a lease more: Settle, For and the lease together are less than what a
 	// cancellation has.
-	Settle clock.Micros
+	CancellationGrace clock.Micros
 }
 
-// Times works out the times from those of the workers; trip is how long a worker
+// NewConfig works out the times from those of the workers; trip is how long a worker
 // that is sent on to a leader out of reach takes to come back. It has to be back
 // well before its lease ends, or rights would only put off the proof that it has.
-func Times(cancel, lease, gap, trip clock.Micros) Config {
+func NewConfig(cancellationTimeout, leaseTTL, silenceBeforeActing, redirectRoundTrip clock.Micros) Config {
 	// Short, as each second of it is one less of a right: tasks of a withdrawn job
 	// are gone within a fraction of a second, unless their machine is not reached.
-	c := Config{Gap: gap, Settle: (cancel - lease) / 30}
-	c.For = cancel - lease - c.Settle - slack(cancel) - clock.Second
-	if c.For <= gap || lease < trip+trip/2 {
-		c.For = 0 // too short to be of use
+	cfg := Config{SilenceBeforeActing: silenceBeforeActing, CancellationGrace: (cancellationTimeout - leaseTTL) / 30}
+	cfg.GrantTTL = cancellationTimeout - leaseTTL - cfg.CancellationGrace - driftAllowance(cancellationTimeout) - clock.Second
+	if cfg.GrantTTL <= silenceBeforeActing || leaseTTL < redirectRoundTrip+redirectRoundTrip/2 {
+		cfg.GrantTTL = 0 // too short to be of use
 	}
-	return c
+	return cfg
 }
 
-// slack covers the drift of two clocks over a time.
-func slack(d clock.Micros) clock.Micros { return d / 500 }
+// driftAllowance covers the drift of two clocks over a time.
+func driftAllowance(duration clock.Micros) clock.Micros { return duration / 500 }
 
-// Stamp is an instant of a member's steady clock, in one of its lives.
-type Stamp struct {
-	Life uint64
-	At   clock.Micros
+// Timestamp is an instant of a member's steady clock, in one of its lives.
+type Timestamp struct {
+	Incarnation uint64
+	At          clock.Micros
 }
 
 // Delegate is a follower's side.
 type Delegate struct {
-	cfg   Config
-	life  uint64
-	born  clock.Micros
-	token uint64
-	until clock.Micros
-	heard clock.Micros
-	last  clock.Micros // when it last answered as delegate
+	cfg               Config
+	incarnation       uint64
+	startedAt         clock.Micros
+	leaderToken       uint64
+	grantUntil        clock.Micros
+	leaderHeartbeatAt clock.Micros
+	lastAnswerUntil   clock.Micros // when it last answered as delegate
 }
 
 // NewDelegate makes a member's side; life has to differ from that of any other
 // life of the member.
-func NewDelegate(cfg Config, life uint64, now clock.Micros) *Delegate {
-	return &Delegate{cfg: cfg, life: life, born: now}
+func NewDelegate(cfg Config, incarnation uint64, now clock.Micros) *Delegate {
+	return &Delegate{cfg: cfg, incarnation: incarnation, startedAt: now}
 }
 
-// Stamp is what the member sends to be echoed.
-func (v *Delegate) Stamp(now clock.Micros) Stamp { return Stamp{v.life, now} }
+// Timestamp is what the member sends to be echoed.
+func (delegate *Delegate) Timestamp(now clock.Micros) Timestamp {
+	return Timestamp{delegate.incarnation, now}
+}
 
-// Mine tells whether a stamp is of this life.
-func (v *Delegate) Mine(s Stamp) bool { return s.Life == v.life && s.At > 0 }
+// IsOwnStamp tells whether a stamp is of this life.
+func (delegate *Delegate) IsOwnStamp(timestamp Timestamp) bool {
+	return timestamp.Incarnation == delegate.incarnation && timestamp.At > 0
+}
 
-// Hear takes a beat of a leader, with the member's own stamp that it echoes.
-func (v *Delegate) Hear(now clock.Micros, token uint64, echo Stamp) {
-	if token < v.token {
+// RecordLeaderHeartbeat takes a beat of a leader, with the member's own stamp that it echoes.
+func (delegate *Delegate) RecordLeaderHeartbeat(now clock.Micros, token uint64, ack Timestamp) {
+	if token < delegate.leaderToken {
 		return
 	}
 	// A right outlives the leader that gave it: the new one counts with that,
 	// and it is used under the new one's token.
-	v.token = token
-	v.heard = now
-	if v.Mine(echo) && echo.At <= now && v.cfg.For > 0 {
-		v.until = max(v.until, echo.At+v.cfg.For)
+	delegate.leaderToken = token
+	delegate.leaderHeartbeatAt = now
+	if delegate.IsOwnStamp(ack) && ack.At <= now && delegate.cfg.GrantTTL > 0 {
+		delegate.grantUntil = max(delegate.grantUntil, ack.At+delegate.cfg.GrantTTL)
 	}
 }
 
-// Led is told by a leader whose entitlement is over, if only for now: it knew
+// EndTerm is told by a leader whose entitlement is over, if only for now: it knew
 // all that was withdrawn before `from`, when it was still entitled.
-func (v *Delegate) Led(token uint64, from clock.Micros) {
-	if token < v.token || v.cfg.For == 0 || from == 0 {
+func (delegate *Delegate) EndTerm(token uint64, syncedAt clock.Micros) {
+	if token < delegate.leaderToken || delegate.cfg.GrantTTL == 0 || syncedAt == 0 {
 		return
 	}
-	v.token, v.heard, v.until = token, 0, max(v.until, from+v.cfg.For)
+	delegate.leaderToken, delegate.leaderHeartbeatAt, delegate.grantUntil = token, 0, max(delegate.grantUntil, syncedAt+delegate.cfg.GrantTTL)
 }
 
-// May tells whether the member may answer a worker that has seen a token, under
+// MayAnswer tells whether the member may answer a worker that has seen a token, under
 // which token, and until when.
-func (v *Delegate) May(now clock.Micros, seen uint64) (token uint64, until clock.Micros, ok bool) {
-	if v.token == 0 || seen > v.token || now >= v.until || now-v.heard < v.cfg.Gap {
+func (delegate *Delegate) MayAnswer(now clock.Micros, workerToken uint64) (token uint64, until clock.Micros, ok bool) {
+	if delegate.leaderToken == 0 || workerToken > delegate.leaderToken || now >= delegate.grantUntil || now-delegate.leaderHeartbeatAt < delegate.cfg.SilenceBeforeActing {
 		return 0, 0, false
 	}
-	return v.token, v.until, true
+	return delegate.leaderToken, delegate.grantUntil, true
 }
 
-// Answered notes an answer that may go out until then.
-func (v *Delegate) Answered(until clock.Micros) { v.last = max(v.last, until) }
+// RecordAnswer notes an answer that may go out until then.
+func (delegate *Delegate) RecordAnswer(until clock.Micros) {
+	delegate.lastAnswerUntil = max(delegate.lastAnswerUntil, until)
+}
 
-// QuietFor is for how long the member has certainly not answered as delegate, earlier lives
+// SilentFor is for how long the member has certainly not answered as delegate, earlier lives
 // left out, and how long this life is at most.
-func (v *Delegate) QuietFor(now clock.Micros) clock.Micros {
-	if v.last == 0 {
-		return now - v.born
+func (delegate *Delegate) SilentFor(now clock.Micros) clock.Micros {
+	if delegate.lastAnswerUntil == 0 {
+		return now - delegate.startedAt
 	}
-	return max(now-v.last, 0)
+	return max(now-delegate.lastAnswerUntil, 0)
 }
 
 // Grants is a leader's side: until when others may have renewed leases as delegates.
 type Grants struct {
-	cfg     Config
-	since   clock.Micros
-	own     clock.Micros // it may have renewed leases as delegates itself until then, in an earlier life
-	members map[string]*member
+	cfg              Config
+	termStartedAt    clock.Micros
+	ownRenewalsUntil clock.Micros // it may have renewed leases as delegates itself until then, in an earlier life
+	members          map[string]*memberState
 }
 
-type member struct {
-	right clock.Micros // the end of its right
-	sure  clock.Micros // the latest own stamp that it is known to have received
-	quiet clock.Micros // nothing was answered as delegate between this and sure
+type memberState struct {
+	grantUntil    clock.Micros // the end of its right
+	lastReceiptAt clock.Micros // the latest own stamp that it is known to have received
+	renewalsUntil clock.Micros // nothing was answered as delegate between this and sure
 }
 
 // NewGrants makes the side of a leader that begins now and has not answered as delegate itself
 // for so long. Rights that earlier leaders gave, or keep for themselves, began
 // before that.
-func NewGrants(cfg Config, now, quietFor clock.Micros, others []string) *Grants {
-	b := &Grants{cfg: cfg, since: now, own: now - quietFor, members: map[string]*member{}}
-	for _, m := range others {
-		b.members[m] = &member{right: b.end(now)}
+func NewGrants(cfg Config, now, silentFor clock.Micros, others []string) *Grants {
+	grants := &Grants{cfg: cfg, termStartedAt: now, ownRenewalsUntil: now - silentFor, members: map[string]*memberState{}}
+	for _, name := range others {
+		grants.members[name] = &memberState{grantUntil: grants.grantEnd(now)}
 	}
-	return b
+	return grants
 }
 
-func (b *Grants) end(from clock.Micros) clock.Micros {
-	if b.cfg.For == 0 {
+func (grants *Grants) grantEnd(from clock.Micros) clock.Micros {
+	if grants.cfg.GrantTTL == 0 {
 		return 0
 	}
-	return from + b.cfg.For + slack(b.cfg.For)
+	return from + grants.cfg.GrantTTL + driftAllowance(grants.cfg.GrantTTL)
 }
 
-// Known takes an earlier leader's promises that a member's last right ends no later,
+// RecordInherited takes an earlier leader's promises that a member's last right ends no later,
 // which no leader has taken back since.
-func (b *Grants) Known(name string, end clock.Micros) {
-	if m := b.members[name]; m != nil {
-		m.right = min(m.right, end)
+func (grants *Grants) RecordInherited(name string, grantUntil clock.Micros) {
+	if member := grants.members[name]; member != nil {
+		member.grantUntil = min(member.grantUntil, grantUntil)
 	}
 }
 
-// Right is the end of the last right that a member may have.
-func (b *Grants) Right(name string) clock.Micros {
-	if m := b.members[name]; m != nil {
-		return m.right
+// GrantUntil is the end of the last right that a member may have.
+func (grants *Grants) GrantUntil(name string) clock.Micros {
+	if member := grants.members[name]; member != nil {
+		return member.grantUntil
 	}
 	return 0
 }
 
-// Echoed notes that a stamp of a member, which came before `at`, is echoed from
+// RecordAck notes that a stamp of a member, which came before `at`, is echoed from
 // now on.
-func (b *Grants) Echoed(name string, at clock.Micros) {
-	if m := b.members[name]; m != nil {
-		m.right = max(m.right, b.end(at))
+func (grants *Grants) RecordAck(name string, ackedAt clock.Micros) {
+	if member := grants.members[name]; member != nil {
+		member.grantUntil = max(member.grantUntil, grants.grantEnd(ackedAt))
 	}
 }
 
-// Answered takes a member's promises that it has received the beat of this leader
+// RecordReceipt takes a member's promises that it has received the beat of this leader
 // stamped so, and for how long it had not answered as delegate when it said that.
-func (b *Grants) Answered(name string, now, stamp, quietFor clock.Micros) {
-	m := b.members[name]
-	if m == nil || stamp < b.since || stamp > now || quietFor < 0 {
+func (grants *Grants) RecordReceipt(name string, now, stampedAt, silentFor clock.Micros) {
+	member := grants.members[name]
+	if member == nil || stampedAt < grants.termStartedAt || stampedAt > now || silentFor < 0 {
 		return
 	}
-	if stamp >= m.sure {
-		m.sure = stamp
-		m.quiet = max(m.quiet, now-quietFor+slack(quietFor))
+	if stampedAt >= member.lastReceiptAt {
+		member.lastReceiptAt = stampedAt
+		member.renewalsUntil = max(member.renewalsUntil, now-silentFor+driftAllowance(silentFor))
 	}
 }
 
-// Latest is the last instant at which another member, or this one in an earlier
+// LatestRenewal is the last instant at which another member, or this one in an earlier
 // life, may have renewed leases as delegates for a worker, as far as can be known now.
-func (b *Grants) Latest(now clock.Micros) clock.Micros { return b.LatestBut(now, "", nil) }
+func (grants *Grants) LatestRenewal(now clock.Micros) clock.Micros {
+	return grants.LatestRenewalExcept(now, "", nil)
+}
 
-// LatestBut is the same for a zone in which some members renew no leases as delegates; self
+// LatestRenewalExcept is the same for a zone in which some members renew no leases as delegates; self
 // is this member's name.
-func (b *Grants) LatestBut(now clock.Micros, self string, but []string) clock.Micros {
+func (grants *Grants) LatestRenewalExcept(now clock.Micros, self string, excluded []string) clock.Micros {
 	var latest clock.Micros
-	if !slices.Contains(but, self) {
-		latest = b.own
+	if !slices.Contains(excluded, self) {
+		latest = grants.ownRenewalsUntil
 	}
-	for name, m := range b.members {
-		if slices.Contains(but, name) {
+	for name, member := range grants.members {
+		if slices.Contains(excluded, name) {
 			continue
 		}
-		latest = max(latest, m.quiet)
+		latest = max(latest, member.renewalsUntil)
 		// It has heard this leader after `sure`, and answers nobody as delegate for a
 		// while after that.
-		if m.sure == 0 || now >= m.sure+b.cfg.Gap-slack(b.cfg.Gap) {
-			latest = max(latest, m.right)
+		if member.lastReceiptAt == 0 || now >= member.lastReceiptAt+grants.cfg.SilenceBeforeActing-driftAllowance(grants.cfg.SilenceBeforeActing) {
+			latest = max(latest, member.grantUntil)
 		}
 	}
 	return latest
 }
 
-// Own is until when this member may have renewed leases as delegates itself before it led.
-func (b *Grants) Own() clock.Micros { return b.own }
+// OwnRenewalsUntil is until when this member may have renewed leases as delegates itself before it led.
+func (grants *Grants) OwnRenewalsUntil() clock.Micros { return grants.ownRenewalsUntil }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -16,18 +16,18 @@
 type Config struct {
 	Member string
 	TTL    clock.Micros
-	// Slack is taken off every entitlement, on top of clock drift.
-	Slack clock.Micros
+	// TimerSlack is taken off every entitlement, on top of clock drift.
+	TimerSlack clock.Micros
 }
 
-// driftParts is how many parts in a million two clocks may drift apart.
-const driftParts = 1000
+// driftPerMillion is how many parts in a million two clocks may drift apart.
+const driftPerMillion = 1000
 
 // Lock is the lock key as last seen.
 type Lock struct {
 	Exists  bool
 	Holder  string
-	Lease   uint64
+	LeaseID uint64
 	Version uint64
 }
 
@@ -35,22 +35,22 @@
 type ActionKind uint8
 
 const (
-	// Grant: take a lease; answer with Granted or GrantFailed.
-	Grant ActionKind = iota + 1
-	// Acquire: create the lock with the lease, if absent; answer with Acquired.
-	Acquire
-	// Renew: renew the lease; answer with Renewed.
-	Renew
-	// Revoke: end the lease; no answer is needed.
-	Revoke
-	// Refresh: learn the lock anew; answer with Seen.
-	Refresh
+	// GrantLease: take a lease; answer with Granted or GrantFailed.
+	GrantLease ActionKind = iota + 1
+	// AcquireLock: create the lock with the lease, if absent; answer with Acquired.
+	AcquireLock
+	// RenewLease: renew the lease; answer with Renewed.
+	RenewLease
+	// RevokeLease: end the lease; no answer is needed.
+	RevokeLease
+	// RefreshLock: learn the lock anew; answer with Seen.
+	RefreshLock
 )
 
 // Action is one thing to do.
 type Action struct {
-	Kind  ActionKind
-	Lease uint64
+	Kind    ActionKind
+	LeaseID uint64
 }
 
 // Phase is where a member stands.
@@ -59,255 +59,257 @@
 const (
 	// Follower waits for the lock to vanish.
 	Follower Phase = iota
-	// Granting waits for a lease.
-	Granting
-	// Acquiring waits for the lock.
-	Acquiring
+	// RequestingLease waits for a lease.
+	RequestingLease
+	// AcquiringLock waits for the lock.
+	AcquiringLock
 	// Leader holds the lock.
 	Leader
 )
 
-// Machine is one member's state.
-type Machine struct {
+// Elector is one member's state.
+type Elector struct {
 	cfg   Config
 	phase Phase
 
-	lock  Lock
-	known bool // the lock has been seen at all
-
-	lease    uint64
-	token    uint64
-	deadline clock.Micros // of the entitlement
-	sentAt   clock.Micros // of the call in flight
-	inFlight bool
-	nextTry  clock.Micros
-	buryAt   clock.Micros
-	standOff clock.Micros // do not stand before this instant
-	dead     map[uint64]bool
+	lock      Lock
+	lockKnown bool // the lock has been seen at all
+
+	leaseID         uint64
+	token           uint64
+	entitledUntil   clock.Micros // of the entitlement
+	requestSentAt   clock.Micros // of the call in flight
+	requestInFlight bool
+	nextAttemptAt   clock.Micros
+	revokeAt        clock.Micros
+	backoffUntil    clock.Micros // do not stand before this instant
+	revoked         map[uint64]bool
 }
 
 // New makes a follower.
-func New(cfg Config) *Machine { return &Machine{cfg: cfg, dead: map[uint64]bool{}} }
+func New(cfg Config) *Elector { return &Elector{cfg: cfg, revoked: map[uint64]bool{}} }
 
 // Phase tells where the member stands.
-func (m *Machine) Phase() Phase { return m.phase }
+func (elector *Elector) Phase() Phase { return elector.phase }
 
 // Token is the fencing token, 0 unless leader.
-func (m *Machine) Token() uint64 {
-	if m.phase == Leader {
-		return m.token
+func (elector *Elector) Token() uint64 {
+	if elector.phase == Leader {
+		return elector.token
 	}
 	return 0
 }
 
-// Until is the end of the present entitlement, 0 unless leader.
-func (m *Machine) Until() clock.Micros {
-	if m.phase == Leader {
-		return m.deadline
+// EntitledUntil is the end of the present entitlement, 0 unless leader.
+func (elector *Elector) EntitledUntil() clock.Micros {
+	if elector.phase == Leader {
+		return elector.entitledUntil
 	}
 	return 0
 }
 
-// Entitled tells whether the member may act at this instant.
-func (m *Machine) Entitled(now clock.Micros) bool {
-	return m.phase == Leader && now < m.deadline
+// IsEntitled tells whether the member may act at this instant.
+func (elector *Elector) IsEntitled(now clock.Micros) bool {
+	return elector.phase == Leader && now < elector.entitledUntil
 }
 
-// Holder is who holds the lock as far as is known.
-func (m *Machine) Holder() (string, uint64) {
-	if m.known && m.lock.Exists {
-		return m.lock.Holder, m.lock.Version
+// LockHolder is who holds the lock as far as is known.
+func (elector *Elector) LockHolder() (string, uint64) {
+	if elector.lockKnown && elector.lock.Exists {
+		return elector.lock.Holder, elector.lock.Version
 	}
 	return "", 0
 }
 
-func (m *Machine) entitlement(sent clock.Micros) clock.Micros {
-	return sent + m.cfg.TTL - m.cfg.TTL*driftParts/1_000_000 - m.cfg.Slack
+func (elector *Elector) entitlementEnd(sentAt clock.Micros) clock.Micros {
+	return sentAt + elector.cfg.TTL - elector.cfg.TTL*driftPerMillion/1_000_000 - elector.cfg.TimerSlack
 }
 
-// Seen takes the lock as the state service has it, with its revision order
+// ObserveLock takes the lock as the state service has it, with its revision order
 // already sorted out by the caller.
-func (m *Machine) Seen(now clock.Micros, l Lock) []Action {
-	m.lock, m.known = l, true
-	switch m.phase {
+func (elector *Elector) ObserveLock(now clock.Micros, lock Lock) []Action {
+	elector.lock, elector.lockKnown = lock, true
+	switch elector.phase {
 	case Leader:
-		if !l.Exists || l.Version != m.token {
-			return m.demote(now)
+		if !lock.Exists || lock.Version != elector.token {
+			return elector.becomeFollower(now)
 		}
-	case Acquiring:
-		if l.Exists && l.Holder == m.cfg.Member && l.Lease == m.lease && !m.inFlight {
+	case AcquiringLock:
+		if lock.Exists && lock.Holder == elector.cfg.Member && lock.LeaseID == elector.leaseID && !elector.requestInFlight {
 			// The answer to our transaction was lost, but it was carried out.
-			return m.lead(l.Version)
+			return elector.becomeLeader(lock.Version)
 		}
-		if l.Exists && l.Lease != m.lease && !m.inFlight {
-			return m.demote(now)
+		if lock.Exists && lock.LeaseID != elector.leaseID && !elector.requestInFlight {
+			return elector.becomeFollower(now)
 		}
 	}
-	return m.buryOld(now, l)
+	return elector.revokeEarlierLease(now, lock)
 }
 
-// buryOld ends the lease of an earlier life of this member. That process is
+// revokeEarlierLease ends the lease of an earlier life of this member. That process is
 // dead: the platform runs one process of a member at a time.
-func (m *Machine) buryOld(now clock.Micros, l Lock) []Action {
-	if l.Exists && l.Holder == m.cfg.Member && l.Lease != 0 && l.Lease != m.lease && !m.dead[l.Lease] {
-		m.dead[l.Lease] = true
-		m.buryAt = now + m.cfg.TTL
-		return []Action{{Kind: Revoke, Lease: l.Lease}, {Kind: Refresh}}
+func (elector *Elector) revokeEarlierLease(now clock.Micros, lock Lock) []Action {
+	if lock.Exists && lock.Holder == elector.cfg.Member && lock.LeaseID != 0 && lock.LeaseID != elector.leaseID && !elector.revoked[lock.LeaseID] {
+		elector.revoked[lock.LeaseID] = true
+		elector.revokeAt = now + elector.cfg.TTL
+		return []Action{{Kind: RevokeLease, LeaseID: lock.LeaseID}, {Kind: RefreshLock}}
 	}
 	return nil
 }
 
 // Tick lets time act.
-func (m *Machine) Tick(now clock.Micros) []Action {
-	switch m.phase {
+func (elector *Elector) Tick(now clock.Micros) []Action {
+	switch elector.phase {
 	case Follower:
-		if m.known && !m.lock.Exists && now >= m.standOff && now >= m.nextTry && !m.inFlight {
-			m.phase = Granting
-			m.inFlight = true
-			m.sentAt = now
-			return []Action{{Kind: Grant}}
+		if elector.lockKnown && !elector.lock.Exists && now >= elector.backoffUntil && now >= elector.nextAttemptAt && !elector.requestInFlight {
+			elector.phase = RequestingLease
+			elector.requestInFlight = true
+			elector.requestSentAt = now
+			return []Action{{Kind: GrantLease}}
 		}
-		if m.known && m.lock.Exists && now >= m.buryAt {
+		if elector.lockKnown && elector.lock.Exists && now >= elector.revokeAt {
 			// A revocation may have failed: look again, and bury again. This has
 			// a time of its own: once it held back the candidacy too, and a free
 			// lock found no taker for a whole lock time.
-			m.buryAt = now + m.cfg.TTL
-			clear(m.dead)
-			return m.buryOld(now, m.lock)
+			elector.revokeAt = now + elector.cfg.TTL
+			clear(elector.revoked)
+			return elector.revokeEarlierLease(now, elector.lock)
 		}
-	case Acquiring:
-		if !m.inFlight && now >= m.nextTry {
-			m.nextTry = now + m.cfg.TTL/8
-			if now >= m.deadline {
-				return m.demote(now)
+	case AcquiringLock:
+		if !elector.requestInFlight && now >= elector.nextAttemptAt {
+			elector.nextAttemptAt = now + elector.cfg.TTL/8
+			if now >= elector.entitledUntil {
+				return elector.becomeFollower(now)
 			}
-			return []Action{{Kind: Refresh}}
+			return []Action{{Kind: RefreshLock}}
 		}
 	case Leader:
 		// An entitlement that ran out is not the end: in an outage of the state
 		// service the lock survives, and renewing it gives the time back.
-		if !m.inFlight && now >= m.nextTry {
-			m.inFlight = true
-			m.sentAt = now
-			return []Action{{Kind: Renew, Lease: m.lease}}
+		if !elector.requestInFlight && now >= elector.nextAttemptAt {
+			elector.requestInFlight = true
+			elector.requestSentAt = now
+			return []Action{{Kind: RenewLease, LeaseID: elector.leaseID}}
 		}
 	}
 	return nil
 }
 
-// Granted takes the answer to Grant; lease 0 means that it failed.
-func (m *Machine) Granted(now clock.Micros, lease uint64) []Action {
-	if m.phase != Granting {
-		if lease != 0 {
-			return []Action{{Kind: Revoke, Lease: lease}}
+// HandleGrantResult takes the answer to Grant; lease 0 means that it failed.
+func (elector *Elector) HandleGrantResult(now clock.Micros, leaseID uint64) []Action {
+	if elector.phase != RequestingLease {
+		if leaseID != 0 {
+			return []Action{{Kind: RevokeLease, LeaseID: leaseID}}
 		}
 		return nil
 	}
-	m.inFlight = false
-	if lease == 0 {
-		m.phase = Follower
-		m.nextTry = now + m.cfg.TTL/16
+	elector.requestInFlight = false
+	if leaseID == 0 {
+		elector.phase = Follower
+		elector.nextAttemptAt = now + elector.cfg.TTL/16
 		return nil
 	}
-	m.lease = lease
-	m.deadline = m.entitlement(m.sentAt)
-	if m.lock.Exists || now >= m.deadline {
-		return m.demote(now)
+	elector.leaseID = leaseID
+	elector.entitledUntil = elector.entitlementEnd(elector.requestSentAt)
+	if elector.lock.Exists || now >= elector.entitledUntil {
+		return elector.becomeFollower(now)
 	}
-	m.phase = Acquiring
-	m.inFlight = true
-	return []Action{{Kind: Acquire, Lease: lease}}
+	elector.phase = AcquiringLock
+	elector.requestInFlight = true
+	return []Action{{Kind: AcquireLock, LeaseID: leaseID}}
 }
 
-// Result is how an attempt to acquire the lock ended.
-type Result uint8
+// AcquireResult is how an attempt to acquire the lock ended.
+type AcquireResult uint8
 
 const (
-	// Won: the lock is ours; its version is the token.
-	Won Result = iota
-	// Lost: the lock exists already.
-	Lost
-	// Open: the transaction may have been, or may yet be, carried out.
-	Open
+	// AcquireSucceeded: the lock is ours; its version is the token.
+	AcquireSucceeded AcquireResult = iota
+	// AcquireFailed: the lock exists already.
+	AcquireFailed
+	// AcquireUnknown: the transaction may have been, or may yet be, carried out.
+	AcquireUnknown
 )
 
-// Acquired takes the answer to Acquire.
-func (m *Machine) Acquired(now clock.Micros, r Result, version uint64) []Action {
-	if m.phase != Acquiring {
+// HandleAcquireResult takes the answer to Acquire.
+func (elector *Elector) HandleAcquireResult(now clock.Micros, result AcquireResult, version uint64) []Action {
+	if elector.phase != AcquiringLock {
 		return nil
 	}
-	m.inFlight = false
-	switch r {
-	case Won:
-		m.lock = Lock{Exists: true, Holder: m.cfg.Member, Lease: m.lease, Version: version}
-		return m.lead(version)
-	case Lost:
-		return append(m.demote(now), Action{Kind: Refresh})
+	elector.requestInFlight = false
+	switch result {
+	case AcquireSucceeded:
+		elector.lock = Lock{Exists: true, Holder: elector.cfg.Member, LeaseID: elector.leaseID, Version: version}
+		return elector.becomeLeader(version)
+	case AcquireFailed:
+		return append(elector.becomeFollower(now), Action{Kind: RefreshLock})
 	}
-	m.nextTry = now + m.cfg.TTL/8
-	return []Action{{Kind: Refresh}}
+	elector.nextAttemptAt = now + elector.cfg.TTL/8
+	return []Action{{Kind: RefreshLock}}
 }
 
-func (m *Machine) lead(version uint64) []Action {
-	m.phase = Leader
-	m.token = version
-	m.inFlight = false
-	m.nextTry = m.sentAt + m.cfg.TTL/3
+func (elector *Elector) becomeLeader(version uint64) []Action {
+	elector.phase = Leader
+	elector.token = version
+	elector.requestInFlight = false
+	elector.nextAttemptAt = elector.requestSentAt + elector.cfg.TTL/3
 	return nil
 }
 
-// Renewed takes the answer to Renew: ok, or gone for good, or neither.
-func (m *Machine) Renewed(now clock.Micros, lease uint64, ok, gone bool) []Action {
-	if m.phase != Leader || lease != m.lease {
+// HandleRenewResult takes the answer to Renew: ok, or gone for good, or neither.
+func (elector *Elector) HandleRenewResult(now clock.Micros, leaseID uint64, renewed, expired bool) []Action {
+	if elector.phase != Leader || leaseID != elector.leaseID {
 		return nil
 	}
-	m.inFlight = false
+	elector.requestInFlight = false
 	switch {
-	case ok:
-		m.deadline = max(m.deadline, m.entitlement(m.sentAt))
-		m.nextTry = m.sentAt + m.cfg.TTL/3
-	case gone:
-		return append(m.demote(now), Action{Kind: Refresh})
+	case renewed:
+		elector.entitledUntil = max(elector.entitledUntil, elector.entitlementEnd(elector.requestSentAt))
+		elector.nextAttemptAt = elector.requestSentAt + elector.cfg.TTL/3
+	case expired:
+		return append(elector.becomeFollower(now), Action{Kind: RefreshLock})
 	default:
-		m.nextTry = now + m.cfg.TTL/12
+		elector.nextAttemptAt = now + elector.cfg.TTL/12
 	}
 	return nil
 }
 
-// Fenced takes the news that a write bound to the lock was refused.
-func (m *Machine) Fenced(now clock.Micros, token uint64) []Action {
-	if m.phase != Leader || token != m.token {
+// HandleFencedWrite takes the news that a write bound to the lock was refused.
+func (elector *Elector) HandleFencedWrite(now clock.Micros, token uint64) []Action {
+	if elector.phase != Leader || token != elector.token {
 		return nil
 	}
-	return append(m.demote(now), Action{Kind: Refresh})
+	return append(elector.becomeFollower(now), Action{Kind: RefreshLock})
 }
 
-// Resign gives the lead away and does not stand again for a while.
-func (m *Machine) Resign(now, standOff clock.Micros) []Action {
-	m.standOff = now + standOff
-	if m.phase == Follower {
+// StepDown gives the lead away and does not stand again for a while.
+func (elector *Elector) StepDown(now, backoff clock.Micros) []Action {
+	elector.backoffUntil = now + backoff
+	if elector.phase == Follower {
 		return nil
 	}
-	return append(m.demote(now), Action{Kind: Refresh})
+	return append(elector.becomeFollower(now), Action{Kind: RefreshLock})
 }
 
-// demote gives up what is held. The lease is revoked, which also removes a
+// becomeFollower gives up what is held. The lease is revoked, which also removes a
 // lock that a lost answer may have hidden from us.
-func (m *Machine) demote(now clock.Micros) []Action {
-	var out []Action
-	if m.lease != 0 {
-		out = append(out, Action{Kind: Revoke, Lease: m.lease})
-		m.dead[m.lease] = true
+func (elector *Elector) becomeFollower(now clock.Micros) []Action {
+	var actions []Action
+	if elector.leaseID != 0 {
+		actions = append(actions, Action{Kind: RevokeLease, LeaseID: elector.leaseID})
+		elector.revoked[elector.leaseID] = true
 	}
-	m.phase = Follower
-	m.lease, m.token, m.deadline = 0, 0, 0
-	m.inFlight = false
-	m.nextTry = now + m.cfg.TTL/16
-	return out
+	elector.phase = Follower
+	elector.leaseID, elector.token, elector.entitledUntil = 0, 0, 0
+	elector.requestInFlight = false
+	elector.nextAttemptAt = now + elector.cfg.TTL/16
+	return actions
 }
 
 // TTL is the lock's time.
-func (m *Machine) TTL() clock.Micros { return m.cfg.TTL }
+func (elector *Elector) TTL() clock.Micros { return elector.cfg.TTL }
 
-// Held is what the member holds: its phase, its token, its lease.
-func (m *Machine) Held() (Phase, uint64, uint64) { return m.phase, m.token, m.lease }
+// State is what the member holds: its phase, its token, its lease.
+func (elector *Elector) State() (Phase, uint64, uint64) {
+	return elector.phase, elector.token, elector.leaseID
+}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -15,76 +15,78 @@
 
 const testTTL = 6 * clock.Second
 
-type lease struct{ ends clock.Micros }
+type fakeLease struct{ expiresAt clock.Micros }
 
-type service struct {
-	now    clock.Micros
-	leases map[uint64]*lease
-	next   uint64
-	rev    uint64
-	lock   Lock
-	down   bool
-	refuse map[int]bool
+type fakeStore struct {
+	now           clock.Micros
+	leases        map[uint64]*fakeLease
+	lastLeaseID   uint64
+	revision      uint64
+	lock          Lock
+	isDown        bool
+	refusesMember map[int]bool
 }
 
-func (s *service) expire() {
-	for id, l := range s.leases {
-		if s.now >= l.ends {
-			delete(s.leases, id)
-			if s.lock.Exists && s.lock.Lease == id {
-				s.rev++
-				s.lock = Lock{}
+func (store *fakeStore) expireLeases() {
+	for id, lease := range store.leases {
+		if store.now >= lease.expiresAt {
+			delete(store.leases, id)
+			if store.lock.Exists && store.lock.LeaseID == id {
+				store.revision++
+				store.lock = Lock{}
 			}
 		}
 	}
 }
 
-type member struct {
-	name   string
-	rate   float64 // of its clock
-	m      *Machine
-	paused clock.Micros
-	dead   clock.Micros
-	life   int
-	seen   uint64
+type simulatedMember struct {
+	name         string
+	clockRate    float64 // of its clock
+	elector      *Elector
+	pausedUntil  clock.Micros
+	restartAt    clock.Micros
+	incarnation  int
+	seenRevision uint64
 }
 
-func (k *member) clock(now clock.Micros) clock.Micros { return clock.Micros(float64(now) * k.rate) }
+func (member *simulatedMember) localTime(now clock.Micros) clock.Micros {
+	return clock.Micros(float64(now) * member.clockRate)
+}
 
-type event struct {
-	at clock.Micros
-	f  func()
+type scheduledEvent struct {
+	at  clock.Micros
+	run func()
 }
 
-type play struct {
+type electionSimulation struct {
 	rng     *rand.Rand
-	s       *service
-	members []*member
-	events  []event
+	store   *fakeStore
+	members []*simulatedMember
+	events  []scheduledEvent
 }
 
-func (p *play) later(most clock.Micros, f func()) {
-	p.events = append(p.events, event{p.s.now + clock.Micros(p.rng.Int64N(int64(most))), f})
+func (simulation *electionSimulation) scheduleWithin(maxDelay clock.Micros, run func()) {
+	simulation.events = append(simulation.events, scheduledEvent{simulation.store.now + clock.Micros(simulation.rng.Int64N(int64(maxDelay))), run})
 }
 
-// call carries a request to the service and its answer back; either may be
+// sendRequest carries a request to the service and its answer back; either may be
 // lost or late.
-func (p *play) call(i int, serve func() func()) {
-	k := p.members[i]
-	life := k.life
+func (simulation *electionSimulation) sendRequest(index int, handle func() func()) {
+	member := simulation.members[index]
+	incarnation := member.incarnation
 	delay := 40 * clock.Millisecond
-	if p.rng.IntN(6) == 0 {
+	if simulation.rng.IntN(6) == 0 {
 		delay = 4 * clock.Second
 	}
-	lost := p.rng.IntN(15) == 0
-	p.later(delay, func() {
-		var answer func()
-		if !p.s.down && !p.s.refuse[i] {
-			answer = serve()
+	lost := simulation.rng.IntN(15) == 0
+	simulation.scheduleWithin(delay, func() {
+		var deliverResponse func()
+		if !simulation.store.isDown && !simulation.store.refusesMember[index] {
+			deliverResponse = handle()
 		}
-		p.later(delay, func() {
-			if k.life == life && k.dead == 0 && !lost && answer != nil {
-				answer()
+		simulation.scheduleWithin(delay, func() {
+			if member.incarnation == incarnation && member.restartAt == 0 && !lost && deliverResponse != nil {
+				deliverResponse()
 			}
 		})
 	})
@@ -92,210 +94,216 @@
 	// as none.
 }
 
-func (p *play) act(i int, actions []Action) {
-	k, s := p.members[i], p.s
-	now := func() clock.Micros { return k.clock(s.now) }
-	life := k.life
-	alive := func() bool { return k.life == life && k.dead == 0 }
-	timeout := func(answered *bool, f func()) {
-		p.events = append(p.events, event{s.now + 3*clock.Second, func() {
-			if alive() && !*answered {
-				*answered = true
-				f()
+func (simulation *electionSimulation) performActions(index int, actions []Action) {
+	member, store := simulation.members[index], simulation.store
+	now := func() clock.Micros { return member.localTime(store.now) }
+	incarnation := member.incarnation
+	isRunning := func() bool { return member.incarnation == incarnation && member.restartAt == 0 }
+	scheduleTimeout := func(isAnswered *bool, callback func()) {
+		simulation.events = append(simulation.events, scheduledEvent{store.now + 3*clock.Second, func() {
+			if isRunning() && !*isAnswered {
+				*isAnswered = true
+				callback()
 			}
 		}})
 	}
-	for _, a := range actions {
-		a := a
-		done := new(bool)
-		once := func(f func()) func() {
+	for _, action := range actions {
+		a := action
+		isDone := new(bool)
+		once := func(callback func()) func() {
 			return func() {
-				if !*done {
-					*done = true
-					f()
+				if !*isDone {
+					*isDone = true
+					callback()
 				}
 			}
 		}
 		switch a.Kind {
-		case Grant:
-			p.call(i, func() func() {
-				s.next++
-				id := s.next
-				s.leases[id] = &lease{s.now + testTTL}
-				return once(func() { p.act(i, k.m.Granted(now(), id)) })
+		case GrantLease:
+			simulation.sendRequest(index, func() func() {
+				store.lastLeaseID++
+				id := store.lastLeaseID
+				store.leases[id] = &fakeLease{store.now + testTTL}
+				return once(func() { simulation.performActions(index, member.elector.HandleGrantResult(now(), id)) })
 			})
-			timeout(done, func() { p.act(i, k.m.Granted(now(), 0)) })
-		case Acquire:
-			p.call(i, func() func() {
-				if s.lock.Exists || s.leases[a.Lease] == nil {
-					return once(func() { p.act(i, k.m.Acquired(now(), Lost, 0)) })
+			scheduleTimeout(isDone, func() { simulation.performActions(index, member.elector.HandleGrantResult(now(), 0)) })
+		case AcquireLock:
+			simulation.sendRequest(index, func() func() {
+				if store.lock.Exists || store.leases[a.LeaseID] == nil {
+					return once(func() { simulation.performActions(index, member.elector.HandleAcquireResult(now(), AcquireFailed, 0)) })
 				}
-				s.rev++
-				s.lock = Lock{Exists: true, Holder: k.name, Lease: a.Lease, Version: s.rev}
-				v := s.rev
-				return once(func() { p.act(i, k.m.Acquired(now(), Won, v)) })
+				store.revision++
+				store.lock = Lock{Exists: true, Holder: member.name, LeaseID: a.LeaseID, Version: store.revision}
+				version := store.revision
+				return once(func() {
+					simulation.performActions(index, member.elector.HandleAcquireResult(now(), AcquireSucceeded, version))
+				})
 			})
-			timeout(done, func() { p.act(i, k.m.Acquired(now(), Open, 0)) })
-		case Renew:
-			p.call(i, func() func() {
-				l := s.leases[a.Lease]
-				if l != nil {
-					l.ends = s.now + testTTL
+			scheduleTimeout(isDone, func() { simulation.performActions(index, member.elector.HandleAcquireResult(now(), AcquireUnknown, 0)) })
+		case RenewLease:
+			simulation.sendRequest(index, func() func() {
+				lease := store.leases[a.LeaseID]
+				if lease != nil {
+					lease.expiresAt = store.now + testTTL
 				}
-				return once(func() { p.act(i, k.m.Renewed(now(), a.Lease, l != nil, l == nil)) })
+				return once(func() {
+					simulation.performActions(index, member.elector.HandleRenewResult(now(), a.LeaseID, lease != nil, lease == nil))
+				})
+			})
+			scheduleTimeout(isDone, func() {
+				simulation.performActions(index, member.elector.HandleRenewResult(now(), a.LeaseID, false, false))
 			})
-			timeout(done, func() { p.act(i, k.m.Renewed(now(), a.Lease, false, false)) })
-		case Revoke:
-			p.call(i, func() func() {
-				if l := s.leases[a.Lease]; l != nil {
-					l.ends = s.now
-					s.expire()
+		case RevokeLease:
+			simulation.sendRequest(index, func() func() {
+				if lease := store.leases[a.LeaseID]; lease != nil {
+					lease.expiresAt = store.now
+					store.expireLeases()
 				}
 				return func() {}
 			})
-		case Refresh:
-			p.look(i)
+		case RefreshLock:
+			simulation.readLock(index)
 		}
 	}
 }
 
-func (p *play) look(i int) {
-	k, s := p.members[i], p.s
-	p.call(i, func() func() {
-		l, rev := s.lock, s.rev
+func (simulation *electionSimulation) readLock(index int) {
+	member, store := simulation.members[index], simulation.store
+	simulation.sendRequest(index, func() func() {
+		lock, revision := store.lock, store.revision
 		return func() {
-			if rev < k.seen || k.m.Phase() == Leader && rev < k.m.Token() {
+			if revision < member.seenRevision || member.elector.Phase() == Leader && revision < member.elector.Token() {
 				return
 			}
-			k.seen = rev
-			p.act(i, k.m.Seen(k.clock(s.now), l))
+			member.seenRevision = revision
+			simulation.performActions(index, member.elector.ObserveLock(member.localTime(store.now), lock))
 		}
 	})
 }
 
-func TestNeverTwoEntitled(t *testing.T) {
-	led := 0
+func TestAtMostOneMemberIsEntitled(t *testing.T) {
+	termCount := 0
 	for seed := uint64(1); seed <= 80; seed++ {
-		p := &play{rng: rand.New(rand.NewPCG(seed, 2)), s: &service{now: clock.Second, leases: map[uint64]*lease{}, refuse: map[int]bool{}}}
+		simulation := &electionSimulation{rng: rand.New(rand.NewPCG(seed, 2)), store: &fakeStore{now: clock.Second, leases: map[uint64]*fakeLease{}, refusesMember: map[int]bool{}}}
 		for i := 0; i < 3; i++ {
-			p.members = append(p.members, &member{name: fmt.Sprint("m", i), rate: 1 + (p.rng.Float64()-0.5)*0.001,
-				m: New(Config{Member: fmt.Sprint("m", i), TTL: testTTL, Slack: 50 * clock.Millisecond})})
+			simulation.members = append(simulation.members, &simulatedMember{name: fmt.Sprint("m", i), clockRate: 1 + (simulation.rng.Float64()-0.5)*0.001,
+				elector: New(Config{Member: fmt.Sprint("m", i), TTL: testTTL, TimerSlack: 50 * clock.Millisecond})})
 		}
-		held := [3]bool{}
-		for p.s.now < 240*clock.Second {
-			p.s.now += 10 * clock.Millisecond
-			p.s.expire()
-			due := p.events
-			p.events = nil
-			for _, e := range due {
-				if e.at <= p.s.now {
-					e.f()
+		wasEntitled := [3]bool{}
+		for simulation.store.now < 240*clock.Second {
+			simulation.store.now += 10 * clock.Millisecond
+			simulation.store.expireLeases()
+			due := simulation.events
+			simulation.events = nil
+			for _, event := range due {
+				if event.at <= simulation.store.now {
+					event.run()
 				} else {
-					p.events = append(p.events, e)
+					simulation.events = append(simulation.events, event)
 				}
 			}
-			switch p.rng.IntN(3000) {
+			switch simulation.rng.IntN(3000) {
 			case 0:
-				p.s.down = true
+				simulation.store.isDown = true
 			case 1, 2, 3, 4:
-				if p.s.down {
-					p.s.down = false
-					for _, l := range p.s.leases {
-						l.ends = p.s.now + testTTL // whole again after an outage
+				if simulation.store.isDown {
+					simulation.store.isDown = false
+					for _, lease := range simulation.store.leases {
+						lease.expiresAt = simulation.store.now + testTTL // whole again after an outage
 					}
 				}
 			case 5:
-				p.s.refuse[p.rng.IntN(3)] = true
+				simulation.store.refusesMember[simulation.rng.IntN(3)] = true
 			case 6, 7:
-				clear(p.s.refuse)
+				clear(simulation.store.refusesMember)
 			case 8:
-				p.members[p.rng.IntN(3)].paused = p.s.now + clock.Micros(p.rng.Int64N(int64(12*clock.Second)))
+				simulation.members[simulation.rng.IntN(3)].pausedUntil = simulation.store.now + clock.Micros(simulation.rng.Int64N(int64(12*clock.Second)))
 			case 9, 10:
-				if k := p.members[p.rng.IntN(3)]; k.dead == 0 {
-					k.dead = p.s.now + clock.Micros(p.rng.Int64N(int64(4*clock.Second))) + 1
+				if member := simulation.members[simulation.rng.IntN(3)]; member.restartAt == 0 {
+					member.restartAt = simulation.store.now + clock.Micros(simulation.rng.Int64N(int64(4*clock.Second))) + 1
 				}
 			}
-			entitled := 0
-			for i, k := range p.members {
-				if k.dead != 0 {
-					if p.s.now >= k.dead {
-						k.dead, k.life, k.seen = 0, k.life+1, 0
-						k.m = New(Config{Member: k.name, TTL: testTTL, Slack: 50 * clock.Millisecond})
+			entitledCount := 0
+			for i, member := range simulation.members {
+				if member.restartAt != 0 {
+					if simulation.store.now >= member.restartAt {
+						member.restartAt, member.incarnation, member.seenRevision = 0, member.incarnation+1, 0
+						member.elector = New(Config{Member: member.name, TTL: testTTL, TimerSlack: 50 * clock.Millisecond})
 					}
 					continue
 				}
-				if p.s.down {
+				if simulation.store.isDown {
 					// Nothing ends in an outage.
-					for _, l := range p.s.leases {
-						l.ends = max(l.ends, p.s.now+clock.Second)
+					for _, lease := range simulation.store.leases {
+						lease.expiresAt = max(lease.expiresAt, simulation.store.now+clock.Second)
 					}
 				}
-				if p.s.now >= k.paused {
-					if p.rng.IntN(30) == 0 {
-						p.look(i)
+				if simulation.store.now >= member.pausedUntil {
+					if simulation.rng.IntN(30) == 0 {
+						simulation.readLock(i)
 					}
-					p.act(i, k.m.Tick(k.clock(p.s.now)))
+					simulation.performActions(i, member.elector.Tick(member.localTime(simulation.store.now)))
 				}
-				if k.m.Entitled(k.clock(p.s.now)) {
-					entitled++
-					if !held[i] {
-						led++
+				if member.elector.IsEntitled(member.localTime(simulation.store.now)) {
+					entitledCount++
+					if !wasEntitled[i] {
+						termCount++
 					}
-					held[i] = true
+					wasEntitled[i] = true
 				} else {
-					held[i] = false
+					wasEntitled[i] = false
 				}
 			}
-			if entitled > 1 {
-				t.Fatalf("play %d at %d: %d entitled at once", seed, p.s.now, entitled)
+			if entitledCount > 1 {
+				t.Fatalf("play %d at %d: %d entitled at once", seed, simulation.store.now, entitledCount)
 			}
 		}
 	}
-	if led < 80 {
-		t.Fatalf("only %d reigns in 80 plays", led)
+	if termCount < 80 {
+		t.Fatalf("only %d reigns in 80 plays", termCount)
 	}
 }
 
 // A member that comes back ends the lease of its earlier life at once: nobody
 // has to wait for the lock's time.
-func TestEarlierLifeIsBuried(t *testing.T) {
-	m := New(Config{Member: "a", TTL: testTTL})
-	acts := m.Seen(1, Lock{Exists: true, Holder: "a", Lease: 9, Version: 4})
-	if len(acts) == 0 || acts[0] != (Action{Kind: Revoke, Lease: 9}) {
-		t.Fatalf("%v", acts)
+func TestRestartRevokesEarlierLease(t *testing.T) {
+	elector := New(Config{Member: "a", TTL: testTTL})
+	actions := elector.ObserveLock(1, Lock{Exists: true, Holder: "a", LeaseID: 9, Version: 4})
+	if len(actions) == 0 || actions[0] != (Action{Kind: RevokeLease, LeaseID: 9}) {
+		t.Fatalf("%v", actions)
 	}
-	if acts := m.Seen(2, Lock{Exists: true, Holder: "b", Lease: 10, Version: 5}); len(acts) != 0 {
-		t.Fatalf("another's lock is touched: %v", acts)
+	if actions := elector.ObserveLock(2, Lock{Exists: true, Holder: "b", LeaseID: 10, Version: 5}); len(actions) != 0 {
+		t.Fatalf("another's lock is touched: %v", actions)
 	}
 }
 
 // The answer to the winning transaction was lost; the lock itself shows it.
-func TestLostAnswerToAcquire(t *testing.T) {
-	m := New(Config{Member: "a", TTL: testTTL})
-	m.Seen(1, Lock{})
-	m.Tick(2)
-	if acts := m.Granted(3, 5); len(acts) != 1 || acts[0].Kind != Acquire {
-		t.Fatalf("%v", acts)
+func TestAcquireSurvivesLostResponse(t *testing.T) {
+	elector := New(Config{Member: "a", TTL: testTTL})
+	elector.ObserveLock(1, Lock{})
+	elector.Tick(2)
+	if actions := elector.HandleGrantResult(3, 5); len(actions) != 1 || actions[0].Kind != AcquireLock {
+		t.Fatalf("%v", actions)
 	}
-	m.Acquired(4, Open, 0)
-	m.Seen(5, Lock{Exists: true, Holder: "a", Lease: 5, Version: 77})
-	if m.Token() != 77 || !m.Entitled(6) {
-		t.Fatalf("token %d", m.Token())
+	elector.HandleAcquireResult(4, AcquireUnknown, 0)
+	elector.ObserveLock(5, Lock{Exists: true, Holder: "a", LeaseID: 5, Version: 77})
+	if elector.Token() != 77 || !elector.IsEntitled(6) {
+		t.Fatalf("token %d", elector.Token())
 	}
 	// The entitlement runs from the send time of the grant, not from now.
-	if m.Entitled(2 + testTTL - testTTL/1000) {
+	if elector.IsEntitled(2 + testTTL - testTTL/1000) {
 		t.Fatal("entitled past the lease")
 	}
 }
 
 // A lock that vanishes is stood for at once, however it was seen before.
-func TestFreeLockIsStoodForAtOnce(t *testing.T) {
-	m := New(Config{Member: "a", TTL: testTTL})
-	held := Lock{Exists: true, Holder: "b", Lease: 1, Version: 1}
-	m.Seen(1, held)
-	m.Tick(2)
-	m.Seen(3, Lock{})
-	if acts := m.Tick(3); len(acts) != 1 || acts[0].Kind != Grant {
-		t.Fatalf("%v", acts)
+func TestFollowerCampaignsAtOnceWhenLockIsFree(t *testing.T) {
+	elector := New(Config{Member: "a", TTL: testTTL})
+	foreignLock := Lock{Exists: true, Holder: "b", LeaseID: 1, Version: 1}
+	elector.ObserveLock(1, foreignLock)
+	elector.Tick(2)
+	elector.ObserveLock(3, Lock{})
+	if actions := elector.Tick(3); len(actions) != 1 || actions[0].Kind != GrantLease {
+		t.Fatalf("%v", actions)
 	}
 }
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -19,66 +19,74 @@
 
 // Bounds are the times for which a leader may act on a read.
 type Bounds struct {
-	// Renewal is for how long after a read workers' leases may be renewed.
-	Renewal clock.Micros
-	// Start is for how long after a read tasks may be started.
-	Start clock.Micros
+	// RenewalWindow is for how long after a read workers' leases may be renewed.
+	RenewalWindow clock.Micros
+	// StartWindow is for how long after a read tasks may be started.
+	StartWindow clock.Micros
 }
 
 const (
-	// driftParts bounds the drift between two steady clocks, as a fraction.
-	driftParts = 500
-	// margin covers late timers and the way of an answer.
-	margin = clock.Second
+	// driftDivisor bounds the drift between two steady clocks, as a fraction.
+	driftDivisor = 500
+	// deliveryMargin covers late timers and the way of an answer.
+	deliveryMargin = clock.Second
 )
 
-// ForWorkers works out the bounds from the workers' cancellation time and lease,
+// NewBounds works out the bounds from the workers' cancellation time and lease,
 // and from the time of the leader's lock. Settings that leave no time between a
 // lease and a cancellation cannot be kept in every outage; there the bound is the
 // time of the lock, for which a leader acts on its entitlement in any case.
-func ForWorkers(cancellation, lease, lock clock.Micros) Bounds {
-	renewal := cancellation - lease - cancellation/driftParts - margin
-	return Bounds{Renewal: max(renewal, lock), Start: lock}
+func NewBounds(cancellationTimeout, leaseTTL, lockTTL clock.Micros) Bounds {
+	renewalWindow := cancellationTimeout - leaseTTL - cancellationTimeout/driftDivisor - deliveryMargin
+	return Bounds{RenewalWindow: max(renewalWindow, lockTTL), StartWindow: lockTTL}
 }
 
 // Tracker is a leader's account of how old its copy may be.
 type Tracker struct {
 	bounds Bounds
-	// readAt is when the newest read that has come back was sent.
-	readAt clock.Micros
-	// regainedAt is when an entitlement that had ended was regained.
-	regainedAt clock.Micros
+	// lastReadSentAt is when the newest read that has come back was sent.
+	lastReadSentAt clock.Micros
+	// entitlementRegainedAt is when an entitlement that had ended was regained.
+	entitlementRegainedAt clock.Micros
 }
 
 // NewTracker makes the account of a leader whose copy rests on a read sent at an
 // instant.
-func NewTracker(bounds Bounds, readAt clock.Micros) *Tracker {
-	return &Tracker{bounds: bounds, readAt: readAt}
+func NewTracker(bounds Bounds, lastReadSentAt clock.Micros) *Tracker {
+	return &Tracker{bounds: bounds, lastReadSentAt: lastReadSentAt}
 }
 
-// Read takes the news that a read sent at an instant has come back.
-func (t *Tracker) Read(sentAt clock.Micros) { t.readAt = max(t.readAt, sentAt) }
+// RecordRead takes the news that a read sent at an instant has come back.
+func (tracker *Tracker) RecordRead(sentAt clock.Micros) {
+	tracker.lastReadSentAt = max(tracker.lastReadSentAt, sentAt)
+}
 
-// ReadAt is when the newest read that has come back was sent.
-func (t *Tracker) ReadAt() clock.Micros { return t.readAt }
+// LastReadSentAt is when the newest read that has come back was sent.
+func (tracker *Tracker) LastReadSentAt() clock.Micros { return tracker.lastReadSentAt }
 
-// Regained takes the news that the entitlement to act had ended and is back.
-func (t *Tracker) Regained(now clock.Micros) { t.regainedAt = max(t.regainedAt, now) }
+// RecordEntitlementRegained takes the news that the entitlement to act had ended and is back.
+func (tracker *Tracker) RecordEntitlementRegained(now clock.Micros) {
+	tracker.entitlementRegainedAt = max(tracker.entitlementRegainedAt, now)
+}
 
-// RenewUntil is the instant before which workers' leases may be renewed.
-func (t *Tracker) RenewUntil() clock.Micros { return t.readAt + t.bounds.Renewal }
+// RenewLeasesUntil is the instant before which workers' leases may be renewed.
+func (tracker *Tracker) RenewLeasesUntil() clock.Micros {
+	return tracker.lastReadSentAt + tracker.bounds.RenewalWindow
+}
 
-// StartUntil is the instant before which tasks may be started; it is past until the
+// StartTasksUntil is the instant before which tasks may be started; it is past until the
 // first read after an entitlement was regained.
-func (t *Tracker) StartUntil() clock.Micros {
-	if t.readAt < t.regainedAt {
-		return t.regainedAt
+func (tracker *Tracker) StartTasksUntil() clock.Micros {
+	if tracker.lastReadSentAt < tracker.entitlementRegainedAt {
+		return tracker.entitlementRegainedAt
 	}
-	return t.readAt + t.bounds.Start
+	return tracker.lastReadSentAt + tracker.bounds.StartWindow
 }
 
-// MayRenew tells whether workers' leases may be renewed now.
-func (t *Tracker) MayRenew(now clock.Micros) bool { return now < t.RenewUntil() }
+// MayRenewLeases tells whether workers' leases may be renewed now.
+func (tracker *Tracker) MayRenewLeases(now clock.Micros) bool {
+	return now < tracker.RenewLeasesUntil()
+}
 
-// MayStart tells whether tasks may be started now.
-func (t *Tracker) MayStart(now clock.Micros) bool { return now < t.StartUntil() }
+// MayStartTasks tells whether tasks may be started now.
+func (tracker *Tracker) MayStartTasks(now clock.Micros) bool { return now < tracker.StartTasksUntil() }
