--- a/cmd/firwood/main.go
+++ b/cmd/firwood/main.go
@@ -354,7 +354,7 @@
 		fmt.Fprintf(out, "replica: complete=%t token=%d decisions=%d placements=%d doubts=%d digest=%s\n",
 			r.Complete, r.Token, r.Decisions, r.Placements, r.Doubts, r.Digest)
 		fmt.Fprintf(out, "dropped: older=%d gaps=%d malformed=%d foreign=%d differing=%d\n",
-			r.Dropped.Older, r.Dropped.Gaps, r.Dropped.Malformed, r.Dropped.Foreign, r.Dropped.Differing)
+			r.Dropped.Stale, r.Dropped.OutOfOrder, r.Dropped.Malformed, r.Dropped.ForeignToken, r.Dropped.DigestMismatch)
 	}
 	for _, f := range s.Followers {
 		fmt.Fprintf(out, "%s: in step=%t, lacks %d decisions for %d ms\n", f.Member, f.InStep, f.Lacks, f.LacksMs)
--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -72,9 +72,9 @@
 }
 
 // follower is the account of another controller that is told of each decision at once.
-type follower struct{ account *standby.Account }
+type follower struct{ account *standby.Table }
 
-func (f *follower) apply(kind standby.Kind, p standby.Placement) {
+func (f *follower) apply(kind standby.DecisionKind, p standby.Placement) {
 	f.account.Apply(standby.Decision{Kind: kind, Placement: p})
 }
 
@@ -84,18 +84,18 @@
 }
 
 func (f *follower) Over(task string, attempt uint64, machine string) {
-	f.apply(standby.Over, standby.Placement{Task: task, Attempt: attempt, Machine: machine})
+	f.apply(standby.Ended, standby.Placement{Task: task, Attempt: attempt, Machine: machine})
 }
 
-func (f *follower) Doubted(id string)   { f.apply(standby.Started, standby.Doubt(id)) }
-func (f *follower) DoubtOver(id string) { f.apply(standby.Over, standby.Doubt(id)) }
+func (f *follower) Doubted(id string)   { f.apply(standby.Started, standby.UnconfirmedPlacement(id)) }
+func (f *follower) DoubtOver(id string) { f.apply(standby.Ended, standby.UnconfirmedPlacement(id)) }
 func (f *follower) MaySend(uint64) bool { return true }
 
 // checkFollower holds what the follower knows to what is on machines.
 func (w *world) checkFollower() {
 	for _, k := range w.workers {
 		for id, t := range k.tasks {
-			if !k.gone && t.state != wire.TaskExited && !w.follower.account.MayRun(id) {
+			if !k.gone && t.state != wire.TaskExited && !w.follower.account.MayBeRunning(id) {
 				w.fatal("a follower would start %s, which is on %s", id, k.name)
 			}
 		}
@@ -383,10 +383,10 @@
 	}
 	if w.follower != nil && w.rng.IntN(4) > 0 {
 		// The follower of the last leader, which may have been one itself.
-		cfg.MayRun = w.follower.account.MayRun
+		cfg.MayRun = w.follower.account.MayBeRunning
 		w.trusted++
 	}
-	w.follower = &follower{standby.NewAccount()}
+	w.follower = &follower{standby.NewTable()}
 	cfg.Decisions = w.follower
 	w.lg = New(cfg)
 	for _, k := range w.workers {
--- a/internal/controller/asked_test.go
+++ b/internal/controller/asked_test.go
@@ -88,7 +88,7 @@
 		t.Fatal("not entitled")
 	}
 	l.awake, l.lapsed = now-75*clock.Second, true
-	k.beats["b"] = &beatSeen{at: now, beat: &peer.Beat{Served: true, Workers: 4}}
+	k.beats["b"] = &beatSeen{at: now, beat: &peer.Heartbeat{IsStoreReachable: true, WorkerCount: 4}}
 	l.tick(now)
 	if l.closed || l.awake != now || l.lapsed {
 		t.Fatalf("handed over %v, awake since %d at %d", l.closed, l.awake, now)
@@ -120,7 +120,7 @@
 		l.c.lead = l
 		now := 100 * clock.Second
 		l.awake = now
-		l.c.beats["b"] = &beatSeen{at: now - c.peer, beat: &peer.Beat{Served: c.served}}
+		l.c.beats["b"] = &beatSeen{at: now - c.peer, beat: &peer.Heartbeat{IsStoreReachable: c.served}}
 		if l.handOver(c.before, now) {
 			t.Fatalf("%s: hands over at first", c.name)
 		}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -97,9 +97,9 @@
 			const beats = 60
 			bytes := 0
 			for range beats {
-				beat := &peer.Beat{Member: "a", Leader: "a", Token: 10}
+				beat := &peer.Heartbeat{Member: "a", Leader: "a", Token: 10}
 				for id, j := range l.lg.Jobs {
-					beat.Counts = append(beat.Counts, peer.Count{Job: id, Done: uint32(j.DoneCount()), Running: uint32(j.Running)})
+					beat.JobProgress = append(beat.JobProgress, peer.JobProgress{Job: id, Done: uint32(j.DoneCount()), Running: uint32(j.Running)})
 				}
 				l.tell(beat)
 				bytes += len(peer.Encode(beat))
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -58,8 +58,8 @@
 	var others uint32
 	able := false // another controller could lead
 	for _, b := range l.c.beats {
-		if now-b.at < 2*clock.Second && b.beat.Served {
-			others = max(others, b.beat.Workers)
+		if now-b.at < 2*clock.Second && b.beat.IsStoreReachable {
+			others = max(others, b.beat.WorkerCount)
 			able = true
 		}
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -11,7 +11,7 @@
 )
 
 // Beat implements server.App.
-func (c *Core) Beat(b *peer.Beat) { c.q.post(rankReport, func() { c.heard(b) }) }
+func (c *Core) Beat(b *peer.Heartbeat) { c.q.post(rankReport, func() { c.heard(b) }) }
 
 // judge decides whether users should be sent here. In an outage of the state
 // service every node is refused, and leaving then would only cost time after
@@ -20,7 +20,7 @@
 	bad := !c.view.loaded || len(c.types) == 0
 	if !bad && c.store.LastRefused() > c.store.LastOK() && now-c.store.LastOK() > clock.Second {
 		for _, b := range c.beats {
-			if now-b.at < 2*clock.Second && b.beat.Served {
+			if now-b.at < 2*clock.Second && b.beat.IsStoreReachable {
 				bad = true
 			}
 		}
@@ -30,11 +30,11 @@
 
 // beatSeen is the last beat of another controller.
 type beatSeen struct {
-	beat *peer.Beat
+	beat *peer.Heartbeat
 	at   clock.Micros
 }
 
-func (c *Core) heard(b *peer.Beat) {
+func (c *Core) heard(b *peer.Heartbeat) {
 	known := slices.ContainsFunc(c.cfg.Others, func(o config.Other) bool { return o.Member == b.Member })
 	if !known {
 		return
@@ -45,22 +45,22 @@
 	}
 	now := clock.Now()
 	last := c.beats[b.Member]
-	if isBack := last == nil || last.beat.Life != b.Life || now-last.at >= silentMember; isBack && c.lead != nil {
+	if isBack := last == nil || last.beat.Incarnation != b.Incarnation || now-last.at >= silentMember; isBack && c.lead != nil {
 		c.lead.tellAnew(now)
 	}
 	c.beats[b.Member] = &beatSeen{beat: b, at: now}
-	c.toldWithdrawals(b.Withdrawals)
-	if s := c.stamps[b.Member]; b.Life > s.Incarnation || b.Life == s.Incarnation && b.Stamp > s.At {
-		c.stamps[b.Member] = delegation.Timestamp{Incarnation: b.Life, At: b.Stamp}
+	c.toldWithdrawals(b.Cancellations)
+	if s := c.stamps[b.Member]; b.Incarnation > s.Incarnation || b.Incarnation == s.Incarnation && b.Timestamp > s.At {
+		c.stamps[b.Member] = delegation.Timestamp{Incarnation: b.Incarnation, At: b.Timestamp}
 	}
-	echo := delegation.Timestamp{Incarnation: b.EchoLife, At: b.EchoStamp}
+	echo := delegation.Timestamp{Incarnation: b.AckIncarnation, At: b.AckTimestamp}
 	if b.Leader == b.Member && c.lead == nil {
 		c.leaderHeard = now
 		c.learn(b, now)
 		c.delegate.RecordLeaderHeartbeat(now, b.Token, echo)
 	}
 	if c.lead != nil && c.delegate.IsOwnStamp(echo) {
-		c.lead.bound.RecordReceipt(b.Member, now, echo.At, b.QuietFor)
+		c.lead.bound.RecordReceipt(b.Member, now, echo.At, b.SilentFor)
 	}
 	if b.Leader == b.Member && c.el.Phase() != election.Leader {
 		if _, token := c.el.LockHolder(); b.Token >= token {
@@ -109,10 +109,10 @@
 }
 
 func (c *Core) sendBeats(now clock.Micros) {
-	b := &peer.Beat{
-		Member:         c.cfg.Member,
-		StandbyVersion: c.standbyVersion(),
-		Served:         c.store.LastOK() > c.store.LastRefused() && now-c.store.LastOK() < 12*clock.Second,
+	b := &peer.Heartbeat{
+		Member:                 c.cfg.Member,
+		StandbyProtocolVersion: c.standbyVersion(),
+		IsStoreReachable:       c.store.LastOK() > c.store.LastRefused() && now-c.store.LastOK() < 12*clock.Second,
 	}
 	b.Leader, b.Token = c.el.LockHolder()
 	for m, at := range c.workers {
@@ -125,7 +125,7 @@
 			delete(c.held, m)
 		}
 	}
-	b.Workers = uint32(len(c.workers))
+	b.WorkerCount = uint32(len(c.workers))
 	c.tellAsked(now)
 	if c.lead != nil {
 		b.Leader, b.Token = c.cfg.Member, c.lead.lg.Issued()
@@ -133,15 +133,15 @@
 		c.lead.tell(b)
 	}
 	s := c.delegate.Timestamp(now)
-	b.Life, b.Stamp, b.QuietFor = s.Incarnation, s.At, c.delegate.SilentFor(now)
-	b.Revision = c.view.rev
+	b.Incarnation, b.Timestamp, b.SilentFor = s.Incarnation, s.At, c.delegate.SilentFor(now)
+	b.StoreRevision = c.view.rev
 	for i, l := range c.links {
 		echo := c.stamps[c.cfg.Others[i].Member]
 		if c.lead != nil {
 			echo = c.lead.echoes[c.cfg.Others[i].Member]
 		}
-		b.EchoLife, b.EchoStamp = echo.Incarnation, echo.At
-		b.Withdrawals = c.withdrawals.unknownTo(c.revisionOf(c.cfg.Others[i].Member), now)
-		l.Send(peer.Encode(b))
+		b.AckIncarnation, b.AckTimestamp = echo.Incarnation, echo.At
+		b.Cancellations = c.withdrawals.unknownTo(c.revisionOf(c.cfg.Others[i].Member), now)
+		l.SendHeartbeat(peer.Encode(b))
 	}
 }
--- a/internal/controller/job_counts.go
+++ b/internal/controller/job_counts.go
@@ -16,14 +16,14 @@
 }
 
 type toldCount struct {
-	peer.Count
+	peer.JobProgress
 	at clock.Micros
 }
 
 // of is the progress of a job, if it was told.
-func (c *jobCounts) of(job string) (peer.Count, bool) {
+func (c *jobCounts) of(job string) (peer.JobProgress, bool) {
 	told, ok := c.jobs[job]
-	return told.Count, ok
+	return told.JobProgress, ok
 }
 
 // forget forgets a job that is over.
@@ -31,17 +31,17 @@
 
 // take takes what one beat tells of jobs that are not over. What was not told in two turns
 // has no progress any more.
-func (c *jobCounts) take(b *peer.Beat, now clock.Micros, isOver func(job string) bool) {
+func (c *jobCounts) take(b *peer.Heartbeat, now clock.Micros, isOver func(job string) bool) {
 	if c.jobs == nil {
 		c.jobs = map[string]toldCount{}
 	}
-	if b.CountsOf <= 1 {
+	if b.ProgressPageCount <= 1 {
 		clear(c.jobs)
 	} else {
-		kept := 2 * clock.Micros(b.CountsOf) * beatEvery
+		kept := 2 * clock.Micros(b.ProgressPageCount) * beatEvery
 		maps.DeleteFunc(c.jobs, func(_ string, told toldCount) bool { return now-told.at > kept })
 	}
-	for _, n := range b.Counts {
+	for _, n := range b.JobProgress {
 		if !isOver(n.Job) {
 			c.jobs[n.Job] = toldCount{n, now}
 		}
@@ -54,22 +54,22 @@
 
 // tellCounts adds the progress of jobs to a beat: of all that have any, or of the part
 // whose turn it is.
-func (l *lead) tellCounts(b *peer.Beat) {
-	var all []peer.Count
+func (l *lead) tellCounts(b *peer.Heartbeat) {
+	var all []peer.JobProgress
 	for id, j := range l.lg.Jobs {
 		if !j.Withdrawn && (j.Running > 0 || j.DoneCount() > 0) {
-			all = append(all, peer.Count{Job: id, Done: uint32(j.DoneCount()), Running: uint32(j.Running)})
+			all = append(all, peer.JobProgress{Job: id, Done: uint32(j.DoneCount()), Running: uint32(j.Running)})
 		}
 	}
-	if len(all) <= peer.MaxCounts {
-		b.Counts = all
+	if len(all) <= peer.MaxJobProgress {
+		b.JobProgress = all
 		return
 	}
-	parts := uint64(float64(len(all))/(fullness*peer.MaxCounts)) + 1
-	b.CountsOf = uint32(parts)
+	parts := uint64(float64(len(all))/(fullness*peer.MaxJobProgress)) + 1
+	b.ProgressPageCount = uint32(parts)
 	for _, n := range all {
 		if xxhash.Sum64String(n.Job)%parts == l.countsTurn%parts {
-			b.Counts = append(b.Counts, n)
+			b.JobProgress = append(b.JobProgress, n)
 		}
 	}
 	l.countsTurn++
--- a/internal/controller/job_counts_test.go
+++ b/internal/controller/job_counts_test.go
@@ -12,7 +12,7 @@
 // The progress of more jobs than fit into a beat is told in turn, and all of it is known
 // after one turn; what has no progress any more is forgotten after another two.
 func TestProgressOfManyJobsIsToldInTurn(t *testing.T) {
-	const jobs = 3*peer.MaxCounts + 17
+	const jobs = 3*peer.MaxJobProgress + 17
 	l := rebuilt(t, "i-00")
 	for i := range jobs {
 		l.lg.Jobs[fmt.Sprintf("req-%06d", i)] = &allocation.Job{Running: 1}
@@ -22,9 +22,9 @@
 	now := clock.Second
 	turn := func() (beats int) {
 		for of := uint32(1); beats < int(of); beats++ {
-			b := &peer.Beat{Member: "b", Leader: "b", Token: 9}
+			b := &peer.Heartbeat{Member: "b", Leader: "b", Token: 9}
 			l.tellCounts(b)
-			of = max(b.CountsOf, 1)
+			of = max(b.ProgressPageCount, 1)
 			b, err := peer.Decode(peer.Encode(b)[4:])
 			if err != nil {
 				t.Fatal(err)
--- a/internal/controller/lead_test.go
+++ b/internal/controller/lead_test.go
@@ -124,7 +124,7 @@
 	now += 20 * clock.Second // less than a lease
 	one := l.lg.Machines["i-1"]
 	one.Heard, l.lg.Machines["i-2"].Heard = now, now
-	c.beats["b"] = &beatSeen{beat: &peer.Beat{Member: "b", Served: true, Workers: 4}, at: now}
+	c.beats["b"] = &beatSeen{beat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, at: now}
 	l.woke(now)
 	l.watchMachines(now)
 	if len(l.deletes) != 0 || len(l.promises.ConstrainedZones()) != 0 || l.closed {
--- a/internal/controller/learnt.go
+++ b/internal/controller/learnt.go
@@ -14,12 +14,12 @@
 // word costs a fetch or a poor forecast, and is put right by what is seen.
 type learnt struct {
 	holdings map[string]holding
-	runs     map[string]peer.RunTimes
+	runs     map[string]peer.RunTimeStatistics
 	boots    map[string][]clock.Micros
 }
 
 type holding struct {
-	peer.Holding
+	peer.CachedImages
 	at clock.Micros
 }
 
@@ -27,14 +27,14 @@
 const holdingFor = 600 * clock.Second
 
 // learn takes what a leader tells.
-func (c *Core) learn(b *peer.Beat, now clock.Micros) {
+func (c *Core) learn(b *peer.Heartbeat, now clock.Micros) {
 	if c.learnt.holdings == nil {
-		c.learnt = learnt{map[string]holding{}, map[string]peer.RunTimes{}, map[string][]clock.Micros{}}
+		c.learnt = learnt{map[string]holding{}, map[string]peer.RunTimeStatistics{}, map[string][]clock.Micros{}}
 	}
-	for _, h := range b.Holdings {
+	for _, h := range b.CachedImages {
 		c.learnt.holdings[h.Machine] = holding{h, now}
 	}
-	if len(c.learnt.holdings) > 2*len(c.view.rentals)*peer.MaxHoldings {
+	if len(c.learnt.holdings) > 2*len(c.view.rentals)*peer.MaxCachedImageMachines {
 		maps.DeleteFunc(c.learnt.holdings, func(_ string, h holding) bool { return now-h.at > holdingFor })
 	}
 	if len(b.RunTimes) > 0 {
@@ -44,8 +44,8 @@
 		}
 	}
 	for _, t := range b.BootTimes {
-		if len(c.learnt.boots) < peer.MaxBootTypes || c.learnt.boots[t.Type] != nil {
-			c.learnt.boots[t.Type] = t.Boots
+		if len(c.learnt.boots) < peer.MaxBootTimeTypes || c.learnt.boots[t.MachineType] != nil {
+			c.learnt.boots[t.MachineType] = t.Durations
 		}
 	}
 }
@@ -54,11 +54,11 @@
 func (l *lead) goOn(now clock.Micros) {
 	for name, m := range l.lg.Machines {
 		if h, ok := l.c.learnt.holdings[name]; ok {
-			m.Says(h.Session, h.Images, now)
+			m.Says(h.Incarnation, h.Images, now)
 		}
 	}
 	for class, r := range l.c.learnt.runs {
-		l.pl.Class(class).GoOn(int(r.Count), r.Mean, r.Square)
+		l.pl.Class(class).GoOn(int(r.Count), r.Mean, r.MeanSquare)
 	}
 	for typ, boots := range l.c.learnt.boots {
 		l.pl.GoOnWithBoots(typ, boots)
@@ -87,12 +87,12 @@
 // tell adds what the next leader would have to learn anew to a beat: a few machines
 // each time, those first of which something has changed, so that a beat costs the same
 // in any fleet.
-func (l *lead) tell(b *peer.Beat) {
+func (l *lead) tell(b *peer.Heartbeat) {
 	now := clock.Now()
 	all := l.lg.ByName()
-	looks := max((len(all)+lookThrough-1)/lookThrough, peer.MaxHoldings)
+	looks := max((len(all)+lookThrough-1)/lookThrough, peer.MaxCachedImageMachines)
 	for range min(looks, len(all)) {
-		if len(b.Holdings) >= peer.MaxHoldings {
+		if len(b.CachedImages) >= peer.MaxCachedImageMachines {
 			break
 		}
 		l.toldOf %= len(all)
@@ -109,16 +109,16 @@
 		}
 		a.told = told
 		images := slices.Sorted(maps.Keys(m.Images))
-		b.Holdings = append(b.Holdings, peer.Holding{Machine: m.Name, Session: m.Session, Images: images[:min(len(images), peer.MaxImages)]})
+		b.CachedImages = append(b.CachedImages, peer.CachedImages{Machine: m.Name, Incarnation: m.Session, Images: images[:min(len(images), peer.MaxImagesPerMachine)]})
 	}
 	for _, class := range l.pl.Classes() {
-		if n, mean, square := l.pl.Class(class).State(); n > 0 && len(b.RunTimes) < peer.MaxRunTimes {
-			b.RunTimes = append(b.RunTimes, peer.RunTimes{Class: class, Count: uint32(n), Mean: mean, Square: square})
+		if n, mean, square := l.pl.Class(class).State(); n > 0 && len(b.RunTimes) < peer.MaxRunTimeClasses {
+			b.RunTimes = append(b.RunTimes, peer.RunTimeStatistics{Class: class, Count: uint32(n), Mean: mean, MeanSquare: square})
 		}
 	}
 	for _, t := range l.c.types {
-		if boots := l.pl.RecentBoots(t.Name); len(boots) > 0 && len(b.BootTimes) < peer.MaxBootTypes {
-			b.BootTimes = append(b.BootTimes, peer.BootTimes{Type: t.Name, Boots: boots})
+		if boots := l.pl.RecentBoots(t.Name); len(boots) > 0 && len(b.BootTimes) < peer.MaxBootTimeTypes {
+			b.BootTimes = append(b.BootTimes, peer.BootTimes{MachineType: t.Name, Durations: boots})
 		}
 	}
 }
--- a/internal/controller/learnt_test.go
+++ b/internal/controller/learnt_test.go
@@ -16,7 +16,7 @@
 // Words that make no sense are not believed.
 func TestTheNextLeaderGoesOn(t *testing.T) {
 	var names []string
-	for i := range 2*peer.MaxHoldings + 3 {
+	for i := range 2*peer.MaxCachedImageMachines + 3 {
 		names = append(names, fmt.Sprintf("i-%02d", i))
 	}
 	first := rebuilt(t, names...)
@@ -33,10 +33,10 @@
 
 	second := rebuilt(t, names...).c
 	for range 3 {
-		b := &peer.Beat{Member: "b", Leader: "b", Token: 9}
+		b := &peer.Heartbeat{Member: "b", Leader: "b", Token: 9}
 		first.tell(b)
-		if len(b.Holdings) > peer.MaxHoldings {
-			t.Fatalf("one beat tells of %d machines", len(b.Holdings))
+		if len(b.CachedImages) > peer.MaxCachedImageMachines {
+			t.Fatalf("one beat tells of %d machines", len(b.CachedImages))
 		}
 		b, err := peer.Decode(peer.Encode(b)[4:])
 		if err != nil {
@@ -44,18 +44,18 @@
 		}
 		second.learn(b, now)
 	}
-	second.learn(&peer.Beat{RunTimes: []peer.RunTimes{
-		{Class: "c", Count: 1, Mean: math.Log(0.5), Square: math.Log(0.5) * math.Log(0.5)},
-		{Class: "d", Count: 9, Mean: math.NaN(), Square: 1}, {Class: "e", Count: 9, Mean: 3, Square: 1},
-	}, BootTimes: []peer.BootTimes{{Type: "none", Boots: []clock.Micros{clock.Second}}}}, now)
+	second.learn(&peer.Heartbeat{RunTimes: []peer.RunTimeStatistics{
+		{Class: "c", Count: 1, Mean: math.Log(0.5), MeanSquare: math.Log(0.5) * math.Log(0.5)},
+		{Class: "d", Count: 9, Mean: math.NaN(), MeanSquare: 1}, {Class: "e", Count: 9, Mean: 3, MeanSquare: 1},
+	}, BootTimes: []peer.BootTimes{{MachineType: "none", Durations: []clock.Micros{clock.Second}}}}, now)
 
 	// What has not changed is not told again, what has is, and all of it once a member
 	// is back that may not have heard it.
 	told := func(beats int) (machines []string) {
 		for range beats {
-			b := &peer.Beat{Member: "b", Leader: "b", Token: 9}
+			b := &peer.Heartbeat{Member: "b", Leader: "b", Token: 9}
 			first.tell(b)
-			for _, h := range b.Holdings {
+			for _, h := range b.CachedImages {
 				machines = append(machines, h.Machine)
 			}
 		}
@@ -69,7 +69,7 @@
 		t.Errorf("news are %v", news)
 	}
 	first.c.lead = first
-	first.c.heard(&peer.Beat{Member: "b", Life: 5, Stamp: 1})
+	first.c.heard(&peer.Heartbeat{Member: "b", Incarnation: 5, Timestamp: 1})
 	if all := told(3); len(all) != len(names) {
 		t.Errorf("a member that is back is told of %d machines", len(all))
 	}
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -15,54 +15,54 @@
 // implements allocation.Decisions.
 type stream struct {
 	publisher  *standby.Publisher
-	membership *standby.Membership
+	membership *standby.InSyncSet
 }
 
 // Started implements allocation.Decisions.
 func (s *stream) Started(task string, attempt uint64, machine string) uint64 {
-	return s.publisher.Decide(standby.Decision{Kind: standby.Started, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
+	return s.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
 }
 
 // Over implements allocation.Decisions.
 func (s *stream) Over(task string, attempt uint64, machine string) {
-	s.publisher.Decide(standby.Decision{Kind: standby.Over, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
+	s.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
 }
 
 // Doubted implements allocation.Decisions.
 func (s *stream) Doubted(id string) {
-	s.publisher.Decide(standby.Decision{Kind: standby.Started, Placement: standby.Doubt(id)})
+	s.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: standby.UnconfirmedPlacement(id)})
 }
 
 // DoubtOver implements allocation.Decisions.
 func (s *stream) DoubtOver(id string) {
-	s.publisher.Decide(standby.Decision{Kind: standby.Over, Placement: standby.Doubt(id)})
+	s.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: standby.UnconfirmedPlacement(id)})
 }
 
 // MaySend implements allocation.Decisions.
-func (s *stream) MaySend(number uint64) bool { return s.membership.MaySend(number) }
+func (s *stream) MaySend(number uint64) bool { return s.membership.MaySendStart(number) }
 
 // standbyVersion is what this member tells others of the messages that it takes.
 func (c *Core) standbyVersion() uint8 {
 	if c.replica == nil {
 		return 0
 	}
-	return peer.StandbyVersion
+	return peer.StandbyProtocolVersion
 }
 
 // seenStandby takes the durable record of those in step with a leader. One that can't be
 // read names nobody.
 func (c *Core) seenStandby(value []byte, version uint64) {
 	v := &c.view
-	v.standby, v.standbyVersion = standby.Record{}, version
+	v.standby, v.standbyVersion = standby.InSyncRecord{}, version
 	if err := json.Unmarshal(value, &v.standby); err != nil {
-		v.standby = standby.Record{}
+		v.standby = standby.InSyncRecord{}
 		c.malformed(keyStandby, err)
 	}
 	if c.replica != nil {
-		c.replica.RecordSeen(v.standby.Token)
+		c.replica.PruneEarlier(v.standby.Token)
 	}
 	if c.lead != nil && c.lead.standby != nil {
-		c.lead.standby.membership.Seen(v.standby, version)
+		c.lead.standby.membership.ObserveRecord(v.standby, version)
 	}
 }
 
@@ -78,28 +78,28 @@
 		others = append(others, o.Member)
 	}
 	publisher := standby.NewPublisher(l.token, nil, others)
-	l.standby = &stream{publisher, standby.NewMembership(publisher, c.view.standby, c.view.standbyVersion, others, l.since)}
+	l.standby = &stream{publisher, standby.NewInSyncSet(publisher, c.view.standby, c.view.standbyVersion, others, l.since)}
 	account.Decisions = l.standby
-	if copied, ok := c.trustedReplica(); ok && c.view.leads.Last() == l.token {
-		account.MayRun = copied.MayRun
+	if copied, ok := c.trustedReplica(); ok && c.view.leads.LastToken() == l.token {
+		account.MayRun = copied.MayBeRunning
 	}
 }
 
 // trustedReplica is this member's copy of the last leader's account that sent starts, if
 // it may be believed.
-func (c *Core) trustedReplica() (*standby.Account, bool) {
-	return c.replica.Trusted(c.view.standby, &c.view.leads, c.cfg.Member)
+func (c *Core) trustedReplica() (*standby.Table, bool) {
+	return c.replica.TrustedTable(c.view.standby, &c.view.leads, c.cfg.Member)
 }
 
 // heardStandby takes a message of the leader's stream, or a follower's answer to one.
-func (c *Core) heardStandby(b *peer.Beat) {
+func (c *Core) heardStandby(b *peer.Heartbeat) {
 	switch {
 	case c.replica == nil:
-	case b.Position != nil && c.lead != nil && c.lead.standby != nil:
-		c.lead.standby.publisher.Answered(b.Member, *b.Position)
+	case b.StandbyPosition != nil && c.lead != nil && c.lead.standby != nil:
+		c.lead.standby.publisher.RecordPosition(b.Member, *b.StandbyPosition)
 		c.lead.lg.RetryStarts()
-	case b.Message != nil && !c.isLeading():
-		c.answerStream(b.Member, b.Message)
+	case b.StandbyMessage != nil && !c.isLeading():
+		c.answerStream(b.Member, b.StandbyMessage)
 	}
 }
 
@@ -108,35 +108,35 @@
 func (c *Core) isLeading() bool { return c.lead != nil || c.rebuilding }
 
 func (c *Core) answerStream(from string, m *standby.Message) {
-	before := c.replica.Counts()
+	before := c.replica.DropCounts()
 	var position standby.Position
 	if c.isForeign(m.Token) {
-		position = c.replica.RefuseForeign()
+		position = c.replica.RejectForeignMessage()
 	} else {
-		position = c.replica.Take(m)
+		position = c.replica.ApplyMessage(m)
 	}
-	if after := c.replica.Counts(); after != before {
+	if after := c.replica.DropCounts(); after != before {
 		c.dropped("a message of the leader's stream was not taken", "from", from, "token", m.Token,
-			"older", after.Older, "gaps", after.Gaps, "malformed", after.Malformed, "foreign", after.Foreign, "differing", after.Differing)
+			"older", after.Stale, "gaps", after.OutOfOrder, "malformed", after.Malformed, "foreign", after.ForeignToken, "differing", after.DigestMismatch)
 	}
-	c.streamTo(from, &peer.Beat{Member: c.cfg.Member, Position: &position})
+	c.streamTo(from, &peer.Heartbeat{Member: c.cfg.Member, StandbyPosition: &position})
 }
 
 // isForeign tells whether a token is certainly not that of the lock: the view is as new as
 // the token, and has another one, or none.
 func (c *Core) isForeign(token uint64) bool {
-	return c.view.rev >= token && c.view.leads.Last() != token && c.view.lock.Exists
+	return c.view.rev >= token && c.view.leads.LastToken() != token && c.view.lock.Exists
 }
 
 // streamTo sends a message of a stream to a member that takes such.
-func (c *Core) streamTo(member string, b *peer.Beat) {
+func (c *Core) streamTo(member string, b *peer.Heartbeat) {
 	seen := c.beats[member]
-	if seen == nil || seen.beat.StandbyVersion == 0 {
+	if seen == nil || seen.beat.StandbyProtocolVersion == 0 {
 		return
 	}
 	for i, o := range c.cfg.Others {
 		if o.Member == member {
-			c.links[i].Stream(peer.Encode(b))
+			c.links[i].SendStandby(peer.Encode(b))
 		}
 	}
 }
@@ -147,8 +147,8 @@
 		return
 	}
 	for _, o := range l.c.cfg.Others {
-		if message, ok := l.standby.publisher.Next(o.Member, now); ok {
-			l.c.streamTo(o.Member, &peer.Beat{Member: l.c.cfg.Member, Message: message})
+		if message, ok := l.standby.publisher.NextMessage(o.Member, now); ok {
+			l.c.streamTo(o.Member, &peer.Heartbeat{Member: l.c.cfg.Member, StandbyMessage: message})
 		}
 	}
 	l.writeStandby(now)
@@ -157,13 +157,13 @@
 // writeStandby makes a change of those in step durable.
 func (l *lead) writeStandby(now clock.Micros) {
 	membership := l.standby.membership
-	record, version, ok := membership.Change(now)
+	record, version, ok := membership.BeginWrite(now)
 	if !ok {
 		return
 	}
 	value, err := json.Marshal(record)
 	if err != nil {
-		membership.Refused()
+		membership.RejectWrite()
 		return
 	}
 	w := &kvstore.Write{
@@ -174,13 +174,13 @@
 	l.writeRev(w, func(outcome kvstore.Outcome, revision uint64) {
 		switch outcome {
 		case kvstore.Committed:
-			membership.Committed(revision)
+			membership.ConfirmWrite(revision)
 			l.c.log.Debug("members in step", "token", record.Token, "members", record.Members)
 		case kvstore.Unknown:
-			membership.Unknown()
+			membership.MarkWriteUnresolved()
 		default:
 			// After a conflict the view tells what is there.
-			membership.Refused()
+			membership.RejectWrite()
 			l.c.view.wantSync(func(error) {}, clock.Now()+2*clock.Second)
 		}
 		l.lg.RetryStarts()
--- a/internal/controller/standby_preference.go
+++ b/internal/controller/standby_preference.go
@@ -16,7 +16,7 @@
 // givesWay tells whether another member that is up has a replica that the last leader
 // vouched for, and this one has not. It is a preference: after giveWayFor this one tries.
 func (c *Core) givesWay(now clock.Micros) bool {
-	if c.replica == nil || !c.view.leads.BoundSince(c.view.standby.Token) {
+	if c.replica == nil || !c.view.leads.IsRecordFirstSince(c.view.standby.Token) {
 		return false
 	}
 	if _, ok := c.trustedReplica(); ok {
@@ -33,7 +33,7 @@
 	if seen == nil {
 		return now-c.begunAt < 2*beatEvery
 	}
-	return seen.beat.Life == m.Life && now-seen.at < 2*beatEvery
+	return seen.beat.Incarnation == m.Incarnation && now-seen.at < 2*beatEvery
 }
 
 // acquireInTurn tries for the lock, after others that stand better.
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -33,7 +33,7 @@
 	Doubts int    `json:"doubts"`
 	Digest string `json:"digest"`
 	// Dropped are messages that were not taken, by reason.
-	Dropped standby.Counts `json:"dropped"`
+	Dropped standby.DropCounts `json:"dropped"`
 }
 
 // FollowerStatus is how far behind a follower is.
@@ -86,10 +86,10 @@
 	}
 	facts := map[string]string{"replica_used": fmt.Sprint(t.isReplicaUsed), "in_doubt": fmt.Sprint(t.inDoubt)}
 	return []tracing.Span{
-		{Name: "take-over", Began: began, Ended: t.decided, Attributes: facts},
-		{Name: "lock", Began: began, Ended: t.won},
-		{Name: "rebuild", Began: t.won, Ended: t.rebuilt},
-		{Name: "first decision", Began: t.rebuilt, Ended: t.decided},
+		{Name: "take-over", StartedAt: began, EndedAt: t.decided, Attributes: facts},
+		{Name: "lock", StartedAt: began, EndedAt: t.won},
+		{Name: "rebuild", StartedAt: t.won, EndedAt: t.rebuilt},
+		{Name: "first decision", StartedAt: t.rebuilt, EndedAt: t.decided},
 	}
 }
 
@@ -105,7 +105,7 @@
 	s := t.status()
 	l.c.log.Info("first decision after a take-over", "token", t.token, "lock_ms", s.LockMs, "rebuild_ms", s.RebuildMs,
 		"first_decision_ms", s.DecisionMs, "replica_used", t.isReplicaUsed, "in_doubt", t.inDoubt)
-	l.c.tracer.TakeOver(t.token, t.spans())
+	l.c.tracer.RecordFailover(t.token, t.spans())
 }
 
 // seenTakeOver writes what a follower saw of a take-over: for how long nobody was heard.
@@ -113,7 +113,7 @@
 	if c.leaderHeard == 0 || c.isLeading() || c.el.Token() == token {
 		return
 	}
-	c.tracer.TakeOver(token, []tracing.Span{{Name: "no leader heard", Began: c.leaderHeard, Ended: clock.Now()}})
+	c.tracer.RecordFailover(token, []tracing.Span{{Name: "no leader heard", StartedAt: c.leaderHeard, EndedAt: clock.Now()}})
 }
 
 // Standby implements server.App.
@@ -128,10 +128,10 @@
 		s.Leader = c.cfg.Member
 		s.Followers = c.lead.followers(now)
 	default:
-		p, account := c.replica.Position(), c.replica.Account()
+		p, account := c.replica.Position(), c.replica.Table()
 		s.Replica = &ReplicaStatus{
-			Token: p.Token, Complete: p.IsComplete, Decisions: p.Sequence, Placements: account.Len(), Doubts: account.Doubts(),
-			Digest: fmt.Sprintf("%016x", account.Digest()), Dropped: c.replica.Counts(),
+			Token: p.Token, Complete: p.IsComplete, Decisions: p.Sequence, Placements: account.Len(), Doubts: account.UnconfirmedCount(),
+			Digest: fmt.Sprintf("%016x", account.Digest()), Dropped: c.replica.DropCounts(),
 		}
 	}
 	body, err := json.Marshal(s)
@@ -145,13 +145,13 @@
 func (l *lead) followers(now clock.Micros) []FollowerStatus {
 	var all []FollowerStatus
 	inStep := map[string]bool{}
-	for _, m := range l.standby.membership.InStep() {
+	for _, m := range l.standby.membership.InSyncMembers() {
 		inStep[m.Name] = true
 	}
 	for _, o := range l.c.cfg.Others {
 		all = append(all, FollowerStatus{
 			Member: o.Member, InStep: inStep[o.Member],
-			Lacks: l.standby.publisher.Lag(o.Member), LacksMs: milliseconds(l.standby.publisher.LagTime(o.Member, now)),
+			Lacks: l.standby.publisher.LagCount(o.Member), LacksMs: milliseconds(l.standby.publisher.LagDuration(o.Member, now)),
 		})
 	}
 	return all
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -28,12 +28,12 @@
 	promises        delegation.Constraints
 	promisesVersion uint64
 	// standby is the record of those in step with a leader, with its version.
-	standby        standby.Record
+	standby        standby.InSyncRecord
 	standbyVersion uint64
 	// hasArchive: there may be finished jobs in the archive.
 	hasArchive bool
 	// leads are those that were seen since all keys were last read.
-	leads standby.Leads
+	leads standby.TermHistory
 
 	waiters  []*waiter
 	syncing  int // syncs under way
@@ -105,8 +105,8 @@
 			c.malformed(key, err)
 			return
 		}
-		if version != v.leads.Last() {
-			v.leads.Seen(version, r.Standby)
+		if version != v.leads.LastToken() {
+			v.leads.ObserveTerm(version, r.Standby)
 			c.seenTakeOver(version)
 		}
 		v.lock = election.Lock{Exists: true, Holder: r.Member, LeaseID: r.Lease, Version: version}
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -44,7 +44,7 @@
 	v.done = map[string]map[int]progressPart{}
 	v.rentals = map[string]*rentalRecord{}
 	v.lock = election.Lock{}
-	v.leads.Forget()
+	v.leads.Reset()
 	v.hasArchive = false
 	items, dropped := filter.items()
 	for i := range items {
--- a/internal/controller/withdrawals.go
+++ b/internal/controller/withdrawals.go
@@ -26,7 +26,7 @@
 }
 
 type withdrawalEntry struct {
-	peer.Withdrawal
+	peer.Cancellation
 	learntAt clock.Micros
 }
 
@@ -49,29 +49,29 @@
 		w.entries = append(w.entries[:0], w.entries[len(w.entries)/2:]...)
 	}
 	w.entries = append(w.entries, withdrawalEntry{
-		Withdrawal: peer.Withdrawal{Job: id, Revision: r.version, At: clock.Micros(r.End)},
-		learntAt:   now,
+		Cancellation: peer.Cancellation{Job: id, Revision: r.version, CancelledAt: clock.Micros(r.End)},
+		learntAt:     now,
 	})
 	w.news = true
 }
 
 // unknownTo lists entries that a view of some revision may lack. When they are more
 // than a message takes, the next message goes on where this one ends.
-func (w *withdrawalLog) unknownTo(revision uint64, now clock.Micros) []peer.Withdrawal {
+func (w *withdrawalLog) unknownTo(revision uint64, now clock.Micros) []peer.Cancellation {
 	w.expire(now)
-	var unknown []peer.Withdrawal
+	var unknown []peer.Cancellation
 	for _, e := range w.entries {
 		if e.Revision > revision {
-			unknown = append(unknown, e.Withdrawal)
+			unknown = append(unknown, e.Cancellation)
 		}
 	}
-	if len(unknown) <= peer.MaxWithdrawals {
+	if len(unknown) <= peer.MaxCancellations {
 		return unknown
 	}
 	from := w.next % len(unknown)
-	w.next = from + peer.MaxWithdrawals
+	w.next = from + peer.MaxCancellations
 	rotated := append(unknown[from:len(unknown):len(unknown)], unknown[:from]...)
-	return rotated[:peer.MaxWithdrawals]
+	return rotated[:peer.MaxCancellations]
 }
 
 func (w *withdrawalLog) expire(now clock.Micros) {
@@ -89,7 +89,7 @@
 	if seen == nil || clock.Now()-seen.at > silentMember {
 		return 0
 	}
-	return seen.beat.Revision
+	return seen.beat.StoreRevision
 }
 
 // tellWithdrawals tells news of withdrawals without waiting for the next regular
@@ -111,13 +111,13 @@
 
 // toldWithdrawals takes what another member knows to be durable. Of a job that is
 // not in the view nothing can have been started here.
-func (c *Core) toldWithdrawals(told []peer.Withdrawal) {
+func (c *Core) toldWithdrawals(told []peer.Cancellation) {
 	for _, w := range told {
 		rec := c.view.jobs[w.Job]
 		if rec == nil || rec.over() || rec.Job == nil || w.Revision <= rec.version {
 			continue
 		}
-		over := overRecord(rec, wire.JobAborted, w.At)
+		over := overRecord(rec, wire.JobAborted, w.CancelledAt)
 		over.version = w.Revision
 		c.setJob(w.Job, over)
 		c.log.Debug("withdrawal told by another member", "job", w.Job, "revision", w.Revision)
--- /dev/null
+++ b/internal/peer/compatibility_test.go
@@ -0,0 +1,43 @@
+package peer
+
+import (
+	"encoding/hex"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// productionHeartbeat is what the version in production says in its recorded message.
+var productionHeartbeat = Heartbeat{
+	Member: "n1", IsStoreReachable: true, Leader: "n0", Token: 41, WorkerCount: 7, JobProgress: []JobProgress{{"req-000001", 3, 4}},
+	Incarnation: 9, Timestamp: 1234567, AckIncarnation: 8, AckTimestamp: 7654321, SilentFor: 5000000,
+	CachedImages: []CachedImages{{"i-000001", 2, []string{"img-1", "img-2"}}}, RunTimes: []RunTimeStatistics{{"c", 5, 0.25, 0.5}},
+	StoreRevision: 77, Cancellations: []Cancellation{{"req-000002", 76, 1700000000000000}},
+}
+
+// While versions are replaced, each reads the other's messages. Fields may be
+// appended; the recorded bytes of the version in production are read as they were
+// meant, and what that version knows is written as it reads it.
+func TestProductionHeartbeatCompatibility(t *testing.T) {
+	text, err := os.ReadFile("testdata/beat-production.hex")
+	if err != nil {
+		t.Fatal(err)
+	}
+	frame, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []Heartbeat
+	var frames FrameReader
+	if err := frames.Feed(frame, func(heartbeat *Heartbeat) { got = append(got, *heartbeat) }); err != nil {
+		t.Fatal(err)
+	}
+	if len(got) != 1 || !reflect.DeepEqual(got[0], productionHeartbeat) {
+		t.Fatalf("the recorded message is read as %+v", got)
+	}
+	// The table's slots are what the other version goes by.
+	if encoded := Encode(&productionHeartbeat); string(encoded) != string(frame) {
+		t.Fatalf("the same message is written as %x", encoded)
+	}
+}
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -13,60 +13,60 @@
 // Decode reads one frame's content, without its size. FlatBuffers for Go has
 // no verifier: bytes that are no beat make its readers run out of the buffer,
 // and that must not end the process.
-func Decode(p []byte) (b *Beat, err error) {
+func Decode(content []byte) (heartbeat *Heartbeat, err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			b, err = nil, fmt.Errorf("%w: %v", errMalformed, r)
+			heartbeat, err = nil, fmt.Errorf("%w: %v", errMalformed, r)
 		}
 	}()
-	if len(p) < 8 {
+	if len(content) < 8 {
 		return nil, errMalformed
 	}
-	r := fb.GetRootAsBeat(p, 0)
-	b = &Beat{
-		Member: string(r.Member()), Served: r.Served(), Leader: string(r.Leader()),
-		Token: r.Token(), Workers: r.Workers(),
-		Life: r.Life(), Stamp: clock.Micros(r.Stamp()), EchoLife: r.EchoLife(), EchoStamp: clock.Micros(r.EchoStamp()),
-		QuietFor: clock.Micros(r.QuietFor()),
+	table := fb.GetRootAsBeat(content, 0)
+	heartbeat = &Heartbeat{
+		Member: string(table.Member()), IsStoreReachable: table.Served(), Leader: string(table.Leader()),
+		Token: table.Token(), WorkerCount: table.Workers(),
+		Incarnation: table.Life(), Timestamp: clock.Micros(table.Stamp()), AckIncarnation: table.EchoLife(), AckTimestamp: clock.Micros(table.EchoStamp()),
+		SilentFor: clock.Micros(table.QuietFor()),
 	}
-	if b.Member == "" {
+	if heartbeat.Member == "" {
 		return nil, errMalformed
 	}
-	if err := decodeAdvice(r, b); err != nil {
+	if err := decodeHints(table, heartbeat); err != nil {
 		return nil, err
 	}
-	b.Revision = r.Revision()
-	b.Withdrawals, err = decodeWithdrawals(r)
+	heartbeat.StoreRevision = table.Revision()
+	heartbeat.Cancellations, err = decodeCancellations(table)
 	if err != nil {
 		return nil, err
 	}
-	b.StandbyVersion = r.StandbyVersion()
-	if err := decodeStandby(r, b); err != nil {
+	heartbeat.StandbyProtocolVersion = table.StandbyVersion()
+	if err := decodeStandby(table, heartbeat); err != nil {
 		return nil, err
 	}
-	return b, nil
+	return heartbeat, nil
 }
 
-// decodeAdvice reads what the next leader need not learn anew, and progress.
-func decodeAdvice(r *fb.Beat, b *Beat) (err error) {
-	b.CountsOf = r.CountsOf()
-	if b.Counts, err = decodeCounts(r); err != nil {
+// decodeHints reads what the next leader need not learn anew, and progress.
+func decodeHints(table *fb.Beat, heartbeat *Heartbeat) (err error) {
+	heartbeat.ProgressPageCount = table.CountsOf()
+	if heartbeat.JobProgress, err = decodeJobProgress(table); err != nil {
 		return err
 	}
-	if b.Holdings, err = decodeHoldings(r); err != nil {
+	if heartbeat.CachedImages, err = decodeCachedImages(table); err != nil {
 		return err
 	}
-	if b.RunTimes, err = decodeRunTimes(r); err != nil {
+	if heartbeat.RunTimes, err = decodeRunTimes(table); err != nil {
 		return err
 	}
-	b.BootTimes, err = decodeBootTimes(r)
+	heartbeat.BootTimes, err = decodeBootTimes(table)
 	return err
 }
 
-// readTables reads a vector of tables of a length, up to a bound; read tells whether there
+// decodeTables reads a vector of tables of a length, up to a bound; read tells whether there
 // is one at an index that makes sense.
-func readTables[T any](length, most int, read func(i int) (T, bool)) ([]T, error) {
-	if length > most {
+func decodeTables[T any](length, limit int, read func(i int) (T, bool)) ([]T, error) {
+	if length > limit {
 		return nil, errMalformed
 	}
 	var items []T
@@ -80,54 +80,54 @@
 	return items, nil
 }
 
-func decodeCounts(r *fb.Beat) ([]Count, error) {
-	var c fb.Count
-	return readTables(r.CountsLength(), MaxCounts, func(i int) (Count, bool) {
-		ok := r.Counts(&c, i)
-		return Count{Job: string(c.Job()), Done: c.Done(), Running: c.Running()}, ok
+func decodeJobProgress(table *fb.Beat) ([]JobProgress, error) {
+	var entry fb.Count
+	return decodeTables(table.CountsLength(), MaxJobProgress, func(i int) (JobProgress, bool) {
+		ok := table.Counts(&entry, i)
+		return JobProgress{Job: string(entry.Job()), Done: entry.Done(), Running: entry.Running()}, ok
 	})
 }
 
-func decodeHoldings(r *fb.Beat) ([]Holding, error) {
-	var h fb.Holding
-	return readTables(r.HoldingsLength(), MaxHoldings, func(i int) (Holding, bool) {
-		if !r.Holdings(&h, i) || h.ImagesLength() > MaxImages {
-			return Holding{}, false
+func decodeCachedImages(table *fb.Beat) ([]CachedImages, error) {
+	var entry fb.Holding
+	return decodeTables(table.HoldingsLength(), MaxCachedImageMachines, func(i int) (CachedImages, bool) {
+		if !table.Holdings(&entry, i) || entry.ImagesLength() > MaxImagesPerMachine {
+			return CachedImages{}, false
 		}
-		holding := Holding{Machine: string(h.Machine()), Session: h.Session()}
-		for k := range h.ImagesLength() {
-			holding.Images = append(holding.Images, string(h.Images(k)))
+		machineImages := CachedImages{Machine: string(entry.Machine()), Incarnation: entry.Session()}
+		for k := range entry.ImagesLength() {
+			machineImages.Images = append(machineImages.Images, string(entry.Images(k)))
 		}
-		return holding, true
+		return machineImages, true
 	})
 }
 
-func decodeRunTimes(r *fb.Beat) ([]RunTimes, error) {
-	var t fb.RunTimes
-	return readTables(r.RunTimesLength(), MaxRunTimes, func(i int) (RunTimes, bool) {
-		ok := r.RunTimes(&t, i)
-		return RunTimes{Class: string(t.Class()), Count: t.Count(), Mean: t.Mean(), Square: t.Square()}, ok
+func decodeRunTimes(table *fb.Beat) ([]RunTimeStatistics, error) {
+	var entry fb.RunTimes
+	return decodeTables(table.RunTimesLength(), MaxRunTimeClasses, func(i int) (RunTimeStatistics, bool) {
+		ok := table.RunTimes(&entry, i)
+		return RunTimeStatistics{Class: string(entry.Class()), Count: entry.Count(), Mean: entry.Mean(), MeanSquare: entry.Square()}, ok
 	})
 }
 
-func decodeBootTimes(r *fb.Beat) ([]BootTimes, error) {
-	var t fb.BootTimes
-	return readTables(r.BootTimesLength(), MaxBootTypes, func(i int) (BootTimes, bool) {
-		if !r.BootTimes(&t, i) || t.BootsLength() > MaxBoots {
+func decodeBootTimes(table *fb.Beat) ([]BootTimes, error) {
+	var entry fb.BootTimes
+	return decodeTables(table.BootTimesLength(), MaxBootTimeTypes, func(i int) (BootTimes, bool) {
+		if !table.BootTimes(&entry, i) || entry.BootsLength() > MaxBootTimesPerType {
 			return BootTimes{}, false
 		}
-		boots := BootTimes{Type: string(t.Type())}
-		for k := range t.BootsLength() {
-			boots.Boots = append(boots.Boots, clock.Micros(t.Boots(k)))
+		bootTimes := BootTimes{MachineType: string(entry.Type())}
+		for k := range entry.BootsLength() {
+			bootTimes.Durations = append(bootTimes.Durations, clock.Micros(entry.Boots(k)))
 		}
-		return boots, true
+		return bootTimes, true
 	})
 }
 
-func decodeWithdrawals(r *fb.Beat) ([]Withdrawal, error) {
-	var w fb.Withdrawal
-	return readTables(r.WithdrawalsLength(), MaxWithdrawals, func(i int) (Withdrawal, bool) {
-		ok := r.Withdrawals(&w, i)
-		return Withdrawal{Job: string(w.Job()), Revision: w.Revision(), At: clock.Micros(w.At())}, ok
+func decodeCancellations(table *fb.Beat) ([]Cancellation, error) {
+	var entry fb.Withdrawal
+	return decodeTables(table.WithdrawalsLength(), MaxCancellations, func(i int) (Cancellation, bool) {
+		ok := table.Withdrawals(&entry, i)
+		return Cancellation{Job: string(entry.Job()), Revision: entry.Revision(), CancelledAt: clock.Micros(entry.At())}, ok
 	})
 }
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -11,137 +11,137 @@
 // Encode makes the frame of a beat. What would make it larger than a receiver takes is
 // left out: images first, then what jobs have done, which are advice; a receiver that
 // refuses a frame closes the link.
-func Encode(b *Beat) []byte {
-	frame := encode(b)
+func Encode(heartbeat *Heartbeat) []byte {
+	frame := encodeUnbounded(heartbeat)
 	if len(frame) <= MaxFrame {
 		return frame
 	}
-	smaller := *b
-	smaller.Holdings = nil
-	if frame = encode(&smaller); len(frame) > MaxFrame {
-		smaller.Counts = nil
-		frame = encode(&smaller)
+	smaller := *heartbeat
+	smaller.CachedImages = nil
+	if frame = encodeUnbounded(&smaller); len(frame) > MaxFrame {
+		smaller.JobProgress = nil
+		frame = encodeUnbounded(&smaller)
 	}
 	return frame
 }
 
-func encode(b *Beat) []byte {
-	fbb := flatbuffers.NewBuilder(256)
-	counts := encodeCounts(fbb, b.Counts)
-	withdrawals := encodeWithdrawals(fbb, b.Withdrawals)
-	holdings, runs := encodeHoldings(fbb, b.Holdings), encodeRunTimes(fbb, b.RunTimes)
-	boots := encodeBootTimes(fbb, b.BootTimes)
-	member, leader := fbb.CreateString(b.Member), fbb.CreateString(b.Leader)
-	message, position := encodeStandby(fbb, b)
-	fb.BeatStart(fbb)
-	fb.BeatAddMember(fbb, member)
-	fb.BeatAddServed(fbb, b.Served)
-	fb.BeatAddLeader(fbb, leader)
-	fb.BeatAddToken(fbb, b.Token)
-	fb.BeatAddWorkers(fbb, b.Workers)
-	fb.BeatAddCounts(fbb, counts)
-	fb.BeatAddLife(fbb, b.Life)
-	fb.BeatAddStamp(fbb, int64(b.Stamp))
-	fb.BeatAddEchoLife(fbb, b.EchoLife)
-	fb.BeatAddEchoStamp(fbb, int64(b.EchoStamp))
-	fb.BeatAddQuietFor(fbb, int64(b.QuietFor))
-	fb.BeatAddHoldings(fbb, holdings)
-	fb.BeatAddRunTimes(fbb, runs)
-	fb.BeatAddRevision(fbb, b.Revision)
-	fb.BeatAddWithdrawals(fbb, withdrawals)
-	fb.BeatAddStandbyVersion(fbb, b.StandbyVersion)
-	fb.BeatAddStandbyMessage(fbb, message)
-	fb.BeatAddStandbyPosition(fbb, position)
-	fb.BeatAddCountsOf(fbb, b.CountsOf)
-	fb.BeatAddBootTimes(fbb, boots)
-	fbb.FinishSizePrefixed(fb.BeatEnd(fbb))
-	return fbb.FinishedBytes()
+func encodeUnbounded(heartbeat *Heartbeat) []byte {
+	builder := flatbuffers.NewBuilder(256)
+	progress := encodeJobProgress(builder, heartbeat.JobProgress)
+	cancellations := encodeCancellations(builder, heartbeat.Cancellations)
+	cachedImages, runTimes := encodeCachedImages(builder, heartbeat.CachedImages), encodeRunTimes(builder, heartbeat.RunTimes)
+	bootTimes := encodeBootTimes(builder, heartbeat.BootTimes)
+	member, leader := builder.CreateString(heartbeat.Member), builder.CreateString(heartbeat.Leader)
+	message, position := encodeStandby(builder, heartbeat)
+	fb.BeatStart(builder)
+	fb.BeatAddMember(builder, member)
+	fb.BeatAddServed(builder, heartbeat.IsStoreReachable)
+	fb.BeatAddLeader(builder, leader)
+	fb.BeatAddToken(builder, heartbeat.Token)
+	fb.BeatAddWorkers(builder, heartbeat.WorkerCount)
+	fb.BeatAddCounts(builder, progress)
+	fb.BeatAddLife(builder, heartbeat.Incarnation)
+	fb.BeatAddStamp(builder, int64(heartbeat.Timestamp))
+	fb.BeatAddEchoLife(builder, heartbeat.AckIncarnation)
+	fb.BeatAddEchoStamp(builder, int64(heartbeat.AckTimestamp))
+	fb.BeatAddQuietFor(builder, int64(heartbeat.SilentFor))
+	fb.BeatAddHoldings(builder, cachedImages)
+	fb.BeatAddRunTimes(builder, runTimes)
+	fb.BeatAddRevision(builder, heartbeat.StoreRevision)
+	fb.BeatAddWithdrawals(builder, cancellations)
+	fb.BeatAddStandbyVersion(builder, heartbeat.StandbyProtocolVersion)
+	fb.BeatAddStandbyMessage(builder, message)
+	fb.BeatAddStandbyPosition(builder, position)
+	fb.BeatAddCountsOf(builder, heartbeat.ProgressPageCount)
+	fb.BeatAddBootTimes(builder, bootTimes)
+	builder.FinishSizePrefixed(fb.BeatEnd(builder))
+	return builder.FinishedBytes()
 }
 
-// tables writes a vector of tables, one for each item, up to a bound.
-func tables[T any](fbb *flatbuffers.Builder, items []T, most int, encode func(T) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
+// encodeTables writes a vector of tables, one for each item, up to a bound.
+func encodeTables[T any](builder *flatbuffers.Builder, items []T, limit int, encode func(T) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	var offsets []flatbuffers.UOffsetT
-	for _, item := range items[:min(len(items), most)] {
+	for _, item := range items[:min(len(items), limit)] {
 		offsets = append(offsets, encode(item))
 	}
-	return vector(fbb, offsets)
+	return encodeOffsets(builder, offsets)
 }
 
-func encodeCounts(fbb *flatbuffers.Builder, counts []Count) flatbuffers.UOffsetT {
-	return tables(fbb, counts, MaxCounts, func(c Count) flatbuffers.UOffsetT {
-		id := fbb.CreateString(c.Job)
-		fb.CountStart(fbb)
-		fb.CountAddJob(fbb, id)
-		fb.CountAddDone(fbb, c.Done)
-		fb.CountAddRunning(fbb, c.Running)
-		return fb.CountEnd(fbb)
+func encodeJobProgress(builder *flatbuffers.Builder, jobs []JobProgress) flatbuffers.UOffsetT {
+	return encodeTables(builder, jobs, MaxJobProgress, func(progress JobProgress) flatbuffers.UOffsetT {
+		job := builder.CreateString(progress.Job)
+		fb.CountStart(builder)
+		fb.CountAddJob(builder, job)
+		fb.CountAddDone(builder, progress.Done)
+		fb.CountAddRunning(builder, progress.Running)
+		return fb.CountEnd(builder)
 	})
 }
 
 // encodeBootTimes writes nothing at all where there are none: versions that know no boot
 // times compare recorded messages to the byte.
-func encodeBootTimes(fbb *flatbuffers.Builder, times []BootTimes) flatbuffers.UOffsetT {
+func encodeBootTimes(builder *flatbuffers.Builder, times []BootTimes) flatbuffers.UOffsetT {
 	if len(times) == 0 {
 		return 0
 	}
-	return tables(fbb, times, MaxBootTypes, func(t BootTimes) flatbuffers.UOffsetT {
-		boots := t.Boots[:min(len(t.Boots), MaxBoots)]
-		fb.BootTimesStartBootsVector(fbb, len(boots))
-		for _, boot := range slices.Backward(boots) {
-			fbb.PrependInt64(int64(boot))
+	return encodeTables(builder, times, MaxBootTimeTypes, func(bootTimes BootTimes) flatbuffers.UOffsetT {
+		durations := bootTimes.Durations[:min(len(bootTimes.Durations), MaxBootTimesPerType)]
+		fb.BootTimesStartBootsVector(builder, len(durations))
+		for _, duration := range slices.Backward(durations) {
+			builder.PrependInt64(int64(duration))
 		}
-		vec := fbb.EndVector(len(boots))
-		name := fbb.CreateString(t.Type)
-		fb.BootTimesStart(fbb)
-		fb.BootTimesAddType(fbb, name)
-		fb.BootTimesAddBoots(fbb, vec)
-		return fb.BootTimesEnd(fbb)
+		durationVector := builder.EndVector(len(durations))
+		machineType := builder.CreateString(bootTimes.MachineType)
+		fb.BootTimesStart(builder)
+		fb.BootTimesAddType(builder, machineType)
+		fb.BootTimesAddBoots(builder, durationVector)
+		return fb.BootTimesEnd(builder)
 	})
 }
 
-// vector writes offsets; all vectors of them are alike.
-func vector(fbb *flatbuffers.Builder, offs []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
-	fbb.StartVector(flatbuffers.SizeUOffsetT, len(offs), flatbuffers.SizeUOffsetT)
-	for i := len(offs) - 1; i >= 0; i-- {
-		fbb.PrependUOffsetT(offs[i])
+// encodeOffsets writes offsets; all vectors of them are alike.
+func encodeOffsets(builder *flatbuffers.Builder, offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
+	builder.StartVector(flatbuffers.SizeUOffsetT, len(offsets), flatbuffers.SizeUOffsetT)
+	for i := len(offsets) - 1; i >= 0; i-- {
+		builder.PrependUOffsetT(offsets[i])
 	}
-	return fbb.EndVector(len(offs))
+	return builder.EndVector(len(offsets))
 }
 
-func encodeHoldings(fbb *flatbuffers.Builder, holdings []Holding) flatbuffers.UOffsetT {
-	return tables(fbb, holdings, MaxHoldings, func(h Holding) flatbuffers.UOffsetT {
+func encodeCachedImages(builder *flatbuffers.Builder, machines []CachedImages) flatbuffers.UOffsetT {
+	return encodeTables(builder, machines, MaxCachedImageMachines, func(machineImages CachedImages) flatbuffers.UOffsetT {
 		var images []flatbuffers.UOffsetT
-		for _, image := range h.Images[:min(len(h.Images), MaxImages)] {
-			images = append(images, fbb.CreateString(image))
+		for _, image := range machineImages.Images[:min(len(machineImages.Images), MaxImagesPerMachine)] {
+			images = append(images, builder.CreateString(image))
 		}
-		vec, machine := vector(fbb, images), fbb.CreateString(h.Machine)
-		fb.HoldingStart(fbb)
-		fb.HoldingAddMachine(fbb, machine)
-		fb.HoldingAddSession(fbb, h.Session)
-		fb.HoldingAddImages(fbb, vec)
-		return fb.HoldingEnd(fbb)
+		imageVector, machine := encodeOffsets(builder, images), builder.CreateString(machineImages.Machine)
+		fb.HoldingStart(builder)
+		fb.HoldingAddMachine(builder, machine)
+		fb.HoldingAddSession(builder, machineImages.Incarnation)
+		fb.HoldingAddImages(builder, imageVector)
+		return fb.HoldingEnd(builder)
 	})
 }
 
-func encodeRunTimes(fbb *flatbuffers.Builder, times []RunTimes) flatbuffers.UOffsetT {
-	return tables(fbb, times, MaxRunTimes, func(r RunTimes) flatbuffers.UOffsetT {
-		class := fbb.CreateString(r.Class)
-		fb.RunTimesStart(fbb)
-		fb.RunTimesAddClass(fbb, class)
-		fb.RunTimesAddCount(fbb, r.Count)
-		fb.RunTimesAddMean(fbb, r.Mean)
-		fb.RunTimesAddSquare(fbb, r.Square)
-		return fb.RunTimesEnd(fbb)
+func encodeRunTimes(builder *flatbuffers.Builder, times []RunTimeStatistics) flatbuffers.UOffsetT {
+	return encodeTables(builder, times, MaxRunTimeClasses, func(statistics RunTimeStatistics) flatbuffers.UOffsetT {
+		class := builder.CreateString(statistics.Class)
+		fb.RunTimesStart(builder)
+		fb.RunTimesAddClass(builder, class)
+		fb.RunTimesAddCount(builder, statistics.Count)
+		fb.RunTimesAddMean(builder, statistics.Mean)
+		fb.RunTimesAddSquare(builder, statistics.MeanSquare)
+		return fb.RunTimesEnd(builder)
 	})
 }
 
-func encodeWithdrawals(fbb *flatbuffers.Builder, withdrawals []Withdrawal) flatbuffers.UOffsetT {
-	return tables(fbb, withdrawals, MaxWithdrawals, func(w Withdrawal) flatbuffers.UOffsetT {
-		job := fbb.CreateString(w.Job)
-		fb.WithdrawalStart(fbb)
-		fb.WithdrawalAddJob(fbb, job)
-		fb.WithdrawalAddRevision(fbb, w.Revision)
-		fb.WithdrawalAddAt(fbb, int64(w.At))
-		return fb.WithdrawalEnd(fbb)
+func encodeCancellations(builder *flatbuffers.Builder, cancellations []Cancellation) flatbuffers.UOffsetT {
+	return encodeTables(builder, cancellations, MaxCancellations, func(cancellation Cancellation) flatbuffers.UOffsetT {
+		job := builder.CreateString(cancellation.Job)
+		fb.WithdrawalStart(builder)
+		fb.WithdrawalAddJob(builder, job)
+		fb.WithdrawalAddRevision(builder, cancellation.Revision)
+		fb.WithdrawalAddAt(builder, int64(cancellation.CancelledAt))
+		return fb.WithdrawalEnd(builder)
 	})
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -9,26 +9,26 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Frames cuts a stream into frames.
-type Frames struct{ buf []byte }
+// FrameReader cuts a stream into frames.
+type FrameReader struct{ buffer []byte }
 
 // Feed adds bytes and calls each for every whole frame.
-func (f *Frames) Feed(in []byte, each func(*Beat)) error {
-	f.buf = append(f.buf, in...)
-	for len(f.buf) >= 4 {
-		n := int(binary.LittleEndian.Uint32(f.buf))
-		if n < 8 || n > MaxFrame {
+func (reader *FrameReader) Feed(data []byte, handle func(*Heartbeat)) error {
+	reader.buffer = append(reader.buffer, data...)
+	for len(reader.buffer) >= 4 {
+		size := int(binary.LittleEndian.Uint32(reader.buffer))
+		if size < 8 || size > MaxFrame {
 			return errMalformed
 		}
-		if len(f.buf) < 4+n {
+		if len(reader.buffer) < 4+size {
 			return nil
 		}
-		b, err := Decode(f.buf[4 : 4+n])
+		heartbeat, err := Decode(reader.buffer[4 : 4+size])
 		if err != nil {
 			return err
 		}
-		each(b)
-		f.buf = append(f.buf[:0], f.buf[4+n:]...)
+		handle(heartbeat)
+		reader.buffer = append(reader.buffer[:0], reader.buffer[4+size:]...)
 	}
 	return nil
 }
@@ -37,98 +37,98 @@
 // was overtaken says nothing that the newer one does not. The same holds of messages of a
 // stream: one at a time is under way, and what it lacks is sent again.
 type Link struct {
-	dial     Dialer
-	addr     string
-	mu       sync.Mutex
-	beat     []byte
-	streamed []byte
-	wake     chan struct{}
-	done     chan struct{}
+	dial             Dialer
+	address          string
+	mu               sync.Mutex
+	pendingHeartbeat []byte
+	pendingStandby   []byte
+	wake             chan struct{}
+	done             chan struct{}
 }
 
 // Dialer opens a connection to an address.
 type Dialer = func(address string, timeout time.Duration) (net.Conn, error)
 
 // NewLink starts a link.
-func NewLink(dial Dialer, addr string) *Link {
-	l := &Link{dial: dial, addr: addr, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	go l.run()
-	return l
+func NewLink(dial Dialer, address string) *Link {
+	link := &Link{dial: dial, address: address, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	go link.run()
+	return link
 }
 
 // Close ends the link; nothing may be sent after that.
-func (l *Link) Close() { close(l.done) }
+func (link *Link) Close() { close(link.done) }
 
-// Send replaces the beat that waits to be sent.
-func (l *Link) Send(frame []byte) { l.replace(&l.beat, frame) }
+// SendHeartbeat replaces the beat that waits to be sent.
+func (link *Link) SendHeartbeat(frame []byte) { link.replacePending(&link.pendingHeartbeat, frame) }
 
-// Stream replaces the message of a stream that waits to be sent.
-func (l *Link) Stream(frame []byte) { l.replace(&l.streamed, frame) }
+// SendStandby replaces the message of a stream that waits to be sent.
+func (link *Link) SendStandby(frame []byte) { link.replacePending(&link.pendingStandby, frame) }
 
-// take takes what waits: what a stream tells comes first.
-func (l *Link) take() [][]byte {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// takePending takes what waits: what a stream tells comes first.
+func (link *Link) takePending() [][]byte {
+	link.mu.Lock()
+	defer link.mu.Unlock()
 	var frames [][]byte
-	for _, waiting := range []*[]byte{&l.streamed, &l.beat} {
-		if *waiting != nil {
-			frames = append(frames, *waiting)
-			*waiting = nil
+	for _, pending := range []*[]byte{&link.pendingStandby, &link.pendingHeartbeat} {
+		if *pending != nil {
+			frames = append(frames, *pending)
+			*pending = nil
 		}
 	}
 	return frames
 }
 
-func (l *Link) replace(waiting *[]byte, frame []byte) {
-	l.mu.Lock()
-	*waiting = frame
-	l.mu.Unlock()
+func (link *Link) replacePending(pending *[]byte, frame []byte) {
+	link.mu.Lock()
+	*pending = frame
+	link.mu.Unlock()
 	select {
-	case l.wake <- struct{}{}:
+	case link.wake <- struct{}{}:
 	default:
 	}
 }
 
 const (
-	dialTimeout  = 2 * clock.Second
-	writeTimeout = 3 * clock.Second
-	redialAfter  = 1 * clock.Second
+	dialTimeout   = 2 * clock.Second
+	writeTimeout  = 3 * clock.Second
+	redialBackoff = 1 * clock.Second
 )
 
-func (l *Link) run() {
-	var c net.Conn
+func (link *Link) run() {
+	var connection net.Conn
 	defer func() {
-		if c != nil {
-			c.Close()
+		if connection != nil {
+			connection.Close()
 		}
 	}()
 	for {
 		select {
-		case <-l.done:
+		case <-link.done:
 			return
-		case <-l.wake:
+		case <-link.wake:
 		}
-		if c == nil {
+		if connection == nil {
 			var err error
-			if c, err = l.dial(l.addr, dialTimeout.Duration()); err != nil {
-				c = nil
-				time.Sleep(redialAfter.Duration())
+			if connection, err = link.dial(link.address, dialTimeout.Duration()); err != nil {
+				connection = nil
+				time.Sleep(redialBackoff.Duration())
 				continue
 			}
 		}
-		if !writeAll(c, l.take()) {
-			c.Close()
-			c = nil
+		if !writeFrames(connection, link.takePending()) {
+			connection.Close()
+			connection = nil
 		}
 	}
 }
 
-func writeAll(c net.Conn, frames [][]byte) bool {
+func writeFrames(connection net.Conn, frames [][]byte) bool {
 	for _, frame := range frames {
-		if err := c.SetWriteDeadline(time.Now().Add(writeTimeout.Duration())); err != nil {
+		if err := connection.SetWriteDeadline(time.Now().Add(writeTimeout.Duration())); err != nil {
 			return false
 		}
-		if _, err := c.Write(frame); err != nil {
+		if _, err := connection.Write(frame); err != nil {
 			return false
 		}
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -16,88 +16,88 @@
 
 // Bounds of what one beat tells, so that it stays under MaxFrame.
 const (
-	// MaxCounts bounds the jobs whose progress one beat tells.
-	MaxCounts   = 2000
-	MaxHoldings = 16
-	MaxImages   = 64 // of one machine
-	MaxRunTimes = 64
-	// MaxBootTypes and MaxBoots bound the machine types whose boot times one beat tells, and
+	// MaxJobProgress bounds the jobs whose progress one beat tells.
+	MaxJobProgress         = 2000
+	MaxCachedImageMachines = 16
+	MaxImagesPerMachine    = 64 // of one machine
+	MaxRunTimeClasses      = 64
+	// MaxBootTimeTypes and MaxBootTimesPerType bound the machine types whose boot times one beat tells, and
 	// the boots of each.
-	MaxBootTypes = 32
-	MaxBoots     = 32
-	// MaxWithdrawals bounds the withdrawals that one message tells.
-	MaxWithdrawals = 512
+	MaxBootTimeTypes    = 32
+	MaxBootTimesPerType = 32
+	// MaxCancellations bounds the withdrawals that one message tells.
+	MaxCancellations = 512
 )
 
-// Count is a job's progress, for display.
-type Count struct {
+// JobProgress is a job's progress, for display.
+type JobProgress struct {
 	Job           string
 	Done, Running uint32
 }
 
-// Holding is what images a machine holds in one of its sessions.
-type Holding struct {
-	Machine string
-	Session uint64
-	Images  []string
+// CachedImages is what images a machine holds in one of its sessions.
+type CachedImages struct {
+	Machine     string
+	Incarnation uint64
+	Images      []string
 }
 
-// RunTimes is what is learnt of a class.
-type RunTimes struct {
-	Class        string
-	Count        uint32
-	Mean, Square float64
+// RunTimeStatistics is what is learnt of a class.
+type RunTimeStatistics struct {
+	Class            string
+	Count            uint32
+	Mean, MeanSquare float64
 }
 
 // BootTimes are how long machines of a type took lately to report for the first time.
 type BootTimes struct {
-	Type  string
-	Boots []clock.Micros
+	MachineType string
+	Durations   []clock.Micros
 }
 
-// Withdrawal is a durable withdrawal of a job.
-type Withdrawal struct {
+// Cancellation is a durable withdrawal of a job.
+type Cancellation struct {
 	Job string
 	// Revision is that of the transaction which made it durable.
 	Revision uint64
-	// At is the time of day in the job's record.
-	At clock.Micros
+	// CancelledAt is the time of day in the job's record.
+	CancelledAt clock.Micros
 }
 
-// Beat is one message.
-type Beat struct {
-	Member  string
-	Served  bool
-	Leader  string
-	Token   uint64
-	Workers uint32
-	Counts  []Count
-	// CountsOf is in how many beats the progress of all jobs is told; up to 1: Counts has
+// Heartbeat is one message.
+type Heartbeat struct {
+	Member           string
+	IsStoreReachable bool
+	Leader           string
+	Token            uint64
+	WorkerCount      uint32
+	JobProgress      []JobProgress
+	// ProgressPageCount is in how many beats the progress of all jobs is told; up to 1: Counts has
 	// all of it.
-	CountsOf uint32
+	ProgressPageCount uint32
 
-	// Life and Stamp are the speaker's, EchoLife and EchoStamp a stamp of the
+	// Incarnation and Stamp are the speaker's, AckIncarnation and AckTimestamp a stamp of the
 	// receiver's that it echoes; see package delegation.
-	Life      uint64
-	Stamp     clock.Micros
-	EchoLife  uint64
-	EchoStamp clock.Micros
-	QuietFor  clock.Micros
+	Incarnation    uint64
+	Timestamp      clock.Micros
+	AckIncarnation uint64
+	AckTimestamp   clock.Micros
+	SilentFor      clock.Micros
 
-	// Holdings, RunTimes and BootTimes are what the next leader would have to learn anew.
-	Holdings  []Holding
-	RunTimes  []RunTimes
-	BootTimes []BootTimes
+	// CachedImages, RunTimeStatistics and BootTimes are what the next leader would have to learn anew.
+	CachedImages []CachedImages
+	RunTimes     []RunTimeStatistics
+	BootTimes    []BootTimes
 
-	// Revision tells how new the speaker's view of the state service is.
-	Revision uint64
-	// Withdrawals are those that the receiver's view may lack.
-	Withdrawals []Withdrawal
+	// StoreRevision tells how new the speaker's view of the state service is.
+	StoreRevision uint64
+	// Cancellations are those that the receiver's view may lack.
+	Cancellations []Cancellation
 
-	// StandbyVersion is that of the standby messages which the speaker takes, 0 if none.
-	StandbyVersion uint8
-	// Message and Position, of which a frame that is no beat holds one, are of package
+	// StandbyProtocolVersion is that of the standby messages which the speaker takes, 0 if none.
+	StandbyProtocolVersion uint8
+	// StandbyMessage and Position, of which a frame that is no beat holds one, are of package
 	// standby.
-	Message  *standby.Message
-	Position *standby.Position
+	StandbyMessage  *standby.Message
+	StandbyPosition *standby.Position
 }
--- /dev/null
+++ b/internal/peer/standby_codec.go
@@ -0,0 +1,131 @@
+package peer
+
+import (
+	flatbuffers "github.com/google/flatbuffers/go"
+
+	"firwood.dev/firwood/internal/peer/fb"
+	"firwood.dev/firwood/internal/standby"
+)
+
+// StandbyProtocolVersion is that of the standby messages which this version takes.
+const StandbyProtocolVersion = standby.ProtocolVersion
+
+// IsStandby tells whether the frame is one of a stream of decisions, or an answer to one,
+// and says nothing else.
+func (heartbeat *Heartbeat) IsStandby() bool {
+	return heartbeat.StandbyMessage != nil || heartbeat.StandbyPosition != nil
+}
+
+// encodeStandby writes what the frame holds of a stream; 0 stands for what it lacks.
+func encodeStandby(builder *flatbuffers.Builder, heartbeat *Heartbeat) (message, position flatbuffers.UOffsetT) {
+	if heartbeat.StandbyMessage != nil {
+		message = encodeMessage(builder, heartbeat.StandbyMessage)
+	}
+	if heartbeat.StandbyPosition != nil {
+		position = encodePosition(builder, heartbeat.StandbyPosition)
+	}
+	return message, position
+}
+
+func encodeMessage(builder *flatbuffers.Builder, message *standby.Message) flatbuffers.UOffsetT {
+	decisions := make([]flatbuffers.UOffsetT, len(message.Decisions))
+	for i, decision := range message.Decisions {
+		decisions[i] = encodePlacement(builder, decision.Kind, decision.Placement)
+	}
+	var placements []flatbuffers.UOffsetT
+	if message.Part != nil {
+		for _, placement := range message.Part.Placements {
+			placements = append(placements, encodePlacement(builder, 0, placement))
+		}
+	}
+	decisionVector, placementVector := encodeOffsets(builder, decisions), encodeOffsets(builder, placements)
+	fb.StandbyMessageStart(builder)
+	fb.StandbyMessageAddToken(builder, message.Token)
+	fb.StandbyMessageAddAfter(builder, message.AfterSequence)
+	fb.StandbyMessageAddDecisions(builder, decisionVector)
+	if part := message.Part; part != nil {
+		fb.StandbyMessageAddHasPart(builder, true)
+		fb.StandbyMessageAddPartSequence(builder, part.Sequence)
+		fb.StandbyMessageAddPartNumber(builder, uint32(part.Index))
+		fb.StandbyMessageAddPartOf(builder, uint32(part.PartCount))
+		fb.StandbyMessageAddPlacements(builder, placementVector)
+		fb.StandbyMessageAddPartDigest(builder, part.Digest)
+	}
+	if check := message.Check; check != nil {
+		fb.StandbyMessageAddHasCheck(builder, true)
+		fb.StandbyMessageAddCheckSequence(builder, check.Sequence)
+		fb.StandbyMessageAddCheckDigest(builder, check.Digest)
+	}
+	return fb.StandbyMessageEnd(builder)
+}
+
+func encodePlacement(builder *flatbuffers.Builder, kind standby.DecisionKind, placement standby.Placement) flatbuffers.UOffsetT {
+	task, machine := builder.CreateString(placement.Task), builder.CreateSharedString(placement.Machine)
+	fb.StandbyPlacementStart(builder)
+	fb.StandbyPlacementAddKind(builder, byte(kind))
+	fb.StandbyPlacementAddTask(builder, task)
+	fb.StandbyPlacementAddAttempt(builder, placement.Attempt)
+	fb.StandbyPlacementAddMachine(builder, machine)
+	return fb.StandbyPlacementEnd(builder)
+}
+
+func encodePosition(builder *flatbuffers.Builder, position *standby.Position) flatbuffers.UOffsetT {
+	fb.StandbyPositionStart(builder)
+	fb.StandbyPositionAddLife(builder, position.Incarnation)
+	fb.StandbyPositionAddToken(builder, position.Token)
+	fb.StandbyPositionAddIsComplete(builder, position.IsComplete)
+	fb.StandbyPositionAddSequence(builder, position.Sequence)
+	fb.StandbyPositionAddBuilding(builder, position.SnapshotSequence)
+	fb.StandbyPositionAddParts(builder, uint32(position.SnapshotParts))
+	fb.StandbyPositionAddVersion(builder, position.ProtocolVersion)
+	return fb.StandbyPositionEnd(builder)
+}
+
+// decodeStandby reads what the frame holds of a stream into a beat.
+func decodeStandby(table *fb.Beat, heartbeat *Heartbeat) error {
+	if messageTable := table.StandbyMessage(nil); messageTable != nil {
+		message, err := decodeMessage(messageTable)
+		if err != nil {
+			return err
+		}
+		heartbeat.StandbyMessage = message
+	}
+	if positionTable := table.StandbyPosition(nil); positionTable != nil {
+		heartbeat.StandbyPosition = &standby.Position{
+			Incarnation: positionTable.Life(), Token: positionTable.Token(), IsComplete: positionTable.IsComplete(), Sequence: positionTable.Sequence(),
+			SnapshotSequence: positionTable.Building(), SnapshotParts: int(positionTable.Parts()), ProtocolVersion: positionTable.Version(),
+		}
+	}
+	return nil
+}
+
+func decodeMessage(table *fb.StandbyMessage) (*standby.Message, error) {
+	if table.DecisionsLength() > standby.MaxDecisions || table.PlacementsLength() > standby.MaxPartPlacements {
+		return nil, errMalformed
+	}
+	message := &standby.Message{Token: table.Token(), AfterSequence: table.After()}
+	var entry fb.StandbyPlacement
+	for i := range table.DecisionsLength() {
+		if !table.Decisions(&entry, i) {
+			return nil, errMalformed
+		}
+		message.Decisions = append(message.Decisions, standby.Decision{Kind: standby.DecisionKind(entry.Kind()), Placement: decodePlacement(&entry)})
+	}
+	if table.HasPart() {
+		message.Part = &standby.SnapshotPart{Sequence: table.PartSequence(), Index: int(table.PartNumber()), PartCount: int(table.PartOf()), Digest: table.PartDigest()}
+		for i := range table.PlacementsLength() {
+			if !table.Placements(&entry, i) {
+				return nil, errMalformed
+			}
+			message.Part.Placements = append(message.Part.Placements, decodePlacement(&entry))
+		}
+	}
+	if table.HasCheck() {
+		message.Check = &standby.DigestCheck{Sequence: table.CheckSequence(), Digest: table.CheckDigest()}
+	}
+	return message, nil
+}
+
+func decodePlacement(table *fb.StandbyPlacement) standby.Placement {
+	return standby.Placement{Task: string(table.Task()), Attempt: table.Attempt(), Machine: string(table.Machine())}
+}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -27,7 +27,7 @@
 	Up() bool
 	Morning(r *Reply)
 	Standby(r *Reply)
-	Beat(b *peer.Beat)
+	Beat(b *peer.Heartbeat)
 }
 
 // Config holds addresses and bounds.
@@ -57,7 +57,7 @@
 type conn struct {
 	ev     evio.Conn
 	parser *http1.Parser
-	frames *peer.Frames
+	frames *peer.FrameReader
 	since  clock.Micros // when the present state began: idle, or half a request
 	kind   kind
 	busy   bool // a request is being worked on
@@ -123,7 +123,7 @@
 	}
 	k := &conn{ev: c, since: clock.Now()}
 	if c.AddrIndex() == 1 {
-		k.frames, k.kind = &peer.Frames{}, controller
+		k.frames, k.kind = &peer.FrameReader{}, controller
 	} else {
 		k.parser = http1.NewRequestParser(http1.DefaultLimits)
 	}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -31,10 +31,10 @@
 func (e *echo) Checkin(_ *wire.Report, r *Reply) {
 	r.SendUntil(200, []byte(`{}`), 0, e.late)
 }
-func (e *echo) Up() bool         { return true }
-func (e *echo) Morning(r *Reply) { r.Send(200, []byte(`{}`), 0) }
-func (e *echo) Standby(r *Reply) { r.Send(200, []byte(`{}`), 0) }
-func (e *echo) Beat(*peer.Beat)  {}
+func (e *echo) Up() bool             { return true }
+func (e *echo) Morning(r *Reply)     { r.Send(200, []byte(`{}`), 0) }
+func (e *echo) Standby(r *Reply)     { r.Send(200, []byte(`{}`), 0) }
+func (e *echo) Beat(*peer.Heartbeat) {}
 
 func start(t *testing.T, app App, most int) (string, string) {
 	t.Helper()
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -327,7 +327,7 @@
 
 func readFrames(conn net.Conn, app *controller.Core) {
 	defer conn.Close()
-	var frames peer.Frames
+	var frames peer.FrameReader
 	buffer := make([]byte, 32<<10)
 	for {
 		size, err := conn.Read(buffer)
--- a/internal/standby/decision.go
+++ b/internal/standby/decision.go
@@ -27,49 +27,49 @@
 	Machine string
 }
 
-// Doubt says that a task, or any task of a job, may run somewhere: an earlier leader may
+// UnconfirmedPlacement says that a task, or any task of a job, may run somewhere: an earlier leader may
 // have started it, and the present one has no proof yet that it did not, or that the task
 // is over.
-func Doubt(id string) Placement { return Placement{Task: id} }
+func UnconfirmedPlacement(id string) Placement { return Placement{Task: id} }
 
-// IsDoubt tells whether the placement is a doubt.
-func (p Placement) IsDoubt() bool { return p.Machine == "" }
+// IsUnconfirmed tells whether the placement is a doubt.
+func (placement Placement) IsUnconfirmed() bool { return placement.Machine == "" }
 
 // isValid tells whether a leader can have told of the placement.
-func (p Placement) isValid() bool {
-	if !p.IsDoubt() {
-		return p.Task != ""
+func (placement Placement) isValid() bool {
+	if !placement.IsUnconfirmed() {
+		return placement.Task != ""
 	}
-	if p.Attempt != 0 {
+	if placement.Attempt != 0 {
 		return false
 	}
-	_, _, isTask := wire.ParseTaskID(p.Task)
-	return isTask || wire.ValidJobID(p.Task)
+	_, _, isTask := wire.ParseTaskID(placement.Task)
+	return isTask || wire.ValidJobID(placement.Task)
 }
 
-// jobOf is the job that a task belongs to.
-func jobOf(task string) string {
+// jobOfTask is the job that a task belongs to.
+func jobOfTask(task string) string {
 	job, _, _ := strings.Cut(task, "/")
 	return job
 }
 
 // compare orders placements by machine, task and attempt.
-func (p Placement) compare(other Placement) int {
-	return cmp.Or(cmp.Compare(p.Machine, other.Machine), cmp.Compare(p.Task, other.Task), cmp.Compare(p.Attempt, other.Attempt))
+func (placement Placement) compare(other Placement) int {
+	return cmp.Or(cmp.Compare(placement.Machine, other.Machine), cmp.Compare(placement.Task, other.Task), cmp.Compare(placement.Attempt, other.Attempt))
 }
 
-// Kind says what a decision is about.
-type Kind uint8
+// DecisionKind says what a decision is about.
+type DecisionKind uint8
 
 const (
 	// Started: the placement may begin at any time from now on; a doubt counts from now on.
-	Started Kind = iota + 1
-	// Over: the placement is provably over, or the doubt is resolved.
-	Over
+	Started DecisionKind = iota + 1
+	// Ended: the placement is provably over, or the doubt is resolved.
+	Ended
 )
 
 // Decision changes the account.
 type Decision struct {
-	Kind      Kind
+	Kind      DecisionKind
 	Placement Placement
 }
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -7,261 +7,261 @@
 )
 
 const (
-	// logLength is how many decisions are kept for followers that lag; one that lags by
+	// maxLogDecisions is how many decisions are kept for followers that lag; one that lags by
 	// more takes a snapshot.
-	logLength = 16 * MaxDecisions
-	// resendAfter is how long the answer to a message is waited for.
-	resendAfter = 200 * clock.Millisecond
-	// checkEvery is how often a follower with nothing to take is sent the digest.
-	checkEvery = 5 * clock.Second
+	maxLogDecisions = 16 * MaxDecisions
+	// resendTimeout is how long the answer to a message is waited for.
+	resendTimeout = 200 * clock.Millisecond
+	// digestInterval is how often a follower with nothing to take is sent the digest.
+	digestInterval = 5 * clock.Second
 )
 
 // Publisher is the leader's side. It holds a bounded log and sends each follower one
 // message at a time, so a slow one costs neither time nor memory.
 type Publisher struct {
-	token    uint64
-	account  *Account
-	sequence uint64
-	log      []Decision // the last ones, up to sequence
-	// lastDoubt is the number of the last decision about a doubt.
-	lastDoubt uint64
+	token        uint64
+	table        *Table
+	lastSequence uint64
+	decisionLog  []Decision // the last ones, up to sequence
+	// lastUnconfirmedSequence is the number of the last decision about a doubt.
+	lastUnconfirmedSequence uint64
 
-	followers map[string]*follower
+	followers map[string]*followerState
 }
 
-// follower is what the leader knows of a member.
-type follower struct {
-	position Position
-	isHeard  bool
+// followerState is what the leader knows of a member.
+type followerState struct {
+	position    Position
+	hasPosition bool
 
-	lacksSince clock.Micros // something; 0: it has all
-	isAwaited  bool         // a message is under way
-	sentAt     clock.Micros
-	checkedAt  clock.Micros
-	snapshot   *snapshot
+	laggingSince    clock.Micros // something; 0: it has all
+	isAnswerPending bool         // a message is under way
+	sentAt          clock.Micros
+	digestSentAt    clock.Micros
+	transfer        *snapshotTransfer
 }
 
-// snapshot is one that a follower is taking.
-type snapshot struct {
-	sequence uint64
-	digest   uint64
-	places   *btree.BTreeG[Placement]
-	of       int
-	next     Placement // the first one of the part after the last one taken
-	parts    int       // how many parts have been taken
+// snapshotTransfer is one that a follower is taking.
+type snapshotTransfer struct {
+	sequence      uint64
+	digest        uint64
+	placements    *btree.BTreeG[Placement]
+	partCount     int
+	nextPlacement Placement // the first one of the part after the last one taken
+	receivedParts int       // how many parts have been taken
 }
 
 // NewPublisher makes the side of a leader whose account begins with some placements:
 // those that it has found, or has reason to reckon with.
-func NewPublisher(token uint64, found []Placement, members []string) *Publisher {
-	p := &Publisher{token: token, account: NewAccount(), followers: map[string]*follower{}}
-	for _, placement := range found {
-		p.account.add(placement)
+func NewPublisher(token uint64, initial []Placement, memberNames []string) *Publisher {
+	publisher := &Publisher{token: token, table: NewTable(), followers: map[string]*followerState{}}
+	for _, placement := range initial {
+		publisher.table.add(placement)
 	}
-	for _, name := range members {
-		p.followers[name] = &follower{}
+	for _, name := range memberNames {
+		publisher.followers[name] = &followerState{}
 	}
-	return p
+	return publisher
 }
 
-// Decide takes a decision and tells its number. A start must not be sent before
-// Membership.MaySend allows that number.
-func (p *Publisher) Decide(d Decision) uint64 {
-	p.account.Apply(d)
-	p.sequence++
-	if len(p.log) == logLength {
-		p.log = append(p.log[:0], p.log[logLength/2:]...)
+// AppendDecision takes a decision and tells its number. A start must not be sent before
+// InSyncSet.MaySendStart allows that number.
+func (publisher *Publisher) AppendDecision(decision Decision) uint64 {
+	publisher.table.Apply(decision)
+	publisher.lastSequence++
+	if len(publisher.decisionLog) == maxLogDecisions {
+		publisher.decisionLog = append(publisher.decisionLog[:0], publisher.decisionLog[maxLogDecisions/2:]...)
 	}
-	p.log = append(p.log, d)
-	if d.Placement.IsDoubt() {
-		p.lastDoubt = p.sequence
+	publisher.decisionLog = append(publisher.decisionLog, decision)
+	if decision.Placement.IsUnconfirmed() {
+		publisher.lastUnconfirmedSequence = publisher.lastSequence
 	}
-	return p.sequence
+	return publisher.lastSequence
 }
 
-// Sequence is the number of the last decision.
-func (p *Publisher) Sequence() uint64 { return p.sequence }
+// LastSequence is the number of the last decision.
+func (publisher *Publisher) LastSequence() uint64 { return publisher.lastSequence }
 
-// Account is the leader's own account.
-func (p *Publisher) Account() *Account { return p.account }
+// Table is the leader's own account.
+func (publisher *Publisher) Table() *Table { return publisher.table }
 
-// Answered takes a follower's position. An answer under another token, or to a leader's
+// RecordPosition takes a follower's position. An answer under another token, or to a leader's
 // message of another life of the follower, tells only that all has to be sent.
-func (p *Publisher) Answered(name string, at Position) {
-	f := p.followers[name]
-	if f == nil || at.Token > p.token {
+func (publisher *Publisher) RecordPosition(name string, position Position) {
+	follower := publisher.followers[name]
+	if follower == nil || position.Token > publisher.token {
 		return
 	}
-	if at.Token != p.token {
-		at = Position{Life: at.Life}
+	if position.Token != publisher.token {
+		position = Position{Incarnation: position.Incarnation}
 	}
-	if f.isHeard && at.Life == f.position.Life && at.IsComplete && f.position.IsComplete && at.Sequence < f.position.Sequence {
+	if follower.hasPosition && position.Incarnation == follower.position.Incarnation && position.IsComplete && follower.position.IsComplete && position.Sequence < follower.position.Sequence {
 		return // an older answer
 	}
-	if at.Life != f.position.Life {
-		f.snapshot = nil
+	if position.Incarnation != follower.position.Incarnation {
+		follower.transfer = nil
 	}
-	f.position, f.isHeard, f.isAwaited = at, true, false
+	follower.position, follower.hasPosition, follower.isAnswerPending = position, true, false
 }
 
-// Next is the next message to a follower, if one is due.
-func (p *Publisher) Next(name string, now clock.Micros) (*Message, bool) {
-	f := p.followers[name]
-	if f != nil {
-		p.timeLag(f, now)
+// NextMessage is the next message to a follower, if one is due.
+func (publisher *Publisher) NextMessage(name string, now clock.Micros) (*Message, bool) {
+	follower := publisher.followers[name]
+	if follower != nil {
+		publisher.trackLag(follower, now)
 	}
-	if f == nil || f.isAwaited && now-f.sentAt < resendAfter {
+	if follower == nil || follower.isAnswerPending && now-follower.sentAt < resendTimeout {
 		return nil, false
 	}
-	m := p.next(f, now)
-	if m == nil {
+	message := publisher.buildMessage(follower, now)
+	if message == nil {
 		return nil, false
 	}
-	f.isAwaited, f.sentAt = true, now
-	return m, true
+	follower.isAnswerPending, follower.sentAt = true, now
+	return message, true
 }
 
-func (p *Publisher) next(f *follower, now clock.Micros) *Message {
-	m := &Message{Token: p.token, Check: &Check{p.sequence, p.account.Digest()}}
-	first := p.sequence - uint64(len(p.log)) // the number before the first one kept
+func (publisher *Publisher) buildMessage(follower *followerState, now clock.Micros) *Message {
+	message := &Message{Token: publisher.token, Check: &DigestCheck{publisher.lastSequence, publisher.table.Digest()}}
+	beforeLog := publisher.lastSequence - uint64(len(publisher.decisionLog)) // the number before the first one kept
 	switch {
-	case !p.mayFollow(f):
-		return p.greeting(f, now)
-	case !f.position.IsComplete || f.position.Sequence < max(first, p.leastFor(f)):
-		m.Part = p.part(f)
-		m.Check = nil
-	case f.position.Sequence < p.sequence:
-		f.snapshot = nil
-		m.After = f.position.Sequence
-		rest := p.log[m.After-first:]
-		m.Decisions = append(m.Decisions, rest[:min(len(rest), MaxDecisions)]...)
-		if len(m.Decisions) < len(rest) {
-			m.Check = nil
+	case !publisher.isCompatible(follower):
+		return publisher.buildAnnouncement(follower, now)
+	case !follower.position.IsComplete || follower.position.Sequence < max(beforeLog, publisher.minLogSequence(follower)):
+		message.Part = publisher.nextPart(follower)
+		message.Check = nil
+	case follower.position.Sequence < publisher.lastSequence:
+		follower.transfer = nil
+		message.AfterSequence = follower.position.Sequence
+		remaining := publisher.decisionLog[message.AfterSequence-beforeLog:]
+		message.Decisions = append(message.Decisions, remaining[:min(len(remaining), MaxDecisions)]...)
+		if len(message.Decisions) < len(remaining) {
+			message.Check = nil
 		}
-	case now-f.checkedAt < checkEvery:
+	case now-follower.digestSentAt < digestInterval:
 		return nil
 	default:
-		f.checkedAt = now
+		follower.digestSentAt = now
 	}
-	return m
+	return message
 }
 
-// mayFollow tells whether the follower can take the account as it is. One of the first
+// isCompatible tells whether the follower can take the account as it is. One of the first
 // version cannot as long as there are doubts, and neither may one whose version is not
 // known yet.
-func (p *Publisher) mayFollow(f *follower) bool {
-	return p.account.Doubts() == 0 || f.isHeard && f.position.Version >= firstWithDoubts
+func (publisher *Publisher) isCompatible(follower *followerState) bool {
+	return publisher.table.UnconfirmedCount() == 0 || follower.hasPosition && follower.position.ProtocolVersion >= firstVersionWithUnconfirmed
 }
 
-// leastFor is the decision that a follower has to be past to be told the ones after it;
+// minLogSequence is the decision that a follower has to be past to be told the ones after it;
 // else it takes a snapshot.
-func (p *Publisher) leastFor(f *follower) uint64 {
-	if f.position.Version >= firstWithDoubts {
+func (publisher *Publisher) minLogSequence(follower *followerState) uint64 {
+	if follower.position.ProtocolVersion >= firstVersionWithUnconfirmed {
 		return 0
 	}
-	return p.lastDoubt
+	return publisher.lastUnconfirmedSequence
 }
 
-// greeting is a message that says only who leads. Its answer tells the follower's version.
-func (p *Publisher) greeting(f *follower, now clock.Micros) *Message {
-	if f.isHeard && now-f.checkedAt < checkEvery {
+// buildAnnouncement is a message that says only who leads. Its answer tells the follower's version.
+func (publisher *Publisher) buildAnnouncement(follower *followerState, now clock.Micros) *Message {
+	if follower.hasPosition && now-follower.digestSentAt < digestInterval {
 		return nil
 	}
-	f.checkedAt = now
-	return &Message{Token: p.token}
+	follower.digestSentAt = now
+	return &Message{Token: publisher.token}
 }
 
-// part is the part of a snapshot that a follower takes next. One that has fallen behind
+// nextPart is the part of a snapshot that a follower takes next. One that has fallen behind
 // the log while it took a snapshot begins with another.
-func (p *Publisher) part(f *follower) *Part {
-	s := f.snapshot
-	first := p.sequence - uint64(len(p.log))
-	isTaking := s != nil && s.sequence >= first && f.position.Building == s.sequence
+func (publisher *Publisher) nextPart(follower *followerState) *SnapshotPart {
+	transfer := follower.transfer
+	beforeLog := publisher.lastSequence - uint64(len(publisher.decisionLog))
+	isInProgress := transfer != nil && transfer.sequence >= beforeLog && follower.position.SnapshotSequence == transfer.sequence
 	switch {
-	case isTaking && f.position.Parts == s.parts+1:
-		s.advance()
-	case isTaking && f.position.Parts == s.parts:
+	case isInProgress && follower.position.SnapshotParts == transfer.receivedParts+1:
+		transfer.advancePage()
+	case isInProgress && follower.position.SnapshotParts == transfer.receivedParts:
 		// The last message, or its answer, was lost.
-	case s != nil && s.sequence >= first && s.parts == 0 && f.position.Parts == 0:
+	case transfer != nil && transfer.sequence >= beforeLog && transfer.receivedParts == 0 && follower.position.SnapshotParts == 0:
 		// Nothing of it has come yet.
 	default:
-		s = p.newSnapshot()
-		f.snapshot = s
+		transfer = publisher.newTransfer()
+		follower.transfer = transfer
 	}
-	placements := s.page()
-	return &Part{Sequence: s.sequence, Number: s.parts, Of: s.of, Placements: placements, Digest: s.digest}
+	placements := transfer.currentPage()
+	return &SnapshotPart{Sequence: transfer.sequence, Index: transfer.receivedParts, PartCount: transfer.partCount, Placements: placements, Digest: transfer.digest}
 }
 
-func (p *Publisher) newSnapshot() *snapshot {
-	places := p.account.snapshot()
-	return &snapshot{
-		sequence: p.sequence, digest: p.account.Digest(), places: places,
-		of: max((places.Len()+MaxPlacements-1)/MaxPlacements, 1),
+func (publisher *Publisher) newTransfer() *snapshotTransfer {
+	placements := publisher.table.copyPlacements()
+	return &snapshotTransfer{
+		sequence: publisher.lastSequence, digest: publisher.table.Digest(), placements: placements,
+		partCount: max((placements.Len()+MaxPartPlacements-1)/MaxPartPlacements, 1),
 	}
 }
 
-// page is the part after those that have been taken.
-func (s *snapshot) page() []Placement {
+// currentPage is the part after those that have been taken.
+func (transfer *snapshotTransfer) currentPage() []Placement {
 	var page []Placement
-	s.places.Ascend(s.next, func(p Placement) bool {
-		page = append(page, p)
-		return len(page) < MaxPlacements
+	transfer.placements.Ascend(transfer.nextPlacement, func(placement Placement) bool {
+		page = append(page, placement)
+		return len(page) < MaxPartPlacements
 	})
 	return page
 }
 
-// advance goes on to the next part.
-func (s *snapshot) advance() {
-	taken := 0
-	s.places.Ascend(s.next, func(p Placement) bool {
-		s.next = p
-		taken++
-		return taken <= MaxPlacements
+// advancePage goes on to the next part.
+func (transfer *snapshotTransfer) advancePage() {
+	visited := 0
+	transfer.placements.Ascend(transfer.nextPlacement, func(placement Placement) bool {
+		transfer.nextPlacement = placement
+		visited++
+		return visited <= MaxPartPlacements
 	})
-	s.parts++
+	transfer.receivedParts++
 }
 
-// Has tells whether a member's replica, in one of its lives, has a decision. One of the
+// HasDecision tells whether a member's replica, in one of its lives, has a decision. One of the
 // first version has none as long as there are doubts: it may have been given a snapshot that
 // was sent to an earlier life, of a later version.
-func (p *Publisher) Has(m Member, sequence uint64) bool {
-	f := p.followers[m.Name]
-	if f == nil || !p.mayFollow(f) {
+func (publisher *Publisher) HasDecision(member Member, sequence uint64) bool {
+	follower := publisher.followers[member.Name]
+	if follower == nil || !publisher.isCompatible(follower) {
 		return false
 	}
-	return f.isHeard && f.position.Life == m.Life && f.position.IsComplete && f.position.Sequence >= sequence
+	return follower.hasPosition && follower.position.Incarnation == member.Incarnation && follower.position.IsComplete && follower.position.Sequence >= sequence
 }
 
-// Lag is how many decisions a member's replica lacks; all of them if it is not complete.
-func (p *Publisher) Lag(name string) uint64 {
-	f := p.followers[name]
-	if f == nil || !f.position.IsComplete {
-		return p.sequence + 1
+// LagCount is how many decisions a member's replica lacks; all of them if it is not complete.
+func (publisher *Publisher) LagCount(name string) uint64 {
+	follower := publisher.followers[name]
+	if follower == nil || !follower.position.IsComplete {
+		return publisher.lastSequence + 1
 	}
-	return p.sequence - f.position.Sequence
+	return publisher.lastSequence - follower.position.Sequence
 }
 
-func (p *Publisher) timeLag(f *follower, now clock.Micros) {
+func (publisher *Publisher) trackLag(follower *followerState, now clock.Micros) {
 	switch {
-	case f.position.IsComplete && f.position.Sequence == p.sequence:
-		f.lacksSince = 0
-	case f.lacksSince == 0:
-		f.lacksSince = now
+	case follower.position.IsComplete && follower.position.Sequence == publisher.lastSequence:
+		follower.laggingSince = 0
+	case follower.laggingSince == 0:
+		follower.laggingSince = now
 	}
 }
 
-// LagTime is for how long a member's replica has lacked something.
-func (p *Publisher) LagTime(name string, now clock.Micros) clock.Micros {
-	if f := p.followers[name]; f != nil && f.lacksSince != 0 {
-		return now - f.lacksSince
+// LagDuration is for how long a member's replica has lacked something.
+func (publisher *Publisher) LagDuration(name string, now clock.Micros) clock.Micros {
+	if follower := publisher.followers[name]; follower != nil && follower.laggingSince != 0 {
+		return now - follower.laggingSince
 	}
 	return 0
 }
 
-// life is the life in which a member was last heard, 0 if it was not.
-func (p *Publisher) life(name string) uint64 {
-	if f := p.followers[name]; f != nil && f.isHeard {
-		return f.position.Life
+// incarnationOf is the life in which a member was last heard, 0 if it was not.
+func (publisher *Publisher) incarnationOf(name string) uint64 {
+	if follower := publisher.followers[name]; follower != nil && follower.hasPosition {
+		return follower.position.Incarnation
 	}
 	return 0
 }
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// mostEarlier bounds how many replicas of earlier leaders are kept.
-const mostEarlier = 3
+// maxEarlierReplicas bounds how many replicas of earlier leaders are kept.
+const maxEarlierReplicas = 3
 
 // Replica is a follower's copy of the leader's account. One that differs, or misses a
 // decision, is never used: it is thrown away, and asks for all of the account.
@@ -12,205 +12,205 @@
 // step may still be that leader's: a new leader that ends before it has written a record
 // of its own has sent no start.
 type Replica struct {
-	life  uint64
-	token uint64
+	incarnation uint64
+	token       uint64
 
-	account    *Account
-	isComplete bool
-	sequence   uint64
-	// told is the last decision that the leader may believe this replica to have. After
+	table        *Table
+	isComplete   bool
+	lastSequence uint64
+	// acknowledgedSequence is the last decision that the leader may believe this replica to have. After
 	// it was thrown away no snapshot from before that will do: a late copy of one would
 	// make it complete again without starts that were sent on its answer.
-	told uint64
+	acknowledgedSequence uint64
 
-	building *building
+	assembly *snapshotAssembly
 	// earlier are complete replicas of earlier leaders, the oldest first.
 	earlier []earlierReplica
-	counts  Counts
+	dropped DropCounts
 }
 
 // earlierReplica is the account of an earlier leader after the last decision that it was
 // told of. That leader can't have sent a start after it while the member was in step, since
 // nobody answers it any more.
 type earlierReplica struct {
-	token   uint64
-	account *Account
+	token uint64
+	table *Table
 }
 
-// building is a snapshot that has not come whole.
-type building struct {
-	sequence uint64
-	digest   uint64
-	parts    int
-	of       int
-	account  *Account
+// snapshotAssembly is a snapshot that has not come whole.
+type snapshotAssembly struct {
+	sequence      uint64
+	digest        uint64
+	receivedParts int
+	partCount     int
+	table         *Table
 }
 
-// Counts are of messages that were not taken, by the reason.
-type Counts struct {
-	// Older: from a leader that has been replaced.
-	Older int `json:"older"`
-	// Gaps: after decisions that have not come, or parts out of order.
-	Gaps int `json:"gaps"`
+// DropCounts are of messages that were not taken, by the reason.
+type DropCounts struct {
+	// Stale: from a leader that has been replaced.
+	Stale int `json:"older"`
+	// OutOfOrder: after decisions that have not come, or parts out of order.
+	OutOfOrder int `json:"gaps"`
 	// Malformed: over the bounds, or senseless.
 	Malformed int `json:"malformed"`
-	// Foreign: under a token that is not the lock's.
-	Foreign int `json:"foreign"`
-	// Differing: the digest is another; the replica was thrown away.
-	Differing int `json:"differing"`
+	// ForeignToken: under a token that is not the lock's.
+	ForeignToken int `json:"foreign"`
+	// DigestMismatch: the digest is another; the replica was thrown away.
+	DigestMismatch int `json:"differing"`
 }
 
 // NewReplica makes an empty replica of a member's life.
-func NewReplica(life uint64) *Replica {
-	return &Replica{life: life, account: NewAccount()}
+func NewReplica(incarnation uint64) *Replica {
+	return &Replica{incarnation: incarnation, table: NewTable()}
 }
 
-// Take takes a message and tells where the replica stands after it.
-func (r *Replica) Take(m *Message) Position {
+// ApplyMessage takes a message and tells where the replica stands after it.
+func (replica *Replica) ApplyMessage(message *Message) Position {
 	switch {
-	case !m.isWithinBounds():
-		r.counts.Malformed++
-	case m.Token < r.token:
-		r.counts.Older++
+	case !message.isValid():
+		replica.dropped.Malformed++
+	case message.Token < replica.token:
+		replica.dropped.Stale++
 	default:
-		r.follow(m.Token)
-		r.take(m)
+		replica.switchLeader(message.Token)
+		replica.applyContent(message)
 	}
-	return r.Position()
+	return replica.Position()
 }
 
-// RefuseForeign counts a message that was not given to Take, since its token is known not
+// RejectForeignMessage counts a message that was not given to Take, since its token is known not
 // to be the lock's.
-func (r *Replica) RefuseForeign() Position {
-	r.counts.Foreign++
-	return r.Position()
+func (replica *Replica) RejectForeignMessage() Position {
+	replica.dropped.ForeignToken++
+	return replica.Position()
 }
 
-// follow begins anew under a newer leader: what an earlier one told says nothing of it.
-func (r *Replica) follow(token uint64) {
-	if token == r.token {
+// switchLeader begins anew under a newer leader: what an earlier one told says nothing of it.
+func (replica *Replica) switchLeader(token uint64) {
+	if token == replica.token {
 		return
 	}
-	if r.isComplete {
-		r.keep(earlierReplica{r.token, r.account})
+	if replica.isComplete {
+		replica.keepEarlier(earlierReplica{replica.token, replica.table})
 	}
-	r.token, r.told = token, 0
-	r.discard()
+	replica.token, replica.acknowledgedSequence = token, 0
+	replica.reset()
 }
 
-// keep keeps a replica that is followed no further. Beyond the bound the oldest stays,
-// whose record was in force when RecordSeen was last told, and the newest ones.
-func (r *Replica) keep(e earlierReplica) {
-	r.earlier = append(r.earlier, e)
-	if len(r.earlier) > mostEarlier {
-		r.earlier = slices.Delete(r.earlier, 1, 2)
+// keepEarlier keeps a replica that is followed no further. Beyond the bound the oldest stays,
+// whose record was in force when PruneEarlier was last told, and the newest ones.
+func (replica *Replica) keepEarlier(earlier earlierReplica) {
+	replica.earlier = append(replica.earlier, earlier)
+	if len(replica.earlier) > maxEarlierReplicas {
+		replica.earlier = slices.Delete(replica.earlier, 1, 2)
 	}
 }
 
-// RecordSeen takes the token of the record that is in force. Replicas of leaders before
+// PruneEarlier takes the token of the record that is in force. Replicas of leaders before
 // it are of no more use, since the record's tokens only grow.
-func (r *Replica) RecordSeen(token uint64) {
-	r.earlier = slices.DeleteFunc(r.earlier, func(e earlierReplica) bool { return e.token < token })
+func (replica *Replica) PruneEarlier(recordToken uint64) {
+	replica.earlier = slices.DeleteFunc(replica.earlier, func(earlier earlierReplica) bool { return earlier.token < recordToken })
 }
 
-func (r *Replica) discard() {
-	r.account, r.isComplete, r.sequence, r.building = NewAccount(), false, 0, nil
+func (replica *Replica) reset() {
+	replica.table, replica.isComplete, replica.lastSequence, replica.assembly = NewTable(), false, 0, nil
 }
 
-func (r *Replica) take(m *Message) {
+func (replica *Replica) applyContent(message *Message) {
 	switch {
-	case m.Part != nil:
-		r.takePart(m.Part)
-	case len(m.Decisions) > 0:
-		r.takeDecisions(m.After, m.Decisions)
+	case message.Part != nil:
+		replica.applyPart(message.Part)
+	case len(message.Decisions) > 0:
+		replica.applyDecisions(message.AfterSequence, message.Decisions)
 	}
-	if c := m.Check; c != nil && r.isComplete && c.Sequence == r.sequence && c.Digest != r.account.Digest() {
-		r.counts.Differing++
-		r.discard()
+	if check := message.Check; check != nil && replica.isComplete && check.Sequence == replica.lastSequence && check.Digest != replica.table.Digest() {
+		replica.dropped.DigestMismatch++
+		replica.reset()
 	}
 }
 
-func (r *Replica) takeDecisions(after uint64, decisions []Decision) {
-	last := after + uint64(len(decisions))
+func (replica *Replica) applyDecisions(afterSequence uint64, decisions []Decision) {
+	lastSequence := afterSequence + uint64(len(decisions))
 	switch {
-	case !r.isComplete || after > r.sequence:
-		r.counts.Gaps++
+	case !replica.isComplete || afterSequence > replica.lastSequence:
+		replica.dropped.OutOfOrder++
 		return
-	case last <= r.sequence:
+	case lastSequence <= replica.lastSequence:
 		return // all of them have come before
 	}
-	for _, d := range decisions[r.sequence-after:] {
-		r.account.Apply(d)
+	for _, decision := range decisions[replica.lastSequence-afterSequence:] {
+		replica.table.Apply(decision)
 	}
-	r.sequence = last
+	replica.lastSequence = lastSequence
 }
 
-func (r *Replica) takePart(p *Part) {
-	if r.isComplete && p.Sequence <= r.sequence {
+func (replica *Replica) applyPart(part *SnapshotPart) {
+	if replica.isComplete && part.Sequence <= replica.lastSequence {
 		return // it has come before
 	}
-	if p.Sequence < r.told {
-		r.counts.Gaps++
+	if part.Sequence < replica.acknowledgedSequence {
+		replica.dropped.OutOfOrder++
 		return
 	}
-	if p.Number == 0 && (r.building == nil || r.building.sequence != p.Sequence) {
-		r.building = &building{sequence: p.Sequence, digest: p.Digest, of: p.Of, account: NewAccount()}
+	if part.Index == 0 && (replica.assembly == nil || replica.assembly.sequence != part.Sequence) {
+		replica.assembly = &snapshotAssembly{sequence: part.Sequence, digest: part.Digest, partCount: part.PartCount, table: NewTable()}
 	}
-	b := r.building
-	if b == nil || b.sequence != p.Sequence || b.of != p.Of || p.Number > b.parts {
-		r.counts.Gaps++
+	assembly := replica.assembly
+	if assembly == nil || assembly.sequence != part.Sequence || assembly.partCount != part.PartCount || part.Index > assembly.receivedParts {
+		replica.dropped.OutOfOrder++
 		return
 	}
-	if p.Number < b.parts {
+	if part.Index < assembly.receivedParts {
 		return // it has come before
 	}
-	for _, placement := range p.Placements {
-		b.account.add(placement)
+	for _, placement := range part.Placements {
+		assembly.table.add(placement)
 	}
-	if b.parts++; b.parts < b.of {
+	if assembly.receivedParts++; assembly.receivedParts < assembly.partCount {
 		return
 	}
-	r.building = nil
-	if b.account.Digest() != b.digest {
-		r.counts.Differing++
-		r.discard()
+	replica.assembly = nil
+	if assembly.table.Digest() != assembly.digest {
+		replica.dropped.DigestMismatch++
+		replica.reset()
 		return
 	}
-	r.account, r.sequence, r.isComplete = b.account, b.sequence, true
+	replica.table, replica.lastSequence, replica.isComplete = assembly.table, assembly.sequence, true
 }
 
 // Position is where the replica stands.
-func (r *Replica) Position() Position {
-	if r.isComplete {
-		r.told = max(r.told, r.sequence)
+func (replica *Replica) Position() Position {
+	if replica.isComplete {
+		replica.acknowledgedSequence = max(replica.acknowledgedSequence, replica.lastSequence)
 	}
-	p := Position{Life: r.life, Version: Version, Token: r.token, IsComplete: r.isComplete, Sequence: r.sequence}
-	if r.building != nil {
-		p.Building, p.Parts = r.building.sequence, r.building.parts
+	position := Position{Incarnation: replica.incarnation, ProtocolVersion: ProtocolVersion, Token: replica.token, IsComplete: replica.isComplete, Sequence: replica.lastSequence}
+	if replica.assembly != nil {
+		position.SnapshotSequence, position.SnapshotParts = replica.assembly.sequence, replica.assembly.receivedParts
 	}
-	return p
+	return position
 }
 
-// Account is the copy as far as it goes; only Trusted says whether it may be believed.
-func (r *Replica) Account() *Account { return r.account }
+// Table is the copy as far as it goes; only Trusted says whether it may be believed.
+func (replica *Replica) Table() *Table { return replica.table }
 
-// Counts are of what was not taken so far.
-func (r *Replica) Counts() Counts { return r.counts }
+// DropCounts are of what was not taken so far.
+func (replica *Replica) DropCounts() DropCounts { return replica.dropped }
 
-// Trusted is the account, if what is durable says that it covers all that may run: the
+// TrustedTable is the account, if what is durable says that it covers all that may run: the
 // record of those in step names this life of the member, every leader since the record's
 // was bound to write a record of its own before it sent a start, and the replica is of the
 // record's leader.
-func (r *Replica) Trusted(record Record, leads *Leads, self string) (*Account, bool) {
-	if !record.names(Member{Name: self, Life: r.life}) || !leads.BoundSince(record.Token) {
+func (replica *Replica) TrustedTable(record InSyncRecord, history *TermHistory, memberName string) (*Table, bool) {
+	if !record.hasMember(Member{Name: memberName, Incarnation: replica.incarnation}) || !history.IsRecordFirstSince(record.Token) {
 		return nil, false
 	}
-	if r.token == record.Token {
-		return r.account, r.isComplete
+	if replica.token == record.Token {
+		return replica.table, replica.isComplete
 	}
-	for _, e := range r.earlier {
-		if e.token == record.Token {
-			return e.account, true
+	for _, earlier := range replica.earlier {
+		if earlier.token == record.Token {
+			return earlier.table, true
 		}
 	}
 	return nil, false
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -20,77 +20,77 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// StandardError is the name of the destination that is no file.
-const StandardError = "stderr"
+// StandardErrorDestination is the name of the destination that is no file.
+const StandardErrorDestination = "stderr"
 
-// maxBytes bounds what one life of a process writes.
-const maxBytes = 4 << 20
+// maxTraceBytes bounds what one life of a process writes.
+const maxTraceBytes = 4 << 20
 
 // Span is a part of a take-over.
 type Span struct {
 	Name       string
-	Began      clock.Micros // steady clock
-	Ended      clock.Micros
+	StartedAt  clock.Micros // steady clock
+	EndedAt    clock.Micros
 	Attributes map[string]string
 }
 
 // Tracer writes spans. A nil one writes none.
 type Tracer struct {
-	tracer trace.Tracer
-	close  func() error
+	tracer           trace.Tracer
+	closeDestination func() error
 }
 
 // New makes a tracer that writes to a destination on behalf of a member.
 func New(destination, member string) (*Tracer, error) {
-	out, closeFile, err := open(destination)
+	out, closeFile, err := openDestination(destination)
 	if err != nil {
 		return nil, err
 	}
-	exporter, err := stdouttrace.New(stdouttrace.WithWriter(&boundedWriter{out: out, left: maxBytes}))
+	exporter, err := stdouttrace.New(stdouttrace.WithWriter(&boundedWriter{destination: out, remainingBytes: maxTraceBytes}))
 	if err != nil {
 		return nil, errors.Join(err, closeFile())
 	}
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter), sdktrace.WithSampler(sdktrace.AlwaysSample()))
-	return &Tracer{tracer: provider.Tracer(member), close: closeFile}, nil
+	return &Tracer{tracer: provider.Tracer(member), closeDestination: closeFile}, nil
 }
 
-func open(destination string) (io.Writer, func() error, error) {
-	if destination == StandardError {
+func openDestination(destination string) (io.Writer, func() error, error) {
+	if destination == StandardErrorDestination {
 		return os.Stderr, func() error { return nil }, nil
 	}
-	f, err := os.OpenFile(destination, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
+	file, err := os.OpenFile(destination, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
 	if err != nil {
 		return nil, nil, err
 	}
-	return f, f.Close, nil
+	return file, file.Close, nil
 }
 
 // Close ends the destination.
-func (t *Tracer) Close() error {
-	if t == nil {
+func (tracer *Tracer) Close() error {
+	if tracer == nil {
 		return nil
 	}
-	return t.close()
+	return tracer.closeDestination()
 }
 
-// TakeOver writes the spans of a take-over that ended in a token.
-func (t *Tracer) TakeOver(token uint64, spans []Span) {
-	if t == nil {
+// RecordFailover writes the spans of a take-over that ended in a token.
+func (tracer *Tracer) RecordFailover(token uint64, spans []Span) {
+	if tracer == nil {
 		return
 	}
-	ctx := trace.ContextWithRemoteSpanContext(context.Background(), takeOverContext(token))
-	for _, s := range spans {
+	ctx := trace.ContextWithRemoteSpanContext(context.Background(), failoverContext(token))
+	for _, phase := range spans {
 		attributes := []attribute.KeyValue{attribute.Int64("token", int64(token))}
-		for key, value := range s.Attributes {
+		for key, value := range phase.Attributes {
 			attributes = append(attributes, attribute.String(key, value))
 		}
-		_, span := t.tracer.Start(ctx, s.Name, trace.WithTimestamp(timeOfDay(s.Began)), trace.WithAttributes(attributes...))
-		span.End(trace.WithTimestamp(timeOfDay(s.Ended)))
+		_, span := tracer.tracer.Start(ctx, phase.Name, trace.WithTimestamp(wallTime(phase.StartedAt)), trace.WithAttributes(attributes...))
+		span.End(trace.WithTimestamp(wallTime(phase.EndedAt)))
 	}
 }
 
-// takeOverContext is the same at every controller: its ids follow from the token.
-func takeOverContext(token uint64) trace.SpanContext {
+// failoverContext is the same at every controller: its ids follow from the token.
+func failoverContext(token uint64) trace.SpanContext {
 	var traceID trace.TraceID
 	var spanID trace.SpanID
 	copy(traceID[:], "firwood")
@@ -99,27 +99,27 @@
 	return trace.NewSpanContext(trace.SpanContextConfig{TraceID: traceID, SpanID: spanID, TraceFlags: trace.FlagsSampled, Remote: true})
 }
 
-func timeOfDay(at clock.Micros) time.Time {
-	wall := clock.Wall() - (clock.Now() - at)
-	return time.UnixMicro(int64(wall))
+func wallTime(steadyTime clock.Micros) time.Time {
+	wallMicros := clock.Wall() - (clock.Now() - steadyTime)
+	return time.UnixMicro(int64(wallMicros))
 }
 
 // boundedWriter drops what is over its bound: a process that is elected again and again
 // must not fill a disk.
 type boundedWriter struct {
-	mu   sync.Mutex
-	out  io.Writer
-	left int
+	mu             sync.Mutex
+	destination    io.Writer
+	remainingBytes int
 }
 
 // Write implements io.Writer.
-func (w *boundedWriter) Write(p []byte) (int, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(p) > w.left {
-		w.left = 0
+func (writer *boundedWriter) Write(p []byte) (int, error) {
+	writer.mu.Lock()
+	defer writer.mu.Unlock()
+	if len(p) > writer.remainingBytes {
+		writer.remainingBytes = 0
 		return len(p), nil
 	}
-	w.left -= len(p)
-	return w.out.Write(p)
+	writer.remainingBytes -= len(p)
+	return writer.destination.Write(p)
 }
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -13,7 +13,7 @@
 
 // Two controllers that see the same take-over write spans of one trace, with the times
 // that were given.
-func TestControllersShareATrace(t *testing.T) {
+func TestControllersShareTraceID(t *testing.T) {
 	ids := map[string]bool{}
 	for _, member := range []string{"n0", "n1"} {
 		path := filepath.Join(t.TempDir(), "trace.json")
@@ -22,7 +22,7 @@
 			t.Fatal(err)
 		}
 		now := clock.Now()
-		tracer.TakeOver(41, []Span{{Name: "lock", Began: now - 2*clock.Second, Ended: now}})
+		tracer.RecordFailover(41, []Span{{Name: "lock", StartedAt: now - 2*clock.Second, EndedAt: now}})
 		if err := tracer.Close(); err != nil {
 			t.Fatal(err)
 		}
@@ -49,11 +49,11 @@
 }
 
 // What is over the bound is dropped, and the writer is told nothing of it.
-func TestTracesAreBounded(t *testing.T) {
+func TestBoundedWriterDropsExcess(t *testing.T) {
 	var out bytes.Buffer
-	w := &boundedWriter{out: &out, left: 10}
+	writer := &boundedWriter{destination: &out, remainingBytes: 10}
 	for range 3 {
-		if n, err := w.Write([]byte("123456")); n != 6 || err != nil {
+		if n, err := writer.Write([]byte("123456")); n != 6 || err != nil {
 			t.Fatal(n, err)
 		}
 	}
