--- a/internal/allocation/bench_test.go
+++ b/internal/allocation/bench_test.go
@@ -8,56 +8,56 @@
 	"firwood.dev/firwood/wire"
 )
 
-// full makes a machine with n running tasks, and the report that says so.
-func full(tb testing.TB, n int) (*Ledger, *Machine, *wire.Report) {
+// newBusyTracker makes a machine with n running tasks, and the report that says so.
+func newBusyTracker(tb testing.TB, taskCount int) (*Tracker, *Machine, *wire.Report) {
 	tb.Helper()
-	l := New(Config{Token: 7, Lease: testLease, MayFence: 20 * clock.Second})
-	l.Settle()
-	m := l.AddMachine("i-000001", "t", "x", false, Resources{CPU: int64(n) * 1000, Mem: 1 << 40}, 1)
-	m.Recorded = true
-	j := l.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: n, CPUs: 1, Team: "a"}, 0, 1, true, nil)
-	r := reportOf(m, 1, 1, 7)
-	l.Report(m, r, 1)
-	for i := 0; i < n; i++ {
-		if err := l.Place(j, i, m, l.Attempt(), 1); err != nil {
+	tracker := New(Config{FencingToken: 7, LeaseTTL: testLeaseTTL, CancelFenceWindow: 20 * clock.Second})
+	tracker.FinishRecovery()
+	machine := tracker.AddMachine("i-000001", "t", "x", false, Resources{MilliCPU: int64(taskCount) * 1000, MemoryMB: 1 << 40}, 1)
+	machine.RecordedInStore = true
+	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: taskCount, CPUs: 1, Team: "a"}, 0, 1, true, nil)
+	heartbeat := newHeartbeat(machine, 1, 1, 7)
+	tracker.RecordHeartbeat(machine, heartbeat, 1)
+	for i := 0; i < taskCount; i++ {
+		if err := tracker.PlaceTask(job, i, machine, tracker.NextAttempt(), 1); err != nil {
 			tb.Fatal(err)
 		}
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskID(j.Spec.ID, i), Attempt: j.Tasks[i].Place.Attempt, State: wire.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskReport{Task: wire.TaskID(job.Spec.ID, i), Attempt: job.Tasks[i].Placement.Attempt, State: wire.TaskRunning})
 	}
-	l.Orders(m, 1)
-	r.Seq++
-	l.Report(m, r, 2)
-	return l, m, r
+	tracker.HeartbeatCommands(machine, 1)
+	heartbeat.Seq++
+	tracker.RecordHeartbeat(machine, heartbeat, 2)
+	return tracker, machine, heartbeat
 }
 
 // A report in which nothing has changed costs next to nothing, however many
 // tasks it lists.
-func TestUnchangedReport(t *testing.T) {
-	for _, n := range []int{1, 32, 200} {
-		l, m, r := full(t, n)
+func TestUnchangedHeartbeatDoesNotAllocate(t *testing.T) {
+	for _, taskCount := range []int{1, 32, 200} {
+		tracker, machine, heartbeat := newBusyTracker(t, taskCount)
 		if got := testing.AllocsPerRun(50, func() {
-			r.Seq++
-			if l.Report(m, r, 3) != Taken || len(l.Orders(m, 3)) != 0 {
+			heartbeat.Seq++
+			if tracker.RecordHeartbeat(machine, heartbeat, 3) != HeartbeatAccepted || len(tracker.HeartbeatCommands(machine, 3)) != 0 {
 				t.Fatal("not taken, or answered with orders")
 			}
 		}); got > 0 {
-			t.Errorf("%d tasks: %v allocations", n, got)
+			t.Errorf("%d tasks: %v allocations", taskCount, got)
 		}
-		if l.Jobs["req-000001"].Running != n {
+		if tracker.Jobs["req-000001"].StartedCount != taskCount {
 			t.Fatal("tasks were lost")
 		}
 	}
 }
 
 // From the bytes of a report to the bytes of its answer.
-func BenchmarkReport(b *testing.B) {
-	for _, n := range []int{0, 4, 8, 32} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, m, r := full(b, n)
+func BenchmarkHeartbeat(b *testing.B) {
+	for _, taskCount := range []int{0, 4, 8, 32} {
+		b.Run(fmt.Sprint(taskCount), func(b *testing.B) {
+			tracker, machine, heartbeat := newBusyTracker(b, taskCount)
 			b.ReportAllocs()
 			for b.Loop() {
-				r.Seq++
-				in, err := r.MarshalJSON()
+				heartbeat.Seq++
+				in, err := heartbeat.MarshalJSON()
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -65,8 +65,8 @@
 				if err := got.UnmarshalJSON(in); err != nil {
 					b.Fatal(err)
 				}
-				l.Report(m, &got, 3)
-				if _, err := (wire.Reply{Token: 7, Commands: l.Orders(m, 3)}).MarshalJSON(); err != nil {
+				tracker.RecordHeartbeat(machine, &got, 3)
+				if _, err := (wire.Reply{Token: 7, Commands: tracker.HeartbeatCommands(machine, 3)}).MarshalJSON(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- /dev/null
+++ b/internal/allocation/gang_stop_test.go
@@ -0,0 +1,79 @@
+package allocation
+
+import (
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// An orderly stop goes to all machines of a gang at once. When one of them cannot be
+// reached the save fails, and costs the run since the last checkpoint; no task of a new
+// attempt is placed before the unreachable machine's lease is over.
+func TestGangStopWithUnreachableMachine(t *testing.T) {
+	tracker := New(Config{FencingToken: 7, LeaseTTL: testLeaseTTL, CancelFenceWindow: 20 * clock.Second})
+	tracker.FinishRecovery()
+	var machines []*Machine
+	for _, name := range []string{"i-1", "i-2", "i-3"} {
+		machine := tracker.AddMachine(name, "t", "x", false, Resources{1000, 0, 8000}, 1)
+		machine.RecordedInStore = true
+		tracker.RecordLeaseRenewal(machine, 1)
+		tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 1, 7), 1)
+		machines = append(machines, machine)
+	}
+	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindGang, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 1, Team: "a",
+		OneZone: true, CheckpointS: 20, SaveS: 5}, 0, 1, true, nil)
+	attempt := tracker.NextAttempt()
+	running := func(machine *Machine, i int, seq uint64, at clock.Micros) {
+		tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, seq, 7, wire.TaskReport{Task: wire.TaskID("req-000001", i), Attempt: attempt, State: wire.TaskRunning}), at)
+	}
+	start := clock.Second
+	for i := range 2 {
+		if err := tracker.PlaceTask(job, i, machines[i], attempt, start); err != nil {
+			t.Fatal(err)
+		}
+		tracker.HeartbeatCommands(machines[i], start)
+	}
+	for i := range 2 {
+		running(machines[i], i, 2, start)
+	}
+	if !job.GangStarted {
+		t.Fatal("the gang runs, and is not known to")
+	}
+	now := start + 50*clock.Second
+	for i := range 2 {
+		tracker.RecordLeaseRenewal(machines[i], now)
+		running(machines[i], i, 3, now)
+	}
+	tracker.StopJob(job, 5*clock.Second)
+	for i := range 2 {
+		request, starts := tracker.BuildCommandRequest(machines[i], now)
+		if request == nil || len(request.Commands) != 1 || request.Commands[0].Op != wire.OpStop || *request.Commands[0].GraceS < 5 {
+			t.Fatalf("machine %d is told %+v", i, request)
+		}
+		if i == 0 {
+			tracker.FinishCommandRequest(machines[0], starts, CommandExecuted, now)
+		} else {
+			tracker.FinishCommandRequest(machines[1], starts, CommandOutcomeUnknown, now)
+		}
+	}
+	now += 6 * clock.Second
+	tracker.RecordHeartbeat(machines[0], newHeartbeat(machines[0], 1, 4, 7, wire.TaskReport{Task: "req-000001/0", Attempt: attempt, State: wire.TaskExited, Why: wire.WhyPeers}), now)
+	for _, candidate := range []uint64{attempt, tracker.NextAttempt()} {
+		if tracker.PlaceTask(job, 0, machines[2], candidate, now) == nil {
+			t.Fatal("a task is placed beside one of the old attempt")
+		}
+	}
+	if job.CheckpointedSeconds != 40 {
+		t.Errorf("%v s are taken for safe after 56 s of run, 20 s apart", job.CheckpointedSeconds)
+	}
+	now = tracker.LeaseEndsAt(machines[1]) + 1
+	if !tracker.ExpireLease(machines[1], now) {
+		t.Fatal("the lease does not end")
+	}
+	tracker.RecordHeartbeat(machines[2], newHeartbeat(machines[2], 1, 2, 7), now)
+	nextAttempt := tracker.NextAttempt()
+	if err := tracker.PlaceTask(job, 0, machines[2], nextAttempt, now); err != nil || nextAttempt <= attempt {
+		t.Fatalf("after the proof: %v, attempt %d after %d", err, nextAttempt, attempt)
+	}
+}
--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -10,113 +10,115 @@
 
 // States of a task.
 const (
-	Waiting TaskState = iota
-	Placed
-	Done
+	TaskWaiting TaskState = iota
+	TaskPlaced
+	TaskDone
 )
 
 // Task is one task of a job.
 type Task struct {
 	State TaskState
-	// Doubt: an earlier leader may have started it somewhere. It may have a place
+	// Unconfirmed: an earlier leader may have started it somewhere. It may have a place
 	// all the same, as told by what may be a late copy of a report.
-	Doubt bool
-	// Durable: its completion is in the state service.
-	Durable bool
-	Fails   uint8
-	Place   *Placement
-	// NotBefore holds a failed task back.
-	NotBefore clock.Micros
-	// Progress is how many seconds of its run are safe in a checkpoint, as far as
+	Unconfirmed bool
+	// CompletionDurable: its completion is in the state service.
+	CompletionDurable bool
+	FailureCount      uint8
+	Placement         *Placement
+	// RetryAt holds a failed task back.
+	RetryAt clock.Micros
+	// CheckpointedSeconds is how many seconds of its run are safe in a checkpoint, as far as
 	// this leader has seen. Predictions use it; nothing else rests on it.
-	Progress float64
+	CheckpointedSeconds float64
 }
 
 // Job is an accepted job that is not over, or whose tasks are not all gone.
 type Job struct {
 	Spec     *wire.Job
-	Need     Resources
+	Request  Resources
 	Priority int
-	// Submitted is the time of day from which its waits count: its submission, or
+	// ReleasedAt is the time of day from which its waits count: its submission, or
 	// the end of the last job that it awaited.
-	Submitted clock.Micros
+	ReleasedAt clock.Micros
 	// Deadline is the time of day by which it should be done, by its own wish or
 	// for those that await it; 0: there is none.
 	Deadline    clock.Micros
-	Seen        clock.Micros // steady clock, when this leader learnt of it
-	Withdrawn   bool
-	WithdrawnAt clock.Micros
-	// Marked: the state service knows that tasks of it may have been started.
-	Marked bool
-	Tasks  []Task
-
-	gang    bool
-	service bool
-	doubts  int
-	done    int
-	durable int
-	active  int // placements
-	waiting int
-	byZone  map[string]int
-	untold  []*Placement // that are over, and whose completion is not durable
-	// isDoubtWhole: followers were told that all that is left of the job is in doubt, and
-	// not of single tasks. untoldCleared are tasks that are in doubt no more, and whose
+	AddedAt     clock.Micros // steady clock, when this leader learnt of it
+	Cancelled   bool
+	CancelledAt clock.Micros
+	// StartsRecorded: the state service knows that tasks of it may have been started.
+	StartsRecorded bool
+	Tasks          []Task
+
+	isGang           bool
+	isService        bool
+	unconfirmedCount int
+	doneCount        int
+	durableCount     int
+	activeCount      int // placements
+	waitingCount     int
+	placementsByZone map[string]int
+	unpublishedEnds  []*Placement // that are over, and whose completion is not durable
+	// isWhollyUnconfirmed: followers were told that all that is left of the job is in doubt, and
+	// not of single tasks. unpublishedResolved are tasks that are in doubt no more, and whose
 	// completion is not durable.
-	isDoubtWhole  bool
-	untoldCleared []int
-	// Attempt of a gang in progress, 0 if none; Broken: it has to end; Under way: it
+	isWhollyUnconfirmed bool
+	unpublishedResolved []int
+	// GangAttempt of a gang in progress, 0 if none; Broken: it has to end; Under way: it
 	// has been seen running, all its tasks together.
-	Attempt  uint64
-	Broken   bool
-	UnderWay bool
-	Running  int
-	// ErrorsOn counts failures by machine.
-	ErrorsOn   map[string]int
-	Errors     int
-	Restarts   int
-	FirstStart clock.Micros // steady clock
-	// Aged: it was begun because it had waited too long.
-	Aged bool
-	// Progress is the most that is safe of any task; a gang's tasks share it.
-	Progress float64
+	GangAttempt  uint64
+	GangAborting bool
+	GangStarted  bool
+	StartedCount int
+	// FailuresByMachine counts failures by machine.
+	FailuresByMachine map[string]int
+	FailureCount      int
+	RestartCount      int
+	FirstStartAt      clock.Micros // steady clock
+	// StartedByAging: it was begun because it had waited too long.
+	StartedByAging bool
+	// CheckpointedSeconds is the most that is safe of any task; a gang's tasks share it.
+	CheckpointedSeconds float64
 }
 
-// Gang tells whether the job's tasks run together.
-func (j *Job) Gang() bool { return j.gang }
+// IsGang tells whether the job's tasks run together.
+func (job *Job) IsGang() bool { return job.isGang }
 
-// Service tells whether the job runs until it is withdrawn.
-func (j *Job) Service() bool { return j.service }
+// IsService tells whether the job runs until it is withdrawn.
+func (job *Job) IsService() bool { return job.isService }
 
 // DoneCount is the number of completed tasks.
-func (j *Job) DoneCount() int { return j.done }
+func (job *Job) DoneCount() int { return job.doneCount }
 
 // WaitingCount is the number of tasks that are neither placed nor done.
-func (j *Job) WaitingCount() int { return j.waiting }
+func (job *Job) WaitingCount() int { return job.waitingCount }
 
-// Active is the number of placements, doubtful ones not included.
-func (j *Job) Active() int { return j.active }
+// ActiveCount is the number of placements, doubtful ones not included.
+func (job *Job) ActiveCount() int { return job.activeCount }
 
-// Doubts is the number of tasks in doubt.
-func (j *Job) Doubts() int { return j.doubts }
+// UnconfirmedCount is the number of tasks in doubt.
+func (job *Job) UnconfirmedCount() int { return job.unconfirmedCount }
 
-// Places calls f for every task's placement, strays left out.
-func (j *Job) Places(f func(*Placement)) {
-	for i := range j.Tasks {
-		if p := j.Tasks[i].Place; p != nil {
-			f(p)
+// ForEachPlacement calls f for every task's placement, strays left out.
+func (job *Job) ForEachPlacement(visit func(*Placement)) {
+	for i := range job.Tasks {
+		if placement := job.Tasks[i].Placement; placement != nil {
+			visit(placement)
 		}
 	}
 }
 
-// Complete tells whether every task is done.
-func (j *Job) Complete() bool { return j.done == len(j.Tasks) }
+// IsComplete tells whether every task is done.
+func (job *Job) IsComplete() bool { return job.doneCount == len(job.Tasks) }
 
-// InZone counts the job's tasks that are, or may be, in a zone.
-func (j *Job) InZone(zone string) int { return j.byZone[zone] + j.doubts }
+// CountInZone counts the job's tasks that are, or may be, in a zone.
+func (job *Job) CountInZone(zone string) int {
+	return job.placementsByZone[zone] + job.unconfirmedCount
+}
 
-// OnlyZone returns the zone that the job's tasks are in, if there is one.
-func (j *Job) OnlyZone() (string, bool) {
-	for z, n := range j.byZone {
+// OccupiedZone returns the zone that the job's tasks are in, if there is one.
+func (job *Job) OccupiedZone() (string, bool) {
+	for z, n := range job.placementsByZone {
 		if n > 0 {
 			return z, true
 		}
@@ -124,23 +126,25 @@
 	return "", false
 }
 
-// SpreadLimit is how many tasks may be in one zone.
-func (j *Job) SpreadLimit() int { return (len(j.Tasks) + 1) / 2 }
+// MaxTasksPerZone is how many tasks may be in one zone.
+func (job *Job) MaxTasksPerZone() int { return (len(job.Tasks) + 1) / 2 }
 
-// Unsaved tells whether some completion is not in the state service yet, or the
+// NeedsPersisting tells whether some completion is not in the state service yet, or the
 // job is complete: then there is something to write, or to clean up.
-func (j *Job) Unsaved() bool { return j.durable != j.done || j.done == len(j.Tasks) }
+func (job *Job) NeedsPersisting() bool {
+	return job.durableCount != job.doneCount || job.doneCount == len(job.Tasks)
+}
 
-// NotDurable lists completions that the state service does not have yet.
-func (j *Job) NotDurable() []int {
-	if j.durable == j.done {
+// UnpersistedCompletions lists completions that the state service does not have yet.
+func (job *Job) UnpersistedCompletions() []int {
+	if job.durableCount == job.doneCount {
 		return nil
 	}
-	var out []int
-	for i := range j.Tasks {
-		if j.Tasks[i].State == Done && !j.Tasks[i].Durable {
-			out = append(out, i)
+	var taskIndices []int
+	for i := range job.Tasks {
+		if job.Tasks[i].State == TaskDone && !job.Tasks[i].CompletionDurable {
+			taskIndices = append(taskIndices, i)
 		}
 	}
-	return out
+	return taskIndices
 }
--- /dev/null
+++ b/internal/allocation/late_copy_test.go
@@ -0,0 +1,182 @@
+package allocation
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// newSuccessorTracker makes a new leader's ledger of token 9 that finds three machines and one
+// marked job, whose tasks may be anywhere.
+func newSuccessorTracker(kind string) (*Tracker, []*Machine, *Job) {
+	tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL})
+	var machines []*Machine
+	for _, name := range []string{"i-0", "i-1", "i-2"} {
+		machine := tracker.AddMachine(name, "t", "x", false, Resources{4000, 0, 1 << 40}, 0)
+		machine.RecordedInStore = true
+		machines = append(machines, machine)
+	}
+	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: kind, Tasks: 2, CPUs: 1, Priority: wire.PriorityNormal}, 0, 0, true, nil)
+	tracker.FinishRecovery()
+	return tracker, machines, job
+}
+
+func heartbeatListing(machineName string, seq, token, attempt uint64, tasks ...int) *wire.Report {
+	heartbeat := &wire.Report{Machine: machineName, Session: 1, Seq: seq, Token: token}
+	for _, i := range tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskReport{Task: wire.TaskID("req-000001", i), Attempt: attempt, State: wire.TaskRunning})
+	}
+	return heartbeat
+}
+
+// What a new leader hears first of a machine may be a late copy of a report, from
+// before its task went elsewhere. It does not end the doubt about the task: a report
+// made under the new token does, or that all machines are accounted for. Once it did,
+// and the task was started a second time.
+func TestLateCopyKeepsTaskUnconfirmed(t *testing.T) {
+	tracker, machines, job := newSuccessorTracker(wire.KindArray)
+	now := clock.Second
+	tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 5, 4, 40, 0), now) // a copy; the task is on i-1 by now
+	if usage := tracker.TeamUsage(""); job.ActiveCount() != 1 || job.UnconfirmedCount() != 2 || usage.MilliCPU != 2000 {
+		t.Fatalf("%d placed, %d in doubt, the team may use %d", job.ActiveCount(), job.UnconfirmedCount(), usage.MilliCPU)
+	}
+	tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 9, 9, 0), now) // i-0 itself, under the new token
+	tracker.RecordHeartbeat(machines[2], heartbeatListing("i-2", 9, 9, 0), now)
+	if err := tracker.PlaceTask(job, 0, machines[2], tracker.NextAttempt(), now); err == nil {
+		t.Fatal("a task is started again that may be on a machine not heard yet")
+	}
+	tracker.RecordHeartbeat(machines[1], heartbeatListing("i-1", 7, 4, 41, 0), now)
+	if placement := job.Tasks[0].Placement; placement == nil || placement.Machine != machines[1] || placement.IsStopping() {
+		t.Fatal("the task is not found where it is")
+	}
+	tracker.RecordHeartbeat(machines[1], heartbeatListing("i-1", 8, 9, 41, 0), now)
+	if job.UnconfirmedCount() != 0 || !tracker.IsReconciled() || job.Tasks[0].Placement.IsStopping() {
+		t.Fatalf("%d in doubt when all is accounted for", job.UnconfirmedCount())
+	}
+	if err := tracker.PlaceTask(job, 1, machines[2], tracker.NextAttempt(), now); err != nil {
+		t.Fatalf("the other task: %v", err)
+	}
+	if usage := tracker.TeamUsage(""); usage.MilliCPU != 2000 {
+		t.Fatalf("the team uses %d", usage.MilliCPU)
+	}
+}
+
+// A copy and the true report may come in either order, of arrays and of gangs: the
+// later attempt is where the task is, and goes on.
+func TestLaterAttemptWins(t *testing.T) {
+	for _, kind := range []string{wire.KindArray, wire.KindGang} {
+		for _, copyFirst := range []bool{true, false} {
+			tracker, machines, job := newSuccessorTracker(kind)
+			now := clock.Second
+			both := []func(){
+				func() { tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 5, 4, 40, 0, 1), now) },
+				func() { tracker.RecordHeartbeat(machines[1], heartbeatListing("i-1", 7, 4, 41, 0, 1), now) },
+			}
+			if !copyFirst {
+				both[0], both[1] = both[1], both[0]
+			}
+			both[0]()
+			both[1]()
+			for i := range job.Tasks {
+				if placement := job.Tasks[i].Placement; placement == nil || placement.Machine != machines[1] || placement.IsStopping() {
+					t.Fatalf("%s, copy first %v: task %d has its place at %+v", kind, copyFirst, i, placement)
+				}
+			}
+			tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 9, 9, 0), now)
+			tracker.RecordHeartbeat(machines[1], heartbeatListing("i-1", 9, 9, 41, 0, 1), now)
+			tracker.RecordHeartbeat(machines[2], heartbeatListing("i-2", 9, 9, 0), now)
+			if job.UnconfirmedCount() != 0 || job.ActiveCount() != 2 || job.GangAborting || job.Tasks[0].Placement.IsStopping() || job.CountInZone("x") != 2 {
+				t.Fatalf("%s, copy first %v: %d in doubt, %d active, broken %v", kind, copyFirst, job.UnconfirmedCount(), job.ActiveCount(), job.GangAborting)
+			}
+		}
+	}
+}
+
+// Tasks have moved from machine to machine under an earlier leader. Its successor hears
+// reports from any time before, then true ones, in any order. It starts nothing that
+// runs, and has found everything where it is when all machines have reported to it.
+func TestFailoverWithLateCopies(t *testing.T) {
+	refused := 0
+	for seed := uint64(1); seed <= 3000; seed++ {
+		rng := rand.New(rand.NewPCG(seed, 6))
+		kind := []string{wire.KindArray, wire.KindGang}[seed%2]
+		tracker, machines, job := newSuccessorTracker(kind)
+		// past holds what each machine's list was, at each of several times.
+		var past [][]*wire.Report
+		machineOf := make([]int, len(job.Tasks)) // where each task is, -1: nowhere
+		attempts := make([]uint64, len(job.Tasks))
+		for step := uint64(1); step <= 5; step++ {
+			for i := range machineOf {
+				if kind == wire.KindGang || step == 1 || rng.IntN(2) == 0 {
+					machineOf[i], attempts[i] = rng.IntN(len(machines)+1)-1, 40+step
+				}
+				if kind == wire.KindGang && i > 0 && machineOf[0] < 0 {
+					machineOf[i] = -1 // whole or not at all
+				} else if kind == wire.KindGang && i > 0 && machineOf[i] < 0 {
+					machineOf[i] = machineOf[0]
+				}
+			}
+			var heartbeats []*wire.Report
+			for machineIndex, machine := range machines {
+				heartbeat := &wire.Report{Machine: machine.Name, Session: 1, Seq: step, Token: 4}
+				for i := range machineOf {
+					if machineOf[i] == machineIndex {
+						heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskReport{Task: wire.TaskID(job.Spec.ID, i), Attempt: attempts[i], State: wire.TaskRunning})
+					}
+				}
+				heartbeats = append(heartbeats, heartbeat)
+			}
+			past = append(past, heartbeats)
+		}
+		last := past[len(past)-1]
+		now := clock.Second
+		synced := make([]bool, len(machines))
+		for round := 0; round < 40 || !tracker.IsReconciled(); round++ {
+			now += clock.Second / 10
+			machineIndex := rng.IntN(len(machines))
+			heartbeat := *last[machineIndex]
+			switch rng.IntN(4) {
+			case 0:
+				if old := past[rng.IntN(len(past))][machineIndex]; !synced[machineIndex] {
+					tracker.RecordHeartbeat(machines[machineIndex], old, now)
+				}
+			case 1:
+				heartbeat.Seq, heartbeat.Token = uint64(10+round), 9
+				tracker.RecordHeartbeat(machines[machineIndex], &heartbeat, now)
+				synced[machineIndex] = true
+			case 2:
+				heartbeat.Seq = uint64(10 + round)
+				if !synced[machineIndex] {
+					tracker.RecordHeartbeat(machines[machineIndex], &heartbeat, now)
+				}
+			default:
+				i := rng.IntN(len(machineOf))
+				if machineOf[i] < 0 {
+					continue
+				}
+				if tracker.PlaceTask(job, i, machines[machineIndex], tracker.NextAttempt(), now) == nil {
+					t.Fatalf("history %d: task %d is started on %d while on %d", seed, i, machineIndex, machineOf[i])
+				}
+				refused++
+			}
+		}
+		for i := range machineOf {
+			placement := job.Tasks[i].Placement
+			switch {
+			case job.Tasks[i].Unconfirmed || (placement != nil) != (machineOf[i] >= 0):
+				t.Fatalf("history %d: task %d on %d: doubt %v, place %+v", seed, i, machineOf[i], job.Tasks[i].Unconfirmed, placement)
+			case placement != nil && (placement.Machine != machines[machineOf[i]] || placement.Attempt != attempts[i] || placement.IsStopping()):
+				t.Fatalf("history %d, %s: task %d on %d as %d has its place on %s as %d, stopping %v",
+					seed, kind, i, machineOf[i], attempts[i], placement.Machine.Name, placement.Attempt, placement.IsStopping())
+			}
+		}
+		if job.GangAborting || job.UnconfirmedCount() != 0 {
+			t.Fatalf("history %d: broken %v, %d in doubt", seed, job.GangAborting, job.UnconfirmedCount())
+		}
+	}
+	if refused < 1000 {
+		t.Fatalf("only %d starts were tried", refused)
+	}
+}
--- a/internal/allocation/lease.go
+++ b/internal/allocation/lease.go
@@ -4,57 +4,59 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Answered takes until when other controllers may have answered workers in this
+// SetDelegatedUntil takes until when other controllers may have answered workers in this
 // leader's name or an earlier one's, as far as can be known now, and in which
 // zones something else is known. No lease ends sooner than one that was renewed
 // then.
-func (l *Ledger) Answered(until clock.Micros, zones map[string]clock.Micros) {
-	l.delegated, l.delegatedIn = until, zones
+func (tracker *Tracker) SetDelegatedUntil(until clock.Micros, untilByZone map[string]clock.Micros) {
+	tracker.delegatedUntil, tracker.delegatedUntilByZone = until, untilByZone
 }
 
-// LastHeardBy takes what an earlier leader has promised: no report of the
+// CapLeaseRenewal takes what an earlier leader has promised: no report of the
 // machine was answered after that. It holds as long as this leader answers none.
-func (l *Ledger) LastHeardBy(m *Machine, at clock.Micros) { m.granted = min(m.granted, at) }
+func (tracker *Tracker) CapLeaseRenewal(machine *Machine, at clock.Micros) {
+	machine.leaseRenewedAt = min(machine.leaseRenewedAt, at)
+}
 
-// LastHeard is the last instant at which a report of the machine may have been
+// LastRenewalAt is the last instant at which a report of the machine may have been
 // answered, by delegates left out.
-func (m *Machine) LastHeard() clock.Micros { return m.granted }
+func (machine *Machine) LastRenewalAt() clock.Micros { return machine.leaseRenewedAt }
 
-// LeaseEnd is when the machine's lease has provably run out, if nothing is
+// LeaseEndsAt is when the machine's lease has provably run out, if nothing is
 // answered to it any more. The slack covers drift of both clocks.
-func (l *Ledger) LeaseEnd(m *Machine) clock.Micros {
-	delegated, ok := l.delegatedIn[m.Zone]
+func (tracker *Tracker) LeaseEndsAt(machine *Machine) clock.Micros {
+	delegatedUntil, ok := tracker.delegatedUntilByZone[machine.Zone]
 	if !ok {
-		delegated = l.delegated
+		delegatedUntil = tracker.delegatedUntil
 	}
-	return max(m.granted, delegated) + l.cfg.Lease + l.cfg.Lease/500 + clock.Second
+	return max(machine.leaseRenewedAt, delegatedUntil) + tracker.cfg.LeaseTTL + tracker.cfg.LeaseTTL/500 + clock.Second
 }
 
-// Expire ends what was on a machine whose lease has run out. The machine has
+// ExpireLease ends what was on a machine whose lease has run out. The machine has
 // to be heard anew before it gets anything.
-func (l *Ledger) Expire(m *Machine, now clock.Micros) bool {
-	if now < l.LeaseEnd(m) {
+func (tracker *Tracker) ExpireLease(machine *Machine, now clock.Micros) bool {
+	if now < tracker.LeaseEndsAt(machine) {
 		return false
 	}
-	m.Synced = false
+	machine.TokenConfirmed = false
 	// A report of the session that is over may still come, out of the network.
-	m.minSession = m.Session + 1
-	for _, p := range m.places {
-		p.late, p.directOut = false, 0
-		l.end(p, WhyVanished, now)
+	machine.minIncarnation = machine.Incarnation + 1
+	for _, placement := range machine.placements {
+		placement.mayArriveLate, placement.startsInFlight = false, 0
+		tracker.endPlacement(placement, CauseVanished, now)
 	}
-	clear(m.lateIDs)
-	clear(m.sent)
-	l.account(m)
+	clear(machine.lateStarts)
+	clear(machine.startTokens)
+	tracker.reconcile(machine)
 	return true
 }
 
-// MachineGone takes the cloud's word that a machine is gone.
-func (l *Ledger) MachineGone(m *Machine, now clock.Micros) {
-	for _, p := range m.places {
-		l.end(p, WhyVanished, now)
+// RemoveMachine takes the cloud's word that a machine is gone.
+func (tracker *Tracker) RemoveMachine(machine *Machine, now clock.Micros) {
+	for _, placement := range machine.placements {
+		tracker.endPlacement(placement, CauseVanished, now)
 	}
-	l.account(m)
-	delete(l.Machines, m.Name)
-	l.byName = nil
+	tracker.reconcile(machine)
+	delete(tracker.Machines, machine.Name)
+	tracker.sortedMachines = nil
 }
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -4,115 +4,117 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// exit is an exited attempt that the worker still lists.
-type exit struct {
-	id      string
-	attempt uint64
-	job     *Job
-	index   int
-	done    bool
+// exitedAttempt is an exited attempt that the worker still lists.
+type exitedAttempt struct {
+	taskID           string
+	attempt          uint64
+	job              *Job
+	taskIndex        int
+	completedOrAlive bool
 }
 
 type attemptKey struct {
-	id      string
+	taskID  string
 	attempt uint64
 }
 
 // Machine is a machine that exists, or may.
 type Machine struct {
-	Name, Type, Zone, Addr string
-	Spot                   bool
-	Cap                    Resources
-	// Recorded: the state service names it. Only then may it get tasks.
-	Recorded bool
-	Session  uint64
-	Seq      uint64
-	Heard    clock.Micros // when the last newer report came
-	// Synced: it has reported under this token.
-	Synced bool
-	// Accounted: nothing of an earlier leader can be on it unseen.
-	Accounted bool
+	Name, Type, Zone, Address string
+	Spot                      bool
+	Capacity                  Resources
+	// RecordedInStore: the state service names it. Only then may it get tasks.
+	RecordedInStore   bool
+	Incarnation       uint64
+	HeartbeatSequence uint64
+	LastHeartbeatAt   clock.Micros // when the last newer report came
+	// TokenConfirmed: it has reported under this token.
+	TokenConfirmed bool
+	// Reconciled: nothing of an earlier leader can be on it unseen.
+	Reconciled bool
 	// Draining: it gets nothing new.
 	Draining bool
-	// TakenAt is when the cloud takes it back, 0 if not announced.
-	TakenAt clock.Micros
-	// Images that it has fetched, with when each was last used.
-	Images map[string]clock.Micros
-	Since  clock.Micros // when this leader learnt of it
-	UpAt   clock.Micros // when it was first heard
-	IdleAt clock.Micros // since when it has nothing to do
-	// DeafUntil: a direct message got no answer lately, so until then it is not
+	// ReclaimAt is when the cloud takes it back, 0 if not announced.
+	ReclaimAt clock.Micros
+	// ImageUsedAt that it has fetched, with when each was last used.
+	ImageUsedAt      map[string]clock.Micros
+	CreatedAt        clock.Micros // when this leader learnt of it
+	FirstHeartbeatAt clock.Micros // when it was first heard
+	BecameIdleAt     clock.Micros // since when it has nothing to do
+	// UnreachableUntil: a direct message got no answer lately, so until then it is not
 	// known that the worker can be told anything, though it may be heard.
-	DeafUntil clock.Micros
-	// said are images that it is said to hold in a session, see Says.
-	said   []string
-	saidIn uint64
-	// HeldUntil: tasks fail there for a cause that is not its own, so until then it
+	UnreachableUntil clock.Micros
+	// hintedImages are images that it is said to hold in a session, see Says.
+	hintedImages      []string
+	hintedIncarnation uint64
+	// BackoffUntil: tasks fail there for a cause that is not its own, so until then it
 	// gets nothing new.
-	HeldUntil clock.Micros
-	// FaultyJobs counts the jobs that failed on it.
-	FaultyJobs map[string]bool
-
-	// Rank is its place in ByName, as of the last call of that.
-	Rank int
-
-	granted  clock.Micros // its lease may be counted from here
-	used     Resources
-	places   map[string]*Placement
-	replicas int
-	fetching map[string]int // placements that have not run yet, by image
-	outbox   bool           // listed in the ledger's outbox
-	// isWaiting: listed among those whose starts wait for followers.
-	isWaiting bool
-	exits     []exit
-	lateIDs   map[attemptKey]bool // attempts that a late direct start may bring back
-	// sent are the tokens of direct starts, of which copies may come, by attempt;
+	BackoffUntil clock.Micros
+	// FailedJobs counts the jobs that failed on it.
+	FailedJobs map[string]bool
+
+	// SortIndex is its place in SortedMachines, as of the last call of that.
+	SortIndex int
+
+	leaseRenewedAt clock.Micros // its lease may be counted from here
+	used           Resources
+	placements     map[string]*Placement
+	replicaCount   int
+	fetchesByImage map[string]int // placements that have not run yet, by image
+	isQueued       bool           // listed in the ledger's outbox
+	// isAwaitingReplication: listed among those whose starts wait for followers.
+	isAwaitingReplication bool
+	exitedAttempts        []exitedAttempt
+	lateStarts            map[attemptKey]bool // attempts that a late direct start may bring back
+	// startTokens are the tokens of direct starts, of which copies may come, by attempt;
 	// token is the highest that the worker has said it has seen.
-	sent    map[attemptKey]uint64
-	token   uint64
-	directs bool // a direct message is out
+	startTokens     map[attemptKey]uint64
+	seenToken       uint64
+	commandInFlight bool // a direct message is out
 	// Reports of sessions before this one are void.
-	minSession uint64
+	minIncarnation uint64
 }
 
 // Used is what its placements take.
-func (m *Machine) Used() Resources { return m.used }
+func (machine *Machine) Used() Resources { return machine.used }
 
 // Free is what is left for new tasks.
-func (m *Machine) Free() Resources { return m.Cap.Sub(m.used) }
+func (machine *Machine) Free() Resources { return machine.Capacity.Sub(machine.used) }
 
-// Replicas is how many tasks of services are, or may be, on it.
-func (m *Machine) Replicas() int { return m.replicas }
+// ReplicaCount is how many tasks of services are, or may be, on it.
+func (machine *Machine) ReplicaCount() int { return machine.replicaCount }
 
-// Fetching tells whether a task that has not run yet waits for the image.
-func (m *Machine) Fetching(image string) bool { return m.fetching[image] > 0 }
+// IsFetching tells whether a task that has not run yet waits for the image.
+func (machine *Machine) IsFetching(image string) bool { return machine.fetchesByImage[image] > 0 }
 
-// Fetches is how many images tasks on it wait for; they share its rate.
-func (m *Machine) Fetches() int { return len(m.fetching) }
+// FetchCount is how many images tasks on it wait for; they share its rate.
+func (machine *Machine) FetchCount() int { return len(machine.fetchesByImage) }
 
-// Tasks is how many placements are on it.
-func (m *Machine) Tasks() int { return len(m.places) }
+// PlacementCount is how many placements are on it.
+func (machine *Machine) PlacementCount() int { return len(machine.placements) }
 
-// Idle tells that nothing is, or may be, on it.
-func (m *Machine) Idle() bool { return len(m.places) == 0 }
+// IsIdle tells that nothing is, or may be, on it.
+func (machine *Machine) IsIdle() bool { return len(machine.placements) == 0 }
 
-// Usable tells that it may get tasks.
-func (m *Machine) Usable() bool { return m.Recorded && m.Synced && !m.Draining && m.TakenAt == 0 }
+// IsSchedulable tells that it may get tasks.
+func (machine *Machine) IsSchedulable() bool {
+	return machine.RecordedInStore && machine.TokenConfirmed && !machine.Draining && machine.ReclaimAt == 0
+}
 
-// Places calls f for every placement on it.
-func (m *Machine) Places(f func(*Placement)) {
-	for _, p := range m.places {
-		f(p)
+// ForEachPlacement calls f for every placement on it.
+func (machine *Machine) ForEachPlacement(visit func(*Placement)) {
+	for _, placement := range machine.placements {
+		visit(placement)
 	}
 }
 
-// Lists tells whether the worker still lists some attempt of the task.
-func (m *Machine) Lists(id string) bool {
-	if _, ok := m.places[id]; ok {
+// HasTask tells whether the worker still lists some attempt of the task.
+func (machine *Machine) HasTask(taskID string) bool {
+	if _, ok := machine.placements[taskID]; ok {
 		return true
 	}
-	for i := range m.exits {
-		if m.exits[i].id == id {
+	for i := range machine.exitedAttempts {
+		if machine.exitedAttempts[i].taskID == taskID {
 			return true
 		}
 	}
@@ -121,45 +123,45 @@
 
 // AddMachine takes a machine. One that existed at the take-over has to be
 // accounted for.
-func (l *Ledger) AddMachine(name, typ, zone string, spot bool, size Resources, now clock.Micros) *Machine {
-	if m := l.Machines[name]; m != nil {
-		return m
+func (tracker *Tracker) AddMachine(name, machineType, zone string, spot bool, capacity Resources, now clock.Micros) *Machine {
+	if machine := tracker.Machines[name]; machine != nil {
+		return machine
 	}
-	m := &Machine{
-		Name: name, Type: typ, Zone: zone, Spot: spot, Cap: size, Since: now, IdleAt: now, granted: now,
-		Images: map[string]clock.Micros{}, places: map[string]*Placement{}, FaultyJobs: map[string]bool{},
-		lateIDs: map[attemptKey]bool{}, sent: map[attemptKey]uint64{},
+	machine := &Machine{
+		Name: name, Type: machineType, Zone: zone, Spot: spot, Capacity: capacity, CreatedAt: now, BecameIdleAt: now, leaseRenewedAt: now,
+		ImageUsedAt: map[string]clock.Micros{}, placements: map[string]*Placement{}, FailedJobs: map[string]bool{},
+		lateStarts: map[attemptKey]bool{}, startTokens: map[attemptKey]uint64{},
 	}
-	if l.settled {
-		m.Accounted = true
+	if tracker.isRecovered {
+		machine.Reconciled = true
 	} else {
-		l.open++
+		tracker.unreconciledCount++
 	}
-	l.Machines[name] = m
-	l.byName = nil
-	return m
+	tracker.Machines[name] = machine
+	tracker.sortedMachines = nil
+	return machine
 }
 
-func (l *Ledger) account(m *Machine) {
-	if !m.Accounted {
-		m.Accounted = true
-		l.open--
-		l.checkAccounts()
+func (tracker *Tracker) reconcile(machine *Machine) {
+	if !machine.Reconciled {
+		machine.Reconciled = true
+		tracker.unreconciledCount--
+		tracker.finishReconciliation()
 	}
 }
 
-// checkAccounts clears all doubt once every machine is accounted for: a task
+// finishReconciliation clears all doubt once every machine is accounted for: a task
 // that no machine has is nowhere.
-func (l *Ledger) checkAccounts() {
-	if !l.Accounted() {
+func (tracker *Tracker) finishReconciliation() {
+	if !tracker.IsReconciled() {
 		return
 	}
-	for _, j := range l.Jobs {
-		if j.doubts == 0 {
+	for _, job := range tracker.Jobs {
+		if job.unconfirmedCount == 0 {
 			continue
 		}
-		for i := range j.Tasks {
-			l.clearDoubt(j, i)
+		for i := range job.Tasks {
+			tracker.clearUnconfirmed(job, i)
 		}
 	}
 }
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -14,267 +14,267 @@
 
 // Phases of a placement.
 const (
-	// Assigned: decided, not yet sent.
-	Assigned Phase = iota
-	// Sent: the start may or may not have arrived.
-	Sent
-	// Present: the worker has reported it.
-	Present
+	// PhaseAssigned: decided, not yet sent.
+	PhaseAssigned Phase = iota
+	// PhaseSent: the start may or may not have arrived.
+	PhaseSent
+	// PhaseReported: the worker has reported it.
+	PhaseReported
 )
 
 // Placement is a task that is, or may be, on a machine.
 type Placement struct {
-	Job     *Job
-	Index   int
-	Attempt uint64
-	Machine *Machine
-	Phase   Phase
-	State   string       // as last reported
-	Since   clock.Micros // when it was decided or adopted
-	Started clock.Micros // when it was first seen with its image
-	// RunAt is when it was first seen running: a gang's task waits for the others.
-	RunAt clock.Micros
+	Job           *Job
+	TaskIndex     int
+	Attempt       uint64
+	Machine       *Machine
+	Phase         Phase
+	ReportedState string       // as last reported
+	CreatedAt     clock.Micros // when it was decided or adopted
+	StartedAt     clock.Micros // when it was first seen with its image
+	// RunningAt is when it was first seen running: a gang's task waits for the others.
+	RunningAt clock.Micros
 
 	// Adopted: an earlier leader started it, so when it began is not known.
 	Adopted bool
-	// Saved: it was stopped, and its progress is safe.
-	Saved bool
+	// ProgressSaved: it was stopped, and its progress is safe.
+	ProgressSaved bool
 
-	// Stray: not the task's place by the ledger's will; it is to be stopped.
-	Stray bool
-	id    string
+	// Orphaned: not the task's place by the ledger's will; it is to be stopped.
+	Orphaned bool
+	taskID   string
 
-	sentSeq   uint64 // seq of the report whose answer carried the start
-	directOut int    // direct starts without an answer yet
-	late      bool   // a direct start may still arrive
-	stop      bool
-	grace     clock.Micros
-	stopSent  clock.Micros
-	seen      uint64 // the last report that listed it, by the ledger's count
-	decision  uint64 // the number of the decision that it may begin
+	sentInSequence    uint64 // seq of the report whose answer carried the start
+	startsInFlight    int    // direct starts without an answer yet
+	mayArriveLate     bool   // a direct start may still arrive
+	isStopping        bool
+	stopGrace         clock.Micros
+	stopSentAt        clock.Micros
+	lastSeenHeartbeat uint64 // the last report that listed it, by the ledger's count
+	decisionSequence  uint64 // the number of the decision that it may begin
 
-	// Forecast is when the planner expects it to end, worked out at ForecastAt;
+	// ForecastEndAt is when the planner expects it to end, worked out at ForecastMadeAt;
 	// it is the planner's to use.
-	Forecast, ForecastAt clock.Micros
+	ForecastEndAt, ForecastMadeAt clock.Micros
 }
 
-// Stopping tells whether the placement is to end.
-func (p *Placement) Stopping() bool { return p.stop }
+// IsStopping tells whether the placement is to end.
+func (placement *Placement) IsStopping() bool { return placement.isStopping }
 
 // Errors of Place.
 var (
-	ErrState = errors.New("ledger: the task or machine is not free for this")
-	ErrPlace = errors.New("ledger: the job does not allow this place")
-	ErrLimit = errors.New("ledger: the team's limit does not allow it")
-	ErrRoom  = errors.New("ledger: the machine has no room")
+	ErrNotPlaceable          = errors.New("ledger: the task or machine is not free for this")
+	ErrNotEligible           = errors.New("ledger: the job does not allow this place")
+	ErrQuotaExceeded         = errors.New("ledger: the team's limit does not allow it")
+	ErrInsufficientResources = errors.New("ledger: the machine has no room")
 )
 
-// Attempt returns a number greater than every earlier one.
-func (l *Ledger) Attempt() uint64 {
-	l.counter++
-	return l.token<<20 | l.counter&(1<<20-1)
+// NextAttempt returns a number greater than every earlier one.
+func (tracker *Tracker) NextAttempt() uint64 {
+	tracker.attemptCounter++
+	return tracker.currentToken<<20 | tracker.attemptCounter&(1<<20-1)
 }
 
-// WithinLimit tells whether a team may use that much more.
-func (l *Ledger) WithinLimit(team string, more Resources) bool {
-	lim := l.cfg.Teams[team]
-	u := l.TeamUse(team).Add(more)
-	return (lim.CPUMax == 0 || u.CPU <= lim.CPUMax) && (lim.GPUMax == 0 || u.GPU <= lim.GPUMax)
+// IsWithinQuota tells whether a team may use that much more.
+func (tracker *Tracker) IsWithinQuota(team string, additional Resources) bool {
+	quota := tracker.cfg.Quotas[team]
+	usage := tracker.TeamUsage(team).Add(additional)
+	return (quota.MaxMilliCPU == 0 || usage.MilliCPU <= quota.MaxMilliCPU) && (quota.MaxMilliGPU == 0 || usage.MilliGPU <= quota.MaxMilliGPU)
 }
 
-// Allowed tells whether the job's own wishes allow the machine now, its other
+// IsEligible tells whether the job's own wishes allow the machine now, its other
 // tasks considered.
-func Allowed(j *Job, m *Machine) bool {
-	s := j.Spec
-	if m.Spot && !s.Spot || s.Zone != "" && s.Zone != m.Zone {
+func IsEligible(job *Job, machine *Machine) bool {
+	spec := job.Spec
+	if machine.Spot && !spec.Spot || spec.Zone != "" && spec.Zone != machine.Zone {
 		return false
 	}
-	if s.Types != nil && !slices.Contains(s.Types, m.Type) {
+	if spec.Types != nil && !slices.Contains(spec.Types, machine.Type) {
 		return false
 	}
-	if s.OneZone {
-		if j.doubts > 0 {
+	if spec.OneZone {
+		if job.unconfirmedCount > 0 {
 			return false
 		}
-		if z, ok := j.OnlyZone(); ok && z != m.Zone {
+		if z, ok := job.OccupiedZone(); ok && z != machine.Zone {
 			return false
 		}
 	}
-	if s.Spread && j.InZone(m.Zone)+1 > j.SpreadLimit() {
+	if spec.Spread && job.CountInZone(machine.Zone)+1 > job.MaxTasksPerZone() {
 		return false
 	}
 	return true
 }
 
-// Replaceable tells whether a gang waits for tasks that it has lost before it was
+// CanReplaceLostTasks tells whether a gang waits for tasks that it has lost before it was
 // seen running: others with the same attempt complete it, while stopping the rest
 // would give up the images that they fetch.
-func (j *Job) Replaceable() bool {
-	return j.Gang() && j.Attempt != 0 && !j.Broken && !j.UnderWay && !j.Withdrawn && j.doubts == 0
+func (job *Job) CanReplaceLostTasks() bool {
+	return job.IsGang() && job.GangAttempt != 0 && !job.GangAborting && !job.GangStarted && !job.Cancelled && job.unconfirmedCount == 0
 }
 
-// Place decides that a waiting task goes to a machine.
-func (l *Ledger) Place(j *Job, i int, m *Machine, attempt uint64, now clock.Micros) error {
-	t := &j.Tasks[i]
-	if t.State != Waiting || t.Doubt || t.Place != nil || j.Withdrawn || !j.Marked || !m.Usable() {
-		return ErrState
+// PlaceTask decides that a waiting task goes to a machine.
+func (tracker *Tracker) PlaceTask(job *Job, taskIndex int, machine *Machine, attempt uint64, now clock.Micros) error {
+	task := &job.Tasks[taskIndex]
+	if task.State != TaskWaiting || task.Unconfirmed || task.Placement != nil || job.Cancelled || !job.StartsRecorded || !machine.IsSchedulable() {
+		return ErrNotPlaceable
 	}
-	if j.Gang() && j.Attempt != 0 && (j.Attempt != attempt || !j.Replaceable()) {
-		return ErrState
+	if job.IsGang() && job.GangAttempt != 0 && (job.GangAttempt != attempt || !job.CanReplaceLostTasks()) {
+		return ErrNotPlaceable
 	}
-	id := wire.TaskID(j.Spec.ID, i)
-	if m.Lists(id) {
-		return ErrState
+	taskID := wire.TaskID(job.Spec.ID, taskIndex)
+	if machine.HasTask(taskID) {
+		return ErrNotPlaceable
 	}
-	if !Allowed(j, m) {
-		return ErrPlace
+	if !IsEligible(job, machine) {
+		return ErrNotEligible
 	}
-	if !l.WithinLimit(j.Spec.Team, j.Need) {
-		return ErrLimit
+	if !tracker.IsWithinQuota(job.Spec.Team, job.Request) {
+		return ErrQuotaExceeded
 	}
-	if !j.Need.Fits(m.Free()) {
-		return ErrRoom
+	if !job.Request.IsWithin(machine.Free()) {
+		return ErrInsufficientResources
 	}
-	if j.Gang() {
-		j.Attempt = attempt
+	if job.IsGang() {
+		job.GangAttempt = attempt
 	}
-	l.put(&Placement{Job: j, Index: i, Attempt: attempt, Machine: m, Since: now, id: id})
+	tracker.addPlacement(&Placement{Job: job, TaskIndex: taskIndex, Attempt: attempt, Machine: machine, CreatedAt: now, taskID: taskID})
 	return nil
 }
 
-// put books a placement.
-func (l *Ledger) put(p *Placement) {
-	j, m := p.Job, p.Machine
-	l.decideStarted(p)
-	m.places[p.id] = p
-	m.used = m.used.Add(j.Need)
-	u := l.teamUse(l.use, j.Spec.Team)
-	*u = u.Add(j.Need)
-	j.byZone[m.Zone]++
-	j.active++
-	if j.Service() {
-		m.replicas++
+// addPlacement books a placement.
+func (tracker *Tracker) addPlacement(placement *Placement) {
+	job, machine := placement.Job, placement.Machine
+	tracker.publishStarted(placement)
+	machine.placements[placement.taskID] = placement
+	machine.used = machine.used.Add(job.Request)
+	usage := tracker.usageOf(tracker.placedUsage, job.Spec.Team)
+	*usage = usage.Add(job.Request)
+	job.placementsByZone[machine.Zone]++
+	job.activeCount++
+	if job.IsService() {
+		machine.replicaCount++
 	}
-	m.fetchFor(j.Spec.Image, 1)
-	l.toSend(m)
-	if !p.Stray {
-		t := &j.Tasks[p.Index]
-		if t.Doubt && t.Place == nil {
-			l.doubtUse(j, -1)
+	machine.adjustFetchCount(job.Spec.Image, 1)
+	tracker.queueDispatch(machine)
+	if !placement.Orphaned {
+		task := &job.Tasks[placement.TaskIndex]
+		if task.Unconfirmed && task.Placement == nil {
+			tracker.addUnconfirmedUsage(job, -1)
 		}
-		t.Place = p
-		if t.State == Waiting {
-			t.State = Placed
-			j.waiting--
+		task.Placement = placement
+		if task.State == TaskWaiting {
+			task.State = TaskPlaced
+			job.waitingCount--
 		}
 	}
 }
 
-func (m *Machine) fetchFor(image string, n int) {
-	if m.fetching == nil {
-		m.fetching = map[string]int{}
+func (machine *Machine) adjustFetchCount(image string, delta int) {
+	if machine.fetchesByImage == nil {
+		machine.fetchesByImage = map[string]int{}
 	}
-	if m.fetching[image] += n; m.fetching[image] <= 0 {
-		delete(m.fetching, image)
+	if machine.fetchesByImage[image] += delta; machine.fetchesByImage[image] <= 0 {
+		delete(machine.fetchesByImage, image)
 	}
 }
 
-// end takes a placement off the books; the caller has the proof.
-func (l *Ledger) end(p *Placement, why string, now clock.Micros) {
-	j, m := p.Job, p.Machine
-	if m.places[p.id] != p {
+// endPlacement takes a placement off the books; the caller has the proof.
+func (tracker *Tracker) endPlacement(placement *Placement, cause string, now clock.Micros) {
+	job, machine := placement.Job, placement.Machine
+	if machine.placements[placement.taskID] != placement {
 		return
 	}
-	delete(m.places, p.id)
-	m.used = m.used.Sub(j.Need)
-	u := l.teamUse(l.use, j.Spec.Team)
-	*u = u.Sub(j.Need)
-	j.byZone[m.Zone]--
-	j.active--
-	if j.Service() {
-		m.replicas--
+	delete(machine.placements, placement.taskID)
+	machine.used = machine.used.Sub(job.Request)
+	usage := tracker.usageOf(tracker.placedUsage, job.Spec.Team)
+	*usage = usage.Sub(job.Request)
+	job.placementsByZone[machine.Zone]--
+	job.activeCount--
+	if job.IsService() {
+		machine.replicaCount--
 	}
-	if p.Started != 0 {
-		j.Running--
-		m.Images[j.Spec.Image] = now
+	if placement.StartedAt != 0 {
+		job.StartedCount--
+		machine.ImageUsedAt[job.Spec.Image] = now
 	} else {
-		m.fetchFor(j.Spec.Image, -1)
+		machine.adjustFetchCount(job.Spec.Image, -1)
 	}
-	if len(m.places) == 0 {
-		m.IdleAt = now
+	if len(machine.placements) == 0 {
+		machine.BecameIdleAt = now
 	}
-	if p.late || p.directOut > 0 {
-		m.lateIDs[attemptKey{p.id, p.Attempt}] = true
+	if placement.mayArriveLate || placement.startsInFlight > 0 {
+		machine.lateStarts[attemptKey{placement.taskID, placement.Attempt}] = true
 	}
-	t := &j.Tasks[p.Index]
-	if why != wire.WhyDone && p.RunAt != 0 && j.Spec.CheckpointS > 0 {
-		t.Progress += (now - p.RunAt).Seconds()
-		if !p.Saved {
-			t.Progress = math.Floor(t.Progress/j.Spec.CheckpointS) * j.Spec.CheckpointS
+	task := &job.Tasks[placement.TaskIndex]
+	if cause != wire.WhyDone && placement.RunningAt != 0 && job.Spec.CheckpointS > 0 {
+		task.CheckpointedSeconds += (now - placement.RunningAt).Seconds()
+		if !placement.ProgressSaved {
+			task.CheckpointedSeconds = math.Floor(task.CheckpointedSeconds/job.Spec.CheckpointS) * job.Spec.CheckpointS
 		}
-		j.Progress = max(j.Progress, t.Progress)
+		job.CheckpointedSeconds = max(job.CheckpointedSeconds, task.CheckpointedSeconds)
 	}
-	if t.Place == p {
-		l.unplace(j, t)
-		if why == wire.WhyDone {
-			l.complete(j, p.Index)
-		} else if j.Gang() && t.State != Done && (j.UnderWay || why == wire.WhyPeers || why == wire.WhyError) {
-			l.breakGang(j)
+	if task.Placement == placement {
+		tracker.clearPlacement(job, task)
+		if cause == wire.WhyDone {
+			tracker.recordCompletion(job, placement.TaskIndex)
+		} else if job.IsGang() && task.State != TaskDone && (job.GangStarted || cause == wire.WhyPeers || cause == wire.WhyError) {
+			tracker.abortGang(job)
 		}
 	}
-	if j.Gang() && j.active == 0 {
-		j.Attempt, j.Broken, j.UnderWay = 0, false, false
+	if job.IsGang() && job.activeCount == 0 {
+		job.GangAttempt, job.GangAborting, job.GangStarted = 0, false, false
 	}
-	l.decideOver(p)
-	l.Ended = append(l.Ended, Ending{p, why})
+	tracker.publishEnded(placement)
+	tracker.Exited = append(tracker.Exited, ExitEvent{placement, cause})
 }
 
-// unplace takes a task's place from it.
-func (l *Ledger) unplace(j *Job, t *Task) {
-	t.Place = nil
-	if t.Doubt {
-		l.doubtUse(j, 1)
+// clearPlacement takes a task's place from it.
+func (tracker *Tracker) clearPlacement(job *Job, task *Task) {
+	task.Placement = nil
+	if task.Unconfirmed {
+		tracker.addUnconfirmedUsage(job, 1)
 	}
-	if t.State == Placed {
-		t.State = Waiting
-		j.waiting++
+	if task.State == TaskPlaced {
+		task.State = TaskWaiting
+		job.waitingCount++
 	}
 }
 
-// breakGang ends an attempt of which a task is gone.
-func (l *Ledger) breakGang(j *Job) {
-	if j.Broken || j.active == 0 {
+// abortGang ends an attempt of which a task is gone.
+func (tracker *Tracker) abortGang(job *Job) {
+	if job.GangAborting || job.activeCount == 0 {
 		return
 	}
-	j.Broken = true
-	for i := range j.Tasks {
-		if p := j.Tasks[i].Place; p != nil {
-			l.Stop(p, 0)
+	job.GangAborting = true
+	for i := range job.Tasks {
+		if placement := job.Tasks[i].Placement; placement != nil {
+			tracker.StopPlacement(placement, 0)
 		}
 	}
 }
 
-// Stop asks that a placement ends, with time to save if it can.
-func (l *Ledger) Stop(p *Placement, grace clock.Micros) {
-	if p.Phase == Assigned && p.directOut == 0 && !p.late {
-		l.end(p, wire.WhyStopped, p.Since)
+// StopPlacement asks that a placement ends, with time to save if it can.
+func (tracker *Tracker) StopPlacement(placement *Placement, grace clock.Micros) {
+	if placement.Phase == PhaseAssigned && placement.startsInFlight == 0 && !placement.mayArriveLate {
+		tracker.endPlacement(placement, wire.WhyStopped, placement.CreatedAt)
 		return
 	}
-	if p.stop && grace >= p.grace {
+	if placement.isStopping && grace >= placement.stopGrace {
 		return
 	}
-	p.stop, p.grace, p.stopSent = true, grace, 0
-	l.toSend(p.Machine)
+	placement.isStopping, placement.stopGrace, placement.stopSentAt = true, grace, 0
+	tracker.queueDispatch(placement.Machine)
 }
 
 // StopJob stops all tasks of a gang together, or one task otherwise.
-func (l *Ledger) StopJob(j *Job, grace clock.Micros) {
-	for i := range j.Tasks {
-		if p := j.Tasks[i].Place; p != nil {
-			l.Stop(p, grace)
+func (tracker *Tracker) StopJob(job *Job, grace clock.Micros) {
+	for i := range job.Tasks {
+		if placement := job.Tasks[i].Placement; placement != nil {
+			tracker.StopPlacement(placement, grace)
 		}
 	}
-	if j.Gang() && j.active > 0 {
-		j.Broken = true
+	if job.IsGang() && job.activeCount > 0 {
+		job.GangAborting = true
 	}
 }
--- /dev/null
+++ b/internal/allocation/replication_test.go
@@ -0,0 +1,184 @@
+package allocation
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// recordingReplicator keeps what a follower of a ledger would know.
+type recordingReplicator struct {
+	t              *testing.T
+	covered        string   // a task or job that has to be covered after each decision, if set
+	active         []string // tasks that may be under way, and what is in doubt
+	sequence       uint64
+	replicatedUpTo uint64 // the last decision that all followers have
+}
+
+func (replicator *recordingReplicator) RecordStarted(task string, _ uint64, _ string) uint64 {
+	replicator.active = append(replicator.active, task)
+	replicator.sequence++
+	return replicator.sequence
+}
+
+func (replicator *recordingReplicator) RecordEnded(task string, _ uint64, _ string) {
+	if i := slices.Index(replicator.active, task); i >= 0 {
+		replicator.active = slices.Delete(replicator.active, i, i+1)
+	}
+	if job, _, _ := strings.Cut(replicator.covered, "/"); job != "" && !slices.Contains(replicator.active, replicator.covered) && !slices.Contains(replicator.active, job) {
+		replicator.t.Errorf("%s is covered by nothing for a moment", replicator.covered)
+	}
+}
+
+func (replicator *recordingReplicator) MaySendStart(number uint64) bool {
+	return number <= replicator.replicatedUpTo
+}
+
+func (replicator *recordingReplicator) RecordUnconfirmed(id string) {
+	replicator.RecordStarted(id, 0, "")
+}
+
+func (replicator *recordingReplicator) RecordResolved(id string) { replicator.RecordEnded(id, 0, "") }
+
+func newReplicatedTracker(t *testing.T) (*Tracker, *Machine, *Job, *recordingReplicator) {
+	replicator := &recordingReplicator{replicatedUpTo: 100}
+	tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL, Replicator: replicator})
+	tracker.FinishRecovery()
+	machine := tracker.AddMachine("i-0", "t", "x", false, Resources{8000, 0, 1 << 40}, 0)
+	machine.RecordedInStore, machine.Address = true, "a:1"
+	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Tasks: 3, CPUs: 1}, 0, 0, true, nil)
+	tracker.RecordHeartbeat(machine, heartbeatListing("i-0", 1, 9, 0), 1)
+	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 1); err != nil {
+		t.Fatal(err)
+	}
+	return tracker, machine, job, replicator
+}
+
+// No start goes out, by either way, before all followers have it; then it does.
+func TestStartWaitsForReplication(t *testing.T) {
+	tracker, machine, _, replicator := newReplicatedTracker(t)
+	replicator.replicatedUpTo = 0
+	if orders := tracker.HeartbeatCommands(machine, 2); len(orders) != 0 {
+		t.Fatalf("answered %+v", orders)
+	}
+	if request, _ := tracker.BuildCommandRequest(machine, 2); request != nil {
+		t.Fatalf("sent %+v", request)
+	}
+	tracker.ProcessDispatchQueue(func(*Machine) bool { return false })
+	replicator.replicatedUpTo = 1
+	tracker.RetryUnreplicatedStarts()
+	due := 0
+	tracker.ProcessDispatchQueue(func(*Machine) bool { due++; return false })
+	if request, _ := tracker.BuildCommandRequest(machine, 3); due != 1 || request == nil || len(request.Commands) != 1 {
+		t.Fatalf("%d machines due, then sent %+v", due, request)
+	}
+}
+
+// A task that completed is over for followers only once its completion is durable, or its
+// job is over: the next leader would run it again.
+func TestCompletionIsDurableBeforeEndIsPublished(t *testing.T) {
+	tracker, machine, job, replicator := newReplicatedTracker(t)
+	tracker.HeartbeatCommands(machine, 2)
+	done := heartbeatListing("i-0", 2, 9, 0)
+	attempt := job.Tasks[0].Placement.Attempt
+	done.Tasks = []wire.TaskReport{{Task: wire.TaskID("req-000001", 0), Attempt: attempt, State: wire.TaskExited, Why: wire.WhyDone}}
+	tracker.RecordHeartbeat(machine, done, 3*clock.Second)
+	if job.DoneCount() != 1 || len(replicator.active) != 1 {
+		t.Fatalf("%d done, told of as under way: %v", job.DoneCount(), replicator.active)
+	}
+	tracker.MarkDurable(job, []int{0})
+	if len(replicator.active) != 0 {
+		t.Fatalf("still told of as under way: %v", replicator.active)
+	}
+}
+
+// Only tasks that an earlier leader may have started are in doubt; of a gang all, if any.
+func TestOnlyPossiblyStartedTasksAreUnconfirmed(t *testing.T) {
+	for kind, want := range map[string]int{wire.KindArray: 1, wire.KindGang: 3} {
+		tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL, MayHaveStarted: func(task string) bool { return task == wire.TaskID("req-000001", 1) }})
+		job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: kind, Tasks: 3, CPUs: 1, Team: "a"}, 0, 0, true, nil)
+		if job.UnconfirmedCount() != want || tracker.TeamUsage("a").MilliCPU != int64(want)*1000 {
+			t.Errorf("%s: %d in doubt, the team may use %d", kind, job.UnconfirmedCount(), tracker.TeamUsage("a").MilliCPU)
+		}
+	}
+}
+
+// newTrackerWithUnconfirmed is the ledger of a new leader with a job of which tasks may run, a machine, and
+// another one that is silent.
+func newTrackerWithUnconfirmed(t *testing.T, tasks int, mayRun func(string) bool) (*Tracker, *Machine, *Job, *recordingReplicator) {
+	replicator := &recordingReplicator{t: t, replicatedUpTo: 100}
+	tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL, Replicator: replicator, MayHaveStarted: mayRun})
+	for _, name := range []string{"i-0", "i-1"} {
+		tracker.AddMachine(name, "t", "x", false, Resources{64000, 0, 1 << 40}, 0).RecordedInStore = true
+	}
+	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Tasks: tasks, CPUs: 1}, 0, 0, true, nil)
+	tracker.FinishRecovery()
+	return tracker, tracker.Machines["i-0"], job, replicator
+}
+
+// A task that was in doubt is told of as placed before its doubt is told of as over: in
+// between a follower would take it for one that is nowhere.
+func TestPlacementIsPublishedBeforeResolution(t *testing.T) {
+	task := wire.TaskID("req-000001", 1)
+	tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, 3, func(other string) bool { return other == task })
+	if !slices.Equal(replicator.active, []string{task}) {
+		t.Fatalf("told of %v", replicator.active)
+	}
+	replicator.covered = task
+	tracker.RecordHeartbeat(machine, heartbeatListing("i-0", 1, 9, 3, 1), 1)
+	if job.UnconfirmedCount() != 0 || !slices.Equal(replicator.active, []string{task}) {
+		t.Errorf("%d in doubt, told of %v", job.UnconfirmedCount(), replicator.active)
+	}
+}
+
+// A task that was in doubt and turns out to be done is covered until its completion is
+// durable.
+func TestTaskStaysUnconfirmedUntilCompletionIsDurable(t *testing.T) {
+	for name, tasks := range map[string]int{"few": 3, "many": maxUnconfirmedTasksPublished + 1} {
+		tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, tasks, nil)
+		replicator.covered = wire.TaskID("req-000001", 0)
+		done := heartbeatListing("i-0", 1, 9, 3)
+		done.Tasks = []wire.TaskReport{{Task: replicator.covered, Attempt: 3, State: wire.TaskExited, Why: wire.WhyDone}}
+		tracker.RecordHeartbeat(machine, done, 1)
+		tracker.RemoveMachine(tracker.Machines["i-1"], 2)
+		if job.DoneCount() != 1 || job.UnconfirmedCount() != 0 {
+			t.Fatalf("%s: %d done, %d in doubt", name, job.DoneCount(), job.UnconfirmedCount())
+		}
+		replicator.covered = ""
+		tracker.MarkDurable(job, []int{0})
+		if len(replicator.active) != 0 {
+			t.Errorf("%s: still told of %v", name, replicator.active)
+		}
+	}
+}
+
+// Many doubts of one job are told one by one where more is left of it, which may start.
+func TestUnconfirmedTasksOfPartlyConfirmedJobArePublishedSingly(t *testing.T) {
+	const tasks = 2 * maxUnconfirmedTasksPublished
+	_, _, job, replicator := newTrackerWithUnconfirmed(t, tasks, func(task string) bool { return task != wire.TaskID("req-000001", 0) })
+	if job.UnconfirmedCount() != tasks-1 || len(replicator.active) != tasks-1 {
+		t.Errorf("%d in doubt, told of %v", job.UnconfirmedCount(), replicator.active)
+	}
+}
+
+// A job that is in doubt as a whole is told of as such, and its last tasks one by one.
+func TestWhollyUnconfirmedJobIsPublishedAsOne(t *testing.T) {
+	const tasks = maxUnconfirmedTasksPublished + 4
+	tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, tasks, nil)
+	if !slices.Equal(replicator.active, []string{"req-000001"}) {
+		t.Fatalf("told of %v", replicator.active)
+	}
+	tracker.RecordHeartbeat(machine, heartbeatListing("i-0", 1, 9, 3, 0, 1, 2), 1)
+	if job.UnconfirmedCount() != tasks-3 || !slices.Contains(replicator.active, "req-000001") || len(replicator.active) != 4 {
+		t.Fatalf("%d in doubt, told of %v", job.UnconfirmedCount(), replicator.active)
+	}
+	replicator.covered = wire.TaskID("req-000001", tasks-1)
+	tracker.recordCompletion(job, 3)
+	tracker.MarkDurable(job, []int{3})
+	if job.UnconfirmedCount() != maxUnconfirmedTasksPublished || slices.Contains(replicator.active, "req-000001") || len(replicator.active) != maxUnconfirmedTasksPublished+3 {
+		t.Errorf("%d in doubt, told of %v", job.UnconfirmedCount(), replicator.active)
+	}
+}
--- a/internal/allocation/resources.go
+++ b/internal/allocation/resources.go
@@ -5,34 +5,36 @@
 )
 
 // Resources are amounts in whole thousandths.
-type Resources struct{ CPU, GPU, Mem int64 }
+type Resources struct{ MilliCPU, MilliGPU, MemoryMB int64 }
 
-// FromAmounts converts the wire's decimal amounts.
-func FromAmounts(cpus, gpus, memoryGB float64) Resources {
-	r := func(f float64) int64 { return int64(math.Round(f * 1000)) }
-	return Resources{r(cpus), r(gpus), r(memoryGB)}
+// NewResources converts the wire's decimal amounts.
+func NewResources(cpus, gpus, memoryGB float64) Resources {
+	toMilli := func(amount float64) int64 { return int64(math.Round(amount * 1000)) }
+	return Resources{toMilli(cpus), toMilli(gpus), toMilli(memoryGB)}
 }
 
 // Add returns the sum.
 func (a Resources) Add(b Resources) Resources {
-	return Resources{a.CPU + b.CPU, a.GPU + b.GPU, a.Mem + b.Mem}
+	return Resources{a.MilliCPU + b.MilliCPU, a.MilliGPU + b.MilliGPU, a.MemoryMB + b.MemoryMB}
 }
 
 // Sub returns the difference.
 func (a Resources) Sub(b Resources) Resources {
-	return Resources{a.CPU - b.CPU, a.GPU - b.GPU, a.Mem - b.Mem}
+	return Resources{a.MilliCPU - b.MilliCPU, a.MilliGPU - b.MilliGPU, a.MemoryMB - b.MemoryMB}
 }
 
 // Times returns n times the amounts.
 func (a Resources) Times(n int) Resources {
-	return Resources{a.CPU * int64(n), a.GPU * int64(n), a.Mem * int64(n)}
+	return Resources{a.MilliCPU * int64(n), a.MilliGPU * int64(n), a.MemoryMB * int64(n)}
 }
 
-// Fits tells whether a fits into b.
-func (a Resources) Fits(b Resources) bool { return a.CPU <= b.CPU && a.GPU <= b.GPU && a.Mem <= b.Mem }
+// IsWithin tells whether a fits into b.
+func (a Resources) IsWithin(b Resources) bool {
+	return a.MilliCPU <= b.MilliCPU && a.MilliGPU <= b.MilliGPU && a.MemoryMB <= b.MemoryMB
+}
 
-// Team is a team's guarantee and limit; a limit of 0 is none.
-type Team struct {
-	CPU, GPU       int64
-	CPUMax, GPUMax int64
+// TeamQuota is a team's guarantee and limit; a limit of 0 is none.
+type TeamQuota struct {
+	GuaranteedMilliCPU, GuaranteedMilliGPU int64
+	MaxMilliCPU, MaxMilliGPU               int64
 }
--- a/internal/allocation/token.go
+++ b/internal/allocation/token.go
@@ -8,23 +8,25 @@
 // lock. A worker that has seen it refuses every copy of what was sent before, and
 // what was started then can be forgotten.
 
-// Token is what messages to workers carry.
-func (l *Ledger) Token() uint64 { return l.token }
+// FencingToken is what messages to workers carry.
+func (tracker *Tracker) FencingToken() uint64 { return tracker.currentToken }
 
-// Issued is the highest token that a worker may have seen of this leader.
-func (l *Ledger) Issued() uint64 { return l.issued }
+// IssuedToken is the highest token that a worker may have seen of this leader.
+func (tracker *Tracker) IssuedToken() uint64 { return tracker.issuedToken }
 
-// Issue takes a higher token, which may be seen from now on; Raise uses it. Those
+// IssueToken takes a higher token, which may be seen from now on; Raise uses it. Those
 // who are delegates are told in between.
-func (l *Ledger) Issue(token uint64) { l.issued = max(l.issued, token) }
+func (tracker *Tracker) IssueToken(token uint64) {
+	tracker.issuedToken = max(tracker.issuedToken, token)
+}
 
-// Raise has messages carry the highest token that was issued.
-func (l *Ledger) Raise() { l.token = l.issued }
+// RaiseToken has messages carry the highest token that was issued.
+func (tracker *Tracker) RaiseToken() { tracker.currentToken = tracker.issuedToken }
 
-// WantsToken tells whether an attempt was not forgotten for want of a higher
+// TakeTokenRaiseRequest tells whether an attempt was not forgotten for want of a higher
 // token since this was last asked.
-func (l *Ledger) WantsToken() bool {
-	w := l.heldBack
-	l.heldBack = false
-	return w
+func (tracker *Tracker) TakeTokenRaiseRequest() bool {
+	needed := tracker.needsHigherToken
+	tracker.needsHigherToken = false
+	return needed
 }
--- a/internal/controller/account.go
+++ b/internal/controller/account.go
@@ -16,10 +16,10 @@
 func (l *lead) relearn(now, wall clock.Micros) {
 	jobs := slices.Collect(maps.Values(l.lg.Jobs))
 	slices.SortFunc(jobs, func(a, b *allocation.Job) int {
-		return cmp.Or(cmp.Compare(a.Submitted, b.Submitted), cmp.Compare(a.Spec.ID, b.Spec.ID))
+		return cmp.Or(cmp.Compare(a.ReleasedAt, b.ReleasedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
 	for _, j := range jobs {
-		l.pl.Arrived(j, now-max(wall-j.Submitted, 0))
+		l.pl.Arrived(j, now-max(wall-j.ReleasedAt, 0))
 	}
 }
 
@@ -38,7 +38,7 @@
 func (l *lead) addMachine(h *rental, name string) *allocation.Machine {
 	now := clock.Now()
 	m := l.lg.AddMachine(name, h.rec.Type, h.rec.Zone, h.rec.Spot, l.pl.Size(h.rec.Type), now)
-	m.Since = h.at
+	m.CreatedAt = h.at
 	if l.machines[name] == nil {
 		l.machines[name] = &machineAux{rental: h}
 	}
@@ -68,7 +68,7 @@
 // confirmation, of which a leader that was refused by the state service may have
 // learnt late.
 func (l *lead) withdraw(j *allocation.Job, rec *jobRecord, now clock.Micros) {
-	l.lg.Withdraw(j, now)
-	j.WithdrawnAt = now - max(clock.Wall()-clock.Micros(rec.End), 0)
+	l.lg.Cancel(j, now)
+	j.CancelledAt = now - max(clock.Wall()-clock.Micros(rec.End), 0)
 	l.jobs[j.Spec.ID].over = true
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -46,7 +46,7 @@
 	for _, r := range reports {
 		l.checkin(r, &server.Reply{})
 	}
-	if !l.lg.Accounted() {
+	if !l.lg.IsReconciled() {
 		b.Fatal("not accounted for")
 	}
 	return l
@@ -99,7 +99,7 @@
 			for range beats {
 				beat := &peer.Heartbeat{Member: "a", Leader: "a", Token: 10}
 				for id, j := range l.lg.Jobs {
-					beat.JobProgress = append(beat.JobProgress, peer.JobProgress{Job: id, Done: uint32(j.DoneCount()), Running: uint32(j.Running)})
+					beat.JobProgress = append(beat.JobProgress, peer.JobProgress{Job: id, Done: uint32(j.DoneCount()), Running: uint32(j.StartedCount)})
 				}
 				l.tell(beat)
 				bytes += len(peer.Encode(beat))
--- a/internal/controller/checkin.go
+++ b/internal/controller/checkin.go
@@ -23,25 +23,25 @@
 			}
 		}
 	} else {
-		l.lg.HeardBy(m, now)
-		booting := m.UpAt == 0
-		res := l.lg.Report(m, rep, now)
-		if res == allocation.Deposed {
+		l.lg.RecordLeaseRenewal(m, now)
+		booting := m.FirstHeartbeatAt == 0
+		res := l.lg.RecordHeartbeat(m, rep, now)
+		if res == allocation.HeartbeatFenced {
 			l.c.log.Info("a worker has seen a higher token", "worker", rep.Machine, "token", rep.Token)
 			later(r, "deposed")
 			l.c.fenced(l.token)
 			return
 		}
-		if res == allocation.Taken {
-			if booting && m.Since > l.since {
-				l.pl.Booted(m.Type, now-m.Since)
+		if res == allocation.HeartbeatAccepted {
+			if booting && m.CreatedAt > l.since {
+				l.pl.Booted(m.Type, now-m.CreatedAt)
 			}
 			l.settle(now)
-			reply.Commands = l.lg.Orders(m, now)
+			reply.Commands = l.lg.HeartbeatCommands(m, now)
 			l.dirty = true
 		}
 	}
-	reply.Token = l.lg.Token()
+	reply.Token = l.lg.FencingToken()
 	if reply.Commands == nil {
 		reply.Commands = []wire.Command{}
 	}
@@ -65,65 +65,65 @@
 
 // settle draws the conclusions from what reports showed.
 func (l *lead) settle(now clock.Micros) {
-	for _, p := range l.lg.Begun {
+	for _, p := range l.lg.Started {
 		j := p.Job
-		l.c.log.Debug("task up", "job", j.Spec.ID, "task", p.Index, "class", j.Spec.Class, "machine", p.Machine.Name,
-			"waited_s", (clock.Wall() - j.Submitted).Seconds(), "placed_s", (now - p.Since).Seconds())
-		if j.FirstStart == 0 {
-			j.FirstStart = now
+		l.c.log.Debug("task up", "job", j.Spec.ID, "task", p.TaskIndex, "class", j.Spec.Class, "machine", p.Machine.Name,
+			"waited_s", (clock.Wall() - j.ReleasedAt).Seconds(), "placed_s", (now - p.CreatedAt).Seconds())
+		if j.FirstStartAt == 0 {
+			j.FirstStartAt = now
 			if a := l.jobs[j.Spec.ID]; a != nil && a.first == 0 {
 				a.first = int64(clock.Wall())
 			}
 		}
 	}
-	l.lg.Begun = l.lg.Begun[:0]
-	for _, e := range l.lg.Ended {
+	l.lg.Started = l.lg.Started[:0]
+	for _, e := range l.lg.Exited {
 		l.ended(e, now)
 	}
-	l.lg.Ended = l.lg.Ended[:0]
+	l.lg.Exited = l.lg.Exited[:0]
 }
 
-func (l *lead) ended(e allocation.Ending, now clock.Micros) {
+func (l *lead) ended(e allocation.ExitEvent, now clock.Micros) {
 	p, j := e.Placement, e.Placement.Job
-	t := &j.Tasks[p.Index]
-	if e.Why != wire.WhyDone && !j.Withdrawn {
-		l.c.log.Debug("task ended", "job", j.Spec.ID, "task", p.Index, "class", j.Spec.Class, "machine", p.Machine.Name, "why", e.Why,
-			"told", p.Stopping(), "saved", p.Saved, "state", p.State, "placed_s", (now - p.Since).Seconds())
+	t := &j.Tasks[p.TaskIndex]
+	if e.Cause != wire.WhyDone && !j.Cancelled {
+		l.c.log.Debug("task ended", "job", j.Spec.ID, "task", p.TaskIndex, "class", j.Spec.Class, "machine", p.Machine.Name, "why", e.Cause,
+			"told", p.IsStopping(), "saved", p.ProgressSaved, "state", p.ReportedState, "placed_s", (now - p.CreatedAt).Seconds())
 	}
-	switch e.Why {
+	switch e.Cause {
 	case wire.WhyDone:
-		if p.RunAt != 0 && !p.Adopted && !j.Service() && t.Progress == 0 && !(j.Gang() && j.Progress > 0) {
-			took := (now - p.RunAt).Seconds()
+		if p.RunningAt != 0 && !p.Adopted && !j.IsService() && t.CheckpointedSeconds == 0 && !(j.IsGang() && j.CheckpointedSeconds > 0) {
+			took := (now - p.RunningAt).Seconds()
 			l.pl.Finished(j, took, now)
 			if a := l.jobs[j.Spec.ID]; a != nil {
 				a.ran, a.runs = a.ran+1, a.runs+took
-				if j.Complete() && !a.screened {
+				if j.IsComplete() && !a.screened {
 					a.screened = true
 					l.pl.Ran(j, a.runs/float64(a.ran), now)
 				}
 			}
-			l.c.log.Debug("task done", "job", j.Spec.ID, "task", p.Index, "machine", p.Machine.Name, "took_s", took, "estimate_s", j.Spec.EstimateS)
+			l.c.log.Debug("task done", "job", j.Spec.ID, "task", p.TaskIndex, "machine", p.Machine.Name, "took_s", took, "estimate_s", j.Spec.EstimateS)
 		}
 	case wire.WhyError:
 		// A faulty machine fails many jobs, a faulty job fails everywhere. The
 		// more often a job fails on different machines without any task done,
 		// the more slowly it is tried again, and no machine is blamed for it.
-		wait := clock.Second << min(int(t.Fails), 5)
-		if len(j.ErrorsOn) >= 3 && j.DoneCount() == 0 {
+		wait := clock.Second << min(int(t.FailureCount), 5)
+		if len(j.FailuresByMachine) >= 3 && j.DoneCount() == 0 {
 			wait = 2 * wait
 			for _, m := range l.lg.Machines {
-				delete(m.FaultyJobs, j.Spec.ID)
+				delete(m.FailedJobs, j.Spec.ID)
 			}
 		}
-		t.NotBefore = now + wait
-		l.c.log.Info("task failed", "job", j.Spec.ID, "task", p.Index, "machine", p.Machine.Name, "fails", t.Fails)
+		t.RetryAt = now + wait
+		l.c.log.Info("task failed", "job", j.Spec.ID, "task", p.TaskIndex, "machine", p.Machine.Name, "fails", t.FailureCount)
 		l.blame(p.Machine, now)
-	case allocation.WhyVanished:
-		if !j.Withdrawn {
-			j.Restarts++
+	case allocation.CauseVanished:
+		if !j.Cancelled {
+			j.RestartCount++
 		}
 	case wire.WhyNoRoom, wire.WhyBusy, wire.WhyUnknown:
-		t.NotBefore = now + clock.Second
+		t.RetryAt = now + clock.Second
 	}
 	l.dirty = true
 }
--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -181,22 +181,22 @@
 	j := l.lg.Jobs[id]
 	done := []int{0, 7, 6000, 12345, 33000, tasks - 1}
 	m := l.lg.AddMachine("i-1", "big", "x", false, l.pl.Size("big"), clock.Now())
-	m.Recorded = true
+	m.RecordedInStore = true
 	rep := &wire.Report{Machine: "i-1", Session: 1, Seq: 1, Token: l.token}
 	for _, i := range done {
 		rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone})
 	}
-	if l.lg.Report(m, rep, clock.Now()) != allocation.Taken {
+	if l.lg.RecordHeartbeat(m, rep, clock.Now()) != allocation.HeartbeatAccepted {
 		t.Fatal("report not taken")
 	}
-	work(t, l.c, func() bool { l.durable(clock.Now() + clock.Second); return len(j.NotDurable()) == 0 })
+	work(t, l.c, func() bool { l.durable(clock.Now() + clock.Second); return len(j.UnpersistedCompletions()) == 0 })
 	if n := s.TooLarge(); n != 0 {
 		t.Errorf("%d transactions are refused for their size", n)
 	}
 	l = leadAgain(t, l.c)
 	j = l.lg.Jobs[id]
 	for _, i := range append(done, 5, 32000) {
-		if j.Tasks[i].State != allocation.Done {
+		if j.Tasks[i].State != allocation.TaskDone {
 			t.Errorf("task %d was done, and the next leader doesn't know", i)
 		}
 	}
@@ -216,7 +216,7 @@
 		}
 		for i := range 8 * len(bits) {
 			task := number*chunkOf(limits.ValueKB) + i
-			if bits.has(i) && task < tasks && j.Tasks[task].State != allocation.Done {
+			if bits.has(i) && task < tasks && j.Tasks[task].State != allocation.TaskDone {
 				t.Errorf("the other version takes task %d for done", task)
 			}
 		}
@@ -229,9 +229,9 @@
 		rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone})
 	}
 	m = l.lg.AddMachine("i-2", "big", "x", false, l.pl.Size("big"), clock.Now())
-	m.Recorded = true
+	m.RecordedInStore = true
 	rep.Machine = "i-2"
-	l.lg.Report(m, rep, clock.Now())
+	l.lg.RecordHeartbeat(m, rep, clock.Now())
 	sweepAt := clock.Now()
 	work(t, l.c, func() bool {
 		l.durable(clock.Now() + clock.Second)
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -46,7 +46,7 @@
 	toWorkers *client.Pool
 	directs   int // how many may be under way at a time
 	chunk     int // tasks in one progress key
-	teams     map[string]allocation.Team
+	teams     map[string]allocation.TeamQuota
 
 	view  view
 	graph *dag.Graph
@@ -125,7 +125,7 @@
 		cloud:      cloud.New(dial, cfg.Outside.Cloud, d.Cloud.RPS),
 		sockets:    connlimit.New(cfg.Sockets()),
 		directs:    max(cfg.Sockets()/24, 4),
-		teams:      map[string]allocation.Team{},
+		teams:      map[string]allocation.TeamQuota{},
 		graph:      dag.New(),
 		el:         election.New(election.Config{Member: cfg.Member, TTL: ttl, TimerSlack: 50 * clock.Millisecond}),
 		beats:      map[string]*beatSeen{},
@@ -155,9 +155,9 @@
 	c.withdrawals = newWithdrawalLog(clock.FromSeconds(w.CancelS), d.State.WriteRPS)
 	c.delegate = delegation.NewDelegate(c.times, uint64(clock.Wall()), clock.Now())
 	for _, t := range d.Teams {
-		g := allocation.FromAmounts(t.CPUs, t.GPUs, 0)
-		m := allocation.FromAmounts(t.CPUsMax, t.GPUsMax, 0)
-		c.teams[t.Name] = allocation.Team{CPU: g.CPU, GPU: g.GPU, CPUMax: m.CPU, GPUMax: m.GPU}
+		g := allocation.NewResources(t.CPUs, t.GPUs, 0)
+		m := allocation.NewResources(t.CPUsMax, t.GPUsMax, 0)
+		c.teams[t.Name] = allocation.TeamQuota{GuaranteedMilliCPU: g.MilliCPU, GuaranteedMilliGPU: g.MilliGPU, MaxMilliCPU: m.MilliCPU, MaxMilliGPU: m.MilliGPU}
 	}
 	if tuning.Standby.Enabled {
 		c.replica = standby.NewReplica(c.delegate.Timestamp(clock.Now()).Incarnation)
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -15,27 +15,27 @@
 // direct sends starts and stops straight to the workers: a report's answer
 // would wait for the next report.
 func (l *lead) direct(now clock.Micros) {
-	l.lg.Outbox(func(m *allocation.Machine) bool {
+	l.lg.ProcessDispatchQueue(func(m *allocation.Machine) bool {
 		name := m.Name
 		a := l.machines[name]
 		if a == nil || a.deleting {
 			return false
 		}
 		// Nothing is started where a later leader would take the leases for over.
-		if l.promises.MayConstrainZone(m.Zone) || now < a.notUntil || now-m.Heard > l.c.silentAfter() || l.directing >= l.c.directs {
+		if l.promises.MayConstrainZone(m.Zone) || now < a.notUntil || now-m.LastHeartbeatAt > l.c.silentAfter() || l.directing >= l.c.directs {
 			return true
 		}
-		msg, starts := l.lg.Direct(m, now)
+		msg, starts := l.lg.BuildCommandRequest(m, now)
 		if msg == nil {
 			return false
 		}
 		body, err := msg.MarshalJSON()
 		if err != nil {
-			l.lg.DirectEnded(m, starts, allocation.NotSent, now)
+			l.lg.FinishCommandRequest(m, starts, allocation.CommandNotSent, now)
 			return false
 		}
 		if a.host == nil {
-			a.host = l.c.toWorkers.Host(m.Addr, 1, 4*wire.MaxBody)
+			a.host = l.c.toWorkers.Host(m.Address, 1, 4*wire.MaxBody)
 		}
 		host, until := a.host, l.until
 		if len(starts) > 0 {
@@ -44,17 +44,17 @@
 		l.directing++
 		go func() {
 			res, err := host.Do(client.Request{Method: "POST", Target: "/commands", Body: body, Timeout: directTimeout, Until: until})
-			result := allocation.Lost
+			result := allocation.CommandOutcomeUnknown
 			var rep *wire.Report
 			var se *client.SendError
 			switch {
 			case errors.As(err, &se), errors.Is(err, client.ErrLate):
-				result = allocation.NotSent
+				result = allocation.CommandNotSent
 			case err != nil:
 			case res.Status == 200:
-				result = allocation.Executed
+				result = allocation.CommandExecuted
 			case res.Status == 409, res.Status == 400:
-				result = allocation.Rejected
+				result = allocation.CommandRejected
 			}
 			if err == nil && (res.Status == 200 || res.Status == 409) {
 				r := &wire.Report{}
@@ -73,17 +73,17 @@
 	})
 }
 
-func (l *lead) directEnded(m *allocation.Machine, a *machineAux, starts []*allocation.Placement, result allocation.DirectResult, rep *wire.Report) {
+func (l *lead) directEnded(m *allocation.Machine, a *machineAux, starts []*allocation.Placement, result allocation.CommandResult, rep *wire.Report) {
 	now := clock.Now()
 	if l.lg.Machines[m.Name] != m {
 		return
 	}
-	l.lg.DirectEnded(m, starts, result, now)
-	if result != allocation.Executed {
+	l.lg.FinishCommandRequest(m, starts, result, now)
+	if result != allocation.CommandExecuted {
 		// The way to this worker is bad; its reports' answers will do.
 		a.notUntil = now + 2*clock.Second
 	}
-	if rep != nil && l.lg.DirectReport(m, rep, now) == allocation.Deposed {
+	if rep != nil && l.lg.RecordCommandHeartbeat(m, rep, now) == allocation.HeartbeatFenced {
 		l.c.fenced(l.token)
 		return
 	}
--- a/internal/controller/durable.go
+++ b/internal/controller/durable.go
@@ -17,7 +17,7 @@
 func (l *lead) mark(j *allocation.Job) {
 	id := j.Spec.ID
 	a := l.jobs[id]
-	if a == nil || a.marking || j.Marked {
+	if a == nil || a.marking || j.StartsRecorded {
 		return
 	}
 	a.marking = true
@@ -29,14 +29,14 @@
 		switch o {
 		case kvstore.Committed:
 			a.marking = false
-			j.Marked = true
+			j.StartsRecorded = true
 			a.wrote(0, rev)
 		case kvstore.Refused:
 			a.marking = false
 		default: // it may be there already
 			l.c.view.wantSync(func(error) {
 				a.marking = false
-				j.Marked = l.c.view.done[id] != nil
+				j.StartsRecorded = l.c.view.done[id] != nil
 				a.learnKeys(l.c.view.done[id])
 				l.dirty = true
 			}, clock.Now()+2*clock.Second)
@@ -88,7 +88,7 @@
 func (l *lead) durable(now clock.Micros) {
 	var late []string
 	for id, j := range l.lg.Jobs {
-		if !j.Withdrawn && !j.Unsaved() {
+		if !j.Cancelled && !j.NeedsPersisting() {
 			continue
 		}
 		a := l.jobs[id]
@@ -96,14 +96,14 @@
 			continue
 		}
 		switch {
-		case j.Withdrawn:
-			if l.lg.Gone(j) {
+		case j.Cancelled:
+			if l.lg.IsVacated(j) {
 				l.shrinkWithdrawn(id, j, a)
 			}
-		case j.Complete() && !a.over:
+		case j.IsComplete() && !a.over:
 			l.finish(id, j, a)
 		case a.over:
-			if l.lg.Gone(j) {
+			if l.lg.IsVacated(j) {
 				l.lg.RemoveJob(j)
 				delete(l.jobs, id)
 			}
@@ -123,7 +123,7 @@
 	})
 	for _, id := range late[:min(len(late), savesAtOnce-l.saving)] {
 		j := l.lg.Jobs[id]
-		l.saveProgress(id, j, l.jobs[id], j.NotDurable(), now)
+		l.saveProgress(id, j, l.jobs[id], j.UnpersistedCompletions(), now)
 	}
 }
 
@@ -160,7 +160,7 @@
 			for key := range keys {
 				a.wrote(key, rev)
 			}
-			l.lg.MadeDurable(j, todo)
+			l.lg.MarkDurable(j, todo)
 		case kvstore.Conflict, kvstore.Unknown:
 			l.c.view.wantSync(func(error) {
 				a.writing = false
@@ -180,7 +180,7 @@
 		return
 	}
 	over := overRecord(rec, wire.JobDone, clock.Wall())
-	over.First, over.Errors, over.Restarts = a.first, j.Errors, j.Restarts
+	over.First, over.Errors, over.Restarts = a.first, j.FailureCount, j.RestartCount
 	if released := l.c.graph.ReleasedAt(id, clock.Micros(rec.At)); int64(released) != rec.At {
 		over.Released = int64(released)
 	}
@@ -203,8 +203,8 @@
 		switch o {
 		case kvstore.Committed:
 			a.over = true
-			todo := j.NotDurable()
-			l.lg.MadeDurable(j, todo)
+			todo := j.UnpersistedCompletions()
+			l.lg.MarkDurable(j, todo)
 			if cur := l.c.view.jobs[id]; cur == nil || cur.version < rev {
 				// Jobs that need this one need not wait for the watch.
 				over.version = rev
@@ -218,7 +218,7 @@
 				a.writing = false
 				if cur := l.c.view.jobs[id]; cur != nil && cur.State == wire.JobDone {
 					a.over = true
-					l.lg.MadeDurable(j, j.NotDurable())
+					l.lg.MarkDurable(j, j.UnpersistedCompletions())
 				}
 				l.dirty = true
 			}, clock.Now()+2*clock.Second)
--- a/internal/controller/entitlement.go
+++ b/internal/controller/entitlement.go
@@ -45,7 +45,7 @@
 func (l *lead) hasRead(sentAt clock.Micros) {
 	l.view.RecordRead(sentAt)
 	l.renew()
-	l.lg.HoldStarts(!l.view.MayStartTasks(clock.Now()))
+	l.lg.SetStartsPaused(!l.view.MayStartTasks(clock.Now()))
 	l.dirty = true
 	l.opened()
 }
--- a/internal/controller/faulty.go
+++ b/internal/controller/faulty.go
@@ -46,11 +46,11 @@
 		*f = faults{first: now, trialAt: f.trialAt}
 	}
 	f.last = now
-	if m.Draining || now < m.HeldUntil || len(m.FaultyJobs) < faultyJobs {
+	if m.Draining || now < m.BackoffUntil || len(m.FailedJobs) < faultyJobs {
 		return
 	}
 	if now-f.first < commonFor && l.othersFail(m, now) {
-		m.HeldUntil = now + holdFor<<min(f.holds, holdMost)
+		m.BackoffUntil = now + holdFor<<min(f.holds, holdMost)
 		f.holds++
 		l.c.log.Info("tasks fail on many machines", "machine", m.Name)
 		return
@@ -67,7 +67,7 @@
 func (l *lead) othersFail(m *allocation.Machine, now clock.Micros) bool {
 	failed, others := 0, 0
 	for name, a := range l.machines {
-		if o := l.lg.Machines[name]; o == nil || o == m || o.UpAt == 0 || a.deleting {
+		if o := l.lg.Machines[name]; o == nil || o == m || o.FirstHeartbeatAt == 0 || a.deleting {
 			continue
 		}
 		others++
@@ -84,11 +84,11 @@
 // because of replicas that ran on them without a fault.
 func (l *lead) tryAgain(m *allocation.Machine, a *machineAux, now clock.Micros) {
 	f := &a.faults
-	if f.trialAt == 0 || now < f.trialAt || m.Idle() {
+	if f.trialAt == 0 || now < f.trialAt || m.IsIdle() {
 		return
 	}
 	l.c.log.Info("faulty machine is tried again", "machine", m.Name)
 	f.trialAt, f.first = 0, now
-	clear(m.FaultyJobs)
+	clear(m.FailedJobs)
 	m.Draining = false
 }
--- a/internal/controller/faulty_test.go
+++ b/internal/controller/faulty_test.go
@@ -29,15 +29,15 @@
 			r.Tasks = []wire.TaskReport{{Task: "req-000001/0", Attempt: 1, State: wire.TaskRunning}}
 		}
 		m := l.lg.Machines[n]
-		l.lg.HeardBy(m, now)
-		l.lg.Report(m, r, now)
+		l.lg.RecordLeaseRenewal(m, now)
+		l.lg.RecordHeartbeat(m, r, now)
 	}
 	m := l.lg.Machines["i-00"]
-	if m.Idle() {
+	if m.IsIdle() {
 		t.Fatal("the replica is not known")
 	}
 	fail := func(n string, job string) {
-		l.lg.Machines[n].FaultyJobs[job] = true
+		l.lg.Machines[n].FailedJobs[job] = true
 		l.blame(l.lg.Machines[n], now)
 	}
 	fail("i-00", "req-000002")
@@ -80,8 +80,8 @@
 	for _, n := range names[2:] {
 		fail(n, "req-000003")
 		m := l.lg.Machines[n]
-		if m.Draining || m.HeldUntil <= now {
-			t.Fatalf("%s: draining %v, held until %d at %d, while all fail", n, m.Draining, m.HeldUntil, now)
+		if m.Draining || m.BackoffUntil <= now {
+			t.Fatalf("%s: draining %v, held until %d at %d, while all fail", n, m.Draining, m.BackoffUntil, now)
 		}
 	}
 	// Where it fails on after that, the machine is at fault after all.
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -111,7 +111,7 @@
 			return
 		}
 		for _, j := range l.lg.Jobs {
-			if j.Withdrawn && !l.lg.Gone(j) && clock.Now()-j.WithdrawnAt > l.c.times.CancellationGrace {
+			if j.Cancelled && !l.lg.IsVacated(j) && clock.Now()-j.CancelledAt > l.c.times.CancellationGrace {
 				return
 			}
 		}
@@ -132,7 +132,7 @@
 	zones := map[string]*hearing{}
 	var all hearing
 	for _, m := range l.lg.Machines {
-		if m.UpAt == 0 {
+		if m.FirstHeartbeatAt == 0 {
 			continue
 		}
 		z := zones[m.Zone]
@@ -140,7 +140,7 @@
 			z = &hearing{}
 			zones[m.Zone] = z
 		}
-		fresh := now-max(m.Heard, l.awake) < l.freshFor()
+		fresh := now-max(m.LastHeartbeatAt, l.awake) < l.freshFor()
 		z.add(fresh)
 		all.add(fresh)
 	}
@@ -161,35 +161,35 @@
 		l.tryAgain(m, a, now)
 		// When a zone comes back its machines do one by one: once the last two
 		// thirds of it were deleted when the first third was heard again.
-		quiet := now - max(m.Heard, l.awake, l.deafAt[m.Zone])
+		quiet := now - max(m.LastHeartbeatAt, l.awake, l.deafAt[m.Zone])
 		switch {
-		case l.lg.LeaseEnd(m) <= now && (m.UpAt != 0 || !m.Accounted):
+		case l.lg.LeaseEndsAt(m) <= now && (m.FirstHeartbeatAt != 0 || !m.Reconciled):
 			// Its tasks are provably over, and it is of no use.
-			l.lg.Expire(m, now)
-			if m.UpAt != 0 || m.Since < l.since {
+			l.lg.ExpireLease(m, now)
+			if m.FirstHeartbeatAt != 0 || m.CreatedAt < l.since {
 				// One that an earlier leader rented and that was taken meanwhile is
 				// on no list: it would count as booting for ever.
 				l.c.log.Info("machine lost", "machine", name)
 				l.delete(m)
 			}
-		case m.UpAt == 0 && (m.Since > l.since || a.booting) && now-m.Since > l.pl.StuckAfter(m.Type) && quiet > silent:
+		case m.FirstHeartbeatAt == 0 && (m.CreatedAt > l.since || a.booting) && now-m.CreatedAt > l.pl.StuckAfter(m.Type) && quiet > silent:
 			// Not having been heard is no proof for a new leader: once one took a
 			// zone that was cut off for machines that never came up, and deleted
 			// it with all that ran there.
 			l.c.log.Info("machine does not come up", "machine", name)
 			l.delete(m)
-		case m.UpAt != 0 && quiet > silent && zones[m.Zone].mostly():
+		case m.FirstHeartbeatAt != 0 && quiet > silent && zones[m.Zone].mostly():
 			// It is silent while others of its zone are heard. Deleting it
 			// proves its tasks over, sooner than its lease would. When a whole
 			// zone falls silent a cut is more likely, and it comes back: once
 			// a leader that was cut off deleted half its fleet.
 			l.c.log.Info("machine silent", "machine", name, "for_s", quiet.Seconds())
 			l.delete(m)
-		case m.Draining && m.Idle() || l.lg.Tainted(m, now):
+		case m.Draining && m.IsIdle() || l.lg.IsCordoned(m, now):
 			l.delete(m)
-		case m.TakenAt != 0 && m.Idle():
+		case m.ReclaimAt != 0 && m.IsIdle():
 			l.delete(m)
-		case m.TakenAt != 0:
+		case m.ReclaimAt != 0:
 			l.leave(m, now)
 		}
 	}
@@ -218,23 +218,23 @@
 // leave moves tasks off a machine that is about to be taken, unless they will
 // be done in time.
 func (l *lead) leave(m *allocation.Machine, now clock.Micros) {
-	left := m.TakenAt - now
-	m.Places(func(p *allocation.Placement) {
+	left := m.ReclaimAt - now
+	m.ForEachPlacement(func(p *allocation.Placement) {
 		j := p.Job
-		if p.Stopping() {
+		if p.IsStopping() {
 			return
 		}
 		if l.pl.Ends(p, now) <= left {
 			return
 		}
 		grace := clock.FromSeconds(j.Spec.SaveS)
-		if j.Spec.CheckpointS > 0 && grace > 0 && (left > 2*grace+3*clock.Second || left <= grace && p.State == wire.TaskRunning) {
+		if j.Spec.CheckpointS > 0 && grace > 0 && (left > 2*grace+3*clock.Second || left <= grace && p.ReportedState == wire.TaskRunning) {
 			return // there is time to run on and still save, or none to save at all
 		}
-		if j.Gang() && j.UnderWay {
+		if j.IsGang() && j.GangStarted {
 			l.lg.StopJob(j, grace)
 		} else {
-			l.lg.Stop(p, grace)
+			l.lg.StopPlacement(p, grace)
 		}
 	})
 }
@@ -253,25 +253,25 @@
 			k = 1
 		}
 		n[k]++
-		if m.UpAt == 0 {
+		if m.FirstHeartbeatAt == 0 {
 			booting[k]++
 			continue
 		}
-		if m.Idle() {
+		if m.IsIdle() {
 			idle[k]++
 		}
-		room[k] += m.Cap.CPU / 1000
-		m.Places(func(p *allocation.Placement) {
-			if p.Job.Service() {
-				replicas[k] += p.Job.Need.CPU / 1000
+		room[k] += m.Capacity.MilliCPU / 1000
+		m.ForEachPlacement(func(p *allocation.Placement) {
+			if p.Job.IsService() {
+				replicas[k] += p.Job.Request.MilliCPU / 1000
 			} else {
-				tasks[k] += p.Job.Need.CPU / 1000
+				tasks[k] += p.Job.Request.MilliCPU / 1000
 			}
 		})
 	}
 	waiting := 0
 	for _, j := range l.lg.Jobs {
-		if !j.Withdrawn {
+		if !j.Cancelled {
 			waiting += j.WaitingCount()
 		}
 	}
@@ -319,7 +319,7 @@
 func (l *lead) unlisted(names map[string]bool, now clock.Micros) {
 	late := clock.FromSeconds(2*l.c.cfg.Deployment.Cloud.ListLagS) + clock.Second
 	for name, m := range l.lg.Machines {
-		if m.UpAt == 0 && m.Since < l.since && !names[name] && now-m.Since > l.pl.StuckAfter(m.Type)+late {
+		if m.FirstHeartbeatAt == 0 && m.CreatedAt < l.since && !names[name] && now-m.CreatedAt > l.pl.StuckAfter(m.Type)+late {
 			l.c.log.Info("machine not listed", "machine", name)
 			l.delete(m)
 		}
@@ -337,8 +337,8 @@
 		}
 		return
 	}
-	if m.Addr == "" {
-		m.Addr = k.Addr
+	if m.Address == "" {
+		m.Address = k.Addr
 	}
 	if a := l.machines[k.ID]; a != nil {
 		a.booting = k.State == wire.MachineBooting
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -128,7 +128,7 @@
 	b.WorkerCount = uint32(len(c.workers))
 	c.tellAsked(now)
 	if c.lead != nil {
-		b.Leader, b.Token = c.cfg.Member, c.lead.lg.Issued()
+		b.Leader, b.Token = c.cfg.Member, c.lead.lg.IssuedToken()
 		c.lead.tellCounts(b)
 		c.lead.tell(b)
 	}
--- a/internal/controller/job_counts.go
+++ b/internal/controller/job_counts.go
@@ -57,8 +57,8 @@
 func (l *lead) tellCounts(b *peer.Heartbeat) {
 	var all []peer.JobProgress
 	for id, j := range l.lg.Jobs {
-		if !j.Withdrawn && (j.Running > 0 || j.DoneCount() > 0) {
-			all = append(all, peer.JobProgress{Job: id, Done: uint32(j.DoneCount()), Running: uint32(j.Running)})
+		if !j.Cancelled && (j.StartedCount > 0 || j.DoneCount() > 0) {
+			all = append(all, peer.JobProgress{Job: id, Done: uint32(j.DoneCount()), Running: uint32(j.StartedCount)})
 		}
 	}
 	if len(all) <= peer.MaxJobProgress {
--- a/internal/controller/job_counts_test.go
+++ b/internal/controller/job_counts_test.go
@@ -15,7 +15,7 @@
 	const jobs = 3*peer.MaxJobProgress + 17
 	l := rebuilt(t, "i-00")
 	for i := range jobs {
-		l.lg.Jobs[fmt.Sprintf("req-%06d", i)] = &allocation.Job{Running: 1}
+		l.lg.Jobs[fmt.Sprintf("req-%06d", i)] = &allocation.Job{StartedCount: 1}
 	}
 	var follower jobCounts
 	isOver := func(job string) bool { return job == "req-000003" }
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -18,7 +18,7 @@
 type lead struct {
 	c      *Core
 	token  uint64
-	lg     *allocation.Ledger
+	lg     *allocation.Tracker
 	pl     *scheduler.Planner
 	closed bool
 	// deadline is the end of the entitlement, 0 once closed; startDeadline is the
@@ -148,8 +148,8 @@
 		view: staleness.NewTracker(c.staleness, readAt),
 	}
 	account := allocation.Config{
-		Token: token, Lease: clock.FromSeconds(d.Workers.LeaseS), Teams: c.teams,
-		MayFence: clock.FromSeconds(d.Workers.CancelS) / 2,
+		FencingToken: token, LeaseTTL: clock.FromSeconds(d.Workers.LeaseS), Quotas: c.teams,
+		CancelFenceWindow: clock.FromSeconds(d.Workers.CancelS) / 2,
 	}
 	l.follow(&account)
 	l.lg = allocation.New(account)
@@ -194,7 +194,7 @@
 		h := &rental{name: name, rec: *rec, version: rec.version, at: now - max(wall-clock.Micros(rec.At), 0), resolved: rec.Resolved}
 		l.rentals[name] = h
 		for _, m := range rec.Machines {
-			l.addMachine(h, m).Recorded = true
+			l.addMachine(h, m).RecordedInStore = true
 		}
 		if !rec.Resolved {
 			// Whether it was carried out is not known. The same name gets the
@@ -221,12 +221,12 @@
 	l.relearn(now, wall)
 	l.adoptPromises(now)
 	l.bounds(now)
-	l.lg.Settle()
+	l.lg.FinishRecovery()
 	l.goOn(now)
 	l.cleanup.ends = cancelled
 	times := &c.takeOverTimes
-	times.rebuilt, times.isReplicaUsed, times.inDoubt = clock.Now(), account.MayRun != nil, l.doubts()
-	c.log.Info("account rebuilt", "token", token, "jobs", len(l.lg.Jobs), "machines", len(l.lg.Machines), "accounted", l.lg.Accounted(),
+	times.rebuilt, times.isReplicaUsed, times.inDoubt = clock.Now(), account.MayHaveStarted != nil, l.doubts()
+	c.log.Info("account rebuilt", "token", token, "jobs", len(l.lg.Jobs), "machines", len(l.lg.Machines), "accounted", l.lg.IsReconciled(),
 		"in_doubt", times.inDoubt, "replica_used", times.isReplicaUsed)
 	return l
 }
@@ -259,7 +259,7 @@
 		l.renew()
 	}
 	fresh := l.view.MayStartTasks(now)
-	l.lg.HoldStarts(!fresh)
+	l.lg.SetStartsPaused(!fresh)
 	if !fresh {
 		l.read(now)
 	}
--- a/internal/controller/lead_test.go
+++ b/internal/controller/lead_test.go
@@ -118,12 +118,12 @@
 	c.lead = l
 	now := l.since
 	for _, m := range l.lg.Machines {
-		l.lg.Report(m, &wire.Report{Machine: m.Name, Addr: "127.0.0.1:1", Session: 1, Seq: 1, Token: 9}, now)
+		l.lg.RecordHeartbeat(m, &wire.Report{Machine: m.Name, Addr: "127.0.0.1:1", Session: 1, Seq: 1, Token: 9}, now)
 	}
 	c.tickedAt = now
 	now += 20 * clock.Second // less than a lease
 	one := l.lg.Machines["i-1"]
-	one.Heard, l.lg.Machines["i-2"].Heard = now, now
+	one.LastHeartbeatAt, l.lg.Machines["i-2"].LastHeartbeatAt = now, now
 	c.beats["b"] = &beatSeen{beat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, at: now}
 	l.woke(now)
 	l.watchMachines(now)
@@ -134,7 +134,7 @@
 		t.Fatal("the planner takes machines for silent")
 	}
 	now += l.c.silentAfter() + clock.Second
-	one.Heard, l.lg.Machines["i-2"].Heard = now, now
+	one.LastHeartbeatAt, l.lg.Machines["i-2"].LastHeartbeatAt = now, now
 	l.watchMachines(now)
 	if len(l.deletes) != 2 {
 		t.Fatalf("machines that stay silent afterwards: deleted %v", l.deletes)
@@ -163,8 +163,8 @@
 		l.deadline.Store(1 << 62)
 		names := []string{"i-1", "i-2", "i-3", "i-4"}
 		for _, n := range names {
-			l.lg.Report(l.lg.Machines[n], &wire.Report{Machine: n, Session: 1, Seq: 1, Token: 9}, clock.Now())
-			l.lg.Machines[n].Heard -= 20 * clock.Second
+			l.lg.RecordHeartbeat(l.lg.Machines[n], &wire.Report{Machine: n, Session: 1, Seq: 1, Token: 9}, clock.Now())
+			l.lg.Machines[n].LastHeartbeatAt -= 20 * clock.Second
 		}
 		l.awake -= 60 * clock.Second
 		l.deafAt["x"] = l.awake // the clock may be younger than a probe
@@ -196,14 +196,14 @@
 	l.deadline.Store(1 << 62)
 	now := l.since
 	for _, n := range names {
-		l.lg.Report(l.lg.Machines[n], &wire.Report{Machine: n, Session: 1, Seq: 1, Token: 9}, now)
+		l.lg.RecordHeartbeat(l.lg.Machines[n], &wire.Report{Machine: n, Session: 1, Seq: 1, Token: 9}, now)
 	}
 	for end := now + l.c.silentAfter() + 3*clock.Second; now < end; now += clock.Second / 2 {
 		l.watchMachines(now)
 	}
 	hear := func(names ...string) {
 		for _, n := range names {
-			l.lg.Machines[n].Heard = now
+			l.lg.Machines[n].LastHeartbeatAt = now
 		}
 	}
 	hear("i-1", "i-2")
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -150,7 +150,7 @@
 		return
 	}
 	c.log.Info("lead given up", "why", why, "token", c.lead.token)
-	c.delegate.EndTerm(c.lead.lg.Issued(), c.lead.knewAt)
+	c.delegate.EndTerm(c.lead.lg.IssuedToken(), c.lead.knewAt)
 	c.lead.close()
 	c.lead = nil
 	c.rebuilding = false
--- a/internal/controller/learn_test.go
+++ b/internal/controller/learn_test.go
@@ -24,8 +24,8 @@
 	seq := uint64(0)
 	report := func(task string, attempt uint64, state, why string) {
 		seq++
-		l.lg.HeardBy(m, now)
-		l.lg.Report(m, &wire.Report{Machine: "i-1", Session: 1, Seq: seq, Token: 10, Tasks: []wire.TaskReport{{Task: task, Attempt: attempt, State: state, Why: why}}}, now)
+		l.lg.RecordLeaseRenewal(m, now)
+		l.lg.RecordHeartbeat(m, &wire.Report{Machine: "i-1", Session: 1, Seq: seq, Token: 10, Tasks: []wire.TaskReport{{Task: task, Attempt: attempt, State: state, Why: why}}}, now)
 		l.settle(now)
 	}
 	report("req-000001/0", 3, wire.TaskRunning, "") // begun long ago
@@ -34,12 +34,12 @@
 	if got := l.pl.Class("c").Predict(100); math.Abs(got-100) > 1e-9 {
 		t.Fatalf("a task of 100 s is predicted to run %.1f s", got)
 	}
-	if err := l.lg.Place(j, 1, m, l.lg.Attempt(), now); err != nil {
+	if err := l.lg.PlaceTask(j, 1, m, l.lg.NextAttempt(), now); err != nil {
 		t.Fatal(err)
 	}
 	var attempt uint64
-	m.Places(func(p *allocation.Placement) { attempt = p.Attempt })
-	l.lg.Orders(m, now)
+	m.ForEachPlacement(func(p *allocation.Placement) { attempt = p.Attempt })
+	l.lg.HeartbeatCommands(m, now)
 	report("req-000001/1", attempt, wire.TaskRunning, "")
 	now += 50 * clock.Second
 	report("req-000001/1", attempt, wire.TaskExited, wire.WhyDone)
--- a/internal/controller/learnt.go
+++ b/internal/controller/learnt.go
@@ -54,7 +54,7 @@
 func (l *lead) goOn(now clock.Micros) {
 	for name, m := range l.lg.Machines {
 		if h, ok := l.c.learnt.holdings[name]; ok {
-			m.Says(h.Incarnation, h.Images, now)
+			m.SetCachedImages(h.Incarnation, h.Images, now)
 		}
 	}
 	for class, r := range l.c.learnt.runs {
@@ -89,7 +89,7 @@
 // in any fleet.
 func (l *lead) tell(b *peer.Heartbeat) {
 	now := clock.Now()
-	all := l.lg.ByName()
+	all := l.lg.SortedMachines()
 	looks := max((len(all)+lookThrough-1)/lookThrough, peer.MaxCachedImageMachines)
 	for range min(looks, len(all)) {
 		if len(b.CachedImages) >= peer.MaxCachedImageMachines {
@@ -98,9 +98,9 @@
 		l.toldOf %= len(all)
 		m := all[l.toldOf]
 		l.toldOf++
-		told := toldHolding{m.Session, len(m.Images), now}
+		told := toldHolding{m.Incarnation, len(m.ImageUsedAt), now}
 		a := l.machines[m.Name]
-		if a == nil || len(m.Images) == 0 || m.Session == 0 {
+		if a == nil || len(m.ImageUsedAt) == 0 || m.Incarnation == 0 {
 			continue
 		}
 		isNews := a.told.session != told.session || a.told.images != told.images
@@ -108,8 +108,8 @@
 			continue
 		}
 		a.told = told
-		images := slices.Sorted(maps.Keys(m.Images))
-		b.CachedImages = append(b.CachedImages, peer.CachedImages{Machine: m.Name, Incarnation: m.Session, Images: images[:min(len(images), peer.MaxImagesPerMachine)]})
+		images := slices.Sorted(maps.Keys(m.ImageUsedAt))
+		b.CachedImages = append(b.CachedImages, peer.CachedImages{Machine: m.Name, Incarnation: m.Incarnation, Images: images[:min(len(images), peer.MaxImagesPerMachine)]})
 	}
 	for _, class := range l.pl.Classes() {
 		if n, mean, square := l.pl.Class(class).State(); n > 0 && len(b.RunTimes) < peer.MaxRunTimeClasses {
--- a/internal/controller/learnt_test.go
+++ b/internal/controller/learnt_test.go
@@ -23,8 +23,8 @@
 	now := first.since
 	for i, n := range names {
 		m := first.lg.Machines[n]
-		first.lg.Report(m, &wire.Report{Machine: n, Session: 3, Seq: 1, Token: 9}, now)
-		m.Images[fmt.Sprintf("img-%02d", i)] = now
+		first.lg.RecordHeartbeat(m, &wire.Report{Machine: n, Session: 3, Seq: 1, Token: 9}, now)
+		m.ImageUsedAt[fmt.Sprintf("img-%02d", i)] = now
 	}
 	first.pl.Class("c").Observe(100, 50, 0.2)
 	for range 40 {
@@ -64,7 +64,7 @@
 	if again := told(3); len(again) > 0 {
 		t.Errorf("told again: %v", again)
 	}
-	first.lg.Machines["i-07"].Images["another"] = now
+	first.lg.Machines["i-07"].ImageUsedAt["another"] = now
 	if news := told(3); !slices.Equal(news, []string{"i-07"}) {
 		t.Errorf("news are %v", news)
 	}
@@ -78,8 +78,8 @@
 	for i, n := range names {
 		m := l.lg.Machines[n]
 		session := uint64(3 + i%2) // every second one has lost all it had
-		l.lg.Report(m, &wire.Report{Machine: n, Session: session, Seq: 2, Token: 10}, l.since+clock.Second)
-		if _, holds := m.Images[fmt.Sprintf("img-%02d", i)]; holds != (session == 3) {
+		l.lg.RecordHeartbeat(m, &wire.Report{Machine: n, Session: session, Seq: 2, Token: 10}, l.since+clock.Second)
+		if _, holds := m.ImageUsedAt[fmt.Sprintf("img-%02d", i)]; holds != (session == 3) {
 			t.Errorf("%s in session %d: said to hold its image %v", n, session, holds)
 		}
 	}
--- a/internal/controller/morning.go
+++ b/internal/controller/morning.go
@@ -98,9 +98,9 @@
 		}
 		if c.lead != nil {
 			if j := c.lead.lg.Jobs[id]; j != nil {
-				t.Errors, t.Restarts = j.Errors, j.Restarts
-				if j.FirstStart != 0 {
-					first = now - int64(clock.Now()-j.FirstStart)
+				t.Errors, t.Restarts = j.FailureCount, j.RestartCount
+				if j.FirstStartAt != 0 {
+					first = now - int64(clock.Now()-j.FirstStartAt)
 				}
 			}
 		}
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -40,7 +40,7 @@
 	end := clock.FromSeconds(wall + 50)
 	c.setJob("req-000001", &jobRecord{At: 1, State: wire.JobDone, End: int64(end), version: 2})
 	second := l.lg.Jobs["req-000002"]
-	if second == nil || second.Submitted != end || second.Priority != wire.PriorityIndex(wire.PriorityHigh) {
+	if second == nil || second.ReleasedAt != end || second.Priority != wire.PriorityIndex(wire.PriorityHigh) {
 		t.Fatalf("the second is %+v", second)
 	}
 	if l.lg.Jobs["req-000003"] != nil {
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -47,7 +47,7 @@
 		l.drainedAt = now
 		l.c.log.Debug("replicas move together", "from", d.Drain.Name)
 		l.drain(d.Drain)
-		d.Drain.Places(func(p *allocation.Placement) { l.lg.Stop(p, clock.FromSeconds(p.Job.Spec.SaveS)) })
+		d.Drain.ForEachPlacement(func(p *allocation.Placement) { l.lg.StopPlacement(p, clock.FromSeconds(p.Job.Spec.SaveS)) })
 	}
 	for _, s := range []struct {
 		kind string
--- a/internal/controller/probe.go
+++ b/internal/controller/probe.go
@@ -38,7 +38,7 @@
 // large fleet each look goes on where the last one ended: once the first by name were
 // asked again and again, and the last ones never.
 func (l *lead) probe(now clock.Micros) {
-	machines := l.lg.ByName()
+	machines := l.lg.SortedMachines()
 	for _, m := range machines {
 		if l.probing >= l.c.directs {
 			return
@@ -54,7 +54,7 @@
 		l.probeNext %= len(machines)
 		m := machines[l.probeNext]
 		l.probeNext++
-		if a := l.machines[m.Name]; l.mayAsk(m, a) && m.Replicas() > 0 && now-max(m.Heard, a.probes.at) >= probeEvery {
+		if a := l.machines[m.Name]; l.mayAsk(m, a) && m.ReplicaCount() > 0 && now-max(m.LastHeartbeatAt, a.probes.at) >= probeEvery {
 			l.ask(m, a, now)
 		}
 	}
@@ -62,25 +62,25 @@
 
 // mayAsk tells whether a machine can be asked at all.
 func (l *lead) mayAsk(m *allocation.Machine, a *machineAux) bool {
-	return a != nil && !a.deleting && m.Addr != "" && m.UpAt != 0 && !a.probes.busy
+	return a != nil && !a.deleting && m.Address != "" && m.FirstHeartbeatAt != 0 && !a.probes.busy
 }
 
 // isAmiss tells whether a machine has left a probe unanswered, or its report is overdue,
 // and it is time to ask again.
 func (l *lead) isAmiss(m *allocation.Machine, a *machineAux, now clock.Micros) bool {
-	quiet := now - max(m.Heard, a.probes.at)
+	quiet := now - max(m.LastHeartbeatAt, a.probes.at)
 	if a.probes.misses > 0 {
 		return quiet >= clock.Second/2
 	}
 	overdue := clock.FromSeconds(1.25*l.c.cfg.Deployment.Workers.ReportS) + clock.Second/2
-	return now-max(m.Heard, l.awake) >= overdue && quiet >= probeEvery
+	return now-max(m.LastHeartbeatAt, l.awake) >= overdue && quiet >= probeEvery
 }
 
 func (l *lead) ask(m *allocation.Machine, a *machineAux, now clock.Micros) {
 	l.probing++
 	a.probes.busy, a.probes.at = true, now
 	if a.host == nil {
-		a.host = l.c.toWorkers.Host(m.Addr, 1, 4*wire.MaxBody)
+		a.host = l.c.toWorkers.Host(m.Address, 1, 4*wire.MaxBody)
 	}
 	host := a.host
 	go func() {
@@ -114,7 +114,7 @@
 		if l.promises.MayConstrainZone(m.Zone) {
 			l.opening[m.Zone] = true // its zone is back
 		}
-		if l.lg.DirectReport(m, rep, now) == allocation.Deposed {
+		if l.lg.RecordCommandHeartbeat(m, rep, now) == allocation.HeartbeatFenced {
 			l.c.fenced(l.token)
 			return
 		}
@@ -136,7 +136,7 @@
 	}
 	p.misses++
 	if p.misses > missesAllowed && l.answering(m, p.missedAt) {
-		l.c.log.Info("machine does not answer", "machine", m.Name, "for_s", (now - max(m.Heard, p.answered)).Seconds())
+		l.c.log.Info("machine does not answer", "machine", m.Name, "for_s", (now - max(m.LastHeartbeatAt, p.answered)).Seconds())
 		l.delete(m)
 	}
 }
@@ -151,7 +151,7 @@
 			continue
 		}
 		switch {
-		case max(a.probes.answered, o.Heard) > since+probeTimeout/2:
+		case max(a.probes.answered, o.LastHeartbeatAt) > since+probeTimeout/2:
 			answered++
 		case a.probes.misses > 0:
 			missed++
--- a/internal/controller/probe_test.go
+++ b/internal/controller/probe_test.go
@@ -22,9 +22,9 @@
 	now := l.since
 	for i, name := range names {
 		m := l.lg.Machines[name]
-		l.lg.HeardBy(m, now)
-		l.lg.Report(m, &wire.Report{Machine: name, Addr: "127.0.0.1:1", Session: 1, Seq: 1, Token: 9}, now)
-		if err := l.lg.Place(j, i, m, l.lg.Attempt(), now); err != nil {
+		l.lg.RecordLeaseRenewal(m, now)
+		l.lg.RecordHeartbeat(m, &wire.Report{Machine: name, Addr: "127.0.0.1:1", Session: 1, Seq: 1, Token: 9}, now)
+		if err := l.lg.PlaceTask(j, i, m, l.lg.NextAttempt(), now); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -44,7 +44,7 @@
 		look()
 		now += clock.Second / 2
 		for _, m := range l.lg.Machines {
-			m.Heard = max(m.Heard, now-probeEvery) // reports are not overdue
+			m.LastHeartbeatAt = max(m.LastHeartbeatAt, now-probeEvery) // reports are not overdue
 		}
 	}
 	for _, name := range names {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -108,7 +108,7 @@
 	first, last := p.tasks(key, len(j.Tasks))
 	var bits bitmap
 	for i := first; i < last; i++ {
-		if j.Tasks[i].State == allocation.Done {
+		if j.Tasks[i].State == allocation.TaskDone {
 			bits.set(i - first)
 		}
 	}
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -41,7 +41,7 @@
 	w, _ := l.promises.Current()
 	for _, m := range l.lg.Machines {
 		if z, ok := w.Zones[m.Zone]; ok {
-			l.lg.LastHeardBy(m, l.c.notBefore(now, z.LastAnswerAt))
+			l.lg.CapLeaseRenewal(m, l.c.notBefore(now, z.LastAnswerAt))
 		}
 	}
 	for m, end := range w.MemberGrantUntil {
@@ -56,7 +56,7 @@
 	for z, p := range w.Zones {
 		zones[z] = l.bound.LatestRenewalExcept(now, l.c.cfg.Member, p.KnownBy)
 	}
-	l.lg.Answered(l.bound.LatestRenewal(now), zones)
+	l.lg.SetDelegatedUntil(l.bound.LatestRenewal(now), zones)
 }
 
 // updatePromises writes what has changed about who is heard. A zone of which no
@@ -115,10 +115,10 @@
 			z = &zoneSeen{}
 			out[m.Zone] = z
 		}
-		z.last = max(z.last, m.LastHeard())
-		if m.UpAt != 0 || m.Since < l.since { // one that boots says nothing of its zone
+		z.last = max(z.last, m.LastRenewalAt())
+		if m.FirstHeartbeatAt != 0 || m.CreatedAt < l.since { // one that boots says nothing of its zone
 			z.up = true
-			z.heard = z.heard || now-max(m.Heard, l.awake) < l.freshFor()
+			z.heard = z.heard || now-max(m.LastHeartbeatAt, l.awake) < l.freshFor()
 		}
 	}
 	return out
@@ -179,7 +179,7 @@
 	if !l.promises.MayConstrainZone(rep.Zone) {
 		return false
 	}
-	if m := l.lg.Machines[rep.Machine]; m != nil && !rep.Newer(m.Session, m.Seq) {
+	if m := l.lg.Machines[rep.Machine]; m != nil && !rep.Newer(m.Incarnation, m.HeartbeatSequence) {
 		later(r, "an older report")
 		return true
 	}
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -16,7 +16,7 @@
 func TestWordOfASilentZone(t *testing.T) {
 	l := rebuilt(t, "i-1", "i-2")
 	c := l.c
-	plain := l.lg.LeaseEnd(l.lg.Machines["i-1"])
+	plain := l.lg.LeaseEndsAt(l.lg.Machines["i-1"])
 	ago := 20 * clock.Second
 	c.view.promises = delegation.Constraints{
 		Zones:            map[string]delegation.ZoneConstraint{"x": {LastAnswerAt: clock.Wall() - ago, KnownBy: []string{"a"}}},
@@ -26,11 +26,11 @@
 	l = newLead(c, 10, clock.Now())
 	l.deadline.Store(1 << 62)
 	m := l.lg.Machines["i-1"]
-	if early := plain - l.lg.LeaseEnd(m); early < ago {
+	if early := plain - l.lg.LeaseEndsAt(m); early < ago {
 		t.Fatalf("the lease ends only %d us sooner than without the promise", early)
 	}
 	l.checkin(&wire.Report{Machine: "i-1", Zone: "x", Session: 1, Seq: 5, Token: 10}, &server.Reply{})
-	if len(l.held) != 1 || m.Heard != 0 {
+	if len(l.held) != 1 || m.LastHeartbeatAt != 0 {
 		t.Fatal("a report is answered though it is promised that none is")
 	}
 	// It is being taken back; nothing goes out before that is durable.
@@ -41,10 +41,10 @@
 	l.promises.RecordCommit(9)
 	c.view.promises, c.view.promisesVersion = delegation.Constraints{}, 9
 	l.opened()
-	if len(l.held) != 0 || m.Heard == 0 {
+	if len(l.held) != 0 || m.LastHeartbeatAt == 0 {
 		t.Fatal("the report that waited is not taken")
 	}
-	if l.lg.LeaseEnd(m) < m.Heard+24*clock.Second {
+	if l.lg.LeaseEndsAt(m) < m.LastHeartbeatAt+24*clock.Second {
 		t.Fatal("a machine that was answered has its lease counted from before that")
 	}
 	// Word of a zone outlives the leader, with this member among those who know.
@@ -71,14 +71,14 @@
 		return l.lg.AddMachine(name, "big", zone, false, allocation.Resources{}, l.since)
 	}
 	y := add("i-9", "y")
-	y.Since = l.since + clock.Second // rented by this leader, boots
+	y.CreatedAt = l.since + clock.Second // rented by this leader, boots
 	now := l.since + l.freshFor() + clock.Second
 	l.updatePromises(now)
 	if !l.promises.MayConstrainZone("x") || l.promises.MayConstrainZone("y") {
 		t.Fatalf("promised about %v", l.promises.ConstrainedZones())
 	}
 	l.promises.RecordRefusal()
-	l.lg.Machines["i-2"].Heard = now
+	l.lg.Machines["i-2"].LastHeartbeatAt = now
 	l.updatePromises(now)
 	if l.promises.MayConstrainZone("x") {
 		t.Fatal("a promise about a zone that is heard")
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -170,7 +170,7 @@
 			// Only machines that the record names may get tasks.
 			for _, n := range h.rec.Machines {
 				if m := l.lg.Machines[n]; m != nil {
-					m.Recorded = true
+					m.RecordedInStore = true
 				}
 			}
 			l.dirty = true
@@ -229,7 +229,7 @@
 		l.gone[n] = now
 		delete(l.unknown, n)
 		if m := l.lg.Machines[n]; m != nil {
-			l.lg.MachineGone(m, now)
+			l.lg.RemoveMachine(m, now)
 		}
 		if a := l.machines[n]; a != nil {
 			if a.host != nil {
--- a/internal/controller/repeat_test.go
+++ b/internal/controller/repeat_test.go
@@ -52,11 +52,11 @@
 	}
 	work(t, c, func() bool { return h.version != 0 })
 	l.hired(h, []string{"i-1", "i-2"}, nil)
-	work(t, c, func() bool { return l.lg.Machines["i-1"].Recorded })
+	work(t, c, func() bool { return l.lg.Machines["i-1"].RecordedInStore })
 	j := l.lg.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Team: "t", Tasks: 3}, 0, 1, false, nil)
 	l.jobs[j.Spec.ID] = &jobAux{}
 	l.mark(j)
-	work(t, c, func() bool { return j.Marked })
+	work(t, c, func() bool { return j.StartsRecorded })
 	before := map[string]string{}
 	for _, k := range s.Keys(prefix) {
 		before[k] = s.Value(k)
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -20,7 +20,7 @@
 // reach for four seconds, came here, tried it again, and was back after its lease.
 func (c *Core) answerAsDelegate(rep *wire.Report, r *server.Reply, now clock.Micros) bool {
 	if c.lead != nil {
-		c.delegate.EndTerm(c.lead.lg.Issued(), c.lead.knewAt)
+		c.delegate.EndTerm(c.lead.lg.IssuedToken(), c.lead.knewAt)
 	}
 	if !c.view.loaded || c.promised(rep.Zone) {
 		return false
@@ -48,7 +48,7 @@
 	if c.lead != nil {
 		// It may yet renew its lock and go on, and must then count with this.
 		if m := c.lead.lg.Machines[rep.Machine]; m != nil {
-			c.lead.lg.HeardBy(m, until)
+			c.lead.lg.RecordLeaseRenewal(m, until)
 		}
 	}
 	r.SendUntil(200, body, 0, until)
--- a/internal/controller/small_test.go
+++ b/internal/controller/small_test.go
@@ -70,27 +70,27 @@
 		work(t, core, func() bool { return l.lg.Jobs[id] != nil })
 		j := l.lg.Jobs[id]
 		l.mark(j)
-		work(t, core, func() bool { return j.Marked })
+		work(t, core, func() bool { return j.StartsRecorded })
 
 		complete := func(from, to int) {
 			for i := from; i < to; i++ {
-				j.Tasks[i].State = allocation.Waiting
+				j.Tasks[i].State = allocation.TaskWaiting
 			}
 			m := l.lg.Machines["i-1"]
 			if m == nil {
 				m = l.lg.AddMachine("i-1", "big", "x", false, l.pl.Size("big"), clock.Now())
-				m.Recorded = true
+				m.RecordedInStore = true
 			}
-			rep := &wire.Report{Machine: "i-1", Session: 1, Seq: m.Seq + 1, Token: token}
+			rep := &wire.Report{Machine: "i-1", Session: 1, Seq: m.HeartbeatSequence + 1, Token: token}
 			for i := from; i < to; i++ {
 				rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone})
 			}
-			if l.lg.Report(m, rep, clock.Now()) != allocation.Taken {
+			if l.lg.RecordHeartbeat(m, rep, clock.Now()) != allocation.HeartbeatAccepted {
 				t.Fatal("report not taken")
 			}
 		}
 		complete(0, c.tasks-1)
-		work(t, core, func() bool { l.durable(clock.Now() + clock.Second); return len(j.NotDurable()) == 0 })
+		work(t, core, func() bool { l.durable(clock.Now() + clock.Second); return len(j.UnpersistedCompletions()) == 0 })
 		done := core.view.done[id]
 		core.view.wantSync(func(error) { done = core.view.done[id] }, clock.Now()+10*clock.Second)
 		work(t, core, func() bool { done = core.view.done[id]; return len(done) == (c.tasks-1)/core.chunk+1 })
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -12,34 +12,34 @@
 )
 
 // stream is the leader's side of what its followers copy; see package standby. It
-// implements allocation.Decisions.
+// implements allocation.Replicator.
 type stream struct {
 	publisher  *standby.Publisher
 	membership *standby.InSyncSet
 }
 
-// Started implements allocation.Decisions.
-func (s *stream) Started(task string, attempt uint64, machine string) uint64 {
+// RecordStarted implements allocation.Replicator.
+func (s *stream) RecordStarted(task string, attempt uint64, machine string) uint64 {
 	return s.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
 }
 
-// Over implements allocation.Decisions.
-func (s *stream) Over(task string, attempt uint64, machine string) {
+// RecordEnded implements allocation.Replicator.
+func (s *stream) RecordEnded(task string, attempt uint64, machine string) {
 	s.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
 }
 
-// Doubted implements allocation.Decisions.
-func (s *stream) Doubted(id string) {
+// RecordUnconfirmed implements allocation.Replicator.
+func (s *stream) RecordUnconfirmed(id string) {
 	s.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: standby.UnconfirmedPlacement(id)})
 }
 
-// DoubtOver implements allocation.Decisions.
-func (s *stream) DoubtOver(id string) {
+// RecordResolved implements allocation.Replicator.
+func (s *stream) RecordResolved(id string) {
 	s.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: standby.UnconfirmedPlacement(id)})
 }
 
-// MaySend implements allocation.Decisions.
-func (s *stream) MaySend(number uint64) bool { return s.membership.MaySendStart(number) }
+// MaySendStart implements allocation.Replicator.
+func (s *stream) MaySendStart(number uint64) bool { return s.membership.MaySendStart(number) }
 
 // standbyVersion is what this member tells others of the messages that it takes.
 func (c *Core) standbyVersion() uint8 {
@@ -79,9 +79,9 @@
 	}
 	publisher := standby.NewPublisher(l.token, nil, others)
 	l.standby = &stream{publisher, standby.NewInSyncSet(publisher, c.view.standby, c.view.standbyVersion, others, l.since)}
-	account.Decisions = l.standby
+	account.Replicator = l.standby
 	if copied, ok := c.trustedReplica(); ok && c.view.leads.LastToken() == l.token {
-		account.MayRun = copied.MayBeRunning
+		account.MayHaveStarted = copied.MayBeRunning
 	}
 }
 
@@ -97,7 +97,7 @@
 	case c.replica == nil:
 	case b.StandbyPosition != nil && c.lead != nil && c.lead.standby != nil:
 		c.lead.standby.publisher.RecordPosition(b.Member, *b.StandbyPosition)
-		c.lead.lg.RetryStarts()
+		c.lead.lg.RetryUnreplicatedStarts()
 	case b.StandbyMessage != nil && !c.isLeading():
 		c.answerStream(b.Member, b.StandbyMessage)
 	}
@@ -183,7 +183,7 @@
 			membership.RejectWrite()
 			l.c.view.wantSync(func(error) {}, clock.Now()+2*clock.Second)
 		}
-		l.lg.RetryStarts()
+		l.lg.RetryUnreplicatedStarts()
 	})
 }
 
@@ -191,7 +191,7 @@
 func (l *lead) doubts() int {
 	doubts := 0
 	for _, j := range l.lg.Jobs {
-		doubts += j.Doubts()
+		doubts += j.UnconfirmedCount()
 	}
 	return doubts
 }
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -98,7 +98,7 @@
 // watchFirstDecision notes when a new leader first places a task.
 func (l *lead) watchFirstDecision(now clock.Micros) {
 	t := &l.c.takeOverTimes
-	if t.decided != 0 || !l.lg.HasDecided() {
+	if t.decided != 0 || !l.lg.HasIssuedAttempt() {
 		return
 	}
 	t.decided = now
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -25,15 +25,15 @@
 	c.cfg.Deployment.Objectives = append(c.cfg.Deployment.Objectives, config.Objective{Kind: "wait", Class: "c", WithinS: 2})
 	l = newLead(c, 10, clock.Now())
 	m := l.lg.Machines["i-1"] // heard, and empty; the other one is not heard
-	l.lg.HeardBy(m, l.since)
-	l.lg.Report(m, &wire.Report{Machine: "i-1", Session: 1, Seq: 1, Token: 10}, l.since)
+	l.lg.RecordLeaseRenewal(m, l.since)
+	l.lg.RecordHeartbeat(m, &wire.Report{Machine: "i-1", Session: 1, Seq: 1, Token: 10}, l.since)
 	at := l.since + 40*clock.Second
-	m.Heard, l.pl.Fresh = at, 3600*clock.Second
+	m.LastHeartbeatAt, l.pl.Fresh = at, 3600*clock.Second
 	if d := l.pl.Plan(l.lg, at, clock.Wall(), nil); len(d.Return) != 0 {
 		t.Fatalf("%s is given back while tasks are in doubt", d.Return[0].Name)
 	}
 	for id, j := range l.lg.Jobs {
-		l.lg.Withdraw(j, at)
+		l.lg.Cancel(j, at)
 		delete(l.lg.Jobs, id)
 	}
 	// With nothing in doubt, the wait is that of a class whose starts press: a leader
@@ -42,7 +42,7 @@
 	if d := l.pl.Plan(l.lg, early, clock.Wall(), nil); len(d.Return) != 0 {
 		t.Fatalf("%s is given back as if no start pressed", d.Return[0].Name)
 	}
-	m.Heard = late
+	m.LastHeartbeatAt = late
 	if d := l.pl.Plan(l.lg, late, clock.Wall(), nil); len(d.Return) != 1 {
 		t.Fatalf("%d machines are given back after the idle wait", len(d.Return))
 	}
--- a/internal/controller/token.go
+++ b/internal/controller/token.go
@@ -12,10 +12,10 @@
 func (l *lead) raiseToken(now clock.Micros) {
 	if l.raiseAt != 0 && now >= l.raiseAt {
 		l.raiseAt = 0
-		l.lg.Raise()
+		l.lg.RaiseToken()
 	}
 	every := clock.FromSeconds(l.c.cfg.Deployment.Workers.LeaseS) / 2
-	if l.issuing || l.raiseAt != 0 || now-max(l.issuedAt, l.since) < every || !l.lg.WantsToken() {
+	if l.issuing || l.raiseAt != 0 || now-max(l.issuedAt, l.since) < every || !l.lg.TakeTokenRaiseRequest() {
 		return
 	}
 	l.issuing = true
@@ -25,7 +25,7 @@
 			return
 		}
 		l.issuedAt = clock.Now()
-		l.lg.Issue(rev)
+		l.lg.IssueToken(rev)
 		// Those who are delegates hear of it first: they could not answer a worker that
 		// has seen a higher token than they know.
 		l.raiseAt = l.issuedAt + 2*beatEvery
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -56,11 +56,11 @@
 	if !ok {
 		return "unknown team"
 	}
-	need := allocation.FromAmounts(j.CPUs, j.GPUs, j.MemoryGB)
+	need := allocation.NewResources(j.CPUs, j.GPUs, j.MemoryGB)
 	fits := slices.ContainsFunc(c.types, func(k wire.MachineType) bool {
 		return (j.Types == nil || slices.Contains(j.Types, k.Name)) &&
 			(j.Zone == "" || slices.Contains(k.Zones, j.Zone)) &&
-			need.Fits(allocation.FromAmounts(k.CPUs, k.GPUs, k.MemoryGB))
+			need.IsWithin(allocation.NewResources(k.CPUs, k.GPUs, k.MemoryGB))
 	})
 	if !fits {
 		return "a task fits no allowed machine type"
@@ -70,7 +70,7 @@
 		n = 1
 	}
 	all := need.Times(n)
-	if t.CPUMax > 0 && all.CPU > t.CPUMax || t.GPUMax > 0 && all.GPU > t.GPUMax {
+	if t.MaxMilliCPU > 0 && all.MilliCPU > t.MaxMilliCPU || t.MaxMilliGPU > 0 && all.MilliGPU > t.MaxMilliGPU {
 		return "the job needs more than its team's limit"
 	}
 	return ""
@@ -185,7 +185,7 @@
 	var done, running int
 	if c.lead != nil {
 		if j := c.lead.lg.Jobs[id]; j != nil {
-			done, running = j.DoneCount(), j.Running
+			done, running = j.DoneCount(), j.StartedCount
 		}
 	} else if n, ok := c.counts.of(id); ok {
 		done, running = int(n.Done), int(n.Running)
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -14,7 +14,7 @@
 // the given part by running tasks of arrays and replicas, with so many more
 // arrays and services waiting.
 func fleet(n int, filled float64, waiting int) *scene {
-	s := newScene(map[string]allocation.Team{"a": {}, "b": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}, "b": {}})
 	rng := rand.New(rand.NewPCG(uint64(n), 8))
 	var ms []*allocation.Machine
 	for i := 0; i < n; i++ {
@@ -43,18 +43,18 @@
 			if m.Spot != spot {
 				continue
 			}
-			for float64(m.Used().CPU) < filled*float64(m.Cap.CPU) {
+			for float64(m.Used().MilliCPU) < filled*float64(m.Capacity.MilliCPU) {
 				if j == nil || next == len(j.Tasks) {
 					j, next = add(!spot, size), 0
 					j.Spec.Spread = false
 				}
-				if !j.Need.Fits(m.Free()) {
+				if !j.Request.IsWithin(m.Free()) {
 					break
 				}
-				if err := s.l.Place(j, next, m, s.l.Attempt(), s.now); err != nil {
+				if err := s.l.PlaceTask(j, next, m, s.l.NextAttempt(), s.now); err != nil {
 					panic(err)
 				}
-				p := j.Tasks[next].Place
+				p := j.Tasks[next].Placement
 				orders[m].Tasks = append(orders[m].Tasks, wire.TaskReport{Task: wire.TaskID(j.Spec.ID, next), Attempt: p.Attempt, State: wire.TaskRunning})
 				next++
 			}
@@ -64,8 +64,8 @@
 	fill(false, 8)
 	s.now += clock.Second
 	for _, m := range ms {
-		s.l.Direct(m, s.now)
-		s.l.Report(m, orders[m], s.now)
+		s.l.BuildCommandRequest(m, s.now)
+		s.l.RecordHeartbeat(m, orders[m], s.now)
 	}
 	s.now += 10 * clock.Second
 	for i := 0; i < waiting; i++ {
@@ -128,11 +128,11 @@
 	for seed := uint64(1); seed <= 300; seed++ {
 		build := func() (*scene, []*allocation.Job) {
 			rng := rand.New(rand.NewPCG(seed, 21))
-			s := newScene(map[string]allocation.Team{"a": {CPUMax: int64(20+rng.IntN(100)) * 1000}})
+			s := newScene(map[string]allocation.TeamQuota{"a": {MaxMilliCPU: int64(20+rng.IntN(100)) * 1000}})
 			for i := rng.IntN(30); i >= 0; i-- {
 				m := s.machine(fmt.Sprintf("i-%02d", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y", "z"}[rng.IntN(3)], rng.IntN(2) == 0)
 				if rng.IntN(2) == 0 {
-					m.Images[fmt.Sprint("img-", rng.IntN(3))] = s.now
+					m.ImageUsedAt[fmt.Sprint("img-", rng.IntN(3))] = s.now
 				}
 			}
 			var jobs []*allocation.Job
@@ -155,7 +155,7 @@
 			}
 			got := map[string]string{}
 			for _, j := range s.l.Jobs {
-				j.Places(func(p *allocation.Placement) { got[wire.TaskID(j.Spec.ID, p.Index)] = p.Machine.Name })
+				j.ForEachPlacement(func(p *allocation.Placement) { got[wire.TaskID(j.Spec.ID, p.TaskIndex)] = p.Machine.Name })
 			}
 			return got
 		}
@@ -171,17 +171,17 @@
 			for k := 0; k < min(len(e.tasks), e.limit); k++ {
 				var best *allocation.Machine
 				for _, m := range r.machines {
-					if !m.Usable() || !allocation.Allowed(j, m) || !j.Need.Fits(r.free(m)) {
+					if !m.IsSchedulable() || !allocation.IsEligible(j, m) || !j.Request.IsWithin(r.free(m)) {
 						continue
 					}
-					if j.Spec.Spread && best != nil && j.InZone(m.Zone) > j.InZone(best.Zone) {
+					if j.Spec.Spread && best != nil && j.CountInZone(m.Zone) > j.CountInZone(best.Zone) {
 						continue
 					}
-					if best == nil || j.Spec.Spread && j.InZone(m.Zone) < j.InZone(best.Zone) || scores[m] > scores[best] {
+					if best == nil || j.Spec.Spread && j.CountInZone(m.Zone) < j.CountInZone(best.Zone) || scores[m] > scores[best] {
 						best = m
 					}
 				}
-				if best == nil || r.l.Place(j, e.tasks[k], best, r.l.Attempt(), r.now) != nil {
+				if best == nil || r.l.PlaceTask(j, e.tasks[k], best, r.l.NextAttempt(), r.now) != nil {
 					return
 				}
 			}
--- a/internal/scheduler/boot_test.go
+++ b/internal/scheduler/boot_test.go
@@ -15,7 +15,7 @@
 	var late []*allocation.Machine
 	for i := range 10 {
 		m := s.l.AddMachine(string(rune('a'+i)), "big", "x", true, s.pl.Size("big"), s.now)
-		m.Recorded = true
+		m.RecordedInStore = true
 		late = append(late, m)
 	}
 	s.job(wire.Job{ID: "req-000001", Tasks: 40, CPUs: 4, EstimateS: 60, Spot: true})
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -51,7 +51,7 @@
 	j := e.job
 	var out []seat
 	for _, m := range r.machines {
-		if zone != "" && m.Zone != zone || !r.usable(m) || r.claims[m.Rank] || !allocation.Allowed(j, m) {
+		if zone != "" && m.Zone != zone || !r.usable(m) || r.claims[m.SortIndex] || !allocation.IsEligible(j, m) {
 			continue
 		}
 		fetch, score := r.fetchTime(j, m), r.score(j, m)
@@ -59,34 +59,34 @@
 		var ends, vs []*allocation.Placement
 		listed := false
 		wait, loss, stopped := 0.0, 0.0, r.free(m)
-		for range r.pl.perMachine(j.Need, m.Type) {
-			s := seat{m: m, free: j.Need.Fits(room), ends: fetch, stops: math.Inf(1), score: score}
+		for range r.pl.perMachine(j.Request, m.Type) {
+			s := seat{m: m, free: j.Request.IsWithin(room), ends: fetch, stops: math.Inf(1), score: score}
 			if !s.free && !listed {
 				listed = true
-				ends, vs = r.endings(m), stoppable(m, func(p *allocation.Placement) bool { return !p.Stopping() && r.below(e, p.Job) })
+				ends, vs = r.endings(m), stoppable(m, func(p *allocation.Placement) bool { return !p.IsStopping() && r.below(e, p.Job) })
 				stopped = r.room(m)
 			}
-			for len(ends) > 0 && !j.Need.Fits(room) {
+			for len(ends) > 0 && !j.Request.IsWithin(room) {
 				wait = drainDoubt * r.pl.remaining(ends[0], r.now)
-				room = room.Add(ends[0].Job.Need)
+				room = room.Add(ends[0].Job.Request)
 				ends = ends[1:]
 			}
 			s.ends = wait + fetch
-			if !j.Need.Fits(room) {
+			if !j.Request.IsWithin(room) {
 				s.ends = math.Inf(1)
 			}
-			for len(vs) > 0 && !j.Need.Fits(stopped) {
+			for len(vs) > 0 && !j.Request.IsWithin(stopped) {
 				loss += r.lost(vs[0])
-				stopped = stopped.Add(vs[0].Job.Need)
+				stopped = stopped.Add(vs[0].Job.Request)
 				vs = vs[1:]
 			}
-			if j.Need.Fits(stopped) {
+			if j.Request.IsWithin(stopped) {
 				s.stops, s.loss = stopTakes+fetch, loss
 			}
 			if math.IsInf(min(s.ends, s.stops), 1) {
 				break
 			}
-			room, stopped = room.Sub(j.Need), stopped.Sub(j.Need)
+			room, stopped = room.Sub(j.Request), stopped.Sub(j.Request)
 			out = append(out, s)
 		}
 	}
@@ -96,13 +96,13 @@
 // endings lists what is on a machine, what ends first first.
 func (r *round) endings(m *allocation.Machine) []*allocation.Placement {
 	var out []*allocation.Placement
-	m.Places(func(p *allocation.Placement) {
-		if !p.Job.Service() || p.Stopping() {
+	m.ForEachPlacement(func(p *allocation.Placement) {
+		if !p.Job.IsService() || p.IsStopping() {
 			out = append(out, p)
 		}
 	})
 	slices.SortFunc(out, func(a, b *allocation.Placement) int {
-		return cmp.Or(cmp.Compare(r.pl.remaining(a, r.now), r.pl.remaining(b, r.now)), cmp.Compare(a.Index, b.Index))
+		return cmp.Or(cmp.Compare(r.pl.remaining(a, r.now), r.pl.remaining(b, r.now)), cmp.Compare(a.TaskIndex, b.TaskIndex))
 	})
 	return out
 }
@@ -114,20 +114,20 @@
 	if ck := p.Job.Spec.CheckpointS; ck > 0 {
 		run = min(run, ck)
 	}
-	return (run + stopLoss) * part(p.Job.Need, p.Machine.Cap)
+	return (run + stopLoss) * part(p.Job.Request, p.Machine.Capacity)
 }
 
 // fetchTime is how long, in seconds, a machine takes until it has a job's image:
 // fetches share its rate.
 func (r *round) fetchTime(j *allocation.Job, m *allocation.Machine) float64 {
-	if _, ok := m.Images[j.Spec.Image]; ok {
+	if _, ok := m.ImageUsedAt[j.Spec.Image]; ok {
 		return 0
 	}
 	fetch := r.pl.fetch(j, m.Type)
-	if m.Fetching(j.Spec.Image) {
+	if m.IsFetching(j.Spec.Image) {
 		return fetch / 2 // under way, for how long is not known
 	}
-	return fetch * float64(1+m.Fetches())
+	return fetch * float64(1+m.FetchCount())
 }
 
 // seated picks the cheapest seats that are ready by some time for all tasks of a
@@ -143,7 +143,7 @@
 		return nil, 0
 	}
 	slices.SortFunc(pick, func(a, b seat) int {
-		return cmp.Or(cmp.Compare(a.costs(by), b.costs(by)), -cmp.Compare(a.score, b.score), cmp.Compare(a.m.Rank, b.m.Rank))
+		return cmp.Or(cmp.Compare(a.costs(by), b.costs(by)), -cmp.Compare(a.score, b.score), cmp.Compare(a.m.SortIndex, b.m.SortIndex))
 	})
 	zones := map[string]int{}
 	out := pick[:0]
@@ -151,7 +151,7 @@
 		if len(out) == n {
 			break
 		}
-		if j.Spec.Spread && j.InZone(s.m.Zone)+zones[s.m.Zone] >= j.SpreadLimit() {
+		if j.Spec.Spread && j.CountInZone(s.m.Zone)+zones[s.m.Zone] >= j.MaxTasksPerZone() {
 			continue
 		}
 		zones[s.m.Zone]++
@@ -234,54 +234,54 @@
 // then. Nothing is rented for the gang as long as it has a claim.
 func (r *round) claimSeats(e *entry, seats []seat, by float64) {
 	e.claims = true
-	need := e.job.Need
+	need := e.job.Request
 	taken := map[*allocation.Machine]int{}
 	for _, s := range seats {
 		taken[s.m]++
 	}
 	for _, s := range seats {
 		m := s.m
-		if r.claims[m.Rank] {
+		if r.claims[m.SortIndex] {
 			continue
 		}
-		r.claims[m.Rank] = true
+		r.claims[m.SortIndex] = true
 		want := need.Times(taken[m])
 		fetch := r.fetchTime(e.job, m)
 		have := r.room(m)
 		for _, p := range r.endings(m) {
-			if !p.Stopping() && drainDoubt*r.pl.remaining(p, r.now)+fetch <= by {
-				have = have.Add(p.Job.Need)
+			if !p.IsStopping() && drainDoubt*r.pl.remaining(p, r.now)+fetch <= by {
+				have = have.Add(p.Job.Request)
 			}
 		}
 		for _, p := range stoppable(m, func(p *allocation.Placement) bool {
-			return !p.Stopping() && r.below(e, p.Job) && drainDoubt*r.pl.remaining(p, r.now)+fetch > by
+			return !p.IsStopping() && r.below(e, p.Job) && drainDoubt*r.pl.remaining(p, r.now)+fetch > by
 		}) {
-			if want.Fits(have) {
+			if want.IsWithin(have) {
 				break
 			}
 			r.stop(p)
-			have = have.Add(p.Job.Need)
+			have = have.Add(p.Job.Request)
 		}
 		free := m.Free()
-		r.held[m.Rank] = allocation.Resources{CPU: min(want.CPU, free.CPU), GPU: min(want.GPU, free.GPU), Mem: min(want.Mem, free.Mem)}
+		r.held[m.SortIndex] = allocation.Resources{MilliCPU: min(want.MilliCPU, free.MilliCPU), MilliGPU: min(want.MilliGPU, free.MilliGPU), MemoryMB: min(want.MemoryMB, free.MemoryMB)}
 	}
 }
 
 // seat places a gang on seats that are free.
 func (r *round) seat(e *entry, seats []seat) int {
 	j := e.job
-	if !j.Marked {
+	if !j.StartsRecorded {
 		for _, s := range seats {
-			r.hold(s.m, j.Need)
+			r.hold(s.m, j.Request)
 		}
 		return len(seats)
 	}
-	attempt := j.Attempt
+	attempt := j.GangAttempt
 	if attempt == 0 {
-		attempt = r.l.Attempt()
+		attempt = r.l.NextAttempt()
 	}
 	for k, s := range seats {
-		if r.l.Place(j, e.tasks[k], s.m, attempt, r.now) != nil {
+		if r.l.PlaceTask(j, e.tasks[k], s.m, attempt, r.now) != nil {
 			r.l.StopJob(j, 0) // cannot start whole; what was decided is undone
 			return 0
 		}
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -12,15 +12,15 @@
 
 // shows has a machine report all that the ledger has placed on it, in a state.
 func (s *scene) shows(m *allocation.Machine, state string) {
-	s.l.Orders(m, s.now)
+	s.l.HeartbeatCommands(m, s.now)
 	var tasks []wire.TaskReport
-	m.Places(func(p *allocation.Placement) {
-		if !p.Stopping() {
-			tasks = append(tasks, wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.Index), Attempt: p.Attempt, State: state})
+	m.ForEachPlacement(func(p *allocation.Placement) {
+		if !p.IsStopping() {
+			tasks = append(tasks, wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.TaskIndex), Attempt: p.Attempt, State: state})
 		}
 	})
 	s.seqs[m.Name] += 2
-	s.l.Report(m, &wire.Report{Machine: m.Name, Session: 1, Seq: s.seqs[m.Name], Token: 1, Tasks: tasks}, s.now)
+	s.l.RecordHeartbeat(m, &wire.Report{Machine: m.Name, Session: 1, Seq: s.seqs[m.Name], Token: 1, Tasks: tasks}, s.now)
 }
 
 func (s *scene) plan() Decision { return s.pl.Plan(s.l, s.now, s.now, nil) }
@@ -29,13 +29,13 @@
 // at different times.
 func crowded(t *testing.T, machines int, spec wire.Job) (*scene, *allocation.Job) {
 	t.Helper()
-	s := newScene(map[string]allocation.Team{"a": {}, "b": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}, "b": {}})
 	spec.ID, spec.Tasks, spec.CPUs, spec.GPUs, spec.Team = "req-000001", 2*machines, 5, 1, "a"
 	batch := s.job(spec)
 	for i := range machines {
 		m := s.machine(fmt.Sprintf("i-%02d", i), "big", "x", false)
 		for k := range 2 {
-			if err := s.l.Place(batch, 2*i+k, m, s.l.Attempt(), s.now); err != nil {
+			if err := s.l.PlaceTask(batch, 2*i+k, m, s.l.NextAttempt(), s.now); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -49,8 +49,8 @@
 }
 
 func stopping(j *allocation.Job) (n int) {
-	j.Places(func(p *allocation.Placement) {
-		if p.Stopping() {
+	j.ForEachPlacement(func(p *allocation.Placement) {
+		if p.IsStopping() {
 			n++
 		}
 	})
@@ -58,17 +58,17 @@
 }
 
 func (s *scene) end(j *allocation.Job, i int) {
-	m := j.Tasks[i].Place.Machine
+	m := j.Tasks[i].Placement.Machine
 	var tasks []wire.TaskReport
-	m.Places(func(p *allocation.Placement) {
-		r := wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.Index), Attempt: p.Attempt, State: wire.TaskRunning}
-		if p.Job == j && p.Index == i {
+	m.ForEachPlacement(func(p *allocation.Placement) {
+		r := wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.TaskIndex), Attempt: p.Attempt, State: wire.TaskRunning}
+		if p.Job == j && p.TaskIndex == i {
 			r.State, r.Why = wire.TaskExited, wire.WhyDone
 		}
 		tasks = append(tasks, r)
 	})
 	s.seqs[m.Name] += 2
-	s.l.Report(m, &wire.Report{Machine: m.Name, Session: 1, Seq: s.seqs[m.Name], Token: 1, Tasks: tasks}, s.now)
+	s.l.RecordHeartbeat(m, &wire.Report{Machine: m.Name, Session: 1, Seq: s.seqs[m.Name], Token: 1, Tasks: tasks}, s.now)
 }
 
 // A card that falls free is kept for a gang whose turn it is, until the machine's
@@ -81,13 +81,13 @@
 	s.now += 18 * clock.Second
 	s.end(batch, 0)
 	s.plan()
-	if small.Active() != 0 {
+	if small.ActiveCount() != 0 {
 		t.Fatal("a card that a gang waits for went to an array")
 	}
 	s.end(batch, 1)
 	s.plan()
-	if gang.Active() != 1 || small.Active() != 0 {
-		t.Fatalf("the gang has %d places, the array %d", gang.Active(), small.Active())
+	if gang.ActiveCount() != 1 || small.ActiveCount() != 0 {
+		t.Fatalf("the gang has %d places, the array %d", gang.ActiveCount(), small.ActiveCount())
 	}
 }
 
@@ -104,8 +104,8 @@
 		small := s.job(wire.Job{ID: "req-000003", Team: "b", Tasks: 5, CPUs: 5, GPUs: 1, EstimateS: 90})
 		s.end(batch, 0)
 		s.plan()
-		if (small.Active() == 0) != aged {
-			t.Errorf("aged %v: %d tasks were placed on the free card", aged, small.Active())
+		if (small.ActiveCount() == 0) != aged {
+			t.Errorf("aged %v: %d tasks were placed on the free card", aged, small.ActiveCount())
 		}
 	}
 }
@@ -118,21 +118,21 @@
 		name  string
 		age   clock.Micros
 		rank  string
-		team  allocation.Team
+		team  allocation.TeamQuota
 		found bool // an earlier leader began the work
 		stops int
 	}{
-		{"young work", 3 * clock.Second, wire.PriorityHigh, allocation.Team{}, false, 2},
-		{"old work", 300 * clock.Second, wire.PriorityHigh, allocation.Team{}, false, 0},
-		{"work found just now, half of which may be over", 3 * clock.Second, wire.PriorityHigh, allocation.Team{}, true, 0},
-		{"work of its rank", 3 * clock.Second, wire.PriorityNormal, allocation.Team{}, false, 0},
-		{"work that is owed its room", 3 * clock.Second, wire.PriorityHigh, allocation.Team{GPU: 8000}, false, 0},
+		{"young work", 3 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{}, false, 2},
+		{"old work", 300 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{}, false, 0},
+		{"work found just now, half of which may be over", 3 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{}, true, 0},
+		{"work of its rank", 3 * clock.Second, wire.PriorityNormal, allocation.TeamQuota{}, false, 0},
+		{"work that is owed its room", 3 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{GuaranteedMilliGPU: 8000}, false, 0},
 	} {
 		s, batch := crowded(t, 2, wire.Job{EstimateS: 1000})
 		s.pl.Teams["a"] = c.team
-		batch.Places(func(p *allocation.Placement) { p.Adopted = c.found })
+		batch.ForEachPlacement(func(p *allocation.Placement) { p.Adopted = c.found })
 		for _, m := range s.l.Machines {
-			m.Images["water"] = s.now
+			m.ImageUsedAt["water"] = s.now
 		}
 		s.machine("i-99", "big", "x", false) // free, without the image
 		gang := s.job(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, Tasks: 1, CPUs: 10, GPUs: 2, EstimateS: 60,
@@ -142,7 +142,7 @@
 		if stopping(batch) != c.stops {
 			t.Errorf("%s: %d tasks are stopped, want %d", c.name, stopping(batch), c.stops)
 		}
-		if c.stops == 0 && gang.Active() != 1 {
+		if c.stops == 0 && gang.ActiveCount() != 1 {
 			t.Errorf("%s: the gang is not placed on the free machine", c.name)
 		}
 	}
@@ -152,7 +152,7 @@
 // the four minutes that the users allow, and gangs start whole.
 func TestTheLargestGangIsNotStarved(t *testing.T) {
 	rng := rand.New(rand.NewPCG(9, 9))
-	s := newScene(map[string]allocation.Team{"a": {}, "b": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}, "b": {}})
 	s.pl.P.GangWeight = 0 // by claims alone, with nothing stopped
 	for i := range 8 {
 		s.machine(fmt.Sprintf("i-%02d", i), "big", "x", false)
@@ -171,30 +171,30 @@
 			large = s.job(wire.Job{ID: "req-200000", Team: "b", Kind: wire.KindGang, Tasks: 6, CPUs: 10, GPUs: 2, EstimateS: 60, OneZone: true})
 		}
 		s.plan()
-		for _, m := range s.l.ByName() {
+		for _, m := range s.l.SortedMachines() {
 			s.shows(m, wire.TaskRunning)
-			m.Places(func(p *allocation.Placement) {
+			m.ForEachPlacement(func(p *allocation.Placement) {
 				if ends[p] == 0 {
 					ends[p] = s.now + clock.FromSeconds(20+20*rng.Float64())
 				}
 			})
 			var over []*allocation.Placement
-			m.Places(func(p *allocation.Placement) {
-				if s.now >= ends[p] && !p.Stopping() {
+			m.ForEachPlacement(func(p *allocation.Placement) {
+				if s.now >= ends[p] && !p.IsStopping() {
 					over = append(over, p)
 				}
 			})
 			for _, p := range over {
-				if p.Job.Tasks[p.Index].Place == p {
-					s.end(p.Job, p.Index)
+				if p.Job.Tasks[p.TaskIndex].Placement == p {
+					s.end(p.Job, p.TaskIndex)
 				}
 			}
 		}
-		if large != nil && large.Active() != 0 && large.Active() != 6 && large.DoneCount() == 0 {
-			t.Fatalf("%d of six tasks placed", large.Active())
+		if large != nil && large.ActiveCount() != 0 && large.ActiveCount() != 6 && large.DoneCount() == 0 {
+			t.Fatalf("%d of six tasks placed", large.ActiveCount())
 		}
-		if large != nil && large.Active() == 6 {
-			if waited := s.now - large.Submitted; waited > 240*clock.Second {
+		if large != nil && large.ActiveCount() == 6 {
+			if waited := s.now - large.ReleasedAt; waited > 240*clock.Second {
 				t.Fatalf("begun after %v s", waited.Seconds())
 			}
 			return
@@ -207,37 +207,37 @@
 // A gang that loses a task before it has been complete gets another with the same
 // attempt; the images that the others have fetched are not given up.
 func TestAGangThatIsNotCompleteGetsWhatItLacks(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	for i := range 3 {
 		s.machine(fmt.Sprintf("i-%d", i), "big", "x", false)
 	}
 	gang := s.job(wire.Job{ID: "req-000001", Team: "a", Kind: wire.KindGang, Tasks: 2, CPUs: 10, GPUs: 2, EstimateS: 60})
 	s.plan()
-	attempt := gang.Attempt
-	for _, m := range s.l.ByName() {
+	attempt := gang.GangAttempt
+	for _, m := range s.l.SortedMachines() {
 		s.shows(m, wire.TaskWaiting)
 	}
-	lost := gang.Tasks[0].Place.Machine
-	s.l.MachineGone(lost, s.now)
+	lost := gang.Tasks[0].Placement.Machine
+	s.l.RemoveMachine(lost, s.now)
 	s.plan()
-	if gang.Active() != 2 || gang.Attempt != attempt || stopping(gang) != 0 {
-		t.Fatalf("%d places, attempt %d after %d, %d are stopped", gang.Active(), gang.Attempt, attempt, stopping(gang))
+	if gang.ActiveCount() != 2 || gang.GangAttempt != attempt || stopping(gang) != 0 {
+		t.Fatalf("%d places, attempt %d after %d, %d are stopped", gang.ActiveCount(), gang.GangAttempt, attempt, stopping(gang))
 	}
 	// Once it has run, the loss of one ends the others.
-	for _, m := range s.l.ByName() {
+	for _, m := range s.l.SortedMachines() {
 		s.shows(m, wire.TaskRunning)
 	}
-	s.l.MachineGone(gang.Tasks[1].Place.Machine, s.now)
+	s.l.RemoveMachine(gang.Tasks[1].Placement.Machine, s.now)
 	s.plan()
-	if stopping(gang) != 1 || gang.Active() != 1 {
-		t.Fatalf("%d places, %d are stopped", gang.Active(), stopping(gang))
+	if stopping(gang) != 1 || gang.ActiveCount() != 1 {
+		t.Fatalf("%d places, %d are stopped", gang.ActiveCount(), stopping(gang))
 	}
 }
 
 // A gang that no fleet to be had can hold waits, is known, and costs nothing: once
 // every pool has refused, nothing is rented for a part of it. Others are served.
 func TestAGangThatCannotFitCostsNothing(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	huge := s.job(wire.Job{ID: "req-000001", Team: "a", Kind: wire.KindGang, Tasks: 100000, CPUs: 10, GPUs: 2, EstimateS: 60, Types: []string{"big"}})
 	if d := s.plan(); len(d.Rent) == 0 {
 		t.Fatal("nothing is tried for a gang of whose size nothing is known")
@@ -250,7 +250,7 @@
 	}
 	small := s.job(wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindGang, Tasks: 2, CPUs: 10, GPUs: 2, EstimateS: 60})
 	s.now += 60 * clock.Second // the pools may be asked again
-	if d := s.plan(); len(d.Rent) != 0 || small.Active() != 2 || huge.Active() != 0 {
-		t.Fatalf("rented %v, %d of two tasks placed, %d of the huge gang", d.Rent, small.Active(), huge.Active())
+	if d := s.plan(); len(d.Rent) != 0 || small.ActiveCount() != 2 || huge.ActiveCount() != 0 {
+		t.Fatalf("rented %v, %d of two tasks placed, %d of the huge gang", d.Rent, small.ActiveCount(), huge.ActiveCount())
 	}
 }
--- a/internal/scheduler/load_test.go
+++ b/internal/scheduler/load_test.go
@@ -15,27 +15,27 @@
 // its time completes.
 func (s *scene) run(took, first map[*allocation.Job]clock.Micros) {
 	s.now += clock.Second
-	for _, m := range s.l.ByName() {
+	for _, m := range s.l.SortedMachines() {
 		s.seqs[m.Name]++
 		r := &wire.Report{Machine: m.Name, Session: 1, Seq: s.seqs[m.Name], Token: 1, Addr: "127.0.0.1:1"}
-		m.Places(func(p *allocation.Placement) {
-			t := wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.Index), Attempt: p.Attempt, State: wire.TaskRunning}
-			if p.Started != 0 && s.now-p.Started >= took[p.Job] {
+		m.ForEachPlacement(func(p *allocation.Placement) {
+			t := wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.TaskIndex), Attempt: p.Attempt, State: wire.TaskRunning}
+			if p.StartedAt != 0 && s.now-p.StartedAt >= took[p.Job] {
 				t.State, t.Why = wire.TaskExited, wire.WhyDone
 			}
 			r.Tasks = append(r.Tasks, t)
 		})
-		s.l.Report(m, r, s.now)
+		s.l.RecordHeartbeat(m, r, s.now)
 	}
-	for _, p := range s.l.Begun {
+	for _, p := range s.l.Started {
 		if first[p.Job] == 0 {
 			first[p.Job] = s.now
 		}
 	}
-	s.l.Ended, s.l.Begun = nil, nil
+	s.l.Exited, s.l.Started = nil, nil
 	for _, j := range s.l.Jobs {
-		if j.Complete() {
-			s.l.MadeDurable(j, j.NotDurable())
+		if j.IsComplete() {
+			s.l.MarkDurable(j, j.UnpersistedCompletions())
 			s.l.RemoveJob(j)
 		}
 	}
@@ -47,7 +47,7 @@
 func TestNobodyStarvesUnderOverload(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 12))
-		s := newScene(map[string]allocation.Team{"a": {CPU: 64000, CPUMax: 160000}, "b": {CPU: 64000, CPUMax: 160000}})
+		s := newScene(map[string]allocation.TeamQuota{"a": {GuaranteedMilliCPU: 64000, MaxMilliCPU: 160000}, "b": {GuaranteedMilliCPU: 64000, MaxMilliCPU: 160000}})
 		for i := 0; i < 12; i++ {
 			s.machine(fmt.Sprintf("i-%02d", i), "big", []string{"x", "y", "z"}[i%3], true)
 		}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -13,47 +13,47 @@
 	if j.Spec.Spot == m.Spot {
 		s += 100
 	}
-	if j.Service() && m.Replicas() > 0 {
+	if j.IsService() && m.ReplicaCount() > 0 {
 		// Replicas stay for long, and a machine that has one cannot be given
 		// back: they go together.
 		s += 50
 	}
-	switch _, ok := m.Images[j.Spec.Image]; {
-	case ok && j.Service():
+	switch _, ok := m.ImageUsedAt[j.Spec.Image]; {
+	case ok && j.IsService():
 		s += 60 // a replica is awaited: rather apart than after a fetch
 	case ok:
 		s += 20
-	case m.Fetching(j.Spec.Image):
+	case m.IsFetching(j.Spec.Image):
 		s += 10
 	default:
 		// Fetches share a machine's rate: when many replicas have lost their
 		// place, one machine after the other fetched every image there is.
 		per := 10.0
-		if j.Service() {
+		if j.IsService() {
 			per = 25 // rather a machine of its own for a while than a queue of fetches
 		}
-		s -= per * float64(m.Fetches())
+		s -= per * float64(m.FetchCount())
 	}
-	if n := j.ErrorsOn[m.Name]; n > 0 {
+	if n := j.FailuresByMachine[m.Name]; n > 0 {
 		s -= 1000
 	}
-	if !j.Service() {
+	if !j.IsService() {
 		// A machine is paid for until its last task ends: a task goes where it
 		// prolongs that least.
 		run := r.pl.expect(j)
 		longer := max(run-r.busyFor(m), 0)
 		s -= 8 * longer / (longer + 30)
 	}
-	s += 5 * part(m.Used().Add(r.held[m.Rank]), m.Cap)
+	s += 5 * part(m.Used().Add(r.held[m.SortIndex]), m.Capacity)
 	return s
 }
 
 // busyFor is how long, in seconds, a machine will be busy with what it has.
 func (r *round) busyFor(m *allocation.Machine) float64 {
-	b := &r.busy[m.Rank]
+	b := &r.busy[m.SortIndex]
 	if *b < 0 {
 		*b = 0
-		m.Places(func(p *allocation.Placement) { *b = max(*b, r.pl.remaining(p, r.now)) })
+		m.ForEachPlacement(func(p *allocation.Placement) { *b = max(*b, r.pl.remaining(p, r.now)) })
 	}
 	return *b
 }
@@ -70,7 +70,7 @@
 
 func (o options) Len() int { return len(o) }
 func (o options) Less(a, b int) bool {
-	return o[a].s > o[b].s || o[a].s == o[b].s && o[a].m.Rank < o[b].m.Rank
+	return o[a].s > o[b].s || o[a].s == o[b].s && o[a].m.SortIndex < o[b].m.SortIndex
 }
 func (o options) Swap(a, b int) { o[a], o[b] = o[b], o[a] }
 func (o *options) Push(x any)   { *o = append(*o, x.(option)) }
@@ -94,17 +94,17 @@
 // What has no room left for anything that waits is passed over from now on.
 func (r *round) candidates(j *allocation.Job, f func(*allocation.Machine)) {
 	for _, v := range r.pools {
-		if len(v.open) == 0 || !allocation.Allowed(j, v.open[0]) {
+		if len(v.open) == 0 || !allocation.IsEligible(j, v.open[0]) {
 			continue // a job's wishes are for pools, not for single machines
 		}
 		kept := v.open[:0]
 		for _, m := range v.open {
 			free := r.free(m)
-			if !r.least.Fits(free) {
+			if !r.least.IsWithin(free) {
 				continue
 			}
 			kept = append(kept, m)
-			if j.Need.Fits(free) {
+			if j.Request.IsWithin(free) {
 				f(m)
 			}
 		}
@@ -113,7 +113,7 @@
 }
 
 func (r *round) hold(m *allocation.Machine, need allocation.Resources) {
-	r.held[m.Rank] = r.held[m.Rank].Add(need)
+	r.held[m.SortIndex] = r.held[m.SortIndex].Add(need)
 }
 
 // placeTasks places independent tasks.
@@ -125,13 +125,13 @@
 	}
 	placed := 0
 	put := func(m *allocation.Machine) bool {
-		if !j.Need.Fits(r.free(m)) {
+		if !j.Request.IsWithin(r.free(m)) {
 			return false
 		}
-		if !j.Marked {
+		if !j.StartsRecorded {
 			// Its mark has to be durable first; the room is kept until then.
-			r.hold(m, j.Need)
-		} else if r.l.Place(j, e.tasks[placed], m, r.l.Attempt(), r.now) != nil {
+			r.hold(m, j.Request)
+		} else if r.l.PlaceTask(j, e.tasks[placed], m, r.l.NextAttempt(), r.now) != nil {
 			return false
 		}
 		placed++
@@ -163,7 +163,7 @@
 	r.candidates(j, func(m *allocation.Machine) {
 		z := byName[m.Zone]
 		if z == nil {
-			z = &zone{name: m.Zone, count: j.InZone(m.Zone)}
+			z = &zone{name: m.Zone, count: j.CountInZone(m.Zone)}
 			byName[m.Zone] = z
 			zones = append(zones, z)
 		}
@@ -175,7 +175,7 @@
 	for placed := 0; placed < most; {
 		var best *zone
 		for _, z := range zones {
-			if len(z.c) == 0 || z.count >= j.SpreadLimit() {
+			if len(z.c) == 0 || z.count >= j.MaxTasksPerZone() {
 				continue
 			}
 			if best == nil || r.rather(j, z.name, best.name) ||
@@ -198,7 +198,7 @@
 // rather tells whether a job is better off in zone a than in b: replicas outlive
 // a cut only where a controller inside can keep their leases alive.
 func (r *round) rather(j *allocation.Job, a, b string) bool {
-	return j.Service() && r.pl.Kept[a] && !r.pl.Kept[b]
+	return j.IsService() && r.pl.Kept[a] && !r.pl.Kept[b]
 }
 
 func better(a, b option) bool { return options{a, b}.Less(0, 1) }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -42,7 +42,7 @@
 // fleet is full most of the time.
 type round struct {
 	pl       *Planner
-	l        *allocation.Ledger
+	l        *allocation.Tracker
 	now      clock.Micros
 	machines []*allocation.Machine
 	pools    []*poolView
@@ -76,7 +76,9 @@
 	softDone bool
 }
 
-func (r *round) free(m *allocation.Machine) allocation.Resources { return m.Free().Sub(r.held[m.Rank]) }
+func (r *round) free(m *allocation.Machine) allocation.Resources {
+	return m.Free().Sub(r.held[m.SortIndex])
+}
 
 // view finds a pool; there are few.
 func (r *round) view(p Pool) *poolView {
@@ -99,8 +101,8 @@
 	return 0
 }
 
-func (pl *Planner) round(l *allocation.Ledger, q []*entry, now clock.Micros) *round {
-	r := &round{pl: pl, l: l, now: now, machines: l.ByName(), zones: map[string]*zoneView{}}
+func (pl *Planner) round(l *allocation.Tracker, q []*entry, now clock.Micros) *round {
+	r := &round{pl: pl, l: l, now: now, machines: l.SortedMachines(), zones: map[string]*zoneView{}}
 	pl.held = sized(pl.held, len(r.machines))
 	pl.busy = sized(pl.busy, len(r.machines))
 	pl.claims = sized(pl.claims, len(r.machines))
@@ -109,17 +111,17 @@
 		r.busy[i] = -1
 	}
 	for i, e := range q {
-		n := e.job.Need
+		n := e.job.Request
 		if i == 0 {
 			r.least = n
 		}
-		r.least = allocation.Resources{CPU: min(r.least.CPU, n.CPU), GPU: min(r.least.GPU, n.GPU), Mem: min(r.least.Mem, n.Mem)}
+		r.least = allocation.Resources{MilliCPU: min(r.least.MilliCPU, n.MilliCPU), MilliGPU: min(r.least.MilliGPU, n.MilliGPU), MemoryMB: min(r.least.MemoryMB, n.MemoryMB)}
 	}
 	for _, m := range r.machines {
 		v := r.view(Pool{m.Type, m.Zone, m.Spot})
 		v.count++
 		// What an earlier leader rented is up for all that is known.
-		if m.UpAt != 0 || m.Since < pl.Since {
+		if m.FirstHeartbeatAt != 0 || m.CreatedAt < pl.Since {
 			z := r.zones[m.Zone]
 			if z == nil {
 				z = &zoneView{}
@@ -130,7 +132,7 @@
 				z.heard++
 			}
 		}
-		if len(q) > 0 && r.usable(m) && r.least.Fits(m.Free()) {
+		if len(q) > 0 && r.usable(m) && r.least.IsWithin(m.Free()) {
 			v.open = append(v.open, m)
 		}
 	}
@@ -140,7 +142,7 @@
 // usable tells whether a machine may get tasks now: it is heard, and nothing
 // speaks against its being told.
 func (r *round) usable(m *allocation.Machine) bool {
-	return m.Usable() && r.now >= max(m.DeafUntil, m.HeldUntil) && r.pl.hears(m, r.now)
+	return m.IsSchedulable() && r.now >= max(m.UnreachableUntil, m.BackoffUntil) && r.pl.hears(m, r.now)
 }
 
 // sized returns n zeroed elements, in the given memory if that is enough.
@@ -155,7 +157,7 @@
 
 // Plan places what fits, and works out what to rent and to give back; wall is
 // the time of day, which deadlines are reckoned in.
-func (pl *Planner) Plan(l *allocation.Ledger, now, wall clock.Micros, hires []Hire) Decision {
+func (pl *Planner) Plan(l *allocation.Tracker, now, wall clock.Micros, hires []Hire) Decision {
 	var d Decision
 	owed := pl.owed(l)
 	q := pl.queue(l, owed, now, wall)
@@ -164,13 +166,13 @@
 	for _, e := range q {
 		e.limit = r.allowance(e.job)
 		var placed int
-		if e.job.Gang() {
+		if e.job.IsGang() {
 			placed = r.placeGang(e)
 		} else {
 			placed = r.placeTasks(e)
 		}
-		e.job.Aged = e.job.Aged || placed > 0 && e.aged && !e.owed
-		if placed > 0 && !e.job.Marked {
+		e.job.StartedByAging = e.job.StartedByAging || placed > 0 && e.aged && !e.owed
+		if placed > 0 && !e.job.StartsRecorded {
 			d.Mark = append(d.Mark, e.job)
 		}
 		e.left = min(e.left, e.limit) - placed
@@ -185,16 +187,16 @@
 // allowance is how many more tasks of a job its team's limit allows.
 func (r *round) allowance(j *allocation.Job) int {
 	g := r.pl.Teams[j.Spec.Team]
-	u := r.l.TeamUse(j.Spec.Team)
+	u := r.l.TeamUsage(j.Spec.Team)
 	n := len(j.Tasks)
-	if g.CPUMax > 0 && j.Need.CPU > 0 {
-		n = min(n, int((g.CPUMax-u.CPU)/j.Need.CPU))
+	if g.MaxMilliCPU > 0 && j.Request.MilliCPU > 0 {
+		n = min(n, int((g.MaxMilliCPU-u.MilliCPU)/j.Request.MilliCPU))
 	}
-	if g.GPUMax > 0 && j.Need.GPU > 0 {
-		n = min(n, int((g.GPUMax-u.GPU)/j.Need.GPU))
+	if g.MaxMilliGPU > 0 && j.Request.MilliGPU > 0 {
+		n = min(n, int((g.MaxMilliGPU-u.MilliGPU)/j.Request.MilliGPU))
 	}
 	n = max(n, 0)
-	if j.Gang() && n < j.WaitingCount() {
+	if j.IsGang() && n < j.WaitingCount() {
 		return 0
 	}
 	return n
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -26,7 +26,7 @@
 type Planner struct {
 	P     Params
 	Types map[string]wire.MachineType
-	Teams map[string]allocation.Team
+	Teams map[string]allocation.TeamQuota
 	Zones []string
 
 	// Due are the times within which users expect jobs to be done, in seconds
@@ -55,7 +55,7 @@
 }
 
 // New makes a planner that has learnt nothing.
-func New(p Params, types []wire.MachineType, teams map[string]allocation.Team, zones []string) *Planner {
+func New(p Params, types []wire.MachineType, teams map[string]allocation.TeamQuota, zones []string) *Planner {
 	pl := &Planner{
 		P: p, Types: map[string]wire.MachineType{}, Teams: teams, Zones: zones,
 		runs: map[string]*RunTimes{}, boots: map[string]*bootTimes{}, pools: map[Pool]*poolState{},
@@ -89,14 +89,14 @@
 // Size is what a machine of a type holds.
 func (pl *Planner) Size(typ string) allocation.Resources {
 	t := pl.Types[typ]
-	return allocation.FromAmounts(t.CPUs, t.GPUs, t.MemoryGB)
+	return allocation.NewResources(t.CPUs, t.GPUs, t.MemoryGB)
 }
 
 // perMachine is how many tasks of a job a machine of a type holds.
 func (pl *Planner) perMachine(need allocation.Resources, typ string) int {
 	size := pl.Size(typ)
 	n := math.MaxInt32
-	for _, d := range [][2]int64{{need.CPU, size.CPU}, {need.GPU, size.GPU}, {need.Mem, size.Mem}} {
+	for _, d := range [][2]int64{{need.MilliCPU, size.MilliCPU}, {need.MilliGPU, size.MilliGPU}, {need.MemoryMB, size.MemoryMB}} {
 		if d[0] > 0 {
 			n = min(n, int(d[1]/d[0]))
 		}
@@ -110,7 +110,7 @@
 	best := 0
 	for name := range pl.Types {
 		if j.Spec.Types == nil || slices.Contains(j.Spec.Types, name) {
-			best = max(best, pl.perMachine(j.Need, name))
+			best = max(best, pl.perMachine(j.Request, name))
 		}
 	}
 	return float64(len(j.Tasks)) / float64(max(best, 1))
@@ -179,17 +179,17 @@
 
 // remaining predicts the rest of a placement's run, in seconds.
 func (pl *Planner) remaining(p *allocation.Placement, now clock.Micros) float64 {
-	if p.Job.Service() {
+	if p.Job.IsService() {
 		return math.Inf(1)
 	}
-	if p.Stopping() {
+	if p.IsStopping() {
 		return 0.5
 	}
-	if p.ForecastAt != 0 && now-p.ForecastAt < forecastFor && p.Forecast > now {
-		return (p.Forecast - now).Seconds()
+	if p.ForecastMadeAt != 0 && now-p.ForecastMadeAt < forecastFor && p.ForecastEndAt > now {
+		return (p.ForecastEndAt - now).Seconds()
 	}
 	left := pl.forecast(p, now)
-	p.Forecast, p.ForecastAt = now+clock.FromSeconds(left), now
+	p.ForecastEndAt, p.ForecastMadeAt = now+clock.FromSeconds(left), now
 	return left
 }
 
@@ -199,16 +199,16 @@
 
 func (pl *Planner) forecast(p *allocation.Placement, now clock.Micros) float64 {
 	j := p.Job
-	safe := j.Tasks[p.Index].Progress
-	if j.Gang() {
-		safe = j.Progress
+	safe := j.Tasks[p.TaskIndex].CheckpointedSeconds
+	if j.IsGang() {
+		safe = j.CheckpointedSeconds
 	}
-	if p.Started == 0 {
+	if p.StartedAt == 0 {
 		return pl.fetch(j, p.Machine.Type) + max(pl.expect(j)-safe, 0)
 	}
 	age := safe
-	if p.RunAt != 0 {
-		age += (now - p.RunAt).Seconds()
+	if p.RunningAt != 0 {
+		age += (now - p.RunningAt).Seconds()
 	}
 	return pl.Class(j.Spec.Class).Remaining(j.Spec.EstimateS, age)
 }
@@ -216,8 +216,8 @@
 // ran is for how long, in seconds, a placement has had its place. One that an earlier
 // leader began was found at any time of its run: in the mean half of it is over.
 func (pl *Planner) ran(p *allocation.Placement, now clock.Micros) float64 {
-	run := (now - p.Since).Seconds()
-	if p.Adopted && !p.Job.Service() {
+	run := (now - p.CreatedAt).Seconds()
+	if p.Adopted && !p.Job.IsService() {
 		run += pl.expect(p.Job) / 2
 	}
 	return run
@@ -239,7 +239,7 @@
 // hears tells whether a machine has reported lately, as far as this leader could
 // have heard it.
 func (pl *Planner) hears(m *allocation.Machine, now clock.Micros) bool {
-	return now-max(m.Heard, pl.Since, pl.Awake) <= pl.Fresh
+	return now-max(m.LastHeartbeatAt, pl.Since, pl.Awake) <= pl.Fresh
 }
 
 // SetTypes takes what the cloud has on offer.
--- a/internal/scheduler/planner_test.go
+++ b/internal/scheduler/planner_test.go
@@ -152,29 +152,29 @@
 }
 
 type scene struct {
-	l    *allocation.Ledger
+	l    *allocation.Tracker
 	pl   *Planner
 	now  clock.Micros
 	seqs map[string]uint64
 }
 
-func newScene(teams map[string]allocation.Team) *scene {
+func newScene(teams map[string]allocation.TeamQuota) *scene {
 	types := []wire.MachineType{
 		{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 15, FetchGBPerS: 1, Zones: []string{"x", "y", "z"}},
 		{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.3, SpotPrice: 0.15, BootS: 15, FetchGBPerS: 1, Zones: []string{"x", "y"}},
 	}
-	s := &scene{l: allocation.New(allocation.Config{Token: 1, Lease: 30 * clock.Second, Teams: teams}), now: clock.Second, seqs: map[string]uint64{}}
+	s := &scene{l: allocation.New(allocation.Config{FencingToken: 1, LeaseTTL: 30 * clock.Second, Quotas: teams}), now: clock.Second, seqs: map[string]uint64{}}
 	s.pl = New(params(), types, teams, []string{"x", "y", "z"})
 	s.pl.Fresh = 3600 * clock.Second
-	s.l.Settle()
+	s.l.FinishRecovery()
 	return s
 }
 
 func (s *scene) machine(name, typ, zone string, spot bool) *allocation.Machine {
 	m := s.l.AddMachine(name, typ, zone, spot, s.pl.Size(typ), s.now)
-	m.Recorded = true
+	m.RecordedInStore = true
 	s.seqs[name]++
-	s.l.Report(m, &wire.Report{Machine: name, Session: 1, Seq: s.seqs[name], Token: 1, Addr: "127.0.0.1:1"}, s.now)
+	s.l.RecordHeartbeat(m, &wire.Report{Machine: name, Session: 1, Seq: s.seqs[name], Token: 1, Addr: "127.0.0.1:1"}, s.now)
 	return m
 }
 
@@ -194,7 +194,7 @@
 	rng := rand.New(rand.NewPCG(6, 6))
 	placed, gangs := 0, 0
 	for n := 0; n < 400; n++ {
-		s := newScene(map[string]allocation.Team{"a": {CPU: 8000, CPUMax: 40000}, "b": {GPUMax: 3000}})
+		s := newScene(map[string]allocation.TeamQuota{"a": {GuaranteedMilliCPU: 8000, MaxMilliCPU: 40000}, "b": {MaxMilliGPU: 3000}})
 		for i := rng.IntN(8); i >= 0; i-- {
 			s.machine(fmt.Sprint("i-", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y"}[rng.IntN(2)], rng.IntN(2) == 0)
 		}
@@ -228,13 +228,13 @@
 		for _, j := range s.l.Jobs {
 			zones := map[string]int{}
 			for i := range j.Tasks {
-				p := j.Tasks[i].Place
+				p := j.Tasks[i].Placement
 				if p == nil {
 					continue
 				}
 				placed++
 				zones[p.Machine.Zone]++
-				use[j.Spec.Team] = use[j.Spec.Team].Add(j.Need)
+				use[j.Spec.Team] = use[j.Spec.Team].Add(j.Request)
 				if p.Machine.Spot && !j.Spec.Spot || j.Spec.Zone != "" && p.Machine.Zone != j.Spec.Zone || j.Spec.Types != nil && p.Machine.Type != "big" {
 					t.Fatalf("scene %d: %s in a wrong place", n, j.Spec.ID)
 				}
@@ -243,11 +243,11 @@
 				t.Fatalf("scene %d: %s in several zones", n, j.Spec.ID)
 			}
 			for _, c := range zones {
-				if j.Spec.Spread && c > j.SpreadLimit() {
+				if j.Spec.Spread && c > j.MaxTasksPerZone() {
 					t.Fatalf("scene %d: %s is not spread", n, j.Spec.ID)
 				}
 			}
-			if j.Gang() && j.Active() > 0 {
+			if j.IsGang() && j.ActiveCount() > 0 {
 				gangs++
 				if j.WaitingCount() > 0 {
 					t.Fatalf("scene %d: gang %s is placed in part", n, j.Spec.ID)
@@ -255,11 +255,11 @@
 			}
 		}
 		for _, m := range s.l.Machines {
-			if !m.Used().Fits(m.Cap) {
+			if !m.Used().IsWithin(m.Capacity) {
 				t.Fatalf("scene %d: %s is over-full", n, m.Name)
 			}
 		}
-		if use["a"].CPU > 40000 || use["b"].GPU > 3000 {
+		if use["a"].MilliCPU > 40000 || use["b"].MilliGPU > 3000 {
 			t.Fatalf("scene %d: over the limit: %v", n, use)
 		}
 	}
@@ -270,7 +270,7 @@
 
 // Smallest need first, inside rank and guarantee.
 func TestOrder(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {CPU: 4000}, "b": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {GuaranteedMilliCPU: 4000}, "b": {}})
 	s.machine("i-0", "big", "x", false)
 	s.job(wire.Job{ID: "req-000001", Team: "b", Tasks: 1, CPUs: 4, EstimateS: 50})
 	s.job(wire.Job{ID: "req-000002", Team: "b", Tasks: 1, CPUs: 4, EstimateS: 20})
@@ -290,7 +290,7 @@
 // A long job whose deadline is near goes before shorter ones; one that is late
 // anyway does not.
 func TestTightDeadline(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 20})
 	s.job(wire.Job{ID: "req-000002", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 100, DeadlineS: 230})
 	s.job(wire.Job{ID: "req-000003", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 100, DeadlineS: 150})
@@ -309,26 +309,26 @@
 
 // A replica that finds no room takes that of batch work, of what started last.
 func TestPreemption(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	m := s.machine("i-0", "small", "x", false)
 	old := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 2, EstimateS: 50})
 	s.pl.Plan(s.l, s.now, s.now, nil)
-	s.l.Orders(m, s.now) // sent: from here on only a stop ends them
+	s.l.HeartbeatCommands(m, s.now) // sent: from here on only a stop ends them
 	s.now += 10 * clock.Second
 	serve := s.job(wire.Job{ID: "req-000002", Team: "a", Tasks: 1, CPUs: 2, Priority: wire.PriorityProduction, Kind: wire.KindService})
 	s.pl.Plan(s.l, s.now, s.now, nil)
 	stopping := 0
 	for i := range old.Tasks {
-		if p := old.Tasks[i].Place; p != nil && p.Stopping() {
+		if p := old.Tasks[i].Placement; p != nil && p.IsStopping() {
 			stopping++
 		}
 	}
-	if stopping != 1 || serve.Active() != 0 {
-		t.Fatalf("%d stopped, %d replicas placed", stopping, serve.Active())
+	if stopping != 1 || serve.ActiveCount() != 0 {
+		t.Fatalf("%d stopped, %d replicas placed", stopping, serve.ActiveCount())
 	}
 	s.pl.Plan(s.l, s.now, s.now, nil)
 	for i := range old.Tasks {
-		if p := old.Tasks[i].Place; p != nil && p.Stopping() {
+		if p := old.Tasks[i].Placement; p != nil && p.IsStopping() {
 			stopping--
 		}
 	}
@@ -339,18 +339,18 @@
 
 // A gang of higher rank gets room whole, or nothing is stopped for it.
 func TestPreemptionForGang(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	for _, n := range []string{"i-0", "i-1"} {
 		s.machine(n, "small", "x", false)
 	}
 	batch := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 4, CPUs: 2, EstimateS: 50})
 	s.pl.Plan(s.l, s.now, s.now, nil)
 	for _, m := range s.l.Machines {
-		s.l.Orders(m, s.now)
+		s.l.HeartbeatCommands(m, s.now)
 	}
 	stopping := func() (n int) {
 		for i := range batch.Tasks {
-			if p := batch.Tasks[i].Place; p != nil && p.Stopping() {
+			if p := batch.Tasks[i].Placement; p != nil && p.IsStopping() {
 				n++
 			}
 		}
@@ -361,7 +361,7 @@
 	if stopping() != 0 {
 		t.Fatal("work is stopped for a gang that cannot fit")
 	}
-	s.l.Withdraw(big, s.now)
+	s.l.Cancel(big, s.now)
 	s.job(wire.Job{ID: "req-000003", Team: "a", Tasks: 3, CPUs: 2, Priority: wire.PriorityProduction, Kind: wire.KindGang})
 	s.pl.Plan(s.l, s.now, s.now, nil)
 	if stopping() != 3 {
@@ -376,7 +376,7 @@
 // All machines for a gang that wants one zone are rented in one zone, and in
 // the next one when that has refused.
 func TestRentsForOneZone(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 6, CPUs: 16, Types: []string{"big"}, Kind: wire.KindGang, OneZone: true})
 	zone := func() string {
 		d := s.pl.Plan(s.l, s.now, s.now, nil)
@@ -395,15 +395,15 @@
 // Where a replica is to go boots while its silent machine is not proven gone;
 // nothing of it is started before.
 func TestRentAheadForSilentMachines(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	s.pl.Fresh = 5 * clock.Second
 	m := s.machine("i-0", "small", "x", false)
 	j := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 1, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindService})
 	s.pl.Plan(s.l, s.now, s.now, nil)
-	if j.Active() != 1 {
+	if j.ActiveCount() != 1 {
 		t.Fatal("not placed")
 	}
-	s.l.Orders(m, s.now)
+	s.l.HeartbeatCommands(m, s.now)
 	s.now += 4 * clock.Second
 	if d := s.pl.Plan(s.l, s.now, s.now, nil); len(d.Rent) != 0 {
 		t.Fatalf("rented too early: %v", d.Rent)
@@ -413,14 +413,14 @@
 	if len(d.Rent) != 1 || d.Rent[0].Count != 1 || d.Rent[0].Pool.Spot {
 		t.Fatalf("rents %v", d.Rent)
 	}
-	if d := s.pl.Plan(s.l, s.now, s.now, []Hire{{Pool: d.Rent[0].Pool, Count: 1}}); len(d.Rent) != 0 || j.Active() != 1 {
+	if d := s.pl.Plan(s.l, s.now, s.now, []Hire{{Pool: d.Rent[0].Pool, Count: 1}}); len(d.Rent) != 0 || j.ActiveCount() != 1 {
 		t.Fatalf("rented twice: %v", d.Rent)
 	}
 }
 
 // An empty pool is left alone for a while, and the next zone is asked.
 func TestRefusedPoolIsLeftAlone(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 3, CPUs: 16, EstimateS: 50, Types: []string{"big"}})
 	first := s.pl.Plan(s.l, s.now, s.now, nil).Rent
 	if len(first) == 0 {
@@ -444,18 +444,18 @@
 // A machine that is held because tasks fail on many gets nothing, and nothing is rented
 // in its place.
 func TestHeldMachineGetsNoWork(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	m := s.machine("i-0", "small", "x", false)
-	m.HeldUntil = s.now + 2*clock.Second
+	m.BackoffUntil = s.now + 2*clock.Second
 	j := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 2, EstimateS: 50})
-	if d := s.pl.Plan(s.l, s.now, s.now, nil); j.Active() != 0 || len(d.Rent) != 0 {
-		t.Fatalf("%d tasks are placed, %v is rented though there will be room in a moment", j.Active(), d.Rent)
+	if d := s.pl.Plan(s.l, s.now, s.now, nil); j.ActiveCount() != 0 || len(d.Rent) != 0 {
+		t.Fatalf("%d tasks are placed, %v is rented though there will be room in a moment", j.ActiveCount(), d.Rent)
 	}
-	s.now = m.HeldUntil
-	m.Heard = s.now
+	s.now = m.BackoffUntil
+	m.LastHeartbeatAt = s.now
 	s.pl.Plan(s.l, s.now, s.now, nil)
-	if j.Active() != 2 {
-		t.Fatalf("%d tasks are placed when the time is over", j.Active())
+	if j.ActiveCount() != 2 {
+		t.Fatalf("%d tasks are placed when the time is over", j.ActiveCount())
 	}
 }
 
@@ -463,39 +463,39 @@
 // messages to it get no answer, and once it is not heard, it gets no work; the
 // first sign that it can be told ends that.
 func TestDeafMachineGetsNoWork(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	deaf, good := s.machine("i-0", "small", "x", false), s.machine("i-1", "small", "x", false)
 	one := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 4, EstimateS: 50})
 	s.pl.Plan(s.l, s.now, s.now, nil)
-	if one.Active() != 2 {
-		t.Fatalf("%d tasks are placed", one.Active())
+	if one.ActiveCount() != 2 {
+		t.Fatalf("%d tasks are placed", one.ActiveCount())
 	}
-	_, starts := s.l.Direct(deaf, s.now)
-	s.l.DirectEnded(deaf, starts, allocation.Lost, s.now)
+	_, starts := s.l.BuildCommandRequest(deaf, s.now)
+	s.l.FinishCommandRequest(deaf, starts, allocation.CommandOutcomeUnknown, s.now)
 	report := func(m *allocation.Machine, session uint64) {
 		s.seqs[m.Name]++
-		s.l.Report(m, &wire.Report{Machine: m.Name, Session: session, Seq: s.seqs[m.Name], Token: 1, Addr: "127.0.0.1:1"}, s.now)
+		s.l.RecordHeartbeat(m, &wire.Report{Machine: m.Name, Session: session, Seq: s.seqs[m.Name], Token: 1, Addr: "127.0.0.1:1"}, s.now)
 	}
 	// Its lease runs out unseen by us; it reports anew, in its next session.
-	s.l.Withdraw(one, s.now)
+	s.l.Cancel(one, s.now)
 	s.now += 2 * clock.Second
 	report(deaf, 2)
 	two := s.job(wire.Job{ID: "req-000002", Team: "a", Tasks: 4, CPUs: 2, EstimateS: 50})
 	s.pl.Plan(s.l, s.now, s.now, nil)
-	two.Places(func(p *allocation.Placement) {
+	two.ForEachPlacement(func(p *allocation.Placement) {
 		if p.Machine == deaf {
 			t.Fatal("a machine that cannot be told got work")
 		}
 	})
-	msg, starts := s.l.Direct(deaf, s.now)
+	msg, starts := s.l.BuildCommandRequest(deaf, s.now)
 	if msg == nil {
 		t.Fatal("nobody asks whether it can be told")
 	}
-	s.l.DirectEnded(deaf, starts, allocation.Executed, s.now)
+	s.l.FinishCommandRequest(deaf, starts, allocation.CommandExecuted, s.now)
 	good.Draining = true
 	s.pl.Plan(s.l, s.now, s.now, nil)
 	n := 0
-	two.Places(func(p *allocation.Placement) {
+	two.ForEachPlacement(func(p *allocation.Placement) {
 		if p.Machine == deaf {
 			n++
 		}
@@ -508,7 +508,7 @@
 	s.now += 6 * clock.Second
 	s.job(wire.Job{ID: "req-000003", Team: "a", Tasks: 1, CPUs: 2, EstimateS: 50})
 	s.pl.Plan(s.l, s.now, s.now, nil)
-	if !silent.Idle() {
+	if !silent.IsIdle() {
 		t.Fatal("a machine that is not heard got work")
 	}
 }
@@ -516,7 +516,7 @@
 // When a whole zone falls silent, what is rented for its replicas comes up in
 // another: in the silent one it would be heard no more than the rest.
 func TestNothingIsRentedInADarkZone(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	s.pl.Fresh = 5 * clock.Second
 	ms := map[string][]*allocation.Machine{}
 	for i := 0; i < 12; i++ {
@@ -529,10 +529,10 @@
 		for _, m := range ms[zone] {
 			s.seqs[m.Name]++
 			r := &wire.Report{Machine: m.Name, Session: 1, Seq: s.seqs[m.Name], Token: 1, Addr: "127.0.0.1:1"}
-			m.Places(func(p *allocation.Placement) {
-				r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.Index), Attempt: p.Attempt, State: wire.TaskRunning})
+			m.ForEachPlacement(func(p *allocation.Placement) {
+				r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskID(p.Job.Spec.ID, p.TaskIndex), Attempt: p.Attempt, State: wire.TaskRunning})
 			})
-			s.l.Report(m, r, s.now)
+			s.l.RecordHeartbeat(m, r, s.now)
 		}
 	}
 	reports("x")
@@ -560,7 +560,7 @@
 	s.pl.Kept = map[string]bool{"y": true, "z": true}
 	count := func(j *allocation.Job) map[string]int {
 		at := map[string]int{}
-		j.Places(func(p *allocation.Placement) { at[p.Machine.Zone]++ })
+		j.ForEachPlacement(func(p *allocation.Placement) { at[p.Machine.Zone]++ })
 		return at
 	}
 	j := s.job(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 5, CPUs: 1, MemoryGB: 1, Spread: true})
@@ -604,25 +604,25 @@
 		for _, n := range []string{"i-bare", "i-image"} {
 			m[n] = s.machine(n, "big", "x", false)
 		}
-		m["i-image"].Images["replica"] = s.now
+		m["i-image"].ImageUsedAt["replica"] = s.now
 		batch := s.job(wire.Job{ID: "req-000001", Tasks: 2, CPUs: 9, MemoryGB: 1, Image: "batch"})
 		for i, n := range []string{"i-image", "i-bare"} {
-			if err := s.l.Place(batch, i, m[n], s.l.Attempt(), s.now); err != nil {
+			if err := s.l.PlaceTask(batch, i, m[n], s.l.NextAttempt(), s.now); err != nil {
 				t.Fatal(err)
 			}
 			s.now += c.ran
 		}
 		for _, k := range m {
-			k.Heard = s.now
+			k.LastHeartbeatAt = s.now
 		}
 		for i := range batch.Tasks {
-			batch.Tasks[i].Place.Phase = allocation.Present
+			batch.Tasks[i].Placement.Phase = allocation.PhaseReported
 		}
 		s.job(wire.Job{ID: "req-000002", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "replica", ImageGB: 2})
 		s.pl.Plan(s.l, s.now, s.now, nil)
 		for i := range batch.Tasks {
-			if p := batch.Tasks[i].Place; p.Stopping() != (p.Machine.Name == c.want) {
-				t.Errorf("after %d s: on %s stopping is %v, want it on %s", c.ran/clock.Second, p.Machine.Name, p.Stopping(), c.want)
+			if p := batch.Tasks[i].Placement; p.IsStopping() != (p.Machine.Name == c.want) {
+				t.Errorf("after %d s: on %s stopping is %v, want it on %s", c.ran/clock.Second, p.Machine.Name, p.IsStopping(), c.want)
 			}
 		}
 	}
@@ -643,7 +643,7 @@
 	}
 	s.pl.Plan(s.l, s.now, s.now, nil)
 	for _, j := range jobs {
-		j.Places(func(p *allocation.Placement) {
+		j.ForEachPlacement(func(p *allocation.Placement) {
 			if most[p.Machine.Name] == nil {
 				most[p.Machine.Name] = map[string]bool{}
 			}
@@ -663,18 +663,18 @@
 // What a pipeline's last job asks for counts for those that it needs: a deadline that
 // reaches back makes a job tight, and late, like its own.
 func TestDeadlineReachesBack(t *testing.T) {
-	s := newScene(map[string]allocation.Team{"a": {}})
+	s := newScene(map[string]allocation.TeamQuota{"a": {}})
 	s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 20})
 	needed := s.job(wire.Job{ID: "req-000002", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 100})
 	first := func() string { return s.pl.queue(s.l, nil, s.now, s.now)[0].job.Spec.ID }
 	if got := first(); got != "req-000001" {
 		t.Fatalf("%s first, with no deadline", got)
 	}
-	needed.Deadline = needed.Submitted + 110*clock.Second
+	needed.Deadline = needed.ReleasedAt + 110*clock.Second
 	if got := first(); got != "req-000002" {
 		t.Fatalf("%s first, though the other has to be done for a third", got)
 	}
-	needed.Submitted, needed.Deadline = s.now+2*clock.Second, s.now+clock.Second
+	needed.ReleasedAt, needed.Deadline = s.now+2*clock.Second, s.now+clock.Second
 	if due := s.pl.due(needed); due <= 0 {
 		t.Fatalf("a deadline that is over counts as none: %v", due)
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -13,14 +13,14 @@
 	if r.freeing == nil {
 		r.freeing = make([]allocation.Resources, len(r.machines))
 		for _, m := range r.machines {
-			m.Places(func(p *allocation.Placement) {
-				if p.Stopping() {
-					r.freeing[m.Rank] = r.freeing[m.Rank].Add(p.Job.Need)
+			m.ForEachPlacement(func(p *allocation.Placement) {
+				if p.IsStopping() {
+					r.freeing[m.SortIndex] = r.freeing[m.SortIndex].Add(p.Job.Request)
 				}
 			})
 		}
 	}
-	return r.free(m).Add(r.freeing[m.Rank])
+	return r.free(m).Add(r.freeing[m.SortIndex])
 }
 
 // preempt stops work to make room for tasks of higher rank, and for those that
@@ -30,13 +30,13 @@
 	var active []*allocation.Job // what may be stopped at all, for somebody
 	for _, e := range q {
 		j := e.job
-		if e.left <= 0 || j.Gang() || j.Priority != 0 && !e.owed {
+		if e.left <= 0 || j.IsGang() || j.Priority != 0 && !e.owed {
 			continue
 		}
 		if active == nil {
 			active = []*allocation.Job{}
 			for _, v := range r.l.Jobs {
-				if v.Active() > 0 && !v.Gang() {
+				if v.ActiveCount() > 0 && !v.IsGang() {
 					active = append(active, v)
 				}
 			}
@@ -44,7 +44,7 @@
 		if !slices.ContainsFunc(active, func(v *allocation.Job) bool { return r.below(e, v) }) {
 			continue // nobody's work is below this job's
 		}
-		r.preemptForTasks(e, func(p *allocation.Placement) bool { return !p.Stopping() && r.below(e, p.Job) })
+		r.preemptForTasks(e, func(p *allocation.Placement) bool { return !p.IsStopping() && r.below(e, p.Job) })
 	}
 }
 
@@ -53,30 +53,30 @@
 // the same team's, to what is owed too, and to the first rank.
 func (r *round) below(e *entry, v *allocation.Job) bool {
 	j := e.job
-	if v.Gang() || v == j {
+	if v.IsGang() || v == j {
 		return false
 	}
 	if v.Priority > j.Priority {
 		return j.Priority == 0 || e.owed || !r.owed[v] || v.Spec.Team == j.Spec.Team
 	}
-	if v.Aged {
+	if v.StartedByAging {
 		// It had waited too long. What guarantees cover once stopped such work as soon
 		// as it was placed, and the next plan placed it again, thousands of times.
 		return false
 	}
-	return e.owed && !r.owed[v] && v.Spec.Team != j.Spec.Team && v.Priority == j.Priority && !v.Service()
+	return e.owed && !r.owed[v] && v.Spec.Team != j.Spec.Team && v.Priority == j.Priority && !v.IsService()
 }
 
 // claim books room that is being freed for a job; its tasks are placed there
 // when it is.
 func (r *round) claim(m *allocation.Machine, need allocation.Resources) {
-	r.freeing[m.Rank] = r.freeing[m.Rank].Sub(need)
+	r.freeing[m.SortIndex] = r.freeing[m.SortIndex].Sub(need)
 }
 
 // stop stops a task and counts what it frees.
 func (r *round) stop(p *allocation.Placement) {
-	r.freeing[p.Machine.Rank] = r.freeing[p.Machine.Rank].Add(p.Job.Need)
-	r.l.Stop(p, 0)
+	r.freeing[p.Machine.SortIndex] = r.freeing[p.Machine.SortIndex].Add(p.Job.Request)
+	r.l.StopPlacement(p, 0)
 }
 
 // soft lists a pool's machines where something may be stopped or is stopping:
@@ -86,11 +86,11 @@
 		v.softDone = true
 		lesser := false
 		for _, j := range r.l.Jobs {
-			lesser = lesser || j.Service() && j.Priority > 0
+			lesser = lesser || j.IsService() && j.Priority > 0
 		}
 		for _, m := range r.machines {
 			if m.Type == v.pool.Type && m.Zone == v.pool.Zone && m.Spot == v.pool.Spot && r.usable(m) &&
-				(lesser || m.Tasks() > m.Replicas() || r.least.Fits(r.room(m))) {
+				(lesser || m.PlacementCount() > m.ReplicaCount() || r.least.IsWithin(r.room(m))) {
 				v.soft = append(v.soft, m)
 			}
 		}
@@ -102,14 +102,14 @@
 // machine: on a busy day three in four of them got the places of batch work, and
 // waited for their image there.
 func (r *round) fetchLoss(j *allocation.Job, m *allocation.Machine) float64 {
-	if _, cached := m.Images[j.Spec.Image]; cached || !j.Service() {
+	if _, cached := m.ImageUsedAt[j.Spec.Image]; cached || !j.IsService() {
 		return 0
 	}
 	fetch := 1.0
 	if t := r.pl.Types[m.Type]; t.FetchGBPerS > 0 {
 		fetch = j.Spec.ImageGB / t.FetchGBPerS
 	}
-	return fetchWeight * fetch * float64(j.Need.CPU)
+	return fetchWeight * fetch * float64(j.Request.MilliCPU)
 }
 
 // fetchWeight is how many seconds of batch work a second of a replica's wait is
@@ -125,24 +125,24 @@
 	weigh := func(m *allocation.Machine) (option, []*allocation.Placement, bool) {
 		have := r.room(m)
 		fetch := r.fetchLoss(j, m)
-		if j.Need.Fits(have) {
+		if j.Request.IsWithin(have) {
 			return option{m, -fetch}, nil, true
 		}
-		if m.Tasks() == 0 {
+		if m.PlacementCount() == 0 {
 			return option{}, nil, false
 		}
 		vs := stoppable(m, mayStop)
 		cost := 0.0
 		k := 0
-		for ; k < len(vs) && !j.Need.Fits(have); k++ {
-			have = have.Add(vs[k].Job.Need)
-			cost += r.pl.ran(vs[k], r.now) * float64(vs[k].Job.Need.CPU)
+		for ; k < len(vs) && !j.Request.IsWithin(have); k++ {
+			have = have.Add(vs[k].Job.Request)
+			cost += r.pl.ran(vs[k], r.now) * float64(vs[k].Job.Request.MilliCPU)
 		}
-		return option{m, -cost - fetch}, vs[:k], j.Need.Fits(have)
+		return option{m, -cost - fetch}, vs[:k], j.Request.IsWithin(have)
 	}
 	var c options
 	for _, v := range r.pools {
-		if soft := r.soft(v); len(soft) > 0 && allocation.Allowed(j, soft[0]) {
+		if soft := r.soft(v); len(soft) > 0 && allocation.IsEligible(j, soft[0]) {
 			for _, m := range soft {
 				if o, _, ok := weigh(m); ok {
 					c = append(c, o)
@@ -154,7 +154,7 @@
 	zones := map[string]int{}
 	for e.left > 0 && len(c) > 0 {
 		m := c[0].m
-		if j.Spec.Spread && j.InZone(m.Zone)+zones[m.Zone] >= j.SpreadLimit() {
+		if j.Spec.Spread && j.CountInZone(m.Zone)+zones[m.Zone] >= j.MaxTasksPerZone() {
 			c.drop()
 			continue
 		}
@@ -171,7 +171,7 @@
 		for _, p := range victims {
 			r.stop(p)
 		}
-		r.claim(m, j.Need)
+		r.claim(m, j.Request)
 		zones[m.Zone]++
 		e.left--
 	}
@@ -180,13 +180,13 @@
 // stoppable lists what may be stopped on a machine, what started last first.
 func stoppable(m *allocation.Machine, mayStop func(*allocation.Placement) bool) []*allocation.Placement {
 	var vs []*allocation.Placement
-	m.Places(func(p *allocation.Placement) {
+	m.ForEachPlacement(func(p *allocation.Placement) {
 		if mayStop(p) {
 			vs = append(vs, p)
 		}
 	})
 	slices.SortFunc(vs, func(a, b *allocation.Placement) int {
-		return cmp.Or(-cmp.Compare(a.Since, b.Since), cmp.Compare(a.Index, b.Index))
+		return cmp.Or(-cmp.Compare(a.CreatedAt, b.CreatedAt), cmp.Compare(a.TaskIndex, b.TaskIndex))
 	})
 	return vs
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -35,9 +35,9 @@
 // is within it. A guarantee of 0 is none: it neither covers nor bounds what is used
 // of that resource, or jobs that take processors beside their cards would never be
 // owed anything by a guarantee in cards alone.
-func covers(g allocation.Team, need allocation.Resources) (speaks, within bool) {
+func covers(g allocation.TeamQuota, need allocation.Resources) (speaks, within bool) {
 	within = true
-	for _, d := range [][2]int64{{g.CPU, need.CPU}, {g.GPU, need.GPU}} {
+	for _, d := range [][2]int64{{g.GuaranteedMilliCPU, need.MilliCPU}, {g.GuaranteedMilliGPU, need.MilliGPU}} {
 		if d[0] > 0 && d[1] > 0 {
 			speaks = true
 			within = within && d[1] <= d[0]
@@ -48,26 +48,26 @@
 
 // owed tells which jobs fit into their team's guarantee together with the
 // team's earlier unfinished jobs.
-func (pl *Planner) owed(l *allocation.Ledger) map[*allocation.Job]bool {
+func (pl *Planner) owed(l *allocation.Tracker) map[*allocation.Job]bool {
 	byTeam := map[string][]*allocation.Job{}
 	for _, j := range l.Jobs {
-		if g := pl.Teams[j.Spec.Team]; !j.Withdrawn && !j.Complete() && (g.CPU > 0 || g.GPU > 0) {
+		if g := pl.Teams[j.Spec.Team]; !j.Cancelled && !j.IsComplete() && (g.GuaranteedMilliCPU > 0 || g.GuaranteedMilliGPU > 0) {
 			byTeam[j.Spec.Team] = append(byTeam[j.Spec.Team], j)
 		}
 	}
 	out := map[*allocation.Job]bool{}
 	for team, jobs := range byTeam {
 		slices.SortFunc(jobs, func(a, b *allocation.Job) int {
-			return cmp.Or(cmp.Compare(a.Submitted, b.Submitted), cmp.Compare(a.Spec.ID, b.Spec.ID))
+			return cmp.Or(cmp.Compare(a.ReleasedAt, b.ReleasedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
 		})
 		g := pl.Teams[team]
 		var sum allocation.Resources
 		for _, j := range jobs {
-			sum = sum.Add(j.Need.Times(len(j.Tasks)))
+			sum = sum.Add(j.Request.Times(len(j.Tasks)))
 			if _, within := covers(g, sum); !within {
 				break
 			}
-			if speaks, _ := covers(g, j.Need); speaks {
+			if speaks, _ := covers(g, j.Request); speaks {
 				out[j] = true
 			}
 		}
@@ -76,48 +76,48 @@
 }
 
 // queue lists the waiting jobs in SNF order, inside rank and guarantee.
-func (pl *Planner) queue(l *allocation.Ledger, owed map[*allocation.Job]bool, now, wall clock.Micros) []*entry {
+func (pl *Planner) queue(l *allocation.Tracker, owed map[*allocation.Job]bool, now, wall clock.Micros) []*entry {
 	var q []*entry
 	for _, j := range l.Jobs {
-		if j.Withdrawn || j.WaitingCount() == 0 || j.Active() == 0 && j.WaitingCount() == j.Doubts() {
+		if j.Cancelled || j.WaitingCount() == 0 || j.ActiveCount() == 0 && j.WaitingCount() == j.UnconfirmedCount() {
 			continue
 		}
 		e := &entry{job: j, owed: owed[j], need: 1, run: pl.expect(j)}
-		if j.Gang() {
-			e.run = max(e.run-j.Progress, 0)
+		if j.IsGang() {
+			e.run = max(e.run-j.CheckpointedSeconds, 0)
 		}
 		atBest := pl.atBest(j, e.run)
 		e.tight = pl.tight(j, atBest, wall)
 		e.late = pl.lateness(j, atBest, wall)
 		// Smallest first alone would have the largest wait as long as small ones
 		// come. Once something of it has started it has no claim any more.
-		e.aged = pl.P.AgeAfter > 0 && wall-j.Submitted >= pl.P.AgeAfter && j.Active() == 0 && j.DoneCount() == 0
-		if j.Gang() {
+		e.aged = pl.P.AgeAfter > 0 && wall-j.ReleasedAt >= pl.P.AgeAfter && j.ActiveCount() == 0 && j.DoneCount() == 0
+		if j.IsGang() {
 			e.need = pl.Machines(j)
 			// A gang starts whole, or waits; one that has not been complete yet gets
 			// the tasks that it lacks.
-			if j.Doubts() > 0 || j.Active() > 0 && !j.Replaceable() {
+			if j.UnconfirmedCount() > 0 || j.ActiveCount() > 0 && !j.CanReplaceLostTasks() {
 				continue
 			}
 		}
 		held := false
 		for i := range j.Tasks {
 			t := &j.Tasks[i]
-			if t.State != allocation.Waiting || t.Doubt || t.Place != nil {
+			if t.State != allocation.TaskWaiting || t.Unconfirmed || t.Placement != nil {
 				continue
 			}
-			if t.NotBefore > now {
+			if t.RetryAt > now {
 				held = true
 				continue
 			}
 			e.tasks = append(e.tasks, i)
 		}
-		if len(e.tasks) == 0 || held && j.Gang() {
+		if len(e.tasks) == 0 || held && j.IsGang() {
 			continue
 		}
 		e.left = len(e.tasks)
 		e.rest = e.run
-		if !j.Gang() {
+		if !j.IsGang() {
 			e.rest *= float64(len(e.tasks))
 		}
 		e.pressed = pl.pressed(e, wall)
@@ -131,7 +131,7 @@
 		if a.aged {
 			// When many have waited too long, the smallest of them first would have
 			// the largest wait on.
-			return cmp.Or(cmp.Compare(a.job.Submitted, b.job.Submitted), cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
+			return cmp.Or(cmp.Compare(a.job.ReleasedAt, b.job.ReleasedAt), cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
 		}
 		return cmp.Or(
 			-cmp.Compare(btoi(a.owed), btoi(b.owed)),
@@ -139,7 +139,7 @@
 			cmp.Compare(a.late, b.late),
 			cmp.Compare(a.need, b.need),
 			cmp.Compare(a.rest, b.rest),
-			cmp.Compare(a.job.Submitted, b.job.Submitted),
+			cmp.Compare(a.job.ReleasedAt, b.job.ReleasedAt),
 			cmp.Compare(a.job.Spec.ID, b.job.Spec.ID))
 	})
 	return q
@@ -154,7 +154,7 @@
 	if due == 0 {
 		return false
 	}
-	slack := due - (wall - j.Submitted).Seconds() - run
+	slack := due - (wall - j.ReleasedAt).Seconds() - run
 	return slack >= 0 && slack < max(run/4, tightSlack)
 }
 
@@ -163,7 +163,7 @@
 func (pl *Planner) atBest(j *allocation.Job, run float64) float64 {
 	g := pl.Teams[j.Spec.Team]
 	waves := 1.0
-	for _, d := range [][2]int64{{g.CPUMax, j.Need.CPU}, {g.GPUMax, j.Need.GPU}} {
+	for _, d := range [][2]int64{{g.MaxMilliCPU, j.Request.MilliCPU}, {g.MaxMilliGPU, j.Request.MilliGPU}} {
 		if d[0] > 0 && d[1] > 0 {
 			waves = max(waves, math.Ceil(float64(j.WaitingCount())/float64(max(d[0]/d[1], 1))))
 		}
@@ -176,10 +176,10 @@
 func (pl *Planner) due(j *allocation.Job) float64 {
 	const alreadyLate = 0.001 // its time was over before it could start
 	switch {
-	case j.Service():
+	case j.IsService():
 		return 0
 	case j.Deadline > 0:
-		return max((j.Deadline - j.Submitted).Seconds(), alreadyLate)
+		return max((j.Deadline - j.ReleasedAt).Seconds(), alreadyLate)
 	case j.Spec.DeadlineS > 0:
 		return j.Spec.DeadlineS
 	}
@@ -192,11 +192,11 @@
 func (pl *Planner) pressed(e *entry, wall clock.Micros) bool {
 	j := e.job
 	due := pl.due(j)
-	if due == 0 || e.late > 0 || j.Active() == 0 {
+	if due == 0 || e.late > 0 || j.ActiveCount() == 0 {
 		return false
 	}
-	waves := 1 + float64(len(e.tasks))/float64(j.Active())
-	return (wall-j.Submitted).Seconds()+waves*e.run > due
+	waves := 1 + float64(len(e.tasks))/float64(j.ActiveCount())
+	return (wall-j.ReleasedAt).Seconds()+waves*e.run > due
 }
 
 // lateness is 0 for a job that can still be in time, 1 for one that can not, and
@@ -207,7 +207,7 @@
 	if due == 0 {
 		return 0
 	}
-	switch end := (wall - j.Submitted).Seconds() + run; {
+	switch end := (wall - j.ReleasedAt).Seconds() + run; {
 	case end <= due:
 		return 0
 	case end <= 1.5*due:
--- a/internal/scheduler/rent.go
+++ b/internal/scheduler/rent.go
@@ -42,7 +42,7 @@
 
 func (f *future) put(v *futurePool, s slot) {
 	v.count++
-	if f.least.Fits(s.free) {
+	if f.least.IsWithin(s.free) {
 		v.slots = append(v.slots, s)
 	}
 }
@@ -53,7 +53,7 @@
 	kept := v.slots[:0]
 	for i := range v.slots {
 		s := v.slots[i]
-		for got < n && need.Fits(s.free) {
+		for got < n && need.IsWithin(s.free) {
 			s.free = s.free.Sub(need)
 			got++
 		}
@@ -61,7 +61,7 @@
 			v.slots[i] = s // nothing was taken out before it
 			return got
 		}
-		if f.least.Fits(s.free) {
+		if f.least.IsWithin(s.free) {
 			kept = append(kept, s)
 		}
 	}
@@ -71,14 +71,14 @@
 
 // lookAhead works out what will be free one boot time on.
 func (r *round) lookAhead(wanted []*entry, hires []Hire) *future {
-	f := &future{least: wanted[0].job.Need}
+	f := &future{least: wanted[0].job.Request}
 	for _, e := range wanted {
-		n := e.job.Need
-		f.least = allocation.Resources{CPU: min(f.least.CPU, n.CPU), GPU: min(f.least.GPU, n.GPU), Mem: min(f.least.Mem, n.Mem)}
+		n := e.job.Request
+		f.least = allocation.Resources{MilliCPU: min(f.least.MilliCPU, n.MilliCPU), MilliGPU: min(f.least.MilliGPU, n.MilliGPU), MemoryMB: min(f.least.MemoryMB, n.MemoryMB)}
 	}
 	boots := map[string][2]clock.Micros{}
 	for _, m := range r.machines {
-		if m.Draining || m.TakenAt != 0 || r.claims[m.Rank] || m.UpAt != 0 && !r.pl.hears(m, r.now) {
+		if m.Draining || m.ReclaimAt != 0 || r.claims[m.SortIndex] || m.FirstHeartbeatAt != 0 && !r.pl.hears(m, r.now) {
 			continue
 		}
 		boot, ok := boots[m.Type]
@@ -90,9 +90,9 @@
 			continue
 		}
 		s := slot{free: r.free(m), machine: m}
-		m.Places(func(p *allocation.Placement) {
-			if !p.Job.Service() && r.pl.remaining(p, r.now) <= boot[0].Seconds() {
-				s.free = s.free.Add(p.Job.Need)
+		m.ForEachPlacement(func(p *allocation.Placement) {
+			if !p.Job.IsService() && r.pl.remaining(p, r.now) <= boot[0].Seconds() {
+				s.free = s.free.Add(p.Job.Request)
 			}
 		})
 		f.put(f.at(Pool{m.Type, m.Zone, m.Spot}), s)
@@ -110,12 +110,12 @@
 // shows. When it was not counted on, every machine that came up was rented once more.
 func (r *round) isExpected(m *allocation.Machine, longestBoot clock.Micros) bool {
 	switch {
-	case m.Synced:
+	case m.TokenConfirmed:
 		return true
-	case m.UpAt != 0:
-		return r.now-m.UpAt <= r.pl.Fresh // else it is heard, but can't be told anything
+	case m.FirstHeartbeatAt != 0:
+		return r.now-m.FirstHeartbeatAt <= r.pl.Fresh // else it is heard, but can't be told anything
 	default:
-		return r.now-m.Since <= longestBoot
+		return r.now-m.CreatedAt <= longestBoot
 	}
 }
 
@@ -143,14 +143,14 @@
 			if e.ahead || !j.Spec.Spread {
 				return n
 			}
-			return min(n, j.SpreadLimit()-j.InZone(zone)-zones[zone])
+			return min(n, j.MaxTasksPerZone()-j.CountInZone(zone)-zones[zone])
 		}
 		use := func(v *futurePool) {
 			if n <= 0 || !poolAllowed(j, v.pool) || only != "" && v.pool.Zone != only {
 				return
 			}
 			if k := most(v.pool.Zone); k > 0 {
-				got := f.take(v, j.Need, k)
+				got := f.take(v, j.Request, k)
 				zones[v.pool.Zone] += got
 				n -= got
 			}
@@ -162,7 +162,7 @@
 			continue
 		}
 		e.short = true
-		if j.Gang() && r.hopeless(e, only) {
+		if j.IsGang() && r.hopeless(e, only) {
 			continue
 		}
 		offers := r.offers(j, e.pressed, only, f)
@@ -173,8 +173,8 @@
 			}
 			// A new machine takes what it can of this job at once.
 			s := slot{free: r.pl.Size(v.pool.Type)}
-			for k := most(v.pool.Zone); k > 0 && j.Need.Fits(s.free); k-- {
-				s.free = s.free.Sub(j.Need)
+			for k := most(v.pool.Zone); k > 0 && j.Request.IsWithin(s.free); k-- {
+				s.free = s.free.Sub(j.Request)
 				zones[v.pool.Zone]++
 				n--
 			}
@@ -196,7 +196,7 @@
 func (r *round) hopeless(e *entry, only string) bool {
 	places := 0
 	for name, t := range r.pl.Types {
-		per := r.pl.perMachine(e.job.Need, name)
+		per := r.pl.perMachine(e.job.Request, name)
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				p := Pool{name, z, spot}
@@ -220,7 +220,7 @@
 	if !j.Spec.OneZone {
 		return ""
 	}
-	if z, ok := j.OnlyZone(); ok {
+	if z, ok := j.OccupiedZone(); ok {
 		return z
 	}
 	if j.Spec.Zone != "" {
@@ -234,8 +234,8 @@
 				continue
 			}
 			for _, s := range v.slots {
-				for free := s.free; n < len(j.Tasks) && j.Need.Fits(free); n++ {
-					free = free.Sub(j.Need)
+				for free := s.free; n < len(j.Tasks) && j.Request.IsWithin(free); n++ {
+					free = free.Sub(j.Request)
 				}
 			}
 		}
@@ -258,15 +258,15 @@
 func (r *round) missed() []*entry {
 	var out []*entry
 	for _, j := range r.l.Jobs {
-		if !j.Service() || j.Withdrawn || j.Priority != 0 {
+		if !j.IsService() || j.Cancelled || j.Priority != 0 {
 			continue
 		}
 		n := 0
 		if r.now-r.pl.Since > r.pl.Fresh {
-			n = j.Doubts()
+			n = j.UnconfirmedCount()
 		}
 		for i := range j.Tasks {
-			if p := j.Tasks[i].Place; p != nil && !p.Machine.Draining && !r.pl.hears(p.Machine, r.now) {
+			if p := j.Tasks[i].Placement; p != nil && !p.Machine.Draining && !r.pl.hears(p.Machine, r.now) {
 				n++
 			}
 		}
@@ -284,7 +284,7 @@
 		return false
 	}
 	if s.OneZone {
-		if z, ok := j.OnlyZone(); ok && z != p.Zone {
+		if z, ok := j.OccupiedZone(); ok && z != p.Zone {
 			return false
 		}
 	}
@@ -301,7 +301,7 @@
 func (r *round) offers(j *allocation.Job, pressed bool, only string, f *future) []offer {
 	var out []offer
 	for name, t := range r.pl.Types {
-		per := r.pl.perMachine(j.Need, name)
+		per := r.pl.perMachine(j.Request, name)
 		if per == 0 {
 			continue
 		}
@@ -331,7 +331,7 @@
 // patient tells whether a job waits for a spot machine rather than have an ordinary
 // one rented. A gang does not: all its machines would have to come in that time.
 func (r *round) patient(j *allocation.Job) bool {
-	return j.Spec.Spot && !j.Gang() && (j.Active() > 0 || r.now-j.Seen < r.pl.P.SpotPatience)
+	return j.Spec.Spot && !j.IsGang() && (j.ActiveCount() > 0 || r.now-j.AddedAt < r.pl.P.SpotPatience)
 }
 
 // best picks where to rent one more machine for a job: the cheapest by task,
--- a/internal/scheduler/rent_test.go
+++ b/internal/scheduler/rent_test.go
@@ -20,11 +20,11 @@
 	}
 	pool := rent[0].Pool
 	m := s.l.AddMachine("i-0", pool.Type, pool.Zone, pool.Spot, s.pl.Size(pool.Type), s.now)
-	m.Recorded = true
+	m.RecordedInStore = true
 	cameUp := s.now + 10*clock.Second
 	for seq, after := range []clock.Micros{0, 4 * clock.Second, 8 * clock.Second, 9 * clock.Second} {
 		s.now = cameUp + after
-		s.l.Report(m, &wire.Report{Machine: "i-0", Session: 1, Seq: uint64(seq + 1), Addr: "127.0.0.1:1"}, s.now)
+		s.l.RecordHeartbeat(m, &wire.Report{Machine: "i-0", Session: 1, Seq: uint64(seq + 1), Addr: "127.0.0.1:1"}, s.now)
 		isRented := len(s.pl.Plan(s.l, s.now, s.now, nil).Rent) > 0
 		if isRented != (after > s.pl.Fresh) {
 			t.Errorf("%v after it came up another one is rented: %v", after.Duration(), isRented)
