--- a/internal/scheduler/spares.go
+++ b/internal/scheduler/spares.go
@@ -32,7 +32,7 @@
 // part is how much of a machine a need takes, of what it takes most of.
 func part(need, size allocation.Resources) float64 {
 	most := 0.0
-	for _, d := range [][2]int64{{need.CPU, size.CPU}, {need.GPU, size.GPU}, {need.Mem, size.Mem}} {
+	for _, d := range [][2]int64{{need.MilliCPU, size.MilliCPU}, {need.MilliGPU, size.MilliGPU}, {need.MemoryMB, size.MemoryMB}} {
 		if d[1] > 0 {
 			most = max(most, float64(d[0])/float64(d[1]))
 		}
@@ -59,16 +59,16 @@
 		if m.Spot {
 			continue
 		}
-		if m.Draining || !m.Synced {
+		if m.Draining || !m.TokenConfirmed {
 			return nil // one at a time
 		}
-		spare += openPart(m.Free(), m.Cap)
+		spare += openPart(m.Free(), m.Capacity)
 	}
 	for _, m := range r.machines {
-		if m.Spot || !m.Usable() || m.Idle() || part(m.Used(), m.Cap) > 0.5 || spare-1 < float64(keep) {
+		if m.Spot || !m.IsSchedulable() || m.IsIdle() || part(m.Used(), m.Capacity) > 0.5 || spare-1 < float64(keep) {
 			continue
 		}
-		if best != nil && part(best.Used(), best.Cap) <= part(m.Used(), m.Cap) {
+		if best != nil && part(best.Used(), best.Capacity) <= part(m.Used(), m.Capacity) {
 			continue
 		}
 		if r.movable(m) {
@@ -81,37 +81,37 @@
 func (r *round) movable(m *allocation.Machine) bool {
 	room := map[*allocation.Machine]allocation.Resources{}
 	ok := true
-	m.Places(func(p *allocation.Placement) {
+	m.ForEachPlacement(func(p *allocation.Placement) {
 		j := p.Job
-		if !ok || !j.Service() || p.Stopping() || p.Started == 0 || r.now-p.Started < settledFor || j.Doubts() > 0 {
+		if !ok || !j.IsService() || p.IsStopping() || p.StartedAt == 0 || r.now-p.StartedAt < settledFor || j.UnconfirmedCount() > 0 {
 			ok = false
 			return
 		}
 		placed := false
 		for _, o := range r.machines {
-			if o == m || o.Spot && !j.Spec.Spot || !o.Usable() || o.Replicas() == 0 || part(o.Used(), o.Cap) < part(m.Used(), m.Cap) {
+			if o == m || o.Spot && !j.Spec.Spot || !o.IsSchedulable() || o.ReplicaCount() == 0 || part(o.Used(), o.Capacity) < part(m.Used(), m.Capacity) {
 				continue
 			}
 			// Within a zone nothing changes for the job's wishes; else they
 			// have to allow one more.
-			if o.Zone != m.Zone && !allocation.Allowed(j, o) || o.Type != m.Type && !allocation.Allowed(j, o) {
+			if o.Zone != m.Zone && !allocation.IsEligible(j, o) || o.Type != m.Type && !allocation.IsEligible(j, o) {
 				continue
 			}
 			free, seen := room[o]
 			if !seen {
 				free = o.Free()
 			}
-			if !j.Need.Fits(free) {
+			if !j.Request.IsWithin(free) {
 				continue
 			}
 			// Which of the machines it will be is settled only when it has
 			// stopped: each has to have the image, or it is away for a fetch.
-			if _, cached := o.Images[j.Spec.Image]; !cached {
+			if _, cached := o.ImageUsedAt[j.Spec.Image]; !cached {
 				ok = false
 				return
 			}
 			if !placed {
-				room[o] = free.Sub(j.Need)
+				room[o] = free.Sub(j.Request)
 				placed = true
 			}
 		}
@@ -137,26 +137,26 @@
 	active, fleet := 0, 0
 	typ := ""
 	for _, m := range r.machines {
-		if m.Spot != spot || m.Draining || m.TakenAt != 0 {
+		if m.Spot != spot || m.Draining || m.ReclaimAt != 0 {
 			continue
 		}
 		typ = m.Type
 		fleet++
 		switch {
-		case m.Usable():
-			room := openPart(r.free(m), m.Cap)
+		case m.IsSchedulable():
+			room := openPart(r.free(m), m.Capacity)
 			spare += room
-			if !m.Idle() {
+			if !m.IsIdle() {
 				beside += room
 			}
-		case m.UpAt == 0:
-			in.Booting = append(in.Booting, max((r.pl.BootTime(m.Type, 50)-(r.now-m.Since)).Seconds(), 0))
+		case m.FirstHeartbeatAt == 0:
+			in.Booting = append(in.Booting, max((r.pl.BootTime(m.Type, 50)-(r.now-m.CreatedAt)).Seconds(), 0))
 		}
-		m.Places(func(pc *allocation.Placement) {
+		m.ForEachPlacement(func(pc *allocation.Placement) {
 			if left := r.pl.remaining(pc, r.now); left > 0 {
 				nearest = min(nearest, left)
 			}
-			if !pc.Job.Service() {
+			if !pc.Job.IsService() {
 				active++
 			}
 		})
@@ -245,7 +245,7 @@
 // idle machines were given back while two in three of its tasks were in doubt.
 func (r *round) doubted(spot bool) bool {
 	for _, j := range r.l.Jobs {
-		if j.Doubts() > 0 && !j.Withdrawn && (j.Spec.Spot || !spot) {
+		if j.UnconfirmedCount() > 0 && !j.Cancelled && (j.Spec.Spot || !spot) {
 			return true
 		}
 	}
@@ -264,23 +264,23 @@
 	}
 	var idle []*allocation.Machine
 	for _, m := range r.machines {
-		if m.Spot == spot && m.Usable() && m.Idle() && r.held[m.Rank] == (allocation.Resources{}) {
+		if m.Spot == spot && m.IsSchedulable() && m.IsIdle() && r.held[m.SortIndex] == (allocation.Resources{}) {
 			idle = append(idle, m)
 		}
 	}
-	slices.SortStableFunc(idle, func(a, b *allocation.Machine) int { return -cmp.Compare(a.IdleAt, b.IdleAt) })
+	slices.SortStableFunc(idle, func(a, b *allocation.Machine) int { return -cmp.Compare(a.BecameIdleAt, b.BecameIdleAt) })
 	idleWait := r.pl.P.IdleWait
 	if r.kind(spot)/spareShare > leastSpareMax {
 		idleWait /= 2 // the spares, which have grown with the fleet, are what is kept
 	}
 	for i, m := range idle {
-		idle := r.now - max(m.IdleAt, m.UpAt)
+		idle := r.now - max(m.BecameIdleAt, m.FirstHeartbeatAt)
 		wait := idleWait
 		if !r.pl.pressing(dm, r.pl.BootTime(m.Type, 50)) {
 			wait = min(r.pl.P.LaxIdleWait, idleWait)
 		}
 		// The first minute is paid whether it is used or not.
-		if i >= keep && idle >= wait && (r.now-m.Since >= minimumCharge || idle >= idleWait) {
+		if i >= keep && idle >= wait && (r.now-m.CreatedAt >= minimumCharge || idle >= idleWait) {
 			d.Return = append(d.Return, m)
 		}
 	}
