--- a/internal/controller/account.go
+++ b/internal/controller/account.go
@@ -19,7 +19,7 @@
 		return cmp.Or(cmp.Compare(a.ReleasedAt, b.ReleasedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
 	for _, j := range jobs {
-		l.pl.Arrived(j, now-max(wall-j.ReleasedAt, 0))
+		l.pl.ObserveArrival(j, now-max(wall-j.ReleasedAt, 0))
 	}
 }
 
@@ -37,7 +37,7 @@
 
 func (l *lead) addMachine(h *rental, name string) *allocation.Machine {
 	now := clock.Now()
-	m := l.lg.AddMachine(name, h.rec.Type, h.rec.Zone, h.rec.Spot, l.pl.Size(h.rec.Type), now)
+	m := l.lg.AddMachine(name, h.rec.Type, h.rec.Zone, h.rec.Spot, l.pl.MachineCapacity(h.rec.Type), now)
 	m.CreatedAt = h.at
 	if l.machines[name] == nil {
 		l.machines[name] = &machineAux{rental: h}
@@ -56,7 +56,7 @@
 		if l.c.blocked(id, rec) {
 			return
 		}
-		l.pl.Arrived(l.addJob(id, rec, false), now)
+		l.pl.ObserveArrival(l.addJob(id, rec, false), now)
 	case rec.State == wire.JobAborted && j != nil:
 		l.withdraw(j, rec, now)
 	case rec.over() && l.jobs[id] != nil:
--- a/internal/controller/checkin.go
+++ b/internal/controller/checkin.go
@@ -34,7 +34,7 @@
 		}
 		if res == allocation.HeartbeatAccepted {
 			if booting && m.CreatedAt > l.since {
-				l.pl.Booted(m.Type, now-m.CreatedAt)
+				l.pl.ObserveBoot(m.Type, now-m.CreatedAt)
 			}
 			l.settle(now)
 			reply.Commands = l.lg.HeartbeatCommands(m, now)
@@ -94,12 +94,12 @@
 	case wire.WhyDone:
 		if p.RunningAt != 0 && !p.Adopted && !j.IsService() && t.CheckpointedSeconds == 0 && !(j.IsGang() && j.CheckpointedSeconds > 0) {
 			took := (now - p.RunningAt).Seconds()
-			l.pl.Finished(j, took, now)
+			l.pl.ObserveTaskRun(j, took, now)
 			if a := l.jobs[j.Spec.ID]; a != nil {
 				a.ran, a.runs = a.ran+1, a.runs+took
 				if j.IsComplete() && !a.screened {
 					a.screened = true
-					l.pl.Ran(j, a.runs/float64(a.ran), now)
+					l.pl.ObserveJobRun(j, a.runs/float64(a.ran), now)
 				}
 			}
 			l.c.log.Debug("task done", "job", j.Spec.ID, "task", p.TaskIndex, "machine", p.Machine.Name, "took_s", took, "estimate_s", j.Spec.EstimateS)
--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -180,7 +180,7 @@
 	s.SetLimits(fake.StateLimits{ValueBytes: 1 << 10, TxnOps: 3})
 	j := l.lg.Jobs[id]
 	done := []int{0, 7, 6000, 12345, 33000, tasks - 1}
-	m := l.lg.AddMachine("i-1", "big", "x", false, l.pl.Size("big"), clock.Now())
+	m := l.lg.AddMachine("i-1", "big", "x", false, l.pl.MachineCapacity("big"), clock.Now())
 	m.RecordedInStore = true
 	rep := &wire.Report{Machine: "i-1", Session: 1, Seq: 1, Token: l.token}
 	for _, i := range done {
@@ -228,7 +228,7 @@
 	for i := range tasks {
 		rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone})
 	}
-	m = l.lg.AddMachine("i-2", "big", "x", false, l.pl.Size("big"), clock.Now())
+	m = l.lg.AddMachine("i-2", "big", "x", false, l.pl.MachineCapacity("big"), clock.Now())
 	m.RecordedInStore = true
 	rep.Machine = "i-2"
 	l.lg.RecordHeartbeat(m, rep, clock.Now())
--- a/internal/controller/entitlement.go
+++ b/internal/controller/entitlement.go
@@ -9,7 +9,7 @@
 func (l *lead) until() clock.Micros { return clock.Micros(l.deadline.Load()) }
 
 // woke takes the news that the process has stood still, or was not entitled to act.
-func (l *lead) woke(now clock.Micros) { l.awake, l.pl.Awake = now, now }
+func (l *lead) woke(now clock.Micros) { l.awake, l.pl.ResumedAt = now, now }
 
 // startUntil is the end of the time in which tasks may be started; like until it
 // may be asked on any goroutine.
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -172,7 +172,7 @@
 				l.c.log.Info("machine lost", "machine", name)
 				l.delete(m)
 			}
-		case m.FirstHeartbeatAt == 0 && (m.CreatedAt > l.since || a.booting) && now-m.CreatedAt > l.pl.StuckAfter(m.Type) && quiet > silent:
+		case m.FirstHeartbeatAt == 0 && (m.CreatedAt > l.since || a.booting) && now-m.CreatedAt > l.pl.BootTimeout(m.Type) && quiet > silent:
 			// Not having been heard is no proof for a new leader: once one took a
 			// zone that was cut off for machines that never came up, and deleted
 			// it with all that ran there.
@@ -224,7 +224,7 @@
 		if p.IsStopping() {
 			return
 		}
-		if l.pl.Ends(p, now) <= left {
+		if l.pl.RemainingRun(p, now) <= left {
 			return
 		}
 		grace := clock.FromSeconds(j.Spec.SaveS)
@@ -319,7 +319,7 @@
 func (l *lead) unlisted(names map[string]bool, now clock.Micros) {
 	late := clock.FromSeconds(2*l.c.cfg.Deployment.Cloud.ListLagS) + clock.Second
 	for name, m := range l.lg.Machines {
-		if m.FirstHeartbeatAt == 0 && m.CreatedAt < l.since && !names[name] && now-m.CreatedAt > l.pl.StuckAfter(m.Type)+late {
+		if m.FirstHeartbeatAt == 0 && m.CreatedAt < l.since && !names[name] && now-m.CreatedAt > l.pl.BootTimeout(m.Type)+late {
 			l.c.log.Info("machine not listed", "machine", name)
 			l.delete(m)
 		}
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -19,7 +19,7 @@
 	c      *Core
 	token  uint64
 	lg     *allocation.Tracker
-	pl     *scheduler.Planner
+	pl     *scheduler.Scheduler
 	closed bool
 	// deadline is the end of the entitlement, 0 once closed; startDeadline is the
 	// end of the time in which tasks may be started, no later than that.
@@ -154,29 +154,29 @@
 	l.follow(&account)
 	l.lg = allocation.New(account)
 	t := &c.tuning
-	l.pl = scheduler.New(scheduler.Params{
-		Alpha: t.Alpha, Beta: t.Beta, IdleWait: clock.FromSeconds(t.IdleWaitS), LaxIdleWait: clock.FromSeconds(t.LaxIdleWaitS),
-		Window: clock.FromSeconds(t.ScreenWindowS), Recency: clock.FromSeconds(t.RecencyS),
-		SpareMin: t.SpareMin, SpareMax: t.SpareMax,
-		MinSamples: t.ScreenMinSamples, MaxCount: t.ScreenMaxSamples, CV: t.ScreenCV, Lag: t.ScreenLag, KS: t.ScreenKS,
-		SmoothArrival: t.SmoothArrival, SmoothService: t.SmoothService, SmoothNeed: t.SmoothNeed,
-		Horizon: clock.FromSeconds(t.HorizonS), SpotPatience: clock.FromSeconds(t.SpotPatienceS), AgeAfter: clock.FromSeconds(t.AgeAfterS),
-		GangWeight: t.GangWeight,
+	l.pl = scheduler.New(scheduler.Settings{
+		WaitWeight: t.Alpha, IdleWeight: t.Beta, IdleTimeout: clock.FromSeconds(t.IdleWaitS), RelaxedIdleTimeout: clock.FromSeconds(t.LaxIdleWaitS),
+		ScreenWindow: clock.FromSeconds(t.ScreenWindowS), ArrivalRecencyWindow: clock.FromSeconds(t.RecencyS),
+		MinSpares: t.SpareMin, MaxSpares: t.SpareMax,
+		ScreenMinSamples: t.ScreenMinSamples, ScreenMaxSamples: t.ScreenMaxSamples, MaxVariationDeviation: t.ScreenCV, MaxLagCorrelation: t.ScreenLag, MaxKSDistance: t.ScreenKS,
+		ArrivalSmoothing: t.SmoothArrival, RunTimeSmoothing: t.SmoothService, DemandSizeSmoothing: t.SmoothNeed,
+		IdleCostHorizon: clock.FromSeconds(t.HorizonS), SpotWaitTimeout: clock.FromSeconds(t.SpotPatienceS), AgingThreshold: clock.FromSeconds(t.AgeAfterS),
+		GangWaitWeight: t.GangWeight,
 	}, c.types, c.teams, d.Zones)
-	l.pl.Fresh, l.pl.Since = l.freshFor(), now
+	l.pl.HeartbeatWindow, l.pl.TermStartedAt = l.freshFor(), now
 	if c.times.GrantTTL > 0 {
-		l.pl.Kept = map[string]bool{c.cfg.Location: true}
+		l.pl.DelegatedZones = map[string]bool{c.cfg.Location: true}
 		for _, o := range c.cfg.Others {
-			l.pl.Kept[o.Location] = true
+			l.pl.DelegatedZones[o.Location] = true
 		}
 	}
-	l.pl.Waits, l.pl.Due = map[string]float64{}, map[string]float64{}
+	l.pl.WaitObjectives, l.pl.CompletionObjectives = map[string]float64{}, map[string]float64{}
 	for _, o := range d.Objectives {
-		if e, ok := l.pl.Due[o.Class]; o.Kind == "finished" && (!ok || o.WithinS < e) {
-			l.pl.Due[o.Class] = o.WithinS
+		if e, ok := l.pl.CompletionObjectives[o.Class]; o.Kind == "finished" && (!ok || o.WithinS < e) {
+			l.pl.CompletionObjectives[o.Class] = o.WithinS
 		}
-		if w, ok := l.pl.Waits[o.Class]; o.Kind == "wait" && (!ok || o.WithinS < w) {
-			l.pl.Waits[o.Class] = o.WithinS
+		if w, ok := l.pl.WaitObjectives[o.Class]; o.Kind == "wait" && (!ok || o.WithinS < w) {
+			l.pl.WaitObjectives[o.Class] = o.WithinS
 		}
 	}
 	l.planGap = leastPlanGap
--- a/internal/controller/lead_test.go
+++ b/internal/controller/lead_test.go
@@ -130,7 +130,7 @@
 	if len(l.deletes) != 0 || len(l.promises.ConstrainedZones()) != 0 || l.closed {
 		t.Fatalf("after a standstill: deletes %v, promises about %v, lead given up %v", l.deletes, l.promises.ConstrainedZones(), l.closed)
 	}
-	if l.pl.Awake != now {
+	if l.pl.ResumedAt != now {
 		t.Fatal("the planner takes machines for silent")
 	}
 	now += l.c.silentAfter() + clock.Second
--- a/internal/controller/learn_test.go
+++ b/internal/controller/learn_test.go
@@ -31,7 +31,7 @@
 	report("req-000001/0", 3, wire.TaskRunning, "") // begun long ago
 	now += 5 * clock.Second
 	report("req-000001/0", 3, wire.TaskExited, wire.WhyDone)
-	if got := l.pl.Class("c").Predict(100); math.Abs(got-100) > 1e-9 {
+	if got := l.pl.RunTimeModel("c").PredictedSeconds(100); math.Abs(got-100) > 1e-9 {
 		t.Fatalf("a task of 100 s is predicted to run %.1f s", got)
 	}
 	if err := l.lg.PlaceTask(j, 1, m, l.lg.NextAttempt(), now); err != nil {
@@ -43,7 +43,7 @@
 	report("req-000001/1", attempt, wire.TaskRunning, "")
 	now += 50 * clock.Second
 	report("req-000001/1", attempt, wire.TaskExited, wire.WhyDone)
-	if got := l.pl.Class("c").Predict(100); math.Abs(got-50) > 1e-6 {
+	if got := l.pl.RunTimeModel("c").PredictedSeconds(100); math.Abs(got-50) > 1e-6 {
 		t.Fatalf("after a run of 50 s, a task estimated at 100 s is predicted to run %.1f s", got)
 	}
 }
--- a/internal/controller/learnt.go
+++ b/internal/controller/learnt.go
@@ -58,10 +58,10 @@
 		}
 	}
 	for class, r := range l.c.learnt.runs {
-		l.pl.Class(class).GoOn(int(r.Count), r.Mean, r.MeanSquare)
+		l.pl.RunTimeModel(class).Restore(int(r.Count), r.Mean, r.MeanSquare)
 	}
 	for typ, boots := range l.c.learnt.boots {
-		l.pl.GoOnWithBoots(typ, boots)
+		l.pl.RestoreBootTimes(typ, boots)
 	}
 }
 
@@ -111,13 +111,13 @@
 		images := slices.Sorted(maps.Keys(m.ImageUsedAt))
 		b.CachedImages = append(b.CachedImages, peer.CachedImages{Machine: m.Name, Incarnation: m.Incarnation, Images: images[:min(len(images), peer.MaxImagesPerMachine)]})
 	}
-	for _, class := range l.pl.Classes() {
-		if n, mean, square := l.pl.Class(class).State(); n > 0 && len(b.RunTimes) < peer.MaxRunTimeClasses {
+	for _, class := range l.pl.RunTimeClasses() {
+		if n, mean, square := l.pl.RunTimeModel(class).Hint(); n > 0 && len(b.RunTimes) < peer.MaxRunTimeClasses {
 			b.RunTimes = append(b.RunTimes, peer.RunTimeStatistics{Class: class, Count: uint32(n), Mean: mean, MeanSquare: square})
 		}
 	}
 	for _, t := range l.c.types {
-		if boots := l.pl.RecentBoots(t.Name); len(boots) > 0 && len(b.BootTimes) < peer.MaxBootTimeTypes {
+		if boots := l.pl.RecentBootTimes(t.Name); len(boots) > 0 && len(b.BootTimes) < peer.MaxBootTimeTypes {
 			b.BootTimes = append(b.BootTimes, peer.BootTimes{MachineType: t.Name, Durations: boots})
 		}
 	}
--- a/internal/controller/learnt_test.go
+++ b/internal/controller/learnt_test.go
@@ -26,9 +26,9 @@
 		first.lg.RecordHeartbeat(m, &wire.Report{Machine: n, Session: 3, Seq: 1, Token: 9}, now)
 		m.ImageUsedAt[fmt.Sprintf("img-%02d", i)] = now
 	}
-	first.pl.Class("c").Observe(100, 50, 0.2)
+	first.pl.RunTimeModel("c").Observe(100, 50, 0.2)
 	for range 40 {
-		first.pl.Booted(first.c.types[0].Name, 20*clock.Second)
+		first.pl.ObserveBoot(first.c.types[0].Name, 20*clock.Second)
 	}
 
 	second := rebuilt(t, names...).c
@@ -87,7 +87,7 @@
 		t.Errorf("machines are expected to boot in %.1f s, not as long as the last leader saw", boot.Seconds())
 	}
 	for class, want := range map[string]float64{"c": 50, "d": 100, "e": 100} {
-		if got := l.pl.Class(class).Predict(100); math.Abs(got-want) > 1e-9 {
+		if got := l.pl.RunTimeModel(class).PredictedSeconds(100); math.Abs(got-want) > 1e-9 {
 			t.Errorf("class %s: predicted to run %.1f s, want %.1f", class, got, want)
 		}
 	}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -17,29 +17,29 @@
 )
 
 func (l *lead) plan(now clock.Micros) {
-	var pending []scheduler.Hire
+	var pending []scheduler.PendingScaleOut
 	for _, h := range l.rentals {
 		if !h.resolved {
-			pending = append(pending, scheduler.Hire{
+			pending = append(pending, scheduler.PendingScaleOut{
 				Pool: scheduler.Pool{Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot}, Count: h.rec.Count,
 			})
 		}
 	}
 	d := l.pl.Plan(l.lg, now, clock.Wall(), pending)
 	l.settle(now)
-	for _, j := range d.Mark {
+	for _, j := range d.RecordStarts {
 		l.mark(j)
 	}
-	for _, r := range d.Rent {
+	for _, r := range d.ScaleOut {
 		// Few at a time: the cloud takes few requests a second, and what is
 		// asked for next should rest on how these were answered.
 		if len(pending) >= l.rentalsAtOnce() {
 			break
 		}
-		pending = append(pending, scheduler.Hire{})
+		pending = append(pending, scheduler.PendingScaleOut{})
 		l.rent(r, now)
 	}
-	for _, m := range d.Return {
+	for _, m := range d.ScaleIn {
 		l.c.log.Debug("idle machine returned", "machine", m.Name)
 		l.delete(m)
 	}
@@ -52,9 +52,9 @@
 	for _, s := range []struct {
 		kind string
 		r    *scheduler.SpareReport
-	}{{"spot", &d.Spot}, {"ordinary", &d.Ordinary}} {
-		l.c.log.Debug("screen", "kind", s.kind, "gaps", s.r.Gaps.Reason, "n", s.r.Gaps.N, "runs", s.r.Runs.Reason,
-			"open", s.r.Open, "x", s.r.Cost.X, "w", s.r.Cost.W, "e", s.r.Cost.E)
+	}{{"spot", &d.SpotSpares}, {"ordinary", &d.OrdinarySpares}} {
+		l.c.log.Debug("screen", "kind", s.kind, "gaps", s.r.ArrivalScreen.RejectReason, "n", s.r.ArrivalScreen.SampleCount, "runs", s.r.RunTimeScreen.RejectReason,
+			"open", s.r.IsEnabled, "x", s.r.Cost.Target, "w", s.r.Cost.ExpectedWait, "e", s.r.Cost.IdleSeconds)
 	}
 }
 
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -35,7 +35,7 @@
 
 // rent begins a rental: its record comes first, so that whoever leads next knows
 // which machines may exist.
-func (l *lead) rent(r scheduler.Rent, now clock.Micros) {
+func (l *lead) rent(r scheduler.ScaleOutRequest, now clock.Micros) {
 	for n := r.Count; n > 0; n -= wire.MaxHire {
 		l.names++
 		h := &rental{
@@ -157,7 +157,7 @@
 	l.dirty = true
 	switch {
 	case err == nil:
-		l.pl.Granted(pool, h.rec.Count, len(names), now)
+		l.pl.ObserveFilled(pool, h.rec.Count, len(names), now)
 		l.c.log.Debug("hired", "hire", h.name, "zone", h.rec.Zone, "spot", h.rec.Spot, "asked", h.rec.Count, "got", len(names))
 		h.resolved, h.rec.Resolved, h.rec.Machines = true, true, names
 		for _, n := range names {
@@ -176,7 +176,7 @@
 			l.dirty = true
 		})
 	case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrBad):
-		l.pl.Refused(pool, now)
+		l.pl.ObserveEmptyPool(pool, now)
 		l.c.log.Debug("nothing to hire", "hire", h.name, "zone", h.rec.Zone, "spot", h.rec.Spot, "error", err)
 		h.resolved, h.rec.Resolved = true, true
 		l.recordRental(h, kvstore.Needed, func() {})
--- a/internal/controller/repeat_test.go
+++ b/internal/controller/repeat_test.go
@@ -46,7 +46,7 @@
 	l = newLead(c, token, clock.Now())
 	l.deadline.Store(1 << 62)
 	c.lead = l
-	l.rent(scheduler.Rent{Pool: scheduler.Pool{Type: "big", Zone: "x"}, Count: 2}, clock.Now())
+	l.rent(scheduler.ScaleOutRequest{Pool: scheduler.Pool{Type: "big", Zone: "x"}, Count: 2}, clock.Now())
 	var h *rental
 	for _, h = range l.rentals {
 	}
--- a/internal/controller/small_test.go
+++ b/internal/controller/small_test.go
@@ -78,7 +78,7 @@
 			}
 			m := l.lg.Machines["i-1"]
 			if m == nil {
-				m = l.lg.AddMachine("i-1", "big", "x", false, l.pl.Size("big"), clock.Now())
+				m = l.lg.AddMachine("i-1", "big", "x", false, l.pl.MachineCapacity("big"), clock.Now())
 				m.RecordedInStore = true
 			}
 			rep := &wire.Report{Machine: "i-1", Session: 1, Seq: m.HeartbeatSequence + 1, Token: token}
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -28,9 +28,9 @@
 	l.lg.RecordLeaseRenewal(m, l.since)
 	l.lg.RecordHeartbeat(m, &wire.Report{Machine: "i-1", Session: 1, Seq: 1, Token: 10}, l.since)
 	at := l.since + 40*clock.Second
-	m.LastHeartbeatAt, l.pl.Fresh = at, 3600*clock.Second
-	if d := l.pl.Plan(l.lg, at, clock.Wall(), nil); len(d.Return) != 0 {
-		t.Fatalf("%s is given back while tasks are in doubt", d.Return[0].Name)
+	m.LastHeartbeatAt, l.pl.HeartbeatWindow = at, 3600*clock.Second
+	if d := l.pl.Plan(l.lg, at, clock.Wall(), nil); len(d.ScaleIn) != 0 {
+		t.Fatalf("%s is given back while tasks are in doubt", d.ScaleIn[0].Name)
 	}
 	for id, j := range l.lg.Jobs {
 		l.lg.Cancel(j, at)
@@ -38,12 +38,12 @@
 	}
 	// With nothing in doubt, the wait is that of a class whose starts press: a leader
 	// that knows of none gives an idle machine back after eight seconds.
-	early, late := l.since+20*clock.Second, l.since+l.pl.P.IdleWait+clock.Second
-	if d := l.pl.Plan(l.lg, early, clock.Wall(), nil); len(d.Return) != 0 {
-		t.Fatalf("%s is given back as if no start pressed", d.Return[0].Name)
+	early, late := l.since+20*clock.Second, l.since+l.pl.Settings.IdleTimeout+clock.Second
+	if d := l.pl.Plan(l.lg, early, clock.Wall(), nil); len(d.ScaleIn) != 0 {
+		t.Fatalf("%s is given back as if no start pressed", d.ScaleIn[0].Name)
 	}
 	m.LastHeartbeatAt = late
-	if d := l.pl.Plan(l.lg, late, clock.Wall(), nil); len(d.Return) != 1 {
-		t.Fatalf("%d machines are given back after the idle wait", len(d.Return))
+	if d := l.pl.Plan(l.lg, late, clock.Wall(), nil); len(d.ScaleIn) != 1 {
+		t.Fatalf("%d machines are given back after the idle wait", len(d.ScaleIn))
 	}
 }
--- a/internal/controller/types.go
+++ b/internal/controller/types.go
@@ -38,6 +38,6 @@
 func (c *Core) setTypes(types []wire.MachineType) {
 	c.types = types
 	if c.lead != nil {
-		c.lead.pl.SetTypes(types)
+		c.lead.pl.SetMachineTypes(types)
 	}
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -10,106 +10,106 @@
 	"firwood.dev/firwood/wire"
 )
 
-// fleet makes a ledger of n machines, most of them spot, that are filled to
+// newFleetFixture makes a ledger of n machines, most of them spot, that are filled to
 // the given part by running tasks of arrays and replicas, with so many more
 // arrays and services waiting.
-func fleet(n int, filled float64, waiting int) *scene {
-	s := newScene(map[string]allocation.TeamQuota{"a": {}, "b": {}})
+func newFleetFixture(n int, filled float64, waiting int) *schedulerFixture {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
 	rng := rand.New(rand.NewPCG(uint64(n), 8))
-	var ms []*allocation.Machine
+	var machines []*allocation.Machine
 	for i := 0; i < n; i++ {
-		ms = append(ms, s.machine(fmt.Sprintf("i-%06d", i), "big", []string{"x", "y", "z"}[i%3], i%4 != 0))
+		machines = append(machines, fixture.addMachine(fmt.Sprintf("i-%06d", i), "big", []string{"x", "y", "z"}[i%3], i%4 != 0))
 	}
 	id := 0
-	add := func(service bool, tasks int) *allocation.Job {
+	addWaitingJob := func(service bool, tasks int) *allocation.Job {
 		id++
-		w := wire.Job{ID: fmt.Sprintf("req-%06d", id), Class: "array", Team: "a", Tasks: tasks, CPUs: 4, MemoryGB: 9, Spot: true,
+		spec := wire.Job{ID: fmt.Sprintf("req-%06d", id), Class: "array", Team: "a", Tasks: tasks, CPUs: 4, MemoryGB: 9, Spot: true,
 			EstimateS: 20 + 60*rng.Float64(), Priority: wire.PriorityHigh, Image: fmt.Sprint("array-", id%4), ImageGB: 0.6}
 		if service {
-			w.Class, w.Team, w.CPUs, w.MemoryGB, w.Spot, w.EstimateS = "service", "b", 1, 2, false, 0
-			w.Kind, w.Priority, w.Spread, w.Image = wire.KindService, wire.PriorityProduction, true, fmt.Sprint("service-", id%16)
+			spec.Class, spec.Team, spec.CPUs, spec.MemoryGB, spec.Spot, spec.EstimateS = "service", "b", 1, 2, false, 0
+			spec.Kind, spec.Priority, spec.Spread, spec.Image = wire.KindService, wire.PriorityProduction, true, fmt.Sprint("service-", id%16)
 		}
-		return s.job(w)
+		return fixture.addJob(spec)
 	}
-	orders := map[*allocation.Machine]*wire.Report{}
-	for _, m := range ms {
-		s.seqs[m.Name]++
-		orders[m] = &wire.Report{Machine: m.Name, Session: 1, Seq: s.seqs[m.Name], Token: 1, Addr: "127.0.0.1:1"}
+	heartbeats := map[*allocation.Machine]*wire.Report{}
+	for _, machine := range machines {
+		fixture.heartbeatSeqs[machine.Name]++
+		heartbeats[machine] = &wire.Report{Machine: machine.Name, Session: 1, Seq: fixture.heartbeatSeqs[machine.Name], Token: 1, Addr: "127.0.0.1:1"}
 	}
-	fill := func(spot bool, size int) {
-		var j *allocation.Job
+	fillMachines := func(spot bool, size int) {
+		var job *allocation.Job
 		next := 0
-		for _, m := range ms {
-			if m.Spot != spot {
+		for _, machine := range machines {
+			if machine.Spot != spot {
 				continue
 			}
-			for float64(m.Used().MilliCPU) < filled*float64(m.Capacity.MilliCPU) {
-				if j == nil || next == len(j.Tasks) {
-					j, next = add(!spot, size), 0
-					j.Spec.Spread = false
+			for float64(machine.Used().MilliCPU) < filled*float64(machine.Capacity.MilliCPU) {
+				if job == nil || next == len(job.Tasks) {
+					job, next = addWaitingJob(!spot, size), 0
+					job.Spec.Spread = false
 				}
-				if !j.Request.IsWithin(m.Free()) {
+				if !job.Request.IsWithin(machine.Free()) {
 					break
 				}
-				if err := s.l.PlaceTask(j, next, m, s.l.NextAttempt(), s.now); err != nil {
+				if err := fixture.tracker.PlaceTask(job, next, machine, fixture.tracker.NextAttempt(), fixture.now); err != nil {
 					panic(err)
 				}
-				p := j.Tasks[next].Placement
-				orders[m].Tasks = append(orders[m].Tasks, wire.TaskReport{Task: wire.TaskID(j.Spec.ID, next), Attempt: p.Attempt, State: wire.TaskRunning})
+				placement := job.Tasks[next].Placement
+				heartbeats[machine].Tasks = append(heartbeats[machine].Tasks, wire.TaskReport{Task: wire.TaskID(job.Spec.ID, next), Attempt: placement.Attempt, State: wire.TaskRunning})
 				next++
 			}
 		}
 	}
-	fill(true, 90)
-	fill(false, 8)
-	s.now += clock.Second
-	for _, m := range ms {
-		s.l.BuildCommandRequest(m, s.now)
-		s.l.RecordHeartbeat(m, orders[m], s.now)
+	fillMachines(true, 90)
+	fillMachines(false, 8)
+	fixture.now += clock.Second
+	for _, machine := range machines {
+		fixture.tracker.BuildCommandRequest(machine, fixture.now)
+		fixture.tracker.RecordHeartbeat(machine, heartbeats[machine], fixture.now)
 	}
-	s.now += 10 * clock.Second
+	fixture.now += 10 * clock.Second
 	for i := 0; i < waiting; i++ {
-		add(i%3 == 0, []int{90, 8}[btoi(i%3 == 0)])
+		addWaitingJob(i%3 == 0, []int{90, 8}[boolToInt(i%3 == 0)])
 	}
-	return s
+	return fixture
 }
 
-const plansAtOnce = 10
+const plansPerIteration = 10
 
 // The curve of a plan over the size of the fleet: with nothing to do, with a
 // queue before a full fleet, and with a queue as at the start of a day.
 func BenchmarkPlan(b *testing.B) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name    string
 		filled  float64
 		waiting int
 	}{{"quiet", 0.9, 0}, {"full", 1, 40}, {"start", 0, 300}, {"start of a large day", 0, 900}} {
 		for _, n := range []int{500, 1500, 4000, 6000} {
-			b.Run(fmt.Sprintf("%s/%d", c.name, n), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/%d", testCase.name, n), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					b.StopTimer()
-					s := fleet(n, c.filled, c.waiting)
+					fixture := newFleetFixture(n, testCase.filled, testCase.waiting)
 					b.StartTimer()
 					// As a leader does it: again and again, with little changed.
-					for i := 0; i < plansAtOnce; i++ {
-						s.pl.Plan(s.l, s.now, s.now, nil)
-						s.now += clock.Second / plansAtOnce
+					for i := 0; i < plansPerIteration; i++ {
+						fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+						fixture.now += clock.Second / plansPerIteration
 					}
 				}
-				b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*plansAtOnce), "us/plan")
+				b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*plansPerIteration), "us/plan")
 			})
 		}
 	}
 }
 
 // What a plan allocates follows what waits, not the size of the fleet.
-func TestPlanGrowsWithWhatWaits(t *testing.T) {
+func TestPlanAllocationsScaleWithQueueNotFleet(t *testing.T) {
 	allocs := func(machines, waiting int) float64 {
-		s := fleet(machines, 1, waiting)
+		fixture := newFleetFixture(machines, 1, waiting)
 		return testing.AllocsPerRun(5, func() {
-			s.pl.Plan(s.l, s.now, s.now, nil)
-			s.now += 100 * clock.Millisecond
+			fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+			fixture.now += 100 * clock.Millisecond
 		})
 	}
 	small, large := allocs(100, 6), allocs(2000, 6)
@@ -123,65 +123,67 @@
 
 // The fast placement decides as the plain one does: every machine scored for
 // every job, sorted in full, and for a spread job sorted anew for every task.
-func TestPlacementAgainstThePlainOne(t *testing.T) {
+func TestPlacementMatchesBruteForce(t *testing.T) {
 	placed := 0
 	for seed := uint64(1); seed <= 300; seed++ {
-		build := func() (*scene, []*allocation.Job) {
+		build := func() (*schedulerFixture, []*allocation.Job) {
 			rng := rand.New(rand.NewPCG(seed, 21))
-			s := newScene(map[string]allocation.TeamQuota{"a": {MaxMilliCPU: int64(20+rng.IntN(100)) * 1000}})
+			fixture := newFixture(map[string]allocation.TeamQuota{"a": {MaxMilliCPU: int64(20+rng.IntN(100)) * 1000}})
 			for i := rng.IntN(30); i >= 0; i-- {
-				m := s.machine(fmt.Sprintf("i-%02d", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y", "z"}[rng.IntN(3)], rng.IntN(2) == 0)
+				machine := fixture.addMachine(fmt.Sprintf("i-%02d", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y", "z"}[rng.IntN(3)], rng.IntN(2) == 0)
 				if rng.IntN(2) == 0 {
-					m.ImageUsedAt[fmt.Sprint("img-", rng.IntN(3))] = s.now
+					machine.ImageUsedAt[fmt.Sprint("img-", rng.IntN(3))] = fixture.now
 				}
 			}
 			var jobs []*allocation.Job
 			for i := 0; i < 1+rng.IntN(8); i++ {
-				w := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: "a", Tasks: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(1 + rng.IntN(8)),
+				spec := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: "a", Tasks: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(1 + rng.IntN(8)),
 					EstimateS: float64(5 + rng.IntN(90)), Spot: rng.IntN(2) == 0, Image: fmt.Sprint("img-", rng.IntN(3))}
 				if rng.IntN(3) == 0 {
-					w.Kind, w.EstimateS, w.Spread = wire.KindService, 0, true
+					spec.Kind, spec.EstimateS, spec.Spread = wire.KindService, 0, true
 				}
-				jobs = append(jobs, s.job(w))
+				jobs = append(jobs, fixture.addJob(spec))
 			}
-			return s, jobs
+			return fixture, jobs
 		}
-		place := func(s *scene, how func(r *round, e *entry)) map[string]string {
-			q := s.pl.queue(s.l, nil, s.now, s.now)
-			r := s.pl.round(s.l, q, s.now)
-			for _, e := range q {
-				e.limit = r.allowance(e.job)
-				how(r, e)
+		place := func(fixture *schedulerFixture, placeJob func(cycle *schedulingCycle, queued *queuedJob)) map[string]string {
+			queue := fixture.scheduler.buildQueue(fixture.tracker, nil, fixture.now, fixture.now)
+			cycle := fixture.scheduler.newCycle(fixture.tracker, queue, fixture.now)
+			for _, queued := range queue {
+				queued.taskLimit = cycle.quotaAllowance(queued.job)
+				placeJob(cycle, queued)
 			}
 			got := map[string]string{}
-			for _, j := range s.l.Jobs {
-				j.ForEachPlacement(func(p *allocation.Placement) { got[wire.TaskID(j.Spec.ID, p.TaskIndex)] = p.Machine.Name })
+			for _, job := range fixture.tracker.Jobs {
+				job.ForEachPlacement(func(placement *allocation.Placement) {
+					got[wire.TaskID(job.Spec.ID, placement.TaskIndex)] = placement.Machine.Name
+				})
 			}
 			return got
 		}
-		a, _ := build()
-		fast := place(a, func(r *round, e *entry) { r.placeTasks(e) })
-		b, _ := build()
-		plain := place(b, func(r *round, e *entry) {
-			j := e.job
+		fastFixture, _ := build()
+		fast := place(fastFixture, func(cycle *schedulingCycle, queued *queuedJob) { cycle.placeTasks(queued) })
+		plainFixture, _ := build()
+		plain := place(plainFixture, func(cycle *schedulingCycle, queued *queuedJob) {
+			job := queued.job
 			scores := map[*allocation.Machine]float64{}
-			for _, m := range r.machines {
-				scores[m] = r.score(j, m)
+			for _, machine := range cycle.machines {
+				scores[machine] = cycle.placementScore(job, machine)
 			}
-			for k := 0; k < min(len(e.tasks), e.limit); k++ {
+			for index := 0; index < min(len(queued.readyTasks), queued.taskLimit); index++ {
 				var best *allocation.Machine
-				for _, m := range r.machines {
-					if !m.IsSchedulable() || !allocation.IsEligible(j, m) || !j.Request.IsWithin(r.free(m)) {
+				for _, machine := range cycle.machines {
+					if !machine.IsSchedulable() || !allocation.IsEligible(job, machine) || !job.Request.IsWithin(cycle.freeResources(machine)) {
 						continue
 					}
-					if j.Spec.Spread && best != nil && j.CountInZone(m.Zone) > j.CountInZone(best.Zone) {
+					if job.Spec.Spread && best != nil && job.CountInZone(machine.Zone) > job.CountInZone(best.Zone) {
 						continue
 					}
-					if best == nil || j.Spec.Spread && j.CountInZone(m.Zone) < j.CountInZone(best.Zone) || scores[m] > scores[best] {
-						best = m
+					if best == nil || job.Spec.Spread && job.CountInZone(machine.Zone) < job.CountInZone(best.Zone) || scores[machine] > scores[best] {
+						best = machine
 					}
 				}
-				if best == nil || r.l.PlaceTask(j, e.tasks[k], best, r.l.NextAttempt(), r.now) != nil {
+				if best == nil || cycle.tracker.PlaceTask(job, queued.readyTasks[index], best, cycle.tracker.NextAttempt(), cycle.now) != nil {
 					return
 				}
 			}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -15,276 +15,278 @@
 // least: nothing behind it in the queue is placed there. A claim lasts one plan; the
 // next one makes it anew or drops it.
 
-// seat is a place for one task of a gang. Times are seconds from now.
-type seat struct {
-	m     *allocation.Machine
-	free  bool    // there is room now
-	ends  float64 // ready, image and all, if what is there ends by itself
-	stops float64 // ready if work is stopped for it
-	loss  float64 // seconds of a machine's work that are lost by that
-	score float64
+// gangSlot is a place for one task of a gang. Times are seconds from now.
+type gangSlot struct {
+	machine                 *allocation.Machine
+	isFree                  bool    // there is room now
+	readyInSeconds          float64 // ready, image and all, if what is there ends by itself
+	preemptedReadyInSeconds float64 // ready if work is stopped for it
+	preemptionLoss          float64 // seconds of a machine's work that are lost by that
+	score                   float64
 }
 
-// costs is what it costs to have a seat by some time.
-func (s *seat) costs(by float64) float64 {
+// costBy is what it costs to have a seat by some time.
+func (taskSlot *gangSlot) costBy(deadline float64) float64 {
 	switch {
-	case s.ends <= by:
+	case taskSlot.readyInSeconds <= deadline:
 		return 0
-	case s.stops <= by:
-		return s.loss
+	case taskSlot.preemptedReadyInSeconds <= deadline:
+		return taskSlot.preemptionLoss
 	}
 	return math.Inf(1)
 }
 
 const (
-	// drainDoubt is what forecasts of room are stretched by: they are means.
-	drainDoubt = 1.25
-	// stopTakes is how long, in seconds, a task takes to be gone that saves nothing.
-	stopTakes = 0.5
-	// stopLoss is what a stopped task loses beside its progress: it has to be placed
+	// drainMargin is what forecasts of room are stretched by: they are means.
+	drainMargin = 1.25
+	// stopSeconds is how long, in seconds, a task takes to be gone that saves nothing.
+	stopSeconds = 0.5
+	// restartLossSeconds is what a stopped task loses beside its progress: it has to be placed
 	// anew, mostly with a fetch.
-	stopLoss = 15
+	restartLossSeconds = 15
 )
 
-// seats lists where tasks of a gang could go in a zone, or anywhere.
-func (r *round) seats(e *entry, zone string) []seat {
-	j := e.job
-	var out []seat
-	for _, m := range r.machines {
-		if zone != "" && m.Zone != zone || !r.usable(m) || r.claims[m.SortIndex] || !allocation.IsEligible(j, m) {
+// gangSlots lists where tasks of a gang could go in a zone, or anywhere.
+func (cycle *schedulingCycle) gangSlots(queued *queuedJob, zone string) []gangSlot {
+	job := queued.job
+	var slots []gangSlot
+	for _, machine := range cycle.machines {
+		if zone != "" && machine.Zone != zone || !cycle.isUsable(machine) || cycle.gangReserved[machine.SortIndex] || !allocation.IsEligible(job, machine) {
 			continue
 		}
-		fetch, score := r.fetchTime(j, m), r.score(j, m)
-		room := r.free(m) // if nothing is stopped
-		var ends, vs []*allocation.Placement
-		listed := false
-		wait, loss, stopped := 0.0, 0.0, r.free(m)
-		for range r.pl.perMachine(j.Request, m.Type) {
-			s := seat{m: m, free: j.Request.IsWithin(room), ends: fetch, stops: math.Inf(1), score: score}
-			if !s.free && !listed {
-				listed = true
-				ends, vs = r.endings(m), stoppable(m, func(p *allocation.Placement) bool { return !p.IsStopping() && r.below(e, p.Job) })
-				stopped = r.room(m)
+		fetchSeconds, score := cycle.imageReadySeconds(job, machine), cycle.placementScore(job, machine)
+		freeIfDrained := cycle.freeResources(machine) // if nothing is stopped
+		var endingPlacements, victims []*allocation.Placement
+		isListed := false
+		drainSeconds, loss, freeIfPreempted := 0.0, 0.0, cycle.freeResources(machine)
+		for range cycle.scheduler.tasksPerMachine(job.Request, machine.Type) {
+			taskSlot := gangSlot{machine: machine, isFree: job.Request.IsWithin(freeIfDrained), readyInSeconds: fetchSeconds, preemptedReadyInSeconds: math.Inf(1), score: score}
+			if !taskSlot.isFree && !isListed {
+				isListed = true
+				endingPlacements, victims = cycle.placementsByEnd(machine), preemptiblePlacements(machine, func(placement *allocation.Placement) bool {
+					return !placement.IsStopping() && cycle.mayPreempt(queued, placement.Job)
+				})
+				freeIfPreempted = cycle.freeAfterStopping(machine)
 			}
-			for len(ends) > 0 && !j.Request.IsWithin(room) {
-				wait = drainDoubt * r.pl.remaining(ends[0], r.now)
-				room = room.Add(ends[0].Job.Request)
-				ends = ends[1:]
+			for len(endingPlacements) > 0 && !job.Request.IsWithin(freeIfDrained) {
+				drainSeconds = drainMargin * cycle.scheduler.remainingSeconds(endingPlacements[0], cycle.now)
+				freeIfDrained = freeIfDrained.Add(endingPlacements[0].Job.Request)
+				endingPlacements = endingPlacements[1:]
 			}
-			s.ends = wait + fetch
-			if !j.Request.IsWithin(room) {
-				s.ends = math.Inf(1)
+			taskSlot.readyInSeconds = drainSeconds + fetchSeconds
+			if !job.Request.IsWithin(freeIfDrained) {
+				taskSlot.readyInSeconds = math.Inf(1)
 			}
-			for len(vs) > 0 && !j.Request.IsWithin(stopped) {
-				loss += r.lost(vs[0])
-				stopped = stopped.Add(vs[0].Job.Request)
-				vs = vs[1:]
+			for len(victims) > 0 && !job.Request.IsWithin(freeIfPreempted) {
+				loss += cycle.preemptionLoss(victims[0])
+				freeIfPreempted = freeIfPreempted.Add(victims[0].Job.Request)
+				victims = victims[1:]
 			}
-			if j.Request.IsWithin(stopped) {
-				s.stops, s.loss = stopTakes+fetch, loss
+			if job.Request.IsWithin(freeIfPreempted) {
+				taskSlot.preemptedReadyInSeconds, taskSlot.preemptionLoss = stopSeconds+fetchSeconds, loss
 			}
-			if math.IsInf(min(s.ends, s.stops), 1) {
+			if math.IsInf(min(taskSlot.readyInSeconds, taskSlot.preemptedReadyInSeconds), 1) {
 				break
 			}
-			room, stopped = room.Sub(j.Request), stopped.Sub(j.Request)
-			out = append(out, s)
+			freeIfDrained, freeIfPreempted = freeIfDrained.Sub(job.Request), freeIfPreempted.Sub(job.Request)
+			slots = append(slots, taskSlot)
 		}
 	}
-	return out
+	return slots
 }
 
-// endings lists what is on a machine, what ends first first.
-func (r *round) endings(m *allocation.Machine) []*allocation.Placement {
+// placementsByEnd lists what is on a machine, what ends first first.
+func (cycle *schedulingCycle) placementsByEnd(machine *allocation.Machine) []*allocation.Placement {
 	var out []*allocation.Placement
-	m.ForEachPlacement(func(p *allocation.Placement) {
-		if !p.Job.IsService() || p.IsStopping() {
-			out = append(out, p)
+	machine.ForEachPlacement(func(placement *allocation.Placement) {
+		if !placement.Job.IsService() || placement.IsStopping() {
+			out = append(out, placement)
 		}
 	})
 	slices.SortFunc(out, func(a, b *allocation.Placement) int {
-		return cmp.Or(cmp.Compare(r.pl.remaining(a, r.now), r.pl.remaining(b, r.now)), cmp.Compare(a.TaskIndex, b.TaskIndex))
+		return cmp.Or(cmp.Compare(cycle.scheduler.remainingSeconds(a, cycle.now), cycle.scheduler.remainingSeconds(b, cycle.now)), cmp.Compare(a.TaskIndex, b.TaskIndex))
 	})
 	return out
 }
 
-// lost is what stopping a task loses, in seconds of its machine: its run since the
+// preemptionLoss is what stopping a task loses, in seconds of its machine: its run since the
 // last checkpoint, and a new start.
-func (r *round) lost(p *allocation.Placement) float64 {
-	run := r.pl.ran(p, r.now)
-	if ck := p.Job.Spec.CheckpointS; ck > 0 {
-		run = min(run, ck)
+func (cycle *schedulingCycle) preemptionLoss(placement *allocation.Placement) float64 {
+	elapsed := cycle.scheduler.elapsedSeconds(placement, cycle.now)
+	if checkpointInterval := placement.Job.Spec.CheckpointS; checkpointInterval > 0 {
+		elapsed = min(elapsed, checkpointInterval)
 	}
-	return (run + stopLoss) * part(p.Job.Request, p.Machine.Capacity)
+	return (elapsed + restartLossSeconds) * dominantShare(placement.Job.Request, placement.Machine.Capacity)
 }
 
-// fetchTime is how long, in seconds, a machine takes until it has a job's image:
+// imageReadySeconds is how long, in seconds, a machine takes until it has a job's image:
 // fetches share its rate.
-func (r *round) fetchTime(j *allocation.Job, m *allocation.Machine) float64 {
-	if _, ok := m.ImageUsedAt[j.Spec.Image]; ok {
+func (cycle *schedulingCycle) imageReadySeconds(job *allocation.Job, machine *allocation.Machine) float64 {
+	if _, ok := machine.ImageUsedAt[job.Spec.Image]; ok {
 		return 0
 	}
-	fetch := r.pl.fetch(j, m.Type)
-	if m.IsFetching(j.Spec.Image) {
-		return fetch / 2 // under way, for how long is not known
+	fetchSeconds := cycle.scheduler.imageFetchSeconds(job, machine.Type)
+	if machine.IsFetching(job.Spec.Image) {
+		return fetchSeconds / 2 // under way, for how long is not known
 	}
-	return fetch * float64(1+m.FetchCount())
+	return fetchSeconds * float64(1+machine.FetchCount())
 }
 
-// seated picks the cheapest seats that are ready by some time for all tasks of a
+// cheapestSlots picks the cheapest seats that are ready by some time for all tasks of a
 // gang, and of equal ones the best; nil if there are not enough.
-func seated(e *entry, seats []seat, by float64) (pick []seat, loss float64) {
-	j, n := e.job, len(e.tasks)
-	for _, s := range seats {
-		if !math.IsInf(s.costs(by), 1) {
-			pick = append(pick, s)
+func cheapestSlots(queued *queuedJob, slots []gangSlot, readyBy float64) (selected []gangSlot, loss float64) {
+	job, taskCount := queued.job, len(queued.readyTasks)
+	for _, taskSlot := range slots {
+		if !math.IsInf(taskSlot.costBy(readyBy), 1) {
+			selected = append(selected, taskSlot)
 		}
 	}
-	if len(pick) < n {
+	if len(selected) < taskCount {
 		return nil, 0
 	}
-	slices.SortFunc(pick, func(a, b seat) int {
-		return cmp.Or(cmp.Compare(a.costs(by), b.costs(by)), -cmp.Compare(a.score, b.score), cmp.Compare(a.m.SortIndex, b.m.SortIndex))
+	slices.SortFunc(selected, func(a, b gangSlot) int {
+		return cmp.Or(cmp.Compare(a.costBy(readyBy), b.costBy(readyBy)), -cmp.Compare(a.score, b.score), cmp.Compare(a.machine.SortIndex, b.machine.SortIndex))
 	})
 	zones := map[string]int{}
-	out := pick[:0]
-	for _, s := range pick {
-		if len(out) == n {
+	chosen := selected[:0]
+	for _, taskSlot := range selected {
+		if len(chosen) == taskCount {
 			break
 		}
-		if j.Spec.Spread && j.CountInZone(s.m.Zone)+zones[s.m.Zone] >= j.MaxTasksPerZone() {
+		if job.Spec.Spread && job.CountInZone(taskSlot.machine.Zone)+zones[taskSlot.machine.Zone] >= job.MaxTasksPerZone() {
 			continue
 		}
-		zones[s.m.Zone]++
-		loss += s.costs(by)
-		out = append(out, s)
+		zones[taskSlot.machine.Zone]++
+		loss += taskSlot.costBy(readyBy)
+		chosen = append(chosen, taskSlot)
 	}
-	if len(out) < n {
+	if len(chosen) < taskCount {
 		return nil, 0
 	}
-	return out, loss
+	return chosen, loss
 }
 
-// cheapest weighs, for a gang, every second that it waits against the work that is
+// chooseSlots weighs, for a gang, every second that it waits against the work that is
 // stopped to have it wait less.
-func (r *round) cheapest(e *entry, seats []seat) (best []seat, by, cost float64) {
-	n := float64(len(e.job.Tasks)) // all of them wait
-	bound := r.claimFor(e.job, seats)
+func (cycle *schedulingCycle) chooseSlots(queued *queuedJob, slots []gangSlot) (best []gangSlot, readyBy, cost float64) {
+	taskCount := float64(len(queued.job.Tasks)) // all of them wait
+	maxSeconds := cycle.maxReservationSeconds(queued.job, slots)
 	var times []float64
-	for i := range seats {
-		for _, t := range []float64{seats[i].ends, seats[i].stops} {
-			if t <= bound || e.aged && !math.IsInf(t, 1) {
-				times = append(times, math.Ceil(t))
+	for i := range slots {
+		for _, seconds := range []float64{slots[i].readyInSeconds, slots[i].preemptedReadyInSeconds} {
+			if seconds <= maxSeconds || queued.isAged && !math.IsInf(seconds, 1) {
+				times = append(times, math.Ceil(seconds))
 			}
 		}
 	}
 	slices.Sort(times)
 	cost = math.Inf(1)
-	for _, t := range slices.Compact(times) {
-		wait := r.pl.P.GangWeight * n * t
+	for _, seconds := range slices.Compact(times) {
+		wait := cycle.scheduler.Settings.GangWaitWeight * taskCount * seconds
 		if wait >= cost {
 			break // later is dearer, whatever is stopped
 		}
-		if pick, loss := seated(e, seats, t); pick != nil && wait+loss < cost {
-			best, by, cost = pick, t, wait+loss
+		if selected, loss := cheapestSlots(queued, slots, seconds); selected != nil && wait+loss < cost {
+			best, readyBy, cost = selected, seconds, wait+loss
 		}
 	}
-	return best, by, cost
+	return best, readyBy, cost
 }
 
-// claimFor bounds, in seconds, how long a gang may keep room from others: as long as
+// maxReservationSeconds bounds, in seconds, how long a gang may keep room from others: as long as
 // a machine rented now would take to be ready.
-func (r *round) claimFor(j *allocation.Job, seats []seat) float64 {
-	typ := seats[0].m.Type
-	return r.pl.BootTime(typ, 50).Seconds() + r.pl.fetch(j, typ)
+func (cycle *schedulingCycle) maxReservationSeconds(job *allocation.Job, slots []gangSlot) float64 {
+	typeName := slots[0].machine.Type
+	return cycle.scheduler.BootTime(typeName, 50).Seconds() + cycle.scheduler.imageFetchSeconds(job, typeName)
 }
 
 // placeGang places all tasks of a gang, or all that it has lost before it was
 // complete, or none. It may claim room instead.
-func (r *round) placeGang(e *entry) int {
-	j := e.job
-	if len(e.tasks) != j.WaitingCount() || e.limit < len(e.tasks) {
+func (cycle *schedulingCycle) placeGang(queued *queuedJob) int {
+	job := queued.job
+	if len(queued.readyTasks) != job.WaitingCount() || queued.taskLimit < len(queued.readyTasks) {
 		return 0
 	}
 	zones := []string{""}
-	if j.Spec.OneZone {
-		zones = r.pl.Zones
+	if job.Spec.OneZone {
+		zones = cycle.scheduler.Zones
 	}
-	var best []seat
-	by, cost := 0.0, math.Inf(1)
-	for _, z := range zones {
-		seats := r.seats(e, z)
-		if len(seats) < len(e.tasks) {
+	var best []gangSlot
+	bestReadyBy, cost := 0.0, math.Inf(1)
+	for _, zone := range zones {
+		slots := cycle.gangSlots(queued, zone)
+		if len(slots) < len(queued.readyTasks) {
 			continue
 		}
-		if pick, t, c := r.cheapest(e, seats); c < cost {
-			best, by, cost = pick, t, c
+		if selected, readyBy, selectedCost := cycle.chooseSlots(queued, slots); selectedCost < cost {
+			best, bestReadyBy, cost = selected, readyBy, selectedCost
 		}
 	}
 	switch {
 	case best == nil:
 		return 0
-	case !slices.ContainsFunc(best, func(s seat) bool { return !s.free }):
-		return r.seat(e, best)
+	case !slices.ContainsFunc(best, func(taskSlot gangSlot) bool { return !taskSlot.isFree }):
+		return cycle.placeOnSlots(queued, best)
 	}
-	r.claimSeats(e, best, by)
+	cycle.reserveSlots(queued, best, bestReadyBy)
 	return 0
 }
 
-// claimSeats keeps room for a gang, and stops what has to be stopped to have it by
+// reserveSlots keeps room for a gang, and stops what has to be stopped to have it by
 // then. Nothing is rented for the gang as long as it has a claim.
-func (r *round) claimSeats(e *entry, seats []seat, by float64) {
-	e.claims = true
-	need := e.job.Request
-	taken := map[*allocation.Machine]int{}
-	for _, s := range seats {
-		taken[s.m]++
+func (cycle *schedulingCycle) reserveSlots(queued *queuedJob, slots []gangSlot, readyBy float64) {
+	queued.hasReservation = true
+	need := queued.job.Request
+	slotsByMachine := map[*allocation.Machine]int{}
+	for _, taskSlot := range slots {
+		slotsByMachine[taskSlot.machine]++
 	}
-	for _, s := range seats {
-		m := s.m
-		if r.claims[m.SortIndex] {
+	for _, taskSlot := range slots {
+		machine := taskSlot.machine
+		if cycle.gangReserved[machine.SortIndex] {
 			continue
 		}
-		r.claims[m.SortIndex] = true
-		want := need.Times(taken[m])
-		fetch := r.fetchTime(e.job, m)
-		have := r.room(m)
-		for _, p := range r.endings(m) {
-			if !p.IsStopping() && drainDoubt*r.pl.remaining(p, r.now)+fetch <= by {
-				have = have.Add(p.Job.Request)
+		cycle.gangReserved[machine.SortIndex] = true
+		wanted := need.Times(slotsByMachine[machine])
+		fetchSeconds := cycle.imageReadySeconds(queued.job, machine)
+		available := cycle.freeAfterStopping(machine)
+		for _, placement := range cycle.placementsByEnd(machine) {
+			if !placement.IsStopping() && drainMargin*cycle.scheduler.remainingSeconds(placement, cycle.now)+fetchSeconds <= readyBy {
+				available = available.Add(placement.Job.Request)
 			}
 		}
-		for _, p := range stoppable(m, func(p *allocation.Placement) bool {
-			return !p.IsStopping() && r.below(e, p.Job) && drainDoubt*r.pl.remaining(p, r.now)+fetch > by
+		for _, placement := range preemptiblePlacements(machine, func(placement *allocation.Placement) bool {
+			return !placement.IsStopping() && cycle.mayPreempt(queued, placement.Job) && drainMargin*cycle.scheduler.remainingSeconds(placement, cycle.now)+fetchSeconds > readyBy
 		}) {
-			if want.IsWithin(have) {
+			if wanted.IsWithin(available) {
 				break
 			}
-			r.stop(p)
-			have = have.Add(p.Job.Request)
+			cycle.stopPlacement(placement)
+			available = available.Add(placement.Job.Request)
 		}
-		free := m.Free()
-		r.held[m.SortIndex] = allocation.Resources{MilliCPU: min(want.MilliCPU, free.MilliCPU), MilliGPU: min(want.MilliGPU, free.MilliGPU), MemoryMB: min(want.MemoryMB, free.MemoryMB)}
+		free := machine.Free()
+		cycle.reserved[machine.SortIndex] = allocation.Resources{MilliCPU: min(wanted.MilliCPU, free.MilliCPU), MilliGPU: min(wanted.MilliGPU, free.MilliGPU), MemoryMB: min(wanted.MemoryMB, free.MemoryMB)}
 	}
 }
 
-// seat places a gang on seats that are free.
-func (r *round) seat(e *entry, seats []seat) int {
-	j := e.job
-	if !j.StartsRecorded {
-		for _, s := range seats {
-			r.hold(s.m, j.Request)
+// placeOnSlots places a gang on seats that are free.
+func (cycle *schedulingCycle) placeOnSlots(queued *queuedJob, slots []gangSlot) int {
+	job := queued.job
+	if !job.StartsRecorded {
+		for _, taskSlot := range slots {
+			cycle.reserve(taskSlot.machine, job.Request)
 		}
-		return len(seats)
+		return len(slots)
 	}
-	attempt := j.GangAttempt
+	attempt := job.GangAttempt
 	if attempt == 0 {
-		attempt = r.l.NextAttempt()
+		attempt = cycle.tracker.NextAttempt()
 	}
-	for k, s := range seats {
-		if r.l.PlaceTask(j, e.tasks[k], s.m, attempt, r.now) != nil {
-			r.l.StopJob(j, 0) // cannot start whole; what was decided is undone
+	for index, taskSlot := range slots {
+		if cycle.tracker.PlaceTask(job, queued.readyTasks[index], taskSlot.machine, attempt, cycle.now) != nil {
+			cycle.tracker.StopJob(job, 0) // cannot start whole; what was decided is undone
 			return 0
 		}
 	}
-	return len(seats)
+	return len(slots)
 }
--- a/internal/scheduler/guarantee_test.go
+++ b/internal/scheduler/quota_test.go
@@ -11,10 +11,10 @@
 // A guarantee of 0 is none, in each dimension for itself: it covers nothing and
 // bounds nothing. Guarantees in cards alone once covered no job at all, since all
 // take processors too.
-func TestGuaranteesInEachDimension(t *testing.T) {
+func TestQuotaEntitlementsPerResource(t *testing.T) {
 	both := wire.Job{Tasks: 2, CPUs: 4, GPUs: 1}
 	cpus := wire.Job{Tasks: 2, CPUs: 4}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name string
 		team allocation.TeamQuota
 		jobs []wire.Job
@@ -28,16 +28,16 @@
 		{"both, processors short", allocation.TeamQuota{GuaranteedMilliCPU: 8000, GuaranteedMilliGPU: 8000}, []wire.Job{both, both}, []bool{true, false}},
 		{"what comes after one that is too large", allocation.TeamQuota{GuaranteedMilliGPU: 3000}, []wire.Job{{Tasks: 4, GPUs: 1}, both}, []bool{false, false}},
 	} {
-		s := newScene(map[string]allocation.TeamQuota{"a": c.team})
+		fixture := newFixture(map[string]allocation.TeamQuota{"a": testCase.team})
 		var jobs []*allocation.Job
-		for i, w := range c.jobs {
-			w.ID, w.Team = fmt.Sprintf("req-%06d", i), "a"
-			jobs = append(jobs, s.job(w))
+		for i, spec := range testCase.jobs {
+			spec.ID, spec.Team = fmt.Sprintf("req-%06d", i), "a"
+			jobs = append(jobs, fixture.addJob(spec))
 		}
-		owed := s.pl.owed(s.l)
-		for i, j := range jobs {
-			if owed[j] != c.want[i] {
-				t.Errorf("%s: job %d owed: %v, want %v", c.name, i, owed[j], c.want[i])
+		entitled := fixture.scheduler.quotaEntitlements(fixture.tracker)
+		for i, job := range jobs {
+			if entitled[job] != testCase.want[i] {
+				t.Errorf("%s: job %d owed: %v, want %v", testCase.name, i, entitled[job], testCase.want[i])
 			}
 		}
 	}
@@ -45,9 +45,9 @@
 
 // A machine is as full as what is shortest on it: with all cards taken there is no
 // room on it, however many processors are left, and no spare to count on.
-func TestRoomIsWhatIsShortest(t *testing.T) {
+func TestFreeFractionIsThatOfScarcestResource(t *testing.T) {
 	size := allocation.Resources{MilliCPU: 12000, MilliGPU: 2000, MemoryMB: 96000}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		used allocation.Resources
 		want float64
 	}{
@@ -56,42 +56,42 @@
 		{allocation.Resources{MilliCPU: 10000, MilliGPU: 2000, MemoryMB: 72000}, 0},
 		{allocation.Resources{MilliCPU: 3000, MemoryMB: 72000}, 0.25},
 	} {
-		if got := openPart(size.Sub(c.used), size); !near(got, c.want) {
-			t.Errorf("%v of %v used: %v is open, want %v", c.used, size, got, c.want)
+		if got := freeFraction(size.Sub(testCase.used), size); !isAlmostEqual(got, testCase.want) {
+			t.Errorf("%v of %v used: %v is open, want %v", testCase.used, size, got, testCase.want)
 		}
 	}
-	if got := openPart(allocation.Resources{MilliCPU: 4000}, allocation.Resources{MilliCPU: 16000}); !near(got, 0.25) {
+	if got := freeFraction(allocation.Resources{MilliCPU: 4000}, allocation.Resources{MilliCPU: 16000}); !isAlmostEqual(got, 0.25) {
 		t.Errorf("a machine without cards: %v", got)
 	}
 }
 
 // What was begun because it had waited too long is not stopped for what a guarantee
 // covers: else each plan places it, and stops it again.
-func TestNothingIsPlacedOnlyToBeStopped(t *testing.T) {
-	s := newScene(map[string]allocation.TeamQuota{"a": {}, "b": {GuaranteedMilliGPU: 100000}})
-	m := s.machine("i-0", "big", "x", false)
-	for _, z := range s.pl.Zones {
-		s.pl.pool(Pool{"big", z, false}).blockedUntil = 1e15
+func TestAgedWorkIsNotPreemptedForQuota(t *testing.T) {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {GuaranteedMilliGPU: 100000}})
+	machine := fixture.addMachine("i-0", "big", "x", false)
+	for _, zone := range fixture.scheduler.Zones {
+		fixture.scheduler.backoffFor(Pool{"big", zone, false}).backoffUntil = 1e15
 	}
-	old := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
-	s.now += s.pl.P.AgeAfter
-	owed := s.job(wire.Job{ID: "req-000002", Team: "b", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
+	agedJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
+	fixture.now += fixture.scheduler.Settings.AgingThreshold
+	entitledJob := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
 	for range 3 {
-		s.plan()
-		s.shows(m, wire.TaskRunning)
-		if old.ActiveCount() != 2 || stopping(old) != 0 || owed.ActiveCount() != 0 {
-			t.Fatalf("%d old tasks are placed, %d of them stopping, %d owed ones placed", old.ActiveCount(), stopping(old), owed.ActiveCount())
+		fixture.plan()
+		fixture.reportTasks(machine, wire.TaskRunning)
+		if agedJob.ActiveCount() != 2 || stoppingCount(agedJob) != 0 || entitledJob.ActiveCount() != 0 {
+			t.Fatalf("%d old tasks are placed, %d of them stopping, %d owed ones placed", agedJob.ActiveCount(), stoppingCount(agedJob), entitledJob.ActiveCount())
 		}
 	}
 	// Other work beyond a guarantee does give way.
-	s = newScene(map[string]allocation.TeamQuota{"a": {}, "b": {GuaranteedMilliGPU: 100000}})
-	m = s.machine("i-0", "big", "x", false)
-	young := s.job(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
-	s.plan()
-	s.shows(m, wire.TaskRunning)
-	s.job(wire.Job{ID: "req-000002", Team: "b", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
-	s.plan()
-	if stopping(young) != 2 {
-		t.Fatalf("%d tasks are stopped for a guarantee of two", stopping(young))
+	fixture = newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {GuaranteedMilliGPU: 100000}})
+	machine = fixture.addMachine("i-0", "big", "x", false)
+	youngJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
+	fixture.plan()
+	fixture.reportTasks(machine, wire.TaskRunning)
+	fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
+	fixture.plan()
+	if stoppingCount(youngJob) != 2 {
+		t.Fatalf("%d tasks are stopped for a guarantee of two", stoppingCount(youngJob))
 	}
 }
--- /dev/null
+++ b/internal/scheduler/scheduler.go
@@ -0,0 +1,262 @@
+package scheduler
+
+import (
+	"maps"
+	"math"
+	"slices"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// Pool is what the cloud rents from: a type, a zone, a kind.
+type Pool struct {
+	Type, Zone string
+	Spot       bool
+}
+
+// poolBackoff is what refusals have taught of a pool.
+type poolBackoff struct {
+	backoffUntil   clock.Micros
+	emptyResponses int
+}
+
+// Scheduler holds what is learnt.
+type Scheduler struct {
+	Settings     Settings
+	MachineTypes map[string]wire.MachineType
+	Teams        map[string]allocation.TeamQuota
+	Zones        []string
+
+	// CompletionObjectives are the times within which users expect jobs to be done, in seconds
+	// by class, where a job has no deadline of its own.
+	CompletionObjectives map[string]float64
+	// HeartbeatWindow is how long ago a machine that can be heard may have reported last;
+	// Since is when this leader took over, Awake since when it has been able to
+	// hear.
+	HeartbeatWindow, TermStartedAt, ResumedAt clock.Micros
+	// DelegatedZones are the zones in which somebody can keep leases alive in a cut; nil
+	// where nobody can anywhere.
+	DelegatedZones map[string]bool
+	// WaitObjectives are the shortest waits that users expect, in seconds by class.
+	WaitObjectives map[string]float64
+
+	runTimes       map[string]*RunTimeModel
+	spotDemand     DemandModel
+	ordinaryDemand DemandModel
+	bootTimes      map[string]*bootTimeStats
+	poolBackoffs   map[Pool]*poolBackoff
+
+	// Memory that plans use again.
+	reservedBuffer     []allocation.Resources
+	busyBuffer         []float64
+	gangReservedBuffer []bool
+}
+
+// New makes a planner that has learnt nothing.
+func New(settings Settings, types []wire.MachineType, teams map[string]allocation.TeamQuota, zones []string) *Scheduler {
+	scheduler := &Scheduler{
+		Settings: settings, MachineTypes: map[string]wire.MachineType{}, Teams: teams, Zones: zones,
+		runTimes: map[string]*RunTimeModel{}, bootTimes: map[string]*bootTimeStats{}, poolBackoffs: map[Pool]*poolBackoff{},
+	}
+	for _, machineType := range types {
+		scheduler.MachineTypes[machineType.Name] = machineType
+	}
+	return scheduler
+}
+
+// RunTimeModel returns the run times of a class.
+func (scheduler *Scheduler) RunTimeModel(name string) *RunTimeModel {
+	model := scheduler.runTimes[name]
+	if model == nil {
+		model = &RunTimeModel{}
+		scheduler.runTimes[name] = model
+	}
+	return model
+}
+
+// RunTimeClasses lists the classes of which run times are known.
+func (scheduler *Scheduler) RunTimeClasses() []string {
+	return slices.Sorted(maps.Keys(scheduler.runTimes))
+}
+
+func (scheduler *Scheduler) demandFor(job *allocation.Job) *DemandModel {
+	if job.Spec.Spot {
+		return &scheduler.spotDemand
+	}
+	return &scheduler.ordinaryDemand
+}
+
+// MachineCapacity is what a machine of a type holds.
+func (scheduler *Scheduler) MachineCapacity(typeName string) allocation.Resources {
+	machineType := scheduler.MachineTypes[typeName]
+	return allocation.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
+}
+
+// tasksPerMachine is how many tasks of a job a machine of a type holds.
+func (scheduler *Scheduler) tasksPerMachine(need allocation.Resources, typeName string) int {
+	size := scheduler.MachineCapacity(typeName)
+	n := math.MaxInt32
+	for _, dimension := range [][2]int64{{need.MilliCPU, size.MilliCPU}, {need.MilliGPU, size.MilliGPU}, {need.MemoryMB, size.MemoryMB}} {
+		if dimension[0] > 0 {
+			n = min(n, int(dimension[1]/dimension[0]))
+		}
+	}
+	return n
+}
+
+// machineShare is how much of machines a job takes in all, of the type that holds most
+// of its tasks.
+func (scheduler *Scheduler) machineShare(job *allocation.Job) float64 {
+	maxPerMachine := 0
+	for typeName := range scheduler.MachineTypes {
+		if job.Spec.Types == nil || slices.Contains(job.Spec.Types, typeName) {
+			maxPerMachine = max(maxPerMachine, scheduler.tasksPerMachine(job.Request, typeName))
+		}
+	}
+	return float64(len(job.Tasks)) / float64(max(maxPerMachine, 1))
+}
+
+// MachinesNeeded is a job's need in machines of the type that holds most of it.
+func (scheduler *Scheduler) MachinesNeeded(job *allocation.Job) int {
+	return max(int(math.Ceil(scheduler.machineShare(job)-1e-9)), 1)
+}
+
+// ObserveArrival takes a new job.
+func (scheduler *Scheduler) ObserveArrival(job *allocation.Job, now clock.Micros) {
+	if waitObjective, ok := scheduler.WaitObjectives[job.Spec.Class]; ok {
+		demand := scheduler.demandFor(job)
+		if demand.waitObjective == 0 || waitObjective < demand.waitObjective {
+			demand.waitObjective = waitObjective
+		}
+	}
+	scheduler.demandFor(job).ObserveArrival(now, scheduler.MachinesNeeded(job), scheduler.machineShare(job), &scheduler.Settings)
+}
+
+// ObserveTaskRun takes a task's run time.
+func (scheduler *Scheduler) ObserveTaskRun(job *allocation.Job, seconds float64, now clock.Micros) {
+	scheduler.RunTimeModel(job.Spec.Class).Observe(job.Spec.EstimateS, seconds, scheduler.Settings.RunTimeSmoothing)
+	scheduler.demandFor(job).ObserveTaskRun(seconds, &scheduler.Settings)
+}
+
+// ObserveJobRun takes a job's run time, the mean of its tasks'. The screen rests on jobs, as
+// arrivals do: the tasks of an array are no draws of their own, and a thousand of
+// them from a few jobs never fit anything.
+func (scheduler *Scheduler) ObserveJobRun(job *allocation.Job, seconds float64, now clock.Micros) {
+	scheduler.demandFor(job).JobRunTimes.Add(now, seconds)
+}
+
+// BootTimeout is how long a machine may boot before it is given up.
+func (scheduler *Scheduler) BootTimeout(typeName string) clock.Micros {
+	return 2*scheduler.BootTime(typeName, 95) + 2*clock.Second
+}
+
+// ObserveEmptyPool takes an empty pool; it is left alone for a growing while.
+func (scheduler *Scheduler) ObserveEmptyPool(pool Pool, now clock.Micros) {
+	backoff := scheduler.backoffFor(pool)
+	backoff.emptyResponses++
+	backoffDuration := min(clock.Second<<min(backoff.emptyResponses, 5), 20*clock.Second)
+	backoff.backoffUntil = now + backoffDuration
+}
+
+// ObserveFilled takes how much of a rental was filled.
+func (scheduler *Scheduler) ObserveFilled(pool Pool, requested, filled int, now clock.Micros) {
+	backoff := scheduler.backoffFor(pool)
+	if filled >= requested {
+		backoff.emptyResponses, backoff.backoffUntil = 0, 0
+		return
+	}
+	scheduler.ObserveEmptyPool(pool, now)
+}
+
+func (scheduler *Scheduler) backoffFor(pool Pool) *poolBackoff {
+	backoff := scheduler.poolBackoffs[pool]
+	if backoff == nil {
+		backoff = &poolBackoff{}
+		scheduler.poolBackoffs[pool] = backoff
+	}
+	return backoff
+}
+
+// remainingSeconds predicts the rest of a placement's run, in seconds.
+func (scheduler *Scheduler) remainingSeconds(placement *allocation.Placement, now clock.Micros) float64 {
+	if placement.Job.IsService() {
+		return math.Inf(1)
+	}
+	if placement.IsStopping() {
+		return 0.5
+	}
+	if placement.ForecastMadeAt != 0 && now-placement.ForecastMadeAt < forecastTTL && placement.ForecastEndAt > now {
+		return (placement.ForecastEndAt - now).Seconds()
+	}
+	seconds := scheduler.estimateRemainingSeconds(placement, now)
+	placement.ForecastEndAt, placement.ForecastMadeAt = now+clock.FromSeconds(seconds), now
+	return seconds
+}
+
+// forecastTTL is how long a forecast is good for. Thousands of tasks run at a
+// time, and what is known of one changes little within a second.
+const forecastTTL = 1 * clock.Second
+
+func (scheduler *Scheduler) estimateRemainingSeconds(placement *allocation.Placement, now clock.Micros) float64 {
+	job := placement.Job
+	savedSeconds := job.Tasks[placement.TaskIndex].CheckpointedSeconds
+	if job.IsGang() {
+		savedSeconds = job.CheckpointedSeconds
+	}
+	if placement.StartedAt == 0 {
+		return scheduler.imageFetchSeconds(job, placement.Machine.Type) + max(scheduler.predictedRunSeconds(job)-savedSeconds, 0)
+	}
+	elapsed := savedSeconds
+	if placement.RunningAt != 0 {
+		elapsed += (now - placement.RunningAt).Seconds()
+	}
+	return scheduler.RunTimeModel(job.Spec.Class).RemainingSeconds(job.Spec.EstimateS, elapsed)
+}
+
+// elapsedSeconds is for how long, in seconds, a placement has had its place. One that an earlier
+// leader began was found at any time of its run: in the mean half of it is over.
+func (scheduler *Scheduler) elapsedSeconds(placement *allocation.Placement, now clock.Micros) float64 {
+	elapsed := (now - placement.CreatedAt).Seconds()
+	if placement.Adopted && !placement.Job.IsService() {
+		elapsed += scheduler.predictedRunSeconds(placement.Job) / 2
+	}
+	return elapsed
+}
+
+// predictedRunSeconds predicts how long a task of a job runs (46).
+func (scheduler *Scheduler) predictedRunSeconds(job *allocation.Job) float64 {
+	return scheduler.RunTimeModel(job.Spec.Class).PredictedSeconds(job.Spec.EstimateS)
+}
+
+// imageFetchSeconds is how long, in seconds, a machine of a type takes to fetch a job's image.
+func (scheduler *Scheduler) imageFetchSeconds(job *allocation.Job, typeName string) float64 {
+	if machineType, ok := scheduler.MachineTypes[typeName]; ok && machineType.FetchGBPerS > 0 {
+		return job.Spec.ImageGB / machineType.FetchGBPerS
+	}
+	return 0
+}
+
+// hasRecentHeartbeat tells whether a machine has reported lately, as far as this leader could
+// have heard it.
+func (scheduler *Scheduler) hasRecentHeartbeat(machine *allocation.Machine, now clock.Micros) bool {
+	return now-max(machine.LastHeartbeatAt, scheduler.TermStartedAt, scheduler.ResumedAt) <= scheduler.HeartbeatWindow
+}
+
+// SetMachineTypes takes what the cloud has on offer.
+func (scheduler *Scheduler) SetMachineTypes(types []wire.MachineType) {
+	scheduler.MachineTypes = map[string]wire.MachineType{}
+	for _, machineType := range types {
+		scheduler.MachineTypes[machineType.Name] = machineType
+	}
+}
+
+// RemainingRun predicts how long a placement will still run.
+func (scheduler *Scheduler) RemainingRun(placement *allocation.Placement, now clock.Micros) clock.Micros {
+	seconds := scheduler.remainingSeconds(placement, now)
+	if math.IsInf(seconds, 1) || seconds > 1e6 {
+		return math.MaxInt64
+	}
+	return clock.FromSeconds(seconds)
+}
--- a/internal/scheduler/spares.go
+++ b/internal/scheduler/spares.go
@@ -9,279 +9,283 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// spares chooses the spare target of each kind, rents what it lacks, and gives
+// planSpares chooses the spare target of each kind, rents what it lacks, and gives
 // back what has been idle for long and is not wanted.
-func (r *round) spares(q []*entry, hires []Hire, d *Decision) {
-	keep := 0
-	d.Spot, keep = r.spareTarget(&r.pl.spot, true, q, hires, d)
-	r.giveBack(true, keep, d)
-	d.Ordinary, keep = r.spareTarget(&r.pl.ordinary, false, q, hires, d)
-	r.giveBack(false, keep, d)
-	if len(q) == 0 && len(hires) == 0 {
-		d.Drain = r.consolidate(keep)
+func (cycle *schedulingCycle) planSpares(queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) {
+	idleToKeep := 0
+	decision.SpotSpares, idleToKeep = cycle.planSpareTarget(&cycle.scheduler.spotDemand, true, queue, pendingScaleOuts, decision)
+	cycle.planScaleIn(true, idleToKeep, decision)
+	decision.OrdinarySpares, idleToKeep = cycle.planSpareTarget(&cycle.scheduler.ordinaryDemand, false, queue, pendingScaleOuts, decision)
+	cycle.planScaleIn(false, idleToKeep, decision)
+	if len(queue) == 0 && len(pendingScaleOuts) == 0 {
+		decision.Drain = cycle.chooseConsolidation(idleToKeep)
 	}
 }
 
-// pressing tells whether users expect starts of this kind of demand sooner
+// needsWarmSpares tells whether users expect starts of this kind of demand sooner
 // than a machine boots. Only then is an idle machine worth its price; where
 // they wait longer than a boot anyway, a machine rented on arrival does.
-func (pl *Planner) pressing(dm *Demand, boot clock.Micros) bool {
-	return dm.wait == 0 && len(pl.Waits) == 0 || dm.wait > 0 && dm.wait < boot.Seconds()
+func (scheduler *Scheduler) needsWarmSpares(demand *DemandModel, boot clock.Micros) bool {
+	return demand.waitObjective == 0 && len(scheduler.WaitObjectives) == 0 || demand.waitObjective > 0 && demand.waitObjective < boot.Seconds()
 }
 
-// part is how much of a machine a need takes, of what it takes most of.
-func part(need, size allocation.Resources) float64 {
-	most := 0.0
-	for _, d := range [][2]int64{{need.MilliCPU, size.MilliCPU}, {need.MilliGPU, size.MilliGPU}, {need.MemoryMB, size.MemoryMB}} {
-		if d[1] > 0 {
-			most = max(most, float64(d[0])/float64(d[1]))
+// dominantShare is how much of a machine a need takes, of what it takes most of.
+func dominantShare(need, size allocation.Resources) float64 {
+	share := 0.0
+	for _, dimension := range [][2]int64{{need.MilliCPU, size.MilliCPU}, {need.MilliGPU, size.MilliGPU}, {need.MemoryMB, size.MemoryMB}} {
+		if dimension[1] > 0 {
+			share = max(share, float64(dimension[0])/float64(dimension[1]))
 		}
 	}
-	return most
+	return share
 }
 
-// openPart is how much of a machine is left for others: of what is shortest on it.
+// freeFraction is how much of a machine is left for others: of what is shortest on it.
 // Reckoned in processors alone, machines whose cards were all taken once counted as
 // room for spares.
-func openPart(free, size allocation.Resources) float64 { return max(1-part(size.Sub(free), size), 0) }
+func freeFraction(free, size allocation.Resources) float64 {
+	return max(1-dominantShare(size.Sub(free), size), 0)
+}
 
-// settledFor is how long a replica has to run before it may be moved.
-const settledFor = 45 * clock.Second
+// minConsolidationAge is how long a replica has to run before it may be moved.
+const minConsolidationAge = 45 * clock.Second
 
-// consolidate picks an ordinary machine that is at most half used by replicas
+// chooseConsolidation picks an ordinary machine that is at most half used by replicas
 // alone, and whose replicas all fit where there are others and their image is
 // at hand: moved there they are away for a moment only, and the machine can be
 // given back. The free room that the spare target keeps is not touched.
-func (r *round) consolidate(keep int) *allocation.Machine {
+func (cycle *schedulingCycle) chooseConsolidation(minFreeMachines int) *allocation.Machine {
 	var best *allocation.Machine
-	var spare float64
-	for _, m := range r.machines {
-		if m.Spot {
+	var freeMachines float64
+	for _, machine := range cycle.machines {
+		if machine.Spot {
 			continue
 		}
-		if m.Draining || !m.TokenConfirmed {
+		if machine.Draining || !machine.TokenConfirmed {
 			return nil // one at a time
 		}
-		spare += openPart(m.Free(), m.Capacity)
+		freeMachines += freeFraction(machine.Free(), machine.Capacity)
 	}
-	for _, m := range r.machines {
-		if m.Spot || !m.IsSchedulable() || m.IsIdle() || part(m.Used(), m.Capacity) > 0.5 || spare-1 < float64(keep) {
+	for _, machine := range cycle.machines {
+		if machine.Spot || !machine.IsSchedulable() || machine.IsIdle() || dominantShare(machine.Used(), machine.Capacity) > 0.5 || freeMachines-1 < float64(minFreeMachines) {
 			continue
 		}
-		if best != nil && part(best.Used(), best.Capacity) <= part(m.Used(), m.Capacity) {
+		if best != nil && dominantShare(best.Used(), best.Capacity) <= dominantShare(machine.Used(), machine.Capacity) {
 			continue
 		}
-		if r.movable(m) {
-			best = m
+		if cycle.areReplicasMovable(machine) {
+			best = machine
 		}
 	}
 	return best
 }
 
-func (r *round) movable(m *allocation.Machine) bool {
-	room := map[*allocation.Machine]allocation.Resources{}
-	ok := true
-	m.ForEachPlacement(func(p *allocation.Placement) {
-		j := p.Job
-		if !ok || !j.IsService() || p.IsStopping() || p.StartedAt == 0 || r.now-p.StartedAt < settledFor || j.UnconfirmedCount() > 0 {
-			ok = false
+func (cycle *schedulingCycle) areReplicasMovable(machine *allocation.Machine) bool {
+	remainingRoom := map[*allocation.Machine]allocation.Resources{}
+	isMovable := true
+	machine.ForEachPlacement(func(placement *allocation.Placement) {
+		job := placement.Job
+		if !isMovable || !job.IsService() || placement.IsStopping() || placement.StartedAt == 0 || cycle.now-placement.StartedAt < minConsolidationAge || job.UnconfirmedCount() > 0 {
+			isMovable = false
 			return
 		}
-		placed := false
-		for _, o := range r.machines {
-			if o == m || o.Spot && !j.Spec.Spot || !o.IsSchedulable() || o.ReplicaCount() == 0 || part(o.Used(), o.Capacity) < part(m.Used(), m.Capacity) {
+		hasRoom := false
+		for _, other := range cycle.machines {
+			if other == machine || other.Spot && !job.Spec.Spot || !other.IsSchedulable() || other.ReplicaCount() == 0 || dominantShare(other.Used(), other.Capacity) < dominantShare(machine.Used(), machine.Capacity) {
 				continue
 			}
 			// Within a zone nothing changes for the job's wishes; else they
 			// have to allow one more.
-			if o.Zone != m.Zone && !allocation.IsEligible(j, o) || o.Type != m.Type && !allocation.IsEligible(j, o) {
+			if other.Zone != machine.Zone && !allocation.IsEligible(job, other) || other.Type != machine.Type && !allocation.IsEligible(job, other) {
 				continue
 			}
-			free, seen := room[o]
+			free, seen := remainingRoom[other]
 			if !seen {
-				free = o.Free()
+				free = other.Free()
 			}
-			if !j.Request.IsWithin(free) {
+			if !job.Request.IsWithin(free) {
 				continue
 			}
 			// Which of the machines it will be is settled only when it has
 			// stopped: each has to have the image, or it is away for a fetch.
-			if _, cached := o.ImageUsedAt[j.Spec.Image]; !cached {
-				ok = false
+			if _, cached := other.ImageUsedAt[job.Spec.Image]; !cached {
+				isMovable = false
 				return
 			}
-			if !placed {
-				room[o] = free.Sub(j.Request)
-				placed = true
+			if !hasRoom {
+				remainingRoom[other] = free.Sub(job.Request)
+				hasRoom = true
 			}
 		}
-		ok = ok && placed
+		isMovable = isMovable && hasRoom
 	})
-	return ok
+	return isMovable
 }
 
-func (r *round) spareTarget(dm *Demand, spot bool, q []*entry, hires []Hire, d *Decision) (SpareReport, int) {
-	p := &r.pl.P
-	rep := SpareReport{Gaps: dm.Gaps.Screen(p, r.now), Runs: dm.Runs.Screen(p, r.now)}
+func (cycle *schedulingCycle) planSpareTarget(demand *DemandModel, spot bool, queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) (SpareReport, int) {
+	settings := &cycle.scheduler.Settings
+	report := SpareReport{ArrivalScreen: demand.ArrivalGaps.Screen(settings, cycle.now), RunTimeScreen: demand.JobRunTimes.Screen(settings, cycle.now)}
 	// The queue counts as empty when what waits will find room that is about to be
 	// free: in a fleet of a thousand machines something always waits a moment.
-	empty := !slices.ContainsFunc(q, func(e *entry) bool { return e.job.Spec.Spot == spot && e.left > 0 && e.short })
-	services := !spot && rep.Runs.N == 0
-	rep.Open = rep.Gaps.OK && (rep.Runs.OK || services) && empty && dm.Recent(r.now, p)
-	if !rep.Open {
-		return rep, 0
+	isQueueServed := !slices.ContainsFunc(queue, func(queued *queuedJob) bool {
+		return queued.job.Spec.Spot == spot && queued.unplaced > 0 && queued.hasShortfall
+	})
+	isServicesOnly := !spot && report.RunTimeScreen.SampleCount == 0
+	report.IsEnabled = report.ArrivalScreen.IsExponential && (report.RunTimeScreen.IsExponential || isServicesOnly) && isQueueServed && demand.HasRecentArrival(cycle.now, settings)
+	if !report.IsEnabled {
+		return report, 0
 	}
-	in := SpareInput{Unit: dm.unit, Lambda: dm.Rate(), Needs: dm.needs, Horizon: min(p.Horizon, p.IdleWait).Seconds()}
-	var spare, beside float64 // free room in machines: in all, and on used ones
-	nearest := math.Inf(1)
-	active, fleet := 0, 0
-	typ := ""
-	for _, m := range r.machines {
-		if m.Spot != spot || m.Draining || m.ReclaimAt != 0 {
+	model := SpareModel{MachineFraction: demand.machineFraction, ArrivalRate: demand.ArrivalRate(), SizeWeights: demand.sizeWeights, HorizonSeconds: min(settings.IdleCostHorizon, settings.IdleTimeout).Seconds()}
+	var freeMachines, freeOnBusyMachines float64 // free room in machines: in all, and on used ones
+	nearestCompletion := math.Inf(1)
+	runningTasks, fleetMachines := 0, 0
+	typeName := ""
+	for _, machine := range cycle.machines {
+		if machine.Spot != spot || machine.Draining || machine.ReclaimAt != 0 {
 			continue
 		}
-		typ = m.Type
-		fleet++
+		typeName = machine.Type
+		fleetMachines++
 		switch {
-		case m.IsSchedulable():
-			room := openPart(r.free(m), m.Capacity)
-			spare += room
-			if !m.IsIdle() {
-				beside += room
+		case machine.IsSchedulable():
+			room := freeFraction(cycle.freeResources(machine), machine.Capacity)
+			freeMachines += room
+			if !machine.IsIdle() {
+				freeOnBusyMachines += room
 			}
-		case m.FirstHeartbeatAt == 0:
-			in.Booting = append(in.Booting, max((r.pl.BootTime(m.Type, 50)-(r.now-m.CreatedAt)).Seconds(), 0))
+		case machine.FirstHeartbeatAt == 0:
+			model.BootingSeconds = append(model.BootingSeconds, max((cycle.scheduler.BootTime(machine.Type, 50)-(cycle.now-machine.CreatedAt)).Seconds(), 0))
 		}
-		m.ForEachPlacement(func(pc *allocation.Placement) {
-			if left := r.pl.remaining(pc, r.now); left > 0 {
-				nearest = min(nearest, left)
+		machine.ForEachPlacement(func(placement *allocation.Placement) {
+			if seconds := cycle.scheduler.remainingSeconds(placement, cycle.now); seconds > 0 {
+				nearestCompletion = min(nearestCompletion, seconds)
 			}
-			if !pc.Job.IsService() {
-				active++
+			if !placement.Job.IsService() {
+				runningTasks++
 			}
 		})
 	}
-	pool, ok := r.sparePool(spot, d)
-	if typ == "" {
-		typ = pool.Type
+	pool, hasPool := cycle.chooseSparePool(spot, decision)
+	if typeName == "" {
+		typeName = pool.Type
 	}
-	in.BootS = r.pl.BootTime(typ, 50).Seconds()
-	for _, h := range hires {
-		if h.Pool.Spot == spot {
-			for i := 0; i < h.Count; i++ {
-				in.Booting = append(in.Booting, in.BootS)
+	model.BootSeconds = cycle.scheduler.BootTime(typeName, 50).Seconds()
+	for _, pending := range pendingScaleOuts {
+		if pending.Pool.Spot == spot {
+			for i := 0; i < pending.Count; i++ {
+				model.BootingSeconds = append(model.BootingSeconds, model.BootSeconds)
 			}
 		}
 	}
-	in.Ready = int(spare / dm.unit)
+	model.ReadyCount = int(freeMachines / demand.machineFraction)
 	switch {
-	case nearest > 0 && !math.IsInf(nearest, 1):
-		in.LambdaC = 1 / nearest
-	case dm.run > 0:
-		in.LambdaC = float64(active) / dm.run // (22), second branch
+	case nearestCompletion > 0 && !math.IsInf(nearestCompletion, 1):
+		model.CompletionRate = 1 / nearestCompletion
+	case demand.meanRunSeconds > 0:
+		model.CompletionRate = float64(runningTasks) / demand.meanRunSeconds // (22), second branch
 	}
-	if !r.pl.pressing(dm, r.pl.BootTime(typ, 50)) {
-		return rep, 0
+	if !cycle.scheduler.needsWarmSpares(demand, cycle.scheduler.BootTime(typeName, 50)) {
+		return report, 0
 	}
-	most := p.SpareMax
-	if most == 0 {
+	maxSpares := settings.MaxSpares
+	if maxSpares == 0 {
 		// Spares grow with the fleet: a job may ask for tens of machines there.
-		most = max(leastSpareMax, fleet/spareShare)
+		maxSpares = max(minSpareLimit, fleetMachines/machinesPerSpare)
 	}
-	rep.Cost = in.Choose(p.SpareMin, max(most, p.SpareMin), p.Alpha, p.Beta)
-	target := float64(rep.Cost.X) * dm.unit
-	if lack := int(math.Ceil(target - spare - float64(len(in.Booting)) - 1e-9)); lack > 0 && ok {
-		d.Rent = append(d.Rent, Rent{pool, lack})
+	report.Cost = model.CheapestTarget(settings.MinSpares, max(maxSpares, settings.MinSpares), settings.WaitWeight, settings.IdleWeight)
+	target := float64(report.Cost.Target) * demand.machineFraction
+	if shortfall := int(math.Ceil(target - freeMachines - float64(len(model.BootingSeconds)) - 1e-9)); shortfall > 0 && hasPool {
+		decision.ScaleOut = append(decision.ScaleOut, ScaleOutRequest{pool, shortfall})
 	}
 	// The room beside running tasks is part of the target; whole idle machines
 	// are kept only for the rest of it.
-	return rep, max(int(math.Ceil(target-beside-1e-9)), 0)
+	return report, max(int(math.Ceil(target-freeOnBusyMachines-1e-9)), 0)
 }
 
-// Where no bound of the spare target is set, it is one in spareShare of the
-// machines of its kind, and leastSpareMax at least.
+// Where no bound of the spare target is set, it is one in machinesPerSpare of the
+// machines of its kind, and minSpareLimit at least.
 const (
-	spareShare    = 16
-	leastSpareMax = 4
+	machinesPerSpare = 16
+	minSpareLimit    = 4
 )
 
-// sparePool picks where a spare machine is rented.
-func (r *round) sparePool(spot bool, d *Decision) (Pool, bool) {
+// chooseSparePool picks where a spare machine is rented.
+func (cycle *schedulingCycle) chooseSparePool(spot bool, decision *Decision) (Pool, bool) {
 	var best Pool
 	found := false
-	for name, t := range r.pl.Types {
-		for _, z := range t.Zones {
-			p := Pool{name, z, spot}
-			if r.now < r.pl.pool(p).blockedUntil || r.dark(z) {
+	for typeName, machineType := range cycle.scheduler.MachineTypes {
+		for _, zone := range machineType.Zones {
+			pool := Pool{typeName, zone, spot}
+			if cycle.now < cycle.scheduler.backoffFor(pool).backoffUntil || cycle.isZoneSuspected(zone) {
 				continue
 			}
 			// Ordinary spares are for replicas first.
-			kept := !spot && r.pl.Kept[z] && !r.pl.Kept[best.Zone]
-			lost := !spot && r.pl.Kept[best.Zone] && !r.pl.Kept[z]
-			if !found || kept || !lost && (r.count(p) < r.count(best) || r.count(p) == r.count(best) && less(p, best)) {
-				best, found = p, true
+			gainsDelegation := !spot && cycle.scheduler.DelegatedZones[zone] && !cycle.scheduler.DelegatedZones[best.Zone]
+			losesDelegation := !spot && cycle.scheduler.DelegatedZones[best.Zone] && !cycle.scheduler.DelegatedZones[zone]
+			if !found || gainsDelegation || !losesDelegation && (cycle.machineCount(pool) < cycle.machineCount(best) || cycle.machineCount(pool) == cycle.machineCount(best) && isPoolBefore(pool, best)) {
+				best, found = pool, true
 			}
 		}
 	}
 	return best, found
 }
 
-// minimumCharge is what a deleted machine costs at least; the protocol says so.
-const minimumCharge = 60 * clock.Second
+// minChargedDuration is what a deleted machine costs at least; the protocol says so.
+const minChargedDuration = 60 * clock.Second
 
-// kind counts the machines of a kind.
-func (r *round) kind(spot bool) int {
+// fleetSize counts the machines of a kind.
+func (cycle *schedulingCycle) fleetSize(spot bool) int {
 	n := 0
-	for _, v := range r.pools {
-		if v.pool.Spot == spot {
-			n += v.count
+	for _, view := range cycle.pools {
+		if view.pool.Spot == spot {
+			n += view.machineCount
 		}
 	}
 	return n
 }
 
-// doubted tells whether tasks that may use machines of a kind are in doubt. They are
+// hasUnconfirmedTasks tells whether tasks that may use machines of a kind are in doubt. They are
 // either found on a machine or have to be started anew, all at once: once a fleet's
 // idle machines were given back while two in three of its tasks were in doubt.
-func (r *round) doubted(spot bool) bool {
-	for _, j := range r.l.Jobs {
-		if j.UnconfirmedCount() > 0 && !j.Cancelled && (j.Spec.Spot || !spot) {
+func (cycle *schedulingCycle) hasUnconfirmedTasks(spot bool) bool {
+	for _, job := range cycle.tracker.Jobs {
+		if job.UnconfirmedCount() > 0 && !job.Cancelled && (job.Spec.Spot || !spot) {
 			return true
 		}
 	}
 	return false
 }
 
-// giveBack returns machines that have been idle for the wait, but for those
+// planScaleIn returns machines that have been idle for the wait, but for those
 // that the spare target keeps.
-func (r *round) giveBack(spot bool, keep int, d *Decision) {
-	if r.doubted(spot) {
+func (cycle *schedulingCycle) planScaleIn(spot bool, idleToKeep int, decision *Decision) {
+	if cycle.hasUnconfirmedTasks(spot) {
 		return
 	}
-	dm := &r.pl.ordinary
+	demand := &cycle.scheduler.ordinaryDemand
 	if spot {
-		dm = &r.pl.spot
+		demand = &cycle.scheduler.spotDemand
 	}
 	var idle []*allocation.Machine
-	for _, m := range r.machines {
-		if m.Spot == spot && m.IsSchedulable() && m.IsIdle() && r.held[m.SortIndex] == (allocation.Resources{}) {
-			idle = append(idle, m)
+	for _, machine := range cycle.machines {
+		if machine.Spot == spot && machine.IsSchedulable() && machine.IsIdle() && cycle.reserved[machine.SortIndex] == (allocation.Resources{}) {
+			idle = append(idle, machine)
 		}
 	}
 	slices.SortStableFunc(idle, func(a, b *allocation.Machine) int { return -cmp.Compare(a.BecameIdleAt, b.BecameIdleAt) })
-	idleWait := r.pl.P.IdleWait
-	if r.kind(spot)/spareShare > leastSpareMax {
-		idleWait /= 2 // the spares, which have grown with the fleet, are what is kept
+	idleTimeout := cycle.scheduler.Settings.IdleTimeout
+	if cycle.fleetSize(spot)/machinesPerSpare > minSpareLimit {
+		idleTimeout /= 2 // the spares, which have grown with the fleet, are what is kept
 	}
-	for i, m := range idle {
-		idle := r.now - max(m.BecameIdleAt, m.FirstHeartbeatAt)
-		wait := idleWait
-		if !r.pl.pressing(dm, r.pl.BootTime(m.Type, 50)) {
-			wait = min(r.pl.P.LaxIdleWait, idleWait)
+	for i, machine := range idle {
+		idle := cycle.now - max(machine.BecameIdleAt, machine.FirstHeartbeatAt)
+		timeout := idleTimeout
+		if !cycle.scheduler.needsWarmSpares(demand, cycle.scheduler.BootTime(machine.Type, 50)) {
+			timeout = min(cycle.scheduler.Settings.RelaxedIdleTimeout, idleTimeout)
 		}
 		// The first minute is paid whether it is used or not.
-		if i >= keep && idle >= wait && (r.now-m.CreatedAt >= minimumCharge || idle >= idleWait) {
-			d.Return = append(d.Return, m)
+		if i >= idleToKeep && idle >= timeout && (cycle.now-machine.CreatedAt >= minChargedDuration || idle >= idleTimeout) {
+			decision.ScaleIn = append(decision.ScaleIn, machine)
 		}
 	}
 }
--- /dev/null
+++ b/internal/scheduler/starvation_test.go
@@ -0,0 +1,96 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// simulateSecond plays workers for a second: what was placed starts, what is through with
+// its time completes.
+func (fixture *schedulerFixture) simulateSecond(runTimes, firstStarts map[*allocation.Job]clock.Micros) {
+	fixture.now += clock.Second
+	for _, machine := range fixture.tracker.SortedMachines() {
+		fixture.heartbeatSeqs[machine.Name]++
+		heartbeat := &wire.Report{Machine: machine.Name, Session: 1, Seq: fixture.heartbeatSeqs[machine.Name], Token: 1, Addr: "127.0.0.1:1"}
+		machine.ForEachPlacement(func(placement *allocation.Placement) {
+			task := wire.TaskReport{Task: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: wire.TaskRunning}
+			if placement.StartedAt != 0 && fixture.now-placement.StartedAt >= runTimes[placement.Job] {
+				task.State, task.Why = wire.TaskExited, wire.WhyDone
+			}
+			heartbeat.Tasks = append(heartbeat.Tasks, task)
+		})
+		fixture.tracker.RecordHeartbeat(machine, heartbeat, fixture.now)
+	}
+	for _, placement := range fixture.tracker.Started {
+		if firstStarts[placement.Job] == 0 {
+			firstStarts[placement.Job] = fixture.now
+		}
+	}
+	fixture.tracker.Exited, fixture.tracker.Started = nil, nil
+	for _, job := range fixture.tracker.Jobs {
+		if job.IsComplete() {
+			fixture.tracker.MarkDurable(job, job.UnpersistedCompletions())
+			fixture.tracker.RemoveJob(job)
+		}
+	}
+}
+
+// Under a load above what the fleet can do, smallest first would have the large
+// wait for as long as small ones come. Over generated loads the largest begin
+// within four minutes, and at least half of every class and team is begun.
+func TestNoStarvationUnderOverload(t *testing.T) {
+	for seed := uint64(1); seed <= 6; seed++ {
+		rng := rand.New(rand.NewPCG(seed, 12))
+		fixture := newFixture(map[string]allocation.TeamQuota{"a": {GuaranteedMilliCPU: 64000, MaxMilliCPU: 160000}, "b": {GuaranteedMilliCPU: 64000, MaxMilliCPU: 160000}})
+		for i := 0; i < 12; i++ {
+			fixture.addMachine(fmt.Sprintf("i-%02d", i), "big", []string{"x", "y", "z"}[i%3], true)
+		}
+		runTimes, firstStarts := map[*allocation.Job]clock.Micros{}, map[*allocation.Job]clock.Micros{}
+		type sub struct {
+			j    *allocation.Job
+			at   clock.Micros
+			size int
+		}
+		var submissions []sub
+		for sec := 0; sec < 900; sec++ {
+			// 48 tasks fit at a time; what comes asks for half as much again.
+			if sec < 660 && rng.IntN(10) == 0 {
+				size, class := 2+rng.IntN(20), "short"
+				if rng.IntN(6) == 0 {
+					size, class = 40+rng.IntN(60), "large"
+				}
+				runSeconds := 10 + 30*rng.Float64()
+				spec := wire.Job{ID: fmt.Sprintf("req-%06d", len(submissions)), Class: class, Team: []string{"a", "b"}[rng.IntN(2)], Tasks: size,
+					CPUs: 4, MemoryGB: 14, Spot: true, EstimateS: runSeconds, DeadlineS: 2*runSeconds + 30}
+				job := fixture.addJob(spec)
+				runTimes[job] = clock.FromSeconds(runSeconds)
+				submissions = append(submissions, sub{job, fixture.now, size})
+			}
+			fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+			fixture.simulateSecond(runTimes, firstStarts)
+		}
+		slices.SortFunc(submissions, func(a, b sub) int { return b.size - a.size })
+		started, count := map[string]int{}, map[string]int{}
+		for i, submission := range submissions {
+			startedAt := firstStarts[submission.j]
+			for _, group := range []string{submission.j.Spec.Class, submission.j.Spec.Team} {
+				count[group]++
+				started[group] += boolToInt(startedAt != 0)
+			}
+			if i < len(submissions)/10 && (startedAt == 0 || startedAt-submission.at > 240*clock.Second) {
+				t.Errorf("load %d: %s with %d tasks begins after %v", seed, submission.j.Spec.ID, submission.size, (startedAt - submission.at).Seconds())
+			}
+		}
+		for group, n := range count {
+			if 2*started[group] < n {
+				t.Errorf("load %d: %d of %d of %s were begun", seed, started[group], n, group)
+			}
+		}
+	}
+}
