--- a/cmd/firwood/main.go
+++ b/cmd/firwood/main.go
@@ -195,8 +195,8 @@
 		c.Trace(tracer)
 	}
 	srv := server.New(server.Config{
-		Serve: p.Serve, Peer: p.PeerBind, Sockets: c.Sockets(), MakeRoom: c.MakeRoom,
-		Idle: 90 * clock.Second, Half: 10 * clock.Second, Lease: clock.FromSeconds(p.Deployment.Workers.LeaseS),
+		ServeAddress: p.Serve, PeerAddress: p.PeerBind, Limiter: c.Sockets(), EvictOutbound: c.MakeRoom,
+		IdleTimeout: 90 * clock.Second, ReadTimeout: 10 * clock.Second, WorkerLeaseTTL: clock.FromSeconds(p.Deployment.Workers.LeaseS),
 	}, c, log)
 	log.Info("serving", "version", version, "address", p.Serve)
 
--- a/cmd/firwood/main_test.go
+++ b/cmd/firwood/main_test.go
@@ -30,10 +30,10 @@
 	c, stop := fake.NewCloud([]string{"n0"}, map[string]string{"n0": "127.0.0.1:1"}, types, time.Second, time.Minute)
 	defer stop()
 	h := cloud.New(client.DialTCP, c.Addr, 1000)
-	if _, err := h.Hire(wire.Hire{Request: "a", Type: "m", Zone: "x", Count: 1}, nil); err != nil {
+	if _, err := h.ScaleOut(wire.Hire{Request: "a", Type: "m", Zone: "x", Count: 1}, nil); err != nil {
 		t.Fatal(err)
 	}
-	l, err := h.List()
+	l, err := h.ListMachines()
 	if err != nil || len(l) != 1 {
 		t.Fatalf("%v %v", l, err)
 	}
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -24,188 +24,190 @@
 	return net.DialTimeout("tcp4", address, timeout)
 }
 
-// ErrLate tells that a request was not sent because its sender was no longer
+// ErrSendDeadlinePassed tells that a request was not sent because its sender was no longer
 // entitled to send it.
-var ErrLate = errors.New("client: the time to send has passed")
+var ErrSendDeadlinePassed = errors.New("client: the time to send has passed")
 
-// SendError tells that the request certainly did not reach the other side.
-type SendError struct{ Err error }
+// NotSentError tells that the request certainly did not reach the other side.
+type NotSentError struct{ Err error }
 
-func (e *SendError) Error() string { return "client: not sent: " + e.Err.Error() }
-func (e *SendError) Unwrap() error { return e.Err }
+func (e *NotSentError) Error() string { return "client: not sent: " + e.Err.Error() }
+func (e *NotSentError) Unwrap() error { return e.Err }
 
 // Host is one place that is called, with its idle connections.
 type Host struct {
-	dial   Dialer
-	addr   string
-	limits http1.Limits
+	dial    Dialer
+	address string
+	limits  http1.Limits
 
 	pool *Pool // nil: unbounded
 
-	mu   sync.Mutex
-	idle []*conn
-	most int
+	mu      sync.Mutex
+	idle    []*conn
+	maxIdle int
 }
 
 type conn struct {
-	c      net.Conn
-	parser *http1.Parser
-	used   clock.Micros
-	host   *Host
-	place  *list.Element // in the pool's list of idle ones
+	netConn     net.Conn
+	parser      *http1.Parser
+	lastUsedAt  clock.Micros
+	host        *Host
+	idleElement *list.Element // in the pool's list of idle ones
 }
 
-// ErrBusy tells that every connection of the pool is in use.
-var ErrBusy = errors.New("client: no connection is free")
+// ErrPoolExhausted tells that every connection of the pool is in use.
+var ErrPoolExhausted = errors.New("client: no connection is free")
 
 // Pool bounds the connections to many hosts together. When the budget allows no
 // more, the one that has lain idle longest makes room.
 type Pool struct {
-	dial   Dialer
-	budget *connlimit.Budget
+	dial    Dialer
+	limiter *connlimit.Limiter
 
 	mu   sync.Mutex
 	idle *list.List // of *conn, the longest idle first
 }
 
 // NewPool makes a pool of connections that go out, within the budget.
-func NewPool(dial Dialer, b *connlimit.Budget) *Pool {
-	return &Pool{dial: dial, budget: b, idle: list.New()}
+func NewPool(dial Dialer, limiter *connlimit.Limiter) *Pool {
+	return &Pool{dial: dial, limiter: limiter, idle: list.New()}
 }
 
-// reserve books a connection, at the cost of an idle one if need be.
-func (p *Pool) reserve() bool {
+// acquire books a connection, at the cost of an idle one if need be.
+func (pool *Pool) acquire() bool {
 	// The booking of the one that makes room passes on.
-	return p.budget.Out() || p.closeIdle()
+	return pool.limiter.AcquireOutbound() || pool.closeOldestIdle()
 }
 
-// MakeRoom closes the connection that has lain idle longest; false if none does.
-func (p *Pool) MakeRoom() bool {
-	if !p.closeIdle() {
+// EvictIdle closes the connection that has lain idle longest; false if none does.
+func (pool *Pool) EvictIdle() bool {
+	if !pool.closeOldestIdle() {
 		return false
 	}
-	p.budget.OutDone()
+	pool.limiter.ReleaseOutbound()
 	return true
 }
 
-// closeIdle closes the connection that has lain idle longest; its booking is left.
-func (p *Pool) closeIdle() bool {
-	p.mu.Lock()
-	e := p.idle.Front()
-	if e == nil {
-		p.mu.Unlock()
+// closeOldestIdle closes the connection that has lain idle longest; its booking is left.
+func (pool *Pool) closeOldestIdle() bool {
+	pool.mu.Lock()
+	oldest := pool.idle.Front()
+	if oldest == nil {
+		pool.mu.Unlock()
 		return false
 	}
-	c := p.idle.Remove(e).(*conn)
-	c.place = nil
-	p.mu.Unlock()
+	connection := pool.idle.Remove(oldest).(*conn)
+	connection.idleElement = nil
+	pool.mu.Unlock()
 	// The list has given it to us alone, unless its host takes it just now:
 	// then that host finds it missing from the list and leaves it.
-	c.c.Close()
-	c.host.forget(c)
+	connection.netConn.Close()
+	connection.host.removeIdle(connection)
 	return true
 }
 
-func (p *Pool) release() { p.budget.OutDone() }
+func (pool *Pool) release() { pool.limiter.ReleaseOutbound() }
 
-// claim takes an idle connection for use; false means that it made room for
+// claimIdle takes an idle connection for use; false means that it made room for
 // another meanwhile.
-func (p *Pool) claim(c *conn) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if c.place == nil {
+func (pool *Pool) claimIdle(connection *conn) bool {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if connection.idleElement == nil {
 		return false
 	}
-	p.idle.Remove(c.place)
-	c.place = nil
+	pool.idle.Remove(connection.idleElement)
+	connection.idleElement = nil
 	return true
 }
 
-func (p *Pool) rest(c *conn) {
-	p.mu.Lock()
-	c.place = p.idle.PushBack(c)
-	p.mu.Unlock()
+func (pool *Pool) addIdle(connection *conn) {
+	pool.mu.Lock()
+	connection.idleElement = pool.idle.PushBack(connection)
+	pool.mu.Unlock()
 }
 
-// idleFor bounds how long a connection may lie unused: after a cut an old one
+// maxIdleAge bounds how long a connection may lie unused: after a cut an old one
 // may be dead without saying so.
-const idleFor = 20 * clock.Second
+const maxIdleAge = 20 * clock.Second
 
 // NewHost makes a place to call; at most `most` idle connections are kept.
-func NewHost(dial Dialer, addr string, most, maxBody int) *Host {
-	l := http1.DefaultLimits
-	l.Body = maxBody
-	return &Host{dial: dial, addr: addr, limits: l, most: most}
+func NewHost(dial Dialer, address string, maxIdle, maxBody int) *Host {
+	limits := http1.DefaultLimits
+	limits.Body = maxBody
+	return &Host{dial: dial, address: address, limits: limits, maxIdle: maxIdle}
 }
 
-// Host makes a place to call whose connections count towards the pool.
-func (p *Pool) Host(addr string, most, maxBody int) *Host {
-	h := NewHost(p.dial, addr, most, maxBody)
-	h.pool = p
-	return h
+// NewHost makes a place to call whose connections count towards the pool.
+func (pool *Pool) NewHost(address string, maxIdle, maxBody int) *Host {
+	host := NewHost(pool.dial, address, maxIdle, maxBody)
+	host.pool = pool
+	return host
 }
 
-// forget drops a connection that the pool has closed.
-func (h *Host) forget(c *conn) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if i := slices.Index(h.idle, c); i >= 0 {
-		h.idle = slices.Delete(h.idle, i, i+1)
+// removeIdle drops a connection that the pool has closed.
+func (host *Host) removeIdle(connection *conn) {
+	host.mu.Lock()
+	defer host.mu.Unlock()
+	if i := slices.Index(host.idle, connection); i >= 0 {
+		host.idle = slices.Delete(host.idle, i, i+1)
 	}
 }
 
-// end closes a connection that is in use.
-func (h *Host) end(c *conn) {
-	c.c.Close()
-	if h.pool != nil {
-		h.pool.release()
+// closeConn closes a connection that is in use.
+func (host *Host) closeConn(connection *conn) {
+	connection.netConn.Close()
+	if host.pool != nil {
+		host.pool.release()
 	}
 }
 
-// claimed tells whether an idle connection is this host's to use.
-func (h *Host) claimed(c *conn) bool { return h.pool == nil || h.pool.claim(c) }
+// claimIdle tells whether an idle connection is this host's to use.
+func (host *Host) claimIdle(connection *conn) bool {
+	return host.pool == nil || host.pool.claimIdle(connection)
+}
 
 // Close drops the idle connections.
-func (h *Host) Close() {
-	h.mu.Lock()
-	idle := h.idle
-	h.idle = nil
-	h.mu.Unlock()
-	for _, c := range idle {
-		if h.claimed(c) {
-			h.end(c)
+func (host *Host) Close() {
+	host.mu.Lock()
+	idle := host.idle
+	host.idle = nil
+	host.mu.Unlock()
+	for _, connection := range idle {
+		if host.claimIdle(connection) {
+			host.closeConn(connection)
 		}
 	}
 }
 
-func (h *Host) take(now clock.Micros) *conn {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for len(h.idle) > 0 {
-		c := h.idle[len(h.idle)-1]
-		h.idle = h.idle[:len(h.idle)-1]
-		if !h.claimed(c) {
+func (host *Host) takeIdle(now clock.Micros) *conn {
+	host.mu.Lock()
+	defer host.mu.Unlock()
+	for len(host.idle) > 0 {
+		connection := host.idle[len(host.idle)-1]
+		host.idle = host.idle[:len(host.idle)-1]
+		if !host.claimIdle(connection) {
 			continue
 		}
-		if now-c.used < idleFor {
-			return c
+		if now-connection.lastUsedAt < maxIdleAge {
+			return connection
 		}
-		h.end(c)
+		host.closeConn(connection)
 	}
 	return nil
 }
 
-func (h *Host) give(c *conn) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(h.idle) >= h.most {
-		h.end(c)
+func (host *Host) returnIdle(connection *conn) {
+	host.mu.Lock()
+	defer host.mu.Unlock()
+	if len(host.idle) >= host.maxIdle {
+		host.closeConn(connection)
 		return
 	}
-	c.used = clock.Now()
-	h.idle = append(h.idle, c)
-	if h.pool != nil {
-		h.pool.rest(c)
+	connection.lastUsedAt = clock.Now()
+	host.idle = append(host.idle, connection)
+	if host.pool != nil {
+		host.pool.addIdle(connection)
 	}
 }
 
@@ -214,146 +216,146 @@
 	Method, Target string
 	Body           []byte
 	Timeout        clock.Micros
-	// Until, if not nil, tells the last instant at which the request may be
+	// SendDeadline, if not nil, tells the last instant at which the request may be
 	// sent; it is asked right before the write.
-	Until func() clock.Micros
+	SendDeadline func() clock.Micros
 }
 
 // Do sends the request and waits for its answer. An error that is not a
-// *SendError or ErrLate leaves open whether the request was carried out.
-func (h *Host) Do(r Request) (*http1.Message, error) {
-	deadline := time.Now().Add(r.Timeout.Duration())
-	c := h.take(clock.Now())
-	if c == nil {
-		if h.pool != nil && !h.pool.reserve() {
-			return nil, &SendError{ErrBusy}
+// *NotSentError or ErrSendDeadlinePassed leaves open whether the request was carried out.
+func (host *Host) Do(request Request) (*http1.Message, error) {
+	deadline := time.Now().Add(request.Timeout.Duration())
+	connection := host.takeIdle(clock.Now())
+	if connection == nil {
+		if host.pool != nil && !host.pool.acquire() {
+			return nil, &NotSentError{ErrPoolExhausted}
 		}
-		nc, err := h.dial(h.addr, r.Timeout.Duration())
+		netConn, err := host.dial(host.address, request.Timeout.Duration())
 		if err != nil {
-			if h.pool != nil {
-				h.pool.release()
+			if host.pool != nil {
+				host.pool.release()
 			}
-			return nil, &SendError{err}
+			return nil, &NotSentError{err}
 		}
-		c = &conn{c: nc, parser: http1.NewResponseParser(h.limits), host: h}
+		connection = &conn{netConn: netConn, parser: http1.NewResponseParser(host.limits), host: host}
 	}
-	m, err := c.roundTrip(h.addr, r, deadline)
-	if err != nil || m.Close {
-		h.end(c)
-		return m, err
+	response, err := connection.roundTrip(host.address, request, deadline)
+	if err != nil || response.Close {
+		host.closeConn(connection)
+		return response, err
 	}
-	h.give(c)
-	return m, nil
+	host.returnIdle(connection)
+	return response, nil
 }
 
-func (c *conn) roundTrip(host string, r Request, deadline time.Time) (*http1.Message, error) {
-	if err := c.c.SetDeadline(deadline); err != nil {
-		return nil, &SendError{err}
+func (connection *conn) roundTrip(address string, request Request, deadline time.Time) (*http1.Message, error) {
+	if err := connection.netConn.SetDeadline(deadline); err != nil {
+		return nil, &NotSentError{err}
 	}
-	out := http1.AppendRequest(make([]byte, 0, 160+len(r.Body)), r.Method, r.Target, host, r.Body)
+	encoded := http1.AppendRequest(make([]byte, 0, 160+len(request.Body)), request.Method, request.Target, address, request.Body)
 	// The check comes last before the write: a process that was paused between
 	// the decision and this line must not act on an entitlement that is over.
-	if r.Until != nil {
-		if until := r.Until(); clock.Now() >= until {
-			return nil, ErrLate
+	if request.SendDeadline != nil {
+		if sendDeadline := request.SendDeadline(); clock.Now() >= sendDeadline {
+			return nil, ErrSendDeadlinePassed
 		}
 	}
-	if _, err := c.c.Write(out); err != nil {
+	if _, err := connection.netConn.Write(encoded); err != nil {
 		return nil, err
 	}
-	buf := buffers.Get().(*[]byte)
-	defer buffers.Put(buf)
+	buffer := readBuffers.Get().(*[]byte)
+	defer readBuffers.Put(buffer)
 	for {
-		m, err := c.parser.Next()
-		if err != nil || m != nil {
-			return m, err
+		response, err := connection.parser.Next()
+		if err != nil || response != nil {
+			return response, err
 		}
-		n, err := c.c.Read(*buf)
+		n, err := connection.netConn.Read(*buffer)
 		if n > 0 {
-			c.parser.Feed((*buf)[:n])
+			connection.parser.Feed((*buffer)[:n])
 			continue
 		}
 		if err != nil {
-			if m, perr := c.parser.End(); m != nil && perr == nil {
-				return m, nil
+			if response, parseErr := connection.parser.HandleEOF(); response != nil && parseErr == nil {
+				return response, nil
 			}
 			return nil, err
 		}
 	}
 }
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, 8<<10); return &b }}
+var readBuffers = sync.Pool{New: func() any { b := make([]byte, 8<<10); return &b }}
 
-// Budget is a token bucket in which callers wait their turn.
-type Budget struct {
-	mu   sync.Mutex
-	rate float64 // a second
-	most float64
-	have float64
-	last clock.Micros
+// TokenBucket is a token bucket in which callers wait their turn.
+type TokenBucket struct {
+	mu              sync.Mutex
+	tokensPerSecond float64 // a second
+	burst           float64
+	tokens          float64
+	refilledAt      clock.Micros
 }
 
-// NewBudget allows rate a second with bursts of `burst`.
-func NewBudget(rate, burst float64) *Budget {
-	return &Budget{rate: rate, most: burst, have: burst, last: clock.Now()}
+// NewTokenBucket allows rate a second with bursts of `burst`.
+func NewTokenBucket(rate, burst float64) *TokenBucket {
+	return &TokenBucket{tokensPerSecond: rate, burst: burst, tokens: burst, refilledAt: clock.Now()}
 }
 
 // SetRate changes the allowance, as when the leader changes.
-func (b *Budget) SetRate(rate, burst float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.refill(clock.Now())
-	b.rate, b.most = rate, burst
-	b.have = min(b.have, burst)
+func (bucket *TokenBucket) SetRate(rate, burst float64) {
+	bucket.mu.Lock()
+	defer bucket.mu.Unlock()
+	bucket.refill(clock.Now())
+	bucket.tokensPerSecond, bucket.burst = rate, burst
+	bucket.tokens = min(bucket.tokens, burst)
 }
 
-func (b *Budget) refill(now clock.Micros) {
-	if now > b.last {
-		b.have = min(b.most, b.have+b.rate*(now-b.last).Seconds())
-		b.last = now
+func (bucket *TokenBucket) refill(now clock.Micros) {
+	if now > bucket.refilledAt {
+		bucket.tokens = min(bucket.burst, bucket.tokens+bucket.tokensPerSecond*(now-bucket.refilledAt).Seconds())
+		bucket.refilledAt = now
 	}
 }
 
-// Take books n and returns how long to wait until they may be used.
-func (b *Budget) Take(n float64) clock.Micros {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.refill(clock.Now())
-	b.have -= n
-	if b.have >= 0 {
+// Reserve books n and returns how long to wait until they may be used.
+func (bucket *TokenBucket) Reserve(tokens float64) clock.Micros {
+	bucket.mu.Lock()
+	defer bucket.mu.Unlock()
+	bucket.refill(clock.Now())
+	bucket.tokens -= tokens
+	if bucket.tokens >= 0 {
 		return 0
 	}
-	return clock.FromSeconds(-b.have / b.rate)
+	return clock.FromSeconds(-bucket.tokens / bucket.tokensPerSecond)
 }
 
 // Wait books n and sleeps until they may be used.
-func (b *Budget) Wait(n float64) {
-	if d := b.Take(n); d > 0 {
-		time.Sleep(d.Duration())
+func (bucket *TokenBucket) Wait(tokens float64) {
+	if delay := bucket.Reserve(tokens); delay > 0 {
+		time.Sleep(delay.Duration())
 	}
 }
 
 // Delay is how long it takes until n may be used.
-func (b *Budget) Delay(n float64) clock.Micros {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.refill(clock.Now())
-	return clock.FromSeconds((n - b.have) / b.rate)
+func (bucket *TokenBucket) Delay(tokens float64) clock.Micros {
+	bucket.mu.Lock()
+	defer bucket.mu.Unlock()
+	bucket.refill(clock.Now())
+	return clock.FromSeconds((tokens - bucket.tokens) / bucket.tokensPerSecond)
 }
 
-// Has tells whether n may be used now.
-func (b *Budget) Has(n float64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.refill(clock.Now())
-	return b.have >= min(n, b.most)
+// HasTokens tells whether n may be used now.
+func (bucket *TokenBucket) HasTokens(tokens float64) bool {
+	bucket.mu.Lock()
+	defer bucket.mu.Unlock()
+	bucket.refill(clock.Now())
+	return bucket.tokens >= min(tokens, bucket.burst)
 }
 
 // Drain empties the bucket: the service has said that it is being asked too
 // often, so what this side believed it had was wrong.
-func (b *Budget) Drain() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.refill(clock.Now())
-	b.have = min(b.have, 0)
+func (bucket *TokenBucket) Drain() {
+	bucket.mu.Lock()
+	defer bucket.mu.Unlock()
+	bucket.refill(clock.Now())
+	bucket.tokens = min(bucket.tokens, 0)
 }
--- a/internal/client/threads_test.go
+++ b/internal/client/threads_test.go
@@ -13,50 +13,50 @@
 
 // Hundreds of hung machines, each with a call under way, take no thread each: the
 // platform allows a process two thousand.
-func TestHungMachinesTakeNoThreads(t *testing.T) {
+func TestHungRequestsHoldNoThreads(t *testing.T) {
 	const hung = 300
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	var held []net.Conn
-	arrived := make(chan struct{}, hung)
+	var accepted []net.Conn
+	acceptSignals := make(chan struct{}, hung)
 	go func() {
 		for {
-			c, err := l.Accept()
+			netConn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			held = append(held, c)
+			accepted = append(accepted, netConn)
 			mu.Unlock()
-			arrived <- struct{}{}
+			acceptSignals <- struct{}{}
 		}
 	}()
-	p := NewPool(DialTCP, connlimit.New(2*hung))
+	pool := NewPool(DialTCP, connlimit.New(2*hung))
 	var wg sync.WaitGroup
 	for i := 0; i < hung; i++ {
-		h := p.Host(l.Addr().String(), 1, 1<<10)
+		host := pool.NewHost(listener.Addr().String(), 1, 1<<10)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if _, err := h.Do(Request{Method: "GET", Target: "/status", Timeout: 60 * clock.Second}); err == nil {
+			if _, err := host.Do(Request{Method: "GET", Target: "/status", Timeout: 60 * clock.Second}); err == nil {
 				t.Error("a hung machine answers")
 			}
 		}()
 	}
 	for i := 0; i < hung; i++ {
-		<-arrived
+		<-acceptSignals
 	}
 	time.Sleep(50 * time.Millisecond) // let the calls come to their reads
 	if n := pprof.Lookup("threadcreate").Count(); n > 64 {
 		t.Errorf("%d threads for %d hung machines", n, hung)
 	}
-	l.Close()
+	listener.Close()
 	mu.Lock()
-	for _, c := range held {
-		c.Close()
+	for _, netConn := range accepted {
+		netConn.Close()
 	}
 	mu.Unlock()
 	wg.Wait()
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -18,125 +18,125 @@
 var (
 	// ErrNoCapacity: nothing was rented; the pool is empty.
 	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrTrouble: the cloud's interface is down or throttled; nothing was done.
-	ErrTrouble = errors.New("cloud: not served")
-	// ErrBad: the request itself was refused.
-	ErrBad = errors.New("cloud: bad request")
+	// ErrUnavailable: the cloud's interface is down or throttled; nothing was done.
+	ErrUnavailable = errors.New("cloud: not served")
+	// ErrInvalidRequest: the request itself was refused.
+	ErrInvalidRequest = errors.New("cloud: bad request")
 )
 
 // Client talks to the cloud.
 type Client struct {
-	host   *client.Host
-	budget *client.Budget
-	rps    float64
+	host              *client.Host
+	bucket            *client.TokenBucket
+	requestsPerSecond float64
 }
 
 const (
-	timeout   = 8 * clock.Second
-	maxAnswer = 1 << 20
+	requestTimeout  = 8 * clock.Second
+	maxResponseBody = 1 << 20
 )
 
 // New makes a client for the cloud at addr, which allows rps requests a second.
-func New(dial client.Dialer, addr string, rps float64) *Client {
-	return &Client{host: client.NewHost(dial, addr, 4, maxAnswer), budget: client.NewBudget(rps/4, 2), rps: rps}
+func New(dial client.Dialer, address string, requestsPerSecond float64) *Client {
+	return &Client{host: client.NewHost(dial, address, 4, maxResponseBody), bucket: client.NewTokenBucket(requestsPerSecond/4, 2), requestsPerSecond: requestsPerSecond}
 }
 
-// SetShare sets which part of the cloud's rate this process may use.
-func (c *Client) SetShare(f float64) {
-	r := c.rps * f
-	c.budget.SetRate(r, max(2*r, 1))
+// SetRateShare sets which part of the cloud's rate this process may use.
+func (c *Client) SetRateShare(share float64) {
+	rate := c.requestsPerSecond * share
+	c.bucket.SetRate(rate, max(2*rate, 1))
 }
 
-func (c *Client) call(method, target string, body []byte, until func() clock.Micros) ([]byte, error) {
-	c.budget.Wait(1)
-	m, err := c.host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: timeout, Until: until})
+func (c *Client) call(method, target string, body []byte, sendDeadline func() clock.Micros) ([]byte, error) {
+	c.bucket.Wait(1)
+	response, err := c.host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: requestTimeout, SendDeadline: sendDeadline})
 	if err != nil {
 		return nil, err
 	}
-	switch m.Status {
+	switch response.Status {
 	case 200:
-		return m.Body, nil
+		return response.Body, nil
 	case 429:
-		c.budget.Drain()
-		return nil, ErrTrouble
+		c.bucket.Drain()
+		return nil, ErrUnavailable
 	case 503:
-		var e wire.ErrorBody
-		if err := e.UnmarshalJSON(m.Body); err == nil && e.Error == "no capacity" {
+		var errorBody wire.ErrorBody
+		if err := errorBody.UnmarshalJSON(response.Body); err == nil && errorBody.Error == "no capacity" {
 			return nil, ErrNoCapacity
 		}
-		return nil, ErrTrouble
+		return nil, ErrUnavailable
 	case 400:
-		return nil, ErrBad
+		return nil, ErrInvalidRequest
 	}
-	return nil, fmt.Errorf("cloud: status %d", m.Status)
+	return nil, fmt.Errorf("cloud: status %d", response.Status)
 }
 
-// Types asks what is on offer.
-func (c *Client) Types() ([]wire.MachineType, error) {
-	b, err := c.call("GET", "/flavors", nil, nil)
+// MachineTypes asks what is on offer.
+func (c *Client) MachineTypes() ([]wire.MachineType, error) {
+	responseBody, err := c.call("GET", "/flavors", nil, nil)
 	if err != nil {
 		return nil, err
 	}
-	var t wire.MachineTypes
-	if err := t.UnmarshalJSON(b); err != nil {
+	var machineTypes wire.MachineTypes
+	if err := machineTypes.UnmarshalJSON(responseBody); err != nil {
 		return nil, err
 	}
-	for _, k := range t.Types {
-		if k.Name == "" || !(k.CPUs > 0) || !(k.MemoryGB > 0) || k.GPUs < 0 || k.Price < 0 || k.SpotPrice < 0 {
-			return nil, fmt.Errorf("cloud: machine type %q makes no sense", k.Name)
+	for _, machineType := range machineTypes.Types {
+		if machineType.Name == "" || !(machineType.CPUs > 0) || !(machineType.MemoryGB > 0) || machineType.GPUs < 0 || machineType.Price < 0 || machineType.SpotPrice < 0 {
+			return nil, fmt.Errorf("cloud: machine type %q makes no sense", machineType.Name)
 		}
 	}
-	return t.Types, nil
+	return machineTypes.Types, nil
 }
 
-// Hire rents machines; until tells the last instant at which it may be sent.
-func (c *Client) Hire(h wire.Hire, until func() clock.Micros) ([]string, error) {
-	body, err := h.MarshalJSON()
+// ScaleOut rents machines; until tells the last instant at which it may be sent.
+func (c *Client) ScaleOut(request wire.Hire, sendDeadline func() clock.Micros) ([]string, error) {
+	body, err := request.MarshalJSON()
 	if err != nil {
 		return nil, err
 	}
-	b, err := c.call("POST", "/hosts", body, until)
+	responseBody, err := c.call("POST", "/hosts", body, sendDeadline)
 	if err != nil {
 		return nil, err
 	}
-	var m wire.Machines
-	if err := m.UnmarshalJSON(b); err != nil {
+	var machines wire.Machines
+	if err := machines.UnmarshalJSON(responseBody); err != nil {
 		return nil, err
 	}
-	return m.Machines, nil
+	return machines.Machines, nil
 }
 
-// Delete returns machines. Once it returns nil they are gone.
-func (c *Client) Delete(names []string, until func() clock.Micros) error {
+// DeleteMachines returns machines. Once it returns nil they are gone.
+func (c *Client) DeleteMachines(names []string, sendDeadline func() clock.Micros) error {
 	body, err := wire.Machines{Machines: names}.MarshalJSON()
 	if err != nil {
 		return err
 	}
-	_, err = c.call("POST", "/hosts/delete", body, until)
+	_, err = c.call("POST", "/hosts/delete", body, sendDeadline)
 	return err
 }
 
-// List reads the whole list of machines, page by page.
-func (c *Client) List() ([]wire.ListedMachine, error) {
-	var all []wire.ListedMachine
-	after := ""
+// ListMachines reads the whole list of machines, page by page.
+func (c *Client) ListMachines() ([]wire.ListedMachine, error) {
+	var machines []wire.ListedMachine
+	lastID := ""
 	for {
 		target := "/hosts?limit=" + strconv.Itoa(wire.MaxList)
-		if after != "" {
-			target += "&since=" + url.QueryEscape(after)
+		if lastID != "" {
+			target += "&since=" + url.QueryEscape(lastID)
 		}
-		b, err := c.call("GET", target, nil, nil)
+		responseBody, err := c.call("GET", target, nil, nil)
 		if err != nil {
 			return nil, err
 		}
-		var l wire.MachineList
-		if err := l.UnmarshalJSON(b); err != nil {
+		var page wire.MachineList
+		if err := page.UnmarshalJSON(responseBody); err != nil {
 			return nil, err
 		}
-		all = append(all, l.Machines...)
-		if !l.More || len(l.Machines) == 0 {
-			return all, nil
+		machines = append(machines, page.Machines...)
+		if !page.More || len(page.Machines) == 0 {
+			return machines, nil
 		}
-		after = l.Machines[len(l.Machines)-1].ID
+		lastID = page.Machines[len(page.Machines)-1].ID
 	}
 }
--- a/internal/controller/checkin.go
+++ b/internal/controller/checkin.go
@@ -50,7 +50,7 @@
 		later(r, "cannot be encoded")
 		return
 	}
-	r.SendUntil(200, body, 0, l.answerUntil(reply.Commands))
+	r.SendBefore(200, body, 0, l.answerUntil(reply.Commands))
 }
 
 // answerUntil is the last instant at which an answer to a report may go out: it
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -42,7 +42,7 @@
 	cloud  *cloud.Client
 	links  []*peer.Link
 	// Direct messages share the sockets with what comes in.
-	sockets   *connlimit.Budget
+	sockets   *connlimit.Limiter
 	toWorkers *client.Pool
 	directs   int // how many may be under way at a time
 	chunk     int // tasks in one progress key
@@ -62,7 +62,7 @@
 
 	// finished are the finished jobs of the view, finishedKept how many are kept,
 	// forgotten what is left of the others; lookups ask for those.
-	finished     *jobhistory.Memory
+	finished     *jobhistory.Cache
 	finishedKept int
 	forgotten    forgottenJobs
 	lookups      *jobhistory.Lookups
@@ -137,7 +137,7 @@
 		begunAt:    clock.Now(),
 	}
 	c.finishedKept = finishedKept(tuning.FinishedJobs, d.Limits.RAMMB)
-	c.finished = jobhistory.NewMemory(c.finishedKept)
+	c.finished = jobhistory.NewCache(c.finishedKept)
 	c.lookups = jobhistory.NewLookups(mostLookups, min(4*d.State.Effective().TxnOps/keysOfJob, mostAsked))
 	c.toWorkers = client.NewPool(dial, c.sockets)
 	c.chunk = chunkOf(d.State.ValueKB)
@@ -171,11 +171,11 @@
 
 // Sockets is the budget of connections that the server shares with this process's
 // direct messages.
-func (c *Core) Sockets() *connlimit.Budget { return c.sockets }
+func (c *Core) Sockets() *connlimit.Limiter { return c.sockets }
 
 // MakeRoom closes a direct connection that lies idle; it may be called on any
 // goroutine.
-func (c *Core) MakeRoom() bool { return c.toWorkers.MakeRoom() }
+func (c *Core) MakeRoom() bool { return c.toWorkers.EvictIdle() }
 
 // post hands a result of this process's own calls to the owner.
 func (c *Core) post(f func()) { c.q.post(rankDecision, f) }
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -35,7 +35,7 @@
 			return false
 		}
 		if a.host == nil {
-			a.host = l.c.toWorkers.Host(m.Address, 1, 4*wire.MaxBody)
+			a.host = l.c.toWorkers.NewHost(m.Address, 1, 4*wire.MaxBody)
 		}
 		host, until := a.host, l.until
 		if len(starts) > 0 {
@@ -43,12 +43,12 @@
 		}
 		l.directing++
 		go func() {
-			res, err := host.Do(client.Request{Method: "POST", Target: "/commands", Body: body, Timeout: directTimeout, Until: until})
+			res, err := host.Do(client.Request{Method: "POST", Target: "/commands", Body: body, Timeout: directTimeout, SendDeadline: until})
 			result := allocation.CommandOutcomeUnknown
 			var rep *wire.Report
-			var se *client.SendError
+			var se *client.NotSentError
 			switch {
-			case errors.As(err, &se), errors.Is(err, client.ErrLate):
+			case errors.As(err, &se), errors.Is(err, client.ErrSendDeadlinePassed):
 				result = allocation.CommandNotSent
 			case err != nil:
 			case res.Status == 200:
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -291,7 +291,7 @@
 	}
 	l.listBusy = true
 	go func() {
-		all, err := l.c.cloud.List()
+		all, err := l.c.cloud.ListMachines()
 		l.c.post(func() {
 			if l.closed {
 				return
--- a/internal/controller/forgetting.go
+++ b/internal/controller/forgetting.go
@@ -54,7 +54,7 @@
 
 // forgetFinished forgets finished jobs beyond the bound.
 func (c *Core) forgetFinished() {
-	for _, id := range c.finished.Forget(forgottenAtOnce, c.mayForget) {
+	for _, id := range c.finished.Evict(forgottenAtOnce, c.mayForget) {
 		rec := c.view.jobs[id]
 		c.mayForgetFrom()
 		c.forgotten.counts.add(rec.State, 1)
@@ -62,7 +62,7 @@
 			c.forgotten.troubles = worst(append(c.forgotten.troubles, t))
 		}
 		delete(c.view.jobs, id)
-		c.graph.Forget(id)
+		c.graph.Remove(id)
 	}
 }
 
@@ -129,6 +129,6 @@
 
 // items are what was kept, and how many finished jobs were not.
 func (f *loadFilter) items() (items []wire.Item, dropped int) {
-	kept, dropped := f.finished.Kept()
+	kept, dropped := f.finished.Records()
 	return append(f.others, kept...), dropped
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -10,8 +10,8 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// Beat implements server.App.
-func (c *Core) Beat(b *peer.Heartbeat) { c.q.post(rankReport, func() { c.heard(b) }) }
+// HandlePeerHeartbeat implements server.App.
+func (c *Core) HandlePeerHeartbeat(b *peer.Heartbeat) { c.q.post(rankReport, func() { c.heard(b) }) }
 
 // judge decides whether users should be sent here. In an outage of the state
 // service every node is refused, and leaving then would only cost time after
--- a/internal/controller/lead_test.go
+++ b/internal/controller/lead_test.go
@@ -156,7 +156,7 @@
 		{"one hangs", 3, fail, 0, true, false},
 		{"a cut", 0, fail, 0, false, false},
 		{"half are gone", 2, fail, 0, false, false},
-		{"none is free", 3, client.ErrBusy, 0, false, true},
+		{"none is free", 3, client.ErrPoolExhausted, 0, false, true},
 		{"late", 3, fail, 5 * clock.Second, false, true},
 	} {
 		l := rebuilt(t, "i-1", "i-2", "i-3", "i-4")
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -23,14 +23,14 @@
 	switch {
 	case n == 0:
 		c.store.SetShare(1)
-		c.cloud.SetShare(1)
+		c.cloud.SetRateShare(1)
 	case c.el.Phase() == election.Leader:
 		c.store.SetShare(leaderShare)
 		c.shares.share = leaderShare
-		c.cloud.SetShare(0.8)
+		c.cloud.SetRateShare(0.8)
 	default:
 		c.store.SetShare((1 - leaderShare) / n)
-		c.cloud.SetShare(0.2 / n)
+		c.cloud.SetRateShare(0.2 / n)
 	}
 }
 
--- a/internal/controller/lookup.go
+++ b/internal/controller/lookup.go
@@ -24,9 +24,9 @@
 
 // recall has a job that may have been forgotten looked up. An answer from the state service
 // is as new as the question.
-func (c *Core) recall(id string, until clock.Micros, then func(jobhistory.Answer)) {
-	if !c.lookups.Ask(id, until, then) {
-		then(jobhistory.NoAnswer)
+func (c *Core) recall(id string, until clock.Micros, then func(jobhistory.LookupResult)) {
+	if !c.lookups.Enqueue(id, until, then) {
+		then(jobhistory.Unavailable)
 		return
 	}
 	c.lookUp(clock.Now())
@@ -34,7 +34,7 @@
 
 // lookUp asks the state service for jobs that were forgotten, if any are wanted.
 func (c *Core) lookUp(now clock.Micros) {
-	jobs := c.lookups.Next(now)
+	jobs := c.lookups.NextBatch(now)
 	if len(jobs) == 0 {
 		return
 	}
@@ -48,7 +48,7 @@
 			for _, item := range read {
 				present = append(present, c.recalled(item))
 			}
-			c.lookups.Answered(present, areOthersAbsent, err != nil)
+			c.lookups.CompleteBatch(present, areOthersAbsent, err != nil)
 			c.lookUp(clock.Now())
 		})
 	}()
@@ -101,26 +101,26 @@
 
 // showForgotten answers a question for a job that is not in the view.
 func (c *Core) showForgotten(id string, r *server.Reply) {
-	c.recall(id, clock.Now()+userWait, func(answer jobhistory.Answer) {
+	c.recall(id, clock.Now()+userWait, func(answer jobhistory.LookupResult) {
 		until := clock.Now() + userWait
 		rec := c.view.jobs[id]
 		switch {
-		case answer == jobhistory.NoAnswer:
+		case answer == jobhistory.Unavailable:
 			later(r, "the state service does not answer")
 		case rec == nil:
-			r.SendUntil(404, server.ErrorBody("no such job"), 0, until)
+			r.SendBefore(404, server.ErrorBody("no such job"), 0, until)
 		case rec.over():
 			r.Send(200, c.status(id, rec), 0)
 		default:
-			r.SendUntil(200, c.status(id, rec), 0, until)
+			r.SendBefore(200, c.status(id, rec), 0, until)
 		}
 	})
 }
 
 // withdrawForgotten takes a withdrawal of a job that is not in the view.
 func (c *Core) withdrawForgotten(id string, r *server.Reply, tries int) {
-	c.recall(id, clock.Now()+userWait, func(answer jobhistory.Answer) {
-		if answer == jobhistory.NoAnswer {
+	c.recall(id, clock.Now()+userWait, func(answer jobhistory.LookupResult) {
+		if answer == jobhistory.Unavailable {
 			later(r, "the state service does not answer")
 			return
 		}
@@ -144,8 +144,8 @@
 		return
 	}
 	for _, id := range ids {
-		c.recall(id, clock.Now()+userWait, func(answer jobhistory.Answer) {
-			isAnswered = isAnswered && answer != jobhistory.NoAnswer
+		c.recall(id, clock.Now()+userWait, func(answer jobhistory.LookupResult) {
+			isAnswered = isAnswered && answer != jobhistory.Unavailable
 			absent[id] = answer == jobhistory.Absent
 			if left--; left > 0 {
 				return
@@ -163,13 +163,13 @@
 // them were accepted, so they are over and were forgotten. Until they are known, what
 // awaits them does not start.
 func (c *Core) recallAwaited() {
-	for _, id := range c.graph.Unknown() {
+	for _, id := range c.graph.UnknownDependencies() {
 		c.recallForOthers(id)
 	}
 }
 
 func (c *Core) recallForOthers(id string) {
-	c.recall(id, clock.Now()+userWait, func(answer jobhistory.Answer) {
+	c.recall(id, clock.Now()+userWait, func(answer jobhistory.LookupResult) {
 		if answer != jobhistory.Present {
 			c.later(recallAgain, func() {
 				if c.view.jobs[id] == nil {
--- a/internal/controller/morning.go
+++ b/internal/controller/morning.go
@@ -10,8 +10,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Morning implements server.App.
-func (c *Core) Morning(r *server.Reply) { c.user(r, func() { c.morning(r) }) }
+// SendJobReport implements server.App.
+func (c *Core) SendJobReport(r *server.Reply) { c.user(r, func() { c.morning(r) }) }
 
 // Trouble is one line of the morning report.
 type Trouble struct {
@@ -130,8 +130,8 @@
 		t.Why = "tasks failed with an error and were started again"
 	case t.Restarts > 0:
 		t.Why = "tasks were lost with their machines and were started again"
-	case !rec.over() && c.graph.Blocked(id):
-		t.Why = "waits for " + c.graph.Awaited(id)[0]
+	case !rec.over() && c.graph.IsBlocked(id):
+		t.Why = "waits for " + c.graph.PendingDependencies(id)[0]
 	case t.Late && clock.Micros(released-rec.At).Seconds() > t.TookS/2:
 		t.Why = "waited for jobs before it in its pipeline"
 	case first == 0 && !rec.over() && c.view.done[id] == nil:
--- a/internal/controller/pipelines.go
+++ b/internal/controller/pipelines.go
@@ -43,18 +43,18 @@
 func (c *Core) follow(id string, r *jobRecord) {
 	switch {
 	case r.State == wire.JobDone:
-		c.carryOut(c.graph.Done(id, clock.Micros(r.End)))
+		c.carryOut(c.graph.RecordCompletion(id, clock.Micros(r.End)))
 	case r.State == wire.JobAborted:
-		c.carryOut(c.graph.Cancel(id))
+		c.carryOut(c.graph.RecordCancellation(id))
 	case r.Job != nil:
 		needs, whole := c.awaits(id, r)
 		if !whole {
 			return // the rest comes with the same transaction
 		}
 		c.recallNeeds(needs)
-		c.carryOut(c.graph.Add(dag.Job{
-			ID: id, Needs: needs, Submitted: clock.Micros(r.At), Urgency: urgency(r),
-			Run: clock.FromSeconds(r.Job.EstimateS) + startTime,
+		c.carryOut(c.graph.AddJob(dag.Job{
+			ID: id, DependsOn: needs, SubmittedAt: clock.Micros(r.At), Urgency: urgency(r),
+			EstimatedRunTime: clock.FromSeconds(r.Job.EstimateS) + startTime,
 		}))
 	}
 }
@@ -75,10 +75,10 @@
 // blocked tells whether a job that is not over must not start yet.
 func (c *Core) blocked(id string, r *jobRecord) bool {
 	_, whole := c.awaits(id, r)
-	return !whole || c.graph.Blocked(id)
+	return !whole || c.graph.IsBlocked(id)
 }
 
-func (c *Core) carryOut(change dag.Change) {
+func (c *Core) carryOut(change dag.Effects) {
 	for _, id := range change.Cancelled {
 		if r := c.view.jobs[id]; r != nil && r.State == "" {
 			r.cancelledWith = true
--- a/internal/controller/probe.go
+++ b/internal/controller/probe.go
@@ -80,11 +80,11 @@
 	l.probing++
 	a.probes.busy, a.probes.at = true, now
 	if a.host == nil {
-		a.host = l.c.toWorkers.Host(m.Address, 1, 4*wire.MaxBody)
+		a.host = l.c.toWorkers.NewHost(m.Address, 1, 4*wire.MaxBody)
 	}
 	host := a.host
 	go func() {
-		res, err := host.Do(client.Request{Method: "GET", Target: "/status", Timeout: probeTimeout, Until: l.until})
+		res, err := host.Do(client.Request{Method: "GET", Target: "/status", Timeout: probeTimeout, SendDeadline: l.until})
 		var rep *wire.Report
 		if err == nil && res.Status == 200 {
 			r := &wire.Report{}
@@ -124,7 +124,7 @@
 	}
 	// Nothing is known of the machine if it was not asked, or if this process was
 	// too late itself to take the answer.
-	if errors.Is(err, client.ErrBusy) || errors.Is(err, client.ErrLate) || now-sent > probeTimeout+clock.Second/2 {
+	if errors.Is(err, client.ErrPoolExhausted) || errors.Is(err, client.ErrSendDeadlinePassed) || now-sent > probeTimeout+clock.Second/2 {
 		return
 	}
 	if sent < max(l.awake, l.deafAt[m.Zone]) {
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -142,7 +142,7 @@
 	}
 	req := wire.Hire{Request: h.name, Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot, Count: h.rec.Count}
 	go func() {
-		names, err := l.c.cloud.Hire(req, l.until)
+		names, err := l.c.cloud.ScaleOut(req, l.until)
 		l.c.post(func() {
 			if !l.closed {
 				l.hired(h, names, err)
@@ -175,7 +175,7 @@
 			}
 			l.dirty = true
 		})
-	case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrBad):
+	case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrInvalidRequest):
 		l.pl.ObserveEmptyPool(pool, now)
 		l.c.log.Debug("nothing to hire", "hire", h.name, "zone", h.rec.Zone, "spot", h.rec.Spot, "error", err)
 		h.resolved, h.rec.Resolved = true, true
@@ -206,7 +206,7 @@
 	l.deletes = slices.Delete(l.deletes, 0, n)
 	l.deleteBusy = true
 	go func() {
-		err := l.c.cloud.Delete(batch, l.until)
+		err := l.c.cloud.DeleteMachines(batch, l.until)
 		l.c.post(func() {
 			if !l.closed {
 				l.deleted(batch, err)
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -6,8 +6,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Checkin implements server.App.
-func (c *Core) Checkin(rep *wire.Report, r *server.Reply) {
+// HandleHeartbeat implements server.App.
+func (c *Core) HandleHeartbeat(rep *wire.Report, r *server.Reply) {
 	if !c.q.post(rankReport, func() { c.checkin(rep, r) }) {
 		later(r, "overloaded")
 	}
@@ -51,7 +51,7 @@
 			c.lead.lg.RecordLeaseRenewal(m, until)
 		}
 	}
-	r.SendUntil(200, body, 0, until)
+	r.SendBefore(200, body, 0, until)
 	return true
 }
 
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -116,8 +116,8 @@
 	c.tracer.RecordFailover(token, []tracing.Span{{Name: "no leader heard", StartedAt: c.leaderHeard, EndedAt: clock.Now()}})
 }
 
-// Standby implements server.App.
-func (c *Core) Standby(r *server.Reply) { c.user(r, func() { c.tellStandby(r) }) }
+// SendStandbyStatus implements server.App.
+func (c *Core) SendStandbyStatus(r *server.Reply) { c.user(r, func() { c.tellStandby(r) }) }
 
 func (c *Core) tellStandby(r *server.Reply) {
 	now := clock.Now()
--- a/internal/controller/types.go
+++ b/internal/controller/types.go
@@ -20,7 +20,7 @@
 	}
 	c.typesBusy, c.typesAt = true, now
 	go func() {
-		types, err := c.cloud.Types()
+		types, err := c.cloud.MachineTypes()
 		c.post(func() {
 			c.typesBusy = false
 			if err != nil {
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -41,14 +41,14 @@
 	}
 }
 
-// Submit implements server.App.
-func (c *Core) Submit(j *wire.Job, r *server.Reply) { c.user(r, func() { c.submit(j, r) }) }
+// SubmitJob implements server.App.
+func (c *Core) SubmitJob(j *wire.Job, r *server.Reply) { c.user(r, func() { c.submit(j, r) }) }
 
-// Show implements server.App.
-func (c *Core) Show(id string, r *server.Reply) { c.user(r, func() { c.show(id, r) }) }
+// ShowJob implements server.App.
+func (c *Core) ShowJob(id string, r *server.Reply) { c.user(r, func() { c.show(id, r) }) }
 
-// Withdraw implements server.App.
-func (c *Core) Withdraw(id string, r *server.Reply) { c.user(r, func() { c.withdraw(id, r, 3) }) }
+// CancelJob implements server.App.
+func (c *Core) CancelJob(id string, r *server.Reply) { c.user(r, func() { c.withdraw(id, r, 3) }) }
 
 // refusal says why a job can never run, if so.
 func (c *Core) refusal(j *wire.Job) string {
@@ -194,7 +194,7 @@
 	if running > 0 {
 		st.State = wire.JobRunning
 	}
-	awaited := c.graph.Awaited(id)
+	awaited := c.graph.PendingDependencies(id)
 	st.Awaits = awaited[:min(len(awaited), mostAwaitedShown)]
 	body, err := st.MarshalJSON()
 	if err != nil {
@@ -209,7 +209,7 @@
 func (c *Core) show(id string, r *server.Reply) {
 	if rec := c.view.jobs[id]; rec != nil && rec.over() {
 		if rec.isFinished() {
-			c.finished.Use(id)
+			c.finished.Touch(id)
 		}
 		r.Send(200, c.status(id, rec), 0) // final, so it cannot be overtaken
 		return
@@ -233,11 +233,11 @@
 		case c.mayBeForgotten(id):
 			c.showForgotten(id, r) // meanwhile
 		case rec == nil:
-			r.SendUntil(404, server.ErrorBody("no such job"), 0, until)
+			r.SendBefore(404, server.ErrorBody("no such job"), 0, until)
 		case rec.over():
 			r.Send(200, c.status(id, rec), 0)
 		default:
-			r.SendUntil(200, c.status(id, rec), 0, until)
+			r.SendBefore(200, c.status(id, rec), 0, until)
 		}
 	}, clock.Now()+userWait)
 }
@@ -320,6 +320,6 @@
 	c.withdraw(id, r, tries)
 }
 
-// Up implements server.App; it is called on the event loop and reads only
+// IsHealthy implements server.App; it is called on the event loop and reads only
 // what is safe to read there.
-func (c *Core) Up() bool { return !c.unfit.Load() }
+func (c *Core) IsHealthy() bool { return !c.unfit.Load() }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -179,10 +179,10 @@
 		c.counts.forget(id)
 	}
 	if r.isFinished() {
-		c.finished.Use(id)
+		c.finished.Touch(id)
 	}
 	c.withdrawals.add(id, r, clock.Now(), clock.Wall())
-	r.cancelledWith = r.State == "" && c.graph.Cancelled(id)
+	r.cancelledWith = r.State == "" && c.graph.IsCancelled(id)
 	c.follow(id, r)
 	if c.lead != nil {
 		c.lead.jobChanged(id, r)
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -21,8 +21,8 @@
 	Deadline clock.Micros
 }
 
-// Join is the more urgent of both, in each respect.
-func (u Urgency) Join(other Urgency) Urgency {
+// Merge is the more urgent of both, in each respect.
+func (u Urgency) Merge(other Urgency) Urgency {
 	u.Priority = min(u.Priority, other.Priority)
 	if u.Deadline == 0 || other.Deadline != 0 && other.Deadline < u.Deadline {
 		u.Deadline = other.Deadline
@@ -30,28 +30,28 @@
 	return u
 }
 
-// before is what a job demands of those that it needs: they have to be done its own
+// forDependencies is what a job demands of those that it needs: they have to be done its own
 // run time earlier.
-func (u Urgency) before(run clock.Micros) Urgency {
+func (u Urgency) forDependencies(runTime clock.Micros) Urgency {
 	if u.Deadline != 0 {
-		u.Deadline = max(u.Deadline-run, 1)
+		u.Deadline = max(u.Deadline-runTime, 1)
 	}
 	return u
 }
 
 // Job is what the graph has to know of a job.
 type Job struct {
-	ID    string
-	Needs []string
-	// Submitted is the time of day of the submission.
-	Submitted clock.Micros
-	Urgency   Urgency
-	// Run is about how long the job takes once it may start.
-	Run clock.Micros
+	ID        string
+	DependsOn []string
+	// SubmittedAt is the time of day of the submission.
+	SubmittedAt clock.Micros
+	Urgency     Urgency
+	// EstimatedRunTime is about how long the job takes once it may start.
+	EstimatedRunTime clock.Micros
 }
 
-// Change is what follows from a record, for jobs other than that of the record.
-type Change struct {
+// Effects is what follows from a record, for jobs other than that of the record.
+type Effects struct {
 	// Released are jobs that nothing keeps from starting any more.
 	Released []string
 	// Cancelled are jobs that are cancelled with one that they need.
@@ -64,24 +64,24 @@
 type stage uint8
 
 const (
-	unknown stage = iota // no record has been seen
-	unfinished
-	done
-	cancelled
+	stageUnknown stage = iota // no record has been seen
+	stageUnfinished
+	stageDone
+	stageCancelled
 )
 
 // node is a job that is needed by others or needs others.
 type node struct {
-	stage      stage
-	needs      []string
-	dependents []string
-	blockedBy  int          // needs that are not done
-	released   clock.Micros // the time of day from which its waits count
-	urgency    Urgency
-	run        clock.Micros
-	id         string
-	submitted  clock.Micros
-	isQueued   bool // see demand
+	stage                  stage
+	dependencies           []string
+	dependents             []string
+	unfinishedDependencies int          // needs that are not done
+	releasedAt             clock.Micros // the time of day from which its waits count
+	urgency                Urgency
+	estimatedRunTime       clock.Micros
+	id                     string
+	submittedAt            clock.Micros
+	isQueued               bool // see demand
 }
 
 // Graph holds the jobs of a view.
@@ -90,152 +90,152 @@
 // New makes an empty graph.
 func New() *Graph { return &Graph{nodes: map[string]*node{}} }
 
-// leastUrgent is the urgency of a job of which nobody demands anything.
-var leastUrgent = Urgency{Priority: 1 << 30}
-
-func (g *Graph) node(id string) *node {
-	n := g.nodes[id]
-	if n == nil {
-		n = &node{id: id, urgency: leastUrgent}
-		g.nodes[id] = n
-	}
-	return n
-}
-
-// Add takes the record of a job that is not over; adding it again does nothing.
-func (g *Graph) Add(j Job) Change {
-	n := g.node(j.ID)
-	var change Change
-	if n.stage != unknown {
-		return change
-	}
-	n.stage = unfinished
-	n.released, n.run, n.submitted = max(n.released, j.Submitted), j.Run, j.Submitted
-	n.urgency = n.urgency.Join(j.Urgency)
-	for _, need := range j.Needs {
-		needed := g.node(need)
-		n.needs = append(n.needs, need)
-		needed.dependents = append(needed.dependents, j.ID)
-		switch needed.stage {
-		case done:
-			n.released = max(n.released, needed.released)
-		case cancelled:
-			g.cancel(j.ID, &change)
+// lowestUrgency is the urgency of a job of which nobody demands anything.
+var lowestUrgency = Urgency{Priority: 1 << 30}
+
+func (graph *Graph) ensureNode(id string) *node {
+	jobNode := graph.nodes[id]
+	if jobNode == nil {
+		jobNode = &node{id: id, urgency: lowestUrgency}
+		graph.nodes[id] = jobNode
+	}
+	return jobNode
+}
+
+// AddJob takes the record of a job that is not over; adding it again does nothing.
+func (graph *Graph) AddJob(job Job) Effects {
+	jobNode := graph.ensureNode(job.ID)
+	var effects Effects
+	if jobNode.stage != stageUnknown {
+		return effects
+	}
+	jobNode.stage = stageUnfinished
+	jobNode.releasedAt, jobNode.estimatedRunTime, jobNode.submittedAt = max(jobNode.releasedAt, job.SubmittedAt), job.EstimatedRunTime, job.SubmittedAt
+	jobNode.urgency = jobNode.urgency.Merge(job.Urgency)
+	for _, dependency := range job.DependsOn {
+		dependencyNode := graph.ensureNode(dependency)
+		jobNode.dependencies = append(jobNode.dependencies, dependency)
+		dependencyNode.dependents = append(dependencyNode.dependents, job.ID)
+		switch dependencyNode.stage {
+		case stageDone:
+			jobNode.releasedAt = max(jobNode.releasedAt, dependencyNode.releasedAt)
+		case stageCancelled:
+			graph.cancelWithDependents(job.ID, &effects)
 		default:
-			n.blockedBy++
+			jobNode.unfinishedDependencies++
 		}
 	}
-	if n.stage == unfinished {
-		g.demand(n, &change)
+	if jobNode.stage == stageUnfinished {
+		graph.propagateUrgency(jobNode, &effects)
 	}
-	return change
+	return effects
 }
 
-// Done takes the durable end of a job at a time of day.
-func (g *Graph) Done(id string, at clock.Micros) Change {
-	n := g.node(id)
-	var change Change
-	if n.stage == done || n.stage == cancelled {
-		return change
+// RecordCompletion takes the durable end of a job at a time of day.
+func (graph *Graph) RecordCompletion(id string, completedAt clock.Micros) Effects {
+	jobNode := graph.ensureNode(id)
+	var effects Effects
+	if jobNode.stage == stageDone || jobNode.stage == stageCancelled {
+		return effects
 	}
-	n.stage, n.released = done, at
-	for _, dependent := range n.dependents {
-		d := g.nodes[dependent]
-		d.released = max(d.released, at)
-		if d.blockedBy--; d.blockedBy == 0 && d.stage == unfinished {
-			change.Released = append(change.Released, dependent)
+	jobNode.stage, jobNode.releasedAt = stageDone, completedAt
+	for _, dependent := range jobNode.dependents {
+		dependentNode := graph.nodes[dependent]
+		dependentNode.releasedAt = max(dependentNode.releasedAt, completedAt)
+		if dependentNode.unfinishedDependencies--; dependentNode.unfinishedDependencies == 0 && dependentNode.stage == stageUnfinished {
+			effects.Released = append(effects.Released, dependent)
 		}
 	}
-	n.dependents, n.needs = nil, nil
-	return change
+	jobNode.dependents, jobNode.dependencies = nil, nil
+	return effects
 }
 
-// Cancel takes the durable cancellation of a job.
-func (g *Graph) Cancel(id string) Change {
-	var change Change
-	g.cancel(id, &change)
-	if len(change.Cancelled) > 0 && change.Cancelled[0] == id {
-		change.Cancelled = change.Cancelled[1:]
+// RecordCancellation takes the durable cancellation of a job.
+func (graph *Graph) RecordCancellation(id string) Effects {
+	var effects Effects
+	graph.cancelWithDependents(id, &effects)
+	if len(effects.Cancelled) > 0 && effects.Cancelled[0] == id {
+		effects.Cancelled = effects.Cancelled[1:]
 	}
-	return change
+	return effects
 }
 
-// cancel cancels a job and everything that needs it; those that are not over are
+// cancelWithDependents cancels a job and everything that needs it; those that are not over are
 // listed in the change.
-func (g *Graph) cancel(id string, change *Change) {
+func (graph *Graph) cancelWithDependents(id string, effects *Effects) {
 	work := []string{id}
 	for len(work) > 0 {
 		id := work[len(work)-1]
 		work = work[:len(work)-1]
-		n := g.node(id)
-		if n.stage == done || n.stage == cancelled {
+		jobNode := graph.ensureNode(id)
+		if jobNode.stage == stageDone || jobNode.stage == stageCancelled {
 			continue
 		}
-		n.stage = cancelled
-		change.Cancelled = append(change.Cancelled, id)
-		work = append(work, n.dependents...)
-		n.dependents, n.needs = nil, nil
+		jobNode.stage = stageCancelled
+		effects.Cancelled = append(effects.Cancelled, id)
+		work = append(work, jobNode.dependents...)
+		jobNode.dependents, jobNode.dependencies = nil, nil
 	}
 }
 
-// Blocked tells whether a job needs one that is not done.
-func (g *Graph) Blocked(id string) bool {
-	n := g.nodes[id]
-	return n != nil && n.blockedBy > 0
+// IsBlocked tells whether a job needs one that is not done.
+func (graph *Graph) IsBlocked(id string) bool {
+	jobNode := graph.nodes[id]
+	return jobNode != nil && jobNode.unfinishedDependencies > 0
 }
 
-// Cancelled tells whether a job is cancelled, be it with one that it needs.
-func (g *Graph) Cancelled(id string) bool {
-	n := g.nodes[id]
-	return n != nil && n.stage == cancelled
+// IsCancelled tells whether a job is cancelled, be it with one that it needs.
+func (graph *Graph) IsCancelled(id string) bool {
+	jobNode := graph.nodes[id]
+	return jobNode != nil && jobNode.stage == stageCancelled
 }
 
 // ReleasedAt is the time of day from which a job's waits count: its submission, or
 // the end of the last job that it needs.
-func (g *Graph) ReleasedAt(id string, submitted clock.Micros) clock.Micros {
-	if n := g.nodes[id]; n != nil {
-		return max(submitted, n.released)
+func (graph *Graph) ReleasedAt(id string, submitted clock.Micros) clock.Micros {
+	if jobNode := graph.nodes[id]; jobNode != nil {
+		return max(submitted, jobNode.releasedAt)
 	}
 	return submitted
 }
 
 // UrgencyOf is the urgency of a job, with what others demand of it.
-func (g *Graph) UrgencyOf(id string, own Urgency) Urgency {
-	if n := g.nodes[id]; n != nil {
-		return n.urgency.Join(own)
+func (graph *Graph) UrgencyOf(id string, own Urgency) Urgency {
+	if jobNode := graph.nodes[id]; jobNode != nil {
+		return jobNode.urgency.Merge(own)
 	}
 	return own
 }
 
-// Awaited lists the jobs that a job needs and that are not done.
-func (g *Graph) Awaited(id string) []string {
-	n := g.nodes[id]
-	if n == nil || n.blockedBy == 0 {
+// PendingDependencies lists the jobs that a job needs and that are not done.
+func (graph *Graph) PendingDependencies(id string) []string {
+	jobNode := graph.nodes[id]
+	if jobNode == nil || jobNode.unfinishedDependencies == 0 {
 		return nil
 	}
-	var awaited []string
-	for _, need := range n.needs {
+	var pending []string
+	for _, dependency := range jobNode.dependencies {
 		// One that was forgotten is done: of a cancelled one this job would know.
-		if n := g.nodes[need]; n != nil && n.stage != done {
-			awaited = append(awaited, need)
+		if jobNode := graph.nodes[dependency]; jobNode != nil && jobNode.stage != stageDone {
+			pending = append(pending, dependency)
 		}
 	}
-	return awaited
+	return pending
 }
 
-// Forget forgets a job that is over, as long as nobody names it anew. Told of its end
+// Remove forgets a job that is over, as long as nobody names it anew. Told of its end
 // again, the graph is as before.
-func (g *Graph) Forget(id string) {
-	if n := g.nodes[id]; n != nil && (n.stage == done || n.stage == cancelled) {
-		delete(g.nodes, id)
+func (graph *Graph) Remove(id string) {
+	if jobNode := graph.nodes[id]; jobNode != nil && (jobNode.stage == stageDone || jobNode.stage == stageCancelled) {
+		delete(graph.nodes, id)
 	}
 }
 
-// Unknown lists the jobs that others need and of which no record was seen.
-func (g *Graph) Unknown() []string {
+// UnknownDependencies lists the jobs that others need and of which no record was seen.
+func (graph *Graph) UnknownDependencies() []string {
 	var ids []string
-	for id, n := range g.nodes {
-		if n.stage == unknown && len(n.dependents) > 0 {
+	for id, jobNode := range graph.nodes {
+		if jobNode.stage == stageUnknown && len(jobNode.dependents) > 0 {
 			ids = append(ids, id)
 		}
 	}
--- /dev/null
+++ b/internal/dag/graph_bench_test.go
@@ -0,0 +1,145 @@
+package dag
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"runtime"
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+)
+
+// graphShape makes the jobs of a graph of a size, each after those that it needs.
+type graphShape struct {
+	name     string
+	makeJobs func(n int) []Job
+}
+
+func jobID(index int) string { return fmt.Sprintf("req-%06d", index) }
+
+func jobWithDependencies(index int, dependencies ...int) Job {
+	job := Job{ID: jobID(index), SubmittedAt: clock.Micros(index + 1), EstimatedRunTime: 10 * clock.Second, Urgency: Urgency{Priority: 3}}
+	for _, dependency := range dependencies {
+		job.DependsOn = append(job.DependsOn, jobID(dependency))
+	}
+	return job
+}
+
+var graphShapes = []graphShape{
+	{"chain", func(n int) []Job {
+		jobs := []Job{jobWithDependencies(0)}
+		for i := 1; i < n; i++ {
+			jobs = append(jobs, jobWithDependencies(i, i-1))
+		}
+		return jobs
+	}},
+	{"fan out", func(n int) []Job {
+		jobs := []Job{jobWithDependencies(0)}
+		for i := 1; i < n; i++ {
+			jobs = append(jobs, jobWithDependencies(i, 0))
+		}
+		return jobs
+	}},
+	{"fan in", func(n int) []Job {
+		var jobs []Job
+		last := jobWithDependencies(n - 1)
+		for i := range n - 1 {
+			jobs = append(jobs, jobWithDependencies(i))
+			last.DependsOn = append(last.DependsOn, jobID(i))
+		}
+		return append(jobs, last)
+	}},
+	{"diamonds", func(n int) []Job { return diamondJobs(n, 0) }},
+	{"diamonds, long way first", func(n int) []Job { return diamondJobs(n, 1) }},
+	{"any", func(n int) []Job {
+		rng := rand.New(rand.NewPCG(uint64(n), 3))
+		var jobs []Job
+		for i := range n {
+			var needs []int
+			for range rng.IntN(4) {
+				if i > 0 {
+					needs = append(needs, rng.IntN(i))
+				}
+			}
+			jobs = append(jobs, jobWithDependencies(i, needs...))
+		}
+		return jobs
+	}},
+}
+
+// diamondJobs are one job, two side by side, one, two, and so on; of the two, the one that
+// is chosen takes longer.
+func diamondJobs(size, slowBranch int) []Job {
+	jobs := []Job{jobWithDependencies(0)}
+	for i := 1; i+2 < size; i += 3 {
+		jobs = append(jobs, jobWithDependencies(i, i-1), jobWithDependencies(i+1, i-1), jobWithDependencies(i+2, i, i+1))
+		jobs[len(jobs)-2-slowBranch].EstimatedRunTime = clock.Micros(size) * clock.Second
+	}
+	return jobs
+}
+
+// What a graph costs a job, over its size: to take all records, as a new leader does, the
+// last with a deadline that reaches back over all; then half of the jobs end, and the
+// rest is cancelled with the first that is left.
+func BenchmarkGraph(b *testing.B) {
+	for _, graphShape := range graphShapes {
+		for _, size := range []int{1000, 10000, 50000} {
+			b.Run(fmt.Sprintf("%s/%d", graphShape.name, size), func(b *testing.B) {
+				jobs := graphShape.makeJobs(size)
+				jobs[len(jobs)-1].Urgency = Urgency{Priority: 1, Deadline: 1 << 50}
+				var retainedBytes uint64
+				for b.Loop() {
+					b.StopTimer()
+					bytesBefore := heapInUse()
+					b.StartTimer()
+					graph := New()
+					for _, job := range jobs {
+						graph.AddJob(job)
+					}
+					b.StopTimer()
+					retainedBytes = heapInUse() - bytesBefore
+					b.StartTimer()
+					for i := range len(jobs) / 2 {
+						graph.RecordCompletion(jobs[i].ID, clock.Micros(i))
+					}
+					graph.RecordCancellation(jobs[len(jobs)/2].ID)
+				}
+				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(jobs)), "ns/job")
+				b.ReportMetric(float64(retainedBytes)/float64(len(jobs)), "B/job")
+			})
+		}
+	}
+}
+
+func heapInUse() uint64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
+}
+
+// Taking a record costs what follows from it, not the graph's size: where ways of
+// different lengths meet again and again, deadlines once more don't run over all of them.
+func TestUrgencyPropagatesInLinearTime(t *testing.T) {
+	for _, graphShape := range graphShapes {
+		for _, size := range []int{300, 3000} {
+			graph := New()
+			for _, job := range graphShape.makeJobs(size) {
+				graph.AddJob(job)
+			}
+			// The one that comes last asks for more than all before it.
+			last := graphShape.makeJobs(size)[len(graphShape.makeJobs(size))-1]
+			urgent := jobWithDependencies(size+1, 0)
+			urgent.DependsOn = []string{last.ID}
+			urgent.Urgency = Urgency{Priority: 0, Deadline: 1 << 50}
+			effects := graph.AddJob(urgent)
+			edges := 0
+			for _, job := range graphShape.makeJobs(size) {
+				edges += len(job.DependsOn)
+			}
+			if len(effects.MoreUrgent) > 4*(edges+1) {
+				t.Errorf("%s of %d: %d changes over %d edges", graphShape.name, size, len(effects.MoreUrgent), edges)
+			}
+		}
+	}
+}
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -13,155 +13,155 @@
 
 func TestMain(m *testing.M) { seed.Main(m) }
 
-// record is a step of a generated history.
-type record struct {
-	job  Job
-	kind stage
-	at   clock.Micros
+// historyStep is a step of a generated history.
+type historyStep struct {
+	job         Job
+	stage       stage
+	completedAt clock.Micros
 }
 
 // drawHistory draws jobs that need earlier ones, and how they end: nothing is done
 // before what it needs, nor after a cancellation reaches it.
-func drawHistory(t *rapid.T) (jobs []Job, ends map[string]record) {
+func drawHistory(t *rapid.T) (jobs []Job, outcomes map[string]historyStep) {
 	count := rapid.IntRange(1, 14).Draw(t, "jobs")
-	ends = map[string]record{}
-	gone := map[string]bool{}
-	finished := map[string]bool{}
+	outcomes = map[string]historyStep{}
+	isCancelled := map[string]bool{}
+	isDone := map[string]bool{}
 	for i := range count {
-		j := Job{
-			ID: fmt.Sprintf("req-%d", i), Submitted: clock.Micros(100 + i), Run: clock.Micros(rapid.IntRange(0, 9).Draw(t, "run")),
+		job := Job{
+			ID: fmt.Sprintf("req-%d", i), SubmittedAt: clock.Micros(100 + i), EstimatedRunTime: clock.Micros(rapid.IntRange(0, 9).Draw(t, "run")),
 			Urgency: Urgency{Priority: rapid.IntRange(0, 3).Draw(t, "priority"), Deadline: clock.Micros(rapid.IntRange(0, 1).Draw(t, "has a deadline") * rapid.IntRange(500, 900).Draw(t, "deadline"))},
 		}
 		for _, earlier := range jobs {
 			if rapid.IntRange(0, 3).Draw(t, "needs") == 0 {
-				j.Needs = append(j.Needs, earlier.ID)
+				job.DependsOn = append(job.DependsOn, earlier.ID)
 			}
 		}
-		jobs = append(jobs, j)
+		jobs = append(jobs, job)
 		ready := true
-		for _, need := range j.Needs {
-			ready = ready && finished[need]
-			gone[j.ID] = gone[j.ID] || gone[need]
+		for _, dependency := range job.DependsOn {
+			ready = ready && isDone[dependency]
+			isCancelled[job.ID] = isCancelled[job.ID] || isCancelled[dependency]
 		}
 		switch end := rapid.IntRange(0, 3).Draw(t, "end"); {
-		case gone[j.ID]:
+		case isCancelled[job.ID]:
 		case end == 0:
-			gone[j.ID] = true
-			ends[j.ID] = record{job: j, kind: cancelled}
+			isCancelled[job.ID] = true
+			outcomes[job.ID] = historyStep{job: job, stage: stageCancelled}
 		case end < 3 && ready:
-			finished[j.ID] = true
-			ends[j.ID] = record{job: j, kind: done, at: clock.Micros(200 + 10*i)}
+			isDone[job.ID] = true
+			outcomes[job.ID] = historyStep{job: job, stage: stageDone, completedAt: clock.Micros(200 + 10*i)}
 		}
 	}
-	return jobs, ends
+	return jobs, outcomes
 }
 
-// expected works out by the definitions what the graph should say of a job.
-type expected struct {
-	cancelled, blocked bool
-	released           clock.Micros
-	urgency            Urgency
+// expectedState works out by the definitions what the graph should say of a job.
+type expectedState struct {
+	isCancelled, isBlocked bool
+	releasedAt             clock.Micros
+	urgency                Urgency
 }
 
-func expect(jobs []Job, ends map[string]record) map[string]expected {
-	out := map[string]expected{}
-	for _, j := range jobs {
-		e := expected{released: j.Submitted, cancelled: ends[j.ID].kind == cancelled}
-		for _, need := range j.Needs {
-			e.cancelled = e.cancelled || out[need].cancelled
-			e.blocked = e.blocked || ends[need].kind != done
-			if ends[need].kind == done {
-				e.released = max(e.released, ends[need].at)
+func expectedStates(jobs []Job, outcomes map[string]historyStep) map[string]expectedState {
+	states := map[string]expectedState{}
+	for _, job := range jobs {
+		state := expectedState{releasedAt: job.SubmittedAt, isCancelled: outcomes[job.ID].stage == stageCancelled}
+		for _, dependency := range job.DependsOn {
+			state.isCancelled = state.isCancelled || states[dependency].isCancelled
+			state.isBlocked = state.isBlocked || outcomes[dependency].stage != stageDone
+			if outcomes[dependency].stage == stageDone {
+				state.releasedAt = max(state.releasedAt, outcomes[dependency].completedAt)
 			}
 		}
-		out[j.ID] = e
+		states[job.ID] = state
 	}
 	for i := len(jobs) - 1; i >= 0; i-- {
-		e := out[jobs[i].ID]
-		e.urgency = jobs[i].Urgency
+		state := states[jobs[i].ID]
+		state.urgency = jobs[i].Urgency
 		for _, later := range jobs[i+1:] {
-			if slices.Contains(later.Needs, jobs[i].ID) && !out[later.ID].cancelled {
-				e.urgency = e.urgency.Join(out[later.ID].urgency.before(later.Run))
+			if slices.Contains(later.DependsOn, jobs[i].ID) && !states[later.ID].isCancelled {
+				state.urgency = state.urgency.Merge(states[later.ID].urgency.forDependencies(later.EstimatedRunTime))
 			}
 		}
-		out[jobs[i].ID] = e
+		states[jobs[i].ID] = state
 	}
-	return out
+	return states
 }
 
 // In whatever order the records come, and however often, the graph says what the
 // definitions say: no job is free before all that it needs are done, and whatever
 // needs a cancelled job is cancelled.
-func TestRecordsInAnyOrder(t *testing.T) {
-	blocked, cancelledWith := 0, 0
+func TestRecordOrderIsIrrelevant(t *testing.T) {
+	blockedCount, cascadeCount := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		jobs, ends := drawHistory(t)
-		var records []record
-		for _, j := range jobs {
+		jobs, outcomes := drawHistory(t)
+		var steps []historyStep
+		for _, job := range jobs {
 			// A record that is over has forgotten what the job needed.
-			if end, over := ends[j.ID]; over {
-				records = append(records, end)
+			if outcome, hasOutcome := outcomes[job.ID]; hasOutcome {
+				steps = append(steps, outcome)
 				if rapid.Bool().Draw(t, "its submission is seen too") {
-					records = append(records, record{job: j, kind: unfinished})
+					steps = append(steps, historyStep{job: job, stage: stageUnfinished})
 				}
 			} else {
-				records = append(records, record{job: j, kind: unfinished})
+				steps = append(steps, historyStep{job: job, stage: stageUnfinished})
 			}
 		}
-		records = rapid.Permutation(records).Draw(t, "order")
-		if n := len(records); n > 0 && rapid.Bool().Draw(t, "repeat") {
-			records = append(records, records[rapid.IntRange(0, n-1).Draw(t, "repeated")])
+		steps = rapid.Permutation(steps).Draw(t, "order")
+		if n := len(steps); n > 0 && rapid.Bool().Draw(t, "repeat") {
+			steps = append(steps, steps[rapid.IntRange(0, n-1).Draw(t, "repeated")])
 		}
-		g := New()
-		released := map[string]bool{}
-		for _, r := range records {
-			var change Change
-			switch r.kind {
-			case unfinished:
-				change = g.Add(r.job)
-			case done:
-				change = g.Done(r.job.ID, r.at)
-			case cancelled:
-				change = g.Cancel(r.job.ID)
+		graph := New()
+		isReleased := map[string]bool{}
+		for _, step := range steps {
+			var effects Effects
+			switch step.stage {
+			case stageUnfinished:
+				effects = graph.AddJob(step.job)
+			case stageDone:
+				effects = graph.RecordCompletion(step.job.ID, step.completedAt)
+			case stageCancelled:
+				effects = graph.RecordCancellation(step.job.ID)
 			}
-			for _, id := range change.Released {
-				if released[id] || g.Blocked(id) {
+			for _, id := range effects.Released {
+				if isReleased[id] || graph.IsBlocked(id) {
 					t.Fatalf("%s is released twice, or blocked", id)
 				}
-				released[id] = true
+				isReleased[id] = true
 			}
-			if slices.Contains(change.Cancelled, r.job.ID) && r.kind != unfinished {
-				t.Fatalf("%s is listed as cancelled with itself", r.job.ID)
+			if slices.Contains(effects.Cancelled, step.job.ID) && step.stage != stageUnfinished {
+				t.Fatalf("%s is listed as cancelled with itself", step.job.ID)
 			}
 		}
-		want := expect(jobs, ends)
-		for _, j := range jobs {
-			e := want[j.ID]
-			if _, over := ends[j.ID]; over {
+		wantStates := expectedStates(jobs, outcomes)
+		for _, job := range jobs {
+			expectation := wantStates[job.ID]
+			if _, hasOutcome := outcomes[job.ID]; hasOutcome {
 				continue
 			}
-			if g.Cancelled(j.ID) != e.cancelled {
-				t.Fatalf("%s cancelled: %v, want %v", j.ID, g.Cancelled(j.ID), e.cancelled)
+			if graph.IsCancelled(job.ID) != expectation.isCancelled {
+				t.Fatalf("%s cancelled: %v, want %v", job.ID, graph.IsCancelled(job.ID), expectation.isCancelled)
 			}
-			if e.cancelled {
-				cancelledWith++
+			if expectation.isCancelled {
+				cascadeCount++
 				continue
 			}
-			if g.Blocked(j.ID) != e.blocked || (len(g.Awaited(j.ID)) > 0) != e.blocked {
-				t.Fatalf("%s blocked: %v, want %v", j.ID, g.Blocked(j.ID), e.blocked)
+			if graph.IsBlocked(job.ID) != expectation.isBlocked || (len(graph.PendingDependencies(job.ID)) > 0) != expectation.isBlocked {
+				t.Fatalf("%s blocked: %v, want %v", job.ID, graph.IsBlocked(job.ID), expectation.isBlocked)
 			}
-			if e.blocked {
-				blocked++
-			} else if at := g.ReleasedAt(j.ID, j.Submitted); at != e.released {
-				t.Fatalf("%s released at %d, want %d", j.ID, at, e.released)
+			if expectation.isBlocked {
+				blockedCount++
+			} else if releasedAt := graph.ReleasedAt(job.ID, job.SubmittedAt); releasedAt != expectation.releasedAt {
+				t.Fatalf("%s released at %d, want %d", job.ID, releasedAt, expectation.releasedAt)
 			}
-			if got := g.UrgencyOf(j.ID, j.Urgency); got.Priority > e.urgency.Priority || e.urgency.Deadline != 0 && (got.Deadline == 0 || got.Deadline > e.urgency.Deadline) {
-				t.Fatalf("%s is less urgent than demanded: %+v, want %+v", j.ID, got, e.urgency)
+			if got := graph.UrgencyOf(job.ID, job.Urgency); got.Priority > expectation.urgency.Priority || expectation.urgency.Deadline != 0 && (got.Deadline == 0 || got.Deadline > expectation.urgency.Deadline) {
+				t.Fatalf("%s is less urgent than demanded: %+v, want %+v", job.ID, got, expectation.urgency)
 			}
 		}
 	})
-	if blocked < 20 || cancelledWith < 20 {
-		t.Fatalf("%d blocked, %d cancelled with others: the histories show little", blocked, cancelledWith)
+	if blockedCount < 20 || cascadeCount < 20 {
+		t.Fatalf("%d blocked, %d cancelled with others: the histories show little", blockedCount, cascadeCount)
 	}
 }
 
@@ -172,25 +172,25 @@
 	id := func(i int) string { return fmt.Sprintf("req-%d", i) }
 	chain := New()
 	for i := range length {
-		j := Job{ID: id(i), Urgency: Urgency{Priority: 3}}
+		job := Job{ID: id(i), Urgency: Urgency{Priority: 3}}
 		if i > 0 {
-			j.Needs = []string{id(i - 1)}
+			job.DependsOn = []string{id(i - 1)}
 		}
-		chain.Add(j)
+		chain.AddJob(job)
 	}
-	last := Job{ID: "req-last", Needs: []string{id(length - 1)}, Urgency: Urgency{Priority: 0, Deadline: 1 << 40}, Run: 1}
-	if change := chain.Add(last); len(change.MoreUrgent) != length {
-		t.Fatalf("%d jobs are more urgent, of %d", len(change.MoreUrgent), length)
+	last := Job{ID: "req-last", DependsOn: []string{id(length - 1)}, Urgency: Urgency{Priority: 0, Deadline: 1 << 40}, EstimatedRunTime: 1}
+	if effects := chain.AddJob(last); len(effects.MoreUrgent) != length {
+		t.Fatalf("%d jobs are more urgent, of %d", len(effects.MoreUrgent), length)
 	}
-	if change := chain.Cancel(id(0)); len(change.Cancelled) != length {
-		t.Fatalf("%d jobs are cancelled, of %d", len(change.Cancelled), length)
+	if effects := chain.RecordCancellation(id(0)); len(effects.Cancelled) != length {
+		t.Fatalf("%d jobs are cancelled, of %d", len(effects.Cancelled), length)
 	}
 	fan := New()
-	fan.Add(Job{ID: "req-root"})
+	fan.AddJob(Job{ID: "req-root"})
 	for i := range length {
-		fan.Add(Job{ID: id(i), Needs: []string{"req-root"}})
+		fan.AddJob(Job{ID: id(i), DependsOn: []string{"req-root"}})
 	}
-	if change := fan.Done("req-root", 5); len(change.Released) != length {
-		t.Fatalf("%d jobs are released, of %d", len(change.Released), length)
+	if effects := fan.RecordCompletion("req-root", 5); len(effects.Released) != length {
+		t.Fatalf("%d jobs are released, of %d", len(effects.Released), length)
 	}
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -13,37 +13,37 @@
 
 func TestMain(m *testing.M) { seed.Main(m) }
 
-// feed gives b to p in pieces and returns what came out of it.
-func feed(p *Parser, b []byte, piece func() int) (out []*Message, err error) {
-	for len(b) > 0 {
-		n := min(max(piece(), 1), len(b))
-		p.Feed(b[:n])
-		b = b[n:]
+// feedInPieces gives b to p in pieces and returns what came out of it.
+func feedInPieces(parser *Parser, data []byte, piece func() int) (messages []*Message, err error) {
+	for len(data) > 0 {
+		n := min(max(piece(), 1), len(data))
+		parser.Feed(data[:n])
+		data = data[n:]
 		for {
-			m, err := p.Next()
+			message, err := parser.Next()
 			if err != nil {
-				return out, err
+				return messages, err
 			}
-			if m == nil {
+			if message == nil {
 				break
 			}
-			out = append(out, m)
+			messages = append(messages, message)
 		}
 	}
-	return out, nil
+	return messages, nil
 }
 
 // Any split of the bytes gives the same messages, in both directions.
-func TestAnySplit(t *testing.T) {
+func TestSplitsGiveSameMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		response := rapid.Bool().Draw(t, "response")
+		isResponse := rapid.Bool().Draw(t, "response")
 		var stream []byte
 		var want []string
-		n := rapid.IntRange(1, 4).Draw(t, "messages")
-		for i := 0; i < n; i++ {
+		count := rapid.IntRange(1, 4).Draw(t, "messages")
+		for i := 0; i < count; i++ {
 			body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
 			var head string
-			if response {
+			if isResponse {
 				status := rapid.SampledFrom([]int{200, 409, 503}).Draw(t, "status")
 				head = fmt.Sprintf("HTTP/1.1 %d Whatever\r\n", status)
 				want = append(want, fmt.Sprint(status, body))
@@ -55,71 +55,71 @@
 			if rapid.Bool().Draw(t, "chunked") {
 				stream = append(stream, head+"transfer-encoding: Chunked\r\n\r\n"...)
 				for rest := body; len(rest) > 0; {
-					k := rapid.IntRange(1, len(rest)).Draw(t, "chunk")
-					stream = append(stream, fmt.Sprintf("%x;ext=1\r\n%s\r\n", k, rest[:k])...)
-					rest = rest[k:]
+					size := rapid.IntRange(1, len(rest)).Draw(t, "chunk")
+					stream = append(stream, fmt.Sprintf("%x;ext=1\r\n%s\r\n", size, rest[:size])...)
+					rest = rest[size:]
 				}
 				stream = append(stream, "0\r\nTrailer: x\r\n\r\n"...)
 			} else {
 				stream = append(stream, fmt.Sprintf("%sContent-Length: %d\r\nX-Other: y\r\n\r\n%s", head, len(body), body)...)
 			}
 		}
-		p := NewRequestParser(DefaultLimits)
-		if response {
-			p = NewResponseParser(DefaultLimits)
+		parser := NewRequestParser(DefaultLimits)
+		if isResponse {
+			parser = NewResponseParser(DefaultLimits)
 		}
-		got, err := feed(p, stream, func() int { return rapid.IntRange(1, 120).Draw(t, "piece") })
+		got, err := feedInPieces(parser, stream, func() int { return rapid.IntRange(1, 120).Draw(t, "piece") })
 		if err != nil {
 			t.Fatalf("%q: %v", stream, err)
 		}
 		if len(got) != len(want) {
 			t.Fatalf("%d messages, want %d", len(got), len(want))
 		}
-		for i, m := range got {
-			g := fmt.Sprint(m.Target, append([]byte{}, m.Body...))
-			if response {
-				g = fmt.Sprint(m.Status, append([]byte{}, m.Body...))
+		for i, message := range got {
+			summary := fmt.Sprint(message.Target, append([]byte{}, message.Body...))
+			if isResponse {
+				summary = fmt.Sprint(message.Status, append([]byte{}, message.Body...))
 			}
-			if g != want[i] {
-				t.Fatalf("message %d: %s, want %s", i, g, want[i])
+			if summary != want[i] {
+				t.Fatalf("message %d: %s, want %s", i, summary, want[i])
 			}
 		}
-		if !p.Idle() {
+		if !parser.IsIdle() {
 			t.Fatal("something is left over")
 		}
 	})
 }
 
 // Whatever comes, memory stays bounded and nothing panics.
-func TestGarbageIsBounded(t *testing.T) {
+func TestBufferIsBoundedOnGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{Line: 64, Head: 256, Body: 128}
-		p := NewRequestParser(l)
+		limits := Limits{Line: 64, Head: 256, Body: 128}
+		parser := NewRequestParser(limits)
 		if rapid.Bool().Draw(t, "response") {
-			p = NewResponseParser(l)
+			parser = NewResponseParser(limits)
 		}
-		words := rapid.SampledFrom([]string{"GET / HTTP/1.1\r\n", "HTTP/1.1 200 OK\r\n", "\r\n", "Content-Length: 5\r\n", "a:b\r\n", "Transfer-Encoding: chunked\r\n", "5\r\n", "0\r\n", "hello", "\n", "\x00\xff", "x"})
+		fragments := rapid.SampledFrom([]string{"GET / HTTP/1.1\r\n", "HTTP/1.1 200 OK\r\n", "\r\n", "Content-Length: 5\r\n", "a:b\r\n", "Transfer-Encoding: chunked\r\n", "5\r\n", "0\r\n", "hello", "\n", "\x00\xff", "x"})
 		for i := 0; i < 60; i++ {
-			p.Feed([]byte(words.Draw(t, "word")))
+			parser.Feed([]byte(fragments.Draw(t, "word")))
 			for {
-				m, err := p.Next()
-				if err != nil || m == nil {
+				message, err := parser.Next()
+				if err != nil || message == nil {
 					break
 				}
-				if len(m.Body) > l.Body {
-					t.Fatalf("a body of %d", len(m.Body))
+				if len(message.Body) > limits.Body {
+					t.Fatalf("a body of %d", len(message.Body))
 				}
 			}
-			if p.Held() > l.Line+l.Head+l.Body+64 {
-				t.Fatalf("%d bytes held", p.Held())
+			if parser.Buffered() > limits.Line+limits.Head+limits.Body+64 {
+				t.Fatalf("%d bytes held", parser.Buffered())
 			}
 		}
 	})
 }
 
-func TestFaults(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	long := strings.Repeat("a", 9<<10)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		in     string
 		status int
 	}{
@@ -143,17 +143,17 @@
 		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
 		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", 400},
 	} {
-		p := NewRequestParser(DefaultLimits)
-		p.Feed([]byte(c.in))
-		m, err := p.Next()
-		he, ok := err.(*Error)
-		if !ok || he.Status != c.status {
-			t.Errorf("%.60q: %v %v, want %d", c.in, m, err, c.status)
+		parser := NewRequestParser(DefaultLimits)
+		parser.Feed([]byte(test.in))
+		message, err := parser.Next()
+		httpError, ok := err.(*Error)
+		if !ok || httpError.Status != test.status {
+			t.Errorf("%.60q: %v %v, want %d", test.in, message, err, test.status)
 		}
 		// A broken stream stays broken.
-		p.Feed([]byte("GET / HTTP/1.1\r\n\r\n"))
-		if m, _ := p.Next(); m != nil {
-			t.Errorf("%.60q: a message after the fault", c.in)
+		parser.Feed([]byte("GET / HTTP/1.1\r\n\r\n"))
+		if message, _ := parser.Next(); message != nil {
+			t.Errorf("%.60q: a message after the fault", test.in)
 		}
 	}
 }
@@ -161,39 +161,39 @@
 func TestWritersAndParserAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "body")
-		retry := rapid.IntRange(0, 30).Draw(t, "retry")
-		closing := rapid.Bool().Draw(t, "close")
-		p := NewResponseParser(DefaultLimits)
-		p.Feed(AppendResponse(nil, 503, body, retry, closing))
-		m, err := p.Next()
-		if err != nil || m == nil || m.Status != 503 || !bytes.Equal(m.Body, body) || m.RetryAfter != retry || m.Close != closing {
-			t.Fatalf("%+v %v", m, err)
+		retryAfter := rapid.IntRange(0, 30).Draw(t, "retry")
+		closeAfter := rapid.Bool().Draw(t, "close")
+		parser := NewResponseParser(DefaultLimits)
+		parser.Feed(AppendResponse(nil, 503, body, retryAfter, closeAfter))
+		message, err := parser.Next()
+		if err != nil || message == nil || message.Status != 503 || !bytes.Equal(message.Body, body) || message.RetryAfter != retryAfter || message.Close != closeAfter {
+			t.Fatalf("%+v %v", message, err)
 		}
-		q := NewRequestParser(DefaultLimits)
-		q.Feed(AppendRequest(nil, "POST", "/txn", "127.0.0.1:1", body))
-		m, err = q.Next()
-		if err != nil || m == nil || m.Method != "POST" || m.Target != "/txn" || !bytes.Equal(m.Body, body) {
-			t.Fatalf("%+v %v", m, err)
+		requestParser := NewRequestParser(DefaultLimits)
+		requestParser.Feed(AppendRequest(nil, "POST", "/txn", "127.0.0.1:1", body))
+		message, err = requestParser.Next()
+		if err != nil || message == nil || message.Method != "POST" || message.Target != "/txn" || !bytes.Equal(message.Body, body) {
+			t.Fatalf("%+v %v", message, err)
 		}
 	})
 }
 
 func TestResponseUntilClose(t *testing.T) {
-	p := NewResponseParser(DefaultLimits)
-	p.Feed([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.0 200 OK\r\n\r\nabc"))
-	if m, err := p.Next(); m != nil || err != nil {
-		t.Fatal(m, err)
+	parser := NewResponseParser(DefaultLimits)
+	parser.Feed([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.0 200 OK\r\n\r\nabc"))
+	if message, err := parser.Next(); message != nil || err != nil {
+		t.Fatal(message, err)
 	}
-	m, err := p.End()
-	if err != nil || m == nil || string(m.Body) != "abc" || !m.Close {
-		t.Fatalf("%+v %v", m, err)
+	message, err := parser.HandleEOF()
+	if err != nil || message == nil || string(message.Body) != "abc" || !message.Close {
+		t.Fatalf("%+v %v", message, err)
 	}
-	q := NewResponseParser(DefaultLimits)
-	q.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"))
-	if m, err := q.Next(); m != nil || err != nil {
-		t.Fatal(m, err)
+	truncated := NewResponseParser(DefaultLimits)
+	truncated.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"))
+	if message, err := truncated.Next(); message != nil || err != nil {
+		t.Fatal(message, err)
 	}
-	if _, err := q.End(); err == nil {
+	if _, err := truncated.HandleEOF(); err == nil {
 		t.Fatal("half a response is taken for a whole one")
 	}
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -22,7 +22,7 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("http: %s (%d)", e.Reason, e.Status) }
 
-func fault(status int, reason string) *Error { return &Error{Status: status, Reason: reason} }
+func newError(status int, reason string) *Error { return &Error{Status: status, Reason: reason} }
 
 // Message is a request or a response. Its strings and body are its own.
 type Message struct {
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -4,7 +4,7 @@
 	"strconv"
 )
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 409: "Conflict", 413: "Content Too Large",
 	421: "Misdirected Request", 422: "Unprocessable Content", 429: "Too Many Requests",
@@ -12,18 +12,18 @@
 }
 
 // AppendResponse writes a response with a JSON body.
-func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closing bool) []byte {
+func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closeAfter bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, reasons[status]...)
+	dst = append(dst, reasonPhrases[status]...)
 	dst = append(dst, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	dst = strconv.AppendInt(dst, int64(len(body)), 10)
 	if retryAfter > 0 {
 		dst = append(dst, "\r\nRetry-After: "...)
 		dst = strconv.AppendInt(dst, int64(retryAfter), 10)
 	}
-	if closing {
+	if closeAfter {
 		dst = append(dst, "\r\nConnection: close"...)
 	}
 	dst = append(dst, "\r\n\r\n"...)
--- /dev/null
+++ b/internal/jobhistory/jobhistory_test.go
@@ -0,0 +1,123 @@
+package jobhistory
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+)
+
+// Beyond the bound those that were longest not asked for are forgotten, but for those that
+// may not be.
+func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
+	cache := NewCache(3)
+	for i := range 6 {
+		cache.Touch(fmt.Sprint(i))
+	}
+	cache.Touch("0") // a user asks
+	evicted := cache.Evict(100, func(jobID string) bool { return jobID != "2" })
+	if !slices.Equal(evicted, []string{"1", "3", "4"}) || cache.Len() != 3 {
+		t.Errorf("forgotten %v, %d are left", evicted, cache.Len())
+	}
+	if again := cache.Evict(100, func(string) bool { return true }); again != nil {
+		t.Errorf("forgotten within the bound: %v", again)
+	}
+	cache.Touch("5")
+	cache.Touch("6")
+	if none := cache.Evict(100, func(string) bool { return false }); none != nil || cache.Len() != 4 {
+		t.Errorf("forgotten %v, %d are left", none, cache.Len())
+	}
+}
+
+// Of any number of records in any order the newest are kept, and no more than twice as many
+// are held.
+func TestNewestKeepsLatestRecords(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	for range 200 {
+		count, capacity := rng.IntN(60), 1+rng.IntN(10)
+		newest := NewNewest[int](capacity)
+		for _, i := range rng.Perm(count) {
+			newest.Add(int64(i), i)
+			if len(newest.entries) > 2*capacity {
+				t.Fatalf("%d records are held for %d", len(newest.entries), capacity)
+			}
+		}
+		kept, dropped := newest.Records()
+		slices.Sort(kept)
+		if len(kept) != min(count, capacity) || len(kept) > 0 && kept[0] != count-len(kept) || dropped != count-len(kept) {
+			t.Fatalf("of %d at most %d: %v, %d dropped", count, capacity, kept, dropped)
+		}
+	}
+}
+
+// Over generated courses of questions, jobs that come to exist, lost answers and requests
+// that read only some: nobody is told that a job is absent which existed when it was asked
+// for, and each question is answered.
+func TestLookupsAreAnsweredCorrectly(t *testing.T) {
+	for seed := range uint64(500) {
+		rng := rand.New(rand.NewPCG(seed, 3))
+		lookups := NewLookups(20, 4)
+		exists := map[string]bool{}
+		now, enqueuedCount, answeredCount := clock.Micros(0), 0, 0
+		enqueue := func() {
+			jobID := fmt.Sprint(rng.IntN(12))
+			existed := exists[jobID]
+			isEnqueued := lookups.Enqueue(jobID, now+clock.Second, func(result LookupResult) {
+				answeredCount++
+				if result == Absent && existed || result == Present && !exists[jobID] {
+					t.Fatalf("seed %d: %s is answered %d, existed %v, exists %v", seed, jobID, result, existed, exists[jobID])
+				}
+			})
+			if isEnqueued {
+				enqueuedCount++
+			}
+		}
+		for range 300 {
+			now += clock.Micros(rng.IntN(100)) * clock.Millisecond
+			switch rng.IntN(4) {
+			case 0:
+				enqueue()
+			case 1:
+				exists[fmt.Sprint(rng.IntN(12))] = true
+			default:
+				serveBatch(lookups, rng, exists, now, enqueue)
+			}
+		}
+		for range 100 {
+			now += 50 * clock.Millisecond
+			serveBatch(lookups, rng, exists, now, func() {})
+		}
+		if enqueuedCount != answeredCount || enqueuedCount == 0 {
+			t.Fatalf("seed %d: %d questions, %d answered", seed, enqueuedCount, answeredCount)
+		}
+	}
+}
+
+// serveBatch has one request carried out, while more may be asked.
+func serveBatch(lookups *Lookups, rng *rand.Rand, exists map[string]bool, now clock.Micros, enqueue func()) {
+	jobIDs := lookups.NextBatch(now)
+	if len(jobIDs) == 0 {
+		return
+	}
+	if len(jobIDs) > 4 {
+		panic("more than a request holds")
+	}
+	var present []string
+	for _, jobID := range jobIDs {
+		if exists[jobID] {
+			present = append(present, jobID)
+		}
+	}
+	for range rng.IntN(3) {
+		exists[fmt.Sprint(rng.IntN(12))] = true // after it was carried out
+	}
+	enqueue() // while its answer is on the way: it is for the next one
+	hasFailed := rng.IntN(5) == 0
+	if hasFailed {
+		present = nil
+	}
+	areOthersAbsent := len(present) == 0 && !hasFailed
+	lookups.CompleteBatch(present[:min(len(present), 2)], areOthersAbsent, hasFailed)
+}
--- a/internal/jobhistory/lookups.go
+++ b/internal/jobhistory/lookups.go
@@ -6,111 +6,113 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Answer is what the state service has said of a job.
-type Answer uint8
+// LookupResult is what the state service has said of a job.
+type LookupResult uint8
 
 const (
-	// NoAnswer: nothing; the user is to ask again later.
-	NoAnswer Answer = iota
+	// Unavailable: nothing; the user is to ask again later.
+	Unavailable LookupResult = iota
 	// Absent: there is no record of it.
 	Absent
 	// Present: there is one, and it was read.
 	Present
 )
 
-// question is one that waits for what the state service says of a job.
-type question struct {
-	job   string
-	until clock.Micros
-	then  func(Answer)
+// pendingLookup is one that waits for what the state service says of a job.
+type pendingLookup struct {
+	jobID    string
+	deadline clock.Micros
+	onResult func(LookupResult)
 }
 
 // Lookups are questions for jobs that are not remembered, asked many at a time. Each is
 // answered from a request that was sent after it came.
 type Lookups struct {
-	most, batch int
-	waiting     []question
-	// again are questions of a batch in which other jobs were present, which proves
+	maxWaiting, batchSize int
+	waiting               []pendingLookup
+	// retries are questions of a batch in which other jobs were present, which proves
 	// nothing of theirs; they are asked by themselves.
-	again []question
-	asked []question
+	retries  []pendingLookup
+	inFlight []pendingLookup
 }
 
 // NewLookups lets so many questions wait, and asks for so many jobs at a time.
-func NewLookups(most, batch int) *Lookups { return &Lookups{most: most, batch: batch} }
+func NewLookups(maxWaiting, batchSize int) *Lookups {
+	return &Lookups{maxWaiting: maxWaiting, batchSize: batchSize}
+}
 
-// Ask takes a question, unless too many wait. It is answered by an instant or later, at
+// Enqueue takes a question, unless too many wait. It is answered by an instant or later, at
 // once when that has passed.
-func (l *Lookups) Ask(job string, until clock.Micros, then func(Answer)) bool {
-	if len(l.waiting)+len(l.again) >= l.most {
+func (lookups *Lookups) Enqueue(jobID string, deadline clock.Micros, onResult func(LookupResult)) bool {
+	if len(lookups.waiting)+len(lookups.retries) >= lookups.maxWaiting {
 		return false
 	}
-	l.waiting = append(l.waiting, question{job, until, then})
+	lookups.waiting = append(lookups.waiting, pendingLookup{jobID, deadline, onResult})
 	return true
 }
 
-// Next are the jobs to ask for now; none while others are being asked for. Answered has to
+// NextBatch are the jobs to ask for now; none while others are being asked for. Answered has to
 // follow.
-func (l *Lookups) Next(now clock.Micros) []string {
-	if len(l.asked) > 0 {
+func (lookups *Lookups) NextBatch(now clock.Micros) []string {
+	if len(lookups.inFlight) > 0 {
 		return nil
 	}
-	l.expire(now)
-	from := &l.waiting
-	if len(l.again) > 0 {
-		from = &l.again
+	lookups.expireOverdue(now)
+	source := &lookups.waiting
+	if len(lookups.retries) > 0 {
+		source = &lookups.retries
 	}
-	var jobs []string
-	rest := (*from)[:0]
-	for _, q := range *from {
-		isListed := slices.Contains(jobs, q.job)
-		if !isListed && len(jobs) == l.batch {
-			rest = append(rest, q)
+	var jobIDs []string
+	rest := (*source)[:0]
+	for _, lookup := range *source {
+		isListed := slices.Contains(jobIDs, lookup.jobID)
+		if !isListed && len(jobIDs) == lookups.batchSize {
+			rest = append(rest, lookup)
 			continue
 		}
 		if !isListed {
-			jobs = append(jobs, q.job)
+			jobIDs = append(jobIDs, lookup.jobID)
 		}
-		l.asked = append(l.asked, q)
+		lookups.inFlight = append(lookups.inFlight, lookup)
 	}
-	clear((*from)[len(rest):])
-	*from = rest
-	return jobs
+	clear((*source)[len(rest):])
+	*source = rest
+	return jobIDs
 }
 
-// expire answers questions whose time is over.
-func (l *Lookups) expire(now clock.Micros) {
-	var late []question
-	for _, questions := range []*[]question{&l.waiting, &l.again} {
-		*questions = slices.DeleteFunc(*questions, func(q question) bool {
-			isLate := now >= q.until
-			if isLate {
-				late = append(late, q)
+// expireOverdue answers questions whose time is over.
+func (lookups *Lookups) expireOverdue(now clock.Micros) {
+	var overdue []pendingLookup
+	for _, queue := range []*[]pendingLookup{&lookups.waiting, &lookups.retries} {
+		*queue = slices.DeleteFunc(*queue, func(lookup pendingLookup) bool {
+			isOverdue := now >= lookup.deadline
+			if isOverdue {
+				overdue = append(overdue, lookup)
 			}
-			return isLate
+			return isOverdue
 		})
 	}
-	for _, q := range late {
-		q.then(NoAnswer) // which may ask anew
+	for _, lookup := range overdue {
+		lookup.onResult(Unavailable) // which may ask anew
 	}
 }
 
-// Answered takes what was said of the jobs that were asked for: those that are present and
+// CompleteBatch takes what was said of the jobs that were asked for: those that are present and
 // were read, and whether all others are known to be absent. What stays open is asked again,
 // or gets no answer if the request failed.
-func (l *Lookups) Answered(present []string, areOthersAbsent, hasFailed bool) {
-	asked := l.asked
-	l.asked = nil
-	for _, q := range asked {
+func (lookups *Lookups) CompleteBatch(present []string, areOthersAbsent, hasFailed bool) {
+	batch := lookups.inFlight
+	lookups.inFlight = nil
+	for _, lookup := range batch {
 		switch {
-		case slices.Contains(present, q.job):
-			q.then(Present)
+		case slices.Contains(present, lookup.jobID):
+			lookup.onResult(Present)
 		case areOthersAbsent:
-			q.then(Absent)
+			lookup.onResult(Absent)
 		case hasFailed:
-			q.then(NoAnswer)
+			lookup.onResult(Unavailable)
 		default:
-			l.again = append(l.again, q)
+			lookups.retries = append(lookups.retries, lookup)
 		}
 	}
 }
--- a/internal/jobhistory/newest.go
+++ b/internal/jobhistory/newest.go
@@ -8,42 +8,42 @@
 // Newest keeps, of records that come in any order, those of the jobs that ended last. It
 // holds twice as many as it keeps at most.
 type Newest[R any] struct {
-	most    int
-	records []ended[R]
-	dropped int
+	capacity int
+	entries  []entry[R]
+	dropped  int
 }
 
-type ended[R any] struct {
-	at     int64
-	record R
+type entry[R any] struct {
+	endedAt int64
+	record  R
 }
 
 // NewNewest keeps so many records.
-func NewNewest[R any](most int) *Newest[R] { return &Newest[R]{most: most} }
+func NewNewest[R any](capacity int) *Newest[R] { return &Newest[R]{capacity: capacity} }
 
 // Add takes the record of a job that ended at a time of day.
-func (n *Newest[R]) Add(at int64, record R) {
-	n.records = append(n.records, ended[R]{at, record})
-	if len(n.records) >= 2*n.most+1 {
-		n.cut()
+func (newest *Newest[R]) Add(endedAt int64, record R) {
+	newest.entries = append(newest.entries, entry[R]{endedAt, record})
+	if len(newest.entries) >= 2*newest.capacity+1 {
+		newest.trim()
 	}
 }
 
-func (n *Newest[R]) cut() {
-	if len(n.records) <= n.most {
+func (newest *Newest[R]) trim() {
+	if len(newest.entries) <= newest.capacity {
 		return
 	}
-	slices.SortStableFunc(n.records, func(a, b ended[R]) int { return cmp.Compare(b.at, a.at) })
-	n.dropped += len(n.records) - n.most
-	clear(n.records[n.most:])
-	n.records = n.records[:n.most]
+	slices.SortStableFunc(newest.entries, func(a, b entry[R]) int { return cmp.Compare(b.endedAt, a.endedAt) })
+	newest.dropped += len(newest.entries) - newest.capacity
+	clear(newest.entries[newest.capacity:])
+	newest.entries = newest.entries[:newest.capacity]
 }
 
-// Kept are the records that are kept, and how many were not.
-func (n *Newest[R]) Kept() (records []R, dropped int) {
-	n.cut()
-	for _, r := range n.records {
-		records = append(records, r.record)
+// Records are the records that are kept, and how many were not.
+func (newest *Newest[R]) Records() (records []R, dropped int) {
+	newest.trim()
+	for _, entry := range newest.entries {
+		records = append(records, entry.record)
 	}
-	return records, n.dropped
+	return records, newest.dropped
 }
--- a/internal/kvstore/commit.go
+++ b/internal/kvstore/commit.go
@@ -178,10 +178,10 @@
 		fits := len(batch) == 0 ||
 			w.Fence == batch[0].Fence && ops+len(w.Then) <= c.limits.TxnOps &&
 				conds+len(w.If)+1 <= 4*c.limits.TxnOps && size+w.size <= maxTxn
-		if len(batch) > 0 && w.Rank > Vital && !c.writes.Has(float64(ops+len(w.Then))) {
+		if len(batch) > 0 && w.Rank > Vital && !c.writes.HasTokens(float64(ops+len(w.Then))) {
 			fits = false // what is booked ahead holds up what is more pressing
 		}
-		if w.Rank == Spare && !c.writes.Has(float64(ops+2*len(w.Then))) {
+		if w.Rank == Spare && !c.writes.HasTokens(float64(ops+2*len(w.Then))) {
 			fits, waits = false, true
 		}
 		if !fits {
@@ -220,7 +220,7 @@
 		if len(batch) == 0 {
 			return
 		}
-		c.reads.Take(1)
+		c.reads.Reserve(1)
 		c.commit(batch)
 	}
 }
@@ -271,7 +271,7 @@
 		}
 		c.writes.Wait(float64(len(t.Then)))
 		status, answer, err := c.do("POST", "/txn", body, requestTimeout)
-		var se *client.SendError
+		var se *client.NotSentError
 		switch {
 		case errors.As(err, &se):
 			finish(batch, Refused, 0)
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -10,7 +10,7 @@
 
 // Grant takes a lease; renewals and grants do not wait behind other work.
 func (c *Client) Grant(ttl clock.Micros) (uint64, error) {
-	c.reads.Take(1)
+	c.reads.Reserve(1)
 	body, err := wire.Grant{TTLMs: int64(ttl / clock.Millisecond)}.MarshalJSON()
 	if err != nil {
 		return 0, err
@@ -32,13 +32,13 @@
 
 // Renew renews a lease.
 func (c *Client) Renew(lease uint64, timeout clock.Micros) error {
-	c.reads.Take(1)
+	c.reads.Reserve(1)
 	return c.leaseCall("POST", "/grants/"+strconv.FormatUint(lease, 10)+"/renew", timeout)
 }
 
 // Revoke ends a lease at once.
 func (c *Client) Revoke(lease uint64) error {
-	c.reads.Take(1)
+	c.reads.Reserve(1)
 	return c.leaseCall("DELETE", "/grants/"+strconv.FormatUint(lease, 10), requestTimeout)
 }
 
--- a/internal/kvstore/state.go
+++ b/internal/kvstore/state.go
@@ -31,8 +31,8 @@
 	host    *client.Host
 	limits  Limits
 	lockKey string
-	reads   *client.Budget
-	writes  *client.Budget
+	reads   *client.TokenBucket
+	writes  *client.TokenBucket
 
 	mu       sync.Mutex
 	pending  []*Write
@@ -64,7 +64,7 @@
 func New(dial client.Dialer, addr string, l Limits, lockKey string) *Client {
 	return &Client{
 		host: client.NewHost(dial, addr, 6, maxAnswer), limits: l, lockKey: lockKey,
-		reads: client.NewBudget(l.RPS/4, l.RPS/4), writes: client.NewBudget(l.WriteRPS/4, l.WriteRPS/4),
+		reads: client.NewTokenBucket(l.RPS/4, l.RPS/4), writes: client.NewTokenBucket(l.WriteRPS/4, l.WriteRPS/4),
 	}
 }
 
--- a/internal/kvstore/state_test.go
+++ b/internal/kvstore/state_test.go
@@ -143,15 +143,15 @@
 		c.Close()
 	}()
 	h := client.NewHost(client.DialTCP, l.Addr().String(), 1, 1000)
-	r := client.Request{Method: "POST", Target: "/x", Timeout: 5 * clock.Second, Until: func() clock.Micros { return 1 }}
-	if _, err := h.Do(r); !errors.Is(err, client.ErrLate) {
+	r := client.Request{Method: "POST", Target: "/x", Timeout: 5 * clock.Second, SendDeadline: func() clock.Micros { return 1 }}
+	if _, err := h.Do(r); !errors.Is(err, client.ErrSendDeadlinePassed) {
 		t.Fatalf("too late: %v", err)
 	}
 	if n := <-got; n != 0 {
 		t.Fatalf("%d bytes were sent too late", n)
 	}
 	l.Close()
-	var se *client.SendError
+	var se *client.NotSentError
 	if _, err := h.Do(client.Request{Method: "GET", Target: "/", Timeout: clock.Second}); !errors.As(err, &se) {
 		t.Fatalf("nobody listens: %v", err)
 	}
@@ -161,7 +161,7 @@
 // what can wait is sent only with rate to spare. Nothing of it is lost.
 func TestRanks(t *testing.T) {
 	c := New(client.DialTCP, "127.0.0.1:1", Limits{RPS: 1000, WriteRPS: 8, TxnOps: 8}, "lead")
-	c.writes = client.NewBudget(8, 8)
+	c.writes = client.NewTokenBucket(8, 8)
 	c.inFlight, c.looking = maxInFlight, true // the test takes the batches itself
 	write := func(r Rank, key string) {
 		if !c.Commit(&Write{Rank: r, Fence: 7, Then: put(key, "1"), Done: func(Outcome, uint64) {}}) {
@@ -177,7 +177,7 @@
 	if len(first) < 3 || first[0].Rank != Binding || first[1].Rank != Needed || first[2].Rank != Spare {
 		t.Fatalf("the first batch has %d writes, ranks %v ...", len(first), first[0].Rank)
 	}
-	c.writes.Take(8) // the burst is used up
+	c.writes.Reserve(8) // the burst is used up
 	if b := c.next(); len(b) != 0 {
 		t.Fatalf("%d writes that can wait are sent with no rate to spare", len(b))
 	}
@@ -215,7 +215,7 @@
 // they have waited for a moment, and a flood of these does not have users refused.
 func TestNeededWritesAreNotStarved(t *testing.T) {
 	c := New(client.DialTCP, "127.0.0.1:1", Limits{RPS: 1000, WriteRPS: 8, TxnOps: 1}, "lead")
-	c.writes = client.NewBudget(8, 8)
+	c.writes = client.NewTokenBucket(8, 8)
 	c.inFlight, c.looking = maxInFlight, true // the test takes the batches itself
 	now := clock.Now()
 	write := func(r Rank, key string, ago clock.Micros) {
--- a/internal/server/reply.go
+++ b/internal/server/reply.go
@@ -5,16 +5,16 @@
 	"firwood.dev/firwood/wire"
 )
 
-type answer struct {
-	status, retry int
-	body          []byte
-	until         clock.Micros
+type storedResponse struct {
+	status, retryAfter int
+	body               []byte
+	deadline           clock.Micros
 }
 
 // Reply takes the answer to one request.
 type Reply struct {
-	c  *conn
-	At clock.Micros // when the request had arrived
+	conn       *conn
+	ReceivedAt clock.Micros // when the request had arrived
 	// send, if not nil, takes the answer in place of a connection.
 	send func(status int, body []byte, retryAfter int)
 }
@@ -22,46 +22,46 @@
 // NewReply makes a Reply whose answer goes to a function, for callers of an App
 // that have no connection.
 func NewReply(send func(status int, body []byte, retryAfter int)) *Reply {
-	return &Reply{At: clock.Now(), send: send}
+	return &Reply{ReceivedAt: clock.Now(), send: send}
 }
 
 // Send answers. It may be called once, from any goroutine.
-func (r *Reply) Send(status int, body []byte, retryAfter int) {
-	r.SendUntil(status, body, retryAfter, 0)
+func (reply *Reply) Send(status int, body []byte, retryAfter int) {
+	reply.SendBefore(status, body, retryAfter, 0)
 }
 
-// SendUntil answers unless the instant has passed when the answer is written:
+// SendBefore answers unless the instant has passed when the answer is written:
 // then 503 goes out in its place.
-func (r *Reply) SendUntil(status int, body []byte, retryAfter int, until clock.Micros) {
-	if r.send != nil {
-		a := (&answer{status, retryAfter, body, until}).checked()
-		r.send(a.status, a.body, a.retry)
+func (reply *Reply) SendBefore(status int, body []byte, retryAfter int, deadline clock.Micros) {
+	if reply.send != nil {
+		response := (&storedResponse{status, retryAfter, body, deadline}).enforceDeadline()
+		reply.send(response.status, response.body, response.retryAfter)
 		return
 	}
-	if r.c == nil {
+	if reply.conn == nil {
 		return
 	}
-	r.c.mu.Lock()
-	r.c.ready = &answer{status, retryAfter, body, until}
-	r.c.mu.Unlock()
-	r.c.ev.Wake()
+	reply.conn.mu.Lock()
+	reply.conn.pendingReply = &storedResponse{status, retryAfter, body, deadline}
+	reply.conn.mu.Unlock()
+	reply.conn.evioConn.Wake()
 }
 
-// checked is the answer, or a refusal once its time is over.
-func (a *answer) checked() *answer {
-	if a.until != 0 && clock.Now() >= a.until {
-		return &answer{status: 503, retry: 1, body: errorBody("no longer entitled to answer")}
+// enforceDeadline is the answer, or a refusal once its time is over.
+func (response *storedResponse) enforceDeadline() *storedResponse {
+	if response.deadline != 0 && clock.Now() >= response.deadline {
+		return &storedResponse{status: 503, retryAfter: 1, body: encodeError("no longer entitled to answer")}
 	}
-	return a
+	return response
 }
 
-func errorBody(text string) []byte {
-	b, err := wire.ErrorBody{Error: text}.MarshalJSON()
+func encodeError(text string) []byte {
+	encoded, err := wire.ErrorBody{Error: text}.MarshalJSON()
 	if err != nil {
 		return []byte("{}")
 	}
-	return b
+	return encoded
 }
 
 // ErrorBody is the body of a refusal.
-func ErrorBody(text string) []byte { return errorBody(text) }
+func ErrorBody(text string) []byte { return encodeError(text) }
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -10,155 +10,155 @@
 	"firwood.dev/firwood/wire"
 )
 
-func (s *Server) serve(k *conn, in []byte) ([]byte, evio.Action) {
-	if k.frames != nil {
-		k.since = clock.Now()
-		if k.drop {
+func (server *Server) processInput(connection *conn, input []byte) ([]byte, evio.Action) {
+	if connection.frames != nil {
+		connection.stateChangedAt = clock.Now()
+		if connection.closeRequested {
 			return nil, evio.Close
 		}
-		if err := k.frames.Feed(in, s.app.Beat); err != nil {
-			s.log.Debug("peer link dropped", "error", err)
+		if err := connection.frames.Feed(input, server.app.HandlePeerHeartbeat); err != nil {
+			server.log.Debug("peer link dropped", "error", err)
 			return nil, evio.Close
 		}
 		return nil, evio.None
 	}
-	var out []byte
-	k.mu.Lock()
-	a, drop := k.ready, k.drop
-	k.ready = nil
-	k.mu.Unlock()
-	if drop && a == nil && !k.busy {
+	var output []byte
+	connection.mu.Lock()
+	response, mustClose := connection.pendingReply, connection.closeRequested
+	connection.pendingReply = nil
+	connection.mu.Unlock()
+	if mustClose && response == nil && !connection.isBusy {
 		return nil, evio.Close
 	}
-	if len(in) > 0 {
-		if k.parser.Idle() {
-			k.since = clock.Now()
+	if len(input) > 0 {
+		if connection.parser.IsIdle() {
+			connection.stateChangedAt = clock.Now()
 		}
-		k.parser.Feed(in)
-		if k.busy && k.parser.Held() > maxWaiting {
+		connection.parser.Feed(input)
+		if connection.isBusy && connection.parser.Buffered() > maxPipelinedBytes {
 			return nil, evio.Close
 		}
 	}
-	if a != nil {
-		out = s.write(out, k, a)
-		k.busy = false
-		k.since = clock.Now()
-		if k.last {
-			return out, evio.Close
+	if response != nil {
+		output = server.appendReply(output, connection, response)
+		connection.isBusy = false
+		connection.stateChangedAt = clock.Now()
+		if connection.closeAfterReply {
+			return output, evio.Close
 		}
 	}
-	for !k.busy {
-		m, err := k.parser.Next()
+	for !connection.isBusy {
+		request, err := connection.parser.Next()
 		if err != nil {
 			status := 400
-			if he, ok := err.(*http1.Error); ok {
-				status = he.Status
+			if httpError, ok := err.(*http1.Error); ok {
+				status = httpError.Status
 			}
-			return http1.AppendResponse(out, status, errorBody(err.Error()), 0, true), evio.Close
+			return http1.AppendResponse(output, status, encodeError(err.Error()), 0, true), evio.Close
 		}
-		if k.parser.WantsContinue() {
-			out = append(out, "HTTP/1.1 100 Continue\r\n\r\n"...)
+		if connection.parser.TakeContinueRequest() {
+			output = append(output, "HTTP/1.1 100 Continue\r\n\r\n"...)
 		}
-		if m == nil {
+		if request == nil {
 			break
 		}
-		k.busy, k.last = true, m.Close
-		s.route(k, m)
+		connection.isBusy, connection.closeAfterReply = true, request.Close
+		server.route(connection, request)
 		// A route that answered at once has done so by now.
-		k.mu.Lock()
-		a = k.ready
-		k.ready = nil
-		k.mu.Unlock()
-		if a != nil {
-			out = s.write(out, k, a)
-			k.busy = false
-			if k.last {
-				return out, evio.Close
+		connection.mu.Lock()
+		response = connection.pendingReply
+		connection.pendingReply = nil
+		connection.mu.Unlock()
+		if response != nil {
+			output = server.appendReply(output, connection, response)
+			connection.isBusy = false
+			if connection.closeAfterReply {
+				return output, evio.Close
 			}
 		}
 	}
-	return out, evio.None
+	return output, evio.None
 }
 
-// answerNow is an answer given on the event loop itself: no wake is needed.
-func (k *conn) answerNow(status int, body []byte) {
-	k.mu.Lock()
-	k.ready = &answer{status: status, body: body}
-	k.mu.Unlock()
+// replyNow is an answer given on the event loop itself: no wake is needed.
+func (connection *conn) replyNow(status int, body []byte) {
+	connection.mu.Lock()
+	connection.pendingReply = &storedResponse{status: status, body: body}
+	connection.mu.Unlock()
 }
 
-func (s *Server) route(k *conn, m *http1.Message) {
-	path, _, _ := strings.Cut(m.Target, "?")
-	k.kind = user
-	r := &Reply{c: k, At: clock.Now()}
-	need := func(method string) bool {
-		if m.Method != method {
-			k.answerNow(405, errorBody("method not allowed"))
+func (server *Server) route(connection *conn, request *http1.Message) {
+	path, _, _ := strings.Cut(request.Target, "?")
+	connection.role = roleUser
+	reply := &Reply{conn: connection, ReceivedAt: clock.Now()}
+	requireMethod := func(method string) bool {
+		if request.Method != method {
+			connection.replyNow(405, encodeError("method not allowed"))
 			return false
 		}
 		return true
 	}
 	switch {
 	case path == "/checkin":
-		k.kind = worker
-		if !need("POST") {
+		connection.role = roleWorker
+		if !requireMethod("POST") {
 			return
 		}
-		rep := &wire.Report{}
-		if err := rep.UnmarshalJSON(m.Body); err != nil || rep.Machine == "" {
-			k.answerNow(400, errorBody("malformed report"))
+		heartbeat := &wire.Report{}
+		if err := heartbeat.UnmarshalJSON(request.Body); err != nil || heartbeat.Machine == "" {
+			connection.replyNow(400, encodeError("malformed report"))
 			return
 		}
-		s.app.Checkin(rep, r)
+		server.app.HandleHeartbeat(heartbeat, reply)
 	case path == "/up":
-		if !need("GET") {
+		if !requireMethod("GET") {
 			return
 		}
-		if s.app.Up() {
-			k.answerNow(200, []byte(`{"up":true}`))
+		if server.app.IsHealthy() {
+			connection.replyNow(200, []byte(`{"up":true}`))
 		} else {
-			k.answerNow(503, []byte(`{"up":false}`))
+			connection.replyNow(503, []byte(`{"up":false}`))
 		}
 	case path == "/api/jobs":
-		if !need("POST") {
+		if !requireMethod("POST") {
 			return
 		}
-		j, err := wire.DecodeJob(m.Body)
+		job, err := wire.DecodeJob(request.Body)
 		if err != nil {
-			k.answerNow(400, errorBody(err.Error()))
+			connection.replyNow(400, encodeError(err.Error()))
 			return
 		}
-		s.app.Submit(j, r)
+		server.app.SubmitJob(job, reply)
 	case strings.HasPrefix(path, "/api/jobs/"):
-		id := path[len("/api/jobs/"):]
-		if rest, ok := strings.CutSuffix(id, "/withdraw"); ok {
-			if !need("POST") {
+		jobID := path[len("/api/jobs/"):]
+		if cancelledID, ok := strings.CutSuffix(jobID, "/withdraw"); ok {
+			if !requireMethod("POST") {
 				return
 			}
-			if !wire.ValidJobID(rest) {
-				k.answerNow(404, errorBody("no such job"))
+			if !wire.ValidJobID(cancelledID) {
+				connection.replyNow(404, encodeError("no such job"))
 				return
 			}
-			s.app.Withdraw(rest, r)
+			server.app.CancelJob(cancelledID, reply)
 			return
 		}
-		if !need("GET") {
+		if !requireMethod("GET") {
 			return
 		}
-		if !wire.ValidJobID(id) {
-			k.answerNow(404, errorBody("no such job"))
+		if !wire.ValidJobID(jobID) {
+			connection.replyNow(404, encodeError("no such job"))
 			return
 		}
-		s.app.Show(id, r)
+		server.app.ShowJob(jobID, reply)
 	case path == "/ops/v1/report":
-		if need("GET") {
-			s.app.Morning(r)
+		if requireMethod("GET") {
+			server.app.SendJobReport(reply)
 		}
 	case path == "/ops/v1/standby":
-		if need("GET") {
-			s.app.Standby(r)
+		if requireMethod("GET") {
+			server.app.SendStandbyStatus(reply)
 		}
 	default:
-		k.answerNow(404, errorBody("no such path"))
+		connection.replyNow(404, encodeError("no such path"))
 	}
 }
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -298,7 +298,7 @@
 			w.WriteHeader(400)
 			return
 		}
-		answer := ask(func(reply *server.Reply) { app.Checkin(report, reply) }, 10*time.Second)
+		answer := ask(func(reply *server.Reply) { app.HandleHeartbeat(report, reply) }, 10*time.Second)
 		w.WriteHeader(answer.Status)
 		w.Write(answer.Body) //nolint:errcheck // the worker may be gone
 	})}
@@ -331,7 +331,7 @@
 	buffer := make([]byte, 32<<10)
 	for {
 		size, err := conn.Read(buffer)
-		if err != nil || frames.Feed(buffer[:size], app.Beat) != nil {
+		if err != nil || frames.Feed(buffer[:size], app.HandlePeerHeartbeat) != nil {
 			return
 		}
 	}
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -76,7 +76,7 @@
 			if err := report.UnmarshalJSON(body); err != nil {
 				c.t.Fatal(err)
 			}
-			app.Checkin(report, server.NewReply(func(int, []byte, int) {}))
+			app.HandleHeartbeat(report, server.NewReply(func(int, []byte, int) {}))
 		}
 	}
 }
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -69,7 +69,7 @@
 		return Answer{}
 	}
 	copied := *job
-	a := ask(func(r *server.Reply) { app.Submit(&copied, r) }, userTimeout)
+	a := ask(func(r *server.Reply) { app.SubmitJob(&copied, r) }, userTimeout)
 	switch {
 	case a.Stage() != "":
 		c.Checker.Told(job.ID, a.Stage(), asked)
@@ -86,7 +86,7 @@
 		return Answer{}
 	}
 	asked := time.Now()
-	a := ask(func(r *server.Reply) { app.Show(id, r) }, userTimeout)
+	a := ask(func(r *server.Reply) { app.ShowJob(id, r) }, userTimeout)
 	switch {
 	case a.Stage() != "":
 		c.Checker.Told(id, a.Stage(), asked)
@@ -104,7 +104,7 @@
 	}
 	asked := time.Now()
 	c.Checker.CancelAsked(id)
-	a := ask(func(r *server.Reply) { app.Withdraw(id, r) }, userTimeout)
+	a := ask(func(r *server.Reply) { app.CancelJob(id, r) }, userTimeout)
 	if a.Stage() != "" {
 		c.Checker.Told(id, a.Stage(), asked)
 	}
