--- a/cmd/firwood/main.go
+++ b/cmd/firwood/main.go
@@ -36,33 +36,33 @@
 
 // Exit codes.
 const (
-	exitFailed      = 1
-	exitBadSettings = 2
+	exitFailed          = 1
+	exitInvalidSettings = 2
 )
 
 func main() {
-	os.Exit(exitCode(root().Execute(), os.Stderr))
+	os.Exit(reportError(newRootCommand().Execute(), os.Stderr))
 }
 
-// exitCode says what went wrong, if anything did, a line each.
-func exitCode(err error, out io.Writer) int {
+// reportError says what went wrong, if anything did, a line each.
+func reportError(err error, out io.Writer) int {
 	if err == nil {
 		return 0
 	}
-	var settings settingsError
-	if errors.As(err, &settings) {
-		for _, line := range strings.Split(settings.Error(), "\n") {
+	var invalid settingsError
+	if errors.As(err, &invalid) {
+		for _, line := range strings.Split(invalid.Error(), "\n") {
 			fmt.Fprintln(out, "firwood:", line)
 		}
-		return exitBadSettings
+		return exitInvalidSettings
 	}
 	fmt.Fprintln(out, "firwood:", strings.ReplaceAll(err.Error(), "\n", "; "))
 	return exitFailed
 }
 
-func root() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	var configPath, settingsPath string
-	r := &cobra.Command{
+	rootCommand := &cobra.Command{
 		Use:           "firwood",
 		Short:         "A cluster scheduler: smallest need first, on rented machines",
 		Long:          "firwood runs users' jobs on machines that it rents from a cloud.\nWith --config alone it serves, as `firwood serve` does.",
@@ -73,36 +73,36 @@
 			if configPath == "" {
 				return cmd.Help()
 			}
-			return serve(configPath, settingsPath)
+			return runController(configPath, settingsPath)
 		},
 	}
-	addSettings := func(c *cobra.Command) {
-		c.Flags().StringVar(&configPath, "config", "", "the platform's settings `FILE` (JSON)")
-		c.Flags().StringVar(&settingsPath, "settings", os.Getenv("FIRWOOD_SETTINGS"), "the operators' settings `FILE` (YAML; also FIRWOOD_SETTINGS)")
+	addSettingsFlags := func(command *cobra.Command) {
+		command.Flags().StringVar(&configPath, "config", "", "the platform's settings `FILE` (JSON)")
+		command.Flags().StringVar(&settingsPath, "settings", os.Getenv("FIRWOOD_SETTINGS"), "the operators' settings `FILE` (YAML; also FIRWOOD_SETTINGS)")
 	}
-	addSettings(r)
+	addSettingsFlags(rootCommand)
 
-	s := &cobra.Command{
+	serveCommand := &cobra.Command{
 		Use: "serve", Short: "Run a controller", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return serve(configPath, settingsPath) },
+		RunE: func(*cobra.Command, []string) error { return runController(configPath, settingsPath) },
 	}
-	k := &cobra.Command{
+	checkCommand := &cobra.Command{
 		Use: "check", Short: "Check settings files without serving", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if configPath == "" && settingsPath == "" {
 				return errors.New("check: give --config, --settings or both")
 			}
-			return check(cmd.OutOrStdout(), configPath, settingsPath)
+			return checkSettings(cmd.OutOrStdout(), configPath, settingsPath)
 		},
 	}
-	for _, c := range []*cobra.Command{s, k} {
-		addSettings(c)
+	for _, command := range []*cobra.Command{serveCommand, checkCommand} {
+		addSettingsFlags(command)
 	}
-	r.AddCommand(s, k, jobCommand(), workerCommand(), reportCommand(), standbyCommand(), &cobra.Command{
+	rootCommand.AddCommand(serveCommand, checkCommand, newJobCommand(), newWorkerCommand(), newReportCommand(), newStandbyCommand(), &cobra.Command{
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "firwood", version) },
 	})
-	return r
+	return rootCommand
 }
 
 // settingsError is about what settings files say, and not about anything that was done.
@@ -110,20 +110,20 @@
 
 // loadSettings reads both files; what is wrong is told of both at once.
 func loadSettings(configPath, settingsPath string) (*config.Platform, config.Tuning, error) {
-	p, platformErr := config.LoadPlatform(configPath)
-	t, tuningErr := config.LoadTuning(settingsPath)
+	platform, platformErr := config.LoadPlatform(configPath)
+	tuning, tuningErr := config.LoadTuning(settingsPath)
 	err := errors.Join(platformErr, tuningErr)
 	if err == nil {
-		err = config.CheckTogether(p, t)
+		err = config.CheckCompatibility(platform, tuning)
 	}
 	if err != nil {
-		return nil, t, settingsError{err}
+		return nil, tuning, settingsError{err}
 	}
-	return p, t, nil
+	return platform, tuning, nil
 }
 
-// check tells whether settings files are good, and can serve the fleet that they name.
-func check(out io.Writer, configPath, settingsPath string) error {
+// checkSettings tells whether settings files are good, and can serve the fleet that they name.
+func checkSettings(out io.Writer, configPath, settingsPath string) error {
 	if configPath == "" {
 		if _, err := config.LoadTuning(settingsPath); err != nil {
 			return settingsError{err}
@@ -131,270 +131,270 @@
 		fmt.Fprintf(out, "%s: good\n", settingsPath)
 		return nil
 	}
-	p, t, err := loadSettings(configPath, settingsPath)
+	platform, tuning, err := loadSettings(configPath, settingsPath)
 	if err != nil {
 		return err
 	}
-	var short []error
-	for _, s := range p.Shortfalls(t.FleetMachines) {
-		short = append(short, errors.New(s.String()))
+	var shortfalls []error
+	for _, shortfall := range platform.Shortfalls(tuning.FleetMachines) {
+		shortfalls = append(shortfalls, errors.New(shortfall.String()))
 	}
-	if short != nil {
-		return settingsError{errors.Join(short...)}
+	if shortfalls != nil {
+		return settingsError{errors.Join(shortfalls...)}
 	}
-	fmt.Fprintf(out, "%s: good: member %s of %d, %d teams\n", configPath, p.Member, len(p.Others)+1, len(p.Deployment.Teams))
+	fmt.Fprintf(out, "%s: good: member %s of %d, %d teams\n", configPath, platform.Member, len(platform.Peers)+1, len(platform.Deployment.Teams))
 	if settingsPath != "" {
 		fmt.Fprintf(out, "%s: good\n", settingsPath)
 	}
 	return nil
 }
 
-func logger() (*slog.Logger, error) {
+func newLogger() (*slog.Logger, error) {
 	level := slog.LevelInfo
-	switch v := os.Getenv("LOG_LEVEL"); v {
+	switch name := os.Getenv("LOG_LEVEL"); name {
 	case "", "info":
 	case "error":
 		level = slog.LevelError
 	case "debug":
 		level = slog.LevelDebug
 	default:
-		return nil, fmt.Errorf("LOG_LEVEL: %q is not error, info or debug", v)
+		return nil, fmt.Errorf("LOG_LEVEL: %q is not error, info or debug", name)
 	}
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
-func serve(configPath, settingsPath string) error {
+func runController(configPath, settingsPath string) error {
 	if configPath == "" {
 		return errors.New("serve: --config is missing")
 	}
-	p, t, err := loadSettings(configPath, settingsPath)
+	platform, tuning, err := loadSettings(configPath, settingsPath)
 	if err != nil {
 		return err
 	}
-	log, err := logger()
+	log, err := newLogger()
 	if err != nil {
 		return err
 	}
-	limits := p.Deployment.Limits
+	limits := platform.Deployment.ProcessLimits
 	// The collector has to give way before the platform ends the process.
-	debug.SetMemoryLimit(int64(limits.RAMMB * 0.6 * (1 << 20)))
+	debug.SetMemoryLimit(int64(limits.MemoryMB * 0.6 * (1 << 20)))
 	debug.SetGCPercent(300)
 	runtime.GOMAXPROCS(2)
 
-	log = log.With("member", p.Member)
-	for _, s := range p.Shortfalls(t.FleetMachines) {
-		log.Error("a limit is too low for the fleet", "limit", s.Field, "has", s.Has, "needs", s.Needs, "machines", s.Machines, "for", s.Why)
+	log = log.With("member", platform.Member)
+	for _, shortfall := range platform.Shortfalls(tuning.FleetMachines) {
+		log.Error("a limit is too low for the fleet", "limit", shortfall.Field, "has", shortfall.Limit, "needs", shortfall.Required, "machines", shortfall.Machines, "for", shortfall.Purpose)
 	}
-	c := controller.New(p, t, log, client.DialTCP)
-	if t.Standby.Trace != "" {
-		tracer, err := tracing.New(t.Standby.Trace, p.Member)
+	instance := controller.New(platform, tuning, log, client.DialTCP)
+	if tuning.Standby.Trace != "" {
+		tracer, err := tracing.New(tuning.Standby.Trace, platform.Member)
 		if err != nil {
 			return fmt.Errorf("standby.trace: %w", err)
 		}
 		defer tracer.Close()
-		c.Trace(tracer)
+		instance.Trace(tracer)
 	}
-	srv := server.New(server.Config{
-		ServeAddress: p.Serve, PeerAddress: p.PeerBind, Limiter: c.Sockets(), EvictOutbound: c.MakeRoom,
-		IdleTimeout: 90 * clock.Second, ReadTimeout: 10 * clock.Second, WorkerLeaseTTL: clock.FromSeconds(p.Deployment.Workers.LeaseS),
-	}, c, log)
-	log.Info("serving", "version", version, "address", p.Serve)
+	listener := server.New(server.Config{
+		ServeAddress: platform.ListenAddress, PeerAddress: platform.PeerListenAddress, Limiter: instance.Sockets(), EvictOutbound: instance.MakeRoom,
+		IdleTimeout: 90 * clock.Second, ReadTimeout: 10 * clock.Second, WorkerLeaseTTL: clock.FromSeconds(platform.Deployment.Workers.LeaseSeconds),
+	}, instance, log)
+	log.Info("serving", "version", version, "address", platform.ListenAddress)
 
-	failed := make(chan error, 1)
-	go func() { failed <- srv.Run() }()
-	go c.Run(context.Background())
-	stop := make(chan os.Signal, 1)
-	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
+	serverErrors := make(chan error, 1)
+	go func() { serverErrors <- listener.Run() }()
+	go instance.Run(context.Background())
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	select {
-	case err := <-failed:
+	case err := <-serverErrors:
 		return err
-	case <-stop:
-		c.Close()
+	case <-signals:
+		instance.Close()
 		return nil
 	}
 }
 
-// call makes one request of a controller.
-func call(node, method, target string, body []byte) (*http1.Message, error) {
-	if _, err := netip.ParseAddrPort(node); err != nil {
-		return nil, fmt.Errorf("%q is not IP:port", node)
-	}
-	h := client.NewHost(client.DialTCP, node, 0, 4<<20)
-	defer h.Close()
-	return h.Do(client.Request{Method: method, Target: target, Body: body, Timeout: 10 * clock.Second})
+// sendRequest makes one request of a controller.
+func sendRequest(address, method, target string, body []byte) (*http1.Message, error) {
+	if _, err := netip.ParseAddrPort(address); err != nil {
+		return nil, fmt.Errorf("%q is not IP:port", address)
+	}
+	host := client.NewHost(client.DialTCP, address, 0, 4<<20)
+	defer host.Close()
+	return host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: 10 * clock.Second})
 }
 
-func show(out io.Writer, m *http1.Message) error {
-	if m.Status/100 != 2 {
-		var e wire.ErrorBody
-		if err := e.UnmarshalJSON(m.Body); err == nil && e.Error != "" {
-			return fmt.Errorf("the controller answered %d: %s", m.Status, e.Error)
+func printJobStatus(out io.Writer, response *http1.Message) error {
+	if response.Status/100 != 2 {
+		var errorResponse wire.ErrorResponse
+		if err := errorResponse.UnmarshalJSON(response.Body); err == nil && errorResponse.Error != "" {
+			return fmt.Errorf("the controller answered %d: %s", response.Status, errorResponse.Error)
 		}
-		return fmt.Errorf("the controller answered %d", m.Status)
+		return fmt.Errorf("the controller answered %d", response.Status)
 	}
-	var s wire.JobStatus
-	if err := s.UnmarshalJSON(m.Body); err != nil {
+	var status wire.JobStatus
+	if err := status.UnmarshalJSON(response.Body); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s %s", s.ID, s.State)
-	if s.Done != nil && s.Running != nil {
-		fmt.Fprintf(out, " done=%d running=%d", *s.Done, *s.Running)
+	fmt.Fprintf(out, "%s %s", status.ID, status.State)
+	if status.DoneTasks != nil && status.RunningTasks != nil {
+		fmt.Fprintf(out, " done=%d running=%d", *status.DoneTasks, *status.RunningTasks)
 	}
-	if len(s.Awaits) > 0 {
-		fmt.Fprintf(out, " awaits=%s", strings.Join(s.Awaits, ","))
+	if len(status.DependsOn) > 0 {
+		fmt.Fprintf(out, " awaits=%s", strings.Join(status.DependsOn, ","))
 	}
 	fmt.Fprintln(out)
 	return nil
 }
 
-func jobCommand() *cobra.Command {
+func newJobCommand() *cobra.Command {
 	var node string
-	j := &cobra.Command{Use: "job", Short: "Submit, show and withdraw jobs"}
-	j.PersistentFlags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
-	simple := func(use, short, method, suffix string) *cobra.Command {
+	command := &cobra.Command{Use: "job", Short: "Submit, show and withdraw jobs"}
+	command.PersistentFlags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
+	newIDCommand := func(use, short, method, suffix string) *cobra.Command {
 		return &cobra.Command{
 			Use: use, Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				if !wire.ValidJobID(args[0]) {
+				if !wire.IsValidJobID(args[0]) {
 					return fmt.Errorf("%q has not the form of a job id", args[0])
 				}
-				m, err := call(node, method, "/api/jobs/"+args[0]+suffix, nil)
+				response, err := sendRequest(node, method, "/api/jobs/"+args[0]+suffix, nil)
 				if err != nil {
 					return err
 				}
-				return show(cmd.OutOrStdout(), m)
+				return printJobStatus(cmd.OutOrStdout(), response)
 			},
 		}
 	}
-	j.AddCommand(
+	command.AddCommand(
 		&cobra.Command{
 			Use: "submit FILE", Short: "Submit the job described in a JSON file, - for standard input", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				var b []byte
+				var body []byte
 				var err error
 				if args[0] == "-" {
-					b, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), wire.MaxBody+1))
+					body, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), wire.MaxBodyBytes+1))
 				} else {
-					b, err = os.ReadFile(args[0])
+					body, err = os.ReadFile(args[0])
 				}
 				if err != nil {
 					return err
 				}
-				if _, err := wire.DecodeJob(b); err != nil {
+				if _, err := wire.DecodeJob(body); err != nil {
 					return fmt.Errorf("%s: %w", args[0], err)
 				}
-				m, err := call(node, "POST", "/api/jobs", b)
+				response, err := sendRequest(node, "POST", "/api/jobs", body)
 				if err != nil {
 					return err
 				}
-				return show(cmd.OutOrStdout(), m)
+				return printJobStatus(cmd.OutOrStdout(), response)
 			},
 		},
-		simple("show ID", "Show a job's state", "GET", ""),
-		simple("withdraw ID", "Withdraw a job", "POST", "/withdraw"),
+		newIDCommand("show ID", "Show a job's state", "GET", ""),
+		newIDCommand("withdraw ID", "Withdraw a job", "POST", "/withdraw"),
 	)
-	return j
+	return command
 }
 
-func workerCommand() *cobra.Command {
+func newWorkerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "worker IP:PORT", Short: "Show what a worker says of itself", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			m, err := call(args[0], "GET", "/status", nil)
+			response, err := sendRequest(args[0], "GET", "/status", nil)
 			if err != nil {
 				return err
 			}
-			if m.Status != 200 {
-				return fmt.Errorf("the worker answered %d", m.Status)
+			if response.Status != 200 {
+				return fmt.Errorf("the worker answered %d", response.Status)
 			}
-			var r wire.Report
-			if err := r.UnmarshalJSON(m.Body); err != nil {
+			var heartbeat wire.Heartbeat
+			if err := heartbeat.UnmarshalJSON(response.Body); err != nil {
 				return err
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%s %s in %s, session %d, token %d, %d tasks\n", r.Machine, r.Type, r.Zone, r.Session, r.Token, len(r.Tasks))
-			for _, t := range r.Tasks {
-				fmt.Fprintf(out, "%s attempt %d %s %s\n", t.Task, t.Attempt, t.State, t.Why)
+			fmt.Fprintf(out, "%s %s in %s, session %d, token %d, %d tasks\n", heartbeat.MachineID, heartbeat.MachineType, heartbeat.Zone, heartbeat.Incarnation, heartbeat.FencingToken, len(heartbeat.Tasks))
+			for _, task := range heartbeat.Tasks {
+				fmt.Fprintf(out, "%s attempt %d %s %s\n", task.TaskID, task.Attempt, task.State, task.ExitCause)
 			}
 			return nil
 		},
 	}
 }
 
-func standbyCommand() *cobra.Command {
+func newStandbyCommand() *cobra.Command {
 	var node string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "standby", Short: "Print who stands by for the leader, and how far behind", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			m, err := call(node, "GET", "/ops/v1/standby", nil)
+			response, err := sendRequest(node, "GET", "/ops/v1/standby", nil)
 			if err != nil {
 				return err
 			}
-			if m.Status != 200 {
-				return fmt.Errorf("the controller answered %d", m.Status)
+			if response.Status != 200 {
+				return fmt.Errorf("the controller answered %d", response.Status)
 			}
-			var s controller.StandbyStatus
-			if err := json.Unmarshal(m.Body, &s); err != nil {
+			var status controller.StandbyStatus
+			if err := json.Unmarshal(response.Body, &status); err != nil {
 				return err
 			}
-			printStandby(cmd.OutOrStdout(), &s)
+			printStandbyStatus(cmd.OutOrStdout(), &status)
 			return nil
 		},
 	}
-	c.Flags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
-	return c
+	command.Flags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
+	return command
 }
 
-func printStandby(out io.Writer, s *controller.StandbyStatus) {
-	fmt.Fprintf(out, "%s, leader %s\n", s.Member, cmp.Or(s.Leader, "unknown"))
-	if !s.Enabled {
+func printStandbyStatus(out io.Writer, status *controller.StandbyStatus) {
+	fmt.Fprintf(out, "%s, leader %s\n", status.Member, cmp.Or(status.Leader, "unknown"))
+	if !status.Enabled {
 		fmt.Fprintln(out, "standby is not enabled here")
 	}
-	if r := s.Replica; r != nil {
+	if replica := status.Replica; replica != nil {
 		fmt.Fprintf(out, "replica: complete=%t token=%d decisions=%d placements=%d doubts=%d digest=%s\n",
-			r.Complete, r.Token, r.Decisions, r.Placements, r.Doubts, r.Digest)
+			replica.Complete, replica.Token, replica.Decisions, replica.Placements, replica.Doubts, replica.Digest)
 		fmt.Fprintf(out, "dropped: older=%d gaps=%d malformed=%d foreign=%d differing=%d\n",
-			r.Dropped.Stale, r.Dropped.OutOfOrder, r.Dropped.Malformed, r.Dropped.ForeignToken, r.Dropped.DigestMismatch)
+			replica.Dropped.Stale, replica.Dropped.OutOfOrder, replica.Dropped.Malformed, replica.Dropped.ForeignToken, replica.Dropped.DigestMismatch)
 	}
-	for _, f := range s.Followers {
-		fmt.Fprintf(out, "%s: in step=%t, lacks %d decisions for %d ms\n", f.Member, f.InStep, f.Lacks, f.LacksMs)
+	for _, follower := range status.Followers {
+		fmt.Fprintf(out, "%s: in step=%t, lacks %d decisions for %d ms\n", follower.Member, follower.InStep, follower.Lacks, follower.LacksMs)
 	}
-	if t := s.TakeOver; t != nil {
+	if failover := status.TakeOver; failover != nil {
 		fmt.Fprintf(out, "last take-over here: token=%d replica used=%t in doubt=%d; lock %d ms, rebuild %d ms, first decision %d ms\n",
-			t.Token, t.ReplicaUsed, t.InDoubt, t.LockMs, t.RebuildMs, t.DecisionMs)
+			failover.Token, failover.ReplicaUsed, failover.InDoubt, failover.LockMs, failover.RebuildMs, failover.DecisionMs)
 	}
 }
 
-func reportCommand() *cobra.Command {
+func newReportCommand() *cobra.Command {
 	var node string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "report", Short: "Print what failed or ran late, and why", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			m, err := call(node, "GET", "/ops/v1/report", nil)
+			response, err := sendRequest(node, "GET", "/ops/v1/report", nil)
 			if err != nil {
 				return err
 			}
-			if m.Status != 200 {
-				return fmt.Errorf("the controller answered %d", m.Status)
+			if response.Status != 200 {
+				return fmt.Errorf("the controller answered %d", response.Status)
 			}
-			var r controller.MorningReport
-			if err := json.Unmarshal(m.Body, &r); err != nil {
+			var jobReport controller.MorningReport
+			if err := json.Unmarshal(response.Body, &jobReport); err != nil {
 				return err
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%d jobs: %d done, %d withdrawn, %d active\n", r.Jobs, r.Done, r.Aborted, r.Active)
-			if len(r.Troubles) == 0 {
+			fmt.Fprintf(out, "%d jobs: %d done, %d withdrawn, %d active\n", jobReport.Jobs, jobReport.Done, jobReport.Aborted, jobReport.Active)
+			if len(jobReport.Troubles) == 0 {
 				fmt.Fprintln(out, "nothing failed or ran late")
 				return nil
 			}
-			w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "JOB\tCLASS\tSTATE\tLATE BY\tTOOK\tWAITED\tERRORS\tRESTARTS\tWHY")
-			for _, t := range r.Troubles {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%.1fs\t%.1fs\t%.1fs\t%d\t%d\t%s\n", t.Job, t.Class, t.State, t.LateByS, t.TookS, t.WaitedS, t.Errors, t.Restarts, t.Why)
+			table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+			fmt.Fprintln(table, "JOB\tCLASS\tSTATE\tLATE BY\tTOOK\tWAITED\tERRORS\tRESTARTS\tWHY")
+			for _, job := range jobReport.Troubles {
+				fmt.Fprintf(table, "%s\t%s\t%s\t%.1fs\t%.1fs\t%.1fs\t%d\t%d\t%s\n", job.Job, job.Class, job.State, job.LateByS, job.TookS, job.WaitedS, job.Errors, job.Restarts, job.Why)
 			}
-			return w.Flush()
+			return table.Flush()
 		},
 	}
-	c.Flags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
-	return c
+	command.Flags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
+	return command
 }
--- a/cmd/firwood/main_test.go
+++ b/cmd/firwood/main_test.go
@@ -14,30 +14,30 @@
 	"firwood.dev/firwood/wire"
 )
 
-func run(args ...string) (string, error) {
+func executeCommand(args ...string) (string, error) {
 	var out bytes.Buffer
-	c := root()
-	c.SetOut(&out)
-	c.SetErr(&out)
-	c.SetArgs(args)
-	err := c.Execute()
+	command := newRootCommand()
+	command.SetOut(&out)
+	command.SetErr(&out)
+	command.SetArgs(args)
+	err := command.Execute()
 	return out.String(), err
 }
 
 // The worker's own account, asked of a stand-in.
 func TestWorkerCommand(t *testing.T) {
 	types := []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, Zones: []string{"x"}}}
-	c, stop := fake.NewCloud([]string{"n0"}, map[string]string{"n0": "127.0.0.1:1"}, types, time.Second, time.Minute)
+	fakeCloud, stop := fake.NewCloud([]string{"n0"}, map[string]string{"n0": "127.0.0.1:1"}, types, time.Second, time.Minute)
 	defer stop()
-	h := cloud.New(client.DialTCP, c.Addr, 1000)
-	if _, err := h.ScaleOut(wire.Hire{Request: "a", Type: "m", Zone: "x", Count: 1}, nil); err != nil {
+	cloudClient := cloud.New(client.DialTCP, fakeCloud.Addr, 1000)
+	if _, err := cloudClient.ScaleOut(wire.ScaleOutRequest{RequestID: "a", MachineType: "m", Zone: "x", Count: 1}, nil); err != nil {
 		t.Fatal(err)
 	}
-	l, err := h.ListMachines()
-	if err != nil || len(l) != 1 {
-		t.Fatalf("%v %v", l, err)
+	machines, err := cloudClient.ListMachines()
+	if err != nil || len(machines) != 1 {
+		t.Fatalf("%v %v", machines, err)
 	}
-	out, err := run("worker", l[0].Addr)
+	out, err := executeCommand("worker", machines[0].Address)
 	if err != nil || !strings.Contains(out, "i-000000 m in x, session 1, token 0, 0 tasks") {
 		t.Fatalf("%v: %s", err, out)
 	}
@@ -46,17 +46,17 @@
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
-		p := filepath.Join(dir, name)
-		if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
+		path := filepath.Join(dir, name)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return p
+		return path
 	}
-	bad := write("bad.json", `{"member":"a","serve_on":"nonsense"}`)
-	yaml := write("good.yaml", "alpha: 60\n")
-	typo := write("typo.yaml", "alhpa: 60\n")
-	job := write("job.json", `{"nameId":"x"}`)
-	for _, c := range []struct {
+	invalidPlatform := write("bad.json", `{"member":"a","serve_on":"nonsense"}`)
+	validTuning := write("good.yaml", "alpha: 60\n")
+	misspelledTuning := write("typo.yaml", "alhpa: 60\n")
+	invalidJob := write("job.json", `{"nameId":"x"}`)
+	for _, testCase := range []struct {
 		args []string
 		out  string // what the output or the error has to name
 		ok   bool
@@ -64,30 +64,30 @@
 		{nil, "Usage:", true},
 		{[]string{"job", "--help"}, "withdraw", true},
 		{[]string{"version"}, "firwood", true},
-		{[]string{"check", "--settings", yaml}, "good", true},
-		{[]string{"check", "--settings", typo}, "alhpa", false},
-		{[]string{"check", "--config", bad}, "serve_on", false},
+		{[]string{"check", "--settings", validTuning}, "good", true},
+		{[]string{"check", "--settings", misspelledTuning}, "alhpa", false},
+		{[]string{"check", "--config", invalidPlatform}, "serve_on", false},
 		{[]string{"check"}, "--config", false},
-		{[]string{"--config", bad}, "serve_on", false},
+		{[]string{"--config", invalidPlatform}, "serve_on", false},
 		{[]string{"serve", "--config", filepath.Join(dir, "none.json")}, "none.json", false},
 		{[]string{"serve"}, "--config", false},
 		{[]string{"job", "show", "nonsense"}, "form of a job id", false},
-		{[]string{"job", "submit", job}, "lot is missing", false},
+		{[]string{"job", "submit", invalidJob}, "lot is missing", false},
 		{[]string{"job", "show", "req-000001", "--node", "here"}, "not IP:port", false},
 		{[]string{"worker", "here"}, "not IP:port", false},
 		{[]string{"nonsense"}, "nonsense", false},
 	} {
-		out, err := run(c.args...)
+		out, err := executeCommand(testCase.args...)
 		if err != nil {
 			out += err.Error()
 		}
-		if (err == nil) != c.ok || !strings.Contains(out, c.out) {
-			t.Errorf("%v: %v: %s", c.args, err, out)
+		if (err == nil) != testCase.ok || !strings.Contains(out, testCase.out) {
+			t.Errorf("%v: %v: %s", testCase.args, err, out)
 		}
 	}
 }
 
-const goodPlatform = `{"member":"n0","location":"x","serve_on":"127.0.0.1:8080","peer_bind":"127.0.0.1:8081",
+const validPlatformJSON = `{"member":"n0","location":"x","serve_on":"127.0.0.1:8080","peer_bind":"127.0.0.1:8081",
 "outside":{"cloud":"127.0.0.1:1","state":"127.0.0.1:2"},
 "deployment":{"nodes":1,"zones":["x"],"workers":{"report_s":3,"lease_s":36,"gang_wait_s":30,"gang_peer_s":8,"cancel_s":66},
 "state":{"rps":150,"write_rps":30,"value_kb":8,"txn_ops":24},"cloud":{"rps":4,"list_lag_s":5},
@@ -95,7 +95,7 @@
 
 // Bad settings end with 2 and a line for each field, of both files at once; so do
 // limits that can't serve the fleet that is named.
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -104,39 +104,39 @@
 		}
 		return path
 	}
-	platform := write("platform.json", goodPlatform)
-	broken := write("broken.json", strings.NewReplacer(`"rps":150`, `"rps":0`, `"txn_ops":24`, `"txn_ops":0`).Replace(goodPlatform))
-	for _, c := range []struct {
+	platform := write("platform.json", validPlatformJSON)
+	invalidPlatform := write("broken.json", strings.NewReplacer(`"rps":150`, `"rps":0`, `"txn_ops":24`, `"txn_ops":0`).Replace(validPlatformJSON))
+	for _, testCase := range []struct {
 		name, platform, tuning string
 		code                   int
 		lines                  []string
 	}{
 		{"good", platform, "fleet_machines: 1500\nfinished_jobs: 100\narchive_finished_after_s: 600\n", 0, nil},
-		{"two fields in each", broken, "alpha: -1\nbeta: -1\n", 2, []string{"deployment.state.rps: ", "deployment.state.txn_ops: ", "alpha: ", "beta: "}},
+		{"two fields in each", invalidPlatform, "alpha: -1\nbeta: -1\n", 2, []string{"deployment.state.rps: ", "deployment.state.txn_ops: ", "alpha: ", "beta: "}},
 		{"at odds with each other", platform, "leader_ttl_s: 40\n", 2, []string{"leader_ttl_s: "}},
 		{"too many machines", platform, "fleet_machines: 4000\n", 2, []string{"deployment.limits.max_sockets: 3500, and a fleet of 4000 machines needs 4731 (1231 more)", "deployment.limits.cores: "}},
 		{"no such file", filepath.Join(dir, "none"), "", 2, []string{"none: cannot be read"}},
 	} {
-		_, err := run("check", "--config", c.platform, "--settings", write("tuning.yaml", c.tuning))
+		_, err := executeCommand("check", "--config", testCase.platform, "--settings", write("tuning.yaml", testCase.tuning))
 		var out bytes.Buffer
-		if code := exitCode(err, &out); code != c.code {
-			t.Errorf("%s: ends with %d: %s", c.name, code, out.String())
+		if code := reportError(err, &out); code != testCase.code {
+			t.Errorf("%s: ends with %d: %s", testCase.name, code, out.String())
 		}
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-		if len(c.lines) > 0 && len(lines) != len(c.lines) {
-			t.Errorf("%s: %d lines:\n%s", c.name, len(lines), out.String())
+		if len(testCase.lines) > 0 && len(lines) != len(testCase.lines) {
+			t.Errorf("%s: %d lines:\n%s", testCase.name, len(lines), out.String())
 			continue
 		}
-		for i, want := range c.lines {
+		for i, want := range testCase.lines {
 			if !strings.Contains(lines[i], want) {
-				t.Errorf("%s: line %d is %q", c.name, i, lines[i])
+				t.Errorf("%s: line %d is %q", testCase.name, i, lines[i])
 			}
 		}
 	}
-	if _, err := run("check", "--config", platform); err != nil {
+	if _, err := executeCommand("check", "--config", platform); err != nil {
 		t.Errorf("a fleet that is not named: %v", err)
 	}
-	if _, err := run("--config", broken); exitCode(err, &bytes.Buffer{}) != 2 {
+	if _, err := executeCommand("--config", invalidPlatform); reportError(err, &bytes.Buffer{}) != 2 {
 		t.Errorf("serving with bad settings ends with %v", err)
 	}
 }
--- a/internal/allocation/bench_test.go
+++ b/internal/allocation/bench_test.go
@@ -9,23 +9,23 @@
 )
 
 // newBusyTracker makes a machine with n running tasks, and the report that says so.
-func newBusyTracker(tb testing.TB, taskCount int) (*Tracker, *Machine, *wire.Report) {
+func newBusyTracker(tb testing.TB, taskCount int) (*Tracker, *Machine, *wire.Heartbeat) {
 	tb.Helper()
 	tracker := New(Config{FencingToken: 7, LeaseTTL: testLeaseTTL, CancelFenceWindow: 20 * clock.Second})
 	tracker.FinishRecovery()
 	machine := tracker.AddMachine("i-000001", "t", "x", false, Resources{MilliCPU: int64(taskCount) * 1000, MemoryMB: 1 << 40}, 1)
 	machine.RecordedInStore = true
-	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: taskCount, CPUs: 1, Team: "a"}, 0, 1, true, nil)
+	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: taskCount, CPUs: 1, Team: "a"}, 0, 1, true, nil)
 	heartbeat := newHeartbeat(machine, 1, 1, 7)
 	tracker.RecordHeartbeat(machine, heartbeat, 1)
 	for i := 0; i < taskCount; i++ {
 		if err := tracker.PlaceTask(job, i, machine, tracker.NextAttempt(), 1); err != nil {
 			tb.Fatal(err)
 		}
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskReport{Task: wire.TaskID(job.Spec.ID, i), Attempt: job.Tasks[i].Placement.Attempt, State: wire.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(job.Spec.ID, i), Attempt: job.Tasks[i].Placement.Attempt, State: wire.TaskRunning})
 	}
 	tracker.HeartbeatCommands(machine, 1)
-	heartbeat.Seq++
+	heartbeat.Sequence++
 	tracker.RecordHeartbeat(machine, heartbeat, 2)
 	return tracker, machine, heartbeat
 }
@@ -36,7 +36,7 @@
 	for _, taskCount := range []int{1, 32, 200} {
 		tracker, machine, heartbeat := newBusyTracker(t, taskCount)
 		if got := testing.AllocsPerRun(50, func() {
-			heartbeat.Seq++
+			heartbeat.Sequence++
 			if tracker.RecordHeartbeat(machine, heartbeat, 3) != HeartbeatAccepted || len(tracker.HeartbeatCommands(machine, 3)) != 0 {
 				t.Fatal("not taken, or answered with orders")
 			}
@@ -56,17 +56,17 @@
 			tracker, machine, heartbeat := newBusyTracker(b, taskCount)
 			b.ReportAllocs()
 			for b.Loop() {
-				heartbeat.Seq++
+				heartbeat.Sequence++
 				in, err := heartbeat.MarshalJSON()
 				if err != nil {
 					b.Fatal(err)
 				}
-				var got wire.Report
+				var got wire.Heartbeat
 				if err := got.UnmarshalJSON(in); err != nil {
 					b.Fatal(err)
 				}
 				tracker.RecordHeartbeat(machine, &got, 3)
-				if _, err := (wire.Reply{Token: 7, Commands: tracker.HeartbeatCommands(machine, 3)}).MarshalJSON(); err != nil {
+				if _, err := (wire.HeartbeatResponse{FencingToken: 7, Commands: tracker.HeartbeatCommands(machine, 3)}).MarshalJSON(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/allocation/commands.go
+++ b/internal/allocation/commands.go
@@ -51,7 +51,7 @@
 		switch {
 		case exited.job == nil && exited.completedOrAlive:
 			zero := 0.0
-			commands = append(commands, wire.Command{Op: wire.OpStop, Task: exited.taskID, Attempt: exited.attempt, GraceS: &zero})
+			commands = append(commands, wire.Command{Action: wire.ActionStop, TaskID: exited.taskID, Attempt: exited.attempt, GracePeriodSeconds: &zero})
 			continue
 		case exited.job != nil && exited.completedOrAlive && !exited.job.IsService() && !exited.job.Tasks[exited.taskIndex].CompletionDurable:
 			continue // invariant 5
@@ -64,7 +64,7 @@
 		if placement := machine.placements[exited.taskID]; placement != nil && placement.Attempt == exited.attempt {
 			continue
 		}
-		commands = append(commands, wire.Command{Op: wire.OpForget, Task: exited.taskID, Attempt: exited.attempt})
+		commands = append(commands, wire.Command{Action: wire.ActionReap, TaskID: exited.taskID, Attempt: exited.attempt})
 	}
 	return commands
 }
@@ -80,25 +80,25 @@
 	if job.Cancelled || job.GangAborting || placement.isStopping || !job.StartsRecorded || !machine.RecordedInStore {
 		return false
 	}
-	if machine.Spot && !spec.Spot || spec.Zone != "" && spec.Zone != machine.Zone || spec.Types != nil && !slices.Contains(spec.Types, machine.Type) {
+	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Type) {
 		return false
 	}
-	if spec.OneZone && (job.unconfirmedCount > 0 || job.placementsByZone[machine.Zone] != job.activeCount) {
+	if spec.SingleZone && (job.unconfirmedCount > 0 || job.placementsByZone[machine.Zone] != job.activeCount) {
 		return false
 	}
-	if spec.Spread && job.CountInZone(machine.Zone) > job.MaxTasksPerZone() {
+	if spec.SpreadZones && job.CountInZone(machine.Zone) > job.MaxTasksPerZone() {
 		return false
 	}
 	return tracker.IsWithinQuota(spec.Team, Resources{})
 }
 
 func (tracker *Tracker) appendCommands(commands []wire.Command, placement *Placement, now clock.Micros, isDirect bool) []wire.Command {
-	start := wire.Command{Op: wire.OpStart, Task: placement.taskID, Attempt: placement.Attempt}
+	start := wire.Command{Action: wire.ActionStart, TaskID: placement.taskID, Attempt: placement.Attempt}
 	grace := placement.stopGrace.Seconds()
-	stop := wire.Command{Op: wire.OpStop, Task: placement.taskID, Attempt: placement.Attempt, GraceS: &grace}
+	stop := wire.Command{Action: wire.ActionStop, TaskID: placement.taskID, Attempt: placement.Attempt, GracePeriodSeconds: &grace}
 	switch {
 	case placement.Phase == PhaseReported && placement.isStopping:
-		if placement.ReportedState != wire.TaskSaving || placement.stopGrace == 0 {
+		if placement.ReportedState != wire.TaskCheckpointing || placement.stopGrace == 0 {
 			if isDirect && placement.stopSentAt != 0 {
 				return commands
 			}
@@ -115,12 +115,12 @@
 			return commands
 		}
 		zero := 0.0
-		stop.GraceS = &zero
+		stop.GracePeriodSeconds = &zero
 		commands = append(commands, start, stop)
 	case placement.isStopping:
 	case tracker.startsPaused:
 	case placement.Phase == PhaseAssigned && !tracker.canStart(placement):
-		tracker.endPlacement(placement, wire.WhyStopped, now)
+		tracker.endPlacement(placement, wire.ExitStopped, now)
 	case placement.Phase == PhaseAssigned, placement.Phase == PhaseSent && !isDirect && (placement.startsInFlight > 0 || placement.mayArriveLate):
 		if !tracker.canStart(placement) || !tracker.mayDispatch(placement) {
 			return commands
@@ -149,7 +149,7 @@
 
 // BuildCommandRequest compiles a message to be sent straight to the worker: starts not yet
 // sent, and stops; an empty one if it is not known whether it can be told. One message to a worker is out at a time.
-func (tracker *Tracker) BuildCommandRequest(machine *Machine, now clock.Micros) (*wire.Direct, []*Placement) {
+func (tracker *Tracker) BuildCommandRequest(machine *Machine, now clock.Micros) (*wire.CommandRequest, []*Placement) {
 	if machine.commandInFlight || !machine.TokenConfirmed || machine.Address == "" {
 		return nil, nil
 	}
@@ -161,7 +161,7 @@
 		}
 		before := len(commands)
 		commands = tracker.appendCommands(commands, placement, now, true)
-		if len(commands) > before && commands[before].Op == wire.OpStart {
+		if len(commands) > before && commands[before].Action == wire.ActionStart {
 			starts = append(starts, placement)
 		}
 	}
@@ -170,7 +170,7 @@
 	}
 	// With nothing to say to a worker that may be deaf, an empty message asks.
 	machine.commandInFlight = true
-	return &wire.Direct{Token: tracker.currentToken, Session: machine.Incarnation, Commands: commands}, starts
+	return &wire.CommandRequest{FencingToken: tracker.currentToken, Incarnation: machine.Incarnation, Commands: commands}, starts
 }
 
 // CommandResult is how a direct message ended.
--- a/internal/allocation/gang_stop_test.go
+++ b/internal/allocation/gang_stop_test.go
@@ -21,11 +21,11 @@
 		tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 1, 7), 1)
 		machines = append(machines, machine)
 	}
-	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindGang, Priority: wire.PriorityNormal, Tasks: 2, CPUs: 1, Team: "a",
-		OneZone: true, CheckpointS: 20, SaveS: 5}, 0, 1, true, nil)
+	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindGang, Priority: wire.PriorityNormal, TaskCount: 2, CPUs: 1, Team: "a",
+		SingleZone: true, CheckpointIntervalSeconds: 20, CheckpointSaveSeconds: 5}, 0, 1, true, nil)
 	attempt := tracker.NextAttempt()
 	running := func(machine *Machine, i int, seq uint64, at clock.Micros) {
-		tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, seq, 7, wire.TaskReport{Task: wire.TaskID("req-000001", i), Attempt: attempt, State: wire.TaskRunning}), at)
+		tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, seq, 7, wire.TaskStatus{TaskID: wire.TaskID("req-000001", i), Attempt: attempt, State: wire.TaskRunning}), at)
 	}
 	start := clock.Second
 	for i := range 2 {
@@ -48,7 +48,7 @@
 	tracker.StopJob(job, 5*clock.Second)
 	for i := range 2 {
 		request, starts := tracker.BuildCommandRequest(machines[i], now)
-		if request == nil || len(request.Commands) != 1 || request.Commands[0].Op != wire.OpStop || *request.Commands[0].GraceS < 5 {
+		if request == nil || len(request.Commands) != 1 || request.Commands[0].Action != wire.ActionStop || *request.Commands[0].GracePeriodSeconds < 5 {
 			t.Fatalf("machine %d is told %+v", i, request)
 		}
 		if i == 0 {
@@ -58,7 +58,7 @@
 		}
 	}
 	now += 6 * clock.Second
-	tracker.RecordHeartbeat(machines[0], newHeartbeat(machines[0], 1, 4, 7, wire.TaskReport{Task: "req-000001/0", Attempt: attempt, State: wire.TaskExited, Why: wire.WhyPeers}), now)
+	tracker.RecordHeartbeat(machines[0], newHeartbeat(machines[0], 1, 4, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: attempt, State: wire.TaskExited, ExitCause: wire.ExitPeerLost}), now)
 	for _, candidate := range []uint64{attempt, tracker.NextAttempt()} {
 		if tracker.PlaceTask(job, 0, machines[2], candidate, now) == nil {
 			t.Fatal("a task is placed beside one of the old attempt")
--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -18,43 +18,43 @@
 
 // RecordHeartbeat takes a report that the worker sent. Sending it ends the wait for the
 // answer to its last one.
-func (tracker *Tracker) RecordHeartbeat(machine *Machine, heartbeat *wire.Report, now clock.Micros) HeartbeatResult {
+func (tracker *Tracker) RecordHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros) HeartbeatResult {
 	return tracker.applyHeartbeat(machine, heartbeat, now, true)
 }
 
 // RecordCommandHeartbeat takes the report in the answer to a direct message. The answer
 // to the worker's last own report may still be on its way then.
-func (tracker *Tracker) RecordCommandHeartbeat(machine *Machine, heartbeat *wire.Report, now clock.Micros) HeartbeatResult {
+func (tracker *Tracker) RecordCommandHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros) HeartbeatResult {
 	return tracker.applyHeartbeat(machine, heartbeat, now, false)
 }
 
-func (tracker *Tracker) applyHeartbeat(machine *Machine, heartbeat *wire.Report, now clock.Micros, isOwnHeartbeat bool) HeartbeatResult {
-	if heartbeat.Token > tracker.issuedToken {
+func (tracker *Tracker) applyHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros, isOwnHeartbeat bool) HeartbeatResult {
+	if heartbeat.FencingToken > tracker.issuedToken {
 		return HeartbeatFenced
 	}
-	if heartbeat.Token > tracker.currentToken {
-		tracker.currentToken = heartbeat.Token // a delegate has told it first
+	if heartbeat.FencingToken > tracker.currentToken {
+		tracker.currentToken = heartbeat.FencingToken // a delegate has told it first
 	}
-	if !heartbeat.Newer(machine.Incarnation, machine.HeartbeatSequence) || heartbeat.Session < machine.minIncarnation {
+	if !heartbeat.IsNewerThan(machine.Incarnation, machine.HeartbeatSequence) || heartbeat.Incarnation < machine.minIncarnation {
 		return HeartbeatStale
 	}
-	if heartbeat.Session > machine.Incarnation {
+	if heartbeat.Incarnation > machine.Incarnation {
 		tracker.beginIncarnation(machine, now)
-		machine.applyImageHints(heartbeat.Session, now)
+		machine.applyImageHints(heartbeat.Incarnation, now)
 	}
-	machine.Incarnation, machine.HeartbeatSequence, machine.LastHeartbeatAt = heartbeat.Session, heartbeat.Seq, now
+	machine.Incarnation, machine.HeartbeatSequence, machine.LastHeartbeatAt = heartbeat.Incarnation, heartbeat.Sequence, now
 	if machine.FirstHeartbeatAt == 0 {
 		machine.FirstHeartbeatAt = now
 	}
-	if heartbeat.Addr != "" {
-		machine.Address = heartbeat.Addr
+	if heartbeat.Address != "" {
+		machine.Address = heartbeat.Address
 	}
-	if heartbeat.NoticeS != nil {
-		machine.ReclaimAt = now + max(clock.FromSeconds(*heartbeat.NoticeS), 1)
+	if heartbeat.ReclaimInSeconds != nil {
+		machine.ReclaimAt = now + max(clock.FromSeconds(*heartbeat.ReclaimInSeconds), 1)
 	}
-	tokenConfirmed := heartbeat.Token >= tracker.cfg.FencingToken
-	if heartbeat.Token > machine.seenToken {
-		machine.seenToken = heartbeat.Token
+	tokenConfirmed := heartbeat.FencingToken >= tracker.cfg.FencingToken
+	if heartbeat.FencingToken > machine.seenToken {
+		machine.seenToken = heartbeat.FencingToken
 		maps.DeleteFunc(machine.startTokens, func(_ attemptKey, t uint64) bool { return t < machine.seenToken })
 	}
 	machine.exitedAttempts = machine.exitedAttempts[:0]
@@ -131,21 +131,21 @@
 
 // applyTaskReport takes one line of a report; true means that it lists a placement
 // that no line before did.
-func (tracker *Tracker) applyTaskReport(machine *Machine, taskReport *wire.TaskReport, now clock.Micros, tokenConfirmed bool) bool {
-	placement := machine.placements[taskReport.Task]
+func (tracker *Tracker) applyTaskReport(machine *Machine, taskReport *wire.TaskStatus, now clock.Micros, tokenConfirmed bool) bool {
+	placement := machine.placements[taskReport.TaskID]
 	if placement != nil && placement.Attempt == taskReport.Attempt && placement.Phase == PhaseReported && placement.ReportedState == taskReport.State && tracker.Jobs[placement.Job.Spec.ID] == placement.Job {
 		return tracker.recordSeen(placement) // nothing new, as in most lines of most reports
 	}
-	jobID, taskIndex, ok := wire.ParseTaskID(taskReport.Task)
+	jobID, taskIndex, ok := wire.ParseTaskID(taskReport.TaskID)
 	job := tracker.Jobs[jobID]
 	if !ok || job == nil || taskIndex >= len(job.Tasks) {
 		// No job that is not over: it can only be told to go.
-		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.Task, attempt: taskReport.Attempt, completedOrAlive: taskReport.State != wire.TaskExited})
+		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, completedOrAlive: taskReport.State != wire.TaskExited})
 		return false
 	}
 	if placement != nil && placement.Attempt != taskReport.Attempt {
 		if taskReport.State == wire.TaskExited {
-			machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.Task, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex})
+			machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex})
 			return false
 		}
 		if placement.Phase == PhaseReported && taskReport.Attempt < placement.Attempt {
@@ -162,11 +162,11 @@
 	if taskReport.State == wire.TaskExited {
 		if placement != nil {
 			placement.ProgressSaved = taskReport.Saved
-			tracker.recordExit(placement, taskReport.Why, now)
-		} else if taskReport.Why == wire.WhyDone && !job.IsService() {
+			tracker.recordExit(placement, taskReport.ExitCause, now)
+		} else if taskReport.ExitCause == wire.ExitDone && !job.IsService() {
 			tracker.recordCompletion(job, taskIndex)
 		}
-		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.Task, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex, completedOrAlive: taskReport.Why == wire.WhyDone})
+		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex, completedOrAlive: taskReport.ExitCause == wire.ExitDone})
 		return false
 	}
 	if placement == nil {
@@ -184,7 +184,7 @@
 		placement.RunningAt = now
 		job.GangStarted = job.IsGang() && !placement.Orphaned || job.GangStarted
 	}
-	if placement.StartedAt == 0 && (taskReport.State == wire.TaskRunning || taskReport.State == wire.TaskWaiting) {
+	if placement.StartedAt == 0 && (taskReport.State == wire.TaskRunning || taskReport.State == wire.TaskWaitingForGang) {
 		placement.StartedAt = now
 		job.StartedCount++
 		machine.adjustFetchCount(job.Spec.Image, -1)
@@ -207,9 +207,9 @@
 // A report from before the token may be a late copy, and the task elsewhere by now. So
 // it ends no doubt about the task, and of two places the one with the later attempt
 // is the true one: attempts only grow, and a new one begins when the last is over.
-func (tracker *Tracker) adoptPlacement(machine *Machine, job *Job, taskIndex int, taskReport *wire.TaskReport, now clock.Micros, tokenConfirmed bool) *Placement {
+func (tracker *Tracker) adoptPlacement(machine *Machine, job *Job, taskIndex int, taskReport *wire.TaskStatus, now clock.Micros, tokenConfirmed bool) *Placement {
 	task := &job.Tasks[taskIndex]
-	placement := &Placement{Job: job, TaskIndex: taskIndex, Attempt: taskReport.Attempt, Machine: machine, CreatedAt: now, Adopted: true, taskID: taskReport.Task}
+	placement := &Placement{Job: job, TaskIndex: taskIndex, Attempt: taskReport.Attempt, Machine: machine, CreatedAt: now, Adopted: true, taskID: taskReport.TaskID}
 	hasConflict := false
 	if job.IsGang() {
 		hasConflict = tracker.supersedeGang(job, taskReport.Attempt)
@@ -265,10 +265,10 @@
 func (tracker *Tracker) recordExit(placement *Placement, cause string, now clock.Micros) {
 	job, machine := placement.Job, placement.Machine
 	task := &job.Tasks[placement.TaskIndex]
-	if cause == wire.WhyDone && job.IsService() {
-		cause = wire.WhyStopped // a replica never completes
+	if cause == wire.ExitDone && job.IsService() {
+		cause = wire.ExitStopped // a replica never completes
 	}
-	if cause == wire.WhyError && !placement.isStopping {
+	if cause == wire.ExitError && !placement.isStopping {
 		job.FailureCount++
 		if task.FailureCount < 255 {
 			task.FailureCount++
@@ -294,7 +294,7 @@
 		if isOwnHeartbeat && placement.sentInSequence < placement.Machine.HeartbeatSequence {
 			// The answer that carried it was lost, or dropped as too late.
 			if placement.isStopping {
-				tracker.endPlacement(placement, wire.WhyStopped, now)
+				tracker.endPlacement(placement, wire.ExitStopped, now)
 			} else {
 				placement.Phase = PhaseAssigned
 				tracker.queueDispatch(placement.Machine)
--- a/internal/allocation/history_test.go
+++ b/internal/allocation/history_test.go
@@ -41,7 +41,7 @@
 
 type delayedCommand struct {
 	worker  *fakeWorker
-	request *wire.Direct
+	request *wire.CommandRequest
 	tracker *Tracker // that sent it and still waits for the answer
 	machine *Machine
 	starts  []*Placement
@@ -65,7 +65,7 @@
 	cpuLimit             int64
 	startCount           int
 	completeGangCount    int // that were complete
-	heartbeatCopies      []*wire.Report
+	heartbeatCopies      []*wire.Heartbeat
 	delegatedUntil       clock.Micros // others may answer workers until then
 	follower             *follower    // of the present ledger
 	replicaFailoverCount int          // take-overs that began with what a follower knew
@@ -122,19 +122,19 @@
 	i := len(sim.jobIDs)
 	id := fmt.Sprintf("req-%06d", i)
 	spec := &wire.Job{
-		ID: id, Class: "c", Team: []string{"a", "b"}[i%2], Priority: wire.PriorityNormal, Tasks: 2 + i%2, CPUs: 1, Image: "i",
+		ID: id, Class: "c", Team: []string{"a", "b"}[i%2], Priority: wire.PriorityNormal, TaskCount: 2 + i%2, CPUs: 1, Image: "i",
 		Kind: []string{wire.KindArray, wire.KindService, wire.KindGang}[i%3],
 	}
 	switch i % 4 {
 	case 0:
-		spec.Spread = true
+		spec.SpreadZones = true
 	case 1:
-		spec.OneZone = true
+		spec.SingleZone = true
 	case 2:
 		spec.Zone = "y"
 	}
 	if i%7 == 6 {
-		spec.Tasks = maxUnconfirmedTasksPublished + 2
+		spec.TaskCount = maxUnconfirmedTasksPublished + 2
 	}
 	sim.jobIDs = append(sim.jobIDs, id)
 	sim.specs[id] = spec
@@ -153,7 +153,7 @@
 
 // gangTasks lists the tasks of a gang that are on machines.
 func (sim *simulation) gangTasks(job string) (out []*fakeTask) {
-	for n := range sim.specs[job].Tasks {
+	for n := range sim.specs[job].TaskCount {
 		id := wire.TaskID(job, n)
 		if worker := sim.workerRunning(id); worker != nil {
 			out = append(out, worker.tasks[id])
@@ -171,11 +171,11 @@
 		return
 	}
 	all := func(state string) bool {
-		return len(tasks) == spec.Tasks && !slices.ContainsFunc(tasks, func(task *fakeTask) bool { return task.state != state })
+		return len(tasks) == spec.TaskCount && !slices.ContainsFunc(tasks, func(task *fakeTask) bool { return task.state != state })
 	}
 	exit := func(task *fakeTask, cause string) { task.state, task.cause = wire.TaskExited, cause }
 	switch {
-	case all(wire.TaskWaiting):
+	case all(wire.TaskWaitingForGang):
 		for _, task := range tasks {
 			task.state = wire.TaskRunning
 		}
@@ -183,15 +183,15 @@
 	case all(wire.TaskRunning):
 		if sim.rng.IntN(3) == 0 {
 			for _, task := range tasks {
-				exit(task, wire.WhyDone)
+				exit(task, wire.ExitDone)
 			}
 		}
 	default:
 		task := tasks[sim.rng.IntN(len(tasks))]
 		if task.state == wire.TaskRunning {
-			exit(task, wire.WhyPeers)
+			exit(task, wire.ExitPeerLost)
 		} else if sim.rng.IntN(6) == 0 {
-			exit(task, wire.WhyAlone)
+			exit(task, wire.ExitGangIncomplete)
 		}
 	}
 }
@@ -207,24 +207,24 @@
 
 func (sim *simulation) execute(worker *fakeWorker, commands []wire.Command) {
 	for _, command := range commands {
-		job, i, ok := wire.ParseTaskID(command.Task)
+		job, i, ok := wire.ParseTaskID(command.TaskID)
 		if !ok {
-			sim.fatal("bad task id %q", command.Task)
+			sim.fatal("bad task id %q", command.TaskID)
 		}
-		task := worker.tasks[command.Task]
-		switch command.Op {
-		case wire.OpStart:
+		task := worker.tasks[command.TaskID]
+		switch command.Action {
+		case wire.ActionStart:
 			switch {
 			case task == nil:
-				if other := sim.workerRunning(command.Task); other != nil {
-					sim.fatal("ran twice: %s starts on %s while on %s", command.Task, worker.name, other.name)
+				if other := sim.workerRunning(command.TaskID); other != nil {
+					sim.fatal("ran twice: %s starts on %s while on %s", command.TaskID, worker.name, other.name)
 				}
 				spec := sim.specs[job]
 				if spec.Zone != "" && spec.Zone != worker.zone {
-					sim.fatal("wrong place: %s in %s", command.Task, worker.zone)
+					sim.fatal("wrong place: %s in %s", command.TaskID, worker.zone)
 				}
 				inZone, elsewhere := 0, 0
-				for n := 0; n < spec.Tasks; n++ {
+				for n := 0; n < spec.TaskCount; n++ {
 					if host := sim.workerRunning(wire.TaskID(job, n)); host != nil {
 						if host.zone == worker.zone {
 							inZone++
@@ -233,40 +233,40 @@
 						}
 					}
 				}
-				if spec.OneZone && elsewhere > 0 {
-					sim.fatal("one zone: %s", command.Task)
+				if spec.SingleZone && elsewhere > 0 {
+					sim.fatal("one zone: %s", command.TaskID)
 				}
-				if spec.Spread && inZone+1 > (spec.Tasks+1)/2 {
-					sim.fatal("spread: %s", command.Task)
+				if spec.SpreadZones && inZone+1 > (spec.TaskCount+1)/2 {
+					sim.fatal("spread: %s", command.TaskID)
 				}
-				worker.tasks[command.Task] = &fakeTask{attempt: command.Attempt, state: wire.TaskRunning}
+				worker.tasks[command.TaskID] = &fakeTask{attempt: command.Attempt, state: wire.TaskRunning}
 				if spec.Kind == wire.KindGang {
-					worker.tasks[command.Task].state = wire.TaskWaiting
+					worker.tasks[command.TaskID].state = wire.TaskWaitingForGang
 					for _, task := range sim.gangTasks(job) {
 						if task.attempt != command.Attempt {
-							sim.fatal("two attempts of a gang: %s starts as %d beside %d", command.Task, command.Attempt, task.attempt)
+							sim.fatal("two attempts of a gang: %s starts as %d beside %d", command.TaskID, command.Attempt, task.attempt)
 						}
 					}
 				}
 				if sim.doneTasks[job][i] {
-					worker.tasks[command.Task].state, worker.tasks[command.Task].cause = wire.TaskExited, wire.WhyDone
+					worker.tasks[command.TaskID].state, worker.tasks[command.TaskID].cause = wire.TaskExited, wire.ExitDone
 				}
 				sim.startCount++
 				sim.checkQuotas()
 			case task.attempt == command.Attempt:
 			case task.state == wire.TaskExited:
-				sim.fatal("started beside a listed attempt: %s", command.Task)
+				sim.fatal("started beside a listed attempt: %s", command.TaskID)
 			}
-		case wire.OpStop:
+		case wire.ActionStop:
 			if task != nil && task.attempt == command.Attempt && task.state != wire.TaskExited {
-				task.state, task.cause = wire.TaskExited, wire.WhyStopped
+				task.state, task.cause = wire.TaskExited, wire.ExitStopped
 			}
-		case wire.OpForget:
+		case wire.ActionReap:
 			if task != nil && task.attempt == command.Attempt && task.state == wire.TaskExited {
-				if task.cause == wire.WhyDone && !sim.doneTasks[job][i] && !sim.cancelled[job] {
-					sim.fatal("forgot a result that is not durable: %s", command.Task)
+				if task.cause == wire.ExitDone && !sim.doneTasks[job][i] && !sim.cancelled[job] {
+					sim.fatal("forgot a result that is not durable: %s", command.TaskID)
 				}
-				delete(worker.tasks, command.Task)
+				delete(worker.tasks, command.TaskID)
 			}
 		}
 	}
@@ -293,9 +293,9 @@
 	}
 }
 
-func (sim *simulation) heartbeat(worker *fakeWorker) *wire.Report {
+func (sim *simulation) heartbeat(worker *fakeWorker) *wire.Heartbeat {
 	worker.sequence++
-	heartbeat := &wire.Report{Machine: worker.name, Addr: "127.0.0.1:1", Zone: worker.zone, Session: worker.incarnation, Seq: worker.sequence, Token: worker.token}
+	heartbeat := &wire.Heartbeat{MachineID: worker.name, Address: "127.0.0.1:1", Zone: worker.zone, Incarnation: worker.incarnation, Sequence: worker.sequence, FencingToken: worker.token}
 	ids := make([]string, 0, len(worker.tasks))
 	for id := range worker.tasks {
 		ids = append(ids, id)
@@ -303,7 +303,7 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		task := worker.tasks[id]
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskReport{Task: id, Attempt: task.attempt, State: task.state, Why: task.cause})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: id, Attempt: task.attempt, State: task.state, ExitCause: task.cause})
 	}
 	return heartbeat
 }
@@ -314,9 +314,9 @@
 		return
 	}
 	sim.expireLease(worker)
-	ok := command.request.Token >= worker.token && command.request.Session == worker.incarnation
+	ok := command.request.FencingToken >= worker.token && command.request.Incarnation == worker.incarnation
 	if ok {
-		worker.token = command.request.Token
+		worker.token = command.request.FencingToken
 		sim.execute(worker, command.request.Commands)
 		sim.executed = append(sim.executed, delayedCommand{worker: worker, request: command.request})
 	}
@@ -352,7 +352,7 @@
 	}
 	sim.tracker.RecordLeaseRenewal(machine, sim.now)
 	if result := sim.tracker.RecordHeartbeat(machine, heartbeat, sim.now); result == HeartbeatFenced {
-		sim.fatal("deposed by %d under %d", heartbeat.Token, sim.token)
+		sim.fatal("deposed by %d under %d", heartbeat.FencingToken, sim.token)
 	}
 	sim.persistCompletions()
 	commands := sim.tracker.HeartbeatCommands(machine, sim.now)
@@ -490,7 +490,7 @@
 				return
 			}
 			heartbeat := sim.heartbeatCopies[len(sim.heartbeatCopies)-1-sim.rng.IntN(min(len(sim.heartbeatCopies), 5))]
-			if machine := sim.tracker.Machines[heartbeat.Machine]; machine != nil && heartbeat.Token <= sim.token {
+			if machine := sim.tracker.Machines[heartbeat.MachineID]; machine != nil && heartbeat.FencingToken <= sim.token {
 				sim.tracker.RecordLeaseRenewal(machine, sim.now)
 				sim.tracker.RecordHeartbeat(machine, heartbeat, sim.now)
 				sim.persistCompletions()
@@ -598,7 +598,7 @@
 				for _, id := range ids {
 					jobID, _, _ := wire.ParseTaskID(id)
 					if task := worker.tasks[id]; task.state == wire.TaskRunning && sim.specs[jobID].Kind == wire.KindArray {
-						task.state, task.cause = wire.TaskExited, wire.WhyDone
+						task.state, task.cause = wire.TaskExited, wire.ExitDone
 						return
 					}
 				}
@@ -711,8 +711,8 @@
 	}
 }
 
-func newHeartbeat(machine *Machine, session, seq, token uint64, tasks ...wire.TaskReport) *wire.Report {
-	return &wire.Report{Machine: machine.Name, Addr: "127.0.0.1:1", Zone: machine.Zone, Session: session, Seq: seq, Token: token, Tasks: tasks}
+func newHeartbeat(machine *Machine, session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{MachineID: machine.Name, Address: "127.0.0.1:1", Zone: machine.Zone, Incarnation: session, Sequence: seq, FencingToken: token, Tasks: tasks}
 }
 
 func newSmallTracker(t *testing.T, kind string, tasks int) (*Tracker, *Job, *Machine) {
@@ -721,7 +721,7 @@
 	tracker.FinishRecovery()
 	machine := tracker.AddMachine("i-1", "t", "x", false, Resources{8000, 0, 8000}, 1)
 	machine.RecordedInStore = true
-	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: kind, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 1, Team: "a"}, 0, 1, true, nil)
+	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: kind, Priority: wire.PriorityNormal, TaskCount: tasks, CPUs: 1, Team: "a"}, 0, 1, true, nil)
 	if tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 1, 7), 1) != HeartbeatAccepted {
 		t.Fatal("first report not taken")
 	}
@@ -741,15 +741,15 @@
 	}
 	tracker.FinishCommandRequest(machine, starts, CommandOutcomeUnknown, 2)
 	attempt := request.Commands[0].Attempt
-	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 2, 7, wire.TaskReport{Task: "req-000001/0", Attempt: attempt, State: wire.TaskExited, Why: wire.WhyError}), 3)
+	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 2, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: attempt, State: wire.TaskExited, ExitCause: wire.ExitError}), 3)
 	for _, command := range tracker.HeartbeatCommands(machine, 3) {
-		if command.Op == wire.OpForget {
+		if command.Action == wire.ActionReap {
 			t.Fatal("told to forget an attempt whose start may still arrive")
 		}
 	}
 	// A new session refuses commands of the old one.
-	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 2, 3, 7, wire.TaskReport{Task: "req-000001/0", Attempt: attempt, State: wire.TaskExited, Why: wire.WhyError}), 4)
-	if commands := tracker.HeartbeatCommands(machine, 4); len(commands) != 1 || commands[0].Op != wire.OpForget {
+	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 2, 3, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: attempt, State: wire.TaskExited, ExitCause: wire.ExitError}), 4)
+	if commands := tracker.HeartbeatCommands(machine, 4); len(commands) != 1 || commands[0].Action != wire.ActionReap {
 		t.Fatalf("not forgotten in the new session: %v", commands)
 	}
 }
@@ -788,7 +788,7 @@
 	tracker.Cancel(job, 3)
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 2, 7), 4)
 	commands := tracker.HeartbeatCommands(machine, 4)
-	if len(commands) != 2 || commands[0].Op != wire.OpStart || commands[1].Op != wire.OpStop {
+	if len(commands) != 2 || commands[0].Action != wire.ActionStart || commands[1].Action != wire.ActionStop {
 		t.Fatalf("not fenced: %v", commands)
 	}
 	if tracker.IsVacated(job) {
@@ -813,7 +813,7 @@
 	if !tracker.ExpireLease(machine, tracker.LeaseEndsAt(machine)) || job.ActiveCount() != 0 {
 		t.Fatal("not expired")
 	}
-	late := newHeartbeat(machine, 1, 9, 7, wire.TaskReport{Task: "req-000001/0", Attempt: 1, State: wire.TaskRunning})
+	late := newHeartbeat(machine, 1, 9, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: 1, State: wire.TaskRunning})
 	if tracker.RecordHeartbeat(machine, late, tracker.LeaseEndsAt(machine)) != HeartbeatStale {
 		t.Fatal("a report of the expired session was taken")
 	}
@@ -830,24 +830,24 @@
 		}
 	}
 	tracker.HeartbeatCommands(machine, 2)
-	reportTask := func(i int, state, cause string) wire.TaskReport {
-		return wire.TaskReport{Task: wire.TaskID("req-000001", i), Attempt: firstAttempt, State: state, Why: cause}
+	reportTask := func(i int, state, cause string) wire.TaskStatus {
+		return wire.TaskStatus{TaskID: wire.TaskID("req-000001", i), Attempt: firstAttempt, State: state, ExitCause: cause}
 	}
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 2, 7, reportTask(0, wire.TaskRunning, ""), reportTask(1, wire.TaskRunning, "")), 3)
-	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 3, 7, reportTask(0, wire.TaskExited, wire.WhyError), reportTask(1, wire.TaskRunning, "")), 4)
+	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 3, 7, reportTask(0, wire.TaskExited, wire.ExitError), reportTask(1, wire.TaskRunning, "")), 4)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 5); err == nil {
 		t.Fatal("a new attempt beside the old one")
 	}
 	stops := 0
 	for _, command := range tracker.HeartbeatCommands(machine, 5) {
-		if command.Op == wire.OpStop {
+		if command.Action == wire.ActionStop {
 			stops++
 		}
 	}
 	if stops != 1 {
 		t.Fatalf("%d stops for the rest of the gang", stops)
 	}
-	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 4, 7, reportTask(1, wire.TaskExited, wire.WhyPeers)), 6)
+	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 4, 7, reportTask(1, wire.TaskExited, wire.ExitPeerLost)), 6)
 	if job.GangAttempt != 0 || job.GangAborting {
 		t.Fatal("the old attempt is not over")
 	}
@@ -873,7 +873,7 @@
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), now); err != nil {
 		t.Fatal(err)
 	}
-	if request, _ := tracker.BuildCommandRequest(machine, now); request == nil || request.Session != 2 {
+	if request, _ := tracker.BuildCommandRequest(machine, now); request == nil || request.Incarnation != 2 {
 		t.Fatal("no start in the new session")
 	}
 	if tracker.ExpireLease(machine, now+3*clock.Second) || job.Tasks[0].Placement == nil {
--- a/internal/allocation/late_copy_test.go
+++ b/internal/allocation/late_copy_test.go
@@ -18,15 +18,15 @@
 		machine.RecordedInStore = true
 		machines = append(machines, machine)
 	}
-	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: kind, Tasks: 2, CPUs: 1, Priority: wire.PriorityNormal}, 0, 0, true, nil)
+	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: kind, TaskCount: 2, CPUs: 1, Priority: wire.PriorityNormal}, 0, 0, true, nil)
 	tracker.FinishRecovery()
 	return tracker, machines, job
 }
 
-func heartbeatListing(machineName string, seq, token, attempt uint64, tasks ...int) *wire.Report {
-	heartbeat := &wire.Report{Machine: machineName, Session: 1, Seq: seq, Token: token}
+func heartbeatListing(machineName string, seq, token, attempt uint64, tasks ...int) *wire.Heartbeat {
+	heartbeat := &wire.Heartbeat{MachineID: machineName, Incarnation: 1, Sequence: seq, FencingToken: token}
 	for _, i := range tasks {
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskReport{Task: wire.TaskID("req-000001", i), Attempt: attempt, State: wire.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID("req-000001", i), Attempt: attempt, State: wire.TaskRunning})
 	}
 	return heartbeat
 }
@@ -104,7 +104,7 @@
 		kind := []string{wire.KindArray, wire.KindGang}[seed%2]
 		tracker, machines, job := newSuccessorTracker(kind)
 		// past holds what each machine's list was, at each of several times.
-		var past [][]*wire.Report
+		var past [][]*wire.Heartbeat
 		machineOf := make([]int, len(job.Tasks)) // where each task is, -1: nowhere
 		attempts := make([]uint64, len(job.Tasks))
 		for step := uint64(1); step <= 5; step++ {
@@ -118,12 +118,12 @@
 					machineOf[i] = machineOf[0]
 				}
 			}
-			var heartbeats []*wire.Report
+			var heartbeats []*wire.Heartbeat
 			for machineIndex, machine := range machines {
-				heartbeat := &wire.Report{Machine: machine.Name, Session: 1, Seq: step, Token: 4}
+				heartbeat := &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: step, FencingToken: 4}
 				for i := range machineOf {
 					if machineOf[i] == machineIndex {
-						heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskReport{Task: wire.TaskID(job.Spec.ID, i), Attempt: attempts[i], State: wire.TaskRunning})
+						heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(job.Spec.ID, i), Attempt: attempts[i], State: wire.TaskRunning})
 					}
 				}
 				heartbeats = append(heartbeats, heartbeat)
@@ -143,11 +143,11 @@
 					tracker.RecordHeartbeat(machines[machineIndex], old, now)
 				}
 			case 1:
-				heartbeat.Seq, heartbeat.Token = uint64(10+round), 9
+				heartbeat.Sequence, heartbeat.FencingToken = uint64(10+round), 9
 				tracker.RecordHeartbeat(machines[machineIndex], &heartbeat, now)
 				synced[machineIndex] = true
 			case 2:
-				heartbeat.Seq = uint64(10 + round)
+				heartbeat.Sequence = uint64(10 + round)
 				if !synced[machineIndex] {
 					tracker.RecordHeartbeat(machines[machineIndex], &heartbeat, now)
 				}
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -86,13 +86,13 @@
 // tasks considered.
 func IsEligible(job *Job, machine *Machine) bool {
 	spec := job.Spec
-	if machine.Spot && !spec.Spot || spec.Zone != "" && spec.Zone != machine.Zone {
+	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone {
 		return false
 	}
-	if spec.Types != nil && !slices.Contains(spec.Types, machine.Type) {
+	if spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Type) {
 		return false
 	}
-	if spec.OneZone {
+	if spec.SingleZone {
 		if job.unconfirmedCount > 0 {
 			return false
 		}
@@ -100,7 +100,7 @@
 			return false
 		}
 	}
-	if spec.Spread && job.CountInZone(machine.Zone)+1 > job.MaxTasksPerZone() {
+	if spec.SpreadZones && job.CountInZone(machine.Zone)+1 > job.MaxTasksPerZone() {
 		return false
 	}
 	return true
@@ -207,18 +207,18 @@
 		machine.lateStarts[attemptKey{placement.taskID, placement.Attempt}] = true
 	}
 	task := &job.Tasks[placement.TaskIndex]
-	if cause != wire.WhyDone && placement.RunningAt != 0 && job.Spec.CheckpointS > 0 {
+	if cause != wire.ExitDone && placement.RunningAt != 0 && job.Spec.CheckpointIntervalSeconds > 0 {
 		task.CheckpointedSeconds += (now - placement.RunningAt).Seconds()
 		if !placement.ProgressSaved {
-			task.CheckpointedSeconds = math.Floor(task.CheckpointedSeconds/job.Spec.CheckpointS) * job.Spec.CheckpointS
+			task.CheckpointedSeconds = math.Floor(task.CheckpointedSeconds/job.Spec.CheckpointIntervalSeconds) * job.Spec.CheckpointIntervalSeconds
 		}
 		job.CheckpointedSeconds = max(job.CheckpointedSeconds, task.CheckpointedSeconds)
 	}
 	if task.Placement == placement {
 		tracker.clearPlacement(job, task)
-		if cause == wire.WhyDone {
+		if cause == wire.ExitDone {
 			tracker.recordCompletion(job, placement.TaskIndex)
-		} else if job.IsGang() && task.State != TaskDone && (job.GangStarted || cause == wire.WhyPeers || cause == wire.WhyError) {
+		} else if job.IsGang() && task.State != TaskDone && (job.GangStarted || cause == wire.ExitPeerLost || cause == wire.ExitError) {
 			tracker.abortGang(job)
 		}
 	}
@@ -257,7 +257,7 @@
 // StopPlacement asks that a placement ends, with time to save if it can.
 func (tracker *Tracker) StopPlacement(placement *Placement, grace clock.Micros) {
 	if placement.Phase == PhaseAssigned && placement.startsInFlight == 0 && !placement.mayArriveLate {
-		tracker.endPlacement(placement, wire.WhyStopped, placement.CreatedAt)
+		tracker.endPlacement(placement, wire.ExitStopped, placement.CreatedAt)
 		return
 	}
 	if placement.isStopping && grace >= placement.stopGrace {
--- a/internal/allocation/replication_test.go
+++ b/internal/allocation/replication_test.go
@@ -49,7 +49,7 @@
 	tracker.FinishRecovery()
 	machine := tracker.AddMachine("i-0", "t", "x", false, Resources{8000, 0, 1 << 40}, 0)
 	machine.RecordedInStore, machine.Address = true, "a:1"
-	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Tasks: 3, CPUs: 1}, 0, 0, true, nil)
+	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, TaskCount: 3, CPUs: 1}, 0, 0, true, nil)
 	tracker.RecordHeartbeat(machine, heartbeatListing("i-0", 1, 9, 0), 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 1); err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 	tracker.HeartbeatCommands(machine, 2)
 	done := heartbeatListing("i-0", 2, 9, 0)
 	attempt := job.Tasks[0].Placement.Attempt
-	done.Tasks = []wire.TaskReport{{Task: wire.TaskID("req-000001", 0), Attempt: attempt, State: wire.TaskExited, Why: wire.WhyDone}}
+	done.Tasks = []wire.TaskStatus{{TaskID: wire.TaskID("req-000001", 0), Attempt: attempt, State: wire.TaskExited, ExitCause: wire.ExitDone}}
 	tracker.RecordHeartbeat(machine, done, 3*clock.Second)
 	if job.DoneCount() != 1 || len(replicator.active) != 1 {
 		t.Fatalf("%d done, told of as under way: %v", job.DoneCount(), replicator.active)
@@ -99,7 +99,7 @@
 func TestOnlyPossiblyStartedTasksAreUnconfirmed(t *testing.T) {
 	for kind, want := range map[string]int{wire.KindArray: 1, wire.KindGang: 3} {
 		tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL, MayHaveStarted: func(task string) bool { return task == wire.TaskID("req-000001", 1) }})
-		job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: kind, Tasks: 3, CPUs: 1, Team: "a"}, 0, 0, true, nil)
+		job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: kind, TaskCount: 3, CPUs: 1, Team: "a"}, 0, 0, true, nil)
 		if job.UnconfirmedCount() != want || tracker.TeamUsage("a").MilliCPU != int64(want)*1000 {
 			t.Errorf("%s: %d in doubt, the team may use %d", kind, job.UnconfirmedCount(), tracker.TeamUsage("a").MilliCPU)
 		}
@@ -114,7 +114,7 @@
 	for _, name := range []string{"i-0", "i-1"} {
 		tracker.AddMachine(name, "t", "x", false, Resources{64000, 0, 1 << 40}, 0).RecordedInStore = true
 	}
-	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Tasks: tasks, CPUs: 1}, 0, 0, true, nil)
+	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, TaskCount: tasks, CPUs: 1}, 0, 0, true, nil)
 	tracker.FinishRecovery()
 	return tracker, tracker.Machines["i-0"], job, replicator
 }
@@ -141,7 +141,7 @@
 		tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, tasks, nil)
 		replicator.covered = wire.TaskID("req-000001", 0)
 		done := heartbeatListing("i-0", 1, 9, 3)
-		done.Tasks = []wire.TaskReport{{Task: replicator.covered, Attempt: 3, State: wire.TaskExited, Why: wire.WhyDone}}
+		done.Tasks = []wire.TaskStatus{{TaskID: replicator.covered, Attempt: 3, State: wire.TaskExited, ExitCause: wire.ExitDone}}
 		tracker.RecordHeartbeat(machine, done, 1)
 		tracker.RemoveMachine(tracker.Machines["i-1"], 2)
 		if job.DoneCount() != 1 || job.UnconfirmedCount() != 0 {
--- a/internal/allocation/tracker.go
+++ b/internal/allocation/tracker.go
@@ -147,10 +147,10 @@
 	job := &Job{
 		Spec: spec, Request: NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB),
 		Priority: wire.PriorityIndex(spec.Priority), ReleasedAt: releasedAt, AddedAt: now, StartsRecorded: startsRecorded,
-		Tasks: make([]Task, spec.Tasks), placementsByZone: map[string]int{},
+		Tasks: make([]Task, spec.TaskCount), placementsByZone: map[string]int{},
 		isGang: spec.Kind == wire.KindGang, isService: spec.Kind == wire.KindService,
 	}
-	job.waitingCount = spec.Tasks
+	job.waitingCount = spec.TaskCount
 	tracker.Jobs[spec.ID] = job
 	mayHaveStarted := tracker.unconfirmedFilter(job, func(i int) bool { return tracker.cfg.MayHaveStarted(wire.TaskID(spec.ID, i)) })
 	for i := range job.Tasks {
--- a/internal/ci/knownred/knownred.go
+++ b/internal/ci/knownred/knownred.go
@@ -27,8 +27,8 @@
 	Issue string
 }
 
-// fieldCount is how many fields a line has.
-const fieldCount = 3
+// fieldsPerLine is how many fields a line has.
+const fieldsPerLine = 3
 
 // ErrTooMany tells that the list is longer than MaxEntries.
 var ErrTooMany = errors.New("too many known failures")
@@ -37,9 +37,9 @@
 var ErrMalformed = errors.New("malformed line")
 
 // Parse reads the list. Blank lines and lines that begin with # are skipped.
-func Parse(r io.Reader) ([]Entry, error) {
+func Parse(reader io.Reader) ([]Entry, error) {
 	var entries []Entry
-	scanner := bufio.NewScanner(r)
+	scanner := bufio.NewScanner(reader)
 	for scanner.Scan() {
 		line := strings.TrimSpace(scanner.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -65,7 +65,7 @@
 
 func parseLine(line string) (Entry, error) {
 	fields := strings.Split(line, "|")
-	if len(fields) != fieldCount {
+	if len(fields) != fieldsPerLine {
 		return Entry{}, fmt.Errorf("%w: %q", ErrMalformed, line)
 	}
 	for i := range fields {
@@ -77,8 +77,8 @@
 	return Entry{Test: fields[0], Cause: fields[1], Issue: fields[2]}, nil
 }
 
-// event is a line of `go test -json`.
-type event struct {
+// testEvent is a line of `go test -json`.
+type testEvent struct {
 	Action  string
 	Package string
 	Test    string
@@ -88,81 +88,83 @@
 // Result is what a run came to.
 type Result struct {
 	Passed, Failed, Skipped int
-	// Unlisted are failures that the list does not excuse: tests, and packages
+	// UnexpectedFailures are failures that the list does not excuse: tests, and packages
 	// that failed by other means than a test, such as a build failure, a panic
 	// or a timeout.
-	Unlisted []string
-	// Excused are listed tests that failed.
-	Excused []Entry
-	// Stale are listed tests that passed or did not run.
-	Stale []Entry
+	UnexpectedFailures []string
+	// KnownFailures are listed tests that failed.
+	KnownFailures []Entry
+	// StaleEntries are listed tests that passed or did not run.
+	StaleEntries []Entry
 }
 
-// OK tells whether the run passes.
-func (r *Result) OK() bool { return len(r.Unlisted) == 0 && len(r.Stale) == 0 && r.Passed > 0 }
+// IsSuccess tells whether the run passes.
+func (result *Result) IsSuccess() bool {
+	return len(result.UnexpectedFailures) == 0 && len(result.StaleEntries) == 0 && result.Passed > 0
+}
 
-// run collects events until the verdict.
-type run struct {
-	failed         map[string]bool // tests, subtests apart
-	passed         map[string]bool
-	failedPackages map[string]bool
-	crashed        map[string]bool // packages that printed a panic or a timeout
-	result         Result
+// resultCollector collects events until the verdict.
+type resultCollector struct {
+	failedTests     map[string]bool // tests, subtests apart
+	passedTests     map[string]bool
+	failedPackages  map[string]bool
+	crashedPackages map[string]bool // packages that printed a panic or a timeout
+	result          Result
 }
 
 // Judge reads the events of a run and compares them with the list. The output of
 // packages and of failed tests is copied to out.
 func Judge(events io.Reader, entries []Entry, out io.Writer) (*Result, error) {
-	collected := &run{
-		failed: map[string]bool{}, passed: map[string]bool{},
-		failedPackages: map[string]bool{}, crashed: map[string]bool{},
+	collector := &resultCollector{
+		failedTests: map[string]bool{}, passedTests: map[string]bool{},
+		failedPackages: map[string]bool{}, crashedPackages: map[string]bool{},
 	}
 	outputs := map[string][]string{}
 	decoder := json.NewDecoder(events)
 	for {
-		var e event
-		if err := decoder.Decode(&e); errors.Is(err, io.EOF) {
+		var event testEvent
+		if err := decoder.Decode(&event); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			return nil, fmt.Errorf("the test events cannot be read: %w", err)
 		}
-		collected.take(&e, outputs, out)
+		collector.recordEvent(&event, outputs, out)
 	}
-	return collected.verdict(entries), nil
+	return collector.buildResult(entries), nil
 }
 
-func (r *run) take(e *event, outputs map[string][]string, out io.Writer) {
-	name := e.Package + "." + e.Test
-	subtest := strings.Contains(e.Test, "/")
-	switch e.Action {
+func (collector *resultCollector) recordEvent(event *testEvent, outputs map[string][]string, out io.Writer) {
+	name := event.Package + "." + event.Test
+	isSubtest := strings.Contains(event.Test, "/")
+	switch event.Action {
 	case "output", "build-output":
-		if isCrash(e.Output) {
-			r.crashed[e.Package] = true
+		if isCrash(event.Output) {
+			collector.crashedPackages[event.Package] = true
 		}
-		if e.Test == "" {
-			fmt.Fprint(out, e.Output)
+		if event.Test == "" {
+			fmt.Fprint(out, event.Output)
 			return
 		}
-		top, _, _ := strings.Cut(e.Test, "/")
-		key := e.Package + "." + top
-		outputs[key] = append(outputs[key], e.Output)
+		topLevelTest, _, _ := strings.Cut(event.Test, "/")
+		key := event.Package + "." + topLevelTest
+		outputs[key] = append(outputs[key], event.Output)
 	case "pass":
-		if e.Test != "" && !subtest {
-			r.passed[name] = true
-			r.result.Passed++
+		if event.Test != "" && !isSubtest {
+			collector.passedTests[name] = true
+			collector.result.Passed++
 			delete(outputs, name)
 		}
 	case "skip":
-		if e.Test != "" && !subtest {
-			r.result.Skipped++
+		if event.Test != "" && !isSubtest {
+			collector.result.Skipped++
 		}
 	case "fail":
 		switch {
-		case e.Test == "":
-			r.failedPackages[e.Package] = true
-		case !subtest:
-			r.failed[name] = true
-			r.result.Failed++
+		case event.Test == "":
+			collector.failedPackages[event.Package] = true
+		case !isSubtest:
+			collector.failedTests[name] = true
+			collector.result.Failed++
 			fmt.Fprint(out, strings.Join(outputs[name], ""))
 		}
 	}
@@ -176,31 +178,31 @@
 		strings.Contains(line, "WARNING: DATA RACE")
 }
 
-func (r *run) verdict(entries []Entry) *Result {
+func (collector *resultCollector) buildResult(entries []Entry) *Result {
 	listed := map[string]bool{}
 	for _, entry := range entries {
 		listed[entry.Test] = true
-		if r.failed[entry.Test] {
-			r.result.Excused = append(r.result.Excused, entry)
+		if collector.failedTests[entry.Test] {
+			collector.result.KnownFailures = append(collector.result.KnownFailures, entry)
 		} else {
-			r.result.Stale = append(r.result.Stale, entry)
+			collector.result.StaleEntries = append(collector.result.StaleEntries, entry)
 		}
 	}
-	explained := map[string]bool{}
-	for name := range r.failed {
-		explained[packageOf(name)] = true
+	packagesWithFailedTests := map[string]bool{}
+	for name := range collector.failedTests {
+		packagesWithFailedTests[packageOf(name)] = true
 		if !listed[name] {
-			r.result.Unlisted = append(r.result.Unlisted, name)
+			collector.result.UnexpectedFailures = append(collector.result.UnexpectedFailures, name)
 		}
 	}
-	for name := range r.failedPackages {
-		if !explained[name] || r.crashed[name] {
-			r.result.Unlisted = append(r.result.Unlisted, name+" (the package)")
+	for name := range collector.failedPackages {
+		if !packagesWithFailedTests[name] || collector.crashedPackages[name] {
+			collector.result.UnexpectedFailures = append(collector.result.UnexpectedFailures, name+" (the package)")
 		}
 	}
-	slices.Sort(r.result.Unlisted)
-	return &r.result
+	slices.Sort(collector.result.UnexpectedFailures)
+	return &collector.result
 }
 
 // packageOf is the package of a test's name; names of tests have no dots.
-func packageOf(name string) string { return name[:strings.LastIndex(name, ".")] }
+func packageOf(testName string) string { return testName[:strings.LastIndex(testName, ".")] }
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -9,7 +9,7 @@
 
 func TestParse(t *testing.T) {
 	const good = "a/b.TestX | the lock is lost | 16"
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name, text string
 		entries    int
 		err        error
@@ -22,9 +22,9 @@
 		{"empty cause", "a.B | | 16", 0, ErrMalformed},
 		{"twice", good + "\n" + good, 0, ErrMalformed},
 	} {
-		entries, err := Parse(strings.NewReader(c.text))
-		if len(entries) != c.entries || !errors.Is(err, c.err) {
-			t.Errorf("%s: %d entries, %v", c.name, len(entries), err)
+		entries, err := Parse(strings.NewReader(testCase.text))
+		if len(entries) != testCase.entries || !errors.Is(err, testCase.err) {
+			t.Errorf("%s: %d entries, %v", testCase.name, len(entries), err)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 		racing   = `{"Action":"output","Package":"p","Test":"TestBad","Output":"WARNING: DATA RACE\n"}` + "\n" + failing
 	)
 	listed := []Entry{{"p.TestBad", "cause", "16"}}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name, events string
 		entries      []Entry
 		ok           bool
@@ -62,18 +62,18 @@
 		{"a data race", passing + racing, listed, false},
 		{"a package that fails without a test", passing + `{"Action":"fail","Package":"r"}`, nil, false},
 	} {
-		result, err := Judge(strings.NewReader(c.events), c.entries, io.Discard)
+		result, err := Judge(strings.NewReader(testCase.events), testCase.entries, io.Discard)
 		if err != nil {
-			t.Fatalf("%s: %v", c.name, err)
+			t.Fatalf("%s: %v", testCase.name, err)
 		}
-		if result.OK() != c.ok {
-			t.Errorf("%s: ok is %v: %+v", c.name, result.OK(), result)
+		if result.IsSuccess() != testCase.ok {
+			t.Errorf("%s: ok is %v: %+v", testCase.name, result.IsSuccess(), result)
 		}
 	}
 	var out strings.Builder
-	shown := `{"Action":"output","Package":"a/b","Test":"TestBad/sub","Output":"the cause\n"}` + "\n" +
+	events := `{"Action":"output","Package":"a/b","Test":"TestBad/sub","Output":"the cause\n"}` + "\n" +
 		`{"Action":"fail","Package":"a/b","Test":"TestBad"}` + "\n"
-	if _, err := Judge(strings.NewReader(shown), nil, &out); err != nil || !strings.Contains(out.String(), "the cause") {
+	if _, err := Judge(strings.NewReader(events), nil, &out); err != nil || !strings.Contains(out.String(), "the cause") {
 		t.Errorf("a failed subtest's output is not shown: %q, %v", out.String(), err)
 	}
 	if _, err := Judge(strings.NewReader("{"), nil, io.Discard); err == nil {
--- a/internal/ci/layout/layout.go
+++ b/internal/ci/layout/layout.go
@@ -10,21 +10,21 @@
 	"strings"
 )
 
-// named matches a package's folder between backquotes, as a table names it.
-var named = regexp.MustCompile("`((?:cmd|internal|wire)(?:/[^`]*)?)`")
+// packageReference matches a package's folder between backquotes, as a table names it.
+var packageReference = regexp.MustCompile("`((?:cmd|internal|wire)(?:/[^`]*)?)`")
 
-// Named lists the packages that a document names, each once, in order.
-func Named(document string) []string {
+// DocumentedPackages lists the packages that a document names, each once, in order.
+func DocumentedPackages(document string) []string {
 	var packages []string
-	for _, match := range named.FindAllStringSubmatch(document, -1) {
+	for _, match := range packageReference.FindAllStringSubmatch(document, -1) {
 		packages = append(packages, match[1])
 	}
 	slices.Sort(packages)
 	return slices.Compact(packages)
 }
 
-// Present lists the folders below the given ones that hold Go files.
-func Present(root fs.FS, folders ...string) ([]string, error) {
+// ExistingPackages lists the folders below the given ones that hold Go files.
+func ExistingPackages(root fs.FS, folders ...string) ([]string, error) {
 	var packages []string
 	for _, folder := range folders {
 		err := fs.WalkDir(root, folder, func(name string, entry fs.DirEntry, err error) error {
--- a/internal/ci/runtests/main.go
+++ b/internal/ci/runtests/main.go
@@ -13,8 +13,8 @@
 	"firwood.dev/firwood/internal/ci/knownred"
 )
 
-// listFile is the list of known failures, at the root of the repository.
-const listFile = "KNOWN-RED.txt"
+// knownFailuresFile is the list of known failures, at the root of the repository.
+const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
 	if err := runTests(os.Args[1:], os.Stdout); err != nil {
@@ -24,57 +24,57 @@
 }
 
 func runTests(args []string, out io.Writer) error {
-	entries, err := loadList()
+	entries, err := loadKnownFailures()
 	if err != nil {
-		return fmt.Errorf("%s: %w", listFile, err)
+		return fmt.Errorf("%s: %w", knownFailuresFile, err)
 	}
-	cmd := exec.Command("go", append([]string{"test", "-json"}, args...)...)
-	cmd.Stderr = os.Stderr
-	events, err := cmd.StdoutPipe()
+	command := exec.Command("go", append([]string{"test", "-json"}, args...)...)
+	command.Stderr = os.Stderr
+	events, err := command.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	if err := cmd.Start(); err != nil {
+	if err := command.Start(); err != nil {
 		return err
 	}
 	result, err := knownred.Judge(events, entries, out)
-	exit := cmd.Wait()
+	exitErr := command.Wait()
 	if err != nil {
 		return err
 	}
-	return report(result, exit, out)
+	return printResult(result, exitErr, out)
 }
 
-func loadList() ([]knownred.Entry, error) {
-	f, err := os.Open(listFile)
+func loadKnownFailures() ([]knownred.Entry, error) {
+	file, err := os.Open(knownFailuresFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	return knownred.Parse(f)
+	defer file.Close()
+	return knownred.Parse(file)
 }
 
-// report prints the verdict. A failed `go test` that shows no failure passes
+// printResult prints the verdict. A failed `go test` that shows no failure passes
 // under no list.
-func report(r *knownred.Result, exit error, out io.Writer) error {
-	for _, e := range r.Excused {
-		fmt.Fprintf(out, "known failure: %s: %s (issue %s)\n", e.Test, e.Cause, e.Issue)
+func printResult(result *knownred.Result, exitErr error, out io.Writer) error {
+	for _, entry := range result.KnownFailures {
+		fmt.Fprintf(out, "known failure: %s: %s (issue %s)\n", entry.Test, entry.Cause, entry.Issue)
 	}
-	for _, e := range r.Stale {
-		fmt.Fprintf(out, "listed in %s, but it did not fail: %s\n", listFile, e.Test)
+	for _, entry := range result.StaleEntries {
+		fmt.Fprintf(out, "listed in %s, but it did not fail: %s\n", knownFailuresFile, entry.Test)
 	}
-	for _, name := range r.Unlisted {
+	for _, name := range result.UnexpectedFailures {
 		fmt.Fprintf(out, "FAILED: %s\n", name)
 	}
-	fmt.Fprintf(out, "%d passed, %d failed, %d skipped\n", r.Passed, r.Failed, r.Skipped)
+	fmt.Fprintf(out, "%d passed, %d failed, %d skipped\n", result.Passed, result.Failed, result.Skipped)
 	switch {
-	case !r.OK():
+	case !result.IsSuccess():
 		return errors.New("the tests failed")
-	case exit != nil && len(r.Excused) == 0:
-		return fmt.Errorf("go test: %w", exit)
+	case exitErr != nil && len(result.KnownFailures) == 0:
+		return fmt.Errorf("go test: %w", exitErr)
 	}
 	return nil
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -14,33 +14,33 @@
 	Second      Micros = 1000 * Millisecond
 )
 
-var start = time.Now()
+var origin = time.Now()
 
-// Restart puts the zero of the steady clock to now. Tests in simulated time call it
+// ResetOrigin puts the zero of the steady clock to now. Tests in simulated time call it
 // first: their time does not go on from that of the process.
-func Restart() { start = time.Now() }
+func ResetOrigin() { origin = time.Now() }
 
 // Now reads the steady clock. Its zero lies one second before the start of the
 // process, so that a zero instant always means "never".
-func Now() Micros { return Micros(time.Since(start).Microseconds()) + Second }
+func Now() Micros { return Micros(time.Since(origin).Microseconds()) + Second }
 
-// Wall reads the time of day, in microseconds since 1970.
-func Wall() Micros { return Micros(time.Now().UnixMicro()) }
+// WallTime reads the time of day, in microseconds since 1970.
+func WallTime() Micros { return Micros(time.Now().UnixMicro()) }
 
 // FromSeconds rounds an amount of seconds, as the wire carries it.
-func FromSeconds(s float64) Micros {
+func FromSeconds(seconds float64) Micros {
 	const most = 1e12
-	if s != s || s <= 0 {
+	if seconds != seconds || seconds <= 0 {
 		return 0
 	}
-	if s > most {
-		s = most
+	if seconds > most {
+		seconds = most
 	}
-	return Micros(s*1e6 + 0.5)
+	return Micros(seconds*1e6 + 0.5)
 }
 
 // Seconds is the amount as the wire carries it.
-func (m Micros) Seconds() float64 { return float64(m) / 1e6 }
+func (micros Micros) Seconds() float64 { return float64(micros) / 1e6 }
 
 // Duration converts to the standard library's type.
-func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
+func (micros Micros) Duration() time.Duration { return time.Duration(micros) * time.Microsecond }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -60,7 +60,7 @@
 		c.bucket.Drain()
 		return nil, ErrUnavailable
 	case 503:
-		var errorBody wire.ErrorBody
+		var errorBody wire.ErrorResponse
 		if err := errorBody.UnmarshalJSON(response.Body); err == nil && errorBody.Error == "no capacity" {
 			return nil, ErrNoCapacity
 		}
@@ -77,12 +77,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var machineTypes wire.MachineTypes
+	var machineTypes wire.MachineTypeList
 	if err := machineTypes.UnmarshalJSON(responseBody); err != nil {
 		return nil, err
 	}
 	for _, machineType := range machineTypes.Types {
-		if machineType.Name == "" || !(machineType.CPUs > 0) || !(machineType.MemoryGB > 0) || machineType.GPUs < 0 || machineType.Price < 0 || machineType.SpotPrice < 0 {
+		if machineType.Name == "" || !(machineType.CPUs > 0) || !(machineType.MemoryGB > 0) || machineType.GPUs < 0 || machineType.OnDemandPrice < 0 || machineType.SpotPrice < 0 {
 			return nil, fmt.Errorf("cloud: machine type %q makes no sense", machineType.Name)
 		}
 	}
@@ -90,7 +90,7 @@
 }
 
 // ScaleOut rents machines; until tells the last instant at which it may be sent.
-func (c *Client) ScaleOut(request wire.Hire, sendDeadline func() clock.Micros) ([]string, error) {
+func (c *Client) ScaleOut(request wire.ScaleOutRequest, sendDeadline func() clock.Micros) ([]string, error) {
 	body, err := request.MarshalJSON()
 	if err != nil {
 		return nil, err
@@ -99,16 +99,16 @@
 	if err != nil {
 		return nil, err
 	}
-	var machines wire.Machines
+	var machines wire.MachineIDs
 	if err := machines.UnmarshalJSON(responseBody); err != nil {
 		return nil, err
 	}
-	return machines.Machines, nil
+	return machines.IDs, nil
 }
 
 // DeleteMachines returns machines. Once it returns nil they are gone.
 func (c *Client) DeleteMachines(names []string, sendDeadline func() clock.Micros) error {
-	body, err := wire.Machines{Machines: names}.MarshalJSON()
+	body, err := wire.MachineIDs{IDs: names}.MarshalJSON()
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 	var machines []wire.ListedMachine
 	lastID := ""
 	for {
-		target := "/hosts?limit=" + strconv.Itoa(wire.MaxList)
+		target := "/hosts?limit=" + strconv.Itoa(wire.MaxMachinesPerPage)
 		if lastID != "" {
 			target += "&since=" + url.QueryEscape(lastID)
 		}
@@ -134,7 +134,7 @@
 			return nil, err
 		}
 		machines = append(machines, page.Machines...)
-		if !page.More || len(page.Machines) == 0 {
+		if !page.HasMore || len(page.Machines) == 0 {
 			return machines, nil
 		}
 		lastID = page.Machines[len(page.Machines)-1].ID
--- a/internal/config/capacity_test.go
+++ b/internal/config/capacity_test.go
@@ -8,50 +8,50 @@
 // What can't serve the fleet that the settings name is told, each limit by its name and
 // by how much it falls short; a fleet that fits is told nothing of.
 func TestShortfalls(t *testing.T) {
-	p, err := ParsePlatform([]byte(platform))
+	platform, err := ParsePlatform([]byte(validPlatformJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if short := p.Shortfalls(1500); short != nil {
-		t.Fatalf("1,500 machines: %v", short)
+	if shortfalls := platform.Shortfalls(1500); shortfalls != nil {
+		t.Fatalf("1,500 machines: %v", shortfalls)
 	}
-	short := p.Shortfalls(4000)
+	shortfalls := platform.Shortfalls(4000)
 	fields := map[string]Shortfall{}
-	for _, s := range short {
+	for _, s := range shortfalls {
 		fields[s.Field] = s
-		if !strings.Contains(s.String(), "4000 machines") || s.Missing() <= 0 {
+		if !strings.Contains(s.String(), "4000 machines") || s.Deficit() <= 0 {
 			t.Errorf("told as %q", s)
 		}
 	}
 	sockets, ok := fields["deployment.limits.max_sockets"]
-	if !ok || sockets.Needs != 4000+667+64 || sockets.Missing() != 4000+667+64-3500 {
+	if !ok || sockets.Required != 4000+667+64 || sockets.Deficit() != 4000+667+64-3500 {
 		t.Errorf("sockets: %+v", sockets)
 	}
 	if _, ok := fields["deployment.cloud.rps"]; ok {
 		t.Error("the cloud's rate is enough")
 	}
-	p.Deployment.Limits = Limits{Cores: 1, RAMMB: 512, MaxSockets: 5000}
-	if short := p.Shortfalls(4000); short != nil {
-		t.Errorf("with enough of all: %v", short)
+	platform.Deployment.ProcessLimits = ProcessLimits{Cores: 1, MemoryMB: 512, MaxSockets: 5000}
+	if shortfalls := platform.Shortfalls(4000); shortfalls != nil {
+		t.Errorf("with enough of all: %v", shortfalls)
 	}
 	for name, lower := range map[string]func(){
-		"deployment.limits.ram_mb":   func() { p.Deployment.Limits.RAMMB = 64 },
-		"deployment.limits.cores":    func() { p.Deployment.Limits.Cores = 0.1 },
-		"deployment.cloud.rps":       func() { p.Deployment.Cloud.RPS = 0.5 },
-		"deployment.state.write_rps": func() { p.Deployment.State.Next = &NextState{WriteRPS: 2} },
+		"deployment.limits.ram_mb":   func() { platform.Deployment.ProcessLimits.MemoryMB = 64 },
+		"deployment.limits.cores":    func() { platform.Deployment.ProcessLimits.Cores = 0.1 },
+		"deployment.cloud.rps":       func() { platform.Deployment.Cloud.RPS = 0.5 },
+		"deployment.state.write_rps": func() { platform.Deployment.Store.Upcoming = &UpcomingStoreLimits{WriteRPS: 2} },
 	} {
-		before := p.Deployment
+		before := platform.Deployment
 		lower()
-		if short := p.Shortfalls(4000); len(short) != 1 || short[0].Field != name {
-			t.Errorf("%s lowered: %v", name, short)
+		if shortfalls := platform.Shortfalls(4000); len(shortfalls) != 1 || shortfalls[0].Field != name {
+			t.Errorf("%s lowered: %v", name, shortfalls)
 		}
-		p.Deployment = before
+		platform.Deployment = before
 	}
 }
 
 // All that is wrong is told at once, a line for each field.
-func TestAllProblemsAtOnce(t *testing.T) {
-	broken := strings.NewReplacer(`"member":"n0"`, `"member":""`, `"txn_ops":24`, `"txn_ops":0`, `"cores":0.3`, `"cores":-1`, `"zones":["x","y"]`, `"zones":["x","x"]`).Replace(platform)
+func TestAllErrorsReportedTogether(t *testing.T) {
+	broken := strings.NewReplacer(`"member":"n0"`, `"member":""`, `"txn_ops":24`, `"txn_ops":0`, `"cores":0.3`, `"cores":-1`, `"zones":["x","y"]`, `"zones":["x","x"]`).Replace(validPlatformJSON)
 	_, err := ParsePlatform([]byte(broken))
 	if err == nil {
 		t.Fatal("it is taken")
@@ -68,16 +68,16 @@
 	if _, err := ParseTuning([]byte("alpha: -1\nbeta: -2\nfleet_machines: -3\nfinished_jobs: 99\narchive_finished_after_s: 599\n")); err == nil || len(strings.Split(err.Error(), "\n")) != 5 {
 		t.Errorf("the operators' file: %v", err)
 	}
-	p, err := ParsePlatform([]byte(platform))
+	platform, err := ParsePlatform([]byte(validPlatformJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
 	tuning := DefaultTuning()
-	if err := CheckTogether(p, tuning); err != nil {
+	if err := CheckCompatibility(platform, tuning); err != nil {
 		t.Error(err)
 	}
 	tuning.LeaderTTLS = 36
-	if err := CheckTogether(p, tuning); err == nil || !strings.HasPrefix(err.Error(), "leader_ttl_s: ") {
+	if err := CheckCompatibility(platform, tuning); err == nil || !strings.HasPrefix(err.Error(), "leader_ttl_s: ") {
 		t.Errorf("a lock that outlasts a lease: %v", err)
 	}
 }
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -8,34 +8,34 @@
 	"strings"
 )
 
-// Problem is what is wrong with one field of the settings.
-type Problem struct{ Field, Reason string }
+// FieldError is what is wrong with one field of the settings.
+type FieldError struct{ Field, Reason string }
 
-func (p Problem) String() string { return p.Field + ": " + p.Reason }
+func (p FieldError) String() string { return p.Field + ": " + p.Reason }
 
-// Problems are all that is wrong with a settings file.
-type Problems []Problem
+// FieldErrors are all that is wrong with a settings file.
+type FieldErrors []FieldError
 
 // Error lists the problems, a line each.
-func (p Problems) Error() string {
-	lines := make([]string, len(p))
-	for i := range p {
-		lines[i] = p[i].String()
+func (problems FieldErrors) Error() string {
+	lines := make([]string, len(problems))
+	for i := range problems {
+		lines[i] = problems[i].String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// inFile names the file that an error is about, in each of its lines.
-func inFile(path string, err error) error {
-	var problems Problems
+// withFilePath names the file that an error is about, in each of its lines.
+func withFilePath(path string, err error) error {
+	var problems FieldErrors
 	if !errors.As(err, &problems) {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	named := make(Problems, len(problems))
-	for i, p := range problems {
-		named[i] = Problem{path + ": " + p.Field, p.Reason}
+	prefixed := make(FieldErrors, len(problems))
+	for i, problem := range problems {
+		prefixed[i] = FieldError{path + ": " + problem.Field, problem.Reason}
 	}
-	return named
+	return prefixed
 }
 
 // check is something that has to hold of a field.
@@ -44,12 +44,12 @@
 	field, reason string
 }
 
-// failed lists the checks that don't hold, nil if there are none.
-func failed(checks []check) error {
-	var problems Problems
+// collectProblems lists the checks that don't hold, nil if there are none.
+func collectProblems(checks []check) error {
+	var problems FieldErrors
 	for _, c := range checks {
 		if !c.ok {
-			problems = append(problems, Problem{c.field, c.reason})
+			problems = append(problems, FieldError{c.field, c.reason})
 		}
 	}
 	if problems == nil {
@@ -58,10 +58,10 @@
 	return problems
 }
 
-func positive(f float64) bool    { return f > 0 && !math.IsInf(f, 0) }
-func notNegative(f float64) bool { return f >= 0 && !math.IsInf(f, 0) }
+func isPositive(f float64) bool    { return f > 0 && !math.IsInf(f, 0) }
+func isNonNegative(f float64) bool { return f >= 0 && !math.IsInf(f, 0) }
 
-func distinct(names []string) bool {
+func hasDistinctNames(names []string) bool {
 	seen := map[string]bool{"": true}
 	for _, name := range names {
 		if seen[name] {
@@ -72,7 +72,7 @@
 	return true
 }
 
-func address(s string) bool {
-	a, err := netip.ParseAddrPort(s)
-	return err == nil && a.Port() != 0
+func isAddrPort(s string) bool {
+	addrPort, err := netip.ParseAddrPort(s)
+	return err == nil && addrPort.Port() != 0
 }
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -72,13 +72,13 @@
 	Trace string `yaml:"trace"`
 }
 
-// leastArchiveAfterS is how old a finished job has to be to be archived: later than any
+// minArchiveAfterSeconds is how old a finished job has to be to be archived: later than any
 // late message about it.
-const leastArchiveAfterS = 600
+const minArchiveAfterSeconds = 600
 
-// leastFinishedJobs is how many finished jobs a controller has to remember, if it is said:
+// minFinishedJobs is how many finished jobs a controller has to remember, if it is said:
 // users ask for a job until they are told of its end.
-const leastFinishedJobs = 100
+const minFinishedJobs = 100
 
 // DefaultTuning holds the named defaults.
 func DefaultTuning() Tuning {
@@ -99,59 +99,59 @@
 	if path == "" {
 		return DefaultTuning(), nil
 	}
-	b, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		return Tuning{}, fmt.Errorf("%s: cannot be read: %w", path, errors.Unwrap(err))
 	}
-	t, err := ParseTuning(b)
+	tuning, err := ParseTuning(data)
 	if err != nil {
-		return Tuning{}, inFile(path, err)
+		return Tuning{}, withFilePath(path, err)
 	}
-	return t, nil
+	return tuning, nil
 }
 
 // ParseTuning checks the operators' settings. An unknown key is an error.
-func ParseTuning(b []byte) (Tuning, error) {
-	t := DefaultTuning()
-	if len(bytes.TrimSpace(b)) > 0 {
-		if err := yaml.UnmarshalWithOptions(b, &t, yaml.Strict()); err != nil {
-			return t, fmt.Errorf("not valid YAML: %s", yaml.FormatError(err, false, false))
+func ParseTuning(data []byte) (Tuning, error) {
+	tuning := DefaultTuning()
+	if len(bytes.TrimSpace(data)) > 0 {
+		if err := yaml.UnmarshalWithOptions(data, &tuning, yaml.Strict()); err != nil {
+			return tuning, fmt.Errorf("not valid YAML: %s", yaml.FormatError(err, false, false))
 		}
 	}
-	if problems := failed(t.checks()); problems != nil {
-		return t, problems
+	if problems := collectProblems(tuning.checks()); problems != nil {
+		return tuning, problems
 	}
-	return t, nil
+	return tuning, nil
 }
 
 // checks are what has to hold of the operators' settings.
-func (t *Tuning) checks() []check {
+func (tuning *Tuning) checks() []check {
 	return []check{
-		{notNegative(t.LeaderTTLS) && (t.LeaderTTLS == 0 || t.LeaderTTLS >= 0.5) && t.LeaderTTLS <= 600, "leader_ttl_s", "is not 0 or between 0.5 and 600"},
-		{notNegative(t.Alpha), "alpha", "is below 0"},
-		{notNegative(t.Beta), "beta", "is below 0"},
-		{notNegative(t.IdleWaitS), "idle_wait_s", "is below 0"},
-		{notNegative(t.LaxIdleWaitS) && t.LaxIdleWaitS <= t.IdleWaitS, "lax_idle_wait_s", "is not between 0 and idle_wait_s"},
-		{positive(t.ScreenWindowS), "screen_window_s", "is not above 0"},
-		{notNegative(t.RecencyS), "recency_s", "is below 0"},
-		{t.SpareMin >= 0, "spare_min", "is below 0"},
-		{t.SpareMax == 0 || t.SpareMax >= t.SpareMin && t.SpareMax <= 100_000, "spare_max", "is not 0 or between spare_min and 100000"},
-		{t.ScreenMinSamples >= 3, "screen_min_samples", "is below 3"},
-		{t.ScreenMaxSamples >= t.ScreenMinSamples, "screen_max_samples", "is below screen_min_samples"},
-		{notNegative(t.ScreenCV), "screen_cv", "is below 0"},
-		{notNegative(t.ScreenLag), "screen_lag", "is below 0"},
-		{positive(t.ScreenKS), "screen_ks", "is not above 0"},
-		{t.SmoothArrival > 0 && t.SmoothArrival <= 1, "smooth_arrival", "is not within (0, 1]"},
-		{t.SmoothService > 0 && t.SmoothService <= 1, "smooth_service", "is not within (0, 1]"},
-		{t.SmoothNeed > 0 && t.SmoothNeed <= 1, "smooth_need", "is not within (0, 1]"},
-		{positive(t.HorizonS), "horizon_s", "is not above 0"},
-		{notNegative(t.SpotPatienceS), "spot_patience_s", "is below 0"},
-		{positive(t.AgeAfterS), "age_after_s", "is not above 0"},
-		{notNegative(t.GangWeight), "gang_weight", "is below 0"},
-		{t.FleetMachines >= 0, "fleet_machines", "is below 0"},
-		{t.FinishedJobs == 0 || t.FinishedJobs >= leastFinishedJobs, "finished_jobs", "is not 0 or at least 100"},
-		{t.ArchiveFinishedAfterS == 0 || t.ArchiveFinishedAfterS >= leastArchiveAfterS && t.ArchiveFinishedAfterS <= 1e9, "archive_finished_after_s", "is not 0 or at least 600"},
-		{t.Standby.Trace == "" || t.Standby.Trace == "stderr" || filepath.IsAbs(t.Standby.Trace), "standby.trace", "is not \"stderr\" or the full path of a file"},
-		{t.Standby.Trace == "" || t.Standby.Enabled, "standby.trace", "is set while standby.enabled is not"},
+		{isNonNegative(tuning.LeaderTTLS) && (tuning.LeaderTTLS == 0 || tuning.LeaderTTLS >= 0.5) && tuning.LeaderTTLS <= 600, "leader_ttl_s", "is not 0 or between 0.5 and 600"},
+		{isNonNegative(tuning.Alpha), "alpha", "is below 0"},
+		{isNonNegative(tuning.Beta), "beta", "is below 0"},
+		{isNonNegative(tuning.IdleWaitS), "idle_wait_s", "is below 0"},
+		{isNonNegative(tuning.LaxIdleWaitS) && tuning.LaxIdleWaitS <= tuning.IdleWaitS, "lax_idle_wait_s", "is not between 0 and idle_wait_s"},
+		{isPositive(tuning.ScreenWindowS), "screen_window_s", "is not above 0"},
+		{isNonNegative(tuning.RecencyS), "recency_s", "is below 0"},
+		{tuning.SpareMin >= 0, "spare_min", "is below 0"},
+		{tuning.SpareMax == 0 || tuning.SpareMax >= tuning.SpareMin && tuning.SpareMax <= 100_000, "spare_max", "is not 0 or between spare_min and 100000"},
+		{tuning.ScreenMinSamples >= 3, "screen_min_samples", "is below 3"},
+		{tuning.ScreenMaxSamples >= tuning.ScreenMinSamples, "screen_max_samples", "is below screen_min_samples"},
+		{isNonNegative(tuning.ScreenCV), "screen_cv", "is below 0"},
+		{isNonNegative(tuning.ScreenLag), "screen_lag", "is below 0"},
+		{isPositive(tuning.ScreenKS), "screen_ks", "is not above 0"},
+		{tuning.SmoothArrival > 0 && tuning.SmoothArrival <= 1, "smooth_arrival", "is not within (0, 1]"},
+		{tuning.SmoothService > 0 && tuning.SmoothService <= 1, "smooth_service", "is not within (0, 1]"},
+		{tuning.SmoothNeed > 0 && tuning.SmoothNeed <= 1, "smooth_need", "is not within (0, 1]"},
+		{isPositive(tuning.HorizonS), "horizon_s", "is not above 0"},
+		{isNonNegative(tuning.SpotPatienceS), "spot_patience_s", "is below 0"},
+		{isPositive(tuning.AgeAfterS), "age_after_s", "is not above 0"},
+		{isNonNegative(tuning.GangWeight), "gang_weight", "is below 0"},
+		{tuning.FleetMachines >= 0, "fleet_machines", "is below 0"},
+		{tuning.FinishedJobs == 0 || tuning.FinishedJobs >= minFinishedJobs, "finished_jobs", "is not 0 or at least 100"},
+		{tuning.ArchiveFinishedAfterS == 0 || tuning.ArchiveFinishedAfterS >= minArchiveAfterSeconds && tuning.ArchiveFinishedAfterS <= 1e9, "archive_finished_after_s", "is not 0 or at least 600"},
+		{tuning.Standby.Trace == "" || tuning.Standby.Trace == "stderr" || filepath.IsAbs(tuning.Standby.Trace), "standby.trace", "is not \"stderr\" or the full path of a file"},
+		{tuning.Standby.Trace == "" || tuning.Standby.Enabled, "standby.trace", "is set while standby.enabled is not"},
 	}
 }
--- a/internal/controller/account.go
+++ b/internal/controller/account.go
@@ -57,7 +57,7 @@
 			return
 		}
 		l.pl.ObserveArrival(l.addJob(id, rec, false), now)
-	case rec.State == wire.JobAborted && j != nil:
+	case rec.State == wire.JobCancelled && j != nil:
 		l.withdraw(j, rec, now)
 	case rec.over() && l.jobs[id] != nil:
 		l.jobs[id].over = true
@@ -69,6 +69,6 @@
 // learnt late.
 func (l *lead) withdraw(j *allocation.Job, rec *jobRecord, now clock.Micros) {
 	l.lg.Cancel(j, now)
-	j.CancelledAt = now - max(clock.Wall()-clock.Micros(rec.End), 0)
+	j.CancelledAt = now - max(clock.WallTime()-clock.Micros(rec.End), 0)
 	l.jobs[j.Spec.ID].over = true
 }
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -39,9 +39,9 @@
 	a := &l.archiver
 	isWanted := l.c.tuning.ArchiveFinishedAfterS > 0
 	switch {
-	case a.reading || a.moving > 0 || a.marking || now < a.nextAt || l.c.store.Failing(now):
+	case a.reading || a.moving > 0 || a.marking || now < a.nextAt || l.c.store.IsFailing(now):
 	case isWanted && !l.c.view.hasArchive:
-		l.markArchive(wire.Change{Put: keyArchive, Value: []byte("{}")})
+		l.markArchive(wire.Change{PutKey: keyArchive, Value: []byte("{}")})
 	case isWanted:
 		l.readRecords(prefixJob, l.archiveOld)
 	case l.c.view.hasArchive:
@@ -54,19 +54,19 @@
 func (l *lead) markArchive(change wire.Change) {
 	a := &l.archiver
 	a.marking = true
-	l.write(&kvstore.Write{Rank: kvstore.Spare, Then: []wire.Change{change}}, func(kvstore.Outcome) {
+	l.write(&kvstore.Write{Priority: kvstore.Background, Changes: []wire.Change{change}}, func(kvstore.Outcome) {
 		// The watch tells whether it was carried out.
 		l.after(archiveEvery, func() { a.marking = false })
 	})
 }
 
 // readRecords looks at the next page of records below a prefix.
-func (l *lead) readRecords(prefix string, each func(page []wire.Item, isAll bool)) {
+func (l *lead) readRecords(prefix string, each func(page []wire.KeyValue, isAll bool)) {
 	a := &l.archiver
 	a.reading = true
 	after := a.after
 	go func() {
-		page, err := l.c.store.Page(prefix, after, archivePage)
+		page, err := l.c.store.ReadPage(prefix, after, archivePage)
 		l.c.post(func() {
 			if l.closed {
 				return
@@ -77,19 +77,19 @@
 				return
 			}
 			a.after = ""
-			if page.More {
-				a.after = page.Items[len(page.Items)-1].Key
+			if page.HasMore {
+				a.after = page.KeyValues[len(page.KeyValues)-1].Key
 			} else {
 				a.nextAt = clock.Now() + archiveRest
 			}
-			each(page.Items, after == "" && !page.More)
+			each(page.KeyValues, after == "" && !page.HasMore)
 		})
 	}()
 }
 
 // archiveOld moves those of a page that finished long ago to the archive.
-func (l *lead) archiveOld(page []wire.Item, _ bool) {
-	before := clock.Wall() - clock.FromSeconds(l.c.tuning.ArchiveFinishedAfterS)
+func (l *lead) archiveOld(page []wire.KeyValue, _ bool) {
+	before := clock.WallTime() - clock.FromSeconds(l.c.tuning.ArchiveFinishedAfterS)
 	for _, item := range page {
 		id := strings.TrimPrefix(item.Key, prefixJob)
 		var r jobRecord
@@ -107,10 +107,10 @@
 }
 
 // restore moves a page of the archive back; once there is nothing left of it, that is said.
-func (l *lead) restore(page []wire.Item, isAll bool) {
+func (l *lead) restore(page []wire.KeyValue, isAll bool) {
 	if len(page) == 0 && isAll {
 		l.c.log.Info("the archive is empty; versions without one may lead")
-		l.markArchive(wire.Change{Delete: keyArchive})
+		l.markArchive(wire.Change{DeleteKey: keyArchive})
 		return
 	}
 	l.archiver.nextAt = clock.Now() + archiveEvery
@@ -120,16 +120,16 @@
 }
 
 // move moves a record as it was read to another key.
-func (l *lead) move(item wire.Item, to string) {
+func (l *lead) move(item wire.KeyValue, to string) {
 	a := &l.archiver
 	if a.moving >= movesAtOnce {
 		return // the next time through
 	}
 	a.moving++
 	w := &kvstore.Write{
-		Rank: kvstore.Spare,
-		If:   []wire.Condition{{Key: item.Key, Version: item.Version}, {Key: to}},
-		Then: []wire.Change{{Put: to, Value: item.Value}, {Delete: item.Key}},
+		Priority:   kvstore.Background,
+		Conditions: []wire.Condition{{Key: item.Key, Version: item.Version}, {Key: to}},
+		Changes:    []wire.Change{{PutKey: to, Value: item.Value}, {DeleteKey: item.Key}},
 	}
 	l.write(w, func(kvstore.Outcome) { a.moving-- })
 }
--- a/internal/controller/asked.go
+++ b/internal/controller/asked.go
@@ -37,15 +37,15 @@
 	if b := c.beats[leader]; b != nil && now-b.at < silentMember {
 		return
 	}
-	v, err := askedRecord{Workers: uint32(len(c.workers)), At: int64(clock.Wall())}.MarshalJSON()
+	v, err := askedRecord{Workers: uint32(len(c.workers)), At: int64(clock.WallTime())}.MarshalJSON()
 	if err != nil {
 		return
 	}
 	c.nextAsked = now + askedEvery
 	// A write that is refused or late is made up for by the next.
 	c.store.Commit(&kvstore.Write{
-		Rank:     kvstore.Vital,
-		Then:     []wire.Change{{Put: prefixAsked + c.cfg.Member, Value: v}},
+		Priority: kvstore.Critical,
+		Changes:  []wire.Change{{PutKey: prefixAsked + c.cfg.Member, Value: v}},
 		Deadline: now + askedEvery,
 		Done:     func(kvstore.Outcome, uint64) {},
 	})
@@ -54,6 +54,6 @@
 // seenAsked takes what a member has said. It may be long ago.
 func (c *Core) seenAsked(key string, r askedRecord) {
 	now := clock.Now()
-	age := max(clock.Wall()-clock.Micros(r.At)-c.clockError(), 0)
+	age := max(clock.WallTime()-clock.Micros(r.At)-c.clockError(), 0)
 	c.asked[strings.TrimPrefix(key, prefixAsked)] = asked{r.Workers, now - age}
 }
--- a/internal/controller/asked_test.go
+++ b/internal/controller/asked_test.go
@@ -13,7 +13,7 @@
 // a few, nor while it hears the workers itself.
 func TestHandOverWithoutLinks(t *testing.T) {
 	said := func(workers uint32, ago clock.Micros) []byte {
-		v, err := askedRecord{Workers: workers, At: int64(clock.Wall() - ago)}.MarshalJSON()
+		v, err := askedRecord{Workers: workers, At: int64(clock.WallTime() - ago)}.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -12,26 +12,26 @@
 
 // fleetRecords are the records of so many machines, each with eight tasks of arrays, in
 // a view, and the reports that the machines send.
-func fleetRecords(c *Core, machines int) []*wire.Report {
+func fleetRecords(c *Core, machines int) []*wire.Heartbeat {
 	const tasks, jobTasks = 8, 96
 	h := c.view.rentals["h"]
-	var reports []*wire.Report
+	var reports []*wire.Heartbeat
 	for i := range machines {
 		name := fmt.Sprintf("i-%06d", i)
 		h.Machines = append(h.Machines, name)
-		r := &wire.Report{Machine: name, Addr: "127.0.0.1:1", Session: 1, Seq: 1, Token: 10}
+		r := &wire.Heartbeat{MachineID: name, Address: "127.0.0.1:1", Incarnation: 1, Sequence: 1, FencingToken: 10}
 		for k := range tasks {
 			task := i*tasks + k
 			id := fmt.Sprintf("req-%06d", task/jobTasks)
-			r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskID(id, task%jobTasks), Attempt: 5 << 20, State: wire.TaskRunning})
+			r.Tasks = append(r.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, task%jobTasks), Attempt: 5 << 20, State: wire.TaskRunning})
 		}
 		reports = append(reports, r)
 	}
 	for i := range machines*tasks/jobTasks + 1 {
 		id := fmt.Sprintf("req-%06d", i)
-		c.view.jobs[id] = &jobRecord{At: int64(clock.Wall()), Job: &wire.Job{
+		c.view.jobs[id] = &jobRecord{At: int64(clock.WallTime()), Job: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			Tasks: jobTasks, CPUs: 2, MemoryGB: 4, EstimateS: 40, Image: fmt.Sprint("image-", i%20),
+			TaskCount: jobTasks, CPUs: 2, MemoryGB: 4, EstimatedRunSeconds: 40, Image: fmt.Sprint("image-", i%20),
 		}}
 		c.view.done[id] = map[int]progressPart{0: {}}
 	}
@@ -39,7 +39,7 @@
 }
 
 // takeOverFleet has a new leader rebuild the account and take every machine's report.
-func takeOverFleet(b *testing.B, c *Core, reports []*wire.Report) *lead {
+func takeOverFleet(b *testing.B, c *Core, reports []*wire.Heartbeat) *lead {
 	b.Helper()
 	l := newLead(c, 10, clock.Now())
 	l.deadline.Store(1 << 62)
@@ -87,7 +87,7 @@
 			taken := 0
 			for b.Loop() {
 				r := reports[taken%n]
-				r.Seq++
+				r.Sequence++
 				l.checkin(r, &server.Reply{})
 				taken++
 			}
--- a/internal/controller/checkin.go
+++ b/internal/controller/checkin.go
@@ -9,17 +9,17 @@
 	"firwood.dev/firwood/wire"
 )
 
-func (l *lead) checkin(rep *wire.Report, r *server.Reply) {
+func (l *lead) checkin(rep *wire.Heartbeat, r *server.Reply) {
 	now := clock.Now()
 	if l.mustWait(rep, r, now) {
 		return
 	}
-	var reply wire.Reply
-	m := l.lg.Machines[rep.Machine]
+	var reply wire.HeartbeatResponse
+	m := l.lg.Machines[rep.MachineID]
 	if m == nil {
-		if _, ok := l.gone[rep.Machine]; !ok {
-			if _, ok := l.unknown[rep.Machine]; !ok {
-				l.unknown[rep.Machine] = now
+		if _, ok := l.gone[rep.MachineID]; !ok {
+			if _, ok := l.unknown[rep.MachineID]; !ok {
+				l.unknown[rep.MachineID] = now
 			}
 		}
 	} else {
@@ -27,7 +27,7 @@
 		booting := m.FirstHeartbeatAt == 0
 		res := l.lg.RecordHeartbeat(m, rep, now)
 		if res == allocation.HeartbeatFenced {
-			l.c.log.Info("a worker has seen a higher token", "worker", rep.Machine, "token", rep.Token)
+			l.c.log.Info("a worker has seen a higher token", "worker", rep.MachineID, "token", rep.FencingToken)
 			later(r, "deposed")
 			l.c.fenced(l.token)
 			return
@@ -41,7 +41,7 @@
 			l.dirty = true
 		}
 	}
-	reply.Token = l.lg.FencingToken()
+	reply.FencingToken = l.lg.FencingToken()
 	if reply.Commands == nil {
 		reply.Commands = []wire.Command{}
 	}
@@ -57,7 +57,7 @@
 // renews the worker's lease, and may start tasks.
 func (l *lead) answerUntil(commands []wire.Command) clock.Micros {
 	until := min(l.until(), l.view.RenewLeasesUntil())
-	if slices.ContainsFunc(commands, func(c wire.Command) bool { return c.Op == wire.OpStart }) {
+	if slices.ContainsFunc(commands, func(c wire.Command) bool { return c.Action == wire.ActionStart }) {
 		until = min(until, l.startUntil())
 	}
 	return until
@@ -68,11 +68,11 @@
 	for _, p := range l.lg.Started {
 		j := p.Job
 		l.c.log.Debug("task up", "job", j.Spec.ID, "task", p.TaskIndex, "class", j.Spec.Class, "machine", p.Machine.Name,
-			"waited_s", (clock.Wall() - j.ReleasedAt).Seconds(), "placed_s", (now - p.CreatedAt).Seconds())
+			"waited_s", (clock.WallTime() - j.ReleasedAt).Seconds(), "placed_s", (now - p.CreatedAt).Seconds())
 		if j.FirstStartAt == 0 {
 			j.FirstStartAt = now
 			if a := l.jobs[j.Spec.ID]; a != nil && a.first == 0 {
-				a.first = int64(clock.Wall())
+				a.first = int64(clock.WallTime())
 			}
 		}
 	}
@@ -86,12 +86,12 @@
 func (l *lead) ended(e allocation.ExitEvent, now clock.Micros) {
 	p, j := e.Placement, e.Placement.Job
 	t := &j.Tasks[p.TaskIndex]
-	if e.Cause != wire.WhyDone && !j.Cancelled {
+	if e.Cause != wire.ExitDone && !j.Cancelled {
 		l.c.log.Debug("task ended", "job", j.Spec.ID, "task", p.TaskIndex, "class", j.Spec.Class, "machine", p.Machine.Name, "why", e.Cause,
 			"told", p.IsStopping(), "saved", p.ProgressSaved, "state", p.ReportedState, "placed_s", (now - p.CreatedAt).Seconds())
 	}
 	switch e.Cause {
-	case wire.WhyDone:
+	case wire.ExitDone:
 		if p.RunningAt != 0 && !p.Adopted && !j.IsService() && t.CheckpointedSeconds == 0 && !(j.IsGang() && j.CheckpointedSeconds > 0) {
 			took := (now - p.RunningAt).Seconds()
 			l.pl.ObserveTaskRun(j, took, now)
@@ -102,9 +102,9 @@
 					l.pl.ObserveJobRun(j, a.runs/float64(a.ran), now)
 				}
 			}
-			l.c.log.Debug("task done", "job", j.Spec.ID, "task", p.TaskIndex, "machine", p.Machine.Name, "took_s", took, "estimate_s", j.Spec.EstimateS)
+			l.c.log.Debug("task done", "job", j.Spec.ID, "task", p.TaskIndex, "machine", p.Machine.Name, "took_s", took, "estimate_s", j.Spec.EstimatedRunSeconds)
 		}
-	case wire.WhyError:
+	case wire.ExitError:
 		// A faulty machine fails many jobs, a faulty job fails everywhere. The
 		// more often a job fails on different machines without any task done,
 		// the more slowly it is tried again, and no machine is blamed for it.
@@ -122,7 +122,7 @@
 		if !j.Cancelled {
 			j.RestartCount++
 		}
-	case wire.WhyNoRoom, wire.WhyBusy, wire.WhyUnknown:
+	case wire.ExitNoResources, wire.ExitAttemptConflict, wire.ExitUnknownTask:
 		t.RetryAt = now + clock.Second
 	}
 	l.dirty = true
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -107,9 +107,9 @@
 	if len(keys) == 0 {
 		return
 	}
-	w := &kvstore.Write{Rank: kvstore.Spare, If: []wire.Condition{{Key: r.key(id), Version: r.version}}}
-	for _, key := range keys[:min(len(keys), l.c.cfg.Deployment.State.Effective().TxnOps)] {
-		w.Then = append(w.Then, wire.Change{Delete: key})
+	w := &kvstore.Write{Priority: kvstore.Background, Conditions: []wire.Condition{{Key: r.key(id), Version: r.version}}}
+	for _, key := range keys[:min(len(keys), l.c.cfg.Deployment.Store.Effective().MaxTransactionOps)] {
+		w.Changes = append(w.Changes, wire.Change{DeleteKey: key})
 	}
 	// What is left after this one, or after a failure, is found by the next sweep.
 	l.writeCleanup(w, func(kvstore.Outcome) {})
@@ -122,16 +122,16 @@
 	if r == nil || r.State != "" {
 		return
 	}
-	over := overRecord(r, wire.JobAborted, clock.Wall())
+	over := overRecord(r, wire.JobCancelled, clock.WallTime())
 	over.Job = nil // it never started
 	value, err := over.MarshalJSON()
 	if err != nil {
 		return
 	}
 	w := &kvstore.Write{
-		Rank: kvstore.Spare,
-		If:   []wire.Condition{{Key: prefixJob + id, Version: r.version}},
-		Then: []wire.Change{{Put: prefixJob + id, Value: value}},
+		Priority:   kvstore.Background,
+		Conditions: []wire.Condition{{Key: prefixJob + id, Version: r.version}},
+		Changes:    []wire.Change{{PutKey: prefixJob + id, Value: value}},
 	}
 	l.writeCleanup(w, func(o kvstore.Outcome) {
 		if o != kvstore.Committed {
--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -14,7 +14,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-var cleanupLimits = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 8, TxnOps: 4}
+var cleanupLimits = config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4}
 
 // store writes keys as another controller would, and waits for the watch to bring them.
 func store(t *testing.T, c *Core, values map[string]any) {
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		done := false
-		c.store.Commit(&kvstore.Write{Then: []wire.Change{{Put: key, Value: v}}, Done: func(o kvstore.Outcome, _ uint64) {
+		c.store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: key, Value: v}}, Done: func(o kvstore.Outcome, _ uint64) {
 			if o != kvstore.Committed {
 				t.Errorf("%s is not stored: %v", key, o)
 			}
@@ -47,12 +47,12 @@
 func TestLeftoversAreCleanedUp(t *testing.T) {
 	s, l := leadOnState(t, cleanupLimits)
 	job := func(id string) *wire.Job {
-		return &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", Tasks: 3, CPUs: 1, Priority: wire.PriorityNormal}
+		return &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 3, CPUs: 1, Priority: wire.PriorityNormal}
 	}
 	values := map[string]any{
 		prefixJob + "req-000001": jobRecord{At: 1, State: wire.JobDone, End: 2},
-		prefixJob + "req-000002": jobRecord{At: 1, State: wire.JobAborted, End: 2},
-		prefixJob + "req-000003": jobRecord{At: 1, State: wire.JobAborted, End: int64(clock.Wall()), Job: job("req-000003")},
+		prefixJob + "req-000002": jobRecord{At: 1, State: wire.JobCancelled, End: 2},
+		prefixJob + "req-000003": jobRecord{At: 1, State: wire.JobCancelled, End: int64(clock.WallTime()), Job: job("req-000003")},
 		prefixJob + "req-000004": jobRecord{At: 1, Job: job("req-000004"), Parts: 2},
 	}
 	for part := range 9 { // more than a transaction takes
@@ -85,8 +85,8 @@
 		t.Errorf("left are %v", got)
 	}
 	for _, transaction := range s.Transactions() {
-		if len(transaction.Then) > cleanupLimits.TxnOps {
-			t.Errorf("%d changes in a transaction", len(transaction.Then))
+		if len(transaction.Changes) > cleanupLimits.MaxTransactionOps {
+			t.Errorf("%d changes in a transaction", len(transaction.Changes))
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	before := len(s.Transactions())
 	work(t, l.c, func() bool { l.cleanUp(clock.Now() + 2*sweepEvery); return len(keysOf(s)) == 0 })
 	cleanUps := s.Transactions()[before:]
-	if len(cleanUps) != 1 || len(cleanUps[0].If) != 2 {
+	if len(cleanUps) != 1 || len(cleanUps[0].Conditions) != 2 {
 		t.Fatalf("cleaned up by %+v", cleanUps)
 	}
 	leadAgain(t, l.c)
@@ -113,13 +113,13 @@
 	}
 	// The same leader's is refused once the record is another.
 	own := cleanUps[0]
-	own.If = slices.Clone(own.If)
-	for i := range own.If {
-		if own.If[i].Key == keyLock {
-			own.If[i].Version = l.c.lead.token
+	own.Conditions = slices.Clone(own.Conditions)
+	for i := range own.Conditions {
+		if own.Conditions[i].Key == keyLock {
+			own.Conditions[i].Version = l.c.lead.token
 		}
 	}
-	store(t, l.c, map[string]any{prefixJob + id: jobRecord{At: 2, Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", Tasks: 1, CPUs: 1}}})
+	store(t, l.c, map[string]any{prefixJob + id: jobRecord{At: 2, Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
 	s.Repeat(own)
 	if keys := keysOf(s); len(keys) != 1 {
 		t.Error("a late clean-up removes what belongs to a record that came after it")
@@ -129,16 +129,16 @@
 // When thousands of jobs are cancelled with one, making that durable never fills the
 // queue of writes: once submissions were refused until it was through.
 func TestDerivedEndsLeaveRoomForUsers(t *testing.T) {
-	s, l := leadOnState(t, config.State{RPS: 1000, WriteRPS: 400, ValueKB: 8, TxnOps: 24})
+	s, l := leadOnState(t, config.StoreLimits{RPS: 1000, WriteRPS: 400, MaxValueKB: 8, MaxTransactionOps: 24})
 	c := l.c
 	const jobs = 3000
-	root := recordOf("req-000000", wire.PriorityLow, clock.Wall().Seconds(), 0)
+	root := recordOf("req-000000", wire.PriorityLow, clock.WallTime().Seconds(), 0)
 	c.setJob("req-000000", root)
 	for i := 1; i <= jobs; i++ {
 		id := fmt.Sprintf("req-%06d", i)
-		c.setJob(id, recordOf(id, wire.PriorityLow, clock.Wall().Seconds(), 0, "req-000000"))
+		c.setJob(id, recordOf(id, wire.PriorityLow, clock.WallTime().Seconds(), 0, "req-000000"))
 	}
-	over := overRecord(root, wire.JobAborted, clock.Wall())
+	over := overRecord(root, wire.JobCancelled, clock.WallTime())
 	over.version = 2
 	c.setJob("req-000000", over)
 	if got := len(l.cleanup.ends); got != jobs {
@@ -150,7 +150,7 @@
 	}
 	accepted := false
 	ok := c.store.Commit(&kvstore.Write{
-		If: []wire.Condition{{Key: prefixJob + "req-009999"}}, Then: []wire.Change{{Put: prefixJob + "req-009999", Value: []byte(`{"at":1}`)}},
+		Conditions: []wire.Condition{{Key: prefixJob + "req-009999"}}, Changes: []wire.Change{{PutKey: prefixJob + "req-009999", Value: []byte(`{"at":1}`)}},
 		Deadline: clock.Now() + submitWait,
 		Done:     func(o kvstore.Outcome, _ uint64) { c.post(func() { accepted = o == kvstore.Committed }) },
 	})
@@ -167,14 +167,14 @@
 // lowered: it goes on in keys whose values fit, a version that doesn't know them is not
 // misled, and the next leader has all of it.
 func TestProgressOverLoweredLimits(t *testing.T) {
-	limits := config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 8, TxnOps: 4, Next: &config.NextState{ValueKB: 1, TxnOps: 3}}
+	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4, Upcoming: &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 3}}
 	s, l := leadOnState(t, limits)
 	const id, tasks = "req-000001", 40000
 	before := bitmap{}
 	before.set(5)
 	before.set(32000)
 	store(t, l.c, map[string]any{
-		prefixJob + id: jobRecord{At: int64(clock.Wall()), Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", Tasks: tasks, Priority: wire.PriorityNormal}},
+		prefixJob + id: jobRecord{At: int64(clock.WallTime()), Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
 		doneKey(id, 0): doneRecord{Bits: before.encode()}, // by the version before
 	})
 	s.SetLimits(fake.StateLimits{ValueBytes: 1 << 10, TxnOps: 3})
@@ -182,9 +182,9 @@
 	done := []int{0, 7, 6000, 12345, 33000, tasks - 1}
 	m := l.lg.AddMachine("i-1", "big", "x", false, l.pl.MachineCapacity("big"), clock.Now())
 	m.RecordedInStore = true
-	rep := &wire.Report{Machine: "i-1", Session: 1, Seq: 1, Token: l.token}
+	rep := &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: 1, FencingToken: l.token}
 	for _, i := range done {
-		rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone})
+		rep.Tasks = append(rep.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitDone})
 	}
 	if l.lg.RecordHeartbeat(m, rep, clock.Now()) != allocation.HeartbeatAccepted {
 		t.Fatal("report not taken")
@@ -215,22 +215,22 @@
 			t.Fatal(err)
 		}
 		for i := range 8 * len(bits) {
-			task := number*chunkOf(limits.ValueKB) + i
+			task := number*chunkOf(limits.MaxValueKB) + i
 			if bits.has(i) && task < tasks && j.Tasks[task].State != allocation.TaskDone {
 				t.Errorf("the other version takes task %d for done", task)
 			}
 		}
 	}
 	// The end leaves nothing behind.
-	rep.Seq++
-	rep.Token = l.token
+	rep.Sequence++
+	rep.FencingToken = l.token
 	rep.Tasks = nil
 	for i := range tasks {
-		rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone})
+		rep.Tasks = append(rep.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitDone})
 	}
 	m = l.lg.AddMachine("i-2", "big", "x", false, l.pl.MachineCapacity("big"), clock.Now())
 	m.RecordedInStore = true
-	rep.Machine = "i-2"
+	rep.MachineID = "i-2"
 	l.lg.RecordHeartbeat(m, rep, clock.Now())
 	sweepAt := clock.Now()
 	work(t, l.c, func() bool {
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -115,16 +115,16 @@
 		// inside a worker's lease, and a leader that is cut off or stands still is
 		// missed for as long as the lock lasts: a sixth of the lease, within 3 to
 		// 6 seconds.
-		ttl = min(max(clock.FromSeconds(d.Workers.LeaseS)/6, 3*clock.Second), 6*clock.Second)
+		ttl = min(max(clock.FromSeconds(d.Workers.LeaseSeconds)/6, 3*clock.Second), 6*clock.Second)
 	}
 	c := &Core{
-		cfg: cfg, tuning: tuning, log: log, dial: dial, ended: make(chan struct{}), q: newQueue(cfg.Deployment.Limits.MaxSockets, len(cfg.Others)),
-		store: kvstore.New(dial, cfg.Outside.State, kvstore.Limits{
-			RPS: d.State.RPS, WriteRPS: d.State.Effective().WriteRPS, TxnOps: d.State.Effective().TxnOps,
+		cfg: cfg, tuning: tuning, log: log, dial: dial, ended: make(chan struct{}), q: newQueue(cfg.Deployment.ProcessLimits.MaxSockets, len(cfg.Peers)),
+		store: kvstore.New(dial, cfg.External.StoreAddress, kvstore.Limits{
+			RPS: d.Store.RPS, WriteRPS: d.Store.Effective().WriteRPS, MaxTransactionOps: d.Store.Effective().MaxTransactionOps,
 		}, keyLock),
-		cloud:      cloud.New(dial, cfg.Outside.Cloud, d.Cloud.RPS),
-		sockets:    connlimit.New(cfg.Sockets()),
-		directs:    max(cfg.Sockets()/24, 4),
+		cloud:      cloud.New(dial, cfg.External.CloudAddress, d.Cloud.RPS),
+		sockets:    connlimit.New(cfg.ConnectionLimit()),
+		directs:    max(cfg.ConnectionLimit()/24, 4),
 		teams:      map[string]allocation.TeamQuota{},
 		graph:      dag.New(),
 		el:         election.New(election.Config{Member: cfg.Member, TTL: ttl, TimerSlack: 50 * clock.Millisecond}),
@@ -136,11 +136,11 @@
 		asked:      map[string]asked{},
 		begunAt:    clock.Now(),
 	}
-	c.finishedKept = finishedKept(tuning.FinishedJobs, d.Limits.RAMMB)
+	c.finishedKept = finishedKept(tuning.FinishedJobs, d.ProcessLimits.MemoryMB)
 	c.finished = jobhistory.NewCache(c.finishedKept)
-	c.lookups = jobhistory.NewLookups(mostLookups, min(4*d.State.Effective().TxnOps/keysOfJob, mostAsked))
+	c.lookups = jobhistory.NewLookups(mostLookups, min(4*d.Store.Effective().MaxTransactionOps/keysOfJob, mostAsked))
 	c.toWorkers = client.NewPool(dial, c.sockets)
-	c.chunk = chunkOf(d.State.ValueKB)
+	c.chunk = chunkOf(d.Store.MaxValueKB)
 	w := &d.Workers
 	// A worker waits a second before each other node, and tries it for four seconds.
 	// With one zone for all there is no cut that leaves it with one node alone: the
@@ -149,14 +149,14 @@
 	if len(d.Zones) == 1 {
 		try = clock.Second
 	}
-	trip := clock.FromSeconds(1.25*w.ReportS) + clock.Second/2 + clock.Micros(len(cfg.Others))*try
-	c.times = delegation.NewConfig(clock.FromSeconds(w.CancelS), clock.FromSeconds(w.LeaseS), 3*beatEvery, trip)
-	c.staleness = staleness.NewBounds(clock.FromSeconds(w.CancelS), clock.FromSeconds(w.LeaseS), ttl)
-	c.withdrawals = newWithdrawalLog(clock.FromSeconds(w.CancelS), d.State.WriteRPS)
-	c.delegate = delegation.NewDelegate(c.times, uint64(clock.Wall()), clock.Now())
+	trip := clock.FromSeconds(1.25*w.HeartbeatIntervalSeconds) + clock.Second/2 + clock.Micros(len(cfg.Peers))*try
+	c.times = delegation.NewConfig(clock.FromSeconds(w.CancelTimeoutSeconds), clock.FromSeconds(w.LeaseSeconds), 3*beatEvery, trip)
+	c.staleness = staleness.NewBounds(clock.FromSeconds(w.CancelTimeoutSeconds), clock.FromSeconds(w.LeaseSeconds), ttl)
+	c.withdrawals = newWithdrawalLog(clock.FromSeconds(w.CancelTimeoutSeconds), d.Store.WriteRPS)
+	c.delegate = delegation.NewDelegate(c.times, uint64(clock.WallTime()), clock.Now())
 	for _, t := range d.Teams {
-		g := allocation.NewResources(t.CPUs, t.GPUs, 0)
-		m := allocation.NewResources(t.CPUsMax, t.GPUsMax, 0)
+		g := allocation.NewResources(t.GuaranteedCPUs, t.GuaranteedGPUs, 0)
+		m := allocation.NewResources(t.MaxCPUs, t.MaxGPUs, 0)
 		c.teams[t.Name] = allocation.TeamQuota{GuaranteedMilliCPU: g.MilliCPU, GuaranteedMilliGPU: g.MilliGPU, MaxMilliCPU: m.MilliCPU, MaxMilliGPU: m.MilliGPU}
 	}
 	if tuning.Standby.Enabled {
@@ -190,7 +190,7 @@
 // Run works until the context ends, which in a controller it never does.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.ended)
-	for _, o := range c.cfg.Others {
+	for _, o := range c.cfg.Peers {
 		link := peer.NewLink(c.dial, o.Address)
 		defer link.Close()
 		c.links = append(c.links, link)
@@ -248,5 +248,5 @@
 		return
 	}
 	c.dropLogAt = now + 5*clock.Second
-	c.log.Error(what, append(args, "dropped_so_far", c.store.Dropped.Load())...)
+	c.log.Error(what, append(args, "dropped_so_far", c.store.MalformedResponses.Load())...)
 }
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -35,7 +35,7 @@
 			return false
 		}
 		if a.host == nil {
-			a.host = l.c.toWorkers.NewHost(m.Address, 1, 4*wire.MaxBody)
+			a.host = l.c.toWorkers.NewHost(m.Address, 1, 4*wire.MaxBodyBytes)
 		}
 		host, until := a.host, l.until
 		if len(starts) > 0 {
@@ -45,7 +45,7 @@
 		go func() {
 			res, err := host.Do(client.Request{Method: "POST", Target: "/commands", Body: body, Timeout: directTimeout, SendDeadline: until})
 			result := allocation.CommandOutcomeUnknown
-			var rep *wire.Report
+			var rep *wire.Heartbeat
 			var se *client.NotSentError
 			switch {
 			case errors.As(err, &se), errors.Is(err, client.ErrSendDeadlinePassed):
@@ -57,8 +57,8 @@
 				result = allocation.CommandRejected
 			}
 			if err == nil && (res.Status == 200 || res.Status == 409) {
-				r := &wire.Report{}
-				if r.UnmarshalJSON(res.Body) == nil && r.Machine == name {
+				r := &wire.Heartbeat{}
+				if r.UnmarshalJSON(res.Body) == nil && r.MachineID == name {
 					rep = r
 				}
 			}
@@ -73,7 +73,7 @@
 	})
 }
 
-func (l *lead) directEnded(m *allocation.Machine, a *machineAux, starts []*allocation.Placement, result allocation.CommandResult, rep *wire.Report) {
+func (l *lead) directEnded(m *allocation.Machine, a *machineAux, starts []*allocation.Placement, result allocation.CommandResult, rep *wire.Heartbeat) {
 	now := clock.Now()
 	if l.lg.Machines[m.Name] != m {
 		return
--- a/internal/controller/durable.go
+++ b/internal/controller/durable.go
@@ -23,7 +23,7 @@
 	a.marking = true
 	// Conditional on the key's absence: one that is carried out late, or again,
 	// must not take back progress that was written meanwhile.
-	w := &kvstore.Write{Rank: kvstore.Needed, If: []wire.Condition{{Key: doneKey(id, 0)}}, Then: []wire.Change{progressChange(id, 0, nil, nil)}}
+	w := &kvstore.Write{Priority: kvstore.Required, Conditions: []wire.Condition{{Key: doneKey(id, 0)}}, Changes: []wire.Change{progressChange(id, 0, nil, nil)}}
 	l.writeRev(w, func(o kvstore.Outcome, rev uint64) {
 		l.dirty = true
 		switch o {
@@ -31,7 +31,7 @@
 			a.marking = false
 			j.StartsRecorded = true
 			a.wrote(0, rev)
-		case kvstore.Refused:
+		case kvstore.NotExecuted:
 			a.marking = false
 		default: // it may be there already
 			l.c.view.wantSync(func(error) {
@@ -51,7 +51,7 @@
 
 // writeRev is the same where the revision matters.
 func (l *lead) writeRev(w *kvstore.Write, then func(kvstore.Outcome, uint64)) {
-	w.Fence = l.token
+	w.FencingToken = l.token
 	w.Deadline = clock.Now() + 3*clock.Second
 	w.Done = func(o kvstore.Outcome, rev uint64) {
 		l.c.post(func() {
@@ -66,19 +66,19 @@
 		})
 	}
 	if !l.c.store.Commit(w) {
-		then(kvstore.Refused, 0)
+		then(kvstore.NotExecuted, 0)
 	}
 }
 
 // saveTypes keeps the machine types where nodes find them that start while the
 // cloud's interface is down.
 func (l *lead) saveTypes() {
-	v, err := wire.MachineTypes{Types: l.c.types}.MarshalJSON()
-	if err != nil || len(v) > int(l.c.cfg.Deployment.State.Effective().ValueKB*1024) {
+	v, err := wire.MachineTypeList{Types: l.c.types}.MarshalJSON()
+	if err != nil || len(v) > int(l.c.cfg.Deployment.Store.Effective().MaxValueKB*1024) {
 		l.c.log.Info("machine types are too large for the state service; controllers learn them from the cloud alone", "bytes", len(v))
 		return
 	}
-	l.write(&kvstore.Write{Rank: kvstore.Needed, Then: []wire.Change{{Put: keyTypes, Value: v}}}, func(kvstore.Outcome) {})
+	l.write(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: keyTypes, Value: v}}}, func(kvstore.Outcome) {})
 }
 
 // progressEvery bounds how often a job's progress is written.
@@ -133,7 +133,7 @@
 func (l *lead) saveProgress(id string, j *allocation.Job, a *jobAux, todo []int, now clock.Micros) {
 	a.writing, a.wroteAt = true, now
 	// What is more than a transaction takes is for the next one.
-	most := l.c.cfg.Deployment.State.Effective().TxnOps
+	most := l.c.cfg.Deployment.Store.Effective().MaxTransactionOps
 	keys := map[int]bool{}
 	todo = slices.DeleteFunc(todo, func(task int) bool {
 		key := a.layout.key(task)
@@ -146,10 +146,10 @@
 	l.saving++
 	// Conditional on the keys' versions: one that is carried out late must not take back
 	// what was written after it.
-	w := &kvstore.Write{Rank: kvstore.Spare}
+	w := &kvstore.Write{Priority: kvstore.Background}
 	for key := range keys {
-		w.If = append(w.If, wire.Condition{Key: doneKey(id, key), Version: a.keys[key]})
-		w.Then = append(w.Then, a.layout.change(j, key))
+		w.Conditions = append(w.Conditions, wire.Condition{Key: doneKey(id, key), Version: a.keys[key]})
+		w.Changes = append(w.Changes, a.layout.change(j, key))
 		a.wrote(key, 0)
 	}
 	l.writeRev(w, func(o kvstore.Outcome, rev uint64) {
@@ -179,7 +179,7 @@
 	if rec == nil || rec.over() {
 		return
 	}
-	over := overRecord(rec, wire.JobDone, clock.Wall())
+	over := overRecord(rec, wire.JobDone, clock.WallTime())
 	over.First, over.Errors, over.Restarts = a.first, j.FailureCount, j.RestartCount
 	if released := l.c.graph.ReleasedAt(id, clock.Micros(rec.At)); int64(released) != rec.At {
 		over.Released = int64(released)
@@ -190,11 +190,11 @@
 	}
 	a.writing = true
 	w := &kvstore.Write{
-		Rank: kvstore.Needed,
-		If:   []wire.Condition{{Key: prefixJob + id, Version: rec.version}},
-		Then: []wire.Change{{Put: prefixJob + id, Value: v}},
+		Priority:   kvstore.Required,
+		Conditions: []wire.Condition{{Key: prefixJob + id, Version: rec.version}},
+		Changes:    []wire.Change{{PutKey: prefixJob + id, Value: v}},
 	}
-	if l.c.store.Backlog() < backlogged {
+	if l.c.store.BacklogDuration() < backlogged {
 		l.addProgressDrops(w, id, a)
 	}
 	l.writeRev(w, func(o kvstore.Outcome, rev uint64) {
@@ -229,18 +229,18 @@
 // addProgressDrops adds the removal of a job's progress to the write of its end, as far
 // as one transaction takes it; the rest is cleaned up later, see cleanup.
 func (l *lead) addProgressDrops(w *kvstore.Write, id string, a *jobAux) {
-	most := l.c.cfg.Deployment.State.Effective().TxnOps
+	most := l.c.cfg.Deployment.Store.Effective().MaxTransactionOps
 	for _, number := range slices.Sorted(maps.Keys(a.keys)) {
-		if len(w.Then) >= most {
+		if len(w.Changes) >= most {
 			return
 		}
-		w.Then = append(w.Then, wire.Change{Delete: doneKey(id, number)})
+		w.Changes = append(w.Changes, wire.Change{DeleteKey: doneKey(id, number)})
 	}
 }
 
 // logEnd says loudly when batch work has missed what its owners expect.
 func (l *lead) logEnd(id string, rec *jobRecord) {
-	if t, ok := l.c.trouble(id, rec, int64(clock.Wall())); ok && t.Late {
+	if t, ok := l.c.trouble(id, rec, int64(clock.WallTime())); ok && t.Late {
 		l.c.log.Error("job finished late", "job", id, "class", t.Class, "late_by_s", t.LateByS, "took_s", t.TookS, "why", t.Why)
 		return
 	}
@@ -258,7 +258,7 @@
 	}
 	a.writing = true
 	// As long as the record is whole, a new leader has to reckon with its tasks.
-	w := &kvstore.Write{Rank: kvstore.Needed, Then: []wire.Change{{Put: prefixJob + id, Value: v}}}
+	w := &kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: prefixJob + id, Value: v}}}
 	l.addProgressDrops(w, id, a)
 	l.write(w, func(o kvstore.Outcome) {
 		a.writing = false
@@ -272,7 +272,7 @@
 
 // watchJobs warns, once a job, of batch work that slips while it runs.
 func (l *lead) watchJobs(now clock.Micros) {
-	wall := int64(clock.Wall())
+	wall := int64(clock.WallTime())
 	for id, a := range l.jobs {
 		rec := l.c.view.jobs[id]
 		if a.warned || a.over || rec == nil || rec.over() {
--- a/internal/controller/faulty_test.go
+++ b/internal/controller/faulty_test.go
@@ -17,16 +17,16 @@
 		names = append(names, fmt.Sprintf("i-%02d", i))
 	}
 	l := rebuilt(t, names...)
-	l.c.view.jobs["req-000001"] = &jobRecord{At: int64(clock.Wall()), Job: &wire.Job{
-		ID: "req-000001", Class: "c", Kind: wire.KindService, Team: "t", Tasks: 1, CPUs: 1,
+	l.c.view.jobs["req-000001"] = &jobRecord{At: int64(clock.WallTime()), Job: &wire.Job{
+		ID: "req-000001", Class: "c", Kind: wire.KindService, Team: "t", TaskCount: 1, CPUs: 1,
 	}}
 	l.c.view.done["req-000001"] = map[int]progressPart{0: {}}
 	l = newLead(l.c, 10, clock.Now())
 	now := l.since
 	for i, n := range names {
-		r := &wire.Report{Machine: n, Session: 1, Seq: 1, Token: 10}
+		r := &wire.Heartbeat{MachineID: n, Incarnation: 1, Sequence: 1, FencingToken: 10}
 		if i == 0 {
-			r.Tasks = []wire.TaskReport{{Task: "req-000001/0", Attempt: 1, State: wire.TaskRunning}}
+			r.Tasks = []wire.TaskStatus{{TaskID: "req-000001/0", Attempt: 1, State: wire.TaskRunning}}
 		}
 		m := l.lg.Machines[n]
 		l.lg.RecordLeaseRenewal(m, now)
--- a/internal/controller/finished_bench_test.go
+++ b/internal/controller/finished_bench_test.go
@@ -10,18 +10,18 @@
 )
 
 // finishedPage is a page of records of finished jobs, from a number on.
-func finishedPage(b *testing.B, first, jobs int) (items []wire.Item, size int) {
+func finishedPage(b *testing.B, first, jobs int) (items []wire.KeyValue, size int) {
 	for i := first; i < first+jobs; i++ {
 		id := fmt.Sprintf("req-%08d", i)
-		now := clock.Wall()
-		r := &jobRecord{At: int64(now), Job: &wire.Job{ID: id, Class: "reproject", Tasks: 90, DeadlineS: 600}}
+		now := clock.WallTime()
+		r := &jobRecord{At: int64(now), Job: &wire.Job{ID: id, Class: "reproject", TaskCount: 90, DeadlineSeconds: 600}}
 		over := overRecord(r, wire.JobDone, now+clock.Micros(i))
 		over.First = int64(now)
 		value, err := over.MarshalJSON()
 		if err != nil {
 			b.Fatal(err)
 		}
-		items = append(items, wire.Item{Key: prefixJob + id, Value: value, Version: uint64(i + 1)})
+		items = append(items, wire.KeyValue{Key: prefixJob + id, Value: value, Version: uint64(i + 1)})
 		size += len(prefixJob+id) + len(value)
 	}
 	return items, size
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -13,13 +13,13 @@
 // longest report interval, an answer that never came, and the way to the
 // leader by way of another node.
 func (c *Core) silentAfter() clock.Micros {
-	return clock.FromSeconds(1.25*c.cfg.Deployment.Workers.ReportS) + 6500*clock.Millisecond
+	return clock.FromSeconds(1.25*c.cfg.Deployment.Workers.HeartbeatIntervalSeconds) + 6500*clock.Millisecond
 }
 
 // freshFor is how long ago a machine that can be heard may have reported last:
 // its longest interval and one slow message.
 func (l *lead) freshFor() clock.Micros {
-	return clock.FromSeconds(1.25*l.c.cfg.Deployment.Workers.ReportS) + 1500*clock.Millisecond
+	return clock.FromSeconds(1.25*l.c.cfg.Deployment.Workers.HeartbeatIntervalSeconds) + 1500*clock.Millisecond
 }
 
 // hearing counts machines that are up, and those of them heard just now.
@@ -227,8 +227,8 @@
 		if l.pl.RemainingRun(p, now) <= left {
 			return
 		}
-		grace := clock.FromSeconds(j.Spec.SaveS)
-		if j.Spec.CheckpointS > 0 && grace > 0 && (left > 2*grace+3*clock.Second || left <= grace && p.ReportedState == wire.TaskRunning) {
+		grace := clock.FromSeconds(j.Spec.CheckpointSaveSeconds)
+		if j.Spec.CheckpointIntervalSeconds > 0 && grace > 0 && (left > 2*grace+3*clock.Second || left <= grace && p.ReportedState == wire.TaskRunning) {
 			return // there is time to run on and still save, or none to save at all
 		}
 		if j.IsGang() && j.GangStarted {
@@ -317,7 +317,7 @@
 // unlisted gives up machines that an earlier leader rented, that nobody has heard
 // and that the cloud does not list: they are gone, though a record names them.
 func (l *lead) unlisted(names map[string]bool, now clock.Micros) {
-	late := clock.FromSeconds(2*l.c.cfg.Deployment.Cloud.ListLagS) + clock.Second
+	late := clock.FromSeconds(2*l.c.cfg.Deployment.Cloud.ListLagSeconds) + clock.Second
 	for name, m := range l.lg.Machines {
 		if m.FirstHeartbeatAt == 0 && m.CreatedAt < l.since && !names[name] && now-m.CreatedAt > l.pl.BootTimeout(m.Type)+late {
 			l.c.log.Info("machine not listed", "machine", name)
@@ -338,7 +338,7 @@
 		return
 	}
 	if m.Address == "" {
-		m.Address = k.Addr
+		m.Address = k.Address
 	}
 	if a := l.machines[k.ID]; a != nil {
 		a.booting = k.State == wire.MachineBooting
--- a/internal/controller/forgetting.go
+++ b/internal/controller/forgetting.go
@@ -58,7 +58,7 @@
 		rec := c.view.jobs[id]
 		c.mayForgetFrom()
 		c.forgotten.counts.add(rec.State, 1)
-		if t, ok := c.trouble(id, rec, int64(clock.Wall())); ok {
+		if t, ok := c.trouble(id, rec, int64(clock.WallTime())); ok {
 			c.forgotten.troubles = worst(append(c.forgotten.troubles, t))
 		}
 		delete(c.view.jobs, id)
@@ -102,17 +102,17 @@
 // loadFilter takes what is read from the state service page by page. Of finished jobs it
 // keeps the newest ones, and counts the others.
 type loadFilter struct {
-	others   []wire.Item
-	finished *jobhistory.Newest[wire.Item]
+	others   []wire.KeyValue
+	finished *jobhistory.Newest[wire.KeyValue]
 	// seen counts all finished jobs.
 	seen forgottenCounts
 }
 
 func newLoadFilter(kept int) *loadFilter {
-	return &loadFilter{finished: jobhistory.NewNewest[wire.Item](kept)}
+	return &loadFilter{finished: jobhistory.NewNewest[wire.KeyValue](kept)}
 }
 
-func (f *loadFilter) add(items []wire.Item) {
+func (f *loadFilter) add(items []wire.KeyValue) {
 	for _, item := range items {
 		var r jobRecord
 		isJob := strings.HasPrefix(item.Key, prefixJob)
@@ -128,7 +128,7 @@
 }
 
 // items are what was kept, and how many finished jobs were not.
-func (f *loadFilter) items() (items []wire.Item, dropped int) {
+func (f *loadFilter) items() (items []wire.KeyValue, dropped int) {
 	kept, dropped := f.finished.Records()
 	return append(f.others, kept...), dropped
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -18,7 +18,7 @@
 // it; a node that alone is refused leaves.
 func (c *Core) judge(now clock.Micros) {
 	bad := !c.view.loaded || len(c.types) == 0
-	if !bad && c.store.LastRefused() > c.store.LastOK() && now-c.store.LastOK() > clock.Second {
+	if !bad && c.store.LastFailureAt() > c.store.LastSuccessAt() && now-c.store.LastSuccessAt() > clock.Second {
 		for _, b := range c.beats {
 			if now-b.at < 2*clock.Second && b.beat.IsStoreReachable {
 				bad = true
@@ -35,7 +35,7 @@
 }
 
 func (c *Core) heard(b *peer.Heartbeat) {
-	known := slices.ContainsFunc(c.cfg.Others, func(o config.Other) bool { return o.Member == b.Member })
+	known := slices.ContainsFunc(c.cfg.Peers, func(o config.Peer) bool { return o.Member == b.Member })
 	if !known {
 		return
 	}
@@ -94,12 +94,12 @@
 		return
 	}
 	c.nextBeat = now + beatEvery
-	if n := c.store.Dropped.Load(); n > c.dropsTold {
+	if n := c.store.MalformedResponses.Load(); n > c.dropsTold {
 		c.dropped("answers of the state service were dropped")
 		c.dropsTold = n
 	}
 	c.judge(now)
-	if c.lead == nil || c.store.Failing(now) {
+	if c.lead == nil || c.store.IsFailing(now) {
 		c.sendBeats(now)
 		return
 	}
@@ -112,7 +112,7 @@
 	b := &peer.Heartbeat{
 		Member:                 c.cfg.Member,
 		StandbyProtocolVersion: c.standbyVersion(),
-		IsStoreReachable:       c.store.LastOK() > c.store.LastRefused() && now-c.store.LastOK() < 12*clock.Second,
+		IsStoreReachable:       c.store.LastSuccessAt() > c.store.LastFailureAt() && now-c.store.LastSuccessAt() < 12*clock.Second,
 	}
 	b.Leader, b.Token = c.el.LockHolder()
 	for m, at := range c.workers {
@@ -121,7 +121,7 @@
 		}
 	}
 	for m, at := range c.held {
-		if now-at > clock.FromSeconds(c.cfg.Deployment.Workers.LeaseS) {
+		if now-at > clock.FromSeconds(c.cfg.Deployment.Workers.LeaseSeconds) {
 			delete(c.held, m)
 		}
 	}
@@ -136,12 +136,12 @@
 	b.Incarnation, b.Timestamp, b.SilentFor = s.Incarnation, s.At, c.delegate.SilentFor(now)
 	b.StoreRevision = c.view.rev
 	for i, l := range c.links {
-		echo := c.stamps[c.cfg.Others[i].Member]
+		echo := c.stamps[c.cfg.Peers[i].Member]
 		if c.lead != nil {
-			echo = c.lead.echoes[c.cfg.Others[i].Member]
+			echo = c.lead.echoes[c.cfg.Peers[i].Member]
 		}
 		b.AckIncarnation, b.AckTimestamp = echo.Incarnation, echo.At
-		b.Cancellations = c.withdrawals.unknownTo(c.revisionOf(c.cfg.Others[i].Member), now)
+		b.Cancellations = c.withdrawals.unknownTo(c.revisionOf(c.cfg.Peers[i].Member), now)
 		l.SendHeartbeat(peer.Encode(b))
 	}
 }
--- a/internal/controller/lead.go
+++ b/internal/controller/lead.go
@@ -148,8 +148,8 @@
 		view: staleness.NewTracker(c.staleness, readAt),
 	}
 	account := allocation.Config{
-		FencingToken: token, LeaseTTL: clock.FromSeconds(d.Workers.LeaseS), Quotas: c.teams,
-		CancelFenceWindow: clock.FromSeconds(d.Workers.CancelS) / 2,
+		FencingToken: token, LeaseTTL: clock.FromSeconds(d.Workers.LeaseSeconds), Quotas: c.teams,
+		CancelFenceWindow: clock.FromSeconds(d.Workers.CancelTimeoutSeconds) / 2,
 	}
 	l.follow(&account)
 	l.lg = allocation.New(account)
@@ -166,30 +166,30 @@
 	l.pl.HeartbeatWindow, l.pl.TermStartedAt = l.freshFor(), now
 	if c.times.GrantTTL > 0 {
 		l.pl.DelegatedZones = map[string]bool{c.cfg.Location: true}
-		for _, o := range c.cfg.Others {
+		for _, o := range c.cfg.Peers {
 			l.pl.DelegatedZones[o.Location] = true
 		}
 	}
 	l.pl.WaitObjectives, l.pl.CompletionObjectives = map[string]float64{}, map[string]float64{}
 	for _, o := range d.Objectives {
-		if e, ok := l.pl.CompletionObjectives[o.Class]; o.Kind == "finished" && (!ok || o.WithinS < e) {
-			l.pl.CompletionObjectives[o.Class] = o.WithinS
+		if e, ok := l.pl.CompletionObjectives[o.Class]; o.Kind == "finished" && (!ok || o.TargetSeconds < e) {
+			l.pl.CompletionObjectives[o.Class] = o.TargetSeconds
 		}
-		if w, ok := l.pl.WaitObjectives[o.Class]; o.Kind == "wait" && (!ok || o.WithinS < w) {
-			l.pl.WaitObjectives[o.Class] = o.WithinS
+		if w, ok := l.pl.WaitObjectives[o.Class]; o.Kind == "wait" && (!ok || o.TargetSeconds < w) {
+			l.pl.WaitObjectives[o.Class] = o.TargetSeconds
 		}
 	}
 	l.planGap = leastPlanGap
 	l.listAt = now + 2*clock.Second
 	l.renew()
 	var others []string
-	for _, o := range c.cfg.Others {
+	for _, o := range c.cfg.Peers {
 		others = append(others, o.Member)
 	}
 	l.bound, l.echoes = delegation.NewGrants(c.times, now, c.delegate.SilentFor(now), others), map[string]delegation.Timestamp{}
 	l.promises, l.opening = delegation.NewConstraintTracker(c.view.promises, c.view.promisesVersion), map[string]bool{}
 
-	wall := clock.Wall()
+	wall := clock.WallTime()
 	for name, rec := range c.view.rentals {
 		h := &rental{name: name, rec: *rec, version: rec.version, at: now - max(wall-clock.Micros(rec.At), 0), resolved: rec.Resolved}
 		l.rentals[name] = h
--- a/internal/controller/lead_test.go
+++ b/internal/controller/lead_test.go
@@ -41,18 +41,18 @@
 // rented long ago. What it sends goes nowhere.
 func rebuilt(t testing.TB, machines ...string) *lead {
 	t.Helper()
-	cfg := &config.Platform{Member: "a", Location: "x", Others: []config.Other{{Member: "b", Location: "y", Address: "127.0.0.1:1"}}}
-	cfg.Outside.State, cfg.Outside.Cloud = "127.0.0.1:1", "127.0.0.1:1"
+	cfg := &config.Platform{Member: "a", Location: "x", Peers: []config.Peer{{Member: "b", Location: "y", Address: "127.0.0.1:1"}}}
+	cfg.External.StoreAddress, cfg.External.CloudAddress = "127.0.0.1:1", "127.0.0.1:1"
 	d := &cfg.Deployment
 	d.Zones = []string{"x", "y"}
 	d.Teams = []config.Team{{Name: "t"}}
-	d.Workers = config.Workers{ReportS: 2, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 60}
-	d.State = config.State{RPS: 100, WriteRPS: 100, ValueKB: 16, TxnOps: 16}
-	d.Cloud = config.Cloud{RPS: 10, ListLagS: 1}
-	d.Limits = config.Limits{Cores: 1, RAMMB: 100, MaxSockets: 1000}
+	d.Workers = config.WorkerTimings{HeartbeatIntervalSeconds: 2, LeaseSeconds: 24, GangStartTimeoutSeconds: 30, GangPeerTimeoutSeconds: 5, CancelTimeoutSeconds: 60}
+	d.Store = config.StoreLimits{RPS: 100, WriteRPS: 100, MaxValueKB: 16, MaxTransactionOps: 16}
+	d.Cloud = config.Cloud{RPS: 10, ListLagSeconds: 1}
+	d.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 1000}
 	c := New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
-	c.types = []wire.MachineType{{Name: "big", CPUs: 16, MemoryGB: 64, Price: 1, BootS: 15, Zones: d.Zones}}
-	c.view.rentals["h"] = &rentalRecord{Type: "big", Zone: "x", Count: len(machines), At: int64(clock.Wall() - 300*clock.Second), Resolved: true, Machines: machines}
+	c.types = []wire.MachineType{{Name: "big", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: d.Zones}}
+	c.view.rentals["h"] = &rentalRecord{Type: "big", Zone: "x", Count: len(machines), At: int64(clock.WallTime() - 300*clock.Second), Resolved: true, Machines: machines}
 	return newLead(c, 9, clock.Now())
 }
 
@@ -75,7 +75,7 @@
 
 // answersEither tells whether the member answers one of two reports in a row: a
 // worker is sent on after each answer, so one report alone would not show it.
-func answersEither(c *Core, rep *wire.Report, now clock.Micros) bool {
+func answersEither(c *Core, rep *wire.Heartbeat, now clock.Micros) bool {
 	first := c.answerAsDelegate(rep, &server.Reply{}, now)
 	second := c.answerAsDelegate(rep, &server.Reply{}, now)
 	return first || second
@@ -89,7 +89,7 @@
 	c := l.c
 	c.lead, c.view.loaded = nil, true
 	now, back := 100*clock.Second, 5*clock.Second
-	rep := &wire.Report{Machine: "i-1", Token: 5}
+	rep := &wire.Heartbeat{MachineID: "i-1", FencingToken: 5}
 	c.delegate = delegation.NewDelegate(c.times, 1, now-60*clock.Second)
 	if answersEither(c, rep, now) {
 		t.Fatal("answers as delegate without a right")
@@ -100,7 +100,7 @@
 			t.Fatalf("report %d: answered as delegate %v", i, got)
 		}
 	}
-	if c.answerAsDelegate(&wire.Report{Machine: "i-1", Token: 6}, &server.Reply{}, now) {
+	if c.answerAsDelegate(&wire.Heartbeat{MachineID: "i-1", FencingToken: 6}, &server.Reply{}, now) {
 		t.Fatal("answers as delegate against a newer leader")
 	}
 	c.delegate.RecordLeaderHeartbeat(now, 5, c.delegate.Timestamp(now))
@@ -118,7 +118,7 @@
 	c.lead = l
 	now := l.since
 	for _, m := range l.lg.Machines {
-		l.lg.RecordHeartbeat(m, &wire.Report{Machine: m.Name, Addr: "127.0.0.1:1", Session: 1, Seq: 1, Token: 9}, now)
+		l.lg.RecordHeartbeat(m, &wire.Heartbeat{MachineID: m.Name, Address: "127.0.0.1:1", Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
 	}
 	c.tickedAt = now
 	now += 20 * clock.Second // less than a lease
@@ -163,7 +163,7 @@
 		l.deadline.Store(1 << 62)
 		names := []string{"i-1", "i-2", "i-3", "i-4"}
 		for _, n := range names {
-			l.lg.RecordHeartbeat(l.lg.Machines[n], &wire.Report{Machine: n, Session: 1, Seq: 1, Token: 9}, clock.Now())
+			l.lg.RecordHeartbeat(l.lg.Machines[n], &wire.Heartbeat{MachineID: n, Incarnation: 1, Sequence: 1, FencingToken: 9}, clock.Now())
 			l.lg.Machines[n].LastHeartbeatAt -= 20 * clock.Second
 		}
 		l.awake -= 60 * clock.Second
@@ -173,7 +173,7 @@
 			for i, n := range names {
 				m := l.lg.Machines[n]
 				if i < c.answer {
-					l.asked(m, l.machines[n], sent, &wire.Report{Machine: n, Session: 1, Seq: 2 + round, Token: 9}, nil)
+					l.asked(m, l.machines[n], sent, &wire.Heartbeat{MachineID: n, Incarnation: 1, Sequence: 2 + round, FencingToken: 9}, nil)
 				} else {
 					l.asked(m, l.machines[n], sent, nil, c.err)
 				}
@@ -196,7 +196,7 @@
 	l.deadline.Store(1 << 62)
 	now := l.since
 	for _, n := range names {
-		l.lg.RecordHeartbeat(l.lg.Machines[n], &wire.Report{Machine: n, Session: 1, Seq: 1, Token: 9}, now)
+		l.lg.RecordHeartbeat(l.lg.Machines[n], &wire.Heartbeat{MachineID: n, Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
 	}
 	for end := now + l.c.silentAfter() + 3*clock.Second; now < end; now += clock.Second / 2 {
 		l.watchMachines(now)
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -19,17 +19,17 @@
 // applyShares splits the outside services' rates: the leader gets half, the
 // others share the rest.
 func (c *Core) applyShares() {
-	n := float64(len(c.cfg.Others))
+	n := float64(len(c.cfg.Peers))
 	switch {
 	case n == 0:
-		c.store.SetShare(1)
+		c.store.SetRateShare(1)
 		c.cloud.SetRateShare(1)
 	case c.el.Phase() == election.Leader:
-		c.store.SetShare(leaderShare)
+		c.store.SetRateShare(leaderShare)
 		c.shares.share = leaderShare
 		c.cloud.SetRateShare(0.8)
 	default:
-		c.store.SetShare((1 - leaderShare) / n)
+		c.store.SetRateShare((1 - leaderShare) / n)
 		c.cloud.SetRateShare(0.2 / n)
 	}
 }
@@ -41,7 +41,7 @@
 		switch a.Kind {
 		case election.GrantLease:
 			go func() {
-				lease, err := c.store.Grant(ttl)
+				lease, err := c.store.GrantLease(ttl)
 				if err != nil {
 					c.log.Debug("no lease granted", "error", err)
 				}
@@ -51,14 +51,14 @@
 			c.acquireInTurn(a.LeaseID)
 		case election.RenewLease:
 			go func() {
-				err := c.store.Renew(a.LeaseID, ttl/4)
+				err := c.store.RenewLease(a.LeaseID, ttl/4)
 				c.post(func() {
-					c.act(c.el.HandleRenewResult(clock.Now(), a.LeaseID, err == nil, err == kvstore.ErrGone))
+					c.act(c.el.HandleRenewResult(clock.Now(), a.LeaseID, err == nil, err == kvstore.ErrNotFound))
 				})
 			}()
 		case election.RevokeLease:
 			go func() {
-				if err := c.store.Revoke(a.LeaseID); err != nil {
+				if err := c.store.RevokeLease(a.LeaseID); err != nil {
 					c.log.Debug("lease not revoked", "lease", a.LeaseID, "error", err)
 				} else {
 					c.log.Debug("lease revoked", "lease", a.LeaseID)
@@ -80,10 +80,10 @@
 		return
 	}
 	w := &kvstore.Write{
-		Rank:     kvstore.Vital,
-		If:       []wire.Condition{{Key: keyLock}},
-		Then:     []wire.Change{{Put: keyLock, Value: value, Lease: lease}},
-		Deadline: clock.Now() + c.ttl()/2,
+		Priority:   kvstore.Critical,
+		Conditions: []wire.Condition{{Key: keyLock}},
+		Changes:    []wire.Change{{PutKey: keyLock, Value: value, LeaseID: lease}},
+		Deadline:   clock.Now() + c.ttl()/2,
 	}
 	w.Done = func(o kvstore.Outcome, rev uint64) {
 		c.post(func() {
@@ -91,7 +91,7 @@
 			switch o {
 			case kvstore.Committed:
 				r = election.AcquireSucceeded
-			case kvstore.Conflict, kvstore.Refused, kvstore.Fenced:
+			case kvstore.Conflict, kvstore.NotExecuted, kvstore.Fenced:
 				r = election.AcquireFailed
 			}
 			c.act(c.el.HandleAcquireResult(clock.Now(), r, rev))
@@ -172,7 +172,7 @@
 	c.post(func() {
 		for _, a := range c.el.StepDown(clock.Now(), 3600*clock.Second) {
 			if a.Kind == election.RevokeLease {
-				if err := c.store.Revoke(a.LeaseID); err != nil {
+				if err := c.store.RevokeLease(a.LeaseID); err != nil {
 					c.log.Debug("lease not revoked", "error", err)
 				}
 			}
--- a/internal/controller/learnt_test.go
+++ b/internal/controller/learnt_test.go
@@ -23,7 +23,7 @@
 	now := first.since
 	for i, n := range names {
 		m := first.lg.Machines[n]
-		first.lg.RecordHeartbeat(m, &wire.Report{Machine: n, Session: 3, Seq: 1, Token: 9}, now)
+		first.lg.RecordHeartbeat(m, &wire.Heartbeat{MachineID: n, Incarnation: 3, Sequence: 1, FencingToken: 9}, now)
 		m.ImageUsedAt[fmt.Sprintf("img-%02d", i)] = now
 	}
 	first.pl.RunTimeModel("c").Observe(100, 50, 0.2)
@@ -78,7 +78,7 @@
 	for i, n := range names {
 		m := l.lg.Machines[n]
 		session := uint64(3 + i%2) // every second one has lost all it had
-		l.lg.RecordHeartbeat(m, &wire.Report{Machine: n, Session: session, Seq: 2, Token: 10}, l.since+clock.Second)
+		l.lg.RecordHeartbeat(m, &wire.Heartbeat{MachineID: n, Incarnation: session, Sequence: 2, FencingToken: 10}, l.since+clock.Second)
 		if _, holds := m.ImageUsedAt[fmt.Sprintf("img-%02d", i)]; holds != (session == 3) {
 			t.Errorf("%s in session %d: said to hold its image %v", n, session, holds)
 		}
--- a/internal/controller/lookup.go
+++ b/internal/controller/lookup.go
@@ -56,12 +56,12 @@
 
 // readJobs reads the records of some jobs, of a few at a time. Whether the others are
 // absent is known only if none was present.
-func (c *Core) readJobs(jobs []string) (read []wire.Item, areOthersAbsent bool, err error) {
+func (c *Core) readJobs(jobs []string) (read []wire.KeyValue, areOthersAbsent bool, err error) {
 	var keys []string
 	for _, id := range jobs {
 		keys = append(keys, prefixJob+id, prefixArchive+id)
 	}
-	existing, err := c.store.Existing(keys)
+	existing, err := c.store.FindExisting(keys)
 	if err != nil || len(existing) == 0 {
 		return nil, err == nil, err
 	}
@@ -70,7 +70,7 @@
 			continue
 		}
 		item, err := c.store.Get(key)
-		if errors.Is(err, kvstore.ErrGone) {
+		if errors.Is(err, kvstore.ErrNotFound) {
 			continue // it was moved meanwhile, and is asked for again
 		}
 		if err != nil {
@@ -82,7 +82,7 @@
 }
 
 // recalled takes the record of a job that was looked up into the view, and tells the job.
-func (c *Core) recalled(item wire.Item) string {
+func (c *Core) recalled(item wire.KeyValue) string {
 	id, isArchived := strings.CutPrefix(item.Key, prefixArchive)
 	if !isArchived {
 		id = strings.TrimPrefix(item.Key, prefixJob)
@@ -133,7 +133,7 @@
 func (c *Core) withAwaited(j *wire.Job, r *server.Reply, then func(absent map[string]bool)) {
 	absent := map[string]bool{}
 	var ids []string
-	for _, id := range append(slices.Clone(j.Awaits), j.ID) {
+	for _, id := range append(slices.Clone(j.DependsOn), j.ID) {
 		if c.mayBeForgotten(id) {
 			ids = append(ids, id)
 		}
--- a/internal/controller/morning.go
+++ b/internal/controller/morning.go
@@ -41,7 +41,7 @@
 const mostTroubles = 200
 
 func (c *Core) morning(r *server.Reply) {
-	now := int64(clock.Wall())
+	now := int64(clock.WallTime())
 	gone := c.forgotten.counts
 	m := MorningReport{
 		Member: c.cfg.Member, Jobs: len(c.view.jobs) + gone.done + gone.aborted, Done: gone.done, Aborted: gone.aborted,
@@ -51,7 +51,7 @@
 		switch rec.state() {
 		case wire.JobDone:
 			m.Done++
-		case wire.JobAborted:
+		case wire.JobCancelled:
 			m.Aborted++
 		default:
 			m.Active++
@@ -82,7 +82,7 @@
 	var most clock.Micros
 	for _, o := range c.cfg.Deployment.Objectives {
 		if o.Kind == "finished" && o.Class == class {
-			most = max(most, clock.FromSeconds(o.WithinS))
+			most = max(most, clock.FromSeconds(o.TargetSeconds))
 		}
 	}
 	return most
@@ -93,8 +93,8 @@
 	end, due, first := rec.End, rec.Due, rec.First
 	if !rec.over() {
 		t.Class, t.State, end = rec.Job.Class, "active", now
-		if rec.Job.DeadlineS > 0 {
-			due = rec.At + int64(clock.FromSeconds(rec.Job.DeadlineS))
+		if rec.Job.DeadlineSeconds > 0 {
+			due = rec.At + int64(clock.FromSeconds(rec.Job.DeadlineSeconds))
 		}
 		if c.lead != nil {
 			if j := c.lead.lg.Jobs[id]; j != nil {
@@ -111,7 +111,7 @@
 	if aim := c.lateAfter(t.Class); due == 0 && aim > 0 {
 		due = max(rec.At, rec.Released) + int64(aim)
 	}
-	if rec.state() == wire.JobAborted {
+	if rec.state() == wire.JobCancelled {
 		return t, false
 	}
 	t.TookS = clock.Micros(end - rec.At).Seconds()
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -17,15 +17,15 @@
 // right lasts, and no longer.
 func TestShortLeasesOutliveAnOutage(t *testing.T) {
 	with := func(zones ...string) *Core {
-		cfg := &config.Platform{Member: "a", Location: zones[0], Others: []config.Other{
+		cfg := &config.Platform{Member: "a", Location: zones[0], Peers: []config.Peer{
 			{Member: "b", Location: zones[0], Address: "127.0.0.1:1"}, {Member: "c", Location: zones[0], Address: "127.0.0.1:1"},
 		}}
-		cfg.Outside.State, cfg.Outside.Cloud = "127.0.0.1:1", "127.0.0.1:1"
+		cfg.External.StoreAddress, cfg.External.CloudAddress = "127.0.0.1:1", "127.0.0.1:1"
 		d := &cfg.Deployment
 		d.Zones = zones
-		d.Workers = config.Workers{ReportS: 1.5, LeaseS: 10, GangWaitS: 45, GangPeerS: 6, CancelS: 35}
-		d.State = config.State{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 8}
-		d.Limits = config.Limits{Cores: 1, RAMMB: 100, MaxSockets: 900}
+		d.Workers = config.WorkerTimings{HeartbeatIntervalSeconds: 1.5, LeaseSeconds: 10, GangStartTimeoutSeconds: 45, GangPeerTimeoutSeconds: 6, CancelTimeoutSeconds: 35}
+		d.Store = config.StoreLimits{RPS: 100, WriteRPS: 20, MaxValueKB: 4, MaxTransactionOps: 8}
+		d.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 900}
 		return New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	}
 	if c := with("x", "y"); c.times.GrantTTL != 0 {
@@ -43,7 +43,7 @@
 		t.Fatal("entitled without a lock")
 	}
 	now := 100 * clock.Second
-	rep := &wire.Report{Machine: "i-1", Zone: "x", Token: 9}
+	rep := &wire.Heartbeat{MachineID: "i-1", Zone: "x", FencingToken: 9}
 	if answersEither(c, rep, now) {
 		t.Fatal("answers as delegate though it never knew of all withdrawals")
 	}
--- a/internal/controller/pipeline_bench_test.go
+++ b/internal/controller/pipeline_bench_test.go
@@ -15,21 +15,21 @@
 func dependentJobs(b *testing.B, jobs, length int) map[string][]byte {
 	b.Helper()
 	records := map[string][]byte{}
-	wall := int64(clock.Wall())
+	wall := int64(clock.WallTime())
 	for i := range jobs {
 		id := fmt.Sprintf("req-%06d", i)
 		r := &jobRecord{At: wall + int64(i), Job: &wire.Job{
-			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 16, CPUs: 1, MemoryGB: 3, EstimateS: 25, Image: "i", ImageGB: 1,
+			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 16, CPUs: 1, MemoryGB: 3, EstimatedRunSeconds: 25, Image: "i", ImageSizeGB: 1,
 		}}
 		first := i%length == 0
 		if !first {
-			r.Job.Awaits = []string{fmt.Sprintf("req-%06d", i-1)}
+			r.Job.DependsOn = []string{fmt.Sprintf("req-%06d", i-1)}
 		}
 		if (i+1)%length == 0 {
-			r.Job.DeadlineS, r.Job.Priority = 600, wire.PriorityHigh
+			r.Job.DeadlineSeconds, r.Job.Priority = 600, wire.PriorityHigh
 		}
 		if first && i/length%2 == 0 {
-			r = overRecord(r, wire.JobAborted, clock.Wall())
+			r = overRecord(r, wire.JobCancelled, clock.WallTime())
 		}
 		v, err := r.MarshalJSON()
 		if err != nil {
@@ -81,7 +81,7 @@
 				plan += clock.Now() - began
 				began = clock.Now()
 				last := fmt.Sprintf("req-%06d", c.jobs-1)
-				core.submit(&wire.Job{ID: "req-999999", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 1, CPUs: 1, Awaits: []string{last}}, server.NewReply(func(int, []byte, int) {}))
+				core.submit(&wire.Job{ID: "req-999999", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 1, CPUs: 1, DependsOn: []string{last}}, server.NewReply(func(int, []byte, int) {}))
 				submission += clock.Now() - began
 			}
 			n := float64(b.N)
--- a/internal/controller/pipelines.go
+++ b/internal/controller/pipelines.go
@@ -18,7 +18,7 @@
 // awaits is what a job awaits, and whether all parts of that are known.
 func (c *Core) awaits(id string, r *jobRecord) (ids []string, whole bool) {
 	if r.Parts == 0 {
-		return r.Job.Awaits, true
+		return r.Job.DependsOn, true
 	}
 	parts := c.view.awaits[id]
 	if len(parts) < r.Parts {
@@ -33,8 +33,8 @@
 // urgency is what a job itself asks for.
 func urgency(r *jobRecord) dag.Urgency {
 	u := dag.Urgency{Priority: wire.PriorityIndex(r.Job.Priority)}
-	if r.Job.DeadlineS > 0 && r.Job.Kind != wire.KindService {
-		u.Deadline = clock.Micros(r.At) + clock.FromSeconds(r.Job.DeadlineS)
+	if r.Job.DeadlineSeconds > 0 && r.Job.Kind != wire.KindService {
+		u.Deadline = clock.Micros(r.At) + clock.FromSeconds(r.Job.DeadlineSeconds)
 	}
 	return u
 }
@@ -44,7 +44,7 @@
 	switch {
 	case r.State == wire.JobDone:
 		c.carryOut(c.graph.RecordCompletion(id, clock.Micros(r.End)))
-	case r.State == wire.JobAborted:
+	case r.State == wire.JobCancelled:
 		c.carryOut(c.graph.RecordCancellation(id))
 	case r.Job != nil:
 		needs, whole := c.awaits(id, r)
@@ -54,7 +54,7 @@
 		c.recallNeeds(needs)
 		c.carryOut(c.graph.AddJob(dag.Job{
 			ID: id, DependsOn: needs, SubmittedAt: clock.Micros(r.At), Urgency: urgency(r),
-			EstimatedRunTime: clock.FromSeconds(r.Job.EstimateS) + startTime,
+			EstimatedRunTime: clock.FromSeconds(r.Job.EstimatedRunSeconds) + startTime,
 		}))
 	}
 }
@@ -114,7 +114,7 @@
 
 // unfitAwaited says why a job can never run for what it awaits, if so.
 func (c *Core) unfitAwaited(j *wire.Job) string {
-	for _, id := range j.Awaits {
+	for _, id := range j.DependsOn {
 		r := c.view.jobs[id]
 		switch {
 		case id == j.ID || r == nil:
@@ -149,22 +149,22 @@
 // submissionChanges are the keys of a new job. What it awaits goes into keys of its
 // own where it does not fit into one value; nil: it cannot be stored at all.
 func (c *Core) submissionChanges(rec *jobRecord) []wire.Change {
-	limits := c.cfg.Deployment.State.Effective()
-	most := int(limits.ValueKB * 1024)
+	limits := c.cfg.Deployment.Store.Effective()
+	most := int(limits.MaxValueKB * 1024)
 	value, err := rec.MarshalJSON()
 	if err != nil {
 		return nil
 	}
 	key := prefixJob + rec.Job.ID
 	if len(value) <= most {
-		return []wire.Change{{Put: key, Value: value}}
+		return []wire.Change{{PutKey: key, Value: value}}
 	}
-	parts := splitAwaits(rec.Job.Awaits, most)
-	if len(parts) == 0 || 1+len(parts) > limits.TxnOps {
+	parts := splitAwaits(rec.Job.DependsOn, most)
+	if len(parts) == 0 || 1+len(parts) > limits.MaxTransactionOps {
 		return nil
 	}
 	job := *rec.Job
-	job.Awaits = nil
+	job.DependsOn = nil
 	rec.Job, rec.Parts = &job, len(parts)
 	if value, err = rec.MarshalJSON(); err != nil || len(value) > most {
 		return nil
@@ -175,9 +175,9 @@
 		if err != nil {
 			return nil
 		}
-		changes = append(changes, wire.Change{Put: awaitsKey(job.ID, i), Value: v})
+		changes = append(changes, wire.Change{PutKey: awaitsKey(job.ID, i), Value: v})
 	}
-	return append(changes, wire.Change{Put: key, Value: value})
+	return append(changes, wire.Change{PutKey: key, Value: value})
 }
 
 // splitAwaits cuts a list so that the value of each part fits.
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -11,7 +11,7 @@
 // recordOf makes the record of a job of one task.
 func recordOf(id, priority string, at, deadlineS float64, awaits ...string) *jobRecord {
 	return &jobRecord{At: int64(clock.FromSeconds(at)), version: 1, Job: &wire.Job{
-		ID: id, Kind: wire.KindArray, Team: "t", Tasks: 1, CPUs: 1, Priority: priority, EstimateS: 10, DeadlineS: deadlineS, Awaits: awaits,
+		ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1, Priority: priority, EstimatedRunSeconds: 10, DeadlineSeconds: deadlineS, DependsOn: awaits,
 	}}
 }
 
@@ -22,7 +22,7 @@
 	l := rebuilt(t)
 	c := l.c
 	c.lead = l
-	wall := clock.Wall().Seconds()
+	wall := clock.WallTime().Seconds()
 	c.setJob("req-000002", recordOf("req-000002", wire.PriorityLow, wall, 0, "req-000001"))
 	if l.lg.Jobs["req-000002"] != nil {
 		t.Fatal("a job is in the account whose awaited job is not even known")
@@ -46,14 +46,14 @@
 	if l.lg.Jobs["req-000003"] != nil {
 		t.Fatal("the third is in the account before the second is done")
 	}
-	over := overRecord(c.view.jobs["req-000002"], wire.JobAborted, clock.Wall())
+	over := overRecord(c.view.jobs["req-000002"], wire.JobCancelled, clock.WallTime())
 	over.version = 3
 	c.setJob("req-000002", over)
-	if r := c.view.jobs["req-000003"]; !r.over() || r.state() != wire.JobAborted {
+	if r := c.view.jobs["req-000003"]; !r.over() || r.state() != wire.JobCancelled {
 		t.Fatal("the third is not cancelled with the second")
 	}
 	c.setJob("req-000004", recordOf("req-000004", wire.PriorityLow, wall, 0, "req-000003"))
-	if r := c.view.jobs["req-000004"]; r.state() != wire.JobAborted || l.lg.Jobs["req-000004"] != nil {
+	if r := c.view.jobs["req-000004"]; r.state() != wire.JobCancelled || l.lg.Jobs["req-000004"] != nil {
 		t.Fatal("a job that names a cancelled one goes on")
 	}
 }
@@ -63,10 +63,10 @@
 func TestLongListsAreSplit(t *testing.T) {
 	l := rebuilt(t)
 	c := l.c
-	c.cfg.Deployment.State.ValueKB = 1
+	c.cfg.Deployment.Store.MaxValueKB = 1
 	rec := recordOf("req-000500", wire.PriorityLow, 1, 0)
 	for i := range 300 {
-		rec.Job.Awaits = append(rec.Job.Awaits, fmt.Sprintf("req-%06d", i))
+		rec.Job.DependsOn = append(rec.Job.DependsOn, fmt.Sprintf("req-%06d", i))
 	}
 	changes := c.submissionChanges(rec)
 	if len(changes) < 3 || rec.Parts != len(changes)-1 {
@@ -82,7 +82,7 @@
 			if len(change.Value) > 1<<10 {
 				t.Fatalf("a value of %d bytes", len(change.Value))
 			}
-			c.put(change.Put, change.Value, 5)
+			c.put(change.PutKey, change.Value, 5)
 		}
 		awaits, whole := c.awaits("req-000500", c.view.jobs["req-000500"])
 		if !whole || len(awaits) != 300 || awaits[299] != "req-000299" {
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -25,7 +25,7 @@
 			})
 		}
 	}
-	d := l.pl.Plan(l.lg, now, clock.Wall(), pending)
+	d := l.pl.Plan(l.lg, now, clock.WallTime(), pending)
 	l.settle(now)
 	for _, j := range d.RecordStarts {
 		l.mark(j)
@@ -47,7 +47,9 @@
 		l.drainedAt = now
 		l.c.log.Debug("replicas move together", "from", d.Drain.Name)
 		l.drain(d.Drain)
-		d.Drain.ForEachPlacement(func(p *allocation.Placement) { l.lg.StopPlacement(p, clock.FromSeconds(p.Job.Spec.SaveS)) })
+		d.Drain.ForEachPlacement(func(p *allocation.Placement) {
+			l.lg.StopPlacement(p, clock.FromSeconds(p.Job.Spec.CheckpointSaveSeconds))
+		})
 	}
 	for _, s := range []struct {
 		kind string
--- a/internal/controller/probe.go
+++ b/internal/controller/probe.go
@@ -72,7 +72,7 @@
 	if a.probes.misses > 0 {
 		return quiet >= clock.Second/2
 	}
-	overdue := clock.FromSeconds(1.25*l.c.cfg.Deployment.Workers.ReportS) + clock.Second/2
+	overdue := clock.FromSeconds(1.25*l.c.cfg.Deployment.Workers.HeartbeatIntervalSeconds) + clock.Second/2
 	return now-max(m.LastHeartbeatAt, l.awake) >= overdue && quiet >= probeEvery
 }
 
@@ -80,15 +80,15 @@
 	l.probing++
 	a.probes.busy, a.probes.at = true, now
 	if a.host == nil {
-		a.host = l.c.toWorkers.NewHost(m.Address, 1, 4*wire.MaxBody)
+		a.host = l.c.toWorkers.NewHost(m.Address, 1, 4*wire.MaxBodyBytes)
 	}
 	host := a.host
 	go func() {
 		res, err := host.Do(client.Request{Method: "GET", Target: "/status", Timeout: probeTimeout, SendDeadline: l.until})
-		var rep *wire.Report
+		var rep *wire.Heartbeat
 		if err == nil && res.Status == 200 {
-			r := &wire.Report{}
-			if r.UnmarshalJSON(res.Body) == nil && r.Machine == m.Name {
+			r := &wire.Heartbeat{}
+			if r.UnmarshalJSON(res.Body) == nil && r.MachineID == m.Name {
 				rep = r
 			}
 		}
@@ -102,7 +102,7 @@
 }
 
 // asked takes the end of a probe that was sent at `sent`.
-func (l *lead) asked(m *allocation.Machine, a *machineAux, sent clock.Micros, rep *wire.Report, err error) {
+func (l *lead) asked(m *allocation.Machine, a *machineAux, sent clock.Micros, rep *wire.Heartbeat, err error) {
 	now := clock.Now()
 	p := &a.probes
 	p.busy = false
--- a/internal/controller/probe_test.go
+++ b/internal/controller/probe_test.go
@@ -18,12 +18,12 @@
 	}
 	l := rebuilt(t, names...)
 	l.c.directs = 20
-	j := l.lg.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindService, Tasks: fleet, CPUs: 1, Team: "t", Priority: wire.PriorityProduction}, 0, 1, true, nil)
+	j := l.lg.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindService, TaskCount: fleet, CPUs: 1, Team: "t", Priority: wire.PriorityProduction}, 0, 1, true, nil)
 	now := l.since
 	for i, name := range names {
 		m := l.lg.Machines[name]
 		l.lg.RecordLeaseRenewal(m, now)
-		l.lg.RecordHeartbeat(m, &wire.Report{Machine: name, Addr: "127.0.0.1:1", Session: 1, Seq: 1, Token: 9}, now)
+		l.lg.RecordHeartbeat(m, &wire.Heartbeat{MachineID: name, Address: "127.0.0.1:1", Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
 		if err := l.lg.PlaceTask(j, i, m, l.lg.NextAttempt(), now); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -79,11 +79,11 @@
 // layoutOf is where a job's progress is written under the limits in force, or to come.
 func (c *Core) layoutOf(r *jobRecord) progressLayout {
 	known := c.chunkFor(r)
-	fits := chunkOf(c.cfg.Deployment.State.Effective().ValueKB)
-	if min(r.Job.Tasks, known) <= fits {
+	fits := chunkOf(c.cfg.Deployment.Store.Effective().MaxValueKB)
+	if min(r.Job.TaskCount, known) <= fits {
 		return progressLayout{0, known}
 	}
-	return progressLayout{firstKey: (r.Job.Tasks + known - 1) / known, chunk: fits}
+	return progressLayout{firstKey: (r.Job.TaskCount + known - 1) / known, chunk: fits}
 }
 
 // chunkFor is how many tasks a key holds whose value doesn't say where it begins.
@@ -121,7 +121,7 @@
 	if err != nil {
 		value = []byte(`{"b":""}`)
 	}
-	return wire.Change{Put: doneKey(id, key), Value: value}
+	return wire.Change{PutKey: doneKey(id, key), Value: value}
 }
 
 // doneTasks is which tasks of a job are done, by all keys that there are.
@@ -134,7 +134,7 @@
 			first = number * chunk
 		}
 		for i := range 8 * len(part.bits) {
-			if part.bits.has(i) && first+i < r.Job.Tasks {
+			if part.bits.has(i) && first+i < r.Job.TaskCount {
 				done.set(first + i)
 			}
 		}
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -27,13 +27,13 @@
 
 // clockError bounds how far two members' times of day may be apart.
 func (c *Core) clockError() clock.Micros {
-	return 2 * clock.FromSeconds(c.cfg.Deployment.ClockErrorMs/1000)
+	return 2 * clock.FromSeconds(c.cfg.Deployment.ClockErrorMillis/1000)
 }
 
 // notBefore is an instant of the steady clock that is certainly not before a time of
 // day that some member has noted.
 func (c *Core) notBefore(now, wall clock.Micros) clock.Micros {
-	return now - (clock.Wall() - wall) + c.clockError()
+	return now - (clock.WallTime() - wall) + c.clockError()
 }
 
 // adoptPromises takes over what earlier leaders have promised.
@@ -66,7 +66,7 @@
 func (l *lead) updatePromises(now clock.Micros) {
 	old, _ := l.promises.Current()
 	w := delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{}, MemberGrantUntil: map[string]clock.Micros{}}
-	wall := func(at clock.Micros) clock.Micros { return clock.Wall() - (now - at) }
+	wall := func(at clock.Micros) clock.Micros { return clock.WallTime() - (now - at) }
 	for z, s := range l.zones(now) {
 		p, ok := old.Zones[z]
 		switch {
@@ -80,7 +80,7 @@
 		}
 		w.Zones[z] = p
 	}
-	for _, o := range l.c.cfg.Others {
+	for _, o := range l.c.cfg.Peers {
 		if b := l.c.beats[o.Member]; l.c.times.GrantTTL == 0 || b != nil && now-b.at < silentMember {
 			continue
 		}
@@ -126,7 +126,7 @@
 
 func (l *lead) writePromises(w delegation.Constraints) {
 	v, err := promisesRecord{Promises: w}.MarshalJSON()
-	if err != nil || len(v) > int(l.c.cfg.Deployment.State.Effective().ValueKB*1024) {
+	if err != nil || len(v) > int(l.c.cfg.Deployment.Store.Effective().MaxValueKB*1024) {
 		l.c.dropped("what is to be promised is too large for the state service", "bytes", len(v))
 		return
 	}
@@ -135,9 +135,9 @@
 		return
 	}
 	l.writeRev(&kvstore.Write{
-		Rank: kvstore.Vital,
-		If:   []wire.Condition{{Key: keyPromises, Version: version}},
-		Then: []wire.Change{{Put: keyPromises, Value: v}},
+		Priority:   kvstore.Critical,
+		Conditions: []wire.Condition{{Key: keyPromises, Version: version}},
+		Changes:    []wire.Change{{PutKey: keyPromises, Value: v}},
 	}, func(o kvstore.Outcome, rev uint64) {
 		switch o {
 		case kvstore.Committed:
@@ -162,14 +162,14 @@
 
 // waiting is a report from a zone whose reports are not answered.
 type waiting struct {
-	rep *wire.Report
+	rep *wire.Heartbeat
 	r   *server.Reply
 	at  clock.Micros
 }
 
 // mustWait tells whether a report has to wait until the promise about its zone is
 // taken back, and takes care of that.
-func (l *lead) mustWait(rep *wire.Report, r *server.Reply, now clock.Micros) bool {
+func (l *lead) mustWait(rep *wire.Heartbeat, r *server.Reply, now clock.Micros) bool {
 	if !l.view.MayRenewLeases(now) {
 		// No answer may renew its lease before the next read, which is under way.
 		l.held = append(l.held, waiting{rep, r, now})
@@ -179,7 +179,7 @@
 	if !l.promises.MayConstrainZone(rep.Zone) {
 		return false
 	}
-	if m := l.lg.Machines[rep.Machine]; m != nil && !rep.Newer(m.Incarnation, m.HeartbeatSequence) {
+	if m := l.lg.Machines[rep.MachineID]; m != nil && !rep.IsNewerThan(m.Incarnation, m.HeartbeatSequence) {
 		later(r, "an older report")
 		return true
 	}
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -19,8 +19,8 @@
 	plain := l.lg.LeaseEndsAt(l.lg.Machines["i-1"])
 	ago := 20 * clock.Second
 	c.view.promises = delegation.Constraints{
-		Zones:            map[string]delegation.ZoneConstraint{"x": {LastAnswerAt: clock.Wall() - ago, KnownBy: []string{"a"}}},
-		MemberGrantUntil: map[string]clock.Micros{"b": clock.Wall() - ago},
+		Zones:            map[string]delegation.ZoneConstraint{"x": {LastAnswerAt: clock.WallTime() - ago, KnownBy: []string{"a"}}},
+		MemberGrantUntil: map[string]clock.Micros{"b": clock.WallTime() - ago},
 	}
 	c.view.promisesVersion = 8
 	l = newLead(c, 10, clock.Now())
@@ -29,7 +29,7 @@
 	if early := plain - l.lg.LeaseEndsAt(m); early < ago {
 		t.Fatalf("the lease ends only %d us sooner than without the promise", early)
 	}
-	l.checkin(&wire.Report{Machine: "i-1", Zone: "x", Session: 1, Seq: 5, Token: 10}, &server.Reply{})
+	l.checkin(&wire.Heartbeat{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 5, FencingToken: 10}, &server.Reply{})
 	if len(l.held) != 1 || m.LastHeartbeatAt != 0 {
 		t.Fatal("a report is answered though it is promised that none is")
 	}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -95,7 +95,7 @@
 // state is what users are told of a job that is over.
 func (r *jobRecord) state() string {
 	if r.cancelledWith {
-		return wire.JobAborted
+		return wire.JobCancelled
 	}
 	return r.State
 }
@@ -163,16 +163,16 @@
 // overRecord is what remains of a job.
 func overRecord(r *jobRecord, state string, now clock.Micros) *jobRecord {
 	o := &jobRecord{At: r.At, State: state, End: int64(now)}
-	if state == wire.JobAborted {
+	if state == wire.JobCancelled {
 		// A later leader has to know what the tasks that may still run take.
 		o.Job = r.Job
 	}
 	o.Chunk = r.Chunk
 	if r.Job != nil {
 		o.Class = r.Job.Class
-		o.Tasks = r.Job.Tasks
-		if r.Job.DeadlineS > 0 {
-			o.Due = r.At + int64(clock.FromSeconds(r.Job.DeadlineS))
+		o.Tasks = r.Job.TaskCount
+		if r.Job.DeadlineSeconds > 0 {
+			o.Due = r.At + int64(clock.FromSeconds(r.Job.DeadlineSeconds))
 		}
 	}
 	return o
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -30,35 +30,35 @@
 // or so, and the two records of each within the rate of writes.
 func (l *lead) rentalsAtOnce() int {
 	d := &l.c.cfg.Deployment
-	return max(int(min(2*d.Cloud.RPS, d.State.Effective().WriteRPS/4)), 2)
+	return max(int(min(2*d.Cloud.RPS, d.Store.Effective().WriteRPS/4)), 2)
 }
 
 // rent begins a rental: its record comes first, so that whoever leads next knows
 // which machines may exist.
 func (l *lead) rent(r scheduler.ScaleOutRequest, now clock.Micros) {
-	for n := r.Count; n > 0; n -= wire.MaxHire {
+	for n := r.Count; n > 0; n -= wire.MaxScaleOutCount {
 		l.names++
 		h := &rental{
 			name: fmt.Sprintf("%s-%d-%d", l.c.cfg.Member, l.token, l.names), at: now,
-			rec: rentalRecord{Type: r.Pool.Type, Zone: r.Pool.Zone, Spot: r.Pool.Spot, Count: min(n, wire.MaxHire), At: int64(clock.Wall())},
+			rec: rentalRecord{Type: r.Pool.Type, Zone: r.Pool.Zone, Spot: r.Pool.Spot, Count: min(n, wire.MaxScaleOutCount), At: int64(clock.WallTime())},
 		}
 		l.rentals[h.name] = h
-		l.recordRental(h, kvstore.Needed, func() { l.sendRental(h) })
+		l.recordRental(h, kvstore.Required, func() { l.sendRental(h) })
 	}
 }
 
 // recordRental writes the rental's record until it is durable, then goes on. Each
 // write is conditional on the record's version: one that is carried out late, or
 // again, must not take back the names of machines that have tasks by then.
-func (l *lead) recordRental(h *rental, rank kvstore.Rank, then func()) {
+func (l *lead) recordRental(h *rental, rank kvstore.Priority, then func()) {
 	if h.writing {
 		h.stale = true
 		return
 	}
 	h.writing, h.stale = true, false
-	c := wire.Change{Put: prefixRental + h.name}
+	c := wire.Change{PutKey: prefixRental + h.name}
 	if h.resolved && len(h.rec.Machines) == 0 {
-		c = wire.Change{Delete: prefixRental + h.name}
+		c = wire.Change{DeleteKey: prefixRental + h.name}
 	} else {
 		v, err := h.rec.MarshalJSON()
 		if err != nil {
@@ -66,9 +66,9 @@
 		}
 		c.Value = v
 	}
-	dropped := c.Delete != ""
+	dropped := c.DeleteKey != ""
 	w := &kvstore.Write{
-		Rank: rank, If: []wire.Condition{{Key: prefixRental + h.name, Version: h.version}}, Then: []wire.Change{c},
+		Priority: rank, Conditions: []wire.Condition{{Key: prefixRental + h.name, Version: h.version}}, Changes: []wire.Change{c},
 	}
 	l.writeRev(w, func(o kvstore.Outcome, rev uint64) {
 		if o != kvstore.Committed {
@@ -127,9 +127,9 @@
 	h.shrinking = true
 	l.after(shrinkEvery, func() {
 		h.shrinking = false
-		rank := kvstore.Needed
-		if l.c.store.Backlog() > backlogged {
-			rank = kvstore.Spare
+		rank := kvstore.Required
+		if l.c.store.BacklogDuration() > backlogged {
+			rank = kvstore.Background
 		}
 		l.recordRental(h, rank, func() {})
 	})
@@ -140,7 +140,7 @@
 		l.after(300*clock.Millisecond, func() { l.sendRental(h) })
 		return
 	}
-	req := wire.Hire{Request: h.name, Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot, Count: h.rec.Count}
+	req := wire.ScaleOutRequest{RequestID: h.name, MachineType: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot, Count: h.rec.Count}
 	go func() {
 		names, err := l.c.cloud.ScaleOut(req, l.until)
 		l.c.post(func() {
@@ -166,7 +166,7 @@
 				l.addMachine(h, n)
 			}
 		}
-		l.recordRental(h, kvstore.Needed, func() {
+		l.recordRental(h, kvstore.Required, func() {
 			// Only machines that the record names may get tasks.
 			for _, n := range h.rec.Machines {
 				if m := l.lg.Machines[n]; m != nil {
@@ -179,7 +179,7 @@
 		l.pl.ObserveEmptyPool(pool, now)
 		l.c.log.Debug("nothing to hire", "hire", h.name, "zone", h.rec.Zone, "spot", h.rec.Spot, "error", err)
 		h.resolved, h.rec.Resolved = true, true
-		l.recordRental(h, kvstore.Needed, func() {})
+		l.recordRental(h, kvstore.Required, func() {})
 	default:
 		l.c.log.Debug("hire not answered", "hire", h.name, "error", err)
 		l.after(clock.Second, func() { l.sendRental(h) })
@@ -201,7 +201,7 @@
 	if len(l.deletes) == 0 || l.deleteBusy || now < l.deleteAt {
 		return
 	}
-	n := min(len(l.deletes), wire.MaxDelete)
+	n := min(len(l.deletes), wire.MaxMachinesPerDelete)
 	batch := slices.Clone(l.deletes[:n])
 	l.deletes = slices.Delete(l.deletes, 0, n)
 	l.deleteBusy = true
--- a/internal/controller/repeat_test.go
+++ b/internal/controller/repeat_test.go
@@ -36,9 +36,9 @@
 	defer stop()
 	l := rebuilt(t)
 	c := l.c
-	c.store = kvstore.New(client.DialTCP, s.Addr, kvstore.Limits{RPS: 1000, WriteRPS: 1000, TxnOps: 16}, keyLock)
+	c.store = kvstore.New(client.DialTCP, s.Addr, kvstore.Limits{RPS: 1000, WriteRPS: 1000, MaxTransactionOps: 16}, keyLock)
 	var token uint64
-	c.store.Commit(&kvstore.Write{If: []wire.Condition{{Key: keyLock}}, Then: []wire.Change{{Put: keyLock, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, rev uint64) {
+	c.store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: keyLock}}, Changes: []wire.Change{{PutKey: keyLock, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, rev uint64) {
 		c.post(func() { token = rev })
 	}})
 	work(t, c, func() bool { return token != 0 })
@@ -53,7 +53,7 @@
 	work(t, c, func() bool { return h.version != 0 })
 	l.hired(h, []string{"i-1", "i-2"}, nil)
 	work(t, c, func() bool { return l.lg.Machines["i-1"].RecordedInStore })
-	j := l.lg.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Team: "t", Tasks: 3}, 0, 1, false, nil)
+	j := l.lg.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Team: "t", TaskCount: 3}, 0, 1, false, nil)
 	l.jobs[j.Spec.ID] = &jobAux{}
 	l.mark(j)
 	work(t, c, func() bool { return j.StartsRecorded })
@@ -75,6 +75,6 @@
 	// An open end: the transaction was carried out, its answer lost. The next write
 	// finds the version that it left.
 	h.version = 1
-	l.recordRental(h, kvstore.Needed, func() { h.version |= 1 << 40 })
+	l.recordRental(h, kvstore.Required, func() { h.version |= 1 << 40 })
 	work(t, c, func() bool { return h.version>>40 == 1 })
 }
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -7,7 +7,7 @@
 )
 
 // HandleHeartbeat implements server.App.
-func (c *Core) HandleHeartbeat(rep *wire.Report, r *server.Reply) {
+func (c *Core) HandleHeartbeat(rep *wire.Heartbeat, r *server.Reply) {
 	if !c.q.post(rankReport, func() { c.checkin(rep, r) }) {
 		later(r, "overloaded")
 	}
@@ -18,36 +18,36 @@
 // answer it is sent on, so a worker that does reach the leader is not kept from it.
 // The answer comes first: a worker that was sent on first had tried a leader out of
 // reach for four seconds, came here, tried it again, and was back after its lease.
-func (c *Core) answerAsDelegate(rep *wire.Report, r *server.Reply, now clock.Micros) bool {
+func (c *Core) answerAsDelegate(rep *wire.Heartbeat, r *server.Reply, now clock.Micros) bool {
 	if c.lead != nil {
 		c.delegate.EndTerm(c.lead.lg.IssuedToken(), c.lead.knewAt)
 	}
 	if !c.view.loaded || c.promised(rep.Zone) {
 		return false
 	}
-	token, until, ok := c.delegate.MayAnswer(now, rep.Token)
+	token, until, ok := c.delegate.MayAnswer(now, rep.FencingToken)
 	if _, newest := c.el.LockHolder(); !ok || newest > token {
 		return false
 	}
 	w := &c.cfg.Deployment.Workers
-	at, held := c.held[rep.Machine]
+	at, held := c.held[rep.MachineID]
 	// While it is on its way its lease is not renewed: shortly before the right ends
 	// it is kept.
-	if held && now-at <= clock.FromSeconds(w.LeaseS) && until-now > clock.FromSeconds(2*w.ReportS)+4*clock.Second {
-		delete(c.held, rep.Machine)
+	if held && now-at <= clock.FromSeconds(w.LeaseSeconds) && until-now > clock.FromSeconds(2*w.HeartbeatIntervalSeconds)+4*clock.Second {
+		delete(c.held, rep.MachineID)
 		return false
 	}
-	body, err := wire.Reply{Token: token, Commands: []wire.Command{}}.MarshalJSON()
+	body, err := wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}.MarshalJSON()
 	if err != nil {
 		return false
 	}
-	c.held[rep.Machine] = now
+	c.held[rep.MachineID] = now
 	// The answer goes out soon, or not at all.
 	until = min(until, now+clock.Second)
 	c.delegate.RecordAnswer(until)
 	if c.lead != nil {
 		// It may yet renew its lock and go on, and must then count with this.
-		if m := c.lead.lg.Machines[rep.Machine]; m != nil {
+		if m := c.lead.lg.Machines[rep.MachineID]; m != nil {
 			c.lead.lg.RecordLeaseRenewal(m, until)
 		}
 	}
@@ -73,14 +73,14 @@
 	}
 	seen := c.beats[leader]
 	isHeard := seen != nil && now-seen.at < namedFor
-	if !isHeard && now-c.store.LastOK() >= lockNamedFor {
+	if !isHeard && now-c.store.LastSuccessAt() >= lockNamedFor {
 		return ""
 	}
 	return leader
 }
 
-func (c *Core) checkin(rep *wire.Report, r *server.Reply) {
-	c.workers[rep.Machine] = clock.Now()
+func (c *Core) checkin(rep *wire.Heartbeat, r *server.Reply) {
+	c.workers[rep.MachineID] = clock.Now()
 	if c.lead != nil && c.entitled() {
 		c.lead.checkin(rep, r)
 		return
@@ -88,7 +88,7 @@
 	if c.answerAsDelegate(rep, r, clock.Now()) {
 		return
 	}
-	e := wire.Elsewhere{ReportTo: c.leaderToName(clock.Now())}
+	e := wire.Redirect{Member: c.leaderToName(clock.Now())}
 	body, err := e.MarshalJSON()
 	if err != nil {
 		body = []byte("{}")
--- a/internal/controller/share.go
+++ b/internal/controller/share.go
@@ -42,12 +42,12 @@
 
 // adjustShare lets the leader use what the others leave of the rate of changes.
 func (c *Core) adjustShare(now clock.Micros) {
-	if now-c.shares.at < shareEvery || len(c.cfg.Others) == 0 {
+	if now-c.shares.at < shareEvery || len(c.cfg.Peers) == 0 {
 		return
 	}
 	before := c.shares.share
-	share := c.shares.adjust(now, c.store.Written(), c.store.Backlog(), c.cfg.Deployment.State.Effective().WriteRPS)
+	share := c.shares.adjust(now, c.store.ChangesWritten(), c.store.BacklogDuration(), c.cfg.Deployment.Store.Effective().WriteRPS)
 	if share != before {
-		c.store.SetWriteShare(share)
+		c.store.SetWriteRateShare(share)
 	}
 }
--- a/internal/controller/small_test.go
+++ b/internal/controller/small_test.go
@@ -14,15 +14,15 @@
 
 // leadOnState makes a lead that holds the lock of a stand-in state service. Nothing
 // but the test works through its commands.
-func leadOnState(t *testing.T, limits config.State) (*fake.State, *lead) {
+func leadOnState(t *testing.T, limits config.StoreLimits) (*fake.State, *lead) {
 	t.Helper()
 	s, stop := fake.NewState()
 	t.Cleanup(stop)
 	c := rebuilt(t).c
-	c.cfg.Deployment.State = limits
-	c.chunk = chunkOf(limits.ValueKB)
-	c.store = kvstore.New(client.DialTCP, s.Addr, kvstore.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, TxnOps: limits.Effective().TxnOps}, keyLock)
-	c.store.SetShare(1)
+	c.cfg.Deployment.Store = limits
+	c.chunk = chunkOf(limits.MaxValueKB)
+	c.store = kvstore.New(client.DialTCP, s.Addr, kvstore.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, MaxTransactionOps: limits.Effective().MaxTransactionOps}, keyLock)
+	c.store.SetRateShare(1)
 	c.view.rentals, c.view.loaded = map[string]*rentalRecord{}, true
 	return s, leadAgain(t, c)
 }
@@ -35,7 +35,7 @@
 		c.lead = nil
 	}
 	var token uint64
-	c.store.Commit(&kvstore.Write{Then: []wire.Change{{Put: keyLock, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, rev uint64) {
+	c.store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: keyLock, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, rev uint64) {
 		c.post(func() { token = rev })
 	}})
 	work(t, c, func() bool { return token != 0 })
@@ -56,16 +56,16 @@
 		ops     int
 		tasks   int
 	}{{4, 8, 60000}, {1, 1, 20000}} {
-		s, l := leadOnState(t, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: c.valueKB, TxnOps: c.ops})
+		s, l := leadOnState(t, config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: c.valueKB, MaxTransactionOps: c.ops})
 		core, token := l.c, l.token
 
 		const id = "req-000001"
-		rec := &jobRecord{Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", Tasks: c.tasks, Priority: wire.PriorityNormal}, At: int64(clock.Wall())}
+		rec := &jobRecord{Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: c.tasks, Priority: wire.PriorityNormal}, At: int64(clock.WallTime())}
 		v, err := rec.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
-		core.store.Commit(&kvstore.Write{If: []wire.Condition{{Key: prefixJob + id}}, Then: []wire.Change{{Put: prefixJob + id, Value: v}}, Done: func(kvstore.Outcome, uint64) {}})
+		core.store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: prefixJob + id}}, Changes: []wire.Change{{PutKey: prefixJob + id, Value: v}}, Done: func(kvstore.Outcome, uint64) {}})
 		core.view.wantSync(func(error) {}, clock.Now()+10*clock.Second)
 		work(t, core, func() bool { return l.lg.Jobs[id] != nil })
 		j := l.lg.Jobs[id]
@@ -81,9 +81,9 @@
 				m = l.lg.AddMachine("i-1", "big", "x", false, l.pl.MachineCapacity("big"), clock.Now())
 				m.RecordedInStore = true
 			}
-			rep := &wire.Report{Machine: "i-1", Session: 1, Seq: m.HeartbeatSequence + 1, Token: token}
+			rep := &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: m.HeartbeatSequence + 1, FencingToken: token}
 			for i := from; i < to; i++ {
-				rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone})
+				rep.Tasks = append(rep.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitDone})
 			}
 			if l.lg.RecordHeartbeat(m, rep, clock.Now()) != allocation.HeartbeatAccepted {
 				t.Fatal("report not taken")
@@ -108,12 +108,12 @@
 			return len(s.Keys(prefixDone)) == 0 && l.lg.Jobs[id] == nil
 		})
 		for _, x := range s.Transactions() {
-			if len(x.Then) > c.ops {
-				t.Errorf("a transaction of %d changes, %d are allowed", len(x.Then), c.ops)
+			if len(x.Changes) > c.ops {
+				t.Errorf("a transaction of %d changes, %d are allowed", len(x.Changes), c.ops)
 			}
-			for _, ch := range x.Then {
+			for _, ch := range x.Changes {
 				if len(ch.Value) > int(c.valueKB*1024) {
-					t.Errorf("%s: a value of %d bytes, %v KiB are allowed", ch.Put, len(ch.Value), c.valueKB)
+					t.Errorf("%s: a value of %d bytes, %v KiB are allowed", ch.PutKey, len(ch.Value), c.valueKB)
 				}
 			}
 		}
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -74,7 +74,7 @@
 		return
 	}
 	var others []string
-	for _, o := range c.cfg.Others {
+	for _, o := range c.cfg.Peers {
 		others = append(others, o.Member)
 	}
 	publisher := standby.NewPublisher(l.token, nil, others)
@@ -134,7 +134,7 @@
 	if seen == nil || seen.beat.StandbyProtocolVersion == 0 {
 		return
 	}
-	for i, o := range c.cfg.Others {
+	for i, o := range c.cfg.Peers {
 		if o.Member == member {
 			c.links[i].SendStandby(peer.Encode(b))
 		}
@@ -146,7 +146,7 @@
 	if l.standby == nil {
 		return
 	}
-	for _, o := range l.c.cfg.Others {
+	for _, o := range l.c.cfg.Peers {
 		if message, ok := l.standby.publisher.NextMessage(o.Member, now); ok {
 			l.c.streamTo(o.Member, &peer.Heartbeat{Member: l.c.cfg.Member, StandbyMessage: message})
 		}
@@ -167,9 +167,9 @@
 		return
 	}
 	w := &kvstore.Write{
-		Rank: kvstore.Vital,
-		If:   []wire.Condition{{Key: keyStandby, Version: version}},
-		Then: []wire.Change{{Put: keyStandby, Value: value}},
+		Priority:   kvstore.Critical,
+		Conditions: []wire.Condition{{Key: keyStandby, Version: version}},
+		Changes:    []wire.Change{{PutKey: keyStandby, Value: value}},
 	}
 	l.writeRev(w, func(outcome kvstore.Outcome, revision uint64) {
 		switch outcome {
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -148,7 +148,7 @@
 	for _, m := range l.standby.membership.InSyncMembers() {
 		inStep[m.Name] = true
 	}
-	for _, o := range l.c.cfg.Others {
+	for _, o := range l.c.cfg.Peers {
 		all = append(all, FollowerStatus{
 			Member: o.Member, InStep: inStep[o.Member],
 			Lacks: l.standby.publisher.LagCount(o.Member), LacksMs: milliseconds(l.standby.publisher.LagDuration(o.Member, now)),
