--- a/internal/controller/token.go
+++ b/internal/controller/token.go
@@ -14,12 +14,12 @@
 		l.raiseAt = 0
 		l.lg.RaiseToken()
 	}
-	every := clock.FromSeconds(l.c.cfg.Deployment.Workers.LeaseS) / 2
+	every := clock.FromSeconds(l.c.cfg.Deployment.Workers.LeaseSeconds) / 2
 	if l.issuing || l.raiseAt != 0 || now-max(l.issuedAt, l.since) < every || !l.lg.TakeTokenRaiseRequest() {
 		return
 	}
 	l.issuing = true
-	l.writeRev(&kvstore.Write{Rank: kvstore.Needed, Then: []wire.Change{{Put: keyToken, Value: []byte(`{}`)}}}, func(o kvstore.Outcome, rev uint64) {
+	l.writeRev(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: keyToken, Value: []byte(`{}`)}}}, func(o kvstore.Outcome, rev uint64) {
 		l.issuing = false
 		if o != kvstore.Committed {
 			return
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -21,13 +21,13 @@
 
 // full refuses what the rate of writes does not allow, and says when it will.
 func (c *Core) full(r *server.Reply) {
-	wait := c.store.Delay()
+	wait := c.store.InteractiveDelay()
 	r.Send(503, server.ErrorBody("the state service is asked for more than it takes"), int(min(wait/clock.Second+1, 30)))
 }
 
 // refused answers at once what cannot be made durable now, as far as is known.
 func (c *Core) refused(r *server.Reply) bool {
-	if c.store.Failing(clock.Now()) {
+	if c.store.IsFailing(clock.Now()) {
 		later(r, "the state service does not answer")
 		return true
 	}
@@ -58,14 +58,14 @@
 	}
 	need := allocation.NewResources(j.CPUs, j.GPUs, j.MemoryGB)
 	fits := slices.ContainsFunc(c.types, func(k wire.MachineType) bool {
-		return (j.Types == nil || slices.Contains(j.Types, k.Name)) &&
+		return (j.MachineTypes == nil || slices.Contains(j.MachineTypes, k.Name)) &&
 			(j.Zone == "" || slices.Contains(k.Zones, j.Zone)) &&
 			need.IsWithin(allocation.NewResources(k.CPUs, k.GPUs, k.MemoryGB))
 	})
 	if !fits {
 		return "a task fits no allowed machine type"
 	}
-	n := j.Tasks
+	n := j.TaskCount
 	if j.Kind == wire.KindArray {
 		n = 1
 	}
@@ -94,7 +94,7 @@
 		c.show(j.ID, r)
 		return
 	}
-	for _, id := range j.Awaits {
+	for _, id := range j.DependsOn {
 		if c.mayBeForgotten(id) && !absent[id] {
 			later(r, "what it awaits was forgotten again") // for want of memory
 			return
@@ -113,7 +113,7 @@
 		c.submitting[j.ID] = append(waiting, r)
 		return
 	}
-	rec := &jobRecord{Job: j, At: int64(clock.Wall())}
+	rec := &jobRecord{Job: j, At: int64(clock.WallTime())}
 	changes := c.submissionChanges(rec)
 	if changes == nil {
 		c.refuseProven(j, r, func() string { return "the job's description is too large" }, nil)
@@ -124,9 +124,9 @@
 	}
 	c.submitting[j.ID] = []*server.Reply{r}
 	w := &kvstore.Write{
-		If:       []wire.Condition{{Key: prefixJob + j.ID}, {Key: prefixArchive + j.ID}},
-		Then:     changes,
-		Deadline: clock.Now() + submitWait,
+		Conditions: []wire.Condition{{Key: prefixJob + j.ID}, {Key: prefixArchive + j.ID}},
+		Changes:    changes,
+		Deadline:   clock.Now() + submitWait,
 	}
 	w.Done = func(o kvstore.Outcome, rev uint64) { c.post(func() { c.submitted(j, rec, o, rev) }) }
 	if !c.store.Commit(w) {
@@ -143,7 +143,7 @@
 		// The watch will bring it; a leader need not wait for that.
 		rec.version = rev
 		if rec.Parts > 0 {
-			for part, ids := range splitAwaits(j.Awaits, int(c.cfg.Deployment.State.Effective().ValueKB*1024)) {
+			for part, ids := range splitAwaits(j.DependsOn, int(c.cfg.Deployment.Store.Effective().MaxValueKB*1024)) {
 				c.setAwaits(id, part, ids)
 			}
 		}
@@ -170,7 +170,7 @@
 }
 
 func statusBody(id, st string, done, running *int) []byte {
-	b, err := wire.JobStatus{ID: id, State: st, Done: done, Running: running}.MarshalJSON()
+	b, err := wire.JobStatus{ID: id, State: st, DoneTasks: done, RunningTasks: running}.MarshalJSON()
 	if err != nil {
 		return []byte("{}")
 	}
@@ -190,12 +190,12 @@
 	} else if n, ok := c.counts.of(id); ok {
 		done, running = int(n.Done), int(n.Running)
 	}
-	st := wire.JobStatus{ID: id, State: wire.JobPending, Done: &done, Running: &running}
+	st := wire.JobStatus{ID: id, State: wire.JobPending, DoneTasks: &done, RunningTasks: &running}
 	if running > 0 {
 		st.State = wire.JobRunning
 	}
 	awaited := c.graph.PendingDependencies(id)
-	st.Awaits = awaited[:min(len(awaited), mostAwaitedShown)]
+	st.DependsOn = awaited[:min(len(awaited), mostAwaitedShown)]
 	body, err := st.MarshalJSON()
 	if err != nil {
 		return []byte("{}")
@@ -273,16 +273,16 @@
 		return
 	}
 	// Whether the job is still what the view says is the write's condition.
-	over := overRecord(rec, wire.JobAborted, clock.Wall())
+	over := overRecord(rec, wire.JobCancelled, clock.WallTime())
 	value, err := over.MarshalJSON()
 	if err != nil {
 		later(r, "cannot be encoded")
 		return
 	}
 	w := &kvstore.Write{
-		If:       []wire.Condition{{Key: prefixJob + id, Version: rec.version}},
-		Then:     []wire.Change{{Put: prefixJob + id, Value: value}},
-		Deadline: clock.Now() + submitWait,
+		Conditions: []wire.Condition{{Key: prefixJob + id, Version: rec.version}},
+		Changes:    []wire.Change{{PutKey: prefixJob + id, Value: value}},
+		Deadline:   clock.Now() + submitWait,
 	}
 	w.Done = func(o kvstore.Outcome, rev uint64) {
 		c.post(func() {
@@ -292,7 +292,7 @@
 				if cur := c.view.jobs[id]; cur == nil || cur.version < rev {
 					c.setJob(id, over)
 				}
-				r.Send(200, statusBody(id, wire.JobAborted, nil, nil), 0)
+				r.Send(200, statusBody(id, wire.JobCancelled, nil, nil), 0)
 			case kvstore.Conflict:
 				c.view.wantSync(func(err error) {
 					if err != nil {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
-	wantStates := []string{"", wire.JobAborted, wire.JobDone}
+	wantStates := []string{"", wire.JobCancelled, wire.JobDone}
 	if len(lines) != len(wantStates) {
 		t.Fatalf("%d records", len(lines))
 	}
@@ -57,7 +57,7 @@
 		if r.State != wantStates[i] || r.At != 1700000000000000 || (r.Job == nil) != (i == 2) {
 			t.Errorf("%s is read as %+v", line, r)
 		}
-		if r.Job != nil && (r.Job.Tasks != 20 || r.Job.Priority != wire.PriorityNormal || r.Job.Awaits != nil) {
+		if r.Job != nil && (r.Job.TaskCount != 20 || r.Job.Priority != wire.PriorityNormal || r.Job.DependsOn != nil) {
 			t.Errorf("its job is read as %+v", r.Job)
 		}
 		written, err := r.MarshalJSON()
@@ -70,8 +70,8 @@
 // The version in production reads what this one writes, the new fields left out.
 func TestRecordsForProduction(t *testing.T) {
 	job := &wire.Job{
-		ID: "req-000007", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 3, CPUs: 2, EstimateS: 9, DeadlineS: 60,
-		Awaits: []string{"req-000001", "req-000002"},
+		ID: "req-000007", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 3, CPUs: 2, EstimatedRunSeconds: 9, DeadlineSeconds: 60,
+		DependsOn: []string{"req-000001", "req-000002"},
 	}
 	r := &jobRecord{Job: job, At: 5, Parts: 2, Chunk: 100, Released: 6}
 	value, err := r.MarshalJSON()
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -92,7 +92,7 @@
 }
 
 func (c *Core) malformed(key string, err error) {
-	c.store.Dropped.Add(1)
+	c.store.MalformedResponses.Add(1)
 	c.dropped("a record makes no sense", "key", key, "error", err)
 }
 
@@ -111,7 +111,7 @@
 		}
 		v.lock = election.Lock{Exists: true, Holder: r.Member, LeaseID: r.Lease, Version: version}
 	case key == keyTypes:
-		var t wire.MachineTypes
+		var t wire.MachineTypeList
 		if err := t.UnmarshalJSON(value); err != nil {
 			c.malformed(key, err)
 			return
@@ -181,7 +181,7 @@
 	if r.isFinished() {
 		c.finished.Touch(id)
 	}
-	c.withdrawals.add(id, r, clock.Now(), clock.Wall())
+	c.withdrawals.add(id, r, clock.Now(), clock.WallTime())
 	r.cancelledWith = r.State == "" && c.graph.IsCancelled(id)
 	c.follow(id, r)
 	if c.lead != nil {
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -18,7 +18,7 @@
 	c.view.loading = true
 	go func() {
 		filter := newLoadFilter(c.finishedKept)
-		rev, err := c.store.Load(prefix, filter.add)
+		rev, err := c.store.LoadPrefix(prefix, filter.add)
 		if err != nil {
 			c.log.Debug("state not loaded", "error", err)
 			time.Sleep(300 * time.Millisecond)
@@ -125,7 +125,7 @@
 	})
 }
 
-func (c *Core) apply(e *wire.Events) {
+func (c *Core) apply(e *wire.WatchResponse) {
 	v := &c.view
 	for i := range e.Events {
 		ev := &e.Events[i]
@@ -133,10 +133,10 @@
 			continue
 		}
 		c.shares.seen++
-		if ev.Delete != "" {
-			c.drop(ev.Delete)
+		if ev.DeleteKey != "" {
+			c.drop(ev.DeleteKey)
 		} else {
-			c.put(ev.Put, ev.Value, ev.Version)
+			c.put(ev.PutKey, ev.Value, ev.Version)
 		}
 	}
 	v.rev = max(v.rev, e.Revision)
--- a/internal/controller/withdrawals.go
+++ b/internal/controller/withdrawals.go
@@ -42,7 +42,7 @@
 
 // add takes a job's record, if it is that of a recent withdrawal.
 func (w *withdrawalLog) add(id string, r *jobRecord, now, wall clock.Micros) {
-	if r.State != wire.JobAborted || r.Job == nil || wall-clock.Micros(r.End) > w.keep {
+	if r.State != wire.JobCancelled || r.Job == nil || wall-clock.Micros(r.End) > w.keep {
 		return
 	}
 	if len(w.entries) >= w.most {
@@ -101,7 +101,7 @@
 		return
 	}
 	w.news, w.toldAt = false, now
-	for _, o := range c.cfg.Others {
+	for _, o := range c.cfg.Peers {
 		if len(w.unknownTo(c.revisionOf(o.Member), now)) > 0 {
 			c.sendBeats(now)
 			return
@@ -117,7 +117,7 @@
 		if rec == nil || rec.over() || rec.Job == nil || w.Revision <= rec.version {
 			continue
 		}
-		over := overRecord(rec, wire.JobAborted, w.CancelledAt)
+		over := overRecord(rec, wire.JobCancelled, w.CancelledAt)
 		over.version = w.Revision
 		c.setJob(w.Job, over)
 		c.log.Debug("withdrawal told by another member", "job", w.Job, "revision", w.Revision)
--- a/internal/e2e/deployment_test.go
+++ b/internal/e2e/deployment_test.go
@@ -135,7 +135,7 @@
 	d.checker = protocoltest.New(protocoltest.Config{Cancellation: cancellation})
 	d.cloud, stop = fake.NewCloudOn(fake.CloudConfig{
 		Network: fake.Loopback{}, Names: d.names, Controllers: addresses,
-		Types:  []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.5, BootS: 1, Zones: []string{"x", "y"}}},
+		Types:  []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, FetchGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5, BootSeconds: 1, Zones: []string{"x", "y"}}},
 		RunFor: d.runFor, Lease: lease, ReportEvery: 300 * time.Millisecond, Observer: d.checker,
 	})
 	t.Cleanup(stop)
@@ -156,18 +156,18 @@
 
 func (d *deployment) configure(t *testing.T, n *node, lease time.Duration) {
 	t.Helper()
-	p := config.Platform{Member: n.name, Location: "x", Serve: n.serve, PeerBind: n.peer}
+	p := config.Platform{Member: n.name, Location: "x", ListenAddress: n.serve, PeerListenAddress: n.peer}
 	for _, name := range d.names {
 		if name != n.name {
-			p.Others = append(p.Others, config.Other{Member: name, Location: "x", Address: d.nodes[name].peer})
+			p.Peers = append(p.Peers, config.Peer{Member: name, Location: "x", Address: d.nodes[name].peer})
 		}
 	}
-	p.Outside = config.Outside{Cloud: d.cloud.Addr, State: d.state.Addr}
+	p.External = config.ExternalServices{CloudAddress: d.cloud.Addr, StoreAddress: d.state.Addr}
 	p.Deployment = config.Deployment{
-		Nodes: len(d.names), Zones: []string{"x", "y"}, Teams: []config.Team{{Name: "a"}},
-		Workers: config.Workers{ReportS: 0.3, LeaseS: lease.Seconds(), GangWaitS: 10, GangPeerS: 2, CancelS: cancellation.Seconds()},
-		State:   config.State{RPS: 500, WriteRPS: 200, ValueKB: 8, TxnOps: 24}, Cloud: config.Cloud{RPS: 20, ListLagS: 0.2},
-		Limits: config.Limits{Cores: 1, RAMMB: 200, MaxSockets: 500}, ClockErrorMs: 5,
+		ControllerCount: len(d.names), Zones: []string{"x", "y"}, Teams: []config.Team{{Name: "a"}},
+		Workers: config.WorkerTimings{HeartbeatIntervalSeconds: 0.3, LeaseSeconds: lease.Seconds(), GangStartTimeoutSeconds: 10, GangPeerTimeoutSeconds: 2, CancelTimeoutSeconds: cancellation.Seconds()},
+		Store:   config.StoreLimits{RPS: 500, WriteRPS: 200, MaxValueKB: 8, MaxTransactionOps: 24}, Cloud: config.Cloud{RPS: 20, ListLagSeconds: 0.2},
+		ProcessLimits: config.ProcessLimits{Cores: 1, MemoryMB: 200, MaxSockets: 500}, ClockErrorMillis: 5,
 	}
 	text, err := json.Marshal(p)
 	if err != nil {
@@ -213,8 +213,8 @@
 	return func(n *node, id, kind string, tasks int, awaits ...string) {
 		t.Helper()
 		job := &wire.Job{
-			ID: id, Class: "c", Team: "a", Kind: kind, Priority: "standard", Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "img", ImageGB: 0.1,
-			Spread: kind == wire.KindService, EstimateS: 1, Awaits: awaits,
+			ID: id, Class: "c", Team: "a", Kind: kind, Priority: "standard", TaskCount: tasks, CPUs: 2, MemoryGB: 1, Image: "img", ImageSizeGB: 0.1,
+			SpreadZones: kind == wire.KindService, EstimatedRunSeconds: 1, DependsOn: awaits,
 		}
 		body, err := job.MarshalJSON()
 		if err != nil {
@@ -269,7 +269,7 @@
 	d.checker.CancelAsked(id)
 	until(t, id+" is cancelled", func() bool {
 		asked := time.Now()
-		return d.told(id, ask(n, "POST", "/api/jobs/"+id+"/withdraw", nil), asked) == wire.JobAborted
+		return d.told(id, ask(n, "POST", "/api/jobs/"+id+"/withdraw", nil), asked) == wire.JobCancelled
 	})
 }
 
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -97,7 +97,7 @@
 	// A withdrawal lasts, on every node.
 	d.cancel(t, other, "req-000003")
 	for _, n := range names {
-		is(nodes[n], "req-000003", wire.JobAborted)
+		is(nodes[n], "req-000003", wire.JobCancelled)
 	}
 	// Once its tasks are gone nothing but the end is kept of it.
 	until(t, "no progress keys are left", func() bool { return len(state.Keys("firwood/done/")) == 0 })
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -162,35 +162,35 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.down {
-		reply(w, 503, wire.ErrorBody{Error: "trouble"})
+		reply(w, 503, wire.ErrorResponse{Error: "trouble"})
 		return
 	}
 	switch r.URL.Path {
 	case "/flavors":
-		reply(w, 200, wire.MachineTypes{Types: c.cfg.Types})
+		reply(w, 200, wire.MachineTypeList{Types: c.cfg.Types})
 	case "/hosts":
 		if r.Method == "GET" {
 			c.list(w, r.URL.Query())
 			return
 		}
-		var h wire.Hire
-		if !read(r, &h) || h.Count < 1 || h.Count > wire.MaxHire {
+		var h wire.ScaleOutRequest
+		if !read(r, &h) || h.Count < 1 || h.Count > wire.MaxScaleOutCount {
 			reply(w, 400, struct{}{})
 			return
 		}
-		if c.hires[h.Request] == nil {
+		if c.hires[h.RequestID] == nil {
 			for i := 0; i < h.Count; i++ {
-				c.hires[h.Request] = append(c.hires[h.Request], c.boot(h))
+				c.hires[h.RequestID] = append(c.hires[h.RequestID], c.boot(h))
 			}
 		}
-		reply(w, 200, wire.Machines{Machines: c.hires[h.Request]})
+		reply(w, 200, wire.MachineIDs{IDs: c.hires[h.RequestID]})
 	case "/hosts/delete":
-		var m wire.Machines
+		var m wire.MachineIDs
 		if !read(r, &m) {
 			reply(w, 400, struct{}{})
 			return
 		}
-		for _, n := range m.Machines {
+		for _, n := range m.IDs {
 			c.remove(n)
 		}
 		reply(w, 200, struct{}{})
@@ -202,8 +202,8 @@
 // list answers with a page of the machines, in the order of their names.
 func (c *Cloud) list(w http.ResponseWriter, query url.Values) {
 	limit, err := strconv.Atoi(query.Get("limit"))
-	if err != nil || limit < 1 || limit > wire.MaxList {
-		limit = wire.MaxList
+	if err != nil || limit < 1 || limit > wire.MaxMachinesPerPage {
+		limit = wire.MaxMachinesPerPage
 	}
 	var names []string
 	for name := range c.machines {
@@ -212,7 +212,7 @@
 		}
 	}
 	sort.Strings(names)
-	l := wire.MachineList{Machines: []wire.ListedMachine{}, More: len(names) > limit}
+	l := wire.MachineList{Machines: []wire.ListedMachine{}, HasMore: len(names) > limit}
 	for _, name := range names[:min(len(names), limit)] {
 		l.Machines = append(l.Machines, c.machines[name].listed())
 	}
@@ -231,7 +231,7 @@
 	delete(c.machines, name)
 }
 
-func (c *Cloud) boot(h wire.Hire) string {
+func (c *Cloud) boot(h wire.ScaleOutRequest) string {
 	m := newWorker(c, h, fmt.Sprintf("i-%06d", c.next))
 	c.next++
 	c.machines[m.name] = m
@@ -261,7 +261,7 @@
 	defer c.mu.Unlock()
 	for _, m := range c.machines {
 		if i := m.find(task); i >= 0 && m.report.Tasks[i].State == wire.TaskRunning {
-			m.exit(&m.report.Tasks[i], wire.WhyError)
+			m.exit(&m.report.Tasks[i], wire.ExitError)
 			m.reportSoon()
 		}
 	}
@@ -290,7 +290,7 @@
 	for name, m := range c.machines {
 		for _, t := range m.report.Tasks {
 			if t.State != wire.TaskExited {
-				out = append(out, name+" "+t.Task)
+				out = append(out, name+" "+t.TaskID)
 			}
 		}
 	}
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -30,7 +30,7 @@
 	leases   map[uint64]*grant
 	next     uint64
 	down     bool
-	txns     []wire.Txn // all that were carried out
+	txns     []wire.Transaction // all that were carried out
 	limits   StateLimits
 	tooLarge int // requests refused for their size
 	// faults are those of single callers, by host; latePrefix is that of keys whose
@@ -58,11 +58,11 @@
 }
 
 // fits tells whether a transaction is within the limits. The lock is held.
-func (s *State) fits(t *wire.Txn) bool {
-	if s.limits.TxnOps > 0 && (len(t.Then) > s.limits.TxnOps || len(t.If) > 4*s.limits.TxnOps) {
+func (s *State) fits(t *wire.Transaction) bool {
+	if s.limits.TxnOps > 0 && (len(t.Changes) > s.limits.TxnOps || len(t.Conditions) > 4*s.limits.TxnOps) {
 		return false
 	}
-	for _, c := range t.Then {
+	for _, c := range t.Changes {
 		if s.limits.ValueBytes > 0 && len(c.Value) > s.limits.ValueBytes {
 			return false
 		}
@@ -108,11 +108,11 @@
 }
 
 // isLate tells whether a transaction is to be carried out late. The lock is held.
-func (s *State) isLate(t *wire.Txn) bool {
+func (s *State) isLate(t *wire.Transaction) bool {
 	if s.latePrefix == "" {
 		return false
 	}
-	return slices.ContainsFunc(t.Then, func(c wire.Change) bool { return strings.HasPrefix(c.Put+c.Delete, s.latePrefix) })
+	return slices.ContainsFunc(t.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.PutKey+c.DeleteKey, s.latePrefix) })
 }
 
 type entry struct {
@@ -123,7 +123,7 @@
 
 type logged struct {
 	key   string
-	event wire.Event
+	event wire.WatchEvent
 }
 
 type grant struct {
@@ -215,14 +215,14 @@
 }
 
 // Transactions are those that were carried out so far.
-func (s *State) Transactions() []wire.Txn {
+func (s *State) Transactions() []wire.Transaction {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]wire.Txn(nil), s.txns...)
+	return append([]wire.Transaction(nil), s.txns...)
 }
 
 // Repeat carries a transaction out again, as a copy that comes late would be.
-func (s *State) Repeat(t wire.Txn) {
+func (s *State) Repeat(t wire.Transaction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.carry(t)
@@ -247,7 +247,7 @@
 		if e.lease == id {
 			s.rev++
 			delete(s.keys, k)
-			s.log = append(s.log, logged{k, wire.Event{Delete: k, Version: s.rev}})
+			s.log = append(s.log, logged{k, wire.WatchEvent{DeleteKey: k, Version: s.rev}})
 		}
 	}
 	s.cond.Broadcast()
@@ -260,14 +260,14 @@
 	path := r.URL.Path
 	caller := CallerOf(r.RemoteAddr)
 	if s.down || s.faults[caller] == Refused {
-		reply(w, 503, wire.ErrorBody{Error: "trouble"})
+		reply(w, 503, wire.ErrorResponse{Error: "trouble"})
 		return
 	}
 	switch {
 	case s.faults[caller] == ReadsRefused && (strings.HasPrefix(path, "/kv") || path == "/watch"):
-		reply(w, 503, wire.ErrorBody{Error: "trouble"})
+		reply(w, 503, wire.ErrorResponse{Error: "trouble"})
 	case s.faults[caller] == RenewalsRefused && strings.HasPrefix(path, "/grants"):
-		reply(w, 503, wire.ErrorBody{Error: "trouble"})
+		reply(w, 503, wire.ErrorResponse{Error: "trouble"})
 	case path == "/kv":
 		limit, err := strconv.Atoi(q.Get("limit"))
 		if err != nil || limit > 1000 {
@@ -280,13 +280,13 @@
 			}
 		}
 		sort.Strings(names)
-		p := wire.Page{Revision: s.rev, Items: []wire.Item{}}
+		p := wire.KeyPage{Revision: s.rev, KeyValues: []wire.KeyValue{}}
 		for _, k := range names {
-			if len(p.Items) == limit {
-				p.More = true
+			if len(p.KeyValues) == limit {
+				p.HasMore = true
 				break
 			}
-			p.Items = append(p.Items, wire.Item{Key: k, Value: []byte(s.keys[k].value), Version: s.keys[k].version})
+			p.KeyValues = append(p.KeyValues, wire.KeyValue{Key: k, Value: []byte(s.keys[k].value), Version: s.keys[k].version})
 		}
 		reply(w, 200, p)
 	case strings.HasPrefix(path, "/kv/"):
@@ -295,19 +295,19 @@
 			reply(w, 404, map[string]uint64{"ledger": s.rev})
 			return
 		}
-		reply(w, 200, wire.Item{Key: path[4:], Value: []byte(e.value), Version: e.version, Lease: e.lease})
+		reply(w, 200, wire.KeyValue{Key: path[4:], Value: []byte(e.value), Version: e.version, LeaseID: e.lease})
 	case path == "/txn":
 		s.txn(w, r, s.faults[caller])
 	case path == "/grants":
-		var g wire.Grant
-		if !read(r, &g) || g.TTLMs < 100 {
+		var g wire.LeaseRequest
+		if !read(r, &g) || g.TTLMillis < 100 {
 			reply(w, 400, struct{}{})
 			return
 		}
 		s.next++
-		ttl := time.Duration(g.TTLMs) * time.Millisecond
+		ttl := time.Duration(g.TTLMillis) * time.Millisecond
 		s.leases[s.next] = &grant{ttl, time.Now().Add(ttl)}
-		reply(w, 200, wire.Granted{Lease: s.next})
+		reply(w, 200, wire.LeaseGrant{LeaseID: s.next})
 	case strings.HasPrefix(path, "/grants/"):
 		id, err := strconv.ParseUint(strings.TrimSuffix(path[len("/grants/"):], "/renew"), 10, 64)
 		g := s.leases[id]
@@ -329,14 +329,14 @@
 }
 
 func (s *State) txn(w http.ResponseWriter, r *http.Request, fault StateFault) {
-	var t wire.Txn
+	var t wire.Transaction
 	if !read(r, &t) {
 		reply(w, 400, struct{}{})
 		return
 	}
 	if !s.fits(&t) {
 		s.tooLarge++
-		reply(w, 400, wire.ErrorBody{Error: "too large"})
+		reply(w, 400, wire.ErrorResponse{Error: "too large"})
 		return
 	}
 	if s.isLate(&t) {
@@ -352,24 +352,24 @@
 	}
 	switch failed, ok := s.carry(t); {
 	case !ok:
-		reply(w, 400, wire.ErrorBody{Error: "no such lease"})
+		reply(w, 400, wire.ErrorResponse{Error: "no such lease"})
 	case failed != nil:
-		reply(w, 409, wire.TxnResult{Revision: s.rev, Failed: failed})
+		reply(w, 409, wire.TransactionResult{Revision: s.rev, FailedKeys: failed})
 	default:
-		reply(w, 200, wire.TxnResult{Revision: s.rev})
+		reply(w, 200, wire.TransactionResult{Revision: s.rev})
 	}
 }
 
 // carry carries a transaction out, or tells which conditions failed; not ok means
 // that a lease is gone. The lock is held.
-func (s *State) carry(t wire.Txn) (_ []string, ok bool) {
-	for _, c := range t.Then {
-		if c.Put != "" && c.Lease != 0 && s.leases[c.Lease] == nil {
+func (s *State) carry(t wire.Transaction) (_ []string, ok bool) {
+	for _, c := range t.Changes {
+		if c.PutKey != "" && c.LeaseID != 0 && s.leases[c.LeaseID] == nil {
 			return nil, false
 		}
 	}
 	var failed []string
-	for _, c := range t.If {
+	for _, c := range t.Conditions {
 		var v uint64
 		if e := s.keys[c.Key]; e != nil {
 			v = e.version
@@ -381,19 +381,19 @@
 	if failed != nil {
 		return failed, true
 	}
-	if len(t.Then) > 0 {
+	if len(t.Changes) > 0 {
 		s.rev++
 		s.txns = append(s.txns, t)
 	}
-	for _, c := range t.Then {
-		if c.Delete != "" {
-			delete(s.keys, c.Delete)
-			s.log = append(s.log, logged{c.Delete, wire.Event{Delete: c.Delete, Version: s.rev}})
+	for _, c := range t.Changes {
+		if c.DeleteKey != "" {
+			delete(s.keys, c.DeleteKey)
+			s.log = append(s.log, logged{c.DeleteKey, wire.WatchEvent{DeleteKey: c.DeleteKey, Version: s.rev}})
 			continue
 		}
 		v := append(json.RawMessage(nil), c.Value...)
-		s.keys[c.Put] = &entry{v, s.rev, c.Lease}
-		s.log = append(s.log, logged{c.Put, wire.Event{Put: c.Put, Value: []byte(v), Version: s.rev}})
+		s.keys[c.PutKey] = &entry{v, s.rev, c.LeaseID}
+		s.log = append(s.log, logged{c.PutKey, wire.WatchEvent{PutKey: c.PutKey, Value: []byte(v), Version: s.rev}})
 	}
 	s.cond.Broadcast()
 	return nil, true
@@ -409,7 +409,7 @@
 	}
 	until, under := time.Now().Add(time.Duration(ms)*time.Millisecond), q.Get("under")
 	for !s.closed() {
-		e := wire.Events{Revision: s.rev, Events: []wire.Event{}}
+		e := wire.WatchResponse{Revision: s.rev, Events: []wire.WatchEvent{}}
 		first := sort.Search(len(s.log), func(i int) bool { return s.log[i].event.Version > from })
 		for _, l := range s.log[first:] {
 			if strings.HasPrefix(l.key, under) {
@@ -417,7 +417,7 @@
 			}
 		}
 		if s.faults[caller] == ReadsRefused {
-			reply(w, 503, wire.ErrorBody{Error: "trouble"})
+			reply(w, 503, wire.ErrorResponse{Error: "trouble"})
 			return
 		}
 		refused := s.down || s.faults[caller] == Refused
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -44,13 +44,13 @@
 // worker is a machine's worker. Its fields are guarded by the cloud's lock.
 type worker struct {
 	cloud    *Cloud
-	hire     wire.Hire
+	hire     wire.ScaleOutRequest
 	name     string
 	addr     string
 	stop     func()
 	gone     bool
 	fault    MachineFault
-	report   wire.Report
+	report   wire.Heartbeat
 	lastBody []byte
 	ends     map[string]time.Time
 	node     int
@@ -61,10 +61,10 @@
 	client    *http.Client
 }
 
-func newWorker(c *Cloud, h wire.Hire, name string) *worker {
+func newWorker(c *Cloud, h wire.ScaleOutRequest, name string) *worker {
 	k := &worker{cloud: c, hire: h, name: name, ends: map[string]time.Time{}, last: time.Now(), poke: make(chan struct{}, 1)}
 	k.addr, k.stop = Serve(c.cfg.Network, name, k)
-	k.report = wire.Report{Machine: name, Addr: k.addr, Type: h.Type, Zone: h.Zone, Spot: h.Spot, Session: 1, Tasks: []wire.TaskReport{}}
+	k.report = wire.Heartbeat{MachineID: name, Address: k.addr, MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Incarnation: 1, Tasks: []wire.TaskStatus{}}
 	k.client = &http.Client{
 		Timeout:       answerTimeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -76,7 +76,7 @@
 }
 
 func (k *worker) listed() wire.ListedMachine {
-	return wire.ListedMachine{ID: k.name, Addr: k.addr, Type: k.hire.Type, Zone: k.hire.Zone, Spot: k.hire.Spot, State: wire.MachineRunning}
+	return wire.ListedMachine{ID: k.name, Address: k.addr, MachineType: k.hire.MachineType, Zone: k.hire.Zone, Spot: k.hire.Spot, State: wire.MachineRunning}
 }
 
 // run reports until the machine is gone.
@@ -111,8 +111,8 @@
 	c := k.cloud
 	c.mu.Lock()
 	k.step()
-	k.report.Seq++
-	sent, session := time.Now(), k.report.Session
+	k.report.Sequence++
+	sent, session := time.Now(), k.report.Incarnation
 	body, err := json.Marshal(k.report)
 	if err != nil {
 		panic(err)
@@ -131,8 +131,8 @@
 	}
 	switch status {
 	case 200:
-		var rep wire.Reply
-		if json.Unmarshal(answer, &rep) == nil && rep.Token >= k.report.Token && session == k.report.Session {
+		var rep wire.HeartbeatResponse
+		if json.Unmarshal(answer, &rep) == nil && rep.FencingToken >= k.report.FencingToken && session == k.report.Incarnation {
 			k.last = sent
 			return k.obey(&rep)
 		}
@@ -149,13 +149,13 @@
 // obey takes the token and the commands of an answer; it returns when the next report is
 // due. A higher token is a change to be reported, though not in each half of a lease. The
 // lock is held.
-func (k *worker) obey(reply *wire.Reply) time.Duration {
+func (k *worker) obey(reply *wire.HeartbeatResponse) time.Duration {
 	next := k.cloud.cfg.ReportEvery
-	if now := time.Now(); reply.Token > k.report.Token && now.Sub(k.tokenTold) > k.cloud.cfg.Lease/2 {
+	if now := time.Now(); reply.FencingToken > k.report.FencingToken && now.Sub(k.tokenTold) > k.cloud.cfg.Lease/2 {
 		k.tokenTold = now
 		next = min(next, betweenChanges)
 	}
-	k.report.Token = reply.Token
+	k.report.FencingToken = reply.FencingToken
 	k.exec(reply.Commands)
 	return next
 }
@@ -175,12 +175,12 @@
 
 // redirected follows an answer that names another controller. The lock is held.
 func (k *worker) redirected(answer []byte, from string) bool {
-	var e wire.Elsewhere
+	var e wire.Redirect
 	if json.Unmarshal(answer, &e) != nil {
 		return false
 	}
 	for i, name := range k.cloud.cfg.Names {
-		if name == e.ReportTo && name != from {
+		if name == e.Member && name != from {
 			k.node = i
 			return true
 		}
@@ -193,8 +193,8 @@
 	now := time.Now()
 	if now.Sub(k.last) > k.cloud.cfg.Lease {
 		k.endAll()
-		k.report.Session++
-		k.report.Tasks = []wire.TaskReport{}
+		k.report.Incarnation++
+		k.report.Tasks = []wire.TaskStatus{}
 		k.last = now
 	}
 	if k.fault == Hanging {
@@ -202,8 +202,8 @@
 	}
 	for i := range k.report.Tasks {
 		t := &k.report.Tasks[i]
-		if end, ok := k.ends[t.Task]; ok && t.State == wire.TaskRunning && now.After(end) {
-			k.exit(t, wire.WhyDone)
+		if end, ok := k.ends[t.TaskID]; ok && t.State == wire.TaskRunning && now.After(end) {
+			k.exit(t, wire.ExitDone)
 			k.reportSoon()
 		}
 	}
@@ -217,10 +217,10 @@
 	}
 }
 
-func (k *worker) exit(t *wire.TaskReport, why string) {
-	t.State, t.Why = wire.TaskExited, why
+func (k *worker) exit(t *wire.TaskStatus, why string) {
+	t.State, t.ExitCause = wire.TaskExited, why
 	if o := k.cloud.cfg.Observer; o != nil {
-		o.Ended(k.name, t.Task, why)
+		o.Ended(k.name, t.TaskID, why)
 	}
 }
 
@@ -228,14 +228,14 @@
 func (k *worker) endAll() {
 	for i := range k.report.Tasks {
 		if t := &k.report.Tasks[i]; t.State != wire.TaskExited {
-			k.exit(t, wire.WhyStopped)
+			k.exit(t, wire.ExitStopped)
 		}
 	}
 }
 
 func (k *worker) find(id string) int {
 	for i := range k.report.Tasks {
-		if k.report.Tasks[i].Task == id {
+		if k.report.Tasks[i].TaskID == id {
 			return i
 		}
 	}
@@ -244,17 +244,17 @@
 
 func (k *worker) exec(cmds []wire.Command) {
 	for _, cmd := range cmds {
-		i := k.find(cmd.Task)
-		switch cmd.Op {
-		case wire.OpStart:
+		i := k.find(cmd.TaskID)
+		switch cmd.Action {
+		case wire.ActionStart:
 			if i < 0 {
 				k.startTask(cmd)
 			}
-		case wire.OpStop:
+		case wire.ActionStop:
 			if i >= 0 && k.report.Tasks[i].Attempt == cmd.Attempt && k.report.Tasks[i].State != wire.TaskExited {
-				k.exit(&k.report.Tasks[i], wire.WhyStopped)
+				k.exit(&k.report.Tasks[i], wire.ExitStopped)
 			}
-		case wire.OpForget:
+		case wire.ActionReap:
 			if i >= 0 && k.report.Tasks[i].Attempt == cmd.Attempt && k.report.Tasks[i].State == wire.TaskExited {
 				k.report.Tasks = append(k.report.Tasks[:i], k.report.Tasks[i+1:]...)
 			}
@@ -264,20 +264,20 @@
 
 func (k *worker) startTask(cmd wire.Command) {
 	c := k.cloud
-	if o := c.on[cmd.Task]; o != nil && o != k && !o.gone {
-		if j := o.find(cmd.Task); j >= 0 && o.report.Tasks[j].State != wire.TaskExited {
-			c.broken = append(c.broken, fmt.Sprintf("%s starts on %s while on %s", cmd.Task, k.name, o.name))
+	if o := c.on[cmd.TaskID]; o != nil && o != k && !o.gone {
+		if j := o.find(cmd.TaskID); j >= 0 && o.report.Tasks[j].State != wire.TaskExited {
+			c.broken = append(c.broken, fmt.Sprintf("%s starts on %s while on %s", cmd.TaskID, k.name, o.name))
 		}
 	}
-	c.on[cmd.Task] = k
+	c.on[cmd.TaskID] = k
 	c.starts++
-	delete(k.ends, cmd.Task)
-	if runFor := c.cfg.RunFor(cmd.Task); runFor > 0 {
-		k.ends[cmd.Task] = time.Now().Add(runFor)
+	delete(k.ends, cmd.TaskID)
+	if runFor := c.cfg.RunFor(cmd.TaskID); runFor > 0 {
+		k.ends[cmd.TaskID] = time.Now().Add(runFor)
 	}
-	k.report.Tasks = append(k.report.Tasks, wire.TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskRunning})
+	k.report.Tasks = append(k.report.Tasks, wire.TaskStatus{TaskID: cmd.TaskID, Attempt: cmd.Attempt, State: wire.TaskRunning})
 	if o := c.cfg.Observer; o != nil {
-		o.Started(k.listed(), cmd.Task)
+		o.Started(k.listed(), cmd.TaskID)
 	}
 }
 
@@ -296,11 +296,11 @@
 	}
 	if r.Method == "GET" && r.URL.Path == "/status" {
 		k.step()
-		k.report.Seq++
+		k.report.Sequence++
 		reply(w, 200, k.report)
 		return
 	}
-	var d wire.Direct
+	var d wire.CommandRequest
 	if !read(r, &d) {
 		reply(w, 400, struct{}{})
 		return
@@ -317,18 +317,18 @@
 	if k.direct(&d) {
 		status = 200
 	}
-	k.report.Seq++
+	k.report.Sequence++
 	reply(w, status, k.report)
 	k.reportSoon()
 }
 
 // direct carries a direct message out, if token and session match.
-func (k *worker) direct(d *wire.Direct) bool {
+func (k *worker) direct(d *wire.CommandRequest) bool {
 	k.step()
-	if k.gone || d.Token < k.report.Token || d.Session != k.report.Session {
+	if k.gone || d.FencingToken < k.report.FencingToken || d.Incarnation != k.report.Incarnation {
 		return false
 	}
-	k.report.Token = d.Token
+	k.report.FencingToken = d.FencingToken
 	k.exec(d.Commands)
 	return true
 }
--- /dev/null
+++ b/internal/kvstore/client_test.go
@@ -0,0 +1,274 @@
+package kvstore
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+
+	"firwood.dev/firwood/internal/client"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/wire"
+)
+
+func newTestClient(t *testing.T) (*Client, *fake.State) {
+	t.Helper()
+	fakeStore, stop := fake.NewState()
+	t.Cleanup(stop)
+	store := New(client.DialTCP, fakeStore.Addr, Limits{RPS: 1000, WriteRPS: 1000, MaxTransactionOps: 4}, "lead")
+	store.SetRateShare(1)
+	return store, fakeStore
+}
+
+type commitResult struct {
+	outcome  Outcome
+	revision uint64
+}
+
+func commitAll(t *testing.T, store *Client, writes ...*Write) []commitResult {
+	t.Helper()
+	results := make([]commitResult, len(writes))
+	var wg sync.WaitGroup
+	for i, write := range writes {
+		wg.Add(1)
+		write.Done = func(outcome Outcome, revision uint64) {
+			results[i] = commitResult{outcome, revision}
+			wg.Done()
+		}
+		if !store.Commit(write) {
+			t.Fatal("refused")
+		}
+	}
+	wg.Wait()
+	return results
+}
+
+func putChange(key, value string) []wire.Change {
+	return []wire.Change{{PutKey: key, Value: []byte(value)}}
+}
+
+// A write whose own condition fails does not fail those it went with, and a
+// lost lock fails all that were bound to it and no others.
+func TestGroupCommit(t *testing.T) {
+	store, fakeStore := newTestClient(t)
+	if results := commitAll(t, store, &Write{Changes: putChange("a/0", "1")}); results[0].outcome != Committed {
+		t.Fatalf("%v", results)
+	}
+	var writes []*Write
+	for i := 0; i < 10; i++ {
+		key := fmt.Sprint("a/", i)
+		writes = append(writes, &Write{Conditions: []wire.Condition{{Key: key}}, Changes: putChange(key, "2")})
+	}
+	for i, results := range commitAll(t, store, writes...) {
+		want := Committed
+		if i == 0 {
+			want = Conflict
+		}
+		if results.outcome != want {
+			t.Errorf("write %d: %v", i, results)
+		}
+	}
+	if n := len(fakeStore.Keys("a/")); n != 10 {
+		t.Errorf("%d keys", n)
+	}
+	lockVersion := commitAll(t, store, &Write{Changes: putChange("lead", "{}")})[0].revision
+	results := commitAll(t, store, &Write{FencingToken: lockVersion, Changes: putChange("b/1", "1")}, &Write{FencingToken: lockVersion - 1, Changes: putChange("b/2", "1")}, &Write{Changes: putChange("b/3", "1")})
+	if results[0].outcome != Committed || results[1].outcome != Fenced || results[2].outcome != Committed {
+		t.Errorf("%v", results)
+	}
+}
+
+func TestWatchAndLeases(t *testing.T) {
+	store, fakeStore := newTestClient(t)
+	if _, err := store.Get("a/lock"); !errors.Is(err, ErrNotFound) {
+		t.Fatalf("a key that nobody wrote: %v", err)
+	}
+	lease, err := store.GrantLease(5 * clock.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	results := commitAll(t, store, &Write{Changes: []wire.Change{{PutKey: "a/lock", Value: []byte("{}"), LeaseID: lease}}})
+	if item, err := store.Get("a/lock"); err != nil || item.LeaseID != lease || item.Version != results[0].revision {
+		t.Fatalf("%+v %v", item, err)
+	}
+	responses := make(chan *wire.WatchResponse, 1)
+	go func() {
+		response, err := store.Watch("a/", results[0].revision, 20*clock.Second)
+		if err != nil {
+			t.Error(err)
+		}
+		responses <- response
+	}()
+	if err := store.RevokeLease(lease); err != nil {
+		t.Fatal(err)
+	}
+	if response := <-responses; response == nil || len(response.Events) != 1 || response.Events[0].DeleteKey != "a/lock" {
+		t.Fatalf("%+v", response)
+	}
+	if err := store.RenewLease(lease, clock.Second); !errors.Is(err, ErrNotFound) {
+		t.Fatalf("renewal of an ended lease: %v", err)
+	}
+	var items []wire.KeyValue
+	revision, err := store.LoadPrefix("a/", func(page []wire.KeyValue) { items = append(items, page...) })
+	if err != nil || len(items) != 0 || revision <= results[0].revision {
+		t.Fatalf("%v %d %v", items, revision, err)
+	}
+	fakeStore.SetDown(true)
+	if results := commitAll(t, store, &Write{Changes: putChange("a/x", "1")}); results[0].outcome != NotExecuted {
+		t.Fatalf("in an outage: %v", results)
+	}
+	if store.LastFailureAt() <= store.LastSuccessAt() {
+		t.Fatal("the refusal is not noted")
+	}
+}
+
+// What may no longer be sent is not sent; what was not sent is told from what
+// may have arrived.
+func TestExpiredRequestIsNotSent(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	received := make(chan int, 1)
+	go func() {
+		c, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		buffer := make([]byte, 1000)
+		n, _ := c.Read(buffer) // the error shows in n
+		received <- n
+		c.Close()
+	}()
+	host := client.NewHost(client.DialTCP, listener.Addr().String(), 1, 1000)
+	request := client.Request{Method: "POST", Target: "/x", Timeout: 5 * clock.Second, SendDeadline: func() clock.Micros { return 1 }}
+	if _, err := host.Do(request); !errors.Is(err, client.ErrSendDeadlinePassed) {
+		t.Fatalf("too late: %v", err)
+	}
+	if n := <-received; n != 0 {
+		t.Fatalf("%d bytes were sent too late", n)
+	}
+	listener.Close()
+	var sendError *client.NotSentError
+	if _, err := host.Do(client.Request{Method: "GET", Target: "/", Timeout: clock.Second}); !errors.As(err, &sendError) {
+		t.Fatalf("nobody listens: %v", err)
+	}
+}
+
+// When more waits than the rate allows, what somebody waits for goes first, and
+// what can wait is sent only with rate to spare. Nothing of it is lost.
+func TestWritePriorities(t *testing.T) {
+	store := New(client.DialTCP, "127.0.0.1:1", Limits{RPS: 1000, WriteRPS: 8, MaxTransactionOps: 8}, "lead")
+	store.writeBudget = client.NewTokenBucket(8, 8)
+	store.activeSenders, store.isRecheckScheduled = maxSenders, true // the test takes the batches itself
+	enqueue := func(priority Priority, key string) {
+		if !store.Commit(&Write{Priority: priority, FencingToken: 7, Changes: putChange(key, "1"), Done: func(Outcome, uint64) {}}) {
+			t.Fatal("refused")
+		}
+	}
+	for i := 0; i < 20; i++ {
+		enqueue(Background, fmt.Sprint("spare/", i))
+	}
+	enqueue(Required, "needed/0")
+	enqueue(Interactive, "binding/0")
+	first := store.takeBatch()
+	if len(first) < 3 || first[0].Priority != Interactive || first[1].Priority != Required || first[2].Priority != Background {
+		t.Fatalf("the first batch has %d writes, ranks %v ...", len(first), first[0].Priority)
+	}
+	store.writeBudget.Reserve(8) // the burst is used up
+	if batch := store.takeBatch(); len(batch) != 0 {
+		t.Fatalf("%d writes that can wait are sent with no rate to spare", len(batch))
+	}
+	store.activeSenders = maxSenders
+	enqueue(Interactive, "binding/1")
+	if batch := store.takeBatch(); len(batch) != 1 || batch[0].Priority != Interactive {
+		t.Fatalf("a binding write waits behind others: %d writes", len(batch))
+	}
+	if n := len(first) + 1 + len(store.pending); n != 23 {
+		t.Fatalf("%d of 23 writes are left", n)
+	}
+}
+
+// A watch that would bring more than is read at once is answered by reading all keys,
+// page by page: asked for again it would be too large again.
+func TestOversizedWatchIsCompacted(t *testing.T) {
+	store, _ := newTestClient(t)
+	value := `"` + strings.Repeat("x", 40<<10) + `"`
+	for i := range maxResponseBytes/len(value) + 2 {
+		if results := commitAll(t, store, &Write{Changes: putChange(fmt.Sprint("a/", i%50), value)}); results[0].outcome != Committed {
+			t.Fatal(results)
+		}
+	}
+	if _, err := store.Watch("a/", 0, 0); !errors.Is(err, ErrCompacted) {
+		t.Fatalf("the watch ends with %v", err)
+	}
+	var items []wire.KeyValue
+	revision, err := store.LoadPrefix("a/", func(page []wire.KeyValue) { items = append(items, page...) })
+	if err != nil || len(items) != 50 || revision == 0 {
+		t.Errorf("%d keys are read, %v", len(items), err)
+	}
+}
+
+// Under a flood of what users ask, writes that work waits for take turns with those once
+// they have waited for a moment, and a flood of these does not have users refused.
+func TestRequiredWritesAreNotStarved(t *testing.T) {
+	store := New(client.DialTCP, "127.0.0.1:1", Limits{RPS: 1000, WriteRPS: 8, MaxTransactionOps: 1}, "lead")
+	store.writeBudget = client.NewTokenBucket(8, 8)
+	store.activeSenders, store.isRecheckScheduled = maxSenders, true // the test takes the batches itself
+	now := clock.Now()
+	enqueue := func(priority Priority, key string, age clock.Micros) {
+		write := &Write{Priority: priority, Changes: putChange(key, "1"), Done: func(Outcome, uint64) {}}
+		if !store.Commit(write) {
+			t.Fatal("refused")
+		}
+		write.queuedAt = now - age
+	}
+	for i := range 10 {
+		enqueue(Interactive, fmt.Sprint("users/", i), clock.Micros(10-i)*100*clock.Millisecond)
+	}
+	for i := range 30 {
+		enqueue(Required, fmt.Sprint("old/", i), 750*clock.Millisecond)
+	}
+	enqueue(Required, "new", 0)
+	if delay := store.InteractiveDelay(); delay > 3*clock.Second {
+		t.Errorf("a user waits %v for 10 of users and 30 others at 8 a second", delay)
+	}
+	var order []string
+	for range 41 {
+		for _, write := range store.takeBatch() {
+			order = append(order, write.Changes[0].PutKey)
+		}
+	}
+	if len(order) != 41 || order[40] != "new" {
+		t.Fatalf("sent in the order %v", order)
+	}
+	for i := range 10 {
+		if order[2*i] != fmt.Sprint("users/", i) || order[2*i+1] != fmt.Sprint("old/", i) {
+			t.Fatalf("sent in the order %v", order)
+		}
+	}
+	if interactive, promoted := store.countQueuedChanges(); interactive+promoted != 0 {
+		t.Errorf("%d and %d changes are left", interactive, promoted)
+	}
+}
+
+// One request tells which of many keys exist, as far as any does, and that none does.
+func TestFindExisting(t *testing.T) {
+	store, fakeStore := newTestClient(t)
+	commitAll(t, store, &Write{Changes: putChange("a/1", "1")})
+	commitAll(t, store, &Write{Changes: putChange("a/2", "1")})
+	for _, want := range [][]string{nil, {"a/1"}, {"a/1", "a/2"}} {
+		got, err := store.FindExisting(append([]string{"a/3", "a/4"}, want...))
+		if err != nil || !slices.Equal(got, want) {
+			t.Errorf("%v, %v; want %v", got, err, want)
+		}
+	}
+	fakeStore.SetDown(true)
+	if got, err := store.FindExisting([]string{"a/3"}); err == nil {
+		t.Errorf("in an outage: %v", got)
+	}
+}
--- a/internal/kvstore/commit.go
+++ b/internal/kvstore/commit.go
@@ -11,8 +11,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// maxTxn leaves room for the frame of a transaction under 64 KiB.
-const maxTxn = 56 << 10
+// maxTransactionBytes leaves room for the frame of a transaction under 64 KiB.
+const maxTransactionBytes = 56 << 10
 
 // Outcome says what became of a write.
 type Outcome uint8
@@ -24,318 +24,318 @@
 	Conflict
 	// Fenced: the leader lock is no longer what the write was bound to.
 	Fenced
-	// Refused: the write was certainly not executed.
-	Refused
+	// NotExecuted: the write was certainly not executed.
+	NotExecuted
 	// Unknown: the write may have been executed, or may still be.
 	Unknown
 )
 
-// Rank orders the writes that wait: the service takes few a second.
-type Rank int8
+// Priority orders the writes that wait: the service takes few a second.
+type Priority int8
 
 const (
-	// Vital: the lock depends on it.
-	Vital Rank = iota - 1
-	// Binding: somebody waits for the answer.
-	Binding
-	// Needed: work waits for it.
-	Needed
-	// Spare: it is sent when nothing else needs the rate.
-	Spare
+	// Critical: the lock depends on it.
+	Critical Priority = iota - 1
+	// Interactive: somebody waits for the answer.
+	Interactive
+	// Required: work waits for it.
+	Required
+	// Background: it is sent when nothing else needs the rate.
+	Background
 )
 
 // Write is an atomic set of changes.
 type Write struct {
-	Rank Rank
-	// Fence, if not 0, is the version that the lock key must have.
-	Fence uint64
-	If    []wire.Condition
-	Then  []wire.Change
+	Priority Priority
+	// FencingToken, if not 0, is the version that the lock key must have.
+	FencingToken uint64
+	Conditions   []wire.Condition
+	Changes      []wire.Change
 	// Deadline is when to give up a write that was not sent.
 	Deadline clock.Micros
 	Done     func(Outcome, uint64)
 
-	size     int
-	queuedAt clock.Micros
+	sizeBytes int
+	queuedAt  clock.Micros
 }
 
-// neededAge is after how long a write that work waits for takes turns with those that
+// requiredPromotionAge is after how long a write that work waits for takes turns with those that
 // somebody waits for. Under a flood of submissions a leader once rented no machine for
 // 40 s, and what had been accepted waited for its mark for 100; where both went by age
 // alone, the leader refused all submissions meanwhile.
-const neededAge = clock.Second / 2
+const requiredPromotionAge = clock.Second / 2
 
-// hasWaited tells whether a write takes turns with those that somebody waits for.
-func (w *Write) hasWaited(now clock.Micros) bool {
-	return w.Rank == Needed && now-w.queuedAt >= neededAge
+// isPromoted tells whether a write takes turns with those that somebody waits for.
+func (write *Write) isPromoted(now clock.Micros) bool {
+	return write.Priority == Required && now-write.queuedAt >= requiredPromotionAge
 }
 
 // sortPending puts the waiting writes in the order in which they are sent: by rank, but
 // for needed ones that have waited, which take turns with binding ones. The lock is held.
-func (c *Client) sortPending(now clock.Micros) {
+func (store *Client) sortPending(now clock.Micros) {
 	turns := map[*Write]int{} // of binding and waiting needed writes, in their order
-	binding, waited := 0, 0
-	for _, w := range c.pending {
+	interactive, promoted := 0, 0
+	for _, write := range store.pending {
 		switch {
-		case w.Rank == Binding:
-			turns[w] = 2 * binding
-			binding++
-		case w.hasWaited(now):
-			turns[w] = 2*waited + 1
-			if c.isNeededsTurn {
-				turns[w] = 2*waited - 1
+		case write.Priority == Interactive:
+			turns[write] = 2 * interactive
+			interactive++
+		case write.isPromoted(now):
+			turns[write] = 2*promoted + 1
+			if store.isRequiredTurn {
+				turns[write] = 2*promoted - 1
 			}
-			waited++
+			promoted++
 		}
 	}
-	rank := func(w *Write) Rank {
-		if w.hasWaited(now) {
-			return Binding
+	priority := func(write *Write) Priority {
+		if write.isPromoted(now) {
+			return Interactive
 		}
-		return w.Rank
+		return write.Priority
 	}
-	slices.SortStableFunc(c.pending, func(a, b *Write) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(turns[a], turns[b]))
+	slices.SortStableFunc(store.pending, func(a, b *Write) int {
+		return cmp.Or(cmp.Compare(priority(a), priority(b)), cmp.Compare(turns[a], turns[b]))
 	})
 }
 
-// Delay is how long a binding write that comes now would wait for the rate.
-func (c *Client) Delay() clock.Micros {
-	binding, waited := c.waiting()
-	return c.writes.Delay(float64(binding + min(waited, binding+1) + 1))
+// InteractiveDelay is how long a binding write that comes now would wait for the rate.
+func (store *Client) InteractiveDelay() clock.Micros {
+	interactive, promoted := store.countQueuedChanges()
+	return store.writeBudget.Delay(float64(interactive + min(promoted, interactive+1) + 1))
 }
 
-// Backlog is how long the writes that somebody or some work waits for will take at the
+// BacklogDuration is how long the writes that somebody or some work waits for will take at the
 // present rate.
-func (c *Client) Backlog() clock.Micros {
-	binding, waited := c.waiting()
-	return c.writes.Delay(float64(binding + waited))
+func (store *Client) BacklogDuration() clock.Micros {
+	interactive, promoted := store.countQueuedChanges()
+	return store.writeBudget.Delay(float64(interactive + promoted))
 }
 
-// waiting counts the changes of binding writes, and of needed ones that have waited.
-func (c *Client) waiting() (binding, waited int) {
+// countQueuedChanges counts the changes of binding writes, and of needed ones that have waited.
+func (store *Client) countQueuedChanges() (interactive, promoted int) {
 	now := clock.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, w := range c.pending {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	for _, write := range store.pending {
 		switch {
-		case w.Rank <= Binding:
-			binding += len(w.Then)
-		case w.hasWaited(now):
-			waited += len(w.Then)
+		case write.Priority <= Interactive:
+			interactive += len(write.Changes)
+		case write.isPromoted(now):
+			promoted += len(write.Changes)
 		}
 	}
-	return binding, waited
+	return interactive, promoted
 }
 
 // Commit queues a write for the next transaction. It returns false, without
 // calling Done, when too many writes are waiting, or when one that somebody
 // waits for cannot be sent before its time is over: the sooner that is said, the
 // better.
-func (c *Client) Commit(w *Write) bool {
-	w.size, w.queuedAt = 0, clock.Now()
-	for i := range w.Then {
-		w.size += len(w.Then[i].Put) + len(w.Then[i].Delete) + len(w.Then[i].Value) + 48
+func (store *Client) Commit(write *Write) bool {
+	write.sizeBytes, write.queuedAt = 0, clock.Now()
+	for i := range write.Changes {
+		write.sizeBytes += len(write.Changes[i].PutKey) + len(write.Changes[i].DeleteKey) + len(write.Changes[i].Value) + 48
 	}
-	for i := range w.If {
-		w.size += len(w.If[i].Key) + 40
+	for i := range write.Conditions {
+		write.sizeBytes += len(write.Conditions[i].Key) + 40
 	}
-	if w.Rank == Binding && w.Deadline != 0 && clock.Now()+c.Delay() > w.Deadline {
+	if write.Priority == Interactive && write.Deadline != 0 && clock.Now()+store.InteractiveDelay() > write.Deadline {
 		return false
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.pending) >= max(leastQueued, int(queuedFor*c.limits.WriteRPS)) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	if len(store.pending) >= max(minQueueCapacity, int(queueCapacitySeconds*store.limits.WriteRPS)) {
 		return false
 	}
-	c.pending = append(c.pending, w)
-	c.launch()
+	store.pending = append(store.pending, write)
+	store.startSender()
 	return true
 }
 
-// launch starts senders while there is work; the lock is held.
-func (c *Client) launch() {
-	if c.inFlight < maxInFlight && len(c.pending) > 0 {
-		c.inFlight++
-		go c.send()
+// startSender starts senders while there is work; the lock is held.
+func (store *Client) startSender() {
+	if store.activeSenders < maxSenders && len(store.pending) > 0 {
+		store.activeSenders++
+		go store.runSender()
 	}
 }
 
-// next takes the longest run of waiting writes that fits one transaction, the
+// takeBatch takes the longest run of waiting writes that fits one transaction, the
 // most pressing first. Only writes with the same fence go together: a lost
 // lock fails them all. Writes that can wait are taken only as far as the rate
 // has them to spare: what is booked ahead for them would hold up the others.
 // They are looked at again a little later.
-func (c *Client) next() []*Write {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.sortPending(clock.Now())
+func (store *Client) takeBatch() []*Write {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	store.sortPending(clock.Now())
 	var batch []*Write
-	ops, conds, size := 0, 0, 0
-	waits := false
-	kept := c.pending[:0]
-	for _, w := range c.pending {
+	ops, conditions, size := 0, 0, 0
+	hasDeferred := false
+	remaining := store.pending[:0]
+	for _, write := range store.pending {
 		fits := len(batch) == 0 ||
-			w.Fence == batch[0].Fence && ops+len(w.Then) <= c.limits.TxnOps &&
-				conds+len(w.If)+1 <= 4*c.limits.TxnOps && size+w.size <= maxTxn
-		if len(batch) > 0 && w.Rank > Vital && !c.writes.HasTokens(float64(ops+len(w.Then))) {
+			write.FencingToken == batch[0].FencingToken && ops+len(write.Changes) <= store.limits.MaxTransactionOps &&
+				conditions+len(write.Conditions)+1 <= 4*store.limits.MaxTransactionOps && size+write.sizeBytes <= maxTransactionBytes
+		if len(batch) > 0 && write.Priority > Critical && !store.writeBudget.HasTokens(float64(ops+len(write.Changes))) {
 			fits = false // what is booked ahead holds up what is more pressing
 		}
-		if w.Rank == Spare && !c.writes.HasTokens(float64(ops+2*len(w.Then))) {
-			fits, waits = false, true
+		if write.Priority == Background && !store.writeBudget.HasTokens(float64(ops+2*len(write.Changes))) {
+			fits, hasDeferred = false, true
 		}
 		if !fits {
-			kept = append(kept, w)
+			remaining = append(remaining, write)
 			continue
 		}
-		batch = append(batch, w)
-		ops += len(w.Then)
-		conds += len(w.If)
-		size += w.size
+		batch = append(batch, write)
+		ops += len(write.Changes)
+		conditions += len(write.Conditions)
+		size += write.sizeBytes
 	}
-	clear(c.pending[len(kept):])
-	c.pending = kept
+	clear(store.pending[len(remaining):])
+	store.pending = remaining
 	if len(batch) > 0 {
-		c.isNeededsTurn = batch[0].Rank == Binding
+		store.isRequiredTurn = batch[0].Priority == Interactive
 	}
 	if len(batch) == 0 {
-		c.inFlight--
-		if waits && !c.looking {
-			c.looking = true
-			time.AfterFunc(spareLook.Duration(), c.look)
+		store.activeSenders--
+		if hasDeferred && !store.isRecheckScheduled {
+			store.isRecheckScheduled = true
+			time.AfterFunc(backgroundRecheckInterval.Duration(), store.recheckPending)
 		}
 	}
 	return batch
 }
 
-// spareLook is how often it is looked whether the rate has writes to spare.
-const spareLook = 50 * clock.Millisecond
+// backgroundRecheckInterval is how often it is looked whether the rate has writes to spare.
+const backgroundRecheckInterval = 50 * clock.Millisecond
 
-func (c *Client) send() {
+func (store *Client) runSender() {
 	for {
 		// Waiting for the budget before choosing lets more writes join.
-		c.reads.Wait(0)
-		c.writes.Wait(0)
-		batch := c.next()
+		store.requestBudget.Wait(0)
+		store.writeBudget.Wait(0)
+		batch := store.takeBatch()
 		if len(batch) == 0 {
 			return
 		}
-		c.reads.Reserve(1)
-		c.commit(batch)
+		store.requestBudget.Reserve(1)
+		store.commitBatch(batch)
 	}
 }
 
-// look refuses waiting writes whose time is over, and tries the others.
-func (c *Client) look() {
+// recheckPending refuses waiting writes whose time is over, and tries the others.
+func (store *Client) recheckPending() {
 	now := clock.Now()
-	var late []*Write
-	c.mu.Lock()
-	c.looking = false
-	c.pending = slices.DeleteFunc(c.pending, func(w *Write) bool {
-		if w.Deadline != 0 && now >= w.Deadline {
-			late = append(late, w)
+	var expired []*Write
+	store.mu.Lock()
+	store.isRecheckScheduled = false
+	store.pending = slices.DeleteFunc(store.pending, func(write *Write) bool {
+		if write.Deadline != 0 && now >= write.Deadline {
+			expired = append(expired, write)
 			return true
 		}
 		return false
 	})
-	c.launch()
-	c.mu.Unlock()
-	finish(late, Refused, 0)
+	store.startSender()
+	store.mu.Unlock()
+	completeWrites(expired, NotExecuted, 0)
 }
 
-func (c *Client) commit(batch []*Write) {
+func (store *Client) commitBatch(batch []*Write) {
 	for len(batch) > 0 {
 		now := clock.Now()
-		batch = slices.DeleteFunc(batch, func(w *Write) bool {
-			late := w.Deadline != 0 && now >= w.Deadline
-			if late {
-				w.Done(Refused, 0)
+		batch = slices.DeleteFunc(batch, func(write *Write) bool {
+			isExpired := write.Deadline != 0 && now >= write.Deadline
+			if isExpired {
+				write.Done(NotExecuted, 0)
 			}
-			return late
+			return isExpired
 		})
 		if len(batch) == 0 {
 			return
 		}
-		t := wire.Txn{}
-		if f := batch[0].Fence; f != 0 {
-			t.If = append(t.If, wire.Condition{Key: c.lockKey, Version: f})
+		transaction := wire.Transaction{}
+		if token := batch[0].FencingToken; token != 0 {
+			transaction.Conditions = append(transaction.Conditions, wire.Condition{Key: store.lockKey, Version: token})
 		}
-		for _, w := range batch {
-			t.If = append(t.If, w.If...)
-			t.Then = append(t.Then, w.Then...)
+		for _, write := range batch {
+			transaction.Conditions = append(transaction.Conditions, write.Conditions...)
+			transaction.Changes = append(transaction.Changes, write.Changes...)
 		}
-		body, err := t.MarshalJSON()
+		body, err := transaction.MarshalJSON()
 		if err != nil {
-			finish(batch, Refused, 0)
+			completeWrites(batch, NotExecuted, 0)
 			return
 		}
-		c.writes.Wait(float64(len(t.Then)))
-		status, answer, err := c.do("POST", "/txn", body, requestTimeout)
-		var se *client.NotSentError
+		store.writeBudget.Wait(float64(len(transaction.Changes)))
+		status, responseBody, err := store.sendRequest("POST", "/txn", body, requestTimeout)
+		var sendError *client.NotSentError
 		switch {
-		case errors.As(err, &se):
-			finish(batch, Refused, 0)
+		case errors.As(err, &sendError):
+			completeWrites(batch, NotExecuted, 0)
 			return
 		case err != nil:
-			finish(batch, Unknown, 0)
+			completeWrites(batch, Unknown, 0)
 			return
 		}
-		var r wire.TxnResult
+		var result wire.TransactionResult
 		switch status {
 		case 200:
-			if err := r.UnmarshalJSON(answer); err != nil {
-				c.Dropped.Add(1)
-				finish(batch, Unknown, 0)
+			if err := result.UnmarshalJSON(responseBody); err != nil {
+				store.MalformedResponses.Add(1)
+				completeWrites(batch, Unknown, 0)
 				return
 			}
-			c.written.Add(int64(len(t.Then)))
-			finish(batch, Committed, r.Revision)
+			store.changesWritten.Add(int64(len(transaction.Changes)))
+			completeWrites(batch, Committed, result.Revision)
 			return
 		case 409:
-			if err := r.UnmarshalJSON(answer); err != nil || len(r.Failed) == 0 {
-				c.Dropped.Add(1)
-				finish(batch, Unknown, 0)
+			if err := result.UnmarshalJSON(responseBody); err != nil || len(result.FailedKeys) == 0 {
+				store.MalformedResponses.Add(1)
+				completeWrites(batch, Unknown, 0)
 				return
 			}
-			if slices.Contains(r.Failed, c.lockKey) && batch[0].Fence != 0 {
-				finish(batch, Fenced, r.Revision)
+			if slices.Contains(result.FailedKeys, store.lockKey) && batch[0].FencingToken != 0 {
+				completeWrites(batch, Fenced, result.Revision)
 				return
 			}
 			before := len(batch)
-			batch = slices.DeleteFunc(batch, func(w *Write) bool {
-				lost := slices.ContainsFunc(w.If, func(k wire.Condition) bool { return slices.Contains(r.Failed, k.Key) })
-				if lost {
-					w.Done(Conflict, r.Revision)
+			batch = slices.DeleteFunc(batch, func(write *Write) bool {
+				hasConflict := slices.ContainsFunc(write.Conditions, func(condition wire.Condition) bool { return slices.Contains(result.FailedKeys, condition.Key) })
+				if hasConflict {
+					write.Done(Conflict, result.Revision)
 				}
-				return lost
+				return hasConflict
 			})
 			if len(batch) == before {
-				finish(batch, Conflict, r.Revision)
+				completeWrites(batch, Conflict, result.Revision)
 				return
 			}
 		case 429:
 			// Not executed; the budgets were drained and the loop waits.
-			c.reads.Wait(1)
+			store.requestBudget.Wait(1)
 		case 400:
 			// One bad write must not fail its neighbours: try them one by one.
 			if len(batch) == 1 {
-				finish(batch, Refused, 0)
+				completeWrites(batch, NotExecuted, 0)
 				return
 			}
-			for _, w := range batch {
-				c.reads.Wait(1)
-				c.commit([]*Write{w})
+			for _, write := range batch {
+				store.requestBudget.Wait(1)
+				store.commitBatch([]*Write{write})
 			}
 			return
 		default:
-			finish(batch, Refused, 0)
+			completeWrites(batch, NotExecuted, 0)
 			return
 		}
 	}
 }
 
-func finish(batch []*Write, o Outcome, rev uint64) {
-	for _, w := range batch {
-		w.Done(o, rev)
+func completeWrites(batch []*Write, outcome Outcome, revision uint64) {
+	for _, write := range batch {
+		write.Done(outcome, revision)
 	}
 }
--- a/internal/kvstore/reads.go
+++ b/internal/kvstore/reads.go
@@ -11,61 +11,61 @@
 	"firwood.dev/firwood/wire"
 )
 
-// mostKeys is how many keys one answer holds at most.
-const mostKeys = 1000
+// maxPageKeys is how many keys one answer holds at most.
+const maxPageKeys = 1000
 
-// Load reads every key below a prefix, and hands over one page after another: all of them
+// LoadPrefix reads every key below a prefix, and hands over one page after another: all of them
 // may be more than there is memory for. The revision is that of the first
 // page; what changed since then has to be watched from there.
-func (c *Client) Load(prefix string, each func(items []wire.Item)) (uint64, error) {
+func (store *Client) LoadPrefix(prefix string, visit func(items []wire.KeyValue)) (uint64, error) {
 	var revision uint64
 	after := ""
 	for {
-		page, err := c.Page(prefix, after, mostKeys)
+		page, err := store.ReadPage(prefix, after, maxPageKeys)
 		if err != nil {
 			return 0, err
 		}
 		if after == "" {
 			revision = page.Revision
 		}
-		each(page.Items)
-		if !page.More {
+		visit(page.KeyValues)
+		if !page.HasMore {
 			return revision, nil
 		}
-		after = page.Items[len(page.Items)-1].Key
+		after = page.KeyValues[len(page.KeyValues)-1].Key
 	}
 }
 
-// Page reads so many keys below a prefix at most, after a key if that is not empty.
-func (c *Client) Page(prefix, after string, limit int) (*wire.Page, error) {
+// ReadPage reads so many keys below a prefix at most, after a key if that is not empty.
+func (store *Client) ReadPage(prefix, after string, limit int) (*wire.KeyPage, error) {
 	target := "/kv?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
 	if after != "" {
 		target += "&since=" + url.QueryEscape(after)
 	}
-	c.reads.Wait(1)
-	status, body, err := c.do("GET", target, nil, requestTimeout)
+	store.requestBudget.Wait(1)
+	status, body, err := store.sendRequest("GET", target, nil, requestTimeout)
 	if err != nil {
 		return nil, err
 	}
 	if status != 200 {
-		return nil, fmt.Errorf("%w: status %d", ErrRefused, status)
+		return nil, fmt.Errorf("%w: status %d", ErrRejected, status)
 	}
-	page := &wire.Page{}
+	page := &wire.KeyPage{}
 	if err := page.UnmarshalJSON(body); err != nil {
-		c.Dropped.Add(1)
+		store.MalformedResponses.Add(1)
 		return nil, err
 	}
-	page.More = page.More && len(page.Items) > 0
+	page.HasMore = page.HasMore && len(page.KeyValues) > 0
 	return page, nil
 }
 
 // Watch returns every change below the prefix after `since`; block 0 answers
 // at once and so proves what the latest revision is.
-func (c *Client) Watch(prefix string, since uint64, block clock.Micros) (*wire.Events, error) {
-	c.reads.Wait(1)
+func (store *Client) Watch(prefix string, since uint64, timeout clock.Micros) (*wire.WatchResponse, error) {
+	store.requestBudget.Wait(1)
 	target := "/watch?under=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(since, 10) +
-		"&blockMs=" + strconv.FormatInt(int64(block/clock.Millisecond), 10)
-	status, body, err := c.do("GET", target, nil, block+requestTimeout)
+		"&blockMs=" + strconv.FormatInt(int64(timeout/clock.Millisecond), 10)
+	status, body, err := store.sendRequest("GET", target, nil, timeout+requestTimeout)
 	if isTooLarge(err) {
 		// More has changed than is read at once: it never would be, however often it is
 		// asked for. Pages of keys are bounded.
@@ -79,14 +79,14 @@
 	case 410:
 		return nil, ErrCompacted
 	default:
-		return nil, fmt.Errorf("%w: status %d", ErrRefused, status)
+		return nil, fmt.Errorf("%w: status %d", ErrRejected, status)
 	}
-	e := &wire.Events{}
-	if err := e.UnmarshalJSON(body); err != nil {
-		c.Dropped.Add(1)
+	response := &wire.WatchResponse{}
+	if err := response.UnmarshalJSON(body); err != nil {
+		store.MalformedResponses.Add(1)
 		return nil, err
 	}
-	return e, nil
+	return response, nil
 }
 
 // isTooLarge tells that an answer was larger than is taken.
@@ -96,53 +96,53 @@
 }
 
 // Get reads one key with its lease.
-func (c *Client) Get(key string) (*wire.Item, error) {
-	c.reads.Wait(1)
-	status, body, err := c.do("GET", "/kv/"+key, nil, requestTimeout)
+func (store *Client) Get(key string) (*wire.KeyValue, error) {
+	store.requestBudget.Wait(1)
+	status, body, err := store.sendRequest("GET", "/kv/"+key, nil, requestTimeout)
 	if err != nil {
 		return nil, err
 	}
 	if status == 404 {
-		return nil, ErrGone
+		return nil, ErrNotFound
 	}
 	if status != 200 {
-		return nil, fmt.Errorf("%w: status %d", ErrRefused, status)
+		return nil, fmt.Errorf("%w: status %d", ErrRejected, status)
 	}
-	it := &wire.Item{}
-	if err := it.UnmarshalJSON(body); err != nil {
-		c.Dropped.Add(1)
+	item := &wire.KeyValue{}
+	if err := item.UnmarshalJSON(body); err != nil {
+		store.MalformedResponses.Add(1)
 		return nil, err
 	}
-	return it, nil
+	return item, nil
 }
 
-// Existing tells which of some keys exist, in one request, many times fewer than reading
+// FindExisting tells which of some keys exist, in one request, many times fewer than reading
 // them one by one. None: all of them are known to be absent. Some: of those that are not
 // listed nothing is known. No more than four times the limit of changes may be asked for.
-func (c *Client) Existing(keys []string) ([]string, error) {
-	t := wire.Txn{}
+func (store *Client) FindExisting(keys []string) ([]string, error) {
+	transaction := wire.Transaction{}
 	for _, key := range keys {
-		t.If = append(t.If, wire.Condition{Key: key})
+		transaction.Conditions = append(transaction.Conditions, wire.Condition{Key: key})
 	}
-	body, err := t.MarshalJSON()
+	body, err := transaction.MarshalJSON()
 	if err != nil {
 		return nil, err
 	}
-	c.reads.Wait(1)
-	status, answer, err := c.do("POST", "/txn", body, requestTimeout)
+	store.requestBudget.Wait(1)
+	status, responseBody, err := store.sendRequest("POST", "/txn", body, requestTimeout)
 	if err != nil {
 		return nil, err
 	}
-	var r wire.TxnResult
+	var result wire.TransactionResult
 	switch status {
 	case 200:
 		return nil, nil
 	case 409:
-		if err := r.UnmarshalJSON(answer); err != nil || len(r.Failed) == 0 {
-			c.Dropped.Add(1)
-			return nil, fmt.Errorf("%w: a conflict without keys", ErrRefused)
+		if err := result.UnmarshalJSON(responseBody); err != nil || len(result.FailedKeys) == 0 {
+			store.MalformedResponses.Add(1)
+			return nil, fmt.Errorf("%w: a conflict without keys", ErrRejected)
 		}
-		return r.Failed, nil
+		return result.FailedKeys, nil
 	}
-	return nil, fmt.Errorf("%w: status %d", ErrRefused, status)
+	return nil, fmt.Errorf("%w: status %d", ErrRejected, status)
 }
--- a/internal/protocoltest/checker.go
+++ b/internal/protocoltest/checker.go
@@ -149,10 +149,10 @@
 	}
 	switch stage {
 	case wire.JobDone:
-		if len(j.done) < j.spec.Tasks {
-			c.broken(NotDone, "%s: %d of %d tasks are done", id, len(j.done), j.spec.Tasks)
+		if len(j.done) < j.spec.TaskCount {
+			c.broken(NotDone, "%s: %d of %d tasks are done", id, len(j.done), j.spec.TaskCount)
 		}
-	case wire.JobAborted:
+	case wire.JobCancelled:
 		if !c.cancelAskedBefore(j) {
 			c.broken(WentBack, "%s is called cancelled, which its user did not ask for", id)
 		}
@@ -173,7 +173,7 @@
 	for len(work) > 0 {
 		next := work[len(work)-1]
 		work = work[:len(work)-1]
-		for _, id := range next.spec.Awaits {
+		for _, id := range next.spec.DependsOn {
 			needed := c.jobs[id]
 			if needed == nil || seen[needed] {
 				continue
@@ -199,7 +199,7 @@
 func (c *Checker) cancelledBefore(j *job) (at time.Time, cancelled bool) {
 	cancelled = c.before(j, func(needed *job) bool {
 		at = needed.finalAt
-		return needed.final == wire.JobAborted
+		return needed.final == wire.JobCancelled
 	})
 	return at, cancelled
 }
@@ -243,8 +243,8 @@
 		c.broken(RanTwice, "%s starts on %s while on %s", task, m.ID, other.ID)
 	}
 	c.place(j, m, task)
-	for _, need := range j.spec.Awaits {
-		if needed := c.jobs[need]; needed == nil || len(needed.done) < needed.spec.Tasks {
+	for _, need := range j.spec.DependsOn {
+		if needed := c.jobs[need]; needed == nil || len(needed.done) < needed.spec.TaskCount {
 			c.broken(TooEarly, "%s starts before %s is done", task, need)
 		}
 	}
@@ -253,7 +253,7 @@
 		c.reruns = append(c.reruns, task+" on "+m.ID)
 	}
 	c.quota(j.spec.Team)
-	if j.final == wire.JobAborted {
+	if j.final == wire.JobCancelled {
 		c.lateStarts = append(c.lateStarts, fmt.Sprintf("%s on %s, %v after its job was cancelled", task, m.ID, time.Since(j.finalAt)))
 		if time.Since(j.finalAt) > c.cfg.Cancellation {
 			c.broken(RanCancelled, "%s starts %v after its job was cancelled", task, time.Since(j.finalAt))
@@ -274,7 +274,7 @@
 	if j.on[index].ID == machine {
 		delete(j.on, index)
 	}
-	if cause == wire.WhyDone {
+	if cause == wire.ExitDone {
 		j.done[index] = true
 	}
 }
@@ -282,12 +282,12 @@
 // place checks the job's own wishes, given its other tasks.
 func (c *Checker) place(j *job, m wire.ListedMachine, task string) {
 	s := j.spec
-	allowed := !m.Spot || s.Spot
+	allowed := !m.Spot || s.AllowsSpot
 	allowed = allowed && (s.Zone == "" || s.Zone == m.Zone)
-	if s.Types != nil {
+	if s.MachineTypes != nil {
 		found := false
-		for _, t := range s.Types {
-			found = found || t == m.Type
+		for _, t := range s.MachineTypes {
+			found = found || t == m.MachineType
 		}
 		allowed = allowed && found
 	}
@@ -295,15 +295,15 @@
 	for _, other := range j.on {
 		if other.Zone == m.Zone {
 			inZone++
-		} else if s.OneZone {
+		} else if s.SingleZone {
 			allowed = false
 		}
 	}
-	if s.Spread && inZone > (s.Tasks+1)/2 {
+	if s.SpreadZones && inZone > (s.TaskCount+1)/2 {
 		allowed = false
 	}
 	if !allowed {
-		c.broken(WrongPlace, "%s starts on %s (%s, %s, spot %v)", task, m.ID, m.Type, m.Zone, m.Spot)
+		c.broken(WrongPlace, "%s starts on %s (%s, %s, spot %v)", task, m.ID, m.MachineType, m.Zone, m.Spot)
 	}
 }
 
@@ -324,7 +324,7 @@
 // overdue finds cancelled jobs whose tasks have stayed for too long.
 func (c *Checker) overdue() {
 	for id, j := range c.jobs {
-		if j.counted || j.final != wire.JobAborted || time.Since(j.finalAt) <= c.cfg.Cancellation {
+		if j.counted || j.final != wire.JobCancelled || time.Since(j.finalAt) <= c.cfg.Cancellation {
 			continue
 		}
 		j.counted = true
--- a/internal/protocoltest/checker_test.go
+++ b/internal/protocoltest/checker_test.go
@@ -19,7 +19,7 @@
 func newCourse() course {
 	c := course{
 		New(Config{Cancellation: 10 * time.Second, Limits: map[string]Limit{"a": {CPUs: 8}}}),
-		&wire.Job{ID: jobID, Team: "a", Kind: wire.KindArray, Tasks: 2, CPUs: 4},
+		&wire.Job{ID: jobID, Team: "a", Kind: wire.KindArray, TaskCount: 2, CPUs: 4},
 	}
 	c.Submitted(c.spec)
 	c.Told(jobID, wire.JobPending, time.Now())
@@ -31,12 +31,12 @@
 
 func (c course) cancelled() {
 	c.CancelAsked(jobID)
-	c.told(wire.JobAborted)
+	c.told(wire.JobCancelled)
 	time.Sleep(time.Second)
 }
 
 func machine(name, zone string) wire.ListedMachine {
-	return wire.ListedMachine{ID: name, Type: "m", Zone: zone}
+	return wire.ListedMachine{ID: name, MachineType: "m", Zone: zone}
 }
 
 // Each rule is found broken where a history breaks it, and in no other history.
@@ -51,14 +51,14 @@
 			c.Started(machine("i-1", "x"), first)
 			c.Started(machine("i-2", "y"), second)
 			c.told(wire.JobRunning)
-			c.Ended("i-1", first, wire.WhyDone)
-			c.Ended("i-2", second, wire.WhyDone)
+			c.Ended("i-1", first, wire.ExitDone)
+			c.Ended("i-2", second, wire.ExitDone)
 			c.told(wire.JobDone)
 			c.told(wire.JobDone)
 		}},
 		{"a task moves", "", func(c course) {
 			c.Started(machine("i-1", "x"), first)
-			c.Ended("i-1", first, wire.WhyStopped)
+			c.Ended("i-1", first, wire.ExitStopped)
 			c.Started(machine("i-2", "y"), first)
 		}},
 		{"a task on two machines", RanTwice, func(c course) {
@@ -75,7 +75,7 @@
 			c.Started(machine("i-1", "x"), first)
 		}},
 		{"another type", WrongPlace, func(c course) {
-			c.spec.Types = []string{"other"}
+			c.spec.MachineTypes = []string{"other"}
 			c.Started(machine("i-1", "x"), first)
 		}},
 		{"a spot machine", WrongPlace, func(c course) {
@@ -84,12 +84,12 @@
 			c.Started(m, first)
 		}},
 		{"two zones", WrongPlace, func(c course) {
-			c.spec.OneZone = true
+			c.spec.SingleZone = true
 			c.Started(machine("i-1", "x"), first)
 			c.Started(machine("i-2", "y"), second)
 		}},
 		{"not spread", WrongPlace, func(c course) {
-			c.spec.Spread = true
+			c.spec.SpreadZones = true
 			c.Started(machine("i-1", "x"), first)
 			c.Started(machine("i-2", "x"), second)
 		}},
@@ -102,7 +102,7 @@
 			c.Started(machine("i-1", "x"), first)
 			c.cancelled()
 			time.Sleep(8 * time.Second)
-			c.Ended("i-1", first, wire.WhyStopped)
+			c.Ended("i-1", first, wire.ExitStopped)
 			time.Sleep(8 * time.Second)
 		}},
 		{"a cancelled task starts much later", RanCancelled, func(c course) {
@@ -117,31 +117,31 @@
 			c.cancelled()
 			c.told(wire.JobRunning)
 		}},
-		{"cancelled without being asked", WentBack, func(c course) { c.told(wire.JobAborted) }},
+		{"cancelled without being asked", WentBack, func(c course) { c.told(wire.JobCancelled) }},
 		{"started before what it needs", TooEarly, func(c course) {
-			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, Tasks: 1, Awaits: []string{jobID}})
+			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
 			c.Started(machine("i-1", "x"), first)
-			c.Ended("i-1", first, wire.WhyDone)
+			c.Ended("i-1", first, wire.ExitDone)
 			c.Started(machine("i-1", "x"), "req-000002/0")
 		}},
 		{"started after what it needs", "", func(c course) {
-			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, Tasks: 1, Awaits: []string{jobID}})
+			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
 			for _, task := range []string{first, second} {
 				c.Started(machine("i-1", "x"), task)
-				c.Ended("i-1", task, wire.WhyDone)
+				c.Ended("i-1", task, wire.ExitDone)
 			}
 			c.Started(machine("i-1", "x"), "req-000002/0")
 		}},
 		{"cancelled with what it needs", "", func(c course) {
-			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, Tasks: 1, Awaits: []string{jobID}})
+			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
 			c.cancelled()
 			c.Told("req-000002", wire.JobPending, time.Now())
 			time.Sleep(11 * time.Second)
-			c.Told("req-000002", wire.JobAborted, time.Now())
+			c.Told("req-000002", wire.JobCancelled, time.Now())
 		}},
 		{"not cancelled with what it needs", Orphaned, func(c course) {
-			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, Tasks: 1, Awaits: []string{"req-000003"}})
-			c.Submitted(&wire.Job{ID: "req-000003", Team: "a", Kind: wire.KindArray, Tasks: 1, Awaits: []string{jobID}})
+			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{"req-000003"}})
+			c.Submitted(&wire.Job{ID: "req-000003", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
 			c.cancelled()
 			time.Sleep(11 * time.Second)
 			c.Told("req-000002", wire.JobPending, time.Now())
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -23,18 +23,18 @@
 	id := 0
 	addWaitingJob := func(service bool, tasks int) *allocation.Job {
 		id++
-		spec := wire.Job{ID: fmt.Sprintf("req-%06d", id), Class: "array", Team: "a", Tasks: tasks, CPUs: 4, MemoryGB: 9, Spot: true,
-			EstimateS: 20 + 60*rng.Float64(), Priority: wire.PriorityHigh, Image: fmt.Sprint("array-", id%4), ImageGB: 0.6}
+		spec := wire.Job{ID: fmt.Sprintf("req-%06d", id), Class: "array", Team: "a", TaskCount: tasks, CPUs: 4, MemoryGB: 9, AllowsSpot: true,
+			EstimatedRunSeconds: 20 + 60*rng.Float64(), Priority: wire.PriorityHigh, Image: fmt.Sprint("array-", id%4), ImageSizeGB: 0.6}
 		if service {
-			spec.Class, spec.Team, spec.CPUs, spec.MemoryGB, spec.Spot, spec.EstimateS = "service", "b", 1, 2, false, 0
-			spec.Kind, spec.Priority, spec.Spread, spec.Image = wire.KindService, wire.PriorityProduction, true, fmt.Sprint("service-", id%16)
+			spec.Class, spec.Team, spec.CPUs, spec.MemoryGB, spec.AllowsSpot, spec.EstimatedRunSeconds = "service", "b", 1, 2, false, 0
+			spec.Kind, spec.Priority, spec.SpreadZones, spec.Image = wire.KindService, wire.PriorityProduction, true, fmt.Sprint("service-", id%16)
 		}
 		return fixture.addJob(spec)
 	}
-	heartbeats := map[*allocation.Machine]*wire.Report{}
+	heartbeats := map[*allocation.Machine]*wire.Heartbeat{}
 	for _, machine := range machines {
 		fixture.heartbeatSeqs[machine.Name]++
-		heartbeats[machine] = &wire.Report{Machine: machine.Name, Session: 1, Seq: fixture.heartbeatSeqs[machine.Name], Token: 1, Addr: "127.0.0.1:1"}
+		heartbeats[machine] = &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}
 	}
 	fillMachines := func(spot bool, size int) {
 		var job *allocation.Job
@@ -46,7 +46,7 @@
 			for float64(machine.Used().MilliCPU) < filled*float64(machine.Capacity.MilliCPU) {
 				if job == nil || next == len(job.Tasks) {
 					job, next = addWaitingJob(!spot, size), 0
-					job.Spec.Spread = false
+					job.Spec.SpreadZones = false
 				}
 				if !job.Request.IsWithin(machine.Free()) {
 					break
@@ -55,7 +55,7 @@
 					panic(err)
 				}
 				placement := job.Tasks[next].Placement
-				heartbeats[machine].Tasks = append(heartbeats[machine].Tasks, wire.TaskReport{Task: wire.TaskID(job.Spec.ID, next), Attempt: placement.Attempt, State: wire.TaskRunning})
+				heartbeats[machine].Tasks = append(heartbeats[machine].Tasks, wire.TaskStatus{TaskID: wire.TaskID(job.Spec.ID, next), Attempt: placement.Attempt, State: wire.TaskRunning})
 				next++
 			}
 		}
@@ -137,10 +137,10 @@
 			}
 			var jobs []*allocation.Job
 			for i := 0; i < 1+rng.IntN(8); i++ {
-				spec := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: "a", Tasks: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(1 + rng.IntN(8)),
-					EstimateS: float64(5 + rng.IntN(90)), Spot: rng.IntN(2) == 0, Image: fmt.Sprint("img-", rng.IntN(3))}
+				spec := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: "a", TaskCount: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(1 + rng.IntN(8)),
+					EstimatedRunSeconds: float64(5 + rng.IntN(90)), AllowsSpot: rng.IntN(2) == 0, Image: fmt.Sprint("img-", rng.IntN(3))}
 				if rng.IntN(3) == 0 {
-					spec.Kind, spec.EstimateS, spec.Spread = wire.KindService, 0, true
+					spec.Kind, spec.EstimatedRunSeconds, spec.SpreadZones = wire.KindService, 0, true
 				}
 				jobs = append(jobs, fixture.addJob(spec))
 			}
@@ -176,10 +176,10 @@
 					if !machine.IsSchedulable() || !allocation.IsEligible(job, machine) || !job.Request.IsWithin(cycle.freeResources(machine)) {
 						continue
 					}
-					if job.Spec.Spread && best != nil && job.CountInZone(machine.Zone) > job.CountInZone(best.Zone) {
+					if job.Spec.SpreadZones && best != nil && job.CountInZone(machine.Zone) > job.CountInZone(best.Zone) {
 						continue
 					}
-					if best == nil || job.Spec.Spread && job.CountInZone(machine.Zone) < job.CountInZone(best.Zone) || scores[machine] > scores[best] {
+					if best == nil || job.Spec.SpreadZones && job.CountInZone(machine.Zone) < job.CountInZone(best.Zone) || scores[machine] > scores[best] {
 						best = machine
 					}
 				}
--- a/internal/scheduler/boottime.go
+++ b/internal/scheduler/boottime.go
@@ -70,7 +70,7 @@
 // nominal figure gives: the first machines of a burst to come up are the fast ones,
 // and by their times alone all the others looked overdue, and were rented again.
 func (scheduler *Scheduler) BootTime(typeName string, quantile float64) clock.Micros {
-	nominal := clock.FromSeconds(scheduler.MachineTypes[typeName].BootS)
+	nominal := clock.FromSeconds(scheduler.MachineTypes[typeName].BootSeconds)
 	if quantile > 90 {
 		nominal += nominal / 2 // usually 0.6 to 1.5 times the figure
 	}
--- a/internal/scheduler/boottime_test.go
+++ b/internal/scheduler/boottime_test.go
@@ -18,7 +18,7 @@
 		machine.RecordedInStore = true
 		booting = append(booting, machine)
 	}
-	fixture.addJob(wire.Job{ID: "req-000001", Tasks: 40, CPUs: 4, EstimateS: 60, Spot: true})
+	fixture.addJob(wire.Job{ID: "req-000001", TaskCount: 40, CPUs: 4, EstimatedRunSeconds: 60, AllowsSpot: true})
 	for range 20 {
 		fixture.scheduler.ObserveBoot("big", 9*clock.Second)
 	}
@@ -43,7 +43,7 @@
 				fixture.scheduler.ObserveEmptyPool(Pool{typeName, zone, true}, fixture.now)
 			}
 		}
-		fixture.addJob(wire.Job{ID: "req-000001", Kind: kind, Tasks: 4, CPUs: 4, EstimateS: 100, Spot: true})
+		fixture.addJob(wire.Job{ID: "req-000001", Kind: kind, TaskCount: 4, CPUs: 4, EstimatedRunSeconds: 100, AllowsSpot: true})
 		if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); (len(decision.ScaleOut) > 0) != (kind == wire.KindGang) {
 			t.Errorf("%s: rented %v", kind, decision.ScaleOut)
 		}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -113,7 +113,7 @@
 // last checkpoint, and a new start.
 func (cycle *schedulingCycle) preemptionLoss(placement *allocation.Placement) float64 {
 	elapsed := cycle.scheduler.elapsedSeconds(placement, cycle.now)
-	if checkpointInterval := placement.Job.Spec.CheckpointS; checkpointInterval > 0 {
+	if checkpointInterval := placement.Job.Spec.CheckpointIntervalSeconds; checkpointInterval > 0 {
 		elapsed = min(elapsed, checkpointInterval)
 	}
 	return (elapsed + restartLossSeconds) * dominantShare(placement.Job.Request, placement.Machine.Capacity)
@@ -153,7 +153,7 @@
 		if len(chosen) == taskCount {
 			break
 		}
-		if job.Spec.Spread && job.CountInZone(taskSlot.machine.Zone)+zones[taskSlot.machine.Zone] >= job.MaxTasksPerZone() {
+		if job.Spec.SpreadZones && job.CountInZone(taskSlot.machine.Zone)+zones[taskSlot.machine.Zone] >= job.MaxTasksPerZone() {
 			continue
 		}
 		zones[taskSlot.machine.Zone]++
@@ -208,7 +208,7 @@
 		return 0
 	}
 	zones := []string{""}
-	if job.Spec.OneZone {
+	if job.Spec.SingleZone {
 		zones = cycle.scheduler.Zones
 	}
 	var best []gangSlot
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -13,14 +13,14 @@
 // reportTasks has a machine report all that the ledger has placed on it, in a state.
 func (fixture *schedulerFixture) reportTasks(machine *allocation.Machine, taskState string) {
 	fixture.tracker.HeartbeatCommands(machine, fixture.now)
-	var tasks []wire.TaskReport
+	var tasks []wire.TaskStatus
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
 		if !placement.IsStopping() {
-			tasks = append(tasks, wire.TaskReport{Task: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: taskState})
+			tasks = append(tasks, wire.TaskStatus{TaskID: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: taskState})
 		}
 	})
 	fixture.heartbeatSeqs[machine.Name] += 2
-	fixture.tracker.RecordHeartbeat(machine, &wire.Report{Machine: machine.Name, Session: 1, Seq: fixture.heartbeatSeqs[machine.Name], Token: 1, Tasks: tasks}, fixture.now)
+	fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Tasks: tasks}, fixture.now)
 }
 
 func (fixture *schedulerFixture) plan() Decision {
@@ -32,7 +32,7 @@
 func newCrowdedFixture(t *testing.T, machines int, spec wire.Job) (*schedulerFixture, *allocation.Job) {
 	t.Helper()
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
-	spec.ID, spec.Tasks, spec.CPUs, spec.GPUs, spec.Team = "req-000001", 2*machines, 5, 1, "a"
+	spec.ID, spec.TaskCount, spec.CPUs, spec.GPUs, spec.Team = "req-000001", 2*machines, 5, 1, "a"
 	batchJob := fixture.addJob(spec)
 	for i := range machines {
 		machine := fixture.addMachine(fmt.Sprintf("i-%02d", i), "big", "x", false)
@@ -61,25 +61,25 @@
 
 func (fixture *schedulerFixture) completeTask(job *allocation.Job, index int) {
 	machine := job.Tasks[index].Placement.Machine
-	var tasks []wire.TaskReport
+	var tasks []wire.TaskStatus
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
-		task := wire.TaskReport{Task: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: wire.TaskRunning}
+		task := wire.TaskStatus{TaskID: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: wire.TaskRunning}
 		if placement.Job == job && placement.TaskIndex == index {
-			task.State, task.Why = wire.TaskExited, wire.WhyDone
+			task.State, task.ExitCause = wire.TaskExited, wire.ExitDone
 		}
 		tasks = append(tasks, task)
 	})
 	fixture.heartbeatSeqs[machine.Name] += 2
-	fixture.tracker.RecordHeartbeat(machine, &wire.Report{Machine: machine.Name, Session: 1, Seq: fixture.heartbeatSeqs[machine.Name], Token: 1, Tasks: tasks}, fixture.now)
+	fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Tasks: tasks}, fixture.now)
 }
 
 // A card that falls free is kept for a gang whose turn it is, until the machine's
 // other card is free too; it once went to the next array task every time, and gangs
 // waited for as long as there were any.
 func TestGangReservationHoldsUntilGangFits(t *testing.T) {
-	fixture, batch := newCrowdedFixture(t, 1, wire.Job{EstimateS: 20})
-	gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, Tasks: 1, CPUs: 10, GPUs: 2, EstimateS: 60, Priority: wire.PriorityNormal})
-	small := fixture.addJob(wire.Job{ID: "req-000003", Team: "b", Tasks: 5, CPUs: 5, GPUs: 1, EstimateS: 90})
+	fixture, batch := newCrowdedFixture(t, 1, wire.Job{EstimatedRunSeconds: 20})
+	gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, TaskCount: 1, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60, Priority: wire.PriorityNormal})
+	small := fixture.addJob(wire.Job{ID: "req-000003", Team: "b", TaskCount: 5, CPUs: 5, GPUs: 1, EstimatedRunSeconds: 90})
 	fixture.now += 18 * clock.Second
 	fixture.completeTask(batch, 0)
 	fixture.plan()
@@ -98,12 +98,12 @@
 // same, so that the largest begins too.
 func TestGangReservationIsBoundedUnlessAged(t *testing.T) {
 	for _, aged := range []bool{false, true} {
-		fixture, batch := newCrowdedFixture(t, 1, wire.Job{EstimateS: 500})
-		fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, Tasks: 1, CPUs: 10, GPUs: 2, EstimateS: 60})
+		fixture, batch := newCrowdedFixture(t, 1, wire.Job{EstimatedRunSeconds: 500})
+		fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, TaskCount: 1, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60})
 		if aged {
 			fixture.now += fixture.scheduler.Settings.AgingThreshold
 		}
-		small := fixture.addJob(wire.Job{ID: "req-000003", Team: "b", Tasks: 5, CPUs: 5, GPUs: 1, EstimateS: 90})
+		small := fixture.addJob(wire.Job{ID: "req-000003", Team: "b", TaskCount: 5, CPUs: 5, GPUs: 1, EstimatedRunSeconds: 90})
 		fixture.completeTask(batch, 0)
 		fixture.plan()
 		if (small.ActiveCount() == 0) != aged {
@@ -130,15 +130,15 @@
 		{"work of its rank", 3 * clock.Second, wire.PriorityNormal, allocation.TeamQuota{}, false, 0},
 		{"work that is owed its room", 3 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{GuaranteedMilliGPU: 8000}, false, 0},
 	} {
-		fixture, batch := newCrowdedFixture(t, 2, wire.Job{EstimateS: 1000})
+		fixture, batch := newCrowdedFixture(t, 2, wire.Job{EstimatedRunSeconds: 1000})
 		fixture.scheduler.Teams["a"] = testCase.team
 		batch.ForEachPlacement(func(placement *allocation.Placement) { placement.Adopted = testCase.found })
 		for _, machine := range fixture.tracker.Machines {
 			machine.ImageUsedAt["water"] = fixture.now
 		}
 		fixture.addMachine("i-99", "big", "x", false) // free, without the image
-		gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, Tasks: 1, CPUs: 10, GPUs: 2, EstimateS: 60,
-			Priority: testCase.rank, Image: "water", ImageGB: 20})
+		gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, TaskCount: 1, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60,
+			Priority: testCase.rank, Image: "water", ImageSizeGB: 20})
 		fixture.now += testCase.age
 		fixture.plan()
 		if stoppingCount(batch) != testCase.stops {
@@ -165,12 +165,12 @@
 	endsAt := map[*allocation.Placement]clock.Micros{}
 	var large *allocation.Job
 	for n := 0; n < 400; n++ {
-		fixture.addJob(wire.Job{ID: fmt.Sprintf("req-%06d", n), Team: "a", Tasks: 1 + rng.IntN(2), CPUs: 5, GPUs: 1, EstimateS: 30})
+		fixture.addJob(wire.Job{ID: fmt.Sprintf("req-%06d", n), Team: "a", TaskCount: 1 + rng.IntN(2), CPUs: 5, GPUs: 1, EstimatedRunSeconds: 30})
 		if n%3 == 0 {
-			fixture.addJob(wire.Job{ID: fmt.Sprintf("req-1%05d", n), Team: "a", Kind: wire.KindGang, Tasks: 1, CPUs: 10, GPUs: 2, EstimateS: 30})
+			fixture.addJob(wire.Job{ID: fmt.Sprintf("req-1%05d", n), Team: "a", Kind: wire.KindGang, TaskCount: 1, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 30})
 		}
 		if n == 60 {
-			large = fixture.addJob(wire.Job{ID: "req-200000", Team: "b", Kind: wire.KindGang, Tasks: 6, CPUs: 10, GPUs: 2, EstimateS: 60, OneZone: true})
+			large = fixture.addJob(wire.Job{ID: "req-200000", Team: "b", Kind: wire.KindGang, TaskCount: 6, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60, SingleZone: true})
 		}
 		fixture.plan()
 		for _, machine := range fixture.tracker.SortedMachines() {
@@ -213,11 +213,11 @@
 	for i := range 3 {
 		fixture.addMachine(fmt.Sprintf("i-%d", i), "big", "x", false)
 	}
-	gang := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Kind: wire.KindGang, Tasks: 2, CPUs: 10, GPUs: 2, EstimateS: 60})
+	gang := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Kind: wire.KindGang, TaskCount: 2, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60})
 	fixture.plan()
 	attempt := gang.GangAttempt
 	for _, machine := range fixture.tracker.SortedMachines() {
-		fixture.reportTasks(machine, wire.TaskWaiting)
+		fixture.reportTasks(machine, wire.TaskWaitingForGang)
 	}
 	lost := gang.Tasks[0].Placement.Machine
 	fixture.tracker.RemoveMachine(lost, fixture.now)
@@ -240,7 +240,7 @@
 // every pool has refused, nothing is rented for a part of it. Others are served.
 func TestNoScaleOutForInfeasibleGang(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
-	huge := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Kind: wire.KindGang, Tasks: 100000, CPUs: 10, GPUs: 2, EstimateS: 60, Types: []string{"big"}})
+	huge := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Kind: wire.KindGang, TaskCount: 100000, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60, MachineTypes: []string{"big"}})
 	if decision := fixture.plan(); len(decision.ScaleOut) == 0 {
 		t.Fatal("nothing is tried for a gang of whose size nothing is known")
 	}
@@ -250,7 +250,7 @@
 	for _, zone := range []string{"x", "y", "z"} {
 		fixture.scheduler.ObserveEmptyPool(Pool{"big", zone, false}, fixture.now)
 	}
-	small := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindGang, Tasks: 2, CPUs: 10, GPUs: 2, EstimateS: 60})
+	small := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindGang, TaskCount: 2, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60})
 	fixture.now += 60 * clock.Second // the pools may be asked again
 	if decision := fixture.plan(); len(decision.ScaleOut) != 0 || small.ActiveCount() != 2 || huge.ActiveCount() != 0 {
 		t.Fatalf("rented %v, %d of two tasks placed, %d of the huge gang", decision.ScaleOut, small.ActiveCount(), huge.ActiveCount())
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -10,7 +10,7 @@
 // hand, then the fullest, so that others run empty and can be given back.
 func (cycle *schedulingCycle) placementScore(job *allocation.Job, machine *allocation.Machine) float64 {
 	score := 0.0
-	if job.Spec.Spot == machine.Spot {
+	if job.Spec.AllowsSpot == machine.Spot {
 		score += 100
 	}
 	if job.IsService() && machine.ReplicaCount() > 0 {
@@ -141,7 +141,7 @@
 		placed++
 		return true
 	}
-	if job.Spec.Spread {
+	if job.Spec.SpreadZones {
 		cycle.placeSpread(job, maxTasks, place)
 		return placed
 	}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -108,8 +108,8 @@
 		return 0
 	}
 	fetchSeconds := 1.0
-	if machineType := cycle.scheduler.MachineTypes[machine.Type]; machineType.FetchGBPerS > 0 {
-		fetchSeconds = job.Spec.ImageGB / machineType.FetchGBPerS
+	if machineType := cycle.scheduler.MachineTypes[machine.Type]; machineType.FetchGBPerSecond > 0 {
+		fetchSeconds = job.Spec.ImageSizeGB / machineType.FetchGBPerSecond
 	}
 	return replicaFetchWeight * fetchSeconds * float64(job.Request.MilliCPU)
 }
@@ -156,7 +156,7 @@
 	zones := map[string]int{}
 	for queued.unplaced > 0 && len(candidates) > 0 {
 		machine := candidates[0].machine
-		if job.Spec.Spread && job.CountInZone(machine.Zone)+zones[machine.Zone] >= job.MaxTasksPerZone() {
+		if job.Spec.SpreadZones && job.CountInZone(machine.Zone)+zones[machine.Zone] >= job.MaxTasksPerZone() {
 			candidates.removeBest()
 			continue
 		}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -180,8 +180,8 @@
 		return 0
 	case job.Deadline > 0:
 		return max((job.Deadline - job.ReleasedAt).Seconds(), alreadyLate)
-	case job.Spec.DeadlineS > 0:
-		return job.Spec.DeadlineS
+	case job.Spec.DeadlineSeconds > 0:
+		return job.Spec.DeadlineSeconds
 	}
 	return scheduler.CompletionObjectives[job.Spec.Class]
 }
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -12,8 +12,8 @@
 // bounds nothing. Guarantees in cards alone once covered no job at all, since all
 // take processors too.
 func TestQuotaEntitlementsPerResource(t *testing.T) {
-	both := wire.Job{Tasks: 2, CPUs: 4, GPUs: 1}
-	cpus := wire.Job{Tasks: 2, CPUs: 4}
+	both := wire.Job{TaskCount: 2, CPUs: 4, GPUs: 1}
+	cpus := wire.Job{TaskCount: 2, CPUs: 4}
 	for _, testCase := range []struct {
 		name string
 		team allocation.TeamQuota
@@ -26,7 +26,7 @@
 		{"processors alone", allocation.TeamQuota{GuaranteedMilliCPU: 16000}, []wire.Job{both, cpus, cpus}, []bool{true, true, false}},
 		{"both, cards short", allocation.TeamQuota{GuaranteedMilliCPU: 80000, GuaranteedMilliGPU: 2000}, []wire.Job{both, both}, []bool{true, false}},
 		{"both, processors short", allocation.TeamQuota{GuaranteedMilliCPU: 8000, GuaranteedMilliGPU: 8000}, []wire.Job{both, both}, []bool{true, false}},
-		{"what comes after one that is too large", allocation.TeamQuota{GuaranteedMilliGPU: 3000}, []wire.Job{{Tasks: 4, GPUs: 1}, both}, []bool{false, false}},
+		{"what comes after one that is too large", allocation.TeamQuota{GuaranteedMilliGPU: 3000}, []wire.Job{{TaskCount: 4, GPUs: 1}, both}, []bool{false, false}},
 	} {
 		fixture := newFixture(map[string]allocation.TeamQuota{"a": testCase.team})
 		var jobs []*allocation.Job
@@ -73,9 +73,9 @@
 	for _, zone := range fixture.scheduler.Zones {
 		fixture.scheduler.backoffFor(Pool{"big", zone, false}).backoffUntil = 1e15
 	}
-	agedJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
+	agedJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 5, GPUs: 1, EstimatedRunSeconds: 50})
 	fixture.now += fixture.scheduler.Settings.AgingThreshold
-	entitledJob := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
+	entitledJob := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", TaskCount: 2, CPUs: 5, GPUs: 1, EstimatedRunSeconds: 50})
 	for range 3 {
 		fixture.plan()
 		fixture.reportTasks(machine, wire.TaskRunning)
@@ -86,10 +86,10 @@
 	// Other work beyond a guarantee does give way.
 	fixture = newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {GuaranteedMilliGPU: 100000}})
 	machine = fixture.addMachine("i-0", "big", "x", false)
-	youngJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
+	youngJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 5, GPUs: 1, EstimatedRunSeconds: 50})
 	fixture.plan()
 	fixture.reportTasks(machine, wire.TaskRunning)
-	fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Tasks: 2, CPUs: 5, GPUs: 1, EstimateS: 50})
+	fixture.addJob(wire.Job{ID: "req-000002", Team: "b", TaskCount: 2, CPUs: 5, GPUs: 1, EstimatedRunSeconds: 50})
 	fixture.plan()
 	if stoppingCount(youngJob) != 2 {
 		t.Fatalf("%d tasks are stopped for a guarantee of two", stoppingCount(youngJob))
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -140,7 +140,7 @@
 		requiredZone := cycle.chooseZone(job, forecast)
 		// most is how many more of the job's tasks a zone may have.
 		zoneAllowance := func(zone string) int {
-			if queued.isLossUnconfirmed || !job.Spec.Spread {
+			if queued.isLossUnconfirmed || !job.Spec.SpreadZones {
 				return remaining
 			}
 			return min(remaining, job.MaxTasksPerZone()-job.CountInZone(zone)-zones[zone])
@@ -168,7 +168,7 @@
 		offers := cycle.pricedPools(job, queued.isCritical, requiredZone, forecast)
 		for remaining > 0 {
 			capacity := cycle.cheapestPool(job, offers, func(zone string) bool { return zoneAllowance(zone) > 0 })
-			if capacity == nil || capacity.requested >= wire.MaxHire {
+			if capacity == nil || capacity.requested >= wire.MaxScaleOutCount {
 				break // more than one call may ask for is for the next plan
 			}
 			// A new machine takes what it can of this job at once.
@@ -217,7 +217,7 @@
 // where its tasks are, else where most of them will find room, or a pool that
 // has not just refused. Machines rented in several zones would never do.
 func (cycle *schedulingCycle) chooseZone(job *allocation.Job, forecast *capacityForecast) string {
-	if !job.Spec.OneZone {
+	if !job.Spec.SingleZone {
 		return ""
 	}
 	if zone, ok := job.OccupiedZone(); ok {
@@ -280,10 +280,10 @@
 
 func isPoolAllowed(job *allocation.Job, pool Pool) bool {
 	spec := job.Spec
-	if pool.Spot && !spec.Spot || spec.Zone != "" && spec.Zone != pool.Zone || spec.Types != nil && !slices.Contains(spec.Types, pool.Type) {
+	if pool.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != pool.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, pool.Type) {
 		return false
 	}
-	if spec.OneZone {
+	if spec.SingleZone {
 		if zone, ok := job.OccupiedZone(); ok && zone != pool.Zone {
 			return false
 		}
@@ -317,7 +317,7 @@
 				if !spot && machineType.SpotPrice > 0 && !isCritical && cycle.mayAwaitSpot(job) {
 					continue // worth the wait for a spot machine
 				}
-				price := machineType.Price
+				price := machineType.OnDemandPrice
 				if spot {
 					price = machineType.SpotPrice
 				}
@@ -331,7 +331,7 @@
 // mayAwaitSpot tells whether a job waits for a spot machine rather than have an ordinary
 // one rented. A gang does not: all its machines would have to come in that time.
 func (cycle *schedulingCycle) mayAwaitSpot(job *allocation.Job) bool {
-	return job.Spec.Spot && !job.IsGang() && (job.ActiveCount() > 0 || cycle.now-job.AddedAt < cycle.scheduler.Settings.SpotWaitTimeout)
+	return job.Spec.AllowsSpot && !job.IsGang() && (job.ActiveCount() > 0 || cycle.now-job.AddedAt < cycle.scheduler.Settings.SpotWaitTimeout)
 }
 
 // cheapestPool picks where to rent one more machine for a job: the cheapest by task,
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -13,7 +13,7 @@
 func TestNoScaleOutForMachineThatJustCameUp(t *testing.T) {
 	fixture := newFixture(nil)
 	fixture.scheduler.HeartbeatWindow = 8 * clock.Second
-	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 50, Types: []string{"small"}})
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 50, MachineTypes: []string{"small"}})
 	requests := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil).ScaleOut
 	if len(requests) != 1 || requests[0].Count != 1 {
 		t.Fatalf("rents %v", requests)
@@ -24,7 +24,7 @@
 	upAt := fixture.now + 10*clock.Second
 	for seq, after := range []clock.Micros{0, 4 * clock.Second, 8 * clock.Second, 9 * clock.Second} {
 		fixture.now = upAt + after
-		fixture.tracker.RecordHeartbeat(machine, &wire.Report{Machine: "i-0", Session: 1, Seq: uint64(seq + 1), Addr: "127.0.0.1:1"}, fixture.now)
+		fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-0", Incarnation: 1, Sequence: uint64(seq + 1), Address: "127.0.0.1:1"}, fixture.now)
 		isRented := len(fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil).ScaleOut) > 0
 		if isRented != (after > fixture.scheduler.HeartbeatWindow) {
 			t.Errorf("%v after it came up another one is rented: %v", after.Duration(), isRented)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -82,7 +82,7 @@
 }
 
 func (scheduler *Scheduler) demandFor(job *allocation.Job) *DemandModel {
-	if job.Spec.Spot {
+	if job.Spec.AllowsSpot {
 		return &scheduler.spotDemand
 	}
 	return &scheduler.ordinaryDemand
@@ -111,7 +111,7 @@
 func (scheduler *Scheduler) machineShare(job *allocation.Job) float64 {
 	maxPerMachine := 0
 	for typeName := range scheduler.MachineTypes {
-		if job.Spec.Types == nil || slices.Contains(job.Spec.Types, typeName) {
+		if job.Spec.MachineTypes == nil || slices.Contains(job.Spec.MachineTypes, typeName) {
 			maxPerMachine = max(maxPerMachine, scheduler.tasksPerMachine(job.Request, typeName))
 		}
 	}
@@ -136,7 +136,7 @@
 
 // ObserveTaskRun takes a task's run time.
 func (scheduler *Scheduler) ObserveTaskRun(job *allocation.Job, seconds float64, now clock.Micros) {
-	scheduler.RunTimeModel(job.Spec.Class).Observe(job.Spec.EstimateS, seconds, scheduler.Settings.RunTimeSmoothing)
+	scheduler.RunTimeModel(job.Spec.Class).Observe(job.Spec.EstimatedRunSeconds, seconds, scheduler.Settings.RunTimeSmoothing)
 	scheduler.demandFor(job).ObserveTaskRun(seconds, &scheduler.Settings)
 }
 
@@ -212,7 +212,7 @@
 	if placement.RunningAt != 0 {
 		elapsed += (now - placement.RunningAt).Seconds()
 	}
-	return scheduler.RunTimeModel(job.Spec.Class).RemainingSeconds(job.Spec.EstimateS, elapsed)
+	return scheduler.RunTimeModel(job.Spec.Class).RemainingSeconds(job.Spec.EstimatedRunSeconds, elapsed)
 }
 
 // elapsedSeconds is for how long, in seconds, a placement has had its place. One that an earlier
@@ -227,13 +227,13 @@
 
 // predictedRunSeconds predicts how long a task of a job runs (46).
 func (scheduler *Scheduler) predictedRunSeconds(job *allocation.Job) float64 {
-	return scheduler.RunTimeModel(job.Spec.Class).PredictedSeconds(job.Spec.EstimateS)
+	return scheduler.RunTimeModel(job.Spec.Class).PredictedSeconds(job.Spec.EstimatedRunSeconds)
 }
 
 // imageFetchSeconds is how long, in seconds, a machine of a type takes to fetch a job's image.
 func (scheduler *Scheduler) imageFetchSeconds(job *allocation.Job, typeName string) float64 {
-	if machineType, ok := scheduler.MachineTypes[typeName]; ok && machineType.FetchGBPerS > 0 {
-		return job.Spec.ImageGB / machineType.FetchGBPerS
+	if machineType, ok := scheduler.MachineTypes[typeName]; ok && machineType.FetchGBPerSecond > 0 {
+		return job.Spec.ImageSizeGB / machineType.FetchGBPerSecond
 	}
 	return 0
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -160,8 +160,8 @@
 
 func newFixture(teams map[string]allocation.TeamQuota) *schedulerFixture {
 	types := []wire.MachineType{
-		{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 15, FetchGBPerS: 1, Zones: []string{"x", "y", "z"}},
-		{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.3, SpotPrice: 0.15, BootS: 15, FetchGBPerS: 1, Zones: []string{"x", "y"}},
+		{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 0.4, BootSeconds: 15, FetchGBPerSecond: 1, Zones: []string{"x", "y", "z"}},
+		{Name: "small", CPUs: 4, MemoryGB: 16, OnDemandPrice: 0.3, SpotPrice: 0.15, BootSeconds: 15, FetchGBPerSecond: 1, Zones: []string{"x", "y"}},
 	}
 	fixture := &schedulerFixture{tracker: allocation.New(allocation.Config{FencingToken: 1, LeaseTTL: 30 * clock.Second, Quotas: teams}), now: clock.Second, heartbeatSeqs: map[string]uint64{}}
 	fixture.scheduler = New(testSettings(), types, teams, []string{"x", "y", "z"})
@@ -174,7 +174,7 @@
 	machine := fixture.tracker.AddMachine(name, typeName, zone, spot, fixture.scheduler.MachineCapacity(typeName), fixture.now)
 	machine.RecordedInStore = true
 	fixture.heartbeatSeqs[name]++
-	fixture.tracker.RecordHeartbeat(machine, &wire.Report{Machine: name, Session: 1, Seq: fixture.heartbeatSeqs[name], Token: 1, Addr: "127.0.0.1:1"}, fixture.now)
+	fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[name], FencingToken: 1, Address: "127.0.0.1:1"}, fixture.now)
 	return machine
 }
 
@@ -199,26 +199,26 @@
 			fixture.addMachine(fmt.Sprint("i-", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y"}[rng.IntN(2)], rng.IntN(2) == 0)
 		}
 		for i := rng.IntN(10); i >= 0; i-- {
-			spec := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: []string{"a", "b"}[rng.IntN(2)], Tasks: 1 + rng.IntN(9),
-				CPUs: 0.5 + float64(rng.IntN(6)), GPUs: float64(rng.IntN(2)), MemoryGB: float64(1 + rng.IntN(12)), EstimateS: float64(1 + rng.IntN(90)),
-				Kind:     []string{wire.KindArray, wire.KindGang, wire.KindService}[rng.IntN(3)],
-				Priority: []string{wire.PriorityProduction, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}[rng.IntN(4)],
-				Spot:     rng.IntN(2) == 0, OneZone: rng.IntN(4) == 0, Spread: rng.IntN(4) == 0}
-			if spec.OneZone {
-				spec.Spread = false
+			spec := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: []string{"a", "b"}[rng.IntN(2)], TaskCount: 1 + rng.IntN(9),
+				CPUs: 0.5 + float64(rng.IntN(6)), GPUs: float64(rng.IntN(2)), MemoryGB: float64(1 + rng.IntN(12)), EstimatedRunSeconds: float64(1 + rng.IntN(90)),
+				Kind:       []string{wire.KindArray, wire.KindGang, wire.KindService}[rng.IntN(3)],
+				Priority:   []string{wire.PriorityProduction, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}[rng.IntN(4)],
+				AllowsSpot: rng.IntN(2) == 0, SingleZone: rng.IntN(4) == 0, SpreadZones: rng.IntN(4) == 0}
+			if spec.SingleZone {
+				spec.SpreadZones = false
 			}
 			if rng.IntN(4) == 0 {
 				spec.Zone = "x"
 			}
 			if rng.IntN(4) == 0 {
-				spec.Types = []string{"big"}
+				spec.MachineTypes = []string{"big"}
 			}
 			fixture.addJob(spec)
 		}
 		for cycleIndex := 0; cycleIndex < 3; cycleIndex++ {
 			decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 			for _, request := range decision.ScaleOut {
-				if request.Count < 1 || request.Count > wire.MaxHire {
+				if request.Count < 1 || request.Count > wire.MaxScaleOutCount {
 					t.Fatalf("scene %d: rents %d", n, request.Count)
 				}
 			}
@@ -235,15 +235,15 @@
 				placed++
 				zones[placement.Machine.Zone]++
 				usage[job.Spec.Team] = usage[job.Spec.Team].Add(job.Request)
-				if placement.Machine.Spot && !job.Spec.Spot || job.Spec.Zone != "" && placement.Machine.Zone != job.Spec.Zone || job.Spec.Types != nil && placement.Machine.Type != "big" {
+				if placement.Machine.Spot && !job.Spec.AllowsSpot || job.Spec.Zone != "" && placement.Machine.Zone != job.Spec.Zone || job.Spec.MachineTypes != nil && placement.Machine.Type != "big" {
 					t.Fatalf("scene %d: %s in a wrong place", n, job.Spec.ID)
 				}
 			}
-			if job.Spec.OneZone && len(zones) > 1 {
+			if job.Spec.SingleZone && len(zones) > 1 {
 				t.Fatalf("scene %d: %s in several zones", n, job.Spec.ID)
 			}
 			for _, count := range zones {
-				if job.Spec.Spread && count > job.MaxTasksPerZone() {
+				if job.Spec.SpreadZones && count > job.MaxTasksPerZone() {
 					t.Fatalf("scene %d: %s is not spread", n, job.Spec.ID)
 				}
 			}
@@ -272,11 +272,11 @@
 func TestQueueOrderIsSmallestNeedFirst(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {GuaranteedMilliCPU: 4000}, "b": {}})
 	fixture.addMachine("i-0", "big", "x", false)
-	fixture.addJob(wire.Job{ID: "req-000001", Team: "b", Tasks: 1, CPUs: 4, EstimateS: 50})
-	fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Tasks: 1, CPUs: 4, EstimateS: 20})
-	fixture.addJob(wire.Job{ID: "req-000003", Team: "b", Tasks: 8, CPUs: 4, EstimateS: 1, Kind: wire.KindGang})
-	fixture.addJob(wire.Job{ID: "req-000004", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 90})
-	fixture.addJob(wire.Job{ID: "req-000005", Team: "b", Tasks: 1, CPUs: 4, EstimateS: 90, Priority: wire.PriorityProduction, Kind: wire.KindService})
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "b", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 50})
+	fixture.addJob(wire.Job{ID: "req-000002", Team: "b", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
+	fixture.addJob(wire.Job{ID: "req-000003", Team: "b", TaskCount: 8, CPUs: 4, EstimatedRunSeconds: 1, Kind: wire.KindGang})
+	fixture.addJob(wire.Job{ID: "req-000004", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 90})
+	fixture.addJob(wire.Job{ID: "req-000005", Team: "b", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 90, Priority: wire.PriorityProduction, Kind: wire.KindService})
 	var got []string
 	for _, queued := range fixture.scheduler.buildQueue(fixture.tracker, fixture.scheduler.quotaEntitlements(fixture.tracker), fixture.now, fixture.now) {
 		got = append(got, queued.job.Spec.ID)
@@ -291,9 +291,9 @@
 // anyway does not.
 func TestUrgentDeadlineGoesFirst(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
-	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 20})
-	fixture.addJob(wire.Job{ID: "req-000002", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 100, DeadlineS: 230})
-	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 100, DeadlineS: 150})
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
+	fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 100, DeadlineSeconds: 230})
+	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 100, DeadlineSeconds: 150})
 	firstJobID := func(wall clock.Micros) string {
 		return fixture.scheduler.buildQueue(fixture.tracker, nil, fixture.now, wall)[0].job.Spec.ID
 	}
@@ -311,11 +311,11 @@
 func TestReplicaPreemptsLatestBatchTask(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	machine := fixture.addMachine("i-0", "small", "x", false)
-	batchJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 2, EstimateS: 50})
+	batchJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 2, EstimatedRunSeconds: 50})
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	fixture.tracker.HeartbeatCommands(machine, fixture.now) // sent: from here on only a stop ends them
 	fixture.now += 10 * clock.Second
-	service := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", Tasks: 1, CPUs: 2, Priority: wire.PriorityProduction, Kind: wire.KindService})
+	service := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 1, CPUs: 2, Priority: wire.PriorityProduction, Kind: wire.KindService})
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	stopped := 0
 	for i := range batchJob.Tasks {
@@ -343,7 +343,7 @@
 	for _, n := range []string{"i-0", "i-1"} {
 		fixture.addMachine(n, "small", "x", false)
 	}
-	batchJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 4, CPUs: 2, EstimateS: 50})
+	batchJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 4, CPUs: 2, EstimatedRunSeconds: 50})
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	for _, machine := range fixture.tracker.Machines {
 		fixture.tracker.HeartbeatCommands(machine, fixture.now)
@@ -356,13 +356,13 @@
 		}
 		return n
 	}
-	gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", Tasks: 3, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindGang})
+	gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 3, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindGang})
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	if stoppedCount() != 0 {
 		t.Fatal("work is stopped for a gang that cannot fit")
 	}
 	fixture.tracker.Cancel(gang, fixture.now)
-	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", Tasks: 3, CPUs: 2, Priority: wire.PriorityProduction, Kind: wire.KindGang})
+	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", TaskCount: 3, CPUs: 2, Priority: wire.PriorityProduction, Kind: wire.KindGang})
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	if stoppedCount() != 3 {
 		t.Fatalf("%d tasks are stopped for a gang of three", stoppedCount())
@@ -377,7 +377,7 @@
 // the next one when that has refused.
 func TestScaleOutForOneZoneGangUsesOneZone(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
-	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 6, CPUs: 16, Types: []string{"big"}, Kind: wire.KindGang, OneZone: true})
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 6, CPUs: 16, MachineTypes: []string{"big"}, Kind: wire.KindGang, SingleZone: true})
 	rentedZone := func() string {
 		decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 		if len(decision.ScaleOut) != 1 || decision.ScaleOut[0].Count != 6 {
@@ -398,7 +398,7 @@
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
 	machine := fixture.addMachine("i-0", "small", "x", false)
-	job := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 1, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindService})
+	job := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindService})
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	if job.ActiveCount() != 1 {
 		t.Fatal("not placed")
@@ -421,7 +421,7 @@
 // An empty pool is left alone for a while, and the next zone is asked.
 func TestEmptyPoolBacksOff(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
-	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 3, CPUs: 16, EstimateS: 50, Types: []string{"big"}})
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 3, CPUs: 16, EstimatedRunSeconds: 50, MachineTypes: []string{"big"}})
 	firstRequests := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil).ScaleOut
 	if len(firstRequests) == 0 {
 		t.Fatal("nothing is rented")
@@ -447,7 +447,7 @@
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	machine := fixture.addMachine("i-0", "small", "x", false)
 	machine.BackoffUntil = fixture.now + 2*clock.Second
-	job := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 2, EstimateS: 50})
+	job := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 2, EstimatedRunSeconds: 50})
 	if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); job.ActiveCount() != 0 || len(decision.ScaleOut) != 0 {
 		t.Fatalf("%d tasks are placed, %v is rented though there will be room in a moment", job.ActiveCount(), decision.ScaleOut)
 	}
@@ -465,7 +465,7 @@
 func TestUnreachableMachineGetsNoTasks(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	unreachable, reachable := fixture.addMachine("i-0", "small", "x", false), fixture.addMachine("i-1", "small", "x", false)
-	firstJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 2, CPUs: 4, EstimateS: 50})
+	firstJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 4, EstimatedRunSeconds: 50})
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	if firstJob.ActiveCount() != 2 {
 		t.Fatalf("%d tasks are placed", firstJob.ActiveCount())
@@ -474,13 +474,13 @@
 	fixture.tracker.FinishCommandRequest(unreachable, starts, allocation.CommandOutcomeUnknown, fixture.now)
 	report := func(machine *allocation.Machine, session uint64) {
 		fixture.heartbeatSeqs[machine.Name]++
-		fixture.tracker.RecordHeartbeat(machine, &wire.Report{Machine: machine.Name, Session: session, Seq: fixture.heartbeatSeqs[machine.Name], Token: 1, Addr: "127.0.0.1:1"}, fixture.now)
+		fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: session, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}, fixture.now)
 	}
 	// Its lease runs out unseen by us; it reports anew, in its next session.
 	fixture.tracker.Cancel(firstJob, fixture.now)
 	fixture.now += 2 * clock.Second
 	report(unreachable, 2)
-	secondJob := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", Tasks: 4, CPUs: 2, EstimateS: 50})
+	secondJob := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 4, CPUs: 2, EstimatedRunSeconds: 50})
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	secondJob.ForEachPlacement(func(placement *allocation.Placement) {
 		if placement.Machine == unreachable {
@@ -506,7 +506,7 @@
 	suspected := fixture.addMachine("i-2", "small", "x", false)
 	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
 	fixture.now += 6 * clock.Second
-	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", Tasks: 1, CPUs: 2, EstimateS: 50})
+	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", TaskCount: 1, CPUs: 2, EstimatedRunSeconds: 50})
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	if !suspected.IsIdle() {
 		t.Fatal("a machine that is not heard got work")
@@ -523,14 +523,14 @@
 		zone := []string{"x", "y"}[i%2]
 		machinesByZone[zone] = append(machinesByZone[zone], fixture.addMachine(fmt.Sprintf("i-%02d", i), "small", zone, false))
 	}
-	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 12, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindService, Spread: true, Types: []string{"small"}})
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 12, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindService, SpreadZones: true, MachineTypes: []string{"small"}})
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	sendHeartbeats := func(zone string) {
 		for _, machine := range machinesByZone[zone] {
 			fixture.heartbeatSeqs[machine.Name]++
-			heartbeat := &wire.Report{Machine: machine.Name, Session: 1, Seq: fixture.heartbeatSeqs[machine.Name], Token: 1, Addr: "127.0.0.1:1"}
+			heartbeat := &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}
 			machine.ForEachPlacement(func(placement *allocation.Placement) {
-				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskReport{Task: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: wire.TaskRunning})
+				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: wire.TaskRunning})
 			})
 			fixture.tracker.RecordHeartbeat(machine, heartbeat, fixture.now)
 		}
@@ -555,7 +555,7 @@
 // them, where somebody can, as far as the job's wishes allow.
 func TestReplicasPreferDelegatedZones(t *testing.T) {
 	fixture := newFixture(nil)
-	fixture.scheduler.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, Price: 1, BootS: 15, Zones: []string{"x", "y", "z"}}})
+	fixture.scheduler.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: []string{"x", "y", "z"}}})
 	fixture.scheduler.Zones = []string{"x", "y", "z"}
 	fixture.scheduler.DelegatedZones = map[string]bool{"y": true, "z": true}
 	countByZone := func(job *allocation.Job) map[string]int {
@@ -563,7 +563,7 @@
 		job.ForEachPlacement(func(placement *allocation.Placement) { byZone[placement.Machine.Zone]++ })
 		return byZone
 	}
-	job := fixture.addJob(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 5, CPUs: 1, MemoryGB: 1, Spread: true})
+	job := fixture.addJob(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 5, CPUs: 1, MemoryGB: 1, SpreadZones: true})
 	decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	for _, request := range decision.ScaleOut {
 		if request.Pool.Zone == "x" {
@@ -585,7 +585,7 @@
 	fixture.scheduler.DelegatedZones = map[string]bool{"y": true}
 	fixture.addMachine("i-x", "big", "x", false)
 	fixture.addMachine("i-y", "big", "y", false)
-	job = fixture.addJob(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 5, CPUs: 1, MemoryGB: 1, Spread: true})
+	job = fixture.addJob(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 5, CPUs: 1, MemoryGB: 1, SpreadZones: true})
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	if byZone := countByZone(job); byZone["y"] != 3 || byZone["x"] != 2 {
 		t.Errorf("with one kept zone placed at %v", byZone)
@@ -605,7 +605,7 @@
 			machines[n] = fixture.addMachine(n, "big", "x", false)
 		}
 		machines["i-image"].ImageUsedAt["replica"] = fixture.now
-		batchJob := fixture.addJob(wire.Job{ID: "req-000001", Tasks: 2, CPUs: 9, MemoryGB: 1, Image: "batch"})
+		batchJob := fixture.addJob(wire.Job{ID: "req-000001", TaskCount: 2, CPUs: 9, MemoryGB: 1, Image: "batch"})
 		for i, n := range []string{"i-image", "i-bare"} {
 			if err := fixture.tracker.PlaceTask(batchJob, i, machines[n], fixture.tracker.NextAttempt(), fixture.now); err != nil {
 				t.Fatal(err)
@@ -618,7 +618,7 @@
 		for i := range batchJob.Tasks {
 			batchJob.Tasks[i].Placement.Phase = allocation.PhaseReported
 		}
-		fixture.addJob(wire.Job{ID: "req-000002", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "replica", ImageGB: 2})
+		fixture.addJob(wire.Job{ID: "req-000002", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 8, MemoryGB: 1, Image: "replica", ImageSizeGB: 2})
 		fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 		for i := range batchJob.Tasks {
 			if placement := batchJob.Tasks[i].Placement; placement.IsStopping() != (placement.Machine.Name == testCase.want) {
@@ -639,7 +639,7 @@
 	var jobs []*allocation.Job
 	for i := 0; i < 12; i++ {
 		jobs = append(jobs, fixture.addJob(wire.Job{ID: fmt.Sprintf("req-%06d", i), Kind: wire.KindService, Priority: wire.PriorityProduction,
-			Tasks: 1, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("image-%d", i), ImageGB: 2}))
+			TaskCount: 1, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("image-%d", i), ImageSizeGB: 2}))
 	}
 	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 	for _, job := range jobs {
@@ -664,8 +664,8 @@
 // reaches back makes a job tight, and late, like its own.
 func TestDependentsDeadlineMakesDependencyUrgent(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
-	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 20})
-	dependency := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", Tasks: 1, CPUs: 4, EstimateS: 100})
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
+	dependency := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 100})
 	firstJobID := func() string {
 		return fixture.scheduler.buildQueue(fixture.tracker, nil, fixture.now, fixture.now)[0].job.Spec.ID
 	}
--- a/internal/scheduler/spares.go
+++ b/internal/scheduler/spares.go
@@ -91,7 +91,7 @@
 		}
 		hasRoom := false
 		for _, other := range cycle.machines {
-			if other == machine || other.Spot && !job.Spec.Spot || !other.IsSchedulable() || other.ReplicaCount() == 0 || dominantShare(other.Used(), other.Capacity) < dominantShare(machine.Used(), machine.Capacity) {
+			if other == machine || other.Spot && !job.Spec.AllowsSpot || !other.IsSchedulable() || other.ReplicaCount() == 0 || dominantShare(other.Used(), other.Capacity) < dominantShare(machine.Used(), machine.Capacity) {
 				continue
 			}
 			// Within a zone nothing changes for the job's wishes; else they
@@ -128,7 +128,7 @@
 	// The queue counts as empty when what waits will find room that is about to be
 	// free: in a fleet of a thousand machines something always waits a moment.
 	isQueueServed := !slices.ContainsFunc(queue, func(queued *queuedJob) bool {
-		return queued.job.Spec.Spot == spot && queued.unplaced > 0 && queued.hasShortfall
+		return queued.job.Spec.AllowsSpot == spot && queued.unplaced > 0 && queued.hasShortfall
 	})
 	isServicesOnly := !spot && report.RunTimeScreen.SampleCount == 0
 	report.IsEnabled = report.ArrivalScreen.IsExponential && (report.RunTimeScreen.IsExponential || isServicesOnly) && isQueueServed && demand.HasRecentArrival(cycle.now, settings)
@@ -249,7 +249,7 @@
 // idle machines were given back while two in three of its tasks were in doubt.
 func (cycle *schedulingCycle) hasUnconfirmedTasks(spot bool) bool {
 	for _, job := range cycle.tracker.Jobs {
-		if job.UnconfirmedCount() > 0 && !job.Cancelled && (job.Spec.Spot || !spot) {
+		if job.UnconfirmedCount() > 0 && !job.Cancelled && (job.Spec.AllowsSpot || !spot) {
 			return true
 		}
 	}
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -17,11 +17,11 @@
 	fixture.now += clock.Second
 	for _, machine := range fixture.tracker.SortedMachines() {
 		fixture.heartbeatSeqs[machine.Name]++
-		heartbeat := &wire.Report{Machine: machine.Name, Session: 1, Seq: fixture.heartbeatSeqs[machine.Name], Token: 1, Addr: "127.0.0.1:1"}
+		heartbeat := &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}
 		machine.ForEachPlacement(func(placement *allocation.Placement) {
-			task := wire.TaskReport{Task: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: wire.TaskRunning}
+			task := wire.TaskStatus{TaskID: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: wire.TaskRunning}
 			if placement.StartedAt != 0 && fixture.now-placement.StartedAt >= runTimes[placement.Job] {
-				task.State, task.Why = wire.TaskExited, wire.WhyDone
+				task.State, task.ExitCause = wire.TaskExited, wire.ExitDone
 			}
 			heartbeat.Tasks = append(heartbeat.Tasks, task)
 		})
@@ -66,8 +66,8 @@
 					size, class = 40+rng.IntN(60), "large"
 				}
 				runSeconds := 10 + 30*rng.Float64()
-				spec := wire.Job{ID: fmt.Sprintf("req-%06d", len(submissions)), Class: class, Team: []string{"a", "b"}[rng.IntN(2)], Tasks: size,
-					CPUs: 4, MemoryGB: 14, Spot: true, EstimateS: runSeconds, DeadlineS: 2*runSeconds + 30}
+				spec := wire.Job{ID: fmt.Sprintf("req-%06d", len(submissions)), Class: class, Team: []string{"a", "b"}[rng.IntN(2)], TaskCount: size,
+					CPUs: 4, MemoryGB: 14, AllowsSpot: true, EstimatedRunSeconds: runSeconds, DeadlineSeconds: 2*runSeconds + 30}
 				job := fixture.addJob(spec)
 				runTimes[job] = clock.FromSeconds(runSeconds)
 				submissions = append(submissions, sub{job, fixture.now, size})
--- a/internal/server/reply.go
+++ b/internal/server/reply.go
@@ -56,7 +56,7 @@
 }
 
 func encodeError(text string) []byte {
-	encoded, err := wire.ErrorBody{Error: text}.MarshalJSON()
+	encoded, err := wire.ErrorResponse{Error: text}.MarshalJSON()
 	if err != nil {
 		return []byte("{}")
 	}
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -104,8 +104,8 @@
 		if !requireMethod("POST") {
 			return
 		}
-		heartbeat := &wire.Report{}
-		if err := heartbeat.UnmarshalJSON(request.Body); err != nil || heartbeat.Machine == "" {
+		heartbeat := &wire.Heartbeat{}
+		if err := heartbeat.UnmarshalJSON(request.Body); err != nil || heartbeat.MachineID == "" {
 			connection.replyNow(400, encodeError("malformed report"))
 			return
 		}
@@ -135,7 +135,7 @@
 			if !requireMethod("POST") {
 				return
 			}
-			if !wire.ValidJobID(cancelledID) {
+			if !wire.IsValidJobID(cancelledID) {
 				connection.replyNow(404, encodeError("no such job"))
 				return
 			}
@@ -145,7 +145,7 @@
 		if !requireMethod("GET") {
 			return
 		}
-		if !wire.ValidJobID(jobID) {
+		if !wire.IsValidJobID(jobID) {
 			connection.replyNow(404, encodeError("no such job"))
 			return
 		}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -23,7 +23,7 @@
 	SubmitJob(job *wire.Job, reply *Reply)
 	ShowJob(id string, reply *Reply)
 	CancelJob(id string, reply *Reply)
-	HandleHeartbeat(heartbeat *wire.Report, reply *Reply)
+	HandleHeartbeat(heartbeat *wire.Heartbeat, reply *Reply)
 	IsHealthy() bool
 	SendJobReport(reply *Reply)
 	SendStandbyStatus(reply *Reply)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -30,7 +30,7 @@
 	go reply.Send(200, []byte(`"`+id+`"`), 0)
 }
 func (app *echoApp) CancelJob(id string, reply *Reply) { reply.Send(503, ErrorBody("later"), 3) }
-func (app *echoApp) HandleHeartbeat(_ *wire.Report, reply *Reply) {
+func (app *echoApp) HandleHeartbeat(_ *wire.Heartbeat, reply *Reply) {
 	reply.SendBefore(200, []byte(`{}`), 0, app.replyDeadline)
 }
 func (app *echoApp) IsHealthy() bool                     { return true }
--- a/internal/sim/chain_test.go
+++ b/internal/sim/chain_test.go
@@ -99,7 +99,7 @@
 		var copies [][][]byte
 		for i := range 5 {
 			first, after, called := Array(10*i+2, 2, "a"), Array(10*i+3, 2, "a"), Array(10*i+4, 30, "a")
-			after.Awaits = []string{first.ID}
+			after.DependsOn = []string{first.ID}
 			for _, job := range []*wire.Job{first, after, called} {
 				c.MustSubmit(c.Leader(), job)
 			}
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -49,7 +49,7 @@
 	CloudRPS float64
 	Sockets  int
 	// Next are the limits of the state service to come.
-	Next *config.NextState
+	Next *config.UpcomingStoreLimits
 	// Standby has controllers keep copies of the leader's account, but for those named in
 	// WithoutStandby.
 	Standby        bool
@@ -72,7 +72,7 @@
 		o.Zones = []string{"x", "y"}
 	}
 	if o.Teams == nil {
-		o.Teams = []config.Team{{Name: "a"}, {Name: "b", CPUsMax: 16}}
+		o.Teams = []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 16}}
 	}
 	defaultTo(&o.Lease, 36*time.Second)
 	defaultTo(&o.Cancellation, 66*time.Second)
@@ -129,7 +129,7 @@
 func Run(t *testing.T, options Options, play func(c *Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		clock.Restart()
+		clock.ResetOrigin()
 		c := start(t, options)
 		defer c.close()
 		c.Until("a leader is elected", 30*time.Second, func() bool { return c.Leader() != "" })
@@ -143,7 +143,7 @@
 	c := &Cluster{t: t, options: options, Network: fake.NewMemory()}
 	limits := map[string]protocoltest.Limit{}
 	for _, team := range options.Teams {
-		limits[team.Name] = protocoltest.Limit{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
+		limits[team.Name] = protocoltest.Limit{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}
 	}
 	c.Checker = protocoltest.New(protocoltest.Config{Cancellation: options.Cancellation, Limits: limits})
 	c.State, c.stopState = fake.NewStateOn(c.Network)
@@ -156,7 +156,7 @@
 	}
 	c.Cloud, c.stopCloud = fake.NewCloudOn(fake.CloudConfig{
 		Network: c.Network, Names: names, Controllers: addresses,
-		Types:  []wire.MachineType{{Name: typeName, CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.5, BootS: options.Boot.Seconds(), Zones: options.Zones}},
+		Types:  []wire.MachineType{{Name: typeName, CPUs: 8, MemoryGB: 32, FetchGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5, BootSeconds: options.Boot.Seconds(), Zones: options.Zones}},
 		RunFor: c.runFor, Lease: options.Lease, ReportEvery: options.ReportEvery, Boot: options.Boot,
 		Observer: c.Checker,
 	})
@@ -184,19 +184,19 @@
 			p.Location = location
 			continue
 		}
-		p.Others = append(p.Others, config.Other{Member: n.name, Location: location, Address: fmt.Sprintf("%s:%d", n.name, peerPort)})
+		p.Peers = append(p.Peers, config.Peer{Member: n.name, Location: location, Address: fmt.Sprintf("%s:%d", n.name, peerPort)})
 	}
-	p.Outside = config.Outside{Cloud: c.Cloud.Addr, State: c.State.Addr}
+	p.External = config.ExternalServices{CloudAddress: c.Cloud.Addr, StoreAddress: c.State.Addr}
 	d := &p.Deployment
-	d.Nodes, d.Zones, d.Teams = len(c.nodes), c.options.Zones, c.options.Teams
-	d.Workers = config.Workers{
-		ReportS: c.options.ReportEvery.Seconds(), LeaseS: c.options.Lease.Seconds(),
-		GangWaitS: 30, GangPeerS: 8, CancelS: c.options.Cancellation.Seconds(),
+	d.ControllerCount, d.Zones, d.Teams = len(c.nodes), c.options.Zones, c.options.Teams
+	d.Workers = config.WorkerTimings{
+		HeartbeatIntervalSeconds: c.options.ReportEvery.Seconds(), LeaseSeconds: c.options.Lease.Seconds(),
+		GangStartTimeoutSeconds: 30, GangPeerTimeoutSeconds: 8, CancelTimeoutSeconds: c.options.Cancellation.Seconds(),
 	}
-	d.State = config.State{RPS: 200, WriteRPS: c.options.WriteRPS, ValueKB: 8, TxnOps: 24, Next: c.options.Next}
-	d.Cloud = config.Cloud{RPS: c.options.CloudRPS, ListLagS: 1}
-	d.Limits = config.Limits{Cores: 1, RAMMB: 200, MaxSockets: c.options.Sockets}
-	d.ClockErrorMs = 5
+	d.Store = config.StoreLimits{RPS: 200, WriteRPS: c.options.WriteRPS, MaxValueKB: 8, MaxTransactionOps: 24, Upcoming: c.options.Next}
+	d.Cloud = config.Cloud{RPS: c.options.CloudRPS, ListLagSeconds: 1}
+	d.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 200, MaxSockets: c.options.Sockets}
+	d.ClockErrorMillis = 5
 	return p
 }
 
@@ -292,8 +292,8 @@
 	}
 	app := n.app
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		report := &wire.Report{}
-		body := http.MaxBytesReader(w, r.Body, wire.MaxBody)
+		report := &wire.Heartbeat{}
+		body := http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes)
 		if err := decode(body, report); err != nil {
 			w.WriteHeader(400)
 			return
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		for _, body := range reports {
-			report := &wire.Report{}
+			report := &wire.Heartbeat{}
 			if err := report.UnmarshalJSON(body); err != nil {
 				c.t.Fatal(err)
 			}
--- a/internal/sim/finished_test.go
+++ b/internal/sim/finished_test.go
@@ -35,7 +35,7 @@
 		id := jobID(i)
 		c.Until(id+" is over", time.Minute, func() bool {
 			stage := c.Poll("n0", id).Stage()
-			return stage == wire.JobDone || stage == wire.JobAborted
+			return stage == wire.JobDone || stage == wire.JobCancelled
 		})
 	}
 	time.Sleep(5 * time.Second)
@@ -93,7 +93,7 @@
 		id, wrong := jobID(i), make(chan string, 3)
 		for _, name := range c.Nodes() {
 			go func() {
-				if a := c.Poll(name, id); a.Status != 200 || a.Stage() != wire.JobDone && a.Stage() != wire.JobAborted {
+				if a := c.Poll(name, id); a.Status != 200 || a.Stage() != wire.JobDone && a.Stage() != wire.JobCancelled {
 					wrong <- fmt.Sprintf("%s says %d, %q of %s", name, a.Status, a.Stage(), id)
 					return
 				}
@@ -134,7 +134,7 @@
 			switch id := jobID(i); c.Poll("n1", id).Stage() {
 			case wire.JobDone:
 				done = id
-			case wire.JobAborted:
+			case wire.JobCancelled:
 				aborted = id
 			}
 		}
@@ -142,18 +142,18 @@
 			c.Poll("n1", jobID(finishedJobs-1-i))
 		}
 		after, with, without := Array(600001, 1, "a"), Array(600002, 1, "a"), Array(600003, 1, "a")
-		after.Awaits, with.Awaits, without.Awaits = []string{done}, []string{aborted, done}, []string{"req-700000"}
+		after.DependsOn, with.DependsOn, without.DependsOn = []string{done}, []string{aborted, done}, []string{"req-700000"}
 		c.MustSubmit("n1", after)
 		c.MustSubmit("n2", with)
 		for _, name := range c.Nodes() {
 			c.UntilStage(name, after.ID, wire.JobDone, 20*time.Second)
-			c.UntilStage(name, with.ID, wire.JobAborted, 20*time.Second)
+			c.UntilStage(name, with.ID, wire.JobCancelled, 20*time.Second)
 		}
 		for i := range 2 * finishedKept {
 			c.Poll("n1", jobID(finishedJobs-1-i))
 		}
 		later := Array(600004, 1, "a")
-		later.Awaits = after.Awaits
+		later.DependsOn = after.DependsOn
 		c.MustSubmit("n2", later)
 		if a := c.Submit("n0", without); a.Status != 422 {
 			t.Errorf("it awaits a job that was never accepted: %d", a.Status)
@@ -235,7 +235,7 @@
 			return len(c.State.Keys(archivedKeys)) == 0 && len(c.State.Keys("firwood/archive")) == 0
 		})
 		for _, old := range c.State.Transactions() {
-			if slices.ContainsFunc(old.Then, func(change wire.Change) bool { return strings.HasPrefix(change.Put, archivedKeys) }) {
+			if slices.ContainsFunc(old.Changes, func(change wire.Change) bool { return strings.HasPrefix(change.PutKey, archivedKeys) }) {
 				c.State.Repeat(old)
 			}
 		}
@@ -279,7 +279,7 @@
 	job := Array(600001, 1, "a")
 	for i := range finishedJobs {
 		if c.Poll("n1", jobID(i)).Stage() == wire.JobDone {
-			job.Awaits = []string{jobID(i)}
+			job.DependsOn = []string{jobID(i)}
 			break
 		}
 	}
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -39,7 +39,7 @@
 	const replicas = 24
 	number := 0
 	submit := func(job *wire.Job) {
-		f.tasks += job.Tasks
+		f.tasks += job.TaskCount
 		f.jobs = append(f.jobs, job)
 		f.MustSubmit(f.Nodes()[number%3], job)
 	}
@@ -84,7 +84,7 @@
 	f.t.Helper()
 	began := time.Now()
 	job := Array(number, 2, "a")
-	f.tasks += job.Tasks
+	f.tasks += job.TaskCount
 	f.MustSubmit("n0", job)
 	f.Until(job.ID+" runs", atMost, func() bool { return f.Poll("n1", job.ID).Stage() == wire.JobRunning })
 	f.t.Logf("a new job runs after %v", time.Since(began).Round(time.Millisecond))
@@ -135,7 +135,7 @@
 
 	for _, job := range f.jobs[:len(f.jobs)/2] {
 		f.MustCancel("n2", job.ID)
-		f.tasks -= job.Tasks
+		f.tasks -= job.TaskCount
 	}
 	f.untilAllRun("after cancellations", f.options.Cancellation)
 	f.t.Logf("%d machines in the end", len(f.Cloud.Machines()))
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/meetings_test.go
@@ -38,7 +38,7 @@
 			}
 			time.Sleep(time.Second)
 			for _, n := range c.Nodes() {
-				if s := c.Poll(n, job.ID).Stage(); s != wire.JobDone && s != wire.JobAborted {
+				if s := c.Poll(n, job.ID).Stage(); s != wire.JobDone && s != wire.JobCancelled {
 					t.Errorf("%s is %q at %s", job.ID, s, n)
 				}
 			}
@@ -129,7 +129,7 @@
 			id := fmt.Sprintf("req-%06d", i)
 			c.Until(id+" is over", time.Minute, func() bool {
 				s := c.Poll(c.Nodes()[i%3], id).Stage()
-				return s == wire.JobDone || s == wire.JobAborted
+				return s == wire.JobDone || s == wire.JobCancelled
 			})
 		}
 		if n := late.Load(); n > jobs/20 {
@@ -141,7 +141,7 @@
 // There is more work than a team may use, the leader changes, and each job comes to
 // its turn.
 func TestMoreWorkThanTheLimit(t *testing.T) {
-	teams := []config.Team{{Name: "a"}, {Name: "b", CPUsMax: 8}}
+	teams := []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 8}}
 	Run(t, Options{RunFor: 5 * time.Second, Teams: teams}, func(c *Cluster) {
 		for i := 1; i <= 12; i++ {
 			c.MustSubmit("n0", Array(i, 4, "b"))
--- a/internal/sim/pipelines_test.go
+++ b/internal/sim/pipelines_test.go
@@ -15,7 +15,7 @@
 func after(number int, team string, awaits ...int) *wire.Job {
 	j := Array(number, 2, team)
 	for _, n := range awaits {
-		j.Awaits = append(j.Awaits, name(n))
+		j.DependsOn = append(j.DependsOn, name(n))
 	}
 	return j
 }
@@ -25,7 +25,7 @@
 // A pipeline runs in order, over changes of the leader, across teams; what waits is
 // pending and holds nothing of its team's limit.
 func TestPipelineRunsInOrder(t *testing.T) {
-	teams := []config.Team{{Name: "a"}, {Name: "b", CPUsMax: 4}}
+	teams := []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 4}}
 	Run(t, Options{Teams: teams}, func(c *Cluster) {
 		c.MustSubmit("n0", Array(1, 3, "a"))
 		c.MustSubmit("n1", after(2, "b", 1))
@@ -75,7 +75,7 @@
 		c.MustSubmit("n1", after(25, "a", 20))
 		for _, n := range c.Nodes() {
 			for i := 1; i <= 25; i++ {
-				c.UntilStage(n, name(i), wire.JobAborted, c.options.Cancellation)
+				c.UntilStage(n, name(i), wire.JobCancelled, c.options.Cancellation)
 			}
 		}
 		c.UntilOn(name(1), 0)
@@ -98,7 +98,7 @@
 	if err := unmarshal(c.State.Value("firwood/job/"+name(number)), &record); err != nil {
 		return false
 	}
-	return record.State == wire.JobAborted
+	return record.State == wire.JobCancelled
 }
 
 // A cancellation that is answered with done leaves the jobs after it alone.
@@ -123,7 +123,7 @@
 		for _, n := range c.Nodes() {
 			for _, job := range []*wire.Job{after(2, "a", 99), after(3, "a", 3), after(4, "a", 1)} {
 				if a := c.Submit(n, job); a.Status != 422 {
-					t.Errorf("%s awaiting %v gets %d at %s", job.ID, job.Awaits, a.Status, n)
+					t.Errorf("%s awaiting %v gets %d at %s", job.ID, job.DependsOn, a.Status, n)
 				}
 			}
 		}
@@ -143,13 +143,13 @@
 // The state service takes less from some moment on: a job that awaits hundreds fits
 // all the same, nothing is refused for its size, and a change of the leader finds it.
 func TestLimitsAreLowered(t *testing.T) {
-	next := &config.NextState{ValueKB: 1, TxnOps: 10, WriteRPS: 40}
+	next := &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 10, WriteRPS: 40}
 	Run(t, Options{Next: next, RunFor: 3 * time.Second}, func(c *Cluster) {
 		const awaited = 300
 		last := Array(1000, 1, "a")
 		for i := 1; i <= awaited; i++ {
 			c.MustSubmit(c.Nodes()[i%3], Array(i, 1, "a"))
-			last.Awaits = append(last.Awaits, name(i))
+			last.DependsOn = append(last.DependsOn, name(i))
 			if i == awaited/2 {
 				c.State.SetLimits(fake.StateLimits{ValueBytes: 1 << 10, TxnOps: 10})
 			}
@@ -219,7 +219,7 @@
 		c.Start(leader)
 		for _, n := range c.Nodes() {
 			for _, i := range cancelled {
-				c.UntilStage(n, name(i), wire.JobAborted, c.options.Cancellation)
+				c.UntilStage(n, name(i), wire.JobCancelled, c.options.Cancellation)
 			}
 		}
 		for _, i := range kept {
--- a/internal/sim/random_test.go
+++ b/internal/sim/random_test.go
@@ -63,17 +63,17 @@
 		case 0:
 			j.Zone = h.pick(h.options.Zones)
 		case 1:
-			j.OneZone = true
+			j.SingleZone = true
 		}
 	}
 	if accepted := h.Checker.Accepted(); j.Kind == wire.KindArray && len(accepted) > 0 && h.rng.IntN(2) == 0 {
 		for range 1 + h.rng.IntN(2) {
 			if id := h.pick(accepted); !h.Checker.IsService(id) {
-				j.Awaits = append(j.Awaits, id)
+				j.DependsOn = append(j.DependsOn, id)
 			}
 		}
-		slices.Sort(j.Awaits)
-		j.Awaits = slices.Compact(j.Awaits)
+		slices.Sort(j.DependsOn)
+		j.DependsOn = slices.Compact(j.DependsOn)
 	}
 	h.jobs = append(h.jobs, j)
 	h.async(func(node string) bool { return h.Submit(node, j).Stage() != "" })
@@ -208,7 +208,7 @@
 
 // goneWith tells whether what needs a job is cancelled with it.
 func (h *history) goneWith(id string) bool {
-	return h.gone[id] || h.cancelled[id] && h.Poll("n1", id).Stage() == wire.JobAborted
+	return h.gone[id] || h.cancelled[id] && h.Poll("n1", id).Stage() == wire.JobCancelled
 }
 
 // settle waits until the troubles are over, and checks that every accepted job that
@@ -226,10 +226,10 @@
 		}
 	}
 	for _, j := range h.jobs {
-		if h.cancelled[j.ID] || slices.ContainsFunc(j.Awaits, h.goneWith) {
-			h.gone[j.ID] = h.gone[j.ID] || slices.ContainsFunc(j.Awaits, h.goneWith)
+		if h.cancelled[j.ID] || slices.ContainsFunc(j.DependsOn, h.goneWith) {
+			h.gone[j.ID] = h.gone[j.ID] || slices.ContainsFunc(j.DependsOn, h.goneWith)
 			if h.gone[j.ID] {
-				h.UntilStage(h.pick(h.Nodes()), j.ID, wire.JobAborted, 10*time.Second)
+				h.UntilStage(h.pick(h.Nodes()), j.ID, wire.JobCancelled, 10*time.Second)
 			}
 			continue
 		}
--- a/internal/sim/refused_test.go
+++ b/internal/sim/refused_test.go
@@ -167,7 +167,7 @@
 		leader := refuseLeader(c)
 		var confirmed [6]atomic.Bool
 		for i := 1; i <= 5; i++ {
-			go func() { confirmed[i].Store(c.Cancel(c.Others(leader)[i%2], name(i)).Stage() == wire.JobAborted) }()
+			go func() { confirmed[i].Store(c.Cancel(c.Others(leader)[i%2], name(i)).Stage() == wire.JobCancelled) }()
 		}
 		time.Sleep(time.Second)
 		c.State.SetDown(true)
@@ -209,7 +209,7 @@
 				time.Sleep(times.lease)
 				c.CutFromState(old, false)
 				c.CutFromPeers(old, false)
-				c.UntilStage(old, name(1), wire.JobAborted, 20*time.Second)
+				c.UntilStage(old, name(1), wire.JobCancelled, 20*time.Second)
 				c.UntilOn(name(2), 2)
 			})
 		})
--- a/internal/sim/transactions_test.go
+++ b/internal/sim/transactions_test.go
@@ -45,7 +45,7 @@
 		if a := c.Cancel(writer, job.ID); a.Status != 503 {
 			t.Errorf("a cancellation whose write has no answer gets %d", a.Status)
 		}
-		c.UntilStage(reader, job.ID, wire.JobAborted, 5*time.Second)
+		c.UntilStage(reader, job.ID, wire.JobCancelled, 5*time.Second)
 		for _, n := range c.Nodes() {
 			c.MustCancel(n, job.ID)
 		}
@@ -90,8 +90,8 @@
 			}
 			for _, transaction := range c.State.Transactions() {
 				c.State.Repeat(transaction)
-				for _, change := range transaction.Then {
-					key := change.Put + change.Delete
+				for _, change := range transaction.Changes {
+					key := change.PutKey + change.DeleteKey
 					isWatched := slices.ContainsFunc(watched, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 					// A mark may come again after the end of its job; the leader removes it.
 					isMark := strings.HasPrefix(key, progressKeys) && before[key] == ""
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -49,14 +49,14 @@
 func Array(number, tasks int, team string) *wire.Job {
 	return &wire.Job{
 		ID: fmt.Sprintf("req-%06d", number), Class: "c", Team: team, Kind: wire.KindArray, Priority: "standard",
-		Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 20,
+		TaskCount: tasks, CPUs: 2, MemoryGB: 1, Image: "img", ImageSizeGB: 0.1, EstimatedRunSeconds: 20,
 	}
 }
 
 // Service describes a service that is spread over zones.
 func Service(number, tasks int, team string) *wire.Job {
 	j := Array(number, tasks, team)
-	j.Kind, j.Priority, j.Spread, j.EstimateS = wire.KindService, "production", true, 0
+	j.Kind, j.Priority, j.SpreadZones, j.EstimatedRunSeconds = wire.KindService, "production", true, 0
 	return j
 }
 
@@ -123,7 +123,7 @@
 // MustCancel cancels a job.
 func (c *Cluster) MustCancel(name, id string) {
 	c.t.Helper()
-	c.Until(id+" is cancelled", time.Minute, func() bool { return c.Cancel(name, id).Stage() == wire.JobAborted })
+	c.Until(id+" is cancelled", time.Minute, func() bool { return c.Cancel(name, id).Stage() == wire.JobCancelled })
 }
 
 // UntilOn waits until so many tasks of a job are on machines.
--- a/internal/sim/zones_test.go
+++ b/internal/sim/zones_test.go
@@ -63,7 +63,7 @@
 func TestOneZoneLosesMachines(t *testing.T) {
 	Run(t, Options{RunFor: long}, func(c *Cluster) {
 		job := Array(1, 6, "a")
-		job.OneZone = true
+		job.SingleZone = true
 		c.MustSubmit("n0", job)
 		c.UntilOn(job.ID, 6)
 		for range 3 {
--- a/internal/standby/decision.go
+++ b/internal/standby/decision.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	_, _, isTask := wire.ParseTaskID(placement.Task)
-	return isTask || wire.ValidJobID(placement.Task)
+	return isTask || wire.IsValidJobID(placement.Task)
 }
 
 // jobOfTask is the job that a task belongs to.
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -100,7 +100,7 @@
 }
 
 func wallTime(steadyTime clock.Micros) time.Time {
-	wallMicros := clock.Wall() - (clock.Now() - steadyTime)
+	wallMicros := clock.WallTime() - (clock.Now() - steadyTime)
 	return time.UnixMicro(int64(wallMicros))
 }
 
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -9,57 +9,57 @@
 
 // Limits of the cloud's requests.
 const (
-	MaxHire   = 50
-	MaxDelete = 100
-	MaxList   = 500
+	MaxScaleOutCount     = 50
+	MaxMachinesPerDelete = 100
+	MaxMachinesPerPage   = 500
 )
 
 // MachineType is one kind of machine on offer.
 type MachineType struct {
-	Name        string   `json:"name"`
-	CPUs        float64  `json:"cores"`
-	GPUs        float64  `json:"gpus"`
-	MemoryGB    float64  `json:"ramGb"`
-	CacheGB     float64  `json:"localGb"`
-	FetchGBPerS float64  `json:"pullGbPerS"`
-	Price       float64  `json:"rate"`
-	SpotPrice   float64  `json:"spotPrice"`
-	BootS       float64  `json:"bootS"`
-	Zones       []string `json:"yards"`
+	Name             string   `json:"name"`
+	CPUs             float64  `json:"cores"`
+	GPUs             float64  `json:"gpus"`
+	MemoryGB         float64  `json:"ramGb"`
+	ImageCacheGB     float64  `json:"localGb"`
+	FetchGBPerSecond float64  `json:"pullGbPerS"`
+	OnDemandPrice    float64  `json:"rate"`
+	SpotPrice        float64  `json:"spotPrice"`
+	BootSeconds      float64  `json:"bootS"`
+	Zones            []string `json:"yards"`
 }
 
-// MachineTypes answers the request for what is on offer.
-type MachineTypes struct {
+// MachineTypeList answers the request for what is on offer.
+type MachineTypeList struct {
 	Types []MachineType `json:"rigs"`
 }
 
-// Hire asks for machines. Request names are never used twice.
-type Hire struct {
-	Request string `json:"hire"`
-	Type    string `json:"rig"`
-	Zone    string `json:"yard"`
-	Spot    bool   `json:"loaners"`
-	Count   int    `json:"count"`
+// ScaleOutRequest asks for machines. Request names are never used twice.
+type ScaleOutRequest struct {
+	RequestID   string `json:"hire"`
+	MachineType string `json:"rig"`
+	Zone        string `json:"yard"`
+	Spot        bool   `json:"loaners"`
+	Count       int    `json:"count"`
 }
 
-// Machines names machines.
-type Machines struct {
-	Machines []string `json:"boxes"`
+// MachineIDs names machines.
+type MachineIDs struct {
+	IDs []string `json:"boxes"`
 }
 
 // ListedMachine is a machine in the cloud's list.
 type ListedMachine struct {
-	ID    string  `json:"nameId"`
-	Addr  string  `json:"endpoint"`
-	Type  string  `json:"rig"`
-	Zone  string  `json:"yard"`
-	Spot  bool    `json:"loaners"`
-	State string  `json:"stage"`
-	AgeS  float64 `json:"heldS"`
+	ID          string  `json:"nameId"`
+	Address     string  `json:"endpoint"`
+	MachineType string  `json:"rig"`
+	Zone        string  `json:"yard"`
+	Spot        bool    `json:"loaners"`
+	State       string  `json:"stage"`
+	AgeSeconds  float64 `json:"heldS"`
 }
 
 // MachineList is a page of the cloud's list.
 type MachineList struct {
 	Machines []ListedMachine `json:"boxes"`
-	More     bool            `json:"hasNext"`
+	HasMore  bool            `json:"hasNext"`
 }
--- a/wire/cloud_easyjson.go
+++ b/wire/cloud_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson9def2ecdDecodeFirwoodDevFirwoodWire(in *jlexer.Lexer, out *Machines) {
+func easyjson9def2ecdDecodeFirwoodDevFirwoodWire(in *jlexer.Lexer, out *MachineIDs) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -34,17 +34,17 @@
 		case "boxes":
 			if in.IsNull() {
 				in.Skip()
-				out.Machines = nil
+				out.IDs = nil
 			} else {
 				in.Delim('[')
-				if out.Machines == nil {
+				if out.IDs == nil {
 					if !in.IsDelim(']') {
-						out.Machines = make([]string, 0, 4)
+						out.IDs = make([]string, 0, 4)
 					} else {
-						out.Machines = []string{}
+						out.IDs = []string{}
 					}
 				} else {
-					out.Machines = (out.Machines)[:0]
+					out.IDs = (out.IDs)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v1 string
@@ -53,7 +53,7 @@
 					} else {
 						v1 = string(in.String())
 					}
-					out.Machines = append(out.Machines, v1)
+					out.IDs = append(out.IDs, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -68,18 +68,18 @@
 		in.Consumed()
 	}
 }
-func easyjson9def2ecdEncodeFirwoodDevFirwoodWire(out *jwriter.Writer, in Machines) {
+func easyjson9def2ecdEncodeFirwoodDevFirwoodWire(out *jwriter.Writer, in MachineIDs) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"boxes\":"
 		out.RawString(prefix[1:])
-		if in.Machines == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.IDs == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v2, v3 := range in.Machines {
+			for v2, v3 := range in.IDs {
 				if v2 > 0 {
 					out.RawByte(',')
 				}
@@ -92,29 +92,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Machines) MarshalJSON() ([]byte, error) {
+func (v MachineIDs) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Machines) MarshalEasyJSON(w *jwriter.Writer) {
+func (v MachineIDs) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Machines) UnmarshalJSON(data []byte) error {
+func (v *MachineIDs) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Machines) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *MachineIDs) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire(l, v)
 }
-func easyjson9def2ecdDecodeFirwoodDevFirwoodWire1(in *jlexer.Lexer, out *MachineTypes) {
+func easyjson9def2ecdDecodeFirwoodDevFirwoodWire1(in *jlexer.Lexer, out *MachineTypeList) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -165,7 +165,7 @@
 		in.Consumed()
 	}
 }
-func easyjson9def2ecdEncodeFirwoodDevFirwoodWire1(out *jwriter.Writer, in MachineTypes) {
+func easyjson9def2ecdEncodeFirwoodDevFirwoodWire1(out *jwriter.Writer, in MachineTypeList) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -189,26 +189,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v MachineTypes) MarshalJSON() ([]byte, error) {
+func (v MachineTypeList) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v MachineTypes) MarshalEasyJSON(w *jwriter.Writer) {
+func (v MachineTypeList) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *MachineTypes) UnmarshalJSON(data []byte) error {
+func (v *MachineTypeList) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *MachineTypes) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *MachineTypeList) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire1(l, v)
 }
 func easyjson9def2ecdDecodeFirwoodDevFirwoodWire2(in *jlexer.Lexer, out *MachineType) {
@@ -253,19 +253,19 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.CacheGB = float64(in.Float64())
+				out.ImageCacheGB = float64(in.Float64())
 			}
 		case "pullGbPerS":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.FetchGBPerS = float64(in.Float64())
+				out.FetchGBPerSecond = float64(in.Float64())
 			}
 		case "rate":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Price = float64(in.Float64())
+				out.OnDemandPrice = float64(in.Float64())
 			}
 		case "spotPrice":
 			if in.IsNull() {
@@ -277,7 +277,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.BootS = float64(in.Float64())
+				out.BootSeconds = float64(in.Float64())
 			}
 		case "yards":
 			if in.IsNull() {
@@ -343,17 +343,17 @@
 	{
 		const prefix string = ",\"localGb\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.CacheGB))
+		out.Float64(float64(in.ImageCacheGB))
 	}
 	{
 		const prefix string = ",\"pullGbPerS\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.FetchGBPerS))
+		out.Float64(float64(in.FetchGBPerSecond))
 	}
 	{
 		const prefix string = ",\"rate\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Price))
+		out.Float64(float64(in.OnDemandPrice))
 	}
 	{
 		const prefix string = ",\"spotPrice\":"
@@ -363,7 +363,7 @@
 	{
 		const prefix string = ",\"bootS\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.BootS))
+		out.Float64(float64(in.BootSeconds))
 	}
 	{
 		const prefix string = ",\"yards\":"
@@ -452,7 +452,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.More = bool(in.Bool())
+				out.HasMore = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -487,7 +487,7 @@
 	{
 		const prefix string = ",\"hasNext\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.More))
+		out.Bool(bool(in.HasMore))
 	}
 	out.RawByte('}')
 }
@@ -539,13 +539,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Addr = string(in.String())
+				out.Address = string(in.String())
 			}
 		case "rig":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Type = string(in.String())
+				out.MachineType = string(in.String())
 			}
 		case "yard":
 			if in.IsNull() {
@@ -569,7 +569,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.AgeS = float64(in.Float64())
+				out.AgeSeconds = float64(in.Float64())
 			}
 		default:
 			in.SkipRecursive()
@@ -593,12 +593,12 @@
 	{
 		const prefix string = ",\"endpoint\":"
 		out.RawString(prefix)
-		out.String(string(in.Addr))
+		out.String(string(in.Address))
 	}
 	{
 		const prefix string = ",\"rig\":"
 		out.RawString(prefix)
-		out.String(string(in.Type))
+		out.String(string(in.MachineType))
 	}
 	{
 		const prefix string = ",\"yard\":"
@@ -618,7 +618,7 @@
 	{
 		const prefix string = ",\"heldS\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.AgeS))
+		out.Float64(float64(in.AgeSeconds))
 	}
 	out.RawByte('}')
 }
@@ -646,7 +646,7 @@
 func (v *ListedMachine) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire4(l, v)
 }
-func easyjson9def2ecdDecodeFirwoodDevFirwoodWire5(in *jlexer.Lexer, out *Hire) {
+func easyjson9def2ecdDecodeFirwoodDevFirwoodWire5(in *jlexer.Lexer, out *ScaleOutRequest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -664,13 +664,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Request = string(in.String())
+				out.RequestID = string(in.String())
 			}
 		case "rig":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Type = string(in.String())
+				out.MachineType = string(in.String())
 			}
 		case "yard":
 			if in.IsNull() {
@@ -700,19 +700,19 @@
 		in.Consumed()
 	}
 }
-func easyjson9def2ecdEncodeFirwoodDevFirwoodWire5(out *jwriter.Writer, in Hire) {
+func easyjson9def2ecdEncodeFirwoodDevFirwoodWire5(out *jwriter.Writer, in ScaleOutRequest) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"hire\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Request))
+		out.String(string(in.RequestID))
 	}
 	{
 		const prefix string = ",\"rig\":"
 		out.RawString(prefix)
-		out.String(string(in.Type))
+		out.String(string(in.MachineType))
 	}
 	{
 		const prefix string = ",\"yard\":"
@@ -733,25 +733,25 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Hire) MarshalJSON() ([]byte, error) {
+func (v ScaleOutRequest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Hire) MarshalEasyJSON(w *jwriter.Writer) {
+func (v ScaleOutRequest) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Hire) UnmarshalJSON(data []byte) error {
+func (v *ScaleOutRequest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Hire) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *ScaleOutRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire5(l, v)
 }
--- a/wire/awaits_test.go
+++ b/wire/dependencies_test.go
@@ -9,10 +9,10 @@
 
 // What a job awaits is a list of job ids, each of which counts once; anything else
 // is malformed.
-func TestAwaits(t *testing.T) {
+func TestDecodeJobDependencies(t *testing.T) {
 	const form = `{"nameId":"req-000009","lot":"c","crew":"a","shape":"array","rank":"low","pieces":1,"cores":1,"gpus":0,"ramGb":1,` +
 		`"bundle":"i","pullGb":1,"oneZone":false,"spread":false,"loaners":false,"guessS":1,"markS":0,"stashS":0%s}`
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		awaits string
 		want   []string
 		ok     bool
@@ -27,17 +27,17 @@
 		{`,"awaits":{"a":1}`, nil, false},
 		{`,"awaits":[""]`, nil, false},
 	} {
-		j, err := DecodeJob([]byte(fmt.Sprintf(form, c.awaits)))
-		if (err == nil) != c.ok {
-			t.Errorf("%s: %v", c.awaits, err)
+		job, err := DecodeJob([]byte(fmt.Sprintf(form, testCase.awaits)))
+		if (err == nil) != testCase.ok {
+			t.Errorf("%s: %v", testCase.awaits, err)
 			continue
 		}
-		if err == nil && !slices.Equal(j.Awaits, c.want) {
-			t.Errorf("%s: %v", c.awaits, j.Awaits)
+		if err == nil && !slices.Equal(job.DependsOn, testCase.want) {
+			t.Errorf("%s: %v", testCase.awaits, job.DependsOn)
 		}
 	}
-	long := `,"awaits":["` + strings.Repeat(`req-000001","`, 3000) + `req-000002"]`
-	if j, err := DecodeJob([]byte(fmt.Sprintf(form, long))); err != nil || len(j.Awaits) != 2 {
+	longList := `,"awaits":["` + strings.Repeat(`req-000001","`, 3000) + `req-000002"]`
+	if job, err := DecodeJob([]byte(fmt.Sprintf(form, longList))); err != nil || len(job.DependsOn) != 2 {
 		t.Errorf("a long list: %v", err)
 	}
 }
--- a/wire/job.go
+++ b/wire/job.go
@@ -33,89 +33,89 @@
 
 // States of a job as users are told.
 const (
-	JobPending = "pending"
-	JobRunning = "running"
-	JobDone    = "done"
-	JobAborted = "aborted"
+	JobPending   = "pending"
+	JobRunning   = "running"
+	JobDone      = "done"
+	JobCancelled = "aborted"
 )
 
 // MaxTasks bounds the tasks of one job.
 const MaxTasks = 100000
 
-// MaxBody bounds a request body.
-const MaxBody = 64 << 10
+// MaxBodyBytes bounds a request body.
+const MaxBodyBytes = 64 << 10
 
 // Job is a submission, checked and whole.
 type Job struct {
-	ID          string   `json:"nameId"`
-	Class       string   `json:"lot"`
-	Team        string   `json:"crew"`
-	Kind        string   `json:"shape"`
-	Priority    string   `json:"rank"`
-	Tasks       int      `json:"pieces"`
-	CPUs        float64  `json:"cores"`
-	GPUs        float64  `json:"gpus"`
-	MemoryGB    float64  `json:"ramGb"`
-	Image       string   `json:"bundle"`
-	ImageGB     float64  `json:"pullGb"`
-	Types       []string `json:"rigs,omitempty"`
-	Zone        string   `json:"yard,omitempty"`
-	OneZone     bool     `json:"oneZone"`
-	Spread      bool     `json:"spread"`
-	Spot        bool     `json:"loaners"`
-	EstimateS   float64  `json:"guessS"`
-	CheckpointS float64  `json:"markS"`
-	SaveS       float64  `json:"stashS"`
-	DeadlineS   float64  `json:"dueS,omitempty"`
-	// Awaits are the jobs that have to be done before any task of this one starts,
+	ID                        string   `json:"nameId"`
+	Class                     string   `json:"lot"`
+	Team                      string   `json:"crew"`
+	Kind                      string   `json:"shape"`
+	Priority                  string   `json:"rank"`
+	TaskCount                 int      `json:"pieces"`
+	CPUs                      float64  `json:"cores"`
+	GPUs                      float64  `json:"gpus"`
+	MemoryGB                  float64  `json:"ramGb"`
+	Image                     string   `json:"bundle"`
+	ImageSizeGB               float64  `json:"pullGb"`
+	MachineTypes              []string `json:"rigs,omitempty"`
+	Zone                      string   `json:"yard,omitempty"`
+	SingleZone                bool     `json:"oneZone"`
+	SpreadZones               bool     `json:"spread"`
+	AllowsSpot                bool     `json:"loaners"`
+	EstimatedRunSeconds       float64  `json:"guessS"`
+	CheckpointIntervalSeconds float64  `json:"markS"`
+	CheckpointSaveSeconds     float64  `json:"stashS"`
+	DeadlineSeconds           float64  `json:"dueS,omitempty"`
+	// DependsOn are the jobs that have to be done before any task of this one starts,
 	// each once.
-	Awaits []string `json:"awaits,omitempty"`
+	DependsOn []string `json:"awaits,omitempty"`
 }
 
 // submission mirrors Job with every field optional, so that a missing field
 // can be told from a zero one.
 type submission struct {
-	ID          *string   `json:"nameId"`
-	Class       *string   `json:"lot"`
-	Team        *string   `json:"crew"`
-	Kind        *string   `json:"shape"`
-	Priority    *string   `json:"rank"`
-	Tasks       *int64    `json:"pieces"`
-	CPUs        *float64  `json:"cores"`
-	GPUs        *float64  `json:"gpus"`
-	MemoryGB    *float64  `json:"ramGb"`
-	Image       *string   `json:"bundle"`
-	ImageGB     *float64  `json:"pullGb"`
-	Types       *[]string `json:"rigs"`
-	Zone        *string   `json:"yard"`
-	OneZone     *bool     `json:"oneZone"`
-	Spread      *bool     `json:"spread"`
-	Spot        *bool     `json:"loaners"`
-	EstimateS   *float64  `json:"guessS"`
-	CheckpointS *float64  `json:"markS"`
-	SaveS       *float64  `json:"stashS"`
-	DeadlineS   *float64  `json:"dueS"`
-	Awaits      []string  `json:"awaits"`
+	ID                        *string   `json:"nameId"`
+	Class                     *string   `json:"lot"`
+	Team                      *string   `json:"crew"`
+	Kind                      *string   `json:"shape"`
+	Priority                  *string   `json:"rank"`
+	TaskCount                 *int64    `json:"pieces"`
+	CPUs                      *float64  `json:"cores"`
+	GPUs                      *float64  `json:"gpus"`
+	MemoryGB                  *float64  `json:"ramGb"`
+	Image                     *string   `json:"bundle"`
+	ImageSizeGB               *float64  `json:"pullGb"`
+	MachineTypes              *[]string `json:"rigs"`
+	Zone                      *string   `json:"yard"`
+	SingleZone                *bool     `json:"oneZone"`
+	SpreadZones               *bool     `json:"spread"`
+	AllowsSpot                *bool     `json:"loaners"`
+	EstimatedRunSeconds       *float64  `json:"guessS"`
+	CheckpointIntervalSeconds *float64  `json:"markS"`
+	CheckpointSaveSeconds     *float64  `json:"stashS"`
+	DeadlineSeconds           *float64  `json:"dueS"`
+	DependsOn                 []string  `json:"awaits"`
 }
 
 // JobStatus is what users are told of a job.
 type JobStatus struct {
-	ID      string `json:"nameId"`
-	State   string `json:"stage"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
-	// Awaits are jobs that have to be done before this one starts.
-	Awaits []string `json:"awaits,omitempty"`
+	ID           string `json:"nameId"`
+	State        string `json:"stage"`
+	DoneTasks    *int   `json:"done,omitempty"`
+	RunningTasks *int   `json:"running,omitempty"`
+	// DependsOn are jobs that have to be done before this one starts.
+	DependsOn []string `json:"awaits,omitempty"`
 }
 
-// ErrorBody is the body of a refusal.
-type ErrorBody struct {
+// ErrorResponse is the body of a refusal.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// ValidJobID tells whether s has the form of a job id.
-func ValidJobID(s string) bool {
-	digits, ok := strings.CutPrefix(s, "req-")
+// IsValidJobID tells whether s has the form of a job id.
+func IsValidJobID(id string) bool {
+	digits, ok := strings.CutPrefix(id, "req-")
 	if !ok || len(digits) == 0 || len(digits) > 18 {
 		return false
 	}
@@ -128,130 +128,132 @@
 }
 
 // TaskID names task i of a job.
-func TaskID(job string, i int) string { return job + "/" + strconv.Itoa(i) }
+func TaskID(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
 // ParseTaskID is the inverse of TaskID.
-func ParseTaskID(s string) (job string, i int, ok bool) {
-	job, num, found := strings.Cut(s, "/")
-	if !found || !ValidJobID(job) || len(num) == 0 || len(num) > 6 {
+func ParseTaskID(taskID string) (job string, index int, ok bool) {
+	job, digits, found := strings.Cut(taskID, "/")
+	if !found || !IsValidJobID(job) || len(digits) == 0 || len(digits) > 6 {
 		return "", 0, false
 	}
-	n, err := strconv.Atoi(num)
-	if err != nil || n < 0 || n >= MaxTasks || strconv.Itoa(n) != num {
+	number, err := strconv.Atoi(digits)
+	if err != nil || number < 0 || number >= MaxTasks || strconv.Itoa(number) != digits {
 		return "", 0, false
 	}
-	return job, n, true
+	return job, number, true
 }
 
-func badAmount(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 || f > 1e9 }
+func isInvalidAmount(amount float64) bool {
+	return math.IsNaN(amount) || math.IsInf(amount, 0) || amount < 0 || amount > 1e9
+}
 
 // DecodeJob reads and checks a submission. Every error means 400.
 func DecodeJob(body []byte) (*Job, error) {
 	if t := bytes.TrimLeft(body, " \t\r\n"); len(t) == 0 || t[0] != '{' {
 		return nil, errors.New("the body is not a JSON object")
 	}
-	var s submission
-	if err := s.UnmarshalJSON(body); err != nil {
+	var submitted submission
+	if err := submitted.UnmarshalJSON(body); err != nil {
 		return nil, fmt.Errorf("malformed JSON: %w", err)
 	}
-	j := &Job{}
-	for _, f := range []struct {
+	job := &Job{}
+	for _, field := range []struct {
 		name string
 		from *string
 		to   *string
 	}{
-		{"nameId", s.ID, &j.ID}, {"lot", s.Class, &j.Class}, {"crew", s.Team, &j.Team},
-		{"shape", s.Kind, &j.Kind}, {"rank", s.Priority, &j.Priority}, {"bundle", s.Image, &j.Image},
+		{"nameId", submitted.ID, &job.ID}, {"lot", submitted.Class, &job.Class}, {"crew", submitted.Team, &job.Team},
+		{"shape", submitted.Kind, &job.Kind}, {"rank", submitted.Priority, &job.Priority}, {"bundle", submitted.Image, &job.Image},
 	} {
-		if f.from == nil {
-			return nil, fmt.Errorf("%s is missing", f.name)
+		if field.from == nil {
+			return nil, fmt.Errorf("%s is missing", field.name)
 		}
-		if *f.from == "" || len(*f.from) > 200 {
-			return nil, fmt.Errorf("%s is empty or too long", f.name)
+		if *field.from == "" || len(*field.from) > 200 {
+			return nil, fmt.Errorf("%s is empty or too long", field.name)
 		}
-		*f.to = *f.from
+		*field.to = *field.from
 	}
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name string
 		from *float64
 		to   *float64
 	}{
-		{"cores", s.CPUs, &j.CPUs}, {"gpus", s.GPUs, &j.GPUs}, {"ramGb", s.MemoryGB, &j.MemoryGB},
-		{"pullGb", s.ImageGB, &j.ImageGB}, {"guessS", s.EstimateS, &j.EstimateS},
-		{"markS", s.CheckpointS, &j.CheckpointS}, {"stashS", s.SaveS, &j.SaveS},
+		{"cores", submitted.CPUs, &job.CPUs}, {"gpus", submitted.GPUs, &job.GPUs}, {"ramGb", submitted.MemoryGB, &job.MemoryGB},
+		{"pullGb", submitted.ImageSizeGB, &job.ImageSizeGB}, {"guessS", submitted.EstimatedRunSeconds, &job.EstimatedRunSeconds},
+		{"markS", submitted.CheckpointIntervalSeconds, &job.CheckpointIntervalSeconds}, {"stashS", submitted.CheckpointSaveSeconds, &job.CheckpointSaveSeconds},
 	} {
-		if f.from == nil {
-			return nil, fmt.Errorf("%s is missing", f.name)
+		if field.from == nil {
+			return nil, fmt.Errorf("%s is missing", field.name)
 		}
-		if badAmount(*f.from) {
-			return nil, fmt.Errorf("%s is not a valid amount", f.name)
+		if isInvalidAmount(*field.from) {
+			return nil, fmt.Errorf("%s is not a valid amount", field.name)
 		}
-		*f.to = *f.from
+		*field.to = *field.from
 	}
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name string
 		from *bool
 		to   *bool
-	}{{"oneZone", s.OneZone, &j.OneZone}, {"spread", s.Spread, &j.Spread}, {"loaners", s.Spot, &j.Spot}} {
-		if f.from == nil {
-			return nil, fmt.Errorf("%s is missing", f.name)
+	}{{"oneZone", submitted.SingleZone, &job.SingleZone}, {"spread", submitted.SpreadZones, &job.SpreadZones}, {"loaners", submitted.AllowsSpot, &job.AllowsSpot}} {
+		if field.from == nil {
+			return nil, fmt.Errorf("%s is missing", field.name)
 		}
-		*f.to = *f.from
+		*field.to = *field.from
 	}
-	if s.Tasks == nil {
+	if submitted.TaskCount == nil {
 		return nil, errors.New("pieces is missing")
 	}
-	if *s.Tasks < 1 || *s.Tasks > MaxTasks {
+	if *submitted.TaskCount < 1 || *submitted.TaskCount > MaxTasks {
 		return nil, fmt.Errorf("pieces is not between 1 and %d", MaxTasks)
 	}
-	j.Tasks = int(*s.Tasks)
-	if !ValidJobID(j.ID) {
+	job.TaskCount = int(*submitted.TaskCount)
+	if !IsValidJobID(job.ID) {
 		return nil, errors.New("nameId has not the form of a job id")
 	}
-	switch j.Kind {
+	switch job.Kind {
 	case KindArray, KindGang, KindService:
 	default:
 		return nil, errors.New("shape is unknown")
 	}
-	if PriorityIndex(j.Priority) < 0 {
+	if PriorityIndex(job.Priority) < 0 {
 		return nil, errors.New("rank is unknown")
 	}
-	if s.Types != nil {
-		if len(*s.Types) == 0 {
+	if submitted.MachineTypes != nil {
+		if len(*submitted.MachineTypes) == 0 {
 			return nil, errors.New("rigs is empty")
 		}
-		for _, t := range *s.Types {
+		for _, t := range *submitted.MachineTypes {
 			if t == "" {
 				return nil, errors.New("rigs holds an empty name")
 			}
 		}
-		j.Types = *s.Types
+		job.MachineTypes = *submitted.MachineTypes
 	}
-	if s.Zone != nil {
-		if *s.Zone == "" {
+	if submitted.Zone != nil {
+		if *submitted.Zone == "" {
 			return nil, errors.New("yard is empty")
 		}
-		j.Zone = *s.Zone
+		job.Zone = *submitted.Zone
 	}
-	if s.DeadlineS != nil {
-		if badAmount(*s.DeadlineS) {
+	if submitted.DeadlineSeconds != nil {
+		if isInvalidAmount(*submitted.DeadlineSeconds) {
 			return nil, errors.New("dueS is not a valid amount")
 		}
-		j.DeadlineS = *s.DeadlineS
+		job.DeadlineSeconds = *submitted.DeadlineSeconds
 	}
-	for _, id := range s.Awaits {
-		if !ValidJobID(id) {
+	for _, id := range submitted.DependsOn {
+		if !IsValidJobID(id) {
 			return nil, errors.New("awaits holds what has not the form of a job id")
 		}
 	}
-	slices.Sort(s.Awaits)
-	j.Awaits = slices.Compact(s.Awaits)
-	return j, nil
+	slices.Sort(submitted.DependsOn)
+	job.DependsOn = slices.Compact(submitted.DependsOn)
+	return job, nil
 }
 
 // PriorityIndex is 0 for the first served priority, and -1 for an unknown one.
-func PriorityIndex(p string) int {
-	switch p {
+func PriorityIndex(priority string) int {
+	switch priority {
 	case PriorityProduction:
 		return 0
 	case PriorityHigh:
--- a/wire/job_easyjson.go
+++ b/wire/job_easyjson.go
@@ -104,15 +104,15 @@
 		case "pieces":
 			if in.IsNull() {
 				in.Skip()
-				out.Tasks = nil
+				out.TaskCount = nil
 			} else {
-				if out.Tasks == nil {
-					out.Tasks = new(int64)
+				if out.TaskCount == nil {
+					out.TaskCount = new(int64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.Tasks = int64(in.Int64())
+					*out.TaskCount = int64(in.Int64())
 				}
 			}
 		case "cores":
@@ -174,38 +174,38 @@
 		case "pullGb":
 			if in.IsNull() {
 				in.Skip()
-				out.ImageGB = nil
+				out.ImageSizeGB = nil
 			} else {
-				if out.ImageGB == nil {
-					out.ImageGB = new(float64)
+				if out.ImageSizeGB == nil {
+					out.ImageSizeGB = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.ImageGB = float64(in.Float64())
+					*out.ImageSizeGB = float64(in.Float64())
 				}
 			}
 		case "rigs":
 			if in.IsNull() {
 				in.Skip()
-				out.Types = nil
+				out.MachineTypes = nil
 			} else {
-				if out.Types == nil {
-					out.Types = new([]string)
+				if out.MachineTypes == nil {
+					out.MachineTypes = new([]string)
 				}
 				if in.IsNull() {
 					in.Skip()
-					*out.Types = nil
+					*out.MachineTypes = nil
 				} else {
 					in.Delim('[')
-					if *out.Types == nil {
+					if *out.MachineTypes == nil {
 						if !in.IsDelim(']') {
-							*out.Types = make([]string, 0, 4)
+							*out.MachineTypes = make([]string, 0, 4)
 						} else {
-							*out.Types = []string{}
+							*out.MachineTypes = []string{}
 						}
 					} else {
-						*out.Types = (*out.Types)[:0]
+						*out.MachineTypes = (*out.MachineTypes)[:0]
 					}
 					for !in.IsDelim(']') {
 						var v1 string
@@ -214,7 +214,7 @@
 						} else {
 							v1 = string(in.String())
 						}
-						*out.Types = append(*out.Types, v1)
+						*out.MachineTypes = append(*out.MachineTypes, v1)
 						in.WantComma()
 					}
 					in.Delim(']')
@@ -237,115 +237,115 @@
 		case "oneZone":
 			if in.IsNull() {
 				in.Skip()
-				out.OneZone = nil
+				out.SingleZone = nil
 			} else {
-				if out.OneZone == nil {
-					out.OneZone = new(bool)
+				if out.SingleZone == nil {
+					out.SingleZone = new(bool)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.OneZone = bool(in.Bool())
+					*out.SingleZone = bool(in.Bool())
 				}
 			}
 		case "spread":
 			if in.IsNull() {
 				in.Skip()
-				out.Spread = nil
+				out.SpreadZones = nil
 			} else {
-				if out.Spread == nil {
-					out.Spread = new(bool)
+				if out.SpreadZones == nil {
+					out.SpreadZones = new(bool)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.Spread = bool(in.Bool())
+					*out.SpreadZones = bool(in.Bool())
 				}
 			}
 		case "loaners":
 			if in.IsNull() {
 				in.Skip()
-				out.Spot = nil
+				out.AllowsSpot = nil
 			} else {
-				if out.Spot == nil {
-					out.Spot = new(bool)
+				if out.AllowsSpot == nil {
+					out.AllowsSpot = new(bool)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.Spot = bool(in.Bool())
+					*out.AllowsSpot = bool(in.Bool())
 				}
 			}
 		case "guessS":
 			if in.IsNull() {
 				in.Skip()
-				out.EstimateS = nil
+				out.EstimatedRunSeconds = nil
 			} else {
-				if out.EstimateS == nil {
-					out.EstimateS = new(float64)
+				if out.EstimatedRunSeconds == nil {
+					out.EstimatedRunSeconds = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.EstimateS = float64(in.Float64())
+					*out.EstimatedRunSeconds = float64(in.Float64())
 				}
 			}
 		case "markS":
 			if in.IsNull() {
 				in.Skip()
-				out.CheckpointS = nil
+				out.CheckpointIntervalSeconds = nil
 			} else {
-				if out.CheckpointS == nil {
-					out.CheckpointS = new(float64)
+				if out.CheckpointIntervalSeconds == nil {
+					out.CheckpointIntervalSeconds = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.CheckpointS = float64(in.Float64())
+					*out.CheckpointIntervalSeconds = float64(in.Float64())
 				}
 			}
 		case "stashS":
 			if in.IsNull() {
 				in.Skip()
-				out.SaveS = nil
+				out.CheckpointSaveSeconds = nil
 			} else {
-				if out.SaveS == nil {
-					out.SaveS = new(float64)
+				if out.CheckpointSaveSeconds == nil {
+					out.CheckpointSaveSeconds = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.SaveS = float64(in.Float64())
+					*out.CheckpointSaveSeconds = float64(in.Float64())
 				}
 			}
 		case "dueS":
 			if in.IsNull() {
 				in.Skip()
-				out.DeadlineS = nil
+				out.DeadlineSeconds = nil
 			} else {
-				if out.DeadlineS == nil {
-					out.DeadlineS = new(float64)
+				if out.DeadlineSeconds == nil {
+					out.DeadlineSeconds = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.DeadlineS = float64(in.Float64())
+					*out.DeadlineSeconds = float64(in.Float64())
 				}
 			}
 		case "awaits":
 			if in.IsNull() {
 				in.Skip()
-				out.Awaits = nil
+				out.DependsOn = nil
 			} else {
 				in.Delim('[')
-				if out.Awaits == nil {
+				if out.DependsOn == nil {
 					if !in.IsDelim(']') {
-						out.Awaits = make([]string, 0, 4)
+						out.DependsOn = make([]string, 0, 4)
 					} else {
-						out.Awaits = []string{}
+						out.DependsOn = []string{}
 					}
 				} else {
-					out.Awaits = (out.Awaits)[:0]
+					out.DependsOn = (out.DependsOn)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v2 string
@@ -354,7 +354,7 @@
 					} else {
 						v2 = string(in.String())
 					}
-					out.Awaits = append(out.Awaits, v2)
+					out.DependsOn = append(out.DependsOn, v2)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -421,10 +421,10 @@
 	{
 		const prefix string = ",\"pieces\":"
 		out.RawString(prefix)
-		if in.Tasks == nil {
+		if in.TaskCount == nil {
 			out.RawString("null")
 		} else {
-			out.Int64(int64(*in.Tasks))
+			out.Int64(int64(*in.TaskCount))
 		}
 	}
 	{
@@ -466,23 +466,23 @@
 	{
 		const prefix string = ",\"pullGb\":"
 		out.RawString(prefix)
-		if in.ImageGB == nil {
+		if in.ImageSizeGB == nil {
 			out.RawString("null")
 		} else {
-			out.Float64(float64(*in.ImageGB))
+			out.Float64(float64(*in.ImageSizeGB))
 		}
 	}
 	{
 		const prefix string = ",\"rigs\":"
 		out.RawString(prefix)
-		if in.Types == nil {
+		if in.MachineTypes == nil {
 			out.RawString("null")
 		} else {
-			if *in.Types == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			if *in.MachineTypes == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 				out.RawString("null")
 			} else {
 				out.RawByte('[')
-				for v3, v4 := range *in.Types {
+				for v3, v4 := range *in.MachineTypes {
 					if v3 > 0 {
 						out.RawByte(',')
 					}
@@ -504,74 +504,74 @@
 	{
 		const prefix string = ",\"oneZone\":"
 		out.RawString(prefix)
-		if in.OneZone == nil {
+		if in.SingleZone == nil {
 			out.RawString("null")
 		} else {
-			out.Bool(bool(*in.OneZone))
+			out.Bool(bool(*in.SingleZone))
 		}
 	}
 	{
 		const prefix string = ",\"spread\":"
 		out.RawString(prefix)
-		if in.Spread == nil {
+		if in.SpreadZones == nil {
 			out.RawString("null")
 		} else {
-			out.Bool(bool(*in.Spread))
+			out.Bool(bool(*in.SpreadZones))
 		}
 	}
 	{
 		const prefix string = ",\"loaners\":"
 		out.RawString(prefix)
-		if in.Spot == nil {
+		if in.AllowsSpot == nil {
 			out.RawString("null")
 		} else {
-			out.Bool(bool(*in.Spot))
+			out.Bool(bool(*in.AllowsSpot))
 		}
 	}
 	{
 		const prefix string = ",\"guessS\":"
 		out.RawString(prefix)
-		if in.EstimateS == nil {
+		if in.EstimatedRunSeconds == nil {
 			out.RawString("null")
 		} else {
-			out.Float64(float64(*in.EstimateS))
+			out.Float64(float64(*in.EstimatedRunSeconds))
 		}
 	}
 	{
 		const prefix string = ",\"markS\":"
 		out.RawString(prefix)
-		if in.CheckpointS == nil {
+		if in.CheckpointIntervalSeconds == nil {
 			out.RawString("null")
 		} else {
-			out.Float64(float64(*in.CheckpointS))
+			out.Float64(float64(*in.CheckpointIntervalSeconds))
 		}
 	}
 	{
 		const prefix string = ",\"stashS\":"
 		out.RawString(prefix)
-		if in.SaveS == nil {
+		if in.CheckpointSaveSeconds == nil {
 			out.RawString("null")
 		} else {
-			out.Float64(float64(*in.SaveS))
+			out.Float64(float64(*in.CheckpointSaveSeconds))
 		}
 	}
 	{
 		const prefix string = ",\"dueS\":"
 		out.RawString(prefix)
-		if in.DeadlineS == nil {
+		if in.DeadlineSeconds == nil {
 			out.RawString("null")
 		} else {
-			out.Float64(float64(*in.DeadlineS))
+			out.Float64(float64(*in.DeadlineSeconds))
 		}
 	}
 	{
 		const prefix string = ",\"awaits\":"
 		out.RawString(prefix)
-		if in.Awaits == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.DependsOn == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v5, v6 := range in.Awaits {
+			for v5, v6 := range in.DependsOn {
 				if v5 > 0 {
 					out.RawByte(',')
 				}
@@ -635,45 +635,45 @@
 		case "done":
 			if in.IsNull() {
 				in.Skip()
-				out.Done = nil
+				out.DoneTasks = nil
 			} else {
-				if out.Done == nil {
-					out.Done = new(int)
+				if out.DoneTasks == nil {
+					out.DoneTasks = new(int)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.Done = int(in.Int())
+					*out.DoneTasks = int(in.Int())
 				}
 			}
 		case "running":
 			if in.IsNull() {
 				in.Skip()
-				out.Running = nil
+				out.RunningTasks = nil
 			} else {
-				if out.Running == nil {
-					out.Running = new(int)
+				if out.RunningTasks == nil {
+					out.RunningTasks = new(int)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.Running = int(in.Int())
+					*out.RunningTasks = int(in.Int())
 				}
 			}
 		case "awaits":
 			if in.IsNull() {
 				in.Skip()
-				out.Awaits = nil
+				out.DependsOn = nil
 			} else {
 				in.Delim('[')
-				if out.Awaits == nil {
+				if out.DependsOn == nil {
 					if !in.IsDelim(']') {
-						out.Awaits = make([]string, 0, 4)
+						out.DependsOn = make([]string, 0, 4)
 					} else {
-						out.Awaits = []string{}
+						out.DependsOn = []string{}
 					}
 				} else {
-					out.Awaits = (out.Awaits)[:0]
+					out.DependsOn = (out.DependsOn)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v7 string
@@ -682,7 +682,7 @@
 					} else {
 						v7 = string(in.String())
 					}
-					out.Awaits = append(out.Awaits, v7)
+					out.DependsOn = append(out.DependsOn, v7)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -711,22 +711,22 @@
 		out.RawString(prefix)
 		out.String(string(in.State))
 	}
-	if in.Done != nil {
+	if in.DoneTasks != nil {
 		const prefix string = ",\"done\":"
 		out.RawString(prefix)
-		out.Int(int(*in.Done))
+		out.Int(int(*in.DoneTasks))
 	}
-	if in.Running != nil {
+	if in.RunningTasks != nil {
 		const prefix string = ",\"running\":"
 		out.RawString(prefix)
-		out.Int(int(*in.Running))
+		out.Int(int(*in.RunningTasks))
 	}
-	if len(in.Awaits) != 0 {
+	if len(in.DependsOn) != 0 {
 		const prefix string = ",\"awaits\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v8, v9 := range in.Awaits {
+			for v8, v9 := range in.DependsOn {
 				if v8 > 0 {
 					out.RawByte(',')
 				}
@@ -809,7 +809,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Tasks = int(in.Int())
+				out.TaskCount = int(in.Int())
 			}
 		case "cores":
 			if in.IsNull() {
@@ -839,22 +839,22 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ImageGB = float64(in.Float64())
+				out.ImageSizeGB = float64(in.Float64())
 			}
 		case "rigs":
 			if in.IsNull() {
 				in.Skip()
-				out.Types = nil
+				out.MachineTypes = nil
 			} else {
 				in.Delim('[')
-				if out.Types == nil {
+				if out.MachineTypes == nil {
 					if !in.IsDelim(']') {
-						out.Types = make([]string, 0, 4)
+						out.MachineTypes = make([]string, 0, 4)
 					} else {
-						out.Types = []string{}
+						out.MachineTypes = []string{}
 					}
 				} else {
-					out.Types = (out.Types)[:0]
+					out.MachineTypes = (out.MachineTypes)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v10 string
@@ -863,7 +863,7 @@
 					} else {
 						v10 = string(in.String())
 					}
-					out.Types = append(out.Types, v10)
+					out.MachineTypes = append(out.MachineTypes, v10)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -878,58 +878,58 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.OneZone = bool(in.Bool())
+				out.SingleZone = bool(in.Bool())
 			}
 		case "spread":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Spread = bool(in.Bool())
+				out.SpreadZones = bool(in.Bool())
 			}
 		case "loaners":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Spot = bool(in.Bool())
+				out.AllowsSpot = bool(in.Bool())
 			}
 		case "guessS":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.EstimateS = float64(in.Float64())
+				out.EstimatedRunSeconds = float64(in.Float64())
 			}
 		case "markS":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.CheckpointS = float64(in.Float64())
+				out.CheckpointIntervalSeconds = float64(in.Float64())
 			}
 		case "stashS":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.SaveS = float64(in.Float64())
+				out.CheckpointSaveSeconds = float64(in.Float64())
 			}
 		case "dueS":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.DeadlineS = float64(in.Float64())
+				out.DeadlineSeconds = float64(in.Float64())
 			}
 		case "awaits":
 			if in.IsNull() {
 				in.Skip()
-				out.Awaits = nil
+				out.DependsOn = nil
 			} else {
 				in.Delim('[')
-				if out.Awaits == nil {
+				if out.DependsOn == nil {
 					if !in.IsDelim(']') {
-						out.Awaits = make([]string, 0, 4)
+						out.DependsOn = make([]string, 0, 4)
 					} else {
-						out.Awaits = []string{}
+						out.DependsOn = []string{}
 					}
 				} else {
-					out.Awaits = (out.Awaits)[:0]
+					out.DependsOn = (out.DependsOn)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v11 string
@@ -938,7 +938,7 @@
 					} else {
 						v11 = string(in.String())
 					}
-					out.Awaits = append(out.Awaits, v11)
+					out.DependsOn = append(out.DependsOn, v11)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -985,7 +985,7 @@
 	{
 		const prefix string = ",\"pieces\":"
 		out.RawString(prefix)
-		out.Int(int(in.Tasks))
+		out.Int(int(in.TaskCount))
 	}
 	{
 		const prefix string = ",\"cores\":"
@@ -1010,14 +1010,14 @@
 	{
 		const prefix string = ",\"pullGb\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.ImageGB))
+		out.Float64(float64(in.ImageSizeGB))
 	}
-	if len(in.Types) != 0 {
+	if len(in.MachineTypes) != 0 {
 		const prefix string = ",\"rigs\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v12, v13 := range in.Types {
+			for v12, v13 := range in.MachineTypes {
 				if v12 > 0 {
 					out.RawByte(',')
 				}
@@ -1034,44 +1034,44 @@
 	{
 		const prefix string = ",\"oneZone\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.OneZone))
+		out.Bool(bool(in.SingleZone))
 	}
 	{
 		const prefix string = ",\"spread\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Spread))
+		out.Bool(bool(in.SpreadZones))
 	}
 	{
 		const prefix string = ",\"loaners\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Spot))
+		out.Bool(bool(in.AllowsSpot))
 	}
 	{
 		const prefix string = ",\"guessS\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.EstimateS))
+		out.Float64(float64(in.EstimatedRunSeconds))
 	}
 	{
 		const prefix string = ",\"markS\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.CheckpointS))
+		out.Float64(float64(in.CheckpointIntervalSeconds))
 	}
 	{
 		const prefix string = ",\"stashS\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.SaveS))
+		out.Float64(float64(in.CheckpointSaveSeconds))
 	}
-	if in.DeadlineS != 0 {
+	if in.DeadlineSeconds != 0 {
 		const prefix string = ",\"dueS\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.DeadlineS))
+		out.Float64(float64(in.DeadlineSeconds))
 	}
-	if len(in.Awaits) != 0 {
+	if len(in.DependsOn) != 0 {
 		const prefix string = ",\"awaits\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v14, v15 := range in.Awaits {
+			for v14, v15 := range in.DependsOn {
 				if v14 > 0 {
 					out.RawByte(',')
 				}
@@ -1106,7 +1106,7 @@
 func (v *Job) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson8a33d6c7DecodeFirwoodDevFirwoodWire2(l, v)
 }
-func easyjson8a33d6c7DecodeFirwoodDevFirwoodWire3(in *jlexer.Lexer, out *ErrorBody) {
+func easyjson8a33d6c7DecodeFirwoodDevFirwoodWire3(in *jlexer.Lexer, out *ErrorResponse) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1136,7 +1136,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8a33d6c7EncodeFirwoodDevFirwoodWire3(out *jwriter.Writer, in ErrorBody) {
+func easyjson8a33d6c7EncodeFirwoodDevFirwoodWire3(out *jwriter.Writer, in ErrorResponse) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1149,25 +1149,25 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v ErrorBody) MarshalJSON() ([]byte, error) {
+func (v ErrorResponse) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson8a33d6c7EncodeFirwoodDevFirwoodWire3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v ErrorBody) MarshalEasyJSON(w *jwriter.Writer) {
+func (v ErrorResponse) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson8a33d6c7EncodeFirwoodDevFirwoodWire3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *ErrorBody) UnmarshalJSON(data []byte) error {
+func (v *ErrorResponse) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson8a33d6c7DecodeFirwoodDevFirwoodWire3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *ErrorBody) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *ErrorResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson8a33d6c7DecodeFirwoodDevFirwoodWire3(l, v)
 }
