--- a/wire/roundtrip_test.go
+++ b/wire/roundtrip_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// both is what every generated type can do.
-type both interface {
+// jsonCodec is what every generated type can do.
+type jsonCodec interface {
 	MarshalJSON() ([]byte, error)
 	UnmarshalJSON([]byte) error
 }
@@ -18,68 +18,98 @@
 // is what the standard library makes of the same bytes.
 func TestEveryTypeRoundTrips(t *testing.T) {
 	value := rapid.Custom(func(t *rapid.T) json.RawMessage {
-		b, err := json.Marshal(rapid.MapOf(rapid.String(), rapid.Int()).Draw(t, "value"))
+		encoded, err := json.Marshal(rapid.MapOf(rapid.String(), rapid.Int()).Draw(t, "value"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return b
+		return encoded
 	})
-	for name, gen := range map[string]func(*rapid.T) (both, both){
-		"Report":    func(t *rapid.T) (both, both) { v := rapid.Make[Report]().Draw(t, "v"); return &v, &Report{} },
-		"Reply":     func(t *rapid.T) (both, both) { v := rapid.Make[Reply]().Draw(t, "v"); return &v, &Reply{} },
-		"Direct":    func(t *rapid.T) (both, both) { v := rapid.Make[Direct]().Draw(t, "v"); return &v, &Direct{} },
-		"Elsewhere": func(t *rapid.T) (both, both) { v := rapid.Make[Elsewhere]().Draw(t, "v"); return &v, &Elsewhere{} },
-		"Status":    func(t *rapid.T) (both, both) { v := rapid.Make[JobStatus]().Draw(t, "v"); return &v, &JobStatus{} },
-		"Types": func(t *rapid.T) (both, both) {
-			v := rapid.Make[MachineTypes]().Draw(t, "v")
-			return &v, &MachineTypes{}
+	for name, generate := range map[string]func(*rapid.T) (jsonCodec, jsonCodec){
+		"Report": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := rapid.Make[Heartbeat]().Draw(t, "v")
+			return &v, &Heartbeat{}
 		},
-		"Hire":     func(t *rapid.T) (both, both) { v := rapid.Make[Hire]().Draw(t, "v"); return &v, &Hire{} },
-		"Machines": func(t *rapid.T) (both, both) { v := rapid.Make[Machines]().Draw(t, "v"); return &v, &Machines{} },
-		"List":     func(t *rapid.T) (both, both) { v := rapid.Make[MachineList]().Draw(t, "v"); return &v, &MachineList{} },
-		"Grant":    func(t *rapid.T) (both, both) { v := rapid.Make[Grant]().Draw(t, "v"); return &v, &Grant{} },
-		"Result":   func(t *rapid.T) (both, both) { v := rapid.Make[TxnResult]().Draw(t, "v"); return &v, &TxnResult{} },
-		"Txn": func(t *rapid.T) (both, both) {
-			v := Txn{If: []Condition{{Key: rapid.String().Draw(t, "key"), Version: rapid.Uint64().Draw(t, "version")}},
-				Then: []Change{{Put: "a", Value: []byte(value.Draw(t, "value")), Lease: rapid.Uint64().Draw(t, "lease")}, {Delete: "b"}}}
-			return &v, &Txn{}
+		"Reply": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := rapid.Make[HeartbeatResponse]().Draw(t, "v")
+			return &v, &HeartbeatResponse{}
 		},
-		"Page": func(t *rapid.T) (both, both) {
-			v := Page{Items: []Item{{Key: rapid.String().Draw(t, "key"), Value: []byte(value.Draw(t, "value")), Version: rapid.Uint64().Draw(t, "version")}},
-				More: rapid.Bool().Draw(t, "more"), Revision: rapid.Uint64().Draw(t, "revision")}
-			return &v, &Page{}
+		"Direct": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := rapid.Make[CommandRequest]().Draw(t, "v")
+			return &v, &CommandRequest{}
 		},
-		"Events": func(t *rapid.T) (both, both) {
-			v := Events{Revision: rapid.Uint64().Draw(t, "revision"), Events: []Event{
-				{Put: rapid.String().Draw(t, "key"), Value: []byte(value.Draw(t, "value")), Version: rapid.Uint64().Draw(t, "version")},
-				{Delete: "a", Version: 1}}}
-			return &v, &Events{}
+		"Elsewhere": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := rapid.Make[Redirect]().Draw(t, "v")
+			return &v, &Redirect{}
+		},
+		"Status": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := rapid.Make[JobStatus]().Draw(t, "v")
+			return &v, &JobStatus{}
+		},
+		"Types": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := rapid.Make[MachineTypeList]().Draw(t, "v")
+			return &v, &MachineTypeList{}
+		},
+		"Hire": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := rapid.Make[ScaleOutRequest]().Draw(t, "v")
+			return &v, &ScaleOutRequest{}
+		},
+		"Machines": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := rapid.Make[MachineIDs]().Draw(t, "v")
+			return &v, &MachineIDs{}
+		},
+		"List": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := rapid.Make[MachineList]().Draw(t, "v")
+			return &v, &MachineList{}
+		},
+		"Grant": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := rapid.Make[LeaseRequest]().Draw(t, "v")
+			return &v, &LeaseRequest{}
+		},
+		"Result": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := rapid.Make[TransactionResult]().Draw(t, "v")
+			return &v, &TransactionResult{}
+		},
+		"Txn": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := Transaction{Conditions: []Condition{{Key: rapid.String().Draw(t, "key"), Version: rapid.Uint64().Draw(t, "version")}},
+				Changes: []Change{{PutKey: "a", Value: []byte(value.Draw(t, "value")), LeaseID: rapid.Uint64().Draw(t, "lease")}, {DeleteKey: "b"}}}
+			return &v, &Transaction{}
+		},
+		"Page": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := KeyPage{KeyValues: []KeyValue{{Key: rapid.String().Draw(t, "key"), Value: []byte(value.Draw(t, "value")), Version: rapid.Uint64().Draw(t, "version")}},
+				HasMore: rapid.Bool().Draw(t, "more"), Revision: rapid.Uint64().Draw(t, "revision")}
+			return &v, &KeyPage{}
+		},
+		"Events": func(t *rapid.T) (jsonCodec, jsonCodec) {
+			v := WatchResponse{Revision: rapid.Uint64().Draw(t, "revision"), Events: []WatchEvent{
+				{PutKey: rapid.String().Draw(t, "key"), Value: []byte(value.Draw(t, "value")), Version: rapid.Uint64().Draw(t, "version")},
+				{DeleteKey: "a", Version: 1}}}
+			return &v, &WatchResponse{}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				in, out := gen(t)
-				b, err := in.MarshalJSON()
+				in, out := generate(t)
+				encoded, err := in.MarshalJSON()
 				if err != nil {
 					t.Fatal(err)
 				}
-				more := append([]byte(`{"new":{"a":[1,null]},`), b[1:]...)
-				if len(b) == 2 {
-					more = []byte(`{"new":1}`)
+				extended := append([]byte(`{"new":{"a":[1,null]},`), encoded[1:]...)
+				if len(encoded) == 2 {
+					extended = []byte(`{"new":1}`)
 				}
-				if err := out.UnmarshalJSON(more); err != nil {
-					t.Fatalf("%s: %v", more, err)
+				if err := out.UnmarshalJSON(extended); err != nil {
+					t.Fatalf("%s: %v", extended, err)
 				}
-				again, err := out.MarshalJSON()
-				if err != nil || string(again) != string(b) {
-					t.Fatalf("%s became %s: %v", b, again, err)
+				reencoded, err := out.MarshalJSON()
+				if err != nil || string(reencoded) != string(encoded) {
+					t.Fatalf("%s became %s: %v", encoded, reencoded, err)
 				}
-				var x, y any
-				if err := json.Unmarshal(b, &x); err != nil {
-					t.Fatalf("%s: %v", b, err)
+				var want, got any
+				if err := json.Unmarshal(encoded, &want); err != nil {
+					t.Fatalf("%s: %v", encoded, err)
 				}
-				if err := json.Unmarshal(again, &y); err != nil || !reflect.DeepEqual(x, y) {
-					t.Fatalf("%s: %v", again, err)
+				if err := json.Unmarshal(reencoded, &got); err != nil || !reflect.DeepEqual(want, got) {
+					t.Fatalf("%s: %v", reencoded, err)
 				}
 			})
 		})
--- a/wire/state_easyjson.go
+++ b/wire/state_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire(in *jlexer.Lexer, out *TxnResult) {
+func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire(in *jlexer.Lexer, out *TransactionResult) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -40,17 +40,17 @@
 		case "failed":
 			if in.IsNull() {
 				in.Skip()
-				out.Failed = nil
+				out.FailedKeys = nil
 			} else {
 				in.Delim('[')
-				if out.Failed == nil {
+				if out.FailedKeys == nil {
 					if !in.IsDelim(']') {
-						out.Failed = make([]string, 0, 4)
+						out.FailedKeys = make([]string, 0, 4)
 					} else {
-						out.Failed = []string{}
+						out.FailedKeys = []string{}
 					}
 				} else {
-					out.Failed = (out.Failed)[:0]
+					out.FailedKeys = (out.FailedKeys)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v1 string
@@ -59,7 +59,7 @@
 					} else {
 						v1 = string(in.String())
 					}
-					out.Failed = append(out.Failed, v1)
+					out.FailedKeys = append(out.FailedKeys, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -74,7 +74,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire(out *jwriter.Writer, in TxnResult) {
+func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire(out *jwriter.Writer, in TransactionResult) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -83,12 +83,12 @@
 		out.RawString(prefix[1:])
 		out.Uint64(uint64(in.Revision))
 	}
-	if len(in.Failed) != 0 {
+	if len(in.FailedKeys) != 0 {
 		const prefix string = ",\"failed\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v2, v3 := range in.Failed {
+			for v2, v3 := range in.FailedKeys {
 				if v2 > 0 {
 					out.RawByte(',')
 				}
@@ -101,29 +101,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v TxnResult) MarshalJSON() ([]byte, error) {
+func (v TransactionResult) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v TxnResult) MarshalEasyJSON(w *jwriter.Writer) {
+func (v TransactionResult) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *TxnResult) UnmarshalJSON(data []byte) error {
+func (v *TransactionResult) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *TxnResult) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *TransactionResult) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire1(in *jlexer.Lexer, out *Txn) {
+func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire1(in *jlexer.Lexer, out *Transaction) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -140,17 +140,17 @@
 		case "if":
 			if in.IsNull() {
 				in.Skip()
-				out.If = nil
+				out.Conditions = nil
 			} else {
 				in.Delim('[')
-				if out.If == nil {
+				if out.Conditions == nil {
 					if !in.IsDelim(']') {
-						out.If = make([]Condition, 0, 2)
+						out.Conditions = make([]Condition, 0, 2)
 					} else {
-						out.If = []Condition{}
+						out.Conditions = []Condition{}
 					}
 				} else {
-					out.If = (out.If)[:0]
+					out.Conditions = (out.Conditions)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v4 Condition
@@ -159,7 +159,7 @@
 					} else {
 						(v4).UnmarshalEasyJSON(in)
 					}
-					out.If = append(out.If, v4)
+					out.Conditions = append(out.Conditions, v4)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -167,17 +167,17 @@
 		case "apply":
 			if in.IsNull() {
 				in.Skip()
-				out.Then = nil
+				out.Changes = nil
 			} else {
 				in.Delim('[')
-				if out.Then == nil {
+				if out.Changes == nil {
 					if !in.IsDelim(']') {
-						out.Then = make([]Change, 0, 1)
+						out.Changes = make([]Change, 0, 1)
 					} else {
-						out.Then = []Change{}
+						out.Changes = []Change{}
 					}
 				} else {
-					out.Then = (out.Then)[:0]
+					out.Changes = (out.Changes)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v5 Change
@@ -186,7 +186,7 @@
 					} else {
 						(v5).UnmarshalEasyJSON(in)
 					}
-					out.Then = append(out.Then, v5)
+					out.Changes = append(out.Changes, v5)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -201,17 +201,17 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire1(out *jwriter.Writer, in Txn) {
+func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire1(out *jwriter.Writer, in Transaction) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if len(in.If) != 0 {
+	if len(in.Conditions) != 0 {
 		const prefix string = ",\"if\":"
 		first = false
 		out.RawString(prefix[1:])
 		{
 			out.RawByte('[')
-			for v6, v7 := range in.If {
+			for v6, v7 := range in.Conditions {
 				if v6 > 0 {
 					out.RawByte(',')
 				}
@@ -220,7 +220,7 @@
 			out.RawByte(']')
 		}
 	}
-	if len(in.Then) != 0 {
+	if len(in.Changes) != 0 {
 		const prefix string = ",\"apply\":"
 		if first {
 			first = false
@@ -230,7 +230,7 @@
 		}
 		{
 			out.RawByte('[')
-			for v8, v9 := range in.Then {
+			for v8, v9 := range in.Changes {
 				if v8 > 0 {
 					out.RawByte(',')
 				}
@@ -243,29 +243,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Txn) MarshalJSON() ([]byte, error) {
+func (v Transaction) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Txn) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Transaction) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Txn) UnmarshalJSON(data []byte) error {
+func (v *Transaction) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Txn) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Transaction) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire1(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire2(in *jlexer.Lexer, out *Page) {
+func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire2(in *jlexer.Lexer, out *KeyPage) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -282,26 +282,26 @@
 		case "pairs":
 			if in.IsNull() {
 				in.Skip()
-				out.Items = nil
+				out.KeyValues = nil
 			} else {
 				in.Delim('[')
-				if out.Items == nil {
+				if out.KeyValues == nil {
 					if !in.IsDelim(']') {
-						out.Items = make([]Item, 0, 1)
+						out.KeyValues = make([]KeyValue, 0, 1)
 					} else {
-						out.Items = []Item{}
+						out.KeyValues = []KeyValue{}
 					}
 				} else {
-					out.Items = (out.Items)[:0]
+					out.KeyValues = (out.KeyValues)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v10 Item
+					var v10 KeyValue
 					if in.IsNull() {
 						in.Skip()
 					} else {
 						(v10).UnmarshalEasyJSON(in)
 					}
-					out.Items = append(out.Items, v10)
+					out.KeyValues = append(out.KeyValues, v10)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -310,7 +310,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.More = bool(in.Bool())
+				out.HasMore = bool(in.Bool())
 			}
 		case "ledger":
 			if in.IsNull() {
@@ -328,18 +328,18 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire2(out *jwriter.Writer, in Page) {
+func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire2(out *jwriter.Writer, in KeyPage) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"pairs\":"
 		out.RawString(prefix[1:])
-		if in.Items == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.KeyValues == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v11, v12 := range in.Items {
+			for v11, v12 := range in.KeyValues {
 				if v11 > 0 {
 					out.RawByte(',')
 				}
@@ -351,7 +351,7 @@
 	{
 		const prefix string = ",\"hasNext\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.More))
+		out.Bool(bool(in.HasMore))
 	}
 	{
 		const prefix string = ",\"ledger\":"
@@ -362,29 +362,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Page) MarshalJSON() ([]byte, error) {
+func (v KeyPage) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Page) MarshalEasyJSON(w *jwriter.Writer) {
+func (v KeyPage) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Page) UnmarshalJSON(data []byte) error {
+func (v *KeyPage) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Page) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *KeyPage) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire2(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire3(in *jlexer.Lexer, out *Item) {
+func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire3(in *jlexer.Lexer, out *KeyValue) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -420,7 +420,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Lease = uint64(in.Uint64())
+				out.LeaseID = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -432,7 +432,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire3(out *jwriter.Writer, in Item) {
+func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire3(out *jwriter.Writer, in KeyValue) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -451,38 +451,38 @@
 		out.RawString(prefix)
 		out.Uint64(uint64(in.Version))
 	}
-	if in.Lease != 0 {
+	if in.LeaseID != 0 {
 		const prefix string = ",\"tenure\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Lease))
+		out.Uint64(uint64(in.LeaseID))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Item) MarshalJSON() ([]byte, error) {
+func (v KeyValue) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Item) MarshalEasyJSON(w *jwriter.Writer) {
+func (v KeyValue) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Item) UnmarshalJSON(data []byte) error {
+func (v *KeyValue) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Item) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *KeyValue) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire3(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire4(in *jlexer.Lexer, out *Granted) {
+func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire4(in *jlexer.Lexer, out *LeaseGrant) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -500,7 +500,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Lease = uint64(in.Uint64())
+				out.LeaseID = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -512,42 +512,42 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire4(out *jwriter.Writer, in Granted) {
+func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire4(out *jwriter.Writer, in LeaseGrant) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"tenure\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Lease))
+		out.Uint64(uint64(in.LeaseID))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Granted) MarshalJSON() ([]byte, error) {
+func (v LeaseGrant) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Granted) MarshalEasyJSON(w *jwriter.Writer) {
+func (v LeaseGrant) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Granted) UnmarshalJSON(data []byte) error {
+func (v *LeaseGrant) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Granted) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *LeaseGrant) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire4(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire5(in *jlexer.Lexer, out *Grant) {
+func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire5(in *jlexer.Lexer, out *LeaseRequest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -565,7 +565,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.TTLMs = int64(in.Int64())
+				out.TTLMillis = int64(in.Int64())
 			}
 		default:
 			in.SkipRecursive()
@@ -577,42 +577,42 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire5(out *jwriter.Writer, in Grant) {
+func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire5(out *jwriter.Writer, in LeaseRequest) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"ttlMs\":"
 		out.RawString(prefix[1:])
-		out.Int64(int64(in.TTLMs))
+		out.Int64(int64(in.TTLMillis))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Grant) MarshalJSON() ([]byte, error) {
+func (v LeaseRequest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Grant) MarshalEasyJSON(w *jwriter.Writer) {
+func (v LeaseRequest) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Grant) UnmarshalJSON(data []byte) error {
+func (v *LeaseRequest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Grant) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *LeaseRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire5(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire6(in *jlexer.Lexer, out *Events) {
+func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire6(in *jlexer.Lexer, out *WatchResponse) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -640,15 +640,15 @@
 				in.Delim('[')
 				if out.Events == nil {
 					if !in.IsDelim(']') {
-						out.Events = make([]Event, 0, 1)
+						out.Events = make([]WatchEvent, 0, 1)
 					} else {
-						out.Events = []Event{}
+						out.Events = []WatchEvent{}
 					}
 				} else {
 					out.Events = (out.Events)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v13 Event
+					var v13 WatchEvent
 					if in.IsNull() {
 						in.Skip()
 					} else {
@@ -669,7 +669,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire6(out *jwriter.Writer, in Events) {
+func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire6(out *jwriter.Writer, in WatchResponse) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -698,29 +698,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Events) MarshalJSON() ([]byte, error) {
+func (v WatchResponse) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Events) MarshalEasyJSON(w *jwriter.Writer) {
+func (v WatchResponse) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Events) UnmarshalJSON(data []byte) error {
+func (v *WatchResponse) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Events) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *WatchResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire6(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire7(in *jlexer.Lexer, out *Event) {
+func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire7(in *jlexer.Lexer, out *WatchEvent) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -738,13 +738,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Put = string(in.String())
+				out.PutKey = string(in.String())
 			}
 		case "drop":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Delete = string(in.String())
+				out.DeleteKey = string(in.String())
 			}
 		case "data":
 			if in.IsNull() {
@@ -768,17 +768,17 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire7(out *jwriter.Writer, in Event) {
+func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire7(out *jwriter.Writer, in WatchEvent) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.Put != "" {
+	if in.PutKey != "" {
 		const prefix string = ",\"set\":"
 		first = false
 		out.RawString(prefix[1:])
-		out.String(string(in.Put))
+		out.String(string(in.PutKey))
 	}
-	if in.Delete != "" {
+	if in.DeleteKey != "" {
 		const prefix string = ",\"drop\":"
 		if first {
 			first = false
@@ -786,7 +786,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.String(string(in.Delete))
+		out.String(string(in.DeleteKey))
 	}
 	if (in.Value).IsDefined() {
 		const prefix string = ",\"data\":"
@@ -812,26 +812,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Event) MarshalJSON() ([]byte, error) {
+func (v WatchEvent) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire7(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Event) MarshalEasyJSON(w *jwriter.Writer) {
+func (v WatchEvent) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire7(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Event) UnmarshalJSON(data []byte) error {
+func (v *WatchEvent) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire7(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Event) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *WatchEvent) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire7(l, v)
 }
 func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire8(in *jlexer.Lexer, out *Condition) {
@@ -928,13 +928,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Put = string(in.String())
+				out.PutKey = string(in.String())
 			}
 		case "drop":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Delete = string(in.String())
+				out.DeleteKey = string(in.String())
 			}
 		case "data":
 			if in.IsNull() {
@@ -946,7 +946,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Lease = uint64(in.Uint64())
+				out.LeaseID = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -962,13 +962,13 @@
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.Put != "" {
+	if in.PutKey != "" {
 		const prefix string = ",\"set\":"
 		first = false
 		out.RawString(prefix[1:])
-		out.String(string(in.Put))
+		out.String(string(in.PutKey))
 	}
-	if in.Delete != "" {
+	if in.DeleteKey != "" {
 		const prefix string = ",\"drop\":"
 		if first {
 			first = false
@@ -976,7 +976,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.String(string(in.Delete))
+		out.String(string(in.DeleteKey))
 	}
 	if (in.Value).IsDefined() {
 		const prefix string = ",\"data\":"
@@ -988,7 +988,7 @@
 		}
 		(in.Value).MarshalEasyJSON(out)
 	}
-	if in.Lease != 0 {
+	if in.LeaseID != 0 {
 		const prefix string = ",\"tenure\":"
 		if first {
 			first = false
@@ -996,7 +996,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Uint64(uint64(in.Lease))
+		out.Uint64(uint64(in.LeaseID))
 	}
 	out.RawByte('}')
 }
--- a/wire/worker_easyjson.go
+++ b/wire/worker_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson82a45abeDecodeFirwoodDevFirwoodWire(in *jlexer.Lexer, out *TaskReport) {
+func easyjson82a45abeDecodeFirwoodDevFirwoodWire(in *jlexer.Lexer, out *TaskStatus) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -35,7 +35,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Task = string(in.String())
+				out.TaskID = string(in.String())
 			}
 		case "try":
 			if in.IsNull() {
@@ -53,7 +53,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Why = string(in.String())
+				out.ExitCause = string(in.String())
 			}
 		case "saved":
 			if in.IsNull() {
@@ -71,14 +71,14 @@
 		in.Consumed()
 	}
 }
-func easyjson82a45abeEncodeFirwoodDevFirwoodWire(out *jwriter.Writer, in TaskReport) {
+func easyjson82a45abeEncodeFirwoodDevFirwoodWire(out *jwriter.Writer, in TaskStatus) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"piece\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Task))
+		out.String(string(in.TaskID))
 	}
 	{
 		const prefix string = ",\"try\":"
@@ -90,10 +90,10 @@
 		out.RawString(prefix)
 		out.String(string(in.State))
 	}
-	if in.Why != "" {
+	if in.ExitCause != "" {
 		const prefix string = ",\"cause\":"
 		out.RawString(prefix)
-		out.String(string(in.Why))
+		out.String(string(in.ExitCause))
 	}
 	if in.Saved {
 		const prefix string = ",\"saved\":"
@@ -104,29 +104,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v TaskReport) MarshalJSON() ([]byte, error) {
+func (v TaskStatus) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v TaskReport) MarshalEasyJSON(w *jwriter.Writer) {
+func (v TaskStatus) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *TaskReport) UnmarshalJSON(data []byte) error {
+func (v *TaskStatus) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *TaskReport) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *TaskStatus) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire(l, v)
 }
-func easyjson82a45abeDecodeFirwoodDevFirwoodWire1(in *jlexer.Lexer, out *Report) {
+func easyjson82a45abeDecodeFirwoodDevFirwoodWire1(in *jlexer.Lexer, out *Heartbeat) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -144,19 +144,19 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Machine = string(in.String())
+				out.MachineID = string(in.String())
 			}
 		case "endpoint":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Addr = string(in.String())
+				out.Address = string(in.String())
 			}
 		case "rig":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Type = string(in.String())
+				out.MachineType = string(in.String())
 			}
 		case "yard":
 			if in.IsNull() {
@@ -174,32 +174,32 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Session = uint64(in.Uint64())
+				out.Incarnation = uint64(in.Uint64())
 			}
 		case "tick":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Seq = uint64(in.Uint64())
+				out.Sequence = uint64(in.Uint64())
 			}
 		case "baton":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Token = uint64(in.Uint64())
+				out.FencingToken = uint64(in.Uint64())
 			}
 		case "recallS":
 			if in.IsNull() {
 				in.Skip()
-				out.NoticeS = nil
+				out.ReclaimInSeconds = nil
 			} else {
-				if out.NoticeS == nil {
-					out.NoticeS = new(float64)
+				if out.ReclaimInSeconds == nil {
+					out.ReclaimInSeconds = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.NoticeS = float64(in.Float64())
+					*out.ReclaimInSeconds = float64(in.Float64())
 				}
 			}
 		case "pieces":
@@ -210,15 +210,15 @@
 				in.Delim('[')
 				if out.Tasks == nil {
 					if !in.IsDelim(']') {
-						out.Tasks = make([]TaskReport, 0, 1)
+						out.Tasks = make([]TaskStatus, 0, 1)
 					} else {
-						out.Tasks = []TaskReport{}
+						out.Tasks = []TaskStatus{}
 					}
 				} else {
 					out.Tasks = (out.Tasks)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 TaskReport
+					var v1 TaskStatus
 					if in.IsNull() {
 						in.Skip()
 					} else {
@@ -239,24 +239,24 @@
 		in.Consumed()
 	}
 }
-func easyjson82a45abeEncodeFirwoodDevFirwoodWire1(out *jwriter.Writer, in Report) {
+func easyjson82a45abeEncodeFirwoodDevFirwoodWire1(out *jwriter.Writer, in Heartbeat) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"box\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Machine))
+		out.String(string(in.MachineID))
 	}
 	{
 		const prefix string = ",\"endpoint\":"
 		out.RawString(prefix)
-		out.String(string(in.Addr))
+		out.String(string(in.Address))
 	}
 	{
 		const prefix string = ",\"rig\":"
 		out.RawString(prefix)
-		out.String(string(in.Type))
+		out.String(string(in.MachineType))
 	}
 	{
 		const prefix string = ",\"yard\":"
@@ -271,25 +271,25 @@
 	{
 		const prefix string = ",\"shift\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Session))
+		out.Uint64(uint64(in.Incarnation))
 	}
 	{
 		const prefix string = ",\"tick\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Seq))
+		out.Uint64(uint64(in.Sequence))
 	}
 	{
 		const prefix string = ",\"baton\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Token))
+		out.Uint64(uint64(in.FencingToken))
 	}
 	{
 		const prefix string = ",\"recallS\":"
 		out.RawString(prefix)
-		if in.NoticeS == nil {
+		if in.ReclaimInSeconds == nil {
 			out.RawString("null")
 		} else {
-			out.Float64(float64(*in.NoticeS))
+			out.Float64(float64(*in.ReclaimInSeconds))
 		}
 	}
 	{
@@ -312,29 +312,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Report) MarshalJSON() ([]byte, error) {
+func (v Heartbeat) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Report) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Heartbeat) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Report) UnmarshalJSON(data []byte) error {
+func (v *Heartbeat) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Report) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Heartbeat) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire1(l, v)
 }
-func easyjson82a45abeDecodeFirwoodDevFirwoodWire2(in *jlexer.Lexer, out *Reply) {
+func easyjson82a45abeDecodeFirwoodDevFirwoodWire2(in *jlexer.Lexer, out *HeartbeatResponse) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -352,7 +352,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Token = uint64(in.Uint64())
+				out.FencingToken = uint64(in.Uint64())
 			}
 		case "orders":
 			if in.IsNull() {
@@ -391,14 +391,14 @@
 		in.Consumed()
 	}
 }
-func easyjson82a45abeEncodeFirwoodDevFirwoodWire2(out *jwriter.Writer, in Reply) {
+func easyjson82a45abeEncodeFirwoodDevFirwoodWire2(out *jwriter.Writer, in HeartbeatResponse) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"baton\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Token))
+		out.Uint64(uint64(in.FencingToken))
 	}
 	{
 		const prefix string = ",\"orders\":"
@@ -420,29 +420,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Reply) MarshalJSON() ([]byte, error) {
+func (v HeartbeatResponse) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Reply) MarshalEasyJSON(w *jwriter.Writer) {
+func (v HeartbeatResponse) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Reply) UnmarshalJSON(data []byte) error {
+func (v *HeartbeatResponse) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Reply) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *HeartbeatResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire2(l, v)
 }
-func easyjson82a45abeDecodeFirwoodDevFirwoodWire3(in *jlexer.Lexer, out *Elsewhere) {
+func easyjson82a45abeDecodeFirwoodDevFirwoodWire3(in *jlexer.Lexer, out *Redirect) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -460,7 +460,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ReportTo = string(in.String())
+				out.Member = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -472,43 +472,43 @@
 		in.Consumed()
 	}
 }
-func easyjson82a45abeEncodeFirwoodDevFirwoodWire3(out *jwriter.Writer, in Elsewhere) {
+func easyjson82a45abeEncodeFirwoodDevFirwoodWire3(out *jwriter.Writer, in Redirect) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.ReportTo != "" {
+	if in.Member != "" {
 		const prefix string = ",\"foreman\":"
 		first = false
 		out.RawString(prefix[1:])
-		out.String(string(in.ReportTo))
+		out.String(string(in.Member))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Elsewhere) MarshalJSON() ([]byte, error) {
+func (v Redirect) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Elsewhere) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Redirect) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Elsewhere) UnmarshalJSON(data []byte) error {
+func (v *Redirect) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Elsewhere) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Redirect) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire3(l, v)
 }
-func easyjson82a45abeDecodeFirwoodDevFirwoodWire4(in *jlexer.Lexer, out *Direct) {
+func easyjson82a45abeDecodeFirwoodDevFirwoodWire4(in *jlexer.Lexer, out *CommandRequest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -526,13 +526,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Token = uint64(in.Uint64())
+				out.FencingToken = uint64(in.Uint64())
 			}
 		case "shift":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Session = uint64(in.Uint64())
+				out.Incarnation = uint64(in.Uint64())
 			}
 		case "orders":
 			if in.IsNull() {
@@ -571,19 +571,19 @@
 		in.Consumed()
 	}
 }
-func easyjson82a45abeEncodeFirwoodDevFirwoodWire4(out *jwriter.Writer, in Direct) {
+func easyjson82a45abeEncodeFirwoodDevFirwoodWire4(out *jwriter.Writer, in CommandRequest) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"baton\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Token))
+		out.Uint64(uint64(in.FencingToken))
 	}
 	{
 		const prefix string = ",\"shift\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Session))
+		out.Uint64(uint64(in.Incarnation))
 	}
 	{
 		const prefix string = ",\"orders\":"
@@ -605,26 +605,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Direct) MarshalJSON() ([]byte, error) {
+func (v CommandRequest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Direct) MarshalEasyJSON(w *jwriter.Writer) {
+func (v CommandRequest) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Direct) UnmarshalJSON(data []byte) error {
+func (v *CommandRequest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Direct) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *CommandRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire4(l, v)
 }
 func easyjson82a45abeDecodeFirwoodDevFirwoodWire5(in *jlexer.Lexer, out *Command) {
@@ -645,13 +645,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Op = string(in.String())
+				out.Action = string(in.String())
 			}
 		case "piece":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Task = string(in.String())
+				out.TaskID = string(in.String())
 			}
 		case "try":
 			if in.IsNull() {
@@ -662,15 +662,15 @@
 		case "windS":
 			if in.IsNull() {
 				in.Skip()
-				out.GraceS = nil
+				out.GracePeriodSeconds = nil
 			} else {
-				if out.GraceS == nil {
-					out.GraceS = new(float64)
+				if out.GracePeriodSeconds == nil {
+					out.GracePeriodSeconds = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.GraceS = float64(in.Float64())
+					*out.GracePeriodSeconds = float64(in.Float64())
 				}
 			}
 		default:
@@ -690,22 +690,22 @@
 	{
 		const prefix string = ",\"verb\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Op))
+		out.String(string(in.Action))
 	}
 	{
 		const prefix string = ",\"piece\":"
 		out.RawString(prefix)
-		out.String(string(in.Task))
+		out.String(string(in.TaskID))
 	}
 	{
 		const prefix string = ",\"try\":"
 		out.RawString(prefix)
 		out.Uint64(uint64(in.Attempt))
 	}
-	if in.GraceS != nil {
+	if in.GracePeriodSeconds != nil {
 		const prefix string = ",\"windS\":"
 		out.RawString(prefix)
-		out.Float64(float64(*in.GraceS))
+		out.Float64(float64(*in.GracePeriodSeconds))
 	}
 	out.RawByte('}')
 }
