--- a/cmd/firwood/main.go
+++ b/cmd/firwood/main.go
@@ -192,10 +192,10 @@
 			return fmt.Errorf("standby.trace: %w", err)
 		}
 		defer tracer.Close()
-		instance.Trace(tracer)
+		instance.SetTracer(tracer)
 	}
 	listener := server.New(server.Config{
-		ServeAddress: platform.ListenAddress, PeerAddress: platform.PeerListenAddress, Limiter: instance.Sockets(), EvictOutbound: instance.MakeRoom,
+		ServeAddress: platform.ListenAddress, PeerAddress: platform.PeerListenAddress, Limiter: instance.ConnLimiter(), EvictOutbound: instance.CloseIdleWorkerConnection,
 		IdleTimeout: 90 * clock.Second, ReadTimeout: 10 * clock.Second, WorkerLeaseTTL: clock.FromSeconds(platform.Deployment.Workers.LeaseSeconds),
 	}, instance, log)
 	log.Info("serving", "version", version, "address", platform.ListenAddress)
@@ -209,7 +209,7 @@
 	case err := <-serverErrors:
 		return err
 	case <-signals:
-		instance.Close()
+		instance.ReleaseLeadership()
 		return nil
 	}
 }
@@ -352,16 +352,16 @@
 	}
 	if replica := status.Replica; replica != nil {
 		fmt.Fprintf(out, "replica: complete=%t token=%d decisions=%d placements=%d doubts=%d digest=%s\n",
-			replica.Complete, replica.Token, replica.Decisions, replica.Placements, replica.Doubts, replica.Digest)
+			replica.IsComplete, replica.Token, replica.Decisions, replica.Placements, replica.Unconfirmed, replica.Digest)
 		fmt.Fprintf(out, "dropped: older=%d gaps=%d malformed=%d foreign=%d differing=%d\n",
 			replica.Dropped.Stale, replica.Dropped.OutOfOrder, replica.Dropped.Malformed, replica.Dropped.ForeignToken, replica.Dropped.DigestMismatch)
 	}
 	for _, follower := range status.Followers {
-		fmt.Fprintf(out, "%s: in step=%t, lacks %d decisions for %d ms\n", follower.Member, follower.InStep, follower.Lacks, follower.LacksMs)
+		fmt.Fprintf(out, "%s: in step=%t, lacks %d decisions for %d ms\n", follower.Member, follower.IsInSync, follower.LagDecisions, follower.LagMs)
 	}
-	if failover := status.TakeOver; failover != nil {
+	if failover := status.Failover; failover != nil {
 		fmt.Fprintf(out, "last take-over here: token=%d replica used=%t in doubt=%d; lock %d ms, rebuild %d ms, first decision %d ms\n",
-			failover.Token, failover.ReplicaUsed, failover.InDoubt, failover.LockMs, failover.RebuildMs, failover.DecisionMs)
+			failover.Token, failover.IsReplicaUsed, failover.Unconfirmed, failover.LockMs, failover.RebuildMs, failover.FirstDecisionMs)
 	}
 }
 
@@ -377,20 +377,20 @@
 			if response.Status != 200 {
 				return fmt.Errorf("the controller answered %d", response.Status)
 			}
-			var jobReport controller.MorningReport
+			var jobReport controller.JobReport
 			if err := json.Unmarshal(response.Body, &jobReport); err != nil {
 				return err
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%d jobs: %d done, %d withdrawn, %d active\n", jobReport.Jobs, jobReport.Done, jobReport.Aborted, jobReport.Active)
-			if len(jobReport.Troubles) == 0 {
+			fmt.Fprintf(out, "%d jobs: %d done, %d withdrawn, %d active\n", jobReport.Jobs, jobReport.Done, jobReport.Cancelled, jobReport.Active)
+			if len(jobReport.Problems) == 0 {
 				fmt.Fprintln(out, "nothing failed or ran late")
 				return nil
 			}
 			table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 			fmt.Fprintln(table, "JOB\tCLASS\tSTATE\tLATE BY\tTOOK\tWAITED\tERRORS\tRESTARTS\tWHY")
-			for _, job := range jobReport.Troubles {
-				fmt.Fprintf(table, "%s\t%s\t%s\t%.1fs\t%.1fs\t%.1fs\t%d\t%d\t%s\n", job.Job, job.Class, job.State, job.LateByS, job.TookS, job.WaitedS, job.Errors, job.Restarts, job.Why)
+			for _, job := range jobReport.Problems {
+				fmt.Fprintf(table, "%s\t%s\t%s\t%.1fs\t%.1fs\t%.1fs\t%d\t%d\t%s\n", job.Job, job.Class, job.State, job.LateByS, job.TookS, job.WaitedS, job.Errors, job.Restarts, job.Reason)
 			}
 			return table.Flush()
 		},
--- /dev/null
+++ b/internal/controller/adopted_tasks_test.go
@@ -0,0 +1,49 @@
+package controller
+
+import (
+	"math"
+	"testing"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// A new leader does not know when the tasks that it finds running began. What is left
+// of their runs was once learnt as run times, so after each change of the lead forecasts
+// came out short.
+func TestAdoptedTasksDoNotUpdateRunTimes(t *testing.T) {
+	term := newTestTerm(t, "i-1")
+	term.controller.view.jobs["req-000001"] = &jobRecord{SubmittedAt: int64(clock.WallTime()), Job: &wire.Job{
+		ID: "req-000001", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Team: "t", TaskCount: 2, CPUs: 1, EstimatedRunSeconds: 100,
+	}}
+	term.controller.view.progress["req-000001"] = map[int]progressPart{0: {}}
+	term = newLeaderTerm(term.controller, 10, clock.Now())
+	job, machine := term.tracker.Jobs["req-000001"], term.tracker.Machines["i-1"]
+	now := term.startedAt + clock.Second
+	seq := uint64(0)
+	report := func(task string, attempt uint64, state, why string) {
+		seq++
+		term.tracker.RecordLeaseRenewal(machine, now)
+		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: seq, FencingToken: 10, Tasks: []wire.TaskStatus{{TaskID: task, Attempt: attempt, State: state, ExitCause: why}}}, now)
+		term.processTaskEvents(now)
+	}
+	report("req-000001/0", 3, wire.TaskRunning, "") // begun long ago
+	now += 5 * clock.Second
+	report("req-000001/0", 3, wire.TaskExited, wire.ExitDone)
+	if got := term.scheduler.RunTimeModel("c").PredictedSeconds(100); math.Abs(got-100) > 1e-9 {
+		t.Fatalf("a task of 100 s is predicted to run %.1f s", got)
+	}
+	if err := term.tracker.PlaceTask(job, 1, machine, term.tracker.NextAttempt(), now); err != nil {
+		t.Fatal(err)
+	}
+	var attempt uint64
+	machine.ForEachPlacement(func(placement *allocation.Placement) { attempt = placement.Attempt })
+	term.tracker.HeartbeatCommands(machine, now)
+	report("req-000001/1", attempt, wire.TaskRunning, "")
+	now += 50 * clock.Second
+	report("req-000001/1", attempt, wire.TaskExited, wire.ExitDone)
+	if got := term.scheduler.RunTimeModel("c").PredictedSeconds(100); math.Abs(got-50) > 1e-6 {
+		t.Fatalf("after a run of 50 s, a task estimated at 100 s is predicted to run %.1f s", got)
+	}
+}
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -15,121 +15,121 @@
 // exactly one place, and a submission asks for its absence from both.
 
 const (
-	// archivePage is how many records are looked at in one request.
-	archivePage = 200
-	// archiveEvery is the time between two requests, archiveRest that between two times
+	// archivePageSize is how many records are looked at in one request.
+	archivePageSize = 200
+	// archiveInterval is the time between two requests, archivePassInterval that between two times
 	// through all records.
-	archiveEvery, archiveRest = clock.Second, 60 * clock.Second
-	// movesAtOnce bounds the records that are being moved.
-	movesAtOnce = 64
+	archiveInterval, archivePassInterval = clock.Second, 60 * clock.Second
+	// maxMovesInFlight bounds the records that are being moved.
+	maxMovesInFlight = 64
 )
 
-// archiver is how far the leader has gone through the records.
-type archiver struct {
-	after   string // the last key that was looked at
-	nextAt  clock.Micros
-	reading bool
-	moving  int
-	// marking: that there may be an archive is being made durable.
-	marking bool
+// archiveState is how far the leader has gone through the records.
+type archiveState struct {
+	afterKey      string // the last key that was looked at
+	nextAt        clock.Micros
+	isReading     bool
+	movesInFlight int
+	// isWritingMarker: that there may be an archive is being made durable.
+	isWritingMarker bool
 }
 
-// archive goes on with moving records there, or back.
-func (l *lead) archive(now clock.Micros) {
-	a := &l.archiver
-	isWanted := l.c.tuning.ArchiveFinishedAfterS > 0
+// tickArchive goes on with moving records there, or back.
+func (term *leaderTerm) tickArchive(now clock.Micros) {
+	archive := &term.archiver
+	isWanted := term.controller.tuning.ArchiveFinishedAfterS > 0
 	switch {
-	case a.reading || a.moving > 0 || a.marking || now < a.nextAt || l.c.store.IsFailing(now):
-	case isWanted && !l.c.view.hasArchive:
-		l.markArchive(wire.Change{PutKey: keyArchive, Value: []byte("{}")})
+	case archive.isReading || archive.movesInFlight > 0 || archive.isWritingMarker || now < archive.nextAt || term.controller.store.IsFailing(now):
+	case isWanted && !term.controller.view.hasArchive:
+		term.writeArchiveMarker(wire.Change{PutKey: keyArchiveMarker, Value: []byte("{}")})
 	case isWanted:
-		l.readRecords(prefixJob, l.archiveOld)
-	case l.c.view.hasArchive:
-		l.readRecords(prefixArchive, l.restore)
+		term.readArchivePage(prefixJob, term.archiveExpired)
+	case term.controller.view.hasArchive:
+		term.readArchivePage(prefixArchive, term.restoreArchived)
 	}
 }
 
-// markArchive makes it durable that there may be an archive, before the first record is
+// writeArchiveMarker makes it durable that there may be an archive, before the first record is
 // moved there, or that there is none any more.
-func (l *lead) markArchive(change wire.Change) {
-	a := &l.archiver
-	a.marking = true
-	l.write(&kvstore.Write{Priority: kvstore.Background, Changes: []wire.Change{change}}, func(kvstore.Outcome) {
+func (term *leaderTerm) writeArchiveMarker(change wire.Change) {
+	archive := &term.archiver
+	archive.isWritingMarker = true
+	term.commit(&kvstore.Write{Priority: kvstore.Background, Changes: []wire.Change{change}}, func(kvstore.Outcome) {
 		// The watch tells whether it was carried out.
-		l.after(archiveEvery, func() { a.marking = false })
+		term.runAfter(archiveInterval, func() { archive.isWritingMarker = false })
 	})
 }
 
-// readRecords looks at the next page of records below a prefix.
-func (l *lead) readRecords(prefix string, each func(page []wire.KeyValue, isAll bool)) {
-	a := &l.archiver
-	a.reading = true
-	after := a.after
+// readArchivePage looks at the next page of records below a prefix.
+func (term *leaderTerm) readArchivePage(prefix string, handlePage func(page []wire.KeyValue, isAll bool)) {
+	archive := &term.archiver
+	archive.isReading = true
+	after := archive.afterKey
 	go func() {
-		page, err := l.c.store.ReadPage(prefix, after, archivePage)
-		l.c.post(func() {
-			if l.closed {
+		page, err := term.controller.store.ReadPage(prefix, after, archivePageSize)
+		term.controller.postResult(func() {
+			if term.isClosed {
 				return
 			}
-			a.reading = false
-			a.nextAt = clock.Now() + archiveEvery
+			archive.isReading = false
+			archive.nextAt = clock.Now() + archiveInterval
 			if err != nil {
 				return
 			}
-			a.after = ""
+			archive.afterKey = ""
 			if page.HasMore {
-				a.after = page.KeyValues[len(page.KeyValues)-1].Key
+				archive.afterKey = page.KeyValues[len(page.KeyValues)-1].Key
 			} else {
-				a.nextAt = clock.Now() + archiveRest
+				archive.nextAt = clock.Now() + archivePassInterval
 			}
-			each(page.KeyValues, after == "" && !page.HasMore)
+			handlePage(page.KeyValues, after == "" && !page.HasMore)
 		})
 	}()
 }
 
-// archiveOld moves those of a page that finished long ago to the archive.
-func (l *lead) archiveOld(page []wire.KeyValue, _ bool) {
-	before := clock.WallTime() - clock.FromSeconds(l.c.tuning.ArchiveFinishedAfterS)
+// archiveExpired moves those of a page that finished long ago to the archive.
+func (term *leaderTerm) archiveExpired(page []wire.KeyValue, _ bool) {
+	before := clock.WallTime() - clock.FromSeconds(term.controller.tuning.ArchiveFinishedAfterS)
 	for _, item := range page {
 		id := strings.TrimPrefix(item.Key, prefixJob)
-		var r jobRecord
-		if r.UnmarshalJSON(item.Value) != nil || !r.isFinished() || clock.Micros(r.End) > before || !l.mayArchive(id) {
+		var record jobRecord
+		if record.UnmarshalJSON(item.Value) != nil || !record.isFinished() || clock.Micros(record.EndedAt) > before || !term.canArchive(id) {
 			continue
 		}
-		l.move(item, prefixArchive+id)
+		term.moveRecord(item, prefixArchive+id)
 	}
 }
 
-// mayArchive tells whether nothing of a finished job is left but its record.
-func (l *lead) mayArchive(id string) bool {
-	v := &l.c.view
-	return v.done[id] == nil && v.awaits[id] == nil && l.lg.Jobs[id] == nil && l.jobs[id] == nil
+// canArchive tells whether nothing of a finished job is left but its record.
+func (term *leaderTerm) canArchive(id string) bool {
+	view := &term.controller.view
+	return view.progress[id] == nil && view.dependencies[id] == nil && term.tracker.Jobs[id] == nil && term.jobs[id] == nil
 }
 
-// restore moves a page of the archive back; once there is nothing left of it, that is said.
-func (l *lead) restore(page []wire.KeyValue, isAll bool) {
+// restoreArchived moves a page of the archive back; once there is nothing left of it, that is said.
+func (term *leaderTerm) restoreArchived(page []wire.KeyValue, isAll bool) {
 	if len(page) == 0 && isAll {
-		l.c.log.Info("the archive is empty; versions without one may lead")
-		l.markArchive(wire.Change{DeleteKey: keyArchive})
+		term.controller.log.Info("the archive is empty; versions without one may lead")
+		term.writeArchiveMarker(wire.Change{DeleteKey: keyArchiveMarker})
 		return
 	}
-	l.archiver.nextAt = clock.Now() + archiveEvery
+	term.archiver.nextAt = clock.Now() + archiveInterval
 	for _, item := range page {
-		l.move(item, prefixJob+strings.TrimPrefix(item.Key, prefixArchive))
+		term.moveRecord(item, prefixJob+strings.TrimPrefix(item.Key, prefixArchive))
 	}
 }
 
-// move moves a record as it was read to another key.
-func (l *lead) move(item wire.KeyValue, to string) {
-	a := &l.archiver
-	if a.moving >= movesAtOnce {
+// moveRecord moves a record as it was read to another key.
+func (term *leaderTerm) moveRecord(item wire.KeyValue, newKey string) {
+	archive := &term.archiver
+	if archive.movesInFlight >= maxMovesInFlight {
 		return // the next time through
 	}
-	a.moving++
-	w := &kvstore.Write{
+	archive.movesInFlight++
+	write := &kvstore.Write{
 		Priority:   kvstore.Background,
-		Conditions: []wire.Condition{{Key: item.Key, Version: item.Version}, {Key: to}},
-		Changes:    []wire.Change{{PutKey: to, Value: item.Value}, {DeleteKey: item.Key}},
+		Conditions: []wire.Condition{{Key: item.Key, Version: item.Version}, {Key: newKey}},
+		Changes:    []wire.Change{{PutKey: newKey, Value: item.Value}, {DeleteKey: item.Key}},
 	}
-	l.write(w, func(kvstore.Outcome) { a.moving-- })
+	term.commit(write, func(kvstore.Outcome) { archive.movesInFlight-- })
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -10,46 +10,46 @@
 	"firwood.dev/firwood/wire"
 )
 
-// fleetRecords are the records of so many machines, each with eight tasks of arrays, in
+// addFleetRecords are the records of so many machines, each with eight tasks of arrays, in
 // a view, and the reports that the machines send.
-func fleetRecords(c *Core, machines int) []*wire.Heartbeat {
+func addFleetRecords(controller *Controller, machines int) []*wire.Heartbeat {
 	const tasks, jobTasks = 8, 96
-	h := c.view.rentals["h"]
-	var reports []*wire.Heartbeat
+	scaleOut := controller.view.scaleOuts["h"]
+	var heartbeats []*wire.Heartbeat
 	for i := range machines {
 		name := fmt.Sprintf("i-%06d", i)
-		h.Machines = append(h.Machines, name)
-		r := &wire.Heartbeat{MachineID: name, Address: "127.0.0.1:1", Incarnation: 1, Sequence: 1, FencingToken: 10}
-		for k := range tasks {
-			task := i*tasks + k
+		scaleOut.Machines = append(scaleOut.Machines, name)
+		heartbeat := &wire.Heartbeat{MachineID: name, Address: "127.0.0.1:1", Incarnation: 1, Sequence: 1, FencingToken: 10}
+		for index := range tasks {
+			task := i*tasks + index
 			id := fmt.Sprintf("req-%06d", task/jobTasks)
-			r.Tasks = append(r.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, task%jobTasks), Attempt: 5 << 20, State: wire.TaskRunning})
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, task%jobTasks), Attempt: 5 << 20, State: wire.TaskRunning})
 		}
-		reports = append(reports, r)
+		heartbeats = append(heartbeats, heartbeat)
 	}
 	for i := range machines*tasks/jobTasks + 1 {
 		id := fmt.Sprintf("req-%06d", i)
-		c.view.jobs[id] = &jobRecord{At: int64(clock.WallTime()), Job: &wire.Job{
+		controller.view.jobs[id] = &jobRecord{SubmittedAt: int64(clock.WallTime()), Job: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 			TaskCount: jobTasks, CPUs: 2, MemoryGB: 4, EstimatedRunSeconds: 40, Image: fmt.Sprint("image-", i%20),
 		}}
-		c.view.done[id] = map[int]progressPart{0: {}}
+		controller.view.progress[id] = map[int]progressPart{0: {}}
 	}
-	return reports
+	return heartbeats
 }
 
-// takeOverFleet has a new leader rebuild the account and take every machine's report.
-func takeOverFleet(b *testing.B, c *Core, reports []*wire.Heartbeat) *lead {
+// failOverFleet has a new leader rebuild the account and take every machine's report.
+func failOverFleet(b *testing.B, controller *Controller, heartbeats []*wire.Heartbeat) *leaderTerm {
 	b.Helper()
-	l := newLead(c, 10, clock.Now())
-	l.deadline.Store(1 << 62)
-	for _, r := range reports {
-		l.checkin(r, &server.Reply{})
+	term := newLeaderTerm(controller, 10, clock.Now())
+	term.actDeadline.Store(1 << 62)
+	for _, heartbeat := range heartbeats {
+		term.handleHeartbeat(heartbeat, &server.Reply{})
 	}
-	if !l.lg.IsReconciled() {
+	if !term.tracker.IsReconciled() {
 		b.Fatal("not accounted for")
 	}
-	return l
+	return term
 }
 
 var fleetSizes = []int{500, 1500, 4000, 6000}
@@ -57,16 +57,16 @@
 // A take-over at several sizes: the account is made from the records, every
 // machine reports its eight tasks, then the first plan is made.
 func BenchmarkTakeOver(b *testing.B) {
-	for _, n := range fleetSizes {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
+	for _, machines := range fleetSizes {
+		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
-				c := rebuilt(b).c
-				reports := fleetRecords(c, n)
+				controller := newTestTerm(b).controller
+				reports := addFleetRecords(controller, machines)
 				b.StartTimer()
-				l := takeOverFleet(b, c, reports)
-				l.plan(clock.Now())
+				term := failOverFleet(b, controller, reports)
+				term.runScheduler(clock.Now())
 			}
 		})
 	}
@@ -75,34 +75,34 @@
 // What a fleet costs its leader once it is led: a report in which nothing has changed,
 // the memory of a machine, and the bytes that another controller is told in a second.
 func BenchmarkLeading(b *testing.B) {
-	for _, n := range fleetSizes {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
+	for _, machines := range fleetSizes {
+		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			before := heapInUse()
-			c := rebuilt(b).c
-			reports := fleetRecords(c, n)
-			l := takeOverFleet(b, c, reports)
-			c.lead = l
-			held := heapInUse() - before
-			began := clock.Now()
-			taken := 0
+			controller := newTestTerm(b).controller
+			reports := addFleetRecords(controller, machines)
+			term := failOverFleet(b, controller, reports)
+			controller.term = term
+			heldBytes := heapInUse() - before
+			startedAt := clock.Now()
+			handled := 0
 			for b.Loop() {
-				r := reports[taken%n]
-				r.Sequence++
-				l.checkin(r, &server.Reply{})
-				taken++
+				heartbeat := reports[handled%machines]
+				heartbeat.Sequence++
+				term.handleHeartbeat(heartbeat, &server.Reply{})
+				handled++
 			}
-			perReport := (clock.Now() - began).Seconds() * 1e6 / float64(taken)
+			perReport := (clock.Now() - startedAt).Seconds() * 1e6 / float64(handled)
 			b.ReportMetric(perReport, "us/report")
-			b.ReportMetric(held/float64(n), "B/machine")
+			b.ReportMetric(heldBytes/float64(machines), "B/machine")
 			const beats = 60
 			bytes := 0
 			for range beats {
-				beat := &peer.Heartbeat{Member: "a", Leader: "a", Token: 10}
-				for id, j := range l.lg.Jobs {
-					beat.JobProgress = append(beat.JobProgress, peer.JobProgress{Job: id, Done: uint32(j.DoneCount()), Running: uint32(j.StartedCount)})
+				heartbeat := &peer.Heartbeat{Member: "a", Leader: "a", Token: 10}
+				for id, job := range term.tracker.Jobs {
+					heartbeat.JobProgress = append(heartbeat.JobProgress, peer.JobProgress{Job: id, Done: uint32(job.DoneCount()), Running: uint32(job.StartedCount)})
 				}
-				l.tell(beat)
-				bytes += len(peer.Encode(beat))
+				term.addHints(heartbeat)
+				bytes += len(peer.Encode(heartbeat))
 			}
 			b.ReportMetric(float64(bytes)/beats, "B/s-told")
 		})
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -18,132 +18,132 @@
 // remove anything of a job that is not over.
 
 const (
-	// sweepEvery is how often the leader looks for keys that are left over.
-	sweepEvery = 5 * clock.Second
-	// cleanupsAtOnce bounds the writes of a clean-up that are under way, so that they
+	// sweepInterval is how often the leader looks for keys that are left over.
+	sweepInterval = 5 * clock.Second
+	// maxCleanupsInFlight bounds the writes of a clean-up that are under way, so that they
 	// never fill the queue in which users' writes wait.
-	cleanupsAtOnce = 4
-	// cleanupRetry is how long a write that failed is left alone.
-	cleanupRetry = 2 * clock.Second
+	maxCleanupsInFlight = 4
+	// cleanupRetryDelay is how long a write that failed is left alone.
+	cleanupRetryDelay = 2 * clock.Second
 )
 
-// cleanup is the leader's account of what is left to be cleaned up.
-type cleanup struct {
-	sweepAt clock.Micros
-	// ends are jobs that are cancelled with others, whose own records don't say so.
-	ends []string
-	// leftovers are jobs that are over and have keys that are of no use.
-	leftovers []string
-	underWay  int
+// cleanupState is the leader's account of what is left to be cleaned up.
+type cleanupState struct {
+	nextSweepAt clock.Micros
+	// impliedCancellations are jobs that are cancelled with others, whose own records don't say so.
+	impliedCancellations []string
+	// jobsWithObsoleteKeys are jobs that are over and have keys that are of no use.
+	jobsWithObsoleteKeys []string
+	inFlight             int
 }
 
-// cleanUp writes what is left, as far as not too much is under way.
-func (l *lead) cleanUp(now clock.Micros) {
-	if now >= l.cleanup.sweepAt {
-		l.cleanup.sweepAt = now + sweepEvery
-		l.cleanup.leftovers = l.findLeftovers()
+// tickCleanup writes what is left, as far as not too much is under way.
+func (term *leaderTerm) tickCleanup(now clock.Micros) {
+	if now >= term.cleanup.nextSweepAt {
+		term.cleanup.nextSweepAt = now + sweepInterval
+		term.cleanup.jobsWithObsoleteKeys = term.findJobsWithObsoleteKeys()
 	}
-	for l.cleanup.underWay < cleanupsAtOnce && l.cleanNext() {
+	for term.cleanup.inFlight < maxCleanupsInFlight && term.startNextCleanup() {
 	}
 }
 
-// cleanNext begins the next clean-up; false means that there is none.
-func (l *lead) cleanNext() bool {
-	k := &l.cleanup
+// startNextCleanup begins the next clean-up; false means that there is none.
+func (term *leaderTerm) startNextCleanup() bool {
+	cleanup := &term.cleanup
 	switch {
-	case len(k.ends) > 0:
-		id := k.ends[0]
-		k.ends = k.ends[1:]
-		l.writeDerivedEnd(id)
-	case len(k.leftovers) > 0:
-		id := k.leftovers[0]
-		k.leftovers = k.leftovers[1:]
-		l.dropLeftovers(id)
+	case len(cleanup.impliedCancellations) > 0:
+		id := cleanup.impliedCancellations[0]
+		cleanup.impliedCancellations = cleanup.impliedCancellations[1:]
+		term.writeImpliedCancellation(id)
+	case len(cleanup.jobsWithObsoleteKeys) > 0:
+		id := cleanup.jobsWithObsoleteKeys[0]
+		cleanup.jobsWithObsoleteKeys = cleanup.jobsWithObsoleteKeys[1:]
+		term.deleteObsoleteKeys(id)
 	default:
 		return false
 	}
 	return true
 }
 
-// findLeftovers lists jobs that are over and still have keys. It looks at jobs that
+// findJobsWithObsoleteKeys lists jobs that are over and still have keys. It looks at jobs that
 // have keys of their own, which are few, and not at all jobs.
-func (l *lead) findLeftovers() []string {
+func (term *leaderTerm) findJobsWithObsoleteKeys() []string {
 	found := map[string]bool{}
-	for id := range l.c.view.awaits {
-		found[id] = len(l.leftoverKeys(id)) > 0
+	for id := range term.controller.view.dependencies {
+		found[id] = len(term.obsoleteKeys(id)) > 0
 	}
-	for id := range l.c.view.done {
-		if l.c.mayBeForgotten(id) {
-			l.c.recallForOthers(id) // a late write came after the job was forgotten
+	for id := range term.controller.view.progress {
+		if term.controller.mayBeEvicted(id) {
+			term.controller.lookUpUntilKnown(id) // a late write came after the job was forgotten
 		}
-		found[id] = len(l.leftoverKeys(id)) > 0
+		found[id] = len(term.obsoleteKeys(id)) > 0
 	}
 	maps.DeleteFunc(found, func(_ string, left bool) bool { return !left })
 	return slices.Sorted(maps.Keys(found))
 }
 
-// leftoverKeys are the keys of a job that are of no use any more. As long as tasks of a
+// obsoleteKeys are the keys of a job that are of no use any more. As long as tasks of a
 // cancelled job may be on machines, its progress tells the next leader to look for them.
-func (l *lead) leftoverKeys(id string) []string {
-	r := l.c.view.jobs[id]
-	if r == nil || r.State == "" {
+func (term *leaderTerm) obsoleteKeys(id string) []string {
+	record := term.controller.view.jobs[id]
+	if record == nil || record.State == "" {
 		return nil
 	}
 	var keys []string
-	for _, part := range slices.Sorted(maps.Keys(l.c.view.awaits[id])) {
-		keys = append(keys, awaitsKey(id, part))
+	for _, part := range slices.Sorted(maps.Keys(term.controller.view.dependencies[id])) {
+		keys = append(keys, dependenciesKey(id, part))
 	}
-	if r.Job != nil {
+	if record.Job != nil {
 		return keys
 	}
-	for _, number := range l.c.progressKeys(id) {
-		keys = append(keys, doneKey(id, number))
+	for _, number := range term.controller.progressKeys(id) {
+		keys = append(keys, progressKey(id, number))
 	}
 	return keys
 }
 
-func (l *lead) dropLeftovers(id string) {
-	r, keys := l.c.view.jobs[id], l.leftoverKeys(id)
+func (term *leaderTerm) deleteObsoleteKeys(id string) {
+	record, keys := term.controller.view.jobs[id], term.obsoleteKeys(id)
 	if len(keys) == 0 {
 		return
 	}
-	w := &kvstore.Write{Priority: kvstore.Background, Conditions: []wire.Condition{{Key: r.key(id), Version: r.version}}}
-	for _, key := range keys[:min(len(keys), l.c.cfg.Deployment.Store.Effective().MaxTransactionOps)] {
-		w.Changes = append(w.Changes, wire.Change{DeleteKey: key})
+	write := &kvstore.Write{Priority: kvstore.Background, Conditions: []wire.Condition{{Key: record.key(id), Version: record.version}}}
+	for _, key := range keys[:min(len(keys), term.controller.cfg.Deployment.Store.Effective().MaxTransactionOps)] {
+		write.Changes = append(write.Changes, wire.Change{DeleteKey: key})
 	}
 	// What is left after this one, or after a failure, is found by the next sweep.
-	l.writeCleanup(w, func(kvstore.Outcome) {})
+	term.writeCleanup(write, func(kvstore.Outcome) {})
 }
 
-// writeDerivedEnd makes the end of a job durable that is cancelled with one that it
+// writeImpliedCancellation makes the end of a job durable that is cancelled with one that it
 // needs. Users are told without that; it spares later readers the derivation.
-func (l *lead) writeDerivedEnd(id string) {
-	r := l.c.view.jobs[id]
-	if r == nil || r.State != "" {
+func (term *leaderTerm) writeImpliedCancellation(id string) {
+	record := term.controller.view.jobs[id]
+	if record == nil || record.State != "" {
 		return
 	}
-	over := overRecord(r, wire.JobCancelled, clock.WallTime())
-	over.Job = nil // it never started
-	value, err := over.MarshalJSON()
+	end := newEndRecord(record, wire.JobCancelled, clock.WallTime())
+	end.Job = nil // it never started
+	value, err := end.MarshalJSON()
 	if err != nil {
 		return
 	}
-	w := &kvstore.Write{
+	write := &kvstore.Write{
 		Priority:   kvstore.Background,
-		Conditions: []wire.Condition{{Key: prefixJob + id, Version: r.version}},
+		Conditions: []wire.Condition{{Key: prefixJob + id, Version: record.version}},
 		Changes:    []wire.Change{{PutKey: prefixJob + id, Value: value}},
 	}
-	l.writeCleanup(w, func(o kvstore.Outcome) {
-		if o != kvstore.Committed {
-			l.after(cleanupRetry, func() { l.cleanup.ends = append(l.cleanup.ends, id) })
+	term.writeCleanup(write, func(outcome kvstore.Outcome) {
+		if outcome != kvstore.Committed {
+			term.runAfter(cleanupRetryDelay, func() { term.cleanup.impliedCancellations = append(term.cleanup.impliedCancellations, id) })
 		}
 	})
 }
 
-func (l *lead) writeCleanup(w *kvstore.Write, then func(kvstore.Outcome)) {
-	l.cleanup.underWay++
-	l.write(w, func(o kvstore.Outcome) {
-		l.cleanup.underWay--
-		then(o)
+func (term *leaderTerm) writeCleanup(write *kvstore.Write, done func(kvstore.Outcome)) {
+	term.cleanup.inFlight++
+	term.commit(write, func(outcome kvstore.Outcome) {
+		term.cleanup.inFlight--
+		done(outcome)
 	})
 }
--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -16,75 +16,75 @@
 
 var cleanupLimits = config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4}
 
-// store writes keys as another controller would, and waits for the watch to bring them.
-func store(t *testing.T, c *Core, values map[string]any) {
+// putAndSync writes keys as another controller would, and waits for the watch to bring them.
+func putAndSync(t *testing.T, controller *Controller, values map[string]any) {
 	t.Helper()
 	for key, value := range values {
-		v, err := json.Marshal(value)
+		encoded, err := json.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
 		done := false
-		c.store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: key, Value: v}}, Done: func(o kvstore.Outcome, _ uint64) {
-			if o != kvstore.Committed {
-				t.Errorf("%s is not stored: %v", key, o)
+		controller.store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: key, Value: encoded}}, Done: func(outcome kvstore.Outcome, _ uint64) {
+			if outcome != kvstore.Committed {
+				t.Errorf("%s is not stored: %v", key, outcome)
 			}
-			c.post(func() { done = true })
+			controller.postResult(func() { done = true })
 		}})
-		work(t, c, func() bool { return done })
+		runUntil(t, controller, func() bool { return done })
 	}
 	synced := false
-	c.view.wantSync(func(error) { synced = true }, clock.Now()+10*clock.Second)
-	work(t, c, func() bool { return synced })
+	controller.view.requestSync(func(error) { synced = true }, clock.Now()+10*clock.Second)
+	runUntil(t, controller, func() bool { return synced })
 }
 
-func keysOf(s *fake.State) []string {
-	return append(s.Keys(prefixAwaits), s.Keys(prefixDone)...)
+func dependencyAndProgressKeys(fakeStore *fake.State) []string {
+	return append(fakeStore.Keys(prefixDependencies), fakeStore.Keys(prefixProgress)...)
 }
 
 // What ended jobs have left behind goes; what an active job needs stays, and the
 // progress of a cancelled one as long as its tasks may be on machines.
-func TestLeftoversAreCleanedUp(t *testing.T) {
-	s, l := leadOnState(t, cleanupLimits)
+func TestObsoleteKeysAreDeleted(t *testing.T) {
+	fakeStore, term := newTermOnStore(t, cleanupLimits)
 	job := func(id string) *wire.Job {
 		return &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 3, CPUs: 1, Priority: wire.PriorityNormal}
 	}
 	values := map[string]any{
-		prefixJob + "req-000001": jobRecord{At: 1, State: wire.JobDone, End: 2},
-		prefixJob + "req-000002": jobRecord{At: 1, State: wire.JobCancelled, End: 2},
-		prefixJob + "req-000003": jobRecord{At: 1, State: wire.JobCancelled, End: int64(clock.WallTime()), Job: job("req-000003")},
-		prefixJob + "req-000004": jobRecord{At: 1, Job: job("req-000004"), Parts: 2},
+		prefixJob + "req-000001": jobRecord{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2},
+		prefixJob + "req-000002": jobRecord{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: 2},
+		prefixJob + "req-000003": jobRecord{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: int64(clock.WallTime()), Job: job("req-000003")},
+		prefixJob + "req-000004": jobRecord{SubmittedAt: 1, Job: job("req-000004"), DependencyParts: 2},
 	}
 	for part := range 9 { // more than a transaction takes
-		values[awaitsKey("req-000001", part)] = awaitsRecord{Awaits: []string{"req-000002"}}
-		values[doneKey("req-000002", part)] = doneRecord{}
+		values[dependenciesKey("req-000001", part)] = dependenciesRecord{DependsOn: []string{"req-000002"}}
+		values[progressKey("req-000002", part)] = progressRecord{}
 	}
 	stays := []string{
-		awaitsKey("req-000004", 0), awaitsKey("req-000004", 1), doneKey("req-000003", 0), doneKey("req-000004", 0),
-	}
-	values[awaitsKey("req-000004", 0)] = awaitsRecord{Awaits: []string{"req-000001"}}
-	values[awaitsKey("req-000004", 1)] = awaitsRecord{Awaits: []string{"req-000005"}}
-	values[doneKey("req-000003", 0)] = doneRecord{}
-	values[doneKey("req-000004", 0)] = doneRecord{}
-	values[awaitsKey("req-000003", 0)] = awaitsRecord{Awaits: []string{"req-000002"}}
-	store(t, l.c, values)
+		dependenciesKey("req-000004", 0), dependenciesKey("req-000004", 1), progressKey("req-000003", 0), progressKey("req-000004", 0),
+	}
+	values[dependenciesKey("req-000004", 0)] = dependenciesRecord{DependsOn: []string{"req-000001"}}
+	values[dependenciesKey("req-000004", 1)] = dependenciesRecord{DependsOn: []string{"req-000005"}}
+	values[progressKey("req-000003", 0)] = progressRecord{}
+	values[progressKey("req-000004", 0)] = progressRecord{}
+	values[dependenciesKey("req-000003", 0)] = dependenciesRecord{DependsOn: []string{"req-000002"}}
+	putAndSync(t, term.controller, values)
 
 	now := clock.Now()
-	work(t, l.c, func() bool {
-		now += 2 * sweepEvery
-		l.cleanUp(now)
-		return slices.Equal(keysOf(s), stays)
+	runUntil(t, term.controller, func() bool {
+		now += 2 * sweepInterval
+		term.tickCleanup(now)
+		return slices.Equal(dependencyAndProgressKeys(fakeStore), stays)
 	})
 	for range 3 { // and no more than that
-		now += 2 * sweepEvery
-		l.cleanUp(now)
+		now += 2 * sweepInterval
+		term.tickCleanup(now)
 		idle := 0
-		work(t, l.c, func() bool { idle++; return idle > 50 })
+		runUntil(t, term.controller, func() bool { idle++; return idle > 50 })
 	}
-	if got := keysOf(s); !slices.Equal(got, stays) {
+	if got := dependencyAndProgressKeys(fakeStore); !slices.Equal(got, stays) {
 		t.Errorf("left are %v", got)
 	}
-	for _, transaction := range s.Transactions() {
+	for _, transaction := range fakeStore.Transactions() {
 		if len(transaction.Changes) > cleanupLimits.MaxTransactionOps {
 			t.Errorf("%d changes in a transaction", len(transaction.Changes))
 		}
@@ -93,22 +93,25 @@
 
 // A clean-up that is carried out late, by a leader that has been replaced, removes
 // nothing, be it of a job that is over by now.
-func TestLateCleanUpOfAFormerLeader(t *testing.T) {
-	s, l := leadOnState(t, cleanupLimits)
+func TestStaleCleanupDeletesNothing(t *testing.T) {
+	fakeStore, term := newTermOnStore(t, cleanupLimits)
 	const id = "req-000001"
-	store(t, l.c, map[string]any{
-		prefixJob + id: jobRecord{At: 1, State: wire.JobDone, End: 2}, doneKey(id, 1): doneRecord{},
+	putAndSync(t, term.controller, map[string]any{
+		prefixJob + id: jobRecord{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2}, progressKey(id, 1): progressRecord{},
+	})
+	before := len(fakeStore.Transactions())
+	runUntil(t, term.controller, func() bool {
+		term.tickCleanup(clock.Now() + 2*sweepInterval)
+		return len(dependencyAndProgressKeys(fakeStore)) == 0
 	})
-	before := len(s.Transactions())
-	work(t, l.c, func() bool { l.cleanUp(clock.Now() + 2*sweepEvery); return len(keysOf(s)) == 0 })
-	cleanUps := s.Transactions()[before:]
+	cleanUps := fakeStore.Transactions()[before:]
 	if len(cleanUps) != 1 || len(cleanUps[0].Conditions) != 2 {
 		t.Fatalf("cleaned up by %+v", cleanUps)
 	}
-	leadAgain(t, l.c)
-	store(t, l.c, map[string]any{doneKey(id, 1): doneRecord{}})
-	s.Repeat(cleanUps[0])
-	if keys := keysOf(s); len(keys) != 1 {
+	startNewTerm(t, term.controller)
+	putAndSync(t, term.controller, map[string]any{progressKey(id, 1): progressRecord{}})
+	fakeStore.Repeat(cleanUps[0])
+	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a former leader's clean-up is carried out")
 	}
 	// The same leader's is refused once the record is another.
@@ -116,49 +119,51 @@
 	own.Conditions = slices.Clone(own.Conditions)
 	for i := range own.Conditions {
 		if own.Conditions[i].Key == keyLock {
-			own.Conditions[i].Version = l.c.lead.token
+			own.Conditions[i].Version = term.controller.term.token
 		}
 	}
-	store(t, l.c, map[string]any{prefixJob + id: jobRecord{At: 2, Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
-	s.Repeat(own)
-	if keys := keysOf(s); len(keys) != 1 {
+	putAndSync(t, term.controller, map[string]any{prefixJob + id: jobRecord{SubmittedAt: 2, Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
+	fakeStore.Repeat(own)
+	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a late clean-up removes what belongs to a record that came after it")
 	}
 }
 
 // When thousands of jobs are cancelled with one, making that durable never fills the
 // queue of writes: once submissions were refused until it was through.
-func TestDerivedEndsLeaveRoomForUsers(t *testing.T) {
-	s, l := leadOnState(t, config.StoreLimits{RPS: 1000, WriteRPS: 400, MaxValueKB: 8, MaxTransactionOps: 24})
-	c := l.c
+func TestImpliedCancellationsLeaveRoomForSubmissions(t *testing.T) {
+	fakeStore, term := newTermOnStore(t, config.StoreLimits{RPS: 1000, WriteRPS: 400, MaxValueKB: 8, MaxTransactionOps: 24})
+	controller := term.controller
 	const jobs = 3000
-	root := recordOf("req-000000", wire.PriorityLow, clock.WallTime().Seconds(), 0)
-	c.setJob("req-000000", root)
+	root := newJobRecord("req-000000", wire.PriorityLow, clock.WallTime().Seconds(), 0)
+	controller.setJobRecord("req-000000", root)
 	for i := 1; i <= jobs; i++ {
 		id := fmt.Sprintf("req-%06d", i)
-		c.setJob(id, recordOf(id, wire.PriorityLow, clock.WallTime().Seconds(), 0, "req-000000"))
+		controller.setJobRecord(id, newJobRecord(id, wire.PriorityLow, clock.WallTime().Seconds(), 0, "req-000000"))
 	}
-	over := overRecord(root, wire.JobCancelled, clock.WallTime())
-	over.version = 2
-	c.setJob("req-000000", over)
-	if got := len(l.cleanup.ends); got != jobs {
+	end := newEndRecord(root, wire.JobCancelled, clock.WallTime())
+	end.version = 2
+	controller.setJobRecord("req-000000", end)
+	if got := len(term.cleanup.impliedCancellations); got != jobs {
 		t.Fatalf("%d of %d ends are to be written", got, jobs)
 	}
-	l.cleanUp(clock.Now())
-	if l.cleanup.underWay > cleanupsAtOnce {
-		t.Fatalf("%d writes are under way", l.cleanup.underWay)
+	term.tickCleanup(clock.Now())
+	if term.cleanup.inFlight > maxCleanupsInFlight {
+		t.Fatalf("%d writes are under way", term.cleanup.inFlight)
 	}
 	accepted := false
-	ok := c.store.Commit(&kvstore.Write{
+	ok := controller.store.Commit(&kvstore.Write{
 		Conditions: []wire.Condition{{Key: prefixJob + "req-009999"}}, Changes: []wire.Change{{PutKey: prefixJob + "req-009999", Value: []byte(`{"at":1}`)}},
-		Deadline: clock.Now() + submitWait,
-		Done:     func(o kvstore.Outcome, _ uint64) { c.post(func() { accepted = o == kvstore.Committed }) },
+		Deadline: clock.Now() + submitTimeout,
+		Done: func(outcome kvstore.Outcome, _ uint64) {
+			controller.postResult(func() { accepted = outcome == kvstore.Committed })
+		},
 	})
 	if !ok {
 		t.Fatal("a submission is refused")
 	}
-	work(t, c, func() bool { l.cleanUp(clock.Now()); return accepted })
-	if s.Value(prefixJob+"req-009999") == "" {
+	runUntil(t, controller, func() bool { term.tickCleanup(clock.Now()); return accepted })
+	if fakeStore.Value(prefixJob+"req-009999") == "" {
 		t.Error("the submission is not stored")
 	}
 }
@@ -166,81 +171,84 @@
 // A large job that was accepted under higher limits keeps its progress when they are
 // lowered: it goes on in keys whose values fit, a version that doesn't know them is not
 // misled, and the next leader has all of it.
-func TestProgressOverLoweredLimits(t *testing.T) {
+func TestProgressSurvivesLoweredLimits(t *testing.T) {
 	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4, Upcoming: &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 3}}
-	s, l := leadOnState(t, limits)
+	fakeStore, term := newTermOnStore(t, limits)
 	const id, tasks = "req-000001", 40000
 	before := bitmap{}
 	before.set(5)
 	before.set(32000)
-	store(t, l.c, map[string]any{
-		prefixJob + id: jobRecord{At: int64(clock.WallTime()), Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
-		doneKey(id, 0): doneRecord{Bits: before.encode()}, // by the version before
+	putAndSync(t, term.controller, map[string]any{
+		prefixJob + id:     jobRecord{SubmittedAt: int64(clock.WallTime()), Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
+		progressKey(id, 0): progressRecord{Bits: before.encode()}, // by the version before
 	})
-	s.SetLimits(fake.StateLimits{ValueBytes: 1 << 10, TxnOps: 3})
-	j := l.lg.Jobs[id]
+	fakeStore.SetLimits(fake.StateLimits{ValueBytes: 1 << 10, TxnOps: 3})
+	job := term.tracker.Jobs[id]
 	done := []int{0, 7, 6000, 12345, 33000, tasks - 1}
-	m := l.lg.AddMachine("i-1", "big", "x", false, l.pl.MachineCapacity("big"), clock.Now())
-	m.RecordedInStore = true
-	rep := &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: 1, FencingToken: l.token}
+	machine := term.tracker.AddMachine("i-1", "big", "x", false, term.scheduler.MachineCapacity("big"), clock.Now())
+	machine.RecordedInStore = true
+	heartbeat := &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: 1, FencingToken: term.token}
 	for _, i := range done {
-		rep.Tasks = append(rep.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitDone})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitDone})
 	}
-	if l.lg.RecordHeartbeat(m, rep, clock.Now()) != allocation.HeartbeatAccepted {
+	if term.tracker.RecordHeartbeat(machine, heartbeat, clock.Now()) != allocation.HeartbeatAccepted {
 		t.Fatal("report not taken")
 	}
-	work(t, l.c, func() bool { l.durable(clock.Now() + clock.Second); return len(j.UnpersistedCompletions()) == 0 })
-	if n := s.TooLarge(); n != 0 {
-		t.Errorf("%d transactions are refused for their size", n)
+	runUntil(t, term.controller, func() bool {
+		term.persistJobs(clock.Now() + clock.Second)
+		return len(job.UnpersistedCompletions()) == 0
+	})
+	if tooLarge := fakeStore.TooLarge(); tooLarge != 0 {
+		t.Errorf("%d transactions are refused for their size", tooLarge)
 	}
-	l = leadAgain(t, l.c)
-	j = l.lg.Jobs[id]
+	term = startNewTerm(t, term.controller)
+	job = term.tracker.Jobs[id]
 	for _, i := range append(done, 5, 32000) {
-		if j.Tasks[i].State != allocation.TaskDone {
+		if job.Tasks[i].State != allocation.TaskDone {
 			t.Errorf("task %d was done, and the next leader doesn't know", i)
 		}
 	}
-	if got := j.DoneCount(); got != len(done)+2 {
+	if got := job.DoneCount(); got != len(done)+2 {
 		t.Errorf("%d tasks are done", got)
 	}
 	// What the version in production concludes: a key's number says where it begins.
-	for _, key := range s.Keys(prefixDone) {
-		var r productionProgress
-		if err := json.Unmarshal([]byte(s.Value(key)), &r); err != nil {
+	for _, key := range fakeStore.Keys(prefixProgress) {
+		var record productionProgress
+		if err := json.Unmarshal([]byte(fakeStore.Value(key)), &record); err != nil {
 			t.Fatal(err)
 		}
-		_, number, _ := parseDoneKey(key)
-		bits, err := decodeBitmap(r.Bits)
+		_, number, _ := parseProgressKey(key)
+		bits, err := decodeBitmap(record.Bits)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 8 * len(bits) {
-			task := number*chunkOf(limits.MaxValueKB) + i
-			if bits.has(i) && task < tasks && j.Tasks[task].State != allocation.TaskDone {
+			task := number*tasksPerProgressKey(limits.MaxValueKB) + i
+			if bits.isSet(i) && task < tasks && job.Tasks[task].State != allocation.TaskDone {
 				t.Errorf("the other version takes task %d for done", task)
 			}
 		}
 	}
 	// The end leaves nothing behind.
-	rep.Sequence++
-	rep.FencingToken = l.token
-	rep.Tasks = nil
+	heartbeat.Sequence++
+	heartbeat.FencingToken = term.token
+	heartbeat.Tasks = nil
 	for i := range tasks {
-		rep.Tasks = append(rep.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitDone})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitDone})
 	}
-	m = l.lg.AddMachine("i-2", "big", "x", false, l.pl.MachineCapacity("big"), clock.Now())
-	m.RecordedInStore = true
-	rep.MachineID = "i-2"
-	l.lg.RecordHeartbeat(m, rep, clock.Now())
+	machine = term.tracker.AddMachine("i-2", "big", "x", false, term.scheduler.MachineCapacity("big"), clock.Now())
+	machine.RecordedInStore = true
+	heartbeat.MachineID = "i-2"
+	term.tracker.RecordHeartbeat(machine, heartbeat, clock.Now())
 	sweepAt := clock.Now()
-	work(t, l.c, func() bool {
-		l.durable(clock.Now() + clock.Second)
-		sweepAt += sweepEvery
-		l.cleanUp(sweepAt)
-		return len(s.Keys(prefixDone)) == 0 && l.c.view.jobs[id].State == wire.JobDone
+	runUntil(t, term.controller, func() bool {
+		term.persistJobs(clock.Now() + clock.Second)
+		sweepAt += sweepInterval
+		term.tickCleanup(sweepAt)
+		return len(fakeStore.Keys(prefixProgress)) == 0 && term.controller.view.jobs[id].State == wire.JobDone
 	})
-	if n := s.TooLarge(); n != 0 {
-		t.Errorf("%d transactions are refused for their size", n)
+	if tooLarge := fakeStore.TooLarge(); tooLarge != 0 {
+		t.Errorf("%d transactions are refused for their size", tooLarge)
 	}
 }
 
--- /dev/null
+++ b/internal/controller/delegate_outage_test.go
@@ -0,0 +1,78 @@
+package controller
+
+import (
+	"log/slog"
+	"testing"
+
+	"firwood.dev/firwood/internal/client"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/config"
+	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/wire"
+)
+
+// Where all machines and controllers are in one zone, leases that are too short to
+// bridge a cut are kept alive in an outage: the leader whose lock cannot be renewed
+// answers the workers, without commands, and sends them on in turn, as long as its
+// right lasts, and no longer.
+func TestDelegationBridgesStoreOutage(t *testing.T) {
+	with := func(zones ...string) *Controller {
+		cfg := &config.Platform{Member: "a", Location: zones[0], Peers: []config.Peer{
+			{Member: "b", Location: zones[0], Address: "127.0.0.1:1"}, {Member: "c", Location: zones[0], Address: "127.0.0.1:1"},
+		}}
+		cfg.External.StoreAddress, cfg.External.CloudAddress = "127.0.0.1:1", "127.0.0.1:1"
+		deployment := &cfg.Deployment
+		deployment.Zones = zones
+		deployment.Workers = config.WorkerTimings{HeartbeatIntervalSeconds: 1.5, LeaseSeconds: 10, GangStartTimeoutSeconds: 45, GangPeerTimeoutSeconds: 6, CancelTimeoutSeconds: 35}
+		deployment.Store = config.StoreLimits{RPS: 100, WriteRPS: 20, MaxValueKB: 4, MaxTransactionOps: 8}
+		deployment.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 900}
+		return New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
+	}
+	if controller := with("x", "y"); controller.delegationTimes.GrantTTL != 0 {
+		t.Fatal("rights where a cut of a zone would put off the proof that a lease is over")
+	}
+	controller := with("x")
+	lease, cancel := 10*clock.Second, 35*clock.Second
+	if controller.delegationTimes.GrantTTL < lease || controller.delegationTimes.CancellationGrace+controller.delegationTimes.GrantTTL+lease >= cancel {
+		t.Fatalf("a right lasts %d us", controller.delegationTimes.GrantTTL)
+	}
+	controller.view.isLoaded = true
+	term := newLeaderTerm(controller, 9, clock.Now())
+	controller.term = term // its lock is not held any more: nothing was ever renewed
+	if controller.isEntitled() {
+		t.Fatal("entitled without a lock")
+	}
+	now := 100 * clock.Second
+	heartbeat := &wire.Heartbeat{MachineID: "i-1", Zone: "x", FencingToken: 9}
+	if repliesToEither(controller, heartbeat, now) {
+		t.Fatal("answers as delegate though it never knew of all withdrawals")
+	}
+	term.cancellationsKnownAt = now
+	end := now + controller.delegationTimes.GrantTTL
+	var lastReplyAt, longestGap clock.Micros
+	// The worker reports, is sent on, and comes back after a round of the others.
+	for reportAt := now; reportAt < end+lease; {
+		if controller.replyAsDelegate(heartbeat, &server.Reply{}, reportAt) {
+			if reportAt >= end {
+				t.Fatalf("answers as delegate %d us after its right has ended", reportAt-end)
+			}
+			if lastReplyAt != 0 {
+				longestGap = max(longestGap, reportAt-lastReplyAt)
+			}
+			lastReplyAt = reportAt
+			reportAt += 3 * clock.Second / 2
+			continue
+		}
+		if reportAt < end && reportAt == now {
+			t.Fatal("a worker that comes from elsewhere is not answered")
+		}
+		reportAt += 5 * clock.Second / 2
+	}
+	if longestGap >= lease/2 || lastReplyAt < end-lease/2 {
+		t.Fatalf("answers lie up to %d us apart, the last %d us before the end", longestGap, end-lastReplyAt)
+	}
+	controller.delegate.RecordLeaderHeartbeat(now, 10, controller.delegate.Timestamp(now)) // a newer leader is there
+	if repliesToEither(controller, heartbeat, now) {
+		t.Fatal("answers as delegate while a newer leader is heard")
+	}
+}
--- /dev/null
+++ b/internal/controller/dependencies.go
@@ -0,0 +1,196 @@
+package controller
+
+import (
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/dag"
+	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/wire"
+)
+
+// Jobs that await others. A job's own record, and the records of the jobs that it
+// names, are all there is: whether it may start, whether it is cancelled with one
+// of them, and how urgent it is are derived from them by every controller alike.
+// The leader's account has only jobs that may start.
+
+// startOverhead is about how long a job takes beside its run: its machine and its image.
+const startOverhead = 5 * clock.Second
+
+// dependenciesOf is what a job awaits, and whether all parts of that are known.
+func (controller *Controller) dependenciesOf(id string, record *jobRecord) (ids []string, isComplete bool) {
+	if record.DependencyParts == 0 {
+		return record.Job.DependsOn, true
+	}
+	parts := controller.view.dependencies[id]
+	if len(parts) < record.DependencyParts {
+		return nil, false
+	}
+	for part := range record.DependencyParts {
+		ids = append(ids, parts[part]...)
+	}
+	return ids, true
+}
+
+// urgencyOf is what a job itself asks for.
+func urgencyOf(record *jobRecord) dag.Urgency {
+	urgency := dag.Urgency{Priority: wire.PriorityIndex(record.Job.Priority)}
+	if record.Job.DeadlineSeconds > 0 && record.Job.Kind != wire.KindService {
+		urgency.Deadline = clock.Micros(record.SubmittedAt) + clock.FromSeconds(record.Job.DeadlineSeconds)
+	}
+	return urgency
+}
+
+// updateDependencyGraph draws the conclusions from a job's record for those that need it.
+func (controller *Controller) updateDependencyGraph(id string, record *jobRecord) {
+	switch {
+	case record.State == wire.JobDone:
+		controller.applyGraphChange(controller.dependencyGraph.RecordCompletion(id, clock.Micros(record.EndedAt)))
+	case record.State == wire.JobCancelled:
+		controller.applyGraphChange(controller.dependencyGraph.RecordCancellation(id))
+	case record.Job != nil:
+		dependencies, isComplete := controller.dependenciesOf(id, record)
+		if !isComplete {
+			return // the rest comes with the same transaction
+		}
+		controller.lookUpEvictedDependencies(dependencies)
+		controller.applyGraphChange(controller.dependencyGraph.AddJob(dag.Job{
+			ID: id, DependsOn: dependencies, SubmittedAt: clock.Micros(record.SubmittedAt), Urgency: urgencyOf(record),
+			EstimatedRunTime: clock.FromSeconds(record.Job.EstimatedRunSeconds) + startOverhead,
+		}))
+	}
+}
+
+// lookUpEvictedDependencies looks up jobs that a new job awaits and that were forgotten. It waits for
+// them until they are known.
+func (controller *Controller) lookUpEvictedDependencies(dependencies []string) {
+	if !controller.view.isLoaded {
+		return // lookUpUnknownDependencies looks at all
+	}
+	for _, id := range dependencies {
+		if controller.mayBeEvicted(id) {
+			controller.lookUpUntilKnown(id)
+		}
+	}
+}
+
+// isBlocked tells whether a job that is not over must not start yet.
+func (controller *Controller) isBlocked(id string, record *jobRecord) bool {
+	_, isComplete := controller.dependenciesOf(id, record)
+	return !isComplete || controller.dependencyGraph.IsBlocked(id)
+}
+
+func (controller *Controller) applyGraphChange(change dag.Effects) {
+	for _, id := range change.Cancelled {
+		if record := controller.view.jobs[id]; record != nil && record.State == "" {
+			record.isCancelledByDependency = true
+			controller.progressCounts.remove(id)
+			if controller.term != nil {
+				controller.term.cleanup.impliedCancellations = append(controller.term.cleanup.impliedCancellations, id)
+			}
+		}
+	}
+	if controller.term == nil {
+		return
+	}
+	for _, id := range change.Released {
+		if record := controller.view.jobs[id]; record != nil && !record.hasEnded() {
+			controller.term.applyJobRecord(id, record)
+		}
+	}
+	for _, id := range change.MoreUrgent {
+		controller.term.updateUrgency(id)
+	}
+}
+
+// updateUrgency takes over what has come to be demanded of a job.
+func (term *leaderTerm) updateUrgency(id string) {
+	job, record := term.tracker.Jobs[id], term.controller.view.jobs[id]
+	if job == nil || record == nil || record.Job == nil {
+		return
+	}
+	urgency := term.controller.dependencyGraph.UrgencyOf(id, urgencyOf(record))
+	job.Priority, job.Deadline = urgency.Priority, urgency.Deadline
+	term.needsPlan = true
+}
+
+// invalidDependencyReason says why a job can never run for what it awaits, if so.
+func (controller *Controller) invalidDependencyReason(job *wire.Job) string {
+	for _, id := range job.DependsOn {
+		record := controller.view.jobs[id]
+		switch {
+		case id == job.ID || record == nil:
+			return "it awaits a job that was never accepted: " + id
+		case !record.hasEnded() && record.Job != nil && record.Job.Kind == wire.KindService:
+			return "it awaits a service, which is never done: " + id
+		}
+	}
+	return ""
+}
+
+// rejectAfterSync answers 422 once the view is new enough to say so: what was accepted,
+// by any controller, is never refused.
+func (controller *Controller) rejectAfterSync(job *wire.Job, reply *server.Reply, reason func() string, otherwise func()) {
+	evictions := controller.evicted.evictions
+	controller.view.requestSync(func(err error) {
+		switch record := controller.view.jobs[job.ID]; {
+		case err != nil:
+			replyUnavailable(reply, err.Error())
+		case record == nil && controller.evicted.evictions != evictions:
+			replyUnavailable(reply, "it may have been forgotten meanwhile")
+		case record != nil:
+			reply.Send(200, controller.encodeJobStatus(job.ID, record), 0)
+		case reason() != "":
+			reply.Send(422, server.ErrorBody(reason()), 0)
+		default:
+			otherwise()
+		}
+	}, clock.Now()+userTimeout)
+}
+
+// submissionChanges are the keys of a new job. What it awaits goes into keys of its
+// own where it does not fit into one value; nil: it cannot be stored at all.
+func (controller *Controller) submissionChanges(record *jobRecord) []wire.Change {
+	limits := controller.cfg.Deployment.Store.Effective()
+	maxBytes := int(limits.MaxValueKB * 1024)
+	value, err := record.MarshalJSON()
+	if err != nil {
+		return nil
+	}
+	key := prefixJob + record.Job.ID
+	if len(value) <= maxBytes {
+		return []wire.Change{{PutKey: key, Value: value}}
+	}
+	parts := splitDependencies(record.Job.DependsOn, maxBytes)
+	if len(parts) == 0 || 1+len(parts) > limits.MaxTransactionOps {
+		return nil
+	}
+	job := *record.Job
+	job.DependsOn = nil
+	record.Job, record.DependencyParts = &job, len(parts)
+	if value, err = record.MarshalJSON(); err != nil || len(value) > maxBytes {
+		return nil
+	}
+	changes := []wire.Change{}
+	for i, part := range parts {
+		partValue, err := dependenciesRecord{DependsOn: part}.MarshalJSON()
+		if err != nil {
+			return nil
+		}
+		changes = append(changes, wire.Change{PutKey: dependenciesKey(job.ID, i), Value: partValue})
+	}
+	return append(changes, wire.Change{PutKey: key, Value: value})
+}
+
+// splitDependencies cuts a list so that the value of each part fits.
+func splitDependencies(ids []string, maxBytes int) [][]string {
+	const frame, perID = 16, 3 // of the value, and around each id
+	var parts [][]string
+	size := maxBytes
+	for _, id := range ids {
+		if size+len(id)+perID > maxBytes {
+			parts, size = append(parts, nil), frame
+		}
+		parts[len(parts)-1] = append(parts[len(parts)-1], id)
+		size += len(id) + perID
+	}
+	return parts
+}
--- /dev/null
+++ b/internal/controller/dependencies_bench_test.go
@@ -0,0 +1,95 @@
+package controller
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/wire"
+)
+
+// dependentJobRecords are records of pipelines of a length, by key; half of the pipelines are
+// cancelled by their first job.
+func dependentJobRecords(b *testing.B, jobs, length int) map[string][]byte {
+	b.Helper()
+	records := map[string][]byte{}
+	wall := int64(clock.WallTime())
+	for i := range jobs {
+		id := fmt.Sprintf("req-%06d", i)
+		record := &jobRecord{SubmittedAt: wall + int64(i), Job: &wire.Job{
+			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 16, CPUs: 1, MemoryGB: 3, EstimatedRunSeconds: 25, Image: "i", ImageSizeGB: 1,
+		}}
+		first := i%length == 0
+		if !first {
+			record.Job.DependsOn = []string{fmt.Sprintf("req-%06d", i-1)}
+		}
+		if (i+1)%length == 0 {
+			record.Job.DeadlineSeconds, record.Job.Priority = 600, wire.PriorityHigh
+		}
+		if first && i/length%2 == 0 {
+			record = newEndRecord(record, wire.JobCancelled, clock.WallTime())
+		}
+		value, err := record.MarshalJSON()
+		if err != nil {
+			b.Fatal(err)
+		}
+		records[prefixJob+id] = value
+	}
+	return records
+}
+
+// heapInUse is how many bytes are held once what nobody holds is gone.
+func heapInUse() float64 {
+	for range 3 {
+		runtime.GC() // the first ones leave what has a finalizer
+	}
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
+}
+
+// What thousands of dependent jobs cost: to read their records, to take the lead, a
+// submission that names one, a plan while they wait, and the memory that they hold.
+func BenchmarkDependentJobs(b *testing.B) {
+	for _, size := range []struct{ jobs, length int }{{1000, 5}, {10000, 5}, {10000, 10000}, {50000, 5}} {
+		b.Run(fmt.Sprintf("%d in pipelines of %d", size.jobs, size.length), func(b *testing.B) {
+			records := dependentJobRecords(b, size.jobs, size.length)
+			var read, failover, plan, submission clock.Micros
+			var heldBytes float64
+			for b.Loop() {
+				before := heapInUse()
+				controller := newTestTerm(b).controller
+				controller.view.isLoaded = true
+				startedAt := clock.Now()
+				for key, value := range records {
+					controller.applyPut(key, value, 5)
+				}
+				read += clock.Now() - startedAt
+				startedAt = clock.Now()
+				term := newLeaderTerm(controller, 10, clock.Now())
+				failover += clock.Now() - startedAt
+				term.actDeadline.Store(1 << 62)
+				controller.term = term
+				if heldBytes == 0 {
+					heldBytes = heapInUse() - before // of the first round, before which nothing is held
+				}
+				term.runScheduler(clock.Now())
+				startedAt = clock.Now()
+				term.runScheduler(clock.Now())
+				plan += clock.Now() - startedAt
+				startedAt = clock.Now()
+				last := fmt.Sprintf("req-%06d", size.jobs-1)
+				controller.submitJob(&wire.Job{ID: "req-999999", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 1, CPUs: 1, DependsOn: []string{last}}, server.NewReply(func(int, []byte, int) {}))
+				submission += clock.Now() - startedAt
+			}
+			rounds := float64(b.N)
+			b.ReportMetric(read.Seconds()*1000/rounds, "ms/read")
+			b.ReportMetric(failover.Seconds()*1000/rounds, "ms/takeover")
+			b.ReportMetric(plan.Seconds()*1000/rounds, "ms/plan")
+			b.ReportMetric(float64(submission)/rounds, "us/submission")
+			b.ReportMetric(heldBytes/float64(size.jobs), "B/job")
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/dependencies_test.go
@@ -0,0 +1,95 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// newJobRecord makes the record of a job of one task.
+func newJobRecord(id, priority string, submittedAt, deadlineS float64, dependencies ...string) *jobRecord {
+	return &jobRecord{SubmittedAt: int64(clock.FromSeconds(submittedAt)), version: 1, Job: &wire.Job{
+		ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1, Priority: priority, EstimatedRunSeconds: 10, DeadlineSeconds: deadlineS, DependsOn: dependencies,
+	}}
+}
+
+// The leader's account has a job once all that it awaits is done, with the urgency of
+// what awaits it, and its waits count from then; one that names a job which is
+// cancelled is over at once, as is everything after it.
+func TestDependentJobsAreTrackedWhenReleased(t *testing.T) {
+	term := newTestTerm(t)
+	controller := term.controller
+	controller.term = term
+	wall := clock.WallTime().Seconds()
+	controller.setJobRecord("req-000002", newJobRecord("req-000002", wire.PriorityLow, wall, 0, "req-000001"))
+	if term.tracker.Jobs["req-000002"] != nil {
+		t.Fatal("a job is in the account whose awaited job is not even known")
+	}
+	controller.setJobRecord("req-000001", newJobRecord("req-000001", wire.PriorityLow, wall, 0))
+	first := term.tracker.Jobs["req-000001"]
+	if first == nil || first.Priority != wire.PriorityIndex(wire.PriorityLow) || first.Deadline != 0 {
+		t.Fatalf("the first is %+v", first)
+	}
+	controller.setJobRecord("req-000003", newJobRecord("req-000003", wire.PriorityHigh, wall, 300, "req-000002"))
+	want := clock.FromSeconds(wall+300) - 2*(10*clock.Second+startOverhead)
+	if first.Priority != wire.PriorityIndex(wire.PriorityHigh) || first.Deadline != want {
+		t.Fatalf("after the last: priority %d, deadline %d, want %d", first.Priority, first.Deadline, want)
+	}
+	end := clock.FromSeconds(wall + 50)
+	controller.setJobRecord("req-000001", &jobRecord{SubmittedAt: 1, State: wire.JobDone, EndedAt: int64(end), version: 2})
+	second := term.tracker.Jobs["req-000002"]
+	if second == nil || second.ReleasedAt != end || second.Priority != wire.PriorityIndex(wire.PriorityHigh) {
+		t.Fatalf("the second is %+v", second)
+	}
+	if term.tracker.Jobs["req-000003"] != nil {
+		t.Fatal("the third is in the account before the second is done")
+	}
+	over := newEndRecord(controller.view.jobs["req-000002"], wire.JobCancelled, clock.WallTime())
+	over.version = 3
+	controller.setJobRecord("req-000002", over)
+	if record := controller.view.jobs["req-000003"]; !record.hasEnded() || record.effectiveState() != wire.JobCancelled {
+		t.Fatal("the third is not cancelled with the second")
+	}
+	controller.setJobRecord("req-000004", newJobRecord("req-000004", wire.PriorityLow, wall, 0, "req-000003"))
+	if record := controller.view.jobs["req-000004"]; record.effectiveState() != wire.JobCancelled || term.tracker.Jobs["req-000004"] != nil {
+		t.Fatal("a job that names a cancelled one goes on")
+	}
+}
+
+// What a job awaits is split so that every value fits, and comes together again in
+// whatever order its keys are read.
+func TestLongDependencyListsAreSplit(t *testing.T) {
+	term := newTestTerm(t)
+	controller := term.controller
+	controller.cfg.Deployment.Store.MaxValueKB = 1
+	record := newJobRecord("req-000500", wire.PriorityLow, 1, 0)
+	for i := range 300 {
+		record.Job.DependsOn = append(record.Job.DependsOn, fmt.Sprintf("req-%06d", i))
+	}
+	changes := controller.submissionChanges(record)
+	if len(changes) < 3 || record.DependencyParts != len(changes)-1 {
+		t.Fatalf("%d changes, %d parts", len(changes), record.DependencyParts)
+	}
+	for _, backwards := range []bool{false, true} {
+		controller.view.reset()
+		for i := range changes {
+			change := changes[i]
+			if backwards {
+				change = changes[len(changes)-1-i]
+			}
+			if len(change.Value) > 1<<10 {
+				t.Fatalf("a value of %d bytes", len(change.Value))
+			}
+			controller.applyPut(change.PutKey, change.Value, 5)
+		}
+		dependencies, isComplete := controller.dependenciesOf("req-000500", controller.view.jobs["req-000500"])
+		if !isComplete || len(dependencies) != 300 || dependencies[299] != "req-000299" {
+			t.Fatalf("%d of 300 are read, whole %v", len(dependencies), isComplete)
+		}
+		if !controller.isBlocked("req-000500", controller.view.jobs["req-000500"]) {
+			t.Fatal("it is not blocked")
+		}
+	}
+}
--- a/internal/controller/entitlement.go
+++ b/internal/controller/entitlement.go
@@ -4,48 +4,50 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// until is the end of the entitlement to act. Unlike the rest it may be asked
+// mayActUntil is the end of the entitlement to act. Unlike the rest it may be asked
 // on any goroutine, right before something is sent.
-func (l *lead) until() clock.Micros { return clock.Micros(l.deadline.Load()) }
+func (term *leaderTerm) mayActUntil() clock.Micros { return clock.Micros(term.actDeadline.Load()) }
 
-// woke takes the news that the process has stood still, or was not entitled to act.
-func (l *lead) woke(now clock.Micros) { l.awake, l.pl.ResumedAt = now, now }
+// recordResume takes the news that the process has stood still, or was not entitled to act.
+func (term *leaderTerm) recordResume(now clock.Micros) {
+	term.resumedAt, term.scheduler.ResumedAt = now, now
+}
 
-// startUntil is the end of the time in which tasks may be started; like until it
+// mayStartUntil is the end of the time in which tasks may be started; like until it
 // may be asked on any goroutine.
-func (l *lead) startUntil() clock.Micros { return clock.Micros(l.startDeadline.Load()) }
+func (term *leaderTerm) mayStartUntil() clock.Micros { return clock.Micros(term.startDeadline.Load()) }
 
-// renew takes over the election's view of the entitlement, and what the age of the
+// updateDeadlines takes over the election's view of the entitlement, and what the age of the
 // view allows.
-func (l *lead) renew() {
-	until := l.c.el.EntitledUntil()
-	l.deadline.Store(int64(until))
-	l.startDeadline.Store(int64(min(until, l.view.StartTasksUntil())))
+func (term *leaderTerm) updateDeadlines() {
+	until := term.controller.elector.EntitledUntil()
+	term.actDeadline.Store(int64(until))
+	term.startDeadline.Store(int64(min(until, term.viewAge.StartTasksUntil())))
 }
 
-// read makes the view new again where it is too old to start tasks on it.
-func (l *lead) read(now clock.Micros) {
-	if l.reading {
+// refreshView makes the view new again where it is too old to start tasks on it.
+func (term *leaderTerm) refreshView(now clock.Micros) {
+	if term.isRefreshingView {
 		return
 	}
-	l.reading = true
-	l.c.view.wantSync(func(err error) {
-		l.reading = false
+	term.isRefreshingView = true
+	term.controller.view.requestSync(func(err error) {
+		term.isRefreshingView = false
 		switch {
-		case l.closed:
+		case term.isClosed:
 		case err != nil:
-			l.opened() // those that have waited for too long are refused
+			term.retryDeferred() // those that have waited for too long are refused
 		default:
-			l.hasRead(now)
+			term.recordViewRead(now)
 		}
-	}, now+beatEvery)
+	}, now+heartbeatInterval)
 }
 
-// hasRead takes the news that the view is as new as a read sent at an instant.
-func (l *lead) hasRead(sentAt clock.Micros) {
-	l.view.RecordRead(sentAt)
-	l.renew()
-	l.lg.SetStartsPaused(!l.view.MayStartTasks(clock.Now()))
-	l.dirty = true
-	l.opened()
+// recordViewRead takes the news that the view is as new as a read sent at an instant.
+func (term *leaderTerm) recordViewRead(sentAt clock.Micros) {
+	term.viewAge.RecordRead(sentAt)
+	term.updateDeadlines()
+	term.tracker.SetStartsPaused(!term.viewAge.MayStartTasks(clock.Now()))
+	term.needsPlan = true
+	term.retryDeferred()
 }
--- /dev/null
+++ b/internal/controller/eviction.go
@@ -0,0 +1,136 @@
+package controller
+
+import (
+	"slices"
+	"strings"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/jobhistory"
+	"firwood.dev/firwood/wire"
+)
+
+// Finished jobs' records stay in the state service for good. A controller remembers those
+// that ended or were asked for last, and looks the others up; see package jobhistory.
+
+const (
+	// finishedMemoryDivisor is which part of the memory finished jobs may take, finishedJobBytes what
+	// one takes.
+	finishedMemoryDivisor, finishedJobBytes = 16, 512
+	// minFinishedJobs is how many are remembered however little memory there is.
+	minFinishedJobs = 1000
+	// maxEvictionsPerTick is how many are looked at in one tick.
+	maxEvictionsPerTick = 200
+)
+
+// finishedCapacity is how many finished jobs are remembered.
+func finishedJobCapacity(wanted int, ramMB float64) int {
+	if wanted > 0 {
+		return wanted
+	}
+	return max(int(ramMB*(1<<20)/finishedMemoryDivisor/finishedJobBytes), minFinishedJobs)
+}
+
+// evictedJobs is what is left of finished jobs that are not remembered.
+type evictedJobs struct {
+	// hasEvicted: some job was forgotten in this life. It is never taken back, since the counts
+	// are for display and may lag. times counts how often.
+	hasEvicted bool
+	evictions  int
+	counts     evictedCounts
+	// problems are the worst of them, for the morning report.
+	problems []JobProblem
+}
+
+type evictedCounts struct{ done, cancelled int }
+
+// add counts so many more; what was in the archive at the start is not counted at all.
+func (counts *evictedCounts) add(state string, count int) {
+	if state == wire.JobDone {
+		counts.done = max(counts.done+count, 0)
+	} else {
+		counts.cancelled = max(counts.cancelled+count, 0)
+	}
+}
+
+// evictFinishedJobs forgets finished jobs beyond the bound.
+func (controller *Controller) evictFinishedJobs() {
+	for _, id := range controller.finishedJobs.Evict(maxEvictionsPerTick, controller.canEvict) {
+		record := controller.view.jobs[id]
+		controller.recordEviction()
+		controller.evicted.counts.add(record.State, 1)
+		if problem, ok := controller.problemOf(id, record, int64(clock.WallTime())); ok {
+			controller.evicted.problems = worstProblems(append(controller.evicted.problems, problem))
+		}
+		delete(controller.view.jobs, id)
+		controller.dependencyGraph.Remove(id)
+	}
+}
+
+// canEvict tells whether nothing but a user's question needs a finished job any more.
+func (controller *Controller) canEvict(id string) bool {
+	record := controller.view.jobs[id]
+	if record == nil || !record.isFinished() || controller.view.progress[id] != nil || controller.view.dependencies[id] != nil || controller.pendingSubmissions[id] != nil {
+		return false
+	}
+	return controller.term == nil || controller.term.tracker.Jobs[id] == nil && controller.term.jobs[id] == nil
+}
+
+// recordEviction notes that from now on a job that is not in the view may be known to the
+// state service.
+func (controller *Controller) recordEviction() {
+	controller.evicted.hasEvicted = true
+	controller.evicted.evictions++
+}
+
+// mayBeEvicted tells whether a job is not in the view, and may have been forgotten.
+func (controller *Controller) mayBeEvicted(id string) bool {
+	return controller.view.jobs[id] == nil && controller.evicted.hasEvicted
+}
+
+// recountEvicted counts what is forgotten after all records were read, of which so many
+// were finished.
+func (controller *Controller) recountEvicted(read evictedCounts, dropped int) {
+	if dropped > 0 {
+		controller.recordEviction()
+	}
+	for _, record := range controller.view.jobs {
+		if record.isFinished() {
+			read.add(record.State, -1)
+		}
+	}
+	controller.evicted.counts = read
+}
+
+// loadFilter takes what is read from the state service page by page. Of finished jobs it
+// keeps the newest ones, and counts the others.
+type loadFilter struct {
+	others   []wire.KeyValue
+	finished *jobhistory.Newest[wire.KeyValue]
+	// finishedCounts counts all finished jobs.
+	finishedCounts evictedCounts
+}
+
+func newLoadFilter(capacity int) *loadFilter {
+	return &loadFilter{finished: jobhistory.NewNewest[wire.KeyValue](capacity)}
+}
+
+func (filter *loadFilter) add(items []wire.KeyValue) {
+	for _, item := range items {
+		var record jobRecord
+		isJob := strings.HasPrefix(item.Key, prefixJob)
+		if !isJob || record.UnmarshalJSON(item.Value) != nil || !record.isFinished() {
+			filter.others = append(filter.others, item)
+			continue
+		}
+		// The page's memory is not kept for a record of it.
+		item.Key, item.Value = strings.Clone(item.Key), slices.Clone(item.Value)
+		filter.finishedCounts.add(record.State, 1)
+		filter.finished.Add(record.EndedAt, item)
+	}
+}
+
+// keptItems are what was kept, and how many finished jobs were not.
+func (filter *loadFilter) keptItems() (items []wire.KeyValue, dropped int) {
+	newest, dropped := filter.finished.Records()
+	return append(filter.others, newest...), dropped
+}
--- a/internal/controller/finished_bench_test.go
+++ b/internal/controller/eviction_bench_test.go
@@ -14,10 +14,10 @@
 	for i := first; i < first+jobs; i++ {
 		id := fmt.Sprintf("req-%08d", i)
 		now := clock.WallTime()
-		r := &jobRecord{At: int64(now), Job: &wire.Job{ID: id, Class: "reproject", TaskCount: 90, DeadlineSeconds: 600}}
-		over := overRecord(r, wire.JobDone, now+clock.Micros(i))
-		over.First = int64(now)
-		value, err := over.MarshalJSON()
+		record := &jobRecord{SubmittedAt: int64(now), Job: &wire.Job{ID: id, Class: "reproject", TaskCount: 90, DeadlineSeconds: 600}}
+		end := newEndRecord(record, wire.JobDone, now+clock.Micros(i))
+		end.FirstStartAt = int64(now)
+		value, err := end.MarshalJSON()
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -32,23 +32,23 @@
 func BenchmarkFinishedJobs(b *testing.B) {
 	const page = 1000
 	for _, jobs := range []int{50_000, 500_000} {
-		for name, kept := range map[string]int{"bounded": finishedKept(0, 125), "all": jobs} {
+		for name, capacity := range map[string]int{"bounded": finishedJobCapacity(0, 125), "all": jobs} {
 			b.Run(fmt.Sprint(jobs, "/", name), func(b *testing.B) {
 				for b.Loop() {
-					c := rebuilt(b).c
-					c.finishedKept = kept
+					controller := newTestTerm(b).controller
+					controller.finishedCapacity = capacity
 					before, stored := heapInUse(), 0
-					filter := newLoadFilter(kept)
+					filter := newLoadFilter(capacity)
 					for first := 0; first < jobs; first += page {
 						items, size := finishedPage(b, first, page)
 						stored += size
 						filter.add(items)
 					}
-					c.loaded(filter, uint64(jobs))
+					controller.applyLoad(filter, uint64(jobs))
 					filter = nil
 					b.ReportMetric((heapInUse()-before)/1e6, "MB-memory")
 					b.ReportMetric(float64(stored)/float64(jobs), "B-stored/job")
-					runtime.KeepAlive(c)
+					runtime.KeepAlive(controller)
 				}
 			})
 		}
--- /dev/null
+++ b/internal/controller/failover_test.go
@@ -0,0 +1,49 @@
+package controller
+
+import (
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/config"
+	"firwood.dev/firwood/wire"
+)
+
+// A new leader knows from the records which starts press, and gives no machine back
+// while tasks are in doubt that may need it in a moment: once it gave back, eight
+// seconds after its take-over, what two in three of the fleet's tasks then waited for.
+func TestNewLeaderKeepsMachinesWhileTasksUnconfirmed(t *testing.T) {
+	term := newTestTerm(t, "i-1", "i-2")
+	controller := term.controller
+	wall := int64(clock.WallTime())
+	for i, at := range []clock.Micros{90, 60, 30} {
+		id := []string{"req-000001", "req-000002", "req-000003"}[i]
+		controller.view.jobs[id] = &jobRecord{SubmittedAt: wall - int64(at*clock.Second), Job: &wire.Job{
+			ID: id, Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Team: "t", TaskCount: 4, CPUs: 4, EstimatedRunSeconds: 60,
+		}}
+		controller.view.progress[id] = map[int]progressPart{0: {}}
+	}
+	controller.cfg.Deployment.Objectives = append(controller.cfg.Deployment.Objectives, config.Objective{Kind: "wait", Class: "c", TargetSeconds: 2})
+	term = newLeaderTerm(controller, 10, clock.Now())
+	machine := term.tracker.Machines["i-1"] // heard, and empty; the other one is not heard
+	term.tracker.RecordLeaseRenewal(machine, term.startedAt)
+	term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: 1, FencingToken: 10}, term.startedAt)
+	at := term.startedAt + 40*clock.Second
+	machine.LastHeartbeatAt, term.scheduler.HeartbeatWindow = at, 3600*clock.Second
+	if decision := term.scheduler.Plan(term.tracker, at, clock.WallTime(), nil); len(decision.ScaleIn) != 0 {
+		t.Fatalf("%s is given back while tasks are in doubt", decision.ScaleIn[0].Name)
+	}
+	for id, job := range term.tracker.Jobs {
+		term.tracker.Cancel(job, at)
+		delete(term.tracker.Jobs, id)
+	}
+	// With nothing in doubt, the wait is that of a class whose starts press: a leader
+	// that knows of none gives an idle machine back after eight seconds.
+	beforeIdleWait, afterIdleWait := term.startedAt+20*clock.Second, term.startedAt+term.scheduler.Settings.IdleTimeout+clock.Second
+	if decision := term.scheduler.Plan(term.tracker, beforeIdleWait, clock.WallTime(), nil); len(decision.ScaleIn) != 0 {
+		t.Fatalf("%s is given back as if no start pressed", decision.ScaleIn[0].Name)
+	}
+	machine.LastHeartbeatAt = afterIdleWait
+	if decision := term.scheduler.Plan(term.tracker, afterIdleWait, clock.WallTime(), nil); len(decision.ScaleIn) != 1 {
+		t.Fatalf("%d machines are given back after the idle wait", len(decision.ScaleIn))
+	}
+}
--- /dev/null
+++ b/internal/controller/faulty_machines_test.go
@@ -0,0 +1,93 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// One machine that fails jobs is drained, and given back when it is empty; one that
+// cannot be given back, since a replica runs on it, is tried again, at longer and
+// longer intervals. When others fail too, none is drained: all pause.
+func TestFaultyMachines(t *testing.T) {
+	var names []string
+	for i := range 12 {
+		names = append(names, fmt.Sprintf("i-%02d", i))
+	}
+	term := newTestTerm(t, names...)
+	term.controller.view.jobs["req-000001"] = &jobRecord{SubmittedAt: int64(clock.WallTime()), Job: &wire.Job{
+		ID: "req-000001", Class: "c", Kind: wire.KindService, Team: "t", TaskCount: 1, CPUs: 1,
+	}}
+	term.controller.view.progress["req-000001"] = map[int]progressPart{0: {}}
+	term = newLeaderTerm(term.controller, 10, clock.Now())
+	now := term.startedAt
+	for i, name := range names {
+		heartbeat := &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: 1, FencingToken: 10}
+		if i == 0 {
+			heartbeat.Tasks = []wire.TaskStatus{{TaskID: "req-000001/0", Attempt: 1, State: wire.TaskRunning}}
+		}
+		machine := term.tracker.Machines[name]
+		term.tracker.RecordLeaseRenewal(machine, now)
+		term.tracker.RecordHeartbeat(machine, heartbeat, now)
+	}
+	machine := term.tracker.Machines["i-00"]
+	if machine.IsIdle() {
+		t.Fatal("the replica is not known")
+	}
+	fail := func(name string, job string) {
+		term.tracker.Machines[name].FailedJobs[job] = true
+		term.recordTaskFailure(term.tracker.Machines[name], now)
+	}
+	fail("i-00", "req-000002")
+	if machine.Draining {
+		t.Fatal("drained for one job")
+	}
+	backoff := retryBackoff
+	for round := range 3 {
+		fail("i-00", "req-000003")
+		fail("i-00", "req-000004")
+		if !machine.Draining {
+			t.Fatalf("round %d: not drained for two jobs", round)
+		}
+		now += backoff - 1
+		term.retryFaultyMachine(machine, term.machines["i-00"], now)
+		if !machine.Draining {
+			t.Fatalf("round %d: tried again too soon", round)
+		}
+		now++
+		term.retryFaultyMachine(machine, term.machines["i-00"], now)
+		if machine.Draining {
+			t.Fatalf("round %d: not tried again", round)
+		}
+		backoff *= 2
+	}
+	idle := term.tracker.Machines["i-01"]
+	now += 2 * sharedFaultWindow
+	fail("i-01", "req-000002")
+	fail("i-01", "req-000003")
+	now += 2 * retryBackoff
+	term.retryFaultyMachine(idle, term.machines["i-01"], now)
+	if !idle.Draining {
+		t.Fatal("an empty faulty machine is tried again in place of being given back")
+	}
+
+	now += 2 * sharedFaultWindow
+	for _, name := range names[2:] {
+		fail(name, "req-000002")
+	}
+	for _, name := range names[2:] {
+		fail(name, "req-000003")
+		machine := term.tracker.Machines[name]
+		if machine.Draining || machine.BackoffUntil <= now {
+			t.Fatalf("%s: draining %v, held until %d at %d, while all fail", name, machine.Draining, machine.BackoffUntil, now)
+		}
+	}
+	// Where it fails on after that, the machine is at fault after all.
+	now += sharedFaultWindow
+	fail("i-05", "req-000003")
+	if !term.tracker.Machines["i-05"].Draining {
+		t.Fatal("a machine that fails for a minute is never blamed")
+	}
+}
--- a/internal/controller/job_counts.go
+++ b/internal/controller/job_counts.go
@@ -9,68 +9,68 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// jobCounts is the progress of jobs as the leader last told it, for display. It is told
+// progressCounts is the progress of jobs as the leader last told it, for display. It is told
 // whole in one beat, or, of a large fleet, in several in turn.
-type jobCounts struct {
-	jobs map[string]toldCount
+type progressCounts struct {
+	jobs map[string]receivedCount
 }
 
-type toldCount struct {
+type receivedCount struct {
 	peer.JobProgress
-	at clock.Micros
+	receivedAt clock.Micros
 }
 
-// of is the progress of a job, if it was told.
-func (c *jobCounts) of(job string) (peer.JobProgress, bool) {
-	told, ok := c.jobs[job]
-	return told.JobProgress, ok
+// countOf is the progress of a job, if it was told.
+func (counts *progressCounts) countOf(job string) (peer.JobProgress, bool) {
+	received, ok := counts.jobs[job]
+	return received.JobProgress, ok
 }
 
-// forget forgets a job that is over.
-func (c *jobCounts) forget(job string) { delete(c.jobs, job) }
+// remove forgets a job that is over.
+func (counts *progressCounts) remove(job string) { delete(counts.jobs, job) }
 
-// take takes what one beat tells of jobs that are not over. What was not told in two turns
+// update takes what one beat tells of jobs that are not over. What was not told in two turns
 // has no progress any more.
-func (c *jobCounts) take(b *peer.Heartbeat, now clock.Micros, isOver func(job string) bool) {
-	if c.jobs == nil {
-		c.jobs = map[string]toldCount{}
+func (counts *progressCounts) update(heartbeat *peer.Heartbeat, now clock.Micros, hasEnded func(job string) bool) {
+	if counts.jobs == nil {
+		counts.jobs = map[string]receivedCount{}
 	}
-	if b.ProgressPageCount <= 1 {
-		clear(c.jobs)
+	if heartbeat.ProgressPageCount <= 1 {
+		clear(counts.jobs)
 	} else {
-		kept := 2 * clock.Micros(b.ProgressPageCount) * beatEvery
-		maps.DeleteFunc(c.jobs, func(_ string, told toldCount) bool { return now-told.at > kept })
+		ttl := 2 * clock.Micros(heartbeat.ProgressPageCount) * heartbeatInterval
+		maps.DeleteFunc(counts.jobs, func(_ string, received receivedCount) bool { return now-received.receivedAt > ttl })
 	}
-	for _, n := range b.JobProgress {
-		if !isOver(n.Job) {
-			c.jobs[n.Job] = toldCount{n, now}
+	for _, count := range heartbeat.JobProgress {
+		if !hasEnded(count.Job) {
+			counts.jobs[count.Job] = receivedCount{count, now}
 		}
 	}
 }
 
-// fullness is how full a beat is made of counts when they don't all fit into one, since
+// countsFillFactor is how full a beat is made of counts when they don't all fit into one, since
 // parts are not all alike.
-const fullness = 0.75
+const countsFillFactor = 0.75
 
-// tellCounts adds the progress of jobs to a beat: of all that have any, or of the part
+// addProgressCounts adds the progress of jobs to a beat: of all that have any, or of the part
 // whose turn it is.
-func (l *lead) tellCounts(b *peer.Heartbeat) {
-	var all []peer.JobProgress
-	for id, j := range l.lg.Jobs {
-		if !j.Cancelled && (j.StartedCount > 0 || j.DoneCount() > 0) {
-			all = append(all, peer.JobProgress{Job: id, Done: uint32(j.DoneCount()), Running: uint32(j.StartedCount)})
+func (term *leaderTerm) addProgressCounts(heartbeat *peer.Heartbeat) {
+	var counts []peer.JobProgress
+	for id, job := range term.tracker.Jobs {
+		if !job.Cancelled && (job.StartedCount > 0 || job.DoneCount() > 0) {
+			counts = append(counts, peer.JobProgress{Job: id, Done: uint32(job.DoneCount()), Running: uint32(job.StartedCount)})
 		}
 	}
-	if len(all) <= peer.MaxJobProgress {
-		b.JobProgress = all
+	if len(counts) <= peer.MaxJobProgress {
+		heartbeat.JobProgress = counts
 		return
 	}
-	parts := uint64(float64(len(all))/(fullness*peer.MaxJobProgress)) + 1
-	b.ProgressPageCount = uint32(parts)
-	for _, n := range all {
-		if xxhash.Sum64String(n.Job)%parts == l.countsTurn%parts {
-			b.JobProgress = append(b.JobProgress, n)
+	parts := uint64(float64(len(counts))/(countsFillFactor*peer.MaxJobProgress)) + 1
+	heartbeat.ProgressPageCount = uint32(parts)
+	for _, count := range counts {
+		if xxhash.Sum64String(count.Job)%parts == term.nextCountsPart%parts {
+			heartbeat.JobProgress = append(heartbeat.JobProgress, count)
 		}
 	}
-	l.countsTurn++
+	term.nextCountsPart++
 }
--- /dev/null
+++ b/internal/controller/job_lookup.go
@@ -0,0 +1,181 @@
+package controller
+
+import (
+	"errors"
+	"slices"
+	"strings"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/jobhistory"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/wire"
+)
+
+const (
+	// maxPendingLookups bounds the questions for forgotten jobs that wait, maxJobsPerLookup the jobs
+	// that one request asks for, maxReadsPerLookup those that are read after it.
+	maxPendingLookups, maxJobsPerLookup, maxReadsPerLookup = 1024, 96, 8
+	// keysPerJob is in how many places a job's record may lie.
+	keysPerJob = 2
+	// lookUpRetryInterval is after how long a job that others await is asked for again.
+	lookUpRetryInterval = clock.Second
+)
+
+// lookUpJob has a job that may have been forgotten looked up. An answer from the state service
+// is as new as the question.
+func (controller *Controller) lookUpJob(id string, until clock.Micros, done func(jobhistory.LookupResult)) {
+	if !controller.lookups.Enqueue(id, until, done) {
+		done(jobhistory.Unavailable)
+		return
+	}
+	controller.sendLookups(clock.Now())
+}
+
+// sendLookups asks the state service for jobs that were forgotten, if any are wanted.
+func (controller *Controller) sendLookups(now clock.Micros) {
+	jobs := controller.lookups.NextBatch(now)
+	if len(jobs) == 0 {
+		return
+	}
+	go func() {
+		read, areOthersAbsent, err := controller.readJobRecords(jobs)
+		if err != nil {
+			controller.log.Debug("jobs not looked up", "error", err)
+		}
+		controller.postResult(func() {
+			var present []string
+			for _, item := range read {
+				present = append(present, controller.applyLookedUpRecord(item))
+			}
+			controller.lookups.CompleteBatch(present, areOthersAbsent, err != nil)
+			controller.sendLookups(clock.Now())
+		})
+	}()
+}
+
+// readJobRecords reads the records of some jobs, of a few at a time. Whether the others are
+// absent is known only if none was present.
+func (controller *Controller) readJobRecords(jobs []string) (read []wire.KeyValue, areOthersAbsent bool, err error) {
+	var keys []string
+	for _, id := range jobs {
+		keys = append(keys, prefixJob+id, prefixArchive+id)
+	}
+	existing, err := controller.store.FindExisting(keys)
+	if err != nil || len(existing) == 0 {
+		return nil, err == nil, err
+	}
+	for _, key := range existing[:min(len(existing), maxReadsPerLookup)] {
+		if !slices.Contains(keys, key) {
+			continue
+		}
+		item, err := controller.store.Get(key)
+		if errors.Is(err, kvstore.ErrNotFound) {
+			continue // it was moved meanwhile, and is asked for again
+		}
+		if err != nil {
+			return read, false, err
+		}
+		read = append(read, *item)
+	}
+	return read, false, nil
+}
+
+// applyLookedUpRecord takes the record of a job that was looked up into the view, and tells the job.
+func (controller *Controller) applyLookedUpRecord(item wire.KeyValue) string {
+	id, isArchived := strings.CutPrefix(item.Key, prefixArchive)
+	if !isArchived {
+		id = strings.TrimPrefix(item.Key, prefixJob)
+	}
+	isNew := controller.view.jobs[id] == nil
+	controller.applyPut(prefixJob+id, item.Value, item.Version)
+	record := controller.view.jobs[id]
+	if !isNew || record == nil || !record.isFinished() {
+		return id
+	}
+	record.isArchived = isArchived
+	controller.evicted.counts.add(record.State, -1)
+	controller.evicted.problems = slices.DeleteFunc(controller.evicted.problems, func(problem JobProblem) bool { return problem.Job == id })
+	return id
+}
+
+// showEvictedJob answers a question for a job that is not in the view.
+func (controller *Controller) showEvictedJob(id string, reply *server.Reply) {
+	controller.lookUpJob(id, clock.Now()+userTimeout, func(answer jobhistory.LookupResult) {
+		until := clock.Now() + userTimeout
+		record := controller.view.jobs[id]
+		switch {
+		case answer == jobhistory.Unavailable:
+			replyUnavailable(reply, "the state service does not answer")
+		case record == nil:
+			reply.SendBefore(404, server.ErrorBody("no such job"), 0, until)
+		case record.hasEnded():
+			reply.Send(200, controller.encodeJobStatus(id, record), 0)
+		default:
+			reply.SendBefore(200, controller.encodeJobStatus(id, record), 0, until)
+		}
+	})
+}
+
+// cancelEvictedJob takes a withdrawal of a job that is not in the view.
+func (controller *Controller) cancelEvictedJob(id string, reply *server.Reply, retries int) {
+	controller.lookUpJob(id, clock.Now()+userTimeout, func(answer jobhistory.LookupResult) {
+		if answer == jobhistory.Unavailable {
+			replyUnavailable(reply, "the state service does not answer")
+			return
+		}
+		controller.cancelKnownJob(id, reply, retries-1)
+	})
+}
+
+// resolveDependencies looks up the jobs that a submission names, and the job itself, where they may
+// have been forgotten; then it goes on, with those that are proven absent.
+func (controller *Controller) resolveDependencies(job *wire.Job, reply *server.Reply, proceed func(absent map[string]bool)) {
+	absent := map[string]bool{}
+	var ids []string
+	for _, id := range append(slices.Clone(job.DependsOn), job.ID) {
+		if controller.mayBeEvicted(id) {
+			ids = append(ids, id)
+		}
+	}
+	remaining, isAnswered := len(ids), true
+	if remaining == 0 {
+		proceed(absent)
+		return
+	}
+	for _, id := range ids {
+		controller.lookUpJob(id, clock.Now()+userTimeout, func(answer jobhistory.LookupResult) {
+			isAnswered = isAnswered && answer != jobhistory.Unavailable
+			absent[id] = answer == jobhistory.Absent
+			if remaining--; remaining > 0 {
+				return
+			}
+			if !isAnswered {
+				replyUnavailable(reply, "the state service does not answer")
+				return
+			}
+			proceed(absent)
+		})
+	}
+}
+
+// lookUpUnknownDependencies looks up the jobs that others await and that are not in the view: all of
+// them were accepted, so they are over and were forgotten. Until they are known, what
+// awaits them does not start.
+func (controller *Controller) lookUpUnknownDependencies() {
+	for _, id := range controller.dependencyGraph.UnknownDependencies() {
+		controller.lookUpUntilKnown(id)
+	}
+}
+
+func (controller *Controller) lookUpUntilKnown(id string) {
+	controller.lookUpJob(id, clock.Now()+userTimeout, func(answer jobhistory.LookupResult) {
+		if answer != jobhistory.Present {
+			controller.runAfter(lookUpRetryInterval, func() {
+				if controller.view.jobs[id] == nil {
+					controller.lookUpUntilKnown(id)
+				}
+			})
+		}
+	})
+}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -9,171 +9,171 @@
 	"firwood.dev/firwood/wire"
 )
 
-// entitled tells whether this process may act for the controllers now.
-func (c *Core) entitled() bool { return c.el.IsEntitled(clock.Now()) }
+// isEntitled tells whether this process may act for the controllers now.
+func (controller *Controller) isEntitled() bool { return controller.elector.IsEntitled(clock.Now()) }
 
-// Leads tells whether this process answers workers as leader; it may be called on
+// IsLeader tells whether this process answers workers as leader; it may be called on
 // any goroutine.
-func (c *Core) Leads() bool { return c.leads.Load() }
+func (controller *Controller) IsLeader() bool { return controller.isActiveLeader.Load() }
 
-// applyShares splits the outside services' rates: the leader gets half, the
+// applyRateShares splits the outside services' rates: the leader gets half, the
 // others share the rest.
-func (c *Core) applyShares() {
-	n := float64(len(c.cfg.Peers))
+func (controller *Controller) applyRateShares() {
+	others := float64(len(controller.cfg.Peers))
 	switch {
-	case n == 0:
-		c.store.SetRateShare(1)
-		c.cloud.SetRateShare(1)
-	case c.el.Phase() == election.Leader:
-		c.store.SetRateShare(leaderShare)
-		c.shares.share = leaderShare
-		c.cloud.SetRateShare(0.8)
+	case others == 0:
+		controller.store.SetRateShare(1)
+		controller.cloud.SetRateShare(1)
+	case controller.elector.Phase() == election.Leader:
+		controller.store.SetRateShare(minLeaderShare)
+		controller.rateShares.share = minLeaderShare
+		controller.cloud.SetRateShare(0.8)
 	default:
-		c.store.SetRateShare((1 - leaderShare) / n)
-		c.cloud.SetRateShare(0.2 / n)
+		controller.store.SetRateShare((1 - minLeaderShare) / others)
+		controller.cloud.SetRateShare(0.2 / others)
 	}
 }
 
-// act carries out what the election asks for.
-func (c *Core) act(actions []election.Action) {
-	ttl := c.ttl()
-	for _, a := range actions {
-		switch a.Kind {
+// executeActions carries out what the election asks for.
+func (controller *Controller) executeActions(actions []election.Action) {
+	ttl := controller.leaderTTL()
+	for _, action := range actions {
+		switch action.Kind {
 		case election.GrantLease:
 			go func() {
-				lease, err := c.store.GrantLease(ttl)
+				lease, err := controller.store.GrantLease(ttl)
 				if err != nil {
-					c.log.Debug("no lease granted", "error", err)
+					controller.log.Debug("no lease granted", "error", err)
 				}
-				c.post(func() { c.act(c.el.HandleGrantResult(clock.Now(), lease)) })
+				controller.postResult(func() { controller.executeActions(controller.elector.HandleGrantResult(clock.Now(), lease)) })
 			}()
 		case election.AcquireLock:
-			c.acquireInTurn(a.LeaseID)
+			controller.acquireLockInTurn(action.LeaseID)
 		case election.RenewLease:
 			go func() {
-				err := c.store.RenewLease(a.LeaseID, ttl/4)
-				c.post(func() {
-					c.act(c.el.HandleRenewResult(clock.Now(), a.LeaseID, err == nil, err == kvstore.ErrNotFound))
+				err := controller.store.RenewLease(action.LeaseID, ttl/4)
+				controller.postResult(func() {
+					controller.executeActions(controller.elector.HandleRenewResult(clock.Now(), action.LeaseID, err == nil, err == kvstore.ErrNotFound))
 				})
 			}()
 		case election.RevokeLease:
 			go func() {
-				if err := c.store.RevokeLease(a.LeaseID); err != nil {
-					c.log.Debug("lease not revoked", "lease", a.LeaseID, "error", err)
+				if err := controller.store.RevokeLease(action.LeaseID); err != nil {
+					controller.log.Debug("lease not revoked", "lease", action.LeaseID, "error", err)
 				} else {
-					c.log.Debug("lease revoked", "lease", a.LeaseID)
+					controller.log.Debug("lease revoked", "lease", action.LeaseID)
 				}
 				// What it held is gone now; nobody else may have noticed.
-				c.post(func() { c.view.wantSync(func(error) {}, clock.Now()+10*clock.Second) })
+				controller.postResult(func() { controller.view.requestSync(func(error) {}, clock.Now()+10*clock.Second) })
 			}()
 		case election.RefreshLock:
-			c.view.wantSync(func(error) {}, clock.Now()+10*clock.Second)
+			controller.view.requestSync(func(error) {}, clock.Now()+10*clock.Second)
 		}
 	}
 }
 
-func (c *Core) ttl() clock.Micros { return c.el.TTL() }
+func (controller *Controller) leaderTTL() clock.Micros { return controller.elector.TTL() }
 
-func (c *Core) acquire(lease uint64) {
-	value, err := lockRecord{Member: c.cfg.Member, Lease: lease, Standby: c.replica != nil}.MarshalJSON()
+func (controller *Controller) acquireLock(lease uint64) {
+	value, err := lockRecord{Member: controller.cfg.Member, Lease: lease, NeedsStandbyRecord: controller.replica != nil}.MarshalJSON()
 	if err != nil {
 		return
 	}
-	w := &kvstore.Write{
+	write := &kvstore.Write{
 		Priority:   kvstore.Critical,
 		Conditions: []wire.Condition{{Key: keyLock}},
 		Changes:    []wire.Change{{PutKey: keyLock, Value: value, LeaseID: lease}},
-		Deadline:   clock.Now() + c.ttl()/2,
+		Deadline:   clock.Now() + controller.leaderTTL()/2,
 	}
-	w.Done = func(o kvstore.Outcome, rev uint64) {
-		c.post(func() {
-			r := election.AcquireUnknown
-			switch o {
+	write.Done = func(outcome kvstore.Outcome, revision uint64) {
+		controller.postResult(func() {
+			result := election.AcquireUnknown
+			switch outcome {
 			case kvstore.Committed:
-				r = election.AcquireSucceeded
+				result = election.AcquireSucceeded
 			case kvstore.Conflict, kvstore.NotExecuted, kvstore.Fenced:
-				r = election.AcquireFailed
+				result = election.AcquireFailed
 			}
-			c.act(c.el.HandleAcquireResult(clock.Now(), r, rev))
-			c.checkLead()
+			controller.executeActions(controller.elector.HandleAcquireResult(clock.Now(), result, revision))
+			controller.startFailoverIfElected()
 		})
 	}
-	if !c.store.Commit(w) {
-		c.act(c.el.HandleAcquireResult(clock.Now(), election.AcquireFailed, 0))
+	if !controller.store.Commit(write) {
+		controller.executeActions(controller.elector.HandleAcquireResult(clock.Now(), election.AcquireFailed, 0))
 	}
 }
 
-// checkLead begins the take-over once the lock is ours.
-func (c *Core) checkLead() {
-	if c.el.Phase() != election.Leader || c.lead != nil || c.rebuilding {
+// startFailoverIfElected begins the take-over once the lock is ours.
+func (controller *Controller) startFailoverIfElected() {
+	if controller.elector.Phase() != election.Leader || controller.term != nil || controller.isRebuilding {
 		return
 	}
-	c.rebuilding = true
-	c.takeOverTimes = takeOverTimes{heard: c.leaderHeard, won: clock.Now(), token: c.el.Token()}
-	c.applyShares()
-	_, _, lease := c.el.State()
-	c.log.Info("lock won", "token", c.el.Token(), "lease", lease)
-	c.takeOver()
+	controller.isRebuilding = true
+	controller.lastFailover = failoverTimes{leaderHeartbeatAt: controller.leaderHeartbeatAt, lockWonAt: clock.Now(), token: controller.elector.Token()}
+	controller.applyRateShares()
+	_, _, lease := controller.elector.State()
+	controller.log.Info("lock won", "token", controller.elector.Token(), "lease", lease)
+	controller.rebuildTerm()
 }
 
-// takeOver rebuilds the account from a view that is as new as the token.
-func (c *Core) takeOver() {
-	token := c.el.Token()
-	asked := clock.Now()
-	c.view.wantSync(func(err error) {
+// rebuildTerm rebuilds the account from a view that is as new as the token.
+func (controller *Controller) rebuildTerm() {
+	token := controller.elector.Token()
+	requestedAt := clock.Now()
+	controller.view.requestSync(func(err error) {
 		switch {
-		case c.el.Token() != token:
-			c.rebuilding = false
-			c.checkLead()
-		case err != nil || c.view.rev < token || len(c.types) == 0:
+		case controller.elector.Token() != token:
+			controller.isRebuilding = false
+			controller.startFailoverIfElected()
+		case err != nil || controller.view.revision < token || len(controller.machineTypes) == 0:
 			// Types come from the state service or the cloud; try again soon.
 			time.AfterFunc(100*time.Millisecond, func() {
-				c.post(func() {
-					if c.el.Token() == token && c.rebuilding {
-						c.takeOver()
+				controller.postResult(func() {
+					if controller.elector.Token() == token && controller.isRebuilding {
+						controller.rebuildTerm()
 					} else {
-						c.rebuilding = false
-						c.checkLead()
+						controller.isRebuilding = false
+						controller.startFailoverIfElected()
 					}
 				})
 			})
 		default:
-			c.rebuilding = false
-			c.lead = newLead(c, token, asked)
-			c.nextBeat = 0
+			controller.isRebuilding = false
+			controller.term = newLeaderTerm(controller, token, requestedAt)
+			controller.nextHeartbeatAt = 0
 		}
 	}, clock.Now()+2*clock.Second)
 }
 
-func (c *Core) stepDown(why string) {
-	if c.lead == nil {
+func (controller *Controller) endTerm(reason string) {
+	if controller.term == nil {
 		return
 	}
-	c.log.Info("lead given up", "why", why, "token", c.lead.token)
-	c.delegate.EndTerm(c.lead.lg.IssuedToken(), c.lead.knewAt)
-	c.lead.close()
-	c.lead = nil
-	c.rebuilding = false
-	c.applyShares()
-	c.nextBeat = 0
+	controller.log.Info("lead given up", "why", reason, "token", controller.term.token)
+	controller.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.cancellationsKnownAt)
+	controller.term.close()
+	controller.term = nil
+	controller.isRebuilding = false
+	controller.applyRateShares()
+	controller.nextHeartbeatAt = 0
 }
 
-// fenced takes the news that the lock is not ours any more.
-func (c *Core) fenced(token uint64) {
-	c.act(c.el.HandleFencedWrite(clock.Now(), token))
-	if c.el.Phase() != election.Leader {
-		c.stepDown("a write was fenced")
+// handleFenced takes the news that the lock is not ours any more.
+func (controller *Controller) handleFenced(token uint64) {
+	controller.executeActions(controller.elector.HandleFencedWrite(clock.Now(), token))
+	if controller.elector.Phase() != election.Leader {
+		controller.endTerm("a write was fenced")
 	}
 }
 
-// Close gives the lead away; a new leader need not wait for the lock to end.
-func (c *Core) Close() {
+// ReleaseLeadership gives the lead away; a new leader need not wait for the lock to end.
+func (controller *Controller) ReleaseLeadership() {
 	done := make(chan struct{})
-	c.post(func() {
-		for _, a := range c.el.StepDown(clock.Now(), 3600*clock.Second) {
-			if a.Kind == election.RevokeLease {
-				if err := c.store.RevokeLease(a.LeaseID); err != nil {
-					c.log.Debug("lease not revoked", "error", err)
+	controller.postResult(func() {
+		for _, action := range controller.elector.StepDown(clock.Now(), 3600*clock.Second) {
+			if action.Kind == election.RevokeLease {
+				if err := controller.store.RevokeLease(action.LeaseID); err != nil {
+					controller.log.Debug("lease not revoked", "error", err)
 				}
 			}
 		}
--- /dev/null
+++ b/internal/controller/machine_types.go
@@ -0,0 +1,43 @@
+package controller
+
+import (
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// fetchMachineTypes learns what the cloud has on offer; prices move, so it is asked
+// again now and then.
+func (controller *Controller) fetchMachineTypes(now clock.Micros) {
+	wait := 2 * clock.Second
+	if len(controller.machineTypes) > 0 {
+		if controller.term == nil {
+			return
+		}
+		wait = 60 * clock.Second
+	}
+	if controller.isFetchingTypes || controller.typesRequestedAt != 0 && now-controller.typesRequestedAt < wait {
+		return
+	}
+	controller.isFetchingTypes, controller.typesRequestedAt = true, now
+	go func() {
+		types, err := controller.cloud.MachineTypes()
+		controller.postResult(func() {
+			controller.isFetchingTypes = false
+			if err != nil {
+				controller.log.Debug("machine types not learnt", "error", err)
+				return
+			}
+			controller.setMachineTypes(types)
+			if controller.term != nil {
+				controller.term.saveMachineTypes()
+			}
+		})
+	}()
+}
+
+func (controller *Controller) setMachineTypes(types []wire.MachineType) {
+	controller.machineTypes = types
+	if controller.term != nil {
+		controller.term.scheduler.SetMachineTypes(types)
+	}
+}
--- /dev/null
+++ b/internal/controller/peer_heartbeats.go
@@ -0,0 +1,149 @@
+package controller
+
+import (
+	"slices"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/config"
+	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/election"
+	"firwood.dev/firwood/internal/peer"
+)
+
+// HandlePeerHeartbeat implements server.App.
+func (controller *Controller) HandlePeerHeartbeat(heartbeat *peer.Heartbeat) {
+	controller.commands.post(priorityHeartbeat, func() { controller.handlePeerHeartbeat(heartbeat) })
+}
+
+// updateAvailability decides whether users should be sent here. In an outage of the state
+// service every node is refused, and leaving then would only cost time after
+// it; a node that alone is refused leaves.
+func (controller *Controller) updateAvailability(now clock.Micros) {
+	unavailable := !controller.view.isLoaded || len(controller.machineTypes) == 0
+	if !unavailable && controller.store.LastFailureAt() > controller.store.LastSuccessAt() && now-controller.store.LastSuccessAt() > clock.Second {
+		for _, received := range controller.peerHeartbeats {
+			if now-received.receivedAt < 2*clock.Second && received.heartbeat.IsStoreReachable {
+				unavailable = true
+			}
+		}
+	}
+	controller.isUnavailable.Store(unavailable)
+}
+
+// receivedHeartbeat is the last beat of another controller.
+type receivedHeartbeat struct {
+	heartbeat  *peer.Heartbeat
+	receivedAt clock.Micros
+}
+
+func (controller *Controller) handlePeerHeartbeat(heartbeat *peer.Heartbeat) {
+	known := slices.ContainsFunc(controller.cfg.Peers, func(other config.Peer) bool { return other.Member == heartbeat.Member })
+	if !known {
+		return
+	}
+	if heartbeat.IsStandby() {
+		controller.handleStandbyMessage(heartbeat)
+		return
+	}
+	now := clock.Now()
+	last := controller.peerHeartbeats[heartbeat.Member]
+	if isBack := last == nil || last.heartbeat.Incarnation != heartbeat.Incarnation || now-last.receivedAt >= memberTimeout; isBack && controller.term != nil {
+		controller.term.resendHints(now)
+	}
+	controller.peerHeartbeats[heartbeat.Member] = &receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
+	controller.applyCancellations(heartbeat.Cancellations)
+	if known := controller.peerTimestamps[heartbeat.Member]; heartbeat.Incarnation > known.Incarnation || heartbeat.Incarnation == known.Incarnation && heartbeat.Timestamp > known.At {
+		controller.peerTimestamps[heartbeat.Member] = delegation.Timestamp{Incarnation: heartbeat.Incarnation, At: heartbeat.Timestamp}
+	}
+	acknowledgement := delegation.Timestamp{Incarnation: heartbeat.AckIncarnation, At: heartbeat.AckTimestamp}
+	if heartbeat.Leader == heartbeat.Member && controller.term == nil {
+		controller.leaderHeartbeatAt = now
+		controller.storeHints(heartbeat, now)
+		controller.delegate.RecordLeaderHeartbeat(now, heartbeat.Token, acknowledgement)
+	}
+	if controller.term != nil && controller.delegate.IsOwnStamp(acknowledgement) {
+		controller.term.grants.RecordReceipt(heartbeat.Member, now, acknowledgement.At, heartbeat.SilentFor)
+	}
+	if heartbeat.Leader == heartbeat.Member && controller.elector.Phase() != election.Leader {
+		if _, token := controller.elector.LockHolder(); heartbeat.Token >= token {
+			controller.progressCounts.update(heartbeat, now, controller.hasJobEnded)
+		}
+	}
+}
+
+// hasJobEnded tells whether a job is known to be over.
+func (controller *Controller) hasJobEnded(job string) bool {
+	record := controller.view.jobs[job]
+	return record != nil && record.hasEnded()
+}
+
+// knownLeader is who workers are sent to, as far as is known.
+func (controller *Controller) knownLeader() string {
+	holder, token := controller.elector.LockHolder()
+	for member, received := range controller.peerHeartbeats {
+		if received.heartbeat.Leader == member && received.heartbeat.Token > token && clock.Now()-received.receivedAt < 2*clock.Second {
+			holder, token = member, received.heartbeat.Token
+		}
+	}
+	return holder
+}
+
+const heartbeatInterval = 1 * clock.Second
+
+// tickHeartbeat tells the other controllers how things are.
+func (controller *Controller) tickHeartbeat(now clock.Micros) {
+	if now < controller.nextHeartbeatAt {
+		return
+	}
+	controller.nextHeartbeatAt = now + heartbeatInterval
+	if drops := controller.store.MalformedResponses.Load(); drops > controller.reportedDrops {
+		controller.logDropped("answers of the state service were dropped")
+		controller.reportedDrops = drops
+	}
+	controller.updateAvailability(now)
+	if controller.term == nil || controller.store.IsFailing(now) {
+		controller.sendHeartbeats(now)
+		return
+	}
+	// What the stamps give is confirmed first: a beat that carries it at once makes
+	// the rights of those who are cut off a second longer.
+	controller.term.acknowledgeTimestamps(now, func() { controller.sendHeartbeats(clock.Now()) })
+}
+
+func (controller *Controller) sendHeartbeats(now clock.Micros) {
+	heartbeat := &peer.Heartbeat{
+		Member:                 controller.cfg.Member,
+		StandbyProtocolVersion: controller.standbyVersion(),
+		IsStoreReachable:       controller.store.LastSuccessAt() > controller.store.LastFailureAt() && now-controller.store.LastSuccessAt() < 12*clock.Second,
+	}
+	heartbeat.Leader, heartbeat.Token = controller.elector.LockHolder()
+	for name, lastAt := range controller.workerContactAt {
+		if now-lastAt > controller.suspectTimeout() {
+			delete(controller.workerContactAt, name)
+		}
+	}
+	for name, lastAt := range controller.delegatedReplyAt {
+		if now-lastAt > clock.FromSeconds(controller.cfg.Deployment.Workers.LeaseSeconds) {
+			delete(controller.delegatedReplyAt, name)
+		}
+	}
+	heartbeat.WorkerCount = uint32(len(controller.workerContactAt))
+	controller.reportWorkerContact(now)
+	if controller.term != nil {
+		heartbeat.Leader, heartbeat.Token = controller.cfg.Member, controller.term.tracker.IssuedToken()
+		controller.term.addProgressCounts(heartbeat)
+		controller.term.addHints(heartbeat)
+	}
+	timestamp := controller.delegate.Timestamp(now)
+	heartbeat.Incarnation, heartbeat.Timestamp, heartbeat.SilentFor = timestamp.Incarnation, timestamp.At, controller.delegate.SilentFor(now)
+	heartbeat.StoreRevision = controller.view.revision
+	for i, link := range controller.links {
+		acknowledgement := controller.peerTimestamps[controller.cfg.Peers[i].Member]
+		if controller.term != nil {
+			acknowledgement = controller.term.acknowledgements[controller.cfg.Peers[i].Member]
+		}
+		heartbeat.AckIncarnation, heartbeat.AckTimestamp = acknowledgement.Incarnation, acknowledgement.At
+		heartbeat.Cancellations = controller.cancellations.unknownTo(controller.peerRevision(controller.cfg.Peers[i].Member), now)
+		link.SendHeartbeat(peer.Encode(heartbeat))
+	}
+}
--- /dev/null
+++ b/internal/controller/persistence.go
@@ -0,0 +1,286 @@
+package controller
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/wire"
+)
+
+// recordStarts makes it durable that tasks of the job may be started from now on: a
+// later leader then knows for which jobs it has to look, and that no other
+// job's tasks can be anywhere.
+func (term *leaderTerm) recordStarts(job *allocation.Job) {
+	id := job.Spec.ID
+	jobInfo := term.jobs[id]
+	if jobInfo == nil || jobInfo.isRecordingStarts || job.StartsRecorded {
+		return
+	}
+	jobInfo.isRecordingStarts = true
+	// Conditional on the key's absence: one that is carried out late, or again,
+	// must not take back progress that was written meanwhile.
+	write := &kvstore.Write{Priority: kvstore.Required, Conditions: []wire.Condition{{Key: progressKey(id, 0)}}, Changes: []wire.Change{putProgressChange(id, 0, nil, nil)}}
+	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
+		term.needsPlan = true
+		switch outcome {
+		case kvstore.Committed:
+			jobInfo.isRecordingStarts = false
+			job.StartsRecorded = true
+			jobInfo.setKeyVersion(0, revision)
+		case kvstore.NotExecuted:
+			jobInfo.isRecordingStarts = false
+		default: // it may be there already
+			term.controller.view.requestSync(func(error) {
+				jobInfo.isRecordingStarts = false
+				job.StartsRecorded = term.controller.view.progress[id] != nil
+				jobInfo.updateKeyVersions(term.controller.view.progress[id])
+				term.needsPlan = true
+			}, clock.Now()+2*clock.Second)
+		}
+	})
+}
+
+// commit commits a change that is bound to the lock.
+func (term *leaderTerm) commit(write *kvstore.Write, done func(kvstore.Outcome)) {
+	term.commitWithRevision(write, func(outcome kvstore.Outcome, _ uint64) { done(outcome) })
+}
+
+// commitWithRevision is the same where the revision matters.
+func (term *leaderTerm) commitWithRevision(write *kvstore.Write, done func(kvstore.Outcome, uint64)) {
+	write.FencingToken = term.token
+	write.Deadline = clock.Now() + 3*clock.Second
+	write.Done = func(outcome kvstore.Outcome, revision uint64) {
+		term.controller.postResult(func() {
+			if term.isClosed {
+				return
+			}
+			if outcome == kvstore.Fenced {
+				term.controller.handleFenced(term.token)
+				return
+			}
+			done(outcome, revision)
+		})
+	}
+	if !term.controller.store.Commit(write) {
+		done(kvstore.NotExecuted, 0)
+	}
+}
+
+// saveMachineTypes keeps the machine types where nodes find them that start while the
+// cloud's interface is down.
+func (term *leaderTerm) saveMachineTypes() {
+	value, err := wire.MachineTypeList{Types: term.controller.machineTypes}.MarshalJSON()
+	if err != nil || len(value) > int(term.controller.cfg.Deployment.Store.Effective().MaxValueKB*1024) {
+		term.controller.log.Info("machine types are too large for the state service; controllers learn them from the cloud alone", "bytes", len(value))
+		return
+	}
+	term.commit(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: keyMachineTypes, Value: value}}}, func(kvstore.Outcome) {})
+}
+
+// progressInterval bounds how often a job's progress is written.
+const progressInterval = 700 * clock.Millisecond
+
+// persistJobs writes what was completed, and the end of jobs that are complete.
+func (term *leaderTerm) persistJobs(now clock.Micros) {
+	var due []string
+	for id, job := range term.tracker.Jobs {
+		if !job.Cancelled && !job.NeedsPersisting() {
+			continue
+		}
+		jobInfo := term.jobs[id]
+		if jobInfo == nil || jobInfo.isWriting {
+			continue
+		}
+		switch {
+		case job.Cancelled:
+			if term.tracker.IsVacated(job) {
+				term.shrinkCancelledRecord(id, job, jobInfo)
+			}
+		case job.IsComplete() && !jobInfo.isEndDurable:
+			term.writeJobEnd(id, job, jobInfo)
+		case jobInfo.isEndDurable:
+			if term.tracker.IsVacated(job) {
+				term.tracker.RemoveJob(job)
+				delete(term.jobs, id)
+			}
+		default:
+			if now-jobInfo.writtenAt >= progressInterval {
+				due = append(due, id)
+			}
+		}
+	}
+	// Progress takes what the rate of writes has to spare, what was written
+	// longest ago first.
+	if term.progressWritesInFlight >= maxProgressWrites || len(due) == 0 {
+		return
+	}
+	slices.SortFunc(due, func(a, b string) int {
+		return cmp.Or(cmp.Compare(term.jobs[a].writtenAt, term.jobs[b].writtenAt), cmp.Compare(a, b))
+	})
+	for _, id := range due[:min(len(due), maxProgressWrites-term.progressWritesInFlight)] {
+		job := term.tracker.Jobs[id]
+		term.saveProgress(id, job, term.jobs[id], job.UnpersistedCompletions(), now)
+	}
+}
+
+// maxProgressWrites bounds the writes of progress that wait.
+const maxProgressWrites = 8
+
+func (term *leaderTerm) saveProgress(id string, job *allocation.Job, jobInfo *jobState, tasks []int, now clock.Micros) {
+	jobInfo.isWriting, jobInfo.writtenAt = true, now
+	// What is more than a transaction takes is for the next one.
+	maxKeys := term.controller.cfg.Deployment.Store.Effective().MaxTransactionOps
+	keys := map[int]bool{}
+	tasks = slices.DeleteFunc(tasks, func(task int) bool {
+		key := jobInfo.layout.keyOf(task)
+		if !keys[key] && len(keys) >= maxKeys {
+			return true
+		}
+		keys[key] = true
+		return false
+	})
+	term.progressWritesInFlight++
+	// Conditional on the keys' versions: one that is carried out late must not take back
+	// what was written after it.
+	write := &kvstore.Write{Priority: kvstore.Background}
+	for key := range keys {
+		write.Conditions = append(write.Conditions, wire.Condition{Key: progressKey(id, key), Version: jobInfo.keyVersions[key]})
+		write.Changes = append(write.Changes, jobInfo.layout.putChange(job, key))
+		jobInfo.setKeyVersion(key, 0)
+	}
+	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
+		term.progressWritesInFlight--
+		term.needsPlan = true
+		switch outcome {
+		case kvstore.Committed:
+			for key := range keys {
+				jobInfo.setKeyVersion(key, revision)
+			}
+			term.tracker.MarkDurable(job, tasks)
+		case kvstore.Conflict, kvstore.Unknown:
+			term.controller.view.requestSync(func(error) {
+				jobInfo.isWriting = false
+				jobInfo.updateKeyVersions(term.controller.view.progress[id])
+				term.needsPlan = true
+			}, clock.Now()+2*clock.Second)
+			return
+		}
+		jobInfo.isWriting = false
+	})
+}
+
+// writeJobEnd makes the end of a job durable; only then anybody is told.
+func (term *leaderTerm) writeJobEnd(id string, job *allocation.Job, jobInfo *jobState) {
+	record := term.controller.view.jobs[id]
+	if record == nil || record.hasEnded() {
+		return
+	}
+	end := newEndRecord(record, wire.JobDone, clock.WallTime())
+	end.FirstStartAt, end.Errors, end.Restarts = jobInfo.firstStartAt, job.FailureCount, job.RestartCount
+	if released := term.controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt)); int64(released) != record.SubmittedAt {
+		end.ReleasedAt = int64(released)
+	}
+	value, err := end.MarshalJSON()
+	if err != nil {
+		return
+	}
+	jobInfo.isWriting = true
+	write := &kvstore.Write{
+		Priority:   kvstore.Required,
+		Conditions: []wire.Condition{{Key: prefixJob + id, Version: record.version}},
+		Changes:    []wire.Change{{PutKey: prefixJob + id, Value: value}},
+	}
+	if term.controller.store.BacklogDuration() < backlogThreshold {
+		term.addProgressDeletes(write, id, jobInfo)
+	}
+	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
+		jobInfo.isWriting = false
+		term.needsPlan = true
+		switch outcome {
+		case kvstore.Committed:
+			jobInfo.isEndDurable = true
+			tasks := job.UnpersistedCompletions()
+			term.tracker.MarkDurable(job, tasks)
+			if current := term.controller.view.jobs[id]; current == nil || current.version < revision {
+				// Jobs that need this one need not wait for the watch.
+				end.version = revision
+				term.controller.setJobRecord(id, end)
+			}
+			term.logJobEnd(id, end)
+		case kvstore.Conflict, kvstore.Unknown:
+			// Withdrawn meanwhile, or done without our knowing: the view tells.
+			jobInfo.isWriting = true
+			term.controller.view.requestSync(func(error) {
+				jobInfo.isWriting = false
+				if current := term.controller.view.jobs[id]; current != nil && current.State == wire.JobDone {
+					jobInfo.isEndDurable = true
+					term.tracker.MarkDurable(job, job.UnpersistedCompletions())
+				}
+				term.needsPlan = true
+			}, clock.Now()+2*clock.Second)
+		}
+	})
+}
+
+// addProgressDeletes adds the removal of a job's progress to the write of its end, as far
+// as one transaction takes it; the rest is cleaned up later, see cleanup.
+func (term *leaderTerm) addProgressDeletes(write *kvstore.Write, id string, jobInfo *jobState) {
+	maxChanges := term.controller.cfg.Deployment.Store.Effective().MaxTransactionOps
+	for _, number := range slices.Sorted(maps.Keys(jobInfo.keyVersions)) {
+		if len(write.Changes) >= maxChanges {
+			return
+		}
+		write.Changes = append(write.Changes, wire.Change{DeleteKey: progressKey(id, number)})
+	}
+}
+
+// logJobEnd says loudly when batch work has missed what its owners expect.
+func (term *leaderTerm) logJobEnd(id string, record *jobRecord) {
+	if problem, ok := term.controller.problemOf(id, record, int64(clock.WallTime())); ok && problem.IsLate {
+		term.controller.log.Error("job finished late", "job", id, "class", problem.Class, "late_by_s", problem.LateByS, "took_s", problem.TookS, "why", problem.Reason)
+		return
+	}
+	term.controller.log.Debug("job done", "job", id)
+}
+
+// shrinkCancelledRecord shrinks the record of a withdrawn job, once no task of it can be
+// anywhere.
+func (term *leaderTerm) shrinkCancelledRecord(id string, job *allocation.Job, jobInfo *jobState) {
+	record := *term.controller.view.jobs[id]
+	record.Job = nil
+	value, err := record.MarshalJSON()
+	if err != nil {
+		return
+	}
+	jobInfo.isWriting = true
+	// As long as the record is whole, a new leader has to reckon with its tasks.
+	write := &kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: prefixJob + id, Value: value}}}
+	term.addProgressDeletes(write, id, jobInfo)
+	term.commit(write, func(outcome kvstore.Outcome) {
+		jobInfo.isWriting = false
+		if outcome == kvstore.Committed {
+			term.tracker.RemoveJob(job)
+			delete(term.jobs, id)
+		}
+		term.needsPlan = true
+	})
+}
+
+// warnLateJobs warns, once a job, of batch work that slips while it runs.
+func (term *leaderTerm) warnLateJobs(now clock.Micros) {
+	wall := int64(clock.WallTime())
+	for id, jobInfo := range term.jobs {
+		record := term.controller.view.jobs[id]
+		if jobInfo.hasWarnedLate || jobInfo.isEndDurable || record == nil || record.hasEnded() {
+			continue
+		}
+		if problem, ok := term.controller.problemOf(id, record, wall); ok && problem.IsLate {
+			jobInfo.hasWarnedLate = true
+			term.controller.log.Error("job is late", "job", id, "class", problem.Class, "why", problem.Reason)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/probes_test.go
@@ -0,0 +1,65 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// In a fleet with more replicas than probes may be under way at a time, each machine is
+// asked in its turn, and one that left a probe unanswered is asked at once.
+func TestProbesAreRoundRobin(t *testing.T) {
+	const fleet = 300
+	var names []string
+	for i := range fleet {
+		names = append(names, fmt.Sprintf("i-%06d", i))
+	}
+	term := newTestTerm(t, names...)
+	term.controller.maxRequestsInFlight = 20
+	job := term.tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindService, TaskCount: fleet, CPUs: 1, Team: "t", Priority: wire.PriorityProduction}, 0, 1, true, nil)
+	now := term.startedAt
+	for i, name := range names {
+		machine := term.tracker.Machines[name]
+		term.tracker.RecordLeaseRenewal(machine, now)
+		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: name, Address: "127.0.0.1:1", Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
+		if err := term.tracker.PlaceTask(job, i, machine, term.tracker.NextAttempt(), now); err != nil {
+			t.Fatal(err)
+		}
+	}
+	probed := map[string]int{}
+	sendRound := func() {
+		term.sendProbes(now)
+		for _, name := range names {
+			if machineInfo := term.machines[name]; machineInfo.probes.isInFlight {
+				probed[name]++
+				machineInfo.probes.isInFlight, machineInfo.probes.answeredAt = false, now
+				term.probesInFlight--
+			}
+		}
+	}
+	now += probeInterval
+	for range fleet/term.controller.maxRequestsInFlight + 1 {
+		sendRound()
+		now += clock.Second / 2
+		for _, machine := range term.tracker.Machines {
+			machine.LastHeartbeatAt = max(machine.LastHeartbeatAt, now-probeInterval) // reports are not overdue
+		}
+	}
+	for _, name := range names {
+		if probed[name] == 0 {
+			t.Fatalf("%s is never asked", name)
+		}
+	}
+	last := names[fleet-1]
+	term.machines[last].probes.misses = 1
+	before := probed[last]
+	sendRound()
+	if probed[last] != before+1 {
+		t.Error("a machine that left a probe unanswered waits for its turn")
+	}
+	if inFlight := term.probesInFlight; inFlight != 0 {
+		t.Errorf("%d probes are left", inFlight)
+	}
+}
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -13,53 +13,53 @@
 // Which tasks of a job are done lies in keys of their own, as bitmaps. That there is
 // any says that tasks of the job may have been started.
 
-// mostChunk is how many tasks one progress key holds at most: 4 KiB of bits.
-const mostChunk = 32768
+// maxTasksPerKey is how many tasks one progress key holds at most: 4 KiB of bits.
+const maxTasksPerKey = 32768
 
-// progressFrame is what a progress value has beside its bits, with some to spare.
-const progressFrame = 32
+// progressValueOverhead is what a progress value has beside its bits, with some to spare.
+const progressValueOverhead = 32
 
-// chunkOf is how many tasks one progress key holds, so that its value stays below
+// tasksPerProgressKey is how many tasks one progress key holds, so that its value stays below
 // the state service's limit. With 4 KiB a value the bits of 32,768 tasks once went
 // over it, and were refused every time.
-func chunkOf(valueKB float64) int {
-	bytes := (valueKB*1024 - progressFrame) * 3 / 4 // base64
-	return min(max(int(bytes), 1)*8, mostChunk)
+func tasksPerProgressKey(valueKB float64) int {
+	maxBitBytes := (valueKB*1024 - progressValueOverhead) * 3 / 4 // base64
+	return min(max(int(maxBitBytes), 1)*8, maxTasksPerKey)
 }
 
 // bitmap is a set of task numbers, counted from the first one that a key holds.
 type bitmap []byte
 
-func (b bitmap) has(i int) bool { return i >= 0 && i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
+func (bits bitmap) isSet(i int) bool { return i >= 0 && i/8 < len(bits) && bits[i/8]&(1<<(i%8)) != 0 }
 
-func (b *bitmap) set(i int) {
-	for len(*b) <= i/8 {
-		*b = append(*b, 0)
+func (bits *bitmap) set(i int) {
+	for len(*bits) <= i/8 {
+		*bits = append(*bits, 0)
 	}
-	(*b)[i/8] |= 1 << (i % 8)
+	(*bits)[i/8] |= 1 << (i % 8)
 }
 
-func (b bitmap) encode() string { return base64.StdEncoding.EncodeToString(b) }
+func (bits bitmap) encode() string { return base64.StdEncoding.EncodeToString(bits) }
 
-func decodeBitmap(s string) (bitmap, error) {
-	b, err := base64.StdEncoding.DecodeString(s)
-	return bitmap(b), err
+func decodeBitmap(encoded string) (bitmap, error) {
+	decoded, err := base64.StdEncoding.DecodeString(encoded)
+	return bitmap(decoded), err
 }
 
 // progressPart is what one progress key holds.
 type progressPart struct {
 	bits bitmap
-	// first is the task of the first bit, if the value says so.
-	first    int
-	hasFirst bool
-	version  uint64
+	// firstTask is the task of the first bit, if the value says so.
+	firstTask    int
+	hasFirstTask bool
+	version      uint64
 }
 
-func (r *doneRecord) part() (progressPart, error) {
-	bits, err := decodeBitmap(r.Bits)
+func (record *progressRecord) part() (progressPart, error) {
+	bits, err := decodeBitmap(record.Bits)
 	part := progressPart{bits: bits}
-	if r.First != nil {
-		part.first, part.hasFirst = *r.First, true
+	if record.FirstTask != nil {
+		part.firstTask, part.hasFirstTask = *record.FirstTask, true
 	}
 	return part, err
 }
@@ -72,69 +72,69 @@
 // their first. A version that doesn't know of them passes them over, as keys of tasks
 // that the job doesn't have; it may start tasks again that are done.
 type progressLayout struct {
-	firstKey int // the number of the first key
-	chunk    int // tasks in one key
+	firstKey    int // the number of the first key
+	tasksPerKey int // tasks in one key
 }
 
-// layoutOf is where a job's progress is written under the limits in force, or to come.
-func (c *Core) layoutOf(r *jobRecord) progressLayout {
-	known := c.chunkFor(r)
-	fits := chunkOf(c.cfg.Deployment.Store.Effective().MaxValueKB)
-	if min(r.Job.TaskCount, known) <= fits {
-		return progressLayout{0, known}
+// progressLayoutOf is where a job's progress is written under the limits in force, or to come.
+func (controller *Controller) progressLayoutOf(record *jobRecord) progressLayout {
+	nominal := controller.tasksPerKeyOf(record)
+	fitting := tasksPerProgressKey(controller.cfg.Deployment.Store.Effective().MaxValueKB)
+	if min(record.Job.TaskCount, nominal) <= fitting {
+		return progressLayout{0, nominal}
 	}
-	return progressLayout{firstKey: (r.Job.TaskCount + known - 1) / known, chunk: fits}
+	return progressLayout{firstKey: (record.Job.TaskCount + nominal - 1) / nominal, tasksPerKey: fitting}
 }
 
-// chunkFor is how many tasks a key holds whose value doesn't say where it begins.
-func (c *Core) chunkFor(r *jobRecord) int {
-	if r.Chunk > 0 {
-		return r.Chunk
+// tasksPerKeyOf is how many tasks a key holds whose value doesn't say where it begins.
+func (controller *Controller) tasksPerKeyOf(record *jobRecord) int {
+	if record.TasksPerKey > 0 {
+		return record.TasksPerKey
 	}
-	return c.chunk
+	return controller.tasksPerKey
 }
 
-// key is the number of the key that holds a task.
-func (p progressLayout) key(task int) int { return p.firstKey + task/p.chunk }
+// keyOf is the number of the key that holds a task.
+func (layout progressLayout) keyOf(task int) int { return layout.firstKey + task/layout.tasksPerKey }
 
-// tasks are those that a key holds: from the first up to, and without, the last.
-func (p progressLayout) tasks(key, total int) (first, last int) {
-	first = (key - p.firstKey) * p.chunk
-	return first, min(first+p.chunk, total)
+// taskRange are those that a key holds: from the first up to, and without, the last.
+func (layout progressLayout) taskRange(key, total int) (first, last int) {
+	first = (key - layout.firstKey) * layout.tasksPerKey
+	return first, min(first+layout.tasksPerKey, total)
 }
 
-// change writes what a key holds of a job.
-func (p progressLayout) change(j *allocation.Job, key int) wire.Change {
-	first, last := p.tasks(key, len(j.Tasks))
+// putChange writes what a key holds of a job.
+func (layout progressLayout) putChange(job *allocation.Job, key int) wire.Change {
+	first, last := layout.taskRange(key, len(job.Tasks))
 	var bits bitmap
 	for i := first; i < last; i++ {
-		if j.Tasks[i].State == allocation.TaskDone {
+		if job.Tasks[i].State == allocation.TaskDone {
 			bits.set(i - first)
 		}
 	}
-	return progressChange(j.Spec.ID, key, &first, bits)
+	return putProgressChange(job.Spec.ID, key, &first, bits)
 }
 
-// progressChange writes a progress key; first, if not nil, is the task of the first bit.
-func progressChange(id string, key int, first *int, bits bitmap) wire.Change {
-	value, err := doneRecord{Bits: bits.encode(), First: first}.MarshalJSON()
+// putProgressChange writes a progress key; first, if not nil, is the task of the first bit.
+func putProgressChange(id string, key int, first *int, bits bitmap) wire.Change {
+	value, err := progressRecord{Bits: bits.encode(), FirstTask: first}.MarshalJSON()
 	if err != nil {
 		value = []byte(`{"b":""}`)
 	}
-	return wire.Change{PutKey: doneKey(id, key), Value: value}
+	return wire.Change{PutKey: progressKey(id, key), Value: value}
 }
 
-// doneTasks is which tasks of a job are done, by all keys that there are.
-func (c *Core) doneTasks(id string, r *jobRecord) bitmap {
+// completedTasks is which tasks of a job are done, by all keys that there are.
+func (controller *Controller) completedTasks(id string, record *jobRecord) bitmap {
 	var done bitmap
-	chunk := c.chunkFor(r)
-	for number, part := range c.view.done[id] {
-		first := part.first
-		if !part.hasFirst {
-			first = number * chunk
+	tasksPerKey := controller.tasksPerKeyOf(record)
+	for number, part := range controller.view.progress[id] {
+		first := part.firstTask
+		if !part.hasFirstTask {
+			first = number * tasksPerKey
 		}
 		for i := range 8 * len(part.bits) {
-			if part.bits.has(i) && first+i < r.Job.TaskCount {
+			if part.bits.isSet(i) && first+i < record.Job.TaskCount {
 				done.set(first + i)
 			}
 		}
@@ -143,39 +143,39 @@
 }
 
 // progressKeys are the numbers of the keys that a job's progress lies in.
-func (c *Core) progressKeys(id string) []int {
-	return slices.Sorted(maps.Keys(c.view.done[id]))
+func (controller *Controller) progressKeys(id string) []int {
+	return slices.Sorted(maps.Keys(controller.view.progress[id]))
 }
 
-func (c *Core) putProgress(key string, value []byte, version uint64) {
-	id, number, ok := parseDoneKey(key)
-	var r doneRecord
-	err := r.UnmarshalJSON(value)
+func (controller *Controller) applyProgress(key string, value []byte, version uint64) {
+	id, number, ok := parseProgressKey(key)
+	var record progressRecord
+	err := record.UnmarshalJSON(value)
 	var part progressPart
 	if err == nil {
-		part, err = r.part()
+		part, err = record.part()
 	}
-	if !ok || err != nil || part.first < 0 || part.first >= wire.MaxTasks {
-		c.malformed(key, err)
+	if !ok || err != nil || part.firstTask < 0 || part.firstTask >= wire.MaxTasks {
+		controller.logMalformedRecord(key, err)
 		return
 	}
-	parts := c.view.done[id]
+	parts := controller.view.progress[id]
 	if parts == nil {
 		parts = map[int]progressPart{}
-		c.view.done[id] = parts
+		controller.view.progress[id] = parts
 	}
 	part.version = version
 	parts[number] = part
 }
 
-func (c *Core) dropProgress(key string) {
-	id, number, ok := parseDoneKey(key)
+func (controller *Controller) removeProgress(key string) {
+	id, number, ok := parseProgressKey(key)
 	if !ok {
 		return
 	}
-	dropPart(c.view.done, id, number)
+	removePart(controller.view.progress, id, number)
 }
 
-func parseDoneKey(key string) (id string, number int, ok bool) {
-	return parseNumbered(strings.TrimPrefix(key, prefixDone))
+func parseProgressKey(key string) (id string, number int, ok bool) {
+	return parseNumberedKey(strings.TrimPrefix(key, prefixProgress))
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/record_compatibility_test.go
@@ -10,9 +10,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// productionRecord has the fields of a job's record that the version in production
+// productionJobRecord has the fields of a job's record that the version in production
 // knows; it ignores others, and rewrites a record with these alone.
-type productionRecord struct {
+type productionJobRecord struct {
 	Job      *productionJob `json:"j,omitempty"`
 	At       int64          `json:"at"`
 	State    string         `json:"s,omitempty"`
@@ -50,17 +50,17 @@
 		t.Fatalf("%d records", len(lines))
 	}
 	for i, line := range lines {
-		r := &jobRecord{}
-		if err := r.UnmarshalJSON([]byte(line)); err != nil {
+		record := &jobRecord{}
+		if err := record.UnmarshalJSON([]byte(line)); err != nil {
 			t.Fatal(err)
 		}
-		if r.State != wantStates[i] || r.At != 1700000000000000 || (r.Job == nil) != (i == 2) {
-			t.Errorf("%s is read as %+v", line, r)
+		if record.State != wantStates[i] || record.SubmittedAt != 1700000000000000 || (record.Job == nil) != (i == 2) {
+			t.Errorf("%s is read as %+v", line, record)
 		}
-		if r.Job != nil && (r.Job.TaskCount != 20 || r.Job.Priority != wire.PriorityNormal || r.Job.DependsOn != nil) {
-			t.Errorf("its job is read as %+v", r.Job)
+		if record.Job != nil && (record.Job.TaskCount != 20 || record.Job.Priority != wire.PriorityNormal || record.Job.DependsOn != nil) {
+			t.Errorf("its job is read as %+v", record.Job)
 		}
-		written, err := r.MarshalJSON()
+		written, err := record.MarshalJSON()
 		if err != nil || string(written) != line {
 			t.Errorf("%s is written as %s", line, written)
 		}
@@ -68,32 +68,32 @@
 }
 
 // The version in production reads what this one writes, the new fields left out.
-func TestRecordsForProduction(t *testing.T) {
+func TestProductionReadsNewRecords(t *testing.T) {
 	job := &wire.Job{
 		ID: "req-000007", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 3, CPUs: 2, EstimatedRunSeconds: 9, DeadlineSeconds: 60,
 		DependsOn: []string{"req-000001", "req-000002"},
 	}
-	r := &jobRecord{Job: job, At: 5, Parts: 2, Chunk: 100, Released: 6}
-	value, err := r.MarshalJSON()
+	record := &jobRecord{Job: job, SubmittedAt: 5, DependencyParts: 2, TasksPerKey: 100, ReleasedAt: 6}
+	value, err := record.MarshalJSON()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got productionRecord
+	var got productionJobRecord
 	if err := json.Unmarshal(value, &got); err != nil {
 		t.Fatal(err)
 	}
-	want := productionRecord{At: 5, Job: &productionJob{
+	want := productionJobRecord{At: 5, Job: &productionJob{
 		ID: "req-000007", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 3, CPUs: 2, EstimateS: 9, DeadlineS: 60,
 	}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v", got)
 	}
 	// What a job awaits lies in a key that the other version passes over.
-	if strings.HasPrefix(awaitsKey("req-000007", 0), prefixJob) || strings.HasPrefix(awaitsKey("req-000007", 0), prefixDone) {
+	if strings.HasPrefix(dependenciesKey("req-000007", 0), prefixJob) || strings.HasPrefix(dependenciesKey("req-000007", 0), prefixProgress) {
 		t.Error("the key is taken for another kind")
 	}
 	// Jobs whose progress fits one key in both versions have the same layout.
-	if chunk := chunkOf(2); chunk < 10000 || chunk >= chunkOf(16) {
+	if chunk := tasksPerProgressKey(2); chunk < 10000 || chunk >= tasksPerProgressKey(16) {
 		t.Errorf("%d tasks in a key", chunk)
 	}
 }
--- a/internal/controller/records_easyjson.go
+++ b/internal/controller/records_easyjson.go
@@ -20,7 +20,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore(in *jlexer.Lexer, out *rentalRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore(in *jlexer.Lexer, out *scaleOutRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -62,13 +62,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.At = int64(in.Int64())
+				out.RequestedAt = int64(in.Int64())
 			}
 		case "ok":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Resolved = bool(in.Bool())
+				out.IsResolved = bool(in.Bool())
 			}
 		case "m":
 			if in.IsNull() {
@@ -107,7 +107,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore(out *jwriter.Writer, in rentalRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore(out *jwriter.Writer, in scaleOutRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -134,12 +134,12 @@
 	{
 		const prefix string = ",\"at\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.At))
+		out.Int64(int64(in.RequestedAt))
 	}
-	if in.Resolved {
+	if in.IsResolved {
 		const prefix string = ",\"ok\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Resolved))
+		out.Bool(bool(in.IsResolved))
 	}
 	if len(in.Machines) != 0 {
 		const prefix string = ",\"m\":"
@@ -159,29 +159,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v rentalRecord) MarshalJSON() ([]byte, error) {
+func (v scaleOutRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v rentalRecord) MarshalEasyJSON(w *jwriter.Writer) {
+func (v scaleOutRecord) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *rentalRecord) UnmarshalJSON(data []byte) error {
+func (v *scaleOutRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *rentalRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *scaleOutRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore1(in *jlexer.Lexer, out *promisesRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore1(in *jlexer.Lexer, out *constraintsRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -196,7 +196,7 @@
 		in.WantColon()
 		switch key {
 		case "w":
-			easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation(in, &out.Promises)
+			easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation(in, &out.Constraints)
 		default:
 			in.SkipRecursive()
 		}
@@ -207,39 +207,39 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore1(out *jwriter.Writer, in promisesRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore1(out *jwriter.Writer, in constraintsRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"w\":"
 		out.RawString(prefix[1:])
-		easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation(out, in.Promises)
+		easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation(out, in.Constraints)
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v promisesRecord) MarshalJSON() ([]byte, error) {
+func (v constraintsRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v promisesRecord) MarshalEasyJSON(w *jwriter.Writer) {
+func (v constraintsRecord) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *promisesRecord) UnmarshalJSON(data []byte) error {
+func (v *constraintsRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *promisesRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *constraintsRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore1(l, v)
 }
 func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation(in *jlexer.Lexer, out *delegation.Constraints) {
@@ -472,7 +472,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Standby = bool(in.Bool())
+				out.NeedsStandbyRecord = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -498,10 +498,10 @@
 		out.RawString(prefix)
 		out.Uint64(uint64(in.Lease))
 	}
-	if in.Standby {
+	if in.NeedsStandbyRecord {
 		const prefix string = ",\"s\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Standby))
+		out.Bool(bool(in.NeedsStandbyRecord))
 	}
 	out.RawByte('}')
 }
@@ -561,7 +561,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.At = int64(in.Int64())
+				out.SubmittedAt = int64(in.Int64())
 			}
 		case "s":
 			if in.IsNull() {
@@ -579,19 +579,19 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.End = int64(in.Int64())
+				out.EndedAt = int64(in.Int64())
 			}
 		case "d":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Due = int64(in.Int64())
+				out.DeadlineAt = int64(in.Int64())
 			}
 		case "f":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.First = int64(in.Int64())
+				out.FirstStartAt = int64(in.Int64())
 			}
 		case "n":
 			if in.IsNull() {
@@ -615,19 +615,19 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Parts = int(in.Int())
+				out.DependencyParts = int(in.Int())
 			}
 		case "k":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Chunk = int(in.Int())
+				out.TasksPerKey = int(in.Int())
 			}
 		case "w":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Released = int64(in.Int64())
+				out.ReleasedAt = int64(in.Int64())
 			}
 		default:
 			in.SkipRecursive()
@@ -657,7 +657,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Int64(int64(in.At))
+		out.Int64(int64(in.SubmittedAt))
 	}
 	if in.State != "" {
 		const prefix string = ",\"s\":"
@@ -669,20 +669,20 @@
 		out.RawString(prefix)
 		out.String(string(in.Class))
 	}
-	if in.End != 0 {
+	if in.EndedAt != 0 {
 		const prefix string = ",\"e\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.End))
+		out.Int64(int64(in.EndedAt))
 	}
-	if in.Due != 0 {
+	if in.DeadlineAt != 0 {
 		const prefix string = ",\"d\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Due))
+		out.Int64(int64(in.DeadlineAt))
 	}
-	if in.First != 0 {
+	if in.FirstStartAt != 0 {
 		const prefix string = ",\"f\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.First))
+		out.Int64(int64(in.FirstStartAt))
 	}
 	if in.Tasks != 0 {
 		const prefix string = ",\"n\":"
@@ -699,20 +699,20 @@
 		out.RawString(prefix)
 		out.Int(int(in.Restarts))
 	}
-	if in.Parts != 0 {
+	if in.DependencyParts != 0 {
 		const prefix string = ",\"p\":"
 		out.RawString(prefix)
-		out.Int(int(in.Parts))
+		out.Int(int(in.DependencyParts))
 	}
-	if in.Chunk != 0 {
+	if in.TasksPerKey != 0 {
 		const prefix string = ",\"k\":"
 		out.RawString(prefix)
-		out.Int(int(in.Chunk))
+		out.Int(int(in.TasksPerKey))
 	}
-	if in.Released != 0 {
+	if in.ReleasedAt != 0 {
 		const prefix string = ",\"w\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Released))
+		out.Int64(int64(in.ReleasedAt))
 	}
 	out.RawByte('}')
 }
@@ -740,7 +740,7 @@
 func (v *jobRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore3(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore4(in *jlexer.Lexer, out *doneRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore4(in *jlexer.Lexer, out *progressRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -763,15 +763,15 @@
 		case "f":
 			if in.IsNull() {
 				in.Skip()
-				out.First = nil
+				out.FirstTask = nil
 			} else {
-				if out.First == nil {
-					out.First = new(int)
+				if out.FirstTask == nil {
+					out.FirstTask = new(int)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.First = int(in.Int())
+					*out.FirstTask = int(in.Int())
 				}
 			}
 		default:
@@ -784,7 +784,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore4(out *jwriter.Writer, in doneRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore4(out *jwriter.Writer, in progressRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -793,38 +793,38 @@
 		out.RawString(prefix[1:])
 		out.String(string(in.Bits))
 	}
-	if in.First != nil {
+	if in.FirstTask != nil {
 		const prefix string = ",\"f\":"
 		out.RawString(prefix)
-		out.Int(int(*in.First))
+		out.Int(int(*in.FirstTask))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v doneRecord) MarshalJSON() ([]byte, error) {
+func (v progressRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v doneRecord) MarshalEasyJSON(w *jwriter.Writer) {
+func (v progressRecord) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *doneRecord) UnmarshalJSON(data []byte) error {
+func (v *progressRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *doneRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *progressRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore4(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore5(in *jlexer.Lexer, out *awaitsRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore5(in *jlexer.Lexer, out *dependenciesRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -841,17 +841,17 @@
 		case "a":
 			if in.IsNull() {
 				in.Skip()
-				out.Awaits = nil
+				out.DependsOn = nil
 			} else {
 				in.Delim('[')
-				if out.Awaits == nil {
+				if out.DependsOn == nil {
 					if !in.IsDelim(']') {
-						out.Awaits = make([]string, 0, 4)
+						out.DependsOn = make([]string, 0, 4)
 					} else {
-						out.Awaits = []string{}
+						out.DependsOn = []string{}
 					}
 				} else {
-					out.Awaits = (out.Awaits)[:0]
+					out.DependsOn = (out.DependsOn)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v11 string
@@ -860,7 +860,7 @@
 					} else {
 						v11 = string(in.String())
 					}
-					out.Awaits = append(out.Awaits, v11)
+					out.DependsOn = append(out.DependsOn, v11)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -875,18 +875,18 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore5(out *jwriter.Writer, in awaitsRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore5(out *jwriter.Writer, in dependenciesRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"a\":"
 		out.RawString(prefix[1:])
-		if in.Awaits == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.DependsOn == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v12, v13 := range in.Awaits {
+			for v12, v13 := range in.DependsOn {
 				if v12 > 0 {
 					out.RawByte(',')
 				}
@@ -899,29 +899,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v awaitsRecord) MarshalJSON() ([]byte, error) {
+func (v dependenciesRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v awaitsRecord) MarshalEasyJSON(w *jwriter.Writer) {
+func (v dependenciesRecord) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *awaitsRecord) UnmarshalJSON(data []byte) error {
+func (v *dependenciesRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *awaitsRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *dependenciesRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore5(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore6(in *jlexer.Lexer, out *askedRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore6(in *jlexer.Lexer, out *workerContactRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -945,7 +945,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.At = int64(in.Int64())
+				out.ReportedAt = int64(in.Int64())
 			}
 		default:
 			in.SkipRecursive()
@@ -957,7 +957,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore6(out *jwriter.Writer, in askedRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore6(out *jwriter.Writer, in workerContactRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -969,31 +969,31 @@
 	{
 		const prefix string = ",\"at\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.At))
+		out.Int64(int64(in.ReportedAt))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v askedRecord) MarshalJSON() ([]byte, error) {
+func (v workerContactRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v askedRecord) MarshalEasyJSON(w *jwriter.Writer) {
+func (v workerContactRecord) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *askedRecord) UnmarshalJSON(data []byte) error {
+func (v *workerContactRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *askedRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *workerContactRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore6(l, v)
 }
--- /dev/null
+++ b/internal/controller/repeated_writes_test.go
@@ -0,0 +1,80 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"firwood.dev/firwood/internal/client"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/scheduler"
+	"firwood.dev/firwood/wire"
+)
+
+// runUntil runs what is posted to the owner until the condition holds.
+func runUntil(t *testing.T, controller *Controller, isDone func() bool) {
+	t.Helper()
+	for i := 0; i < 20000; i++ {
+		for _, command := range controller.commands.takeBatch() {
+			command()
+		}
+		controller.startWatches()
+		controller.view.expireWaiters(clock.Now())
+		if isDone() {
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+	t.Fatal("it does not come about")
+}
+
+// Every transaction of a rental's and a mark's life comes again, at any later time:
+// none takes back what a later one has written.
+func TestRepeatedWritesAreIdempotent(t *testing.T) {
+	fakeStore, stop := fake.NewState()
+	defer stop()
+	term := newTestTerm(t)
+	controller := term.controller
+	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: 1000, WriteRPS: 1000, MaxTransactionOps: 16}, keyLock)
+	var token uint64
+	controller.store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: keyLock}}, Changes: []wire.Change{{PutKey: keyLock, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, revision uint64) {
+		controller.postResult(func() { token = revision })
+	}})
+	runUntil(t, controller, func() bool { return token != 0 })
+	controller.view.scaleOuts, controller.view.isLoaded, controller.view.revision = map[string]*scaleOutRecord{}, true, token
+	term = newLeaderTerm(controller, token, clock.Now())
+	term.actDeadline.Store(1 << 62)
+	controller.term = term
+	term.requestScaleOut(scheduler.ScaleOutRequest{Pool: scheduler.Pool{Type: "big", Zone: "x"}, Count: 2}, clock.Now())
+	var request *scaleOutRequest
+	for _, request = range term.scaleOuts {
+	}
+	runUntil(t, controller, func() bool { return request.version != 0 })
+	term.handleScaleOutResult(request, []string{"i-1", "i-2"}, nil)
+	runUntil(t, controller, func() bool { return term.tracker.Machines["i-1"].RecordedInStore })
+	job := term.tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Team: "t", TaskCount: 3}, 0, 1, false, nil)
+	term.jobs[job.Spec.ID] = &jobState{}
+	term.recordStarts(job)
+	runUntil(t, controller, func() bool { return job.StartsRecorded })
+	before := map[string]string{}
+	for _, key := range fakeStore.Keys(watchedPrefix) {
+		before[key] = fakeStore.Value(key)
+	}
+	for _, transaction := range fakeStore.Transactions() {
+		fakeStore.Repeat(transaction)
+		for key, value := range before {
+			if fakeStore.Value(key) != value {
+				t.Fatalf("%s was %s, after a repeat %s", key, value, fakeStore.Value(key))
+			}
+		}
+	}
+	if len(before) < 3 {
+		t.Fatalf("only %v written", before)
+	}
+	// An open end: the transaction was carried out, its answer lost. The next write
+	// finds the version that it left.
+	request.version = 1
+	term.writeScaleOutRecord(request, kvstore.Required, func() { request.version |= 1 << 40 })
+	runUntil(t, controller, func() bool { return request.version>>40 == 1 })
+}
--- /dev/null
+++ b/internal/controller/small_limits_test.go
@@ -0,0 +1,127 @@
+package controller
+
+import (
+	"testing"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/client"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/config"
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/wire"
+)
+
+// newTermOnStore makes a lead that holds the lock of a stand-in state service. Nothing
+// but the test works through its commands.
+func newTermOnStore(t *testing.T, limits config.StoreLimits) (*fake.State, *leaderTerm) {
+	t.Helper()
+	fakeStore, stop := fake.NewState()
+	t.Cleanup(stop)
+	controller := newTestTerm(t).controller
+	controller.cfg.Deployment.Store = limits
+	controller.tasksPerKey = tasksPerProgressKey(limits.MaxValueKB)
+	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, MaxTransactionOps: limits.Effective().MaxTransactionOps}, keyLock)
+	controller.store.SetRateShare(1)
+	controller.view.scaleOuts, controller.view.isLoaded = map[string]*scaleOutRecord{}, true
+	return fakeStore, startNewTerm(t, controller)
+}
+
+// startNewTerm takes the lock in place of whoever holds it, and leads.
+func startNewTerm(t *testing.T, controller *Controller) *leaderTerm {
+	t.Helper()
+	if controller.term != nil {
+		controller.term.close()
+		controller.term = nil
+	}
+	var token uint64
+	controller.store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: keyLock, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, revision uint64) {
+		controller.postResult(func() { token = revision })
+	}})
+	runUntil(t, controller, func() bool { return token != 0 })
+	synced := false
+	controller.view.requestSync(func(err error) { synced = err == nil }, clock.Now()+10*clock.Second)
+	runUntil(t, controller, func() bool { return synced })
+	controller.term = newLeaderTerm(controller, token, clock.Now())
+	controller.term.actDeadline.Store(1 << 62)
+	return controller.term
+}
+
+// The life of a large job in the state service, with small values and transactions:
+// every value and every transaction stays within the limits, every task's end is
+// told, and nothing is left but the job's own end.
+func TestLargeJobFitsSmallStoreLimits(t *testing.T) {
+	for _, test := range []struct {
+		valueKB float64
+		ops     int
+		tasks   int
+	}{{4, 8, 60000}, {1, 1, 20000}} {
+		fakeStore, term := newTermOnStore(t, config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: test.valueKB, MaxTransactionOps: test.ops})
+		controller, token := term.controller, term.token
+
+		const id = "req-000001"
+		record := &jobRecord{Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: test.tasks, Priority: wire.PriorityNormal}, SubmittedAt: int64(clock.WallTime())}
+		value, err := record.MarshalJSON()
+		if err != nil {
+			t.Fatal(err)
+		}
+		controller.store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: prefixJob + id}}, Changes: []wire.Change{{PutKey: prefixJob + id, Value: value}}, Done: func(kvstore.Outcome, uint64) {}})
+		controller.view.requestSync(func(error) {}, clock.Now()+10*clock.Second)
+		runUntil(t, controller, func() bool { return term.tracker.Jobs[id] != nil })
+		job := term.tracker.Jobs[id]
+		term.recordStarts(job)
+		runUntil(t, controller, func() bool { return job.StartsRecorded })
+
+		complete := func(from, to int) {
+			for i := from; i < to; i++ {
+				job.Tasks[i].State = allocation.TaskWaiting
+			}
+			machine := term.tracker.Machines["i-1"]
+			if machine == nil {
+				machine = term.tracker.AddMachine("i-1", "big", "x", false, term.scheduler.MachineCapacity("big"), clock.Now())
+				machine.RecordedInStore = true
+			}
+			heartbeat := &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: machine.HeartbeatSequence + 1, FencingToken: token}
+			for i := from; i < to; i++ {
+				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitDone})
+			}
+			if term.tracker.RecordHeartbeat(machine, heartbeat, clock.Now()) != allocation.HeartbeatAccepted {
+				t.Fatal("report not taken")
+			}
+		}
+		complete(0, test.tasks-1)
+		runUntil(t, controller, func() bool {
+			term.persistJobs(clock.Now() + clock.Second)
+			return len(job.UnpersistedCompletions()) == 0
+		})
+		done := controller.view.progress[id]
+		controller.view.requestSync(func(error) { done = controller.view.progress[id] }, clock.Now()+10*clock.Second)
+		runUntil(t, controller, func() bool {
+			done = controller.view.progress[id]
+			return len(done) == (test.tasks-1)/controller.tasksPerKey+1
+		})
+		for _, i := range []int{0, controller.tasksPerKey - 1, controller.tasksPerKey, test.tasks - 2} {
+			if !done[i/controller.tasksPerKey].bits.isSet(i % controller.tasksPerKey) {
+				t.Errorf("%v KiB: task %d is done, and the record does not say so", test.valueKB, i)
+			}
+		}
+		complete(test.tasks-1, test.tasks)
+		sweepAt := clock.Now()
+		runUntil(t, controller, func() bool {
+			term.persistJobs(clock.Now() + clock.Second)
+			sweepAt += sweepInterval
+			term.tickCleanup(sweepAt) // what the end's transaction could not take
+			return len(fakeStore.Keys(prefixProgress)) == 0 && term.tracker.Jobs[id] == nil
+		})
+		for _, transaction := range fakeStore.Transactions() {
+			if len(transaction.Changes) > test.ops {
+				t.Errorf("a transaction of %d changes, %d are allowed", len(transaction.Changes), test.ops)
+			}
+			for _, change := range transaction.Changes {
+				if len(change.Value) > int(test.valueKB*1024) {
+					t.Errorf("%s: a value of %d bytes, %v KiB are allowed", change.PutKey, len(change.Value), test.valueKB)
+				}
+			}
+		}
+	}
+}
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -11,152 +11,156 @@
 	"firwood.dev/firwood/wire"
 )
 
-// stream is the leader's side of what its followers copy; see package standby. It
+// decisionStream is the leader's side of what its followers copy; see package standby. It
 // implements allocation.Replicator.
-type stream struct {
+type decisionStream struct {
 	publisher  *standby.Publisher
 	membership *standby.InSyncSet
 }
 
 // RecordStarted implements allocation.Replicator.
-func (s *stream) RecordStarted(task string, attempt uint64, machine string) uint64 {
-	return s.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
+func (decisions *decisionStream) RecordStarted(task string, attempt uint64, machine string) uint64 {
+	return decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
 }
 
 // RecordEnded implements allocation.Replicator.
-func (s *stream) RecordEnded(task string, attempt uint64, machine string) {
-	s.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
+func (decisions *decisionStream) RecordEnded(task string, attempt uint64, machine string) {
+	decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: standby.Placement{Task: task, Attempt: attempt, Machine: machine}})
 }
 
 // RecordUnconfirmed implements allocation.Replicator.
-func (s *stream) RecordUnconfirmed(id string) {
-	s.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: standby.UnconfirmedPlacement(id)})
+func (decisions *decisionStream) RecordUnconfirmed(id string) {
+	decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: standby.UnconfirmedPlacement(id)})
 }
 
 // RecordResolved implements allocation.Replicator.
-func (s *stream) RecordResolved(id string) {
-	s.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: standby.UnconfirmedPlacement(id)})
+func (decisions *decisionStream) RecordResolved(id string) {
+	decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: standby.UnconfirmedPlacement(id)})
 }
 
 // MaySendStart implements allocation.Replicator.
-func (s *stream) MaySendStart(number uint64) bool { return s.membership.MaySendStart(number) }
+func (decisions *decisionStream) MaySendStart(number uint64) bool {
+	return decisions.membership.MaySendStart(number)
+}
 
 // standbyVersion is what this member tells others of the messages that it takes.
-func (c *Core) standbyVersion() uint8 {
-	if c.replica == nil {
+func (controller *Controller) standbyVersion() uint8 {
+	if controller.replica == nil {
 		return 0
 	}
 	return peer.StandbyProtocolVersion
 }
 
-// seenStandby takes the durable record of those in step with a leader. One that can't be
+// applyStandbyRecord takes the durable record of those in step with a leader. One that can't be
 // read names nobody.
-func (c *Core) seenStandby(value []byte, version uint64) {
-	v := &c.view
-	v.standby, v.standbyVersion = standby.InSyncRecord{}, version
-	if err := json.Unmarshal(value, &v.standby); err != nil {
-		v.standby = standby.InSyncRecord{}
-		c.malformed(keyStandby, err)
+func (controller *Controller) applyStandbyRecord(value []byte, version uint64) {
+	view := &controller.view
+	view.standby, view.standbyVersion = standby.InSyncRecord{}, version
+	if err := json.Unmarshal(value, &view.standby); err != nil {
+		view.standby = standby.InSyncRecord{}
+		controller.logMalformedRecord(keyStandby, err)
 	}
-	if c.replica != nil {
-		c.replica.PruneEarlier(v.standby.Token)
+	if controller.replica != nil {
+		controller.replica.PruneEarlier(view.standby.Token)
 	}
-	if c.lead != nil && c.lead.standby != nil {
-		c.lead.standby.membership.ObserveRecord(v.standby, version)
+	if controller.term != nil && controller.term.standby != nil {
+		controller.term.standby.membership.ObserveRecord(view.standby, version)
 	}
 }
 
-// follow sets a new leader's account up so that others can follow it, and has it begin
+// setUpStandby sets a new leader's account up so that others can follow it, and has it begin
 // with what this member's replica of the last leader's account proves.
-func (l *lead) follow(account *allocation.Config) {
-	c := l.c
-	if c.replica == nil {
+func (term *leaderTerm) setUpStandby(allocationConfig *allocation.Config) {
+	controller := term.controller
+	if controller.replica == nil {
 		return
 	}
 	var others []string
-	for _, o := range c.cfg.Peers {
-		others = append(others, o.Member)
+	for _, other := range controller.cfg.Peers {
+		others = append(others, other.Member)
 	}
-	publisher := standby.NewPublisher(l.token, nil, others)
-	l.standby = &stream{publisher, standby.NewInSyncSet(publisher, c.view.standby, c.view.standbyVersion, others, l.since)}
-	account.Replicator = l.standby
-	if copied, ok := c.trustedReplica(); ok && c.view.leads.LastToken() == l.token {
-		account.MayHaveStarted = copied.MayBeRunning
+	publisher := standby.NewPublisher(term.token, nil, others)
+	term.standby = &decisionStream{publisher, standby.NewInSyncSet(publisher, controller.view.standby, controller.view.standbyVersion, others, term.startedAt)}
+	allocationConfig.Replicator = term.standby
+	if copied, ok := controller.trustedReplica(); ok && controller.view.terms.LastToken() == term.token {
+		allocationConfig.MayHaveStarted = copied.MayBeRunning
 	}
 }
 
 // trustedReplica is this member's copy of the last leader's account that sent starts, if
 // it may be believed.
-func (c *Core) trustedReplica() (*standby.Table, bool) {
-	return c.replica.TrustedTable(c.view.standby, &c.view.leads, c.cfg.Member)
+func (controller *Controller) trustedReplica() (*standby.Table, bool) {
+	return controller.replica.TrustedTable(controller.view.standby, &controller.view.terms, controller.cfg.Member)
 }
 
-// heardStandby takes a message of the leader's stream, or a follower's answer to one.
-func (c *Core) heardStandby(b *peer.Heartbeat) {
+// handleStandbyMessage takes a message of the leader's stream, or a follower's answer to one.
+func (controller *Controller) handleStandbyMessage(heartbeat *peer.Heartbeat) {
 	switch {
-	case c.replica == nil:
-	case b.StandbyPosition != nil && c.lead != nil && c.lead.standby != nil:
-		c.lead.standby.publisher.RecordPosition(b.Member, *b.StandbyPosition)
-		c.lead.lg.RetryUnreplicatedStarts()
-	case b.StandbyMessage != nil && !c.isLeading():
-		c.answerStream(b.Member, b.StandbyMessage)
+	case controller.replica == nil:
+	case heartbeat.StandbyPosition != nil && controller.term != nil && controller.term.standby != nil:
+		controller.term.standby.publisher.RecordPosition(heartbeat.Member, *heartbeat.StandbyPosition)
+		controller.term.tracker.RetryUnreplicatedStarts()
+	case heartbeat.StandbyMessage != nil && !controller.isLeading():
+		controller.applyStreamMessage(heartbeat.Member, heartbeat.StandbyMessage)
 	}
 }
 
 // isLeading tells whether this member holds the lock: a replica that still followed the
 // leader before would answer for what this member has already judged.
-func (c *Core) isLeading() bool { return c.lead != nil || c.rebuilding }
+func (controller *Controller) isLeading() bool {
+	return controller.term != nil || controller.isRebuilding
+}
 
-func (c *Core) answerStream(from string, m *standby.Message) {
-	before := c.replica.DropCounts()
+func (controller *Controller) applyStreamMessage(from string, message *standby.Message) {
+	before := controller.replica.DropCounts()
 	var position standby.Position
-	if c.isForeign(m.Token) {
-		position = c.replica.RejectForeignMessage()
+	if controller.isForeignToken(message.Token) {
+		position = controller.replica.RejectForeignMessage()
 	} else {
-		position = c.replica.ApplyMessage(m)
+		position = controller.replica.ApplyMessage(message)
 	}
-	if after := c.replica.DropCounts(); after != before {
-		c.dropped("a message of the leader's stream was not taken", "from", from, "token", m.Token,
+	if after := controller.replica.DropCounts(); after != before {
+		controller.logDropped("a message of the leader's stream was not taken", "from", from, "token", message.Token,
 			"older", after.Stale, "gaps", after.OutOfOrder, "malformed", after.Malformed, "foreign", after.ForeignToken, "differing", after.DigestMismatch)
 	}
-	c.streamTo(from, &peer.Heartbeat{Member: c.cfg.Member, StandbyPosition: &position})
+	controller.sendStreamMessage(from, &peer.Heartbeat{Member: controller.cfg.Member, StandbyPosition: &position})
 }
 
-// isForeign tells whether a token is certainly not that of the lock: the view is as new as
+// isForeignToken tells whether a token is certainly not that of the lock: the view is as new as
 // the token, and has another one, or none.
-func (c *Core) isForeign(token uint64) bool {
-	return c.view.rev >= token && c.view.leads.LastToken() != token && c.view.lock.Exists
+func (controller *Controller) isForeignToken(token uint64) bool {
+	return controller.view.revision >= token && controller.view.terms.LastToken() != token && controller.view.lock.Exists
 }
 
-// streamTo sends a message of a stream to a member that takes such.
-func (c *Core) streamTo(member string, b *peer.Heartbeat) {
-	seen := c.beats[member]
-	if seen == nil || seen.beat.StandbyProtocolVersion == 0 {
+// sendStreamMessage sends a message of a stream to a member that takes such.
+func (controller *Controller) sendStreamMessage(member string, heartbeat *peer.Heartbeat) {
+	received := controller.peerHeartbeats[member]
+	if received == nil || received.heartbeat.StandbyProtocolVersion == 0 {
 		return
 	}
-	for i, o := range c.cfg.Peers {
-		if o.Member == member {
-			c.links[i].SendStandby(peer.Encode(b))
+	for i, other := range controller.cfg.Peers {
+		if other.Member == member {
+			controller.links[i].SendStandby(peer.Encode(heartbeat))
 		}
 	}
 }
 
-// stream sends followers what they lack, and keeps the record of those in step.
-func (l *lead) stream(now clock.Micros) {
-	if l.standby == nil {
+// streamDecisions sends followers what they lack, and keeps the record of those in step.
+func (term *leaderTerm) streamDecisions(now clock.Micros) {
+	if term.standby == nil {
 		return
 	}
-	for _, o := range l.c.cfg.Peers {
-		if message, ok := l.standby.publisher.NextMessage(o.Member, now); ok {
-			l.c.streamTo(o.Member, &peer.Heartbeat{Member: l.c.cfg.Member, StandbyMessage: message})
+	for _, other := range term.controller.cfg.Peers {
+		if message, ok := term.standby.publisher.NextMessage(other.Member, now); ok {
+			term.controller.sendStreamMessage(other.Member, &peer.Heartbeat{Member: term.controller.cfg.Member, StandbyMessage: message})
 		}
 	}
-	l.writeStandby(now)
+	term.writeStandbyRecord(now)
 }
 
-// writeStandby makes a change of those in step durable.
-func (l *lead) writeStandby(now clock.Micros) {
-	membership := l.standby.membership
+// writeStandbyRecord makes a change of those in step durable.
+func (term *leaderTerm) writeStandbyRecord(now clock.Micros) {
+	membership := term.standby.membership
 	record, version, ok := membership.BeginWrite(now)
 	if !ok {
 		return
@@ -166,32 +170,32 @@
 		membership.RejectWrite()
 		return
 	}
-	w := &kvstore.Write{
+	write := &kvstore.Write{
 		Priority:   kvstore.Critical,
 		Conditions: []wire.Condition{{Key: keyStandby, Version: version}},
 		Changes:    []wire.Change{{PutKey: keyStandby, Value: value}},
 	}
-	l.writeRev(w, func(outcome kvstore.Outcome, revision uint64) {
+	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
 		switch outcome {
 		case kvstore.Committed:
 			membership.ConfirmWrite(revision)
-			l.c.log.Debug("members in step", "token", record.Token, "members", record.Members)
+			term.controller.log.Debug("members in step", "token", record.Token, "members", record.Members)
 		case kvstore.Unknown:
 			membership.MarkWriteUnresolved()
 		default:
 			// After a conflict the view tells what is there.
 			membership.RejectWrite()
-			l.c.view.wantSync(func(error) {}, clock.Now()+2*clock.Second)
+			term.controller.view.requestSync(func(error) {}, clock.Now()+2*clock.Second)
 		}
-		l.lg.RetryUnreplicatedStarts()
+		term.tracker.RetryUnreplicatedStarts()
 	})
 }
 
-// doubts counts tasks that may be anywhere.
-func (l *lead) doubts() int {
-	doubts := 0
-	for _, j := range l.lg.Jobs {
-		doubts += j.UnconfirmedCount()
+// unconfirmedCount counts tasks that may be anywhere.
+func (term *leaderTerm) unconfirmedCount() int {
+	count := 0
+	for _, job := range term.tracker.Jobs {
+		count += job.UnconfirmedCount()
 	}
-	return doubts
+	return count
 }
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -19,140 +19,142 @@
 	Replica *ReplicaStatus `json:"replica,omitempty"`
 	// Followers are the others, if this controller leads.
 	Followers []FollowerStatus `json:"followers,omitempty"`
-	// TakeOver is the last one of this controller.
-	TakeOver *TakeOverStatus `json:"take_over,omitempty"`
+	// Failover is the last one of this controller.
+	Failover *FailoverStatus `json:"take_over,omitempty"`
 }
 
 // ReplicaStatus is where a copy stands.
 type ReplicaStatus struct {
 	Token      uint64 `json:"token"`
-	Complete   bool   `json:"complete"`
+	IsComplete bool   `json:"complete"`
 	Decisions  uint64 `json:"decisions"`
 	Placements int    `json:"placements"`
-	// Doubts are the placements of which the leader does not know where they are.
-	Doubts int    `json:"doubts"`
-	Digest string `json:"digest"`
+	// Unconfirmed are the placements of which the leader does not know where they are.
+	Unconfirmed int    `json:"doubts"`
+	Digest      string `json:"digest"`
 	// Dropped are messages that were not taken, by reason.
 	Dropped standby.DropCounts `json:"dropped"`
 }
 
 // FollowerStatus is how far behind a follower is.
 type FollowerStatus struct {
-	Member string `json:"member"`
-	InStep bool   `json:"in_step"`
-	// Lacks is how many decisions it lacks, all of them if it follows none, LacksMs since
+	Member   string `json:"member"`
+	IsInSync bool   `json:"in_step"`
+	// LagDecisions is how many decisions it lacks, all of them if it follows none, LagMs since
 	// when it has lacked something.
-	Lacks   uint64 `json:"lacks_decisions"`
-	LacksMs int64  `json:"lacks_ms"`
+	LagDecisions uint64 `json:"lacks_decisions"`
+	LagMs        int64  `json:"lacks_ms"`
 }
 
-// TakeOverStatus are the parts of a take-over in milliseconds, from the last beat of the
+// FailoverStatus are the parts of a take-over in milliseconds, from the last beat of the
 // leader before.
-type TakeOverStatus struct {
-	Token       uint64 `json:"token"`
-	ReplicaUsed bool   `json:"replica_used"`
-	InDoubt     int    `json:"in_doubt"`
-	LockMs      int64  `json:"lock_ms"`
-	RebuildMs   int64  `json:"rebuild_ms"`
-	DecisionMs  int64  `json:"first_decision_ms"`
+type FailoverStatus struct {
+	Token           uint64 `json:"token"`
+	IsReplicaUsed   bool   `json:"replica_used"`
+	Unconfirmed     int    `json:"in_doubt"`
+	LockMs          int64  `json:"lock_ms"`
+	RebuildMs       int64  `json:"rebuild_ms"`
+	FirstDecisionMs int64  `json:"first_decision_ms"`
 }
 
-// takeOverTimes are the instants of this member's last take-over.
-type takeOverTimes struct {
-	heard, won, rebuilt, decided clock.Micros
-	token                        uint64
-	isReplicaUsed                bool
-	inDoubt                      int
+// lastFailover are the instants of this member's last take-over.
+type failoverTimes struct {
+	leaderHeartbeatAt, lockWonAt, rebuiltAt, firstDecisionAt clock.Micros
+	token                                                    uint64
+	isReplicaUsed                                            bool
+	unconfirmed                                              int
 }
 
-func (t *takeOverTimes) status() *TakeOverStatus {
-	if t.rebuilt == 0 {
+func (times *failoverTimes) status() *FailoverStatus {
+	if times.rebuiltAt == 0 {
 		return nil
 	}
-	s := &TakeOverStatus{Token: t.token, ReplicaUsed: t.isReplicaUsed, InDoubt: t.inDoubt, RebuildMs: milliseconds(t.rebuilt - t.won)}
-	if t.heard != 0 {
-		s.LockMs = milliseconds(t.won - t.heard)
+	status := &FailoverStatus{Token: times.token, IsReplicaUsed: times.isReplicaUsed, Unconfirmed: times.unconfirmed, RebuildMs: milliseconds(times.rebuiltAt - times.lockWonAt)}
+	if times.leaderHeartbeatAt != 0 {
+		status.LockMs = milliseconds(times.lockWonAt - times.leaderHeartbeatAt)
 	}
-	if t.decided != 0 {
-		s.DecisionMs = milliseconds(t.decided - t.rebuilt)
+	if times.firstDecisionAt != 0 {
+		status.FirstDecisionMs = milliseconds(times.firstDecisionAt - times.rebuiltAt)
 	}
-	return s
+	return status
 }
 
-func (t *takeOverTimes) spans() []tracing.Span {
-	began := t.heard
+func (times *failoverTimes) spans() []tracing.Span {
+	began := times.leaderHeartbeatAt
 	if began == 0 {
-		began = t.won
+		began = times.lockWonAt
 	}
-	facts := map[string]string{"replica_used": fmt.Sprint(t.isReplicaUsed), "in_doubt": fmt.Sprint(t.inDoubt)}
+	attributes := map[string]string{"replica_used": fmt.Sprint(times.isReplicaUsed), "in_doubt": fmt.Sprint(times.unconfirmed)}
 	return []tracing.Span{
-		{Name: "take-over", StartedAt: began, EndedAt: t.decided, Attributes: facts},
-		{Name: "lock", StartedAt: began, EndedAt: t.won},
-		{Name: "rebuild", StartedAt: t.won, EndedAt: t.rebuilt},
-		{Name: "first decision", StartedAt: t.rebuilt, EndedAt: t.decided},
+		{Name: "take-over", StartedAt: began, EndedAt: times.firstDecisionAt, Attributes: attributes},
+		{Name: "lock", StartedAt: began, EndedAt: times.lockWonAt},
+		{Name: "rebuild", StartedAt: times.lockWonAt, EndedAt: times.rebuiltAt},
+		{Name: "first decision", StartedAt: times.rebuiltAt, EndedAt: times.firstDecisionAt},
 	}
 }
 
 func milliseconds(d clock.Micros) int64 { return int64(d / (clock.Second / 1000)) }
 
-// watchFirstDecision notes when a new leader first places a task.
-func (l *lead) watchFirstDecision(now clock.Micros) {
-	t := &l.c.takeOverTimes
-	if t.decided != 0 || !l.lg.HasIssuedAttempt() {
+// recordFirstDecision notes when a new leader first places a task.
+func (term *leaderTerm) recordFirstDecision(now clock.Micros) {
+	times := &term.controller.lastFailover
+	if times.firstDecisionAt != 0 || !term.tracker.HasIssuedAttempt() {
 		return
 	}
-	t.decided = now
-	s := t.status()
-	l.c.log.Info("first decision after a take-over", "token", t.token, "lock_ms", s.LockMs, "rebuild_ms", s.RebuildMs,
-		"first_decision_ms", s.DecisionMs, "replica_used", t.isReplicaUsed, "in_doubt", t.inDoubt)
-	l.c.tracer.RecordFailover(t.token, t.spans())
+	times.firstDecisionAt = now
+	status := times.status()
+	term.controller.log.Info("first decision after a take-over", "token", times.token, "lock_ms", status.LockMs, "rebuild_ms", status.RebuildMs,
+		"first_decision_ms", status.FirstDecisionMs, "replica_used", times.isReplicaUsed, "in_doubt", times.unconfirmed)
+	term.controller.tracer.RecordFailover(times.token, times.spans())
 }
 
-// seenTakeOver writes what a follower saw of a take-over: for how long nobody was heard.
-func (c *Core) seenTakeOver(token uint64) {
-	if c.leaderHeard == 0 || c.isLeading() || c.el.Token() == token {
+// traceObservedFailover writes what a follower saw of a take-over: for how long nobody was heard.
+func (controller *Controller) traceObservedFailover(token uint64) {
+	if controller.leaderHeartbeatAt == 0 || controller.isLeading() || controller.elector.Token() == token {
 		return
 	}
-	c.tracer.RecordFailover(token, []tracing.Span{{Name: "no leader heard", StartedAt: c.leaderHeard, EndedAt: clock.Now()}})
+	controller.tracer.RecordFailover(token, []tracing.Span{{Name: "no leader heard", StartedAt: controller.leaderHeartbeatAt, EndedAt: clock.Now()}})
 }
 
 // SendStandbyStatus implements server.App.
-func (c *Core) SendStandbyStatus(r *server.Reply) { c.user(r, func() { c.tellStandby(r) }) }
+func (controller *Controller) SendStandbyStatus(reply *server.Reply) {
+	controller.postUserRequest(reply, func() { controller.replyStandbyStatus(reply) })
+}
 
-func (c *Core) tellStandby(r *server.Reply) {
+func (controller *Controller) replyStandbyStatus(reply *server.Reply) {
 	now := clock.Now()
-	s := StandbyStatus{Member: c.cfg.Member, Leader: c.leader(), Enabled: c.replica != nil, TakeOver: c.takeOverTimes.status()}
+	status := StandbyStatus{Member: controller.cfg.Member, Leader: controller.knownLeader(), Enabled: controller.replica != nil, Failover: controller.lastFailover.status()}
 	switch {
-	case c.replica == nil:
-	case c.lead != nil:
-		s.Leader = c.cfg.Member
-		s.Followers = c.lead.followers(now)
+	case controller.replica == nil:
+	case controller.term != nil:
+		status.Leader = controller.cfg.Member
+		status.Followers = controller.term.followerStatuses(now)
 	default:
-		p, account := c.replica.Position(), c.replica.Table()
-		s.Replica = &ReplicaStatus{
-			Token: p.Token, Complete: p.IsComplete, Decisions: p.Sequence, Placements: account.Len(), Doubts: account.UnconfirmedCount(),
-			Digest: fmt.Sprintf("%016x", account.Digest()), Dropped: c.replica.DropCounts(),
+		position, account := controller.replica.Position(), controller.replica.Table()
+		status.Replica = &ReplicaStatus{
+			Token: position.Token, IsComplete: position.IsComplete, Decisions: position.Sequence, Placements: account.Len(), Unconfirmed: account.UnconfirmedCount(),
+			Digest: fmt.Sprintf("%016x", account.Digest()), Dropped: controller.replica.DropCounts(),
 		}
 	}
-	body, err := json.Marshal(s)
+	body, err := json.Marshal(status)
 	if err != nil {
-		r.Send(500, server.ErrorBody(err.Error()), 0)
+		reply.Send(500, server.ErrorBody(err.Error()), 0)
 		return
 	}
-	r.Send(200, body, 0)
+	reply.Send(200, body, 0)
 }
 
-func (l *lead) followers(now clock.Micros) []FollowerStatus {
-	var all []FollowerStatus
+func (term *leaderTerm) followerStatuses(now clock.Micros) []FollowerStatus {
+	var statuses []FollowerStatus
 	inStep := map[string]bool{}
-	for _, m := range l.standby.membership.InSyncMembers() {
-		inStep[m.Name] = true
+	for _, member := range term.standby.membership.InSyncMembers() {
+		inStep[member.Name] = true
 	}
-	for _, o := range l.c.cfg.Peers {
-		all = append(all, FollowerStatus{
-			Member: o.Member, InStep: inStep[o.Member],
-			Lacks: l.standby.publisher.LagCount(o.Member), LacksMs: milliseconds(l.standby.publisher.LagDuration(o.Member, now)),
+	for _, other := range term.controller.cfg.Peers {
+		statuses = append(statuses, FollowerStatus{
+			Member: other.Member, IsInSync: inStep[other.Member],
+			LagDecisions: term.standby.publisher.LagCount(other.Member), LagMs: milliseconds(term.standby.publisher.LagDuration(other.Member, now)),
 		})
 	}
-	return all
+	return statuses
 }
--- /dev/null
+++ b/internal/controller/term_test.go
@@ -0,0 +1,227 @@
+package controller
+
+import (
+	"errors"
+	"log/slog"
+	"slices"
+	"testing"
+
+	"firwood.dev/firwood/internal/client"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/config"
+	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/peer"
+	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/wire"
+)
+
+// A leader that is cut off from the workers hands over; one whose machines are
+// taken in a wave, or that nobody can replace, does not, and one that hears
+// nobody deletes nothing.
+func TestReachability(t *testing.T) {
+	for _, test := range []struct {
+		h            reachability
+		peers        uint32
+		mostly, lost bool
+	}{
+		{reachability{20, 20}, 0, true, false},
+		{reachability{20, 8}, 0, true, false},  // a wave
+		{reachability{20, 0}, 12, false, true}, // cut off from all workers
+		{reachability{20, 0}, 2, false, false}, // the workers reach nobody else
+		{reachability{20, 12}, 8, true, false}, // one zone is cut off
+		{reachability{2, 0}, 2, false, false},  // too few to tell
+	} {
+		if test.h.isMostlyReachable() != test.mostly || test.h.isOnlyLeaderCutOff(test.peers) != test.lost {
+			t.Errorf("%+v with %d: mostly %v, lost %v", test.h, test.peers, test.h.isMostlyReachable(), test.h.isOnlyLeaderCutOff(test.peers))
+		}
+	}
+}
+
+// newTestTerm makes a leader of token 9 that has found these machines recorded,
+// rented long ago. What it sends goes nowhere.
+func newTestTerm(t testing.TB, machines ...string) *leaderTerm {
+	t.Helper()
+	cfg := &config.Platform{Member: "a", Location: "x", Peers: []config.Peer{{Member: "b", Location: "y", Address: "127.0.0.1:1"}}}
+	cfg.External.StoreAddress, cfg.External.CloudAddress = "127.0.0.1:1", "127.0.0.1:1"
+	deployment := &cfg.Deployment
+	deployment.Zones = []string{"x", "y"}
+	deployment.Teams = []config.Team{{Name: "t"}}
+	deployment.Workers = config.WorkerTimings{HeartbeatIntervalSeconds: 2, LeaseSeconds: 24, GangStartTimeoutSeconds: 30, GangPeerTimeoutSeconds: 5, CancelTimeoutSeconds: 60}
+	deployment.Store = config.StoreLimits{RPS: 100, WriteRPS: 100, MaxValueKB: 16, MaxTransactionOps: 16}
+	deployment.Cloud = config.Cloud{RPS: 10, ListLagSeconds: 1}
+	deployment.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 1000}
+	controller := New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
+	controller.machineTypes = []wire.MachineType{{Name: "big", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: deployment.Zones}}
+	controller.view.scaleOuts["h"] = &scaleOutRecord{Type: "big", Zone: "x", Count: len(machines), RequestedAt: int64(clock.WallTime() - 300*clock.Second), IsResolved: true, Machines: machines}
+	return newLeaderTerm(controller, 9, clock.Now())
+}
+
+// A new leader has heard none of the machines that an earlier one rented. That
+// is no sign that they never came up; the cloud's list saying so is.
+func TestMissingHeartbeatIsNotBooting(t *testing.T) {
+	term := newTestTerm(t, "i-1", "i-2", "i-3")
+	later := term.startedAt + term.controller.suspectTimeout() + 2*clock.Second
+	term.reviewMachines(later)
+	if len(term.pendingDeletes) != 0 {
+		t.Fatalf("deleted %v, of which nothing is known", term.pendingDeletes)
+	}
+	term.applyListedMachine(&wire.ListedMachine{ID: "i-1", State: wire.MachineRunning}, later)
+	term.applyListedMachine(&wire.ListedMachine{ID: "i-2", State: wire.MachineBooting}, later)
+	term.reviewMachines(later)
+	if !slices.Equal(term.pendingDeletes, []string{"i-2"}) {
+		t.Fatalf("deleted %v, only i-2 has never come up", term.pendingDeletes)
+	}
+}
+
+// repliesToEither tells whether the member answers one of two reports in a row: a
+// worker is sent on after each answer, so one report alone would not show it.
+func repliesToEither(controller *Controller, heartbeat *wire.Heartbeat, now clock.Micros) bool {
+	first := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
+	second := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
+	return first || second
+}
+
+// A follower that hears neither leader nor state service keeps a worker's lease
+// alive at once, and sends it on after each answer; not at all while the leader is
+// heard: a worker that reaches the leader is not held.
+func TestDelegateRedirectsAfterEachReply(t *testing.T) {
+	term := newTestTerm(t)
+	controller := term.controller
+	controller.term, controller.view.isLoaded = nil, true
+	now, back := 100*clock.Second, 5*clock.Second
+	heartbeat := &wire.Heartbeat{MachineID: "i-1", FencingToken: 5}
+	controller.delegate = delegation.NewDelegate(controller.delegationTimes, 1, now-60*clock.Second)
+	if repliesToEither(controller, heartbeat, now) {
+		t.Fatal("answers as delegate without a right")
+	}
+	controller.delegate.RecordLeaderHeartbeat(now-back, 5, controller.delegate.Timestamp(now-back))
+	for i, want := range []bool{true, false, true, false} {
+		if got := controller.replyAsDelegate(heartbeat, &server.Reply{}, now); got != want {
+			t.Fatalf("report %d: answered as delegate %v", i, got)
+		}
+	}
+	if controller.replyAsDelegate(&wire.Heartbeat{MachineID: "i-1", FencingToken: 6}, &server.Reply{}, now) {
+		t.Fatal("answers as delegate against a newer leader")
+	}
+	controller.delegate.RecordLeaderHeartbeat(now, 5, controller.delegate.Timestamp(now))
+	if repliesToEither(controller, heartbeat, now) {
+		t.Fatal("holds a worker while the leader is heard")
+	}
+}
+
+// What was silent while this process stood still is not taken for silent: nothing
+// is deleted, nothing is promised and the lead is not given away for it.
+func TestProcessStallDoesNotSuspectMachines(t *testing.T) {
+	term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
+	term.actDeadline.Store(1 << 62)
+	controller := term.controller
+	controller.term = term
+	now := term.startedAt
+	for _, machine := range term.tracker.Machines {
+		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Address: "127.0.0.1:1", Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
+	}
+	controller.tickedAt = now
+	now += 20 * clock.Second // less than a lease
+	one := term.tracker.Machines["i-1"]
+	one.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
+	controller.peerHeartbeats["b"] = &receivedHeartbeat{heartbeat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, receivedAt: now}
+	term.recordResume(now)
+	term.reviewMachines(now)
+	if len(term.pendingDeletes) != 0 || len(term.constraints.ConstrainedZones()) != 0 || term.isClosed {
+		t.Fatalf("after a standstill: deletes %v, promises about %v, lead given up %v", term.pendingDeletes, term.constraints.ConstrainedZones(), term.isClosed)
+	}
+	if term.scheduler.ResumedAt != now {
+		t.Fatal("the planner takes machines for silent")
+	}
+	now += term.controller.suspectTimeout() + clock.Second
+	one.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
+	term.reviewMachines(now)
+	if len(term.pendingDeletes) != 2 {
+		t.Fatalf("machines that stay silent afterwards: deleted %v", term.pendingDeletes)
+	}
+}
+
+// A machine that answers no probe is deleted while the others of its zone answer,
+// and only then: in a cut none does, and a process that was late itself, or had no
+// connection free, has learnt nothing.
+func TestProbeMisses(t *testing.T) {
+	fail := errors.New("no answer")
+	for _, test := range []struct {
+		name            string
+		answer          int // machines that answer, of four
+		err             error
+		late            clock.Micros
+		deleted, unsure bool
+	}{
+		{"one hangs", 3, fail, 0, true, false},
+		{"a cut", 0, fail, 0, false, false},
+		{"half are gone", 2, fail, 0, false, false},
+		{"none is free", 3, client.ErrPoolExhausted, 0, false, true},
+		{"late", 3, fail, 5 * clock.Second, false, true},
+	} {
+		term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
+		term.actDeadline.Store(1 << 62)
+		names := []string{"i-1", "i-2", "i-3", "i-4"}
+		for _, name := range names {
+			term.tracker.RecordHeartbeat(term.tracker.Machines[name], &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: 1, FencingToken: 9}, clock.Now())
+			term.tracker.Machines[name].LastHeartbeatAt -= 20 * clock.Second
+		}
+		term.resumedAt -= 60 * clock.Second
+		term.zoneUnreachableAt["x"] = term.resumedAt // the clock may be younger than a probe
+		for round := uint64(0); round < 2; round++ {
+			sent := clock.Now() - probeTimeout - test.late
+			for i, name := range names {
+				machine := term.tracker.Machines[name]
+				if i < test.answer {
+					term.handleProbeResult(machine, term.machines[name], sent, &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: 2 + round, FencingToken: 9}, nil)
+				} else {
+					term.handleProbeResult(machine, term.machines[name], sent, nil, test.err)
+				}
+			}
+		}
+		if got := len(term.pendingDeletes) > 0; got != test.deleted {
+			t.Errorf("%s: deleted %v", test.name, term.pendingDeletes)
+		}
+		if test.unsure && term.machines["i-4"].probes.misses != 0 {
+			t.Errorf("%s: counted as a miss", test.name)
+		}
+	}
+}
+
+// When a zone that was cut off comes back, machines that are not heard in the same
+// second as the first third of it are left their time; those that stay silent go.
+func TestRecoveringZoneKeepsItsMachines(t *testing.T) {
+	names := []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"}
+	term := newTestTerm(t, names...)
+	term.actDeadline.Store(1 << 62)
+	now := term.startedAt
+	for _, name := range names {
+		term.tracker.RecordHeartbeat(term.tracker.Machines[name], &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
+	}
+	for end := now + term.controller.suspectTimeout() + 3*clock.Second; now < end; now += clock.Second / 2 {
+		term.reviewMachines(now)
+	}
+	recordHeartbeats := func(names ...string) {
+		for _, name := range names {
+			term.tracker.Machines[name].LastHeartbeatAt = now
+		}
+	}
+	recordHeartbeats("i-1", "i-2")
+	for _, name := range names[2:] {
+		term.machines[name].probes.misses = 5
+		term.handleProbeResult(term.tracker.Machines[name], term.machines[name], now-clock.Second, nil, errors.New("no answer"))
+	}
+	term.reviewMachines(now)
+	if len(term.pendingDeletes) != 0 {
+		t.Fatalf("deleted when the zone comes back: %v", term.pendingDeletes)
+	}
+	recordHeartbeats("i-3", "i-4")
+	for end := now + term.controller.suspectTimeout() + 3*clock.Second; now < end; now += clock.Second / 2 {
+		recordHeartbeats("i-1", "i-2", "i-3", "i-4")
+		term.reviewMachines(now)
+	}
+	slices.Sort(term.pendingDeletes)
+	if !slices.Equal(term.pendingDeletes, []string{"i-5", "i-6"}) {
+		t.Fatalf("silent for long after that: deleted %v", term.pendingDeletes)
+	}
+}
--- /dev/null
+++ b/internal/controller/tracked_jobs.go
@@ -0,0 +1,74 @@
+package controller
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// replayArrivals takes the arrivals that the records still tell of. A leader that knew of
+// none held that no start was pressing, and gave back, within seconds of its
+// take-over, every machine that the jobs of the one before were about to need again.
+func (term *leaderTerm) replayArrivals(now, wall clock.Micros) {
+	jobs := slices.Collect(maps.Values(term.tracker.Jobs))
+	slices.SortFunc(jobs, func(a, b *allocation.Job) int {
+		return cmp.Or(cmp.Compare(a.ReleasedAt, b.ReleasedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
+	})
+	for _, job := range jobs {
+		term.scheduler.ObserveArrival(job, now-max(wall-job.ReleasedAt, 0))
+	}
+}
+
+func (term *leaderTerm) addJob(id string, record *jobRecord, startsRecorded bool) *allocation.Job {
+	completed := term.controller.completedTasks(id, record)
+	released := term.controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
+	job := term.tracker.AddJob(record.Job, released, clock.Now(), startsRecorded, completed.isSet)
+	urgency := term.controller.dependencyGraph.UrgencyOf(id, urgencyOf(record))
+	job.Priority, job.Deadline = urgency.Priority, urgency.Deadline
+	jobInfo := &jobState{layout: term.controller.progressLayoutOf(record), firstStartAt: record.FirstStartAt}
+	jobInfo.updateKeyVersions(term.controller.view.progress[id])
+	term.jobs[id] = jobInfo
+	return job
+}
+
+func (term *leaderTerm) addMachine(request *scaleOutRequest, name string) *allocation.Machine {
+	now := clock.Now()
+	machine := term.tracker.AddMachine(name, request.record.Type, request.record.Zone, request.record.Spot, term.scheduler.MachineCapacity(request.record.Type), now)
+	machine.CreatedAt = request.requestedAt
+	if term.machines[name] == nil {
+		term.machines[name] = &machineState{scaleOut: request}
+	}
+	return machine
+}
+
+// applyJobRecord takes a job's record as the state service has it.
+func (term *leaderTerm) applyJobRecord(id string, record *jobRecord) {
+	now := clock.Now()
+	job := term.tracker.Jobs[id]
+	term.needsPlan = true
+	switch {
+	case record.isCancelledByDependency:
+	case !record.hasEnded() && job == nil && term.jobs[id] == nil:
+		if term.controller.isBlocked(id, record) {
+			return
+		}
+		term.scheduler.ObserveArrival(term.addJob(id, record, false), now)
+	case record.State == wire.JobCancelled && job != nil:
+		term.cancelJob(job, record, now)
+	case record.hasEnded() && term.jobs[id] != nil:
+		term.jobs[id].isEndDurable = true
+	}
+}
+
+// cancelJob takes a durable withdrawal. The time that its tasks have runs from the
+// confirmation, of which a leader that was refused by the state service may have
+// learnt late.
+func (term *leaderTerm) cancelJob(job *allocation.Job, record *jobRecord, now clock.Micros) {
+	term.tracker.Cancel(job, now)
+	job.CancelledAt = now - max(clock.WallTime()-clock.Micros(record.EndedAt), 0)
+	term.jobs[job.Spec.ID].isEndDurable = true
+}
