--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -11,229 +11,229 @@
 	"firwood.dev/firwood/wire"
 )
 
-// view is this process's copy of what is in the state service. It is never
+// storeView is this process's copy of what is in the state service. It is never
 // behind by guess: an answer to a user that could be overtaken waits for a
 // watch that was opened after the question came, and so proves its revision.
-type view struct {
-	loaded bool
-	rev    uint64
-	jobs   map[string]*jobRecord
-	// done is the progress of jobs, by the number of its key.
-	done map[string]map[int]progressPart
-	// awaits are the parts of what jobs await, where those have keys of their own.
-	awaits  map[string]map[int][]string
-	rentals map[string]*rentalRecord
-	lock    election.Lock
-	// promises are those of leaders, with its version.
-	promises        delegation.Constraints
-	promisesVersion uint64
+type storeView struct {
+	isLoaded bool
+	revision uint64
+	jobs     map[string]*jobRecord
+	// progress is the progress of jobs, by the number of its key.
+	progress map[string]map[int]progressPart
+	// dependencies are the parts of what jobs await, where those have keys of their own.
+	dependencies map[string]map[int][]string
+	scaleOuts    map[string]*scaleOutRecord
+	lock         election.Lock
+	// constraints are those of leaders, with its version.
+	constraints        delegation.Constraints
+	constraintsVersion uint64
 	// standby is the record of those in step with a leader, with its version.
 	standby        standby.InSyncRecord
 	standbyVersion uint64
 	// hasArchive: there may be finished jobs in the archive.
 	hasArchive bool
-	// leads are those that were seen since all keys were last read.
-	leads standby.TermHistory
-
-	waiters  []*waiter
-	syncing  int // syncs under way
-	lastSync clock.Micros
-	polling  bool
-	nextPoll clock.Micros
-	loading  bool
+	// terms are those that were seen since all keys were last read.
+	terms standby.TermHistory
+
+	waiters       []*syncWaiter
+	syncsInFlight int // syncs under way
+	lastSyncAt    clock.Micros
+	isPolling     bool
+	nextPollAt    clock.Micros
+	isLoading     bool
 }
 
-type waiter struct {
-	f     func(error)
-	until clock.Micros
-	taken bool // a watch that will serve it is under way
-	over  bool
+type syncWaiter struct {
+	callback    func(error)
+	deadline    clock.Micros
+	hasWatch    bool // a watch that will serve it is under way
+	isCompleted bool
 }
 
-func (w *waiter) end(err error) {
-	if !w.over {
-		w.over = true
-		w.f(err)
+func (waiter *syncWaiter) complete(err error) {
+	if !waiter.isCompleted {
+		waiter.isCompleted = true
+		waiter.callback(err)
 	}
 }
 
-var errNoView = errors.New("the state service does not answer")
+var errSyncTimeout = errors.New("the state service does not answer")
 
-func (v *view) init() {
-	v.jobs = map[string]*jobRecord{}
-	v.done = map[string]map[int]progressPart{}
-	v.awaits = map[string]map[int][]string{}
-	v.rentals = map[string]*rentalRecord{}
+func (view *storeView) reset() {
+	view.jobs = map[string]*jobRecord{}
+	view.progress = map[string]map[int]progressPart{}
+	view.dependencies = map[string]map[int][]string{}
+	view.scaleOuts = map[string]*scaleOutRecord{}
 }
 
-// wantSync calls f once the view is at least as new as this call, or with an
+// requestSync calls f once the view is at least as new as this call, or with an
 // error when that could not be had in time.
-func (v *view) wantSync(f func(error), until clock.Micros) {
-	v.waiters = append(v.waiters, &waiter{f: f, until: until})
+func (view *storeView) requestSync(callback func(error), deadline clock.Micros) {
+	view.waiters = append(view.waiters, &syncWaiter{callback: callback, deadline: deadline})
 }
 
-func (v *view) expireWaiters(now clock.Micros) {
-	var late []*waiter
-	kept := v.waiters[:0]
-	for _, w := range v.waiters {
+func (view *storeView) expireWaiters(now clock.Micros) {
+	var expired []*syncWaiter
+	remaining := view.waiters[:0]
+	for _, waiter := range view.waiters {
 		switch {
-		case w.over:
-		case now >= w.until:
-			late = append(late, w)
+		case waiter.isCompleted:
+		case now >= waiter.deadline:
+			expired = append(expired, waiter)
 		default:
-			kept = append(kept, w)
+			remaining = append(remaining, waiter)
 		}
 	}
-	clear(v.waiters[len(kept):])
-	v.waiters = kept
-	for _, w := range late {
-		w.end(errNoView)
+	clear(view.waiters[len(remaining):])
+	view.waiters = remaining
+	for _, waiter := range expired {
+		waiter.complete(errSyncTimeout)
 	}
 }
 
-func (c *Core) malformed(key string, err error) {
-	c.store.MalformedResponses.Add(1)
-	c.dropped("a record makes no sense", "key", key, "error", err)
+func (controller *Controller) logMalformedRecord(key string, err error) {
+	controller.store.MalformedResponses.Add(1)
+	controller.logDropped("a record makes no sense", "key", key, "error", err)
 }
 
-func (c *Core) put(key string, value []byte, version uint64) {
-	v := &c.view
+func (controller *Controller) applyPut(key string, value []byte, version uint64) {
+	view := &controller.view
 	switch {
 	case key == keyLock:
-		var r lockRecord
-		if err := r.UnmarshalJSON(value); err != nil {
-			c.malformed(key, err)
+		var record lockRecord
+		if err := record.UnmarshalJSON(value); err != nil {
+			controller.logMalformedRecord(key, err)
 			return
 		}
-		if version != v.leads.LastToken() {
-			v.leads.ObserveTerm(version, r.Standby)
-			c.seenTakeOver(version)
+		if version != view.terms.LastToken() {
+			view.terms.ObserveTerm(version, record.NeedsStandbyRecord)
+			controller.traceObservedFailover(version)
 		}
-		v.lock = election.Lock{Exists: true, Holder: r.Member, LeaseID: r.Lease, Version: version}
-	case key == keyTypes:
-		var t wire.MachineTypeList
-		if err := t.UnmarshalJSON(value); err != nil {
-			c.malformed(key, err)
+		view.lock = election.Lock{Exists: true, Holder: record.Member, LeaseID: record.Lease, Version: version}
+	case key == keyMachineTypes:
+		var types wire.MachineTypeList
+		if err := types.UnmarshalJSON(value); err != nil {
+			controller.logMalformedRecord(key, err)
 			return
 		}
-		if len(c.types) == 0 {
-			c.setTypes(t.Types)
+		if len(controller.machineTypes) == 0 {
+			controller.setMachineTypes(types.Types)
 		}
-	case key == keyPromises:
-		var r promisesRecord
-		if err := r.UnmarshalJSON(value); err != nil {
-			c.malformed(key, err)
+	case key == keyConstraints:
+		var record constraintsRecord
+		if err := record.UnmarshalJSON(value); err != nil {
+			controller.logMalformedRecord(key, err)
 			return
 		}
-		c.seenPromises(r.Promises, version)
+		controller.applyConstraints(record.Constraints, version)
 	case key == keyStandby:
-		c.seenStandby(value, version)
-	case key == keyArchive:
-		v.hasArchive = true
-		c.mayForgetFrom()
-	case strings.HasPrefix(key, prefixAsked):
-		var r askedRecord
-		if err := r.UnmarshalJSON(value); err != nil {
-			c.malformed(key, err)
+		controller.applyStandbyRecord(value, version)
+	case key == keyArchiveMarker:
+		view.hasArchive = true
+		controller.recordEviction()
+	case strings.HasPrefix(key, prefixWorkerContact):
+		var record workerContactRecord
+		if err := record.UnmarshalJSON(value); err != nil {
+			controller.logMalformedRecord(key, err)
 			return
 		}
-		c.seenAsked(key, r)
+		controller.applyWorkerContact(key, record)
 	case strings.HasPrefix(key, prefixJob):
 		id := key[len(prefixJob):]
-		r := &jobRecord{}
-		if err := r.UnmarshalJSON(value); err != nil {
-			c.malformed(key, err)
+		record := &jobRecord{}
+		if err := record.UnmarshalJSON(value); err != nil {
+			controller.logMalformedRecord(key, err)
 			return
 		}
-		r.version = version
-		old := v.jobs[id]
+		record.version = version
+		old := view.jobs[id]
 		if old != nil && old.version >= version {
 			return
 		}
-		c.setJob(id, r)
-	case strings.HasPrefix(key, prefixAwaits):
-		id, part, ok := parseAwaitsKey(key)
-		var r awaitsRecord
-		if err := r.UnmarshalJSON(value); err != nil || !ok {
-			c.malformed(key, err)
+		controller.setJobRecord(id, record)
+	case strings.HasPrefix(key, prefixDependencies):
+		id, part, ok := parseDependenciesKey(key)
+		var record dependenciesRecord
+		if err := record.UnmarshalJSON(value); err != nil || !ok {
+			controller.logMalformedRecord(key, err)
 			return
 		}
-		c.setAwaits(id, part, r.Awaits)
-	case strings.HasPrefix(key, prefixDone):
-		c.putProgress(key, value, version)
-	case strings.HasPrefix(key, prefixRental):
-		r := &rentalRecord{}
-		if err := r.UnmarshalJSON(value); err != nil {
-			c.malformed(key, err)
+		controller.setDependenciesPart(id, part, record.DependsOn)
+	case strings.HasPrefix(key, prefixProgress):
+		controller.applyProgress(key, value, version)
+	case strings.HasPrefix(key, prefixScaleOut):
+		record := &scaleOutRecord{}
+		if err := record.UnmarshalJSON(value); err != nil {
+			controller.logMalformedRecord(key, err)
 			return
 		}
-		r.version = version
-		v.rentals[key[len(prefixRental):]] = r
+		record.version = version
+		view.scaleOuts[key[len(prefixScaleOut):]] = record
 	}
 }
 
-// setJob takes a newer record of a job into the view.
-func (c *Core) setJob(id string, r *jobRecord) {
-	c.view.jobs[id] = r
-	if r.over() {
-		c.counts.forget(id)
+// setJobRecord takes a newer record of a job into the view.
+func (controller *Controller) setJobRecord(id string, record *jobRecord) {
+	controller.view.jobs[id] = record
+	if record.hasEnded() {
+		controller.progressCounts.remove(id)
 	}
-	if r.isFinished() {
-		c.finished.Touch(id)
+	if record.isFinished() {
+		controller.finishedJobs.Touch(id)
 	}
-	c.withdrawals.add(id, r, clock.Now(), clock.WallTime())
-	r.cancelledWith = r.State == "" && c.graph.IsCancelled(id)
-	c.follow(id, r)
-	if c.lead != nil {
-		c.lead.jobChanged(id, r)
+	controller.cancellations.add(id, record, clock.Now(), clock.WallTime())
+	record.isCancelledByDependency = record.State == "" && controller.dependencyGraph.IsCancelled(id)
+	controller.updateDependencyGraph(id, record)
+	if controller.term != nil {
+		controller.term.applyJobRecord(id, record)
 	}
 }
 
-// setAwaits takes a part of what a job awaits; its record may have come before.
-func (c *Core) setAwaits(id string, part int, ids []string) {
-	parts := c.view.awaits[id]
+// setDependenciesPart takes a part of what a job awaits; its record may have come before.
+func (controller *Controller) setDependenciesPart(id string, part int, ids []string) {
+	parts := controller.view.dependencies[id]
 	if parts == nil {
 		parts = map[int][]string{}
-		c.view.awaits[id] = parts
+		controller.view.dependencies[id] = parts
 	}
 	parts[part] = ids
-	if r := c.view.jobs[id]; r != nil && !r.over() && len(parts) == r.Parts {
-		c.setJob(id, r)
+	if record := controller.view.jobs[id]; record != nil && !record.hasEnded() && len(parts) == record.DependencyParts {
+		controller.setJobRecord(id, record)
 	}
 }
 
-func (c *Core) dropAwaits(key string) {
-	id, part, ok := parseAwaitsKey(key)
+func (controller *Controller) removeDependenciesPart(key string) {
+	id, part, ok := parseDependenciesKey(key)
 	if !ok {
 		return
 	}
-	dropPart(c.view.awaits, id, part)
+	removePart(controller.view.dependencies, id, part)
 }
 
-// dropPart takes one of a job's numbered parts away, and the job with the last one.
-func dropPart[V any](parts map[string]map[int]V, id string, number int) {
+// removePart takes one of a job's numbered parts away, and the job with the last one.
+func removePart[V any](parts map[string]map[int]V, id string, number int) {
 	delete(parts[id], number)
 	if len(parts[id]) == 0 {
 		delete(parts, id)
 	}
 }
 
-func (c *Core) drop(key string) {
-	v := &c.view
+func (controller *Controller) applyDelete(key string) {
+	view := &controller.view
 	switch {
 	case key == keyLock:
-		v.lock = election.Lock{}
-	case key == keyArchive:
-		v.hasArchive = false
+		view.lock = election.Lock{}
+	case key == keyArchiveMarker:
+		view.hasArchive = false
 	case strings.HasPrefix(key, prefixJob):
-		if r := v.jobs[key[len(prefixJob):]]; r != nil {
-			r.isArchived = true // records are deleted for that alone
+		if record := view.jobs[key[len(prefixJob):]]; record != nil {
+			record.isArchived = true // records are deleted for that alone
 		}
-	case strings.HasPrefix(key, prefixDone):
-		c.dropProgress(key)
-	case strings.HasPrefix(key, prefixAwaits):
-		c.dropAwaits(key)
-	case strings.HasPrefix(key, prefixRental):
-		delete(v.rentals, key[len(prefixRental):])
+	case strings.HasPrefix(key, prefixProgress):
+		controller.removeProgress(key)
+	case strings.HasPrefix(key, prefixDependencies):
+		controller.removeDependenciesPart(key)
+	case strings.HasPrefix(key, prefixScaleOut):
+		delete(view.scaleOuts, key[len(prefixScaleOut):])
 	}
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -10,146 +10,146 @@
 	"firwood.dev/firwood/wire"
 )
 
-// load reads everything, at the start and after a watch fell too far behind.
-func (c *Core) load() {
-	if c.view.loading {
+// loadAll reads everything, at the start and after a watch fell too far behind.
+func (controller *Controller) loadAll() {
+	if controller.view.isLoading {
 		return
 	}
-	c.view.loading = true
+	controller.view.isLoading = true
 	go func() {
-		filter := newLoadFilter(c.finishedKept)
-		rev, err := c.store.LoadPrefix(prefix, filter.add)
+		filter := newLoadFilter(controller.finishedCapacity)
+		revision, err := controller.store.LoadPrefix(watchedPrefix, filter.add)
 		if err != nil {
-			c.log.Debug("state not loaded", "error", err)
+			controller.log.Debug("state not loaded", "error", err)
 			time.Sleep(300 * time.Millisecond)
 		}
-		c.post(func() {
-			c.view.loading = false
+		controller.postResult(func() {
+			controller.view.isLoading = false
 			if err != nil {
-				c.load()
+				controller.loadAll()
 				return
 			}
-			c.loaded(filter, rev)
+			controller.applyLoad(filter, revision)
 		})
 	}()
 }
 
-func (c *Core) loaded(filter *loadFilter, rev uint64) {
-	v := &c.view
-	if v.loaded && rev < v.rev {
+func (controller *Controller) applyLoad(filter *loadFilter, revision uint64) {
+	view := &controller.view
+	if view.isLoaded && revision < view.revision {
 		return
 	}
 	// Keys that vanished while nobody watched: jobs never do.
-	v.awaits = map[string]map[int][]string{}
-	v.done = map[string]map[int]progressPart{}
-	v.rentals = map[string]*rentalRecord{}
-	v.lock = election.Lock{}
-	v.leads.Reset()
-	v.hasArchive = false
-	items, dropped := filter.items()
+	view.dependencies = map[string]map[int][]string{}
+	view.progress = map[string]map[int]progressPart{}
+	view.scaleOuts = map[string]*scaleOutRecord{}
+	view.lock = election.Lock{}
+	view.terms.Reset()
+	view.hasArchive = false
+	items, dropped := filter.keptItems()
 	for i := range items {
-		c.put(items[i].Key, items[i].Value, items[i].Version)
+		controller.applyPut(items[i].Key, items[i].Value, items[i].Version)
 	}
-	v.rev = max(v.rev, rev)
-	v.loaded = true
-	c.countForgotten(filter.seen, dropped)
-	c.recallAwaited()
-	c.seenLock()
-	c.log.Info("state loaded", "revision", rev, "jobs", len(v.jobs))
+	view.revision = max(view.revision, revision)
+	view.isLoaded = true
+	controller.recountEvicted(filter.finishedCounts, dropped)
+	controller.lookUpUnknownDependencies()
+	controller.observeLock()
+	controller.log.Info("state loaded", "revision", revision, "jobs", len(view.jobs))
 }
 
-// startSync opens the watches that are due: one that answers at once if
+// startWatches opens the watches that are due: one that answers at once if
 // somebody waits for proof, and a long one that brings changes by itself.
-func (c *Core) startSync() {
-	v := &c.view
+func (controller *Controller) startWatches() {
+	view := &controller.view
 	now := clock.Now()
-	if !v.loaded {
+	if !view.isLoaded {
 		return
 	}
-	gap := 60 * clock.Millisecond
-	if c.lead != nil || c.rebuilding {
-		gap = 25 * clock.Millisecond
+	minInterval := 60 * clock.Millisecond
+	if controller.term != nil || controller.isRebuilding {
+		minInterval = 25 * clock.Millisecond
 	}
-	if v.syncing < 2 && now-v.lastSync >= gap {
-		var mine []*waiter
-		for _, w := range v.waiters {
-			if !w.taken && !w.over {
-				w.taken = true
-				mine = append(mine, w)
+	if view.syncsInFlight < 2 && now-view.lastSyncAt >= minInterval {
+		var claimed []*syncWaiter
+		for _, waiter := range view.waiters {
+			if !waiter.hasWatch && !waiter.isCompleted {
+				waiter.hasWatch = true
+				claimed = append(claimed, waiter)
 			}
 		}
-		if len(mine) > 0 {
-			v.syncing++
-			v.lastSync = now
-			go c.watch(0, func(err error) {
-				v.syncing--
-				for _, w := range mine {
-					w.end(err)
+		if len(claimed) > 0 {
+			view.syncsInFlight++
+			view.lastSyncAt = now
+			go controller.watch(0, func(err error) {
+				view.syncsInFlight--
+				for _, waiter := range claimed {
+					waiter.complete(err)
 				}
 			})
 		}
 	}
-	if !v.polling && now >= v.nextPoll {
-		v.polling = true
-		go c.watch(10*clock.Second, func(err error) {
-			v.polling = false
-			v.nextPoll = clock.Now() + 200*clock.Millisecond
-			if c.lead != nil {
-				v.nextPoll = clock.Now() + 50*clock.Millisecond
+	if !view.isPolling && now >= view.nextPollAt {
+		view.isPolling = true
+		go controller.watch(10*clock.Second, func(err error) {
+			view.isPolling = false
+			view.nextPollAt = clock.Now() + 200*clock.Millisecond
+			if controller.term != nil {
+				view.nextPollAt = clock.Now() + 50*clock.Millisecond
 			}
 			if err != nil {
-				v.nextPoll = clock.Now() + 300*clock.Millisecond
+				view.nextPollAt = clock.Now() + 300*clock.Millisecond
 			}
 		})
 	}
 }
 
-func (c *Core) watch(block clock.Micros, then func(error)) {
-	since := make(chan uint64, 1)
+func (controller *Controller) watch(block clock.Micros, done func(error)) {
+	revisions := make(chan uint64, 1)
 	// The revision is read by the owner as late as possible.
-	c.post(func() { since <- c.view.rev })
+	controller.postResult(func() { revisions <- controller.view.revision })
 	var from uint64
 	select {
-	case from = <-since:
-	case <-c.ended:
+	case from = <-revisions:
+	case <-controller.stopped:
 		return
 	}
-	events, err := c.store.Watch(prefix, from, block)
-	c.post(func() {
+	events, err := controller.store.Watch(watchedPrefix, from, block)
+	controller.postResult(func() {
 		if err == nil {
-			c.apply(events)
+			controller.applyEvents(events)
 		} else if errors.Is(err, kvstore.ErrCompacted) {
-			c.load()
+			controller.loadAll()
 		}
-		then(err)
+		done(err)
 	})
 }
 
-func (c *Core) apply(e *wire.WatchResponse) {
-	v := &c.view
-	for i := range e.Events {
-		ev := &e.Events[i]
-		if ev.Version <= v.rev {
+func (controller *Controller) applyEvents(events *wire.WatchResponse) {
+	view := &controller.view
+	for i := range events.Events {
+		event := &events.Events[i]
+		if event.Version <= view.revision {
 			continue
 		}
-		c.shares.seen++
-		if ev.DeleteKey != "" {
-			c.drop(ev.DeleteKey)
+		controller.rateShares.observedChanges++
+		if event.DeleteKey != "" {
+			controller.applyDelete(event.DeleteKey)
 		} else {
-			c.put(ev.PutKey, ev.Value, ev.Version)
+			controller.applyPut(event.PutKey, event.Value, event.Version)
 		}
 	}
-	v.rev = max(v.rev, e.Revision)
-	c.seenLock()
+	view.revision = max(view.revision, events.Revision)
+	controller.observeLock()
 }
 
-// seenLock tells the election of the lock, unless the view is older than our
+// observeLock tells the election of the lock, unless the view is older than our
 // own token.
-func (c *Core) seenLock() {
-	if c.el.Phase() == election.Leader && c.view.rev < c.el.Token() {
+func (controller *Controller) observeLock() {
+	if controller.elector.Phase() == election.Leader && controller.view.revision < controller.elector.Token() {
 		return
 	}
-	c.act(c.el.ObserveLock(clock.Now(), c.view.lock))
-	c.act(c.el.Tick(clock.Now()))
-	c.checkLead()
+	controller.executeActions(controller.elector.ObserveLock(clock.Now(), controller.view.lock))
+	controller.executeActions(controller.elector.Tick(clock.Now()))
+	controller.startFailoverIfElected()
 }
--- /dev/null
+++ b/internal/controller/worker_contact_test.go
@@ -0,0 +1,131 @@
+package controller
+
+import (
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/election"
+	"firwood.dev/firwood/internal/peer"
+)
+
+// A leader that no worker reaches, and that hears no controller either, hands over on
+// what others say by way of the state service: not on what they said long ago, nor of
+// a few, nor while it hears the workers itself.
+func TestHandOverOnWorkerContactRecords(t *testing.T) {
+	said := func(workers uint32, ago clock.Micros) []byte {
+		value, err := workerContactRecord{Workers: workers, ReportedAt: int64(clock.WallTime() - ago)}.MarshalJSON()
+		if err != nil {
+			t.Fatal(err)
+		}
+		return value
+	}
+	for _, test := range []struct {
+		name    string
+		h       reachability
+		workers uint32
+		ago     clock.Micros
+		over    bool
+	}{
+		{"many ask another", reachability{20, 0}, 12, clock.Second, true},
+		{"a few do", reachability{20, 0}, 3, clock.Second, false},
+		{"many did", reachability{20, 0}, 12, 8 * clock.Second, false},
+		{"they come here too", reachability{20, 15}, 12, clock.Second, false},
+	} {
+		term := newTestTerm(t)
+		term.controller.term = term
+		term.controller.applyPut(prefixWorkerContact+"b", said(test.workers, test.ago), 10)
+		now := clock.Now()
+		term.resumedAt = now - 60*clock.Second
+		if got := term.handOverIfCutOff(test.h, now); got != test.over || term.isClosed != test.over {
+			t.Errorf("%s: hands over %v, the lead is over %v", test.name, got, term.isClosed)
+		}
+	}
+}
+
+// Who says so is a member that is asked by many and does not hear the leader.
+func TestWorkerContactIsReported(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		workers int
+		beat    clock.Micros // how long ago the leader was heard, 0: never
+		told    bool
+	}{
+		{"the leader is not heard", 6, 0, true},
+		{"no more", 6, 10 * clock.Second, true},
+		{"it is heard", 6, clock.Second, false},
+		{"hardly asked", 2, 0, false},
+	} {
+		term := newTestTerm(t)
+		controller := term.controller
+		controller.term = nil
+		now := 100 * clock.Second
+		controller.elector.ObserveLock(now, election.Lock{Exists: true, Holder: "b", LeaseID: 3, Version: 9})
+		for i := range test.workers {
+			controller.workerContactAt[string(rune('a'+i))] = now
+		}
+		if test.beat != 0 {
+			controller.peerHeartbeats["b"] = &receivedHeartbeat{receivedAt: now - test.beat}
+		}
+		controller.reportWorkerContact(now)
+		if got := controller.nextWorkerContactAt != 0; got != test.told {
+			t.Errorf("%s: told %v", test.name, got)
+		}
+	}
+}
+
+// A leader that could not renew its lock for a while does not take what it has not
+// heard meanwhile for silent, nor hand over for it.
+func TestLapsedTermDoesNotSuspectMachines(t *testing.T) {
+	term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
+	controller := term.controller
+	controller.term = term
+	now := clock.Now()
+	controller.elector.ObserveLock(now, election.Lock{})
+	controller.elector.Tick(now)
+	controller.elector.HandleGrantResult(now, 5)
+	controller.elector.HandleAcquireResult(now, election.AcquireSucceeded, 9)
+	if !controller.isEntitled() {
+		t.Fatal("not entitled")
+	}
+	term.resumedAt, term.hasLapsed = now-75*clock.Second, true
+	controller.peerHeartbeats["b"] = &receivedHeartbeat{receivedAt: now, heartbeat: &peer.Heartbeat{IsStoreReachable: true, WorkerCount: 4}}
+	term.tick(now)
+	if term.isClosed || term.resumedAt != now || term.hasLapsed {
+		t.Fatalf("handed over %v, awake since %d at %d", term.isClosed, term.resumedAt, now)
+	}
+	later := now + controller.suspectTimeout()
+	controller.peerHeartbeats["b"].receivedAt = later
+	if !term.handOverIfCutOff(reachability{4, 0}, later) {
+		t.Fatal("does not hand over when nobody comes back to it")
+	}
+}
+
+// A leader that hears all machines fall silent at once hands over, if another could
+// lead, and the next one does not pass the lead on that it has heard nobody with.
+func TestHandOverWhenNoMachineIsReachable(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		before, then reachability
+		peer         clock.Micros // how long ago it was heard
+		served, over bool
+	}{
+		{"all at once", reachability{20, 18}, reachability{20, 0}, clock.Second, true, true},
+		{"a third is left", reachability{20, 18}, reachability{20, 7}, clock.Second, true, false},
+		{"never heard", reachability{20, 0}, reachability{20, 0}, clock.Second, true, false},
+		{"too few to tell", reachability{2, 2}, reachability{2, 0}, clock.Second, true, false},
+		{"nobody else is there", reachability{20, 18}, reachability{20, 0}, 9 * clock.Second, true, false},
+		{"nobody else could", reachability{20, 18}, reachability{20, 0}, clock.Second, false, false},
+	} {
+		term := newTestTerm(t)
+		term.controller.term = term
+		now := 100 * clock.Second
+		term.resumedAt = now
+		term.controller.peerHeartbeats["b"] = &receivedHeartbeat{receivedAt: now - test.peer, heartbeat: &peer.Heartbeat{IsStoreReachable: test.served}}
+		if term.handOverIfCutOff(test.before, now) {
+			t.Fatalf("%s: hands over at first", test.name)
+		}
+		if got := term.handOverIfCutOff(test.then, now); got != test.over {
+			t.Errorf("%s: hands over %v", test.name, got)
+		}
+	}
+}
--- a/internal/e2e/standby_test.go
+++ b/internal/e2e/standby_test.go
@@ -70,7 +70,7 @@
 // inStep tells whether the leader has both others in step.
 func (d *deployment) inStep() bool {
 	leader := d.leader()
-	return leader != nil && !slices.ContainsFunc(leader.status().Followers, func(f controller.FollowerStatus) bool { return !f.InStep })
+	return leader != nil && !slices.ContainsFunc(leader.status().Followers, func(f controller.FollowerStatus) bool { return !f.IsInSync })
 }
 
 // The leader is killed again and again under load, without a warning: nothing is started
@@ -110,7 +110,7 @@
 		<-cancelled
 		leader.start(t, leader.cmd.Path)
 		if now := d.leader(); now != nil {
-			if s := now.status(); s.TakeOver != nil && s.TakeOver.ReplicaUsed {
+			if s := now.status(); s.Failover != nil && s.Failover.IsReplicaUsed {
 				used++
 			}
 		}
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -120,7 +120,7 @@
 	name string
 	cfg  *config.Platform
 	// app is the present life, nil while there is none.
-	app  *controller.Core
+	app  *controller.Controller
 	end  context.CancelFunc
 	stop []func()
 }
@@ -225,7 +225,7 @@
 }
 
 // life is the present life of a controller, nil if there is none.
-func (c *Cluster) life(n *node) *controller.Core {
+func (c *Cluster) life(n *node) *controller.Controller {
 	c.lives.Lock()
 	defer c.lives.Unlock()
 	return n.app
@@ -325,7 +325,7 @@
 	return func() { l.Close() }
 }
 
-func readFrames(conn net.Conn, app *controller.Core) {
+func readFrames(conn net.Conn, app *controller.Controller) {
 	defer conn.Close()
 	var frames peer.FrameReader
 	buffer := make([]byte, 32<<10)
@@ -340,7 +340,7 @@
 // Leader is the controller that answers workers as leader, empty if there is none.
 func (c *Cluster) Leader() string {
 	for _, n := range c.nodes {
-		if app := c.life(n); app != nil && app.Leads() {
+		if app := c.life(n); app != nil && app.IsLeader() {
 			return n.name
 		}
 	}
