--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -38,7 +38,7 @@
 	runUntil(t, controller, func() bool { return synced })
 }
 
-func dependencyAndProgressKeys(fakeStore *fake.State) []string {
+func dependencyAndProgressKeys(fakeStore *fake.Store) []string {
 	return append(fakeStore.Keys(prefixDependencies), fakeStore.Keys(prefixProgress)...)
 }
 
@@ -110,7 +110,7 @@
 	}
 	startNewTerm(t, term.controller)
 	putAndSync(t, term.controller, map[string]any{progressKey(id, 1): progressRecord{}})
-	fakeStore.Repeat(cleanUps[0])
+	fakeStore.ReapplyTransaction(cleanUps[0])
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a former leader's clean-up is carried out")
 	}
@@ -123,7 +123,7 @@
 		}
 	}
 	putAndSync(t, term.controller, map[string]any{prefixJob + id: jobRecord{SubmittedAt: 2, Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
-	fakeStore.Repeat(own)
+	fakeStore.ReapplyTransaction(own)
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a late clean-up removes what belongs to a record that came after it")
 	}
@@ -182,7 +182,7 @@
 		prefixJob + id:     jobRecord{SubmittedAt: int64(clock.WallTime()), Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
 		progressKey(id, 0): progressRecord{Bits: before.encode()}, // by the version before
 	})
-	fakeStore.SetLimits(fake.StateLimits{ValueBytes: 1 << 10, TxnOps: 3})
+	fakeStore.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 3})
 	job := term.tracker.Jobs[id]
 	done := []int{0, 7, 6000, 12345, 33000, tasks - 1}
 	machine := term.tracker.AddMachine("i-1", "big", "x", false, term.scheduler.MachineCapacity("big"), clock.Now())
@@ -198,7 +198,7 @@
 		term.persistJobs(clock.Now() + clock.Second)
 		return len(job.UnpersistedCompletions()) == 0
 	})
-	if tooLarge := fakeStore.TooLarge(); tooLarge != 0 {
+	if tooLarge := fakeStore.OversizedCount(); tooLarge != 0 {
 		t.Errorf("%d transactions are refused for their size", tooLarge)
 	}
 	term = startNewTerm(t, term.controller)
@@ -247,7 +247,7 @@
 		term.tickCleanup(sweepAt)
 		return len(fakeStore.Keys(prefixProgress)) == 0 && term.controller.view.jobs[id].State == wire.JobDone
 	})
-	if tooLarge := fakeStore.TooLarge(); tooLarge != 0 {
+	if tooLarge := fakeStore.OversizedCount(); tooLarge != 0 {
 		t.Errorf("%d transactions are refused for their size", tooLarge)
 	}
 }
--- a/internal/controller/repeated_writes_test.go
+++ b/internal/controller/repeated_writes_test.go
@@ -32,7 +32,7 @@
 // Every transaction of a rental's and a mark's life comes again, at any later time:
 // none takes back what a later one has written.
 func TestRepeatedWritesAreIdempotent(t *testing.T) {
-	fakeStore, stop := fake.NewState()
+	fakeStore, stop := fake.NewStore()
 	defer stop()
 	term := newTestTerm(t)
 	controller := term.controller
@@ -62,7 +62,7 @@
 		before[key] = fakeStore.Value(key)
 	}
 	for _, transaction := range fakeStore.Transactions() {
-		fakeStore.Repeat(transaction)
+		fakeStore.ReapplyTransaction(transaction)
 		for key, value := range before {
 			if fakeStore.Value(key) != value {
 				t.Fatalf("%s was %s, after a repeat %s", key, value, fakeStore.Value(key))
--- a/internal/controller/small_limits_test.go
+++ b/internal/controller/small_limits_test.go
@@ -14,9 +14,9 @@
 
 // newTermOnStore makes a lead that holds the lock of a stand-in state service. Nothing
 // but the test works through its commands.
-func newTermOnStore(t *testing.T, limits config.StoreLimits) (*fake.State, *leaderTerm) {
+func newTermOnStore(t *testing.T, limits config.StoreLimits) (*fake.Store, *leaderTerm) {
 	t.Helper()
-	fakeStore, stop := fake.NewState()
+	fakeStore, stop := fake.NewStore()
 	t.Cleanup(stop)
 	controller := newTestTerm(t).controller
 	controller.cfg.Deployment.Store = limits
--- a/internal/e2e/deployment_test.go
+++ b/internal/e2e/deployment_test.go
@@ -19,89 +19,89 @@
 	"firwood.dev/firwood/wire"
 )
 
-const lease = 6 * time.Second
+const leaseTTL = 6 * time.Second
 
-type node struct {
-	name, serve, peer, file string
-	settings                string // the operators' file, if any
-	cmd                     *exec.Cmd
-	log                     *os.File // what it writes to standard error, over all its lives
+type memberProcess struct {
+	name, serveAddress, peerAddress, platformFile string
+	settingsFile                                  string // the operators' file, if any
+	cmd                                           *exec.Cmd
+	logFile                                       *os.File // what it writes to standard error, over all its lives
 }
 
 func freePort(t *testing.T) string {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-func (n *node) start(t *testing.T, program string) {
+func (member *memberProcess) start(t *testing.T, program string) {
 	t.Helper()
-	n.cmd = exec.Command(program, "--config", n.file)
-	if n.settings != "" {
-		n.cmd.Args = append(n.cmd.Args, "--settings", n.settings)
+	member.cmd = exec.Command(program, "--config", member.platformFile)
+	if member.settingsFile != "" {
+		member.cmd.Args = append(member.cmd.Args, "--settings", member.settingsFile)
 	}
-	n.cmd.Stderr = n.log
-	if err := n.cmd.Start(); err != nil {
+	member.cmd.Stderr = member.logFile
+	if err := member.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (n *node) kill(t *testing.T) {
+func (member *memberProcess) kill(t *testing.T) {
 	t.Helper()
-	if err := n.cmd.Process.Kill(); err != nil {
+	if err := member.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	n.cmd.Wait() //nolint:errcheck // killed
+	member.cmd.Wait() //nolint:errcheck // killed
 }
 
-func (n *node) said(t *testing.T) string {
+func (member *memberProcess) logOutput(t *testing.T) string {
 	t.Helper()
-	b, err := os.ReadFile(n.log.Name())
+	b, err := os.ReadFile(member.logFile.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(b)
 }
 
-func ask(n *node, method, target string, body []byte) *http1.Message {
-	h := client.NewHost(client.DialTCP, n.serve, 0, 1<<20)
-	m, err := h.Do(client.Request{Method: method, Target: target, Body: body, Timeout: 3 * clock.Second})
+func sendRequest(member *memberProcess, method, target string, body []byte) *http1.Message {
+	host := client.NewHost(client.DialTCP, member.serveAddress, 0, 1<<20)
+	message, err := host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: 3 * clock.Second})
 	if err != nil {
 		return &http1.Message{}
 	}
-	return m
+	return message
 }
 
-// until waits for a condition; the bound only ends a test that is broken.
-func until(t *testing.T, what string, f func() bool) {
+// waitFor waits for a condition; the bound only ends a test that is broken.
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(90 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if f() {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("never: %s", description)
 }
 
-// cancellation is how long tasks of a cancelled job may stay.
-const cancellation = 15 * time.Second
+// cancellationGrace is how long tasks of a cancelled job may stay.
+const cancellationGrace = 15 * time.Second
 
-// deployment is three controllers and the outside; a checker sees what users and
+// testDeployment is three controllers and the outside; a checker sees what users and
 // workers see.
-type deployment struct {
+type testDeployment struct {
 	dir     string
 	names   []string
-	nodes   map[string]*node
-	state   *fake.State
+	members map[string]*memberProcess
+	store   *fake.Store
 	cloud   *fake.Cloud
 	checker *protocoltest.Checker
 }
 
-// build builds the program; of a revision in the repository's history, if one is given.
-func build(t *testing.T, revision string) string {
+// buildProgram builds the program; of a revision in the repository's history, if one is given.
+func buildProgram(t *testing.T, revision string) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "firwood")
 	command := exec.Command("go", "build", "-o", program, "firwood.dev/firwood/cmd/firwood")
@@ -121,96 +121,96 @@
 }
 
 // deploy starts the outside and writes the controllers' settings.
-func deploy(t *testing.T, lease time.Duration) *deployment {
+func deploy(t *testing.T, lease time.Duration) *testDeployment {
 	t.Helper()
-	d := &deployment{dir: t.TempDir(), names: []string{"n0", "n1", "n2"}, nodes: map[string]*node{}}
+	deployment := &testDeployment{dir: t.TempDir(), names: []string{"n0", "n1", "n2"}, members: map[string]*memberProcess{}}
 	var stop func()
-	d.state, stop = fake.NewState()
+	deployment.store, stop = fake.NewStore()
 	t.Cleanup(stop)
 	addresses := map[string]string{}
-	for _, name := range d.names {
-		d.nodes[name] = &node{name: name, serve: freePort(t), peer: freePort(t), file: filepath.Join(d.dir, name+".json")}
-		addresses[name] = d.nodes[name].serve
+	for _, name := range deployment.names {
+		deployment.members[name] = &memberProcess{name: name, serveAddress: freePort(t), peerAddress: freePort(t), platformFile: filepath.Join(deployment.dir, name+".json")}
+		addresses[name] = deployment.members[name].serveAddress
 	}
-	d.checker = protocoltest.New(protocoltest.Config{Cancellation: cancellation})
-	d.cloud, stop = fake.NewCloudOn(fake.CloudConfig{
-		Network: fake.Loopback{}, Names: d.names, Controllers: addresses,
-		Types:  []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, FetchGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5, BootSeconds: 1, Zones: []string{"x", "y"}}},
-		RunFor: d.runFor, Lease: lease, ReportEvery: 300 * time.Millisecond, Observer: d.checker,
+	deployment.checker = protocoltest.New(protocoltest.Config{CancellationGrace: cancellationGrace})
+	deployment.cloud, stop = fake.NewCloudWithConfig(fake.CloudConfig{
+		Network: fake.Loopback{}, ControllerNames: deployment.names, ControllerAddresses: addresses,
+		MachineTypes: []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, FetchGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5, BootSeconds: 1, Zones: []string{"x", "y"}}},
+		TaskDuration: deployment.taskDuration, LeaseTTL: lease, HeartbeatInterval: 300 * time.Millisecond, Observer: deployment.checker,
 	})
 	t.Cleanup(stop)
-	for _, name := range d.names {
-		d.configure(t, d.nodes[name], lease)
+	for _, name := range deployment.names {
+		deployment.configure(t, deployment.members[name], lease)
 	}
-	return d
+	return deployment
 }
 
-// runFor is how long a task runs: a service's until it is stopped.
-func (d *deployment) runFor(task string) time.Duration {
+// taskDuration is how long a task runs: a service's until it is stopped.
+func (deployment *testDeployment) taskDuration(task string) time.Duration {
 	id, _, _ := wire.ParseTaskID(task)
-	if d.checker.IsService(id) {
+	if deployment.checker.IsService(id) {
 		return 0
 	}
 	return 500 * time.Millisecond
 }
 
-func (d *deployment) configure(t *testing.T, n *node, lease time.Duration) {
+func (deployment *testDeployment) configure(t *testing.T, member *memberProcess, lease time.Duration) {
 	t.Helper()
-	p := config.Platform{Member: n.name, Location: "x", ListenAddress: n.serve, PeerListenAddress: n.peer}
-	for _, name := range d.names {
-		if name != n.name {
-			p.Peers = append(p.Peers, config.Peer{Member: name, Location: "x", Address: d.nodes[name].peer})
+	platform := config.Platform{Member: member.name, Location: "x", ListenAddress: member.serveAddress, PeerListenAddress: member.peerAddress}
+	for _, name := range deployment.names {
+		if name != member.name {
+			platform.Peers = append(platform.Peers, config.Peer{Member: name, Location: "x", Address: deployment.members[name].peerAddress})
 		}
 	}
-	p.External = config.ExternalServices{CloudAddress: d.cloud.Addr, StoreAddress: d.state.Addr}
-	p.Deployment = config.Deployment{
-		ControllerCount: len(d.names), Zones: []string{"x", "y"}, Teams: []config.Team{{Name: "a"}},
-		Workers: config.WorkerTimings{HeartbeatIntervalSeconds: 0.3, LeaseSeconds: lease.Seconds(), GangStartTimeoutSeconds: 10, GangPeerTimeoutSeconds: 2, CancelTimeoutSeconds: cancellation.Seconds()},
+	platform.External = config.ExternalServices{CloudAddress: deployment.cloud.Addr, StoreAddress: deployment.store.Addr}
+	platform.Deployment = config.Deployment{
+		ControllerCount: len(deployment.names), Zones: []string{"x", "y"}, Teams: []config.Team{{Name: "a"}},
+		Workers: config.WorkerTimings{HeartbeatIntervalSeconds: 0.3, LeaseSeconds: lease.Seconds(), GangStartTimeoutSeconds: 10, GangPeerTimeoutSeconds: 2, CancelTimeoutSeconds: cancellationGrace.Seconds()},
 		Store:   config.StoreLimits{RPS: 500, WriteRPS: 200, MaxValueKB: 8, MaxTransactionOps: 24}, Cloud: config.Cloud{RPS: 20, ListLagSeconds: 0.2},
 		ProcessLimits: config.ProcessLimits{Cores: 1, MemoryMB: 200, MaxSockets: 500}, ClockErrorMillis: 5,
 	}
-	text, err := json.Marshal(p)
+	text, err := json.Marshal(platform)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(n.file, text, 0o600); err != nil {
+	if err := os.WriteFile(member.platformFile, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // startAll starts every controller, and ends all at the end of the test.
-func (d *deployment) startAll(t *testing.T, program string) {
+func (deployment *testDeployment) startAll(t *testing.T, program string) {
 	t.Helper()
-	for _, name := range d.names {
-		n := d.nodes[name]
-		log, err := os.Create(filepath.Join(d.dir, name+".log"))
+	for _, name := range deployment.names {
+		member := deployment.members[name]
+		log, err := os.Create(filepath.Join(deployment.dir, name+".log"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.log = log
-		n.start(t, program)
+		member.logFile = log
+		member.start(t, program)
 	}
 	t.Cleanup(func() {
-		for _, n := range d.nodes {
-			n.kill(t)
+		for _, member := range deployment.members {
+			member.kill(t)
 			if t.Failed() {
-				t.Logf("%s:\n%s", n.name, n.said(t))
+				t.Logf("%s:\n%s", member.name, member.logOutput(t))
 			}
-			n.log.Close()
+			member.logFile.Close()
 		}
 	})
 }
 
 // restart ends a controller without a word and starts it again, as some version.
-func (d *deployment) restart(t *testing.T, name, program string) {
+func (deployment *testDeployment) restart(t *testing.T, name, program string) {
 	t.Helper()
-	d.nodes[name].kill(t)
-	d.nodes[name].start(t, program)
+	deployment.members[name].kill(t)
+	deployment.members[name].start(t, program)
 }
 
-// submitter submits jobs, until they are accepted.
-func (d *deployment) submitter(t *testing.T) func(n *node, id, kind string, tasks int, awaits ...string) {
-	return func(n *node, id, kind string, tasks int, awaits ...string) {
+// submitFunc submits jobs, until they are accepted.
+func (deployment *testDeployment) submitFunc(t *testing.T) func(member *memberProcess, id, kind string, tasks int, awaits ...string) {
+	return func(member *memberProcess, id, kind string, tasks int, awaits ...string) {
 		t.Helper()
 		job := &wire.Job{
 			ID: id, Class: "c", Team: "a", Kind: kind, Priority: "standard", TaskCount: tasks, CPUs: 2, MemoryGB: 1, Image: "img", ImageSizeGB: 0.1,
@@ -220,67 +220,67 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.checker.Submitted(job)
-		until(t, id+" accepted", func() bool {
-			asked := time.Now()
-			m := ask(n, "POST", "/api/jobs", body)
-			if m.Status != 201 && m.Status != 200 {
+		deployment.checker.RecordSubmission(job)
+		waitFor(t, id+" accepted", func() bool {
+			sentAt := time.Now()
+			message := sendRequest(member, "POST", "/api/jobs", body)
+			if message.Status != 201 && message.Status != 200 {
 				return false
 			}
-			d.told(id, m, asked)
+			deployment.recordJobState(id, message, sentAt)
 			return true
 		})
 	}
 }
 
-func (d *deployment) told(id string, m *http1.Message, asked time.Time) string {
-	var s wire.JobStatus
-	if m.Status/100 != 2 || s.UnmarshalJSON(m.Body) != nil {
+func (deployment *testDeployment) recordJobState(id string, message *http1.Message, sentAt time.Time) string {
+	var status wire.JobStatus
+	if message.Status/100 != 2 || status.UnmarshalJSON(message.Body) != nil {
 		return ""
 	}
-	d.checker.Told(id, s.State, asked)
-	return s.State
+	deployment.checker.RecordJobState(id, status.State, sentAt)
+	return status.State
 }
 
-// stager asks a controller about a job, once.
-func (d *deployment) stager(t *testing.T) func(n *node, id string) string {
-	return func(n *node, id string) string {
-		asked := time.Now()
-		m := ask(n, "GET", "/api/jobs/"+id, nil)
-		if m.Status == 404 {
-			t.Errorf("%s is forgotten by %s", id, n.name)
+// getStateFunc asks a controller about a job, once.
+func (deployment *testDeployment) getStateFunc(t *testing.T) func(member *memberProcess, id string) string {
+	return func(member *memberProcess, id string) string {
+		sentAt := time.Now()
+		message := sendRequest(member, "GET", "/api/jobs/"+id, nil)
+		if message.Status == 404 {
+			t.Errorf("%s is forgotten by %s", id, member.name)
 		}
-		return d.told(id, m, asked)
+		return deployment.recordJobState(id, message, sentAt)
 	}
 }
 
-// waiter waits until a controller calls a job so.
-func (d *deployment) waiter(t *testing.T) func(n *node, id, want string) {
-	stage := d.stager(t)
-	return func(n *node, id, want string) {
+// waitForStateFunc waits until a controller calls a job so.
+func (deployment *testDeployment) waitForStateFunc(t *testing.T) func(member *memberProcess, id, want string) {
+	getState := deployment.getStateFunc(t)
+	return func(member *memberProcess, id, want string) {
 		t.Helper()
-		until(t, fmt.Sprintf("%s is %s at %s", id, want, n.name), func() bool { return stage(n, id) == want })
+		waitFor(t, fmt.Sprintf("%s is %s at %s", id, want, member.name), func() bool { return getState(member, id) == want })
 	}
 }
 
 // cancel cancels a job.
-func (d *deployment) cancel(t *testing.T, n *node, id string) {
+func (deployment *testDeployment) cancel(t *testing.T, member *memberProcess, id string) {
 	t.Helper()
-	d.checker.CancelAsked(id)
-	until(t, id+" is cancelled", func() bool {
-		asked := time.Now()
-		return d.told(id, ask(n, "POST", "/api/jobs/"+id+"/withdraw", nil), asked) == wire.JobCancelled
+	deployment.checker.RecordCancelRequest(id)
+	waitFor(t, id+" is cancelled", func() bool {
+		sentAt := time.Now()
+		return deployment.recordJobState(id, sendRequest(member, "POST", "/api/jobs/"+id+"/withdraw", nil), sentAt) == wire.JobCancelled
 	})
 }
 
-// check fails the test if a rule was broken, or fewer tasks were started than expected.
-func (d *deployment) check(t *testing.T, leastStarts int) {
+// checkRules fails the test if a rule was broken, or fewer tasks were started than expected.
+func (deployment *testDeployment) checkRules(t *testing.T, leastStarts int) {
 	t.Helper()
-	broken, starts := d.cloud.Broken()
+	broken, starts := deployment.cloud.Violations()
 	if len(broken) > 0 || starts < leastStarts {
 		t.Errorf("%d starts, broken: %v", starts, broken)
 	}
-	for _, v := range d.checker.Violations() {
-		t.Errorf("%s: %s", v.Rule, v.Detail)
+	for _, violation := range deployment.checker.Violations() {
+		t.Errorf("%s: %s", violation.Rule, violation.Detail)
 	}
 }
--- a/internal/e2e/pause_test.go
+++ b/internal/e2e/leader_pause_test.go
@@ -10,13 +10,13 @@
 	"firwood.dev/firwood/wire"
 )
 
-// leaderPauses is how many leaders TestLeadersPause pauses.
+// leaderPauses is how many leaders TestPausedLeaders pauses.
 var leaderPauses = flag.Int("leader-pauses", 6, "how many leaders TestLeadersPause pauses")
 
 // signal sends the controller's process a signal.
-func (n *node) signal(t *testing.T, s syscall.Signal) {
+func (member *memberProcess) signal(t *testing.T, signal syscall.Signal) {
 	t.Helper()
-	if err := n.cmd.Process.Signal(s); err != nil {
+	if err := member.cmd.Process.Signal(signal); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -25,15 +25,15 @@
 // when another one leads with the copy of its account: with starts half sent, answers of
 // followers and of workers that have come meanwhile, and requests of users. Nothing is
 // started twice or forgotten.
-func TestLeadersPause(t *testing.T) {
-	d := deploy(t, lease)
-	d.standbySettings(t)
-	d.startAll(t, build(t, ""))
-	submit, is := d.submitter(t), d.waiter(t)
-	until(t, "both others stand by", d.inStep)
+func TestPausedLeaders(t *testing.T) {
+	deployment := deploy(t, leaseTTL)
+	deployment.enableStandby(t)
+	deployment.startAll(t, buildProgram(t, ""))
+	submit, waitForState := deployment.submitFunc(t), deployment.waitForStateFunc(t)
+	waitFor(t, "both others stand by", deployment.isStandbyInSync)
 	var ids []string
 	for i := range *leaderPauses {
-		leader := d.someLeader(t)
+		leader := deployment.waitForLeader(t)
 		for range 4 {
 			id := fmt.Sprintf("req-%06d", len(ids))
 			ids = append(ids, id)
@@ -42,13 +42,13 @@
 		// At another point of the plans and messages that follow each time.
 		time.Sleep(time.Duration(i) * 7 * time.Millisecond)
 		leader.signal(t, syscall.SIGSTOP)
-		until(t, "another leads", func() bool { return d.leaderBut(leader) != nil })
+		waitFor(t, "another leads", func() bool { return deployment.leaderExcept(leader) != nil })
 		time.Sleep(time.Second)
 		leader.signal(t, syscall.SIGCONT)
-		until(t, "both others stand by", d.inStep)
+		waitFor(t, "both others stand by", deployment.isStandbyInSync)
 	}
 	for _, id := range ids {
-		is(d.nodes["n0"], id, wire.JobDone)
+		waitForState(deployment.members["n0"], id, wire.JobDone)
 	}
-	d.check(t, 8*len(ids))
+	deployment.checkRules(t, 8*len(ids))
 }
--- a/internal/e2e/upgrade_test.go
+++ b/internal/e2e/upgrade_test.go
@@ -9,8 +9,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// earlier is the version that is upgraded from and gone back to.
-var earlier = flag.String("earlier-version", "", "a revision in the repository's history to upgrade from and go back to; the present sources if empty")
+// earlierRevision is the version that is upgraded from and gone back to.
+var earlierRevision = flag.String("earlier-version", "", "a revision in the repository's history to upgrade from and go back to; the present sources if empty")
 
 // earlierHasStandby tells whether the earlier version knows the settings of the standby.
 var earlierHasStandby = flag.Bool("earlier-has-standby", true, "the earlier version knows the settings of the standby")
@@ -19,105 +19,105 @@
 // as the same one, with replicas on wherever a version has them. No rule is broken, and
 // everything accepted is served.
 func TestStandbyAcrossVersions(t *testing.T) {
-	d := deploy(t, lease)
-	d.standbySettings(t)
-	now := build(t, "")
-	before := now
-	if *earlier != "" {
-		before = build(t, *earlier)
+	deployment := deploy(t, leaseTTL)
+	deployment.enableStandby(t)
+	currentProgram := buildProgram(t, "")
+	earlierProgram := currentProgram
+	if *earlierRevision != "" {
+		earlierProgram = buildProgram(t, *earlierRevision)
 	}
-	settings := d.nodes["n0"].settings
+	settings := deployment.members["n0"].settingsFile
 	restart := func(name, program string) {
-		d.nodes[name].settings = settings
-		if program == before && !*earlierHasStandby {
-			d.nodes[name].settings = ""
+		deployment.members[name].settingsFile = settings
+		if program == earlierProgram && !*earlierHasStandby {
+			deployment.members[name].settingsFile = ""
 		}
-		d.restart(t, name, program)
+		deployment.restart(t, name, program)
 	}
-	d.startAll(t, now)
-	submit, is := d.submitter(t), d.waiter(t)
+	deployment.startAll(t, currentProgram)
+	submit, waitForState := deployment.submitFunc(t), deployment.waitForStateFunc(t)
 	const rounds = 6
 	var ids []string
 	for round := range rounds {
-		for i, program := range []string{before, now} {
-			name := d.names[(round+i)%len(d.names)]
+		for i, program := range []string{earlierProgram, currentProgram} {
+			name := deployment.names[(round+i)%len(deployment.names)]
 			id := fmt.Sprintf("req-%06d", 2*round+i)
 			ids = append(ids, id)
-			submit(d.nodes[d.names[(round+2)%len(d.names)]], id, wire.KindArray, 8)
+			submit(deployment.members[deployment.names[(round+2)%len(deployment.names)]], id, wire.KindArray, 8)
 			time.Sleep(time.Duration(round) * 200 * time.Millisecond)
 			restart(name, program)
 		}
-		is(d.nodes[d.names[round%len(d.names)]], ids[len(ids)-1], wire.JobDone)
+		waitForState(deployment.members[deployment.names[round%len(deployment.names)]], ids[len(ids)-1], wire.JobDone)
 	}
 	for _, id := range ids {
-		is(d.nodes["n1"], id, wire.JobDone)
+		waitForState(deployment.members["n1"], id, wire.JobDone)
 	}
-	d.check(t, rounds*16)
+	deployment.checkRules(t, rounds*16)
 }
 
 // An upgrade while jobs run and are cancelled, with a crash and an outage in the middle
 // of it; then pipelines, and once these are over a way back that stops part way and is
 // taken up again. No rule is broken, and everything accepted is served.
-func TestUpgradeAndBack(t *testing.T) {
-	d := deploy(t, lease)
-	now := build(t, "")
-	before := now
-	if *earlier != "" {
-		before = build(t, *earlier)
+func TestUpgradeAndRollback(t *testing.T) {
+	deployment := deploy(t, leaseTTL)
+	currentProgram := buildProgram(t, "")
+	earlierProgram := currentProgram
+	if *earlierRevision != "" {
+		earlierProgram = buildProgram(t, *earlierRevision)
 	}
-	d.startAll(t, before)
-	submit, is := d.submitter(t), d.waiter(t)
-	number := 0
-	next := func() string { number++; return fmt.Sprintf("req-%06d", number) }
+	deployment.startAll(t, earlierProgram)
+	submit, waitForState := deployment.submitFunc(t), deployment.waitForStateFunc(t)
+	lastJobNumber := 0
+	next := func() string { lastJobNumber++; return fmt.Sprintf("req-%06d", lastJobNumber) }
 	var done, running []string
 	// someWork submits at one controller, cancels at another.
-	someWork := func(at, other *node) {
-		array, service, called := next(), next(), next()
-		submit(at, array, wire.KindArray, 5)
+	submitMixedWork := func(submitter, other *memberProcess) {
+		array, service, cancelledID := next(), next(), next()
+		submit(submitter, array, wire.KindArray, 5)
 		submit(other, service, wire.KindService, 2)
-		submit(at, called, wire.KindService, 2)
-		is(other, called, wire.JobRunning)
-		d.cancel(t, other, called)
+		submit(submitter, cancelledID, wire.KindService, 2)
+		waitForState(other, cancelledID, wire.JobRunning)
+		deployment.cancel(t, other, cancelledID)
 		done, running = append(done, array), append(running, service)
 	}
-	settled := func() {
+	waitForAll := func() {
 		t.Helper()
-		for _, name := range d.names {
+		for _, name := range deployment.names {
 			for _, id := range done {
-				is(d.nodes[name], id, wire.JobDone)
+				waitForState(deployment.members[name], id, wire.JobDone)
 			}
 			for _, id := range running {
-				is(d.nodes[name], id, wire.JobRunning)
+				waitForState(deployment.members[name], id, wire.JobRunning)
 			}
 		}
 	}
-	n0, n1, n2 := d.nodes["n0"], d.nodes["n1"], d.nodes["n2"]
-	someWork(n0, n1)
-	d.restart(t, "n0", now)
-	someWork(n1, n0)
-	d.state.SetDown(true)
-	d.restart(t, "n1", now)
+	n0, n1, n2 := deployment.members["n0"], deployment.members["n1"], deployment.members["n2"]
+	submitMixedWork(n0, n1)
+	deployment.restart(t, "n0", currentProgram)
+	submitMixedWork(n1, n0)
+	deployment.store.SetDown(true)
+	deployment.restart(t, "n1", currentProgram)
 	time.Sleep(time.Second)
-	d.state.SetDown(false)
-	d.restart(t, "n2", before) // it dies before its turn comes, and is back as it was
-	someWork(n2, n1)
-	d.restart(t, "n2", now)
-	settled()
+	deployment.store.SetDown(false)
+	deployment.restart(t, "n2", earlierProgram) // it dies before its turn comes, and is back as it was
+	submitMixedWork(n2, n1)
+	deployment.restart(t, "n2", currentProgram)
+	waitForAll()
 
 	first, second, last := next(), next(), next()
 	submit(n0, first, wire.KindArray, 4)
 	submit(n1, second, wire.KindArray, 4, first)
 	submit(n2, last, wire.KindArray, 2, first, second)
 	done = append(done, first, second, last)
-	settled()
+	waitForAll()
 
-	d.restart(t, "n1", before)
-	someWork(n1, n0)
-	d.restart(t, "n0", before)
-	someWork(n2, n0) // two are back, one is not
-	d.restart(t, "n1", now)
-	d.restart(t, "n0", now)
-	someWork(n0, n2)
-	settled()
-	d.check(t, 40)
+	deployment.restart(t, "n1", earlierProgram)
+	submitMixedWork(n1, n0)
+	deployment.restart(t, "n0", earlierProgram)
+	submitMixedWork(n2, n0) // two are back, one is not
+	deployment.restart(t, "n1", currentProgram)
+	deployment.restart(t, "n0", currentProgram)
+	submitMixedWork(n0, n2)
+	waitForAll()
+	deployment.checkRules(t, 40)
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -15,27 +15,27 @@
 // Observer is told what happens on machines. Its methods are called in order, one
 // at a time, and must not call back.
 type Observer interface {
-	// Started tells that a task is on a machine from now on.
-	Started(machine wire.ListedMachine, task string)
-	// Ended tells that a task is not on a machine any more, and its cause on the
+	// RecordTaskStart tells that a task is on a machine from now on.
+	RecordTaskStart(machine wire.ListedMachine, task string)
+	// RecordTaskEnd tells that a task is not on a machine any more, and its cause on the
 	// wire.
-	Ended(machine, task, cause string)
+	RecordTaskEnd(machine, task, cause string)
 }
 
 // CloudConfig says what a cloud and its workers are like.
 type CloudConfig struct {
 	Network Network
-	// Names are the controllers in the order in which workers try them, and
+	// ControllerNames are the controllers in the order in which workers try them, and
 	// Controllers their addresses.
-	Names       []string
-	Controllers map[string]string
-	Types       []wire.MachineType
-	// RunFor is how long a task runs; 0 is until it is stopped.
-	RunFor func(task string) time.Duration
-	// Lease is the workers' lease, ReportEvery the time between two reports.
-	Lease, ReportEvery time.Duration
-	// Boot is how long a machine takes to come up.
-	Boot time.Duration
+	ControllerNames     []string
+	ControllerAddresses map[string]string
+	MachineTypes        []wire.MachineType
+	// TaskDuration is how long a task runs; 0 is until it is stopped.
+	TaskDuration func(task string) time.Duration
+	// LeaseTTL is the workers' lease, HeartbeatInterval the time between two reports.
+	LeaseTTL, HeartbeatInterval time.Duration
+	// BootDuration is how long a machine takes to come up.
+	BootDuration time.Duration
 	// Observer, if not nil, is told of tasks.
 	Observer Observer
 }
@@ -47,81 +47,81 @@
 type Cloud struct {
 	Addr string
 
-	cfg      CloudConfig
-	mu       sync.Mutex
-	broken   []string // what the rules forbid and was seen
-	machines map[string]*worker
-	hires    map[string][]string
-	next     int
-	starts   int
-	done     chan struct{}
-	running  sync.WaitGroup
-	on       map[string]*worker // where each task runs that was started last
-	down     bool               // its interface answers 503
-	zones    sync.Map           // zone by machine, of all that were ever rented
+	cfg               CloudConfig
+	mu                sync.Mutex
+	violations        []string // what the rules forbid and was seen
+	workers           map[string]*workerProcess
+	machinesByRequest map[string][]string
+	nextMachineNumber int
+	startCount        int
+	done              chan struct{}
+	goroutines        sync.WaitGroup
+	workerByTask      map[string]*workerProcess // where each task runs that was started last
+	isDown            bool                      // its interface answers 503
+	zoneByMachine     sync.Map                  // zone by machine, of all that were ever rented
 }
 
 // NewCloud starts a cloud on loopback; the function ends it.
 func NewCloud(names []string, controllers map[string]string, types []wire.MachineType, runFor, lease time.Duration) (*Cloud, func()) {
-	return NewCloudOn(CloudConfig{
-		Network: Loopback{}, Names: names, Controllers: controllers, Types: types,
-		RunFor: func(string) time.Duration { return runFor }, Lease: lease, ReportEvery: 300 * time.Millisecond,
+	return NewCloudWithConfig(CloudConfig{
+		Network: Loopback{}, ControllerNames: names, ControllerAddresses: controllers, MachineTypes: types,
+		TaskDuration: func(string) time.Duration { return runFor }, LeaseTTL: lease, HeartbeatInterval: 300 * time.Millisecond,
 	})
 }
 
-// stepEvery is how often time acts on the machines.
-const stepEvery = 50 * time.Millisecond
+// advanceInterval is how often time acts on the machines.
+const advanceInterval = 50 * time.Millisecond
 
-// NewCloudOn starts a cloud; the function ends it.
-func NewCloudOn(cfg CloudConfig) (*Cloud, func()) {
-	c := &Cloud{cfg: cfg, machines: map[string]*worker{}, on: map[string]*worker{}, hires: map[string][]string{}, done: make(chan struct{})}
+// NewCloudWithConfig starts a cloud; the function ends it.
+func NewCloudWithConfig(cfg CloudConfig) (*Cloud, func()) {
+	cloud := &Cloud{cfg: cfg, workers: map[string]*workerProcess{}, workerByTask: map[string]*workerProcess{}, machinesByRequest: map[string][]string{}, done: make(chan struct{})}
 	var stop func()
-	c.Addr, stop = Serve(cfg.Network, CloudHost, c)
-	c.running.Go(c.steps)
-	return c, func() {
-		close(c.done)
+	cloud.Addr, stop = Serve(cfg.Network, CloudHost, cloud)
+	cloud.goroutines.Go(cloud.runAdvanceLoop)
+	return cloud, func() {
+		close(cloud.done)
 		stop()
-		c.mu.Lock()
-		for _, m := range c.machines {
-			m.stop()
+		cloud.mu.Lock()
+		for _, worker := range cloud.workers {
+			worker.stop()
 		}
-		c.mu.Unlock()
-		c.running.Wait()
+		cloud.mu.Unlock()
+		cloud.goroutines.Wait()
 	}
 }
 
-// steps lets time act on the machines until the end.
-func (c *Cloud) steps() {
-	ticker := time.NewTicker(stepEvery)
+// runAdvanceLoop lets time act on the machines until the end.
+func (cloud *Cloud) runAdvanceLoop() {
+	ticker := time.NewTicker(advanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-c.done:
+		case <-cloud.done:
 			return
 		case <-ticker.C:
 		}
-		c.mu.Lock()
-		for _, m := range c.machines {
-			m.step()
+		cloud.mu.Lock()
+		for _, worker := range cloud.workers {
+			worker.advance()
 		}
-		c.mu.Unlock()
+		cloud.mu.Unlock()
 	}
 }
 
-// Broken returns what the rules forbid and was seen, and how many tasks were
+// Violations returns what the rules forbid and was seen, and how many tasks were
 // started in all.
-func (c *Cloud) Broken() ([]string, int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return append([]string(nil), c.broken...), c.starts
+func (cloud *Cloud) Violations() ([]string, int) {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	return append([]string(nil), cloud.violations...), cloud.startCount
 }
 
-// Machines lists the machines that are up, in the order of their names.
-func (c *Cloud) Machines() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// MachineNames lists the machines that are up, in the order of their names.
+func (cloud *Cloud) MachineNames() []string {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
 	var names []string
-	for name := range c.machines {
+	for name := range cloud.workers {
 		names = append(names, name)
 	}
 	sort.Strings(names)
@@ -129,125 +129,125 @@
 }
 
 // SetFault sets what is wrong with a machine.
-func (c *Cloud) SetFault(machine string, f MachineFault) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if m := c.machines[machine]; m != nil {
-		m.fault = f
+func (cloud *Cloud) SetFault(machine string, fault MachineFault) {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	if worker := cloud.workers[machine]; worker != nil {
+		worker.fault = fault
 	}
 }
 
 // SetDown begins or ends an outage of the cloud's interface; machines go on.
-func (c *Cloud) SetDown(down bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.down = down
+func (cloud *Cloud) SetDown(down bool) {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	cloud.isDown = down
 }
 
-// Reports are the bodies of the newest reports that machines have sent.
-func (c *Cloud) Reports() [][]byte {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// LastHeartbeats are the bodies of the newest reports that machines have sent.
+func (cloud *Cloud) LastHeartbeats() [][]byte {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
 	var bodies [][]byte
-	for _, m := range c.machines {
-		if m.lastBody != nil {
-			bodies = append(bodies, m.lastBody)
+	for _, worker := range cloud.workers {
+		if worker.lastHeartbeatBody != nil {
+			bodies = append(bodies, worker.lastHeartbeatBody)
 		}
 	}
 	return bodies
 }
 
 // ServeHTTP is the cloud's interface.
-func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.down {
-		reply(w, 503, wire.ErrorResponse{Error: "trouble"})
+func (cloud *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	if cloud.isDown {
+		writeJSON(w, 503, wire.ErrorResponse{Error: "trouble"})
 		return
 	}
 	switch r.URL.Path {
 	case "/flavors":
-		reply(w, 200, wire.MachineTypeList{Types: c.cfg.Types})
+		writeJSON(w, 200, wire.MachineTypeList{Types: cloud.cfg.MachineTypes})
 	case "/hosts":
 		if r.Method == "GET" {
-			c.list(w, r.URL.Query())
+			cloud.serveMachineList(w, r.URL.Query())
 			return
 		}
-		var h wire.ScaleOutRequest
-		if !read(r, &h) || h.Count < 1 || h.Count > wire.MaxScaleOutCount {
-			reply(w, 400, struct{}{})
+		var request wire.ScaleOutRequest
+		if !readJSON(r, &request) || request.Count < 1 || request.Count > wire.MaxScaleOutCount {
+			writeJSON(w, 400, struct{}{})
 			return
 		}
-		if c.hires[h.RequestID] == nil {
-			for i := 0; i < h.Count; i++ {
-				c.hires[h.RequestID] = append(c.hires[h.RequestID], c.boot(h))
+		if cloud.machinesByRequest[request.RequestID] == nil {
+			for i := 0; i < request.Count; i++ {
+				cloud.machinesByRequest[request.RequestID] = append(cloud.machinesByRequest[request.RequestID], cloud.bootMachine(request))
 			}
 		}
-		reply(w, 200, wire.MachineIDs{IDs: c.hires[h.RequestID]})
+		writeJSON(w, 200, wire.MachineIDs{IDs: cloud.machinesByRequest[request.RequestID]})
 	case "/hosts/delete":
-		var m wire.MachineIDs
-		if !read(r, &m) {
-			reply(w, 400, struct{}{})
+		var request wire.MachineIDs
+		if !readJSON(r, &request) {
+			writeJSON(w, 400, struct{}{})
 			return
 		}
-		for _, n := range m.IDs {
-			c.remove(n)
+		for _, machine := range request.IDs {
+			cloud.deleteMachine(machine)
 		}
-		reply(w, 200, struct{}{})
+		writeJSON(w, 200, struct{}{})
 	default:
-		reply(w, 404, struct{}{})
+		writeJSON(w, 404, struct{}{})
 	}
 }
 
-// list answers with a page of the machines, in the order of their names.
-func (c *Cloud) list(w http.ResponseWriter, query url.Values) {
+// serveMachineList answers with a page of the machines, in the order of their names.
+func (cloud *Cloud) serveMachineList(w http.ResponseWriter, query url.Values) {
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit < 1 || limit > wire.MaxMachinesPerPage {
 		limit = wire.MaxMachinesPerPage
 	}
 	var names []string
-	for name := range c.machines {
+	for name := range cloud.workers {
 		if name > query.Get("since") {
 			names = append(names, name)
 		}
 	}
 	sort.Strings(names)
-	l := wire.MachineList{Machines: []wire.ListedMachine{}, HasMore: len(names) > limit}
+	page := wire.MachineList{Machines: []wire.ListedMachine{}, HasMore: len(names) > limit}
 	for _, name := range names[:min(len(names), limit)] {
-		l.Machines = append(l.Machines, c.machines[name].listed())
+		page.Machines = append(page.Machines, cloud.workers[name].listedMachine())
 	}
-	reply(w, 200, l)
+	writeJSON(w, 200, page)
 }
 
-// remove ends a machine and everything on it. The lock is held.
-func (c *Cloud) remove(name string) {
-	m := c.machines[name]
-	if m == nil {
+// deleteMachine ends a machine and everything on it. The lock is held.
+func (cloud *Cloud) deleteMachine(name string) {
+	worker := cloud.workers[name]
+	if worker == nil {
 		return
 	}
-	m.gone = true
-	m.endAll()
-	m.stop()
-	delete(c.machines, name)
+	worker.isDeleted = true
+	worker.killAllTasks()
+	worker.stop()
+	delete(cloud.workers, name)
 }
 
-func (c *Cloud) boot(h wire.ScaleOutRequest) string {
-	m := newWorker(c, h, fmt.Sprintf("i-%06d", c.next))
-	c.next++
-	c.machines[m.name] = m
-	c.zones.Store(m.name, h.Zone)
-	c.running.Go(m.run)
-	return m.name
+func (cloud *Cloud) bootMachine(request wire.ScaleOutRequest) string {
+	worker := newWorker(cloud, request, fmt.Sprintf("i-%06d", cloud.nextMachineNumber))
+	cloud.nextMachineNumber++
+	cloud.workers[worker.name] = worker
+	cloud.zoneByMachine.Store(worker.name, request.Zone)
+	cloud.goroutines.Go(worker.run)
+	return worker.name
 }
 
-// KillOne takes a machine that runs something away, without notice.
-func (c *Cloud) KillOne() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for name, m := range c.machines {
-		for _, t := range m.report.Tasks {
-			if t.State == wire.TaskRunning {
-				c.remove(name)
+// KillBusyMachine takes a machine that runs something away, without notice.
+func (cloud *Cloud) KillBusyMachine() bool {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	for name, worker := range cloud.workers {
+		for _, task := range worker.heartbeat.Tasks {
+			if task.State == wire.TaskRunning {
+				cloud.deleteMachine(name)
 				return true
 			}
 		}
@@ -256,25 +256,25 @@
 }
 
 // Fail has a task end with an error, wherever it is.
-func (c *Cloud) Fail(task string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, m := range c.machines {
-		if i := m.find(task); i >= 0 && m.report.Tasks[i].State == wire.TaskRunning {
-			m.exit(&m.report.Tasks[i], wire.ExitError)
-			m.reportSoon()
+func (cloud *Cloud) Fail(task string) {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	for _, worker := range cloud.workers {
+		if i := worker.taskIndex(task); i >= 0 && worker.heartbeat.Tasks[i].State == wire.TaskRunning {
+			worker.exitTask(&worker.heartbeat.Tasks[i], wire.ExitError)
+			worker.requestHeartbeat()
 		}
 	}
 }
 
-// CountRunning is how many tasks are on machines.
-func (c *Cloud) CountRunning() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// RunningTaskCount is how many tasks are on machines.
+func (cloud *Cloud) RunningTaskCount() int {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
 	count := 0
-	for _, m := range c.machines {
-		for i := range m.report.Tasks {
-			if m.report.Tasks[i].State != wire.TaskExited {
+	for _, worker := range cloud.workers {
+		for i := range worker.heartbeat.Tasks {
+			if worker.heartbeat.Tasks[i].State != wire.TaskExited {
 				count++
 			}
 		}
@@ -282,26 +282,26 @@
 	return count
 }
 
-// Running lists the tasks that are on machines, as "machine task".
-func (c *Cloud) Running() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var out []string
-	for name, m := range c.machines {
-		for _, t := range m.report.Tasks {
-			if t.State != wire.TaskExited {
-				out = append(out, name+" "+t.TaskID)
+// RunningTasks lists the tasks that are on machines, as "machine task".
+func (cloud *Cloud) RunningTasks() []string {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	var lines []string
+	for name, worker := range cloud.workers {
+		for _, task := range worker.heartbeat.Tasks {
+			if task.State != wire.TaskExited {
+				lines = append(lines, name+" "+task.TaskID)
 			}
 		}
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(lines)
+	return lines
 }
 
 // ZoneOf is the zone of a machine that is, or was, rented; empty if there is none
 // of the name.
-func (c *Cloud) ZoneOf(machine string) string {
-	zone, _ := c.zones.Load(machine)
+func (cloud *Cloud) ZoneOf(machine string) string {
+	zone, _ := cloud.zoneByMachine.Load(machine)
 	name, _ := zone.(string)
 	return name
 }
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -28,24 +28,24 @@
 }
 
 // Serve runs an HTTP server of a host until the returned function is called.
-func Serve(n Network, host string, h http.Handler) (address string, stop func()) {
-	l, err := n.Listen(host)
+func Serve(network Network, host string, handler http.Handler) (address string, stop func()) {
+	listener, err := network.Listen(host)
 	if err != nil {
 		panic(err)
 	}
-	s := &http.Server{Handler: buffered(h)}
-	go s.Serve(l) //nolint:errcheck // ends with Close
-	return l.Addr().String(), func() { s.Close() }
+	server := &http.Server{Handler: bufferResponse(handler)}
+	go server.Serve(listener) //nolint:errcheck // ends with Close
+	return listener.Addr().String(), func() { server.Close() }
 }
 
-// buffered has a handler's answer written after it has returned: handlers hold
+// bufferResponse has a handler's answer written after it has returned: handlers hold
 // locks, and a peer behind a cut takes no data.
-func buffered(h http.Handler) http.Handler {
+func bufferResponse(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		recorded := httptest.NewRecorder()
-		h.ServeHTTP(recorded, r)
-		maps.Copy(w.Header(), recorded.Header())
-		w.WriteHeader(recorded.Code)
-		w.Write(recorded.Body.Bytes()) //nolint:errcheck // the peer may be gone
+		recorder := httptest.NewRecorder()
+		handler.ServeHTTP(recorder, r)
+		maps.Copy(w.Header(), recorder.Header())
+		w.WriteHeader(recorder.Code)
+		w.Write(recorder.Body.Bytes()) //nolint:errcheck // the peer may be gone
 	})
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -17,151 +17,151 @@
 type MachineFault uint8
 
 const (
-	// Healthy: nothing.
-	Healthy MachineFault = iota
-	// Hanging: nothing runs and nothing is answered; what was sent to it is
+	// MachineHealthy: nothing.
+	MachineHealthy MachineFault = iota
+	// MachineHanging: nothing runs and nothing is answered; what was sent to it is
 	// carried out when it goes on, if it still may.
-	Hanging
-	// Deaf: its reports arrive, answers and direct commands are lost.
-	Deaf
-	// Mute: it reaches no controller; direct commands reach it.
-	Mute
-	// Slow: direct commands are carried out slowBy late and not answered.
-	Slow
+	MachineHanging
+	// MachineCommandsLost: its reports arrive, answers and direct commands are lost.
+	MachineCommandsLost
+	// MachineHeartbeatsLost: it reaches no controller; direct commands reach it.
+	MachineHeartbeatsLost
+	// MachineSlow: direct commands are carried out slowCommandDelay late and not answered.
+	MachineSlow
 )
 
 const (
-	// slowBy is how late a slow machine carries commands out.
-	slowBy = 8 * time.Second
+	// slowCommandDelay is how late a slow machine carries commands out.
+	slowCommandDelay = 8 * time.Second
 	// answerTimeout is how long a worker waits for an answer.
 	answerTimeout = 4 * time.Second
-	// betweenNodes is how long a worker waits before it tries another controller.
-	betweenNodes = 200 * time.Millisecond
-	// betweenChanges is how long a worker waits at least between two reports of changes.
-	betweenChanges = 500 * time.Millisecond
+	// controllerRetryInterval is how long a worker waits before it tries another controller.
+	controllerRetryInterval = 200 * time.Millisecond
+	// minHeartbeatInterval is how long a worker waits at least between two reports of changes.
+	minHeartbeatInterval = 500 * time.Millisecond
 )
 
-// worker is a machine's worker. Its fields are guarded by the cloud's lock.
-type worker struct {
-	cloud    *Cloud
-	hire     wire.ScaleOutRequest
-	name     string
-	addr     string
-	stop     func()
-	gone     bool
-	fault    MachineFault
-	report   wire.Heartbeat
-	lastBody []byte
-	ends     map[string]time.Time
-	node     int
-	last     time.Time // when the last answered report was sent
-	// tokenTold is when a higher token was last a change to be reported.
-	tokenTold time.Time
-	poke      chan struct{}
-	client    *http.Client
+// workerProcess is a machine's worker. Its fields are guarded by the cloud's lock.
+type workerProcess struct {
+	cloud                *Cloud
+	request              wire.ScaleOutRequest
+	name                 string
+	addr                 string
+	stop                 func()
+	isDeleted            bool
+	fault                MachineFault
+	heartbeat            wire.Heartbeat
+	lastHeartbeatBody    []byte
+	taskEndsAt           map[string]time.Time
+	controllerIndex      int
+	lastAckedHeartbeatAt time.Time // when the last answered report was sent
+	// tokenReportedAt is when a higher token was last a change to be reported.
+	tokenReportedAt    time.Time
+	heartbeatRequested chan struct{}
+	client             *http.Client
 }
 
-func newWorker(c *Cloud, h wire.ScaleOutRequest, name string) *worker {
-	k := &worker{cloud: c, hire: h, name: name, ends: map[string]time.Time{}, last: time.Now(), poke: make(chan struct{}, 1)}
-	k.addr, k.stop = Serve(c.cfg.Network, name, k)
-	k.report = wire.Heartbeat{MachineID: name, Address: k.addr, MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Incarnation: 1, Tasks: []wire.TaskStatus{}}
-	k.client = &http.Client{
+func newWorker(cloud *Cloud, request wire.ScaleOutRequest, name string) *workerProcess {
+	worker := &workerProcess{cloud: cloud, request: request, name: name, taskEndsAt: map[string]time.Time{}, lastAckedHeartbeatAt: time.Now(), heartbeatRequested: make(chan struct{}, 1)}
+	worker.addr, worker.stop = Serve(cloud.cfg.Network, name, worker)
+	worker.heartbeat = wire.Heartbeat{MachineID: name, Address: worker.addr, MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, Incarnation: 1, Tasks: []wire.TaskStatus{}}
+	worker.client = &http.Client{
 		Timeout:       answerTimeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: &http.Transport{DialContext: func(_ context.Context, _, address string) (net.Conn, error) {
-			return c.cfg.Network.Dial(name, address, answerTimeout)
+			return cloud.cfg.Network.Dial(name, address, answerTimeout)
 		}},
 	}
-	return k
+	return worker
 }
 
-func (k *worker) listed() wire.ListedMachine {
-	return wire.ListedMachine{ID: k.name, Address: k.addr, MachineType: k.hire.MachineType, Zone: k.hire.Zone, Spot: k.hire.Spot, State: wire.MachineRunning}
+func (worker *workerProcess) listedMachine() wire.ListedMachine {
+	return wire.ListedMachine{ID: worker.name, Address: worker.addr, MachineType: worker.request.MachineType, Zone: worker.request.Zone, Spot: worker.request.Spot, State: wire.MachineRunning}
 }
 
 // run reports until the machine is gone.
-func (k *worker) run() {
-	c := k.cloud
-	defer k.client.CloseIdleConnections()
-	wait := c.cfg.Boot
+func (worker *workerProcess) run() {
+	cloud := worker.cloud
+	defer worker.client.CloseIdleConnections()
+	wait := cloud.cfg.BootDuration
 	for {
 		select {
-		case <-c.done:
+		case <-cloud.done:
 			return
-		case <-k.poke:
+		case <-worker.heartbeatRequested:
 			time.Sleep(20 * time.Millisecond)
 		case <-time.After(wait):
 		}
-		c.mu.Lock()
-		gone, idle := k.gone, k.fault == Hanging || k.fault == Mute
-		c.mu.Unlock()
+		cloud.mu.Lock()
+		isDeleted, isIdle := worker.isDeleted, worker.fault == MachineHanging || worker.fault == MachineHeartbeatsLost
+		cloud.mu.Unlock()
 		switch {
-		case gone:
+		case isDeleted:
 			return
-		case idle:
-			wait = betweenNodes
+		case isIdle:
+			wait = controllerRetryInterval
 		default:
-			wait = k.reportOnce()
+			wait = worker.sendHeartbeat()
 		}
 	}
 }
 
-// reportOnce sends a report and takes its answer; it returns when the next is due.
-func (k *worker) reportOnce() time.Duration {
-	c := k.cloud
-	c.mu.Lock()
-	k.step()
-	k.report.Sequence++
-	sent, session := time.Now(), k.report.Incarnation
-	body, err := json.Marshal(k.report)
+// sendHeartbeat sends a report and takes its answer; it returns when the next is due.
+func (worker *workerProcess) sendHeartbeat() time.Duration {
+	cloud := worker.cloud
+	cloud.mu.Lock()
+	worker.advance()
+	worker.heartbeat.Sequence++
+	sent, incarnation := time.Now(), worker.heartbeat.Incarnation
+	body, err := json.Marshal(worker.heartbeat)
 	if err != nil {
 		panic(err)
 	}
-	k.lastBody = body
-	node := c.cfg.Names[k.node%len(c.cfg.Names)]
-	url := "http://" + c.cfg.Controllers[node] + "/checkin"
-	c.mu.Unlock()
+	worker.lastHeartbeatBody = body
+	controllerName := cloud.cfg.ControllerNames[worker.controllerIndex%len(cloud.cfg.ControllerNames)]
+	url := "http://" + cloud.cfg.ControllerAddresses[controllerName] + "/checkin"
+	cloud.mu.Unlock()
 
-	status, answer := k.post(url, body)
+	status, answer := worker.post(url, body)
 
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if k.fault == Deaf || k.fault == Hanging {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	if worker.fault == MachineCommandsLost || worker.fault == MachineHanging {
 		status = 0
 	}
 	switch status {
 	case 200:
-		var rep wire.HeartbeatResponse
-		if json.Unmarshal(answer, &rep) == nil && rep.FencingToken >= k.report.FencingToken && session == k.report.Incarnation {
-			k.last = sent
-			return k.obey(&rep)
+		var reply wire.HeartbeatResponse
+		if json.Unmarshal(answer, &reply) == nil && reply.FencingToken >= worker.heartbeat.FencingToken && incarnation == worker.heartbeat.Incarnation {
+			worker.lastAckedHeartbeatAt = sent
+			return worker.applyReply(&reply)
 		}
-		return c.cfg.ReportEvery
+		return cloud.cfg.HeartbeatInterval
 	case 421:
-		if k.redirected(answer, node) {
+		if worker.followRedirect(answer, controllerName) {
 			return 0
 		}
 	}
-	k.node++
-	return betweenNodes
+	worker.controllerIndex++
+	return controllerRetryInterval
 }
 
-// obey takes the token and the commands of an answer; it returns when the next report is
+// applyReply takes the token and the commands of an answer; it returns when the next report is
 // due. A higher token is a change to be reported, though not in each half of a lease. The
 // lock is held.
-func (k *worker) obey(reply *wire.HeartbeatResponse) time.Duration {
-	next := k.cloud.cfg.ReportEvery
-	if now := time.Now(); reply.FencingToken > k.report.FencingToken && now.Sub(k.tokenTold) > k.cloud.cfg.Lease/2 {
-		k.tokenTold = now
-		next = min(next, betweenChanges)
+func (worker *workerProcess) applyReply(reply *wire.HeartbeatResponse) time.Duration {
+	next := worker.cloud.cfg.HeartbeatInterval
+	if now := time.Now(); reply.FencingToken > worker.heartbeat.FencingToken && now.Sub(worker.tokenReportedAt) > worker.cloud.cfg.LeaseTTL/2 {
+		worker.tokenReportedAt = now
+		next = min(next, minHeartbeatInterval)
 	}
-	k.report.FencingToken = reply.FencingToken
-	k.exec(reply.Commands)
+	worker.heartbeat.FencingToken = reply.FencingToken
+	worker.executeCommands(reply.Commands)
 	return next
 }
 
-func (k *worker) post(url string, body []byte) (int, []byte) {
-	res, err := k.client.Post(url, "application/json", strings.NewReader(string(body)))
+func (worker *workerProcess) post(url string, body []byte) (int, []byte) {
+	res, err := worker.client.Post(url, "application/json", strings.NewReader(string(body)))
 	if err != nil {
 		return 0, nil
 	}
@@ -173,162 +173,162 @@
 	return res.StatusCode, answer
 }
 
-// redirected follows an answer that names another controller. The lock is held.
-func (k *worker) redirected(answer []byte, from string) bool {
-	var e wire.Redirect
-	if json.Unmarshal(answer, &e) != nil {
+// followRedirect follows an answer that names another controller. The lock is held.
+func (worker *workerProcess) followRedirect(answer []byte, from string) bool {
+	var redirect wire.Redirect
+	if json.Unmarshal(answer, &redirect) != nil {
 		return false
 	}
-	for i, name := range k.cloud.cfg.Names {
-		if name == e.Member && name != from {
-			k.node = i
+	for i, name := range worker.cloud.cfg.ControllerNames {
+		if name == redirect.Member && name != from {
+			worker.controllerIndex = i
 			return true
 		}
 	}
 	return false
 }
 
-// step lets time act: the lease, and tasks that are done. The lock is held.
-func (k *worker) step() {
+// advance lets time act: the lease, and tasks that are done. The lock is held.
+func (worker *workerProcess) advance() {
 	now := time.Now()
-	if now.Sub(k.last) > k.cloud.cfg.Lease {
-		k.endAll()
-		k.report.Incarnation++
-		k.report.Tasks = []wire.TaskStatus{}
-		k.last = now
+	if now.Sub(worker.lastAckedHeartbeatAt) > worker.cloud.cfg.LeaseTTL {
+		worker.killAllTasks()
+		worker.heartbeat.Incarnation++
+		worker.heartbeat.Tasks = []wire.TaskStatus{}
+		worker.lastAckedHeartbeatAt = now
 	}
-	if k.fault == Hanging {
+	if worker.fault == MachineHanging {
 		return
 	}
-	for i := range k.report.Tasks {
-		t := &k.report.Tasks[i]
-		if end, ok := k.ends[t.TaskID]; ok && t.State == wire.TaskRunning && now.After(end) {
-			k.exit(t, wire.ExitDone)
-			k.reportSoon()
+	for i := range worker.heartbeat.Tasks {
+		task := &worker.heartbeat.Tasks[i]
+		if end, ok := worker.taskEndsAt[task.TaskID]; ok && task.State == wire.TaskRunning && now.After(end) {
+			worker.exitTask(task, wire.ExitDone)
+			worker.requestHeartbeat()
 		}
 	}
 }
 
-// reportSoon has a change reported without waiting for the next regular report.
-func (k *worker) reportSoon() {
+// requestHeartbeat has a change reported without waiting for the next regular report.
+func (worker *workerProcess) requestHeartbeat() {
 	select {
-	case k.poke <- struct{}{}:
+	case worker.heartbeatRequested <- struct{}{}:
 	default:
 	}
 }
 
-func (k *worker) exit(t *wire.TaskStatus, why string) {
-	t.State, t.ExitCause = wire.TaskExited, why
-	if o := k.cloud.cfg.Observer; o != nil {
-		o.Ended(k.name, t.TaskID, why)
+func (worker *workerProcess) exitTask(task *wire.TaskStatus, why string) {
+	task.State, task.ExitCause = wire.TaskExited, why
+	if observer := worker.cloud.cfg.Observer; observer != nil {
+		observer.RecordTaskEnd(worker.name, task.TaskID, why)
 	}
 }
 
-// endAll ends every task without a trace.
-func (k *worker) endAll() {
-	for i := range k.report.Tasks {
-		if t := &k.report.Tasks[i]; t.State != wire.TaskExited {
-			k.exit(t, wire.ExitStopped)
+// killAllTasks ends every task without a trace.
+func (worker *workerProcess) killAllTasks() {
+	for i := range worker.heartbeat.Tasks {
+		if task := &worker.heartbeat.Tasks[i]; task.State != wire.TaskExited {
+			worker.exitTask(task, wire.ExitStopped)
 		}
 	}
 }
 
-func (k *worker) find(id string) int {
-	for i := range k.report.Tasks {
-		if k.report.Tasks[i].TaskID == id {
+func (worker *workerProcess) taskIndex(id string) int {
+	for i := range worker.heartbeat.Tasks {
+		if worker.heartbeat.Tasks[i].TaskID == id {
 			return i
 		}
 	}
 	return -1
 }
 
-func (k *worker) exec(cmds []wire.Command) {
-	for _, cmd := range cmds {
-		i := k.find(cmd.TaskID)
-		switch cmd.Action {
+func (worker *workerProcess) executeCommands(commands []wire.Command) {
+	for _, command := range commands {
+		index := worker.taskIndex(command.TaskID)
+		switch command.Action {
 		case wire.ActionStart:
-			if i < 0 {
-				k.startTask(cmd)
+			if index < 0 {
+				worker.startTask(command)
 			}
 		case wire.ActionStop:
-			if i >= 0 && k.report.Tasks[i].Attempt == cmd.Attempt && k.report.Tasks[i].State != wire.TaskExited {
-				k.exit(&k.report.Tasks[i], wire.ExitStopped)
+			if index >= 0 && worker.heartbeat.Tasks[index].Attempt == command.Attempt && worker.heartbeat.Tasks[index].State != wire.TaskExited {
+				worker.exitTask(&worker.heartbeat.Tasks[index], wire.ExitStopped)
 			}
 		case wire.ActionReap:
-			if i >= 0 && k.report.Tasks[i].Attempt == cmd.Attempt && k.report.Tasks[i].State == wire.TaskExited {
-				k.report.Tasks = append(k.report.Tasks[:i], k.report.Tasks[i+1:]...)
+			if index >= 0 && worker.heartbeat.Tasks[index].Attempt == command.Attempt && worker.heartbeat.Tasks[index].State == wire.TaskExited {
+				worker.heartbeat.Tasks = append(worker.heartbeat.Tasks[:index], worker.heartbeat.Tasks[index+1:]...)
 			}
 		}
 	}
 }
 
-func (k *worker) startTask(cmd wire.Command) {
-	c := k.cloud
-	if o := c.on[cmd.TaskID]; o != nil && o != k && !o.gone {
-		if j := o.find(cmd.TaskID); j >= 0 && o.report.Tasks[j].State != wire.TaskExited {
-			c.broken = append(c.broken, fmt.Sprintf("%s starts on %s while on %s", cmd.TaskID, k.name, o.name))
+func (worker *workerProcess) startTask(command wire.Command) {
+	cloud := worker.cloud
+	if previous := cloud.workerByTask[command.TaskID]; previous != nil && previous != worker && !previous.isDeleted {
+		if index := previous.taskIndex(command.TaskID); index >= 0 && previous.heartbeat.Tasks[index].State != wire.TaskExited {
+			cloud.violations = append(cloud.violations, fmt.Sprintf("%s starts on %s while on %s", command.TaskID, worker.name, previous.name))
 		}
 	}
-	c.on[cmd.TaskID] = k
-	c.starts++
-	delete(k.ends, cmd.TaskID)
-	if runFor := c.cfg.RunFor(cmd.TaskID); runFor > 0 {
-		k.ends[cmd.TaskID] = time.Now().Add(runFor)
+	cloud.workerByTask[command.TaskID] = worker
+	cloud.startCount++
+	delete(worker.taskEndsAt, command.TaskID)
+	if runFor := cloud.cfg.TaskDuration(command.TaskID); runFor > 0 {
+		worker.taskEndsAt[command.TaskID] = time.Now().Add(runFor)
 	}
-	k.report.Tasks = append(k.report.Tasks, wire.TaskStatus{TaskID: cmd.TaskID, Attempt: cmd.Attempt, State: wire.TaskRunning})
-	if o := c.cfg.Observer; o != nil {
-		o.Started(k.listed(), cmd.TaskID)
+	worker.heartbeat.Tasks = append(worker.heartbeat.Tasks, wire.TaskStatus{TaskID: command.TaskID, Attempt: command.Attempt, State: wire.TaskRunning})
+	if observer := cloud.cfg.Observer; observer != nil {
+		observer.RecordTaskStart(worker.listedMachine(), command.TaskID)
 	}
 }
 
 // ServeHTTP takes commands sent straight to the worker, and tells its state.
-func (k *worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := k.cloud
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for k.fault == Hanging && !k.gone {
-		c.mu.Unlock()
-		time.Sleep(stepEvery)
-		c.mu.Lock()
+func (worker *workerProcess) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	cloud := worker.cloud
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	for worker.fault == MachineHanging && !worker.isDeleted {
+		cloud.mu.Unlock()
+		time.Sleep(advanceInterval)
+		cloud.mu.Lock()
 	}
-	if k.gone || k.fault == Deaf {
+	if worker.isDeleted || worker.fault == MachineCommandsLost {
 		panic(http.ErrAbortHandler) // nothing is answered
 	}
 	if r.Method == "GET" && r.URL.Path == "/status" {
-		k.step()
-		k.report.Sequence++
-		reply(w, 200, k.report)
+		worker.advance()
+		worker.heartbeat.Sequence++
+		writeJSON(w, 200, worker.heartbeat)
 		return
 	}
-	var d wire.CommandRequest
-	if !read(r, &d) {
-		reply(w, 400, struct{}{})
+	var request wire.CommandRequest
+	if !readJSON(r, &request) {
+		writeJSON(w, 400, struct{}{})
 		return
 	}
-	if k.fault == Slow {
-		time.AfterFunc(slowBy, func() {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			k.direct(&d)
+	if worker.fault == MachineSlow {
+		time.AfterFunc(slowCommandDelay, func() {
+			cloud.mu.Lock()
+			defer cloud.mu.Unlock()
+			worker.applyCommandRequest(&request)
 		})
 		panic(http.ErrAbortHandler)
 	}
 	status := 409
-	if k.direct(&d) {
+	if worker.applyCommandRequest(&request) {
 		status = 200
 	}
-	k.report.Sequence++
-	reply(w, status, k.report)
-	k.reportSoon()
+	worker.heartbeat.Sequence++
+	writeJSON(w, status, worker.heartbeat)
+	worker.requestHeartbeat()
 }
 
-// direct carries a direct message out, if token and session match.
-func (k *worker) direct(d *wire.CommandRequest) bool {
-	k.step()
-	if k.gone || d.FencingToken < k.report.FencingToken || d.Incarnation != k.report.Incarnation {
+// applyCommandRequest carries a direct message out, if token and session match.
+func (worker *workerProcess) applyCommandRequest(request *wire.CommandRequest) bool {
+	worker.advance()
+	if worker.isDeleted || request.FencingToken < worker.heartbeat.FencingToken || request.Incarnation != worker.heartbeat.Incarnation {
 		return false
 	}
-	k.report.FencingToken = d.FencingToken
-	k.exec(d.Commands)
+	worker.heartbeat.FencingToken = request.FencingToken
+	worker.executeCommands(request.Commands)
 	return true
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -15,9 +15,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-func newTestClient(t *testing.T) (*Client, *fake.State) {
+func newTestClient(t *testing.T) (*Client, *fake.Store) {
 	t.Helper()
-	fakeStore, stop := fake.NewState()
+	fakeStore, stop := fake.NewStore()
 	t.Cleanup(stop)
 	store := New(client.DialTCP, fakeStore.Addr, Limits{RPS: 1000, WriteRPS: 1000, MaxTransactionOps: 4}, "lead")
 	store.SetRateShare(1)
--- a/internal/protocoltest/checker.go
+++ b/internal/protocoltest/checker.go
@@ -17,16 +17,16 @@
 
 // The rules that a history can break.
 const (
-	RanTwice     Rule = "ran_twice"
-	Quota        Rule = "quota"
-	WrongPlace   Rule = "wrong_place"
-	RanCancelled Rule = "ran_cancelled"
-	Forgotten    Rule = "forgotten"
-	Invented     Rule = "invented"
-	NotDone      Rule = "not_done"
-	WentBack     Rule = "went_back"
-	TooEarly     Rule = "too_early"
-	Orphaned     Rule = "orphaned"
+	DuplicateExecution    Rule = "ran_twice"
+	QuotaExceeded         Rule = "quota"
+	PlacementViolated     Rule = "wrong_place"
+	CancelledTaskRan      Rule = "ran_cancelled"
+	AcceptedJobLost       Rule = "forgotten"
+	UnknownJob            Rule = "invented"
+	IncompleteJobDone     Rule = "not_done"
+	StateRegressed        Rule = "went_back"
+	DependencyNotDone     Rule = "too_early"
+	DependentNotCancelled Rule = "orphaned"
 )
 
 // Violation is a broken rule.
@@ -36,27 +36,27 @@
 	Detail string
 }
 
-// Limit is what a team's tasks may use at a time; 0 is no limit.
-type Limit struct{ CPUs, GPUs float64 }
+// TeamQuota is what a team's tasks may use at a time; 0 is no limit.
+type TeamQuota struct{ CPUs, GPUs float64 }
 
 // Config says what the rules rest on.
 type Config struct {
-	// Cancellation is how long a cancelled job's tasks may stay.
-	Cancellation time.Duration
-	Limits       map[string]Limit
+	// CancellationGrace is how long a cancelled job's tasks may stay.
+	CancellationGrace time.Duration
+	QuotaByTeam       map[string]TeamQuota
 }
 
-// job is what is known of a job.
-type job struct {
-	spec        *wire.Job
-	accepted    bool
-	acceptedAt  time.Time
-	cancelAsked bool
-	final       string // "done" or "aborted" once told
-	finalAt     time.Time
-	done        map[int]bool
-	on          map[int]wire.ListedMachine // by task
-	counted     bool                       // its overdue tasks have been counted
+// jobRecord is what is known of a job.
+type jobRecord struct {
+	spec            *wire.Job
+	accepted        bool
+	acceptedAt      time.Time
+	cancelRequested bool
+	finalState      string // "done" or "aborted" once told
+	finalStateAt    time.Time
+	doneTasks       map[int]bool
+	machineByTask   map[int]wire.ListedMachine // by task
+	overdueReported bool                       // its overdue tasks have been counted
 }
 
 // Checker takes a history as it happens. It is safe for concurrent use.
@@ -64,7 +64,7 @@
 	cfg Config
 
 	mu         sync.Mutex
-	jobs       map[string]*job
+	jobs       map[string]*jobRecord
 	violations []Violation
 	// lateStarts counts starts after a confirmed cancellation, which are no broken
 	// rule within the cancellation time.
@@ -74,143 +74,143 @@
 }
 
 // New makes a checker of an empty history.
-func New(cfg Config) *Checker { return &Checker{cfg: cfg, jobs: map[string]*job{}} }
+func New(cfg Config) *Checker { return &Checker{cfg: cfg, jobs: map[string]*jobRecord{}} }
 
 // Violations are the rules broken so far.
-func (c *Checker) Violations() []Violation {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.overdue()
-	return append([]Violation(nil), c.violations...)
+func (checker *Checker) Violations() []Violation {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	checker.checkOverdueCancellations()
+	return append([]Violation(nil), checker.violations...)
 }
 
 // LateStarts lists starts of tasks whose job was confirmed as cancelled.
-func (c *Checker) LateStarts() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return slices.Clone(c.lateStarts)
+func (checker *Checker) LateStarts() []string {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	return slices.Clone(checker.lateStarts)
 }
 
 // Reruns lists starts of tasks that had been done before.
-func (c *Checker) Reruns() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return slices.Clone(c.reruns)
+func (checker *Checker) Reruns() []string {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	return slices.Clone(checker.reruns)
 }
 
 // IsService tells whether a submitted job is a service.
-func (c *Checker) IsService(id string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	j := c.jobs[id]
-	return j != nil && j.spec.Kind == wire.KindService
+func (checker *Checker) IsService(id string) bool {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	job := checker.jobs[id]
+	return job != nil && job.spec.Kind == wire.KindService
 }
 
-func (c *Checker) broken(rule Rule, format string, args ...any) {
-	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
+func (checker *Checker) addViolation(rule Rule, format string, args ...any) {
+	checker.violations = append(checker.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// Submitted notes that a user submits a job, at first or again.
-func (c *Checker) Submitted(spec *wire.Job) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.jobs[spec.ID] == nil {
-		c.jobs[spec.ID] = &job{spec: spec, done: map[int]bool{}, on: map[int]wire.ListedMachine{}}
+// RecordSubmission notes that a user submits a job, at first or again.
+func (checker *Checker) RecordSubmission(spec *wire.Job) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	if checker.jobs[spec.ID] == nil {
+		checker.jobs[spec.ID] = &jobRecord{spec: spec, doneTasks: map[int]bool{}, machineByTask: map[int]wire.ListedMachine{}}
 	}
 }
 
-// CancelAsked notes that a user asks for a job to be cancelled.
-func (c *Checker) CancelAsked(id string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if j := c.jobs[id]; j != nil {
-		j.cancelAsked = true
+// RecordCancelRequest notes that a user asks for a job to be cancelled.
+func (checker *Checker) RecordCancelRequest(id string) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	if job := checker.jobs[id]; job != nil {
+		job.cancelRequested = true
 	}
 }
 
-// Told notes what a user is told of a job, in answer to a request sent at an
+// RecordJobState notes what a user is told of a job, in answer to a request sent at an
 // instant.
-func (c *Checker) Told(id, stage string, askedAt time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	j := c.jobs[id]
-	if j == nil {
-		c.broken(Invented, "%s is called %s", id, stage)
+func (checker *Checker) RecordJobState(id, state string, sentAt time.Time) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	job := checker.jobs[id]
+	if job == nil {
+		checker.addViolation(UnknownJob, "%s is called %s", id, state)
 		return
 	}
-	if !j.accepted {
-		j.accepted, j.acceptedAt = true, time.Now()
+	if !job.accepted {
+		job.accepted, job.acceptedAt = true, time.Now()
 	}
-	if j.final != "" {
-		if stage != j.final && askedAt.After(j.finalAt) {
-			c.broken(WentBack, "%s is called %s after %s", id, stage, j.final)
+	if job.finalState != "" {
+		if state != job.finalState && sentAt.After(job.finalStateAt) {
+			checker.addViolation(StateRegressed, "%s is called %s after %s", id, state, job.finalState)
 		}
 		return
 	}
-	switch stage {
+	switch state {
 	case wire.JobDone:
-		if len(j.done) < j.spec.TaskCount {
-			c.broken(NotDone, "%s: %d of %d tasks are done", id, len(j.done), j.spec.TaskCount)
+		if len(job.doneTasks) < job.spec.TaskCount {
+			checker.addViolation(IncompleteJobDone, "%s: %d of %d tasks are done", id, len(job.doneTasks), job.spec.TaskCount)
 		}
 	case wire.JobCancelled:
-		if !c.cancelAskedBefore(j) {
-			c.broken(WentBack, "%s is called cancelled, which its user did not ask for", id)
+		if !checker.isCancellationExpected(job) {
+			checker.addViolation(StateRegressed, "%s is called cancelled, which its user did not ask for", id)
 		}
 	default:
-		if at, cancelled := c.cancelledBefore(j); cancelled && askedAt.Sub(at) > c.cfg.Cancellation {
-			c.broken(Orphaned, "%s is called %s %v after a job that it needs was cancelled", id, stage, askedAt.Sub(at))
+		if at, cancelled := checker.dependencyCancelledAt(job); cancelled && sentAt.Sub(at) > checker.cfg.CancellationGrace {
+			checker.addViolation(DependentNotCancelled, "%s is called %s %v after a job that it needs was cancelled", id, state, sentAt.Sub(at))
 		}
 		return
 	}
-	j.final, j.finalAt = stage, time.Now()
+	job.finalState, job.finalStateAt = state, time.Now()
 }
 
-// before calls f for every job that a job needs, directly or through others, until
+// anyDependency calls f for every job that a job needs, directly or through others, until
 // it returns true.
-func (c *Checker) before(j *job, f func(*job) bool) bool {
-	seen := map[*job]bool{j: true}
-	work := []*job{j}
-	for len(work) > 0 {
-		next := work[len(work)-1]
-		work = work[:len(work)-1]
+func (checker *Checker) anyDependency(job *jobRecord, matches func(*jobRecord) bool) bool {
+	seen := map[*jobRecord]bool{job: true}
+	queue := []*jobRecord{job}
+	for len(queue) > 0 {
+		next := queue[len(queue)-1]
+		queue = queue[:len(queue)-1]
 		for _, id := range next.spec.DependsOn {
-			needed := c.jobs[id]
-			if needed == nil || seen[needed] {
+			dependency := checker.jobs[id]
+			if dependency == nil || seen[dependency] {
 				continue
 			}
-			if f(needed) {
+			if matches(dependency) {
 				return true
 			}
-			seen[needed] = true
-			work = append(work, needed)
+			seen[dependency] = true
+			queue = append(queue, dependency)
 		}
 	}
 	return false
 }
 
-// cancelAskedBefore tells whether a user asked for a job, or one that it needs, to be
+// isCancellationExpected tells whether a user asked for a job, or one that it needs, to be
 // cancelled.
-func (c *Checker) cancelAskedBefore(j *job) bool {
-	return j.cancelAsked || c.before(j, func(needed *job) bool { return needed.cancelAsked })
+func (checker *Checker) isCancellationExpected(job *jobRecord) bool {
+	return job.cancelRequested || checker.anyDependency(job, func(dependency *jobRecord) bool { return dependency.cancelRequested })
 }
 
-// cancelledBefore tells when a user was told that a job which this one needs is
+// dependencyCancelledAt tells when a user was told that a job which this one needs is
 // cancelled.
-func (c *Checker) cancelledBefore(j *job) (at time.Time, cancelled bool) {
-	cancelled = c.before(j, func(needed *job) bool {
-		at = needed.finalAt
-		return needed.final == wire.JobCancelled
+func (checker *Checker) dependencyCancelledAt(job *jobRecord) (at time.Time, cancelled bool) {
+	cancelled = checker.anyDependency(job, func(dependency *jobRecord) bool {
+		at = dependency.finalStateAt
+		return dependency.finalState == wire.JobCancelled
 	})
 	return at, cancelled
 }
 
-// Accepted lists the jobs that users were told to be accepted.
-func (c *Checker) Accepted() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// AcceptedJobs lists the jobs that users were told to be accepted.
+func (checker *Checker) AcceptedJobs() []string {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
 	var ids []string
-	for id, j := range c.jobs {
-		if j.accepted {
+	for id, job := range checker.jobs {
+		if job.accepted {
 			ids = append(ids, id)
 		}
 	}
@@ -218,118 +218,118 @@
 	return ids
 }
 
-// Denied notes that a request sent at an instant was answered as if the job could
+// RecordRejection notes that a request sent at an instant was answered as if the job could
 // not be: 404 to a question, 400 or 422 to a submission.
-func (c *Checker) Denied(id string, status int, askedAt time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if j := c.jobs[id]; j != nil && j.accepted && askedAt.After(j.acceptedAt) {
-		c.broken(Forgotten, "%s gets %d", id, status)
+func (checker *Checker) RecordRejection(id string, status int, sentAt time.Time) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	if job := checker.jobs[id]; job != nil && job.accepted && sentAt.After(job.acceptedAt) {
+		checker.addViolation(AcceptedJobLost, "%s gets %d", id, status)
 	}
 }
 
-// Started notes that a task is on a machine.
-func (c *Checker) Started(m wire.ListedMachine, task string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.overdue()
+// RecordTaskStart notes that a task is on a machine.
+func (checker *Checker) RecordTaskStart(machine wire.ListedMachine, task string) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	checker.checkOverdueCancellations()
 	id, index, ok := wire.ParseTaskID(task)
-	j := c.jobs[id]
-	if !ok || j == nil {
-		c.broken(Invented, "%s starts", task)
+	job := checker.jobs[id]
+	if !ok || job == nil {
+		checker.addViolation(UnknownJob, "%s starts", task)
 		return
 	}
-	if other, on := j.on[index]; on {
-		c.broken(RanTwice, "%s starts on %s while on %s", task, m.ID, other.ID)
+	if other, on := job.machineByTask[index]; on {
+		checker.addViolation(DuplicateExecution, "%s starts on %s while on %s", task, machine.ID, other.ID)
 	}
-	c.place(j, m, task)
-	for _, need := range j.spec.DependsOn {
-		if needed := c.jobs[need]; needed == nil || len(needed.done) < needed.spec.TaskCount {
-			c.broken(TooEarly, "%s starts before %s is done", task, need)
+	checker.checkPlacement(job, machine, task)
+	for _, dependencyID := range job.spec.DependsOn {
+		if dependency := checker.jobs[dependencyID]; dependency == nil || len(dependency.doneTasks) < dependency.spec.TaskCount {
+			checker.addViolation(DependencyNotDone, "%s starts before %s is done", task, dependencyID)
 		}
 	}
-	j.on[index] = m
-	if j.done[index] {
-		c.reruns = append(c.reruns, task+" on "+m.ID)
+	job.machineByTask[index] = machine
+	if job.doneTasks[index] {
+		checker.reruns = append(checker.reruns, task+" on "+machine.ID)
 	}
-	c.quota(j.spec.Team)
-	if j.final == wire.JobCancelled {
-		c.lateStarts = append(c.lateStarts, fmt.Sprintf("%s on %s, %v after its job was cancelled", task, m.ID, time.Since(j.finalAt)))
-		if time.Since(j.finalAt) > c.cfg.Cancellation {
-			c.broken(RanCancelled, "%s starts %v after its job was cancelled", task, time.Since(j.finalAt))
+	checker.checkQuota(job.spec.Team)
+	if job.finalState == wire.JobCancelled {
+		checker.lateStarts = append(checker.lateStarts, fmt.Sprintf("%s on %s, %v after its job was cancelled", task, machine.ID, time.Since(job.finalStateAt)))
+		if time.Since(job.finalStateAt) > checker.cfg.CancellationGrace {
+			checker.addViolation(CancelledTaskRan, "%s starts %v after its job was cancelled", task, time.Since(job.finalStateAt))
 		}
 	}
 }
 
-// Ended notes that a task is not on a machine any more.
-func (c *Checker) Ended(machine, task, cause string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.overdue()
+// RecordTaskEnd notes that a task is not on a machine any more.
+func (checker *Checker) RecordTaskEnd(machine, task, cause string) {
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	checker.checkOverdueCancellations()
 	id, index, ok := wire.ParseTaskID(task)
-	j := c.jobs[id]
-	if !ok || j == nil {
+	job := checker.jobs[id]
+	if !ok || job == nil {
 		return
 	}
-	if j.on[index].ID == machine {
-		delete(j.on, index)
+	if job.machineByTask[index].ID == machine {
+		delete(job.machineByTask, index)
 	}
 	if cause == wire.ExitDone {
-		j.done[index] = true
+		job.doneTasks[index] = true
 	}
 }
 
-// place checks the job's own wishes, given its other tasks.
-func (c *Checker) place(j *job, m wire.ListedMachine, task string) {
-	s := j.spec
-	allowed := !m.Spot || s.AllowsSpot
-	allowed = allowed && (s.Zone == "" || s.Zone == m.Zone)
-	if s.MachineTypes != nil {
+// checkPlacement checks the job's own wishes, given its other tasks.
+func (checker *Checker) checkPlacement(job *jobRecord, machine wire.ListedMachine, task string) {
+	spec := job.spec
+	allowed := !machine.Spot || spec.AllowsSpot
+	allowed = allowed && (spec.Zone == "" || spec.Zone == machine.Zone)
+	if spec.MachineTypes != nil {
 		found := false
-		for _, t := range s.MachineTypes {
-			found = found || t == m.MachineType
+		for _, t := range spec.MachineTypes {
+			found = found || t == machine.MachineType
 		}
 		allowed = allowed && found
 	}
 	inZone := 1
-	for _, other := range j.on {
-		if other.Zone == m.Zone {
+	for _, other := range job.machineByTask {
+		if other.Zone == machine.Zone {
 			inZone++
-		} else if s.SingleZone {
+		} else if spec.SingleZone {
 			allowed = false
 		}
 	}
-	if s.SpreadZones && inZone > (s.TaskCount+1)/2 {
+	if spec.SpreadZones && inZone > (spec.TaskCount+1)/2 {
 		allowed = false
 	}
 	if !allowed {
-		c.broken(WrongPlace, "%s starts on %s (%s, %s, spot %v)", task, m.ID, m.MachineType, m.Zone, m.Spot)
+		checker.addViolation(PlacementViolated, "%s starts on %s (%s, %s, spot %v)", task, machine.ID, machine.MachineType, machine.Zone, machine.Spot)
 	}
 }
 
-func (c *Checker) quota(team string) {
-	limit := c.cfg.Limits[team]
+func (checker *Checker) checkQuota(team string) {
+	limit := checker.cfg.QuotaByTeam[team]
 	var cpus, gpus float64
-	for _, j := range c.jobs {
-		if j.spec.Team == team {
-			cpus += float64(len(j.on)) * j.spec.CPUs
-			gpus += float64(len(j.on)) * j.spec.GPUs
+	for _, job := range checker.jobs {
+		if job.spec.Team == team {
+			cpus += float64(len(job.machineByTask)) * job.spec.CPUs
+			gpus += float64(len(job.machineByTask)) * job.spec.GPUs
 		}
 	}
 	if limit.CPUs > 0 && cpus > limit.CPUs || limit.GPUs > 0 && gpus > limit.GPUs {
-		c.broken(Quota, "%s uses %g CPUs and %g GPUs", team, cpus, gpus)
+		checker.addViolation(QuotaExceeded, "%s uses %g CPUs and %g GPUs", team, cpus, gpus)
 	}
 }
 
-// overdue finds cancelled jobs whose tasks have stayed for too long.
-func (c *Checker) overdue() {
-	for id, j := range c.jobs {
-		if j.counted || j.final != wire.JobCancelled || time.Since(j.finalAt) <= c.cfg.Cancellation {
+// checkOverdueCancellations finds cancelled jobs whose tasks have stayed for too long.
+func (checker *Checker) checkOverdueCancellations() {
+	for id, job := range checker.jobs {
+		if job.overdueReported || job.finalState != wire.JobCancelled || time.Since(job.finalStateAt) <= checker.cfg.CancellationGrace {
 			continue
 		}
-		j.counted = true
-		for index, m := range j.on {
-			c.broken(RanCancelled, "%s/%d is on %s %v after its job was cancelled", id, index, m.ID, time.Since(j.finalAt))
+		job.overdueReported = true
+		for index, machine := range job.machineByTask {
+			checker.addViolation(CancelledTaskRan, "%s/%d is on %s %v after its job was cancelled", id, index, machine.ID, time.Since(job.finalStateAt))
 		}
 	}
 }
--- a/internal/protocoltest/checker_test.go
+++ b/internal/protocoltest/checker_test.go
@@ -10,153 +10,155 @@
 
 const jobID = "req-000001"
 
-// course drives a checker over a history of one job of two tasks.
-type course struct {
+// singleJobScenario drives a checker over a history of one job of two tasks.
+type singleJobScenario struct {
 	*Checker
 	spec *wire.Job
 }
 
-func newCourse() course {
-	c := course{
-		New(Config{Cancellation: 10 * time.Second, Limits: map[string]Limit{"a": {CPUs: 8}}}),
+func newScenario() singleJobScenario {
+	scenario := singleJobScenario{
+		New(Config{CancellationGrace: 10 * time.Second, QuotaByTeam: map[string]TeamQuota{"a": {CPUs: 8}}}),
 		&wire.Job{ID: jobID, Team: "a", Kind: wire.KindArray, TaskCount: 2, CPUs: 4},
 	}
-	c.Submitted(c.spec)
-	c.Told(jobID, wire.JobPending, time.Now())
+	scenario.RecordSubmission(scenario.spec)
+	scenario.RecordJobState(jobID, wire.JobPending, time.Now())
 	time.Sleep(time.Second)
-	return c
+	return scenario
 }
 
-func (c course) told(stage string) { c.Told(jobID, stage, time.Now()) }
+func (scenario singleJobScenario) recordState(stage string) {
+	scenario.RecordJobState(jobID, stage, time.Now())
+}
 
-func (c course) cancelled() {
-	c.CancelAsked(jobID)
-	c.told(wire.JobCancelled)
+func (scenario singleJobScenario) cancelJob() {
+	scenario.RecordCancelRequest(jobID)
+	scenario.recordState(wire.JobCancelled)
 	time.Sleep(time.Second)
 }
 
-func machine(name, zone string) wire.ListedMachine {
+func newMachine(name, zone string) wire.ListedMachine {
 	return wire.ListedMachine{ID: name, MachineType: "m", Zone: zone}
 }
 
 // Each rule is found broken where a history breaks it, and in no other history.
-func TestEachRule(t *testing.T) {
+func TestCheckerFindsEachViolation(t *testing.T) {
 	const first, second = jobID + "/0", jobID + "/1"
 	for _, test := range []struct {
 		name string
 		rule Rule // empty: none is broken
-		play func(c course)
+		play func(scenario singleJobScenario)
 	}{
-		{"a good day", "", func(c course) {
-			c.Started(machine("i-1", "x"), first)
-			c.Started(machine("i-2", "y"), second)
-			c.told(wire.JobRunning)
-			c.Ended("i-1", first, wire.ExitDone)
-			c.Ended("i-2", second, wire.ExitDone)
-			c.told(wire.JobDone)
-			c.told(wire.JobDone)
-		}},
-		{"a task moves", "", func(c course) {
-			c.Started(machine("i-1", "x"), first)
-			c.Ended("i-1", first, wire.ExitStopped)
-			c.Started(machine("i-2", "y"), first)
-		}},
-		{"a task on two machines", RanTwice, func(c course) {
-			c.Started(machine("i-1", "x"), first)
-			c.Started(machine("i-2", "x"), first)
-		}},
-		{"over the limit", Quota, func(c course) {
-			c.spec.CPUs = 5
-			c.Started(machine("i-1", "x"), first)
-			c.Started(machine("i-2", "x"), second)
-		}},
-		{"another zone", WrongPlace, func(c course) {
-			c.spec.Zone = "y"
-			c.Started(machine("i-1", "x"), first)
-		}},
-		{"another type", WrongPlace, func(c course) {
-			c.spec.MachineTypes = []string{"other"}
-			c.Started(machine("i-1", "x"), first)
-		}},
-		{"a spot machine", WrongPlace, func(c course) {
-			m := machine("i-1", "x")
-			m.Spot = true
-			c.Started(m, first)
-		}},
-		{"two zones", WrongPlace, func(c course) {
-			c.spec.SingleZone = true
-			c.Started(machine("i-1", "x"), first)
-			c.Started(machine("i-2", "y"), second)
-		}},
-		{"not spread", WrongPlace, func(c course) {
-			c.spec.SpreadZones = true
-			c.Started(machine("i-1", "x"), first)
-			c.Started(machine("i-2", "x"), second)
-		}},
-		{"a cancelled task stays", RanCancelled, func(c course) {
-			c.Started(machine("i-1", "x"), first)
-			c.cancelled()
+		{"a good day", "", func(scenario singleJobScenario) {
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+			scenario.RecordTaskStart(newMachine("i-2", "y"), second)
+			scenario.recordState(wire.JobRunning)
+			scenario.RecordTaskEnd("i-1", first, wire.ExitDone)
+			scenario.RecordTaskEnd("i-2", second, wire.ExitDone)
+			scenario.recordState(wire.JobDone)
+			scenario.recordState(wire.JobDone)
+		}},
+		{"a task moves", "", func(scenario singleJobScenario) {
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+			scenario.RecordTaskEnd("i-1", first, wire.ExitStopped)
+			scenario.RecordTaskStart(newMachine("i-2", "y"), first)
+		}},
+		{"a task on two machines", DuplicateExecution, func(scenario singleJobScenario) {
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+			scenario.RecordTaskStart(newMachine("i-2", "x"), first)
+		}},
+		{"over the limit", QuotaExceeded, func(scenario singleJobScenario) {
+			scenario.spec.CPUs = 5
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+			scenario.RecordTaskStart(newMachine("i-2", "x"), second)
+		}},
+		{"another zone", PlacementViolated, func(scenario singleJobScenario) {
+			scenario.spec.Zone = "y"
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+		}},
+		{"another type", PlacementViolated, func(scenario singleJobScenario) {
+			scenario.spec.MachineTypes = []string{"other"}
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+		}},
+		{"a spot machine", PlacementViolated, func(scenario singleJobScenario) {
+			machine := newMachine("i-1", "x")
+			machine.Spot = true
+			scenario.RecordTaskStart(machine, first)
+		}},
+		{"two zones", PlacementViolated, func(scenario singleJobScenario) {
+			scenario.spec.SingleZone = true
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+			scenario.RecordTaskStart(newMachine("i-2", "y"), second)
+		}},
+		{"not spread", PlacementViolated, func(scenario singleJobScenario) {
+			scenario.spec.SpreadZones = true
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+			scenario.RecordTaskStart(newMachine("i-2", "x"), second)
+		}},
+		{"a cancelled task stays", CancelledTaskRan, func(scenario singleJobScenario) {
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+			scenario.cancelJob()
 			time.Sleep(11 * time.Second)
 		}},
-		{"a cancelled task goes in time", "", func(c course) {
-			c.Started(machine("i-1", "x"), first)
-			c.cancelled()
+		{"a cancelled task goes in time", "", func(scenario singleJobScenario) {
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+			scenario.cancelJob()
 			time.Sleep(8 * time.Second)
-			c.Ended("i-1", first, wire.ExitStopped)
+			scenario.RecordTaskEnd("i-1", first, wire.ExitStopped)
 			time.Sleep(8 * time.Second)
 		}},
-		{"a cancelled task starts much later", RanCancelled, func(c course) {
-			c.cancelled()
+		{"a cancelled task starts much later", CancelledTaskRan, func(scenario singleJobScenario) {
+			scenario.cancelJob()
 			time.Sleep(11 * time.Second)
-			c.Started(machine("i-1", "x"), first)
-		}},
-		{"an accepted job is not found", Forgotten, func(c course) { c.Denied(jobID, 404, time.Now()) }},
-		{"a job that nobody submitted", Invented, func(c course) { c.Told("req-000002", wire.JobPending, time.Now()) }},
-		{"done too early", NotDone, func(c course) { c.told(wire.JobDone) }},
-		{"cancelled, then running", WentBack, func(c course) {
-			c.cancelled()
-			c.told(wire.JobRunning)
-		}},
-		{"cancelled without being asked", WentBack, func(c course) { c.told(wire.JobCancelled) }},
-		{"started before what it needs", TooEarly, func(c course) {
-			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
-			c.Started(machine("i-1", "x"), first)
-			c.Ended("i-1", first, wire.ExitDone)
-			c.Started(machine("i-1", "x"), "req-000002/0")
-		}},
-		{"started after what it needs", "", func(c course) {
-			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+		}},
+		{"an accepted job is not found", AcceptedJobLost, func(scenario singleJobScenario) { scenario.RecordRejection(jobID, 404, time.Now()) }},
+		{"a job that nobody submitted", UnknownJob, func(scenario singleJobScenario) { scenario.RecordJobState("req-000002", wire.JobPending, time.Now()) }},
+		{"done too early", IncompleteJobDone, func(scenario singleJobScenario) { scenario.recordState(wire.JobDone) }},
+		{"cancelled, then running", StateRegressed, func(scenario singleJobScenario) {
+			scenario.cancelJob()
+			scenario.recordState(wire.JobRunning)
+		}},
+		{"cancelled without being asked", StateRegressed, func(scenario singleJobScenario) { scenario.recordState(wire.JobCancelled) }},
+		{"started before what it needs", DependencyNotDone, func(scenario singleJobScenario) {
+			scenario.RecordSubmission(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
+			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
+			scenario.RecordTaskEnd("i-1", first, wire.ExitDone)
+			scenario.RecordTaskStart(newMachine("i-1", "x"), "req-000002/0")
+		}},
+		{"started after what it needs", "", func(scenario singleJobScenario) {
+			scenario.RecordSubmission(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
 			for _, task := range []string{first, second} {
-				c.Started(machine("i-1", "x"), task)
-				c.Ended("i-1", task, wire.ExitDone)
+				scenario.RecordTaskStart(newMachine("i-1", "x"), task)
+				scenario.RecordTaskEnd("i-1", task, wire.ExitDone)
 			}
-			c.Started(machine("i-1", "x"), "req-000002/0")
+			scenario.RecordTaskStart(newMachine("i-1", "x"), "req-000002/0")
 		}},
-		{"cancelled with what it needs", "", func(c course) {
-			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
-			c.cancelled()
-			c.Told("req-000002", wire.JobPending, time.Now())
+		{"cancelled with what it needs", "", func(scenario singleJobScenario) {
+			scenario.RecordSubmission(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
+			scenario.cancelJob()
+			scenario.RecordJobState("req-000002", wire.JobPending, time.Now())
 			time.Sleep(11 * time.Second)
-			c.Told("req-000002", wire.JobCancelled, time.Now())
+			scenario.RecordJobState("req-000002", wire.JobCancelled, time.Now())
 		}},
-		{"not cancelled with what it needs", Orphaned, func(c course) {
-			c.Submitted(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{"req-000003"}})
-			c.Submitted(&wire.Job{ID: "req-000003", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
-			c.cancelled()
+		{"not cancelled with what it needs", DependentNotCancelled, func(scenario singleJobScenario) {
+			scenario.RecordSubmission(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{"req-000003"}})
+			scenario.RecordSubmission(&wire.Job{ID: "req-000003", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
+			scenario.cancelJob()
 			time.Sleep(11 * time.Second)
-			c.Told("req-000002", wire.JobPending, time.Now())
+			scenario.RecordJobState("req-000002", wire.JobPending, time.Now())
 		}},
-		{"a question that was on its way", "", func(c course) {
-			asked := time.Now()
-			c.cancelled()
-			c.Told(jobID, wire.JobPending, asked)
+		{"a question that was on its way", "", func(scenario singleJobScenario) {
+			sentAt := time.Now()
+			scenario.cancelJob()
+			scenario.RecordJobState(jobID, wire.JobPending, sentAt)
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newCourse()
-				test.play(c)
-				got := c.Violations()
+				scenario := newScenario()
+				test.play(scenario)
+				got := scenario.Violations()
 				switch {
 				case test.rule == "" && len(got) != 0:
 					t.Fatalf("found %v", got)
@@ -169,13 +171,13 @@
 }
 
 // Starts after a confirmed cancellation are counted though they break no rule yet.
-func TestLateStarts(t *testing.T) {
+func TestLateStartsAreCountedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCourse()
-		c.cancelled()
-		c.Started(machine("i-1", "x"), jobID+"/0")
-		if len(c.LateStarts()) != 1 || len(c.Violations()) != 0 {
-			t.Fatalf("late starts %v, broken %v", c.LateStarts(), c.Violations())
+		scenario := newScenario()
+		scenario.cancelJob()
+		scenario.RecordTaskStart(newMachine("i-1", "x"), jobID+"/0")
+		if len(scenario.LateStarts()) != 1 || len(scenario.Violations()) != 0 {
+			t.Fatalf("late starts %v, broken %v", scenario.LateStarts(), scenario.Violations())
 		}
 	})
 }
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -12,8 +12,8 @@
 // another.
 func Main(m *testing.M) {
 	flag.Parse()
-	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
-		if err := f.Value.Set("20260101"); err != nil {
+	if seedFlag := flag.Lookup("rapid.seed"); seedFlag != nil && seedFlag.Value.String() == "0" {
+		if err := seedFlag.Value.Set("20260101"); err != nil {
 			panic(err)
 		}
 	}
--- /dev/null
+++ b/internal/sim/client.go
@@ -0,0 +1,147 @@
+package sim
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"time"
+
+	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/wire"
+)
+
+// Response is what a request came to; a status of 0 is none.
+type Response struct {
+	Status            int
+	Body              []byte
+	RetryAfterSeconds int
+}
+
+// JobState is the state that the answer tells of, empty if it tells none.
+func (response Response) JobState() string {
+	var status wire.JobStatus
+	if response.Status/100 != 2 || status.UnmarshalJSON(response.Body) != nil {
+		return ""
+	}
+	return status.State
+}
+
+func decodeJSON(r io.Reader, v any) error { return json.NewDecoder(r).Decode(v) }
+
+// awaitResponse makes a request and waits for its answer, for so long at most.
+func awaitResponse(request func(*server.Reply), timeout time.Duration) Response {
+	answered := make(chan Response, 1)
+	request(server.NewReply(func(status int, body []byte, retryAfter int) {
+		answered <- Response{status, body, retryAfter}
+	}))
+	select {
+	case response := <-answered:
+		return response
+	case <-time.After(timeout):
+		return Response{Status: 504}
+	}
+}
+
+// userTimeout is how long a user waits for an answer.
+const userTimeout = 5 * time.Second
+
+// Array describes an array of a team.
+func Array(number, tasks int, team string) *wire.Job {
+	return &wire.Job{
+		ID: fmt.Sprintf("req-%06d", number), Class: "c", Team: team, Kind: wire.KindArray, Priority: "standard",
+		TaskCount: tasks, CPUs: 2, MemoryGB: 1, Image: "img", ImageSizeGB: 0.1, EstimatedRunSeconds: 20,
+	}
+}
+
+// Service describes a service that is spread over zones.
+func Service(number, tasks int, team string) *wire.Job {
+	job := Array(number, tasks, team)
+	job.Kind, job.Priority, job.SpreadZones, job.EstimatedRunSeconds = wire.KindService, "production", true, 0
+	return job
+}
+
+// Submit submits a job to a controller, once.
+func (cluster *Cluster) Submit(name string, job *wire.Job) Response {
+	instance := cluster.runningInstance(cluster.member(name))
+	sentAt := time.Now()
+	cluster.Checker.RecordSubmission(job)
+	if instance == nil {
+		return Response{}
+	}
+	copied := *job
+	response := awaitResponse(func(r *server.Reply) { instance.SubmitJob(&copied, r) }, userTimeout)
+	switch {
+	case response.JobState() != "":
+		cluster.Checker.RecordJobState(job.ID, response.JobState(), sentAt)
+	case response.Status == 400 || response.Status == 422:
+		cluster.Checker.RecordRejection(job.ID, response.Status, sentAt)
+	}
+	return response
+}
+
+// GetJob asks a controller about a job, once.
+func (cluster *Cluster) GetJob(name, id string) Response {
+	instance := cluster.runningInstance(cluster.member(name))
+	if instance == nil {
+		return Response{}
+	}
+	sentAt := time.Now()
+	response := awaitResponse(func(r *server.Reply) { instance.ShowJob(id, r) }, userTimeout)
+	switch {
+	case response.JobState() != "":
+		cluster.Checker.RecordJobState(id, response.JobState(), sentAt)
+	case response.Status == 404:
+		cluster.Checker.RecordRejection(id, response.Status, sentAt)
+	}
+	return response
+}
+
+// Cancel asks a controller to cancel a job, once.
+func (cluster *Cluster) Cancel(name, id string) Response {
+	instance := cluster.runningInstance(cluster.member(name))
+	if instance == nil {
+		return Response{}
+	}
+	sentAt := time.Now()
+	cluster.Checker.RecordCancelRequest(id)
+	response := awaitResponse(func(r *server.Reply) { instance.CancelJob(id, r) }, userTimeout)
+	if response.JobState() != "" {
+		cluster.Checker.RecordJobState(id, response.JobState(), sentAt)
+	}
+	return response
+}
+
+// MustSubmit submits a job until it is accepted.
+func (cluster *Cluster) MustSubmit(name string, job *wire.Job) {
+	cluster.t.Helper()
+	cluster.WaitFor(job.ID+" is accepted", time.Minute, func() bool {
+		response := cluster.Submit(name, job)
+		return response.Status == 201 || response.Status == 200
+	})
+}
+
+// MustCancel cancels a job.
+func (cluster *Cluster) MustCancel(name, id string) {
+	cluster.t.Helper()
+	cluster.WaitFor(id+" is cancelled", time.Minute, func() bool { return cluster.Cancel(name, id).JobState() == wire.JobCancelled })
+}
+
+// WaitForRunningTasks waits until so many tasks of a job are on machines.
+func (cluster *Cluster) WaitForRunningTasks(id string, tasks int) {
+	cluster.t.Helper()
+	cluster.WaitFor(fmt.Sprintf("%d tasks of %s run", tasks, id), 2*time.Minute, func() bool { return len(cluster.MachinesRunning(id)) == tasks })
+}
+
+// WaitForState waits until a controller tells a state of a job.
+func (cluster *Cluster) WaitForState(name, id, state string, timeout time.Duration) {
+	cluster.t.Helper()
+	cluster.WaitFor(id+" is "+state+" at "+name, timeout, func() bool { return cluster.GetJob(name, id).JobState() == state })
+}
+
+// MustCancelUnlessDone cancels a job, unless it is done already.
+func (cluster *Cluster) MustCancelUnlessDone(name, id string) {
+	cluster.t.Helper()
+	cluster.WaitFor(id+" is cancelled", time.Minute, func() bool { return cluster.Cancel(name, id).Status == 200 })
+}
+
+func unmarshalJSON(text string, v any) error { return json.Unmarshal([]byte(text), v) }
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -28,75 +28,75 @@
 	"firwood.dev/firwood/wire"
 )
 
-// standbyInAll plays every test with copies of the leader's account.
-var standbyInAll = flag.Bool("standby", false, "have controllers keep copies of the leader's account in every test")
+// standbyInAllTests plays every test with copies of the leader's account.
+var standbyInAllTests = flag.Bool("standby", false, "have controllers keep copies of the leader's account in every test")
 
 // Options say what a deployment is like; times not set have defaults.
 type Options struct {
-	Nodes int
-	Zones []string
-	Teams []config.Team
-	// Lease, Cancellation and ReportEvery are the workers' times.
-	Lease, Cancellation, ReportEvery time.Duration
-	// RunFor is how long a task runs, Boot how long a machine takes to come up.
-	RunFor, Boot time.Duration
-	// Apart, if set, is by how much longer each next task of a job runs.
-	Apart time.Duration
+	MemberCount int
+	Zones       []string
+	Teams       []config.Team
+	// LeaseTTL, Cancellation and HeartbeatInterval are the workers' times.
+	LeaseTTL, CancellationGrace, HeartbeatInterval time.Duration
+	// TaskDuration is how long a task runs, Boot how long a machine takes to come up.
+	TaskDuration, BootDuration time.Duration
+	// TaskDurationStep, if set, is by how much longer each next task of a job runs.
+	TaskDurationStep time.Duration
 	// WriteRPS is the state service's rate of changes.
 	WriteRPS float64
 	// CloudRPS is the cloud's rate of requests, Sockets the limit of connections of a
 	// controller.
-	CloudRPS float64
-	Sockets  int
-	// Next are the limits of the state service to come.
-	Next *config.UpcomingStoreLimits
+	CloudRPS   float64
+	MaxSockets int
+	// NextLimits are the limits of the state service to come.
+	NextLimits *config.UpcomingStoreLimits
 	// Standby has controllers keep copies of the leader's account, but for those named in
-	// WithoutStandby.
-	Standby        bool
-	WithoutStandby []string
-	// FinishedJobs, if set, is how many finished jobs a controller remembers.
-	FinishedJobs int
-	// ArchiveAfter, if set, is after how long finished jobs are archived; WithoutArchive are
+	// MembersWithoutStandby.
+	Standby               bool
+	MembersWithoutStandby []string
+	// CachedFinishedJobs, if set, is how many finished jobs a controller remembers.
+	CachedFinishedJobs int
+	// ArchiveAfter, if set, is after how long finished jobs are archived; MembersWithoutArchive are
 	// controllers that move them back when they lead.
-	ArchiveAfter   time.Duration
-	WithoutArchive []string
-	// Log, if set, gets what controllers log.
-	Log *slog.Logger
+	ArchiveAfter          time.Duration
+	MembersWithoutArchive []string
+	// Logger, if set, gets what controllers log.
+	Logger *slog.Logger
 }
 
-func (o *Options) setDefaults() {
-	if o.Nodes == 0 {
-		o.Nodes = 3
+func (options *Options) setDefaults() {
+	if options.MemberCount == 0 {
+		options.MemberCount = 3
 	}
-	if o.Zones == nil {
-		o.Zones = []string{"x", "y"}
+	if options.Zones == nil {
+		options.Zones = []string{"x", "y"}
 	}
-	if o.Teams == nil {
-		o.Teams = []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 16}}
+	if options.Teams == nil {
+		options.Teams = []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 16}}
 	}
-	defaultTo(&o.Lease, 36*time.Second)
-	defaultTo(&o.Cancellation, 66*time.Second)
-	defaultTo(&o.ReportEvery, 3*time.Second)
-	defaultTo(&o.RunFor, 20*time.Second)
-	defaultTo(&o.Boot, 2*time.Second)
-	defaultTo(&o.WriteRPS, 80)
-	defaultTo(&o.CloudRPS, 10)
-	defaultTo(&o.Sockets, 900)
-	o.Standby = o.Standby || *standbyInAll
+	defaultTo(&options.LeaseTTL, 36*time.Second)
+	defaultTo(&options.CancellationGrace, 66*time.Second)
+	defaultTo(&options.HeartbeatInterval, 3*time.Second)
+	defaultTo(&options.TaskDuration, 20*time.Second)
+	defaultTo(&options.BootDuration, 2*time.Second)
+	defaultTo(&options.WriteRPS, 80)
+	defaultTo(&options.CloudRPS, 10)
+	defaultTo(&options.MaxSockets, 900)
+	options.Standby = options.Standby || *standbyInAllTests
 }
 
-func defaultTo[T comparable](option *T, value T) {
+func defaultTo[T comparable](setting *T, value T) {
 	var unset T
-	if *option == unset {
-		*option = value
+	if *setting == unset {
+		*setting = value
 	}
 }
 
 const (
-	servePort = 8080
-	peerPort  = 8081
-	userHost  = "user"
-	typeName  = "m"
+	servePort       = 8080
+	peerPort        = 8081
+	userHost        = "user"
+	machineTypeName = "m"
 )
 
 // Cluster is a deployment: controllers, the outside, and a checker of the rules.
@@ -104,284 +104,284 @@
 	t       testing.TB
 	options Options
 
-	Network *fake.Memory
-	State   *fake.State
+	Network *fake.MemoryNetwork
+	Store   *fake.Store
 	Cloud   *fake.Cloud
 	Checker *protocoltest.Checker
 
-	nodes     []*node
-	lives     sync.Mutex // guards the lives of nodes
-	stopState func()
-	stopCloud func()
+	members     []*clusterMember
+	instancesMu sync.Mutex // guards the lives of nodes
+	stopStore   func()
+	stopCloud   func()
 }
 
-// node is a controller over all its lives.
-type node struct {
+// clusterMember is a controller over all its lives.
+type clusterMember struct {
 	name string
 	cfg  *config.Platform
-	// app is the present life, nil while there is none.
-	app  *controller.Controller
-	end  context.CancelFunc
-	stop []func()
+	// instance is the present life, nil while there is none.
+	instance    *controller.Controller
+	cancelRun   context.CancelFunc
+	stopServers []func()
 }
 
 // Run plays a test with a cluster that is up, and ends it.
-func Run(t *testing.T, options Options, play func(c *Cluster)) {
+func Run(t *testing.T, options Options, run func(cluster *Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		clock.ResetOrigin()
-		c := start(t, options)
-		defer c.close()
-		c.Until("a leader is elected", 30*time.Second, func() bool { return c.Leader() != "" })
-		play(c)
-		c.Check()
+		cluster := startCluster(t, options)
+		defer cluster.close()
+		cluster.WaitFor("a leader is elected", 30*time.Second, func() bool { return cluster.Leader() != "" })
+		run(cluster)
+		cluster.FailOnViolations()
 	})
 }
 
-func start(t testing.TB, options Options) *Cluster {
+func startCluster(t testing.TB, options Options) *Cluster {
 	options.setDefaults()
-	c := &Cluster{t: t, options: options, Network: fake.NewMemory()}
-	limits := map[string]protocoltest.Limit{}
+	cluster := &Cluster{t: t, options: options, Network: fake.NewMemoryNetwork()}
+	limits := map[string]protocoltest.TeamQuota{}
 	for _, team := range options.Teams {
-		limits[team.Name] = protocoltest.Limit{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}
+		limits[team.Name] = protocoltest.TeamQuota{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}
 	}
-	c.Checker = protocoltest.New(protocoltest.Config{Cancellation: options.Cancellation, Limits: limits})
-	c.State, c.stopState = fake.NewStateOn(c.Network)
+	cluster.Checker = protocoltest.New(protocoltest.Config{CancellationGrace: options.CancellationGrace, QuotaByTeam: limits})
+	cluster.Store, cluster.stopStore = fake.NewStoreOnNetwork(cluster.Network)
 	names, addresses := []string{}, map[string]string{}
-	for i := range options.Nodes {
+	for i := range options.MemberCount {
 		name := fmt.Sprintf("n%d", i)
 		names = append(names, name)
 		addresses[name] = fmt.Sprintf("%s:%d", name, servePort)
-		c.nodes = append(c.nodes, &node{name: name})
+		cluster.members = append(cluster.members, &clusterMember{name: name})
 	}
-	c.Cloud, c.stopCloud = fake.NewCloudOn(fake.CloudConfig{
-		Network: c.Network, Names: names, Controllers: addresses,
-		Types:  []wire.MachineType{{Name: typeName, CPUs: 8, MemoryGB: 32, FetchGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5, BootSeconds: options.Boot.Seconds(), Zones: options.Zones}},
-		RunFor: c.runFor, Lease: options.Lease, ReportEvery: options.ReportEvery, Boot: options.Boot,
-		Observer: c.Checker,
+	cluster.Cloud, cluster.stopCloud = fake.NewCloudWithConfig(fake.CloudConfig{
+		Network: cluster.Network, ControllerNames: names, ControllerAddresses: addresses,
+		MachineTypes: []wire.MachineType{{Name: machineTypeName, CPUs: 8, MemoryGB: 32, FetchGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5, BootSeconds: options.BootDuration.Seconds(), Zones: options.Zones}},
+		TaskDuration: cluster.taskDuration, LeaseTTL: options.LeaseTTL, HeartbeatInterval: options.HeartbeatInterval, BootDuration: options.BootDuration,
+		Observer: cluster.Checker,
 	})
-	for _, n := range c.nodes {
-		n.cfg = c.platform(n.name)
-		c.Start(n.name)
+	for _, member := range cluster.members {
+		member.cfg = cluster.platformConfig(member.name)
+		cluster.Start(member.name)
 	}
-	return c
+	return cluster
 }
 
-// runFor is how long a task runs: a service's until it is stopped.
-func (c *Cluster) runFor(task string) time.Duration {
+// taskDuration is how long a task runs: a service's until it is stopped.
+func (cluster *Cluster) taskDuration(task string) time.Duration {
 	id, index, _ := wire.ParseTaskID(task)
-	if c.Checker.IsService(id) {
+	if cluster.Checker.IsService(id) {
 		return 0
 	}
-	return c.options.RunFor + time.Duration(index)*c.options.Apart
+	return cluster.options.TaskDuration + time.Duration(index)*cluster.options.TaskDurationStep
 }
 
-func (c *Cluster) platform(name string) *config.Platform {
-	p := &config.Platform{Member: name}
-	for i, n := range c.nodes {
-		location := c.options.Zones[i%len(c.options.Zones)]
-		if n.name == name {
-			p.Location = location
+func (cluster *Cluster) platformConfig(name string) *config.Platform {
+	platform := &config.Platform{Member: name}
+	for i, member := range cluster.members {
+		location := cluster.options.Zones[i%len(cluster.options.Zones)]
+		if member.name == name {
+			platform.Location = location
 			continue
 		}
-		p.Peers = append(p.Peers, config.Peer{Member: n.name, Location: location, Address: fmt.Sprintf("%s:%d", n.name, peerPort)})
+		platform.Peers = append(platform.Peers, config.Peer{Member: member.name, Location: location, Address: fmt.Sprintf("%s:%d", member.name, peerPort)})
 	}
-	p.External = config.ExternalServices{CloudAddress: c.Cloud.Addr, StoreAddress: c.State.Addr}
-	d := &p.Deployment
-	d.ControllerCount, d.Zones, d.Teams = len(c.nodes), c.options.Zones, c.options.Teams
-	d.Workers = config.WorkerTimings{
-		HeartbeatIntervalSeconds: c.options.ReportEvery.Seconds(), LeaseSeconds: c.options.Lease.Seconds(),
-		GangStartTimeoutSeconds: 30, GangPeerTimeoutSeconds: 8, CancelTimeoutSeconds: c.options.Cancellation.Seconds(),
+	platform.External = config.ExternalServices{CloudAddress: cluster.Cloud.Addr, StoreAddress: cluster.Store.Addr}
+	deployment := &platform.Deployment
+	deployment.ControllerCount, deployment.Zones, deployment.Teams = len(cluster.members), cluster.options.Zones, cluster.options.Teams
+	deployment.Workers = config.WorkerTimings{
+		HeartbeatIntervalSeconds: cluster.options.HeartbeatInterval.Seconds(), LeaseSeconds: cluster.options.LeaseTTL.Seconds(),
+		GangStartTimeoutSeconds: 30, GangPeerTimeoutSeconds: 8, CancelTimeoutSeconds: cluster.options.CancellationGrace.Seconds(),
 	}
-	d.Store = config.StoreLimits{RPS: 200, WriteRPS: c.options.WriteRPS, MaxValueKB: 8, MaxTransactionOps: 24, Upcoming: c.options.Next}
-	d.Cloud = config.Cloud{RPS: c.options.CloudRPS, ListLagSeconds: 1}
-	d.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 200, MaxSockets: c.options.Sockets}
-	d.ClockErrorMillis = 5
-	return p
+	deployment.Store = config.StoreLimits{RPS: 200, WriteRPS: cluster.options.WriteRPS, MaxValueKB: 8, MaxTransactionOps: 24, Upcoming: cluster.options.NextLimits}
+	deployment.Cloud = config.Cloud{RPS: cluster.options.CloudRPS, ListLagSeconds: 1}
+	deployment.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 200, MaxSockets: cluster.options.MaxSockets}
+	deployment.ClockErrorMillis = 5
+	return platform
 }
 
-func (c *Cluster) close() {
-	c.Network.HealAll()
-	for _, n := range c.nodes {
-		c.Crash(n.name)
+func (cluster *Cluster) close() {
+	cluster.Network.HealAll()
+	for _, member := range cluster.members {
+		cluster.Crash(member.name)
 	}
-	c.stopCloud()
-	c.stopState()
-	for _, host := range append(c.Cloud.Machines(), fake.StateHost, fake.CloudHost, userHost) {
-		c.Network.Down(host)
+	cluster.stopCloud()
+	cluster.stopStore()
+	for _, host := range append(cluster.Cloud.MachineNames(), fake.StoreHost, fake.CloudHost, userHost) {
+		cluster.Network.CloseConnections(host)
 	}
 	// What still waits for answers gives up.
 	time.Sleep(time.Minute)
 }
 
-func (c *Cluster) node(name string) *node {
-	for _, n := range c.nodes {
-		if n.name == name {
-			return n
+func (cluster *Cluster) member(name string) *clusterMember {
+	for _, member := range cluster.members {
+		if member.name == name {
+			return member
 		}
 	}
-	c.t.Fatalf("no node %q", name)
+	cluster.t.Fatalf("no node %q", name)
 	return nil
 }
 
-// life is the present life of a controller, nil if there is none.
-func (c *Cluster) life(n *node) *controller.Controller {
-	c.lives.Lock()
-	defer c.lives.Unlock()
-	return n.app
+// runningInstance is the present life of a controller, nil if there is none.
+func (cluster *Cluster) runningInstance(member *clusterMember) *controller.Controller {
+	cluster.instancesMu.Lock()
+	defer cluster.instancesMu.Unlock()
+	return member.instance
 }
 
-// Nodes are the names of the controllers.
-func (c *Cluster) Nodes() []string {
+// Members are the names of the controllers.
+func (cluster *Cluster) Members() []string {
 	var names []string
-	for _, n := range c.nodes {
-		names = append(names, n.name)
+	for _, member := range cluster.members {
+		names = append(names, member.name)
 	}
 	return names
 }
 
 // Start begins a new life of a controller.
-func (c *Cluster) Start(name string) {
-	n := c.node(name)
-	c.lives.Lock()
-	defer c.lives.Unlock()
-	if n.app != nil {
+func (cluster *Cluster) Start(name string) {
+	member := cluster.member(name)
+	cluster.instancesMu.Lock()
+	defer cluster.instancesMu.Unlock()
+	if member.instance != nil {
 		return
 	}
-	log := c.options.Log
+	log := cluster.options.Logger
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
 	dial := func(address string, timeout time.Duration) (net.Conn, error) {
-		return c.Network.Dial(name, address, timeout)
+		return cluster.Network.Dial(name, address, timeout)
 	}
 	tuning := config.DefaultTuning()
-	tuning.Standby.Enabled = c.options.Standby && !slices.Contains(c.options.WithoutStandby, name)
-	tuning.FinishedJobs = c.options.FinishedJobs
-	if !slices.Contains(c.options.WithoutArchive, name) {
-		tuning.ArchiveFinishedAfterS = c.options.ArchiveAfter.Seconds()
+	tuning.Standby.Enabled = cluster.options.Standby && !slices.Contains(cluster.options.MembersWithoutStandby, name)
+	tuning.FinishedJobs = cluster.options.CachedFinishedJobs
+	if !slices.Contains(cluster.options.MembersWithoutArchive, name) {
+		tuning.ArchiveFinishedAfterS = cluster.options.ArchiveAfter.Seconds()
 	}
-	n.app = controller.New(n.cfg, tuning, log.With("member", name), dial)
+	member.instance = controller.New(member.cfg, tuning, log.With("member", name), dial)
 	ctx, cancel := context.WithCancel(context.Background())
-	n.end = cancel
-	go n.app.Run(ctx)
-	n.stop = []func(){c.serveHTTP(n), c.servePeers(n)}
+	member.cancelRun = cancel
+	go member.instance.Run(ctx)
+	member.stopServers = []func(){cluster.serveHTTP(member), cluster.servePeers(member)}
 }
 
 // Crash ends a controller's life without a word.
-func (c *Cluster) Crash(name string) {
-	n := c.node(name)
-	c.lives.Lock()
-	defer c.lives.Unlock()
-	if n.app == nil {
+func (cluster *Cluster) Crash(name string) {
+	member := cluster.member(name)
+	cluster.instancesMu.Lock()
+	defer cluster.instancesMu.Unlock()
+	if member.instance == nil {
 		return
 	}
-	n.end()
-	for _, stop := range n.stop {
+	member.cancelRun()
+	for _, stop := range member.stopServers {
 		stop()
 	}
-	n.app = nil
-	c.Network.Down(name)
+	member.instance = nil
+	cluster.Network.CloseConnections(name)
 }
 
 // serveHTTP serves the workers' interface of a controller.
-func (c *Cluster) serveHTTP(n *node) (stop func()) {
-	l, err := c.Network.ListenAt(n.name, servePort)
+func (cluster *Cluster) serveHTTP(member *clusterMember) (stop func()) {
+	listener, err := cluster.Network.ListenAt(member.name, servePort)
 	if err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	app := n.app
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		report := &wire.Heartbeat{}
+	instance := member.instance
+	httpServer := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		heartbeat := &wire.Heartbeat{}
 		body := http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes)
-		if err := decode(body, report); err != nil {
+		if err := decodeJSON(body, heartbeat); err != nil {
 			w.WriteHeader(400)
 			return
 		}
-		answer := ask(func(reply *server.Reply) { app.HandleHeartbeat(report, reply) }, 10*time.Second)
+		answer := awaitResponse(func(reply *server.Reply) { instance.HandleHeartbeat(heartbeat, reply) }, 10*time.Second)
 		w.WriteHeader(answer.Status)
 		w.Write(answer.Body) //nolint:errcheck // the worker may be gone
 	})}
-	go s.Serve(l) //nolint:errcheck // ends with Close
-	return func() { s.Close() }
+	go httpServer.Serve(listener) //nolint:errcheck // ends with Close
+	return func() { httpServer.Close() }
 }
 
 // servePeers takes the messages of other controllers.
-func (c *Cluster) servePeers(n *node) (stop func()) {
-	l, err := c.Network.ListenAt(n.name, peerPort)
+func (cluster *Cluster) servePeers(member *clusterMember) (stop func()) {
+	listener, err := cluster.Network.ListenAt(member.name, peerPort)
 	if err != nil {
-		c.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	app := n.app
+	instance := member.instance
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go readFrames(conn, app)
+			go readFrames(conn, instance)
 		}
 	}()
-	return func() { l.Close() }
+	return func() { listener.Close() }
 }
 
-func readFrames(conn net.Conn, app *controller.Controller) {
+func readFrames(conn net.Conn, instance *controller.Controller) {
 	defer conn.Close()
 	var frames peer.FrameReader
 	buffer := make([]byte, 32<<10)
 	for {
 		size, err := conn.Read(buffer)
-		if err != nil || frames.Feed(buffer[:size], app.HandlePeerHeartbeat) != nil {
+		if err != nil || frames.Feed(buffer[:size], instance.HandlePeerHeartbeat) != nil {
 			return
 		}
 	}
 }
 
 // Leader is the controller that answers workers as leader, empty if there is none.
-func (c *Cluster) Leader() string {
-	for _, n := range c.nodes {
-		if app := c.life(n); app != nil && app.IsLeader() {
-			return n.name
+func (cluster *Cluster) Leader() string {
+	for _, member := range cluster.members {
+		if instance := cluster.runningInstance(member); instance != nil && instance.IsLeader() {
+			return member.name
 		}
 	}
 	return ""
 }
 
-// Others are the controllers but one.
-func (c *Cluster) Others(name string) []string {
+// OtherMembers are the controllers but one.
+func (cluster *Cluster) OtherMembers(name string) []string {
 	var names []string
-	for _, n := range c.nodes {
-		if n.name != name {
-			names = append(names, n.name)
+	for _, member := range cluster.members {
+		if member.name != name {
+			names = append(names, member.name)
 		}
 	}
 	return names
 }
 
-// Until waits for a condition, for so long at most.
-func (c *Cluster) Until(what string, atMost time.Duration, condition func() bool) {
-	c.t.Helper()
-	for waited := time.Duration(0); waited < atMost; waited += 50 * time.Millisecond {
+// WaitFor waits for a condition, for so long at most.
+func (cluster *Cluster) WaitFor(description string, timeout time.Duration, condition func() bool) {
+	cluster.t.Helper()
+	for waited := time.Duration(0); waited < timeout; waited += 50 * time.Millisecond {
 		if condition() {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("not within %v: %s", atMost, what)
+	cluster.t.Fatalf("not within %v: %s", timeout, description)
 }
 
-// Check fails the test if a rule was broken.
-func (c *Cluster) Check() {
-	c.t.Helper()
-	for _, v := range c.Checker.Violations() {
-		c.t.Errorf("%s: %s", v.Rule, v.Detail)
+// FailOnViolations fails the test if a rule was broken.
+func (cluster *Cluster) FailOnViolations() {
+	cluster.t.Helper()
+	for _, violation := range cluster.Checker.Violations() {
+		cluster.t.Errorf("%s: %s", violation.Rule, violation.Detail)
 	}
 }
 
-// On lists the machines that tasks of a job are on, a machine for each task.
-func (c *Cluster) On(job string) []string {
+// MachinesRunning lists the machines that tasks of a job are on, a machine for each task.
+func (cluster *Cluster) MachinesRunning(job string) []string {
 	var machines []string
-	for _, line := range c.Cloud.Running() {
+	for _, line := range cluster.Cloud.RunningTasks() {
 		machine, task, _ := strings.Cut(line, " ")
 		if strings.HasPrefix(task, job+"/") {
 			machines = append(machines, machine)
--- /dev/null
+++ b/internal/sim/dependencies_test.go
@@ -0,0 +1,229 @@
+package sim
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"firwood.dev/firwood/internal/config"
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/wire"
+)
+
+// dependentArray describes an array that awaits others.
+func dependentArray(number int, team string, awaits ...int) *wire.Job {
+	job := Array(number, 2, team)
+	for _, n := range awaits {
+		job.DependsOn = append(job.DependsOn, jobIDOf(n))
+	}
+	return job
+}
+
+func jobIDOf(number int) string { return fmt.Sprintf("req-%06d", number) }
+
+// A pipeline runs in order, over changes of the leader, across teams; what waits is
+// pending and holds nothing of its team's limit.
+func TestDependencyOrder(t *testing.T) {
+	teams := []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 4}}
+	Run(t, Options{Teams: teams}, func(cluster *Cluster) {
+		cluster.MustSubmit("n0", Array(1, 3, "a"))
+		cluster.MustSubmit("n1", dependentArray(2, "b", 1))
+		cluster.MustSubmit("n2", dependentArray(3, "a", 2))
+		cluster.MustSubmit("n0", dependentArray(4, "b", 1, 3))
+		cluster.MustSubmit("n1", Array(5, 2, "b")) // the whole limit, while 2 and 4 wait
+		cluster.WaitForRunningTasks(jobIDOf(5), 2)
+		if s := cluster.GetJob("n2", jobIDOf(4)).JobState(); s != wire.JobPending {
+			t.Errorf("a waiting job is %q", s)
+		}
+		for range 4 {
+			cluster.Restart(cluster.Leader(), time.Second)
+			time.Sleep(15 * time.Second)
+		}
+		for i := 1; i <= 5; i++ {
+			cluster.WaitForState("n2", jobIDOf(i), wire.JobDone, 3*time.Minute)
+		}
+		cluster.MustSubmit("n2", dependentArray(6, "a", 1, 4)) // long after those that it needs
+		cluster.WaitForState("n0", jobIDOf(6), wire.JobDone, time.Minute)
+	})
+}
+
+// Cancelling a job cancels everything that needs it, on every controller, through a
+// change of the leader, an outage, and submissions that race with it.
+func TestDependentsAreCancelledWithRoot(t *testing.T) {
+	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+		cluster.MustSubmit("n0", Array(1, 2, "a"))
+		for i := 2; i <= 9; i++ {
+			cluster.MustSubmit(cluster.Members()[i%3], dependentArray(i, "b", i-1))
+		}
+		for i := 10; i <= 20; i++ {
+			cluster.MustSubmit(cluster.Members()[i%3], dependentArray(i, "a", 1))
+		}
+		cluster.WaitForRunningTasks(jobIDOf(1), 2)
+		leader := rejectLeaderRequests(cluster)
+		for i := 21; i <= 24; i++ {
+			go cluster.MustSubmit(cluster.OtherMembers(leader)[i%2], dependentArray(i, "a", 9))
+		}
+		cluster.MustCancel(cluster.OtherMembers(leader)[0], jobIDOf(1))
+		cluster.Crash(leader)
+		time.Sleep(100 * time.Millisecond)
+		cluster.Store.SetDown(true)
+		time.Sleep(8 * time.Second)
+		cluster.Store.SetDown(false)
+		cluster.Store.SetFault(leader, fake.StoreHealthy)
+		cluster.Start(leader)
+		cluster.MustSubmit("n1", dependentArray(25, "a", 20))
+		for _, member := range cluster.Members() {
+			for i := 1; i <= 25; i++ {
+				cluster.WaitForState(member, jobIDOf(i), wire.JobCancelled, cluster.options.CancellationGrace)
+			}
+		}
+		cluster.WaitForRunningTasks(jobIDOf(1), 0)
+		// The derived ends become durable too.
+		cluster.WaitFor("every record says so", time.Minute, func() bool {
+			for i := 1; i <= 25; i++ {
+				if !isRecordCancelled(cluster, i) {
+					return false
+				}
+			}
+			return true
+		})
+	})
+}
+
+func isRecordCancelled(cluster *Cluster, number int) bool {
+	var record struct {
+		State string `json:"s"`
+	}
+	if err := unmarshalJSON(cluster.Store.Value("firwood/job/"+jobIDOf(number)), &record); err != nil {
+		return false
+	}
+	return record.State == wire.JobCancelled
+}
+
+// A cancellation that is answered with done leaves the jobs after it alone.
+func TestCancelAfterDoneKeepsDependents(t *testing.T) {
+	Run(t, Options{}, func(cluster *Cluster) {
+		cluster.MustSubmit("n0", Array(1, 1, "a"))
+		cluster.MustSubmit("n1", dependentArray(2, "a", 1))
+		cluster.WaitForState("n2", jobIDOf(1), wire.JobDone, time.Minute)
+		if s := cluster.Cancel("n0", jobIDOf(1)).JobState(); s != wire.JobDone {
+			t.Errorf("cancelled after its end: %q", s)
+		}
+		cluster.WaitForState("n2", jobIDOf(2), wire.JobDone, time.Minute)
+	})
+}
+
+// Jobs that were never accepted cannot be awaited, nor a job itself, nor a service;
+// every controller says so, and one that cannot know says when to come back. What
+// another controller accepted a moment ago can.
+func TestDependenciesAreValidated(t *testing.T) {
+	Run(t, Options{}, func(cluster *Cluster) {
+		cluster.MustSubmit("n0", Service(1, 1, "a"))
+		for _, member := range cluster.Members() {
+			for _, job := range []*wire.Job{dependentArray(2, "a", 99), dependentArray(3, "a", 3), dependentArray(4, "a", 1)} {
+				if response := cluster.Submit(member, job); response.Status != 422 {
+					t.Errorf("%s awaiting %v gets %d at %s", job.ID, job.DependsOn, response.Status, member)
+				}
+			}
+		}
+		for i := 10; i < 30; i += 2 {
+			cluster.MustSubmit(cluster.Members()[i%3], Array(i, 1, "a"))
+			if response := cluster.Submit(cluster.Members()[(i+1)%3], dependentArray(i+1, "a", i)); response.Status != 201 {
+				t.Errorf("awaiting what was accepted a moment ago: %d", response.Status)
+			}
+		}
+		leader := rejectLeaderRequests(cluster)
+		if response := cluster.Submit(leader, dependentArray(5, "a", 98)); response.Status != 503 || response.RetryAfterSeconds == 0 {
+			t.Errorf("a controller that cannot know answers %d, retry after %d s", response.Status, response.RetryAfterSeconds)
+		}
+	})
+}
+
+// The state service takes less from some moment on: a job that awaits hundreds fits
+// all the same, nothing is refused for its size, and a change of the leader finds it.
+func TestStoreLimitsAreLowered(t *testing.T) {
+	next := &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 10, WriteRPS: 40}
+	Run(t, Options{NextLimits: next, TaskDuration: 3 * time.Second}, func(cluster *Cluster) {
+		const awaited = 300
+		last := Array(1000, 1, "a")
+		for i := 1; i <= awaited; i++ {
+			cluster.MustSubmit(cluster.Members()[i%3], Array(i, 1, "a"))
+			last.DependsOn = append(last.DependsOn, jobIDOf(i))
+			if i == awaited/2 {
+				cluster.Store.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 10})
+			}
+		}
+		cluster.MustSubmit("n1", last)
+		if s := cluster.GetJob("n0", last.ID).JobState(); s != wire.JobPending && s != wire.JobDone {
+			t.Errorf("it is %q", s)
+		}
+		cluster.Restart(cluster.Leader(), time.Second)
+		cluster.WaitForState("n2", last.ID, wire.JobDone, 5*time.Minute)
+		if oversized := cluster.Store.OversizedCount(); oversized > 0 {
+			t.Errorf("%d transactions were refused for their size", oversized)
+		}
+		if keys := cluster.Store.Keys("firwood/needs/"); len(keys) < 2 {
+			t.Errorf("a long list lies in %v", keys)
+		}
+		if !slices.Contains(cluster.Store.Keys("firwood/job/"), "firwood/job/"+last.ID) {
+			t.Error("its record is missing")
+		}
+	})
+}
+
+// A hundred jobs depend on each other in chains, fans and diamonds; half of them are
+// cancelled with their roots as the leader ends, and users go on submitting. Every
+// controller says the same of each, submissions are answered in time, and the others end.
+func TestManyDependentJobs(t *testing.T) {
+	Run(t, Options{TaskDuration: 2 * time.Second, WriteRPS: 200}, func(cluster *Cluster) {
+		lastJobNumber := 0
+		submit := func(awaits ...int) int {
+			lastJobNumber++
+			cluster.MustSubmit(cluster.Members()[lastJobNumber%3], dependentArray(lastJobNumber, "a", awaits...))
+			return lastJobNumber
+		}
+		pipelines := func(root int) (jobs []int) {
+			jobs = append(jobs, root)
+			last := root
+			for range 4 { // a chain
+				last = submit(last)
+				jobs = append(jobs, last)
+			}
+			for range 40 { // a fan
+				jobs = append(jobs, submit(root))
+			}
+			for range 2 { // diamonds
+				left, right := submit(last), submit(last)
+				last = submit(left, right)
+				jobs = append(jobs, left, right, last)
+			}
+			return jobs
+		}
+		leader := cluster.Leader()
+		cluster.Cloud.SetDown(true) // nothing starts while they come
+		first, second := submit(), submit()
+		cancelled, kept := pipelines(first), pipelines(second)
+		go cluster.MustCancel(cluster.OtherMembers(leader)[0], jobIDOf(first))
+		time.Sleep(50 * time.Millisecond)
+		cluster.Crash(leader)
+		cluster.Cloud.SetDown(false)
+		for i := range 20 {
+			sentAt := time.Now()
+			lastJobNumber++
+			cluster.MustSubmit(cluster.OtherMembers(leader)[i%2], dependentArray(lastJobNumber, "a"))
+			if took := time.Since(sentAt); took > 2*time.Second {
+				t.Errorf("a submission takes %v", took)
+			}
+		}
+		cluster.Start(leader)
+		for _, member := range cluster.Members() {
+			for _, i := range cancelled {
+				cluster.WaitForState(member, jobIDOf(i), wire.JobCancelled, cluster.options.CancellationGrace)
+			}
+		}
+		for _, i := range kept {
+			cluster.WaitForState(cluster.Members()[i%3], jobIDOf(i), wire.JobDone, 10*time.Minute)
+		}
+	})
+}
--- /dev/null
+++ b/internal/sim/failover_test.go
@@ -0,0 +1,155 @@
+package sim
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/wire"
+)
+
+// Jobs are cancelled in the seconds in which the lead changes hands.
+func TestCancelDuringFailover(t *testing.T) {
+	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+		for i := 1; i <= 8; i++ {
+			cluster.MustSubmit("n0", Array(i, 1, "a"))
+		}
+		cluster.WaitForRunningTasks("req-000008", 1)
+		leader := cluster.Leader()
+		others := cluster.OtherMembers(leader)
+		cluster.Crash(leader)
+		for i := 1; i <= 7; i++ {
+			go cluster.MustCancel(others[i%2], fmt.Sprintf("req-%06d", i))
+			time.Sleep(time.Second)
+		}
+		cluster.Start(leader)
+		for i := 1; i <= 7; i++ {
+			id := fmt.Sprintf("req-%06d", i)
+			cluster.WaitFor(id+" is gone", cluster.options.CancellationGrace, func() bool { return len(cluster.MachinesRunning(id)) == 0 })
+		}
+		cluster.WaitForRunningTasks("req-000008", 1)
+	})
+}
+
+// A leader ends while machines with long tasks can't be reached, or don't hear the
+// new leader's answers.
+func TestFaultyMachinesAtFailover(t *testing.T) {
+	for name, fault := range map[string]fake.MachineFault{"hanging": fake.MachineHanging, "deaf": fake.MachineCommandsLost, "mute": fake.MachineHeartbeatsLost, "slow": fake.MachineSlow} {
+		t.Run(name, func(t *testing.T) {
+			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+				cluster.MustSubmit("n0", Array(1, 8, "a"))
+				cluster.WaitForRunningTasks("req-000001", 8)
+				machines := cluster.Cloud.MachineNames()
+				cluster.MustSubmit("n0", Array(2, 1, "a")) // on a machine that has room for more
+				cluster.WaitForRunningTasks("req-000002", 1)
+				for _, machine := range machines {
+					cluster.Cloud.SetFault(machine, fault)
+				}
+				cluster.Restart(cluster.Leader(), 10*time.Second)
+				time.Sleep(15 * time.Second)
+				for _, machine := range machines {
+					cluster.Cloud.SetFault(machine, fake.MachineHealthy)
+				}
+				cluster.WaitForRunningTasks("req-000001", 8)
+			})
+		})
+	}
+}
+
+// Leaders change ten times in two minutes, also inside an outage.
+func TestFrequentFailovers(t *testing.T) {
+	Run(t, Options{TaskDuration: 15 * time.Second}, func(cluster *Cluster) {
+		for i := 1; i <= 4; i++ {
+			cluster.MustSubmit("n0", Array(i, 3, "a"))
+		}
+		for i := range 10 {
+			if leader := cluster.Leader(); leader != "" {
+				cluster.Restart(leader, 200*time.Millisecond)
+			}
+			if i == 5 {
+				cluster.Store.SetDown(true)
+			}
+			if i == 7 {
+				cluster.Store.SetDown(false)
+			}
+			time.Sleep(11 * time.Second)
+		}
+		for i := 1; i <= 4; i++ {
+			cluster.WaitForState("n2", fmt.Sprintf("req-%06d", i), wire.JobDone, 2*time.Minute)
+		}
+	})
+}
+
+// Controllers all end, and one returns within a second; all are away for longer
+// than a lease.
+func TestAllMembersDown(t *testing.T) {
+	for _, away := range []time.Duration{300 * time.Millisecond, 45 * time.Second} {
+		t.Run(fmt.Sprint(away), func(t *testing.T) {
+			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+				cluster.MustSubmit("n0", Array(1, 4, "a"))
+				cluster.MustSubmit("n1", Service(2, 2, "a"))
+				cluster.WaitForRunningTasks("req-000001", 4)
+				cluster.WaitForRunningTasks("req-000002", 2)
+				for _, member := range cluster.Members() {
+					cluster.Crash(member)
+				}
+				time.Sleep(away)
+				cluster.Start("n1")
+				cluster.MustCancel("n1", "req-000001")
+				cluster.Start("n0")
+				cluster.Start("n2")
+				cluster.WaitForRunningTasks("req-000002", 2)
+				cluster.WaitFor("the cancelled tasks are gone", cluster.options.CancellationGrace, func() bool { return len(cluster.MachinesRunning("req-000001")) == 0 })
+			})
+		})
+	}
+}
+
+// Jobs of two or three tasks end far apart, across changes of the leader: what is done
+// stays done, and no job is called done before its last task.
+func TestTaskProgressAcrossFailovers(t *testing.T) {
+	Run(t, Options{TaskDuration: 3 * time.Second, TaskDurationStep: 25 * time.Second}, func(cluster *Cluster) {
+		for i := 1; i <= 4; i++ {
+			cluster.MustSubmit("n0", Array(i, 2+i%2, "a"))
+		}
+		cluster.WaitForRunningTasks(jobIDOf(4), 2)
+		for range 5 {
+			time.Sleep(6 * time.Second)
+			cluster.Restart(cluster.Leader(), 500*time.Millisecond)
+			for i := 1; i <= 4; i++ {
+				go cluster.GetJob("n0", jobIDOf(i))
+			}
+		}
+		for i := 1; i <= 4; i++ {
+			cluster.WaitForState("n1", jobIDOf(i), wire.JobDone, 3*time.Minute)
+		}
+		if again := cluster.Checker.Reruns(); len(again) > 0 {
+			t.Errorf("done tasks are started again: %v", again)
+		}
+	})
+}
+
+// Controllers hand over and back: the leader loses its workers, then the next one
+// does, while jobs are cancelled at both.
+func TestLeaderHandoverAndBack(t *testing.T) {
+	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+		for i := 1; i <= 4; i++ {
+			cluster.MustSubmit("n0", Array(i, 3, "a"))
+		}
+		cluster.WaitForRunningTasks(jobIDOf(4), 3)
+		for i := 1; i <= 2; i++ {
+			leader := cluster.Leader()
+			cluster.PartitionFromWorkers(leader, true)
+			time.Sleep(3 * time.Second)
+			go cluster.MustCancel(leader, jobIDOf(i))
+			cluster.WaitFor("another leads", time.Minute, func() bool { current := cluster.Leader(); return current != "" && current != leader })
+			cluster.PartitionFromWorkers(leader, false)
+			time.Sleep(10 * time.Second)
+		}
+		for i := 1; i <= 2; i++ {
+			cluster.WaitFor(jobIDOf(i)+" is gone", cluster.options.CancellationGrace, func() bool { return len(cluster.MachinesRunning(jobIDOf(i))) == 0 })
+		}
+		cluster.WaitForRunningTasks(jobIDOf(4), 3)
+	})
+}
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -9,44 +9,44 @@
 	"firwood.dev/firwood/wire"
 )
 
-// cut begins or ends a cut of a name.
-func (c *Cluster) cut(on bool, name string, cut fake.Between) {
-	if on {
-		c.Network.Cut(name, cut)
+// setPartition begins or ends a cut of a name.
+func (cluster *Cluster) setPartition(active bool, name string, links fake.LinkMatcher) {
+	if active {
+		cluster.Network.Partition(name, links)
 	} else {
-		c.Network.Heal(name)
+		cluster.Network.Heal(name)
 	}
 }
 
-// CutFromState begins or ends a cut between a controller and the state service.
-func (c *Cluster) CutFromState(name string, on bool) {
-	c.cut(on, "state of "+name, fake.Hosts(name, fake.StateHost))
+// PartitionFromStore begins or ends a cut between a controller and the state service.
+func (cluster *Cluster) PartitionFromStore(name string, active bool) {
+	cluster.setPartition(active, "state of "+name, fake.LinkBetween(name, fake.StoreHost))
 }
 
-// CutFromPeers begins or ends a cut between a controller and all others.
-func (c *Cluster) CutFromPeers(name string, on bool) {
-	c.cut(on, "peers of "+name, func(a, b string) bool {
-		return a != b && (a == name || b == name) && c.isController(a) && c.isController(b)
+// PartitionFromPeers begins or ends a cut between a controller and all others.
+func (cluster *Cluster) PartitionFromPeers(name string, active bool) {
+	cluster.setPartition(active, "peers of "+name, func(a, b string) bool {
+		return a != b && (a == name || b == name) && cluster.isController(a) && cluster.isController(b)
 	})
 }
 
-// CutFromWorkers begins or ends a cut between a controller and all machines.
-func (c *Cluster) CutFromWorkers(name string, on bool) {
-	c.cut(on, "workers of "+name, func(a, b string) bool {
-		return a == name && c.Cloud.ZoneOf(b) != "" || b == name && c.Cloud.ZoneOf(a) != ""
+// PartitionFromWorkers begins or ends a cut between a controller and all machines.
+func (cluster *Cluster) PartitionFromWorkers(name string, active bool) {
+	cluster.setPartition(active, "workers of "+name, func(a, b string) bool {
+		return a == name && cluster.Cloud.ZoneOf(b) != "" || b == name && cluster.Cloud.ZoneOf(a) != ""
 	})
 }
 
-// CutZone begins or ends a cut between a zone's hosts and everything outside of it.
-func (c *Cluster) CutZone(zone string, on bool) {
-	c.cut(on, "zone "+zone, func(a, b string) bool {
-		return (c.zoneOf(a) == zone) != (c.zoneOf(b) == zone)
+// PartitionZone begins or ends a cut between a zone's hosts and everything outside of it.
+func (cluster *Cluster) PartitionZone(zone string, active bool) {
+	cluster.setPartition(active, "zone "+zone, func(a, b string) bool {
+		return (cluster.zoneOf(a) == zone) != (cluster.zoneOf(b) == zone)
 	})
 }
 
-func (c *Cluster) isController(host string) bool {
-	for _, n := range c.nodes {
-		if n.name == host {
+func (cluster *Cluster) isController(host string) bool {
+	for _, member := range cluster.members {
+		if member.name == host {
 			return true
 		}
 	}
@@ -54,42 +54,42 @@
 }
 
 // zoneOf is the zone of a controller or machine; the region's services have none.
-func (c *Cluster) zoneOf(host string) string {
-	for _, n := range c.nodes {
-		if n.name == host {
-			return n.cfg.Location
+func (cluster *Cluster) zoneOf(host string) string {
+	for _, member := range cluster.members {
+		if member.name == host {
+			return member.cfg.Location
 		}
 	}
-	return c.Cloud.ZoneOf(host)
+	return cluster.Cloud.ZoneOf(host)
 }
 
-// DeliverCopies hands copies of reports to every controller; what they answer
+// ReplayHeartbeats hands copies of reports to every controller; what they answer
 // reaches nobody.
-func (c *Cluster) DeliverCopies(reports [][]byte) {
-	for _, n := range c.nodes {
-		app := c.life(n)
-		if app == nil {
+func (cluster *Cluster) ReplayHeartbeats(heartbeats [][]byte) {
+	for _, member := range cluster.members {
+		instance := cluster.runningInstance(member)
+		if instance == nil {
 			continue
 		}
-		for _, body := range reports {
-			report := &wire.Heartbeat{}
-			if err := report.UnmarshalJSON(body); err != nil {
-				c.t.Fatal(err)
+		for _, body := range heartbeats {
+			heartbeat := &wire.Heartbeat{}
+			if err := heartbeat.UnmarshalJSON(body); err != nil {
+				cluster.t.Fatal(err)
 			}
-			app.HandleHeartbeat(report, server.NewReply(func(int, []byte, int) {}))
+			instance.HandleHeartbeat(heartbeat, server.NewReply(func(int, []byte, int) {}))
 		}
 	}
 }
 
 // Restart ends a controller's life and begins another one a while later.
-func (c *Cluster) Restart(name string, after time.Duration) {
-	c.Crash(name)
-	time.Sleep(after)
-	c.Start(name)
+func (cluster *Cluster) Restart(name string, delay time.Duration) {
+	cluster.Crash(name)
+	time.Sleep(delay)
+	cluster.Start(name)
 }
 
-// after is the controller that a worker tries after another.
-func (c *Cluster) after(name string) string {
-	nodes := c.Nodes()
+// nextMember is the controller that a worker tries after another.
+func (cluster *Cluster) nextMember(name string) string {
+	nodes := cluster.Members()
 	return nodes[(slices.Index(nodes, name)+1)%len(nodes)]
 }
--- /dev/null
+++ b/internal/sim/finished_jobs_test.go
@@ -0,0 +1,290 @@
+package sim
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/wire"
+)
+
+const (
+	// cachedJobCount is how many finished jobs controllers of these tests remember.
+	cachedJobCount   = 100
+	finishedJobCount = 3 * cachedJobCount
+)
+
+// smallCacheOptions is a deployment whose controllers remember few finished jobs.
+func smallCacheOptions() Options {
+	return Options{CachedFinishedJobs: cachedJobCount, TaskDuration: time.Second, WriteRPS: 2000}
+}
+
+// finishJobs has many more jobs finish than controllers remember; one in ten is cancelled.
+func (cluster *Cluster) finishJobs() {
+	for i := range finishedJobCount {
+		job := Array(i, 1, "a")
+		cluster.MustSubmit(cluster.Members()[i%3], job)
+		if i%10 == 0 {
+			cluster.MustCancelUnlessDone(cluster.Members()[(i+1)%3], job.ID)
+		}
+	}
+	for i := range finishedJobCount {
+		id := jobID(i)
+		cluster.WaitFor(id+" is over", time.Minute, func() bool {
+			stage := cluster.GetJob("n0", id).JobState()
+			return stage == wire.JobDone || stage == wire.JobCancelled
+		})
+	}
+	time.Sleep(5 * time.Second)
+}
+
+func jobID(number int) string { return fmt.Sprintf("req-%06d", number) }
+
+// Controllers that have forgotten most finished jobs say the same of them as ever, at once
+// and to many: their end, also to a repeated submission and cancellation, and 404 only of
+// what nobody has submitted. The checker watches. So do controllers that come back.
+func TestEvictedJobsAreKnown(t *testing.T) {
+	Run(t, smallCacheOptions(), func(cluster *Cluster) {
+		cluster.finishJobs()
+		for _, name := range cluster.Members() {
+			cluster.getJobsConcurrently(name)
+		}
+		cluster.getAllJobs()
+		leader := cluster.Leader()
+		for _, name := range cluster.Members() {
+			cluster.Restart(name, time.Second)
+		}
+		cluster.WaitFor("another leads", time.Minute, func() bool { return cluster.Leader() != "" })
+		t.Logf("%s led, now %s does", leader, cluster.Leader())
+		time.Sleep(5 * time.Second)
+		cluster.getAllJobs()
+	})
+}
+
+// getJobsConcurrently asks a controller for many forgotten jobs, and as many unknown ones, in
+// one moment.
+func (cluster *Cluster) getJobsConcurrently(name string) {
+	const many = 60
+	statuses := make(chan string, 2*many)
+	get := func(id string, want int) {
+		if response := cluster.GetJob(name, id); response.Status != want {
+			statuses <- fmt.Sprintf("%s says %d of %s", name, response.Status, id)
+			return
+		}
+		statuses <- ""
+	}
+	for i := range many {
+		go get(jobID(i), 200)
+		go get(jobID(500000+i), 404)
+	}
+	for range 2 * many {
+		if failure := <-statuses; failure != "" {
+			cluster.t.Error(failure)
+		}
+	}
+}
+
+// getAllJobs asks every controller about every job, each job at all controllers at once.
+func (cluster *Cluster) getAllJobs() {
+	for i := range finishedJobCount {
+		id, failures := jobID(i), make(chan string, 3)
+		for _, name := range cluster.Members() {
+			go func() {
+				if response := cluster.GetJob(name, id); response.Status != 200 || response.JobState() != wire.JobDone && response.JobState() != wire.JobCancelled {
+					failures <- fmt.Sprintf("%s says %d, %q of %s", name, response.Status, response.JobState(), id)
+					return
+				}
+				failures <- ""
+			}()
+		}
+		for range cluster.Members() {
+			if failure := <-failures; failure != "" {
+				cluster.t.Error(failure)
+			}
+		}
+		if i%7 == 0 {
+			name := cluster.Members()[i%3]
+			if response := cluster.Submit(name, Array(i, 1, "a")); response.Status != 200 || response.JobState() == wire.JobPending {
+				cluster.t.Errorf("submitted again: %d, %s", response.Status, response.JobState())
+			}
+			if response := cluster.Cancel(name, id); response.Status != 200 {
+				cluster.t.Errorf("cancelled again: %d", response.Status)
+			}
+		}
+	}
+	for i := range 50 {
+		id := jobID(500000 + i)
+		if response := cluster.GetJob(cluster.Members()[i%3], id); response.Status != 404 {
+			cluster.t.Errorf("a job that nobody submitted: %d", response.Status)
+		}
+	}
+}
+
+// Jobs await ones that were forgotten: they run after those that are done, also when all
+// controllers have begun anew meanwhile, are cancelled with those that are, and are refused
+// only for what was never accepted.
+func TestEvictedJobsAsDependencies(t *testing.T) {
+	Run(t, smallCacheOptions(), func(cluster *Cluster) {
+		cluster.finishJobs()
+		var done, cancelled string
+		for i := range finishedJobCount / 3 {
+			switch id := jobID(i); cluster.GetJob("n1", id).JobState() {
+			case wire.JobDone:
+				done = id
+			case wire.JobCancelled:
+				cancelled = id
+			}
+		}
+		for i := range 2 * cachedJobCount { // so that these are forgotten again
+			cluster.GetJob("n1", jobID(finishedJobCount-1-i))
+		}
+		afterDone, afterCancelled, afterUnknown := Array(600001, 1, "a"), Array(600002, 1, "a"), Array(600003, 1, "a")
+		afterDone.DependsOn, afterCancelled.DependsOn, afterUnknown.DependsOn = []string{done}, []string{cancelled, done}, []string{"req-700000"}
+		cluster.MustSubmit("n1", afterDone)
+		cluster.MustSubmit("n2", afterCancelled)
+		for _, name := range cluster.Members() {
+			cluster.WaitForState(name, afterDone.ID, wire.JobDone, 20*time.Second)
+			cluster.WaitForState(name, afterCancelled.ID, wire.JobCancelled, 20*time.Second)
+		}
+		for i := range 2 * cachedJobCount {
+			cluster.GetJob("n1", jobID(finishedJobCount-1-i))
+		}
+		later := Array(600004, 1, "a")
+		later.DependsOn = afterDone.DependsOn
+		cluster.MustSubmit("n2", later)
+		if response := cluster.Submit("n0", afterUnknown); response.Status != 422 {
+			t.Errorf("it awaits a job that was never accepted: %d", response.Status)
+		}
+		for _, name := range cluster.Members() {
+			cluster.Restart(name, time.Second)
+		}
+		for _, name := range cluster.Members() {
+			cluster.WaitForState(name, later.ID, wire.JobDone, time.Minute)
+		}
+	})
+}
+
+// While the state service is down nobody is told that a forgotten job is unknown, and
+// nobody is held up.
+func TestEvictedJobsInStoreOutage(t *testing.T) {
+	Run(t, smallCacheOptions(), func(cluster *Cluster) {
+		cluster.finishJobs()
+		cluster.Store.SetDown(true)
+		began := time.Now()
+		for i := range 60 {
+			name := cluster.Members()[i%3]
+			if response := cluster.GetJob(name, jobID(i)); response.Status == 404 {
+				t.Errorf("%s does not know %s", name, jobID(i))
+			}
+			if response := cluster.Submit(name, Array(i, 1, "a")); response.Status != 503 && response.Status != 200 {
+				t.Errorf("submitted again: %d", response.Status)
+			}
+		}
+		if took := time.Since(began); took > 60*2*2*time.Second {
+			t.Errorf("answers took %v", took)
+		}
+		cluster.Store.SetDown(false)
+		time.Sleep(5 * time.Second)
+		cluster.WaitForState("n0", jobID(1), wire.JobDone, 10*time.Second)
+	})
+}
+
+const (
+	archiveAfter = 20 * time.Second
+	archivedKeys = "firwood.finished/"
+	jobKeys      = "firwood/job/"
+)
+
+// waitForArchived waits until so many records lie in the archive, and the others where they were.
+func (cluster *Cluster) waitForArchived(archived int) {
+	cluster.t.Helper()
+	cluster.WaitFor(fmt.Sprintf("%d records are archived", archived), 10*time.Minute, func() bool {
+		return len(cluster.Store.Keys(archivedKeys)) == archived && len(cluster.Store.Keys(jobKeys)) == finishedJobCount-archived
+	})
+}
+
+// Finished jobs are moved to the archive, and back when that is turned off, while leaders
+// end, the state service is down, loses answers and carries writes out late, and old writes
+// come again. All the while every controller knows every job, also one that has just begun.
+func TestFinishedJobsAreArchived(t *testing.T) {
+	options := smallCacheOptions()
+	options.ArchiveAfter = archiveAfter
+	Run(t, options, func(cluster *Cluster) {
+		cluster.finishJobs()
+		submissions := cluster.Store.Transactions()
+		cluster.injectFaultsWhileArchiving()
+		cluster.waitForArchived(finishedJobCount)
+		for _, transaction := range submissions {
+			cluster.Store.ReapplyTransaction(transaction)
+		}
+		if left := cluster.Store.Keys(jobKeys); len(left) > 0 {
+			t.Errorf("old writes brought back %d records", len(left))
+		}
+		cluster.getAllJobs()
+		cluster.restartAllMembers()
+		cluster.getAllJobs()
+		cluster.checkDependencyOnArchivedJob()
+
+		cluster.options.MembersWithoutArchive = cluster.Members()
+		cluster.restartAllMembers()
+		cluster.injectFaultsWhileArchiving()
+		cluster.WaitFor("all records are back", 10*time.Minute, func() bool {
+			return len(cluster.Store.Keys(archivedKeys)) == 0 && len(cluster.Store.Keys("firwood/archive")) == 0
+		})
+		for _, transaction := range cluster.Store.Transactions() {
+			if slices.ContainsFunc(transaction.Changes, func(change wire.Change) bool { return strings.HasPrefix(change.PutKey, archivedKeys) }) {
+				cluster.Store.ReapplyTransaction(transaction)
+			}
+		}
+		if left := cluster.Store.Keys(archivedKeys); len(left) > 0 {
+			t.Errorf("old moves archived %d records again", len(left))
+		}
+		cluster.getAllJobs()
+	})
+}
+
+// injectFaultsWhileArchiving has one trouble after another while records are moved.
+func (cluster *Cluster) injectFaultsWhileArchiving() {
+	time.Sleep(archiveAfter)
+	for _, fault := range []fake.StoreFault{fake.StoreRepliesLost, fake.StoreWritesDelayed, fake.StoreRequestsRejected} {
+		if leader := cluster.Leader(); leader != "" {
+			cluster.Store.SetFault(leader, fault)
+			time.Sleep(2 * time.Second)
+			cluster.getJobsConcurrently(cluster.OtherMembers(leader)[0])
+			cluster.Store.SetFault(leader, fake.StoreHealthy)
+			cluster.Restart(leader, 300*time.Millisecond)
+		}
+		time.Sleep(5 * time.Second)
+	}
+	cluster.Store.SetDown(true)
+	time.Sleep(3 * time.Second)
+	cluster.Store.SetDown(false)
+	time.Sleep(3 * time.Second)
+}
+
+// restartAllMembers has every controller begin anew.
+func (cluster *Cluster) restartAllMembers() {
+	for _, name := range cluster.Members() {
+		cluster.Restart(name, time.Second)
+	}
+	cluster.WaitFor("somebody leads", time.Minute, func() bool { return cluster.Leader() != "" })
+	time.Sleep(5 * time.Second)
+}
+
+// checkDependencyOnArchivedJob has a job await one that lies in the archive.
+func (cluster *Cluster) checkDependencyOnArchivedJob() {
+	job := Array(600001, 1, "a")
+	for i := range finishedJobCount {
+		if cluster.GetJob("n1", jobID(i)).JobState() == wire.JobDone {
+			job.DependsOn = []string{jobID(i)}
+			break
+		}
+	}
+	cluster.MustSubmit("n2", job)
+	for _, name := range cluster.Members() {
+		cluster.WaitForState(name, job.ID, wire.JobDone, 30*time.Second)
+	}
+}
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -15,37 +15,37 @@
 // without it.
 var fleetSizes = flag.String("fleet-sizes", "400", "numbers of machines that large fleets have, separated by commas")
 
-// fleetOf describes a deployment that has room for so many machines.
-func fleetOf(machines int) Options {
+// fleetOptions describes a deployment that has room for so many machines.
+func fleetOptions(machines int) Options {
 	return Options{
-		RunFor: long, ReportEvery: 6 * time.Second, Boot: 5 * time.Second,
-		CloudRPS: 20, WriteRPS: 200, Sockets: machines + machines/6 + 64, Log: historyLog(),
+		TaskDuration: longTaskDuration, HeartbeatInterval: 6 * time.Second, BootDuration: 5 * time.Second,
+		CloudRPS: 20, WriteRPS: 200, MaxSockets: machines + machines/6 + 64, Logger: controllerLogger(),
 	}
 }
 
-// arrayTasks is how many tasks an array of a large fleet has at most.
-const arrayTasks = 250
+// maxArrayTasks is how many tasks an array of a large fleet has at most.
+const maxArrayTasks = 250
 
-// fleet is a cluster whose machines are all in use.
-type fleet struct {
+// largeFleet is a cluster whose machines are all in use.
+type largeFleet struct {
 	*Cluster
-	tasks int
-	jobs  []*wire.Job
+	taskCount int
+	jobs      []*wire.Job
 }
 
-// fill submits arrays of whole machines and services of parts of them, at all
+// submitJobs submits arrays of whole machines and services of parts of them, at all
 // controllers at once, to a fleet of which nothing is up.
-func (f *fleet) fill(machines int) {
+func (fleet *largeFleet) submitJobs(machines int) {
 	const replicas = 24
 	number := 0
 	submit := func(job *wire.Job) {
-		f.tasks += job.TaskCount
-		f.jobs = append(f.jobs, job)
-		f.MustSubmit(f.Nodes()[number%3], job)
+		fleet.taskCount += job.TaskCount
+		fleet.jobs = append(fleet.jobs, job)
+		fleet.MustSubmit(fleet.Members()[number%3], job)
 	}
-	for left := machines * 9 / 10; left > 0; left -= arrayTasks {
+	for left := machines * 9 / 10; left > 0; left -= maxArrayTasks {
 		number++
-		job := Array(number, min(left, arrayTasks), "a")
+		job := Array(number, min(left, maxArrayTasks), "a")
 		job.CPUs = 8
 		submit(job)
 	}
@@ -55,39 +55,39 @@
 	}
 }
 
-// untilAllRun waits until all tasks are on machines, and tells how long that took.
-func (f *fleet) untilAllRun(what string, atMost time.Duration) {
-	f.t.Helper()
+// waitForAllRunning waits until all tasks are on machines, and tells how long that took.
+func (fleet *largeFleet) waitForAllRunning(what string, timeout time.Duration) {
+	fleet.t.Helper()
 	began := time.Now()
-	for f.Cloud.CountRunning() != f.tasks {
-		if time.Since(began) > atMost {
-			f.t.Fatalf("%s: after %v %d of %d tasks run", what, atMost, f.Cloud.CountRunning(), f.tasks)
+	for fleet.Cloud.RunningTaskCount() != fleet.taskCount {
+		if time.Since(began) > timeout {
+			fleet.t.Fatalf("%s: after %v %d of %d tasks run", what, timeout, fleet.Cloud.RunningTaskCount(), fleet.taskCount)
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
-	f.t.Logf("%s: all %d tasks run after %v", what, f.tasks, time.Since(began).Round(time.Millisecond))
+	fleet.t.Logf("%s: all %d tasks run after %v", what, fleet.taskCount, time.Since(began).Round(time.Millisecond))
 }
 
-// expectMachines checks that not many more machines were rented than are needed. Each
+// checkMachineCount checks that not many more machines were rented than are needed. Each
 // one that came up used to be rented once more, since it had not seen the token yet.
-func (f *fleet) expectMachines(needed int) {
-	f.t.Helper()
-	rented := len(f.Cloud.Machines())
-	f.t.Logf("%d machines for %d", rented, needed)
+func (fleet *largeFleet) checkMachineCount(needed int) {
+	fleet.t.Helper()
+	rented := len(fleet.Cloud.MachineNames())
+	fleet.t.Logf("%d machines for %d", rented, needed)
 	if rented > needed+needed/10 {
-		f.t.Errorf("%d machines are rented for work on %d", rented, needed)
+		fleet.t.Errorf("%d machines are rented for work on %d", rented, needed)
 	}
 }
 
-// untilStarted submits a small job and waits until it runs.
-func (f *fleet) untilStarted(number int, atMost time.Duration) {
-	f.t.Helper()
+// waitForNewJob submits a small job and waits until it runs.
+func (fleet *largeFleet) waitForNewJob(number int, timeout time.Duration) {
+	fleet.t.Helper()
 	began := time.Now()
 	job := Array(number, 2, "a")
-	f.tasks += job.TaskCount
-	f.MustSubmit("n0", job)
-	f.Until(job.ID+" runs", atMost, func() bool { return f.Poll("n1", job.ID).Stage() == wire.JobRunning })
-	f.t.Logf("a new job runs after %v", time.Since(began).Round(time.Millisecond))
+	fleet.taskCount += job.TaskCount
+	fleet.MustSubmit("n0", job)
+	fleet.WaitFor(job.ID+" runs", timeout, func() bool { return fleet.GetJob("n1", job.ID).JobState() == wire.JobRunning })
+	fleet.t.Logf("a new job runs after %v", time.Since(began).Round(time.Millisecond))
 }
 
 // A large fleet comes up from nothing, all its workers report at once after an outage
@@ -100,43 +100,43 @@
 			t.Fatal(err)
 		}
 		t.Run(size, func(t *testing.T) {
-			Run(t, fleetOf(machines), func(c *Cluster) { playLargeFleet(&fleet{Cluster: c}, machines) })
+			Run(t, fleetOptions(machines), func(cluster *Cluster) { runLargeFleet(&largeFleet{Cluster: cluster}, machines) })
 		})
 	}
 }
 
-func playLargeFleet(f *fleet, machines int) {
-	f.fill(machines)
-	f.untilAllRun("from nothing", 3*time.Minute)
-	f.expectMachines(machines)
-	f.State.SetDown(true)
+func runLargeFleet(fleet *largeFleet, machines int) {
+	fleet.submitJobs(machines)
+	fleet.waitForAllRunning("from nothing", 3*time.Minute)
+	fleet.checkMachineCount(machines)
+	fleet.Store.SetDown(true)
 	time.Sleep(20 * time.Second)
-	f.State.SetDown(false)
-	f.untilStarted(900001, 30*time.Second)
-	f.untilAllRun("after an outage", time.Minute)
+	fleet.Store.SetDown(false)
+	fleet.waitForNewJob(900001, 30*time.Second)
+	fleet.waitForAllRunning("after an outage", time.Minute)
 
-	f.Network.Cut("all workers", func(a, b string) bool {
-		return f.isController(a) != f.isController(b) && (f.Cloud.ZoneOf(a) != "" || f.Cloud.ZoneOf(b) != "")
+	fleet.Network.Partition("all workers", func(a, b string) bool {
+		return fleet.isController(a) != fleet.isController(b) && (fleet.Cloud.ZoneOf(a) != "" || fleet.Cloud.ZoneOf(b) != "")
 	})
 	time.Sleep(15 * time.Second)
-	f.Network.Heal("all workers")
-	f.untilStarted(900002, 30*time.Second)
-	f.untilAllRun("after nobody could be reached", time.Minute)
+	fleet.Network.Heal("all workers")
+	fleet.waitForNewJob(900002, 30*time.Second)
+	fleet.waitForAllRunning("after nobody could be reached", time.Minute)
 
-	f.CutZone("x", true)
+	fleet.PartitionZone("x", true)
 	time.Sleep(20 * time.Second)
-	f.CutZone("x", false)
-	f.untilStarted(900003, 30*time.Second)
-	f.untilAllRun("after the cut of a zone", time.Minute)
+	fleet.PartitionZone("x", false)
+	fleet.waitForNewJob(900003, 30*time.Second)
+	fleet.waitForAllRunning("after the cut of a zone", time.Minute)
 
-	f.Restart(f.Leader(), 3*time.Second)
-	f.untilStarted(900004, 30*time.Second)
-	f.untilAllRun("after the leader's end", time.Minute)
+	fleet.Restart(fleet.Leader(), 3*time.Second)
+	fleet.waitForNewJob(900004, 30*time.Second)
+	fleet.waitForAllRunning("after the leader's end", time.Minute)
 
-	for _, job := range f.jobs[:len(f.jobs)/2] {
-		f.MustCancel("n2", job.ID)
-		f.tasks -= job.TaskCount
+	for _, job := range fleet.jobs[:len(fleet.jobs)/2] {
+		fleet.MustCancel("n2", job.ID)
+		fleet.taskCount -= job.TaskCount
 	}
-	f.untilAllRun("after cancellations", f.options.Cancellation)
-	f.t.Logf("%d machines in the end", len(f.Cloud.Machines()))
+	fleet.waitForAllRunning("after cancellations", fleet.options.CancellationGrace)
+	fleet.t.Logf("%d machines in the end", len(fleet.Cloud.MachineNames()))
 }
--- /dev/null
+++ b/internal/sim/generated_history_test.go
@@ -0,0 +1,283 @@
+package sim
+
+import (
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/wire"
+)
+
+// historyCount is how many generated histories are played; firstSeed is the first's
+// seed.
+var (
+	historyCount = flag.Int("histories", 10, "generated histories of overlapping troubles to play")
+	firstSeed    = flag.Uint64("first-seed", 1, "seed of the first generated history")
+)
+
+// generatedHistory is a generated course of jobs and overlapping troubles.
+type generatedHistory struct {
+	*Cluster
+	random *rand.Rand
+	jobs   []*wire.Job
+	// cancelRequested are jobs that users have called off.
+	cancelRequested map[string]bool
+	// cancelledWithDependency are jobs that are cancelled with others.
+	cancelledWithDependency map[string]bool
+	// ends are when the troubles under way are over.
+	faultsOverAt    time.Time
+	heartbeatCopies [][]byte
+	pendingRequests int // submissions and cancellations under way
+	answered        chan struct{}
+}
+
+func (history *generatedHistory) pickName(names []string) string {
+	return names[history.random.IntN(len(names))]
+}
+
+func (history *generatedHistory) randomDuration(from, to float64) time.Duration {
+	return time.Duration((from + history.random.Float64()*(to-from)) * float64(time.Second))
+}
+
+// injectFault begins a trouble and ends it a while later.
+func (history *generatedHistory) injectFault(duration time.Duration, set func(active bool)) {
+	set(true)
+	if end := time.Now().Add(duration); end.After(history.faultsOverAt) {
+		history.faultsOverAt = end
+	}
+	time.AfterFunc(duration, func() { set(false) })
+}
+
+func (history *generatedHistory) submitRandomJob() {
+	number := len(history.jobs) + 1
+	team := []string{"a", "b", "b"}[history.random.IntN(3)]
+	var job *wire.Job
+	if history.random.IntN(4) == 0 {
+		// Of the team without a limit: services would hold the other's for good.
+		job = Service(number, 1+history.random.IntN(3), "a")
+	} else {
+		job = Array(number, 1+history.random.IntN(4), team)
+		switch history.random.IntN(4) {
+		case 0:
+			job.Zone = history.pickName(history.options.Zones)
+		case 1:
+			job.SingleZone = true
+		}
+	}
+	if accepted := history.Checker.AcceptedJobs(); job.Kind == wire.KindArray && len(accepted) > 0 && history.random.IntN(2) == 0 {
+		for range 1 + history.random.IntN(2) {
+			if id := history.pickName(accepted); !history.Checker.IsService(id) {
+				job.DependsOn = append(job.DependsOn, id)
+			}
+		}
+		slices.Sort(job.DependsOn)
+		job.DependsOn = slices.Compact(job.DependsOn)
+	}
+	history.jobs = append(history.jobs, job)
+	history.retryInBackground(func(member string) bool { return history.Submit(member, job).JobState() != "" })
+}
+
+func (history *generatedHistory) cancelRandomJob() {
+	if len(history.jobs) == 0 {
+		return
+	}
+	id := history.jobs[history.random.IntN(len(history.jobs))].ID
+	history.cancelRequested[id] = true
+	history.retryInBackground(func(member string) bool {
+		response := history.Cancel(member, id)
+		if response.Status == 200 {
+			history.getJobEverywhere(id)
+		}
+		return response.Status == 200
+	})
+}
+
+// retryInBackground tries something at one controller after the other until it succeeds, while
+// the history goes on.
+func (history *generatedHistory) retryInBackground(try func(node string) bool) {
+	history.pendingRequests++
+	members, next := history.Members(), history.random.IntN(3)
+	go func() {
+		for !try(members[next%len(members)]) {
+			next++
+			time.Sleep(time.Second)
+		}
+		history.answered <- struct{}{}
+	}()
+}
+
+// getJobEverywhere asks every controller about a job at once.
+func (history *generatedHistory) getJobEverywhere(id string) {
+	for _, member := range history.Members() {
+		go history.GetJob(member, id)
+	}
+}
+
+// injectRandomFault begins one of the troubles that days hold.
+func (history *generatedHistory) injectRandomFault() {
+	member := history.pickName(history.Members())
+	if leader := history.Leader(); leader != "" && history.random.IntN(3) > 0 {
+		member = leader
+	}
+	machine := ""
+	if machines := history.Cloud.MachineNames(); len(machines) > 0 {
+		machine = history.pickName(machines)
+	}
+	storeFault := func(fault fake.StoreFault) func(bool) {
+		return func(active bool) {
+			if active {
+				history.Store.SetFault(member, fault)
+			} else {
+				history.Store.SetFault(member, fake.StoreHealthy)
+			}
+		}
+	}
+	machineFault := func(fault fake.MachineFault) func(bool) {
+		return func(active bool) {
+			if active {
+				history.Cloud.SetFault(machine, fault)
+			} else {
+				history.Cloud.SetFault(machine, fake.MachineHealthy)
+			}
+		}
+	}
+	switch history.random.IntN(13) {
+	case 0:
+		history.injectFault(history.randomDuration(0.2, 4), func(active bool) { history.setRunning(member, !active) })
+	case 1:
+		for _, member := range history.Members() {
+			history.injectFault(history.randomDuration(0.2, 50), func(active bool) { history.setRunning(member, !active) })
+		}
+	case 2:
+		history.injectFault(history.randomDuration(1, 20), storeFault(fake.StoreRequestsRejected))
+	case 3:
+		// The leader alone first, then everybody.
+		history.injectFault(history.randomDuration(5, 15), storeFault(fake.StoreRequestsRejected))
+		time.Sleep(history.randomDuration(0.2, 3))
+		history.injectFault(history.randomDuration(2, 90), history.Store.SetDown)
+	case 4:
+		history.injectFault(history.randomDuration(1, 10), storeFault(fake.StoreRepliesLost))
+	case 5:
+		history.injectFault(history.randomDuration(1, 10), storeFault(fake.StoreWritesDelayed))
+	case 6:
+		history.injectFault(history.randomDuration(5, 50), func(active bool) {
+			history.PartitionFromStore(member, active)
+			history.PartitionFromPeers(member, active)
+		})
+	case 7:
+		history.injectFault(history.randomDuration(5, 50), func(active bool) { history.PartitionFromWorkers(member, active) })
+	case 8:
+		zone := history.pickName(history.options.Zones)
+		history.injectFault(history.randomDuration(5, 60), func(active bool) { history.PartitionZone(zone, active) })
+	case 9:
+		history.injectFault(history.randomDuration(2, 50), machineFault(fake.MachineHanging))
+	case 10:
+		history.injectFault(history.randomDuration(2, 50), machineFault(fake.MachineCommandsLost))
+	case 11:
+		history.injectFault(history.randomDuration(2, 50), machineFault(fake.MachineHeartbeatsLost))
+	case 12:
+		history.injectFault(history.randomDuration(2, 20), machineFault(fake.MachineSlow))
+	}
+}
+
+func (history *generatedHistory) setRunning(member string, running bool) {
+	if running {
+		history.Start(member)
+	} else {
+		history.Crash(member)
+	}
+}
+
+func (history *generatedHistory) runRandomStep() {
+	switch history.random.IntN(9) {
+	case 0, 1, 2:
+		history.submitRandomJob()
+	case 3, 4:
+		history.cancelRandomJob()
+	case 5:
+		history.injectRandomFault()
+	case 6:
+		history.heartbeatCopies = history.Cloud.LastHeartbeats()
+	case 7:
+		history.ReplayHeartbeats(history.heartbeatCopies)
+	case 8:
+		if len(history.jobs) > 0 {
+			history.getJobEverywhere(history.jobs[history.random.IntN(len(history.jobs))].ID)
+		}
+	}
+}
+
+// isCancellationPropagated tells whether what needs a job is cancelled with it.
+func (history *generatedHistory) isCancellationPropagated(id string) bool {
+	return history.cancelledWithDependency[id] || history.cancelRequested[id] && history.GetJob("n1", id).JobState() == wire.JobCancelled
+}
+
+// waitForCompletion waits until the troubles are over, and checks that every accepted job that
+// was not cancelled comes to its end or runs, and is known.
+func (history *generatedHistory) waitForCompletion() {
+	if left := time.Until(history.faultsOverAt); left > 0 {
+		time.Sleep(left)
+	}
+	time.Sleep(time.Second)
+	for range history.pendingRequests {
+		select {
+		case <-history.answered:
+		case <-time.After(75 * time.Second):
+			history.t.Fatal("a request gets no answer after the troubles")
+		}
+	}
+	for _, job := range history.jobs {
+		if history.cancelRequested[job.ID] || slices.ContainsFunc(job.DependsOn, history.isCancellationPropagated) {
+			history.cancelledWithDependency[job.ID] = history.cancelledWithDependency[job.ID] || slices.ContainsFunc(job.DependsOn, history.isCancellationPropagated)
+			if history.cancelledWithDependency[job.ID] {
+				history.WaitForState(history.pickName(history.Members()), job.ID, wire.JobCancelled, 10*time.Second)
+			}
+			continue
+		}
+		state := wire.JobDone
+		if job.Kind == wire.KindService {
+			state = wire.JobRunning
+		}
+		history.WaitForState(history.pickName(history.Members()), job.ID, state, 6*time.Minute)
+	}
+	for id := range history.cancelRequested {
+		if history.GetJob("n0", id).JobState() == wire.JobDone {
+			continue
+		}
+		history.WaitFor("no task of "+id+" is on a machine", history.options.CancellationGrace, func() bool { return len(history.MachinesRunning(id)) == 0 })
+	}
+}
+
+// Over generated histories of jobs, cancellations, questions and overlapping
+// troubles no rule is broken, and everything accepted is served.
+func TestGeneratedHistories(t *testing.T) {
+	lateStarts := 0
+	for i := range *historyCount {
+		seed := *firstSeed + uint64(i)
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			options := Options{Logger: controllerLogger()}
+			if seed%3 == 0 {
+				options.LeaseTTL, options.CancellationGrace, options.HeartbeatInterval = 14*time.Second, 44*time.Second, 2*time.Second
+			}
+			Run(t, options, func(cluster *Cluster) {
+				history := &generatedHistory{
+					Cluster: cluster, random: rand.New(rand.NewPCG(seed, 7)), cancelRequested: map[string]bool{}, cancelledWithDependency: map[string]bool{}, answered: make(chan struct{}, 1000),
+				}
+				for range 60 {
+					time.Sleep(history.randomDuration(0, 6))
+					history.runRandomStep()
+				}
+				history.waitForCompletion()
+				for _, s := range cluster.Checker.LateStarts() {
+					lateStarts++
+					t.Log("late start: ", s)
+				}
+			})
+		})
+	}
+	t.Logf("%d starts after a confirmed cancellation", lateStarts)
+}
--- /dev/null
+++ b/internal/sim/isolated_leader_test.go
@@ -0,0 +1,219 @@
+package sim
+
+import (
+	"fmt"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/wire"
+)
+
+// rejectLeaderRequests has the state service refuse the leader alone, and returns its name.
+func rejectLeaderRequests(cluster *Cluster) string {
+	leader := cluster.Leader()
+	cluster.Store.SetFault(leader, fake.StoreRequestsRejected)
+	return leader
+}
+
+// The state service refuses the leader alone, another controller confirms
+// cancellations, and then it is down for all for longer than the cancellation time,
+// while workers report to the old leader. It learns of the cancellations from the
+// others, and stops the tasks while it may.
+func TestRejectedLeaderThenStoreOutage(t *testing.T) {
+	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+		cluster.MustSubmit("n0", Array(1, 4, "a"))
+		cluster.MustSubmit("n0", Array(2, 2, "a"))
+		cluster.WaitForRunningTasks("req-000001", 4)
+		leader := rejectLeaderRequests(cluster)
+		time.Sleep(500 * time.Millisecond)
+		cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
+		cluster.Store.SetDown(true)
+		cluster.WaitFor("the tasks are gone", 3*time.Second, func() bool { return len(cluster.MachinesRunning("req-000001")) == 0 })
+		time.Sleep(80 * time.Second)
+		cluster.Store.SetFault(leader, fake.StoreHealthy)
+		cluster.Store.SetDown(false)
+		cluster.WaitForRunningTasks("req-000002", 2)
+		time.Sleep(30 * time.Second)
+		if late := cluster.Checker.LateStarts(); len(late) > 0 {
+			t.Errorf("started after the cancellation: %v", late)
+		}
+	})
+}
+
+// The same where the leader is cut off from the other controllers too: nobody can
+// tell it. Its workers' leases end in time, and when its lock comes back with the
+// state service it reads before it starts anything.
+func TestPartitionedLeaderThenStoreOutage(t *testing.T) {
+	for _, times := range []struct{ lease, cancellation time.Duration }{{36 * time.Second, 66 * time.Second}, {14 * time.Second, 44 * time.Second}} {
+		t.Run(fmt.Sprint(times.lease), func(t *testing.T) {
+			Run(t, Options{TaskDuration: longTaskDuration, LeaseTTL: times.lease, CancellationGrace: times.cancellation}, func(cluster *Cluster) {
+				cluster.MustSubmit("n0", Array(1, 4, "a"))
+				cluster.WaitForRunningTasks("req-000001", 4)
+				leader := rejectLeaderRequests(cluster)
+				cluster.PartitionFromPeers(leader, true)
+				cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
+				cluster.Store.SetDown(true)
+				time.Sleep(times.cancellation + 20*time.Second)
+				cluster.PartitionFromPeers(leader, false)
+				cluster.Store.SetFault(leader, fake.StoreHealthy)
+				cluster.Store.SetDown(false)
+				time.Sleep(30 * time.Second)
+				if late := cluster.Checker.LateStarts(); len(late) > 0 {
+					t.Errorf("started after the cancellation: %v", late)
+				}
+			})
+		})
+	}
+}
+
+// The lock comes back at the end of an outage before the old leader can read what was
+// cancelled meanwhile: it starts nothing until it has read.
+func TestLeaseRegainedBeforeRead(t *testing.T) {
+	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+		cluster.MustSubmit("n0", Array(1, 4, "a"))
+		cluster.MustSubmit("n0", Service(2, 2, "a")) // its machines are asked for their state
+		cluster.WaitForRunningTasks("req-000001", 4)
+		cluster.WaitForRunningTasks("req-000002", 2)
+		leader := rejectLeaderRequests(cluster)
+		cluster.PartitionFromPeers(leader, true)
+		cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
+		cluster.Store.SetDown(true)
+		time.Sleep(cluster.options.CancellationGrace + 20*time.Second)
+		cluster.Store.SetFault(leader, fake.StoreReadsRejected)
+		cluster.Store.SetDown(false)
+		time.Sleep(8 * time.Second)
+		cluster.Store.SetFault(leader, fake.StoreHealthy)
+		time.Sleep(20 * time.Second)
+		if late := cluster.Checker.LateStarts(); len(late) > 0 {
+			t.Errorf("started after the cancellation: %v", late)
+		}
+	})
+}
+
+// The lock is not renewed for a while though reads are answered, an outage gives it its
+// time back, and then reads are refused: however new the view is, what was cancelled
+// between the last read and the outage is not known, and nothing is started.
+func TestLeaseRegainedWithRecentView(t *testing.T) {
+	Run(t, Options{TaskDuration: longTaskDuration, HeartbeatInterval: time.Second / 2}, func(cluster *Cluster) {
+		cluster.MustSubmit("n0", Array(1, 8, "b"))
+		cluster.WaitForRunningTasks(jobIDOf(1), 8)
+		cluster.MustSubmit("n0", Array(2, 2, "b")) // over the team's limit, so it waits
+		time.Sleep(time.Second)
+		leader := cluster.Leader()
+		cluster.PartitionFromPeers(leader, true)
+		cluster.Store.SetFault(leader, fake.StoreRenewalsRejected)
+		time.Sleep(4 * time.Second)
+		cluster.Store.SetFault(leader, fake.StoreRequestsRejected)
+		time.Sleep(100 * time.Millisecond) // the last read has come back
+		cluster.MustCancel(cluster.OtherMembers(leader)[0], jobIDOf(2))
+		cluster.Store.SetDown(true)
+		time.Sleep(2 * time.Second) // the entitlement ends
+		cluster.Store.SetFault(leader, fake.StoreReadsRejected)
+		cluster.Store.SetDown(false)
+		for i := range 8 {
+			cluster.Cloud.Fail(wire.TaskID(jobIDOf(1), i)) // there is room for the other job
+			time.Sleep(time.Second / 2)
+		}
+		cluster.Store.SetFault(leader, fake.StoreHealthy)
+		cluster.PartitionFromPeers(leader, false)
+		time.Sleep(20 * time.Second)
+		if late := cluster.Checker.LateStarts(); len(late) > 0 {
+			t.Errorf("started after the cancellation: %v", late)
+		}
+	})
+}
+
+// A leader renews its lock, but is refused every read, and the other controllers
+// can't tell it of cancellations: it answers workers no longer than the tasks may
+// stay. Where others are heard and served, it hands over long before that.
+func TestLeaderWithoutReads(t *testing.T) {
+	for _, peersReachable := range []bool{false, true} {
+		t.Run(fmt.Sprint("peers heard ", peersReachable), func(t *testing.T) {
+			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+				cluster.MustSubmit("n0", Array(1, 4, "a"))
+				cluster.MustSubmit("n0", Array(2, 2, "a"))
+				cluster.WaitForRunningTasks("req-000001", 4)
+				cluster.WaitForRunningTasks("req-000002", 2)
+				leader := cluster.Leader()
+				cluster.PartitionFromPeers(leader, !peersReachable)
+				cluster.Store.SetFault(leader, fake.StoreReadsRejected)
+				time.Sleep(time.Second)
+				cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
+				if peersReachable {
+					cluster.WaitFor("another leads", 20*time.Second, func() bool { return cluster.Leader() != "" && cluster.Leader() != leader })
+				}
+				time.Sleep(cluster.options.CancellationGrace + 5*time.Second)
+				if on := cluster.MachinesRunning("req-000002"); peersReachable && len(on) != 2 {
+					t.Errorf("%d of 2 other tasks run", len(on))
+				}
+				cluster.PartitionFromPeers(leader, false)
+				cluster.Store.SetFault(leader, fake.StoreHealthy)
+				cluster.WaitForRunningTasks("req-000002", 2)
+			})
+		})
+	}
+}
+
+// Jobs are cancelled at the very moment at which the leader is refused alone, and a
+// second later the state service is down for longer than the cancellation time.
+func TestCancelWhileLeaderIsRejected(t *testing.T) {
+	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+		for i := 1; i <= 6; i++ {
+			cluster.MustSubmit("n0", Array(i, 2, "a"))
+		}
+		cluster.WaitForRunningTasks("req-000006", 2)
+		leader := rejectLeaderRequests(cluster)
+		var confirmed [6]atomic.Bool
+		for i := 1; i <= 5; i++ {
+			go func() {
+				confirmed[i].Store(cluster.Cancel(cluster.OtherMembers(leader)[i%2], jobIDOf(i)).JobState() == wire.JobCancelled)
+			}()
+		}
+		time.Sleep(time.Second)
+		cluster.Store.SetDown(true)
+		for i := 1; i <= 5; i++ {
+			if !confirmed[i].Load() {
+				t.Errorf("%s is not cancelled before the outage", jobIDOf(i))
+			}
+			// The others tell the old leader, which stops the tasks while it may.
+			cluster.WaitFor(jobIDOf(i)+" is gone", 3*time.Second, func() bool { return len(cluster.MachinesRunning(jobIDOf(i))) == 0 })
+		}
+		time.Sleep(75 * time.Second)
+		cluster.Store.SetFault(leader, fake.StoreHealthy)
+		cluster.Store.SetDown(false)
+		cluster.WaitForRunningTasks("req-000006", 2)
+	})
+}
+
+// A leader is cut off from the state service and the other controllers while workers
+// and users still reach it, and jobs are cancelled through the new one.
+func TestPartitionedLeaderKeepsWorkers(t *testing.T) {
+	for _, times := range []struct{ lease, cancellation time.Duration }{{36 * time.Second, 66 * time.Second}, {14 * time.Second, 44 * time.Second}} {
+		t.Run(fmt.Sprint(times.lease), func(t *testing.T) {
+			Run(t, Options{TaskDuration: longTaskDuration, LeaseTTL: times.lease, CancellationGrace: times.cancellation}, func(cluster *Cluster) {
+				cluster.MustSubmit("n0", Array(1, 4, "a"))
+				cluster.MustSubmit("n0", Service(2, 2, "a"))
+				cluster.WaitForRunningTasks(jobIDOf(1), 4)
+				cluster.WaitForRunningTasks(jobIDOf(2), 2)
+				isolated := cluster.Leader()
+				cluster.PartitionFromStore(isolated, true)
+				cluster.PartitionFromPeers(isolated, true)
+				other := cluster.OtherMembers(isolated)[0]
+				cluster.WaitFor("another leads", 30*time.Second, func() bool { return cluster.Leader() != "" && cluster.Leader() != isolated })
+				cluster.MustCancel(other, jobIDOf(1))
+				if response := cluster.GetJob(isolated, jobIDOf(1)); response.JobState() != "" {
+					t.Errorf("the old leader answers %q", response.JobState())
+				}
+				cluster.WaitFor("the tasks are gone", cluster.options.CancellationGrace, func() bool { return len(cluster.MachinesRunning(jobIDOf(1))) == 0 })
+				// The new leader takes the leases for over, and starts the replicas again.
+				time.Sleep(times.lease)
+				cluster.PartitionFromStore(isolated, false)
+				cluster.PartitionFromPeers(isolated, false)
+				cluster.WaitForState(isolated, jobIDOf(1), wire.JobCancelled, 20*time.Second)
+				cluster.WaitForRunningTasks(jobIDOf(2), 2)
+			})
+		})
+	}
+}
--- /dev/null
+++ b/internal/sim/normal_operation_test.go
@@ -0,0 +1,24 @@
+package sim
+
+import (
+	"testing"
+	"time"
+
+	"firwood.dev/firwood/wire"
+)
+
+// The usual way, with no trouble: work of all kinds runs, ends and is told of by
+// every controller.
+func TestNormalOperation(t *testing.T) {
+	Run(t, Options{}, func(cluster *Cluster) {
+		cluster.MustSubmit("n0", Array(1, 5, "a"))
+		cluster.MustSubmit("n1", Service(2, 2, "a"))
+		cluster.WaitForRunningTasks("req-000002", 2)
+		for _, member := range cluster.Members() {
+			cluster.WaitForState(member, "req-000001", wire.JobDone, 3*time.Minute)
+			cluster.WaitForState(member, "req-000002", wire.JobRunning, time.Minute)
+		}
+		cluster.MustCancel("n2", "req-000002")
+		cluster.WaitForRunningTasks("req-000002", 0)
+	})
+}
--- /dev/null
+++ b/internal/sim/store_transactions_test.go
@@ -0,0 +1,198 @@
+package sim
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/wire"
+)
+
+// Prefixes of the keys that record rentals and which tasks are done.
+const (
+	scaleOutKeys = "firwood/hire/"
+	progressKeys = "firwood/done/"
+)
+
+// A transaction is carried out and only its answer is lost, while other controllers
+// read what it wrote: what they have told holds for the writer, whose retry ends in
+// the same verdict.
+func TestLostTransactionReplies(t *testing.T) {
+	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+		leader := cluster.Leader()
+		writer, reader := cluster.OtherMembers(leader)[0], cluster.OtherMembers(leader)[1]
+		cluster.Store.SetFault(writer, fake.StoreRepliesLost)
+		job := Array(1, 1, "a")
+		if response := cluster.Submit(writer, job); response.Status != 503 {
+			t.Errorf("a submission whose write has no answer gets %d", response.Status)
+		}
+		if s := cluster.GetJob(reader, job.ID).JobState(); s == "" {
+			t.Error("what was carried out is not known to others")
+		}
+		// A writer that has had no answer for a second may ask to come back later; in the
+		// end the verdict is that the job is known.
+		cluster.WaitFor("the repeated submission is answered", 5*time.Second, func() bool {
+			response := cluster.Submit(writer, job)
+			if response.Status != 200 && (response.Status != 503 || response.RetryAfterSeconds == 0) {
+				t.Fatalf("the repeated submission gets %d", response.Status)
+			}
+			return response.Status == 200
+		})
+		cluster.WaitForRunningTasks(job.ID, 1)
+		if response := cluster.Cancel(writer, job.ID); response.Status != 503 {
+			t.Errorf("a cancellation whose write has no answer gets %d", response.Status)
+		}
+		cluster.WaitForState(reader, job.ID, wire.JobCancelled, 5*time.Second)
+		for _, member := range cluster.Members() {
+			cluster.MustCancel(member, job.ID)
+		}
+		cluster.WaitFor("its task is gone", 10*time.Second, func() bool { return len(cluster.MachinesRunning(job.ID)) == 0 })
+	})
+}
+
+// Transactions without an answer are carried out seconds later, after newer ones of
+// the same controller.
+func TestDelayedTransactions(t *testing.T) {
+	Run(t, Options{TaskDuration: 10 * time.Second}, func(cluster *Cluster) {
+		leader := cluster.Leader()
+		for i := 1; i <= 3; i++ {
+			cluster.MustSubmit("n0", Array(i, 3, "a"))
+		}
+		cluster.WaitForRunningTasks("req-000003", 3)
+		cluster.Store.SetFault(leader, fake.StoreWritesDelayed)
+		time.Sleep(4 * time.Second)
+		cluster.Store.SetFault(leader, fake.StoreHealthy)
+		for i := 1; i <= 3; i++ {
+			cluster.WaitForState("n1", fmt.Sprintf("req-%06d", i), wire.JobDone, 2*time.Minute)
+		}
+		time.Sleep(20 * time.Second)
+		for i := 1; i <= 3; i++ {
+			cluster.WaitForState("n2", fmt.Sprintf("req-%06d", i), wire.JobDone, time.Second)
+		}
+	})
+}
+
+// Every transaction that was ever carried out comes again, while the same leader goes on
+// and once another one has written: records of jobs and rentals, and progress, stay as
+// they are.
+func TestEveryTransactionReplayed(t *testing.T) {
+	Run(t, Options{TaskDuration: 3 * time.Second, TaskDurationStep: 4 * time.Second}, func(cluster *Cluster) {
+		watched := []string{"firwood/job/", scaleOutKeys, progressKeys}
+		repeat := func(when string) {
+			before := map[string]string{}
+			for _, prefix := range watched {
+				for _, key := range cluster.Store.Keys(prefix) {
+					before[key] = cluster.Store.Value(key)
+				}
+			}
+			for _, transaction := range cluster.Store.Transactions() {
+				cluster.Store.ReapplyTransaction(transaction)
+				for _, change := range transaction.Changes {
+					key := change.PutKey + change.DeleteKey
+					isWatched := slices.ContainsFunc(watched, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
+					// A mark may come again after the end of its job; the leader removes it.
+					isLateProgress := strings.HasPrefix(key, progressKeys) && before[key] == ""
+					if value := cluster.Store.Value(key); isWatched && !isLateProgress && value != before[key] {
+						t.Errorf("%s, %s was %q and is %q", when, key, before[key], value)
+					}
+				}
+			}
+		}
+		for i := 1; i <= 4; i++ {
+			cluster.MustSubmit("n0", Array(i, 6, "a"))
+		}
+		cluster.MustSubmit("n1", Service(5, 2, "a"))
+		cluster.WaitForRunningTasks(jobIDOf(5), 2)
+		for i := range 6 {
+			time.Sleep(1500 * time.Millisecond)
+			repeat("under the same leader")
+			if i == 2 {
+				cluster.MustCancel("n2", jobIDOf(4))
+			}
+		}
+		cluster.Restart(cluster.Leader(), time.Second)
+		cluster.WaitFor("somebody leads again", 20*time.Second, func() bool { return cluster.Leader() != "" })
+		before := len(cluster.Store.Transactions())
+		cluster.WaitFor("the new leader has written", time.Minute, func() bool { return len(cluster.Store.Transactions()) > before+6 })
+		repeat("under another leader")
+		for i := 1; i <= 3; i++ {
+			cluster.WaitForState("n2", jobIDOf(i), wire.JobDone, 3*time.Minute)
+		}
+		cluster.MustCancel("n0", jobIDOf(5))
+		cluster.WaitForRunningTasks(jobIDOf(5), 0)
+		time.Sleep(20 * time.Second)
+		repeat("at the end")
+	})
+}
+
+// New machines are up at once while writes lag, and the leader ends: no task is on a
+// machine that the next leader may not know of when it starts the task again.
+func TestFastBootWithDelayedWrites(t *testing.T) {
+	Run(t, Options{BootDuration: 200 * time.Millisecond, HeartbeatInterval: time.Second, TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+		leader := cluster.Leader()
+		// Once a rental is recorded, the names that the cloud gives are not written for
+		// seconds; the next leader learns them when it asks for the same rental again.
+		go func() {
+			for len(cluster.Store.Keys(scaleOutKeys)) == 0 {
+				time.Sleep(time.Millisecond)
+			}
+			cluster.Store.SetDelayedPrefix(scaleOutKeys)
+		}()
+		for i := 1; i <= 4; i++ {
+			cluster.MustSubmit(cluster.OtherMembers(leader)[0], Array(i, 4, "a"))
+		}
+		time.Sleep(3 * time.Second)
+		if len(cluster.Cloud.MachineNames()) == 0 {
+			t.Error("no machine is up")
+		}
+		if running := cluster.Cloud.RunningTasks(); len(running) > 0 {
+			t.Errorf("on machines that no record names: %v", running)
+		}
+		for _, machine := range cluster.Cloud.MachineNames() {
+			cluster.Cloud.SetFault(machine, fake.MachineHanging)
+		}
+		cluster.Crash(leader)
+		cluster.Store.SetDelayedPrefix("")
+		time.Sleep(300 * time.Millisecond)
+		cluster.Start(leader)
+		time.Sleep(15 * time.Second)
+		for _, machine := range cluster.Cloud.MachineNames() {
+			cluster.Cloud.SetFault(machine, fake.MachineHealthy)
+		}
+		for i := 1; i <= 4; i++ {
+			cluster.WaitForRunningTasks(jobIDOf(i), 4)
+		}
+	})
+}
+
+// The state service answers slowly while users submit, cancel and ask, and the leader
+// ends: every question is answered, and nothing older than before.
+func TestSlowStore(t *testing.T) {
+	Run(t, Options{TaskDuration: 10 * time.Second}, func(cluster *Cluster) {
+		cluster.Network.SetExtraLatency(fake.StoreHost, 250*time.Millisecond)
+		for i := 1; i <= 6; i++ {
+			cluster.MustSubmit(cluster.Members()[i%3], Array(i, 2, "a"))
+		}
+		cluster.WaitForRunningTasks(jobIDOf(6), 2)
+		cluster.MustCancelUnlessDone("n1", jobIDOf(6))
+		cluster.Restart(cluster.Leader(), time.Second)
+		answered := 0
+		for range 20 {
+			for _, member := range cluster.Members() {
+				if cluster.GetJob(member, jobIDOf(6)).JobState() != "" {
+					answered++
+				}
+			}
+			time.Sleep(500 * time.Millisecond)
+		}
+		if answered < 40 {
+			t.Errorf("%d of 60 questions are answered", answered)
+		}
+		for i := 1; i <= 5; i++ {
+			cluster.WaitForState("n2", jobIDOf(i), wire.JobDone, 2*time.Minute)
+		}
+	})
+}
