--- a/internal/controller/records_easyjson.go
+++ b/internal/controller/records_easyjson.go
@@ -20,7 +20,83 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore(in *jlexer.Lexer, out *scaleOutRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController(in *jlexer.Lexer, out *workerContactRecord) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "n":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Workers = uint32(in.Uint32())
+			}
+		case "at":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.ReportedAt = int64(in.Int64())
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController(out *jwriter.Writer, in workerContactRecord) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"n\":"
+		out.RawString(prefix[1:])
+		out.Uint32(uint32(in.Workers))
+	}
+	{
+		const prefix string = ",\"at\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.ReportedAt))
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v workerContactRecord) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v workerContactRecord) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *workerContactRecord) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *workerContactRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController(l, v)
+}
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController1(in *jlexer.Lexer, out *scaleOutRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -107,7 +183,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore(out *jwriter.Writer, in scaleOutRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController1(out *jwriter.Writer, in scaleOutRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -161,27 +237,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v scaleOutRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore(&w, v)
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v scaleOutRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore(w, v)
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *scaleOutRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore(&r, v)
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *scaleOutRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore(l, v)
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController1(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore1(in *jlexer.Lexer, out *constraintsRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController2(in *jlexer.Lexer, out *progressRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -195,8 +271,26 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "w":
-			easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation(in, &out.Constraints)
+		case "b":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Bits = string(in.String())
+			}
+		case "f":
+			if in.IsNull() {
+				in.Skip()
+				out.FirstTask = nil
+			} else {
+				if out.FirstTask == nil {
+					out.FirstTask = new(int)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					*out.FirstTask = int(in.Int())
+				}
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -207,42 +301,47 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore1(out *jwriter.Writer, in constraintsRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController2(out *jwriter.Writer, in progressRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"w\":"
+		const prefix string = ",\"b\":"
 		out.RawString(prefix[1:])
-		easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation(out, in.Constraints)
+		out.String(string(in.Bits))
+	}
+	if in.FirstTask != nil {
+		const prefix string = ",\"f\":"
+		out.RawString(prefix)
+		out.Int(int(*in.FirstTask))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v constraintsRecord) MarshalJSON() ([]byte, error) {
+func (v progressRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore1(&w, v)
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v constraintsRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore1(w, v)
+func (v progressRecord) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *constraintsRecord) UnmarshalJSON(data []byte) error {
+func (v *progressRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore1(&r, v)
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *constraintsRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore1(l, v)
+func (v *progressRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController2(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation(in *jlexer.Lexer, out *delegation.Constraints) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController3(in *jlexer.Lexer, out *lockRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -256,49 +355,23 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "z":
+		case "m":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				in.Delim('{')
-				if !in.IsDelim('}') {
-					out.Zones = make(map[string]delegation.ZoneConstraint)
-				} else {
-					out.Zones = nil
-				}
-				for !in.IsDelim('}') {
-					key := string(in.String())
-					in.WantColon()
-					var v4 delegation.ZoneConstraint
-					easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation1(in, &v4)
-					(out.Zones)[key] = v4
-					in.WantComma()
-				}
-				in.Delim('}')
+				out.Member = string(in.String())
 			}
-		case "m":
+		case "l":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				in.Delim('{')
-				if !in.IsDelim('}') {
-					out.MemberGrantUntil = make(map[string]clock.Micros)
-				} else {
-					out.MemberGrantUntil = nil
-				}
-				for !in.IsDelim('}') {
-					key := string(in.String())
-					in.WantColon()
-					var v5 clock.Micros
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v5 = clock.Micros(in.Int64())
-					}
-					(out.MemberGrantUntil)[key] = v5
-					in.WantComma()
-				}
-				in.Delim('}')
+				out.Lease = uint64(in.Uint64())
+			}
+		case "s":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.NeedsStandbyRecord = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -310,57 +383,52 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation(out *jwriter.Writer, in delegation.Constraints) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController3(out *jwriter.Writer, in lockRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if len(in.Zones) != 0 {
-		const prefix string = ",\"z\":"
-		first = false
+	{
+		const prefix string = ",\"m\":"
 		out.RawString(prefix[1:])
-		{
-			out.RawByte('{')
-			v6First := true
-			for v6Name, v6Value := range in.Zones {
-				if v6First {
-					v6First = false
-				} else {
-					out.RawByte(',')
-				}
-				out.String(string(v6Name))
-				out.RawByte(':')
-				easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation1(out, v6Value)
-			}
-			out.RawByte('}')
-		}
+		out.String(string(in.Member))
 	}
-	if len(in.MemberGrantUntil) != 0 {
-		const prefix string = ",\"m\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		{
-			out.RawByte('{')
-			v7First := true
-			for v7Name, v7Value := range in.MemberGrantUntil {
-				if v7First {
-					v7First = false
-				} else {
-					out.RawByte(',')
-				}
-				out.String(string(v7Name))
-				out.RawByte(':')
-				out.Int64(int64(v7Value))
-			}
-			out.RawByte('}')
-		}
+	{
+		const prefix string = ",\"l\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Lease))
+	}
+	if in.NeedsStandbyRecord {
+		const prefix string = ",\"s\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.NeedsStandbyRecord))
 	}
 	out.RawByte('}')
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation1(in *jlexer.Lexer, out *delegation.ZoneConstraint) {
+
+// MarshalJSON supports json.Marshaler interface
+func (v lockRecord) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController3(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v lockRecord) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController3(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *lockRecord) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController3(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *lockRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController3(l, v)
+}
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController4(in *jlexer.Lexer, out *jobRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -374,194 +442,25 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "t":
+		case "j":
 			if in.IsNull() {
 				in.Skip()
+				out.Job = nil
 			} else {
-				out.LastAnswerAt = clock.Micros(in.Int64())
+				if out.Job == nil {
+					out.Job = new(wire.Job)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.Job).UnmarshalEasyJSON(in)
+				}
 			}
-		case "b":
+		case "at":
 			if in.IsNull() {
 				in.Skip()
-				out.KnownBy = nil
 			} else {
-				in.Delim('[')
-				if out.KnownBy == nil {
-					if !in.IsDelim(']') {
-						out.KnownBy = make([]string, 0, 4)
-					} else {
-						out.KnownBy = []string{}
-					}
-				} else {
-					out.KnownBy = (out.KnownBy)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v8 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v8 = string(in.String())
-					}
-					out.KnownBy = append(out.KnownBy, v8)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation1(out *jwriter.Writer, in delegation.ZoneConstraint) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"t\":"
-		out.RawString(prefix[1:])
-		out.Int64(int64(in.LastAnswerAt))
-	}
-	if len(in.KnownBy) != 0 {
-		const prefix string = ",\"b\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v9, v10 := range in.KnownBy {
-				if v9 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v10))
-			}
-			out.RawByte(']')
-		}
-	}
-	out.RawByte('}')
-}
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore2(in *jlexer.Lexer, out *lockRecord) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "m":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Member = string(in.String())
-			}
-		case "l":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Lease = uint64(in.Uint64())
-			}
-		case "s":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.NeedsStandbyRecord = bool(in.Bool())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore2(out *jwriter.Writer, in lockRecord) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"m\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Member))
-	}
-	{
-		const prefix string = ",\"l\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Lease))
-	}
-	if in.NeedsStandbyRecord {
-		const prefix string = ",\"s\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.NeedsStandbyRecord))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v lockRecord) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore2(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v lockRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore2(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *lockRecord) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore2(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *lockRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore2(l, v)
-}
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore3(in *jlexer.Lexer, out *jobRecord) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "j":
-			if in.IsNull() {
-				in.Skip()
-				out.Job = nil
-			} else {
-				if out.Job == nil {
-					out.Job = new(wire.Job)
-				}
-				if in.IsNull() {
-					in.Skip()
-				} else {
-					(*out.Job).UnmarshalEasyJSON(in)
-				}
-			}
-		case "at":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.SubmittedAt = int64(in.Int64())
+				out.SubmittedAt = int64(in.Int64())
 			}
 		case "s":
 			if in.IsNull() {
@@ -639,7 +538,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore3(out *jwriter.Writer, in jobRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController4(out *jwriter.Writer, in jobRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -720,27 +619,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v jobRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore3(&w, v)
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v jobRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore3(w, v)
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *jobRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore3(&r, v)
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *jobRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore3(l, v)
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController4(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore4(in *jlexer.Lexer, out *progressRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController5(in *jlexer.Lexer, out *dependenciesRecord) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -754,25 +653,32 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "b":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Bits = string(in.String())
-			}
-		case "f":
+		case "a":
 			if in.IsNull() {
 				in.Skip()
-				out.FirstTask = nil
+				out.DependsOn = nil
 			} else {
-				if out.FirstTask == nil {
-					out.FirstTask = new(int)
-				}
-				if in.IsNull() {
-					in.Skip()
+				in.Delim('[')
+				if out.DependsOn == nil {
+					if !in.IsDelim(']') {
+						out.DependsOn = make([]string, 0, 4)
+					} else {
+						out.DependsOn = []string{}
+					}
 				} else {
-					*out.FirstTask = int(in.Int())
+					out.DependsOn = (out.DependsOn)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v4 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v4 = string(in.String())
+					}
+					out.DependsOn = append(out.DependsOn, v4)
+					in.WantComma()
 				}
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -784,47 +690,114 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore4(out *jwriter.Writer, in progressRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController5(out *jwriter.Writer, in dependenciesRecord) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"b\":"
+		const prefix string = ",\"a\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Bits))
+		if in.DependsOn == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v5, v6 := range in.DependsOn {
+				if v5 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v6))
+			}
+			out.RawByte(']')
+		}
 	}
-	if in.FirstTask != nil {
-		const prefix string = ",\"f\":"
-		out.RawString(prefix)
-		out.Int(int(*in.FirstTask))
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v dependenciesRecord) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController5(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v dependenciesRecord) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController5(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *dependenciesRecord) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController5(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *dependenciesRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController5(l, v)
+}
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController6(in *jlexer.Lexer, out *constraintsRecord) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "w":
+			easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation(in, &out.Constraints)
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController6(out *jwriter.Writer, in constraintsRecord) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"w\":"
+		out.RawString(prefix[1:])
+		easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation(out, in.Constraints)
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v progressRecord) MarshalJSON() ([]byte, error) {
+func (v constraintsRecord) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore4(&w, v)
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v progressRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore4(w, v)
+func (v constraintsRecord) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *progressRecord) UnmarshalJSON(data []byte) error {
+func (v *constraintsRecord) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore4(&r, v)
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *progressRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore4(l, v)
+func (v *constraintsRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController6(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore5(in *jlexer.Lexer, out *dependenciesRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation(in *jlexer.Lexer, out *delegation.Constraints) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -838,32 +811,49 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "a":
+		case "z":
 			if in.IsNull() {
 				in.Skip()
-				out.DependsOn = nil
 			} else {
-				in.Delim('[')
-				if out.DependsOn == nil {
-					if !in.IsDelim(']') {
-						out.DependsOn = make([]string, 0, 4)
-					} else {
-						out.DependsOn = []string{}
-					}
+				in.Delim('{')
+				if !in.IsDelim('}') {
+					out.Zones = make(map[string]delegation.ZoneConstraint)
 				} else {
-					out.DependsOn = (out.DependsOn)[:0]
+					out.Zones = nil
 				}
-				for !in.IsDelim(']') {
-					var v11 string
+				for !in.IsDelim('}') {
+					key := string(in.String())
+					in.WantColon()
+					var v7 delegation.ZoneConstraint
+					easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation1(in, &v7)
+					(out.Zones)[key] = v7
+					in.WantComma()
+				}
+				in.Delim('}')
+			}
+		case "m":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				in.Delim('{')
+				if !in.IsDelim('}') {
+					out.MemberGrantUntil = make(map[string]clock.Micros)
+				} else {
+					out.MemberGrantUntil = nil
+				}
+				for !in.IsDelim('}') {
+					key := string(in.String())
+					in.WantColon()
+					var v8 clock.Micros
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v11 = string(in.String())
+						v8 = clock.Micros(in.Int64())
 					}
-					out.DependsOn = append(out.DependsOn, v11)
+					(out.MemberGrantUntil)[key] = v8
 					in.WantComma()
 				}
-				in.Delim(']')
+				in.Delim('}')
 			}
 		default:
 			in.SkipRecursive()
@@ -875,53 +865,57 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore5(out *jwriter.Writer, in dependenciesRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation(out *jwriter.Writer, in delegation.Constraints) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	{
-		const prefix string = ",\"a\":"
+	if len(in.Zones) != 0 {
+		const prefix string = ",\"z\":"
+		first = false
 		out.RawString(prefix[1:])
-		if in.DependsOn == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
+		{
+			out.RawByte('{')
+			v9First := true
+			for v9Name, v9Value := range in.Zones {
+				if v9First {
+					v9First = false
+				} else {
+					out.RawByte(',')
+				}
+				out.String(string(v9Name))
+				out.RawByte(':')
+				easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation1(out, v9Value)
+			}
+			out.RawByte('}')
+		}
+	}
+	if len(in.MemberGrantUntil) != 0 {
+		const prefix string = ",\"m\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
 		} else {
-			out.RawByte('[')
-			for v12, v13 := range in.DependsOn {
-				if v12 > 0 {
+			out.RawString(prefix)
+		}
+		{
+			out.RawByte('{')
+			v10First := true
+			for v10Name, v10Value := range in.MemberGrantUntil {
+				if v10First {
+					v10First = false
+				} else {
 					out.RawByte(',')
 				}
-				out.String(string(v13))
+				out.String(string(v10Name))
+				out.RawByte(':')
+				out.Int64(int64(v10Value))
 			}
-			out.RawByte(']')
+			out.RawByte('}')
 		}
 	}
 	out.RawByte('}')
 }
-
-// MarshalJSON supports json.Marshaler interface
-func (v dependenciesRecord) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore5(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v dependenciesRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore5(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *dependenciesRecord) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore5(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *dependenciesRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore5(l, v)
-}
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore6(in *jlexer.Lexer, out *workerContactRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation1(in *jlexer.Lexer, out *delegation.ZoneConstraint) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -935,17 +929,38 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "n":
+		case "t":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Workers = uint32(in.Uint32())
+				out.LastAnswerAt = clock.Micros(in.Int64())
 			}
-		case "at":
+		case "b":
 			if in.IsNull() {
 				in.Skip()
+				out.KnownBy = nil
 			} else {
-				out.ReportedAt = int64(in.Int64())
+				in.Delim('[')
+				if out.KnownBy == nil {
+					if !in.IsDelim(']') {
+						out.KnownBy = make([]string, 0, 4)
+					} else {
+						out.KnownBy = []string{}
+					}
+				} else {
+					out.KnownBy = (out.KnownBy)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v11 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v11 = string(in.String())
+					}
+					out.KnownBy = append(out.KnownBy, v11)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -957,43 +972,28 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore6(out *jwriter.Writer, in workerContactRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalDelegation1(out *jwriter.Writer, in delegation.ZoneConstraint) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"n\":"
+		const prefix string = ",\"t\":"
 		out.RawString(prefix[1:])
-		out.Uint32(uint32(in.Workers))
+		out.Int64(int64(in.LastAnswerAt))
 	}
-	{
-		const prefix string = ",\"at\":"
+	if len(in.KnownBy) != 0 {
+		const prefix string = ",\"b\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.ReportedAt))
+		{
+			out.RawByte('[')
+			for v12, v13 := range in.KnownBy {
+				if v12 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v13))
+			}
+			out.RawByte(']')
+		}
 	}
 	out.RawByte('}')
 }
-
-// MarshalJSON supports json.Marshaler interface
-func (v workerContactRecord) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore6(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v workerContactRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalCore6(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *workerContactRecord) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore6(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *workerContactRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalCore6(l, v)
-}
--- a/wire/cloud_easyjson.go
+++ b/wire/cloud_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson9def2ecdDecodeFirwoodDevFirwoodWire(in *jlexer.Lexer, out *MachineIDs) {
+func easyjson9def2ecdDecodeFirwoodDevFirwoodWire(in *jlexer.Lexer, out *ScaleOutRequest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -31,32 +31,35 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "boxes":
+		case "hire":
 			if in.IsNull() {
 				in.Skip()
-				out.IDs = nil
 			} else {
-				in.Delim('[')
-				if out.IDs == nil {
-					if !in.IsDelim(']') {
-						out.IDs = make([]string, 0, 4)
-					} else {
-						out.IDs = []string{}
-					}
-				} else {
-					out.IDs = (out.IDs)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v1 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v1 = string(in.String())
-					}
-					out.IDs = append(out.IDs, v1)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.RequestID = string(in.String())
+			}
+		case "rig":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.MachineType = string(in.String())
+			}
+		case "yard":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Zone = string(in.String())
+			}
+		case "loaners":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Spot = bool(in.Bool())
+			}
+		case "count":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Count = int(in.Int())
 			}
 		default:
 			in.SkipRecursive()
@@ -68,50 +71,59 @@
 		in.Consumed()
 	}
 }
-func easyjson9def2ecdEncodeFirwoodDevFirwoodWire(out *jwriter.Writer, in MachineIDs) {
+func easyjson9def2ecdEncodeFirwoodDevFirwoodWire(out *jwriter.Writer, in ScaleOutRequest) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"boxes\":"
+		const prefix string = ",\"hire\":"
 		out.RawString(prefix[1:])
-		if in.IDs == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v2, v3 := range in.IDs {
-				if v2 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v3))
-			}
-			out.RawByte(']')
-		}
+		out.String(string(in.RequestID))
+	}
+	{
+		const prefix string = ",\"rig\":"
+		out.RawString(prefix)
+		out.String(string(in.MachineType))
+	}
+	{
+		const prefix string = ",\"yard\":"
+		out.RawString(prefix)
+		out.String(string(in.Zone))
+	}
+	{
+		const prefix string = ",\"loaners\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Spot))
+	}
+	{
+		const prefix string = ",\"count\":"
+		out.RawString(prefix)
+		out.Int(int(in.Count))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v MachineIDs) MarshalJSON() ([]byte, error) {
+func (v ScaleOutRequest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v MachineIDs) MarshalEasyJSON(w *jwriter.Writer) {
+func (v ScaleOutRequest) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *MachineIDs) UnmarshalJSON(data []byte) error {
+func (v *ScaleOutRequest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *MachineIDs) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *ScaleOutRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire(l, v)
 }
 func easyjson9def2ecdDecodeFirwoodDevFirwoodWire1(in *jlexer.Lexer, out *MachineTypeList) {
@@ -144,13 +156,13 @@
 					out.Types = (out.Types)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v4 MachineType
+					var v1 MachineType
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v4).UnmarshalEasyJSON(in)
+						(v1).UnmarshalEasyJSON(in)
 					}
-					out.Types = append(out.Types, v4)
+					out.Types = append(out.Types, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -176,11 +188,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v5, v6 := range in.Types {
-				if v5 > 0 {
+			for v2, v3 := range in.Types {
+				if v2 > 0 {
 					out.RawByte(',')
 				}
-				(v6).MarshalEasyJSON(out)
+				(v3).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -295,13 +307,13 @@
 					out.Zones = (out.Zones)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v7 string
+					var v4 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v7 = string(in.String())
+						v4 = string(in.String())
 					}
-					out.Zones = append(out.Zones, v7)
+					out.Zones = append(out.Zones, v4)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -372,11 +384,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v8, v9 := range in.Zones {
-				if v8 > 0 {
+			for v5, v6 := range in.Zones {
+				if v5 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v9))
+				out.String(string(v6))
 			}
 			out.RawByte(']')
 		}
@@ -437,13 +449,13 @@
 					out.Machines = (out.Machines)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v10 ListedMachine
+					var v7 ListedMachine
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v10).UnmarshalEasyJSON(in)
+						(v7).UnmarshalEasyJSON(in)
 					}
-					out.Machines = append(out.Machines, v10)
+					out.Machines = append(out.Machines, v7)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -475,11 +487,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v11, v12 := range in.Machines {
-				if v11 > 0 {
+			for v8, v9 := range in.Machines {
+				if v8 > 0 {
 					out.RawByte(',')
 				}
-				(v12).MarshalEasyJSON(out)
+				(v9).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -515,7 +527,7 @@
 func (v *MachineList) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire3(l, v)
 }
-func easyjson9def2ecdDecodeFirwoodDevFirwoodWire4(in *jlexer.Lexer, out *ListedMachine) {
+func easyjson9def2ecdDecodeFirwoodDevFirwoodWire4(in *jlexer.Lexer, out *MachineIDs) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -529,47 +541,32 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "nameId":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.ID = string(in.String())
-			}
-		case "endpoint":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Address = string(in.String())
-			}
-		case "rig":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.MachineType = string(in.String())
-			}
-		case "yard":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Zone = string(in.String())
-			}
-		case "loaners":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Spot = bool(in.Bool())
-			}
-		case "stage":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.State = string(in.String())
-			}
-		case "heldS":
+		case "boxes":
 			if in.IsNull() {
 				in.Skip()
+				out.IDs = nil
 			} else {
-				out.AgeSeconds = float64(in.Float64())
+				in.Delim('[')
+				if out.IDs == nil {
+					if !in.IsDelim(']') {
+						out.IDs = make([]string, 0, 4)
+					} else {
+						out.IDs = []string{}
+					}
+				} else {
+					out.IDs = (out.IDs)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v10 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v10 = string(in.String())
+					}
+					out.IDs = append(out.IDs, v10)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -581,72 +578,53 @@
 		in.Consumed()
 	}
 }
-func easyjson9def2ecdEncodeFirwoodDevFirwoodWire4(out *jwriter.Writer, in ListedMachine) {
+func easyjson9def2ecdEncodeFirwoodDevFirwoodWire4(out *jwriter.Writer, in MachineIDs) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"nameId\":"
+		const prefix string = ",\"boxes\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.ID))
-	}
-	{
-		const prefix string = ",\"endpoint\":"
-		out.RawString(prefix)
-		out.String(string(in.Address))
-	}
-	{
-		const prefix string = ",\"rig\":"
-		out.RawString(prefix)
-		out.String(string(in.MachineType))
-	}
-	{
-		const prefix string = ",\"yard\":"
-		out.RawString(prefix)
-		out.String(string(in.Zone))
-	}
-	{
-		const prefix string = ",\"loaners\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Spot))
-	}
-	{
-		const prefix string = ",\"stage\":"
-		out.RawString(prefix)
-		out.String(string(in.State))
-	}
-	{
-		const prefix string = ",\"heldS\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.AgeSeconds))
+		if in.IDs == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v11, v12 := range in.IDs {
+				if v11 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v12))
+			}
+			out.RawByte(']')
+		}
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v ListedMachine) MarshalJSON() ([]byte, error) {
+func (v MachineIDs) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v ListedMachine) MarshalEasyJSON(w *jwriter.Writer) {
+func (v MachineIDs) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *ListedMachine) UnmarshalJSON(data []byte) error {
+func (v *MachineIDs) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *ListedMachine) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *MachineIDs) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire4(l, v)
 }
-func easyjson9def2ecdDecodeFirwoodDevFirwoodWire5(in *jlexer.Lexer, out *ScaleOutRequest) {
+func easyjson9def2ecdDecodeFirwoodDevFirwoodWire5(in *jlexer.Lexer, out *ListedMachine) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -660,11 +638,17 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "hire":
+		case "nameId":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.RequestID = string(in.String())
+				out.ID = string(in.String())
+			}
+		case "endpoint":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Address = string(in.String())
 			}
 		case "rig":
 			if in.IsNull() {
@@ -684,11 +668,17 @@
 			} else {
 				out.Spot = bool(in.Bool())
 			}
-		case "count":
+		case "stage":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Count = int(in.Int())
+				out.State = string(in.String())
+			}
+		case "heldS":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.AgeSeconds = float64(in.Float64())
 			}
 		default:
 			in.SkipRecursive()
@@ -700,14 +690,19 @@
 		in.Consumed()
 	}
 }
-func easyjson9def2ecdEncodeFirwoodDevFirwoodWire5(out *jwriter.Writer, in ScaleOutRequest) {
+func easyjson9def2ecdEncodeFirwoodDevFirwoodWire5(out *jwriter.Writer, in ListedMachine) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"hire\":"
+		const prefix string = ",\"nameId\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.RequestID))
+		out.String(string(in.ID))
+	}
+	{
+		const prefix string = ",\"endpoint\":"
+		out.RawString(prefix)
+		out.String(string(in.Address))
 	}
 	{
 		const prefix string = ",\"rig\":"
@@ -725,33 +720,38 @@
 		out.Bool(bool(in.Spot))
 	}
 	{
-		const prefix string = ",\"count\":"
+		const prefix string = ",\"stage\":"
 		out.RawString(prefix)
-		out.Int(int(in.Count))
+		out.String(string(in.State))
+	}
+	{
+		const prefix string = ",\"heldS\":"
+		out.RawString(prefix)
+		out.Float64(float64(in.AgeSeconds))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v ScaleOutRequest) MarshalJSON() ([]byte, error) {
+func (v ListedMachine) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v ScaleOutRequest) MarshalEasyJSON(w *jwriter.Writer) {
+func (v ListedMachine) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson9def2ecdEncodeFirwoodDevFirwoodWire5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *ScaleOutRequest) UnmarshalJSON(data []byte) error {
+func (v *ListedMachine) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *ScaleOutRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *ListedMachine) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson9def2ecdDecodeFirwoodDevFirwoodWire5(l, v)
 }
--- a/wire/job.go
+++ b/wire/job.go
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-//go:generate easyjson -all job.go worker.go cloud.go state.go
+//go:generate easyjson -all job.go worker.go cloud.go store.go
 
 // Kinds of job.
 const (
--- a/wire/state_easyjson.go
+++ b/wire/store_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire(in *jlexer.Lexer, out *TransactionResult) {
+func easyjson55774c79DecodeFirwoodDevFirwoodWire(in *jlexer.Lexer, out *WatchResponse) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -37,29 +37,29 @@
 			} else {
 				out.Revision = uint64(in.Uint64())
 			}
-		case "failed":
+		case "log":
 			if in.IsNull() {
 				in.Skip()
-				out.FailedKeys = nil
+				out.Events = nil
 			} else {
 				in.Delim('[')
-				if out.FailedKeys == nil {
+				if out.Events == nil {
 					if !in.IsDelim(']') {
-						out.FailedKeys = make([]string, 0, 4)
+						out.Events = make([]WatchEvent, 0, 1)
 					} else {
-						out.FailedKeys = []string{}
+						out.Events = []WatchEvent{}
 					}
 				} else {
-					out.FailedKeys = (out.FailedKeys)[:0]
+					out.Events = (out.Events)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 string
+					var v1 WatchEvent
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v1 = string(in.String())
+						(v1).UnmarshalEasyJSON(in)
 					}
-					out.FailedKeys = append(out.FailedKeys, v1)
+					out.Events = append(out.Events, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -74,7 +74,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire(out *jwriter.Writer, in TransactionResult) {
+func easyjson55774c79EncodeFirwoodDevFirwoodWire(out *jwriter.Writer, in WatchResponse) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -83,16 +83,18 @@
 		out.RawString(prefix[1:])
 		out.Uint64(uint64(in.Revision))
 	}
-	if len(in.FailedKeys) != 0 {
-		const prefix string = ",\"failed\":"
+	{
+		const prefix string = ",\"log\":"
 		out.RawString(prefix)
-		{
+		if in.Events == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
 			out.RawByte('[')
-			for v2, v3 := range in.FailedKeys {
+			for v2, v3 := range in.Events {
 				if v2 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v3))
+				(v3).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -101,29 +103,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v TransactionResult) MarshalJSON() ([]byte, error) {
+func (v WatchResponse) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire(&w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v TransactionResult) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire(w, v)
+func (v WatchResponse) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson55774c79EncodeFirwoodDevFirwoodWire(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *TransactionResult) UnmarshalJSON(data []byte) error {
+func (v *WatchResponse) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire(&r, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *TransactionResult) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire(l, v)
+func (v *WatchResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson55774c79DecodeFirwoodDevFirwoodWire(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire1(in *jlexer.Lexer, out *Transaction) {
+func easyjson55774c79DecodeFirwoodDevFirwoodWire1(in *jlexer.Lexer, out *WatchEvent) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -137,59 +139,29 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "if":
+		case "set":
 			if in.IsNull() {
 				in.Skip()
-				out.Conditions = nil
 			} else {
-				in.Delim('[')
-				if out.Conditions == nil {
-					if !in.IsDelim(']') {
-						out.Conditions = make([]Condition, 0, 2)
-					} else {
-						out.Conditions = []Condition{}
-					}
-				} else {
-					out.Conditions = (out.Conditions)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v4 Condition
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v4).UnmarshalEasyJSON(in)
-					}
-					out.Conditions = append(out.Conditions, v4)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.PutKey = string(in.String())
 			}
-		case "apply":
+		case "drop":
 			if in.IsNull() {
 				in.Skip()
-				out.Changes = nil
 			} else {
-				in.Delim('[')
-				if out.Changes == nil {
-					if !in.IsDelim(']') {
-						out.Changes = make([]Change, 0, 1)
-					} else {
-						out.Changes = []Change{}
-					}
-				} else {
-					out.Changes = (out.Changes)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v5 Change
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v5).UnmarshalEasyJSON(in)
-					}
-					out.Changes = append(out.Changes, v5)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.DeleteKey = string(in.String())
+			}
+		case "data":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Value).UnmarshalEasyJSON(in)
+			}
+		case "stamp":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Version = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -201,71 +173,73 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire1(out *jwriter.Writer, in Transaction) {
+func easyjson55774c79EncodeFirwoodDevFirwoodWire1(out *jwriter.Writer, in WatchEvent) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if len(in.Conditions) != 0 {
-		const prefix string = ",\"if\":"
+	if in.PutKey != "" {
+		const prefix string = ",\"set\":"
 		first = false
 		out.RawString(prefix[1:])
-		{
-			out.RawByte('[')
-			for v6, v7 := range in.Conditions {
-				if v6 > 0 {
-					out.RawByte(',')
-				}
-				(v7).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
+		out.String(string(in.PutKey))
+	}
+	if in.DeleteKey != "" {
+		const prefix string = ",\"drop\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
 		}
+		out.String(string(in.DeleteKey))
 	}
-	if len(in.Changes) != 0 {
-		const prefix string = ",\"apply\":"
+	if (in.Value).IsDefined() {
+		const prefix string = ",\"data\":"
 		if first {
 			first = false
 			out.RawString(prefix[1:])
 		} else {
 			out.RawString(prefix)
 		}
-		{
-			out.RawByte('[')
-			for v8, v9 := range in.Changes {
-				if v8 > 0 {
-					out.RawByte(',')
-				}
-				(v9).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
+		(in.Value).MarshalEasyJSON(out)
+	}
+	{
+		const prefix string = ",\"stamp\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
 		}
+		out.Uint64(uint64(in.Version))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Transaction) MarshalJSON() ([]byte, error) {
+func (v WatchEvent) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire1(&w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Transaction) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire1(w, v)
+func (v WatchEvent) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson55774c79EncodeFirwoodDevFirwoodWire1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Transaction) UnmarshalJSON(data []byte) error {
+func (v *WatchEvent) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire1(&r, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Transaction) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire1(l, v)
+func (v *WatchEvent) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson55774c79DecodeFirwoodDevFirwoodWire1(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire2(in *jlexer.Lexer, out *KeyPage) {
+func easyjson55774c79DecodeFirwoodDevFirwoodWire2(in *jlexer.Lexer, out *TransactionResult) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -279,45 +253,39 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "pairs":
+		case "ledger":
 			if in.IsNull() {
 				in.Skip()
-				out.KeyValues = nil
+			} else {
+				out.Revision = uint64(in.Uint64())
+			}
+		case "failed":
+			if in.IsNull() {
+				in.Skip()
+				out.FailedKeys = nil
 			} else {
 				in.Delim('[')
-				if out.KeyValues == nil {
+				if out.FailedKeys == nil {
 					if !in.IsDelim(']') {
-						out.KeyValues = make([]KeyValue, 0, 1)
+						out.FailedKeys = make([]string, 0, 4)
 					} else {
-						out.KeyValues = []KeyValue{}
+						out.FailedKeys = []string{}
 					}
 				} else {
-					out.KeyValues = (out.KeyValues)[:0]
+					out.FailedKeys = (out.FailedKeys)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v10 KeyValue
+					var v4 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v10).UnmarshalEasyJSON(in)
+						v4 = string(in.String())
 					}
-					out.KeyValues = append(out.KeyValues, v10)
+					out.FailedKeys = append(out.FailedKeys, v4)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "hasNext":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.HasMore = bool(in.Bool())
-			}
-		case "ledger":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Revision = uint64(in.Uint64())
-			}
 		default:
 			in.SkipRecursive()
 		}
@@ -328,63 +296,56 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire2(out *jwriter.Writer, in KeyPage) {
+func easyjson55774c79EncodeFirwoodDevFirwoodWire2(out *jwriter.Writer, in TransactionResult) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"pairs\":"
+		const prefix string = ",\"ledger\":"
 		out.RawString(prefix[1:])
-		if in.KeyValues == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
+		out.Uint64(uint64(in.Revision))
+	}
+	if len(in.FailedKeys) != 0 {
+		const prefix string = ",\"failed\":"
+		out.RawString(prefix)
+		{
 			out.RawByte('[')
-			for v11, v12 := range in.KeyValues {
-				if v11 > 0 {
+			for v5, v6 := range in.FailedKeys {
+				if v5 > 0 {
 					out.RawByte(',')
 				}
-				(v12).MarshalEasyJSON(out)
+				out.String(string(v6))
 			}
 			out.RawByte(']')
 		}
 	}
-	{
-		const prefix string = ",\"hasNext\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.HasMore))
-	}
-	{
-		const prefix string = ",\"ledger\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Revision))
-	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v KeyPage) MarshalJSON() ([]byte, error) {
+func (v TransactionResult) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire2(&w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v KeyPage) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire2(w, v)
+func (v TransactionResult) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson55774c79EncodeFirwoodDevFirwoodWire2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *KeyPage) UnmarshalJSON(data []byte) error {
+func (v *TransactionResult) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire2(&r, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *KeyPage) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire2(l, v)
+func (v *TransactionResult) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson55774c79DecodeFirwoodDevFirwoodWire2(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire3(in *jlexer.Lexer, out *KeyValue) {
+func easyjson55774c79DecodeFirwoodDevFirwoodWire3(in *jlexer.Lexer, out *Transaction) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -398,29 +359,59 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "path":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Key = string(in.String())
-			}
-		case "data":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Value).UnmarshalEasyJSON(in)
-			}
-		case "stamp":
+		case "if":
 			if in.IsNull() {
 				in.Skip()
+				out.Conditions = nil
 			} else {
-				out.Version = uint64(in.Uint64())
+				in.Delim('[')
+				if out.Conditions == nil {
+					if !in.IsDelim(']') {
+						out.Conditions = make([]Condition, 0, 2)
+					} else {
+						out.Conditions = []Condition{}
+					}
+				} else {
+					out.Conditions = (out.Conditions)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v7 Condition
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v7).UnmarshalEasyJSON(in)
+					}
+					out.Conditions = append(out.Conditions, v7)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "tenure":
+		case "apply":
 			if in.IsNull() {
 				in.Skip()
+				out.Changes = nil
 			} else {
-				out.LeaseID = uint64(in.Uint64())
+				in.Delim('[')
+				if out.Changes == nil {
+					if !in.IsDelim(']') {
+						out.Changes = make([]Change, 0, 1)
+					} else {
+						out.Changes = []Change{}
+					}
+				} else {
+					out.Changes = (out.Changes)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v8 Change
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v8).UnmarshalEasyJSON(in)
+					}
+					out.Changes = append(out.Changes, v8)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -432,57 +423,71 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire3(out *jwriter.Writer, in KeyValue) {
+func easyjson55774c79EncodeFirwoodDevFirwoodWire3(out *jwriter.Writer, in Transaction) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	{
-		const prefix string = ",\"path\":"
+	if len(in.Conditions) != 0 {
+		const prefix string = ",\"if\":"
+		first = false
 		out.RawString(prefix[1:])
-		out.String(string(in.Key))
-	}
-	{
-		const prefix string = ",\"data\":"
-		out.RawString(prefix)
-		(in.Value).MarshalEasyJSON(out)
-	}
-	{
-		const prefix string = ",\"stamp\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Version))
+		{
+			out.RawByte('[')
+			for v9, v10 := range in.Conditions {
+				if v9 > 0 {
+					out.RawByte(',')
+				}
+				(v10).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
-	if in.LeaseID != 0 {
-		const prefix string = ",\"tenure\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.LeaseID))
+	if len(in.Changes) != 0 {
+		const prefix string = ",\"apply\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		{
+			out.RawByte('[')
+			for v11, v12 := range in.Changes {
+				if v11 > 0 {
+					out.RawByte(',')
+				}
+				(v12).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v KeyValue) MarshalJSON() ([]byte, error) {
+func (v Transaction) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire3(&w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v KeyValue) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire3(w, v)
+func (v Transaction) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson55774c79EncodeFirwoodDevFirwoodWire3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *KeyValue) UnmarshalJSON(data []byte) error {
+func (v *Transaction) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire3(&r, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *KeyValue) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire3(l, v)
+func (v *Transaction) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson55774c79DecodeFirwoodDevFirwoodWire3(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire4(in *jlexer.Lexer, out *LeaseGrant) {
+func easyjson55774c79DecodeFirwoodDevFirwoodWire4(in *jlexer.Lexer, out *LeaseRequest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -496,11 +501,11 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "tenure":
+		case "ttlMs":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.LeaseID = uint64(in.Uint64())
+				out.TTLMillis = int64(in.Int64())
 			}
 		default:
 			in.SkipRecursive()
@@ -512,42 +517,42 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire4(out *jwriter.Writer, in LeaseGrant) {
+func easyjson55774c79EncodeFirwoodDevFirwoodWire4(out *jwriter.Writer, in LeaseRequest) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"tenure\":"
+		const prefix string = ",\"ttlMs\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.LeaseID))
+		out.Int64(int64(in.TTLMillis))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v LeaseGrant) MarshalJSON() ([]byte, error) {
+func (v LeaseRequest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire4(&w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v LeaseGrant) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire4(w, v)
+func (v LeaseRequest) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson55774c79EncodeFirwoodDevFirwoodWire4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *LeaseGrant) UnmarshalJSON(data []byte) error {
+func (v *LeaseRequest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire4(&r, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *LeaseGrant) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire4(l, v)
+func (v *LeaseRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson55774c79DecodeFirwoodDevFirwoodWire4(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire5(in *jlexer.Lexer, out *LeaseRequest) {
+func easyjson55774c79DecodeFirwoodDevFirwoodWire5(in *jlexer.Lexer, out *LeaseGrant) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -561,11 +566,11 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "ttlMs":
+		case "tenure":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.TTLMillis = int64(in.Int64())
+				out.LeaseID = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -577,42 +582,42 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire5(out *jwriter.Writer, in LeaseRequest) {
+func easyjson55774c79EncodeFirwoodDevFirwoodWire5(out *jwriter.Writer, in LeaseGrant) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"ttlMs\":"
+		const prefix string = ",\"tenure\":"
 		out.RawString(prefix[1:])
-		out.Int64(int64(in.TTLMillis))
+		out.Uint64(uint64(in.LeaseID))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v LeaseRequest) MarshalJSON() ([]byte, error) {
+func (v LeaseGrant) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire5(&w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v LeaseRequest) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire5(w, v)
+func (v LeaseGrant) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson55774c79EncodeFirwoodDevFirwoodWire5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *LeaseRequest) UnmarshalJSON(data []byte) error {
+func (v *LeaseGrant) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire5(&r, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *LeaseRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire5(l, v)
+func (v *LeaseGrant) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson55774c79DecodeFirwoodDevFirwoodWire5(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire6(in *jlexer.Lexer, out *WatchResponse) {
+func easyjson55774c79DecodeFirwoodDevFirwoodWire6(in *jlexer.Lexer, out *KeyValue) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -626,38 +631,29 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "ledger":
+		case "path":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Revision = uint64(in.Uint64())
+				out.Key = string(in.String())
 			}
-		case "log":
+		case "data":
 			if in.IsNull() {
 				in.Skip()
-				out.Events = nil
 			} else {
-				in.Delim('[')
-				if out.Events == nil {
-					if !in.IsDelim(']') {
-						out.Events = make([]WatchEvent, 0, 1)
-					} else {
-						out.Events = []WatchEvent{}
-					}
-				} else {
-					out.Events = (out.Events)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v13 WatchEvent
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v13).UnmarshalEasyJSON(in)
-					}
-					out.Events = append(out.Events, v13)
-					in.WantComma()
-				}
-				in.Delim(']')
+				(out.Value).UnmarshalEasyJSON(in)
+			}
+		case "stamp":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Version = uint64(in.Uint64())
+			}
+		case "tenure":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.LeaseID = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -669,58 +665,57 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire6(out *jwriter.Writer, in WatchResponse) {
+func easyjson55774c79EncodeFirwoodDevFirwoodWire6(out *jwriter.Writer, in KeyValue) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"ledger\":"
+		const prefix string = ",\"path\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Revision))
+		out.String(string(in.Key))
 	}
 	{
-		const prefix string = ",\"log\":"
+		const prefix string = ",\"data\":"
 		out.RawString(prefix)
-		if in.Events == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v14, v15 := range in.Events {
-				if v14 > 0 {
-					out.RawByte(',')
-				}
-				(v15).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		(in.Value).MarshalEasyJSON(out)
+	}
+	{
+		const prefix string = ",\"stamp\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Version))
+	}
+	if in.LeaseID != 0 {
+		const prefix string = ",\"tenure\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.LeaseID))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v WatchResponse) MarshalJSON() ([]byte, error) {
+func (v KeyValue) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire6(&w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v WatchResponse) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire6(w, v)
+func (v KeyValue) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson55774c79EncodeFirwoodDevFirwoodWire6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *WatchResponse) UnmarshalJSON(data []byte) error {
+func (v *KeyValue) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire6(&r, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *WatchResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire6(l, v)
+func (v *KeyValue) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson55774c79DecodeFirwoodDevFirwoodWire6(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire7(in *jlexer.Lexer, out *WatchEvent) {
+func easyjson55774c79DecodeFirwoodDevFirwoodWire7(in *jlexer.Lexer, out *KeyPage) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -734,29 +729,44 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "set":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.PutKey = string(in.String())
-			}
-		case "drop":
+		case "pairs":
 			if in.IsNull() {
 				in.Skip()
+				out.KeyValues = nil
 			} else {
-				out.DeleteKey = string(in.String())
+				in.Delim('[')
+				if out.KeyValues == nil {
+					if !in.IsDelim(']') {
+						out.KeyValues = make([]KeyValue, 0, 1)
+					} else {
+						out.KeyValues = []KeyValue{}
+					}
+				} else {
+					out.KeyValues = (out.KeyValues)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v13 KeyValue
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v13).UnmarshalEasyJSON(in)
+					}
+					out.KeyValues = append(out.KeyValues, v13)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "data":
+		case "hasNext":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Value).UnmarshalEasyJSON(in)
+				out.HasMore = bool(in.Bool())
 			}
-		case "stamp":
+		case "ledger":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Version = uint64(in.Uint64())
+				out.Revision = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -768,73 +778,63 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire7(out *jwriter.Writer, in WatchEvent) {
+func easyjson55774c79EncodeFirwoodDevFirwoodWire7(out *jwriter.Writer, in KeyPage) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.PutKey != "" {
-		const prefix string = ",\"set\":"
-		first = false
+	{
+		const prefix string = ",\"pairs\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.PutKey))
-	}
-	if in.DeleteKey != "" {
-		const prefix string = ",\"drop\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
+		if in.KeyValues == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
 		} else {
-			out.RawString(prefix)
+			out.RawByte('[')
+			for v14, v15 := range in.KeyValues {
+				if v14 > 0 {
+					out.RawByte(',')
+				}
+				(v15).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
 		}
-		out.String(string(in.DeleteKey))
 	}
-	if (in.Value).IsDefined() {
-		const prefix string = ",\"data\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		(in.Value).MarshalEasyJSON(out)
+	{
+		const prefix string = ",\"hasNext\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.HasMore))
 	}
 	{
-		const prefix string = ",\"stamp\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Uint64(uint64(in.Version))
+		const prefix string = ",\"ledger\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Revision))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v WatchEvent) MarshalJSON() ([]byte, error) {
+func (v KeyPage) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire7(&w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire7(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v WatchEvent) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire7(w, v)
+func (v KeyPage) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson55774c79EncodeFirwoodDevFirwoodWire7(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *WatchEvent) UnmarshalJSON(data []byte) error {
+func (v *KeyPage) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire7(&r, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire7(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *WatchEvent) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire7(l, v)
+func (v *KeyPage) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson55774c79DecodeFirwoodDevFirwoodWire7(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire8(in *jlexer.Lexer, out *Condition) {
+func easyjson55774c79DecodeFirwoodDevFirwoodWire8(in *jlexer.Lexer, out *Condition) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -870,7 +870,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire8(out *jwriter.Writer, in Condition) {
+func easyjson55774c79EncodeFirwoodDevFirwoodWire8(out *jwriter.Writer, in Condition) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -890,27 +890,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Condition) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire8(&w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire8(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Condition) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire8(w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire8(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Condition) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire8(&r, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire8(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Condition) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire8(l, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire8(l, v)
 }
-func easyjsonBd887cf1DecodeFirwoodDevFirwoodWire9(in *jlexer.Lexer, out *Change) {
+func easyjson55774c79DecodeFirwoodDevFirwoodWire9(in *jlexer.Lexer, out *Change) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -958,7 +958,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonBd887cf1EncodeFirwoodDevFirwoodWire9(out *jwriter.Writer, in Change) {
+func easyjson55774c79EncodeFirwoodDevFirwoodWire9(out *jwriter.Writer, in Change) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1004,23 +1004,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Change) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire9(&w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire9(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Change) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonBd887cf1EncodeFirwoodDevFirwoodWire9(w, v)
+	easyjson55774c79EncodeFirwoodDevFirwoodWire9(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Change) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire9(&r, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire9(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Change) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonBd887cf1DecodeFirwoodDevFirwoodWire9(l, v)
+	easyjson55774c79DecodeFirwoodDevFirwoodWire9(l, v)
 }
--- a/wire/worker_easyjson.go
+++ b/wire/worker_easyjson.go
@@ -126,7 +126,7 @@
 func (v *TaskStatus) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire(l, v)
 }
-func easyjson82a45abeDecodeFirwoodDevFirwoodWire1(in *jlexer.Lexer, out *Heartbeat) {
+func easyjson82a45abeDecodeFirwoodDevFirwoodWire1(in *jlexer.Lexer, out *Redirect) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -140,94 +140,11 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "box":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.MachineID = string(in.String())
-			}
-		case "endpoint":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Address = string(in.String())
-			}
-		case "rig":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.MachineType = string(in.String())
-			}
-		case "yard":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Zone = string(in.String())
-			}
-		case "loaners":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Spot = bool(in.Bool())
-			}
-		case "shift":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Incarnation = uint64(in.Uint64())
-			}
-		case "tick":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Sequence = uint64(in.Uint64())
-			}
-		case "baton":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.FencingToken = uint64(in.Uint64())
-			}
-		case "recallS":
-			if in.IsNull() {
-				in.Skip()
-				out.ReclaimInSeconds = nil
-			} else {
-				if out.ReclaimInSeconds == nil {
-					out.ReclaimInSeconds = new(float64)
-				}
-				if in.IsNull() {
-					in.Skip()
-				} else {
-					*out.ReclaimInSeconds = float64(in.Float64())
-				}
-			}
-		case "pieces":
+		case "foreman":
 			if in.IsNull() {
 				in.Skip()
-				out.Tasks = nil
 			} else {
-				in.Delim('[')
-				if out.Tasks == nil {
-					if !in.IsDelim(']') {
-						out.Tasks = make([]TaskStatus, 0, 1)
-					} else {
-						out.Tasks = []TaskStatus{}
-					}
-				} else {
-					out.Tasks = (out.Tasks)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v1 TaskStatus
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v1).UnmarshalEasyJSON(in)
-					}
-					out.Tasks = append(out.Tasks, v1)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Member = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -239,99 +156,40 @@
 		in.Consumed()
 	}
 }
-func easyjson82a45abeEncodeFirwoodDevFirwoodWire1(out *jwriter.Writer, in Heartbeat) {
+func easyjson82a45abeEncodeFirwoodDevFirwoodWire1(out *jwriter.Writer, in Redirect) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	{
-		const prefix string = ",\"box\":"
+	if in.Member != "" {
+		const prefix string = ",\"foreman\":"
+		first = false
 		out.RawString(prefix[1:])
-		out.String(string(in.MachineID))
-	}
-	{
-		const prefix string = ",\"endpoint\":"
-		out.RawString(prefix)
-		out.String(string(in.Address))
-	}
-	{
-		const prefix string = ",\"rig\":"
-		out.RawString(prefix)
-		out.String(string(in.MachineType))
-	}
-	{
-		const prefix string = ",\"yard\":"
-		out.RawString(prefix)
-		out.String(string(in.Zone))
-	}
-	{
-		const prefix string = ",\"loaners\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Spot))
-	}
-	{
-		const prefix string = ",\"shift\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Incarnation))
-	}
-	{
-		const prefix string = ",\"tick\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Sequence))
-	}
-	{
-		const prefix string = ",\"baton\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.FencingToken))
-	}
-	{
-		const prefix string = ",\"recallS\":"
-		out.RawString(prefix)
-		if in.ReclaimInSeconds == nil {
-			out.RawString("null")
-		} else {
-			out.Float64(float64(*in.ReclaimInSeconds))
-		}
-	}
-	{
-		const prefix string = ",\"pieces\":"
-		out.RawString(prefix)
-		if in.Tasks == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v2, v3 := range in.Tasks {
-				if v2 > 0 {
-					out.RawByte(',')
-				}
-				(v3).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.String(string(in.Member))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Heartbeat) MarshalJSON() ([]byte, error) {
+func (v Redirect) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Heartbeat) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Redirect) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Heartbeat) UnmarshalJSON(data []byte) error {
+func (v *Redirect) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Heartbeat) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Redirect) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire1(l, v)
 }
 func easyjson82a45abeDecodeFirwoodDevFirwoodWire2(in *jlexer.Lexer, out *HeartbeatResponse) {
@@ -370,13 +228,13 @@
 					out.Commands = (out.Commands)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v4 Command
+					var v1 Command
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v4).UnmarshalEasyJSON(in)
+						(v1).UnmarshalEasyJSON(in)
 					}
-					out.Commands = append(out.Commands, v4)
+					out.Commands = append(out.Commands, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -407,11 +265,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v5, v6 := range in.Commands {
-				if v5 > 0 {
+			for v2, v3 := range in.Commands {
+				if v2 > 0 {
 					out.RawByte(',')
 				}
-				(v6).MarshalEasyJSON(out)
+				(v3).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -442,7 +300,7 @@
 func (v *HeartbeatResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire2(l, v)
 }
-func easyjson82a45abeDecodeFirwoodDevFirwoodWire3(in *jlexer.Lexer, out *Redirect) {
+func easyjson82a45abeDecodeFirwoodDevFirwoodWire3(in *jlexer.Lexer, out *Heartbeat) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -456,11 +314,94 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "foreman":
+		case "box":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Member = string(in.String())
+				out.MachineID = string(in.String())
+			}
+		case "endpoint":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Address = string(in.String())
+			}
+		case "rig":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.MachineType = string(in.String())
+			}
+		case "yard":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Zone = string(in.String())
+			}
+		case "loaners":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Spot = bool(in.Bool())
+			}
+		case "shift":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Incarnation = uint64(in.Uint64())
+			}
+		case "tick":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Sequence = uint64(in.Uint64())
+			}
+		case "baton":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.FencingToken = uint64(in.Uint64())
+			}
+		case "recallS":
+			if in.IsNull() {
+				in.Skip()
+				out.ReclaimInSeconds = nil
+			} else {
+				if out.ReclaimInSeconds == nil {
+					out.ReclaimInSeconds = new(float64)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					*out.ReclaimInSeconds = float64(in.Float64())
+				}
+			}
+		case "pieces":
+			if in.IsNull() {
+				in.Skip()
+				out.Tasks = nil
+			} else {
+				in.Delim('[')
+				if out.Tasks == nil {
+					if !in.IsDelim(']') {
+						out.Tasks = make([]TaskStatus, 0, 1)
+					} else {
+						out.Tasks = []TaskStatus{}
+					}
+				} else {
+					out.Tasks = (out.Tasks)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v4 TaskStatus
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v4).UnmarshalEasyJSON(in)
+					}
+					out.Tasks = append(out.Tasks, v4)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -472,40 +413,99 @@
 		in.Consumed()
 	}
 }
-func easyjson82a45abeEncodeFirwoodDevFirwoodWire3(out *jwriter.Writer, in Redirect) {
+func easyjson82a45abeEncodeFirwoodDevFirwoodWire3(out *jwriter.Writer, in Heartbeat) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.Member != "" {
-		const prefix string = ",\"foreman\":"
-		first = false
+	{
+		const prefix string = ",\"box\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Member))
+		out.String(string(in.MachineID))
+	}
+	{
+		const prefix string = ",\"endpoint\":"
+		out.RawString(prefix)
+		out.String(string(in.Address))
+	}
+	{
+		const prefix string = ",\"rig\":"
+		out.RawString(prefix)
+		out.String(string(in.MachineType))
+	}
+	{
+		const prefix string = ",\"yard\":"
+		out.RawString(prefix)
+		out.String(string(in.Zone))
+	}
+	{
+		const prefix string = ",\"loaners\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Spot))
+	}
+	{
+		const prefix string = ",\"shift\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Incarnation))
+	}
+	{
+		const prefix string = ",\"tick\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Sequence))
+	}
+	{
+		const prefix string = ",\"baton\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.FencingToken))
+	}
+	{
+		const prefix string = ",\"recallS\":"
+		out.RawString(prefix)
+		if in.ReclaimInSeconds == nil {
+			out.RawString("null")
+		} else {
+			out.Float64(float64(*in.ReclaimInSeconds))
+		}
+	}
+	{
+		const prefix string = ",\"pieces\":"
+		out.RawString(prefix)
+		if in.Tasks == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v5, v6 := range in.Tasks {
+				if v5 > 0 {
+					out.RawByte(',')
+				}
+				(v6).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Redirect) MarshalJSON() ([]byte, error) {
+func (v Heartbeat) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Redirect) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Heartbeat) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson82a45abeEncodeFirwoodDevFirwoodWire3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Redirect) UnmarshalJSON(data []byte) error {
+func (v *Heartbeat) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Redirect) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Heartbeat) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson82a45abeDecodeFirwoodDevFirwoodWire3(l, v)
 }
 func easyjson82a45abeDecodeFirwoodDevFirwoodWire4(in *jlexer.Lexer, out *CommandRequest) {
