--- a/internal/controller/adopted_tasks_test.go
+++ b/internal/controller/adopted_tasks_test.go
@@ -14,7 +14,7 @@
 // came out short.
 func TestAdoptedTasksDoNotUpdateRunTimes(t *testing.T) {
 	term := newTestTerm(t, "i-1")
-	term.controller.view.jobs["req-000001"] = &jobRecord{SubmittedAt: int64(clock.WallTime()), Job: &wire.Job{
+	term.controller.view.jobs["req-000001"] = &jobRecord{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 		ID: "req-000001", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Team: "t", TaskCount: 2, CPUs: 1, EstimatedRunSeconds: 100,
 	}}
 	term.controller.view.progress["req-000001"] = map[int]progressPart{0: {}}
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -41,11 +41,11 @@
 	switch {
 	case archive.isReading || archive.movesInFlight > 0 || archive.isWritingMarker || now < archive.nextAt || term.controller.store.IsFailing(now):
 	case isWanted && !term.controller.view.hasArchive:
-		term.writeArchiveMarker(wire.Change{PutKey: keyArchiveMarker, Value: []byte("{}")})
+		term.writeArchiveMarker(wire.Change{PutKey: ArchiveMarkerKey, Value: []byte("{}")})
 	case isWanted:
-		term.readArchivePage(prefixJob, term.archiveExpired)
+		term.readArchivePage(JobPrefix, term.archiveExpired)
 	case term.controller.view.hasArchive:
-		term.readArchivePage(prefixArchive, term.restoreArchived)
+		term.readArchivePage(ArchivePrefix, term.restoreArchived)
 	}
 }
 
@@ -91,12 +91,12 @@
 func (term *leaderTerm) archiveExpired(page []wire.KeyValue, _ bool) {
 	before := clock.WallTime() - clock.FromSeconds(term.controller.tuning.ArchiveFinishedAfterS)
 	for _, item := range page {
-		id := strings.TrimPrefix(item.Key, prefixJob)
+		id := strings.TrimPrefix(item.Key, JobPrefix)
 		var record jobRecord
 		if record.UnmarshalJSON(item.Value) != nil || !record.isFinished() || clock.Micros(record.EndedAt) > before || !term.canArchive(id) {
 			continue
 		}
-		term.moveRecord(item, prefixArchive+id)
+		term.moveRecord(item, ArchivePrefix+id)
 	}
 }
 
@@ -110,12 +110,12 @@
 func (term *leaderTerm) restoreArchived(page []wire.KeyValue, isAll bool) {
 	if len(page) == 0 && isAll {
 		term.controller.log.Info("the archive is empty; versions without one may lead")
-		term.writeArchiveMarker(wire.Change{DeleteKey: keyArchiveMarker})
+		term.writeArchiveMarker(wire.Change{DeleteKey: ArchiveMarkerKey})
 		return
 	}
 	term.archiver.nextAt = clock.Now() + archiveInterval
 	for _, item := range page {
-		term.moveRecord(item, prefixJob+strings.TrimPrefix(item.Key, prefixArchive))
+		term.moveRecord(item, JobPrefix+strings.TrimPrefix(item.Key, ArchivePrefix))
 	}
 }
 
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -29,7 +29,7 @@
 	}
 	for i := range machines*tasks/jobTasks + 1 {
 		id := fmt.Sprintf("req-%06d", i)
-		controller.view.jobs[id] = &jobRecord{SubmittedAt: int64(clock.WallTime()), Job: &wire.Job{
+		controller.view.jobs[id] = &jobRecord{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 			TaskCount: jobTasks, CPUs: 2, MemoryGB: 4, EstimatedRunSeconds: 40, Image: fmt.Sprint("image-", i%20),
 		}}
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -42,7 +42,7 @@
 
 // add takes a job's record, if it is that of a recent withdrawal.
 func (log *cancellationLog) add(id string, record *jobRecord, now, wall clock.Micros) {
-	if record.State != wire.JobCancelled || record.Job == nil || wall-clock.Micros(record.EndedAt) > log.retention {
+	if record.State != wire.JobCancelled || record.Spec == nil || wall-clock.Micros(record.EndedAt) > log.retention {
 		return
 	}
 	if len(log.entries) >= log.maxEntries {
@@ -114,7 +114,7 @@
 func (controller *Controller) applyCancellations(received []peer.Cancellation) {
 	for _, cancellation := range received {
 		record := controller.view.jobs[cancellation.Job]
-		if record == nil || record.hasEnded() || record.Job == nil || cancellation.Revision <= record.version {
+		if record == nil || record.hasEnded() || record.Spec == nil || cancellation.Revision <= record.version {
 			continue
 		}
 		end := newEndRecord(record, wire.JobCancelled, cancellation.CancelledAt)
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -91,13 +91,13 @@
 	}
 	var keys []string
 	for _, part := range slices.Sorted(maps.Keys(term.controller.view.dependencies[id])) {
-		keys = append(keys, dependenciesKey(id, part))
+		keys = append(keys, DependenciesKey(id, part))
 	}
-	if record.Job != nil {
+	if record.Spec != nil {
 		return keys
 	}
 	for _, number := range term.controller.progressKeys(id) {
-		keys = append(keys, progressKey(id, number))
+		keys = append(keys, ProgressKey(id, number))
 	}
 	return keys
 }
@@ -123,15 +123,15 @@
 		return
 	}
 	end := newEndRecord(record, wire.JobCancelled, clock.WallTime())
-	end.Job = nil // it never started
+	end.Spec = nil // it never started
 	value, err := end.MarshalJSON()
 	if err != nil {
 		return
 	}
 	write := &kvstore.Write{
 		Priority:   kvstore.Background,
-		Conditions: []wire.Condition{{Key: prefixJob + id, Version: record.version}},
-		Changes:    []wire.Change{{PutKey: prefixJob + id, Value: value}},
+		Conditions: []wire.Condition{{Key: JobPrefix + id, Version: record.version}},
+		Changes:    []wire.Change{{PutKey: JobPrefix + id, Value: value}},
 	}
 	term.writeCleanup(write, func(outcome kvstore.Outcome) {
 		if outcome != kvstore.Committed {
--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -39,7 +39,7 @@
 }
 
 func dependencyAndProgressKeys(fakeStore *fake.Store) []string {
-	return append(fakeStore.Keys(prefixDependencies), fakeStore.Keys(prefixProgress)...)
+	return append(fakeStore.Keys(DependenciesPrefix), fakeStore.Keys(ProgressPrefix)...)
 }
 
 // What ended jobs have left behind goes; what an active job needs stays, and the
@@ -50,23 +50,23 @@
 		return &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 3, CPUs: 1, Priority: wire.PriorityNormal}
 	}
 	values := map[string]any{
-		prefixJob + "req-000001": jobRecord{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2},
-		prefixJob + "req-000002": jobRecord{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: 2},
-		prefixJob + "req-000003": jobRecord{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: int64(clock.WallTime()), Job: job("req-000003")},
-		prefixJob + "req-000004": jobRecord{SubmittedAt: 1, Job: job("req-000004"), DependencyParts: 2},
+		JobPrefix + "req-000001": jobRecord{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2},
+		JobPrefix + "req-000002": jobRecord{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: 2},
+		JobPrefix + "req-000003": jobRecord{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: int64(clock.WallTime()), Spec: job("req-000003")},
+		JobPrefix + "req-000004": jobRecord{SubmittedAt: 1, Spec: job("req-000004"), DependencyParts: 2},
 	}
 	for part := range 9 { // more than a transaction takes
-		values[dependenciesKey("req-000001", part)] = dependenciesRecord{DependsOn: []string{"req-000002"}}
-		values[progressKey("req-000002", part)] = progressRecord{}
+		values[DependenciesKey("req-000001", part)] = Dependencies{DependsOn: []string{"req-000002"}}
+		values[ProgressKey("req-000002", part)] = Progress{}
 	}
 	stays := []string{
-		dependenciesKey("req-000004", 0), dependenciesKey("req-000004", 1), progressKey("req-000003", 0), progressKey("req-000004", 0),
+		DependenciesKey("req-000004", 0), DependenciesKey("req-000004", 1), ProgressKey("req-000003", 0), ProgressKey("req-000004", 0),
 	}
-	values[dependenciesKey("req-000004", 0)] = dependenciesRecord{DependsOn: []string{"req-000001"}}
-	values[dependenciesKey("req-000004", 1)] = dependenciesRecord{DependsOn: []string{"req-000005"}}
-	values[progressKey("req-000003", 0)] = progressRecord{}
-	values[progressKey("req-000004", 0)] = progressRecord{}
-	values[dependenciesKey("req-000003", 0)] = dependenciesRecord{DependsOn: []string{"req-000002"}}
+	values[DependenciesKey("req-000004", 0)] = Dependencies{DependsOn: []string{"req-000001"}}
+	values[DependenciesKey("req-000004", 1)] = Dependencies{DependsOn: []string{"req-000005"}}
+	values[ProgressKey("req-000003", 0)] = Progress{}
+	values[ProgressKey("req-000004", 0)] = Progress{}
+	values[DependenciesKey("req-000003", 0)] = Dependencies{DependsOn: []string{"req-000002"}}
 	putAndSync(t, term.controller, values)
 
 	now := clock.Now()
@@ -97,7 +97,7 @@
 	fakeStore, term := newTermOnStore(t, cleanupLimits)
 	const id = "req-000001"
 	putAndSync(t, term.controller, map[string]any{
-		prefixJob + id: jobRecord{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2}, progressKey(id, 1): progressRecord{},
+		JobPrefix + id: jobRecord{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2}, ProgressKey(id, 1): Progress{},
 	})
 	before := len(fakeStore.Transactions())
 	runUntil(t, term.controller, func() bool {
@@ -109,7 +109,7 @@
 		t.Fatalf("cleaned up by %+v", cleanUps)
 	}
 	startNewTerm(t, term.controller)
-	putAndSync(t, term.controller, map[string]any{progressKey(id, 1): progressRecord{}})
+	putAndSync(t, term.controller, map[string]any{ProgressKey(id, 1): Progress{}})
 	fakeStore.ReapplyTransaction(cleanUps[0])
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a former leader's clean-up is carried out")
@@ -118,11 +118,11 @@
 	own := cleanUps[0]
 	own.Conditions = slices.Clone(own.Conditions)
 	for i := range own.Conditions {
-		if own.Conditions[i].Key == keyLock {
+		if own.Conditions[i].Key == LockKey {
 			own.Conditions[i].Version = term.controller.term.token
 		}
 	}
-	putAndSync(t, term.controller, map[string]any{prefixJob + id: jobRecord{SubmittedAt: 2, Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
+	putAndSync(t, term.controller, map[string]any{JobPrefix + id: jobRecord{SubmittedAt: 2, Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
 	fakeStore.ReapplyTransaction(own)
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a late clean-up removes what belongs to a record that came after it")
@@ -153,7 +153,7 @@
 	}
 	accepted := false
 	ok := controller.store.Commit(&kvstore.Write{
-		Conditions: []wire.Condition{{Key: prefixJob + "req-009999"}}, Changes: []wire.Change{{PutKey: prefixJob + "req-009999", Value: []byte(`{"at":1}`)}},
+		Conditions: []wire.Condition{{Key: JobPrefix + "req-009999"}}, Changes: []wire.Change{{PutKey: JobPrefix + "req-009999", Value: []byte(`{"at":1}`)}},
 		Deadline: clock.Now() + submitTimeout,
 		Done: func(outcome kvstore.Outcome, _ uint64) {
 			controller.postResult(func() { accepted = outcome == kvstore.Committed })
@@ -163,7 +163,7 @@
 		t.Fatal("a submission is refused")
 	}
 	runUntil(t, controller, func() bool { term.tickCleanup(clock.Now()); return accepted })
-	if fakeStore.Value(prefixJob+"req-009999") == "" {
+	if fakeStore.Value(JobPrefix+"req-009999") == "" {
 		t.Error("the submission is not stored")
 	}
 }
@@ -175,12 +175,12 @@
 	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4, Upcoming: &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 3}}
 	fakeStore, term := newTermOnStore(t, limits)
 	const id, tasks = "req-000001", 40000
-	before := bitmap{}
-	before.set(5)
-	before.set(32000)
+	before := Bitmap{}
+	before.Set(5)
+	before.Set(32000)
 	putAndSync(t, term.controller, map[string]any{
-		prefixJob + id:     jobRecord{SubmittedAt: int64(clock.WallTime()), Job: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
-		progressKey(id, 0): progressRecord{Bits: before.encode()}, // by the version before
+		JobPrefix + id:     jobRecord{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
+		ProgressKey(id, 0): Progress{Bits: before.Encode()}, // by the version before
 	})
 	fakeStore.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 3})
 	job := term.tracker.Jobs[id]
@@ -212,19 +212,19 @@
 		t.Errorf("%d tasks are done", got)
 	}
 	// What the version in production concludes: a key's number says where it begins.
-	for _, key := range fakeStore.Keys(prefixProgress) {
+	for _, key := range fakeStore.Keys(ProgressPrefix) {
 		var record productionProgress
 		if err := json.Unmarshal([]byte(fakeStore.Value(key)), &record); err != nil {
 			t.Fatal(err)
 		}
-		_, number, _ := parseProgressKey(key)
-		bits, err := decodeBitmap(record.Bits)
+		_, number, _ := ParseProgressKey(key)
+		bits, err := DecodeBitmap(record.Bits)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 8 * len(bits) {
-			task := number*tasksPerProgressKey(limits.MaxValueKB) + i
-			if bits.isSet(i) && task < tasks && job.Tasks[task].State != allocation.TaskDone {
+			task := number*TasksPerProgressKey(limits.MaxValueKB) + i
+			if bits.IsSet(i) && task < tasks && job.Tasks[task].State != allocation.TaskDone {
 				t.Errorf("the other version takes task %d for done", task)
 			}
 		}
@@ -245,7 +245,7 @@
 		term.persistJobs(clock.Now() + clock.Second)
 		sweepAt += sweepInterval
 		term.tickCleanup(sweepAt)
-		return len(fakeStore.Keys(prefixProgress)) == 0 && term.controller.view.jobs[id].State == wire.JobDone
+		return len(fakeStore.Keys(ProgressPrefix)) == 0 && term.controller.view.jobs[id].State == wire.JobDone
 	})
 	if tooLarge := fakeStore.OversizedCount(); tooLarge != 0 {
 		t.Errorf("%d transactions are refused for their size", tooLarge)
--- a/internal/controller/command_queue_test.go
+++ b/internal/controller/command_queue_test.go
@@ -60,20 +60,20 @@
 }
 
 func TestBitmap(t *testing.T) {
-	var bits bitmap
-	for _, i := range []int{0, 7, 8, maxTasksPerKey - 1} {
-		bits.set(i)
+	var bits Bitmap
+	for _, i := range []int{0, 7, 8, MaxTasksPerKey - 1} {
+		bits.Set(i)
 	}
-	decoded, err := decodeBitmap(bits.encode())
+	decoded, err := DecodeBitmap(bits.Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := 0; i < maxTasksPerKey; i++ {
-		if decoded.isSet(i) != (i == 0 || i == 7 || i == 8 || i == maxTasksPerKey-1) {
-			t.Fatalf("bit %d is %v", i, decoded.isSet(i))
+	for i := 0; i < MaxTasksPerKey; i++ {
+		if decoded.IsSet(i) != (i == 0 || i == 7 || i == 8 || i == MaxTasksPerKey-1) {
+			t.Fatalf("bit %d is %v", i, decoded.IsSet(i))
 		}
 	}
-	if id, number, ok := parseProgressKey(progressKey("req-000001", 3)); !ok || id != "req-000001" || number != 3 {
+	if id, number, ok := ParseProgressKey(ProgressKey("req-000001", 3)); !ok || id != "req-000001" || number != 3 {
 		t.Fatal(id, number, ok)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -121,7 +121,7 @@
 		cfg: cfg, tuning: tuning, log: log, dial: dial, stopped: make(chan struct{}), commands: newCommandQueue(cfg.Deployment.ProcessLimits.MaxSockets, len(cfg.Peers)),
 		store: kvstore.New(dial, cfg.External.StoreAddress, kvstore.Limits{
 			RPS: deployment.Store.RPS, WriteRPS: deployment.Store.Effective().WriteRPS, MaxTransactionOps: deployment.Store.Effective().MaxTransactionOps,
-		}, keyLock),
+		}, LockKey),
 		cloud:               cloud.New(dial, cfg.External.CloudAddress, deployment.Cloud.RPS),
 		connLimiter:         connlimit.New(cfg.ConnectionLimit()),
 		maxRequestsInFlight: max(cfg.ConnectionLimit()/24, 4),
@@ -140,7 +140,7 @@
 	controller.finishedJobs = jobhistory.NewCache(controller.finishedCapacity)
 	controller.lookups = jobhistory.NewLookups(maxPendingLookups, min(4*deployment.Store.Effective().MaxTransactionOps/keysPerJob, maxJobsPerLookup))
 	controller.workerPool = client.NewPool(dial, controller.connLimiter)
-	controller.tasksPerKey = tasksPerProgressKey(deployment.Store.MaxValueKB)
+	controller.tasksPerKey = TasksPerProgressKey(deployment.Store.MaxValueKB)
 	workers := &deployment.Workers
 	// A worker waits a second before each other node, and tries it for four seconds.
 	// With one zone for all there is no cut that leaves it with one node alone: the
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -18,7 +18,7 @@
 // dependenciesOf is what a job awaits, and whether all parts of that are known.
 func (controller *Controller) dependenciesOf(id string, record *jobRecord) (ids []string, isComplete bool) {
 	if record.DependencyParts == 0 {
-		return record.Job.DependsOn, true
+		return record.Spec.DependsOn, true
 	}
 	parts := controller.view.dependencies[id]
 	if len(parts) < record.DependencyParts {
@@ -32,9 +32,9 @@
 
 // urgencyOf is what a job itself asks for.
 func urgencyOf(record *jobRecord) dag.Urgency {
-	urgency := dag.Urgency{Priority: wire.PriorityIndex(record.Job.Priority)}
-	if record.Job.DeadlineSeconds > 0 && record.Job.Kind != wire.KindService {
-		urgency.Deadline = clock.Micros(record.SubmittedAt) + clock.FromSeconds(record.Job.DeadlineSeconds)
+	urgency := dag.Urgency{Priority: wire.PriorityIndex(record.Spec.Priority)}
+	if record.Spec.DeadlineSeconds > 0 && record.Spec.Kind != wire.KindService {
+		urgency.Deadline = clock.Micros(record.SubmittedAt) + clock.FromSeconds(record.Spec.DeadlineSeconds)
 	}
 	return urgency
 }
@@ -46,7 +46,7 @@
 		controller.applyGraphChange(controller.dependencyGraph.RecordCompletion(id, clock.Micros(record.EndedAt)))
 	case record.State == wire.JobCancelled:
 		controller.applyGraphChange(controller.dependencyGraph.RecordCancellation(id))
-	case record.Job != nil:
+	case record.Spec != nil:
 		dependencies, isComplete := controller.dependenciesOf(id, record)
 		if !isComplete {
 			return // the rest comes with the same transaction
@@ -54,7 +54,7 @@
 		controller.lookUpEvictedDependencies(dependencies)
 		controller.applyGraphChange(controller.dependencyGraph.AddJob(dag.Job{
 			ID: id, DependsOn: dependencies, SubmittedAt: clock.Micros(record.SubmittedAt), Urgency: urgencyOf(record),
-			EstimatedRunTime: clock.FromSeconds(record.Job.EstimatedRunSeconds) + startOverhead,
+			EstimatedRunTime: clock.FromSeconds(record.Spec.EstimatedRunSeconds) + startOverhead,
 		}))
 	}
 }
@@ -104,7 +104,7 @@
 // updateUrgency takes over what has come to be demanded of a job.
 func (term *leaderTerm) updateUrgency(id string) {
 	job, record := term.tracker.Jobs[id], term.controller.view.jobs[id]
-	if job == nil || record == nil || record.Job == nil {
+	if job == nil || record == nil || record.Spec == nil {
 		return
 	}
 	urgency := term.controller.dependencyGraph.UrgencyOf(id, urgencyOf(record))
@@ -119,7 +119,7 @@
 		switch {
 		case id == job.ID || record == nil:
 			return "it awaits a job that was never accepted: " + id
-		case !record.hasEnded() && record.Job != nil && record.Job.Kind == wire.KindService:
+		case !record.hasEnded() && record.Spec != nil && record.Spec.Kind == wire.KindService:
 			return "it awaits a service, which is never done: " + id
 		}
 	}
@@ -155,33 +155,33 @@
 	if err != nil {
 		return nil
 	}
-	key := prefixJob + record.Job.ID
+	key := JobPrefix + record.Spec.ID
 	if len(value) <= maxBytes {
 		return []wire.Change{{PutKey: key, Value: value}}
 	}
-	parts := splitDependencies(record.Job.DependsOn, maxBytes)
+	parts := SplitDependencies(record.Spec.DependsOn, maxBytes)
 	if len(parts) == 0 || 1+len(parts) > limits.MaxTransactionOps {
 		return nil
 	}
-	job := *record.Job
+	job := *record.Spec
 	job.DependsOn = nil
-	record.Job, record.DependencyParts = &job, len(parts)
+	record.Spec, record.DependencyParts = &job, len(parts)
 	if value, err = record.MarshalJSON(); err != nil || len(value) > maxBytes {
 		return nil
 	}
 	changes := []wire.Change{}
 	for i, part := range parts {
-		partValue, err := dependenciesRecord{DependsOn: part}.MarshalJSON()
+		partValue, err := Dependencies{DependsOn: part}.MarshalJSON()
 		if err != nil {
 			return nil
 		}
-		changes = append(changes, wire.Change{PutKey: dependenciesKey(job.ID, i), Value: partValue})
+		changes = append(changes, wire.Change{PutKey: DependenciesKey(job.ID, i), Value: partValue})
 	}
 	return append(changes, wire.Change{PutKey: key, Value: value})
 }
 
-// splitDependencies cuts a list so that the value of each part fits.
-func splitDependencies(ids []string, maxBytes int) [][]string {
+// SplitDependencies cuts a list so that the value of each part fits.
+func SplitDependencies(ids []string, maxBytes int) [][]string {
 	const frame, perID = 16, 3 // of the value, and around each id
 	var parts [][]string
 	size := maxBytes
--- a/internal/controller/dependencies_bench_test.go
+++ b/internal/controller/dependencies_bench_test.go
@@ -18,15 +18,15 @@
 	wall := int64(clock.WallTime())
 	for i := range jobs {
 		id := fmt.Sprintf("req-%06d", i)
-		record := &jobRecord{SubmittedAt: wall + int64(i), Job: &wire.Job{
+		record := &jobRecord{SubmittedAt: wall + int64(i), Spec: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 16, CPUs: 1, MemoryGB: 3, EstimatedRunSeconds: 25, Image: "i", ImageSizeGB: 1,
 		}}
 		first := i%length == 0
 		if !first {
-			record.Job.DependsOn = []string{fmt.Sprintf("req-%06d", i-1)}
+			record.Spec.DependsOn = []string{fmt.Sprintf("req-%06d", i-1)}
 		}
 		if (i+1)%length == 0 {
-			record.Job.DeadlineSeconds, record.Job.Priority = 600, wire.PriorityHigh
+			record.Spec.DeadlineSeconds, record.Spec.Priority = 600, wire.PriorityHigh
 		}
 		if first && i/length%2 == 0 {
 			record = newEndRecord(record, wire.JobCancelled, clock.WallTime())
@@ -35,7 +35,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		records[prefixJob+id] = value
+		records[JobPrefix+id] = value
 	}
 	return records
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -10,7 +10,7 @@
 
 // newJobRecord makes the record of a job of one task.
 func newJobRecord(id, priority string, submittedAt, deadlineS float64, dependencies ...string) *jobRecord {
-	return &jobRecord{SubmittedAt: int64(clock.FromSeconds(submittedAt)), version: 1, Job: &wire.Job{
+	return &jobRecord{SubmittedAt: int64(clock.FromSeconds(submittedAt)), version: 1, Spec: &wire.Job{
 		ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1, Priority: priority, EstimatedRunSeconds: 10, DeadlineSeconds: deadlineS, DependsOn: dependencies,
 	}}
 }
@@ -66,7 +66,7 @@
 	controller.cfg.Deployment.Store.MaxValueKB = 1
 	record := newJobRecord("req-000500", wire.PriorityLow, 1, 0)
 	for i := range 300 {
-		record.Job.DependsOn = append(record.Job.DependsOn, fmt.Sprintf("req-%06d", i))
+		record.Spec.DependsOn = append(record.Spec.DependsOn, fmt.Sprintf("req-%06d", i))
 	}
 	changes := controller.submissionChanges(record)
 	if len(changes) < 3 || record.DependencyParts != len(changes)-1 {
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -117,7 +117,7 @@
 func (filter *loadFilter) add(items []wire.KeyValue) {
 	for _, item := range items {
 		var record jobRecord
-		isJob := strings.HasPrefix(item.Key, prefixJob)
+		isJob := strings.HasPrefix(item.Key, JobPrefix)
 		if !isJob || record.UnmarshalJSON(item.Value) != nil || !record.isFinished() {
 			filter.others = append(filter.others, item)
 			continue
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -59,7 +59,7 @@
 func (controller *Controller) readJobRecords(jobs []string) (read []wire.KeyValue, areOthersAbsent bool, err error) {
 	var keys []string
 	for _, id := range jobs {
-		keys = append(keys, prefixJob+id, prefixArchive+id)
+		keys = append(keys, JobPrefix+id, ArchivePrefix+id)
 	}
 	existing, err := controller.store.FindExisting(keys)
 	if err != nil || len(existing) == 0 {
@@ -83,12 +83,12 @@
 
 // applyLookedUpRecord takes the record of a job that was looked up into the view, and tells the job.
 func (controller *Controller) applyLookedUpRecord(item wire.KeyValue) string {
-	id, isArchived := strings.CutPrefix(item.Key, prefixArchive)
+	id, isArchived := strings.CutPrefix(item.Key, ArchivePrefix)
 	if !isArchived {
-		id = strings.TrimPrefix(item.Key, prefixJob)
+		id = strings.TrimPrefix(item.Key, JobPrefix)
 	}
 	isNew := controller.view.jobs[id] == nil
-	controller.applyPut(prefixJob+id, item.Value, item.Version)
+	controller.applyPut(JobPrefix+id, item.Value, item.Version)
 	record := controller.view.jobs[id]
 	if !isNew || record == nil || !record.isFinished() {
 		return id
--- a/internal/controller/job_report.go
+++ b/internal/controller/job_report.go
@@ -94,9 +94,9 @@
 	problem := JobProblem{Job: id, Class: record.Class, State: record.State, Errors: record.Errors, Restarts: record.Restarts}
 	end, deadline, firstStart := record.EndedAt, record.DeadlineAt, record.FirstStartAt
 	if !record.hasEnded() {
-		problem.Class, problem.State, end = record.Job.Class, "active", now
-		if record.Job.DeadlineSeconds > 0 {
-			deadline = record.SubmittedAt + int64(clock.FromSeconds(record.Job.DeadlineSeconds))
+		problem.Class, problem.State, end = record.Spec.Class, "active", now
+		if record.Spec.DeadlineSeconds > 0 {
+			deadline = record.SubmittedAt + int64(clock.FromSeconds(record.Spec.DeadlineSeconds))
 		}
 		if controller.term != nil {
 			if job := controller.term.tracker.Jobs[id]; job != nil {
@@ -106,7 +106,7 @@
 				}
 			}
 		}
-		if record.Job.Kind == wire.KindService {
+		if record.Spec.Kind == wire.KindService {
 			deadline = 0
 		}
 	}
--- a/internal/controller/persistence.go
+++ b/internal/controller/persistence.go
@@ -23,7 +23,7 @@
 	jobInfo.isRecordingStarts = true
 	// Conditional on the key's absence: one that is carried out late, or again,
 	// must not take back progress that was written meanwhile.
-	write := &kvstore.Write{Priority: kvstore.Required, Conditions: []wire.Condition{{Key: progressKey(id, 0)}}, Changes: []wire.Change{putProgressChange(id, 0, nil, nil)}}
+	write := &kvstore.Write{Priority: kvstore.Required, Conditions: []wire.Condition{{Key: ProgressKey(id, 0)}}, Changes: []wire.Change{NewProgressChange(id, 0, nil, nil)}}
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
 		term.needsPlan = true
 		switch outcome {
@@ -78,7 +78,7 @@
 		term.controller.log.Info("machine types are too large for the state service; controllers learn them from the cloud alone", "bytes", len(value))
 		return
 	}
-	term.commit(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: keyMachineTypes, Value: value}}}, func(kvstore.Outcome) {})
+	term.commit(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: MachineTypesKey, Value: value}}}, func(kvstore.Outcome) {})
 }
 
 // progressInterval bounds how often a job's progress is written.
@@ -136,7 +136,7 @@
 	maxKeys := term.controller.cfg.Deployment.Store.Effective().MaxTransactionOps
 	keys := map[int]bool{}
 	tasks = slices.DeleteFunc(tasks, func(task int) bool {
-		key := jobInfo.layout.keyOf(task)
+		key := jobInfo.layout.KeyOf(task)
 		if !keys[key] && len(keys) >= maxKeys {
 			return true
 		}
@@ -148,8 +148,8 @@
 	// what was written after it.
 	write := &kvstore.Write{Priority: kvstore.Background}
 	for key := range keys {
-		write.Conditions = append(write.Conditions, wire.Condition{Key: progressKey(id, key), Version: jobInfo.keyVersions[key]})
-		write.Changes = append(write.Changes, jobInfo.layout.putChange(job, key))
+		write.Conditions = append(write.Conditions, wire.Condition{Key: ProgressKey(id, key), Version: jobInfo.keyVersions[key]})
+		write.Changes = append(write.Changes, jobInfo.layout.PutChange(job, key))
 		jobInfo.setKeyVersion(key, 0)
 	}
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
@@ -191,8 +191,8 @@
 	jobInfo.isWriting = true
 	write := &kvstore.Write{
 		Priority:   kvstore.Required,
-		Conditions: []wire.Condition{{Key: prefixJob + id, Version: record.version}},
-		Changes:    []wire.Change{{PutKey: prefixJob + id, Value: value}},
+		Conditions: []wire.Condition{{Key: JobPrefix + id, Version: record.version}},
+		Changes:    []wire.Change{{PutKey: JobPrefix + id, Value: value}},
 	}
 	if term.controller.store.BacklogDuration() < backlogThreshold {
 		term.addProgressDeletes(write, id, jobInfo)
@@ -234,7 +234,7 @@
 		if len(write.Changes) >= maxChanges {
 			return
 		}
-		write.Changes = append(write.Changes, wire.Change{DeleteKey: progressKey(id, number)})
+		write.Changes = append(write.Changes, wire.Change{DeleteKey: ProgressKey(id, number)})
 	}
 }
 
@@ -251,14 +251,14 @@
 // anywhere.
 func (term *leaderTerm) shrinkCancelledRecord(id string, job *allocation.Job, jobInfo *jobState) {
 	record := *term.controller.view.jobs[id]
-	record.Job = nil
+	record.Spec = nil
 	value, err := record.MarshalJSON()
 	if err != nil {
 		return
 	}
 	jobInfo.isWriting = true
 	// As long as the record is whole, a new leader has to reckon with its tasks.
-	write := &kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: prefixJob + id, Value: value}}}
+	write := &kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: JobPrefix + id, Value: value}}}
 	term.addProgressDeletes(write, id, jobInfo)
 	term.commit(write, func(outcome kvstore.Outcome) {
 		jobInfo.isWriting = false
--- a/internal/controller/record_compatibility_test.go
+++ b/internal/controller/record_compatibility_test.go
@@ -54,11 +54,11 @@
 		if err := record.UnmarshalJSON([]byte(line)); err != nil {
 			t.Fatal(err)
 		}
-		if record.State != wantStates[i] || record.SubmittedAt != 1700000000000000 || (record.Job == nil) != (i == 2) {
+		if record.State != wantStates[i] || record.SubmittedAt != 1700000000000000 || (record.Spec == nil) != (i == 2) {
 			t.Errorf("%s is read as %+v", line, record)
 		}
-		if record.Job != nil && (record.Job.TaskCount != 20 || record.Job.Priority != wire.PriorityNormal || record.Job.DependsOn != nil) {
-			t.Errorf("its job is read as %+v", record.Job)
+		if record.Spec != nil && (record.Spec.TaskCount != 20 || record.Spec.Priority != wire.PriorityNormal || record.Spec.DependsOn != nil) {
+			t.Errorf("its job is read as %+v", record.Spec)
 		}
 		written, err := record.MarshalJSON()
 		if err != nil || string(written) != line {
@@ -73,7 +73,7 @@
 		ID: "req-000007", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 3, CPUs: 2, EstimatedRunSeconds: 9, DeadlineSeconds: 60,
 		DependsOn: []string{"req-000001", "req-000002"},
 	}
-	record := &jobRecord{Job: job, SubmittedAt: 5, DependencyParts: 2, TasksPerKey: 100, ReleasedAt: 6}
+	record := &jobRecord{Spec: job, SubmittedAt: 5, DependencyParts: 2, TasksPerKey: 100, ReleasedAt: 6}
 	value, err := record.MarshalJSON()
 	if err != nil {
 		t.Fatal(err)
@@ -89,11 +89,11 @@
 		t.Errorf("read as %+v", got)
 	}
 	// What a job awaits lies in a key that the other version passes over.
-	if strings.HasPrefix(dependenciesKey("req-000007", 0), prefixJob) || strings.HasPrefix(dependenciesKey("req-000007", 0), prefixProgress) {
+	if strings.HasPrefix(DependenciesKey("req-000007", 0), JobPrefix) || strings.HasPrefix(DependenciesKey("req-000007", 0), ProgressPrefix) {
 		t.Error("the key is taken for another kind")
 	}
 	// Jobs whose progress fits one key in both versions have the same layout.
-	if chunk := tasksPerProgressKey(2); chunk < 10000 || chunk >= tasksPerProgressKey(16) {
+	if chunk := TasksPerProgressKey(2); chunk < 10000 || chunk >= TasksPerProgressKey(16) {
 		t.Errorf("%d tasks in a key", chunk)
 	}
 }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -14,28 +14,28 @@
 // The layout of the state service. Everything lies under one prefix, so that
 // one watch sees every change in the order of revisions.
 const (
-	watchedPrefix   = "firwood/"
-	keyLock         = watchedPrefix + "lead"
-	keyMachineTypes = watchedPrefix + "types"
-	keyConstraints  = watchedPrefix + "word"
-	keyToken        = watchedPrefix + "token"
-	keyStandby      = watchedPrefix + "standby"
-	// keyArchiveMarker exists while there may be an archive.
-	keyArchiveMarker = watchedPrefix + "archive"
-	prefixJob        = watchedPrefix + "job/"
-	prefixProgress   = watchedPrefix + "done/"
-	// prefixDependencies is followed by a job and a number.
-	prefixDependencies = watchedPrefix + "needs/"
-	prefixScaleOut     = watchedPrefix + "hire/"
-	// prefixWorkerContact is followed by a member.
-	prefixWorkerContact = watchedPrefix + "asked/"
-	// prefixArchive is followed by a finished job. It is not below the common prefix, so
+	WatchedPrefix   = "firwood/"
+	LockKey         = WatchedPrefix + "lead"
+	MachineTypesKey = WatchedPrefix + "types"
+	ConstraintsKey  = WatchedPrefix + "word"
+	TokenKey        = WatchedPrefix + "token"
+	StandbyKey      = WatchedPrefix + "standby"
+	// ArchiveMarkerKey exists while there may be an archive.
+	ArchiveMarkerKey = WatchedPrefix + "archive"
+	JobPrefix        = WatchedPrefix + "job/"
+	ProgressPrefix   = WatchedPrefix + "done/"
+	// DependenciesPrefix is followed by a job and a number.
+	DependenciesPrefix = WatchedPrefix + "needs/"
+	ScaleOutPrefix     = WatchedPrefix + "hire/"
+	// WorkerContactPrefix is followed by a member.
+	WorkerContactPrefix = WatchedPrefix + "asked/"
+	// ArchivePrefix is followed by a finished job. It is not below the common prefix, so
 	// it is neither loaded nor watched.
-	prefixArchive = "firwood.finished/"
+	ArchivePrefix = "firwood.finished/"
 )
 
-// lockRecord is the value of the lock key.
-type lockRecord struct {
+// Lock is the value of the lock key.
+type Lock struct {
 	Member string `json:"m"`
 	Lease  uint64 `json:"l"`
 	// NeedsStandbyRecord: the leader sends no start before a record of those in step with it, of its
@@ -46,7 +46,7 @@
 // jobRecord is the value of a job's key: the submission while tasks of the job
 // may be anywhere, only what has to be remembered after that.
 type jobRecord struct {
-	Job *wire.Job `json:"j,omitempty"`
+	Spec *wire.Job `json:"j,omitempty"`
 	// SubmittedAt is the time of day of the submission.
 	SubmittedAt int64 `json:"at"`
 	// State is empty while the job is active.
@@ -63,7 +63,7 @@
 	// does not fit into one value.
 	DependencyParts int `json:"p,omitempty"`
 	// TasksPerKey is how many tasks one progress key of the job holds that doesn't say where
-	// it begins; 0: see tasksPerProgressKey. It is read, and not written any more.
+	// it begins; 0: see TasksPerProgressKey. It is read, and not written any more.
 	TasksPerKey int `json:"k,omitempty"`
 	// ReleasedAt is the time of day of the end of the last job that it awaited.
 	ReleasedAt int64 `json:"w,omitempty"`
@@ -83,14 +83,14 @@
 // key is where the job's record lies.
 func (record *jobRecord) key(id string) string {
 	if record.isArchived {
-		return prefixArchive + id
+		return ArchivePrefix + id
 	}
-	return prefixJob + id
+	return JobPrefix + id
 }
 
 // isFinished tells whether the job is over by its own record, and no task of it may be
 // anywhere: the record is its last one.
-func (record *jobRecord) isFinished() bool { return record.State != "" && record.Job == nil }
+func (record *jobRecord) isFinished() bool { return record.State != "" && record.Spec == nil }
 
 // effectiveState is what users are told of a job that is over.
 func (record *jobRecord) effectiveState() string {
@@ -100,14 +100,14 @@
 	return record.State
 }
 
-// dependenciesRecord is the value of a key that holds a part of what a job awaits.
-type dependenciesRecord struct {
+// Dependencies is the value of a key that holds a part of what a job awaits.
+type Dependencies struct {
 	DependsOn []string `json:"a"`
 }
 
-// scaleOutRecord is the value of a rental's key. It is written before the request
+// ScaleOut is the value of a rental's key. It is written before the request
 // goes out, and again with the names that came back.
-type scaleOutRecord struct {
+type ScaleOut struct {
 	Type        string   `json:"t"`
 	Zone        string   `json:"z"`
 	Spot        bool     `json:"s,omitempty"`
@@ -119,36 +119,36 @@
 	version uint64
 }
 
-// constraintsRecord is the value of the key for what a leader promises to those after it.
-type constraintsRecord struct {
+// Constraints is the value of the key for what a leader promises to those after it.
+type Constraints struct {
 	Constraints delegation.Constraints `json:"w"`
 }
 
-// workerContactRecord is how many workers ask a member.
-type workerContactRecord struct {
+// WorkerContact is how many workers ask a member.
+type WorkerContact struct {
 	Workers    uint32 `json:"n"`
 	ReportedAt int64  `json:"at"`
 }
 
-// progressRecord is the value of a progress key. That it exists says that tasks of
+// Progress is the value of a progress key. That it exists says that tasks of
 // the job may have been started.
-type progressRecord struct {
+type Progress struct {
 	Bits string `json:"b"`
 	// FirstTask is the task of the first bit. A value without it has a place that follows
 	// from the key's number.
 	FirstTask *int `json:"f,omitempty"`
 }
 
-func progressKey(id string, number int) string {
-	return prefixProgress + id + "/" + strconv.Itoa(number)
+func ProgressKey(id string, number int) string {
+	return ProgressPrefix + id + "/" + strconv.Itoa(number)
 }
 
-func dependenciesKey(id string, part int) string {
-	return prefixDependencies + id + "/" + strconv.Itoa(part)
+func DependenciesKey(id string, part int) string {
+	return DependenciesPrefix + id + "/" + strconv.Itoa(part)
 }
 
-func parseDependenciesKey(key string) (id string, part int, ok bool) {
-	return parseNumberedKey(strings.TrimPrefix(key, prefixDependencies))
+func ParseDependenciesKey(key string) (id string, part int, ok bool) {
+	return parseNumberedKey(strings.TrimPrefix(key, DependenciesPrefix))
 }
 
 // parseNumberedKey cuts "ID/N".
@@ -169,14 +169,14 @@
 	end := &jobRecord{SubmittedAt: record.SubmittedAt, State: state, EndedAt: int64(now)}
 	if state == wire.JobCancelled {
 		// A later leader has to know what the tasks that may still run take.
-		end.Job = record.Job
+		end.Spec = record.Spec
 	}
 	end.TasksPerKey = record.TasksPerKey
-	if record.Job != nil {
-		end.Class = record.Job.Class
-		end.Tasks = record.Job.TaskCount
-		if record.Job.DeadlineSeconds > 0 {
-			end.DeadlineAt = record.SubmittedAt + int64(clock.FromSeconds(record.Job.DeadlineSeconds))
+	if record.Spec != nil {
+		end.Class = record.Spec.Class
+		end.Tasks = record.Spec.TaskCount
+		if record.Spec.DeadlineSeconds > 0 {
+			end.DeadlineAt = record.SubmittedAt + int64(clock.FromSeconds(record.Spec.DeadlineSeconds))
 		}
 	}
 	return end
--- a/internal/controller/records_easyjson.go
+++ b/internal/controller/records_easyjson.go
@@ -20,7 +20,218 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController(in *jlexer.Lexer, out *workerContactRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController(in *jlexer.Lexer, out *jobRecord) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "j":
+			if in.IsNull() {
+				in.Skip()
+				out.Spec = nil
+			} else {
+				if out.Spec == nil {
+					out.Spec = new(wire.Job)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.Spec).UnmarshalEasyJSON(in)
+				}
+			}
+		case "at":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.SubmittedAt = int64(in.Int64())
+			}
+		case "s":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.State = string(in.String())
+			}
+		case "c":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Class = string(in.String())
+			}
+		case "e":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.EndedAt = int64(in.Int64())
+			}
+		case "d":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.DeadlineAt = int64(in.Int64())
+			}
+		case "f":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.FirstStartAt = int64(in.Int64())
+			}
+		case "n":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Tasks = int(in.Int())
+			}
+		case "x":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Errors = int(in.Int())
+			}
+		case "r":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Restarts = int(in.Int())
+			}
+		case "p":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.DependencyParts = int(in.Int())
+			}
+		case "k":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.TasksPerKey = int(in.Int())
+			}
+		case "w":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.ReleasedAt = int64(in.Int64())
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController(out *jwriter.Writer, in jobRecord) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	if in.Spec != nil {
+		const prefix string = ",\"j\":"
+		first = false
+		out.RawString(prefix[1:])
+		(*in.Spec).MarshalEasyJSON(out)
+	}
+	{
+		const prefix string = ",\"at\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Int64(int64(in.SubmittedAt))
+	}
+	if in.State != "" {
+		const prefix string = ",\"s\":"
+		out.RawString(prefix)
+		out.String(string(in.State))
+	}
+	if in.Class != "" {
+		const prefix string = ",\"c\":"
+		out.RawString(prefix)
+		out.String(string(in.Class))
+	}
+	if in.EndedAt != 0 {
+		const prefix string = ",\"e\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.EndedAt))
+	}
+	if in.DeadlineAt != 0 {
+		const prefix string = ",\"d\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.DeadlineAt))
+	}
+	if in.FirstStartAt != 0 {
+		const prefix string = ",\"f\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.FirstStartAt))
+	}
+	if in.Tasks != 0 {
+		const prefix string = ",\"n\":"
+		out.RawString(prefix)
+		out.Int(int(in.Tasks))
+	}
+	if in.Errors != 0 {
+		const prefix string = ",\"x\":"
+		out.RawString(prefix)
+		out.Int(int(in.Errors))
+	}
+	if in.Restarts != 0 {
+		const prefix string = ",\"r\":"
+		out.RawString(prefix)
+		out.Int(int(in.Restarts))
+	}
+	if in.DependencyParts != 0 {
+		const prefix string = ",\"p\":"
+		out.RawString(prefix)
+		out.Int(int(in.DependencyParts))
+	}
+	if in.TasksPerKey != 0 {
+		const prefix string = ",\"k\":"
+		out.RawString(prefix)
+		out.Int(int(in.TasksPerKey))
+	}
+	if in.ReleasedAt != 0 {
+		const prefix string = ",\"w\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.ReleasedAt))
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v jobRecord) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v jobRecord) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *jobRecord) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *jobRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController(l, v)
+}
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController1(in *jlexer.Lexer, out *WorkerContact) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -56,7 +267,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController(out *jwriter.Writer, in workerContactRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController1(out *jwriter.Writer, in WorkerContact) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -74,29 +285,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v workerContactRecord) MarshalJSON() ([]byte, error) {
+func (v WorkerContact) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController(&w, v)
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v workerContactRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController(w, v)
+func (v WorkerContact) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *workerContactRecord) UnmarshalJSON(data []byte) error {
+func (v *WorkerContact) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController(&r, v)
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *workerContactRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController(l, v)
+func (v *WorkerContact) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController1(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController1(in *jlexer.Lexer, out *scaleOutRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController2(in *jlexer.Lexer, out *ScaleOut) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -183,7 +394,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController1(out *jwriter.Writer, in scaleOutRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController2(out *jwriter.Writer, in ScaleOut) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -235,29 +446,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v scaleOutRecord) MarshalJSON() ([]byte, error) {
+func (v ScaleOut) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController1(&w, v)
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v scaleOutRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController1(w, v)
+func (v ScaleOut) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *scaleOutRecord) UnmarshalJSON(data []byte) error {
+func (v *ScaleOut) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController1(&r, v)
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *scaleOutRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController1(l, v)
+func (v *ScaleOut) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController2(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController2(in *jlexer.Lexer, out *progressRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController3(in *jlexer.Lexer, out *Progress) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -301,7 +512,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController2(out *jwriter.Writer, in progressRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController3(out *jwriter.Writer, in Progress) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -319,29 +530,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v progressRecord) MarshalJSON() ([]byte, error) {
+func (v Progress) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController2(&w, v)
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v progressRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController2(w, v)
+func (v Progress) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *progressRecord) UnmarshalJSON(data []byte) error {
+func (v *Progress) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController2(&r, v)
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *progressRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController2(l, v)
+func (v *Progress) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController3(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController3(in *jlexer.Lexer, out *lockRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController4(in *jlexer.Lexer, out *Lock) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -383,7 +594,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController3(out *jwriter.Writer, in lockRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController4(out *jwriter.Writer, in Lock) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -406,240 +617,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v lockRecord) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController3(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v lockRecord) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController3(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *lockRecord) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController3(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *lockRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController3(l, v)
-}
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController4(in *jlexer.Lexer, out *jobRecord) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "j":
-			if in.IsNull() {
-				in.Skip()
-				out.Job = nil
-			} else {
-				if out.Job == nil {
-					out.Job = new(wire.Job)
-				}
-				if in.IsNull() {
-					in.Skip()
-				} else {
-					(*out.Job).UnmarshalEasyJSON(in)
-				}
-			}
-		case "at":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.SubmittedAt = int64(in.Int64())
-			}
-		case "s":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.State = string(in.String())
-			}
-		case "c":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Class = string(in.String())
-			}
-		case "e":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.EndedAt = int64(in.Int64())
-			}
-		case "d":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.DeadlineAt = int64(in.Int64())
-			}
-		case "f":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.FirstStartAt = int64(in.Int64())
-			}
-		case "n":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Tasks = int(in.Int())
-			}
-		case "x":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Errors = int(in.Int())
-			}
-		case "r":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Restarts = int(in.Int())
-			}
-		case "p":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.DependencyParts = int(in.Int())
-			}
-		case "k":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.TasksPerKey = int(in.Int())
-			}
-		case "w":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.ReleasedAt = int64(in.Int64())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController4(out *jwriter.Writer, in jobRecord) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	if in.Job != nil {
-		const prefix string = ",\"j\":"
-		first = false
-		out.RawString(prefix[1:])
-		(*in.Job).MarshalEasyJSON(out)
-	}
-	{
-		const prefix string = ",\"at\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Int64(int64(in.SubmittedAt))
-	}
-	if in.State != "" {
-		const prefix string = ",\"s\":"
-		out.RawString(prefix)
-		out.String(string(in.State))
-	}
-	if in.Class != "" {
-		const prefix string = ",\"c\":"
-		out.RawString(prefix)
-		out.String(string(in.Class))
-	}
-	if in.EndedAt != 0 {
-		const prefix string = ",\"e\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.EndedAt))
-	}
-	if in.DeadlineAt != 0 {
-		const prefix string = ",\"d\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.DeadlineAt))
-	}
-	if in.FirstStartAt != 0 {
-		const prefix string = ",\"f\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.FirstStartAt))
-	}
-	if in.Tasks != 0 {
-		const prefix string = ",\"n\":"
-		out.RawString(prefix)
-		out.Int(int(in.Tasks))
-	}
-	if in.Errors != 0 {
-		const prefix string = ",\"x\":"
-		out.RawString(prefix)
-		out.Int(int(in.Errors))
-	}
-	if in.Restarts != 0 {
-		const prefix string = ",\"r\":"
-		out.RawString(prefix)
-		out.Int(int(in.Restarts))
-	}
-	if in.DependencyParts != 0 {
-		const prefix string = ",\"p\":"
-		out.RawString(prefix)
-		out.Int(int(in.DependencyParts))
-	}
-	if in.TasksPerKey != 0 {
-		const prefix string = ",\"k\":"
-		out.RawString(prefix)
-		out.Int(int(in.TasksPerKey))
-	}
-	if in.ReleasedAt != 0 {
-		const prefix string = ",\"w\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.ReleasedAt))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v jobRecord) MarshalJSON() ([]byte, error) {
+func (v Lock) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v jobRecord) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Lock) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *jobRecord) UnmarshalJSON(data []byte) error {
+func (v *Lock) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *jobRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Lock) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController4(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController5(in *jlexer.Lexer, out *dependenciesRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController5(in *jlexer.Lexer, out *Dependencies) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -690,7 +690,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController5(out *jwriter.Writer, in dependenciesRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController5(out *jwriter.Writer, in Dependencies) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -714,29 +714,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v dependenciesRecord) MarshalJSON() ([]byte, error) {
+func (v Dependencies) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v dependenciesRecord) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Dependencies) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *dependenciesRecord) UnmarshalJSON(data []byte) error {
+func (v *Dependencies) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *dependenciesRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Dependencies) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController5(l, v)
 }
-func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController6(in *jlexer.Lexer, out *constraintsRecord) {
+func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController6(in *jlexer.Lexer, out *Constraints) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -762,7 +762,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController6(out *jwriter.Writer, in constraintsRecord) {
+func easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController6(out *jwriter.Writer, in Constraints) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -775,26 +775,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v constraintsRecord) MarshalJSON() ([]byte, error) {
+func (v Constraints) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v constraintsRecord) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Constraints) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonAf922c28EncodeFirwoodDevFirwoodInternalController6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *constraintsRecord) UnmarshalJSON(data []byte) error {
+func (v *Constraints) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *constraintsRecord) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Constraints) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeFirwoodDevFirwoodInternalController6(l, v)
 }
 func easyjsonAf922c28DecodeFirwoodDevFirwoodInternalDelegation(in *jlexer.Lexer, out *delegation.Constraints) {
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -58,7 +58,7 @@
 	view.standby, view.standbyVersion = standby.InSyncRecord{}, version
 	if err := json.Unmarshal(value, &view.standby); err != nil {
 		view.standby = standby.InSyncRecord{}
-		controller.logMalformedRecord(keyStandby, err)
+		controller.logMalformedRecord(StandbyKey, err)
 	}
 	if controller.replica != nil {
 		controller.replica.PruneEarlier(view.standby.Token)
@@ -172,8 +172,8 @@
 	}
 	write := &kvstore.Write{
 		Priority:   kvstore.Critical,
-		Conditions: []wire.Condition{{Key: keyStandby, Version: version}},
-		Changes:    []wire.Change{{PutKey: keyStandby, Value: value}},
+		Conditions: []wire.Condition{{Key: StandbyKey, Version: version}},
+		Changes:    []wire.Change{{PutKey: StandbyKey, Value: value}},
 	}
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
 		switch outcome {
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -111,7 +111,7 @@
 	isRecordingStarts  bool
 	isWriting          bool
 	writtenAt          clock.Micros
-	layout             progressLayout
+	layout             ProgressLayout
 	keyVersions        map[int]uint64 // versions of progress keys as last known, by number
 	hasWarnedLate      bool
 	isEndDurable       bool    // its end is durable
@@ -212,7 +212,7 @@
 			if !controller.isBlocked(id, record) {
 				term.addJob(id, record, len(done) > 0)
 			}
-		case record.Job != nil:
+		case record.Spec != nil:
 			// Withdrawn, but its tasks are not known to be gone.
 			job := term.addJob(id, record, len(done) > 0)
 			term.cancelJob(job, record, now)
--- a/internal/controller/token.go
+++ b/internal/controller/token.go
@@ -19,7 +19,7 @@
 		return
 	}
 	term.isIssuingToken = true
-	term.commitWithRevision(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: keyToken, Value: []byte(`{}`)}}}, func(outcome kvstore.Outcome, revision uint64) {
+	term.commitWithRevision(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: TokenKey, Value: []byte(`{}`)}}}, func(outcome kvstore.Outcome, revision uint64) {
 		term.isIssuingToken = false
 		if outcome != kvstore.Committed {
 			return
--- a/internal/controller/tracked_jobs.go
+++ b/internal/controller/tracked_jobs.go
@@ -26,7 +26,7 @@
 func (term *leaderTerm) addJob(id string, record *jobRecord, startsRecorded bool) *allocation.Job {
 	completed := term.controller.completedTasks(id, record)
 	released := term.controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
-	job := term.tracker.AddJob(record.Job, released, clock.Now(), startsRecorded, completed.isSet)
+	job := term.tracker.AddJob(record.Spec, released, clock.Now(), startsRecorded, completed.IsSet)
 	urgency := term.controller.dependencyGraph.UrgencyOf(id, urgencyOf(record))
 	job.Priority, job.Deadline = urgency.Priority, urgency.Deadline
 	jobInfo := &jobState{layout: term.controller.progressLayoutOf(record), firstStartAt: record.FirstStartAt}
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -121,7 +121,7 @@
 		controller.pendingSubmissions[job.ID] = append(replies, reply)
 		return
 	}
-	record := &jobRecord{Job: job, SubmittedAt: int64(clock.WallTime())}
+	record := &jobRecord{Spec: job, SubmittedAt: int64(clock.WallTime())}
 	changes := controller.submissionChanges(record)
 	if changes == nil {
 		controller.rejectAfterSync(job, reply, func() string { return "the job's description is too large" }, nil)
@@ -132,7 +132,7 @@
 	}
 	controller.pendingSubmissions[job.ID] = []*server.Reply{reply}
 	write := &kvstore.Write{
-		Conditions: []wire.Condition{{Key: prefixJob + job.ID}, {Key: prefixArchive + job.ID}},
+		Conditions: []wire.Condition{{Key: JobPrefix + job.ID}, {Key: ArchivePrefix + job.ID}},
 		Changes:    changes,
 		Deadline:   clock.Now() + submitTimeout,
 	}
@@ -153,7 +153,7 @@
 		// The watch will bring it; a leader need not wait for that.
 		record.version = revision
 		if record.DependencyParts > 0 {
-			for part, ids := range splitDependencies(job.DependsOn, int(controller.cfg.Deployment.Store.Effective().MaxValueKB*1024)) {
+			for part, ids := range SplitDependencies(job.DependsOn, int(controller.cfg.Deployment.Store.Effective().MaxValueKB*1024)) {
 				controller.setDependenciesPart(id, part, ids)
 			}
 		}
@@ -290,8 +290,8 @@
 		return
 	}
 	write := &kvstore.Write{
-		Conditions: []wire.Condition{{Key: prefixJob + id, Version: record.version}},
-		Changes:    []wire.Change{{PutKey: prefixJob + id, Value: value}},
+		Conditions: []wire.Condition{{Key: JobPrefix + id, Version: record.version}},
+		Changes:    []wire.Change{{PutKey: JobPrefix + id, Value: value}},
 		Deadline:   clock.Now() + submitTimeout,
 	}
 	write.Done = func(outcome kvstore.Outcome, revision uint64) {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -22,7 +22,7 @@
 	progress map[string]map[int]progressPart
 	// dependencies are the parts of what jobs await, where those have keys of their own.
 	dependencies map[string]map[int][]string
-	scaleOuts    map[string]*scaleOutRecord
+	scaleOuts    map[string]*ScaleOut
 	lock         election.Lock
 	// constraints are those of leaders, with its version.
 	constraints        delegation.Constraints
@@ -63,7 +63,7 @@
 	view.jobs = map[string]*jobRecord{}
 	view.progress = map[string]map[int]progressPart{}
 	view.dependencies = map[string]map[int][]string{}
-	view.scaleOuts = map[string]*scaleOutRecord{}
+	view.scaleOuts = map[string]*ScaleOut{}
 }
 
 // requestSync calls f once the view is at least as new as this call, or with an
@@ -99,8 +99,8 @@
 func (controller *Controller) applyPut(key string, value []byte, version uint64) {
 	view := &controller.view
 	switch {
-	case key == keyLock:
-		var record lockRecord
+	case key == LockKey:
+		var record Lock
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
 			return
@@ -110,7 +110,7 @@
 			controller.traceObservedFailover(version)
 		}
 		view.lock = election.Lock{Exists: true, Holder: record.Member, LeaseID: record.Lease, Version: version}
-	case key == keyMachineTypes:
+	case key == MachineTypesKey:
 		var types wire.MachineTypeList
 		if err := types.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
@@ -119,27 +119,27 @@
 		if len(controller.machineTypes) == 0 {
 			controller.setMachineTypes(types.Types)
 		}
-	case key == keyConstraints:
-		var record constraintsRecord
+	case key == ConstraintsKey:
+		var record Constraints
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
 			return
 		}
 		controller.applyConstraints(record.Constraints, version)
-	case key == keyStandby:
+	case key == StandbyKey:
 		controller.applyStandbyRecord(value, version)
-	case key == keyArchiveMarker:
+	case key == ArchiveMarkerKey:
 		view.hasArchive = true
 		controller.recordEviction()
-	case strings.HasPrefix(key, prefixWorkerContact):
-		var record workerContactRecord
+	case strings.HasPrefix(key, WorkerContactPrefix):
+		var record WorkerContact
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
 			return
 		}
 		controller.applyWorkerContact(key, record)
-	case strings.HasPrefix(key, prefixJob):
-		id := key[len(prefixJob):]
+	case strings.HasPrefix(key, JobPrefix):
+		id := key[len(JobPrefix):]
 		record := &jobRecord{}
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
@@ -151,24 +151,24 @@
 			return
 		}
 		controller.setJobRecord(id, record)
-	case strings.HasPrefix(key, prefixDependencies):
-		id, part, ok := parseDependenciesKey(key)
-		var record dependenciesRecord
+	case strings.HasPrefix(key, DependenciesPrefix):
+		id, part, ok := ParseDependenciesKey(key)
+		var record Dependencies
 		if err := record.UnmarshalJSON(value); err != nil || !ok {
 			controller.logMalformedRecord(key, err)
 			return
 		}
 		controller.setDependenciesPart(id, part, record.DependsOn)
-	case strings.HasPrefix(key, prefixProgress):
+	case strings.HasPrefix(key, ProgressPrefix):
 		controller.applyProgress(key, value, version)
-	case strings.HasPrefix(key, prefixScaleOut):
-		record := &scaleOutRecord{}
+	case strings.HasPrefix(key, ScaleOutPrefix):
+		record := &ScaleOut{}
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
 			return
 		}
 		record.version = version
-		view.scaleOuts[key[len(prefixScaleOut):]] = record
+		view.scaleOuts[key[len(ScaleOutPrefix):]] = record
 	}
 }
 
@@ -203,7 +203,7 @@
 }
 
 func (controller *Controller) removeDependenciesPart(key string) {
-	id, part, ok := parseDependenciesKey(key)
+	id, part, ok := ParseDependenciesKey(key)
 	if !ok {
 		return
 	}
@@ -221,19 +221,19 @@
 func (controller *Controller) applyDelete(key string) {
 	view := &controller.view
 	switch {
-	case key == keyLock:
+	case key == LockKey:
 		view.lock = election.Lock{}
-	case key == keyArchiveMarker:
+	case key == ArchiveMarkerKey:
 		view.hasArchive = false
-	case strings.HasPrefix(key, prefixJob):
-		if record := view.jobs[key[len(prefixJob):]]; record != nil {
+	case strings.HasPrefix(key, JobPrefix):
+		if record := view.jobs[key[len(JobPrefix):]]; record != nil {
 			record.isArchived = true // records are deleted for that alone
 		}
-	case strings.HasPrefix(key, prefixProgress):
+	case strings.HasPrefix(key, ProgressPrefix):
 		controller.removeProgress(key)
-	case strings.HasPrefix(key, prefixDependencies):
+	case strings.HasPrefix(key, DependenciesPrefix):
 		controller.removeDependenciesPart(key)
-	case strings.HasPrefix(key, prefixScaleOut):
-		delete(view.scaleOuts, key[len(prefixScaleOut):])
+	case strings.HasPrefix(key, ScaleOutPrefix):
+		delete(view.scaleOuts, key[len(ScaleOutPrefix):])
 	}
 }
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -37,7 +37,7 @@
 	if received := controller.peerHeartbeats[leader]; received != nil && now-received.receivedAt < memberTimeout {
 		return
 	}
-	value, err := workerContactRecord{Workers: uint32(len(controller.workerContactAt)), ReportedAt: int64(clock.WallTime())}.MarshalJSON()
+	value, err := WorkerContact{Workers: uint32(len(controller.workerContactAt)), ReportedAt: int64(clock.WallTime())}.MarshalJSON()
 	if err != nil {
 		return
 	}
@@ -45,15 +45,15 @@
 	// A write that is refused or late is made up for by the next.
 	controller.store.Commit(&kvstore.Write{
 		Priority: kvstore.Critical,
-		Changes:  []wire.Change{{PutKey: prefixWorkerContact + controller.cfg.Member, Value: value}},
+		Changes:  []wire.Change{{PutKey: WorkerContactPrefix + controller.cfg.Member, Value: value}},
 		Deadline: now + workerContactInterval,
 		Done:     func(kvstore.Outcome, uint64) {},
 	})
 }
 
 // applyWorkerContact takes what a member has said. It may be long ago.
-func (controller *Controller) applyWorkerContact(key string, record workerContactRecord) {
+func (controller *Controller) applyWorkerContact(key string, record WorkerContact) {
 	now := clock.Now()
 	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-controller.maxClockSkew(), 0)
-	controller.workerContacts[strings.TrimPrefix(key, prefixWorkerContact)] = workerContact{record.Workers, now - age}
+	controller.workerContacts[strings.TrimPrefix(key, WorkerContactPrefix)] = workerContact{record.Workers, now - age}
 }
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -13,7 +13,7 @@
 // a few, nor while it hears the workers itself.
 func TestHandOverOnWorkerContactRecords(t *testing.T) {
 	said := func(workers uint32, ago clock.Micros) []byte {
-		value, err := workerContactRecord{Workers: workers, ReportedAt: int64(clock.WallTime() - ago)}.MarshalJSON()
+		value, err := WorkerContact{Workers: workers, ReportedAt: int64(clock.WallTime() - ago)}.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,7 +33,7 @@
 	} {
 		term := newTestTerm(t)
 		term.controller.term = term
-		term.controller.applyPut(prefixWorkerContact+"b", said(test.workers, test.ago), 10)
+		term.controller.applyPut(WorkerContactPrefix+"b", said(test.workers, test.ago), 10)
 		now := clock.Now()
 		term.resumedAt = now - 60*clock.Second
 		if got := term.handOverIfCutOff(test.h, now); got != test.over || term.isClosed != test.over {
