--- a/internal/controller/adopted_tasks_test.go
+++ b/internal/controller/adopted_tasks_test.go
@@ -6,6 +6,7 @@
 
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -14,9 +15,9 @@
 // came out short.
 func TestAdoptedTasksDoNotUpdateRunTimes(t *testing.T) {
 	term := newTestTerm(t, "i-1")
-	term.controller.view.jobs["req-000001"] = &jobRecord{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
+	term.controller.view.jobs["req-000001"] = &jobRecord{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 		ID: "req-000001", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Team: "t", TaskCount: 2, CPUs: 1, EstimatedRunSeconds: 100,
-	}}
+	}}}
 	term.controller.view.progress["req-000001"] = map[int]progressPart{0: {}}
 	term = newLeaderTerm(term.controller, 10, clock.Now())
 	job, machine := term.tracker.Jobs["req-000001"], term.tracker.Machines["i-1"]
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -5,6 +5,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -41,11 +42,11 @@
 	switch {
 	case archive.isReading || archive.movesInFlight > 0 || archive.isWritingMarker || now < archive.nextAt || term.controller.store.IsFailing(now):
 	case isWanted && !term.controller.view.hasArchive:
-		term.writeArchiveMarker(wire.Change{PutKey: ArchiveMarkerKey, Value: []byte("{}")})
+		term.writeArchiveMarker(wire.Change{PutKey: records.ArchiveMarkerKey, Value: []byte("{}")})
 	case isWanted:
-		term.readArchivePage(JobPrefix, term.archiveExpired)
+		term.readArchivePage(records.JobPrefix, term.archiveExpired)
 	case term.controller.view.hasArchive:
-		term.readArchivePage(ArchivePrefix, term.restoreArchived)
+		term.readArchivePage(records.ArchivePrefix, term.restoreArchived)
 	}
 }
 
@@ -91,12 +92,12 @@
 func (term *leaderTerm) archiveExpired(page []wire.KeyValue, _ bool) {
 	before := clock.WallTime() - clock.FromSeconds(term.controller.tuning.ArchiveFinishedAfterS)
 	for _, item := range page {
-		id := strings.TrimPrefix(item.Key, JobPrefix)
+		id := strings.TrimPrefix(item.Key, records.JobPrefix)
 		var record jobRecord
-		if record.UnmarshalJSON(item.Value) != nil || !record.isFinished() || clock.Micros(record.EndedAt) > before || !term.canArchive(id) {
+		if record.UnmarshalJSON(item.Value) != nil || !record.IsFinished() || clock.Micros(record.EndedAt) > before || !term.canArchive(id) {
 			continue
 		}
-		term.moveRecord(item, ArchivePrefix+id)
+		term.moveRecord(item, records.ArchiveKey(id))
 	}
 }
 
@@ -110,12 +111,12 @@
 func (term *leaderTerm) restoreArchived(page []wire.KeyValue, isAll bool) {
 	if len(page) == 0 && isAll {
 		term.controller.log.Info("the archive is empty; versions without one may lead")
-		term.writeArchiveMarker(wire.Change{DeleteKey: ArchiveMarkerKey})
+		term.writeArchiveMarker(wire.Change{DeleteKey: records.ArchiveMarkerKey})
 		return
 	}
 	term.archiver.nextAt = clock.Now() + archiveInterval
 	for _, item := range page {
-		term.moveRecord(item, JobPrefix+strings.TrimPrefix(item.Key, ArchivePrefix))
+		term.moveRecord(item, records.JobPrefix+strings.TrimPrefix(item.Key, records.ArchivePrefix))
 	}
 }
 
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -6,6 +6,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/peer"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
@@ -29,10 +30,10 @@
 	}
 	for i := range machines*tasks/jobTasks + 1 {
 		id := fmt.Sprintf("req-%06d", i)
-		controller.view.jobs[id] = &jobRecord{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
+		controller.view.jobs[id] = &jobRecord{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 			TaskCount: jobTasks, CPUs: 2, MemoryGB: 4, EstimatedRunSeconds: 40, Image: fmt.Sprint("image-", i%20),
-		}}
+		}}}
 		controller.view.progress[id] = map[int]progressPart{0: {}}
 	}
 	return heartbeats
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -6,6 +6,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -91,13 +92,13 @@
 	}
 	var keys []string
 	for _, part := range slices.Sorted(maps.Keys(term.controller.view.dependencies[id])) {
-		keys = append(keys, DependenciesKey(id, part))
+		keys = append(keys, records.DependenciesKey(id, part))
 	}
 	if record.Spec != nil {
 		return keys
 	}
 	for _, number := range term.controller.progressKeys(id) {
-		keys = append(keys, ProgressKey(id, number))
+		keys = append(keys, records.ProgressKey(id, number))
 	}
 	return keys
 }
@@ -130,8 +131,8 @@
 	}
 	write := &kvstore.Write{
 		Priority:   kvstore.Background,
-		Conditions: []wire.Condition{{Key: JobPrefix + id, Version: record.version}},
-		Changes:    []wire.Change{{PutKey: JobPrefix + id, Value: value}},
+		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.version}},
+		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
 	}
 	term.writeCleanup(write, func(outcome kvstore.Outcome) {
 		if outcome != kvstore.Committed {
--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -11,6 +11,7 @@
 	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -39,7 +40,7 @@
 }
 
 func dependencyAndProgressKeys(fakeStore *fake.Store) []string {
-	return append(fakeStore.Keys(DependenciesPrefix), fakeStore.Keys(ProgressPrefix)...)
+	return append(fakeStore.Keys(records.DependenciesPrefix), fakeStore.Keys(records.ProgressPrefix)...)
 }
 
 // What ended jobs have left behind goes; what an active job needs stays, and the
@@ -50,23 +51,23 @@
 		return &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 3, CPUs: 1, Priority: wire.PriorityNormal}
 	}
 	values := map[string]any{
-		JobPrefix + "req-000001": jobRecord{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2},
-		JobPrefix + "req-000002": jobRecord{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: 2},
-		JobPrefix + "req-000003": jobRecord{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: int64(clock.WallTime()), Spec: job("req-000003")},
-		JobPrefix + "req-000004": jobRecord{SubmittedAt: 1, Spec: job("req-000004"), DependencyParts: 2},
+		records.JobKey("req-000001"): records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2},
+		records.JobKey("req-000002"): records.Job{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: 2},
+		records.JobKey("req-000003"): records.Job{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: int64(clock.WallTime()), Spec: job("req-000003")},
+		records.JobKey("req-000004"): records.Job{SubmittedAt: 1, Spec: job("req-000004"), DependencyParts: 2},
 	}
 	for part := range 9 { // more than a transaction takes
-		values[DependenciesKey("req-000001", part)] = Dependencies{DependsOn: []string{"req-000002"}}
-		values[ProgressKey("req-000002", part)] = Progress{}
+		values[records.DependenciesKey("req-000001", part)] = records.Dependencies{DependsOn: []string{"req-000002"}}
+		values[records.ProgressKey("req-000002", part)] = records.Progress{}
 	}
 	stays := []string{
-		DependenciesKey("req-000004", 0), DependenciesKey("req-000004", 1), ProgressKey("req-000003", 0), ProgressKey("req-000004", 0),
+		records.DependenciesKey("req-000004", 0), records.DependenciesKey("req-000004", 1), records.ProgressKey("req-000003", 0), records.ProgressKey("req-000004", 0),
 	}
-	values[DependenciesKey("req-000004", 0)] = Dependencies{DependsOn: []string{"req-000001"}}
-	values[DependenciesKey("req-000004", 1)] = Dependencies{DependsOn: []string{"req-000005"}}
-	values[ProgressKey("req-000003", 0)] = Progress{}
-	values[ProgressKey("req-000004", 0)] = Progress{}
-	values[DependenciesKey("req-000003", 0)] = Dependencies{DependsOn: []string{"req-000002"}}
+	values[records.DependenciesKey("req-000004", 0)] = records.Dependencies{DependsOn: []string{"req-000001"}}
+	values[records.DependenciesKey("req-000004", 1)] = records.Dependencies{DependsOn: []string{"req-000005"}}
+	values[records.ProgressKey("req-000003", 0)] = records.Progress{}
+	values[records.ProgressKey("req-000004", 0)] = records.Progress{}
+	values[records.DependenciesKey("req-000003", 0)] = records.Dependencies{DependsOn: []string{"req-000002"}}
 	putAndSync(t, term.controller, values)
 
 	now := clock.Now()
@@ -97,7 +98,7 @@
 	fakeStore, term := newTermOnStore(t, cleanupLimits)
 	const id = "req-000001"
 	putAndSync(t, term.controller, map[string]any{
-		JobPrefix + id: jobRecord{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2}, ProgressKey(id, 1): Progress{},
+		records.JobKey(id): records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2}, records.ProgressKey(id, 1): records.Progress{},
 	})
 	before := len(fakeStore.Transactions())
 	runUntil(t, term.controller, func() bool {
@@ -109,7 +110,7 @@
 		t.Fatalf("cleaned up by %+v", cleanUps)
 	}
 	startNewTerm(t, term.controller)
-	putAndSync(t, term.controller, map[string]any{ProgressKey(id, 1): Progress{}})
+	putAndSync(t, term.controller, map[string]any{records.ProgressKey(id, 1): records.Progress{}})
 	fakeStore.ReapplyTransaction(cleanUps[0])
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a former leader's clean-up is carried out")
@@ -118,11 +119,11 @@
 	own := cleanUps[0]
 	own.Conditions = slices.Clone(own.Conditions)
 	for i := range own.Conditions {
-		if own.Conditions[i].Key == LockKey {
+		if own.Conditions[i].Key == records.LockKey {
 			own.Conditions[i].Version = term.controller.term.token
 		}
 	}
-	putAndSync(t, term.controller, map[string]any{JobPrefix + id: jobRecord{SubmittedAt: 2, Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
+	putAndSync(t, term.controller, map[string]any{records.JobKey(id): records.Job{SubmittedAt: 2, Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
 	fakeStore.ReapplyTransaction(own)
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a late clean-up removes what belongs to a record that came after it")
@@ -153,7 +154,7 @@
 	}
 	accepted := false
 	ok := controller.store.Commit(&kvstore.Write{
-		Conditions: []wire.Condition{{Key: JobPrefix + "req-009999"}}, Changes: []wire.Change{{PutKey: JobPrefix + "req-009999", Value: []byte(`{"at":1}`)}},
+		Conditions: []wire.Condition{{Key: records.JobKey("req-009999")}}, Changes: []wire.Change{{PutKey: records.JobKey("req-009999"), Value: []byte(`{"at":1}`)}},
 		Deadline: clock.Now() + submitTimeout,
 		Done: func(outcome kvstore.Outcome, _ uint64) {
 			controller.postResult(func() { accepted = outcome == kvstore.Committed })
@@ -163,7 +164,7 @@
 		t.Fatal("a submission is refused")
 	}
 	runUntil(t, controller, func() bool { term.tickCleanup(clock.Now()); return accepted })
-	if fakeStore.Value(JobPrefix+"req-009999") == "" {
+	if fakeStore.Value(records.JobKey("req-009999")) == "" {
 		t.Error("the submission is not stored")
 	}
 }
@@ -175,12 +176,12 @@
 	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4, Upcoming: &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 3}}
 	fakeStore, term := newTermOnStore(t, limits)
 	const id, tasks = "req-000001", 40000
-	before := Bitmap{}
+	before := records.Bitmap{}
 	before.Set(5)
 	before.Set(32000)
 	putAndSync(t, term.controller, map[string]any{
-		JobPrefix + id:     jobRecord{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
-		ProgressKey(id, 0): Progress{Bits: before.Encode()}, // by the version before
+		records.JobKey(id):         records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
+		records.ProgressKey(id, 0): records.Progress{Bits: before.Encode()}, // by the version before
 	})
 	fakeStore.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 3})
 	job := term.tracker.Jobs[id]
@@ -212,18 +213,18 @@
 		t.Errorf("%d tasks are done", got)
 	}
 	// What the version in production concludes: a key's number says where it begins.
-	for _, key := range fakeStore.Keys(ProgressPrefix) {
+	for _, key := range fakeStore.Keys(records.ProgressPrefix) {
 		var record productionProgress
 		if err := json.Unmarshal([]byte(fakeStore.Value(key)), &record); err != nil {
 			t.Fatal(err)
 		}
-		_, number, _ := ParseProgressKey(key)
-		bits, err := DecodeBitmap(record.Bits)
+		_, number, _ := records.ParseProgressKey(key)
+		bits, err := records.DecodeBitmap(record.Bits)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 8 * len(bits) {
-			task := number*TasksPerProgressKey(limits.MaxValueKB) + i
+			task := number*records.TasksPerProgressKey(limits.MaxValueKB) + i
 			if bits.IsSet(i) && task < tasks && job.Tasks[task].State != allocation.TaskDone {
 				t.Errorf("the other version takes task %d for done", task)
 			}
@@ -245,7 +246,7 @@
 		term.persistJobs(clock.Now() + clock.Second)
 		sweepAt += sweepInterval
 		term.tickCleanup(sweepAt)
-		return len(fakeStore.Keys(ProgressPrefix)) == 0 && term.controller.view.jobs[id].State == wire.JobDone
+		return len(fakeStore.Keys(records.ProgressPrefix)) == 0 && term.controller.view.jobs[id].State == wire.JobDone
 	})
 	if tooLarge := fakeStore.OversizedCount(); tooLarge != 0 {
 		t.Errorf("%d transactions are refused for their size", tooLarge)
--- a/internal/controller/constraints.go
+++ b/internal/controller/constraints.go
@@ -7,6 +7,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
@@ -125,7 +126,7 @@
 }
 
 func (term *leaderTerm) writeConstraints(constraints delegation.Constraints) {
-	value, err := Constraints{Constraints: constraints}.MarshalJSON()
+	value, err := records.Constraints{Constraints: constraints}.MarshalJSON()
 	if err != nil || len(value) > int(term.controller.cfg.Deployment.Store.Effective().MaxValueKB*1024) {
 		term.controller.logDropped("what is to be promised is too large for the state service", "bytes", len(value))
 		return
@@ -136,8 +137,8 @@
 	}
 	term.commitWithRevision(&kvstore.Write{
 		Priority:   kvstore.Critical,
-		Conditions: []wire.Condition{{Key: ConstraintsKey, Version: version}},
-		Changes:    []wire.Change{{PutKey: ConstraintsKey, Value: value}},
+		Conditions: []wire.Condition{{Key: records.ConstraintsKey, Version: version}},
+		Changes:    []wire.Change{{PutKey: records.ConstraintsKey, Value: value}},
 	}, func(outcome kvstore.Outcome, revision uint64) {
 		switch outcome {
 		case kvstore.Committed:
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -22,6 +22,7 @@
 	"firwood.dev/firwood/internal/jobhistory"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/peer"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/internal/staleness"
 	"firwood.dev/firwood/internal/standby"
@@ -121,7 +122,7 @@
 		cfg: cfg, tuning: tuning, log: log, dial: dial, stopped: make(chan struct{}), commands: newCommandQueue(cfg.Deployment.ProcessLimits.MaxSockets, len(cfg.Peers)),
 		store: kvstore.New(dial, cfg.External.StoreAddress, kvstore.Limits{
 			RPS: deployment.Store.RPS, WriteRPS: deployment.Store.Effective().WriteRPS, MaxTransactionOps: deployment.Store.Effective().MaxTransactionOps,
-		}, LockKey),
+		}, records.LockKey),
 		cloud:               cloud.New(dial, cfg.External.CloudAddress, deployment.Cloud.RPS),
 		connLimiter:         connlimit.New(cfg.ConnectionLimit()),
 		maxRequestsInFlight: max(cfg.ConnectionLimit()/24, 4),
@@ -140,7 +141,7 @@
 	controller.finishedJobs = jobhistory.NewCache(controller.finishedCapacity)
 	controller.lookups = jobhistory.NewLookups(maxPendingLookups, min(4*deployment.Store.Effective().MaxTransactionOps/keysPerJob, maxJobsPerLookup))
 	controller.workerPool = client.NewPool(dial, controller.connLimiter)
-	controller.tasksPerKey = TasksPerProgressKey(deployment.Store.MaxValueKB)
+	controller.tasksPerKey = records.TasksPerProgressKey(deployment.Store.MaxValueKB)
 	workers := &deployment.Workers
 	// A worker waits a second before each other node, and tries it for four seconds.
 	// With one zone for all there is no cut that leaves it with one node alone: the
--- a/internal/controller/dependencies_bench_test.go
+++ b/internal/controller/dependencies_bench_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
@@ -14,13 +15,13 @@
 // cancelled by their first job.
 func dependentJobRecords(b *testing.B, jobs, length int) map[string][]byte {
 	b.Helper()
-	records := map[string][]byte{}
+	values := map[string][]byte{}
 	wall := int64(clock.WallTime())
 	for i := range jobs {
 		id := fmt.Sprintf("req-%06d", i)
-		record := &jobRecord{SubmittedAt: wall + int64(i), Spec: &wire.Job{
+		record := &jobRecord{Job: records.Job{SubmittedAt: wall + int64(i), Spec: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 16, CPUs: 1, MemoryGB: 3, EstimatedRunSeconds: 25, Image: "i", ImageSizeGB: 1,
-		}}
+		}}}
 		first := i%length == 0
 		if !first {
 			record.Spec.DependsOn = []string{fmt.Sprintf("req-%06d", i-1)}
@@ -35,9 +36,9 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		records[JobPrefix+id] = value
+		values[records.JobKey(id)] = value
 	}
-	return records
+	return values
 }
 
 // heapInUse is how many bytes are held once what nobody holds is gone.
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -5,14 +5,15 @@
 	"testing"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
 // newJobRecord makes the record of a job of one task.
 func newJobRecord(id, priority string, submittedAt, deadlineS float64, dependencies ...string) *jobRecord {
-	return &jobRecord{SubmittedAt: int64(clock.FromSeconds(submittedAt)), version: 1, Spec: &wire.Job{
+	return &jobRecord{Job: records.Job{SubmittedAt: int64(clock.FromSeconds(submittedAt)), Spec: &wire.Job{
 		ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1, Priority: priority, EstimatedRunSeconds: 10, DeadlineSeconds: deadlineS, DependsOn: dependencies,
-	}}
+	}}, version: 1}
 }
 
 // The leader's account has a job once all that it awaits is done, with the urgency of
@@ -38,7 +39,7 @@
 		t.Fatalf("after the last: priority %d, deadline %d, want %d", first.Priority, first.Deadline, want)
 	}
 	end := clock.FromSeconds(wall + 50)
-	controller.setJobRecord("req-000001", &jobRecord{SubmittedAt: 1, State: wire.JobDone, EndedAt: int64(end), version: 2})
+	controller.setJobRecord("req-000001", &jobRecord{Job: records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: int64(end)}, version: 2})
 	second := term.tracker.Jobs["req-000002"]
 	if second == nil || second.ReleasedAt != end || second.Priority != wire.PriorityIndex(wire.PriorityHigh) {
 		t.Fatalf("the second is %+v", second)
@@ -68,7 +69,10 @@
 	for i := range 300 {
 		record.Spec.DependsOn = append(record.Spec.DependsOn, fmt.Sprintf("req-%06d", i))
 	}
-	changes := controller.submissionChanges(record)
+	changes, err := records.SubmissionChanges(&record.Job, controller.storeLimits())
+	if err != nil {
+		t.Fatal(err)
+	}
 	if len(changes) < 3 || record.DependencyParts != len(changes)-1 {
 		t.Fatalf("%d changes, %d parts", len(changes), record.DependencyParts)
 	}
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -6,6 +6,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/jobhistory"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -69,7 +70,7 @@
 // canEvict tells whether nothing but a user's question needs a finished job any more.
 func (controller *Controller) canEvict(id string) bool {
 	record := controller.view.jobs[id]
-	if record == nil || !record.isFinished() || controller.view.progress[id] != nil || controller.view.dependencies[id] != nil || controller.pendingSubmissions[id] != nil {
+	if record == nil || !record.IsFinished() || controller.view.progress[id] != nil || controller.view.dependencies[id] != nil || controller.pendingSubmissions[id] != nil {
 		return false
 	}
 	return controller.term == nil || controller.term.tracker.Jobs[id] == nil && controller.term.jobs[id] == nil
@@ -94,7 +95,7 @@
 		controller.recordEviction()
 	}
 	for _, record := range controller.view.jobs {
-		if record.isFinished() {
+		if record.IsFinished() {
 			read.add(record.State, -1)
 		}
 	}
@@ -117,8 +118,8 @@
 func (filter *loadFilter) add(items []wire.KeyValue) {
 	for _, item := range items {
 		var record jobRecord
-		isJob := strings.HasPrefix(item.Key, JobPrefix)
-		if !isJob || record.UnmarshalJSON(item.Value) != nil || !record.isFinished() {
+		isJob := strings.HasPrefix(item.Key, records.JobPrefix)
+		if !isJob || record.UnmarshalJSON(item.Value) != nil || !record.IsFinished() {
 			filter.others = append(filter.others, item)
 			continue
 		}
--- a/internal/controller/eviction_bench_test.go
+++ b/internal/controller/eviction_bench_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -14,15 +15,15 @@
 	for i := first; i < first+jobs; i++ {
 		id := fmt.Sprintf("req-%08d", i)
 		now := clock.WallTime()
-		record := &jobRecord{SubmittedAt: int64(now), Spec: &wire.Job{ID: id, Class: "reproject", TaskCount: 90, DeadlineSeconds: 600}}
+		record := &jobRecord{Job: records.Job{SubmittedAt: int64(now), Spec: &wire.Job{ID: id, Class: "reproject", TaskCount: 90, DeadlineSeconds: 600}}}
 		end := newEndRecord(record, wire.JobDone, now+clock.Micros(i))
 		end.FirstStartAt = int64(now)
 		value, err := end.MarshalJSON()
 		if err != nil {
 			b.Fatal(err)
 		}
-		items = append(items, wire.KeyValue{Key: JobPrefix + id, Value: value, Version: uint64(i + 1)})
-		size += len(JobPrefix+id) + len(value)
+		items = append(items, wire.KeyValue{Key: records.JobKey(id), Value: value, Version: uint64(i + 1)})
+		size += len(records.JobKey(id)) + len(value)
 	}
 	return items, size
 }
--- a/internal/controller/faulty_machines_test.go
+++ b/internal/controller/faulty_machines_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -17,9 +18,9 @@
 		names = append(names, fmt.Sprintf("i-%02d", i))
 	}
 	term := newTestTerm(t, names...)
-	term.controller.view.jobs["req-000001"] = &jobRecord{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
+	term.controller.view.jobs["req-000001"] = &jobRecord{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 		ID: "req-000001", Class: "c", Kind: wire.KindService, Team: "t", TaskCount: 1, CPUs: 1,
-	}}
+	}}}
 	term.controller.view.progress["req-000001"] = map[int]progressPart{0: {}}
 	term = newLeaderTerm(term.controller, 10, clock.Now())
 	now := term.startedAt
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -8,6 +8,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/jobhistory"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
@@ -59,7 +60,7 @@
 func (controller *Controller) readJobRecords(jobs []string) (read []wire.KeyValue, areOthersAbsent bool, err error) {
 	var keys []string
 	for _, id := range jobs {
-		keys = append(keys, JobPrefix+id, ArchivePrefix+id)
+		keys = append(keys, records.JobKey(id), records.ArchiveKey(id))
 	}
 	existing, err := controller.store.FindExisting(keys)
 	if err != nil || len(existing) == 0 {
@@ -83,14 +84,14 @@
 
 // applyLookedUpRecord takes the record of a job that was looked up into the view, and tells the job.
 func (controller *Controller) applyLookedUpRecord(item wire.KeyValue) string {
-	id, isArchived := strings.CutPrefix(item.Key, ArchivePrefix)
+	id, isArchived := strings.CutPrefix(item.Key, records.ArchivePrefix)
 	if !isArchived {
-		id = strings.TrimPrefix(item.Key, JobPrefix)
+		id = strings.TrimPrefix(item.Key, records.JobPrefix)
 	}
 	isNew := controller.view.jobs[id] == nil
-	controller.applyPut(JobPrefix+id, item.Value, item.Version)
+	controller.applyPut(records.JobKey(id), item.Value, item.Version)
 	record := controller.view.jobs[id]
-	if !isNew || record == nil || !record.isFinished() {
+	if !isNew || record == nil || !record.IsFinished() {
 		return id
 	}
 	record.isArchived = isArchived
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -6,6 +6,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/election"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -75,14 +76,14 @@
 func (controller *Controller) leaderTTL() clock.Micros { return controller.elector.TTL() }
 
 func (controller *Controller) acquireLock(lease uint64) {
-	value, err := Lock{Member: controller.cfg.Member, Lease: lease, NeedsStandbyRecord: controller.replica != nil}.MarshalJSON()
+	value, err := records.Lock{Member: controller.cfg.Member, Lease: lease, NeedsStandbyRecord: controller.replica != nil}.MarshalJSON()
 	if err != nil {
 		return
 	}
 	write := &kvstore.Write{
 		Priority:   kvstore.Critical,
-		Conditions: []wire.Condition{{Key: LockKey}},
-		Changes:    []wire.Change{{PutKey: LockKey, Value: value, LeaseID: lease}},
+		Conditions: []wire.Condition{{Key: records.LockKey}},
+		Changes:    []wire.Change{{PutKey: records.LockKey, Value: value, LeaseID: lease}},
 		Deadline:   clock.Now() + controller.leaderTTL()/2,
 	}
 	write.Done = func(outcome kvstore.Outcome, revision uint64) {
--- a/internal/controller/persistence.go
+++ b/internal/controller/persistence.go
@@ -8,6 +8,7 @@
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -23,7 +24,7 @@
 	jobInfo.isRecordingStarts = true
 	// Conditional on the key's absence: one that is carried out late, or again,
 	// must not take back progress that was written meanwhile.
-	write := &kvstore.Write{Priority: kvstore.Required, Conditions: []wire.Condition{{Key: ProgressKey(id, 0)}}, Changes: []wire.Change{NewProgressChange(id, 0, nil, nil)}}
+	write := &kvstore.Write{Priority: kvstore.Required, Conditions: []wire.Condition{{Key: records.ProgressKey(id, 0)}}, Changes: []wire.Change{records.NewProgressChange(id, 0, nil, nil)}}
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
 		term.needsPlan = true
 		switch outcome {
@@ -78,7 +79,7 @@
 		term.controller.log.Info("machine types are too large for the state service; controllers learn them from the cloud alone", "bytes", len(value))
 		return
 	}
-	term.commit(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: MachineTypesKey, Value: value}}}, func(kvstore.Outcome) {})
+	term.commit(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.MachineTypesKey, Value: value}}}, func(kvstore.Outcome) {})
 }
 
 // progressInterval bounds how often a job's progress is written.
@@ -147,9 +148,10 @@
 	// Conditional on the keys' versions: one that is carried out late must not take back
 	// what was written after it.
 	write := &kvstore.Write{Priority: kvstore.Background}
+	isDone := func(task int) bool { return job.Tasks[task].State == allocation.TaskDone }
 	for key := range keys {
-		write.Conditions = append(write.Conditions, wire.Condition{Key: ProgressKey(id, key), Version: jobInfo.keyVersions[key]})
-		write.Changes = append(write.Changes, jobInfo.layout.PutChange(job, key))
+		write.Conditions = append(write.Conditions, wire.Condition{Key: records.ProgressKey(id, key), Version: jobInfo.keyVersions[key]})
+		write.Changes = append(write.Changes, jobInfo.layout.PutChange(id, key, len(job.Tasks), isDone))
 		jobInfo.setKeyVersion(key, 0)
 	}
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
@@ -191,8 +193,8 @@
 	jobInfo.isWriting = true
 	write := &kvstore.Write{
 		Priority:   kvstore.Required,
-		Conditions: []wire.Condition{{Key: JobPrefix + id, Version: record.version}},
-		Changes:    []wire.Change{{PutKey: JobPrefix + id, Value: value}},
+		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.version}},
+		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
 	}
 	if term.controller.store.BacklogDuration() < backlogThreshold {
 		term.addProgressDeletes(write, id, jobInfo)
@@ -234,7 +236,7 @@
 		if len(write.Changes) >= maxChanges {
 			return
 		}
-		write.Changes = append(write.Changes, wire.Change{DeleteKey: ProgressKey(id, number)})
+		write.Changes = append(write.Changes, wire.Change{DeleteKey: records.ProgressKey(id, number)})
 	}
 }
 
@@ -258,7 +260,7 @@
 	}
 	jobInfo.isWriting = true
 	// As long as the record is whole, a new leader has to reckon with its tasks.
-	write := &kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: JobPrefix + id, Value: value}}}
+	write := &kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.JobKey(id), Value: value}}}
 	term.addProgressDeletes(write, id, jobInfo)
 	term.commit(write, func(outcome kvstore.Outcome) {
 		jobInfo.isWriting = false
--- a/internal/controller/repeated_writes_test.go
+++ b/internal/controller/repeated_writes_test.go
@@ -8,6 +8,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/wire"
 )
@@ -36,13 +37,13 @@
 	defer stop()
 	term := newTestTerm(t)
 	controller := term.controller
-	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: 1000, WriteRPS: 1000, MaxTransactionOps: 16}, LockKey)
+	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: 1000, WriteRPS: 1000, MaxTransactionOps: 16}, records.LockKey)
 	var token uint64
-	controller.store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: LockKey}}, Changes: []wire.Change{{PutKey: LockKey, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, revision uint64) {
+	controller.store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: records.LockKey}}, Changes: []wire.Change{{PutKey: records.LockKey, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, revision uint64) {
 		controller.postResult(func() { token = revision })
 	}})
 	runUntil(t, controller, func() bool { return token != 0 })
-	controller.view.scaleOuts, controller.view.isLoaded, controller.view.revision = map[string]*ScaleOut{}, true, token
+	controller.view.scaleOuts, controller.view.isLoaded, controller.view.revision = map[string]*scaleOutRecord{}, true, token
 	term = newLeaderTerm(controller, token, clock.Now())
 	term.actDeadline.Store(1 << 62)
 	controller.term = term
@@ -58,7 +59,7 @@
 	term.recordStarts(job)
 	runUntil(t, controller, func() bool { return job.StartsRecorded })
 	before := map[string]string{}
-	for _, key := range fakeStore.Keys(WatchedPrefix) {
+	for _, key := range fakeStore.Keys(records.WatchedPrefix) {
 		before[key] = fakeStore.Value(key)
 	}
 	for _, transaction := range fakeStore.Transactions() {
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -9,6 +9,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/cloud"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/wire"
 )
@@ -16,7 +17,7 @@
 // scaleOutRequest is one from its record on, until the last machine of it is gone.
 type scaleOutRequest struct {
 	name         string
-	record       ScaleOut
+	record       records.ScaleOut
 	requestedAt  clock.Micros
 	isResolved   bool // the cloud has answered
 	isWriting    bool
@@ -40,7 +41,7 @@
 		term.scaleOutSequence++
 		request := &scaleOutRequest{
 			name: fmt.Sprintf("%s-%d-%d", term.controller.cfg.Member, term.token, term.scaleOutSequence), requestedAt: now,
-			record: ScaleOut{Type: wanted.Pool.Type, Zone: wanted.Pool.Zone, Spot: wanted.Pool.Spot, Count: min(remaining, wire.MaxScaleOutCount), RequestedAt: int64(clock.WallTime())},
+			record: records.ScaleOut{Type: wanted.Pool.Type, Zone: wanted.Pool.Zone, Spot: wanted.Pool.Spot, Count: min(remaining, wire.MaxScaleOutCount), RequestedAt: int64(clock.WallTime())},
 		}
 		term.scaleOuts[request.name] = request
 		term.writeScaleOutRecord(request, kvstore.Required, func() { term.sendScaleOut(request) })
@@ -56,9 +57,9 @@
 		return
 	}
 	request.isWriting, request.needsRewrite = true, false
-	change := wire.Change{PutKey: ScaleOutPrefix + request.name}
+	change := wire.Change{PutKey: records.ScaleOutKey(request.name)}
 	if request.isResolved && len(request.record.Machines) == 0 {
-		change = wire.Change{DeleteKey: ScaleOutPrefix + request.name}
+		change = wire.Change{DeleteKey: records.ScaleOutKey(request.name)}
 	} else {
 		value, err := request.record.MarshalJSON()
 		if err != nil {
@@ -68,7 +69,7 @@
 	}
 	isDelete := change.DeleteKey != ""
 	write := &kvstore.Write{
-		Priority: priority, Conditions: []wire.Condition{{Key: ScaleOutPrefix + request.name, Version: request.version}}, Changes: []wire.Change{change},
+		Priority: priority, Conditions: []wire.Condition{{Key: records.ScaleOutKey(request.name), Version: request.version}}, Changes: []wire.Change{change},
 	}
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
 		if outcome != kvstore.Committed {
--- a/internal/controller/small_limits_test.go
+++ b/internal/controller/small_limits_test.go
@@ -9,6 +9,7 @@
 	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -20,10 +21,10 @@
 	t.Cleanup(stop)
 	controller := newTestTerm(t).controller
 	controller.cfg.Deployment.Store = limits
-	controller.tasksPerKey = TasksPerProgressKey(limits.MaxValueKB)
-	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, MaxTransactionOps: limits.Effective().MaxTransactionOps}, LockKey)
+	controller.tasksPerKey = records.TasksPerProgressKey(limits.MaxValueKB)
+	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, MaxTransactionOps: limits.Effective().MaxTransactionOps}, records.LockKey)
 	controller.store.SetRateShare(1)
-	controller.view.scaleOuts, controller.view.isLoaded = map[string]*ScaleOut{}, true
+	controller.view.scaleOuts, controller.view.isLoaded = map[string]*scaleOutRecord{}, true
 	return fakeStore, startNewTerm(t, controller)
 }
 
@@ -35,7 +36,7 @@
 		controller.term = nil
 	}
 	var token uint64
-	controller.store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: LockKey, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, revision uint64) {
+	controller.store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: records.LockKey, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, revision uint64) {
 		controller.postResult(func() { token = revision })
 	}})
 	runUntil(t, controller, func() bool { return token != 0 })
@@ -60,12 +61,12 @@
 		controller, token := term.controller, term.token
 
 		const id = "req-000001"
-		record := &jobRecord{Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: test.tasks, Priority: wire.PriorityNormal}, SubmittedAt: int64(clock.WallTime())}
+		record := &jobRecord{Job: records.Job{Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: test.tasks, Priority: wire.PriorityNormal}, SubmittedAt: int64(clock.WallTime())}}
 		value, err := record.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
-		controller.store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: JobPrefix + id}}, Changes: []wire.Change{{PutKey: JobPrefix + id, Value: value}}, Done: func(kvstore.Outcome, uint64) {}})
+		controller.store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: records.JobKey(id)}}, Changes: []wire.Change{{PutKey: records.JobKey(id), Value: value}}, Done: func(kvstore.Outcome, uint64) {}})
 		controller.view.requestSync(func(error) {}, clock.Now()+10*clock.Second)
 		runUntil(t, controller, func() bool { return term.tracker.Jobs[id] != nil })
 		job := term.tracker.Jobs[id]
@@ -111,7 +112,7 @@
 			term.persistJobs(clock.Now() + clock.Second)
 			sweepAt += sweepInterval
 			term.tickCleanup(sweepAt) // what the end's transaction could not take
-			return len(fakeStore.Keys(ProgressPrefix)) == 0 && term.tracker.Jobs[id] == nil
+			return len(fakeStore.Keys(records.ProgressPrefix)) == 0 && term.tracker.Jobs[id] == nil
 		})
 		for _, transaction := range fakeStore.Transactions() {
 			if len(transaction.Changes) > test.ops {
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -7,6 +7,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/peer"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/standby"
 	"firwood.dev/firwood/wire"
 )
@@ -58,7 +59,7 @@
 	view.standby, view.standbyVersion = standby.InSyncRecord{}, version
 	if err := json.Unmarshal(value, &view.standby); err != nil {
 		view.standby = standby.InSyncRecord{}
-		controller.logMalformedRecord(StandbyKey, err)
+		controller.logMalformedRecord(records.StandbyKey, err)
 	}
 	if controller.replica != nil {
 		controller.replica.PruneEarlier(view.standby.Token)
@@ -172,8 +173,8 @@
 	}
 	write := &kvstore.Write{
 		Priority:   kvstore.Critical,
-		Conditions: []wire.Condition{{Key: StandbyKey, Version: version}},
-		Changes:    []wire.Change{{PutKey: StandbyKey, Value: value}},
+		Conditions: []wire.Condition{{Key: records.StandbyKey, Version: version}},
+		Changes:    []wire.Change{{PutKey: records.StandbyKey, Value: value}},
 	}
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
 		switch outcome {
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -8,6 +8,7 @@
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/internal/staleness"
 )
@@ -111,7 +112,7 @@
 	isRecordingStarts  bool
 	isWriting          bool
 	writtenAt          clock.Micros
-	layout             ProgressLayout
+	layout             records.ProgressLayout
 	keyVersions        map[int]uint64 // versions of progress keys as last known, by number
 	hasWarnedLate      bool
 	isEndDurable       bool    // its end is durable
@@ -191,7 +192,7 @@
 
 	wall := clock.WallTime()
 	for name, record := range controller.view.scaleOuts {
-		request := &scaleOutRequest{name: name, record: *record, version: record.version, requestedAt: now - max(wall-clock.Micros(record.RequestedAt), 0), isResolved: record.IsResolved}
+		request := &scaleOutRequest{name: name, record: record.ScaleOut, version: record.version, requestedAt: now - max(wall-clock.Micros(record.RequestedAt), 0), isResolved: record.IsResolved}
 		term.scaleOuts[name] = request
 		for _, machineName := range record.Machines {
 			term.addMachine(request, machineName).RecordedInStore = true
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -11,6 +11,7 @@
 	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/peer"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
@@ -52,7 +53,7 @@
 	deployment.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 1000}
 	controller := New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	controller.machineTypes = []wire.MachineType{{Name: "big", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: deployment.Zones}}
-	controller.view.scaleOuts["h"] = &ScaleOut{Type: "big", Zone: "x", Count: len(machines), RequestedAt: int64(clock.WallTime() - 300*clock.Second), IsResolved: true, Machines: machines}
+	controller.view.scaleOuts["h"] = &scaleOutRecord{ScaleOut: records.ScaleOut{Type: "big", Zone: "x", Count: len(machines), RequestedAt: int64(clock.WallTime() - 300*clock.Second), IsResolved: true, Machines: machines}}
 	return newLeaderTerm(controller, 9, clock.Now())
 }
 
--- a/internal/controller/token.go
+++ b/internal/controller/token.go
@@ -3,6 +3,7 @@
 import (
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -19,7 +20,7 @@
 		return
 	}
 	term.isIssuingToken = true
-	term.commitWithRevision(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: TokenKey, Value: []byte(`{}`)}}}, func(outcome kvstore.Outcome, revision uint64) {
+	term.commitWithRevision(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.TokenKey, Value: []byte(`{}`)}}}, func(outcome kvstore.Outcome, revision uint64) {
 		term.isIssuingToken = false
 		if outcome != kvstore.Committed {
 			return
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -6,6 +6,7 @@
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
@@ -121,9 +122,9 @@
 		controller.pendingSubmissions[job.ID] = append(replies, reply)
 		return
 	}
-	record := &jobRecord{Spec: job, SubmittedAt: int64(clock.WallTime())}
-	changes := controller.submissionChanges(record)
-	if changes == nil {
+	record := &jobRecord{Job: records.Job{Spec: job, SubmittedAt: int64(clock.WallTime())}}
+	changes, err := records.SubmissionChanges(&record.Job, controller.storeLimits())
+	if err != nil {
 		controller.rejectAfterSync(job, reply, func() string { return "the job's description is too large" }, nil)
 		return
 	}
@@ -132,7 +133,7 @@
 	}
 	controller.pendingSubmissions[job.ID] = []*server.Reply{reply}
 	write := &kvstore.Write{
-		Conditions: []wire.Condition{{Key: JobPrefix + job.ID}, {Key: ArchivePrefix + job.ID}},
+		Conditions: []wire.Condition{{Key: records.JobKey(job.ID)}, {Key: records.ArchiveKey(job.ID)}},
 		Changes:    changes,
 		Deadline:   clock.Now() + submitTimeout,
 	}
@@ -153,7 +154,7 @@
 		// The watch will bring it; a leader need not wait for that.
 		record.version = revision
 		if record.DependencyParts > 0 {
-			for part, ids := range SplitDependencies(job.DependsOn, int(controller.cfg.Deployment.Store.Effective().MaxValueKB*1024)) {
+			for part, ids := range records.SplitDependencies(job.DependsOn, controller.storeLimits()) {
 				controller.setDependenciesPart(id, part, ids)
 			}
 		}
@@ -218,7 +219,7 @@
 
 func (controller *Controller) showJob(id string, reply *server.Reply) {
 	if record := controller.view.jobs[id]; record != nil && record.hasEnded() {
-		if record.isFinished() {
+		if record.IsFinished() {
 			controller.finishedJobs.Touch(id)
 		}
 		reply.Send(200, controller.encodeJobStatus(id, record), 0) // final, so it cannot be overtaken
@@ -290,8 +291,8 @@
 		return
 	}
 	write := &kvstore.Write{
-		Conditions: []wire.Condition{{Key: JobPrefix + id, Version: record.version}},
-		Changes:    []wire.Change{{PutKey: JobPrefix + id, Value: value}},
+		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.version}},
+		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
 		Deadline:   clock.Now() + submitTimeout,
 	}
 	write.Done = func(outcome kvstore.Outcome, revision uint64) {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -7,6 +7,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/election"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/standby"
 	"firwood.dev/firwood/wire"
 )
@@ -22,7 +23,7 @@
 	progress map[string]map[int]progressPart
 	// dependencies are the parts of what jobs await, where those have keys of their own.
 	dependencies map[string]map[int][]string
-	scaleOuts    map[string]*ScaleOut
+	scaleOuts    map[string]*scaleOutRecord
 	lock         election.Lock
 	// constraints are those of leaders, with its version.
 	constraints        delegation.Constraints
@@ -63,7 +64,7 @@
 	view.jobs = map[string]*jobRecord{}
 	view.progress = map[string]map[int]progressPart{}
 	view.dependencies = map[string]map[int][]string{}
-	view.scaleOuts = map[string]*ScaleOut{}
+	view.scaleOuts = map[string]*scaleOutRecord{}
 }
 
 // requestSync calls f once the view is at least as new as this call, or with an
@@ -99,8 +100,8 @@
 func (controller *Controller) applyPut(key string, value []byte, version uint64) {
 	view := &controller.view
 	switch {
-	case key == LockKey:
-		var record Lock
+	case key == records.LockKey:
+		var record records.Lock
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
 			return
@@ -110,7 +111,7 @@
 			controller.traceObservedFailover(version)
 		}
 		view.lock = election.Lock{Exists: true, Holder: record.Member, LeaseID: record.Lease, Version: version}
-	case key == MachineTypesKey:
+	case key == records.MachineTypesKey:
 		var types wire.MachineTypeList
 		if err := types.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
@@ -119,27 +120,27 @@
 		if len(controller.machineTypes) == 0 {
 			controller.setMachineTypes(types.Types)
 		}
-	case key == ConstraintsKey:
-		var record Constraints
+	case key == records.ConstraintsKey:
+		var record records.Constraints
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
 			return
 		}
 		controller.applyConstraints(record.Constraints, version)
-	case key == StandbyKey:
+	case key == records.StandbyKey:
 		controller.applyStandbyRecord(value, version)
-	case key == ArchiveMarkerKey:
+	case key == records.ArchiveMarkerKey:
 		view.hasArchive = true
 		controller.recordEviction()
-	case strings.HasPrefix(key, WorkerContactPrefix):
-		var record WorkerContact
+	case strings.HasPrefix(key, records.WorkerContactPrefix):
+		var record records.WorkerContact
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
 			return
 		}
 		controller.applyWorkerContact(key, record)
-	case strings.HasPrefix(key, JobPrefix):
-		id := key[len(JobPrefix):]
+	case strings.HasPrefix(key, records.JobPrefix):
+		id := key[len(records.JobPrefix):]
 		record := &jobRecord{}
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
@@ -151,24 +152,24 @@
 			return
 		}
 		controller.setJobRecord(id, record)
-	case strings.HasPrefix(key, DependenciesPrefix):
-		id, part, ok := ParseDependenciesKey(key)
-		var record Dependencies
+	case strings.HasPrefix(key, records.DependenciesPrefix):
+		id, part, ok := records.ParseDependenciesKey(key)
+		var record records.Dependencies
 		if err := record.UnmarshalJSON(value); err != nil || !ok {
 			controller.logMalformedRecord(key, err)
 			return
 		}
 		controller.setDependenciesPart(id, part, record.DependsOn)
-	case strings.HasPrefix(key, ProgressPrefix):
+	case strings.HasPrefix(key, records.ProgressPrefix):
 		controller.applyProgress(key, value, version)
-	case strings.HasPrefix(key, ScaleOutPrefix):
-		record := &ScaleOut{}
+	case strings.HasPrefix(key, records.ScaleOutPrefix):
+		record := &scaleOutRecord{}
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
 			return
 		}
 		record.version = version
-		view.scaleOuts[key[len(ScaleOutPrefix):]] = record
+		view.scaleOuts[key[len(records.ScaleOutPrefix):]] = record
 	}
 }
 
@@ -178,7 +179,7 @@
 	if record.hasEnded() {
 		controller.progressCounts.remove(id)
 	}
-	if record.isFinished() {
+	if record.IsFinished() {
 		controller.finishedJobs.Touch(id)
 	}
 	controller.cancellations.add(id, record, clock.Now(), clock.WallTime())
@@ -203,7 +204,7 @@
 }
 
 func (controller *Controller) removeDependenciesPart(key string) {
-	id, part, ok := ParseDependenciesKey(key)
+	id, part, ok := records.ParseDependenciesKey(key)
 	if !ok {
 		return
 	}
@@ -221,19 +222,19 @@
 func (controller *Controller) applyDelete(key string) {
 	view := &controller.view
 	switch {
-	case key == LockKey:
+	case key == records.LockKey:
 		view.lock = election.Lock{}
-	case key == ArchiveMarkerKey:
+	case key == records.ArchiveMarkerKey:
 		view.hasArchive = false
-	case strings.HasPrefix(key, JobPrefix):
-		if record := view.jobs[key[len(JobPrefix):]]; record != nil {
+	case strings.HasPrefix(key, records.JobPrefix):
+		if record := view.jobs[key[len(records.JobPrefix):]]; record != nil {
 			record.isArchived = true // records are deleted for that alone
 		}
-	case strings.HasPrefix(key, ProgressPrefix):
+	case strings.HasPrefix(key, records.ProgressPrefix):
 		controller.removeProgress(key)
-	case strings.HasPrefix(key, DependenciesPrefix):
+	case strings.HasPrefix(key, records.DependenciesPrefix):
 		controller.removeDependenciesPart(key)
-	case strings.HasPrefix(key, ScaleOutPrefix):
-		delete(view.scaleOuts, key[len(ScaleOutPrefix):])
+	case strings.HasPrefix(key, records.ScaleOutPrefix):
+		delete(view.scaleOuts, key[len(records.ScaleOutPrefix):])
 	}
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -7,6 +7,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/election"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -18,7 +19,7 @@
 	controller.view.isLoading = true
 	go func() {
 		filter := newLoadFilter(controller.finishedCapacity)
-		revision, err := controller.store.LoadPrefix(WatchedPrefix, filter.add)
+		revision, err := controller.store.LoadPrefix(records.WatchedPrefix, filter.add)
 		if err != nil {
 			controller.log.Debug("state not loaded", "error", err)
 			time.Sleep(300 * time.Millisecond)
@@ -42,7 +43,7 @@
 	// Keys that vanished while nobody watched: jobs never do.
 	view.dependencies = map[string]map[int][]string{}
 	view.progress = map[string]map[int]progressPart{}
-	view.scaleOuts = map[string]*ScaleOut{}
+	view.scaleOuts = map[string]*scaleOutRecord{}
 	view.lock = election.Lock{}
 	view.terms.Reset()
 	view.hasArchive = false
@@ -114,7 +115,7 @@
 	case <-controller.stopped:
 		return
 	}
-	events, err := controller.store.Watch(WatchedPrefix, from, block)
+	events, err := controller.store.Watch(records.WatchedPrefix, from, block)
 	controller.postResult(func() {
 		if err == nil {
 			controller.applyEvents(events)
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -5,6 +5,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -37,7 +38,7 @@
 	if received := controller.peerHeartbeats[leader]; received != nil && now-received.receivedAt < memberTimeout {
 		return
 	}
-	value, err := WorkerContact{Workers: uint32(len(controller.workerContactAt)), ReportedAt: int64(clock.WallTime())}.MarshalJSON()
+	value, err := records.WorkerContact{Workers: uint32(len(controller.workerContactAt)), ReportedAt: int64(clock.WallTime())}.MarshalJSON()
 	if err != nil {
 		return
 	}
@@ -45,15 +46,15 @@
 	// A write that is refused or late is made up for by the next.
 	controller.store.Commit(&kvstore.Write{
 		Priority: kvstore.Critical,
-		Changes:  []wire.Change{{PutKey: WorkerContactPrefix + controller.cfg.Member, Value: value}},
+		Changes:  []wire.Change{{PutKey: records.WorkerContactKey(controller.cfg.Member), Value: value}},
 		Deadline: now + workerContactInterval,
 		Done:     func(kvstore.Outcome, uint64) {},
 	})
 }
 
 // applyWorkerContact takes what a member has said. It may be long ago.
-func (controller *Controller) applyWorkerContact(key string, record WorkerContact) {
+func (controller *Controller) applyWorkerContact(key string, record records.WorkerContact) {
 	now := clock.Now()
 	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-controller.maxClockSkew(), 0)
-	controller.workerContacts[strings.TrimPrefix(key, WorkerContactPrefix)] = workerContact{record.Workers, now - age}
+	controller.workerContacts[strings.TrimPrefix(key, records.WorkerContactPrefix)] = workerContact{record.Workers, now - age}
 }
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -6,6 +6,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/election"
 	"firwood.dev/firwood/internal/peer"
+	"firwood.dev/firwood/internal/records"
 )
 
 // A leader that no worker reaches, and that hears no controller either, hands over on
@@ -13,7 +14,7 @@
 // a few, nor while it hears the workers itself.
 func TestHandOverOnWorkerContactRecords(t *testing.T) {
 	said := func(workers uint32, ago clock.Micros) []byte {
-		value, err := WorkerContact{Workers: workers, ReportedAt: int64(clock.WallTime() - ago)}.MarshalJSON()
+		value, err := records.WorkerContact{Workers: workers, ReportedAt: int64(clock.WallTime() - ago)}.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,7 +34,7 @@
 	} {
 		term := newTestTerm(t)
 		term.controller.term = term
-		term.controller.applyPut(WorkerContactPrefix+"b", said(test.workers, test.ago), 10)
+		term.controller.applyPut(records.WorkerContactKey("b"), said(test.workers, test.ago), 10)
 		now := clock.Now()
 		term.resumedAt = now - 60*clock.Second
 		if got := term.handOverIfCutOff(test.h, now); got != test.over || term.isClosed != test.over {
--- a/internal/controller/record_compatibility_test.go
+++ b/internal/records/compatibility_test.go
@@ -1,4 +1,4 @@
-package controller
+package records
 
 import (
 	"encoding/json"
@@ -50,7 +50,7 @@
 		t.Fatalf("%d records", len(lines))
 	}
 	for i, line := range lines {
-		record := &jobRecord{}
+		record := &Job{}
 		if err := record.UnmarshalJSON([]byte(line)); err != nil {
 			t.Fatal(err)
 		}
@@ -73,7 +73,7 @@
 		ID: "req-000007", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 3, CPUs: 2, EstimatedRunSeconds: 9, DeadlineSeconds: 60,
 		DependsOn: []string{"req-000001", "req-000002"},
 	}
-	record := &jobRecord{Spec: job, SubmittedAt: 5, DependencyParts: 2, TasksPerKey: 100, ReleasedAt: 6}
+	record := &Job{Spec: job, SubmittedAt: 5, DependencyParts: 2, TasksPerKey: 100, ReleasedAt: 6}
 	value, err := record.MarshalJSON()
 	if err != nil {
 		t.Fatal(err)
