--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -41,11 +41,11 @@
 	isWanted := term.controller.tuning.ArchiveFinishedAfterS > 0
 	switch {
 	case archive.isReading || archive.movesInFlight > 0 || archive.isWritingMarker || now < archive.nextAt || term.controller.store.IsFailing(now):
-	case isWanted && !term.controller.view.hasArchive:
+	case isWanted && !term.controller.view.HasArchive:
 		term.writeArchiveMarker(wire.Change{PutKey: records.ArchiveMarkerKey, Value: []byte("{}")})
 	case isWanted:
 		term.readArchivePage(records.JobPrefix, term.archiveExpired)
-	case term.controller.view.hasArchive:
+	case term.controller.view.HasArchive:
 		term.readArchivePage(records.ArchivePrefix, term.restoreArchived)
 	}
 }
@@ -93,7 +93,7 @@
 	before := clock.WallTime() - clock.FromSeconds(term.controller.tuning.ArchiveFinishedAfterS)
 	for _, item := range page {
 		id := strings.TrimPrefix(item.Key, records.JobPrefix)
-		var record jobRecord
+		var record Job
 		if record.UnmarshalJSON(item.Value) != nil || !record.IsFinished() || clock.Micros(record.EndedAt) > before || !term.canArchive(id) {
 			continue
 		}
@@ -104,7 +104,7 @@
 // canArchive tells whether nothing of a finished job is left but its record.
 func (term *leaderTerm) canArchive(id string) bool {
 	view := &term.controller.view
-	return view.progress[id] == nil && view.dependencies[id] == nil && term.tracker.Jobs[id] == nil && term.jobs[id] == nil
+	return view.Progress[id] == nil && view.Dependencies[id] == nil && term.tracker.Jobs[id] == nil && term.jobs[id] == nil
 }
 
 // restoreArchived moves a page of the archive back; once there is nothing left of it, that is said.
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -15,7 +15,7 @@
 // a view, and the reports that the machines send.
 func addFleetRecords(controller *Controller, machines int) []*wire.Heartbeat {
 	const tasks, jobTasks = 8, 96
-	scaleOut := controller.view.scaleOuts["h"]
+	scaleOut := controller.view.ScaleOuts["h"]
 	var heartbeats []*wire.Heartbeat
 	for i := range machines {
 		name := fmt.Sprintf("i-%06d", i)
@@ -30,11 +30,11 @@
 	}
 	for i := range machines*tasks/jobTasks + 1 {
 		id := fmt.Sprintf("req-%06d", i)
-		controller.view.jobs[id] = &jobRecord{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
+		controller.view.Jobs[id] = &Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 			TaskCount: jobTasks, CPUs: 2, MemoryGB: 4, EstimatedRunSeconds: 40, Image: fmt.Sprint("image-", i%20),
 		}}}
-		controller.view.progress[id] = map[int]progressPart{0: {}}
+		controller.view.Progress[id] = map[int]ProgressPart{0: {}}
 	}
 	return heartbeats
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -41,7 +41,7 @@
 }
 
 // add takes a job's record, if it is that of a recent withdrawal.
-func (log *cancellationLog) add(id string, record *jobRecord, now, wall clock.Micros) {
+func (log *cancellationLog) add(id string, record *Job, now, wall clock.Micros) {
 	if record.State != wire.JobCancelled || record.Spec == nil || wall-clock.Micros(record.EndedAt) > log.retention {
 		return
 	}
@@ -49,7 +49,7 @@
 		log.entries = append(log.entries[:0], log.entries[len(log.entries)/2:]...)
 	}
 	log.entries = append(log.entries, cancellationEntry{
-		Cancellation: peer.Cancellation{Job: id, Revision: record.version, CancelledAt: clock.Micros(record.EndedAt)},
+		Cancellation: peer.Cancellation{Job: id, Revision: record.Version, CancelledAt: clock.Micros(record.EndedAt)},
 		receivedAt:   now,
 	})
 	log.hasNews = true
@@ -113,12 +113,12 @@
 // not in the view nothing can have been started here.
 func (controller *Controller) applyCancellations(received []peer.Cancellation) {
 	for _, cancellation := range received {
-		record := controller.view.jobs[cancellation.Job]
-		if record == nil || record.hasEnded() || record.Spec == nil || cancellation.Revision <= record.version {
+		record := controller.view.Jobs[cancellation.Job]
+		if record == nil || record.HasEnded() || record.Spec == nil || cancellation.Revision <= record.Version {
 			continue
 		}
-		end := newEndRecord(record, wire.JobCancelled, cancellation.CancelledAt)
-		end.version = cancellation.Revision
+		end := NewEndedJob(record, wire.JobCancelled, cancellation.CancelledAt)
+		end.Version = cancellation.Revision
 		controller.setJobRecord(cancellation.Job, end)
 		controller.log.Debug("withdrawal told by another member", "job", cancellation.Job, "revision", cancellation.Revision)
 	}
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -70,10 +70,10 @@
 // have keys of their own, which are few, and not at all jobs.
 func (term *leaderTerm) findJobsWithObsoleteKeys() []string {
 	found := map[string]bool{}
-	for id := range term.controller.view.dependencies {
+	for id := range term.controller.view.Dependencies {
 		found[id] = len(term.obsoleteKeys(id)) > 0
 	}
-	for id := range term.controller.view.progress {
+	for id := range term.controller.view.Progress {
 		if term.controller.mayBeEvicted(id) {
 			term.controller.lookUpUntilKnown(id) // a late write came after the job was forgotten
 		}
@@ -86,12 +86,12 @@
 // obsoleteKeys are the keys of a job that are of no use any more. As long as tasks of a
 // cancelled job may be on machines, its progress tells the next leader to look for them.
 func (term *leaderTerm) obsoleteKeys(id string) []string {
-	record := term.controller.view.jobs[id]
+	record := term.controller.view.Jobs[id]
 	if record == nil || record.State == "" {
 		return nil
 	}
 	var keys []string
-	for _, part := range slices.Sorted(maps.Keys(term.controller.view.dependencies[id])) {
+	for _, part := range slices.Sorted(maps.Keys(term.controller.view.Dependencies[id])) {
 		keys = append(keys, records.DependenciesKey(id, part))
 	}
 	if record.Spec != nil {
@@ -104,11 +104,11 @@
 }
 
 func (term *leaderTerm) deleteObsoleteKeys(id string) {
-	record, keys := term.controller.view.jobs[id], term.obsoleteKeys(id)
+	record, keys := term.controller.view.Jobs[id], term.obsoleteKeys(id)
 	if len(keys) == 0 {
 		return
 	}
-	write := &kvstore.Write{Priority: kvstore.Background, Conditions: []wire.Condition{{Key: record.key(id), Version: record.version}}}
+	write := &kvstore.Write{Priority: kvstore.Background, Conditions: []wire.Condition{{Key: record.Key(id), Version: record.Version}}}
 	for _, key := range keys[:min(len(keys), term.controller.cfg.Deployment.Store.Effective().MaxTransactionOps)] {
 		write.Changes = append(write.Changes, wire.Change{DeleteKey: key})
 	}
@@ -119,11 +119,11 @@
 // writeImpliedCancellation makes the end of a job durable that is cancelled with one that it
 // needs. Users are told without that; it spares later readers the derivation.
 func (term *leaderTerm) writeImpliedCancellation(id string) {
-	record := term.controller.view.jobs[id]
+	record := term.controller.view.Jobs[id]
 	if record == nil || record.State != "" {
 		return
 	}
-	end := newEndRecord(record, wire.JobCancelled, clock.WallTime())
+	end := NewEndedJob(record, wire.JobCancelled, clock.WallTime())
 	end.Spec = nil // it never started
 	value, err := end.MarshalJSON()
 	if err != nil {
@@ -131,7 +131,7 @@
 	}
 	write := &kvstore.Write{
 		Priority:   kvstore.Background,
-		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.version}},
+		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.Version}},
 		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
 	}
 	term.writeCleanup(write, func(outcome kvstore.Outcome) {
--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -35,7 +35,7 @@
 		runUntil(t, controller, func() bool { return done })
 	}
 	synced := false
-	controller.view.requestSync(func(error) { synced = true }, clock.Now()+10*clock.Second)
+	controller.view.RequestSync(func(error) { synced = true }, clock.Now()+10*clock.Second)
 	runUntil(t, controller, func() bool { return synced })
 }
 
@@ -142,8 +142,8 @@
 		id := fmt.Sprintf("req-%06d", i)
 		controller.setJobRecord(id, newJobRecord(id, wire.PriorityLow, clock.WallTime().Seconds(), 0, "req-000000"))
 	}
-	end := newEndRecord(root, wire.JobCancelled, clock.WallTime())
-	end.version = 2
+	end := NewEndedJob(root, wire.JobCancelled, clock.WallTime())
+	end.Version = 2
 	controller.setJobRecord("req-000000", end)
 	if got := len(term.cleanup.impliedCancellations); got != jobs {
 		t.Fatalf("%d of %d ends are to be written", got, jobs)
@@ -246,7 +246,7 @@
 		term.persistJobs(clock.Now() + clock.Second)
 		sweepAt += sweepInterval
 		term.tickCleanup(sweepAt)
-		return len(fakeStore.Keys(records.ProgressPrefix)) == 0 && term.controller.view.jobs[id].State == wire.JobDone
+		return len(fakeStore.Keys(records.ProgressPrefix)) == 0 && term.controller.view.Jobs[id].State == wire.JobDone
 	})
 	if tooLarge := fakeStore.OversizedCount(); tooLarge != 0 {
 		t.Errorf("%d transactions are refused for their size", tooLarge)
--- a/internal/controller/constraints.go
+++ b/internal/controller/constraints.go
@@ -16,10 +16,10 @@
 // heard. See delegation.Constraints.
 
 func (controller *Controller) applyConstraints(constraints delegation.Constraints, version uint64) {
-	if version <= controller.view.constraintsVersion {
+	if version <= controller.view.ConstraintsVersion {
 		return
 	}
-	controller.view.constraints, controller.view.constraintsVersion = constraints, version
+	controller.view.Constraints, controller.view.ConstraintsVersion = constraints, version
 	controller.unconfirmedConstraints = nil
 	if controller.term != nil {
 		controller.term.constraints.ObserveStored(constraints, version)
@@ -154,7 +154,7 @@
 		switch {
 		case outcome != kvstore.Committed:
 			// The view tells the version by the time of the next look.
-			term.controller.view.requestSync(func(error) {}, clock.Now()+2*clock.Second)
+			term.controller.view.RequestSync(func(error) {}, clock.Now()+2*clock.Second)
 		case len(term.liftingZones) > 0:
 			term.updateConstraints(clock.Now())
 		}
@@ -222,5 +222,5 @@
 	if controller.term != nil && controller.term.constraints.MayConstrainZone(zone) || controller.unconfirmedConstraints[zone] {
 		return true
 	}
-	return slices.Contains(controller.view.constraints.Zones[zone].KnownBy, controller.cfg.Member)
+	return slices.Contains(controller.view.Constraints.Zones[zone].KnownBy, controller.cfg.Member)
 }
--- a/internal/controller/constraints_test.go
+++ b/internal/controller/constraints_test.go
@@ -18,11 +18,11 @@
 	controller := term.controller
 	plain := term.tracker.LeaseEndsAt(term.tracker.Machines["i-1"])
 	ago := 20 * clock.Second
-	controller.view.constraints = delegation.Constraints{
+	controller.view.Constraints = delegation.Constraints{
 		Zones:            map[string]delegation.ZoneConstraint{"x": {LastAnswerAt: clock.WallTime() - ago, KnownBy: []string{"a"}}},
 		MemberGrantUntil: map[string]clock.Micros{"b": clock.WallTime() - ago},
 	}
-	controller.view.constraintsVersion = 8
+	controller.view.ConstraintsVersion = 8
 	term = newLeaderTerm(controller, 10, clock.Now())
 	term.actDeadline.Store(1 << 62)
 	machine := term.tracker.Machines["i-1"]
@@ -39,7 +39,7 @@
 		t.Fatal("the promise is not being taken back, or counts as taken back already")
 	}
 	term.constraints.RecordCommit(9)
-	controller.view.constraints, controller.view.constraintsVersion = delegation.Constraints{}, 9
+	controller.view.Constraints, controller.view.ConstraintsVersion = delegation.Constraints{}, 9
 	term.retryDeferred()
 	if len(term.deferredHeartbeats) != 0 || machine.LastHeartbeatAt == 0 {
 		t.Fatal("the report that waited is not taken")
@@ -51,12 +51,12 @@
 	term.constraints.ObserveStored(delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"y": {KnownBy: []string{"a", "b"}}, "z": {KnownBy: []string{"b"}}}}, 20)
 	term.close()
 	controller.term = nil
-	controller.view.isLoaded = true
+	controller.view.IsLoaded = true
 	if !controller.mayConstrainZone("y") || controller.mayConstrainZone("x") {
 		t.Fatal("a promise is forgotten with the lead")
 	}
 	// One who has not promised anything is free to delegation.
-	controller.unconfirmedConstraints, controller.view.constraints = nil, delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"z": {KnownBy: []string{"b"}}}}
+	controller.unconfirmedConstraints, controller.view.Constraints = nil, delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"z": {KnownBy: []string{"b"}}}}
 	if controller.mayConstrainZone("z") {
 		t.Fatal("bound by another member's promise")
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -49,7 +49,7 @@
 	tasksPerKey         int // tasks in one progress key
 	teams               map[string]allocation.TeamQuota
 
-	view            storeView
+	view            View
 	dependencyGraph *dag.Graph
 	elector         *election.Elector
 	peerHeartbeats  map[string]*receivedHeartbeat
@@ -163,7 +163,7 @@
 	if tuning.Standby.Enabled {
 		controller.replica = standby.NewReplica(controller.delegate.Timestamp(clock.Now()).Incarnation)
 	}
-	controller.view.reset()
+	controller.view.Reset()
 	return controller
 }
 
@@ -227,7 +227,7 @@
 		}
 	}
 	controller.tickedAt = now
-	controller.view.expireWaiters(now)
+	controller.view.ExpireWaiters(now)
 	controller.startWatches()
 	controller.executeActions(controller.elector.Tick(now))
 	controller.fetchMachineTypes(now)
--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -36,7 +36,7 @@
 	if controller.delegationTimes.GrantTTL < lease || controller.delegationTimes.CancellationGrace+controller.delegationTimes.GrantTTL+lease >= cancel {
 		t.Fatalf("a right lasts %d us", controller.delegationTimes.GrantTTL)
 	}
-	controller.view.isLoaded = true
+	controller.view.IsLoaded = true
 	term := newLeaderTerm(controller, 9, clock.Now())
 	controller.term = term // its lock is not held any more: nothing was ever renewed
 	if controller.isEntitled() {
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -22,7 +22,7 @@
 	if controller.term != nil {
 		controller.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.cancellationsKnownAt)
 	}
-	if !controller.view.isLoaded || controller.mayConstrainZone(heartbeat.Zone) {
+	if !controller.view.IsLoaded || controller.mayConstrainZone(heartbeat.Zone) {
 		return false
 	}
 	token, until, ok := controller.delegate.MayAnswer(now, heartbeat.FencingToken)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -16,11 +16,11 @@
 const startOverhead = 5 * clock.Second
 
 // dependenciesOf is what a job awaits, and whether all parts of that are known.
-func (controller *Controller) dependenciesOf(id string, record *jobRecord) (ids []string, isComplete bool) {
+func (controller *Controller) dependenciesOf(id string, record *Job) (ids []string, isComplete bool) {
 	if record.DependencyParts == 0 {
 		return record.Spec.DependsOn, true
 	}
-	parts := controller.view.dependencies[id]
+	parts := controller.view.Dependencies[id]
 	if len(parts) < record.DependencyParts {
 		return nil, false
 	}
@@ -31,7 +31,7 @@
 }
 
 // urgencyOf is what a job itself asks for.
-func urgencyOf(record *jobRecord) dag.Urgency {
+func urgencyOf(record *Job) dag.Urgency {
 	urgency := dag.Urgency{Priority: wire.PriorityIndex(record.Spec.Priority)}
 	if record.Spec.DeadlineSeconds > 0 && record.Spec.Kind != wire.KindService {
 		urgency.Deadline = clock.Micros(record.SubmittedAt) + clock.FromSeconds(record.Spec.DeadlineSeconds)
@@ -40,7 +40,7 @@
 }
 
 // updateDependencyGraph draws the conclusions from a job's record for those that need it.
-func (controller *Controller) updateDependencyGraph(id string, record *jobRecord) {
+func (controller *Controller) updateDependencyGraph(id string, record *Job) {
 	switch {
 	case record.State == wire.JobDone:
 		controller.applyGraphChange(controller.dependencyGraph.RecordCompletion(id, clock.Micros(record.EndedAt)))
@@ -62,7 +62,7 @@
 // lookUpEvictedDependencies looks up jobs that a new job awaits and that were forgotten. It waits for
 // them until they are known.
 func (controller *Controller) lookUpEvictedDependencies(dependencies []string) {
-	if !controller.view.isLoaded {
+	if !controller.view.IsLoaded {
 		return // lookUpUnknownDependencies looks at all
 	}
 	for _, id := range dependencies {
@@ -73,15 +73,15 @@
 }
 
 // isBlocked tells whether a job that is not over must not start yet.
-func (controller *Controller) isBlocked(id string, record *jobRecord) bool {
+func (controller *Controller) isBlocked(id string, record *Job) bool {
 	_, isComplete := controller.dependenciesOf(id, record)
 	return !isComplete || controller.dependencyGraph.IsBlocked(id)
 }
 
 func (controller *Controller) applyGraphChange(change dag.Effects) {
 	for _, id := range change.Cancelled {
-		if record := controller.view.jobs[id]; record != nil && record.State == "" {
-			record.isCancelledByDependency = true
+		if record := controller.view.Jobs[id]; record != nil && record.State == "" {
+			record.IsCancelledByDependency = true
 			controller.progressCounts.remove(id)
 			if controller.term != nil {
 				controller.term.cleanup.impliedCancellations = append(controller.term.cleanup.impliedCancellations, id)
@@ -92,7 +92,7 @@
 		return
 	}
 	for _, id := range change.Released {
-		if record := controller.view.jobs[id]; record != nil && !record.hasEnded() {
+		if record := controller.view.Jobs[id]; record != nil && !record.HasEnded() {
 			controller.term.applyJobRecord(id, record)
 		}
 	}
@@ -103,7 +103,7 @@
 
 // updateUrgency takes over what has come to be demanded of a job.
 func (term *leaderTerm) updateUrgency(id string) {
-	job, record := term.tracker.Jobs[id], term.controller.view.jobs[id]
+	job, record := term.tracker.Jobs[id], term.controller.view.Jobs[id]
 	if job == nil || record == nil || record.Spec == nil {
 		return
 	}
@@ -115,11 +115,11 @@
 // invalidDependencyReason says why a job can never run for what it awaits, if so.
 func (controller *Controller) invalidDependencyReason(job *wire.Job) string {
 	for _, id := range job.DependsOn {
-		record := controller.view.jobs[id]
+		record := controller.view.Jobs[id]
 		switch {
 		case id == job.ID || record == nil:
 			return "it awaits a job that was never accepted: " + id
-		case !record.hasEnded() && record.Spec != nil && record.Spec.Kind == wire.KindService:
+		case !record.HasEnded() && record.Spec != nil && record.Spec.Kind == wire.KindService:
 			return "it awaits a service, which is never done: " + id
 		}
 	}
@@ -130,8 +130,8 @@
 // by any controller, is never refused.
 func (controller *Controller) rejectAfterSync(job *wire.Job, reply *server.Reply, reason func() string, otherwise func()) {
 	evictions := controller.evicted.evictions
-	controller.view.requestSync(func(err error) {
-		switch record := controller.view.jobs[job.ID]; {
+	controller.view.RequestSync(func(err error) {
+		switch record := controller.view.Jobs[job.ID]; {
 		case err != nil:
 			replyUnavailable(reply, err.Error())
 		case record == nil && controller.evicted.evictions != evictions:
--- a/internal/controller/dependencies_bench_test.go
+++ b/internal/controller/dependencies_bench_test.go
@@ -19,7 +19,7 @@
 	wall := int64(clock.WallTime())
 	for i := range jobs {
 		id := fmt.Sprintf("req-%06d", i)
-		record := &jobRecord{Job: records.Job{SubmittedAt: wall + int64(i), Spec: &wire.Job{
+		record := &Job{Job: records.Job{SubmittedAt: wall + int64(i), Spec: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 16, CPUs: 1, MemoryGB: 3, EstimatedRunSeconds: 25, Image: "i", ImageSizeGB: 1,
 		}}}
 		first := i%length == 0
@@ -30,7 +30,7 @@
 			record.Spec.DeadlineSeconds, record.Spec.Priority = 600, wire.PriorityHigh
 		}
 		if first && i/length%2 == 0 {
-			record = newEndRecord(record, wire.JobCancelled, clock.WallTime())
+			record = NewEndedJob(record, wire.JobCancelled, clock.WallTime())
 		}
 		value, err := record.MarshalJSON()
 		if err != nil {
@@ -62,7 +62,7 @@
 			for b.Loop() {
 				before := heapInUse()
 				controller := newTestTerm(b).controller
-				controller.view.isLoaded = true
+				controller.view.IsLoaded = true
 				startedAt := clock.Now()
 				for key, value := range records {
 					controller.applyPut(key, value, 5)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -10,10 +10,10 @@
 )
 
 // newJobRecord makes the record of a job of one task.
-func newJobRecord(id, priority string, submittedAt, deadlineS float64, dependencies ...string) *jobRecord {
-	return &jobRecord{Job: records.Job{SubmittedAt: int64(clock.FromSeconds(submittedAt)), Spec: &wire.Job{
+func newJobRecord(id, priority string, submittedAt, deadlineS float64, dependencies ...string) *Job {
+	return &Job{Job: records.Job{SubmittedAt: int64(clock.FromSeconds(submittedAt)), Spec: &wire.Job{
 		ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1, Priority: priority, EstimatedRunSeconds: 10, DeadlineSeconds: deadlineS, DependsOn: dependencies,
-	}}, version: 1}
+	}}, Version: 1}
 }
 
 // The leader's account has a job once all that it awaits is done, with the urgency of
@@ -39,7 +39,7 @@
 		t.Fatalf("after the last: priority %d, deadline %d, want %d", first.Priority, first.Deadline, want)
 	}
 	end := clock.FromSeconds(wall + 50)
-	controller.setJobRecord("req-000001", &jobRecord{Job: records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: int64(end)}, version: 2})
+	controller.setJobRecord("req-000001", &Job{Job: records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: int64(end)}, Version: 2})
 	second := term.tracker.Jobs["req-000002"]
 	if second == nil || second.ReleasedAt != end || second.Priority != wire.PriorityIndex(wire.PriorityHigh) {
 		t.Fatalf("the second is %+v", second)
@@ -47,14 +47,14 @@
 	if term.tracker.Jobs["req-000003"] != nil {
 		t.Fatal("the third is in the account before the second is done")
 	}
-	over := newEndRecord(controller.view.jobs["req-000002"], wire.JobCancelled, clock.WallTime())
-	over.version = 3
+	over := NewEndedJob(controller.view.Jobs["req-000002"], wire.JobCancelled, clock.WallTime())
+	over.Version = 3
 	controller.setJobRecord("req-000002", over)
-	if record := controller.view.jobs["req-000003"]; !record.hasEnded() || record.effectiveState() != wire.JobCancelled {
+	if record := controller.view.Jobs["req-000003"]; !record.HasEnded() || record.EffectiveState() != wire.JobCancelled {
 		t.Fatal("the third is not cancelled with the second")
 	}
 	controller.setJobRecord("req-000004", newJobRecord("req-000004", wire.PriorityLow, wall, 0, "req-000003"))
-	if record := controller.view.jobs["req-000004"]; record.effectiveState() != wire.JobCancelled || term.tracker.Jobs["req-000004"] != nil {
+	if record := controller.view.Jobs["req-000004"]; record.EffectiveState() != wire.JobCancelled || term.tracker.Jobs["req-000004"] != nil {
 		t.Fatal("a job that names a cancelled one goes on")
 	}
 }
@@ -77,7 +77,7 @@
 		t.Fatalf("%d changes, %d parts", len(changes), record.DependencyParts)
 	}
 	for _, backwards := range []bool{false, true} {
-		controller.view.reset()
+		controller.view.Reset()
 		for i := range changes {
 			change := changes[i]
 			if backwards {
@@ -88,11 +88,11 @@
 			}
 			controller.applyPut(change.PutKey, change.Value, 5)
 		}
-		dependencies, isComplete := controller.dependenciesOf("req-000500", controller.view.jobs["req-000500"])
+		dependencies, isComplete := controller.dependenciesOf("req-000500", controller.view.Jobs["req-000500"])
 		if !isComplete || len(dependencies) != 300 || dependencies[299] != "req-000299" {
 			t.Fatalf("%d of 300 are read, whole %v", len(dependencies), isComplete)
 		}
-		if !controller.isBlocked("req-000500", controller.view.jobs["req-000500"]) {
+		if !controller.isBlocked("req-000500", controller.view.Jobs["req-000500"]) {
 			t.Fatal("it is not blocked")
 		}
 	}
--- a/internal/controller/entitlement.go
+++ b/internal/controller/entitlement.go
@@ -31,7 +31,7 @@
 		return
 	}
 	term.isRefreshingView = true
-	term.controller.view.requestSync(func(err error) {
+	term.controller.view.RequestSync(func(err error) {
 		term.isRefreshingView = false
 		switch {
 		case term.isClosed:
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -37,40 +37,40 @@
 	// are for display and may lag. times counts how often.
 	hasEvicted bool
 	evictions  int
-	counts     evictedCounts
+	counts     FinishedCounts
 	// problems are the worst of them, for the morning report.
 	problems []JobProblem
 }
 
-type evictedCounts struct{ done, cancelled int }
+type FinishedCounts struct{ Done, Cancelled int }
 
-// add counts so many more; what was in the archive at the start is not counted at all.
-func (counts *evictedCounts) add(state string, count int) {
+// Add counts so many more; what was in the archive at the start is not counted at all.
+func (counts *FinishedCounts) Add(state string, count int) {
 	if state == wire.JobDone {
-		counts.done = max(counts.done+count, 0)
+		counts.Done = max(counts.Done+count, 0)
 	} else {
-		counts.cancelled = max(counts.cancelled+count, 0)
+		counts.Cancelled = max(counts.Cancelled+count, 0)
 	}
 }
 
 // evictFinishedJobs forgets finished jobs beyond the bound.
 func (controller *Controller) evictFinishedJobs() {
 	for _, id := range controller.finishedJobs.Evict(maxEvictionsPerTick, controller.canEvict) {
-		record := controller.view.jobs[id]
+		record := controller.view.Jobs[id]
 		controller.recordEviction()
-		controller.evicted.counts.add(record.State, 1)
+		controller.evicted.counts.Add(record.State, 1)
 		if problem, ok := controller.problemOf(id, record, int64(clock.WallTime())); ok {
 			controller.evicted.problems = worstProblems(append(controller.evicted.problems, problem))
 		}
-		delete(controller.view.jobs, id)
+		delete(controller.view.Jobs, id)
 		controller.dependencyGraph.Remove(id)
 	}
 }
 
 // canEvict tells whether nothing but a user's question needs a finished job any more.
 func (controller *Controller) canEvict(id string) bool {
-	record := controller.view.jobs[id]
-	if record == nil || !record.IsFinished() || controller.view.progress[id] != nil || controller.view.dependencies[id] != nil || controller.pendingSubmissions[id] != nil {
+	record := controller.view.Jobs[id]
+	if record == nil || !record.IsFinished() || controller.view.Progress[id] != nil || controller.view.Dependencies[id] != nil || controller.pendingSubmissions[id] != nil {
 		return false
 	}
 	return controller.term == nil || controller.term.tracker.Jobs[id] == nil && controller.term.jobs[id] == nil
@@ -85,39 +85,39 @@
 
 // mayBeEvicted tells whether a job is not in the view, and may have been forgotten.
 func (controller *Controller) mayBeEvicted(id string) bool {
-	return controller.view.jobs[id] == nil && controller.evicted.hasEvicted
+	return controller.view.Jobs[id] == nil && controller.evicted.hasEvicted
 }
 
 // recountEvicted counts what is forgotten after all records were read, of which so many
 // were finished.
-func (controller *Controller) recountEvicted(read evictedCounts, dropped int) {
+func (controller *Controller) recountEvicted(read FinishedCounts, dropped int) {
 	if dropped > 0 {
 		controller.recordEviction()
 	}
-	for _, record := range controller.view.jobs {
+	for _, record := range controller.view.Jobs {
 		if record.IsFinished() {
-			read.add(record.State, -1)
+			read.Add(record.State, -1)
 		}
 	}
 	controller.evicted.counts = read
 }
 
-// loadFilter takes what is read from the state service page by page. Of finished jobs it
+// LoadFilter takes what is read from the state service page by page. Of finished jobs it
 // keeps the newest ones, and counts the others.
-type loadFilter struct {
+type LoadFilter struct {
 	others   []wire.KeyValue
 	finished *jobhistory.Newest[wire.KeyValue]
-	// finishedCounts counts all finished jobs.
-	finishedCounts evictedCounts
+	// FinishedCounts counts all finished jobs.
+	FinishedCounts FinishedCounts
 }
 
-func newLoadFilter(capacity int) *loadFilter {
-	return &loadFilter{finished: jobhistory.NewNewest[wire.KeyValue](capacity)}
+func NewLoadFilter(capacity int) *LoadFilter {
+	return &LoadFilter{finished: jobhistory.NewNewest[wire.KeyValue](capacity)}
 }
 
-func (filter *loadFilter) add(items []wire.KeyValue) {
+func (filter *LoadFilter) Add(items []wire.KeyValue) {
 	for _, item := range items {
-		var record jobRecord
+		var record Job
 		isJob := strings.HasPrefix(item.Key, records.JobPrefix)
 		if !isJob || record.UnmarshalJSON(item.Value) != nil || !record.IsFinished() {
 			filter.others = append(filter.others, item)
@@ -125,13 +125,13 @@
 		}
 		// The page's memory is not kept for a record of it.
 		item.Key, item.Value = strings.Clone(item.Key), slices.Clone(item.Value)
-		filter.finishedCounts.add(record.State, 1)
+		filter.FinishedCounts.Add(record.State, 1)
 		filter.finished.Add(record.EndedAt, item)
 	}
 }
 
 // keptItems are what was kept, and how many finished jobs were not.
-func (filter *loadFilter) keptItems() (items []wire.KeyValue, dropped int) {
+func (filter *LoadFilter) keptItems() (items []wire.KeyValue, dropped int) {
 	newest, dropped := filter.finished.Records()
 	return append(filter.others, newest...), dropped
 }
--- a/internal/controller/eviction_bench_test.go
+++ b/internal/controller/eviction_bench_test.go
@@ -15,8 +15,8 @@
 	for i := first; i < first+jobs; i++ {
 		id := fmt.Sprintf("req-%08d", i)
 		now := clock.WallTime()
-		record := &jobRecord{Job: records.Job{SubmittedAt: int64(now), Spec: &wire.Job{ID: id, Class: "reproject", TaskCount: 90, DeadlineSeconds: 600}}}
-		end := newEndRecord(record, wire.JobDone, now+clock.Micros(i))
+		record := &Job{Job: records.Job{SubmittedAt: int64(now), Spec: &wire.Job{ID: id, Class: "reproject", TaskCount: 90, DeadlineSeconds: 600}}}
+		end := NewEndedJob(record, wire.JobDone, now+clock.Micros(i))
 		end.FirstStartAt = int64(now)
 		value, err := end.MarshalJSON()
 		if err != nil {
@@ -39,11 +39,11 @@
 					controller := newTestTerm(b).controller
 					controller.finishedCapacity = capacity
 					before, stored := heapInUse(), 0
-					filter := newLoadFilter(capacity)
+					filter := NewLoadFilter(capacity)
 					for first := 0; first < jobs; first += page {
 						items, size := finishedPage(b, first, page)
 						stored += size
-						filter.add(items)
+						filter.Add(items)
 					}
 					controller.applyLoad(filter, uint64(jobs))
 					filter = nil
--- a/internal/controller/hints.go
+++ b/internal/controller/hints.go
@@ -34,7 +34,7 @@
 	for _, images := range heartbeat.CachedImages {
 		controller.hints.cachedImages[images.Machine] = receivedImages{images, now}
 	}
-	if len(controller.hints.cachedImages) > 2*len(controller.view.scaleOuts)*peer.MaxCachedImageMachines {
+	if len(controller.hints.cachedImages) > 2*len(controller.view.ScaleOuts)*peer.MaxCachedImageMachines {
 		maps.DeleteFunc(controller.hints.cachedImages, func(_ string, images receivedImages) bool { return now-images.receivedAt > imageHintTTL })
 	}
 	if len(heartbeat.RunTimes) > 0 {
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -88,14 +88,14 @@
 	if !isArchived {
 		id = strings.TrimPrefix(item.Key, records.JobPrefix)
 	}
-	isNew := controller.view.jobs[id] == nil
+	isNew := controller.view.Jobs[id] == nil
 	controller.applyPut(records.JobKey(id), item.Value, item.Version)
-	record := controller.view.jobs[id]
+	record := controller.view.Jobs[id]
 	if !isNew || record == nil || !record.IsFinished() {
 		return id
 	}
-	record.isArchived = isArchived
-	controller.evicted.counts.add(record.State, -1)
+	record.IsArchived = isArchived
+	controller.evicted.counts.Add(record.State, -1)
 	controller.evicted.problems = slices.DeleteFunc(controller.evicted.problems, func(problem JobProblem) bool { return problem.Job == id })
 	return id
 }
@@ -104,13 +104,13 @@
 func (controller *Controller) showEvictedJob(id string, reply *server.Reply) {
 	controller.lookUpJob(id, clock.Now()+userTimeout, func(answer jobhistory.LookupResult) {
 		until := clock.Now() + userTimeout
-		record := controller.view.jobs[id]
+		record := controller.view.Jobs[id]
 		switch {
 		case answer == jobhistory.Unavailable:
 			replyUnavailable(reply, "the state service does not answer")
 		case record == nil:
 			reply.SendBefore(404, server.ErrorBody("no such job"), 0, until)
-		case record.hasEnded():
+		case record.HasEnded():
 			reply.Send(200, controller.encodeJobStatus(id, record), 0)
 		default:
 			reply.SendBefore(200, controller.encodeJobStatus(id, record), 0, until)
@@ -173,7 +173,7 @@
 	controller.lookUpJob(id, clock.Now()+userTimeout, func(answer jobhistory.LookupResult) {
 		if answer != jobhistory.Present {
 			controller.runAfter(lookUpRetryInterval, func() {
-				if controller.view.jobs[id] == nil {
+				if controller.view.Jobs[id] == nil {
 					controller.lookUpUntilKnown(id)
 				}
 			})
--- a/internal/controller/job_report.go
+++ b/internal/controller/job_report.go
@@ -46,11 +46,11 @@
 	now := int64(clock.WallTime())
 	evicted := controller.evicted.counts
 	report := JobReport{
-		Member: controller.cfg.Member, Jobs: len(controller.view.jobs) + evicted.done + evicted.cancelled, Done: evicted.done, Cancelled: evicted.cancelled,
+		Member: controller.cfg.Member, Jobs: len(controller.view.Jobs) + evicted.Done + evicted.Cancelled, Done: evicted.Done, Cancelled: evicted.Cancelled,
 		Problems: append([]JobProblem{}, controller.evicted.problems...),
 	}
-	for id, record := range controller.view.jobs {
-		switch record.effectiveState() {
+	for id, record := range controller.view.Jobs {
+		switch record.EffectiveState() {
 		case wire.JobDone:
 			report.Done++
 		case wire.JobCancelled:
@@ -90,10 +90,10 @@
 	return longest
 }
 
-func (controller *Controller) problemOf(id string, record *jobRecord, now int64) (JobProblem, bool) {
+func (controller *Controller) problemOf(id string, record *Job, now int64) (JobProblem, bool) {
 	problem := JobProblem{Job: id, Class: record.Class, State: record.State, Errors: record.Errors, Restarts: record.Restarts}
 	end, deadline, firstStart := record.EndedAt, record.DeadlineAt, record.FirstStartAt
-	if !record.hasEnded() {
+	if !record.HasEnded() {
 		problem.Class, problem.State, end = record.Spec.Class, "active", now
 		if record.Spec.DeadlineSeconds > 0 {
 			deadline = record.SubmittedAt + int64(clock.FromSeconds(record.Spec.DeadlineSeconds))
@@ -113,12 +113,12 @@
 	if objective := controller.completionObjective(problem.Class); deadline == 0 && objective > 0 {
 		deadline = max(record.SubmittedAt, record.ReleasedAt) + int64(objective)
 	}
-	if record.effectiveState() == wire.JobCancelled {
+	if record.EffectiveState() == wire.JobCancelled {
 		return problem, false
 	}
 	problem.TookS = clock.Micros(end - record.SubmittedAt).Seconds()
 	released := max(record.SubmittedAt, record.ReleasedAt)
-	if !record.hasEnded() {
+	if !record.HasEnded() {
 		released = int64(controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt)))
 	}
 	if firstStart > released {
@@ -132,11 +132,11 @@
 		problem.Reason = "tasks failed with an error and were started again"
 	case problem.Restarts > 0:
 		problem.Reason = "tasks were lost with their machines and were started again"
-	case !record.hasEnded() && controller.dependencyGraph.IsBlocked(id):
+	case !record.HasEnded() && controller.dependencyGraph.IsBlocked(id):
 		problem.Reason = "waits for " + controller.dependencyGraph.PendingDependencies(id)[0]
 	case problem.IsLate && clock.Micros(released-record.SubmittedAt).Seconds() > problem.TookS/2:
 		problem.Reason = "waited for jobs before it in its pipeline"
-	case firstStart == 0 && !record.hasEnded() && controller.view.progress[id] == nil:
+	case firstStart == 0 && !record.HasEnded() && controller.view.Progress[id] == nil:
 		problem.Reason = "no task has started yet"
 	case problem.IsLate && problem.WaitedS > problem.TookS/2:
 		problem.Reason = "waited for machines"
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -65,10 +65,10 @@
 					controller.log.Debug("lease revoked", "lease", action.LeaseID)
 				}
 				// What it held is gone now; nobody else may have noticed.
-				controller.postResult(func() { controller.view.requestSync(func(error) {}, clock.Now()+10*clock.Second) })
+				controller.postResult(func() { controller.view.RequestSync(func(error) {}, clock.Now()+10*clock.Second) })
 			}()
 		case election.RefreshLock:
-			controller.view.requestSync(func(error) {}, clock.Now()+10*clock.Second)
+			controller.view.RequestSync(func(error) {}, clock.Now()+10*clock.Second)
 		}
 	}
 }
@@ -121,12 +121,12 @@
 func (controller *Controller) rebuildTerm() {
 	token := controller.elector.Token()
 	requestedAt := clock.Now()
-	controller.view.requestSync(func(err error) {
+	controller.view.RequestSync(func(err error) {
 		switch {
 		case controller.elector.Token() != token:
 			controller.isRebuilding = false
 			controller.startFailoverIfElected()
-		case err != nil || controller.view.revision < token || len(controller.machineTypes) == 0:
+		case err != nil || controller.view.Revision < token || len(controller.machineTypes) == 0:
 			// Types come from the state service or the cloud; try again soon.
 			time.AfterFunc(100*time.Millisecond, func() {
 				controller.postResult(func() {
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -103,7 +103,7 @@
 // behind in a zone that is cut off ends in time; see delegation.Config.
 func (term *leaderTerm) acknowledgeTimestamps(now clock.Micros, then func()) {
 	stamps := maps.Clone(term.controller.peerTimestamps)
-	term.controller.view.requestSync(func(err error) {
+	term.controller.view.RequestSync(func(err error) {
 		defer then()
 		if err != nil || term.isClosed {
 			return
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -19,7 +19,7 @@
 // service every node is refused, and leaving then would only cost time after
 // it; a node that alone is refused leaves.
 func (controller *Controller) updateAvailability(now clock.Micros) {
-	unavailable := !controller.view.isLoaded || len(controller.machineTypes) == 0
+	unavailable := !controller.view.IsLoaded || len(controller.machineTypes) == 0
 	if !unavailable && controller.store.LastFailureAt() > controller.store.LastSuccessAt() && now-controller.store.LastSuccessAt() > clock.Second {
 		for _, received := range controller.peerHeartbeats {
 			if now-received.receivedAt < 2*clock.Second && received.heartbeat.IsStoreReachable {
@@ -73,8 +73,8 @@
 
 // hasJobEnded tells whether a job is known to be over.
 func (controller *Controller) hasJobEnded(job string) bool {
-	record := controller.view.jobs[job]
-	return record != nil && record.hasEnded()
+	record := controller.view.Jobs[job]
+	return record != nil && record.HasEnded()
 }
 
 // knownLeader is who workers are sent to, as far as is known.
@@ -136,7 +136,7 @@
 	}
 	timestamp := controller.delegate.Timestamp(now)
 	heartbeat.Incarnation, heartbeat.Timestamp, heartbeat.SilentFor = timestamp.Incarnation, timestamp.At, controller.delegate.SilentFor(now)
-	heartbeat.StoreRevision = controller.view.revision
+	heartbeat.StoreRevision = controller.view.Revision
 	for i, link := range controller.links {
 		acknowledgement := controller.peerTimestamps[controller.cfg.Peers[i].Member]
 		if controller.term != nil {
--- a/internal/controller/persistence.go
+++ b/internal/controller/persistence.go
@@ -35,10 +35,10 @@
 		case kvstore.NotExecuted:
 			jobInfo.isRecordingStarts = false
 		default: // it may be there already
-			term.controller.view.requestSync(func(error) {
+			term.controller.view.RequestSync(func(error) {
 				jobInfo.isRecordingStarts = false
-				job.StartsRecorded = term.controller.view.progress[id] != nil
-				jobInfo.updateKeyVersions(term.controller.view.progress[id])
+				job.StartsRecorded = term.controller.view.Progress[id] != nil
+				jobInfo.updateKeyVersions(term.controller.view.Progress[id])
 				term.needsPlan = true
 			}, clock.Now()+2*clock.Second)
 		}
@@ -164,9 +164,9 @@
 			}
 			term.tracker.MarkDurable(job, tasks)
 		case kvstore.Conflict, kvstore.Unknown:
-			term.controller.view.requestSync(func(error) {
+			term.controller.view.RequestSync(func(error) {
 				jobInfo.isWriting = false
-				jobInfo.updateKeyVersions(term.controller.view.progress[id])
+				jobInfo.updateKeyVersions(term.controller.view.Progress[id])
 				term.needsPlan = true
 			}, clock.Now()+2*clock.Second)
 			return
@@ -177,11 +177,11 @@
 
 // writeJobEnd makes the end of a job durable; only then anybody is told.
 func (term *leaderTerm) writeJobEnd(id string, job *allocation.Job, jobInfo *jobState) {
-	record := term.controller.view.jobs[id]
-	if record == nil || record.hasEnded() {
+	record := term.controller.view.Jobs[id]
+	if record == nil || record.HasEnded() {
 		return
 	}
-	end := newEndRecord(record, wire.JobDone, clock.WallTime())
+	end := NewEndedJob(record, wire.JobDone, clock.WallTime())
 	end.FirstStartAt, end.Errors, end.Restarts = jobInfo.firstStartAt, job.FailureCount, job.RestartCount
 	if released := term.controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt)); int64(released) != record.SubmittedAt {
 		end.ReleasedAt = int64(released)
@@ -193,7 +193,7 @@
 	jobInfo.isWriting = true
 	write := &kvstore.Write{
 		Priority:   kvstore.Required,
-		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.version}},
+		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.Version}},
 		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
 	}
 	if term.controller.store.BacklogDuration() < backlogThreshold {
@@ -207,18 +207,18 @@
 			jobInfo.isEndDurable = true
 			tasks := job.UnpersistedCompletions()
 			term.tracker.MarkDurable(job, tasks)
-			if current := term.controller.view.jobs[id]; current == nil || current.version < revision {
+			if current := term.controller.view.Jobs[id]; current == nil || current.Version < revision {
 				// Jobs that need this one need not wait for the watch.
-				end.version = revision
+				end.Version = revision
 				term.controller.setJobRecord(id, end)
 			}
 			term.logJobEnd(id, end)
 		case kvstore.Conflict, kvstore.Unknown:
 			// Withdrawn meanwhile, or done without our knowing: the view tells.
 			jobInfo.isWriting = true
-			term.controller.view.requestSync(func(error) {
+			term.controller.view.RequestSync(func(error) {
 				jobInfo.isWriting = false
-				if current := term.controller.view.jobs[id]; current != nil && current.State == wire.JobDone {
+				if current := term.controller.view.Jobs[id]; current != nil && current.State == wire.JobDone {
 					jobInfo.isEndDurable = true
 					term.tracker.MarkDurable(job, job.UnpersistedCompletions())
 				}
@@ -241,7 +241,7 @@
 }
 
 // logJobEnd says loudly when batch work has missed what its owners expect.
-func (term *leaderTerm) logJobEnd(id string, record *jobRecord) {
+func (term *leaderTerm) logJobEnd(id string, record *Job) {
 	if problem, ok := term.controller.problemOf(id, record, int64(clock.WallTime())); ok && problem.IsLate {
 		term.controller.log.Error("job finished late", "job", id, "class", problem.Class, "late_by_s", problem.LateByS, "took_s", problem.TookS, "why", problem.Reason)
 		return
@@ -252,7 +252,7 @@
 // shrinkCancelledRecord shrinks the record of a withdrawn job, once no task of it can be
 // anywhere.
 func (term *leaderTerm) shrinkCancelledRecord(id string, job *allocation.Job, jobInfo *jobState) {
-	record := *term.controller.view.jobs[id]
+	record := *term.controller.view.Jobs[id]
 	record.Spec = nil
 	value, err := record.MarshalJSON()
 	if err != nil {
@@ -276,8 +276,8 @@
 func (term *leaderTerm) warnLateJobs(now clock.Micros) {
 	wall := int64(clock.WallTime())
 	for id, jobInfo := range term.jobs {
-		record := term.controller.view.jobs[id]
-		if jobInfo.hasWarnedLate || jobInfo.isEndDurable || record == nil || record.hasEnded() {
+		record := term.controller.view.Jobs[id]
+		if jobInfo.hasWarnedLate || jobInfo.isEndDurable || record == nil || record.HasEnded() {
 			continue
 		}
 		if problem, ok := term.controller.problemOf(id, record, wall); ok && problem.IsLate {
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -10,15 +10,15 @@
 
 // progressLayoutOf is where an active job's progress is written under the limits in force, or to
 // come.
-func (controller *Controller) progressLayoutOf(record *jobRecord) records.ProgressLayout {
+func (controller *Controller) progressLayoutOf(record *Job) records.ProgressLayout {
 	return records.NewProgressLayout(&record.Job, controller.tasksPerKey, controller.storeLimits())
 }
 
 // completedTasks is the set of a job's completed tasks, by all of its progress keys.
-func (controller *Controller) completedTasks(id string, record *jobRecord) records.Bitmap {
+func (controller *Controller) completedTasks(id string, record *Job) records.Bitmap {
 	var completed records.Bitmap
 	tasksPerKey := record.TasksPerProgressKey(controller.tasksPerKey)
-	for number, part := range controller.view.progress[id] {
+	for number, part := range controller.view.Progress[id] {
 		part.AddTo(&completed, number, tasksPerKey, record.Spec.TaskCount)
 	}
 	return completed
@@ -26,7 +26,7 @@
 
 // progressKeys are the numbers of the keys that a job's progress lies in.
 func (controller *Controller) progressKeys(id string) []int {
-	return slices.Sorted(maps.Keys(controller.view.progress[id]))
+	return slices.Sorted(maps.Keys(controller.view.Progress[id]))
 }
 
 func (controller *Controller) applyProgress(key string, value []byte, version uint64) {
@@ -41,12 +41,12 @@
 		controller.logMalformedRecord(key, err)
 		return
 	}
-	parts := controller.view.progress[id]
+	parts := controller.view.Progress[id]
 	if parts == nil {
-		parts = map[int]progressPart{}
-		controller.view.progress[id] = parts
+		parts = map[int]ProgressPart{}
+		controller.view.Progress[id] = parts
 	}
-	parts[number] = progressPart{ProgressPart: part, version: version}
+	parts[number] = ProgressPart{ProgressPart: part, Version: version}
 }
 
 func (controller *Controller) removeProgress(key string) {
@@ -54,5 +54,5 @@
 	if !ok {
 		return
 	}
-	removePart(controller.view.progress, id, number)
+	removePart(controller.view.Progress, id, number)
 }
--- a/internal/controller/repeated_writes_test.go
+++ b/internal/controller/repeated_writes_test.go
@@ -21,7 +21,7 @@
 			command()
 		}
 		controller.startWatches()
-		controller.view.expireWaiters(clock.Now())
+		controller.view.ExpireWaiters(clock.Now())
 		if isDone() {
 			return
 		}
@@ -43,7 +43,7 @@
 		controller.postResult(func() { token = revision })
 	}})
 	runUntil(t, controller, func() bool { return token != 0 })
-	controller.view.scaleOuts, controller.view.isLoaded, controller.view.revision = map[string]*scaleOutRecord{}, true, token
+	controller.view.ScaleOuts, controller.view.IsLoaded, controller.view.Revision = map[string]*ScaleOut{}, true, token
 	term = newLeaderTerm(controller, token, clock.Now())
 	term.actDeadline.Store(1 << 62)
 	controller.term = term
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -95,7 +95,7 @@
 // rereadScaleOutVersion learns the version of a rental's record, a little later.
 func (term *leaderTerm) rereadScaleOutVersion(request *scaleOutRequest, done func()) {
 	term.runAfter(200*clock.Millisecond, func() {
-		term.controller.view.requestSync(func(err error) {
+		term.controller.view.RequestSync(func(err error) {
 			switch {
 			case term.isClosed:
 				return
@@ -104,8 +104,8 @@
 				return
 			}
 			request.isWriting, request.version = false, 0
-			if record := term.controller.view.scaleOuts[request.name]; record != nil {
-				request.version = record.version
+			if record := term.controller.view.ScaleOuts[request.name]; record != nil {
+				request.version = record.Version
 			}
 			done()
 		}, clock.Now()+2*clock.Second)
--- a/internal/controller/small_limits_test.go
+++ b/internal/controller/small_limits_test.go
@@ -24,7 +24,7 @@
 	controller.tasksPerKey = records.TasksPerProgressKey(limits.MaxValueKB)
 	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, MaxTransactionOps: limits.Effective().MaxTransactionOps}, records.LockKey)
 	controller.store.SetRateShare(1)
-	controller.view.scaleOuts, controller.view.isLoaded = map[string]*scaleOutRecord{}, true
+	controller.view.ScaleOuts, controller.view.IsLoaded = map[string]*ScaleOut{}, true
 	return fakeStore, startNewTerm(t, controller)
 }
 
@@ -41,7 +41,7 @@
 	}})
 	runUntil(t, controller, func() bool { return token != 0 })
 	synced := false
-	controller.view.requestSync(func(err error) { synced = err == nil }, clock.Now()+10*clock.Second)
+	controller.view.RequestSync(func(err error) { synced = err == nil }, clock.Now()+10*clock.Second)
 	runUntil(t, controller, func() bool { return synced })
 	controller.term = newLeaderTerm(controller, token, clock.Now())
 	controller.term.actDeadline.Store(1 << 62)
@@ -61,13 +61,13 @@
 		controller, token := term.controller, term.token
 
 		const id = "req-000001"
-		record := &jobRecord{Job: records.Job{Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: test.tasks, Priority: wire.PriorityNormal}, SubmittedAt: int64(clock.WallTime())}}
+		record := &Job{Job: records.Job{Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: test.tasks, Priority: wire.PriorityNormal}, SubmittedAt: int64(clock.WallTime())}}
 		value, err := record.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
 		controller.store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: records.JobKey(id)}}, Changes: []wire.Change{{PutKey: records.JobKey(id), Value: value}}, Done: func(kvstore.Outcome, uint64) {}})
-		controller.view.requestSync(func(error) {}, clock.Now()+10*clock.Second)
+		controller.view.RequestSync(func(error) {}, clock.Now()+10*clock.Second)
 		runUntil(t, controller, func() bool { return term.tracker.Jobs[id] != nil })
 		job := term.tracker.Jobs[id]
 		term.recordStarts(job)
@@ -95,10 +95,10 @@
 			term.persistJobs(clock.Now() + clock.Second)
 			return len(job.UnpersistedCompletions()) == 0
 		})
-		done := controller.view.progress[id]
-		controller.view.requestSync(func(error) { done = controller.view.progress[id] }, clock.Now()+10*clock.Second)
+		done := controller.view.Progress[id]
+		controller.view.RequestSync(func(error) { done = controller.view.Progress[id] }, clock.Now()+10*clock.Second)
 		runUntil(t, controller, func() bool {
-			done = controller.view.progress[id]
+			done = controller.view.Progress[id]
 			return len(done) == (test.tasks-1)/controller.tasksPerKey+1
 		})
 		for _, i := range []int{0, controller.tasksPerKey - 1, controller.tasksPerKey, test.tasks - 2} {
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -44,7 +44,7 @@
 	return decisions.membership.MaySendStart(number)
 }
 
-// standbyVersion is what this member tells others of the messages that it takes.
+// StandbyVersion is what this member tells others of the messages that it takes.
 func (controller *Controller) standbyVersion() uint8 {
 	if controller.replica == nil {
 		return 0
@@ -56,16 +56,16 @@
 // read names nobody.
 func (controller *Controller) applyStandbyRecord(value []byte, version uint64) {
 	view := &controller.view
-	view.standby, view.standbyVersion = standby.InSyncRecord{}, version
-	if err := json.Unmarshal(value, &view.standby); err != nil {
-		view.standby = standby.InSyncRecord{}
+	view.Standby, view.StandbyVersion = standby.InSyncRecord{}, version
+	if err := json.Unmarshal(value, &view.Standby); err != nil {
+		view.Standby = standby.InSyncRecord{}
 		controller.logMalformedRecord(records.StandbyKey, err)
 	}
 	if controller.replica != nil {
-		controller.replica.PruneEarlier(view.standby.Token)
+		controller.replica.PruneEarlier(view.Standby.Token)
 	}
 	if controller.term != nil && controller.term.standby != nil {
-		controller.term.standby.membership.ObserveRecord(view.standby, version)
+		controller.term.standby.membership.ObserveRecord(view.Standby, version)
 	}
 }
 
@@ -81,9 +81,9 @@
 		others = append(others, other.Member)
 	}
 	publisher := standby.NewPublisher(term.token, nil, others)
-	term.standby = &decisionStream{publisher, standby.NewInSyncSet(publisher, controller.view.standby, controller.view.standbyVersion, others, term.startedAt)}
+	term.standby = &decisionStream{publisher, standby.NewInSyncSet(publisher, controller.view.Standby, controller.view.StandbyVersion, others, term.startedAt)}
 	allocationConfig.Replicator = term.standby
-	if copied, ok := controller.trustedReplica(); ok && controller.view.terms.LastToken() == term.token {
+	if copied, ok := controller.trustedReplica(); ok && controller.view.Terms.LastToken() == term.token {
 		allocationConfig.MayHaveStarted = copied.MayBeRunning
 	}
 }
@@ -91,7 +91,7 @@
 // trustedReplica is this member's copy of the last leader's account that sent starts, if
 // it may be believed.
 func (controller *Controller) trustedReplica() (*standby.Table, bool) {
-	return controller.replica.TrustedTable(controller.view.standby, &controller.view.terms, controller.cfg.Member)
+	return controller.replica.TrustedTable(controller.view.Standby, &controller.view.Terms, controller.cfg.Member)
 }
 
 // handleStandbyMessage takes a message of the leader's stream, or a follower's answer to one.
@@ -130,7 +130,7 @@
 // isForeignToken tells whether a token is certainly not that of the lock: the view is as new as
 // the token, and has another one, or none.
 func (controller *Controller) isForeignToken(token uint64) bool {
-	return controller.view.revision >= token && controller.view.terms.LastToken() != token && controller.view.lock.Exists
+	return controller.view.Revision >= token && controller.view.Terms.LastToken() != token && controller.view.Lock.Exists
 }
 
 // sendStreamMessage sends a message of a stream to a member that takes such.
@@ -186,7 +186,7 @@
 		default:
 			// After a conflict the view tells what is there.
 			membership.RejectWrite()
-			term.controller.view.requestSync(func(error) {}, clock.Now()+2*clock.Second)
+			term.controller.view.RequestSync(func(error) {}, clock.Now()+2*clock.Second)
 		}
 		term.tracker.RetryUnreplicatedStarts()
 	})
--- a/internal/controller/standby_preference.go
+++ b/internal/controller/standby_preference.go
@@ -16,13 +16,13 @@
 // hasBetterCandidate tells whether another member that is up has a replica that the last leader
 // vouched for, and this one has not. It is a preference: after yieldDelay this one tries.
 func (controller *Controller) hasBetterCandidate(now clock.Micros) bool {
-	if controller.replica == nil || !controller.view.terms.IsRecordFirstSince(controller.view.standby.Token) {
+	if controller.replica == nil || !controller.view.Terms.IsRecordFirstSince(controller.view.Standby.Token) {
 		return false
 	}
 	if _, ok := controller.trustedReplica(); ok {
 		return false
 	}
-	return slices.ContainsFunc(controller.view.standby.Members, func(member standby.Member) bool { return controller.mayBeUp(member, now) })
+	return slices.ContainsFunc(controller.view.Standby.Members, func(member standby.Member) bool { return controller.mayBeUp(member, now) })
 }
 
 // mayBeUp tells whether a member was heard lately in one of its lives. One that has just
@@ -46,7 +46,7 @@
 		_, _, held := controller.elector.State()
 		switch {
 		case held != lease:
-		case controller.view.lock.Exists:
+		case controller.view.Lock.Exists:
 			controller.executeActions(controller.elector.HandleAcquireResult(clock.Now(), election.AcquireFailed, 0))
 		default:
 			controller.acquireLock(lease)
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -131,9 +131,9 @@
 }
 
 // updateKeyVersions takes the versions of progress keys from the view.
-func (jobInfo *jobState) updateKeyVersions(parts map[int]progressPart) {
+func (jobInfo *jobState) updateKeyVersions(parts map[int]ProgressPart) {
 	for number, part := range parts {
-		jobInfo.setKeyVersion(number, part.version)
+		jobInfo.setKeyVersion(number, part.Version)
 	}
 }
 
@@ -188,11 +188,11 @@
 		others = append(others, other.Member)
 	}
 	term.grants, term.acknowledgements = delegation.NewGrants(controller.delegationTimes, now, controller.delegate.SilentFor(now), others), map[string]delegation.Timestamp{}
-	term.constraints, term.liftingZones = delegation.NewConstraintTracker(controller.view.constraints, controller.view.constraintsVersion), map[string]bool{}
+	term.constraints, term.liftingZones = delegation.NewConstraintTracker(controller.view.Constraints, controller.view.ConstraintsVersion), map[string]bool{}
 
 	wall := clock.WallTime()
-	for name, record := range controller.view.scaleOuts {
-		request := &scaleOutRequest{name: name, record: record.ScaleOut, version: record.version, requestedAt: now - max(wall-clock.Micros(record.RequestedAt), 0), isResolved: record.IsResolved}
+	for name, record := range controller.view.ScaleOuts {
+		request := &scaleOutRequest{name: name, record: record.ScaleOut, version: record.Version, requestedAt: now - max(wall-clock.Micros(record.RequestedAt), 0), isResolved: record.IsResolved}
 		term.scaleOuts[name] = request
 		for _, machineName := range record.Machines {
 			term.addMachine(request, machineName).RecordedInStore = true
@@ -204,12 +204,12 @@
 		}
 	}
 	var cancelled []string // with jobs that they need
-	for id, record := range controller.view.jobs {
-		done := controller.view.progress[id]
+	for id, record := range controller.view.Jobs {
+		done := controller.view.Progress[id]
 		switch {
-		case record.isCancelledByDependency:
+		case record.IsCancelledByDependency:
 			cancelled = append(cancelled, id)
-		case !record.hasEnded():
+		case !record.HasEnded():
 			if !controller.isBlocked(id, record) {
 				term.addJob(id, record, len(done) > 0)
 			}
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -53,7 +53,7 @@
 	deployment.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 1000}
 	controller := New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	controller.machineTypes = []wire.MachineType{{Name: "big", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: deployment.Zones}}
-	controller.view.scaleOuts["h"] = &scaleOutRecord{ScaleOut: records.ScaleOut{Type: "big", Zone: "x", Count: len(machines), RequestedAt: int64(clock.WallTime() - 300*clock.Second), IsResolved: true, Machines: machines}}
+	controller.view.ScaleOuts["h"] = &ScaleOut{ScaleOut: records.ScaleOut{Type: "big", Zone: "x", Count: len(machines), RequestedAt: int64(clock.WallTime() - 300*clock.Second), IsResolved: true, Machines: machines}}
 	return newLeaderTerm(controller, 9, clock.Now())
 }
 
@@ -88,7 +88,7 @@
 func TestDelegateRedirectsAfterEachReply(t *testing.T) {
 	term := newTestTerm(t)
 	controller := term.controller
-	controller.term, controller.view.isLoaded = nil, true
+	controller.term, controller.view.IsLoaded = nil, true
 	now, back := 100*clock.Second, 5*clock.Second
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", FencingToken: 5}
 	controller.delegate = delegation.NewDelegate(controller.delegationTimes, 1, now-60*clock.Second)
--- a/internal/controller/tracked_jobs.go
+++ b/internal/controller/tracked_jobs.go
@@ -23,14 +23,14 @@
 	}
 }
 
-func (term *leaderTerm) addJob(id string, record *jobRecord, startsRecorded bool) *allocation.Job {
+func (term *leaderTerm) addJob(id string, record *Job, startsRecorded bool) *allocation.Job {
 	completed := term.controller.completedTasks(id, record)
 	released := term.controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
 	job := term.tracker.AddJob(record.Spec, released, clock.Now(), startsRecorded, completed.IsSet)
 	urgency := term.controller.dependencyGraph.UrgencyOf(id, urgencyOf(record))
 	job.Priority, job.Deadline = urgency.Priority, urgency.Deadline
 	jobInfo := &jobState{layout: term.controller.progressLayoutOf(record), firstStartAt: record.FirstStartAt}
-	jobInfo.updateKeyVersions(term.controller.view.progress[id])
+	jobInfo.updateKeyVersions(term.controller.view.Progress[id])
 	term.jobs[id] = jobInfo
 	return job
 }
@@ -46,20 +46,20 @@
 }
 
 // applyJobRecord takes a job's record as the state service has it.
-func (term *leaderTerm) applyJobRecord(id string, record *jobRecord) {
+func (term *leaderTerm) applyJobRecord(id string, record *Job) {
 	now := clock.Now()
 	job := term.tracker.Jobs[id]
 	term.needsPlan = true
 	switch {
-	case record.isCancelledByDependency:
-	case !record.hasEnded() && job == nil && term.jobs[id] == nil:
+	case record.IsCancelledByDependency:
+	case !record.HasEnded() && job == nil && term.jobs[id] == nil:
 		if term.controller.isBlocked(id, record) {
 			return
 		}
 		term.scheduler.ObserveArrival(term.addJob(id, record, false), now)
 	case record.State == wire.JobCancelled && job != nil:
 		term.cancelJob(job, record, now)
-	case record.hasEnded() && term.jobs[id] != nil:
+	case record.HasEnded() && term.jobs[id] != nil:
 		term.jobs[id].isEndDurable = true
 	}
 }
@@ -67,7 +67,7 @@
 // cancelJob takes a durable withdrawal. The time that its tasks have runs from the
 // confirmation, of which a leader that was refused by the state service may have
 // learnt late.
-func (term *leaderTerm) cancelJob(job *allocation.Job, record *jobRecord, now clock.Micros) {
+func (term *leaderTerm) cancelJob(job *allocation.Job, record *Job, now clock.Micros) {
 	term.tracker.Cancel(job, now)
 	job.CancelledAt = now - max(clock.WallTime()-clock.Micros(record.EndedAt), 0)
 	term.jobs[job.Spec.ID].isEndDurable = true
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -86,11 +86,11 @@
 }
 
 func (controller *Controller) submitJob(job *wire.Job, reply *server.Reply) {
-	if record := controller.view.jobs[job.ID]; record != nil {
+	if record := controller.view.Jobs[job.ID]; record != nil {
 		controller.showJob(job.ID, reply)
 		return
 	}
-	if !controller.view.isLoaded || len(controller.machineTypes) == 0 {
+	if !controller.view.IsLoaded || len(controller.machineTypes) == 0 {
 		replyUnavailable(reply, "not ready")
 		return
 	}
@@ -99,7 +99,7 @@
 
 // submitResolvedJob takes a submission once what it names is in the view or known to be absent.
 func (controller *Controller) submitResolvedJob(job *wire.Job, reply *server.Reply, absent map[string]bool) {
-	if controller.view.jobs[job.ID] != nil || controller.mayBeEvicted(job.ID) && !absent[job.ID] {
+	if controller.view.Jobs[job.ID] != nil || controller.mayBeEvicted(job.ID) && !absent[job.ID] {
 		controller.showJob(job.ID, reply)
 		return
 	}
@@ -122,7 +122,7 @@
 		controller.pendingSubmissions[job.ID] = append(replies, reply)
 		return
 	}
-	record := &jobRecord{Job: records.Job{Spec: job, SubmittedAt: int64(clock.WallTime())}}
+	record := &Job{Job: records.Job{Spec: job, SubmittedAt: int64(clock.WallTime())}}
 	changes, err := records.SubmissionChanges(&record.Job, controller.storeLimits())
 	if err != nil {
 		controller.rejectAfterSync(job, reply, func() string { return "the job's description is too large" }, nil)
@@ -146,13 +146,13 @@
 	}
 }
 
-func (controller *Controller) handleSubmissionResult(job *wire.Job, record *jobRecord, outcome kvstore.Outcome, revision uint64) {
+func (controller *Controller) handleSubmissionResult(job *wire.Job, record *Job, outcome kvstore.Outcome, revision uint64) {
 	id := job.ID
 	replies := controller.pendingSubmissions[id]
 	delete(controller.pendingSubmissions, id)
-	if outcome == kvstore.Committed && controller.view.jobs[id] == nil {
+	if outcome == kvstore.Committed && controller.view.Jobs[id] == nil {
 		// The watch will bring it; a leader need not wait for that.
-		record.version = revision
+		record.Version = revision
 		if record.DependencyParts > 0 {
 			for part, ids := range records.SplitDependencies(job.DependsOn, controller.storeLimits()) {
 				controller.setDependenciesPart(id, part, ids)
@@ -168,8 +168,8 @@
 				status = 200
 			}
 			jobState := wire.JobPending
-			if current := controller.view.jobs[id]; current.hasEnded() {
-				jobState = current.effectiveState() // with a job that it awaits
+			if current := controller.view.Jobs[id]; current.HasEnded() {
+				jobState = current.EffectiveState() // with a job that it awaits
 			}
 			reply.Send(status, encodeStatus(id, jobState, nil, nil), 0)
 		case kvstore.Conflict:
@@ -189,9 +189,9 @@
 }
 
 // encodeJobStatus is what a user is told, from a view that is new enough.
-func (controller *Controller) encodeJobStatus(id string, record *jobRecord) []byte {
-	if record.hasEnded() {
-		return encodeStatus(id, record.effectiveState(), nil, nil)
+func (controller *Controller) encodeJobStatus(id string, record *Job) []byte {
+	if record.HasEnded() {
+		return encodeStatus(id, record.EffectiveState(), nil, nil)
 	}
 	var done, running int
 	if controller.term != nil {
@@ -218,14 +218,14 @@
 const maxDependenciesShown = 50
 
 func (controller *Controller) showJob(id string, reply *server.Reply) {
-	if record := controller.view.jobs[id]; record != nil && record.hasEnded() {
+	if record := controller.view.Jobs[id]; record != nil && record.HasEnded() {
 		if record.IsFinished() {
 			controller.finishedJobs.Touch(id)
 		}
 		reply.Send(200, controller.encodeJobStatus(id, record), 0) // final, so it cannot be overtaken
 		return
 	}
-	if !controller.view.isLoaded {
+	if !controller.view.IsLoaded {
 		replyUnavailable(reply, "not ready")
 		return
 	}
@@ -233,8 +233,8 @@
 		controller.showEvictedJob(id, reply)
 		return
 	}
-	controller.view.requestSync(func(err error) {
-		record := controller.view.jobs[id]
+	controller.view.RequestSync(func(err error) {
+		record := controller.view.Jobs[id]
 		// A process that stands still after this proof must not tell it as if it
 		// were new: somebody may have been told of the job's end meanwhile.
 		until := clock.Now() + userTimeout
@@ -245,7 +245,7 @@
 			controller.showEvictedJob(id, reply) // meanwhile
 		case record == nil:
 			reply.SendBefore(404, server.ErrorBody("no such job"), 0, until)
-		case record.hasEnded():
+		case record.HasEnded():
 			reply.Send(200, controller.encodeJobStatus(id, record), 0)
 		default:
 			reply.SendBefore(200, controller.encodeJobStatus(id, record), 0, until)
@@ -254,21 +254,21 @@
 }
 
 func (controller *Controller) cancelJob(id string, reply *server.Reply, retries int) {
-	if record := controller.view.jobs[id]; record != nil && record.hasEnded() {
+	if record := controller.view.Jobs[id]; record != nil && record.HasEnded() {
 		reply.Send(200, controller.encodeJobStatus(id, record), 0)
 		return
 	}
-	if !controller.view.isLoaded || retries == 0 {
+	if !controller.view.IsLoaded || retries == 0 {
 		replyUnavailable(reply, "not ready")
 		return
 	}
-	record := controller.view.jobs[id]
+	record := controller.view.Jobs[id]
 	if controller.mayBeEvicted(id) {
 		controller.cancelEvictedJob(id, reply, retries)
 		return
 	}
 	if record == nil {
-		controller.view.requestSync(func(err error) {
+		controller.view.RequestSync(func(err error) {
 			switch {
 			case err != nil:
 				replyUnavailable(reply, err.Error())
@@ -284,14 +284,14 @@
 		return
 	}
 	// Whether the job is still what the view says is the write's condition.
-	end := newEndRecord(record, wire.JobCancelled, clock.WallTime())
+	end := NewEndedJob(record, wire.JobCancelled, clock.WallTime())
 	value, err := end.MarshalJSON()
 	if err != nil {
 		replyUnavailable(reply, "cannot be encoded")
 		return
 	}
 	write := &kvstore.Write{
-		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.version}},
+		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.Version}},
 		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
 		Deadline:   clock.Now() + submitTimeout,
 	}
@@ -299,13 +299,13 @@
 		controller.postResult(func() {
 			switch outcome {
 			case kvstore.Committed:
-				end.version = revision
-				if current := controller.view.jobs[id]; current == nil || current.version < revision {
+				end.Version = revision
+				if current := controller.view.Jobs[id]; current == nil || current.Version < revision {
 					controller.setJobRecord(id, end)
 				}
 				reply.Send(200, encodeStatus(id, wire.JobCancelled, nil, nil), 0)
 			case kvstore.Conflict:
-				controller.view.requestSync(func(err error) {
+				controller.view.RequestSync(func(err error) {
 					if err != nil {
 						replyUnavailable(reply, err.Error())
 						return
@@ -324,7 +324,7 @@
 
 // cancelKnownJob takes a withdrawal of a job that the view has, if there is such a job at all.
 func (controller *Controller) cancelKnownJob(id string, reply *server.Reply, retries int) {
-	if controller.view.jobs[id] == nil {
+	if controller.view.Jobs[id] == nil {
 		reply.Send(404, server.ErrorBody("no such job"), 0)
 		return
 	}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -12,29 +12,29 @@
 	"firwood.dev/firwood/wire"
 )
 
-// storeView is this process's copy of what is in the state service. It is never
+// View is this process's copy of what is in the state service. It is never
 // behind by guess: an answer to a user that could be overtaken waits for a
 // watch that was opened after the question came, and so proves its revision.
-type storeView struct {
-	isLoaded bool
-	revision uint64
-	jobs     map[string]*jobRecord
-	// progress is the progress of jobs, by the number of its key.
-	progress map[string]map[int]progressPart
-	// dependencies are the parts of what jobs await, where those have keys of their own.
-	dependencies map[string]map[int][]string
-	scaleOuts    map[string]*scaleOutRecord
-	lock         election.Lock
-	// constraints are those of leaders, with its version.
-	constraints        delegation.Constraints
-	constraintsVersion uint64
-	// standby is the record of those in step with a leader, with its version.
-	standby        standby.InSyncRecord
-	standbyVersion uint64
-	// hasArchive: there may be finished jobs in the archive.
-	hasArchive bool
-	// terms are those that were seen since all keys were last read.
-	terms standby.TermHistory
+type View struct {
+	IsLoaded bool
+	Revision uint64
+	Jobs     map[string]*Job
+	// Progress is the progress of jobs, by the number of its key.
+	Progress map[string]map[int]ProgressPart
+	// Dependencies are the parts of what jobs await, where those have keys of their own.
+	Dependencies map[string]map[int][]string
+	ScaleOuts    map[string]*ScaleOut
+	Lock         election.Lock
+	// Constraints are those of leaders, with its version.
+	Constraints        delegation.Constraints
+	ConstraintsVersion uint64
+	// Standby is the record of those in step with a leader, with its version.
+	Standby        standby.InSyncRecord
+	StandbyVersion uint64
+	// HasArchive: there may be finished jobs in the archive.
+	HasArchive bool
+	// Terms are those that were seen since all keys were last read.
+	Terms standby.TermHistory
 
 	waiters       []*syncWaiter
 	syncsInFlight int // syncs under way
@@ -58,22 +58,22 @@
 	}
 }
 
-var errSyncTimeout = errors.New("the state service does not answer")
+var ErrSyncTimeout = errors.New("the state service does not answer")
 
-func (view *storeView) reset() {
-	view.jobs = map[string]*jobRecord{}
-	view.progress = map[string]map[int]progressPart{}
-	view.dependencies = map[string]map[int][]string{}
-	view.scaleOuts = map[string]*scaleOutRecord{}
+func (view *View) Reset() {
+	view.Jobs = map[string]*Job{}
+	view.Progress = map[string]map[int]ProgressPart{}
+	view.Dependencies = map[string]map[int][]string{}
+	view.ScaleOuts = map[string]*ScaleOut{}
 }
 
-// requestSync calls f once the view is at least as new as this call, or with an
+// RequestSync calls f once the view is at least as new as this call, or with an
 // error when that could not be had in time.
-func (view *storeView) requestSync(callback func(error), deadline clock.Micros) {
+func (view *View) RequestSync(callback func(error), deadline clock.Micros) {
 	view.waiters = append(view.waiters, &syncWaiter{callback: callback, deadline: deadline})
 }
 
-func (view *storeView) expireWaiters(now clock.Micros) {
+func (view *View) ExpireWaiters(now clock.Micros) {
 	var expired []*syncWaiter
 	remaining := view.waiters[:0]
 	for _, waiter := range view.waiters {
@@ -88,7 +88,7 @@
 	clear(view.waiters[len(remaining):])
 	view.waiters = remaining
 	for _, waiter := range expired {
-		waiter.complete(errSyncTimeout)
+		waiter.complete(ErrSyncTimeout)
 	}
 }
 
@@ -106,11 +106,11 @@
 			controller.logMalformedRecord(key, err)
 			return
 		}
-		if version != view.terms.LastToken() {
-			view.terms.ObserveTerm(version, record.NeedsStandbyRecord)
+		if version != view.Terms.LastToken() {
+			view.Terms.ObserveTerm(version, record.NeedsStandbyRecord)
 			controller.traceObservedFailover(version)
 		}
-		view.lock = election.Lock{Exists: true, Holder: record.Member, LeaseID: record.Lease, Version: version}
+		view.Lock = election.Lock{Exists: true, Holder: record.Member, LeaseID: record.Lease, Version: version}
 	case key == records.MachineTypesKey:
 		var types wire.MachineTypeList
 		if err := types.UnmarshalJSON(value); err != nil {
@@ -130,7 +130,7 @@
 	case key == records.StandbyKey:
 		controller.applyStandbyRecord(value, version)
 	case key == records.ArchiveMarkerKey:
-		view.hasArchive = true
+		view.HasArchive = true
 		controller.recordEviction()
 	case strings.HasPrefix(key, records.WorkerContactPrefix):
 		var record records.WorkerContact
@@ -141,14 +141,14 @@
 		controller.applyWorkerContact(key, record)
 	case strings.HasPrefix(key, records.JobPrefix):
 		id := key[len(records.JobPrefix):]
-		record := &jobRecord{}
+		record := &Job{}
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
 			return
 		}
-		record.version = version
-		old := view.jobs[id]
-		if old != nil && old.version >= version {
+		record.Version = version
+		old := view.Jobs[id]
+		if old != nil && old.Version >= version {
 			return
 		}
 		controller.setJobRecord(id, record)
@@ -163,27 +163,27 @@
 	case strings.HasPrefix(key, records.ProgressPrefix):
 		controller.applyProgress(key, value, version)
 	case strings.HasPrefix(key, records.ScaleOutPrefix):
-		record := &scaleOutRecord{}
+		record := &ScaleOut{}
 		if err := record.UnmarshalJSON(value); err != nil {
 			controller.logMalformedRecord(key, err)
 			return
 		}
-		record.version = version
-		view.scaleOuts[key[len(records.ScaleOutPrefix):]] = record
+		record.Version = version
+		view.ScaleOuts[key[len(records.ScaleOutPrefix):]] = record
 	}
 }
 
 // setJobRecord takes a newer record of a job into the view.
-func (controller *Controller) setJobRecord(id string, record *jobRecord) {
-	controller.view.jobs[id] = record
-	if record.hasEnded() {
+func (controller *Controller) setJobRecord(id string, record *Job) {
+	controller.view.Jobs[id] = record
+	if record.HasEnded() {
 		controller.progressCounts.remove(id)
 	}
 	if record.IsFinished() {
 		controller.finishedJobs.Touch(id)
 	}
 	controller.cancellations.add(id, record, clock.Now(), clock.WallTime())
-	record.isCancelledByDependency = record.State == "" && controller.dependencyGraph.IsCancelled(id)
+	record.IsCancelledByDependency = record.State == "" && controller.dependencyGraph.IsCancelled(id)
 	controller.updateDependencyGraph(id, record)
 	if controller.term != nil {
 		controller.term.applyJobRecord(id, record)
@@ -192,13 +192,13 @@
 
 // setDependenciesPart takes a part of what a job awaits; its record may have come before.
 func (controller *Controller) setDependenciesPart(id string, part int, ids []string) {
-	parts := controller.view.dependencies[id]
+	parts := controller.view.Dependencies[id]
 	if parts == nil {
 		parts = map[int][]string{}
-		controller.view.dependencies[id] = parts
+		controller.view.Dependencies[id] = parts
 	}
 	parts[part] = ids
-	if record := controller.view.jobs[id]; record != nil && !record.hasEnded() && len(parts) == record.DependencyParts {
+	if record := controller.view.Jobs[id]; record != nil && !record.HasEnded() && len(parts) == record.DependencyParts {
 		controller.setJobRecord(id, record)
 	}
 }
@@ -208,7 +208,7 @@
 	if !ok {
 		return
 	}
-	removePart(controller.view.dependencies, id, part)
+	removePart(controller.view.Dependencies, id, part)
 }
 
 // removePart takes one of a job's numbered parts away, and the job with the last one.
@@ -223,18 +223,18 @@
 	view := &controller.view
 	switch {
 	case key == records.LockKey:
-		view.lock = election.Lock{}
+		view.Lock = election.Lock{}
 	case key == records.ArchiveMarkerKey:
-		view.hasArchive = false
+		view.HasArchive = false
 	case strings.HasPrefix(key, records.JobPrefix):
-		if record := view.jobs[key[len(records.JobPrefix):]]; record != nil {
-			record.isArchived = true // records are deleted for that alone
+		if record := view.Jobs[key[len(records.JobPrefix):]]; record != nil {
+			record.IsArchived = true // records are deleted for that alone
 		}
 	case strings.HasPrefix(key, records.ProgressPrefix):
 		controller.removeProgress(key)
 	case strings.HasPrefix(key, records.DependenciesPrefix):
 		controller.removeDependenciesPart(key)
 	case strings.HasPrefix(key, records.ScaleOutPrefix):
-		delete(view.scaleOuts, key[len(records.ScaleOutPrefix):])
+		delete(view.ScaleOuts, key[len(records.ScaleOutPrefix):])
 	}
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -18,8 +18,8 @@
 	}
 	controller.view.isLoading = true
 	go func() {
-		filter := newLoadFilter(controller.finishedCapacity)
-		revision, err := controller.store.LoadPrefix(records.WatchedPrefix, filter.add)
+		filter := NewLoadFilter(controller.finishedCapacity)
+		revision, err := controller.store.LoadPrefix(records.WatchedPrefix, filter.Add)
 		if err != nil {
 			controller.log.Debug("state not loaded", "error", err)
 			time.Sleep(300 * time.Millisecond)
@@ -35,28 +35,28 @@
 	}()
 }
 
-func (controller *Controller) applyLoad(filter *loadFilter, revision uint64) {
+func (controller *Controller) applyLoad(filter *LoadFilter, revision uint64) {
 	view := &controller.view
-	if view.isLoaded && revision < view.revision {
+	if view.IsLoaded && revision < view.Revision {
 		return
 	}
 	// Keys that vanished while nobody watched: jobs never do.
-	view.dependencies = map[string]map[int][]string{}
-	view.progress = map[string]map[int]progressPart{}
-	view.scaleOuts = map[string]*scaleOutRecord{}
-	view.lock = election.Lock{}
-	view.terms.Reset()
-	view.hasArchive = false
+	view.Dependencies = map[string]map[int][]string{}
+	view.Progress = map[string]map[int]ProgressPart{}
+	view.ScaleOuts = map[string]*ScaleOut{}
+	view.Lock = election.Lock{}
+	view.Terms.Reset()
+	view.HasArchive = false
 	items, dropped := filter.keptItems()
 	for i := range items {
 		controller.applyPut(items[i].Key, items[i].Value, items[i].Version)
 	}
-	view.revision = max(view.revision, revision)
-	view.isLoaded = true
-	controller.recountEvicted(filter.finishedCounts, dropped)
+	view.Revision = max(view.Revision, revision)
+	view.IsLoaded = true
+	controller.recountEvicted(filter.FinishedCounts, dropped)
 	controller.lookUpUnknownDependencies()
 	controller.observeLock()
-	controller.log.Info("state loaded", "revision", revision, "jobs", len(view.jobs))
+	controller.log.Info("state loaded", "revision", revision, "jobs", len(view.Jobs))
 }
 
 // startWatches opens the watches that are due: one that answers at once if
@@ -64,7 +64,7 @@
 func (controller *Controller) startWatches() {
 	view := &controller.view
 	now := clock.Now()
-	if !view.isLoaded {
+	if !view.IsLoaded {
 		return
 	}
 	minInterval := 60 * clock.Millisecond
@@ -108,7 +108,7 @@
 func (controller *Controller) watch(block clock.Micros, done func(error)) {
 	revisions := make(chan uint64, 1)
 	// The revision is read by the owner as late as possible.
-	controller.postResult(func() { revisions <- controller.view.revision })
+	controller.postResult(func() { revisions <- controller.view.Revision })
 	var from uint64
 	select {
 	case from = <-revisions:
@@ -130,7 +130,7 @@
 	view := &controller.view
 	for i := range events.Events {
 		event := &events.Events[i]
-		if event.Version <= view.revision {
+		if event.Version <= view.Revision {
 			continue
 		}
 		controller.rateShares.observedChanges++
@@ -140,17 +140,17 @@
 			controller.applyPut(event.PutKey, event.Value, event.Version)
 		}
 	}
-	view.revision = max(view.revision, events.Revision)
+	view.Revision = max(view.Revision, events.Revision)
 	controller.observeLock()
 }
 
 // observeLock tells the election of the lock, unless the view is older than our
 // own token.
 func (controller *Controller) observeLock() {
-	if controller.elector.Phase() == election.Leader && controller.view.revision < controller.elector.Token() {
+	if controller.elector.Phase() == election.Leader && controller.view.Revision < controller.elector.Token() {
 		return
 	}
-	controller.executeActions(controller.elector.ObserveLock(clock.Now(), controller.view.lock))
+	controller.executeActions(controller.elector.ObserveLock(clock.Now(), controller.view.Lock))
 	controller.executeActions(controller.elector.Tick(clock.Now()))
 	controller.startFailoverIfElected()
 }
