--- a/internal/controller/adopted_tasks_test.go
+++ b/internal/controller/adopted_tasks_test.go
@@ -7,6 +7,7 @@
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -15,10 +16,10 @@
 // came out short.
 func TestAdoptedTasksDoNotUpdateRunTimes(t *testing.T) {
 	term := newTestTerm(t, "i-1")
-	term.controller.view.Jobs["req-000001"] = &Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
+	term.controller.view.Jobs["req-000001"] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 		ID: "req-000001", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Team: "t", TaskCount: 2, CPUs: 1, EstimatedRunSeconds: 100,
 	}}}
-	term.controller.view.Progress["req-000001"] = map[int]ProgressPart{0: {}}
+	term.controller.view.Progress["req-000001"] = map[int]storeview.ProgressPart{0: {}}
 	term = newLeaderTerm(term.controller, 10, clock.Now())
 	job, machine := term.tracker.Jobs["req-000001"], term.tracker.Machines["i-1"]
 	now := term.startedAt + clock.Second
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -93,7 +93,7 @@
 	before := clock.WallTime() - clock.FromSeconds(term.controller.tuning.ArchiveFinishedAfterS)
 	for _, item := range page {
 		id := strings.TrimPrefix(item.Key, records.JobPrefix)
-		var record Job
+		var record records.Job
 		if record.UnmarshalJSON(item.Value) != nil || !record.IsFinished() || clock.Micros(record.EndedAt) > before || !term.canArchive(id) {
 			continue
 		}
@@ -103,7 +103,7 @@
 
 // canArchive tells whether nothing of a finished job is left but its record.
 func (term *leaderTerm) canArchive(id string) bool {
-	view := &term.controller.view
+	view := term.controller.view
 	return view.Progress[id] == nil && view.Dependencies[id] == nil && term.tracker.Jobs[id] == nil && term.jobs[id] == nil
 }
 
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -8,6 +8,7 @@
 	"firwood.dev/firwood/internal/peer"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -30,11 +31,11 @@
 	}
 	for i := range machines*tasks/jobTasks + 1 {
 		id := fmt.Sprintf("req-%06d", i)
-		controller.view.Jobs[id] = &Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
+		controller.view.Jobs[id] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 			TaskCount: jobTasks, CPUs: 2, MemoryGB: 4, EstimatedRunSeconds: 40, Image: fmt.Sprint("image-", i%20),
 		}}}
-		controller.view.Progress[id] = map[int]ProgressPart{0: {}}
+		controller.view.Progress[id] = map[int]storeview.ProgressPart{0: {}}
 	}
 	return heartbeats
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -3,6 +3,7 @@
 import (
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/peer"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -41,7 +42,7 @@
 }
 
 // add takes a job's record, if it is that of a recent withdrawal.
-func (log *cancellationLog) add(id string, record *Job, now, wall clock.Micros) {
+func (log *cancellationLog) add(id string, record *storeview.Job, now, wall clock.Micros) {
 	if record.State != wire.JobCancelled || record.Spec == nil || wall-clock.Micros(record.EndedAt) > log.retention {
 		return
 	}
@@ -117,9 +118,9 @@
 		if record == nil || record.HasEnded() || record.Spec == nil || cancellation.Revision <= record.Version {
 			continue
 		}
-		end := NewEndedJob(record, wire.JobCancelled, cancellation.CancelledAt)
+		end := storeview.NewEndedJob(record, wire.JobCancelled, cancellation.CancelledAt)
 		end.Version = cancellation.Revision
-		controller.setJobRecord(cancellation.Job, end)
+		controller.view.SetJob(cancellation.Job, end)
 		controller.log.Debug("withdrawal told by another member", "job", cancellation.Job, "revision", cancellation.Revision)
 	}
 }
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -7,6 +7,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -97,7 +98,7 @@
 	if record.Spec != nil {
 		return keys
 	}
-	for _, number := range term.controller.progressKeys(id) {
+	for _, number := range term.controller.view.ProgressKeys(id) {
 		keys = append(keys, records.ProgressKey(id, number))
 	}
 	return keys
@@ -123,7 +124,7 @@
 	if record == nil || record.State != "" {
 		return
 	}
-	end := NewEndedJob(record, wire.JobCancelled, clock.WallTime())
+	end := storeview.NewEndedJob(record, wire.JobCancelled, clock.WallTime())
 	end.Spec = nil // it never started
 	value, err := end.MarshalJSON()
 	if err != nil {
--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -12,6 +12,7 @@
 	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -137,14 +138,14 @@
 	controller := term.controller
 	const jobs = 3000
 	root := newJobRecord("req-000000", wire.PriorityLow, clock.WallTime().Seconds(), 0)
-	controller.setJobRecord("req-000000", root)
+	controller.view.SetJob("req-000000", root)
 	for i := 1; i <= jobs; i++ {
 		id := fmt.Sprintf("req-%06d", i)
-		controller.setJobRecord(id, newJobRecord(id, wire.PriorityLow, clock.WallTime().Seconds(), 0, "req-000000"))
+		controller.view.SetJob(id, newJobRecord(id, wire.PriorityLow, clock.WallTime().Seconds(), 0, "req-000000"))
 	}
-	end := NewEndedJob(root, wire.JobCancelled, clock.WallTime())
+	end := storeview.NewEndedJob(root, wire.JobCancelled, clock.WallTime())
 	end.Version = 2
-	controller.setJobRecord("req-000000", end)
+	controller.view.SetJob("req-000000", end)
 	if got := len(term.cleanup.impliedCancellations); got != jobs {
 		t.Fatalf("%d of %d ends are to be written", got, jobs)
 	}
--- a/internal/controller/constraints.go
+++ b/internal/controller/constraints.go
@@ -15,11 +15,8 @@
 // What a leader promises to those after it: zones that are silent, members that are not
 // heard. See delegation.Constraints.
 
+// applyConstraints takes newer renewal constraints from the view.
 func (controller *Controller) applyConstraints(constraints delegation.Constraints, version uint64) {
-	if version <= controller.view.ConstraintsVersion {
-		return
-	}
-	controller.view.Constraints, controller.view.ConstraintsVersion = constraints, version
 	controller.unconfirmedConstraints = nil
 	if controller.term != nil {
 		controller.term.constraints.ObserveStored(constraints, version)
@@ -143,7 +140,7 @@
 		switch outcome {
 		case kvstore.Committed:
 			term.constraints.RecordCommit(revision)
-			term.controller.applyConstraints(constraints, revision)
+			term.controller.view.SetConstraints(constraints, revision)
 			term.controller.log.Info("promises written", "zones", slices.Sorted(maps.Keys(constraints.Zones)), "members", slices.Sorted(maps.Keys(constraints.MemberGrantUntil)))
 		case kvstore.Unknown:
 			term.constraints.RecordUnknownOutcome()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -26,6 +26,7 @@
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/internal/staleness"
 	"firwood.dev/firwood/internal/standby"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/internal/tracing"
 	"firwood.dev/firwood/wire"
 )
@@ -49,7 +50,8 @@
 	tasksPerKey         int // tasks in one progress key
 	teams               map[string]allocation.TeamQuota
 
-	view            View
+	view            *storeview.View
+	watches         watchState
 	dependencyGraph *dag.Graph
 	elector         *election.Elector
 	peerHeartbeats  map[string]*receivedHeartbeat
@@ -163,7 +165,7 @@
 	if tuning.Standby.Enabled {
 		controller.replica = standby.NewReplica(controller.delegate.Timestamp(clock.Now()).Incarnation)
 	}
-	controller.view.Reset()
+	controller.view = storeview.New(viewObserver{controller})
 	return controller
 }
 
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -4,6 +4,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/dag"
 	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -15,23 +16,8 @@
 // startOverhead is about how long a job takes beside its run: its machine and its image.
 const startOverhead = 5 * clock.Second
 
-// dependenciesOf is what a job awaits, and whether all parts of that are known.
-func (controller *Controller) dependenciesOf(id string, record *Job) (ids []string, isComplete bool) {
-	if record.DependencyParts == 0 {
-		return record.Spec.DependsOn, true
-	}
-	parts := controller.view.Dependencies[id]
-	if len(parts) < record.DependencyParts {
-		return nil, false
-	}
-	for part := range record.DependencyParts {
-		ids = append(ids, parts[part]...)
-	}
-	return ids, true
-}
-
 // urgencyOf is what a job itself asks for.
-func urgencyOf(record *Job) dag.Urgency {
+func urgencyOf(record *storeview.Job) dag.Urgency {
 	urgency := dag.Urgency{Priority: wire.PriorityIndex(record.Spec.Priority)}
 	if record.Spec.DeadlineSeconds > 0 && record.Spec.Kind != wire.KindService {
 		urgency.Deadline = clock.Micros(record.SubmittedAt) + clock.FromSeconds(record.Spec.DeadlineSeconds)
@@ -40,14 +26,14 @@
 }
 
 // updateDependencyGraph draws the conclusions from a job's record for those that need it.
-func (controller *Controller) updateDependencyGraph(id string, record *Job) {
+func (controller *Controller) updateDependencyGraph(id string, record *storeview.Job) {
 	switch {
 	case record.State == wire.JobDone:
 		controller.applyGraphChange(controller.dependencyGraph.RecordCompletion(id, clock.Micros(record.EndedAt)))
 	case record.State == wire.JobCancelled:
 		controller.applyGraphChange(controller.dependencyGraph.RecordCancellation(id))
 	case record.Spec != nil:
-		dependencies, isComplete := controller.dependenciesOf(id, record)
+		dependencies, isComplete := controller.view.DependenciesOf(id, record)
 		if !isComplete {
 			return // the rest comes with the same transaction
 		}
@@ -73,8 +59,8 @@
 }
 
 // isBlocked tells whether a job that is not over must not start yet.
-func (controller *Controller) isBlocked(id string, record *Job) bool {
-	_, isComplete := controller.dependenciesOf(id, record)
+func (controller *Controller) isBlocked(id string, record *storeview.Job) bool {
+	_, isComplete := controller.view.DependenciesOf(id, record)
 	return !isComplete || controller.dependencyGraph.IsBlocked(id)
 }
 
--- a/internal/controller/dependencies_bench_test.go
+++ b/internal/controller/dependencies_bench_test.go
@@ -8,6 +8,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -19,7 +20,7 @@
 	wall := int64(clock.WallTime())
 	for i := range jobs {
 		id := fmt.Sprintf("req-%06d", i)
-		record := &Job{Job: records.Job{SubmittedAt: wall + int64(i), Spec: &wire.Job{
+		record := &storeview.Job{Job: records.Job{SubmittedAt: wall + int64(i), Spec: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 16, CPUs: 1, MemoryGB: 3, EstimatedRunSeconds: 25, Image: "i", ImageSizeGB: 1,
 		}}}
 		first := i%length == 0
@@ -30,7 +31,7 @@
 			record.Spec.DeadlineSeconds, record.Spec.Priority = 600, wire.PriorityHigh
 		}
 		if first && i/length%2 == 0 {
-			record = NewEndedJob(record, wire.JobCancelled, clock.WallTime())
+			record = storeview.NewEndedJob(record, wire.JobCancelled, clock.WallTime())
 		}
 		value, err := record.MarshalJSON()
 		if err != nil {
@@ -65,7 +66,7 @@
 				controller.view.IsLoaded = true
 				startedAt := clock.Now()
 				for key, value := range records {
-					controller.applyPut(key, value, 5)
+					controller.view.ApplyPut(key, value, 5)
 				}
 				read += clock.Now() - startedAt
 				startedAt = clock.Now()
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -6,12 +6,13 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
 // newJobRecord makes the record of a job of one task.
-func newJobRecord(id, priority string, submittedAt, deadlineS float64, dependencies ...string) *Job {
-	return &Job{Job: records.Job{SubmittedAt: int64(clock.FromSeconds(submittedAt)), Spec: &wire.Job{
+func newJobRecord(id, priority string, submittedAt, deadlineS float64, dependencies ...string) *storeview.Job {
+	return &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.FromSeconds(submittedAt)), Spec: &wire.Job{
 		ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1, Priority: priority, EstimatedRunSeconds: 10, DeadlineSeconds: deadlineS, DependsOn: dependencies,
 	}}, Version: 1}
 }
@@ -24,22 +25,22 @@
 	controller := term.controller
 	controller.term = term
 	wall := clock.WallTime().Seconds()
-	controller.setJobRecord("req-000002", newJobRecord("req-000002", wire.PriorityLow, wall, 0, "req-000001"))
+	controller.view.SetJob("req-000002", newJobRecord("req-000002", wire.PriorityLow, wall, 0, "req-000001"))
 	if term.tracker.Jobs["req-000002"] != nil {
 		t.Fatal("a job is in the account whose awaited job is not even known")
 	}
-	controller.setJobRecord("req-000001", newJobRecord("req-000001", wire.PriorityLow, wall, 0))
+	controller.view.SetJob("req-000001", newJobRecord("req-000001", wire.PriorityLow, wall, 0))
 	first := term.tracker.Jobs["req-000001"]
 	if first == nil || first.Priority != wire.PriorityIndex(wire.PriorityLow) || first.Deadline != 0 {
 		t.Fatalf("the first is %+v", first)
 	}
-	controller.setJobRecord("req-000003", newJobRecord("req-000003", wire.PriorityHigh, wall, 300, "req-000002"))
+	controller.view.SetJob("req-000003", newJobRecord("req-000003", wire.PriorityHigh, wall, 300, "req-000002"))
 	want := clock.FromSeconds(wall+300) - 2*(10*clock.Second+startOverhead)
 	if first.Priority != wire.PriorityIndex(wire.PriorityHigh) || first.Deadline != want {
 		t.Fatalf("after the last: priority %d, deadline %d, want %d", first.Priority, first.Deadline, want)
 	}
 	end := clock.FromSeconds(wall + 50)
-	controller.setJobRecord("req-000001", &Job{Job: records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: int64(end)}, Version: 2})
+	controller.view.SetJob("req-000001", &storeview.Job{Job: records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: int64(end)}, Version: 2})
 	second := term.tracker.Jobs["req-000002"]
 	if second == nil || second.ReleasedAt != end || second.Priority != wire.PriorityIndex(wire.PriorityHigh) {
 		t.Fatalf("the second is %+v", second)
@@ -47,13 +48,13 @@
 	if term.tracker.Jobs["req-000003"] != nil {
 		t.Fatal("the third is in the account before the second is done")
 	}
-	over := NewEndedJob(controller.view.Jobs["req-000002"], wire.JobCancelled, clock.WallTime())
+	over := storeview.NewEndedJob(controller.view.Jobs["req-000002"], wire.JobCancelled, clock.WallTime())
 	over.Version = 3
-	controller.setJobRecord("req-000002", over)
+	controller.view.SetJob("req-000002", over)
 	if record := controller.view.Jobs["req-000003"]; !record.HasEnded() || record.EffectiveState() != wire.JobCancelled {
 		t.Fatal("the third is not cancelled with the second")
 	}
-	controller.setJobRecord("req-000004", newJobRecord("req-000004", wire.PriorityLow, wall, 0, "req-000003"))
+	controller.view.SetJob("req-000004", newJobRecord("req-000004", wire.PriorityLow, wall, 0, "req-000003"))
 	if record := controller.view.Jobs["req-000004"]; record.EffectiveState() != wire.JobCancelled || term.tracker.Jobs["req-000004"] != nil {
 		t.Fatal("a job that names a cancelled one goes on")
 	}
@@ -77,7 +78,7 @@
 		t.Fatalf("%d changes, %d parts", len(changes), record.DependencyParts)
 	}
 	for _, backwards := range []bool{false, true} {
-		controller.view.Reset()
+		controller.view = storeview.New(viewObserver{controller})
 		for i := range changes {
 			change := changes[i]
 			if backwards {
@@ -86,9 +87,9 @@
 			if len(change.Value) > 1<<10 {
 				t.Fatalf("a value of %d bytes", len(change.Value))
 			}
-			controller.applyPut(change.PutKey, change.Value, 5)
+			controller.view.ApplyPut(change.PutKey, change.Value, 5)
 		}
-		dependencies, isComplete := controller.dependenciesOf("req-000500", controller.view.Jobs["req-000500"])
+		dependencies, isComplete := controller.view.DependenciesOf("req-000500", controller.view.Jobs["req-000500"])
 		if !isComplete || len(dependencies) != 300 || dependencies[299] != "req-000299" {
 			t.Fatalf("%d of 300 are read, whole %v", len(dependencies), isComplete)
 		}
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -1,13 +1,8 @@
 package controller
 
 import (
-	"slices"
-	"strings"
-
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/jobhistory"
-	"firwood.dev/firwood/internal/records"
-	"firwood.dev/firwood/wire"
+	"firwood.dev/firwood/internal/storeview"
 )
 
 // Finished jobs' records stay in the state service for good. A controller remembers those
@@ -37,22 +32,11 @@
 	// are for display and may lag. times counts how often.
 	hasEvicted bool
 	evictions  int
-	counts     FinishedCounts
+	counts     storeview.FinishedCounts
 	// problems are the worst of them, for the morning report.
 	problems []JobProblem
 }
 
-type FinishedCounts struct{ Done, Cancelled int }
-
-// Add counts so many more; what was in the archive at the start is not counted at all.
-func (counts *FinishedCounts) Add(state string, count int) {
-	if state == wire.JobDone {
-		counts.Done = max(counts.Done+count, 0)
-	} else {
-		counts.Cancelled = max(counts.Cancelled+count, 0)
-	}
-}
-
 // evictFinishedJobs forgets finished jobs beyond the bound.
 func (controller *Controller) evictFinishedJobs() {
 	for _, id := range controller.finishedJobs.Evict(maxEvictionsPerTick, controller.canEvict) {
@@ -62,7 +46,7 @@
 		if problem, ok := controller.problemOf(id, record, int64(clock.WallTime())); ok {
 			controller.evicted.problems = worstProblems(append(controller.evicted.problems, problem))
 		}
-		delete(controller.view.Jobs, id)
+		controller.view.EvictJob(id)
 		controller.dependencyGraph.Remove(id)
 	}
 }
@@ -90,7 +74,7 @@
 
 // recountEvicted counts what is forgotten after all records were read, of which so many
 // were finished.
-func (controller *Controller) recountEvicted(read FinishedCounts, dropped int) {
+func (controller *Controller) recountEvicted(read storeview.FinishedCounts, dropped int) {
 	if dropped > 0 {
 		controller.recordEviction()
 	}
@@ -101,37 +85,3 @@
 	}
 	controller.evicted.counts = read
 }
-
-// LoadFilter takes what is read from the state service page by page. Of finished jobs it
-// keeps the newest ones, and counts the others.
-type LoadFilter struct {
-	others   []wire.KeyValue
-	finished *jobhistory.Newest[wire.KeyValue]
-	// FinishedCounts counts all finished jobs.
-	FinishedCounts FinishedCounts
-}
-
-func NewLoadFilter(capacity int) *LoadFilter {
-	return &LoadFilter{finished: jobhistory.NewNewest[wire.KeyValue](capacity)}
-}
-
-func (filter *LoadFilter) Add(items []wire.KeyValue) {
-	for _, item := range items {
-		var record Job
-		isJob := strings.HasPrefix(item.Key, records.JobPrefix)
-		if !isJob || record.UnmarshalJSON(item.Value) != nil || !record.IsFinished() {
-			filter.others = append(filter.others, item)
-			continue
-		}
-		// The page's memory is not kept for a record of it.
-		item.Key, item.Value = strings.Clone(item.Key), slices.Clone(item.Value)
-		filter.FinishedCounts.Add(record.State, 1)
-		filter.finished.Add(record.EndedAt, item)
-	}
-}
-
-// keptItems are what was kept, and how many finished jobs were not.
-func (filter *LoadFilter) keptItems() (items []wire.KeyValue, dropped int) {
-	newest, dropped := filter.finished.Records()
-	return append(filter.others, newest...), dropped
-}
--- a/internal/controller/eviction_bench_test.go
+++ b/internal/controller/eviction_bench_test.go
@@ -7,6 +7,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -15,8 +16,8 @@
 	for i := first; i < first+jobs; i++ {
 		id := fmt.Sprintf("req-%08d", i)
 		now := clock.WallTime()
-		record := &Job{Job: records.Job{SubmittedAt: int64(now), Spec: &wire.Job{ID: id, Class: "reproject", TaskCount: 90, DeadlineSeconds: 600}}}
-		end := NewEndedJob(record, wire.JobDone, now+clock.Micros(i))
+		record := &storeview.Job{Job: records.Job{SubmittedAt: int64(now), Spec: &wire.Job{ID: id, Class: "reproject", TaskCount: 90, DeadlineSeconds: 600}}}
+		end := storeview.NewEndedJob(record, wire.JobDone, now+clock.Micros(i))
 		end.FirstStartAt = int64(now)
 		value, err := end.MarshalJSON()
 		if err != nil {
@@ -39,7 +40,7 @@
 					controller := newTestTerm(b).controller
 					controller.finishedCapacity = capacity
 					before, stored := heapInUse(), 0
-					filter := NewLoadFilter(capacity)
+					filter := storeview.NewLoadFilter(capacity)
 					for first := 0; first < jobs; first += page {
 						items, size := finishedPage(b, first, page)
 						stored += size
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -6,6 +6,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -18,10 +19,10 @@
 	wall := int64(clock.WallTime())
 	for i, at := range []clock.Micros{90, 60, 30} {
 		id := []string{"req-000001", "req-000002", "req-000003"}[i]
-		controller.view.Jobs[id] = &Job{Job: records.Job{SubmittedAt: wall - int64(at*clock.Second), Spec: &wire.Job{
+		controller.view.Jobs[id] = &storeview.Job{Job: records.Job{SubmittedAt: wall - int64(at*clock.Second), Spec: &wire.Job{
 			ID: id, Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Team: "t", TaskCount: 4, CPUs: 4, EstimatedRunSeconds: 60,
 		}}}
-		controller.view.Progress[id] = map[int]ProgressPart{0: {}}
+		controller.view.Progress[id] = map[int]storeview.ProgressPart{0: {}}
 	}
 	controller.cfg.Deployment.Objectives = append(controller.cfg.Deployment.Objectives, config.Objective{Kind: "wait", Class: "c", TargetSeconds: 2})
 	term = newLeaderTerm(controller, 10, clock.Now())
--- a/internal/controller/faulty_machines_test.go
+++ b/internal/controller/faulty_machines_test.go
@@ -6,6 +6,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -18,10 +19,10 @@
 		names = append(names, fmt.Sprintf("i-%02d", i))
 	}
 	term := newTestTerm(t, names...)
-	term.controller.view.Jobs["req-000001"] = &Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
+	term.controller.view.Jobs["req-000001"] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 		ID: "req-000001", Class: "c", Kind: wire.KindService, Team: "t", TaskCount: 1, CPUs: 1,
 	}}}
-	term.controller.view.Progress["req-000001"] = map[int]ProgressPart{0: {}}
+	term.controller.view.Progress["req-000001"] = map[int]storeview.ProgressPart{0: {}}
 	term = newLeaderTerm(term.controller, 10, clock.Now())
 	now := term.startedAt
 	for i, name := range names {
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -89,7 +89,7 @@
 		id = strings.TrimPrefix(item.Key, records.JobPrefix)
 	}
 	isNew := controller.view.Jobs[id] == nil
-	controller.applyPut(records.JobKey(id), item.Value, item.Version)
+	controller.view.ApplyPut(records.JobKey(id), item.Value, item.Version)
 	record := controller.view.Jobs[id]
 	if !isNew || record == nil || !record.IsFinished() {
 		return id
--- a/internal/controller/job_report.go
+++ b/internal/controller/job_report.go
@@ -7,6 +7,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -90,7 +91,7 @@
 	return longest
 }
 
-func (controller *Controller) problemOf(id string, record *Job, now int64) (JobProblem, bool) {
+func (controller *Controller) problemOf(id string, record *storeview.Job, now int64) (JobProblem, bool) {
 	problem := JobProblem{Job: id, Class: record.Class, State: record.State, Errors: record.Errors, Restarts: record.Restarts}
 	end, deadline, firstStart := record.EndedAt, record.DeadlineAt, record.FirstStartAt
 	if !record.HasEnded() {
--- a/internal/controller/persistence.go
+++ b/internal/controller/persistence.go
@@ -9,6 +9,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -181,7 +182,7 @@
 	if record == nil || record.HasEnded() {
 		return
 	}
-	end := NewEndedJob(record, wire.JobDone, clock.WallTime())
+	end := storeview.NewEndedJob(record, wire.JobDone, clock.WallTime())
 	end.FirstStartAt, end.Errors, end.Restarts = jobInfo.firstStartAt, job.FailureCount, job.RestartCount
 	if released := term.controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt)); int64(released) != record.SubmittedAt {
 		end.ReleasedAt = int64(released)
@@ -210,7 +211,7 @@
 			if current := term.controller.view.Jobs[id]; current == nil || current.Version < revision {
 				// Jobs that need this one need not wait for the watch.
 				end.Version = revision
-				term.controller.setJobRecord(id, end)
+				term.controller.view.SetJob(id, end)
 			}
 			term.logJobEnd(id, end)
 		case kvstore.Conflict, kvstore.Unknown:
@@ -241,7 +242,7 @@
 }
 
 // logJobEnd says loudly when batch work has missed what its owners expect.
-func (term *leaderTerm) logJobEnd(id string, record *Job) {
+func (term *leaderTerm) logJobEnd(id string, record *storeview.Job) {
 	if problem, ok := term.controller.problemOf(id, record, int64(clock.WallTime())); ok && problem.IsLate {
 		term.controller.log.Error("job finished late", "job", id, "class", problem.Class, "late_by_s", problem.LateByS, "took_s", problem.TookS, "why", problem.Reason)
 		return
--- a/internal/controller/repeated_writes_test.go
+++ b/internal/controller/repeated_writes_test.go
@@ -10,6 +10,7 @@
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/scheduler"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -43,7 +44,7 @@
 		controller.postResult(func() { token = revision })
 	}})
 	runUntil(t, controller, func() bool { return token != 0 })
-	controller.view.ScaleOuts, controller.view.IsLoaded, controller.view.Revision = map[string]*ScaleOut{}, true, token
+	controller.view.ScaleOuts, controller.view.IsLoaded, controller.view.Revision = map[string]*storeview.ScaleOut{}, true, token
 	term = newLeaderTerm(controller, token, clock.Now())
 	term.actDeadline.Store(1 << 62)
 	controller.term = term
--- a/internal/controller/small_limits_test.go
+++ b/internal/controller/small_limits_test.go
@@ -10,6 +10,7 @@
 	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -24,7 +25,7 @@
 	controller.tasksPerKey = records.TasksPerProgressKey(limits.MaxValueKB)
 	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, MaxTransactionOps: limits.Effective().MaxTransactionOps}, records.LockKey)
 	controller.store.SetRateShare(1)
-	controller.view.ScaleOuts, controller.view.IsLoaded = map[string]*ScaleOut{}, true
+	controller.view.ScaleOuts, controller.view.IsLoaded = map[string]*storeview.ScaleOut{}, true
 	return fakeStore, startNewTerm(t, controller)
 }
 
@@ -61,7 +62,7 @@
 		controller, token := term.controller, term.token
 
 		const id = "req-000001"
-		record := &Job{Job: records.Job{Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: test.tasks, Priority: wire.PriorityNormal}, SubmittedAt: int64(clock.WallTime())}}
+		record := &storeview.Job{Job: records.Job{Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: test.tasks, Priority: wire.PriorityNormal}, SubmittedAt: int64(clock.WallTime())}}
 		value, err := record.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -52,20 +52,13 @@
 	return peer.StandbyProtocolVersion
 }
 
-// applyStandbyRecord takes the durable record of those in step with a leader. One that can't be
-// read names nobody.
-func (controller *Controller) applyStandbyRecord(value []byte, version uint64) {
-	view := &controller.view
-	view.Standby, view.StandbyVersion = standby.InSyncRecord{}, version
-	if err := json.Unmarshal(value, &view.Standby); err != nil {
-		view.Standby = standby.InSyncRecord{}
-		controller.logMalformedRecord(records.StandbyKey, err)
-	}
+// applyStandbyRecord takes a newer record of in-sync members from the view.
+func (controller *Controller) applyStandbyRecord(record standby.InSyncRecord, version uint64) {
 	if controller.replica != nil {
-		controller.replica.PruneEarlier(view.Standby.Token)
+		controller.replica.PruneEarlier(record.Token)
 	}
 	if controller.term != nil && controller.term.standby != nil {
-		controller.term.standby.membership.ObserveRecord(view.Standby, version)
+		controller.term.standby.membership.ObserveRecord(record, version)
 	}
 }
 
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -11,6 +11,7 @@
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/internal/staleness"
+	"firwood.dev/firwood/internal/storeview"
 )
 
 // leaderTerm is what a process holds while it leads: made anew at every take-over,
@@ -131,7 +132,7 @@
 }
 
 // updateKeyVersions takes the versions of progress keys from the view.
-func (jobInfo *jobState) updateKeyVersions(parts map[int]ProgressPart) {
+func (jobInfo *jobState) updateKeyVersions(parts map[int]storeview.ProgressPart) {
 	for number, part := range parts {
 		jobInfo.setKeyVersion(number, part.Version)
 	}
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -13,6 +13,7 @@
 	"firwood.dev/firwood/internal/peer"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -53,7 +54,7 @@
 	deployment.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 1000}
 	controller := New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	controller.machineTypes = []wire.MachineType{{Name: "big", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: deployment.Zones}}
-	controller.view.ScaleOuts["h"] = &ScaleOut{ScaleOut: records.ScaleOut{Type: "big", Zone: "x", Count: len(machines), RequestedAt: int64(clock.WallTime() - 300*clock.Second), IsResolved: true, Machines: machines}}
+	controller.view.ScaleOuts["h"] = &storeview.ScaleOut{ScaleOut: records.ScaleOut{Type: "big", Zone: "x", Count: len(machines), RequestedAt: int64(clock.WallTime() - 300*clock.Second), IsResolved: true, Machines: machines}}
 	return newLeaderTerm(controller, 9, clock.Now())
 }
 
--- a/internal/controller/tracked_jobs.go
+++ b/internal/controller/tracked_jobs.go
@@ -7,6 +7,7 @@
 
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -23,8 +24,8 @@
 	}
 }
 
-func (term *leaderTerm) addJob(id string, record *Job, startsRecorded bool) *allocation.Job {
-	completed := term.controller.completedTasks(id, record)
+func (term *leaderTerm) addJob(id string, record *storeview.Job, startsRecorded bool) *allocation.Job {
+	completed := term.controller.view.CompletedTasks(id, record, term.controller.tasksPerKey)
 	released := term.controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
 	job := term.tracker.AddJob(record.Spec, released, clock.Now(), startsRecorded, completed.IsSet)
 	urgency := term.controller.dependencyGraph.UrgencyOf(id, urgencyOf(record))
@@ -46,7 +47,7 @@
 }
 
 // applyJobRecord takes a job's record as the state service has it.
-func (term *leaderTerm) applyJobRecord(id string, record *Job) {
+func (term *leaderTerm) applyJobRecord(id string, record *storeview.Job) {
 	now := clock.Now()
 	job := term.tracker.Jobs[id]
 	term.needsPlan = true
@@ -67,7 +68,7 @@
 // cancelJob takes a durable withdrawal. The time that its tasks have runs from the
 // confirmation, of which a leader that was refused by the state service may have
 // learnt late.
-func (term *leaderTerm) cancelJob(job *allocation.Job, record *Job, now clock.Micros) {
+func (term *leaderTerm) cancelJob(job *allocation.Job, record *storeview.Job, now clock.Micros) {
 	term.tracker.Cancel(job, now)
 	job.CancelledAt = now - max(clock.WallTime()-clock.Micros(record.EndedAt), 0)
 	term.jobs[job.Spec.ID].isEndDurable = true
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -8,6 +8,7 @@
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
@@ -122,7 +123,7 @@
 		controller.pendingSubmissions[job.ID] = append(replies, reply)
 		return
 	}
-	record := &Job{Job: records.Job{Spec: job, SubmittedAt: int64(clock.WallTime())}}
+	record := &storeview.Job{Job: records.Job{Spec: job, SubmittedAt: int64(clock.WallTime())}}
 	changes, err := records.SubmissionChanges(&record.Job, controller.storeLimits())
 	if err != nil {
 		controller.rejectAfterSync(job, reply, func() string { return "the job's description is too large" }, nil)
@@ -146,7 +147,7 @@
 	}
 }
 
-func (controller *Controller) handleSubmissionResult(job *wire.Job, record *Job, outcome kvstore.Outcome, revision uint64) {
+func (controller *Controller) handleSubmissionResult(job *wire.Job, record *storeview.Job, outcome kvstore.Outcome, revision uint64) {
 	id := job.ID
 	replies := controller.pendingSubmissions[id]
 	delete(controller.pendingSubmissions, id)
@@ -155,10 +156,10 @@
 		record.Version = revision
 		if record.DependencyParts > 0 {
 			for part, ids := range records.SplitDependencies(job.DependsOn, controller.storeLimits()) {
-				controller.setDependenciesPart(id, part, ids)
+				controller.view.SetDependencies(id, part, ids)
 			}
 		}
-		controller.setJobRecord(id, record)
+		controller.view.SetJob(id, record)
 	}
 	for i, reply := range replies {
 		switch outcome {
@@ -189,7 +190,7 @@
 }
 
 // encodeJobStatus is what a user is told, from a view that is new enough.
-func (controller *Controller) encodeJobStatus(id string, record *Job) []byte {
+func (controller *Controller) encodeJobStatus(id string, record *storeview.Job) []byte {
 	if record.HasEnded() {
 		return encodeStatus(id, record.EffectiveState(), nil, nil)
 	}
@@ -284,7 +285,7 @@
 		return
 	}
 	// Whether the job is still what the view says is the write's condition.
-	end := NewEndedJob(record, wire.JobCancelled, clock.WallTime())
+	end := storeview.NewEndedJob(record, wire.JobCancelled, clock.WallTime())
 	value, err := end.MarshalJSON()
 	if err != nil {
 		replyUnavailable(reply, "cannot be encoded")
@@ -301,7 +302,7 @@
 			case kvstore.Committed:
 				end.Version = revision
 				if current := controller.view.Jobs[id]; current == nil || current.Version < revision {
-					controller.setJobRecord(id, end)
+					controller.view.SetJob(id, end)
 				}
 				reply.Send(200, encodeStatus(id, wire.JobCancelled, nil, nil), 0)
 			case kvstore.Conflict:
--- /dev/null
+++ b/internal/controller/view_observer.go
@@ -0,0 +1,70 @@
+package controller
+
+import (
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/standby"
+	"firwood.dev/firwood/internal/storeview"
+	"firwood.dev/firwood/wire"
+)
+
+// viewObserver implements storeview.Observer: it carries out what changes in the view mean for the
+// controller.
+type viewObserver struct{ controller *Controller }
+
+// JobChanged implements storeview.Observer. The order matters: whether the job is cancelled with a
+// dependency has to be known before the dependency graph and the leader's term see the record.
+func (observer viewObserver) JobChanged(id string, job *storeview.Job) {
+	controller := observer.controller
+	if job.HasEnded() {
+		controller.progressCounts.remove(id)
+	}
+	if job.IsFinished() {
+		controller.finishedJobs.Touch(id)
+	}
+	controller.cancellations.add(id, job, clock.Now(), clock.WallTime())
+	job.IsCancelledByDependency = job.State == "" && controller.dependencyGraph.IsCancelled(id)
+	controller.updateDependencyGraph(id, job)
+	if controller.term != nil {
+		controller.term.applyJobRecord(id, job)
+	}
+}
+
+// TermObserved implements storeview.Observer.
+func (observer viewObserver) TermObserved(token uint64) {
+	observer.controller.traceObservedFailover(token)
+}
+
+// MachineTypesRead implements storeview.Observer. The cloud's own answer is newer than what is
+// stored.
+func (observer viewObserver) MachineTypesRead(types []wire.MachineType) {
+	if len(observer.controller.machineTypes) == 0 {
+		observer.controller.setMachineTypes(types)
+	}
+}
+
+// ConstraintsChanged implements storeview.Observer.
+func (observer viewObserver) ConstraintsChanged(constraints delegation.Constraints, version uint64) {
+	observer.controller.applyConstraints(constraints, version)
+}
+
+// StandbyChanged implements storeview.Observer.
+func (observer viewObserver) StandbyChanged(record standby.InSyncRecord, version uint64) {
+	observer.controller.applyStandbyRecord(record, version)
+}
+
+// WorkerContactRead implements storeview.Observer.
+func (observer viewObserver) WorkerContactRead(member string, record records.WorkerContact) {
+	observer.controller.applyWorkerContact(member, record)
+}
+
+// ArchiveMarkerRead implements storeview.Observer: a job that is not in the view may be in the
+// archive.
+func (observer viewObserver) ArchiveMarkerRead() { observer.controller.recordEviction() }
+
+// RecordRejected implements storeview.Observer.
+func (observer viewObserver) RecordRejected(key string, err error) {
+	observer.controller.store.MalformedResponses.Add(1)
+	observer.controller.logDropped("a record makes no sense", "key", key, "error", err)
+}
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -8,24 +8,49 @@
 	"firwood.dev/firwood/internal/election"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
-	"firwood.dev/firwood/wire"
+	"firwood.dev/firwood/internal/storeview"
 )
 
-// loadAll reads everything, at the start and after a watch fell too far behind.
+const (
+	// loadRetryDelay is the time between two attempts to read everything.
+	loadRetryDelay = 300 * time.Millisecond
+	// maxSyncsInFlight bounds the watches that answer at once.
+	maxSyncsInFlight = 2
+	// syncInterval is the least time between two of those, leaderSyncInterval that of a leader,
+	// whose starts wait for them.
+	syncInterval, leaderSyncInterval = 60 * clock.Millisecond, 25 * clock.Millisecond
+	// pollTimeout is how long a watch waits for changes.
+	pollTimeout = 10 * clock.Second
+	// pollInterval is the time between two such watches, leaderPollInterval that of a leader,
+	// pollRetryDelay the time after one that failed.
+	pollInterval, leaderPollInterval, pollRetryDelay = 200 * clock.Millisecond, 50 * clock.Millisecond, 300 * clock.Millisecond
+)
+
+// watchState is which reads that keep the view up to date are under way.
+type watchState struct {
+	isLoading     bool
+	syncsInFlight int
+	lastSyncAt    clock.Micros
+	isPolling     bool
+	nextPollAt    clock.Micros
+}
+
+// loadAll reads everything, at the start and after a watch fell too far behind. A goroutine of its
+// own reads, and ends with one result.
 func (controller *Controller) loadAll() {
-	if controller.view.isLoading {
+	if controller.watches.isLoading {
 		return
 	}
-	controller.view.isLoading = true
+	controller.watches.isLoading = true
 	go func() {
-		filter := NewLoadFilter(controller.finishedCapacity)
+		filter := storeview.NewLoadFilter(controller.finishedCapacity)
 		revision, err := controller.store.LoadPrefix(records.WatchedPrefix, filter.Add)
 		if err != nil {
 			controller.log.Debug("state not loaded", "error", err)
-			time.Sleep(300 * time.Millisecond)
+			time.Sleep(loadRetryDelay)
 		}
 		controller.postResult(func() {
-			controller.view.isLoading = false
+			controller.watches.isLoading = false
 			if err != nil {
 				controller.loadAll()
 				return
@@ -35,79 +60,76 @@
 	}()
 }
 
-func (controller *Controller) applyLoad(filter *LoadFilter, revision uint64) {
-	view := &controller.view
-	if view.IsLoaded && revision < view.Revision {
+func (controller *Controller) applyLoad(filter *storeview.LoadFilter, revision uint64) {
+	dropped, ok := controller.view.Load(filter, revision)
+	if !ok {
 		return
 	}
-	// Keys that vanished while nobody watched: jobs never do.
-	view.Dependencies = map[string]map[int][]string{}
-	view.Progress = map[string]map[int]ProgressPart{}
-	view.ScaleOuts = map[string]*ScaleOut{}
-	view.Lock = election.Lock{}
-	view.Terms.Reset()
-	view.HasArchive = false
-	items, dropped := filter.keptItems()
-	for i := range items {
-		controller.applyPut(items[i].Key, items[i].Value, items[i].Version)
-	}
-	view.Revision = max(view.Revision, revision)
-	view.IsLoaded = true
 	controller.recountEvicted(filter.FinishedCounts, dropped)
 	controller.lookUpUnknownDependencies()
 	controller.observeLock()
-	controller.log.Info("state loaded", "revision", revision, "jobs", len(view.Jobs))
+	controller.log.Info("state loaded", "revision", revision, "jobs", len(controller.view.Jobs))
 }
 
-// startWatches opens the watches that are due: one that answers at once if
-// somebody waits for proof, and a long one that brings changes by itself.
+// startWatches opens the watches that are due: one that answers at once if a sync is requested, and
+// a long one that brings changes by itself.
 func (controller *Controller) startWatches() {
-	view := &controller.view
-	now := clock.Now()
-	if !view.IsLoaded {
+	if !controller.view.IsLoaded {
 		return
 	}
-	minInterval := 60 * clock.Millisecond
-	if controller.term != nil || controller.isRebuilding {
-		minInterval = 25 * clock.Millisecond
+	now := clock.Now()
+	controller.startSync(now)
+	controller.startPoll(now)
+}
+
+// startSync opens a watch that answers at once for the syncs that are requested.
+func (controller *Controller) startSync(now clock.Micros) {
+	watches := &controller.watches
+	minInterval := syncInterval
+	if controller.isLeading() {
+		minInterval = leaderSyncInterval
 	}
-	if view.syncsInFlight < 2 && now-view.lastSyncAt >= minInterval {
-		var claimed []*syncWaiter
-		for _, waiter := range view.waiters {
-			if !waiter.hasWatch && !waiter.isCompleted {
-				waiter.hasWatch = true
-				claimed = append(claimed, waiter)
-			}
-		}
-		if len(claimed) > 0 {
-			view.syncsInFlight++
-			view.lastSyncAt = now
-			go controller.watch(0, func(err error) {
-				view.syncsInFlight--
-				for _, waiter := range claimed {
-					waiter.complete(err)
-				}
-			})
-		}
+	if watches.syncsInFlight >= maxSyncsInFlight || now-watches.lastSyncAt < minInterval {
+		return
 	}
-	if !view.isPolling && now >= view.nextPollAt {
-		view.isPolling = true
-		go controller.watch(10*clock.Second, func(err error) {
-			view.isPolling = false
-			view.nextPollAt = clock.Now() + 200*clock.Millisecond
-			if controller.term != nil {
-				view.nextPollAt = clock.Now() + 50*clock.Millisecond
-			}
-			if err != nil {
-				view.nextPollAt = clock.Now() + 300*clock.Millisecond
-			}
-		})
+	batch, ok := controller.view.ClaimSyncs()
+	if !ok {
+		return
 	}
+	watches.syncsInFlight++
+	watches.lastSyncAt = now
+	go controller.watch(0, func(err error) {
+		watches.syncsInFlight--
+		batch.Complete(err)
+	})
 }
 
+// startPoll opens the watch that waits for changes.
+func (controller *Controller) startPoll(now clock.Micros) {
+	watches := &controller.watches
+	if watches.isPolling || now < watches.nextPollAt {
+		return
+	}
+	watches.isPolling = true
+	go controller.watch(pollTimeout, func(err error) {
+		watches.isPolling = false
+		interval := pollInterval
+		switch {
+		case err != nil:
+			interval = pollRetryDelay
+		case controller.term != nil:
+			interval = leaderPollInterval
+		}
+		watches.nextPollAt = clock.Now() + interval
+	})
+}
+
+// watch makes one request for the changes since the view's revision, which the store may keep back
+// for some time until there are any, and applies them. It runs on a goroutine of its own; done runs
+// on the controller's.
 func (controller *Controller) watch(block clock.Micros, done func(error)) {
 	revisions := make(chan uint64, 1)
-	// The revision is read by the owner as late as possible.
+	// The revision is read by the controller's goroutine as late as possible.
 	controller.postResult(func() { revisions <- controller.view.Revision })
 	var from uint64
 	select {
@@ -118,7 +140,8 @@
 	events, err := controller.store.Watch(records.WatchedPrefix, from, block)
 	controller.postResult(func() {
 		if err == nil {
-			controller.applyEvents(events)
+			controller.rateShares.observedChanges += int64(controller.view.Apply(events))
+			controller.observeLock()
 		} else if errors.Is(err, kvstore.ErrCompacted) {
 			controller.loadAll()
 		}
@@ -126,26 +149,8 @@
 	})
 }
 
-func (controller *Controller) applyEvents(events *wire.WatchResponse) {
-	view := &controller.view
-	for i := range events.Events {
-		event := &events.Events[i]
-		if event.Version <= view.Revision {
-			continue
-		}
-		controller.rateShares.observedChanges++
-		if event.DeleteKey != "" {
-			controller.applyDelete(event.DeleteKey)
-		} else {
-			controller.applyPut(event.PutKey, event.Value, event.Version)
-		}
-	}
-	view.Revision = max(view.Revision, events.Revision)
-	controller.observeLock()
-}
-
-// observeLock tells the election of the lock, unless the view is older than our
-// own token.
+// observeLock passes the lock to the elector, unless the view is older than this member's own
+// token: it then shows a lock from before the election.
 func (controller *Controller) observeLock() {
 	if controller.elector.Phase() == election.Leader && controller.view.Revision < controller.elector.Token() {
 		return
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"strings"
-
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
@@ -53,8 +51,8 @@
 }
 
 // applyWorkerContact takes what a member has said. It may be long ago.
-func (controller *Controller) applyWorkerContact(key string, record records.WorkerContact) {
+func (controller *Controller) applyWorkerContact(member string, record records.WorkerContact) {
 	now := clock.Now()
 	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-controller.maxClockSkew(), 0)
-	controller.workerContacts[strings.TrimPrefix(key, records.WorkerContactPrefix)] = workerContact{record.Workers, now - age}
+	controller.workerContacts[member] = workerContact{record.Workers, now - age}
 }
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -34,7 +34,7 @@
 	} {
 		term := newTestTerm(t)
 		term.controller.term = term
-		term.controller.applyPut(records.WorkerContactKey("b"), said(test.workers, test.ago), 10)
+		term.controller.view.ApplyPut(records.WorkerContactKey("b"), said(test.workers, test.ago), 10)
 		now := clock.Now()
 		term.resumedAt = now - 60*clock.Second
 		if got := term.handOverIfCutOff(test.h, now); got != test.over || term.isClosed != test.over {
--- /dev/null
+++ b/internal/storeview/apply.go
@@ -0,0 +1,217 @@
+package storeview
+
+import (
+	"encoding/json"
+	"errors"
+	"strings"
+
+	"firwood.dev/firwood/internal/election"
+	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/standby"
+	"firwood.dev/firwood/wire"
+)
+
+var (
+	errMalformedKey   = errors.New("malformed key")
+	errTaskOutOfRange = errors.New("the first task is out of range")
+)
+
+// Apply applies the changes that a watch has brought, and tells how many of them the view did not
+// have. It skips those up to its revision: watches overlap.
+func (view *View) Apply(events *wire.WatchResponse) (applied int) {
+	for i := range events.Events {
+		event := &events.Events[i]
+		if event.Version <= view.Revision {
+			continue
+		}
+		applied++
+		if event.DeleteKey != "" {
+			view.applyDelete(event.DeleteKey)
+		} else {
+			view.ApplyPut(event.PutKey, event.Value, event.Version)
+		}
+	}
+	view.Revision = max(view.Revision, events.Revision)
+	return applied
+}
+
+// ApplyPut sets what a key holds, as of a revision.
+func (view *View) ApplyPut(key string, value []byte, version uint64) {
+	if err := view.put(key, value, version); err != nil {
+		view.observer.RecordRejected(key, err)
+	}
+}
+
+// put passes a value to the method for its kind. Keys of no known kind are those of later versions.
+func (view *View) put(key string, value []byte, version uint64) error {
+	switch {
+	case key == records.LockKey:
+		return view.putLock(value, version)
+	case key == records.MachineTypesKey:
+		return view.putMachineTypes(value)
+	case key == records.ConstraintsKey:
+		return view.putConstraints(value, version)
+	case key == records.StandbyKey:
+		view.putStandby(value, version)
+	case key == records.ArchiveMarkerKey:
+		view.HasArchive = true
+		view.observer.ArchiveMarkerRead()
+	case strings.HasPrefix(key, records.WorkerContactPrefix):
+		return view.putWorkerContact(key, value)
+	case strings.HasPrefix(key, records.JobPrefix):
+		return view.putJob(key, value, version)
+	case strings.HasPrefix(key, records.DependenciesPrefix):
+		return view.putDependencies(key, value)
+	case strings.HasPrefix(key, records.ProgressPrefix):
+		return view.putProgress(key, value, version)
+	case strings.HasPrefix(key, records.ScaleOutPrefix):
+		return view.putScaleOut(key, value, version)
+	}
+	return nil
+}
+
+func (view *View) putLock(value []byte, version uint64) error {
+	var record records.Lock
+	if err := record.UnmarshalJSON(value); err != nil {
+		return err
+	}
+	if version != view.Terms.LastToken() {
+		view.Terms.ObserveTerm(version, record.NeedsStandbyRecord)
+		view.observer.TermObserved(version)
+	}
+	view.Lock = election.Lock{Exists: true, Holder: record.Member, LeaseID: record.Lease, Version: version}
+	return nil
+}
+
+func (view *View) putMachineTypes(value []byte) error {
+	var types wire.MachineTypeList
+	if err := types.UnmarshalJSON(value); err != nil {
+		return err
+	}
+	view.observer.MachineTypesRead(types.Types)
+	return nil
+}
+
+func (view *View) putConstraints(value []byte, version uint64) error {
+	var record records.Constraints
+	if err := record.UnmarshalJSON(value); err != nil {
+		return err
+	}
+	view.SetConstraints(record.Constraints, version)
+	return nil
+}
+
+// putStandby sets the record of in-sync members. One that can't be read names nobody, since the
+// one before it may name members that are not in sync any more.
+func (view *View) putStandby(value []byte, version uint64) {
+	view.Standby, view.StandbyVersion = standby.InSyncRecord{}, version
+	if err := json.Unmarshal(value, &view.Standby); err != nil {
+		view.Standby = standby.InSyncRecord{}
+		view.observer.RecordRejected(records.StandbyKey, err)
+	}
+	view.observer.StandbyChanged(view.Standby, version)
+}
+
+func (view *View) putWorkerContact(key string, value []byte) error {
+	var record records.WorkerContact
+	if err := record.UnmarshalJSON(value); err != nil {
+		return err
+	}
+	view.observer.WorkerContactRead(strings.TrimPrefix(key, records.WorkerContactPrefix), record)
+	return nil
+}
+
+// putJob sets a job's record unless the view has it or a newer one, of this process's own writes
+// or of another member's message.
+func (view *View) putJob(key string, value []byte, version uint64) error {
+	id := strings.TrimPrefix(key, records.JobPrefix)
+	job := &Job{}
+	if err := job.UnmarshalJSON(value); err != nil {
+		return err
+	}
+	job.Version = version
+	if known := view.Jobs[id]; known != nil && known.Version >= version {
+		return nil
+	}
+	view.SetJob(id, job)
+	return nil
+}
+
+func (view *View) putDependencies(key string, value []byte) error {
+	id, part, ok := records.ParseDependenciesKey(key)
+	var record records.Dependencies
+	if err := record.UnmarshalJSON(value); err != nil {
+		return err
+	}
+	if !ok {
+		return errMalformedKey
+	}
+	view.SetDependencies(id, part, record.DependsOn)
+	return nil
+}
+
+func (view *View) putProgress(key string, value []byte, version uint64) error {
+	id, number, ok := records.ParseProgressKey(key)
+	var record records.Progress
+	if err := record.UnmarshalJSON(value); err != nil {
+		return err
+	}
+	part, err := record.Part()
+	switch {
+	case err != nil:
+		return err
+	case !ok:
+		return errMalformedKey
+	case part.FirstTask < 0 || part.FirstTask >= wire.MaxTasks:
+		return errTaskOutOfRange
+	}
+	parts := view.Progress[id]
+	if parts == nil {
+		parts = map[int]ProgressPart{}
+		view.Progress[id] = parts
+	}
+	parts[number] = ProgressPart{ProgressPart: part, Version: version}
+	return nil
+}
+
+func (view *View) putScaleOut(key string, value []byte, version uint64) error {
+	request := &ScaleOut{}
+	if err := request.UnmarshalJSON(value); err != nil {
+		return err
+	}
+	request.Version = version
+	view.ScaleOuts[strings.TrimPrefix(key, records.ScaleOutPrefix)] = request
+	return nil
+}
+
+// applyDelete removes what a key held. Keys that stay, or whose absence means nothing, are ignored.
+func (view *View) applyDelete(key string) {
+	switch {
+	case key == records.LockKey:
+		view.Lock = election.Lock{}
+	case key == records.ArchiveMarkerKey:
+		view.HasArchive = false
+	case strings.HasPrefix(key, records.JobPrefix):
+		if job := view.Jobs[strings.TrimPrefix(key, records.JobPrefix)]; job != nil {
+			job.IsArchived = true // records are deleted for that alone
+		}
+	case strings.HasPrefix(key, records.ProgressPrefix):
+		if id, number, ok := records.ParseProgressKey(key); ok {
+			removePart(view.Progress, id, number)
+		}
+	case strings.HasPrefix(key, records.DependenciesPrefix):
+		if id, part, ok := records.ParseDependenciesKey(key); ok {
+			removePart(view.Dependencies, id, part)
+		}
+	case strings.HasPrefix(key, records.ScaleOutPrefix):
+		delete(view.ScaleOuts, strings.TrimPrefix(key, records.ScaleOutPrefix))
+	}
+}
+
+// removePart removes one of a job's numbered parts, and the job with its last one.
+func removePart[V any](parts map[string]map[int]V, id string, number int) {
+	delete(parts[id], number)
+	if len(parts[id]) == 0 {
+		delete(parts, id)
+	}
+}
--- /dev/null
+++ b/internal/storeview/view_test.go
@@ -0,0 +1,215 @@
+package storeview
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/standby"
+	"firwood.dev/firwood/wire"
+)
+
+// recorder is an Observer that lists what it is told.
+type recorder struct {
+	view *View
+	seen []string
+}
+
+func (observer *recorder) add(format string, args ...any) {
+	observer.seen = append(observer.seen, fmt.Sprintf(format, args...))
+}
+
+func (observer *recorder) JobChanged(id string, job *Job) {
+	observer.add("job %s@%d", id, job.Version)
+	if observer.view.Jobs[id] != job {
+		observer.add("job %s is not in the view yet", id)
+	}
+}
+
+func (observer *recorder) TermObserved(token uint64) {
+	observer.add("term %d, lock held by %q", token, observer.view.Lock.Holder)
+}
+
+func (observer *recorder) MachineTypesRead(types []wire.MachineType) {
+	observer.add("%d machine types", len(types))
+}
+
+func (observer *recorder) ConstraintsChanged(_ delegation.Constraints, version uint64) {
+	observer.add("constraints@%d", version)
+}
+
+func (observer *recorder) StandbyChanged(record standby.InSyncRecord, version uint64) {
+	observer.add("standby of %d@%d", record.Token, version)
+}
+
+func (observer *recorder) WorkerContactRead(member string, record records.WorkerContact) {
+	observer.add("%d workers contact %s", record.Workers, member)
+}
+
+func (observer *recorder) ArchiveMarkerRead() { observer.add("archive") }
+
+func (observer *recorder) RecordRejected(key string, err error) {
+	observer.add("rejected %s", key)
+	if err == nil {
+		observer.add("without an error")
+	}
+}
+
+func newTestView() (*View, *recorder) {
+	observer := &recorder{}
+	observer.view = New(observer)
+	return observer.view, observer
+}
+
+// Each kind of key is reported once it is in the view, and a value or key that cannot be read is
+// rejected and changes nothing.
+func TestPutsAreReported(t *testing.T) {
+	for _, test := range []struct {
+		key, value string
+		want       []string
+	}{
+		{records.LockKey, `{"m":"b","l":3}`, []string{`term 7, lock held by ""`}},
+		{records.LockKey, `[]`, []string{"rejected firwood/lead"}},
+		{records.MachineTypesKey, `{}`, []string{"0 machine types"}},
+		{records.MachineTypesKey, `"`, []string{"rejected firwood/types"}},
+		{records.ConstraintsKey, `{}`, []string{"constraints@7"}},
+		{records.ConstraintsKey, `1`, []string{"rejected firwood/word"}},
+		{records.StandbyKey, `{}`, []string{"standby of 0@7"}},
+		{records.StandbyKey, `x`, []string{"rejected firwood/standby", "standby of 0@7"}},
+		{records.ArchiveMarkerKey, `{}`, []string{"archive"}},
+		{records.TokenKey, `{}`, nil},
+		{records.WorkerContactKey("c"), `{"n":4}`, []string{"4 workers contact c"}},
+		{records.WorkerContactKey("c"), `x`, []string{"rejected firwood/asked/c"}},
+		{records.JobKey("req-000001"), `{"at":1}`, []string{"job req-000001@7"}},
+		{records.JobKey("req-000001"), `x`, []string{"rejected firwood/job/req-000001"}},
+		{records.DependenciesKey("req-000001", 0), `{"a":["req-000002"]}`, nil},
+		{records.DependenciesPrefix + "req-000001", `{"a":[]}`, []string{"rejected firwood/needs/req-000001"}},
+		{records.ProgressKey("req-000001", 0), `{"b":"AQ=="}`, nil},
+		{records.ProgressKey("req-000001", 0), `{"b":"?"}`, []string{"rejected firwood/done/req-000001/0"}},
+		{records.ProgressKey("req-000001", 0), `{"b":"","f":-1}`, []string{"rejected firwood/done/req-000001/0"}},
+		{records.ProgressPrefix + "req-000001", `{"b":""}`, []string{"rejected firwood/done/req-000001"}},
+		{records.ScaleOutKey("a-1"), `{"t":"big"}`, nil},
+		{records.ScaleOutKey("a-1"), `x`, []string{"rejected firwood/hire/a-1"}},
+		{records.WatchedPrefix + "of-a-later-version", `x`, nil},
+	} {
+		view, observer := newTestView()
+		view.ApplyPut(test.key, []byte(test.value), 7)
+		if !slices.Equal(observer.seen, test.want) {
+			t.Errorf("%s %s: reported are %q, want %q", test.key, test.value, observer.seen, test.want)
+		}
+	}
+}
+
+// A record that the view has, or a newer one, is not applied again; events up to the view's
+// revision are skipped.
+func TestOldChangesAreSkipped(t *testing.T) {
+	view, observer := newTestView()
+	key := records.JobKey("req-000001")
+	view.SetJob("req-000001", &Job{Version: 9})
+	view.ApplyPut(key, []byte(`{"at":1}`), 9)
+	view.ApplyPut(key, []byte(`{"at":1}`), 8)
+	applied := view.Apply(&wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Version: 10, PutKey: key, Value: []byte(`{"at":2}`)}}})
+	if applied != 1 || view.Revision != 12 {
+		t.Errorf("%d applied, revision %d", applied, view.Revision)
+	}
+	applied = view.Apply(&wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Version: 12, PutKey: key, Value: []byte(`{"at":3}`)}}})
+	if applied != 0 {
+		t.Errorf("%d events are applied again", applied)
+	}
+	if want := []string{"job req-000001@9", "job req-000001@10"}; !slices.Equal(observer.seen, want) {
+		t.Errorf("reported are %q, want %q", observer.seen, want)
+	}
+}
+
+// A deleted key leaves nothing behind, but a job, whose record is then in the archive.
+func TestDeletes(t *testing.T) {
+	view, _ := newTestView()
+	puts := map[string]string{
+		records.LockKey: `{"m":"b"}`, records.ArchiveMarkerKey: `{}`, records.JobKey("req-000001"): `{"at":1,"s":"done"}`, records.ProgressKey("req-000001", 1): `{"b":""}`,
+		records.DependenciesKey("req-000001", 1): `{"a":[]}`, records.ScaleOutKey("a-1"): `{}`,
+	}
+	for key, value := range puts {
+		view.ApplyPut(key, []byte(value), 5)
+	}
+	if !view.Lock.Exists || !view.HasArchive || len(view.Progress) != 1 || len(view.Dependencies) != 1 || len(view.ScaleOuts) != 1 {
+		t.Fatalf("not all is put: %+v", view)
+	}
+	if key := view.Jobs["req-000001"].Key("req-000001"); key != records.JobKey("req-000001") {
+		t.Errorf("the job lies below %s", key)
+	}
+	events := &wire.WatchResponse{Revision: 6}
+	for key := range puts {
+		events.Events = append(events.Events, wire.WatchEvent{Version: 6, DeleteKey: key})
+	}
+	view.Apply(events)
+	if view.Lock.Exists || view.HasArchive || len(view.Progress)+len(view.Dependencies)+len(view.ScaleOuts) != 0 {
+		t.Errorf("not all is deleted: %+v", view)
+	}
+	if key := view.Jobs["req-000001"].Key("req-000001"); key != records.ArchiveKey("req-000001") {
+		t.Errorf("the archived job lies below %s", key)
+	}
+}
+
+// A load drops keys that were deleted unseen and keeps jobs; one older than the view changes
+// nothing.
+func TestLoadReplacesTheContents(t *testing.T) {
+	view, _ := newTestView()
+	view.ApplyPut(records.ScaleOutKey("a-1"), []byte(`{}`), 4)
+	view.ApplyPut(records.LockKey, []byte(`{"m":"b"}`), 4)
+	view.ApplyPut(records.JobKey("req-000001"), []byte(`{"at":1}`), 4)
+	filter := NewLoadFilter(1)
+	filter.Add([]wire.KeyValue{
+		{Key: records.JobKey("req-000002"), Value: []byte(`{"at":1,"s":"done","e":2}`), Version: 5},
+		{Key: records.JobKey("req-000003"), Value: []byte(`{"at":1,"s":"aborted","e":3}`), Version: 6},
+		{Key: records.ScaleOutKey("a-2"), Value: []byte(`{}`), Version: 7},
+	})
+	if filter.FinishedCounts != (FinishedCounts{Done: 1, Cancelled: 1}) {
+		t.Errorf("counted are %+v", filter.FinishedCounts)
+	}
+	if dropped, ok := view.Load(filter, 8); dropped != 1 || !ok || !view.IsLoaded || view.Revision != 8 {
+		t.Errorf("dropped %d, %v, revision %d", dropped, ok, view.Revision)
+	}
+	if view.Jobs["req-000001"] == nil || view.Jobs["req-000002"] != nil || view.Jobs["req-000003"] == nil || view.ScaleOuts["a-1"] != nil || view.ScaleOuts["a-2"] == nil || view.Lock.Exists {
+		t.Errorf("loaded is %+v", view)
+	}
+	if _, ok := view.Load(NewLoadFilter(1), 7); ok || view.ScaleOuts["a-2"] == nil {
+		t.Error("an older load is applied")
+	}
+}
+
+// A sync ends with the watch that was opened after it, or at its deadline, and only once.
+func TestSyncsEndOnce(t *testing.T) {
+	view, _ := newTestView()
+	errWatch := errors.New("watch")
+	var ends [3][]error
+	request := func(i int, deadline int64) {
+		view.RequestSync(func(err error) { ends[i] = append(ends[i], err) }, clock.Micros(deadline))
+	}
+	request(0, 10)
+	request(1, 20)
+	batch, ok := view.ClaimSyncs()
+	if !ok {
+		t.Fatal("no syncs to claim")
+	}
+	if _, ok := view.ClaimSyncs(); ok {
+		t.Error("they are claimed twice")
+	}
+	request(2, 20)
+	view.ExpireWaiters(clock.Micros(10))
+	batch.Complete(nil)
+	if later, ok := view.ClaimSyncs(); !ok {
+		t.Error("the last has no watch")
+	} else {
+		later.Complete(errWatch)
+	}
+	view.ExpireWaiters(clock.Micros(30))
+	for i, want := range []error{ErrSyncTimeout, nil, errWatch} {
+		if len(ends[i]) != 1 || !errors.Is(ends[i][0], want) {
+			t.Errorf("sync %d ends with %v, want %v", i, ends[i], want)
+		}
+	}
+}
