--- a/internal/controller/view_observer.go
+++ b/internal/controller/view_observer.go
@@ -66,5 +66,5 @@
 // RecordRejected implements storeview.Observer.
 func (observer viewObserver) RecordRejected(key string, err error) {
 	observer.controller.store.MalformedResponses.Add(1)
-	observer.controller.logDropped("a record makes no sense", "key", key, "error", err)
+	observer.controller.logDropped("malformed record in the store", "key", key, "error", err)
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -46,7 +46,7 @@
 		filter := storeview.NewLoadFilter(controller.finishedCapacity)
 		revision, err := controller.store.LoadPrefix(records.WatchedPrefix, filter.Add)
 		if err != nil {
-			controller.log.Debug("state not loaded", "error", err)
+			controller.log.Debug("store not loaded, retrying", "error", err)
 			time.Sleep(loadRetryDelay)
 		}
 		controller.postResult(func() {
@@ -68,7 +68,7 @@
 	controller.recountEvicted(filter.FinishedCounts, dropped)
 	controller.lookUpUnknownDependencies()
 	controller.observeLock()
-	controller.log.Info("state loaded", "revision", revision, "jobs", len(controller.view.Jobs))
+	controller.log.Info("store loaded", "revision", revision, "jobs", len(controller.view.Jobs))
 }
 
 // startWatches opens the watches that are due: one that answers at once if a sync is requested, and
