--- /dev/null
+++ b/internal/records/submission_test.go
@@ -0,0 +1,52 @@
+package records
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"firwood.dev/firwood/wire"
+)
+
+// A job's dependencies lie in its own value if they fit, else in further keys of the same
+// transaction; a job that fits in neither way is refused.
+func TestSubmissionChangesFitTheLimits(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		class        int // length of the class
+		dependencies int
+		limits       Limits
+		wantChanges  int // 0: refused; a part of 1 KiB takes 77 of these ids
+	}{
+		{"small", 4, 3, Limits{MaxValueKB: 1, MaxTransactionOps: 1}, 1},
+		{"long list", 4, 300, Limits{MaxValueKB: 1, MaxTransactionOps: 16}, 5},
+		{"long list, as many changes as allowed", 4, 300, Limits{MaxValueKB: 1, MaxTransactionOps: 5}, 5},
+		{"long list, too many changes", 4, 300, Limits{MaxValueKB: 1, MaxTransactionOps: 4}, 0},
+		{"too large without dependencies", 2000, 0, Limits{MaxValueKB: 1, MaxTransactionOps: 16}, 0},
+		{"too large beside its dependencies", 2000, 3, Limits{MaxValueKB: 1, MaxTransactionOps: 16}, 0},
+	} {
+		spec := &wire.Job{ID: "req-000500", Class: fmt.Sprintf("%0*d", test.class, 0)}
+		for i := range test.dependencies {
+			spec.DependsOn = append(spec.DependsOn, fmt.Sprintf("req-%06d", i))
+		}
+		record := &Job{Spec: spec, SubmittedAt: 1}
+		changes, err := SubmissionChanges(record, test.limits)
+		if test.wantChanges == 0 {
+			if !errors.Is(err, ErrTooLarge) || changes != nil {
+				t.Errorf("%s: %d changes, error %v", test.name, len(changes), err)
+			}
+			continue
+		}
+		if err != nil || len(changes) != test.wantChanges || record.DependencyParts != test.wantChanges-1 {
+			t.Errorf("%s: %d changes, %d parts, error %v, want %d changes", test.name, len(changes), record.DependencyParts, err, test.wantChanges)
+		}
+		for _, change := range changes {
+			if len(change.Value) > test.limits.MaxValueBytes() {
+				t.Errorf("%s: %s has a value of %d bytes", test.name, change.PutKey, len(change.Value))
+			}
+		}
+		if len(spec.DependsOn) != test.dependencies {
+			t.Errorf("%s: the submission itself is changed", test.name)
+		}
+	}
+}
