--- a/internal/controller/constraints.go
+++ b/internal/controller/constraints.go
@@ -36,7 +36,7 @@
 
 // adoptConstraints takes over what earlier leaders have promised.
 func (term *leaderTerm) adoptConstraints(now clock.Micros) {
-	constraints, _ := term.constraints.Current()
+	constraints := term.constraints.Confirmed()
 	for _, member := range term.tracker.Machines {
 		if zone, ok := constraints.Zones[member.Zone]; ok {
 			term.tracker.CapLeaseRenewal(member, term.controller.latestSteadyInstant(now, zone.LastAnswerAt))
@@ -49,7 +49,7 @@
 
 // updateRenewalBounds tells the ledger until when others may have renewed leases as delegates.
 func (term *leaderTerm) updateRenewalBounds(now clock.Micros) {
-	constraints, _ := term.constraints.Current()
+	constraints := term.constraints.Confirmed()
 	renewalsUntil := map[string]clock.Micros{}
 	for zone, constraint := range constraints.Zones {
 		renewalsUntil[zone] = term.grants.LatestRenewalExcept(now, term.controller.cfg.Member, constraint.KnownBy)
@@ -62,7 +62,7 @@
 // rights, until the promise is taken back: a new leader, who has never heard either,
 // then knows when the leases there end.
 func (term *leaderTerm) updateConstraints(now clock.Micros) {
-	current, _ := term.constraints.Current()
+	current := term.constraints.Confirmed()
 	updated := delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{}, MemberGrantUntil: map[string]clock.Micros{}}
 	wall := func(at clock.Micros) clock.Micros { return clock.WallTime() - (now - at) }
 	for zone, status := range term.zoneStatuses(now) {
--- a/internal/controller/constraints_test.go
+++ b/internal/controller/constraints_test.go
@@ -34,7 +34,7 @@
 		t.Fatal("a report is answered though it is promised that none is")
 	}
 	// It is being taken back; nothing goes out before that is durable.
-	constraints, _ := term.constraints.Current()
+	constraints := term.constraints.Confirmed()
 	if !term.constraints.MayConstrainZone("x") || term.constraints.IsConfirmed() || len(constraints.Zones) != 1 {
 		t.Fatal("the promise is not being taken back, or counts as taken back already")
 	}
--- a/internal/standby/in_sync_set.go
+++ b/internal/standby/in_sync_set.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/versionedwrite"
 )
 
 // Member is a controller in one of its lives.
@@ -44,11 +45,7 @@
 	publisher   *Publisher
 	memberNames []string
 
-	durableRecord  InSyncRecord
-	durableVersion uint64
-	// unresolvedRecords are records whose write may be, or may yet be, carried out.
-	unresolvedRecords []InSyncRecord
-	isWriting         bool
+	records *versionedwrite.Tracker[InSyncRecord]
 	// firstRecordDeadline is how long the first record waits for the members that the found one names.
 	firstRecordDeadline clock.Micros
 	laggingSince        map[string]clock.Micros // since when a member in step has lacked something
@@ -58,16 +55,19 @@
 // record is an earlier leader's, so nothing may be sent before one of its own is durable.
 func NewInSyncSet(publisher *Publisher, foundRecord InSyncRecord, foundVersion uint64, memberNames []string, now clock.Micros) *InSyncSet {
 	return &InSyncSet{
-		publisher: publisher, memberNames: memberNames, durableRecord: foundRecord, durableVersion: foundVersion,
+		publisher: publisher, memberNames: memberNames, records: versionedwrite.NewTracker(foundRecord, foundVersion),
 		firstRecordDeadline: now + firstRecordTimeout, laggingSince: map[string]clock.Micros{},
 	}
 }
 
+// isOwn tells whether a record is this leader's.
+func (set *InSyncSet) isOwn(record InSyncRecord) bool { return record.Token == set.publisher.token }
+
 // requiredMembers are the members that any record names which may be in force.
 func (set *InSyncSet) requiredMembers() []Member {
 	var all []Member
-	for _, record := range append([]InSyncRecord{set.durableRecord}, set.unresolvedRecords...) {
-		if record.Token == set.publisher.token {
+	for record := range set.records.Possible() {
+		if set.isOwn(record) {
 			all = append(all, record.Members...)
 		}
 	}
@@ -80,7 +80,7 @@
 // MaySendStart tells whether a start of a number may be sent: the record is this leader's, and
 // whoever it may name has the decision.
 func (set *InSyncSet) MaySendStart(sequence uint64) bool {
-	if set.durableRecord.Token != set.publisher.token {
+	if !set.isOwn(set.records.Confirmed()) {
 		return false
 	}
 	for _, member := range set.requiredMembers() {
@@ -95,7 +95,7 @@
 // on, if there is anything to change. It has to be followed by one of Committed, Refused
 // and Unknown.
 func (set *InSyncSet) BeginWrite(now clock.Micros) (InSyncRecord, uint64, bool) {
-	if set.isWriting {
+	if set.records.IsInFlight() {
 		return InSyncRecord{}, 0, false
 	}
 	wanted := InSyncRecord{Token: set.publisher.token}
@@ -108,20 +108,20 @@
 			return InSyncRecord{}, 0, false
 		}
 	}
-	if wanted.equal(set.durableRecord) && len(set.unresolvedRecords) == 0 {
+	if wanted.equal(set.records.Confirmed()) && set.records.IsConfirmed() {
 		return InSyncRecord{}, 0, false
 	}
-	set.isWriting = true
-	set.unresolvedRecords = append(set.unresolvedRecords, wanted)
-	return wanted, set.durableVersion, true
+	version, ok := set.records.BeginWrite(wanted)
+	return wanted, version, ok
 }
 
 // isMemberAwaited tells whether the leader's first record waits for a member.
 func (set *InSyncSet) isMemberAwaited(name string, now clock.Micros) bool {
-	if now >= set.firstRecordDeadline || set.durableRecord.Token == set.publisher.token {
+	record := set.records.Confirmed()
+	if now >= set.firstRecordDeadline || set.isOwn(record) {
 		return false
 	}
-	return slices.ContainsFunc(set.durableRecord.Members, func(member Member) bool { return member.Name == name })
+	return slices.ContainsFunc(record.Members, func(member Member) bool { return member.Name == name })
 }
 
 // checkInSync tells whether a member is to be named: it has all that there is, or is named
@@ -132,8 +132,7 @@
 		delete(set.laggingSince, name)
 		return member, true
 	}
-	isRecorded := set.durableRecord.Token == set.publisher.token && set.durableRecord.hasMember(member)
-	if !isRecorded {
+	if record := set.records.Confirmed(); !set.isOwn(record) || !record.hasMember(member) {
 		delete(set.laggingSince, name)
 		return member, false
 	}
@@ -147,37 +146,26 @@
 
 // InSyncMembers are the members that the durable record names.
 func (set *InSyncSet) InSyncMembers() []Member {
-	if set.durableRecord.Token != set.publisher.token {
+	record := set.records.Confirmed()
+	if !set.isOwn(record) {
 		return nil
 	}
-	return set.durableRecord.Members
+	return record.Members
 }
 
 // ConfirmWrite takes the news that the last change is durable, at a version.
-func (set *InSyncSet) ConfirmWrite(version uint64) {
-	set.isWriting = false
-	set.durableRecord, set.durableVersion = set.unresolvedRecords[len(set.unresolvedRecords)-1], version
-	set.unresolvedRecords = nil // the earlier ones are conditional on an older version
-}
+func (set *InSyncSet) ConfirmWrite(version uint64) { set.records.RecordCommit(version) }
 
 // RejectWrite takes the news that the last change was certainly not carried out.
-func (set *InSyncSet) RejectWrite() {
-	set.isWriting = false
-	set.unresolvedRecords = set.unresolvedRecords[:len(set.unresolvedRecords)-1]
-}
+func (set *InSyncSet) RejectWrite() { set.records.RecordRefusal() }
 
 // MarkWriteUnresolved takes the news that the last change may be carried out at any time.
-func (set *InSyncSet) MarkWriteUnresolved() { set.isWriting = false }
+func (set *InSyncSet) MarkWriteUnresolved() { set.records.RecordUnknownOutcome() }
 
-// ObserveRecord takes the record that the state service has.
+// ObserveRecord takes the record that the state service has. Records that it supersedes are
+// dropped at once: as long as they count, starts wait for the members they name.
 func (set *InSyncSet) ObserveRecord(record InSyncRecord, version uint64) {
-	if version <= set.durableVersion {
-		return
-	}
-	set.durableRecord, set.durableVersion = record, version
-	if !set.isWriting {
-		set.unresolvedRecords = nil
-		return
+	if set.records.ObserveStored(record, version) {
+		set.records.DropSuperseded()
 	}
-	set.unresolvedRecords = set.unresolvedRecords[len(set.unresolvedRecords)-1:]
 }
--- /dev/null
+++ b/internal/versionedwrite/tracker_test.go
@@ -0,0 +1,184 @@
+package versionedwrite
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// checkState compares all that a tracker tells with what is expected.
+func checkState(t *testing.T, tracker *Tracker[string], possible []string, isInFlight bool) {
+	t.Helper()
+	if got := slices.Collect(tracker.Possible()); !slices.Equal(got, possible) {
+		t.Errorf("%q may be in force, want %q", got, possible)
+	}
+	if tracker.Confirmed() != possible[0] || tracker.IsConfirmed() != (len(possible) == 1) || tracker.IsInFlight() != isInFlight {
+		t.Errorf("confirmed %q (%v), in flight %v", tracker.Confirmed(), tracker.IsConfirmed(), tracker.IsInFlight())
+	}
+}
+
+// begin starts a write that has to be conditional on a version.
+func begin(t *testing.T, tracker *Tracker[string], value string, wantVersion uint64) {
+	t.Helper()
+	if version, ok := tracker.BeginWrite(value); !ok || version != wantVersion {
+		t.Fatalf("the write of %q is conditional on version %d, %v; want %d", value, version, ok, wantVersion)
+	}
+}
+
+func TestOutcomesOfWrites(t *testing.T) {
+	tests := map[string]struct {
+		record      func(*Tracker[string])
+		possible    []string
+		nextVersion uint64
+	}{
+		"committed":       {func(tracker *Tracker[string]) { tracker.RecordCommit(9) }, []string{"new"}, 9},
+		"refused":         {func(tracker *Tracker[string]) { tracker.RecordRefusal() }, []string{"old", "lost"}, 3},
+		"unknown outcome": {func(tracker *Tracker[string]) { tracker.RecordUnknownOutcome() }, []string{"old", "lost", "new"}, 3},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			tracker := NewTracker("old", 3)
+			checkState(t, tracker, []string{"old"}, false)
+			begin(t, tracker, "lost", 3)
+			tracker.RecordUnknownOutcome()
+			begin(t, tracker, "new", 3)
+			checkState(t, tracker, []string{"old", "lost", "new"}, true)
+			if _, ok := tracker.BeginWrite("another"); ok {
+				t.Error("a second write begins while one is in flight")
+			}
+			checkState(t, tracker, []string{"old", "lost", "new"}, true)
+			test.record(tracker)
+			checkState(t, tracker, test.possible, false)
+			begin(t, tracker, "next", test.nextVersion)
+		})
+	}
+}
+
+func TestNewerVersionSupersedesUnresolvedWrites(t *testing.T) {
+	tracker := NewTracker("old", 3)
+	begin(t, tracker, "lost", 3)
+	tracker.RecordUnknownOutcome()
+	if tracker.ObserveStored("stale", 3) || tracker.ObserveStored("stale", 2) {
+		t.Error("a version that is not newer is taken")
+	}
+	checkState(t, tracker, []string{"old", "lost"}, false)
+	if !tracker.ObserveStored("lost", 4) {
+		t.Error("a newer version is not taken")
+	}
+	checkState(t, tracker, []string{"lost"}, false)
+	tracker.DropSuperseded()
+	checkState(t, tracker, []string{"lost"}, false)
+	begin(t, tracker, "next", 4)
+}
+
+// A newer version that is read while a write is in flight may be that write's, whose outcome
+// is still to be recorded.
+func TestNewerVersionKeepsWriteInFlight(t *testing.T) {
+	tracker := NewTracker("old", 3)
+	begin(t, tracker, "lost", 3)
+	tracker.RecordUnknownOutcome()
+	begin(t, tracker, "new", 3)
+	tracker.ObserveStored("lost", 4)
+	checkState(t, tracker, []string{"lost", "lost", "new"}, true)
+	tracker.DropSuperseded()
+	checkState(t, tracker, []string{"lost", "new"}, true)
+	tracker.RecordRefusal()
+	checkState(t, tracker, []string{"lost"}, false)
+	begin(t, tracker, "next", 4)
+}
+
+// sentWrite is a request that may be carried out at any time, and again.
+type sentWrite struct{ value, expectedVersion uint64 }
+
+// fakeStore carries conditional writes of one key out.
+type fakeStore struct {
+	value, version uint64
+	sentWrites     []sentWrite
+	// committedAt is the version at which the write in flight was committed before its
+	// response has come; 0 if it was not.
+	committedAt uint64
+}
+
+func (store *fakeStore) apply(write sentWrite) bool {
+	if write.expectedVersion != store.version {
+		return false
+	}
+	store.value, store.version = write.value, store.version+1
+	return true
+}
+
+// applyRandom carries out one of the sent writes, perhaps the one in flight.
+func (store *fakeStore) applyRandom(isInFlight bool, rng *rand.Rand) {
+	if len(store.sentWrites) == 0 {
+		return
+	}
+	i := rng.IntN(len(store.sentWrites))
+	if store.apply(store.sentWrites[i]) && isInFlight && i == len(store.sentWrites)-1 {
+		store.committedAt = store.version
+	}
+}
+
+// finishWrite records one of the outcomes that the write in flight, the last one sent, may have.
+func (store *fakeStore) finishWrite(tracker *Tracker[uint64], rng *rand.Rand) {
+	last := len(store.sentWrites) - 1
+	committedAt := store.committedAt
+	store.committedAt = 0
+	switch outcome := rng.IntN(4); {
+	case outcome == 0: // the response, or the request, is lost or late
+		if rng.IntN(2) == 0 {
+			store.apply(store.sentWrites[last])
+		}
+		tracker.RecordUnknownOutcome()
+	case committedAt != 0:
+		tracker.RecordCommit(committedAt)
+	case outcome == 1: // it never left
+		store.sentWrites = store.sentWrites[:last]
+		tracker.RecordRefusal()
+	case store.apply(store.sentWrites[last]):
+		tracker.RecordCommit(store.version)
+	default:
+		tracker.RecordRefusal()
+	}
+}
+
+// Over generated histories of committed, refused, lost, late and repeated writes, with reads
+// also while a write is in flight, the stored value is one that the tracker knows.
+func TestStoredValueIsAlwaysPossible(t *testing.T) {
+	unresolvedCount, inFlightReadCount := 0, 0 // so that the histories cover something
+	for seed := uint64(1); seed <= 1000; seed++ {
+		rng := rand.New(rand.NewPCG(seed, 7))
+		store := &fakeStore{}
+		tracker := NewTracker(store.value, store.version)
+		dropsSuperseded := rng.IntN(2) == 0
+		for step := uint64(1); step <= 60; step++ {
+			switch rng.IntN(4) {
+			case 0:
+				if version, ok := tracker.BeginWrite(step); ok {
+					store.sentWrites = append(store.sentWrites, sentWrite{step, version})
+				}
+			case 1:
+				if tracker.IsInFlight() {
+					store.finishWrite(tracker, rng)
+				}
+			case 2:
+				store.applyRandom(tracker.IsInFlight(), rng)
+			case 3:
+				if tracker.IsInFlight() {
+					inFlightReadCount++
+				}
+				if tracker.ObserveStored(store.value, store.version) && dropsSuperseded {
+					tracker.DropSuperseded()
+				}
+			}
+			if !slices.Contains(slices.Collect(tracker.Possible()), store.value) {
+				t.Fatalf("history %d, step %d: %d is stored and unknown to the tracker", seed, step, store.value)
+			}
+			if !tracker.IsConfirmed() {
+				unresolvedCount++
+			}
+		}
+	}
+	if unresolvedCount < 1000 || inFlightReadCount < 1000 {
+		t.Fatalf("%d steps with unresolved writes, %d reads during a write: too few cases covered", unresolvedCount, inFlightReadCount)
+	}
+}
