--- a/internal/delegation/delegation.go
+++ b/internal/delegation/delegation.go
@@ -38,16 +38,13 @@
 	// Short, as each second of it is one less of a right: tasks of a withdrawn job
 	// are gone within a fraction of a second, unless their machine is not reached.
 	cfg := Config{SilenceBeforeActing: silenceBeforeActing, CancellationGrace: (cancellationTimeout - leaseTTL) / 30}
-	cfg.GrantTTL = cancellationTimeout - leaseTTL - cfg.CancellationGrace - driftAllowance(cancellationTimeout) - clock.Second
+	cfg.GrantTTL = cancellationTimeout - leaseTTL - cfg.CancellationGrace - clock.MutualDrift(cancellationTimeout) - clock.Second
 	if cfg.GrantTTL <= silenceBeforeActing || leaseTTL < redirectRoundTrip+redirectRoundTrip/2 {
 		cfg.GrantTTL = 0 // too short to be of use
 	}
 	return cfg
 }
 
-// driftAllowance covers the drift of two clocks over a time.
-func driftAllowance(duration clock.Micros) clock.Micros { return duration / 500 }
-
 // Timestamp is an instant of a member's steady clock, in one of its lives.
 type Timestamp struct {
 	Incarnation uint64
@@ -156,7 +153,7 @@
 	if grants.cfg.GrantTTL == 0 {
 		return 0
 	}
-	return from + grants.cfg.GrantTTL + driftAllowance(grants.cfg.GrantTTL)
+	return from + grants.cfg.GrantTTL + clock.MutualDrift(grants.cfg.GrantTTL)
 }
 
 // RecordInherited takes an earlier leader's promises that a member's last right ends no later,
@@ -192,7 +189,7 @@
 	}
 	if stampedAt >= member.lastReceiptAt {
 		member.lastReceiptAt = stampedAt
-		member.renewalsUntil = max(member.renewalsUntil, now-silentFor+driftAllowance(silentFor))
+		member.renewalsUntil = max(member.renewalsUntil, now-silentFor+clock.MutualDrift(silentFor))
 	}
 }
 
@@ -216,7 +213,7 @@
 		latest = max(latest, member.renewalsUntil)
 		// It has heard this leader after `sure`, and answers nobody as delegate for a
 		// while after that.
-		if member.lastReceiptAt == 0 || now >= member.lastReceiptAt+grants.cfg.SilenceBeforeActing-driftAllowance(grants.cfg.SilenceBeforeActing) {
+		if member.lastReceiptAt == 0 || now >= member.lastReceiptAt+grants.cfg.SilenceBeforeActing-clock.MutualDrift(grants.cfg.SilenceBeforeActing) {
 			latest = max(latest, member.grantUntil)
 		}
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -20,9 +20,6 @@
 	TimerSlack clock.Micros
 }
 
-// driftPerMillion is how many parts in a million two clocks may drift apart.
-const driftPerMillion = 1000
-
 // Lock is the lock key as last seen.
 type Lock struct {
 	Exists  bool
@@ -122,7 +119,7 @@
 }
 
 func (elector *Elector) entitlementEnd(sentAt clock.Micros) clock.Micros {
-	return sentAt + elector.cfg.TTL - elector.cfg.TTL*driftPerMillion/1_000_000 - elector.cfg.TimerSlack
+	return sentAt + elector.cfg.TTL - clock.StoreDrift(elector.cfg.TTL) - elector.cfg.TimerSlack
 }
 
 // ObserveLock takes the lock as the state service has it, with its revision order
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -25,19 +25,15 @@
 	StartWindow clock.Micros
 }
 
-const (
-	// driftDivisor bounds the drift between two steady clocks, as a fraction.
-	driftDivisor = 500
-	// deliveryMargin covers late timers and the way of an answer.
-	deliveryMargin = clock.Second
-)
+// deliveryMargin covers late timers and the way of an answer.
+const deliveryMargin = clock.Second
 
 // NewBounds works out the bounds from the workers' cancellation time and lease,
 // and from the time of the leader's lock. Settings that leave no time between a
 // lease and a cancellation cannot be kept in every outage; there the bound is the
 // time of the lock, for which a leader acts on its entitlement in any case.
 func NewBounds(cancellationTimeout, leaseTTL, lockTTL clock.Micros) Bounds {
-	renewalWindow := cancellationTimeout - leaseTTL - cancellationTimeout/driftDivisor - deliveryMargin
+	renewalWindow := cancellationTimeout - leaseTTL - clock.MutualDrift(cancellationTimeout) - deliveryMargin
 	return Bounds{RenewalWindow: max(renewalWindow, lockTTL), StartWindow: lockTTL}
 }
 
