--- a/internal/delegation/constraints.go
+++ b/internal/delegation/constraints.go
@@ -8,30 +8,30 @@
 	"firwood.dev/firwood/internal/versionedwrite"
 )
 
-// Constraints is what a leader leaves behind for whoever leads next, in the state
-// service: promises that hold for every leader until one takes them back there.
-// Without it a new leader has to reckon every lease from its own beginning, and
-// every right of a member that it does not hear: once replicas of a zone that was
-// cut off were started anew half a minute after the last of them had died.
+// Constraints are what a leader records in the key-value store for its successors; they bind
+// every leader until one removes them there. Without them a new leader has to assume that leases
+// and grants that it hasn't observed began with its own term. Added after replicas of a zone that
+// was cut off were replaced half a minute later than they could have been
+// (docs/incidents/late-proof.md).
 type Constraints struct {
-	// Zones are those in which no worker's report is answered.
+	// Zones are those in which no worker's heartbeat is answered.
 	Zones map[string]ZoneConstraint `json:"z,omitempty"`
-	// MemberGrantUntil are those that get no new right, with the end, as a time of day, of
-	// the last that they may have.
+	// MemberGrantUntil maps each member that gets no new grant to the end of the last one that it
+	// may have (time of day).
 	MemberGrantUntil map[string]clock.Micros `json:"m,omitempty"`
 }
 
-// ZoneConstraint is the promise about a zone.
+// ZoneConstraint is the constraint on one zone.
 type ZoneConstraint struct {
-	// LastAnswerAt is the time of day of the last report there that may have been answered,
-	// by delegates left out.
+	// LastAnswerAt is the time of day of the last heartbeat in the zone that may have been
+	// answered, answers of delegates left out.
 	LastAnswerAt clock.Micros `json:"t"`
-	// KnownBy are the members that know of the promise, in all lives from then on: they
-	// renew no leases as delegates there.
+	// KnownBy are the members that have read the constraint: they don't renew leases as delegates
+	// there, in this or any later incarnation.
 	KnownBy []string `json:"b,omitempty"`
 }
 
-// Equal tells whether two sets of promises say the same.
+// Equal reports whether both are the same.
 func (constraints Constraints) Equal(other Constraints) bool {
 	return maps.EqualFunc(constraints.Zones, other.Zones, func(a, b ZoneConstraint) bool {
 		return a.LastAnswerAt == b.LastAnswerAt && slices.Equal(a.KnownBy, b.KnownBy)
@@ -39,22 +39,23 @@
 		maps.Equal(constraints.MemberGrantUntil, other.MemberGrantUntil)
 }
 
-// ConstraintTracker is a leader's account of which promises are, or may be, in force. The
-// promises have one key, which is never deleted, and every write is conditional on
-// its version: once one is carried out, no earlier one can be any more.
+// ConstraintTracker is a leader's knowledge of which constraints are, or may be, in force. They
+// live under one key; see package versionedwrite. A constraint that is being written has to be
+// honoured from BeginWrite on.
 //
-// Of the embedded Tracker's methods DropSuperseded is not used: keeping a constraint
-// for longer than need be is safe.
+// Of the embedded Tracker's methods DropSuperseded is not used: keeping a constraint for longer
+// than necessary is safe.
 type ConstraintTracker struct {
 	*versionedwrite.Tracker[Constraints]
 }
 
-// NewConstraintTracker starts from what the state service has, as new as the leader's token.
+// NewConstraintTracker starts from the stored value, which has to be as new as the leader's
+// token.
 func NewConstraintTracker(constraints Constraints, version uint64) *ConstraintTracker {
 	return &ConstraintTracker{versionedwrite.NewTracker(constraints, version)}
 }
 
-// MayConstrainZone tells whether a promise about the zone may be in force.
+// MayConstrainZone reports whether a constraint on the zone may be in force.
 func (tracker *ConstraintTracker) MayConstrainZone(zone string) bool {
 	for constraints := range tracker.Possible() {
 		if _, ok := constraints.Zones[zone]; ok {
@@ -64,7 +65,7 @@
 	return false
 }
 
-// MayConstrainMember tells whether a promise about the member may be in force.
+// MayConstrainMember reports whether a constraint on the member may be in force.
 func (tracker *ConstraintTracker) MayConstrainMember(name string) bool {
 	for constraints := range tracker.Possible() {
 		if _, ok := constraints.MemberGrantUntil[name]; ok {
@@ -74,7 +75,7 @@
 	return false
 }
 
-// ConstrainedZones are those that a promise may be in force about.
+// ConstrainedZones returns the zones on which a constraint may be in force.
 func (tracker *ConstraintTracker) ConstrainedZones() map[string]bool {
 	zones := map[string]bool{}
 	for constraints := range tracker.Possible() {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,95 +1,104 @@
-// Package election owns leadership as a pure state machine: time and answers
-// come in, actions go out. The lock is one key of the state service, attached
-// to a lease; the revision of the transaction that created it is the fencing
-// token.
+// Package election implements leader election as a deterministic state machine: times and
+// responses of the key-value store come in, requests to be sent come out. The lock is one key,
+// attached to a lease; the revision of the transaction that created it is the fencing token.
 //
-// What must hold: at no instant are two members entitled to act. A member is
-// entitled only until the *send* time of its last answered grant or renewal,
-// plus the lease's time, less what its clock may be slow by and a slack for
-// late timers. The service ends the lease no earlier than that, and no other
-// member can create the key before the lease ends.
+// Invariant: at no instant are two members entitled to act as leader. A member is entitled until
+// the send time of its last successful grant or renewal, plus the lease's TTL, less allowances
+// for clock drift and late timers. The store ends the lease no earlier than that (PROTOCOL, "POST
+// /grants": late perhaps, but never early), and no other member can create the key before the
+// lease has ended. docs/design.md, "Leadership", has the rest of the argument.
 package election
 
 import "firwood.dev/firwood/internal/clock"
 
-// Config holds the times.
+// Config holds the member's name and the times of the election.
 type Config struct {
+	// Member is the name of this controller, as other members see it in the lock.
 	Member string
-	TTL    clock.Micros
-	// TimerSlack is taken off every entitlement, on top of clock drift.
+	// TTL is the time to live of the lock's lease.
+	TTL clock.Micros
+	// TimerSlack is taken off every entitlement, in addition to clock drift, since timers fire
+	// late.
 	TimerSlack clock.Micros
 }
 
-// Lock is the lock key as last seen.
+// Lock is the lock key as last observed.
 type Lock struct {
-	Exists  bool
-	Holder  string
+	// Exists tells whether somebody has the lock; the other fields are zero if not.
+	Exists bool
+	// Holder is the member that has created the key.
+	Holder string
+	// LeaseID is the lease that the key is attached to.
 	LeaseID uint64
+	// Version is the key's version: the fencing token of the holder.
 	Version uint64
 }
 
-// ActionKind is what is to be done.
+// ActionKind is the kind of request that the caller has to send.
 type ActionKind uint8
 
 const (
-	// GrantLease: take a lease; answer with Granted or GrantFailed.
+	// GrantLease requests a new lease; HandleGrantResult takes the response.
 	GrantLease ActionKind = iota + 1
-	// AcquireLock: create the lock with the lease, if absent; answer with Acquired.
+	// AcquireLock creates the lock key with the lease, if the key is absent; HandleAcquireResult
+	// takes the response.
 	AcquireLock
-	// RenewLease: renew the lease; answer with Renewed.
+	// RenewLease renews the lease; HandleRenewResult takes the response.
 	RenewLease
-	// RevokeLease: end the lease; no answer is needed.
+	// RevokeLease ends the lease; no response is needed.
 	RevokeLease
-	// RefreshLock: learn the lock anew; answer with Seen.
+	// RefreshLock reads the lock key; ObserveLock takes what was read.
 	RefreshLock
 )
 
-// Action is one thing to do.
+// Action is one request that the caller has to send.
 type Action struct {
-	Kind    ActionKind
+	// Kind says which request it is.
+	Kind ActionKind
+	// LeaseID is the lease that the request is about; 0 for GrantLease and RefreshLock.
 	LeaseID uint64
 }
 
-// Phase is where a member stands.
+// Phase is a member's role in the election.
 type Phase uint8
 
 const (
-	// Follower waits for the lock to vanish.
+	// Follower observes the lock and campaigns when it is free.
 	Follower Phase = iota
-	// RequestingLease waits for a lease.
+	// RequestingLease has asked for a lease.
 	RequestingLease
-	// AcquiringLock waits for the lock.
+	// AcquiringLock has a lease and tries to create the lock key.
 	AcquiringLock
-	// Leader holds the lock.
+	// Leader owns the lock key.
 	Leader
 )
 
-// Elector is one member's state.
+// Elector is one member's state in the election. It isn't safe for concurrent use.
 type Elector struct {
 	cfg   Config
 	phase Phase
 
 	lock      Lock
-	lockKnown bool // the lock has been seen at all
+	lockKnown bool // the lock has been observed at all
 
 	leaseID         uint64
 	token           uint64
-	entitledUntil   clock.Micros // of the entitlement
-	requestSentAt   clock.Micros // of the call in flight
+	entitledUntil   clock.Micros // end of the entitlement to act
+	requestSentAt   clock.Micros // send time of the last grant or renewal
 	requestInFlight bool
 	nextAttemptAt   clock.Micros
 	revokeAt        clock.Micros
-	backoffUntil    clock.Micros // do not stand before this instant
+	backoffUntil    clock.Micros // no campaign before this instant
 	revoked         map[uint64]bool
 }
 
-// New makes a follower.
+// New returns a follower that has not observed the lock yet.
 func New(cfg Config) *Elector { return &Elector{cfg: cfg, revoked: map[uint64]bool{}} }
 
-// Phase tells where the member stands.
+// Phase returns the member's role.
 func (elector *Elector) Phase() Phase { return elector.phase }
 
-// Token is the fencing token, 0 unless leader.
+// Token returns the fencing token; 0 unless leader.
 func (elector *Elector) Token() uint64 {
 	if elector.phase == Leader {
 		return elector.token
@@ -97,7 +106,7 @@
 	return 0
 }
 
-// EntitledUntil is the end of the present entitlement, 0 unless leader.
+// EntitledUntil returns the end of the current entitlement to act; 0 unless leader.
 func (elector *Elector) EntitledUntil() clock.Micros {
 	if elector.phase == Leader {
 		return elector.entitledUntil
@@ -105,12 +114,13 @@
 	return 0
 }
 
-// IsEntitled tells whether the member may act at this instant.
+// IsEntitled reports whether the member may act as leader now.
 func (elector *Elector) IsEntitled(now clock.Micros) bool {
 	return elector.phase == Leader && now < elector.entitledUntil
 }
 
-// LockHolder is who holds the lock as far as is known.
+// LockHolder returns the last observed holder of the lock and its token; "" and 0 if there is
+// none.
 func (elector *Elector) LockHolder() (string, uint64) {
 	if elector.lockKnown && elector.lock.Exists {
 		return elector.lock.Holder, elector.lock.Version
@@ -118,12 +128,13 @@
 	return "", 0
 }
 
+// entitlementEnd is when the entitlement from a grant or renewal that was sent at sentAt ends.
 func (elector *Elector) entitlementEnd(sentAt clock.Micros) clock.Micros {
 	return sentAt + elector.cfg.TTL - clock.StoreDrift(elector.cfg.TTL) - elector.cfg.TimerSlack
 }
 
-// ObserveLock takes the lock as the state service has it, with its revision order
-// already sorted out by the caller.
+// ObserveLock records the lock key as read from the store. The caller passes observations in the
+// order of their revisions.
 func (elector *Elector) ObserveLock(now clock.Micros, lock Lock) []Action {
 	elector.lock, elector.lockKnown = lock, true
 	switch elector.phase {
@@ -133,7 +144,7 @@
 		}
 	case AcquiringLock:
 		if lock.Exists && lock.Holder == elector.cfg.Member && lock.LeaseID == elector.leaseID && !elector.requestInFlight {
-			// The answer to our transaction was lost, but it was carried out.
+			// The response to our transaction was lost, but it was committed.
 			return elector.becomeLeader(lock.Version)
 		}
 		if lock.Exists && lock.LeaseID != elector.leaseID && !elector.requestInFlight {
@@ -143,8 +154,8 @@
 	return elector.revokeEarlierLease(now, lock)
 }
 
-// revokeEarlierLease ends the lease of an earlier life of this member. That process is
-// dead: the platform runs one process of a member at a time.
+// revokeEarlierLease revokes the lease of an earlier incarnation of this member, so that nobody
+// has to wait for its TTL. That process has ended: the platform runs one process per member.
 func (elector *Elector) revokeEarlierLease(now clock.Micros, lock Lock) []Action {
 	if lock.Exists && lock.Holder == elector.cfg.Member && lock.LeaseID != 0 && lock.LeaseID != elector.leaseID && !elector.revoked[lock.LeaseID] {
 		elector.revoked[lock.LeaseID] = true
@@ -154,7 +165,7 @@
 	return nil
 }
 
-// Tick lets time act.
+// Tick advances the time and returns the requests that are due.
 func (elector *Elector) Tick(now clock.Micros) []Action {
 	switch elector.phase {
 	case Follower:
@@ -165,9 +176,9 @@
 			return []Action{{Kind: GrantLease}}
 		}
 		if elector.lockKnown && elector.lock.Exists && now >= elector.revokeAt {
-			// A revocation may have failed: look again, and bury again. This has
-			// a time of its own: once it held back the candidacy too, and a free
-			// lock found no taker for a whole lock time.
+			// The revocation may have failed, so it is repeated after a TTL. It has a timer
+			// of its own, added after sharing nextAttemptAt had delayed the campaign for a
+			// free lock by a whole TTL (docs/incidents/free-lock.md).
 			elector.revokeAt = now + elector.cfg.TTL
 			clear(elector.revoked)
 			return elector.revokeEarlierLease(now, elector.lock)
@@ -181,8 +192,8 @@
 			return []Action{{Kind: RefreshLock}}
 		}
 	case Leader:
-		// An entitlement that ran out is not the end: in an outage of the state
-		// service the lock survives, and renewing it gives the time back.
+		// An expired entitlement doesn't end leadership: in an outage of the store
+		// the lock survives, and a renewal restores the entitlement.
 		if !elector.requestInFlight && now >= elector.nextAttemptAt {
 			elector.requestInFlight = true
 			elector.requestSentAt = now
@@ -192,7 +203,7 @@
 	return nil
 }
 
-// HandleGrantResult takes the answer to Grant; lease 0 means that it failed.
+// HandleGrantResult handles the response to GrantLease; lease 0 means that the request failed.
 func (elector *Elector) HandleGrantResult(now clock.Micros, leaseID uint64) []Action {
 	if elector.phase != RequestingLease {
 		if leaseID != 0 {
@@ -216,19 +227,20 @@
 	return []Action{{Kind: AcquireLock, LeaseID: leaseID}}
 }
 
-// AcquireResult is how an attempt to acquire the lock ended.
+// AcquireResult is the outcome of an attempt to create the lock.
 type AcquireResult uint8
 
 const (
-	// AcquireSucceeded: the lock is ours; its version is the token.
+	// AcquireSucceeded: this member has the lock; the key's version is the fencing token.
 	AcquireSucceeded AcquireResult = iota
-	// AcquireFailed: the lock exists already.
+	// AcquireFailed: another member has the lock, or the transaction can never be committed.
 	AcquireFailed
-	// AcquireUnknown: the transaction may have been, or may yet be, carried out.
+	// AcquireUnknown: the transaction may have been committed, or may still be.
 	AcquireUnknown
 )
 
-// HandleAcquireResult takes the answer to Acquire.
+// HandleAcquireResult handles the response to AcquireLock; version is the key's, if it was
+// created.
 func (elector *Elector) HandleAcquireResult(now clock.Micros, result AcquireResult, version uint64) []Action {
 	if elector.phase != AcquiringLock {
 		return nil
@@ -253,7 +265,8 @@
 	return nil
 }
 
-// HandleRenewResult takes the answer to Renew: ok, or gone for good, or neither.
+// HandleRenewResult handles the response to RenewLease: the lease was renewed, has expired, or
+// (neither) the outcome is unknown.
 func (elector *Elector) HandleRenewResult(now clock.Micros, leaseID uint64, renewed, expired bool) []Action {
 	if elector.phase != Leader || leaseID != elector.leaseID {
 		return nil
@@ -271,7 +284,8 @@
 	return nil
 }
 
-// HandleFencedWrite takes the news that a write bound to the lock was refused.
+// HandleFencedWrite handles a write that the store rejected because the lock was not this
+// leader's any more.
 func (elector *Elector) HandleFencedWrite(now clock.Micros, token uint64) []Action {
 	if elector.phase != Leader || token != elector.token {
 		return nil
@@ -279,7 +293,7 @@
 	return append(elector.becomeFollower(now), Action{Kind: RefreshLock})
 }
 
-// StepDown gives the lead away and does not stand again for a while.
+// StepDown gives up leadership, and doesn't campaign again before the backoff has passed.
 func (elector *Elector) StepDown(now, backoff clock.Micros) []Action {
 	elector.backoffUntil = now + backoff
 	if elector.phase == Follower {
@@ -288,8 +302,8 @@
 	return append(elector.becomeFollower(now), Action{Kind: RefreshLock})
 }
 
-// becomeFollower gives up what is held. The lease is revoked, which also removes a
-// lock that a lost answer may have hidden from us.
+// becomeFollower gives up lease and leadership. Revoking the lease also deletes a lock key that
+// was created by a transaction whose response was lost.
 func (elector *Elector) becomeFollower(now clock.Micros) []Action {
 	var actions []Action
 	if elector.leaseID != 0 {
@@ -303,10 +317,10 @@
 	return actions
 }
 
-// TTL is the lock's time.
+// TTL returns the time to live of the lock's lease.
 func (elector *Elector) TTL() clock.Micros { return elector.cfg.TTL }
 
-// State is what the member holds: its phase, its token, its lease.
+// State returns the role, the token and the lease; the latter two are 0 if there is none.
 func (elector *Elector) State() (Phase, uint64, uint64) {
 	return elector.phase, elector.token, elector.leaseID
 }
--- a/internal/standby/decision.go
+++ b/internal/standby/decision.go
@@ -1,12 +1,12 @@
-// Package standby replicates a leader's account of which task may be on which machine to
-// the other controllers, so that the next leader need not take every task for one that
-// may be anywhere. It is pure: decisions, messages and instants come in, messages come
-// out. docs/standby.md has the design and the argument.
+// Package standby replicates the leader's table of placements to the other controllers, so that a
+// new leader need not treat every task as one that may be running anywhere. It is pure:
+// decisions, messages and instants come in, messages come out.
 //
-// What must hold: when a member is named by the durable record of those in step, and no
-// leader since may have sent a start without a record of its own, the member's replica of
-// that record's leader covers each task that may be running. It covers a task by a
-// placement of it, or by a doubt of it or of its whole job.
+// Invariant: if the in-sync record names a member, and every leader since that record's was
+// record-first (it sent no start before a record of its own was in force), then the member's
+// replica of the record's leader covers every task that may be running: by a placement of the
+// task, or by an unconfirmed entry of the task or of its job. docs/standby.md, "The argument",
+// has the argument.
 package standby
 
 import (
@@ -16,26 +16,27 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Placement is a task in one attempt on one machine. It begins at most once, and once it
-// is over it never begins again.
-//
-// A placement without a machine is a doubt, see Doubt.
+// Placement is one attempt of a task on one machine. An attempt starts at most once, and never
+// starts again after it has ended. A placement without a machine is an unconfirmed entry, see
+// UnconfirmedPlacement.
 type Placement struct {
-	// Task is the task's id on the wire; of a doubt it may be a job's.
-	Task    string
+	// Task is the task's id on the wire; in an unconfirmed entry it may be a job's.
+	Task string
+	// Attempt is the number of the attempt; 0 in an unconfirmed entry.
 	Attempt uint64
+	// Machine is the machine's name; empty in an unconfirmed entry.
 	Machine string
 }
 
-// UnconfirmedPlacement says that a task, or any task of a job, may run somewhere: an earlier leader may
-// have started it, and the present one has no proof yet that it did not, or that the task
-// is over.
+// UnconfirmedPlacement says that a task, or any task of a job, may be running on an unknown
+// machine: an earlier leader may have started it, and the present one has no proof yet that it
+// did not, or that the task has ended.
 func UnconfirmedPlacement(id string) Placement { return Placement{Task: id} }
 
-// IsUnconfirmed tells whether the placement is a doubt.
+// IsUnconfirmed reports whether the placement is an unconfirmed entry.
 func (placement Placement) IsUnconfirmed() bool { return placement.Machine == "" }
 
-// isValid tells whether a leader can have told of the placement.
+// isValid reports whether a leader could have sent the placement.
 func (placement Placement) isValid() bool {
 	if !placement.IsUnconfirmed() {
 		return placement.Task != ""
@@ -47,7 +48,7 @@
 	return isTask || wire.IsValidJobID(placement.Task)
 }
 
-// jobOfTask is the job that a task belongs to.
+// jobOfTask returns the job of a task id, and the id itself if it is a job's.
 func jobOfTask(task string) string {
 	job, _, _ := strings.Cut(task, "/")
 	return job
@@ -58,18 +59,20 @@
 	return cmp.Or(cmp.Compare(placement.Machine, other.Machine), cmp.Compare(placement.Task, other.Task), cmp.Compare(placement.Attempt, other.Attempt))
 }
 
-// DecisionKind says what a decision is about.
+// DecisionKind says what a decision does. Its values are sent on the wire.
 type DecisionKind uint8
 
 const (
-	// Started: the placement may begin at any time from now on; a doubt counts from now on.
+	// Started: the placement may run from now on, or the unconfirmed entry was added.
 	Started DecisionKind = iota + 1
-	// Ended: the placement is provably over, or the doubt is resolved.
+	// Ended: the placement has provably ended, or the unconfirmed entry is resolved.
 	Ended
 )
 
-// Decision changes the account.
+// Decision is one change of the table.
 type Decision struct {
-	Kind      DecisionKind
+	// Kind says what happens to the placement.
+	Kind DecisionKind
+	// Placement is what the decision is about.
 	Placement Placement
 }
--- a/internal/standby/in_sync_set.go
+++ b/internal/standby/in_sync_set.go
@@ -8,16 +8,21 @@
 	"firwood.dev/firwood/internal/versionedwrite"
 )
 
-// Member is a controller in one of its lives.
+// Member is one process of a controller, identified by name and incarnation.
 type Member struct {
-	Name        string `json:"m"`
+	// Name is the controller's name in the settings.
+	Name string `json:"m"`
+	// Incarnation tells processes of the same controller apart.
 	Incarnation uint64 `json:"l"`
 }
 
-// InSyncRecord is the durable list of members in step with a leader. It lies in one key, which
-// is never deleted; each write of it is conditional on the lock and on its version.
+// InSyncRecord is the durable list of members that are in sync with a leader: their replicas have
+// every start that it has sent. It lives under one key of the key-value store, which is never
+// deleted; each write is conditional on the leader's lock and on the record's version.
 type InSyncRecord struct {
-	Token   uint64   `json:"t"`
+	// Token is the fencing token of the leader that wrote the record.
+	Token uint64 `json:"t"`
+	// Members are the members in sync, in the order of the settings.
 	Members []Member `json:"s"`
 }
 
@@ -30,29 +35,31 @@
 }
 
 const (
-	// maxInSyncLag is for how long a member in step may hold up starts before it is left out.
+	// maxInSyncLag is for how long a member in sync may hold up starts before it is left out.
 	maxInSyncLag = clock.Second / 2
-	// firstRecordTimeout is how long a new leader waits for the members that the last record
-	// names before it writes its own. One that names nobody would make its successor
-	// begin without a replica, should the leader end within moments.
+	// firstRecordTimeout is how long a new leader waits for the members of the last record before
+	// it writes its own. Added after a first record that named nobody had left the next leader
+	// without a trusted replica, when this one failed soon (docs/standby.md, "A chain of
+	// leaders").
 	firstRecordTimeout = 300 * clock.Millisecond
 )
 
-// InSyncSet is a leader's account of who is in step. A member counts from before the
-// write that names it is sent until one that does not name it is durable: whichever
-// record may be in force, its members have every start that was sent.
+// InSyncSet tracks which members are in sync with a leader. A member is required from before the
+// write that names it is sent until a record without it is durable. So whichever record is in
+// force, its members have every start that was sent.
 type InSyncSet struct {
 	publisher   *Publisher
 	memberNames []string
 
 	records *versionedwrite.Tracker[InSyncRecord]
-	// firstRecordDeadline is how long the first record waits for the members that the found one names.
+	// firstRecordDeadline is until when the first record waits for the members that the found one
+	// names.
 	firstRecordDeadline clock.Micros
-	laggingSince        map[string]clock.Micros // since when a member in step has lacked something
+	laggingSince        map[string]clock.Micros // since when an in-sync member has lacked a decision
 }
 
-// NewInSyncSet makes the account of a leader that has read a record at a version. The
-// record is an earlier leader's, so nothing may be sent before one of its own is durable.
+// NewInSyncSet starts the set of a leader that has read a record at a version. The record is an
+// earlier leader's, so no start may be sent before one of this leader's own is durable.
 func NewInSyncSet(publisher *Publisher, foundRecord InSyncRecord, foundVersion uint64, memberNames []string, now clock.Micros) *InSyncSet {
 	return &InSyncSet{
 		publisher: publisher, memberNames: memberNames, records: versionedwrite.NewTracker(foundRecord, foundVersion),
@@ -60,10 +67,10 @@
 	}
 }
 
-// isOwn tells whether a record is this leader's.
+// isOwn reports whether a record is this leader's.
 func (set *InSyncSet) isOwn(record InSyncRecord) bool { return record.Token == set.publisher.token }
 
-// requiredMembers are the members that any record names which may be in force.
+// requiredMembers returns the members of all own records that may be in force.
 func (set *InSyncSet) requiredMembers() []Member {
 	var all []Member
 	for record := range set.records.Possible() {
@@ -77,8 +84,8 @@
 	return slices.Compact(all)
 }
 
-// MaySendStart tells whether a start of a number may be sent: the record is this leader's, and
-// whoever it may name has the decision.
+// MaySendStart reports whether the start with this sequence number may be sent: a record of this
+// leader is in force, and every required member has the decision.
 func (set *InSyncSet) MaySendStart(sequence uint64) bool {
 	if !set.isOwn(set.records.Confirmed()) {
 		return false
@@ -91,9 +98,9 @@
 	return true
 }
 
-// BeginWrite is the record to be written next and the version that the write is conditional
-// on, if there is anything to change. It has to be followed by one of Committed, Refused
-// and Unknown.
+// BeginWrite returns the next record, and the version that its write is conditional on, if a
+// write is needed. The caller has to end it with ConfirmWrite, RejectWrite or
+// MarkWriteUnresolved.
 func (set *InSyncSet) BeginWrite(now clock.Micros) (InSyncRecord, uint64, bool) {
 	if set.records.IsInFlight() {
 		return InSyncRecord{}, 0, false
@@ -115,7 +122,7 @@
 	return wanted, version, ok
 }
 
-// isMemberAwaited tells whether the leader's first record waits for a member.
+// isMemberAwaited reports whether the leader's first record waits for a member.
 func (set *InSyncSet) isMemberAwaited(name string, now clock.Micros) bool {
 	record := set.records.Confirmed()
 	if now >= set.firstRecordDeadline || set.isOwn(record) {
@@ -124,8 +131,9 @@
 	return slices.ContainsFunc(record.Members, func(member Member) bool { return member.Name == name })
 }
 
-// checkInSync tells whether a member is to be named: it has all that there is, or is named
-// already and has not lacked anything for long.
+// checkInSync returns the member's current process and whether the next record is to name it: it
+// has every decision, or the durable record names it and it has not lagged for long. It updates
+// laggingSince.
 func (set *InSyncSet) checkInSync(name string, now clock.Micros) (Member, bool) {
 	member := Member{Name: name, Incarnation: set.publisher.incarnationOf(name)}
 	if set.publisher.HasDecision(member, set.publisher.lastSequence) {
@@ -144,7 +152,7 @@
 	return member, now-since < maxInSyncLag
 }
 
-// InSyncMembers are the members that the durable record names.
+// InSyncMembers returns the members that the durable record names, if it is this leader's.
 func (set *InSyncSet) InSyncMembers() []Member {
 	record := set.records.Confirmed()
 	if !set.isOwn(record) {
@@ -153,17 +161,18 @@
 	return record.Members
 }
 
-// ConfirmWrite takes the news that the last change is durable, at a version.
+// ConfirmWrite records that the last write is durable, at a version.
 func (set *InSyncSet) ConfirmWrite(version uint64) { set.records.RecordCommit(version) }
 
-// RejectWrite takes the news that the last change was certainly not carried out.
+// RejectWrite records that the last write can never be committed.
 func (set *InSyncSet) RejectWrite() { set.records.RecordRefusal() }
 
-// MarkWriteUnresolved takes the news that the last change may be carried out at any time.
+// MarkWriteUnresolved records that the last write may have been committed, or may still be.
 func (set *InSyncSet) MarkWriteUnresolved() { set.records.RecordUnknownOutcome() }
 
-// ObserveRecord takes the record that the state service has. Records that it supersedes are
-// dropped at once: as long as they count, starts wait for the members they name.
+// ObserveRecord records the record as read from the key-value store. Records that it supersedes
+// are dropped at once: as long as they may be in force, starts wait for the members that they
+// name.
 func (set *InSyncSet) ObserveRecord(record InSyncRecord, version uint64) {
 	if set.records.ObserveStored(record, version) {
 		set.records.DropSuperseded()
--- a/internal/standby/message.go
+++ b/internal/standby/message.go
@@ -1,69 +1,75 @@
 package standby
 
-// Bounds of one message, so that it fits a frame between controllers.
+// Bounds of one message, so that it fits a frame between controllers; see package peer.
 const (
-	// MaxDecisions is how many decisions a message holds at most.
+	// MaxDecisions is how many decisions a message has at most.
 	MaxDecisions = 500
-	// MaxPartPlacements is how many placements a part of a snapshot holds at most.
+	// MaxPartPlacements is how many placements a part of a snapshot has at most.
 	MaxPartPlacements = 500
-	// MaxSnapshotParts bounds the parts of a snapshot.
+	// MaxSnapshotParts bounds the number of parts of a snapshot.
 	MaxSnapshotParts = 20_000
 )
 
-// Message goes from the leader to one follower. It holds decisions, or a part of a
-// snapshot, or only the digest.
+// Message goes from the leader to one follower. It has decisions (perhaps with a check), or a
+// part of a snapshot, or only a check; with none of them it announces the leader's token.
 type Message struct {
-	// Token is that of the leader's lock.
+	// Token is the fencing token of the leader.
 	Token uint64
-	// AfterSequence is the number of the decision before the first one here. Numbers begin with
-	// 1 in each lead and have no gaps.
+	// AfterSequence is the sequence number just before the first decision here. Numbers begin
+	// with 1 in each leadership term and have no gaps.
 	AfterSequence uint64
-	Decisions     []Decision
+	// Decisions are consecutive; at most MaxDecisions.
+	Decisions []Decision
 	// Part, if not nil, is a part of a snapshot.
 	Part *SnapshotPart
-	// Check, if not nil, is what the digest is after a decision.
+	// Check, if not nil, is the digest of the leader's table after a decision.
 	Check *DigestCheck
 }
 
-// DigestCheck is the digest of the account after a decision.
+// DigestCheck is the digest of the leader's table after the decision with a sequence number.
 type DigestCheck struct{ Sequence, Digest uint64 }
 
-// SnapshotPart is a piece of the account as it was after a decision.
+// SnapshotPart is a part of the leader's table as it was after a decision.
 type SnapshotPart struct {
-	Sequence         uint64
+	// Sequence is the number of that decision.
+	Sequence uint64
+	// Index counts the parts from 0; PartCount is their number.
 	Index, PartCount int
-	Placements       []Placement
+	// Placements are at most MaxPartPlacements.
+	Placements []Placement
 	// Digest is that of the whole snapshot.
 	Digest uint64
 }
 
-// ProtocolVersion is that of the messages which this version takes. The first one knew no doubts:
-// a follower of that version would take a job that is in doubt for one that is nowhere.
+// ProtocolVersion is the version of the standby messages that this build reads. The first version
+// had no unconfirmed entries: a follower of that version would take an unconfirmed job for one
+// that runs nowhere.
 const ProtocolVersion = 2
 
-// firstVersionWithUnconfirmed is the first version whose followers may be told of doubts.
+// firstVersionWithUnconfirmed is the first version whose followers may be sent unconfirmed
+// entries.
 const firstVersionWithUnconfirmed = 2
 
-// Position is where a follower stands; it is the answer to each message.
+// Position is how far a follower has got; it is the answer to each message.
 type Position struct {
-	// Incarnation tells lives of a member apart.
+	// Incarnation identifies the member's process.
 	Incarnation uint64
-	// ProtocolVersion is that of the messages which the member takes in that life; the first
-	// version does not tell it, so it is 0 there.
+	// ProtocolVersion is the version of the messages that the member's process reads; 0 from the
+	// first version, which did not send it.
 	ProtocolVersion uint8
-	// Token is that of the leader whose stream it follows.
+	// Token is the fencing token of the leader whose messages it applies.
 	Token uint64
-	// IsComplete: the replica is the leader's account after decision Sequence.
+	// IsComplete: the replica equals the leader's table after the decision Sequence.
 	IsComplete bool
 	Sequence   uint64
-	// SnapshotSequence is the decision of the snapshot that it is taking, Parts how many of its
-	// parts it has.
+	// SnapshotSequence is the sequence number of the snapshot being received, SnapshotParts how
+	// many of its parts have arrived.
 	SnapshotSequence uint64
 	SnapshotParts    int
 }
 
-// isValid tells whether a message is no larger than any that is ever sent, and
-// makes sense.
+// isValid reports whether a leader could have sent the message: it is within the bounds and
+// consistent.
 func (message *Message) isValid() bool {
 	if len(message.Decisions) > MaxDecisions || message.Token == 0 {
 		return false
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -8,51 +8,50 @@
 
 const (
 	// maxLogDecisions is how many decisions are kept for followers that lag; one that lags by
-	// more takes a snapshot.
+	// more gets a snapshot.
 	maxLogDecisions = 16 * MaxDecisions
-	// resendTimeout is how long the answer to a message is waited for.
+	// resendTimeout is how long the answer to a message is awaited before the next one is sent.
 	resendTimeout = 200 * clock.Millisecond
-	// digestInterval is how often a follower with nothing to take is sent the digest.
+	// digestInterval is how often a follower that is up to date is sent the digest.
 	digestInterval = 5 * clock.Second
 )
 
-// Publisher is the leader's side. It holds a bounded log and sends each follower one
-// message at a time, so a slow one costs neither time nor memory.
+// Publisher is the leader's side. It keeps a bounded log of decisions and has at most one message
+// in flight to each follower, so that a slow one costs neither time nor memory.
 type Publisher struct {
 	token        uint64
 	table        *Table
 	lastSequence uint64
-	decisionLog  []Decision // the last ones, up to sequence
-	// lastUnconfirmedSequence is the number of the last decision about a doubt.
+	decisionLog  []Decision // the last ones, up to lastSequence
+	// lastUnconfirmedSequence is the number of the last decision about an unconfirmed entry.
 	lastUnconfirmedSequence uint64
 
 	followers map[string]*followerState
 }
 
-// followerState is what the leader knows of a member.
+// followerState is what the leader knows of a follower.
 type followerState struct {
 	position    Position
 	hasPosition bool
 
-	laggingSince    clock.Micros // something; 0: it has all
-	isAnswerPending bool         // a message is under way
+	laggingSince    clock.Micros // since when the replica has been incomplete or behind; 0: up to date
+	isAnswerPending bool         // a message is in flight
 	sentAt          clock.Micros
 	digestSentAt    clock.Micros
 	transfer        *snapshotTransfer
 }
 
-// snapshotTransfer is one that a follower is taking.
+// snapshotTransfer is a snapshot that is being sent to a follower.
 type snapshotTransfer struct {
 	sequence      uint64
 	digest        uint64
 	placements    *btree.BTreeG[Placement]
 	partCount     int
-	nextPlacement Placement // the first one of the part after the last one taken
-	receivedParts int       // how many parts have been taken
+	nextPlacement Placement // first placement of the next part
+	receivedParts int       // how many parts the follower has
 }
 
-// NewPublisher makes the side of a leader whose account begins with some placements:
-// those that it has found, or has reason to reckon with.
+// NewPublisher starts the side of a leader whose table begins with some placements.
 func NewPublisher(token uint64, initial []Placement, memberNames []string) *Publisher {
 	publisher := &Publisher{token: token, table: NewTable(), followers: map[string]*followerState{}}
 	for _, placement := range initial {
@@ -64,8 +63,8 @@
 	return publisher
 }
 
-// AppendDecision takes a decision and tells its number. A start must not be sent before
-// InSyncSet.MaySendStart allows that number.
+// AppendDecision applies a decision and returns its sequence number. A start must not be sent
+// before InSyncSet.MaySendStart allows that number.
 func (publisher *Publisher) AppendDecision(decision Decision) uint64 {
 	publisher.table.Apply(decision)
 	publisher.lastSequence++
@@ -79,14 +78,14 @@
 	return publisher.lastSequence
 }
 
-// LastSequence is the number of the last decision.
+// LastSequence returns the sequence number of the last decision.
 func (publisher *Publisher) LastSequence() uint64 { return publisher.lastSequence }
 
-// Table is the leader's own account.
+// Table returns the leader's own table.
 func (publisher *Publisher) Table() *Table { return publisher.table }
 
-// RecordPosition takes a follower's position. An answer under another token, or to a leader's
-// message of another life of the follower, tells only that all has to be sent.
+// RecordPosition records a follower's position. A position under another token, or of another
+// incarnation of the follower, only means that a full snapshot is needed.
 func (publisher *Publisher) RecordPosition(name string, position Position) {
 	follower := publisher.followers[name]
 	if follower == nil || position.Token > publisher.token {
@@ -96,7 +95,7 @@
 		position = Position{Incarnation: position.Incarnation}
 	}
 	if follower.hasPosition && position.Incarnation == follower.position.Incarnation && position.IsComplete && follower.position.IsComplete && position.Sequence < follower.position.Sequence {
-		return // an older answer
+		return // a delayed answer
 	}
 	if position.Incarnation != follower.position.Incarnation {
 		follower.transfer = nil
@@ -104,7 +103,7 @@
 	follower.position, follower.hasPosition, follower.isAnswerPending = position, true, false
 }
 
-// NextMessage is the next message to a follower, if one is due.
+// NextMessage returns the next message to a follower, if one is due.
 func (publisher *Publisher) NextMessage(name string, now clock.Micros) (*Message, bool) {
 	follower := publisher.followers[name]
 	if follower != nil {
@@ -146,15 +145,15 @@
 	return message
 }
 
-// isCompatible tells whether the follower can take the account as it is. One of the first
-// version cannot as long as there are doubts, and neither may one whose version is not
-// known yet.
+// isCompatible reports whether the follower can read the table as it is. As long as there are
+// unconfirmed entries, followers of the first version can't, and those whose version is not known
+// yet might not.
 func (publisher *Publisher) isCompatible(follower *followerState) bool {
 	return publisher.table.UnconfirmedCount() == 0 || follower.hasPosition && follower.position.ProtocolVersion >= firstVersionWithUnconfirmed
 }
 
-// minLogSequence is the decision that a follower has to be past to be told the ones after it;
-// else it takes a snapshot.
+// minLogSequence returns the sequence number that a follower has to have reached to be sent
+// decisions from the log; otherwise it gets a snapshot.
 func (publisher *Publisher) minLogSequence(follower *followerState) uint64 {
 	if follower.position.ProtocolVersion >= firstVersionWithUnconfirmed {
 		return 0
@@ -162,7 +161,8 @@
 	return publisher.lastUnconfirmedSequence
 }
 
-// buildAnnouncement is a message that says only who leads. Its answer tells the follower's version.
+// buildAnnouncement makes a message that has only the leader's token; the answer reveals the
+// follower's protocol version.
 func (publisher *Publisher) buildAnnouncement(follower *followerState, now clock.Micros) *Message {
 	if follower.hasPosition && now-follower.digestSentAt < digestInterval {
 		return nil
@@ -171,8 +171,8 @@
 	return &Message{Token: publisher.token}
 }
 
-// nextPart is the part of a snapshot that a follower takes next. One that has fallen behind
-// the log while it took a snapshot begins with another.
+// nextPart returns the part of a snapshot that a follower needs next. If the log has moved past
+// the snapshot meanwhile, a new one is begun.
 func (publisher *Publisher) nextPart(follower *followerState) *SnapshotPart {
 	transfer := follower.transfer
 	beforeLog := publisher.lastSequence - uint64(len(publisher.decisionLog))
@@ -181,9 +181,9 @@
 	case isInProgress && follower.position.SnapshotParts == transfer.receivedParts+1:
 		transfer.advancePage()
 	case isInProgress && follower.position.SnapshotParts == transfer.receivedParts:
-		// The last message, or its answer, was lost.
+		// The last message, or its answer, was lost: send the same part again.
 	case transfer != nil && transfer.sequence >= beforeLog && transfer.receivedParts == 0 && follower.position.SnapshotParts == 0:
-		// Nothing of it has come yet.
+		// Nothing of it has arrived yet.
 	default:
 		transfer = publisher.newTransfer()
 		follower.transfer = transfer
@@ -200,7 +200,7 @@
 	}
 }
 
-// currentPage is the part after those that have been taken.
+// currentPage returns the placements of the part that comes after those the follower has.
 func (transfer *snapshotTransfer) currentPage() []Placement {
 	var page []Placement
 	transfer.placements.Ascend(transfer.nextPlacement, func(placement Placement) bool {
@@ -221,9 +221,9 @@
 	transfer.receivedParts++
 }
 
-// HasDecision tells whether a member's replica, in one of its lives, has a decision. One of the
-// first version has none as long as there are doubts: it may have been given a snapshot that
-// was sent to an earlier life, of a later version.
+// HasDecision reports whether the replica of a member's process has a decision. One of the first
+// version counts as having none while there are unconfirmed entries: it may have received a
+// snapshot that was sent to an earlier process of the member, of a later version.
 func (publisher *Publisher) HasDecision(member Member, sequence uint64) bool {
 	follower := publisher.followers[member.Name]
 	if follower == nil || !publisher.isCompatible(follower) {
@@ -232,7 +232,8 @@
 	return follower.hasPosition && follower.position.Incarnation == member.Incarnation && follower.position.IsComplete && follower.position.Sequence >= sequence
 }
 
-// LagCount is how many decisions a member's replica lacks; all of them if it is not complete.
+// LagCount returns how many decisions a member's replica lacks; all of them if it is not
+// complete.
 func (publisher *Publisher) LagCount(name string) uint64 {
 	follower := publisher.followers[name]
 	if follower == nil || !follower.position.IsComplete {
@@ -241,6 +242,7 @@
 	return publisher.lastSequence - follower.position.Sequence
 }
 
+// trackLag notes since when a follower has lagged.
 func (publisher *Publisher) trackLag(follower *followerState, now clock.Micros) {
 	switch {
 	case follower.position.IsComplete && follower.position.Sequence == publisher.lastSequence:
@@ -250,7 +252,7 @@
 	}
 }
 
-// LagDuration is for how long a member's replica has lacked something.
+// LagDuration returns for how long a member's replica has been incomplete or behind.
 func (publisher *Publisher) LagDuration(name string, now clock.Micros) clock.Micros {
 	if follower := publisher.followers[name]; follower != nil && follower.laggingSince != 0 {
 		return now - follower.laggingSince
@@ -258,7 +260,7 @@
 	return 0
 }
 
-// incarnationOf is the life in which a member was last heard, 0 if it was not.
+// incarnationOf returns the incarnation of a member's last position; 0 if there was none.
 func (publisher *Publisher) incarnationOf(name string) uint64 {
 	if follower := publisher.followers[name]; follower != nil && follower.hasPosition {
 		return follower.position.Incarnation
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -5,12 +5,12 @@
 // maxEarlierReplicas bounds how many replicas of earlier leaders are kept.
 const maxEarlierReplicas = 3
 
-// Replica is a follower's copy of the leader's account. One that differs, or misses a
-// decision, is never used: it is thrown away, and asks for all of the account.
+// Replica is a follower's copy of the leader's table. A replica that differs, or misses a
+// decision, is discarded and asks for a snapshot.
 //
-// The replica of an earlier leader is kept as it was, as long as the record of those in
-// step may still be that leader's: a new leader that ends before it has written a record
-// of its own has sent no start.
+// Replicas of earlier leaders are kept as they were, as long as the in-sync record may still be
+// that leader's: a new leader that fails before it has written a record of its own has sent no
+// start.
 type Replica struct {
 	incarnation uint64
 	token       uint64
@@ -18,26 +18,26 @@
 	table        *Table
 	isComplete   bool
 	lastSequence uint64
-	// acknowledgedSequence is the last decision that the leader may believe this replica to have. After
-	// it was thrown away no snapshot from before that will do: a late copy of one would
-	// make it complete again without starts that were sent on its answer.
+	// acknowledgedSequence is the highest sequence number that the leader may believe this
+	// replica to have. After a discard, snapshots older than it are refused: a delayed one would
+	// make the replica complete again, without starts that were sent because of its answer.
 	acknowledgedSequence uint64
 
 	assembly *snapshotAssembly
-	// earlier are complete replicas of earlier leaders, the oldest first.
+	// earlier are complete replicas of earlier leaders, oldest first.
 	earlier []earlierReplica
 	dropped DropCounts
 }
 
-// earlierReplica is the account of an earlier leader after the last decision that it was
-// told of. That leader can't have sent a start after it while the member was in step, since
-// nobody answers it any more.
+// earlierReplica is the table of an earlier leader after the last decision received from it. That
+// leader can't have sent a later start while the member was in sync, since this process has
+// stopped answering it.
 type earlierReplica struct {
 	token uint64
 	table *Table
 }
 
-// snapshotAssembly is a snapshot that has not come whole.
+// snapshotAssembly is a snapshot of which some parts are missing.
 type snapshotAssembly struct {
 	sequence      uint64
 	digest        uint64
@@ -46,26 +46,26 @@
 	table         *Table
 }
 
-// DropCounts are of messages that were not taken, by the reason.
+// DropCounts counts messages that were not applied, by reason.
 type DropCounts struct {
 	// Stale: from a leader that has been replaced.
 	Stale int `json:"older"`
-	// OutOfOrder: after decisions that have not come, or parts out of order.
+	// OutOfOrder: decisions after a gap, or parts out of order.
 	OutOfOrder int `json:"gaps"`
-	// Malformed: over the bounds, or senseless.
+	// Malformed: over the bounds, or inconsistent.
 	Malformed int `json:"malformed"`
 	// ForeignToken: under a token that is not the lock's.
 	ForeignToken int `json:"foreign"`
-	// DigestMismatch: the digest is another; the replica was thrown away.
+	// DigestMismatch: the digest differs; the replica was discarded.
 	DigestMismatch int `json:"differing"`
 }
 
-// NewReplica makes an empty replica of a member's life.
+// NewReplica returns an empty replica of a member's process.
 func NewReplica(incarnation uint64) *Replica {
 	return &Replica{incarnation: incarnation, table: NewTable()}
 }
 
-// ApplyMessage takes a message and tells where the replica stands after it.
+// ApplyMessage applies a message and returns the position after it, which is the answer.
 func (replica *Replica) ApplyMessage(message *Message) Position {
 	switch {
 	case !message.isValid():
@@ -79,14 +79,15 @@
 	return replica.Position()
 }
 
-// RejectForeignMessage counts a message that was not given to Take, since its token is known not
-// to be the lock's.
+// RejectForeignMessage counts a message that must not be applied, since its token is known not to
+// be the lock's, and returns the answer to it.
 func (replica *Replica) RejectForeignMessage() Position {
 	replica.dropped.ForeignToken++
 	return replica.Position()
 }
 
-// switchLeader begins anew under a newer leader: what an earlier one told says nothing of it.
+// switchLeader starts an empty replica of a newer leader and keeps the present one if it is
+// complete.
 func (replica *Replica) switchLeader(token uint64) {
 	if token == replica.token {
 		return
@@ -98,8 +99,8 @@
 	replica.reset()
 }
 
-// keepEarlier keeps a replica that is followed no further. Beyond the bound the oldest stays,
-// whose record was in force when PruneEarlier was last told, and the newest ones.
+// keepEarlier keeps a replica that is followed no further. Over the bound the second oldest is
+// dropped: the oldest is that of the record in force as of the last PruneEarlier.
 func (replica *Replica) keepEarlier(earlier earlierReplica) {
 	replica.earlier = append(replica.earlier, earlier)
 	if len(replica.earlier) > maxEarlierReplicas {
@@ -107,8 +108,8 @@
 	}
 }
 
-// PruneEarlier takes the token of the record that is in force. Replicas of leaders before
-// it are of no more use, since the record's tokens only grow.
+// PruneEarlier drops replicas of leaders before the one whose record is in force. They can't be
+// needed any more, since tokens of the record only grow.
 func (replica *Replica) PruneEarlier(recordToken uint64) {
 	replica.earlier = slices.DeleteFunc(replica.earlier, func(earlier earlierReplica) bool { return earlier.token < recordToken })
 }
@@ -137,7 +138,7 @@
 		replica.dropped.OutOfOrder++
 		return
 	case lastSequence <= replica.lastSequence:
-		return // all of them have come before
+		return // a repetition
 	}
 	for _, decision := range decisions[replica.lastSequence-afterSequence:] {
 		replica.table.Apply(decision)
@@ -179,7 +180,7 @@
 	replica.table, replica.lastSequence, replica.isComplete = assembly.table, assembly.sequence, true
 }
 
-// Position is where the replica stands.
+// Position returns how far the replica has got. Calling it counts as answering the leader.
 func (replica *Replica) Position() Position {
 	if replica.isComplete {
 		replica.acknowledgedSequence = max(replica.acknowledgedSequence, replica.lastSequence)
@@ -191,16 +192,15 @@
 	return position
 }
 
-// Table is the copy as far as it goes; only Trusted says whether it may be believed.
+// Table returns the copy as far as it goes; only TrustedTable says whether it may be relied on.
 func (replica *Replica) Table() *Table { return replica.table }
 
-// DropCounts are of what was not taken so far.
+// DropCounts returns how many messages were not applied so far.
 func (replica *Replica) DropCounts() DropCounts { return replica.dropped }
 
-// TrustedTable is the account, if what is durable says that it covers all that may run: the
-// record of those in step names this life of the member, every leader since the record's
-// was bound to write a record of its own before it sent a start, and the replica is of the
-// record's leader.
+// TrustedTable returns the table if what is durable proves that it covers every task that may be
+// running: the in-sync record names this process of the member, every leader since the record's
+// was record-first, and the replica is of the record's leader.
 func (replica *Replica) TrustedTable(record InSyncRecord, history *TermHistory, memberName string) (*Table, bool) {
 	if !record.hasMember(Member{Name: memberName, Incarnation: replica.incarnation}) || !history.IsRecordFirstSince(record.Token) {
 		return nil, false
--- a/internal/standby/table.go
+++ b/internal/standby/table.go
@@ -7,16 +7,16 @@
 	"github.com/tidwall/btree"
 )
 
-// Table is the set of placements that may be under way, doubts included, with a digest
-// of it.
+// Table is the set of placements that may be running, unconfirmed entries included, with an
+// incremental digest of the set.
 type Table struct {
 	placements       *btree.BTreeG[Placement]
-	countByID        map[string]int // placements by task, and doubts by what they are of
+	countByID        map[string]int // number of placements by task id; unconfirmed entries by the id of the task or job
 	unconfirmedCount int
 	digest           uint64
 }
 
-// NewTable makes an empty account.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	less := func(a, b Placement) bool { return a.compare(b) < 0 }
 	return &Table{
@@ -25,7 +25,7 @@
 	}
 }
 
-// Apply takes a decision; one that has been taken already changes nothing.
+// Apply applies a decision; one that was applied already changes nothing.
 func (table *Table) Apply(decision Decision) {
 	switch decision.Kind {
 	case Started:
@@ -59,26 +59,26 @@
 	}
 }
 
-// MayBeRunning tells whether a placement of the task may be under way: one that is known, or
-// one that the task or its job is in doubt of.
+// MayBeRunning reports whether a task may be running: a placement of it is known, or it or its
+// job is unconfirmed.
 func (table *Table) MayBeRunning(task string) bool {
 	return table.countByID[task] > 0 || table.countByID[jobOfTask(task)] > 0
 }
 
-// Len is how many placements may be under way, doubts included.
+// Len returns how many placements there are, unconfirmed entries included.
 func (table *Table) Len() int { return table.placements.Len() }
 
-// UnconfirmedCount is how many tasks, or whole jobs, are in doubt.
+// UnconfirmedCount returns how many tasks, or whole jobs, are unconfirmed.
 func (table *Table) UnconfirmedCount() int { return table.unconfirmedCount }
 
-// Digest is the same for equal sets, however they came about.
+// Digest is equal for equal sets, whatever the order of the decisions that led to them.
 func (table *Table) Digest() uint64 { return table.digest }
 
-// copyPlacements is the set as it is now; it costs nothing to take.
+// copyPlacements returns the set as it is now, as a copy-on-write copy; taking it is O(1).
 func (table *Table) copyPlacements() *btree.BTreeG[Placement] { return table.placements.Copy() }
 
-// placementDigest is the digest of one placement; that of a set is their sum, so it follows each
-// change at the cost of the change.
+// placementDigest hashes one placement. The digest of a set is the sum (mod 2^64) of those of its
+// placements, so each change updates it in O(1).
 func placementDigest(placement Placement) uint64 {
 	var hasher xxhash.Digest
 	hasher.Reset()
--- a/internal/standby/term_history.go
+++ b/internal/standby/term_history.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// maxTerms is how many leads a member remembers.
+// maxTerms is how many leadership terms a member remembers.
 const maxTerms = 64
 
-// TermHistory is what a member has seen, without a gap, of who held the lock.
+// TermHistory is the gapless sequence of leadership terms that a member has observed.
 type TermHistory struct{ terms []leadershipTerm }
 
-// leadershipTerm is one time for which the lock was held.
+// leadershipTerm is the time for which one leader had the lock.
 type leadershipTerm struct {
 	token uint64
-	// isRecordFirst: the leader sends no start before a record of its own is in force.
+	// isRecordFirst: the leader sends no start before an in-sync record of its own is in force.
 	isRecordFirst bool
 }
 
-// ObserveTerm takes the lock as it is now. Each change of it has to be told, in order, or Forget
-// called.
+// ObserveTerm appends the lock's present term. It has to be called for each change of the lock,
+// in order, or Reset after a gap.
 func (history *TermHistory) ObserveTerm(token uint64, isRecordFirst bool) {
 	if token == history.LastToken() {
 		return
@@ -27,10 +27,10 @@
 	history.terms = append(history.terms, leadershipTerm{token, isRecordFirst})
 }
 
-// Reset takes the news that changes of the lock may have been missed.
+// Reset forgets all terms; it is called when changes of the lock may have been missed.
 func (history *TermHistory) Reset() { history.terms = nil }
 
-// LastToken is the token of the last lead seen, 0 if there is none.
+// LastToken returns the token of the last term observed; 0 if there is none.
 func (history *TermHistory) LastToken() uint64 {
 	if len(history.terms) == 0 {
 		return 0
@@ -38,7 +38,8 @@
 	return history.terms[len(history.terms)-1].token
 }
 
-// IsRecordFirstSince tells whether the lead of a token was seen, and each one after it was bound.
+// IsRecordFirstSince reports whether the term of a token was observed and every later term was
+// record-first.
 func (history *TermHistory) IsRecordFirstSince(token uint64) bool {
 	for _, term := range slices.Backward(history.terms) {
 		if term.token == token {
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,6 +1,7 @@
-// Package tracing writes spans of take-overs with OpenTelemetry, one JSON object each, to a
-// file or standard error. Controllers that see the same take-over give it the same trace
-// id, so that their files can be read together.
+// Package tracing writes spans of failovers with OpenTelemetry, one JSON object each, to a file
+// or standard error; docs/standby-operations.md describes them. Invariant: controllers that
+// observe the same failover give it the same trace id, so that their files can be read together.
+// Spans beyond a bound are dropped silently.
 package tracing
 
 import (
@@ -20,27 +21,31 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// StandardErrorDestination is the name of the destination that is no file.
+// StandardErrorDestination is the destination that means standard error, not a file.
 const StandardErrorDestination = "stderr"
 
-// maxTraceBytes bounds what one life of a process writes.
+// maxTraceBytes bounds what one process writes.
 const maxTraceBytes = 4 << 20
 
-// Span is a part of a take-over.
+// Span is one phase of a failover.
 type Span struct {
-	Name       string
-	StartedAt  clock.Micros // steady clock
-	EndedAt    clock.Micros
+	// Name says which phase it is.
+	Name string
+	// StartedAt and EndedAt are instants of the steady clock.
+	StartedAt clock.Micros
+	EndedAt   clock.Micros
+	// Attributes are added to the span; the token is added to all.
 	Attributes map[string]string
 }
 
-// Tracer writes spans. A nil one writes none.
+// Tracer writes spans. A nil Tracer discards them.
 type Tracer struct {
 	tracer           trace.Tracer
 	closeDestination func() error
 }
 
-// New makes a tracer that writes to a destination on behalf of a member.
+// New makes a tracer that writes to a destination (a path, or StandardErrorDestination) on behalf
+// of a member.
 func New(destination, member string) (*Tracer, error) {
 	out, closeFile, err := openDestination(destination)
 	if err != nil {
@@ -65,7 +70,7 @@
 	return file, file.Close, nil
 }
 
-// Close ends the destination.
+// Close closes the destination. Spans are written synchronously, so none is lost.
 func (tracer *Tracer) Close() error {
 	if tracer == nil {
 		return nil
@@ -73,7 +78,7 @@
 	return tracer.closeDestination()
 }
 
-// RecordFailover writes the spans of a take-over that ended in a token.
+// RecordFailover writes the spans of the failover that ended with a leader of this token.
 func (tracer *Tracer) RecordFailover(token uint64, spans []Span) {
 	if tracer == nil {
 		return
@@ -89,7 +94,8 @@
 	}
 }
 
-// failoverContext is the same at every controller: its ids follow from the token.
+// failoverContext derives trace and parent ids from the token, so that they are the same at every
+// controller.
 func failoverContext(token uint64) trace.SpanContext {
 	var traceID trace.TraceID
 	var spanID trace.SpanID
@@ -99,13 +105,14 @@
 	return trace.NewSpanContext(trace.SpanContextConfig{TraceID: traceID, SpanID: spanID, TraceFlags: trace.FlagsSampled, Remote: true})
 }
 
+// wallTime converts an instant of the steady clock to the time of day.
 func wallTime(steadyTime clock.Micros) time.Time {
 	wallMicros := clock.WallTime() - (clock.Now() - steadyTime)
 	return time.UnixMicro(int64(wallMicros))
 }
 
-// boundedWriter drops what is over its bound: a process that is elected again and again
-// must not fill a disk.
+// boundedWriter drops what exceeds its bound, so that a process that is elected again and again
+// can't fill the disk.
 type boundedWriter struct {
 	mu             sync.Mutex
 	destination    io.Writer
