--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"errors"
 	"time"
 
 	"firwood.dev/firwood/internal/clock"
@@ -52,9 +53,9 @@
 			controller.acquireLockInTurn(action.LeaseID)
 		case election.RenewLease:
 			go func() {
-				err := controller.store.RenewLease(action.LeaseID, ttl/4)
+				result := renewResult(controller.store.RenewLease(action.LeaseID, ttl/4))
 				controller.postResult(func() {
-					controller.executeActions(controller.elector.HandleRenewResult(clock.Now(), action.LeaseID, err == nil, err == kvstore.ErrNotFound))
+					controller.executeActions(controller.elector.HandleRenewResult(clock.Now(), action.LeaseID, result))
 				})
 			}()
 		case election.RevokeLease:
@@ -73,6 +74,17 @@
 	}
 }
 
+// renewResult is the outcome of a renewal that returned an error, or nil.
+func renewResult(err error) election.RenewResult {
+	switch {
+	case err == nil:
+		return election.RenewSucceeded
+	case errors.Is(err, kvstore.ErrNotFound):
+		return election.RenewLeaseExpired
+	}
+	return election.RenewUnknown
+}
+
 func (controller *Controller) leaderTTL() clock.Micros { return controller.elector.TTL() }
 
 func (controller *Controller) acquireLock(lease uint64) {
@@ -112,8 +124,7 @@
 	controller.isRebuilding = true
 	controller.lastFailover = failoverTimes{leaderHeartbeatAt: controller.leaderHeartbeatAt, lockWonAt: clock.Now(), token: controller.elector.Token()}
 	controller.applyRateShares()
-	_, _, lease := controller.elector.State()
-	controller.log.Info("lock won", "token", controller.elector.Token(), "lease", lease)
+	controller.log.Info("lock won", "token", controller.elector.Token(), "lease", controller.elector.LeaseID())
 	controller.rebuildTerm()
 }
 
--- a/internal/controller/standby_preference.go
+++ b/internal/controller/standby_preference.go
@@ -43,9 +43,8 @@
 		return
 	}
 	controller.runAfter(yieldDelay, func() {
-		_, _, held := controller.elector.State()
 		switch {
-		case held != lease:
+		case controller.elector.LeaseID() != lease:
 		case controller.view.Lock.Exists:
 			controller.executeActions(controller.elector.HandleAcquireResult(clock.Now(), election.AcquireFailed, 0))
 		default:
--- /dev/null
+++ b/internal/election/action.go
@@ -0,0 +1,89 @@
+package election
+
+// ActionKind is the kind of request that the caller has to send.
+type ActionKind uint8
+
+const (
+	// GrantLease requests a new lease; HandleGrantResult takes the response.
+	GrantLease ActionKind = iota + 1
+	// AcquireLock creates the lock key with the lease, if the key is absent; HandleAcquireResult
+	// takes the response.
+	AcquireLock
+	// RenewLease renews the lease; HandleRenewResult takes the response.
+	RenewLease
+	// RevokeLease ends the lease; no response is needed.
+	RevokeLease
+	// RefreshLock reads the lock key; ObserveLock takes what was read.
+	RefreshLock
+)
+
+// String returns the kind as logs and test failures show it.
+func (kind ActionKind) String() string {
+	switch kind {
+	case GrantLease:
+		return "grant_lease"
+	case AcquireLock:
+		return "acquire_lock"
+	case RenewLease:
+		return "renew_lease"
+	case RevokeLease:
+		return "revoke_lease"
+	case RefreshLock:
+		return "refresh_lock"
+	}
+	return "unknown"
+}
+
+// Action is one request that the caller has to send.
+type Action struct {
+	// Kind says which request it is.
+	Kind ActionKind
+	// LeaseID is the lease that the request is about; 0 for GrantLease and RefreshLock.
+	LeaseID uint64
+}
+
+// AcquireResult is the outcome of an attempt to create the lock.
+type AcquireResult uint8
+
+const (
+	// AcquireSucceeded: this member has the lock; the key's version is the fencing token.
+	AcquireSucceeded AcquireResult = iota + 1
+	// AcquireFailed: another member has the lock, or the transaction can never be committed.
+	AcquireFailed
+	// AcquireUnknown: the transaction may have been committed, or may still be.
+	AcquireUnknown
+)
+
+// String returns the result as logs and test failures show it.
+func (result AcquireResult) String() string {
+	switch result {
+	case AcquireSucceeded:
+		return "succeeded"
+	case AcquireFailed:
+		return "failed"
+	}
+	return "unknown"
+}
+
+// RenewResult is the outcome of a renewal of the lease.
+type RenewResult uint8
+
+const (
+	// RenewSucceeded: the lease was renewed.
+	RenewSucceeded RenewResult = iota + 1
+	// RenewLeaseExpired: the lease doesn't exist any more, and with it the lock.
+	RenewLeaseExpired
+	// RenewUnknown: the lease may have been renewed.
+	RenewUnknown
+)
+
+// String returns the result as logs and test failures show it.
+func (result RenewResult) String() string {
+	switch result {
+	case RenewSucceeded:
+		return "succeeded"
+	case RenewLeaseExpired:
+		return "lease_expired"
+	}
+	return "unknown"
+}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -143,15 +143,17 @@
 		case RenewLease:
 			simulation.sendRequest(index, func() func() {
 				lease := store.leases[a.LeaseID]
+				result := RenewLeaseExpired
 				if lease != nil {
+					result = RenewSucceeded
 					lease.expiresAt = store.now + testTTL
 				}
 				return once(func() {
-					simulation.performActions(index, member.elector.HandleRenewResult(now(), a.LeaseID, lease != nil, lease == nil))
+					simulation.performActions(index, member.elector.HandleRenewResult(now(), a.LeaseID, result))
 				})
 			})
 			scheduleTimeout(isDone, func() {
-				simulation.performActions(index, member.elector.HandleRenewResult(now(), a.LeaseID, false, false))
+				simulation.performActions(index, member.elector.HandleRenewResult(now(), a.LeaseID, RenewUnknown))
 			})
 		case RevokeLease:
 			simulation.sendRequest(index, func() func() {
--- /dev/null
+++ b/internal/election/transitions.go
@@ -0,0 +1,121 @@
+package election
+
+import "firwood.dev/firwood/internal/clock"
+
+// HandleGrantResult handles the response to GrantLease; lease 0 means that the request failed.
+func (elector *Elector) HandleGrantResult(now clock.Micros, leaseID uint64) []Action {
+	if elector.phase != RequestingLease {
+		return revokeUnused(leaseID)
+	}
+	elector.request.isInFlight = false
+	if leaseID == 0 {
+		elector.phase = Follower
+		elector.request.nextAttemptAt = now + elector.cfg.TTL/campaignRetryDivisor
+		return nil
+	}
+	elector.own.leaseID = leaseID
+	elector.own.entitledUntil = elector.entitlementEnd(elector.request.sentAt)
+	if elector.observed.Exists || now >= elector.own.entitledUntil {
+		return elector.becomeFollower(now)
+	}
+	elector.phase = AcquiringLock
+	elector.request.isInFlight = true
+	return []Action{{Kind: AcquireLock, LeaseID: leaseID}}
+}
+
+// revokeUnused revokes a lease that was granted after the campaign for it had ended.
+func revokeUnused(leaseID uint64) []Action {
+	if leaseID == 0 {
+		return nil
+	}
+	return []Action{{Kind: RevokeLease, LeaseID: leaseID}}
+}
+
+// HandleAcquireResult handles the response to AcquireLock; version is the key's, if it was
+// created.
+func (elector *Elector) HandleAcquireResult(now clock.Micros, result AcquireResult, version uint64) []Action {
+	if elector.phase != AcquiringLock {
+		return nil
+	}
+	elector.request.isInFlight = false
+	switch result {
+	case AcquireSucceeded:
+		lock := Lock{Exists: true, Holder: elector.cfg.Member, LeaseID: elector.own.leaseID, Version: version}
+		elector.observed.Lock = lock
+		return elector.becomeLeader(version)
+	case AcquireFailed:
+		return elector.becomeFollowerAndRefresh(now)
+	}
+	elector.request.nextAttemptAt = now + elector.cfg.TTL/acquirePollDivisor
+	return []Action{{Kind: RefreshLock}}
+}
+
+// HandleRenewResult handles the response to RenewLease.
+func (elector *Elector) HandleRenewResult(now clock.Micros, leaseID uint64, result RenewResult) []Action {
+	if elector.phase != Leader || leaseID != elector.own.leaseID {
+		return nil
+	}
+	elector.request.isInFlight = false
+	switch result {
+	case RenewSucceeded:
+		elector.own.entitledUntil = max(elector.own.entitledUntil, elector.entitlementEnd(elector.request.sentAt))
+		elector.scheduleRenewal()
+	case RenewLeaseExpired:
+		return elector.becomeFollowerAndRefresh(now)
+	default:
+		elector.request.nextAttemptAt = now + elector.cfg.TTL/renewRetryDivisor
+	}
+	return nil
+}
+
+// HandleFencedWrite handles a write that the store rejected because the lock was not this
+// leader's any more.
+func (elector *Elector) HandleFencedWrite(now clock.Micros, token uint64) []Action {
+	if elector.phase != Leader || token != elector.own.token {
+		return nil
+	}
+	return elector.becomeFollowerAndRefresh(now)
+}
+
+// StepDown gives up leadership, and doesn't campaign again before the backoff has passed.
+func (elector *Elector) StepDown(now, backoff clock.Micros) []Action {
+	elector.backoffUntil = now + backoff
+	if elector.phase == Follower {
+		return nil
+	}
+	return elector.becomeFollowerAndRefresh(now)
+}
+
+// becomeLeader starts a leadership term with a fencing token.
+func (elector *Elector) becomeLeader(token uint64) []Action {
+	elector.phase = Leader
+	elector.own.token = token
+	elector.request.isInFlight = false
+	elector.scheduleRenewal()
+	return nil
+}
+
+// scheduleRenewal sets the time of the next renewal.
+func (elector *Elector) scheduleRenewal() {
+	elector.request.nextAttemptAt = elector.request.sentAt + elector.cfg.TTL/renewDivisor
+}
+
+// becomeFollower gives up lease and leadership. Revoking the lease also deletes a lock key that
+// was created by a transaction whose response was lost.
+func (elector *Elector) becomeFollower(now clock.Micros) []Action {
+	var actions []Action
+	if elector.own.leaseID != 0 {
+		actions = append(actions, Action{Kind: RevokeLease, LeaseID: elector.own.leaseID})
+		elector.revocation.revoked[elector.own.leaseID] = true
+	}
+	elector.phase = Follower
+	elector.own = ownership{}
+	elector.request.isInFlight = false
+	elector.request.nextAttemptAt = now + elector.cfg.TTL/campaignRetryDivisor
+	return actions
+}
+
+// becomeFollowerAndRefresh is becomeFollower where the lock as observed may be out of date.
+func (elector *Elector) becomeFollowerAndRefresh(now clock.Micros) []Action {
+	return append(elector.becomeFollower(now), Action{Kind: RefreshLock})
+}
