--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -73,7 +73,7 @@
 	for _, other := range controller.cfg.Peers {
 		others = append(others, other.Member)
 	}
-	publisher := standby.NewPublisher(term.token, nil, others)
+	publisher := standby.NewPublisher(term.token, others)
 	term.standby = &decisionStream{publisher, standby.NewInSyncSet(publisher, controller.view.Standby, controller.view.StandbyVersion, others, term.startedAt)}
 	allocationConfig.Replicator = term.standby
 	if copied, ok := controller.trustedReplica(); ok && controller.view.Terms.LastToken() == term.token {
--- a/internal/peer/standby_bench_test.go
+++ b/internal/peer/standby_bench_test.go
@@ -18,7 +18,7 @@
 
 func benchmarkStandbyStream(b *testing.B, placements int) {
 	followers := map[string]*standby.Replica{"n1": standby.NewReplica(1), "n2": standby.NewReplica(2)}
-	publisher := standby.NewPublisher(9, nil, []string{"n1", "n2"})
+	publisher := standby.NewPublisher(9, []string{"n1", "n2"})
 	started := func(i int) standby.Decision {
 		return standby.Decision{Kind: standby.Started, Placement: benchmarkPlacement(i)}
 	}
--- a/internal/standby/decision.go
+++ b/internal/standby/decision.go
@@ -56,7 +56,11 @@
 
 // compare orders placements by machine, task and attempt.
 func (placement Placement) compare(other Placement) int {
-	return cmp.Or(cmp.Compare(placement.Machine, other.Machine), cmp.Compare(placement.Task, other.Task), cmp.Compare(placement.Attempt, other.Attempt))
+	return cmp.Or(
+		cmp.Compare(placement.Machine, other.Machine),
+		cmp.Compare(placement.Task, other.Task),
+		cmp.Compare(placement.Attempt, other.Attempt),
+	)
 }
 
 // DecisionKind says what a decision does. Its values are sent on the wire.
@@ -69,6 +73,20 @@
 	Ended
 )
 
+// String returns the kind as logs and test failures show it.
+func (kind DecisionKind) String() string {
+	switch kind {
+	case Started:
+		return "started"
+	case Ended:
+		return "ended"
+	}
+	return "unknown"
+}
+
+// isValid reports whether this build knows the kind.
+func (kind DecisionKind) isValid() bool { return kind == Started || kind == Ended }
+
 // Decision is one change of the table.
 type Decision struct {
 	// Kind says what happens to the placement.
--- a/internal/standby/failover_test.go
+++ b/internal/standby/failover_test.go
@@ -32,7 +32,7 @@
 		for i := range uint64(6) {
 			token := 10 + i
 			history.ObserveTerm(token, isRecordFirst || i != 3)
-			publisher := NewPublisher(token, nil, []string{"b"})
+			publisher := NewPublisher(token, []string{"b"})
 			if i == 0 {
 				publisher.AppendDecision(Decision{Started, Placement{running, 1, "m"}})
 			}
@@ -55,7 +55,7 @@
 // with one that names nobody in force, its own end would be followed the slow way.
 func TestFirstRecordWaitsForLastRecordsMembers(t *testing.T) {
 	replica := NewReplica(7)
-	publisher := NewPublisher(11, nil, []string{"b", "c"})
+	publisher := NewPublisher(11, []string{"b", "c"})
 	publisher.AppendDecision(Decision{Started, UnconfirmedPlacement("req-000001")})
 	foundRecord := InSyncRecord{Token: 10, Members: []Member{{"b", 7}}}
 	set := NewInSyncSet(publisher, foundRecord, 1, []string{"b", "c"}, 0)
--- a/internal/standby/message.go
+++ b/internal/standby/message.go
@@ -68,6 +68,11 @@
 	SnapshotParts    int
 }
 
+// isBehind reports whether both replicas are complete and this one has fewer decisions.
+func (position Position) isBehind(other Position) bool {
+	return position.IsComplete && other.IsComplete && position.Sequence < other.Sequence
+}
+
 // isValid reports whether a leader could have sent the message: it is within the bounds and
 // consistent.
 func (message *Message) isValid() bool {
@@ -75,18 +80,21 @@
 		return false
 	}
 	for _, decision := range message.Decisions {
-		if decision.Kind != Started && decision.Kind != Ended || !decision.Placement.isValid() {
+		if !decision.Kind.isValid() || !decision.Placement.isValid() {
 			return false
 		}
 	}
 	return message.Part == nil || message.Part.isValid()
 }
 
+// isValid reports whether a leader could have sent the part.
 func (part *SnapshotPart) isValid() bool {
 	for _, placement := range part.Placements {
 		if !placement.isValid() {
 			return false
 		}
 	}
-	return len(part.Placements) <= MaxPartPlacements && part.PartCount >= 1 && part.PartCount <= MaxSnapshotParts && part.Index >= 0 && part.Index < part.PartCount
+	isCountInBounds := part.PartCount >= 1 && part.PartCount <= MaxSnapshotParts
+	isIndexInBounds := part.Index >= 0 && part.Index < part.PartCount
+	return len(part.Placements) <= MaxPartPlacements && isCountInBounds && isIndexInBounds
 }
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -1,7 +1,7 @@
 package standby
 
 import (
-	"github.com/tidwall/btree"
+	"slices"
 
 	"firwood.dev/firwood/internal/clock"
 )
@@ -41,22 +41,9 @@
 	transfer        *snapshotTransfer
 }
 
-// snapshotTransfer is a snapshot that is being sent to a follower.
-type snapshotTransfer struct {
-	sequence      uint64
-	digest        uint64
-	placements    *btree.BTreeG[Placement]
-	partCount     int
-	nextPlacement Placement // first placement of the next part
-	receivedParts int       // how many parts the follower has
-}
-
-// NewPublisher starts the side of a leader whose table begins with some placements.
-func NewPublisher(token uint64, initial []Placement, memberNames []string) *Publisher {
+// NewPublisher starts the side of a leader whose table is empty, with the other members.
+func NewPublisher(token uint64, memberNames []string) *Publisher {
 	publisher := &Publisher{token: token, table: NewTable(), followers: map[string]*followerState{}}
-	for _, placement := range initial {
-		publisher.table.add(placement)
-	}
 	for _, name := range memberNames {
 		publisher.followers[name] = &followerState{}
 	}
@@ -78,11 +65,10 @@
 	return publisher.lastSequence
 }
 
-// LastSequence returns the sequence number of the last decision.
-func (publisher *Publisher) LastSequence() uint64 { return publisher.lastSequence }
-
-// Table returns the leader's own table.
-func (publisher *Publisher) Table() *Table { return publisher.table }
+// sequenceBeforeLog returns the sequence number just before the oldest decision in the log.
+func (publisher *Publisher) sequenceBeforeLog() uint64 {
+	return publisher.lastSequence - uint64(len(publisher.decisionLog))
+}
 
 // RecordPosition records a follower's position. A position under another token, or of another
 // incarnation of the follower, only means that a full snapshot is needed.
@@ -94,10 +80,11 @@
 	if position.Token != publisher.token {
 		position = Position{Incarnation: position.Incarnation}
 	}
-	if follower.hasPosition && position.Incarnation == follower.position.Incarnation && position.IsComplete && follower.position.IsComplete && position.Sequence < follower.position.Sequence {
+	isSameProcess := position.Incarnation == follower.position.Incarnation
+	if follower.hasPosition && isSameProcess && position.isBehind(follower.position) {
 		return // a delayed answer
 	}
-	if position.Incarnation != follower.position.Incarnation {
+	if !isSameProcess {
 		follower.transfer = nil
 	}
 	follower.position, follower.hasPosition, follower.isAnswerPending = position, true, false
@@ -106,10 +93,11 @@
 // NextMessage returns the next message to a follower, if one is due.
 func (publisher *Publisher) NextMessage(name string, now clock.Micros) (*Message, bool) {
 	follower := publisher.followers[name]
-	if follower != nil {
-		publisher.trackLag(follower, now)
+	if follower == nil {
+		return nil, false
 	}
-	if follower == nil || follower.isAnswerPending && now-follower.sentAt < resendTimeout {
+	publisher.trackLag(follower, now)
+	if follower.isAnswerPending && now-follower.sentAt < resendTimeout {
 		return nil, false
 	}
 	message := publisher.buildMessage(follower, now)
@@ -120,42 +108,75 @@
 	return message, true
 }
 
+// buildMessage makes what the follower needs most; nil if that is nothing.
 func (publisher *Publisher) buildMessage(follower *followerState, now clock.Micros) *Message {
-	message := &Message{Token: publisher.token, Check: &DigestCheck{publisher.lastSequence, publisher.table.Digest()}}
-	beforeLog := publisher.lastSequence - uint64(len(publisher.decisionLog)) // the number before the first one kept
 	switch {
 	case !publisher.isCompatible(follower):
 		return publisher.buildAnnouncement(follower, now)
-	case !follower.position.IsComplete || follower.position.Sequence < max(beforeLog, publisher.minLogSequence(follower)):
-		message.Part = publisher.nextPart(follower)
-		message.Check = nil
+	case publisher.needsSnapshot(follower):
+		return &Message{Token: publisher.token, Part: publisher.nextPart(follower)}
 	case follower.position.Sequence < publisher.lastSequence:
-		follower.transfer = nil
-		message.AfterSequence = follower.position.Sequence
-		remaining := publisher.decisionLog[message.AfterSequence-beforeLog:]
-		message.Decisions = append(message.Decisions, remaining[:min(len(remaining), MaxDecisions)]...)
-		if len(message.Decisions) < len(remaining) {
-			message.Check = nil
-		}
-	case now-follower.digestSentAt < digestInterval:
-		return nil
-	default:
-		follower.digestSentAt = now
+		return publisher.buildDecisions(follower)
+	}
+	return publisher.buildDigest(follower, now)
+}
+
+// needsSnapshot reports whether decisions from the log can't bring the follower up to date.
+func (publisher *Publisher) needsSnapshot(follower *followerState) bool {
+	oldest := max(publisher.sequenceBeforeLog(), publisher.minLogSequence(follower))
+	return !follower.position.IsComplete || follower.position.Sequence < oldest
+}
+
+// buildDecisions makes a message of the next decisions, with the digest if they are the last ones.
+func (publisher *Publisher) buildDecisions(follower *followerState) *Message {
+	follower.transfer = nil
+	after := follower.position.Sequence
+	remaining := publisher.decisionLog[after-publisher.sequenceBeforeLog():]
+	next := remaining[:min(len(remaining), MaxDecisions)]
+	// The log is moved in place later, so the message gets a copy.
+	message := &Message{Token: publisher.token, AfterSequence: after, Decisions: slices.Clone(next)}
+	if len(next) == len(remaining) {
+		message.Check = publisher.digestCheck()
 	}
 	return message
 }
 
+// buildDigest makes a message that has only the digest; nil if none is due.
+func (publisher *Publisher) buildDigest(follower *followerState, now clock.Micros) *Message {
+	if !follower.isDigestDue(now) {
+		return nil
+	}
+	follower.digestSentAt = now
+	return &Message{Token: publisher.token, Check: publisher.digestCheck()}
+}
+
+// digestCheck returns the digest of the table as it is now.
+func (publisher *Publisher) digestCheck() *DigestCheck {
+	return &DigestCheck{publisher.lastSequence, publisher.table.Digest()}
+}
+
+// isDigestDue reports whether the last digest or announcement was sent long enough ago.
+func (follower *followerState) isDigestDue(now clock.Micros) bool {
+	return now-follower.digestSentAt >= digestInterval
+}
+
 // isCompatible reports whether the follower can read the table as it is. As long as there are
 // unconfirmed entries, followers of the first version can't, and those whose version is not known
 // yet might not.
 func (publisher *Publisher) isCompatible(follower *followerState) bool {
-	return publisher.table.UnconfirmedCount() == 0 || follower.hasPosition && follower.position.ProtocolVersion >= firstVersionWithUnconfirmed
+	return publisher.table.UnconfirmedCount() == 0 || follower.hasPosition && follower.readsUnconfirmed()
+}
+
+// readsUnconfirmed reports whether the version of the follower's last position has unconfirmed
+// entries.
+func (follower *followerState) readsUnconfirmed() bool {
+	return follower.position.ProtocolVersion >= firstVersionWithUnconfirmed
 }
 
 // minLogSequence returns the sequence number that a follower has to have reached to be sent
 // decisions from the log; otherwise it gets a snapshot.
 func (publisher *Publisher) minLogSequence(follower *followerState) uint64 {
-	if follower.position.ProtocolVersion >= firstVersionWithUnconfirmed {
+	if follower.readsUnconfirmed() {
 		return 0
 	}
 	return publisher.lastUnconfirmedSequence
@@ -164,63 +185,13 @@
 // buildAnnouncement makes a message that has only the leader's token; the answer reveals the
 // follower's protocol version.
 func (publisher *Publisher) buildAnnouncement(follower *followerState, now clock.Micros) *Message {
-	if follower.hasPosition && now-follower.digestSentAt < digestInterval {
+	if follower.hasPosition && !follower.isDigestDue(now) {
 		return nil
 	}
 	follower.digestSentAt = now
 	return &Message{Token: publisher.token}
 }
 
-// nextPart returns the part of a snapshot that a follower needs next. If the log has moved past
-// the snapshot meanwhile, a new one is begun.
-func (publisher *Publisher) nextPart(follower *followerState) *SnapshotPart {
-	transfer := follower.transfer
-	beforeLog := publisher.lastSequence - uint64(len(publisher.decisionLog))
-	isInProgress := transfer != nil && transfer.sequence >= beforeLog && follower.position.SnapshotSequence == transfer.sequence
-	switch {
-	case isInProgress && follower.position.SnapshotParts == transfer.receivedParts+1:
-		transfer.advancePage()
-	case isInProgress && follower.position.SnapshotParts == transfer.receivedParts:
-		// The last message, or its answer, was lost: send the same part again.
-	case transfer != nil && transfer.sequence >= beforeLog && transfer.receivedParts == 0 && follower.position.SnapshotParts == 0:
-		// Nothing of it has arrived yet.
-	default:
-		transfer = publisher.newTransfer()
-		follower.transfer = transfer
-	}
-	placements := transfer.currentPage()
-	return &SnapshotPart{Sequence: transfer.sequence, Index: transfer.receivedParts, PartCount: transfer.partCount, Placements: placements, Digest: transfer.digest}
-}
-
-func (publisher *Publisher) newTransfer() *snapshotTransfer {
-	placements := publisher.table.copyPlacements()
-	return &snapshotTransfer{
-		sequence: publisher.lastSequence, digest: publisher.table.Digest(), placements: placements,
-		partCount: max((placements.Len()+MaxPartPlacements-1)/MaxPartPlacements, 1),
-	}
-}
-
-// currentPage returns the placements of the part that comes after those the follower has.
-func (transfer *snapshotTransfer) currentPage() []Placement {
-	var page []Placement
-	transfer.placements.Ascend(transfer.nextPlacement, func(placement Placement) bool {
-		page = append(page, placement)
-		return len(page) < MaxPartPlacements
-	})
-	return page
-}
-
-// advancePage goes on to the next part.
-func (transfer *snapshotTransfer) advancePage() {
-	visited := 0
-	transfer.placements.Ascend(transfer.nextPlacement, func(placement Placement) bool {
-		transfer.nextPlacement = placement
-		visited++
-		return visited <= MaxPartPlacements
-	})
-	transfer.receivedParts++
-}
-
 // HasDecision reports whether the replica of a member's process has a decision. One of the first
 // version counts as having none while there are unconfirmed entries: it may have received a
 // snapshot that was sent to an earlier process of the member, of a later version.
@@ -229,7 +200,8 @@
 	if follower == nil || !publisher.isCompatible(follower) {
 		return false
 	}
-	return follower.hasPosition && follower.position.Incarnation == member.Incarnation && follower.position.IsComplete && follower.position.Sequence >= sequence
+	position := follower.position
+	return follower.hasPosition && position.Incarnation == member.Incarnation && position.IsComplete && position.Sequence >= sequence
 }
 
 // LagCount returns how many decisions a member's replica lacks; all of them if it is not
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -37,15 +37,6 @@
 	table *Table
 }
 
-// snapshotAssembly is a snapshot of which some parts are missing.
-type snapshotAssembly struct {
-	sequence      uint64
-	digest        uint64
-	receivedParts int
-	partCount     int
-	table         *Table
-}
-
 // DropCounts counts messages that were not applied, by reason.
 type DropCounts struct {
 	// Stale: from a leader that has been replaced.
@@ -114,10 +105,15 @@
 	replica.earlier = slices.DeleteFunc(replica.earlier, func(earlier earlierReplica) bool { return earlier.token < recordToken })
 }
 
+// reset discards the replica.
 func (replica *Replica) reset() {
-	replica.table, replica.isComplete, replica.lastSequence, replica.assembly = NewTable(), false, 0, nil
+	replica.table = NewTable()
+	replica.isComplete = false
+	replica.lastSequence = 0
+	replica.assembly = nil
 }
 
+// applyContent applies a valid message of the present leader.
 func (replica *Replica) applyContent(message *Message) {
 	switch {
 	case message.Part != nil:
@@ -125,12 +121,18 @@
 	case len(message.Decisions) > 0:
 		replica.applyDecisions(message.AfterSequence, message.Decisions)
 	}
-	if check := message.Check; check != nil && replica.isComplete && check.Sequence == replica.lastSequence && check.Digest != replica.table.Digest() {
+	if check := message.Check; check != nil && replica.contradicts(*check) {
 		replica.dropped.DigestMismatch++
 		replica.reset()
 	}
 }
 
+// contradicts reports whether the replica is as far as the check and has another digest.
+func (replica *Replica) contradicts(check DigestCheck) bool {
+	return replica.isComplete && check.Sequence == replica.lastSequence && check.Digest != replica.table.Digest()
+}
+
+// applyDecisions applies those of the decisions that are new; none, if one before them is missing.
 func (replica *Replica) applyDecisions(afterSequence uint64, decisions []Decision) {
 	lastSequence := afterSequence + uint64(len(decisions))
 	switch {
@@ -146,46 +148,15 @@
 	replica.lastSequence = lastSequence
 }
 
-func (replica *Replica) applyPart(part *SnapshotPart) {
-	if replica.isComplete && part.Sequence <= replica.lastSequence {
-		return // it has come before
-	}
-	if part.Sequence < replica.acknowledgedSequence {
-		replica.dropped.OutOfOrder++
-		return
-	}
-	if part.Index == 0 && (replica.assembly == nil || replica.assembly.sequence != part.Sequence) {
-		replica.assembly = &snapshotAssembly{sequence: part.Sequence, digest: part.Digest, partCount: part.PartCount, table: NewTable()}
-	}
-	assembly := replica.assembly
-	if assembly == nil || assembly.sequence != part.Sequence || assembly.partCount != part.PartCount || part.Index > assembly.receivedParts {
-		replica.dropped.OutOfOrder++
-		return
-	}
-	if part.Index < assembly.receivedParts {
-		return // it has come before
-	}
-	for _, placement := range part.Placements {
-		assembly.table.add(placement)
-	}
-	if assembly.receivedParts++; assembly.receivedParts < assembly.partCount {
-		return
-	}
-	replica.assembly = nil
-	if assembly.table.Digest() != assembly.digest {
-		replica.dropped.DigestMismatch++
-		replica.reset()
-		return
-	}
-	replica.table, replica.lastSequence, replica.isComplete = assembly.table, assembly.sequence, true
-}
-
 // Position returns how far the replica has got. Calling it counts as answering the leader.
 func (replica *Replica) Position() Position {
 	if replica.isComplete {
 		replica.acknowledgedSequence = max(replica.acknowledgedSequence, replica.lastSequence)
 	}
-	position := Position{Incarnation: replica.incarnation, ProtocolVersion: ProtocolVersion, Token: replica.token, IsComplete: replica.isComplete, Sequence: replica.lastSequence}
+	position := Position{
+		Incarnation: replica.incarnation, ProtocolVersion: ProtocolVersion,
+		Token: replica.token, IsComplete: replica.isComplete, Sequence: replica.lastSequence,
+	}
 	if replica.assembly != nil {
 		position.SnapshotSequence, position.SnapshotParts = replica.assembly.sequence, replica.assembly.receivedParts
 	}
@@ -202,7 +173,8 @@
 // running: the in-sync record names this process of the member, every leader since the record's
 // was record-first, and the replica is of the record's leader.
 func (replica *Replica) TrustedTable(record InSyncRecord, history *TermHistory, memberName string) (*Table, bool) {
-	if !record.hasMember(Member{Name: memberName, Incarnation: replica.incarnation}) || !history.IsRecordFirstSince(record.Token) {
+	isNamed := record.hasMember(Member{Name: memberName, Incarnation: replica.incarnation})
+	if !isNamed || !history.IsRecordFirstSince(record.Token) {
 		return nil, false
 	}
 	if replica.token == record.Token {
--- a/internal/standby/simulation_test.go
+++ b/internal/standby/simulation_test.go
@@ -162,7 +162,7 @@
 	sim.changeLockHolder(!sim.isOldVersion[name])
 	sim.leader = name
 	others := slices.DeleteFunc(slices.Clone(sim.memberNames), func(other string) bool { return other == name })
-	sim.publisher = NewPublisher(sim.lockToken, nil, others)
+	sim.publisher = NewPublisher(sim.lockToken, others)
 	sim.inSyncSet = NewInSyncSet(sim.publisher, sim.record, sim.recordVersion, others, sim.now)
 	sim.pendingStarts, sim.known, sim.unconfirmed, sim.unconfirmedJobs = map[uint64]Placement{}, map[Placement]bool{}, map[string]bool{}, map[string]bool{}
 	for job := range jobCount {
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -114,7 +114,7 @@
 // boundedWriter drops what exceeds its bound, so that a process that is elected again and again
 // can't fill the disk.
 type boundedWriter struct {
-	mu             sync.Mutex
+	mu             sync.Mutex // guards remainingBytes and the order of writes
 	destination    io.Writer
 	remainingBytes int
 }
