--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(m *testing.M) { seed.Main(m) }
 
-// cancellationHistory is a generated course of reads, lapses and reports of a leader, with a
-// withdrawal that another controller confirms somewhere in between.
+// cancellationHistory is a generated course of reads, lapses of the entitlement and heartbeats of
+// workers at a leader, with a cancellation that another controller confirms somewhere in between.
 type cancellationHistory struct {
 	cancellationTimeout, leaseTTL, lockTTL clock.Micros
 	confirmedAt                            clock.Micros
@@ -29,9 +29,9 @@
 	}
 }
 
-// However reads fail, and however often the entitlement ends and comes back: no
-// worker that the leader answers keeps a task of a job that it does not know to be
-// withdrawn beyond the cancellation time, and none is started after that time.
+// However reads fail, and however often the entitlement ends and comes back: no worker that the
+// leader answers keeps a task of a job whose cancellation the leader doesn't know beyond the
+// cancellation timeout, and none is started after it.
 func TestNothingOutlivesUnknownCancellation(t *testing.T) {
 	unknownCount := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -64,33 +64,32 @@
 				continue
 			}
 			unknownCount++
-			// A worker's lease runs from the report, which is older than its answer.
+			// A worker's lease runs from its heartbeat, which is older than the answer.
 			if tracker.MayRenewLeases(now) && now+history.leaseTTL >= cancellationDeadline {
 				t.Fatalf("at %d a lease is renewed up to %d, the tasks have to be gone at %d", now, now+history.leaseTTL, cancellationDeadline)
 			}
 			if tracker.MayStartTasks(now) && now >= history.confirmedAt+history.lockTTL {
-				t.Fatalf("at %d a task may start, withdrawn at %d", now, history.confirmedAt)
+				t.Fatalf("at %d a task may start, cancelled at %d", now, history.confirmedAt)
 			}
 		}
 	})
 	if unknownCount < 100 {
-		t.Fatalf("%d instants with an unknown withdrawal: the histories show little", unknownCount)
+		t.Fatalf("%d instants with an unknown cancellation: too few cases covered", unknownCount)
 	}
 }
 
-// A leader that reads every second is never kept from working.
+// A leader that reads every second is never blocked.
 func TestRegularReadsNeverBlockLeader(t *testing.T) {
 	tracker := NewTracker(NewBounds(44*clock.Second, 14*clock.Second, 3*clock.Second), clock.Second)
 	for now := clock.Second; now < 60*clock.Second; now += clock.Second {
 		tracker.RecordRead(now)
 		if later := now + 2*clock.Second; !tracker.MayRenewLeases(later) || !tracker.MayStartTasks(later) {
-			t.Fatalf("kept from working at %d", later)
+			t.Fatalf("blocked at %d", later)
 		}
 	}
 }
 
-// Settings that leave nothing between a lease and a cancellation allow as little as
-// the lock does.
+// Settings that leave no time between a lease and a cancellation fall back to the lock's TTL.
 func TestBoundsFallBackToLockTTL(t *testing.T) {
 	bounds := NewBounds(10*clock.Second, 36*clock.Second, 6*clock.Second)
 	if bounds.RenewalWindow != 6*clock.Second || bounds.StartWindow != 6*clock.Second {
--- a/internal/standby/failover_test.go
+++ b/internal/standby/failover_test.go
@@ -7,7 +7,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// catchUp has a replica take all that a leader has to tell.
+// catchUp exchanges messages until a replica has every decision of a leader.
 func catchUp(t *testing.T, publisher *Publisher, name string, replica *Replica) {
 	t.Helper()
 	for now := clock.Second; now < 10*clock.Second; now += clock.Second {
@@ -21,11 +21,11 @@
 	t.Fatal("the replica does not come up to date")
 }
 
-// Five leaders end one after another, each before its record is written: none of them has
-// sent anything, so the replica of the one before them is as good as ever. With one that
-// is not bound among them it is not.
+// Five leaders fail one after another, each before its in-sync record is written: none of them has
+// sent a start, so the replica of the leader before them stays trusted. With one among them that is
+// not record-first it does not.
 func TestReplicaStaysTrustedAcrossRecordFirstTerms(t *testing.T) {
-	const running = "req-000001/3"
+	const runningTask = "req-000001/3"
 	for _, isRecordFirst := range []bool{true, false} {
 		replica, history := NewReplica(7), &TermHistory{}
 		record := InSyncRecord{Token: 10, Members: []Member{{"b", 7}}}
@@ -34,14 +34,14 @@
 			history.ObserveTerm(token, isRecordFirst || i != 3)
 			publisher := NewPublisher(token, []string{"b"})
 			if i == 0 {
-				publisher.AppendDecision(Decision{Started, Placement{running, 1, "m"}})
+				publisher.AppendDecision(Decision{Started, Placement{runningTask, 1, "m"}})
 			}
 			catchUp(t, publisher, "b", replica)
 			replica.PruneEarlier(record.Token)
 		}
 		table, ok := replica.TrustedTable(record, history, "b")
-		if ok != isRecordFirst || ok && (!table.MayBeRunning(running) || table.MayBeRunning("req-000001/4")) {
-			t.Errorf("all bound: %v, trusted: %v", isRecordFirst, ok)
+		if ok != isRecordFirst || ok && (!table.MayBeRunning(runningTask) || table.MayBeRunning("req-000001/4")) {
+			t.Errorf("all record-first: %v, trusted: %v", isRecordFirst, ok)
 		}
 		record = InSyncRecord{Token: 15, Members: record.Members}
 		replica.PruneEarlier(record.Token)
@@ -51,8 +51,8 @@
 	}
 }
 
-// A leader's first record waits for the members that the last one names, but not for long:
-// with one that names nobody in force, its own end would be followed the slow way.
+// A leader's first record waits for the members of the last one, but not for long: if it named
+// nobody and this leader failed soon, the next one would have no trusted replica.
 func TestFirstRecordWaitsForLastRecordsMembers(t *testing.T) {
 	replica := NewReplica(7)
 	publisher := NewPublisher(11, []string{"b", "c"})
@@ -60,7 +60,7 @@
 	foundRecord := InSyncRecord{Token: 10, Members: []Member{{"b", 7}}}
 	set := NewInSyncSet(publisher, foundRecord, 1, []string{"b", "c"}, 0)
 	if record, _, ok := set.BeginWrite(firstRecordTimeout - 1); ok {
-		t.Fatalf("%+v is written before the member is in step", record)
+		t.Fatalf("%+v is written before the member is in sync", record)
 	}
 	lateSet := NewInSyncSet(publisher, foundRecord, 1, []string{"b", "c"}, 0)
 	if record, _, ok := lateSet.BeginWrite(firstRecordTimeout); !ok || len(record.Members) != 0 {
@@ -68,11 +68,11 @@
 	}
 	catchUp(t, publisher, "b", replica)
 	if record, _, ok := set.BeginWrite(clock.Millisecond); !ok || len(record.Members) != 1 {
-		t.Fatalf("%+v, %v with the member in step", record, ok)
+		t.Fatalf("%+v, %v with the member in sync", record, ok)
 	}
 }
 
-// What no leader can have told of is dropped whole, and counted.
+// A message with a placement that no leader can have sent is dropped whole, and counted.
 func TestInvalidPlacementsAreRejected(t *testing.T) {
 	for name, placement := range map[string]Placement{
 		"of no task":      {},
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -11,8 +11,8 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Two controllers that see the same take-over write spans of one trace, with the times
-// that were given.
+// Two controllers that observe the same failover write spans of one trace, with the times that
+// were given.
 func TestControllersShareTraceID(t *testing.T) {
 	ids := map[string]bool{}
 	for _, member := range []string{"n0", "n1"} {
@@ -48,7 +48,7 @@
 	}
 }
 
-// What is over the bound is dropped, and the writer is told nothing of it.
+// What exceeds the bound is dropped, and reported to the caller as written.
 func TestBoundedWriterDropsExcess(t *testing.T) {
 	var out bytes.Buffer
 	writer := &boundedWriter{destination: &out, remainingBytes: 10}
