--- /dev/null
+++ b/internal/standby/simulation_leader_test.go
@@ -0,0 +1,252 @@
+package standby
+
+import (
+	"fmt"
+	"iter"
+	"maps"
+	"slices"
+
+	"firwood.dev/firwood/wire"
+)
+
+const (
+	jobCount, tasksPerJob = 4, 10
+	// maxUnconfirmedTasks is up to how many unconfirmed tasks of a job are sent one by one.
+	maxUnconfirmedTasks = 3
+)
+
+// leaderState is what the leader of the simulation has in memory.
+type leaderState struct {
+	leader    string // its name; empty if nobody leads
+	publisher *Publisher
+	inSyncSet *InSyncSet
+	// known are placements that the leader knows of.
+	known map[Placement]bool
+	// unconfirmed are tasks that may be running anywhere.
+	unconfirmed map[string]bool
+	// unconfirmedJobs are jobs that it has sent as one unconfirmed entry.
+	unconfirmedJobs map[string]bool
+	// pendingStarts wait for the followers, by sequence number.
+	pendingStarts map[uint64]Placement
+}
+
+func (state *leaderState) hasLeader() bool { return state.leader != "" }
+
+// statistics count what the histories have covered.
+type statistics struct {
+	trustedFailovers        int // by a member with a trusted replica
+	chainedFailovers        int // of those, after a leader with unconfirmed tasks
+	earlierReplicaFailovers int // of those, with the replica of a leader before the last one
+	sentStarts              int
+}
+
+func (total *statistics) add(other statistics) {
+	total.trustedFailovers += other.trustedFailovers
+	total.chainedFailovers += other.chainedFailovers
+	total.earlierReplicaFailovers += other.earlierReplicaFailovers
+	total.sentStarts += other.sentStarts
+}
+
+func jobID(job int) string { return fmt.Sprintf("req-%06d", job) }
+
+// chooseSuccessor returns who leads next: often a member that may trust its replica.
+func (sim *simulation) chooseSuccessor() string {
+	start := sim.rng.IntN(len(sim.memberNames))
+	if sim.rng.IntN(2) == 0 {
+		for i := range sim.memberNames {
+			name := sim.memberNames[(start+i)%len(sim.memberNames)]
+			if _, ok := sim.trustedPredicate(name); ok {
+				return name
+			}
+		}
+	}
+	return sim.memberNames[start]
+}
+
+// changeLockHolder gives the lock to somebody, which every member observes.
+func (sim *simulation) changeLockHolder(isRecordFirst bool) {
+	sim.lockToken += 1 + uint64(sim.rng.IntN(3))
+	sim.isRecordFirst = isRecordFirst
+	for _, name := range sim.memberNames {
+		sim.termHistories[name].ObserveTerm(sim.lockToken, isRecordFirst)
+	}
+}
+
+// electLeader has a member win the lock, and begin with what it may conclude from its replica.
+func (sim *simulation) electLeader(name string) {
+	mayBeRunning, ok := sim.trustedPredicate(name)
+	if ok {
+		sim.trustedFailovers++
+		if len(sim.unconfirmed) > 0 {
+			sim.chainedFailovers++
+		}
+		if sim.record.Token != sim.lockToken {
+			sim.earlierReplicaFailovers++
+		}
+	} else {
+		mayBeRunning = func(string) bool { return true }
+	}
+	sim.changeLockHolder(!sim.isOldVersion[name])
+	sim.leader = name
+	others := slices.DeleteFunc(slices.Clone(sim.memberNames), func(other string) bool { return other == name })
+	sim.publisher = NewPublisher(sim.lockToken, others)
+	sim.inSyncSet = NewInSyncSet(sim.publisher, sim.record, sim.recordVersion, others, sim.now)
+	sim.pendingStarts, sim.known, sim.unconfirmed, sim.unconfirmedJobs = map[uint64]Placement{}, map[Placement]bool{}, map[string]bool{}, map[string]bool{}
+	for job := range jobCount {
+		sim.addUnconfirmed(job, mayBeRunning)
+	}
+}
+
+// addUnconfirmed has a new leader publish which tasks of a job may be running.
+func (sim *simulation) addUnconfirmed(job int, mayBeRunning func(task string) bool) {
+	var tasks []string
+	for i := range tasksPerJob {
+		if task := wire.TaskID(jobID(job), i); mayBeRunning(task) {
+			tasks = append(tasks, task)
+			sim.unconfirmed[task] = true
+		}
+	}
+	if len(tasks) == tasksPerJob {
+		sim.unconfirmedJobs[jobID(job)] = true
+		sim.publishUnconfirmed(Started, jobID(job))
+		return
+	}
+	for _, task := range tasks {
+		sim.publishUnconfirmed(Started, task)
+	}
+}
+
+// publishUnconfirmed publishes an unconfirmed entry; the version without them publishes nothing.
+func (sim *simulation) publishUnconfirmed(kind DecisionKind, id string) {
+	if !sim.isOldVersion[sim.leader] {
+		sim.publisher.AppendDecision(Decision{kind, UnconfirmedPlacement(id)})
+	}
+}
+
+// observeRunning has a heartbeat tell the leader of a placement.
+func (sim *simulation) observeRunning(placement Placement) {
+	if sim.known[placement] {
+		return
+	}
+	sim.known[placement] = true
+	sim.publisher.AppendDecision(Decision{Started, placement})
+	sim.resolveUnconfirmed(placement.Task)
+}
+
+// resolveUnconfirmed ends the uncertainty about a task: the leader has proof of where it is, or
+// that it is nowhere.
+func (sim *simulation) resolveUnconfirmed(task string) {
+	if !sim.unconfirmed[task] {
+		return
+	}
+	delete(sim.unconfirmed, task)
+	job := jobOfTask(task)
+	if !sim.unconfirmedJobs[job] {
+		sim.publishUnconfirmed(Ended, task)
+		return
+	}
+	var remaining []string
+	for other := range sim.unconfirmed {
+		if jobOfTask(other) == job {
+			remaining = append(remaining, other)
+		}
+	}
+	if len(remaining) > maxUnconfirmedTasks {
+		return
+	}
+	delete(sim.unconfirmedJobs, job)
+	for _, other := range remaining {
+		sim.publishUnconfirmed(Started, other)
+	}
+	sim.publishUnconfirmed(Ended, job)
+}
+
+// reconcileMachines has every machine report: what no machine has is nowhere.
+func (sim *simulation) reconcileMachines() {
+	for placement := range sim.running {
+		sim.observeRunning(placement)
+	}
+	for task := range sim.unconfirmed {
+		sim.resolveUnconfirmed(task)
+	}
+}
+
+// makeDecision has the leader learn of an end or of a placement, or decide on a start.
+func (sim *simulation) makeDecision() {
+	switch sim.rng.IntN(8) {
+	case 0, 1:
+		for placement := range sim.running {
+			if sim.rng.IntN(4) == 0 && !sim.known[placement] {
+				delete(sim.running, placement) // it ends with its machine, which the leader does not know of
+			} else if sim.known[placement] {
+				delete(sim.running, placement)
+				sim.publisher.AppendDecision(Decision{Ended, placement})
+			}
+			return
+		}
+	case 2, 3:
+		for placement := range sim.running {
+			sim.observeRunning(placement)
+			return
+		}
+	case 4:
+		if sim.rng.IntN(10) == 0 {
+			sim.reconcileMachines()
+		}
+	default:
+		sim.placeTask()
+	}
+}
+
+// placeTask decides on a start of a task that is nowhere as far as the leader knows.
+func (sim *simulation) placeTask() {
+	task := wire.TaskID(jobID(sim.rng.IntN(jobCount)), sim.rng.IntN(tasksPerJob))
+	if sim.unconfirmed[task] {
+		return
+	}
+	for _, placements := range []iter.Seq[Placement]{maps.Keys(sim.known), maps.Values(sim.pendingStarts)} {
+		for placement := range placements {
+			if placement.Task == task && (!sim.known[placement] || sim.running[placement]) {
+				return
+			}
+		}
+	}
+	sim.lastAttempt++
+	placement := Placement{Task: task, Attempt: uint64(sim.lastAttempt), Machine: fmt.Sprint("m", sim.rng.IntN(9))}
+	sim.pendingStarts[sim.publisher.AppendDecision(Decision{Started, placement})] = placement
+}
+
+// sendStarts sends the starts that may be sent.
+func (sim *simulation) sendStarts() {
+	for sequence, placement := range sim.pendingStarts {
+		if !sim.inSyncSet.MaySendStart(sequence) {
+			continue
+		}
+		delete(sim.pendingStarts, sequence)
+		for other := range sim.running {
+			if other.Task == placement.Task {
+				sim.t.Fatalf("%s is started on %s, and runs on %s", placement.Task, placement.Machine, other.Machine)
+			}
+		}
+		sim.running[placement], sim.known[placement] = true, true
+		sim.sentStarts++
+	}
+}
+
+// leadWithoutReplicas has a controller of a version without replicas lead for a moment: it starts
+// what it knows to be nowhere, publishes nothing, and leaves the record as it is.
+func (sim *simulation) leadWithoutReplicas() {
+	sim.changeLockHolder(false)
+	sim.leader, sim.unconfirmed = "", nil
+	for range sim.rng.IntN(4) {
+		task := wire.TaskID(jobID(sim.rng.IntN(jobCount)), sim.rng.IntN(tasksPerJob))
+		isRunning := false
+		for placement := range sim.running {
+			isRunning = isRunning || placement.Task == task
+		}
+		if !isRunning {
+			sim.lastAttempt++
+			sim.running[Placement{Task: task, Attempt: uint64(sim.lastAttempt), Machine: "m"}] = true
+		}
+	}
+}
--- /dev/null
+++ b/internal/standby/simulation_network_test.go
@@ -0,0 +1,163 @@
+package standby
+
+import "firwood.dev/firwood/internal/clock"
+
+// network has the messages and answers in flight.
+type network struct {
+	messages []inFlightMessage
+	answers  []inFlightAnswer
+}
+
+type inFlightMessage struct {
+	to      string
+	message *Message
+}
+
+type inFlightAnswer struct {
+	from     string
+	to       *Publisher
+	position Position
+}
+
+// storedRecord is the in-sync record in the key-value store.
+type storedRecord struct {
+	record        InSyncRecord
+	recordVersion uint64
+	writes        []recordWrite // sent; may be carried out at any time, and again
+}
+
+type recordWrite struct {
+	record  InSyncRecord
+	token   uint64
+	version uint64
+}
+
+// deliverRandom takes some message and some answer out of the network, or copies of them.
+func (sim *simulation) deliverRandom() {
+	if n := len(sim.messages); n > 0 {
+		i := sim.rng.IntN(n)
+		delivery := sim.messages[i]
+		isLost, isRepeated := sim.rng.IntN(8) == 0, sim.rng.IntN(5) == 0
+		if !isLost && delivery.to != sim.leader {
+			sim.answers = append(sim.answers, inFlightAnswer{delivery.to, sim.publisher, sim.applyToReplica(delivery)})
+		}
+		if !isRepeated {
+			sim.messages = append(sim.messages[:i], sim.messages[i+1:]...)
+		}
+	}
+	if n := len(sim.answers); n > 0 {
+		i := sim.rng.IntN(n)
+		answer := sim.answers[i]
+		if sim.rng.IntN(8) > 0 && sim.leader != "" && answer.to == sim.publisher {
+			sim.publisher.RecordPosition(answer.from, answer.position)
+		}
+		if sim.rng.IntN(5) > 0 {
+			sim.answers = append(sim.answers[:i], sim.answers[i+1:]...)
+		}
+	}
+}
+
+// applyToReplica has a member apply a message. The version without unconfirmed entries does not
+// send its version; it may be given what was sent to an earlier process of a later version.
+func (sim *simulation) applyToReplica(delivery inFlightMessage) Position {
+	position := sim.replicas[delivery.to].ApplyMessage(delivery.message)
+	if sim.isOldVersion[delivery.to] {
+		position.ProtocolVersion = 0
+	}
+	return position
+}
+
+// applyWrite carries a write out, if its conditions hold.
+func (sim *simulation) applyWrite(write recordWrite) bool {
+	if write.token != sim.lockToken || write.version != sim.recordVersion {
+		return false
+	}
+	sim.recordVersion++
+	sim.record = write.record
+	for _, name := range sim.memberNames {
+		sim.replicas[name].PruneEarlier(sim.record.Token)
+	}
+	return true
+}
+
+// writeRecord has the leader write its record, with one of the outcomes that a write may have.
+func (sim *simulation) writeRecord() {
+	if sim.isOldVersion[sim.leader] && len(sim.unconfirmed) > 0 {
+		// That version names nobody before everything is confirmed.
+		sim.applyWrite(recordWrite{InSyncRecord{Token: sim.lockToken}, sim.lockToken, sim.recordVersion})
+		sim.inSyncSet.ObserveRecord(sim.record, sim.recordVersion)
+		return
+	}
+	record, version, ok := sim.inSyncSet.BeginWrite(sim.now)
+	if !ok {
+		return
+	}
+	write := recordWrite{record, sim.publisher.token, version}
+	switch sim.rng.IntN(4) {
+	case 0: // no response, and carried out late if at all
+		sim.writes = append(sim.writes, write)
+		sim.inSyncSet.MarkWriteUnresolved()
+	case 1: // carried out, no response
+		sim.applyWrite(write)
+		sim.inSyncSet.MarkWriteUnresolved()
+	default:
+		if sim.applyWrite(write) {
+			sim.inSyncSet.ConfirmWrite(sim.recordVersion)
+		} else {
+			sim.inSyncSet.RejectWrite()
+		}
+	}
+}
+
+// publishMessages sends each follower the next message, if one is due.
+func (sim *simulation) publishMessages() {
+	for name := range sim.publisher.followers {
+		if message, ok := sim.publisher.NextMessage(name, sim.now); ok {
+			sim.messages = append(sim.messages, inFlightMessage{name, message})
+		}
+	}
+}
+
+// observeOrRepeatWrite has the leader read the record, and a sent write be carried out (again).
+func (sim *simulation) observeOrRepeatWrite() {
+	if sim.hasLeader() && sim.rng.IntN(2) == 0 {
+		sim.inSyncSet.ObserveRecord(sim.record, sim.recordVersion)
+	}
+	if len(sim.writes) > 0 && sim.rng.IntN(2) == 0 {
+		sim.applyWrite(sim.writes[sim.rng.IntN(len(sim.writes))])
+	}
+}
+
+// healNetwork ends the faults and waits until all members are in sync.
+func (sim *simulation) healNetwork() {
+	if !sim.hasLeader() {
+		sim.electLeader("a")
+	}
+	sim.messages, sim.answers = nil, nil
+	sim.reconcileMachines()
+	for range 200 {
+		sim.now += 50 * clock.Millisecond
+		for name := range sim.publisher.followers {
+			if message, ok := sim.publisher.NextMessage(name, sim.now); ok {
+				sim.publisher.RecordPosition(name, sim.applyToReplica(inFlightMessage{name, message}))
+			}
+		}
+		sim.writeRecordReliably()
+		sim.sendStarts()
+		sim.checkInvariants()
+	}
+}
+
+// writeRecordReliably has the leader write its record, if it needs to, with a response at once.
+func (sim *simulation) writeRecordReliably() {
+	record, version, ok := sim.inSyncSet.BeginWrite(sim.now)
+	if !ok {
+		return
+	}
+	if sim.applyWrite(recordWrite{record, sim.publisher.token, version}) {
+		sim.inSyncSet.ConfirmWrite(sim.recordVersion)
+		return
+	}
+	sim.inSyncSet.RejectWrite()
+	sim.inSyncSet.ObserveRecord(sim.record, sim.recordVersion)
+}
