--- a/internal/election/action.go
+++ b/internal/election/action.go
@@ -46,11 +46,11 @@
 type AcquireResult uint8
 
 const (
-	// AcquireSucceeded: this member has the lock; the key's version is the fencing token.
+	// AcquireSucceeded means that this member has the lock; the key's version is the fencing token.
 	AcquireSucceeded AcquireResult = iota + 1
-	// AcquireFailed: another member has the lock, or the transaction can never be committed.
+	// AcquireFailed means that another member has the lock, or the transaction can never be committed.
 	AcquireFailed
-	// AcquireUnknown: the transaction may have been committed, or may still be.
+	// AcquireUnknown means that the transaction may have been committed, or may still be.
 	AcquireUnknown
 )
 
@@ -69,11 +69,11 @@
 type RenewResult uint8
 
 const (
-	// RenewSucceeded: the lease was renewed.
+	// RenewSucceeded means that the lease was renewed.
 	RenewSucceeded RenewResult = iota + 1
-	// RenewLeaseExpired: the lease doesn't exist any more, and with it the lock.
+	// RenewLeaseExpired means that the lease doesn't exist any more, and with it the lock.
 	RenewLeaseExpired
-	// RenewUnknown: the lease may have been renewed.
+	// RenewUnknown means that the lease may have been renewed.
 	RenewUnknown
 )
 
--- a/internal/standby/decision.go
+++ b/internal/standby/decision.go
@@ -67,9 +67,9 @@
 type DecisionKind uint8
 
 const (
-	// Started: the placement may run from now on, or the unconfirmed entry was added.
+	// Started means that the placement may run from now on, or that the unconfirmed entry was added.
 	Started DecisionKind = iota + 1
-	// Ended: the placement has provably ended, or the unconfirmed entry is resolved.
+	// Ended means that the placement has provably ended, or that the unconfirmed entry is resolved.
 	Ended
 )
 
