--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -8,6 +8,7 @@
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/forecast"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/internal/staleness"
@@ -157,12 +158,17 @@
 	term.tracker = allocation.New(allocationConfig)
 	tuning := &controller.tuning
 	term.scheduler = scheduler.New(scheduler.Settings{
-		WaitWeight: tuning.Alpha, IdleWeight: tuning.Beta, IdleTimeout: clock.FromSeconds(tuning.IdleWaitS), RelaxedIdleTimeout: clock.FromSeconds(tuning.LaxIdleWaitS),
-		ScreenWindow: clock.FromSeconds(tuning.ScreenWindowS), ArrivalRecencyWindow: clock.FromSeconds(tuning.RecencyS),
-		MinSpares: tuning.SpareMin, MaxSpares: tuning.SpareMax,
-		ScreenMinSamples: tuning.ScreenMinSamples, ScreenMaxSamples: tuning.ScreenMaxSamples, MaxVariationDeviation: tuning.ScreenCV, MaxLagCorrelation: tuning.ScreenLag, MaxKSDistance: tuning.ScreenKS,
-		ArrivalSmoothing: tuning.SmoothArrival, RunTimeSmoothing: tuning.SmoothService, DemandSizeSmoothing: tuning.SmoothNeed,
-		IdleCostHorizon: clock.FromSeconds(tuning.HorizonS), SpotWaitTimeout: clock.FromSeconds(tuning.SpotPatienceS), AgingThreshold: clock.FromSeconds(tuning.AgeAfterS),
+		Screen: forecast.ScreenSettings{
+			Window: clock.FromSeconds(tuning.ScreenWindowS), MinSamples: tuning.ScreenMinSamples, MaxSamples: tuning.ScreenMaxSamples,
+			MaxVariationDeviation: tuning.ScreenCV, MaxLagCorrelation: tuning.ScreenLag, MaxKSDistance: tuning.ScreenKS,
+		},
+		Smoothing: forecast.Smoothing{Arrival: tuning.SmoothArrival, RunTime: tuning.SmoothService, DemandSize: tuning.SmoothNeed},
+		Spares: scheduler.SpareSettings{
+			WaitWeight: tuning.Alpha, IdleWeight: tuning.Beta, Min: tuning.SpareMin, Max: tuning.SpareMax,
+			IdleCostHorizon: clock.FromSeconds(tuning.HorizonS), ArrivalRecencyWindow: clock.FromSeconds(tuning.RecencyS),
+		},
+		IdleTimeout: clock.FromSeconds(tuning.IdleWaitS), RelaxedIdleTimeout: clock.FromSeconds(tuning.LaxIdleWaitS),
+		SpotWaitTimeout: clock.FromSeconds(tuning.SpotPatienceS), AgingThreshold: clock.FromSeconds(tuning.AgeAfterS),
 		GangWaitWeight: tuning.GangWeight,
 	}, controller.machineTypes, controller.teams, deployment.Zones)
 	term.scheduler.HeartbeatWindow, term.scheduler.TermStartedAt = term.heartbeatWindow(), now
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -5,6 +5,7 @@
 
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/forecast"
 )
 
 // PendingScaleOut is a rental under way: asked for, no names yet.
@@ -32,9 +33,9 @@
 
 // SpareReport is the record of one choice of a spare target.
 type SpareReport struct {
-	ArrivalScreen, RunTimeScreen ScreenResult
+	ArrivalScreen, RunTimeScreen forecast.ScreenResult
 	IsEnabled                    bool // the screen passed, the queue is empty, an arrival is recent
-	Cost                         SpareCost
+	Cost                         forecast.SpareCost
 }
 
 // schedulingCycle is the working state of one plan. What it looks at is bounded by what
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,3 +1,6 @@
+// Package scheduler owns SNF-ICON: the order of waiting work, where it goes,
+// what is rented and given back, the screen, the spare target. It is pure: it
+// reads the ledger and returns decisions.
 package scheduler
 
 import (
@@ -7,6 +10,7 @@
 
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/forecast"
 	"firwood.dev/firwood/wire"
 )
 
@@ -42,10 +46,10 @@
 	// WaitObjectives are the shortest waits that users expect, in seconds by class.
 	WaitObjectives map[string]float64
 
-	runTimes       map[string]*RunTimeModel
-	spotDemand     DemandModel
-	ordinaryDemand DemandModel
-	bootTimes      map[string]*bootTimeStats
+	runTimes       map[string]*forecast.RunTimeModel
+	spotDemand     forecast.DemandModel
+	ordinaryDemand forecast.DemandModel
+	bootTimes      map[string]*forecast.BootTimeModel
 	poolBackoffs   map[Pool]*poolBackoff
 
 	// Memory that plans use again.
@@ -58,7 +62,7 @@
 func New(settings Settings, types []wire.MachineType, teams map[string]allocation.TeamQuota, zones []string) *Scheduler {
 	scheduler := &Scheduler{
 		Settings: settings, MachineTypes: map[string]wire.MachineType{}, Teams: teams, Zones: zones,
-		runTimes: map[string]*RunTimeModel{}, bootTimes: map[string]*bootTimeStats{}, poolBackoffs: map[Pool]*poolBackoff{},
+		runTimes: map[string]*forecast.RunTimeModel{}, bootTimes: map[string]*forecast.BootTimeModel{}, poolBackoffs: map[Pool]*poolBackoff{},
 	}
 	for _, machineType := range types {
 		scheduler.MachineTypes[machineType.Name] = machineType
@@ -67,10 +71,10 @@
 }
 
 // RunTimeModel returns the run times of a class.
-func (scheduler *Scheduler) RunTimeModel(name string) *RunTimeModel {
+func (scheduler *Scheduler) RunTimeModel(name string) *forecast.RunTimeModel {
 	model := scheduler.runTimes[name]
 	if model == nil {
-		model = &RunTimeModel{}
+		model = &forecast.RunTimeModel{}
 		scheduler.runTimes[name] = model
 	}
 	return model
@@ -81,7 +85,7 @@
 	return slices.Sorted(maps.Keys(scheduler.runTimes))
 }
 
-func (scheduler *Scheduler) demandFor(job *allocation.Job) *DemandModel {
+func (scheduler *Scheduler) demandFor(job *allocation.Job) *forecast.DemandModel {
 	if job.Spec.AllowsSpot {
 		return &scheduler.spotDemand
 	}
@@ -125,19 +129,17 @@
 
 // ObserveArrival takes a new job.
 func (scheduler *Scheduler) ObserveArrival(job *allocation.Job, now clock.Micros) {
+	demand := scheduler.demandFor(job)
 	if waitObjective, ok := scheduler.WaitObjectives[job.Spec.Class]; ok {
-		demand := scheduler.demandFor(job)
-		if demand.waitObjective == 0 || waitObjective < demand.waitObjective {
-			demand.waitObjective = waitObjective
-		}
+		demand.ObserveWaitObjective(waitObjective)
 	}
-	scheduler.demandFor(job).ObserveArrival(now, scheduler.MachinesNeeded(job), scheduler.machineShare(job), &scheduler.Settings)
+	demand.ObserveArrival(now, scheduler.MachinesNeeded(job), scheduler.machineShare(job), &scheduler.Settings.Smoothing)
 }
 
 // ObserveTaskRun takes a task's run time.
 func (scheduler *Scheduler) ObserveTaskRun(job *allocation.Job, seconds float64, now clock.Micros) {
-	scheduler.RunTimeModel(job.Spec.Class).Observe(job.Spec.EstimatedRunSeconds, seconds, scheduler.Settings.RunTimeSmoothing)
-	scheduler.demandFor(job).ObserveTaskRun(seconds, &scheduler.Settings)
+	scheduler.RunTimeModel(job.Spec.Class).Observe(job.Spec.EstimatedRunSeconds, seconds, scheduler.Settings.Smoothing.RunTime)
+	scheduler.demandFor(job).ObserveTaskRun(seconds, &scheduler.Settings.Smoothing)
 }
 
 // ObserveJobRun takes a job's run time, the mean of its tasks'. The screen rests on jobs, as
@@ -147,6 +149,38 @@
 	scheduler.demandFor(job).JobRunTimes.Add(now, seconds)
 }
 
+func (scheduler *Scheduler) bootTimeModel(typeName string) *forecast.BootTimeModel {
+	model := scheduler.bootTimes[typeName]
+	if model == nil {
+		model = forecast.NewBootTimeModel()
+		scheduler.bootTimes[typeName] = model
+	}
+	return model
+}
+
+// ObserveBoot takes the time that a machine took to report.
+func (scheduler *Scheduler) ObserveBoot(typeName string, bootTime clock.Micros) {
+	scheduler.bootTimeModel(typeName).Observe(bootTime)
+}
+
+// RecentBootTimes are the last boots of a type, for another leader to go on with.
+func (scheduler *Scheduler) RecentBootTimes(typeName string) []clock.Micros {
+	return scheduler.bootTimes[typeName].Recent()
+}
+
+// RestoreBootTimes takes the boots of a type that another leader has seen, unless some were
+// seen here. Times that make no sense are left out.
+func (scheduler *Scheduler) RestoreBootTimes(typeName string, bootTimes []clock.Micros) {
+	if _, ok := scheduler.MachineTypes[typeName]; ok {
+		scheduler.bootTimeModel(typeName).Restore(bootTimes)
+	}
+}
+
+// BootTime is a quantile, in percent, of a type's boot time.
+func (scheduler *Scheduler) BootTime(typeName string, quantile float64) clock.Micros {
+	return scheduler.bootTimes[typeName].Quantile(quantile, clock.FromSeconds(scheduler.MachineTypes[typeName].BootSeconds))
+}
+
 // BootTimeout is how long a machine may boot before it is given up.
 func (scheduler *Scheduler) BootTimeout(typeName string) clock.Micros {
 	return 2*scheduler.BootTime(typeName, 95) + 2*clock.Second
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -8,149 +8,21 @@
 
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/forecast"
 	"firwood.dev/firwood/wire"
 )
 
 func testSettings() Settings {
 	return Settings{
-		WaitWeight: 50, IdleWeight: 1, IdleTimeout: 60 * clock.Second, ScreenWindow: 120 * clock.Second, ArrivalRecencyWindow: 60 * clock.Second,
-		MinSpares: 1, MaxSpares: 4, ScreenMinSamples: 3, ScreenMaxSamples: 1000, MaxVariationDeviation: 0.45, MaxLagCorrelation: 0.65, MaxKSDistance: 3.75,
-		ArrivalSmoothing: 0.2, RunTimeSmoothing: 0.1, DemandSizeSmoothing: 0.1, IdleCostHorizon: 600 * clock.Second,
-		AgingThreshold: 150 * clock.Second, GangWaitWeight: 3,
+		Screen:      forecast.ScreenSettings{Window: 120 * clock.Second, MinSamples: 3, MaxSamples: 1000, MaxVariationDeviation: 0.45, MaxLagCorrelation: 0.65, MaxKSDistance: 3.75},
+		Smoothing:   forecast.Smoothing{Arrival: 0.2, RunTime: 0.1, DemandSize: 0.1},
+		Spares:      SpareSettings{WaitWeight: 50, IdleWeight: 1, Min: 1, Max: 4, IdleCostHorizon: 600 * clock.Second, ArrivalRecencyWindow: 60 * clock.Second},
+		IdleTimeout: 60 * clock.Second, AgingThreshold: 150 * clock.Second, GangWaitWeight: 3,
 	}
 }
 
 func isAlmostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
 
-// W and E worked by hand from (23), (25), (34), (35) and (59): arrivals 0.1 a
-// second, nearest finish in 10 s, so each is next with chance one half and the
-// next event comes after 5 s; one machine is ready, one boots for 6 s more, a
-// new one takes 20 s; the next job asks for 1, 2 or 3 machines with weights
-// 0.5, 0.3 and 0.2.
-func TestSpareCostMatchesHandComputedValues(t *testing.T) {
-	model := SpareModel{MachineFraction: 1, ArrivalRate: 0.1, CompletionRate: 0.1, SizeWeights: map[int]float64{1: 0.5, 2: 0.3, 3: 0.2}, ReadyCount: 1, BootingSeconds: []float64{6}, BootSeconds: 20}
-	remainder6 := 6 - (1-math.Exp(-1.2))/0.2
-	remainder20 := 20 - (1-math.Exp(-4))/0.2
-	for _, testCase := range []struct {
-		x    int
-		w, e float64
-	}{
-		{0, 0.5 * 20, 0},
-		{1, 0.5 * (0.5*0 + 0.5*20), 5},
-		{2, 0.5 * (0.3*remainder6 + 0.2*20), 10},
-		{3, 0.5 * (0.3*remainder6 + 0.2*remainder20), 15},
-	} {
-		got := model.Cost(testCase.x, 50, 1)
-		if !isAlmostEqual(got.ExpectedWait, testCase.w) || !isAlmostEqual(got.IdleSeconds, testCase.e) || !isAlmostEqual(got.Total, 50*testCase.w+testCase.e) {
-			t.Errorf("x=%d: W=%v E=%v J=%v, want W=%v E=%v", testCase.x, got.ExpectedWait, got.IdleSeconds, got.Total, testCase.w, testCase.e)
-		}
-	}
-	model.MachineFraction = 0.25 // four typical jobs to a machine: a spare costs a quarter
-	if got := model.Cost(2, 50, 1); !isAlmostEqual(got.IdleSeconds, 2.5) || !isAlmostEqual(got.ExpectedWait, 0.5*(0.3*remainder6+0.2*20)) {
-		t.Errorf("a quarter machine: %+v", got)
-	}
-	model.MachineFraction = 1
-	model.HorizonSeconds = 4
-	if got, want := model.Cost(1, 50, 1).IdleSeconds, (1-math.Exp(-0.8))/0.2; !isAlmostEqual(got, want) {
-		t.Errorf("capped horizon: %v, want %v", got, want)
-	}
-}
-
-func TestCheapestTargetMatchesBruteForce(t *testing.T) {
-	rng := rand.New(rand.NewPCG(3, 3))
-	for n := 0; n < 2000; n++ {
-		model := SpareModel{MachineFraction: 0.01 + rng.Float64(), ArrivalRate: rng.Float64(), CompletionRate: rng.Float64(), ReadyCount: rng.IntN(4), BootSeconds: 30 * rng.Float64(), SizeWeights: map[int]float64{}}
-		for i := rng.IntN(4); i > 0; i-- {
-			model.BootingSeconds = append(model.BootingSeconds, 20*rng.Float64())
-		}
-		for size := 1; size <= 5; size++ {
-			model.SizeWeights[size] = rng.Float64()
-		}
-		alpha := 100 * rng.Float64()
-		got := model.CheapestTarget(1, 6, alpha, 1)
-		for target := 1; target <= 6; target++ {
-			if cost := model.Cost(target, alpha, 1); cost.Total < got.Total {
-				t.Fatalf("x=%d has J=%v, the choice %d has %v", target, cost.Total, got.Target, got.Total)
-			}
-		}
-	}
-}
-
-func TestScreenAcceptsOnlyExponentialSamples(t *testing.T) {
-	settings := testSettings()
-	rng := rand.New(rand.NewPCG(4, 4))
-	accepted := 0
-	for n := 0; n < 200; n++ {
-		samples := make([]float64, 40)
-		for i := range samples {
-			samples[i] = rng.ExpFloat64() * 7
-		}
-		if screenSamples(samples, &settings).IsExponential {
-			accepted++
-		}
-	}
-	if accepted < 180 {
-		t.Errorf("only %d of 200 exponential windows pass", accepted)
-	}
-	constant := make([]float64, 40)
-	for i := range constant {
-		constant[i] = 7
-	}
-	if result := screenSamples(constant, &settings); result.IsExponential || result.RejectReason != "variation" {
-		t.Errorf("equal gaps: %+v", result)
-	}
-	rising := make([]float64, 40)
-	for i := range rising {
-		rising[i] = math.Exp(float64(i) / 10)
-	}
-	if result := screenSamples(rising, &settings); result.IsExponential {
-		t.Errorf("a trend passes: %+v", result)
-	}
-	if result := screenSamples(constant[:2], &settings); result.IsExponential || result.RejectReason != "too few samples" {
-		t.Errorf("two samples: %+v", result)
-	}
-	// More samples than the bound in a window: the newest count.
-	var busySeries Series
-	for i := 0; i < 3*settings.ScreenMaxSamples; i++ {
-		busySeries.Add(clock.Micros(i), rng.ExpFloat64()*7)
-	}
-	if result := busySeries.Screen(&settings, clock.Second); !result.IsExponential || result.SampleCount != settings.ScreenMaxSamples {
-		t.Errorf("a busy window: %+v", result)
-	}
-	var series Series
-	for i := 0; i < 10; i++ {
-		series.Add(clock.Micros(i)*clock.Second, 1)
-	}
-	if result := series.Screen(&settings, 125*clock.Second); result.SampleCount != 5 {
-		t.Errorf("%d samples in the window, want 5", result.SampleCount)
-	}
-}
-
-// The conditional mean (50) against numbers drawn from the distribution.
-func TestRemainingSecondsMatchesSampling(t *testing.T) {
-	model := RunTimeModel{}
-	rng := rand.New(rand.NewPCG(5, 5))
-	for i := 0; i < 4000; i++ {
-		model.Observe(40, 40*math.Exp(0.2+0.4*rng.NormFloat64()), 0.01)
-	}
-	for _, age := range []float64{0, 20, 60} {
-		sum, count := 0.0, 0
-		for i := 0; i < 200000; i++ {
-			duration := 40 * math.Exp(model.meanLogRatio+model.sigma()*rng.NormFloat64())
-			if duration > age {
-				sum += duration - age
-				count++
-			}
-		}
-		if got, want := model.RemainingSeconds(40, age), sum/float64(count); math.Abs(got-want) > 0.03*want {
-			t.Errorf("age %v: %v, sampled %v", age, got, want)
-		}
-	}
-	if tail := model.RemainingSeconds(40, 1e6); tail < 0 || math.IsNaN(tail) || math.IsInf(tail, 0) {
-		t.Errorf("far tail: %v", tail)
-	}
-}
-
 type schedulerFixture struct {
 	tracker       *allocation.Tracker
 	scheduler     *Scheduler
--- a/internal/scheduler/spares.go
+++ b/internal/scheduler/spares.go
@@ -7,6 +7,7 @@
 
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/forecast"
 )
 
 // planSpares chooses the spare target of each kind, rents what it lacks, and gives
@@ -25,8 +26,8 @@
 // needsWarmSpares tells whether users expect starts of this kind of demand sooner
 // than a machine boots. Only then is an idle machine worth its price; where
 // they wait longer than a boot anyway, a machine rented on arrival does.
-func (scheduler *Scheduler) needsWarmSpares(demand *DemandModel, boot clock.Micros) bool {
-	return demand.waitObjective == 0 && len(scheduler.WaitObjectives) == 0 || demand.waitObjective > 0 && demand.waitObjective < boot.Seconds()
+func (scheduler *Scheduler) needsWarmSpares(demand *forecast.DemandModel, boot clock.Micros) bool {
+	return demand.WaitObjective() == 0 && len(scheduler.WaitObjectives) == 0 || demand.WaitObjective() > 0 && demand.WaitObjective() < boot.Seconds()
 }
 
 // dominantShare is how much of a machine a need takes, of what it takes most of.
@@ -122,20 +123,20 @@
 	return isMovable
 }
 
-func (cycle *schedulingCycle) planSpareTarget(demand *DemandModel, spot bool, queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) (SpareReport, int) {
+func (cycle *schedulingCycle) planSpareTarget(demand *forecast.DemandModel, spot bool, queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) (SpareReport, int) {
 	settings := &cycle.scheduler.Settings
-	report := SpareReport{ArrivalScreen: demand.ArrivalGaps.Screen(settings, cycle.now), RunTimeScreen: demand.JobRunTimes.Screen(settings, cycle.now)}
+	report := SpareReport{ArrivalScreen: demand.ArrivalGaps.Screen(&settings.Screen, cycle.now), RunTimeScreen: demand.JobRunTimes.Screen(&settings.Screen, cycle.now)}
 	// The queue counts as empty when what waits will find room that is about to be
 	// free: in a fleet of a thousand machines something always waits a moment.
 	isQueueServed := !slices.ContainsFunc(queue, func(queued *queuedJob) bool {
 		return queued.job.Spec.AllowsSpot == spot && queued.unplaced > 0 && queued.hasShortfall
 	})
 	isServicesOnly := !spot && report.RunTimeScreen.SampleCount == 0
-	report.IsEnabled = report.ArrivalScreen.IsExponential && (report.RunTimeScreen.IsExponential || isServicesOnly) && isQueueServed && demand.HasRecentArrival(cycle.now, settings)
+	report.IsEnabled = report.ArrivalScreen.IsExponential && (report.RunTimeScreen.IsExponential || isServicesOnly) && isQueueServed && demand.HasRecentArrival(cycle.now, settings.Spares.ArrivalRecencyWindow)
 	if !report.IsEnabled {
 		return report, 0
 	}
-	model := SpareModel{MachineFraction: demand.machineFraction, ArrivalRate: demand.ArrivalRate(), SizeWeights: demand.sizeWeights, HorizonSeconds: min(settings.IdleCostHorizon, settings.IdleTimeout).Seconds()}
+	model := forecast.SpareModel{MachineFraction: demand.MachineFraction(), ArrivalRate: demand.ArrivalRate(), SizeWeights: demand.SizeWeights(), HorizonSeconds: min(settings.Spares.IdleCostHorizon, settings.IdleTimeout).Seconds()}
 	var freeMachines, freeOnBusyMachines float64 // free room in machines: in all, and on used ones
 	nearestCompletion := math.Inf(1)
 	runningTasks, fleetMachines := 0, 0
@@ -177,23 +178,18 @@
 			}
 		}
 	}
-	model.ReadyCount = int(freeMachines / demand.machineFraction)
-	switch {
-	case nearestCompletion > 0 && !math.IsInf(nearestCompletion, 1):
-		model.CompletionRate = 1 / nearestCompletion
-	case demand.meanRunSeconds > 0:
-		model.CompletionRate = float64(runningTasks) / demand.meanRunSeconds // (22), second branch
-	}
+	model.ReadyCount = int(freeMachines / demand.MachineFraction())
+	model.CompletionRate = demand.CompletionRate(nearestCompletion, runningTasks)
 	if !cycle.scheduler.needsWarmSpares(demand, cycle.scheduler.BootTime(typeName, 50)) {
 		return report, 0
 	}
-	maxSpares := settings.MaxSpares
+	maxSpares := settings.Spares.Max
 	if maxSpares == 0 {
 		// Spares grow with the fleet: a job may ask for tens of machines there.
 		maxSpares = max(minSpareLimit, fleetMachines/machinesPerSpare)
 	}
-	report.Cost = model.CheapestTarget(settings.MinSpares, max(maxSpares, settings.MinSpares), settings.WaitWeight, settings.IdleWeight)
-	target := float64(report.Cost.Target) * demand.machineFraction
+	report.Cost = model.CheapestTarget(settings.Spares.Min, max(maxSpares, settings.Spares.Min), settings.Spares.WaitWeight, settings.Spares.IdleWeight)
+	target := float64(report.Cost.Target) * demand.MachineFraction()
 	if shortfall := int(math.Ceil(target - freeMachines - float64(len(model.BootingSeconds)) - 1e-9)); shortfall > 0 && hasPool {
 		decision.ScaleOut = append(decision.ScaleOut, ScaleOutRequest{pool, shortfall})
 	}
