--- a/internal/forecast/sparecost.go
+++ b/internal/forecast/sparecost.go
@@ -7,29 +7,29 @@
 	"sort"
 )
 
-// SpareModel is what the choice of the spare target rests on.
+// SpareModel is what the choice of the spare target rests on. Spares are counted in parts of
+// a machine, see DemandModel.MachineFraction.
 type SpareModel struct {
-	// MachineFraction is the machine that spares are counted in: the part of a machine
-	// that jobs use of each one that they ask for. Several tasks share a
-	// machine here, which the paper's jobs do not.
 	MachineFraction float64
-	ArrivalRate     float64         // arrivals a second
-	CompletionRate  float64         // completions a second
-	SizeWeights     map[int]float64 // weight of a next job that asks for r machines
-	ReadyCount      int             // spare machines ready now
+	ArrivalRate     float64         // arrivals a second, lambda
+	CompletionRate  float64         // completions a second, lambda_C
+	SizeWeights     map[int]float64 // w_r, by the number of machines r that the next job needs
+	ReadyCount      int             // spares ready now
 	BootingSeconds  []float64       // seconds until each booting machine is ready
-	BootSeconds     float64         // seconds until a machine rented now is ready
-	HorizonSeconds  float64         // seconds; 0: none
+	BootSeconds     float64         // seconds until a machine requested now is ready
+	HorizonSeconds  float64         // H_c; 0: none
 }
 
 // SpareCost is the cost of one candidate target.
 type SpareCost struct {
-	Target                           int
-	ExpectedWait, IdleSeconds, Total float64
+	Target       int     // x, the number of spares
+	ExpectedWait float64 // W, in seconds
+	IdleSeconds  float64 // E, in seconds of a machine
+	Total        float64 // J
 }
 
-// expectedRemainder is the part of a transition of d seconds that is still left at
-// the next event (59).
+// expectedRemainder is the expected part of a transition of delay seconds that is still left
+// at the next event, phi (59).
 func expectedRemainder(delay, rate float64) float64 {
 	if rate <= 0 {
 		return 0
@@ -37,19 +37,29 @@
 	return delay - (1-math.Exp(-rate*delay))/rate
 }
 
-// Cost works out J for one target (34), (35), (37), (39).
+// Cost works out J for one target x (34), (35), (37), (39). The weights are alpha and beta.
 func (model *SpareModel) Cost(target int, waitWeight, idleWeight float64) SpareCost {
-	rate := model.ArrivalRate + model.CompletionRate
-	cost := SpareCost{Target: target}
-	horizon := model.HorizonSeconds
-	if rate > 0 {
-		untilNextEvent := 1 / rate
-		if model.HorizonSeconds > 0 {
-			untilNextEvent = (1 - math.Exp(-rate*model.HorizonSeconds)) / rate
-		}
-		horizon = untilNextEvent
+	eventRate := model.ArrivalRate + model.CompletionRate
+	cost := SpareCost{Target: target, ExpectedWait: model.expectedWait(model.readyDelays(target, eventRate), eventRate)}
+	cost.IdleSeconds = float64(target) * model.MachineFraction * model.meanHorizon(eventRate)
+	cost.Total = waitWeight*cost.ExpectedWait + idleWeight*cost.IdleSeconds
+	return cost
+}
+
+// meanHorizon is the mean time to the next event, H, capped by the horizon (25).
+func (model *SpareModel) meanHorizon(eventRate float64) float64 {
+	switch {
+	case eventRate <= 0:
+		return model.HorizonSeconds
+	case model.HorizonSeconds > 0:
+		return (1 - math.Exp(-eventRate*model.HorizonSeconds)) / eventRate
 	}
-	// Readiness of the machines that the plan prepares, nearest first.
+	return 1 / eventRate
+}
+
+// readyDelays lists the seconds until each machine that the plan prepares is ready, nearest
+// first (33): those ready now, those that boot, those still to be requested.
+func (model *SpareModel) readyDelays(target int, eventRate float64) []float64 {
 	delays := make([]float64, 0, target)
 	for i := 0; i < model.ReadyCount && len(delays) < target; i++ {
 		delays = append(delays, 0)
@@ -58,43 +68,58 @@
 	sort.Float64s(bootingSeconds)
 	for _, seconds := range bootingSeconds {
 		if len(delays) < target {
-			delays = append(delays, expectedRemainder(seconds, rate))
+			delays = append(delays, expectedRemainder(seconds, eventRate))
 		}
 	}
 	for len(delays) < target {
-		delays = append(delays, expectedRemainder(model.BootSeconds, rate))
+		delays = append(delays, expectedRemainder(model.BootSeconds, eventRate))
 	}
-	if rate > 0 && model.ArrivalRate > 0 {
-		var weightedDelay, totalWeight float64
-		// In order of r: the sums, and with them the choice, must not depend on
-		// the order of a map.
-		for _, size := range slices.Sorted(maps.Keys(model.SizeWeights)) {
-			sizeWeight := model.SizeWeights[size]
-			delay := model.BootSeconds // not prepared: rented on arrival
-			if size <= len(delays) {
-				delay = delays[size-1]
-			}
-			weightedDelay += sizeWeight * delay
-			totalWeight += sizeWeight
-		}
-		if totalWeight > 0 {
-			cost.ExpectedWait = model.ArrivalRate / rate * weightedDelay / totalWeight
+	return delays
+}
+
+// expectedWait is W: the mean delay over the sizes of the next job (34), times the
+// probability that the next event is an arrival (35).
+func (model *SpareModel) expectedWait(delays []float64, eventRate float64) float64 {
+	if eventRate <= 0 || model.ArrivalRate <= 0 {
+		return 0
+	}
+	var weightedDelay, totalWeight float64
+	// In order of size: the sums, and with them the choice, must not depend on the order
+	// of a map.
+	for _, size := range slices.Sorted(maps.Keys(model.SizeWeights)) {
+		sizeWeight := model.SizeWeights[size]
+		delay := model.BootSeconds // not prepared: requested on arrival
+		if size <= len(delays) {
+			delay = delays[size-1]
 		}
+		weightedDelay += sizeWeight * delay
+		totalWeight += sizeWeight
 	}
-	cost.IdleSeconds = float64(target) * model.MachineFraction * horizon
-	cost.Total = waitWeight*cost.ExpectedWait + idleWeight*cost.IdleSeconds
-	return cost
+	if totalWeight <= 0 {
+		return 0
+	}
+	return model.ArrivalRate / eventRate * weightedDelay / totalWeight
 }
 
-// CheapestTarget picks the target between lo and hi with the least J, then the least
-// W, then E, then x.
+// CheapestTarget picks the target from minTarget to maxTarget with the least J, then the
+// least W, then E, then x (39).
 func (model *SpareModel) CheapestTarget(minTarget, maxTarget int, waitWeight, idleWeight float64) SpareCost {
 	best := model.Cost(minTarget, waitWeight, idleWeight)
 	for target := minTarget + 1; target <= maxTarget; target++ {
-		cost := model.Cost(target, waitWeight, idleWeight)
-		if cost.Total < best.Total || cost.Total == best.Total && (cost.ExpectedWait < best.ExpectedWait || cost.ExpectedWait == best.ExpectedWait && cost.IdleSeconds < best.IdleSeconds) {
+		if cost := model.Cost(target, waitWeight, idleWeight); cost.isBelow(best) {
 			best = cost
 		}
 	}
 	return best
 }
+
+// isBelow compares by J, then W, then E.
+func (cost SpareCost) isBelow(other SpareCost) bool {
+	switch {
+	case cost.Total != other.Total:
+		return cost.Total < other.Total
+	case cost.ExpectedWait != other.ExpectedWait:
+		return cost.ExpectedWait < other.ExpectedWait
+	}
+	return cost.IdleSeconds < other.IdleSeconds
+}
