--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -10,69 +10,6 @@
 	"firwood.dev/firwood/wire"
 )
 
-// reportTasks has a machine report all that the ledger has placed on it, in a state.
-func (fixture *schedulerFixture) reportTasks(machine *allocation.Machine, taskState string) {
-	fixture.tracker.HeartbeatCommands(machine, fixture.now)
-	var tasks []wire.TaskStatus
-	machine.ForEachPlacement(func(placement *allocation.Placement) {
-		if !placement.IsStopping() {
-			tasks = append(tasks, wire.TaskStatus{TaskID: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: taskState})
-		}
-	})
-	fixture.heartbeatSeqs[machine.Name] += 2
-	fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Tasks: tasks}, fixture.now)
-}
-
-func (fixture *schedulerFixture) plan() Decision {
-	return fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
-}
-
-// newCrowdedFixture has machines with two cards each, both taken by tasks of an array that end
-// at different times.
-func newCrowdedFixture(t *testing.T, machines int, spec wire.Job) (*schedulerFixture, *allocation.Job) {
-	t.Helper()
-	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
-	spec.ID, spec.TaskCount, spec.CPUs, spec.GPUs, spec.Team = "req-000001", 2*machines, 5, 1, "a"
-	batchJob := fixture.addJob(spec)
-	for i := range machines {
-		machine := fixture.addMachine(fmt.Sprintf("i-%02d", i), "big", "x", false)
-		for k := range 2 {
-			if err := fixture.tracker.PlaceTask(batchJob, 2*i+k, machine, fixture.tracker.NextAttempt(), fixture.now); err != nil {
-				t.Fatal(err)
-			}
-		}
-		fixture.reportTasks(machine, wire.TaskRunning)
-	}
-	for _, zone := range []string{"x", "y", "z"} {
-		fixture.scheduler.ObserveEmptyPool(Pool{"big", zone, false}, fixture.now+10*clock.Second)
-		fixture.scheduler.ObserveEmptyPool(Pool{"big", zone, true}, fixture.now+10*clock.Second)
-	}
-	return fixture, batchJob
-}
-
-func stoppingCount(job *allocation.Job) (n int) {
-	job.ForEachPlacement(func(placement *allocation.Placement) {
-		if placement.IsStopping() {
-			n++
-		}
-	})
-	return n
-}
-
-func (fixture *schedulerFixture) completeTask(job *allocation.Job, index int) {
-	machine := job.Tasks[index].Placement.Machine
-	var tasks []wire.TaskStatus
-	machine.ForEachPlacement(func(placement *allocation.Placement) {
-		task := wire.TaskStatus{TaskID: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: wire.TaskRunning}
-		if placement.Job == job && placement.TaskIndex == index {
-			task.State, task.ExitCause = wire.TaskExited, wire.ExitDone
-		}
-		tasks = append(tasks, task)
-	})
-	fixture.heartbeatSeqs[machine.Name] += 2
-	fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Tasks: tasks}, fixture.now)
-}
-
 // A card that falls free is kept for a gang whose turn it is, until the machine's
 // other card is free too; it once went to the next array task every time, and gangs
 // waited for as long as there were any.
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -71,13 +71,17 @@
 type candidateHeap []candidate
 
 func (candidates candidateHeap) Len() int { return len(candidates) }
+
 func (candidates candidateHeap) Less(a, b int) bool {
 	return candidates[a].score > candidates[b].score || candidates[a].score == candidates[b].score && candidates[a].machine.SortIndex < candidates[b].machine.SortIndex
 }
+
 func (candidates candidateHeap) Swap(a, b int) {
 	candidates[a], candidates[b] = candidates[b], candidates[a]
 }
+
 func (candidates *candidateHeap) Push(x any) { *candidates = append(*candidates, x.(candidate)) }
+
 func (candidates *candidateHeap) Pop() any {
 	x := (*candidates)[len(*candidates)-1]
 	*candidates = (*candidates)[:len(*candidates)-1]
--- /dev/null
+++ b/internal/scheduler/placement_test.go
@@ -0,0 +1,166 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/wire"
+)
+
+// A cut of a zone without a controller once took a third of the replicas: nobody
+// inside can keep their leases alive. Replicas go, and machines are rented for
+// them, where somebody can, as far as the job's wishes allow.
+func TestReplicasPreferDelegatedZones(t *testing.T) {
+	fixture := newFixture(nil)
+	fixture.scheduler.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: []string{"x", "y", "z"}}})
+	fixture.scheduler.Zones = []string{"x", "y", "z"}
+	fixture.scheduler.DelegatedZones = map[string]bool{"y": true, "z": true}
+	countByZone := func(job *allocation.Job) map[string]int {
+		byZone := map[string]int{}
+		job.ForEachPlacement(func(placement *allocation.Placement) { byZone[placement.Machine.Zone]++ })
+		return byZone
+	}
+	job := fixture.addJob(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 5, CPUs: 1, MemoryGB: 1, SpreadZones: true})
+	decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	for _, request := range decision.ScaleOut {
+		if request.Pool.Zone == "x" {
+			t.Errorf("rented in a zone where nobody keeps leases: %+v", decision.ScaleOut)
+		}
+	}
+	if len(decision.ScaleOut) == 0 {
+		t.Fatal("nothing rented")
+	}
+	for _, zone := range []string{"x", "y", "z"} {
+		fixture.addMachine("i-"+zone, "m", zone, false)
+	}
+	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	if byZone := countByZone(job); byZone["x"] != 0 || byZone["y"]+byZone["z"] != 5 {
+		t.Errorf("placed at %v", byZone)
+	}
+	// One kept zone alone may not have them all.
+	fixture = newFixture(nil)
+	fixture.scheduler.DelegatedZones = map[string]bool{"y": true}
+	fixture.addMachine("i-x", "big", "x", false)
+	fixture.addMachine("i-y", "big", "y", false)
+	job = fixture.addJob(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 5, CPUs: 1, MemoryGB: 1, SpreadZones: true})
+	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	if byZone := countByZone(job); byZone["y"] != 3 || byZone["x"] != 2 {
+		t.Errorf("with one kept zone placed at %v", byZone)
+	}
+}
+
+// Replicas with many images go to more machines than would hold them: fetches
+// share a machine's rate.
+func TestImageFetchesAreSpreadOverMachines(t *testing.T) {
+	fixture := newFixture(nil)
+	for i := 0; i < 4; i++ {
+		fixture.addMachine(fmt.Sprintf("i-%d", i), "big", "x", false)
+	}
+	imagesByMachine := map[string]map[string]bool{}
+	var jobs []*allocation.Job
+	for i := 0; i < 12; i++ {
+		jobs = append(jobs, fixture.addJob(wire.Job{ID: fmt.Sprintf("req-%06d", i), Kind: wire.KindService, Priority: wire.PriorityProduction,
+			TaskCount: 1, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("image-%d", i), ImageSizeGB: 2}))
+	}
+	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	for _, job := range jobs {
+		job.ForEachPlacement(func(placement *allocation.Placement) {
+			if imagesByMachine[placement.Machine.Name] == nil {
+				imagesByMachine[placement.Machine.Name] = map[string]bool{}
+			}
+			imagesByMachine[placement.Machine.Name][job.Spec.Image] = true
+		})
+	}
+	for n, images := range imagesByMachine {
+		if len(images) > 6 {
+			t.Errorf("%s fetches %d of 12 images at a time", n, len(images))
+		}
+	}
+	if len(imagesByMachine) < 3 {
+		t.Errorf("all images on %d machines", len(imagesByMachine))
+	}
+}
+
+// The fast placement decides as the plain one does: every machine scored for
+// every job, sorted in full, and for a spread job sorted anew for every task.
+func TestPlacementMatchesBruteForce(t *testing.T) {
+	placed := 0
+	for seed := uint64(1); seed <= 300; seed++ {
+		build := func() (*schedulerFixture, []*allocation.Job) {
+			rng := rand.New(rand.NewPCG(seed, 21))
+			fixture := newFixture(map[string]allocation.TeamQuota{"a": {MaxMilliCPU: int64(20+rng.IntN(100)) * 1000}})
+			for i := rng.IntN(30); i >= 0; i-- {
+				machine := fixture.addMachine(fmt.Sprintf("i-%02d", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y", "z"}[rng.IntN(3)], rng.IntN(2) == 0)
+				if rng.IntN(2) == 0 {
+					machine.ImageUsedAt[fmt.Sprint("img-", rng.IntN(3))] = fixture.now
+				}
+			}
+			var jobs []*allocation.Job
+			for i := 0; i < 1+rng.IntN(8); i++ {
+				spec := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: "a", TaskCount: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(1 + rng.IntN(8)),
+					EstimatedRunSeconds: float64(5 + rng.IntN(90)), AllowsSpot: rng.IntN(2) == 0, Image: fmt.Sprint("img-", rng.IntN(3))}
+				if rng.IntN(3) == 0 {
+					spec.Kind, spec.EstimatedRunSeconds, spec.SpreadZones = wire.KindService, 0, true
+				}
+				jobs = append(jobs, fixture.addJob(spec))
+			}
+			return fixture, jobs
+		}
+		place := func(fixture *schedulerFixture, placeJob func(cycle *schedulingCycle, queued *queuedJob)) map[string]string {
+			queue := fixture.scheduler.buildQueue(fixture.tracker, nil, fixture.now, fixture.now)
+			cycle := fixture.scheduler.newCycle(fixture.tracker, queue, fixture.now)
+			for _, queued := range queue {
+				queued.taskLimit = cycle.quotaAllowance(queued.job)
+				placeJob(cycle, queued)
+			}
+			got := map[string]string{}
+			for _, job := range fixture.tracker.Jobs {
+				job.ForEachPlacement(func(placement *allocation.Placement) {
+					got[wire.TaskID(job.Spec.ID, placement.TaskIndex)] = placement.Machine.Name
+				})
+			}
+			return got
+		}
+		fastFixture, _ := build()
+		fast := place(fastFixture, func(cycle *schedulingCycle, queued *queuedJob) { cycle.placeTasks(queued) })
+		plainFixture, _ := build()
+		plain := place(plainFixture, func(cycle *schedulingCycle, queued *queuedJob) {
+			job := queued.job
+			scores := map[*allocation.Machine]float64{}
+			for _, machine := range cycle.machines {
+				scores[machine] = cycle.placementScore(job, machine)
+			}
+			for index := 0; index < min(len(queued.readyTasks), queued.taskLimit); index++ {
+				var best *allocation.Machine
+				for _, machine := range cycle.machines {
+					if !machine.IsSchedulable() || !allocation.IsEligible(job, machine) || !job.Request.IsWithin(cycle.freeResources(machine)) {
+						continue
+					}
+					if job.Spec.SpreadZones && best != nil && job.CountInZone(machine.Zone) > job.CountInZone(best.Zone) {
+						continue
+					}
+					if best == nil || job.Spec.SpreadZones && job.CountInZone(machine.Zone) < job.CountInZone(best.Zone) || scores[machine] > scores[best] {
+						best = machine
+					}
+				}
+				if best == nil || cycle.tracker.PlaceTask(job, queued.readyTasks[index], best, cycle.tracker.NextAttempt(), cycle.now) != nil {
+					return
+				}
+			}
+		})
+		if len(fast) != len(plain) {
+			t.Fatalf("scene %d: %d tasks placed, plainly %d", seed, len(fast), len(plain))
+		}
+		for id, m := range plain {
+			if fast[id] != m {
+				t.Fatalf("scene %d: %s goes to %s, plainly to %s", seed, id, fast[id], m)
+			}
+		}
+		placed += len(plain)
+	}
+	if placed < 2000 {
+		t.Fatalf("only %d tasks were placed", placed)
+	}
+}
--- /dev/null
+++ b/internal/scheduler/plan_test.go
@@ -0,0 +1,181 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// Over generated scenes no plan breaks a job's wishes, a machine's room or a
+// team's limit, and gangs are placed whole.
+func TestPlanRespectsJobMachineAndQuotaConstraints(t *testing.T) {
+	rng := rand.New(rand.NewPCG(6, 6))
+	placed, gangs := 0, 0
+	for n := 0; n < 400; n++ {
+		fixture := newFixture(map[string]allocation.TeamQuota{"a": {GuaranteedMilliCPU: 8000, MaxMilliCPU: 40000}, "b": {MaxMilliGPU: 3000}})
+		for i := rng.IntN(8); i >= 0; i-- {
+			fixture.addMachine(fmt.Sprint("i-", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y"}[rng.IntN(2)], rng.IntN(2) == 0)
+		}
+		for i := rng.IntN(10); i >= 0; i-- {
+			spec := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: []string{"a", "b"}[rng.IntN(2)], TaskCount: 1 + rng.IntN(9),
+				CPUs: 0.5 + float64(rng.IntN(6)), GPUs: float64(rng.IntN(2)), MemoryGB: float64(1 + rng.IntN(12)), EstimatedRunSeconds: float64(1 + rng.IntN(90)),
+				Kind:       []string{wire.KindArray, wire.KindGang, wire.KindService}[rng.IntN(3)],
+				Priority:   []string{wire.PriorityProduction, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}[rng.IntN(4)],
+				AllowsSpot: rng.IntN(2) == 0, SingleZone: rng.IntN(4) == 0, SpreadZones: rng.IntN(4) == 0}
+			if spec.SingleZone {
+				spec.SpreadZones = false
+			}
+			if rng.IntN(4) == 0 {
+				spec.Zone = "x"
+			}
+			if rng.IntN(4) == 0 {
+				spec.MachineTypes = []string{"big"}
+			}
+			fixture.addJob(spec)
+		}
+		for cycleIndex := 0; cycleIndex < 3; cycleIndex++ {
+			decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+			for _, request := range decision.ScaleOut {
+				if request.Count < 1 || request.Count > wire.MaxScaleOutCount {
+					t.Fatalf("scene %d: rents %d", n, request.Count)
+				}
+			}
+			fixture.now += clock.Second
+		}
+		usage := map[string]allocation.Resources{}
+		for _, job := range fixture.tracker.Jobs {
+			zones := map[string]int{}
+			for i := range job.Tasks {
+				placement := job.Tasks[i].Placement
+				if placement == nil {
+					continue
+				}
+				placed++
+				zones[placement.Machine.Zone]++
+				usage[job.Spec.Team] = usage[job.Spec.Team].Add(job.Request)
+				if placement.Machine.Spot && !job.Spec.AllowsSpot || job.Spec.Zone != "" && placement.Machine.Zone != job.Spec.Zone || job.Spec.MachineTypes != nil && placement.Machine.Type != "big" {
+					t.Fatalf("scene %d: %s in a wrong place", n, job.Spec.ID)
+				}
+			}
+			if job.Spec.SingleZone && len(zones) > 1 {
+				t.Fatalf("scene %d: %s in several zones", n, job.Spec.ID)
+			}
+			for _, count := range zones {
+				if job.Spec.SpreadZones && count > job.MaxTasksPerZone() {
+					t.Fatalf("scene %d: %s is not spread", n, job.Spec.ID)
+				}
+			}
+			if job.IsGang() && job.ActiveCount() > 0 {
+				gangs++
+				if job.WaitingCount() > 0 {
+					t.Fatalf("scene %d: gang %s is placed in part", n, job.Spec.ID)
+				}
+			}
+		}
+		for _, machine := range fixture.tracker.Machines {
+			if !machine.Used().IsWithin(machine.Capacity) {
+				t.Fatalf("scene %d: %s is over-full", n, machine.Name)
+			}
+		}
+		if usage["a"].MilliCPU > 40000 || usage["b"].MilliGPU > 3000 {
+			t.Fatalf("scene %d: over the limit: %v", n, usage)
+		}
+	}
+	if placed < 1000 || gangs < 20 {
+		t.Fatalf("%d tasks and %d gangs were placed", placed, gangs)
+	}
+}
+
+// A machine that is held because tasks fail on many gets nothing, and nothing is rented
+// in its place.
+func TestMachineInFaultBackoffGetsNoTasks(t *testing.T) {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
+	machine := fixture.addMachine("i-0", "small", "x", false)
+	machine.BackoffUntil = fixture.now + 2*clock.Second
+	job := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 2, EstimatedRunSeconds: 50})
+	if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); job.ActiveCount() != 0 || len(decision.ScaleOut) != 0 {
+		t.Fatalf("%d tasks are placed, %v is rented though there will be room in a moment", job.ActiveCount(), decision.ScaleOut)
+	}
+	fixture.now = machine.BackoffUntil
+	machine.LastHeartbeatAt = fixture.now
+	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	if job.ActiveCount() != 2 {
+		t.Fatalf("%d tasks are placed when the time is over", job.ActiveCount())
+	}
+}
+
+// A machine that is heard is not by that one that can be told: while direct
+// messages to it get no answer, and once it is not heard, it gets no work; the
+// first sign that it can be told ends that.
+func TestUnreachableMachineGetsNoTasks(t *testing.T) {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
+	unreachable, reachable := fixture.addMachine("i-0", "small", "x", false), fixture.addMachine("i-1", "small", "x", false)
+	firstJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 4, EstimatedRunSeconds: 50})
+	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	if firstJob.ActiveCount() != 2 {
+		t.Fatalf("%d tasks are placed", firstJob.ActiveCount())
+	}
+	_, starts := fixture.tracker.BuildCommandRequest(unreachable, fixture.now)
+	fixture.tracker.FinishCommandRequest(unreachable, starts, allocation.CommandOutcomeUnknown, fixture.now)
+	report := func(machine *allocation.Machine, session uint64) {
+		fixture.heartbeatSeqs[machine.Name]++
+		fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: session, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}, fixture.now)
+	}
+	// Its lease runs out unseen by us; it reports anew, in its next session.
+	fixture.tracker.Cancel(firstJob, fixture.now)
+	fixture.now += 2 * clock.Second
+	report(unreachable, 2)
+	secondJob := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 4, CPUs: 2, EstimatedRunSeconds: 50})
+	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	secondJob.ForEachPlacement(func(placement *allocation.Placement) {
+		if placement.Machine == unreachable {
+			t.Fatal("a machine that cannot be told got work")
+		}
+	})
+	request, starts := fixture.tracker.BuildCommandRequest(unreachable, fixture.now)
+	if request == nil {
+		t.Fatal("nobody asks whether it can be told")
+	}
+	fixture.tracker.FinishCommandRequest(unreachable, starts, allocation.CommandExecuted, fixture.now)
+	reachable.Draining = true
+	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	n := 0
+	secondJob.ForEachPlacement(func(placement *allocation.Placement) {
+		if placement.Machine == unreachable {
+			n++
+		}
+	})
+	if n == 0 {
+		t.Fatal("it can be told again, and gets no work")
+	}
+	suspected := fixture.addMachine("i-2", "small", "x", false)
+	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
+	fixture.now += 6 * clock.Second
+	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", TaskCount: 1, CPUs: 2, EstimatedRunSeconds: 50})
+	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	if !suspected.IsIdle() {
+		t.Fatal("a machine that is not heard got work")
+	}
+}
+
+// What a plan allocates follows what waits, not the size of the fleet.
+func TestPlanAllocationsScaleWithQueueNotFleet(t *testing.T) {
+	allocs := func(machines, waiting int) float64 {
+		fixture := newFleetFixture(machines, 1, waiting)
+		return testing.AllocsPerRun(5, func() {
+			fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+			fixture.now += 100 * clock.Millisecond
+		})
+	}
+	small, large := allocs(100, 6), allocs(2000, 6)
+	if large > 2*small {
+		t.Errorf("a plan before 100 machines allocates %v times, before 2000 %v times", small, large)
+	}
+	if more := allocs(100, 60); more < 2*small {
+		t.Errorf("ten times the queue allocates %v times, against %v: the test counts the wrong thing", more, small)
+	}
+}
--- /dev/null
+++ b/internal/scheduler/queue_test.go
@@ -0,0 +1,74 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// Smallest need first, inside rank and guarantee.
+func TestQueueOrderIsSmallestNeedFirst(t *testing.T) {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {GuaranteedMilliCPU: 4000}, "b": {}})
+	fixture.addMachine("i-0", "big", "x", false)
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "b", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 50})
+	fixture.addJob(wire.Job{ID: "req-000002", Team: "b", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
+	fixture.addJob(wire.Job{ID: "req-000003", Team: "b", TaskCount: 8, CPUs: 4, EstimatedRunSeconds: 1, Kind: wire.KindGang})
+	fixture.addJob(wire.Job{ID: "req-000004", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 90})
+	fixture.addJob(wire.Job{ID: "req-000005", Team: "b", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 90, Priority: wire.PriorityProduction, Kind: wire.KindService})
+	var got []string
+	for _, queued := range fixture.scheduler.buildQueue(fixture.tracker, fixture.scheduler.quotaEntitlements(fixture.tracker), fixture.now, fixture.now) {
+		got = append(got, queued.job.Spec.ID)
+	}
+	want := []string{"req-000005", "req-000004", "req-000002", "req-000001", "req-000003"}
+	if fmt.Sprint(got) != fmt.Sprint(want) {
+		t.Fatalf("%v, want %v", got, want)
+	}
+}
+
+// A long job whose deadline is near goes before shorter ones; one that is late
+// anyway does not.
+func TestUrgentDeadlineGoesFirst(t *testing.T) {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
+	fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 100, DeadlineSeconds: 230})
+	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 100, DeadlineSeconds: 150})
+	firstJobID := func(wall clock.Micros) string {
+		return fixture.scheduler.buildQueue(fixture.tracker, nil, fixture.now, wall)[0].job.Spec.ID
+	}
+	for _, testCase := range []struct {
+		after clock.Micros
+		want  string
+	}{{0, "req-000001"}, {40 * clock.Second, "req-000003"}, {80 * clock.Second, "req-000001"}, {120 * clock.Second, "req-000002"}, {200 * clock.Second, "req-000001"}} {
+		if got := firstJobID(fixture.now + testCase.after); got != testCase.want {
+			t.Errorf("after %v s: %s first, want %s", testCase.after.Seconds(), got, testCase.want)
+		}
+	}
+}
+
+// What a pipeline's last job asks for counts for those that it needs: a deadline that
+// reaches back makes a job tight, and late, like its own.
+func TestDependentsDeadlineMakesDependencyUrgent(t *testing.T) {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
+	dependency := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 100})
+	firstJobID := func() string {
+		return fixture.scheduler.buildQueue(fixture.tracker, nil, fixture.now, fixture.now)[0].job.Spec.ID
+	}
+	if got := firstJobID(); got != "req-000001" {
+		t.Fatalf("%s first, with no deadline", got)
+	}
+	dependency.Deadline = dependency.ReleasedAt + 110*clock.Second
+	if got := firstJobID(); got != "req-000002" {
+		t.Fatalf("%s first, though the other has to be done for a third", got)
+	}
+	dependency.ReleasedAt, dependency.Deadline = fixture.now+2*clock.Second, fixture.now+clock.Second
+	if deadline := fixture.scheduler.deadlineSeconds(dependency); deadline <= 0 {
+		t.Fatalf("a deadline that is over counts as none: %v", deadline)
+	}
+	if got := firstJobID(); got != "req-000001" {
+		t.Fatalf("%s first, though its time is over", got)
+	}
+}
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -1,8 +1,10 @@
 package scheduler
 
 import (
+	"fmt"
 	"testing"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/wire"
 )
@@ -31,3 +33,150 @@
 		}
 	}
 }
+
+// All machines for a gang that wants one zone are rented in one zone, and in
+// the next one when that has refused.
+func TestScaleOutForOneZoneGangUsesOneZone(t *testing.T) {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 6, CPUs: 16, MachineTypes: []string{"big"}, Kind: wire.KindGang, SingleZone: true})
+	rentedZone := func() string {
+		decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+		if len(decision.ScaleOut) != 1 || decision.ScaleOut[0].Count != 6 {
+			t.Fatalf("rents %v", decision.ScaleOut)
+		}
+		return decision.ScaleOut[0].Pool.Zone
+	}
+	firstZone := rentedZone()
+	fixture.scheduler.ObserveEmptyPool(Pool{"big", firstZone, false}, fixture.now)
+	if secondZone := rentedZone(); secondZone == firstZone {
+		t.Fatal("the zone that refused is asked again")
+	}
+}
+
+// Where a replica is to go boots while its silent machine is not proven gone;
+// nothing of it is started before.
+func TestScaleOutForSuspectedMachinesBeforeLossIsConfirmed(t *testing.T) {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
+	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
+	machine := fixture.addMachine("i-0", "small", "x", false)
+	job := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindService})
+	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	if job.ActiveCount() != 1 {
+		t.Fatal("not placed")
+	}
+	fixture.tracker.HeartbeatCommands(machine, fixture.now)
+	fixture.now += 4 * clock.Second
+	if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); len(decision.ScaleOut) != 0 {
+		t.Fatalf("rented too early: %v", decision.ScaleOut)
+	}
+	fixture.now += 2 * clock.Second
+	decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	if len(decision.ScaleOut) != 1 || decision.ScaleOut[0].Count != 1 || decision.ScaleOut[0].Pool.Spot {
+		t.Fatalf("rents %v", decision.ScaleOut)
+	}
+	if d := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, []PendingScaleOut{{Pool: decision.ScaleOut[0].Pool, Count: 1}}); len(d.ScaleOut) != 0 || job.ActiveCount() != 1 {
+		t.Fatalf("rented twice: %v", d.ScaleOut)
+	}
+}
+
+// An empty pool is left alone for a while, and the next zone is asked.
+func TestEmptyPoolBacksOff(t *testing.T) {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 3, CPUs: 16, EstimatedRunSeconds: 50, MachineTypes: []string{"big"}})
+	firstRequests := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil).ScaleOut
+	if len(firstRequests) == 0 {
+		t.Fatal("nothing is rented")
+	}
+	for _, request := range firstRequests {
+		fixture.scheduler.ObserveEmptyPool(request.Pool, fixture.now)
+	}
+	for _, request := range fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil).ScaleOut {
+		for _, earlier := range firstRequests {
+			if earlier.Pool == request.Pool {
+				t.Fatalf("%v is asked again at once", request.Pool)
+			}
+		}
+	}
+	if len(fixture.scheduler.Plan(fixture.tracker, fixture.now+60*clock.Second, fixture.now+60*clock.Second, nil).ScaleOut) == 0 {
+		t.Fatal("never asked again")
+	}
+}
+
+// When a whole zone falls silent, what is rented for its replicas comes up in
+// another: in the silent one it would be heard no more than the rest.
+func TestNoScaleOutInSuspectedZone(t *testing.T) {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
+	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
+	machinesByZone := map[string][]*allocation.Machine{}
+	for i := 0; i < 12; i++ {
+		zone := []string{"x", "y"}[i%2]
+		machinesByZone[zone] = append(machinesByZone[zone], fixture.addMachine(fmt.Sprintf("i-%02d", i), "small", zone, false))
+	}
+	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 12, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindService, SpreadZones: true, MachineTypes: []string{"small"}})
+	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	sendHeartbeats := func(zone string) {
+		for _, machine := range machinesByZone[zone] {
+			fixture.heartbeatSeqs[machine.Name]++
+			heartbeat := &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}
+			machine.ForEachPlacement(func(placement *allocation.Placement) {
+				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: wire.TaskRunning})
+			})
+			fixture.tracker.RecordHeartbeat(machine, heartbeat, fixture.now)
+		}
+	}
+	sendHeartbeats("x")
+	sendHeartbeats("y")
+	fixture.now += 6 * clock.Second
+	sendHeartbeats("y")
+	decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	if len(decision.ScaleOut) == 0 {
+		t.Fatal("nothing is rented for the replicas of the silent zone")
+	}
+	for _, request := range decision.ScaleOut {
+		if request.Pool.Zone == "x" {
+			t.Fatalf("rents %v where nobody is heard", request)
+		}
+	}
+}
+
+// The first machines of a burst to come up are the fast ones. By their times alone
+// the others counted as overdue, and each was rented a second time.
+func TestFastFirstBootsDoNotMakeOthersOverdue(t *testing.T) {
+	fixture := newFixture(nil)
+	var booting []*allocation.Machine
+	for i := range 10 {
+		machine := fixture.tracker.AddMachine(string(rune('a'+i)), "big", "x", true, fixture.scheduler.MachineCapacity("big"), fixture.now)
+		machine.RecordedInStore = true
+		booting = append(booting, machine)
+	}
+	fixture.addJob(wire.Job{ID: "req-000001", TaskCount: 40, CPUs: 4, EstimatedRunSeconds: 60, AllowsSpot: true})
+	for range 20 {
+		fixture.scheduler.ObserveBoot("big", 9*clock.Second)
+	}
+	fixture.now += 14 * clock.Second // nominal is 15
+	if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); len(decision.ScaleOut) > 0 {
+		t.Errorf("%d machines boot in their usual time, and %v is rented", len(booting), decision.ScaleOut)
+	}
+	fixture.now += 60 * clock.Second
+	if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); len(decision.ScaleOut) == 0 {
+		t.Error("all machines are overdue, and nothing is rented for them")
+	}
+}
+
+// An array waits a while for a spot machine; a gang does not, which would need all
+// its machines to come in that time.
+func TestGangDoesNotAwaitSpotMachines(t *testing.T) {
+	for _, kind := range []string{wire.KindArray, wire.KindGang} {
+		fixture := newFixture(nil)
+		fixture.scheduler.Settings.SpotWaitTimeout = 40 * clock.Second
+		for _, typeName := range []string{"big", "small"} {
+			for _, zone := range []string{"x", "y", "z"} {
+				fixture.scheduler.ObserveEmptyPool(Pool{typeName, zone, true}, fixture.now)
+			}
+		}
+		fixture.addJob(wire.Job{ID: "req-000001", Kind: kind, TaskCount: 4, CPUs: 4, EstimatedRunSeconds: 100, AllowsSpot: true})
+		if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); (len(decision.ScaleOut) > 0) != (kind == wire.KindGang) {
+			t.Errorf("%s: rented %v", kind, decision.ScaleOut)
+		}
+	}
+}
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -11,36 +11,6 @@
 	"firwood.dev/firwood/wire"
 )
 
-// simulateSecond plays workers for a second: what was placed starts, what is through with
-// its time completes.
-func (fixture *schedulerFixture) simulateSecond(runTimes, firstStarts map[*allocation.Job]clock.Micros) {
-	fixture.now += clock.Second
-	for _, machine := range fixture.tracker.SortedMachines() {
-		fixture.heartbeatSeqs[machine.Name]++
-		heartbeat := &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}
-		machine.ForEachPlacement(func(placement *allocation.Placement) {
-			task := wire.TaskStatus{TaskID: wire.TaskID(placement.Job.Spec.ID, placement.TaskIndex), Attempt: placement.Attempt, State: wire.TaskRunning}
-			if placement.StartedAt != 0 && fixture.now-placement.StartedAt >= runTimes[placement.Job] {
-				task.State, task.ExitCause = wire.TaskExited, wire.ExitDone
-			}
-			heartbeat.Tasks = append(heartbeat.Tasks, task)
-		})
-		fixture.tracker.RecordHeartbeat(machine, heartbeat, fixture.now)
-	}
-	for _, placement := range fixture.tracker.Started {
-		if firstStarts[placement.Job] == 0 {
-			firstStarts[placement.Job] = fixture.now
-		}
-	}
-	fixture.tracker.Exited, fixture.tracker.Started = nil, nil
-	for _, job := range fixture.tracker.Jobs {
-		if job.IsComplete() {
-			fixture.tracker.MarkDurable(job, job.UnpersistedCompletions())
-			fixture.tracker.RemoveJob(job)
-		}
-	}
-}
-
 // Under a load above what the fleet can do, smallest first would have the large
 // wait for as long as small ones come. Over generated loads the largest begin
 // within four minutes, and at least half of every class and team is begun.
