--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -79,7 +79,7 @@
 		}
 		bootQuantiles, ok := bootTimes[machine.Type]
 		if !ok {
-			bootQuantiles = [2]clock.Micros{cycle.scheduler.BootTime(machine.Type, 50), cycle.scheduler.BootTime(machine.Type, 95)}
+			bootQuantiles = [2]clock.Micros{cycle.scheduler.BootTime(machine.Type, medianBoot), cycle.scheduler.BootTime(machine.Type, latestBoot)}
 			bootTimes[machine.Type] = bootQuantiles
 		}
 		if !cycle.isExpected(machine, bootQuantiles[1]) {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -80,7 +80,7 @@
 // a machine rented now would take to be ready.
 func (cycle *schedulingCycle) maxReservationSeconds(job *allocation.Job, slots []gangSlot) float64 {
 	typeName := slots[0].machine.Type
-	return cycle.scheduler.BootTime(typeName, 50).Seconds() + cycle.scheduler.imageFetchSeconds(job, typeName)
+	return cycle.scheduler.BootTime(typeName, medianBoot).Seconds() + cycle.scheduler.imageFetchSeconds(job, typeName)
 }
 
 // placeGang places all tasks of a gang, or all that it has lost before it was
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -14,6 +14,15 @@
 	Spot       bool
 }
 
+// machineKind tells spot machines, which the cloud may reclaim, from ordinary ones. Its
+// value is that of the Spot fields.
+type machineKind bool
+
+const (
+	ordinaryMachines machineKind = false
+	spotMachines     machineKind = true
+)
+
 // poolBackoff is what refusals have taught of a pool.
 type poolBackoff struct {
 	backoffUntil   clock.Micros
@@ -38,6 +47,11 @@
 	scheduler.ObserveEmptyPool(pool, now)
 }
 
+// isBackingOff tells whether a pool is not asked now, since it was found empty.
+func (cycle *schedulingCycle) isBackingOff(pool Pool) bool {
+	return cycle.now < cycle.scheduler.backoffFor(pool).backoffUntil
+}
+
 func (scheduler *Scheduler) backoffFor(pool Pool) *poolBackoff {
 	backoff := scheduler.poolBackoffs[pool]
 	if backoff == nil {
--- a/internal/scheduler/poolchoice.go
+++ b/internal/scheduler/poolchoice.go
@@ -62,7 +62,7 @@
 			}
 			for _, spot := range []bool{true, false} {
 				pool := Pool{typeName, zone, spot}
-				if !isPoolAllowed(job, pool) || cycle.now < cycle.scheduler.backoffFor(pool).backoffUntil {
+				if !isPoolAllowed(job, pool) || cycle.isBackingOff(pool) {
 					continue
 				}
 				if !spot && machineType.SpotPrice > 0 && !isCritical && cycle.mayAwaitSpot(job) {
@@ -112,23 +112,29 @@
 	return a.machineCount < b.machineCount || a.machineCount == b.machineCount && isPoolBefore(a.pool, b.pool)
 }
 
-// chooseSparePool picks where a spare machine is rented.
-func (cycle *schedulingCycle) chooseSparePool(spot bool, decision *Decision) (Pool, bool) {
-	var best Pool
-	found := false
+// chooseSparePool picks where a spare machine of a kind is requested: for ordinary ones a
+// zone with delegation if there is one, as these are for replicas first, then the pool with
+// the fewest machines.
+func (cycle *schedulingCycle) chooseSparePool(kind machineKind) (best Pool, found bool) {
 	for typeName, machineType := range cycle.scheduler.MachineTypes {
 		for _, zone := range machineType.Zones {
-			pool := Pool{typeName, zone, spot}
-			if cycle.now < cycle.scheduler.backoffFor(pool).backoffUntil || cycle.isZoneSuspected(zone) {
+			pool := Pool{typeName, zone, bool(kind)}
+			if cycle.isBackingOff(pool) || cycle.isZoneSuspected(zone) {
 				continue
 			}
-			// Ordinary spares are for replicas first.
-			gainsDelegation := !spot && cycle.scheduler.DelegatedZones[zone] && !cycle.scheduler.DelegatedZones[best.Zone]
-			losesDelegation := !spot && cycle.scheduler.DelegatedZones[best.Zone] && !cycle.scheduler.DelegatedZones[zone]
-			if !found || gainsDelegation || !losesDelegation && (cycle.machineCount(pool) < cycle.machineCount(best) || cycle.machineCount(pool) == cycle.machineCount(best) && isPoolBefore(pool, best)) {
+			if !found || cycle.isPreferredSparePool(pool, best) {
 				best, found = pool, true
 			}
 		}
 	}
 	return best, found
 }
+
+func (cycle *schedulingCycle) isPreferredSparePool(a, b Pool) bool {
+	delegated := cycle.scheduler.DelegatedZones
+	if !a.Spot && delegated[a.Zone] != delegated[b.Zone] {
+		return delegated[a.Zone]
+	}
+	countA, countB := cycle.machineCount(a), cycle.machineCount(b)
+	return countA < countB || countA == countB && isPoolBefore(a, b)
+}
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -8,60 +8,63 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// planScaleIn returns machines that have been idle for the wait, but for those
-// that the spare target keeps.
-func (cycle *schedulingCycle) planScaleIn(spot bool, idleToKeep int, decision *Decision) {
-	if cycle.hasUnconfirmedTasks(spot) {
+// planScaleIn deletes machines of a kind that have been idle for long, but for those that
+// the spare target keeps. The ones that have been idle longest go first.
+func (cycle *schedulingCycle) planScaleIn(kind machineKind, idleToKeep int, decision *Decision) {
+	if cycle.hasUnconfirmedTasks(kind) {
 		return
 	}
-	demand := &cycle.scheduler.ordinaryDemand
-	if spot {
-		demand = &cycle.scheduler.spotDemand
-	}
 	var idle []*allocation.Machine
 	for _, machine := range cycle.machines {
-		if machine.Spot == spot && machine.IsSchedulable() && machine.IsIdle() && cycle.reserved[machine.SortIndex] == (allocation.Resources{}) {
+		if machineKind(machine.Spot) == kind && machine.IsSchedulable() && machine.IsIdle() && cycle.reserved[machine.SortIndex] == (allocation.Resources{}) {
 			idle = append(idle, machine)
 		}
 	}
 	slices.SortStableFunc(idle, func(a, b *allocation.Machine) int { return -cmp.Compare(a.BecameIdleAt, b.BecameIdleAt) })
 	idleTimeout := cycle.scheduler.Settings.IdleTimeout
-	if cycle.fleetSize(spot)/machinesPerSpare > minSpareLimit {
+	if cycle.fleetSize(kind)/machinesPerSpare > minSpareLimit {
 		idleTimeout /= 2 // the spares, which have grown with the fleet, are what is kept
 	}
 	for i, machine := range idle {
-		idle := cycle.now - max(machine.BecameIdleAt, machine.FirstHeartbeatAt)
-		timeout := idleTimeout
-		if !cycle.scheduler.needsWarmSpares(demand, cycle.scheduler.BootTime(machine.Type, 50)) {
-			timeout = min(cycle.scheduler.Settings.RelaxedIdleTimeout, idleTimeout)
-		}
-		// The first minute is paid whether it is used or not.
-		if i >= idleToKeep && idle >= timeout && (cycle.now-machine.CreatedAt >= minChargedDuration || idle >= idleTimeout) {
+		if i >= idleToKeep && cycle.isIdleTooLong(machine, kind, idleTimeout) {
 			decision.ScaleIn = append(decision.ScaleIn, machine)
 		}
 	}
 }
 
-// minChargedDuration is what a deleted machine costs at least; the protocol says so.
+// isIdleTooLong tells whether an idle machine is to be deleted. The minimum charge is paid
+// whether the machine is used or not, so a younger one is kept, unless it has been idle for
+// the full timeout.
+func (cycle *schedulingCycle) isIdleTooLong(machine *allocation.Machine, kind machineKind, idleTimeout clock.Micros) bool {
+	timeout := idleTimeout
+	if !cycle.scheduler.needsWarmSpares(cycle.scheduler.demandOf(kind), cycle.scheduler.BootTime(machine.Type, medianBoot)) {
+		timeout = min(cycle.scheduler.Settings.RelaxedIdleTimeout, idleTimeout)
+	}
+	idleFor := cycle.now - max(machine.BecameIdleAt, machine.FirstHeartbeatAt)
+	return idleFor >= timeout && (cycle.now-machine.CreatedAt >= minChargedDuration || idleFor >= idleTimeout)
+}
+
+// minChargedDuration is the least time that a deleted machine is charged for (PROTOCOL, "GET /flavors").
 const minChargedDuration = 60 * clock.Second
 
 // fleetSize counts the machines of a kind.
-func (cycle *schedulingCycle) fleetSize(spot bool) int {
+func (cycle *schedulingCycle) fleetSize(kind machineKind) int {
 	n := 0
 	for _, view := range cycle.pools {
-		if view.pool.Spot == spot {
+		if machineKind(view.pool.Spot) == kind {
 			n += view.machineCount
 		}
 	}
 	return n
 }
 
-// hasUnconfirmedTasks tells whether tasks that may use machines of a kind are in doubt. They are
-// either found on a machine or have to be started anew, all at once: once a fleet's
-// idle machines were given back while two in three of its tasks were in doubt.
-func (cycle *schedulingCycle) hasUnconfirmedTasks(spot bool) bool {
+// hasUnconfirmedTasks tells whether tasks that may use machines of a kind are unconfirmed.
+// They are either found on a machine or have to be started again, all at once. Added after
+// a new leader deleted a fleet's idle machines while two in three of its tasks were
+// unconfirmed.
+func (cycle *schedulingCycle) hasUnconfirmedTasks(kind machineKind) bool {
 	for _, job := range cycle.tracker.Jobs {
-		if job.UnconfirmedCount() > 0 && !job.Cancelled && (job.Spec.AllowsSpot || !spot) {
+		if job.UnconfirmedCount() > 0 && !job.Cancelled && (job.Spec.AllowsSpot || kind == ordinaryMachines) {
 			return true
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -74,7 +74,12 @@
 }
 
 func (scheduler *Scheduler) demandFor(job *allocation.Job) *forecast.DemandModel {
-	if job.Spec.AllowsSpot {
+	return scheduler.demandOf(machineKind(job.Spec.AllowsSpot))
+}
+
+// demandOf returns the demand that a kind of machines serves.
+func (scheduler *Scheduler) demandOf(kind machineKind) *forecast.DemandModel {
+	if kind == spotMachines {
 		return &scheduler.spotDemand
 	}
 	return &scheduler.ordinaryDemand
@@ -164,6 +169,13 @@
 	}
 }
 
+// medianBoot and latestBoot are the quantiles, in percent, by which a machine is expected
+// to have booted, and past which it is not counted on any more.
+const (
+	medianBoot = 50
+	latestBoot = 95
+)
+
 // BootTime is a quantile, in percent, of a type's boot time.
 func (scheduler *Scheduler) BootTime(typeName string, quantile float64) clock.Micros {
 	return scheduler.bootTimes[typeName].Quantile(quantile, clock.FromSeconds(scheduler.MachineTypes[typeName].BootSeconds))
@@ -171,7 +183,7 @@
 
 // BootTimeout is how long a machine may boot before it is given up.
 func (scheduler *Scheduler) BootTimeout(typeName string) clock.Micros {
-	return 2*scheduler.BootTime(typeName, 95) + 2*clock.Second
+	return 2*scheduler.BootTime(typeName, latestBoot) + 2*clock.Second
 }
 
 // hasRecentHeartbeat tells whether a machine has reported lately, as far as this leader could
--- a/internal/scheduler/spares.go
+++ b/internal/scheduler/spares.go
@@ -9,104 +9,154 @@
 	"firwood.dev/firwood/internal/forecast"
 )
 
-// planSpares chooses the spare target of each kind, rents what it lacks, and gives
-// back what has been idle for long and is not wanted.
+// planSpares chooses the spare target of each kind of machines (paper, IV-F to IV-I),
+// requests what it lacks, and deletes machines that have been idle for long and are not
+// part of it. With nothing waiting it looks for a machine to consolidate.
 func (cycle *schedulingCycle) planSpares(queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) {
 	idleToKeep := 0
-	decision.SpotSpares, idleToKeep = cycle.planSpareTarget(&cycle.scheduler.spotDemand, true, queue, pendingScaleOuts, decision)
-	cycle.planScaleIn(true, idleToKeep, decision)
-	decision.OrdinarySpares, idleToKeep = cycle.planSpareTarget(&cycle.scheduler.ordinaryDemand, false, queue, pendingScaleOuts, decision)
-	cycle.planScaleIn(false, idleToKeep, decision)
+	decision.SpotSpares, idleToKeep = cycle.planSpareTarget(spotMachines, queue, pendingScaleOuts, decision)
+	cycle.planScaleIn(spotMachines, idleToKeep, decision)
+	decision.OrdinarySpares, idleToKeep = cycle.planSpareTarget(ordinaryMachines, queue, pendingScaleOuts, decision)
+	cycle.planScaleIn(ordinaryMachines, idleToKeep, decision)
 	if len(queue) == 0 && len(pendingScaleOuts) == 0 {
 		decision.Drain = cycle.chooseConsolidation(idleToKeep)
 	}
 }
 
-// needsWarmSpares tells whether users expect starts of this kind of demand sooner
-// than a machine boots. Only then is an idle machine worth its price; where
-// they wait longer than a boot anyway, a machine rented on arrival does.
-func (scheduler *Scheduler) needsWarmSpares(demand *forecast.DemandModel, boot clock.Micros) bool {
-	return demand.WaitObjective() == 0 && len(scheduler.WaitObjectives) == 0 || demand.WaitObjective() > 0 && demand.WaitObjective() < boot.Seconds()
+// planSpareTarget chooses how many spares of a kind to have, and requests what is lacking.
+// It returns how many whole idle machines are to be kept.
+func (cycle *schedulingCycle) planSpareTarget(kind machineKind, queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) (SpareReport, int) {
+	report := cycle.screenDemand(kind, queue)
+	if !report.IsEnabled {
+		return report, 0
+	}
+	demand := cycle.scheduler.demandOf(kind)
+	survey := cycle.surveyFleet(kind)
+	pool, hasPool := cycle.chooseSparePool(kind)
+	if survey.typeName == "" {
+		survey.typeName = pool.Type
+	}
+	bootTime := cycle.scheduler.BootTime(survey.typeName, medianBoot)
+	if !cycle.scheduler.needsWarmSpares(demand, bootTime) {
+		return report, 0
+	}
+	survey.addPending(kind, pendingScaleOuts, bootTime)
+	settings := &cycle.scheduler.Settings.Spares
+	model := cycle.spareModel(demand, survey, bootTime)
+	report.Cost = model.CheapestTarget(settings.Min, max(cycle.maxSpares(survey), settings.Min), settings.WaitWeight, settings.IdleWeight)
+	target := float64(report.Cost.Target) * demand.MachineFraction()
+	if shortfall := int(math.Ceil(target - survey.freeMachines - float64(len(survey.bootingSeconds)) - roundingMargin)); shortfall > 0 && hasPool {
+		decision.ScaleOut = append(decision.ScaleOut, ScaleOutRequest{pool, shortfall})
+	}
+	// The room beside running tasks is part of the target; whole idle machines
+	// are kept only for the rest of it.
+	return report, max(int(math.Ceil(target-survey.freeOnBusyMachines-roundingMargin)), 0)
 }
 
-func (cycle *schedulingCycle) planSpareTarget(demand *forecast.DemandModel, spot bool, queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) (SpareReport, int) {
-	settings := &cycle.scheduler.Settings
+// roundingMargin keeps rounding errors from adding a machine when a number of them is
+// rounded up.
+const roundingMargin = 1e-9
+
+// screenDemand tells whether spares are planned for a kind: its demand passes the screen,
+// nothing waits in vain, and an arrival is recent.
+func (cycle *schedulingCycle) screenDemand(kind machineKind, queue []*queuedJob) SpareReport {
+	settings, demand := &cycle.scheduler.Settings, cycle.scheduler.demandOf(kind)
 	report := SpareReport{ArrivalScreen: demand.ArrivalGaps.Screen(&settings.Screen, cycle.now), RunTimeScreen: demand.JobRunTimes.Screen(&settings.Screen, cycle.now)}
 	// The queue counts as empty when what waits will find room that is about to be
 	// free: in a fleet of a thousand machines something always waits a moment.
 	isQueueServed := !slices.ContainsFunc(queue, func(queued *queuedJob) bool {
-		return queued.job.Spec.AllowsSpot == spot && queued.unplaced > 0 && queued.hasShortfall
+		return machineKind(queued.job.Spec.AllowsSpot) == kind && queued.unplaced > 0 && queued.hasShortfall
 	})
-	isServicesOnly := !spot && report.RunTimeScreen.SampleCount == 0
-	report.IsEnabled = report.ArrivalScreen.IsExponential && (report.RunTimeScreen.IsExponential || isServicesOnly) && isQueueServed && demand.HasRecentArrival(cycle.now, settings.Spares.ArrivalRecencyWindow)
-	if !report.IsEnabled {
-		return report, 0
-	}
-	model := forecast.SpareModel{MachineFraction: demand.MachineFraction(), ArrivalRate: demand.ArrivalRate(), SizeWeights: demand.SizeWeights(), HorizonSeconds: min(settings.Spares.IdleCostHorizon, settings.IdleTimeout).Seconds()}
-	var freeMachines, freeOnBusyMachines float64 // free room in machines: in all, and on used ones
-	nearestCompletion := math.Inf(1)
-	runningTasks, fleetMachines := 0, 0
-	typeName := ""
+	// Services have no run times: where there is nothing else, their arrivals alone count.
+	isServicesOnly := kind == ordinaryMachines && report.RunTimeScreen.SampleCount == 0
+	report.IsEnabled = report.ArrivalScreen.IsExponential && (report.RunTimeScreen.IsExponential || isServicesOnly) &&
+		isQueueServed && demand.HasRecentArrival(cycle.now, settings.Spares.ArrivalRecencyWindow)
+	return report
+}
+
+// fleetSurvey is what there is of machines of one kind.
+type fleetSurvey struct {
+	machineCount       int
+	typeName           string    // of one of them; empty: there is none
+	freeMachines       float64   // free room, in machines
+	freeOnBusyMachines float64   // the part of that on machines that have tasks
+	bootingSeconds     []float64 // for each machine that boots or is requested
+	nearestCompletion  float64   // seconds until a placement ends, d_C (21); +Inf: none does
+	runningTasks       int       // tasks of services left out
+}
+
+func (cycle *schedulingCycle) surveyFleet(kind machineKind) *fleetSurvey {
+	survey := &fleetSurvey{nearestCompletion: math.Inf(1)}
 	for _, machine := range cycle.machines {
-		if machine.Spot != spot || machine.Draining || machine.ReclaimAt != 0 {
+		if machineKind(machine.Spot) != kind || machine.Draining || machine.ReclaimAt != 0 {
 			continue
 		}
-		typeName = machine.Type
-		fleetMachines++
+		survey.typeName = machine.Type
+		survey.machineCount++
 		switch {
 		case machine.IsSchedulable():
 			room := freeFraction(cycle.freeResources(machine), machine.Capacity)
-			freeMachines += room
+			survey.freeMachines += room
 			if !machine.IsIdle() {
-				freeOnBusyMachines += room
+				survey.freeOnBusyMachines += room
 			}
 		case machine.FirstHeartbeatAt == 0:
-			model.BootingSeconds = append(model.BootingSeconds, max((cycle.scheduler.BootTime(machine.Type, 50)-(cycle.now-machine.CreatedAt)).Seconds(), 0))
+			remaining := cycle.scheduler.BootTime(machine.Type, medianBoot) - (cycle.now - machine.CreatedAt)
+			survey.bootingSeconds = append(survey.bootingSeconds, max(remaining.Seconds(), 0))
 		}
 		machine.ForEachPlacement(func(placement *allocation.Placement) {
 			if seconds := cycle.scheduler.remainingSeconds(placement, cycle.now); seconds > 0 {
-				nearestCompletion = min(nearestCompletion, seconds)
+				survey.nearestCompletion = min(survey.nearestCompletion, seconds)
 			}
 			if !placement.Job.IsService() {
-				runningTasks++
+				survey.runningTasks++
 			}
 		})
 	}
-	pool, hasPool := cycle.chooseSparePool(spot, decision)
-	if typeName == "" {
-		typeName = pool.Type
-	}
-	model.BootSeconds = cycle.scheduler.BootTime(typeName, 50).Seconds()
+	return survey
+}
+
+// addPending counts requests under way as machines that begin to boot now.
+func (survey *fleetSurvey) addPending(kind machineKind, pendingScaleOuts []PendingScaleOut, bootTime clock.Micros) {
 	for _, pending := range pendingScaleOuts {
-		if pending.Pool.Spot == spot {
-			for i := 0; i < pending.Count; i++ {
-				model.BootingSeconds = append(model.BootingSeconds, model.BootSeconds)
+		if machineKind(pending.Pool.Spot) == kind {
+			for range pending.Count {
+				survey.bootingSeconds = append(survey.bootingSeconds, bootTime.Seconds())
 			}
 		}
 	}
-	model.ReadyCount = int(freeMachines / demand.MachineFraction())
-	model.CompletionRate = demand.CompletionRate(nearestCompletion, runningTasks)
-	if !cycle.scheduler.needsWarmSpares(demand, cycle.scheduler.BootTime(typeName, 50)) {
-		return report, 0
-	}
-	maxSpares := settings.Spares.Max
-	if maxSpares == 0 {
-		// Spares grow with the fleet: a job may ask for tens of machines there.
-		maxSpares = max(minSpareLimit, fleetMachines/machinesPerSpare)
-	}
-	report.Cost = model.CheapestTarget(settings.Spares.Min, max(maxSpares, settings.Spares.Min), settings.Spares.WaitWeight, settings.Spares.IdleWeight)
-	target := float64(report.Cost.Target) * demand.MachineFraction()
-	if shortfall := int(math.Ceil(target - freeMachines - float64(len(model.BootingSeconds)) - 1e-9)); shortfall > 0 && hasPool {
-		decision.ScaleOut = append(decision.ScaleOut, ScaleOutRequest{pool, shortfall})
+}
+
+func (cycle *schedulingCycle) spareModel(demand *forecast.DemandModel, survey *fleetSurvey, bootTime clock.Micros) *forecast.SpareModel {
+	settings := &cycle.scheduler.Settings
+	return &forecast.SpareModel{
+		MachineFraction: demand.MachineFraction(), ArrivalRate: demand.ArrivalRate(), SizeWeights: demand.SizeWeights(),
+		CompletionRate: demand.CompletionRate(survey.nearestCompletion, survey.runningTasks),
+		ReadyCount:     int(survey.freeMachines / demand.MachineFraction()),
+		BootingSeconds: survey.bootingSeconds, BootSeconds: bootTime.Seconds(),
+		HorizonSeconds: min(settings.Spares.IdleCostHorizon, settings.IdleTimeout).Seconds(),
 	}
-	// The room beside running tasks is part of the target; whole idle machines
-	// are kept only for the rest of it.
-	return report, max(int(math.Ceil(target-freeOnBusyMachines-1e-9)), 0)
 }
 
 // Where no bound of the spare target is set, it is one in machinesPerSpare of the
-// machines of its kind, and minSpareLimit at least.
+// machines of its kind, and minSpareLimit at least: a job may ask for tens of machines in
+// a large fleet.
 const (
 	machinesPerSpare = 16
 	minSpareLimit    = 4
 )
+
+func (cycle *schedulingCycle) maxSpares(survey *fleetSurvey) int {
+	if limit := cycle.scheduler.Settings.Spares.Max; limit > 0 {
+		return limit
+	}
+	return max(minSpareLimit, survey.machineCount/machinesPerSpare)
+}
+
+// needsWarmSpares tells whether users expect starts of this kind of demand sooner than a
+// machine boots, or have said nothing about any class. Only then is an idle machine worth
+// its price; where they wait longer than a boot anyway, a machine requested on arrival does.
+func (scheduler *Scheduler) needsWarmSpares(demand *forecast.DemandModel, bootTime clock.Micros) bool {
+	waitObjective := demand.WaitObjective()
+	return waitObjective == 0 && len(scheduler.WaitObjectives) == 0 || waitObjective > 0 && waitObjective < bootTime.Seconds()
+}
