--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -7,76 +7,106 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// isUrgent tells whether a job's time has come: its run still fits before its due
-// time, with little to spare. By need and run time alone, the last tasks of a
-// long job wait for every shorter one that comes. A job that is late anyway has
-// no such claim.
-func (scheduler *Scheduler) isUrgent(job *allocation.Job, runSeconds float64, wall clock.Micros) bool {
-	deadline := scheduler.deadlineSeconds(job)
-	if deadline == 0 {
-		return false
-	}
-	slack := deadline - (wall - job.ReleasedAt).Seconds() - runSeconds
-	return slack >= 0 && slack < max(runSeconds/4, minUrgentSlackSeconds)
-}
+// urgency is how near a job's deadline is, as long as it can be met.
+type urgency int
 
-// minUrgentSlackSeconds is the least slack, in seconds, that makes a job go first.
-const minUrgentSlackSeconds = 20
+const (
+	relaxed  urgency = iota
+	urgent           // can be in time only if it starts soon
+	critical         // would be late with the tasks that run now, and in time with more
+)
 
-// minCompletionSeconds is how long, in seconds, what waits of a job takes at the least: its
-// team's limit may not let all tasks run at a time.
-func (scheduler *Scheduler) minCompletionSeconds(job *allocation.Job, runSeconds float64) float64 {
-	quota := scheduler.Teams[job.Spec.Team]
-	waves := 1.0
-	for _, dimension := range [][2]int64{{quota.MaxMilliCPU, job.Request.MilliCPU}, {quota.MaxMilliGPU, job.Request.MilliGPU}} {
-		if dimension[0] > 0 && dimension[1] > 0 {
-			waves = max(waves, math.Ceil(float64(job.WaitingCount())/float64(max(dimension[0]/dimension[1], 1))))
-		}
-	}
-	return waves * runSeconds
+// goesFirst tells whether a job goes before others of its priority and entitlement.
+func (level urgency) goesFirst() bool { return level >= urgent }
+
+// String names the level.
+func (level urgency) String() string { return [...]string{"relaxed", "urgent", "critical"}[level] }
+
+// lateness is by how much a job is going to miss its deadline. When not all can be done in
+// time, those that can are not held up by those that cannot.
+type lateness int
+
+const (
+	onTime   lateness = iota
+	late              // by up to half of the time that it had
+	veryLate          // by more
+)
+
+// String names the level.
+func (level lateness) String() string {
+	return [...]string{"on time", "late", "very late"}[level]
 }
 
-// deadlineSeconds is when a job should be done, in seconds from the moment from which its waits
-// count; 0: no such time.
+const (
+	// minUrgentSlackSeconds is the least slack that makes a job urgent.
+	minUrgentSlackSeconds = 20
+	// alreadyLateSeconds stands for a deadline that had passed before the job could start.
+	alreadyLateSeconds = 0.001
+	// veryLateFactor is the multiple of its time past which a job is very late.
+	veryLateFactor = 1.5
+)
+
+// deadlineSeconds is when a job should be done, in seconds from the instant from which its
+// waits count; 0: it has no deadline.
 func (scheduler *Scheduler) deadlineSeconds(job *allocation.Job) float64 {
-	const alreadyLate = 0.001 // its time was over before it could start
 	switch {
 	case job.IsService():
 		return 0
 	case job.Deadline > 0:
-		return max((job.Deadline - job.ReleasedAt).Seconds(), alreadyLate)
+		return max((job.Deadline - job.ReleasedAt).Seconds(), alreadyLateSeconds)
 	case job.Spec.DeadlineSeconds > 0:
 		return job.Spec.DeadlineSeconds
 	}
 	return scheduler.CompletionObjectives[job.Spec.Class]
 }
 
-// isCritical tells whether a job that has started will miss its time with the
-// machines it has, though more could still help. For such a one an ordinary
-// machine is worth its price when no spot machine is to be had.
+// minCompletionSeconds is how long the waiting tasks of a job take at the least, in seconds:
+// its team's limit may not let all of them run at a time.
+func (scheduler *Scheduler) minCompletionSeconds(job *allocation.Job, runSeconds float64) float64 {
+	quota := scheduler.Teams[job.Spec.Team]
+	waves := 1.0
+	for _, resource := range [...]struct{ limit, request int64 }{{quota.MaxMilliCPU, job.Request.MilliCPU}, {quota.MaxMilliGPU, job.Request.MilliGPU}} {
+		if resource.limit > 0 && resource.request > 0 {
+			waves = max(waves, math.Ceil(float64(job.WaitingCount())/float64(max(resource.limit/resource.request, 1))))
+		}
+	}
+	return waves * runSeconds
+}
+
+// isUrgent tells whether a job's run still fits before its deadline, with little slack. By
+// need and run time alone, the last tasks of a long job would wait for every shorter one
+// that comes. A job that is late anyway has no such claim.
+func (scheduler *Scheduler) isUrgent(job *allocation.Job, runSeconds float64, wall clock.Micros) bool {
+	deadline := scheduler.deadlineSeconds(job)
+	if deadline == 0 {
+		return false
+	}
+	slack := deadline - (wall - job.ReleasedAt).Seconds() - runSeconds
+	return slack >= 0 && slack < max(runSeconds/4, minUrgentSlackSeconds)
+}
+
+// isCritical tells whether a job that has started will miss its deadline with the tasks
+// that run now, though more could still help. For such a job an ordinary machine is worth
+// its price when there are no spot machines.
 func (scheduler *Scheduler) isCritical(queued *queuedJob, wall clock.Micros) bool {
 	job := queued.job
 	deadline := scheduler.deadlineSeconds(job)
-	if deadline == 0 || queued.lateness > 0 || job.ActiveCount() == 0 {
+	if deadline == 0 || queued.lateness != onTime || job.ActiveCount() == 0 {
 		return false
 	}
 	waves := 1 + float64(len(queued.readyTasks))/float64(job.ActiveCount())
 	return (wall-job.ReleasedAt).Seconds()+waves*queued.runSeconds > deadline
 }
 
-// latenessLevel is 0 for a job that can still be in time, 1 for one that can not, and
-// 2 for one that is late by half as much again: when not all can be done in
-// time, those that can are not held up by those that cannot.
-func (scheduler *Scheduler) latenessLevel(job *allocation.Job, runSeconds float64, wall clock.Micros) int {
+// latenessOf predicts the lateness of a job that takes runSeconds from now on.
+func (scheduler *Scheduler) latenessOf(job *allocation.Job, runSeconds float64, wall clock.Micros) lateness {
 	deadline := scheduler.deadlineSeconds(job)
-	if deadline == 0 {
-		return 0
-	}
-	switch end := (wall - job.ReleasedAt).Seconds() + runSeconds; {
-	case end <= deadline:
-		return 0
-	case end <= 1.5*deadline:
-		return 1
+	end := (wall - job.ReleasedAt).Seconds() + runSeconds
+	switch {
+	case deadline == 0 || end <= deadline:
+		return onTime
+	case end <= veryLateFactor*deadline:
+		return late
 	}
-	return 2
+	return veryLate
 }
--- a/internal/scheduler/poolchoice.go
+++ b/internal/scheduler/poolchoice.go
@@ -30,7 +30,7 @@
 				}
 			}
 		}
-		if len(cycle.pricedPools(job, false, zone, forecast)) > 0 {
+		if len(cycle.pricedPools(job, relaxed, zone, forecast)) > 0 {
 			fitCount = max(fitCount, 1)
 		} else if fitCount < len(job.Tasks) {
 			fitCount = 0 // it cannot grow there now
@@ -49,7 +49,7 @@
 }
 
 // pricedPools lists the pools that may be asked for a job now.
-func (cycle *schedulingCycle) pricedPools(job *allocation.Job, isCritical bool, requiredZone string, forecast *capacityForecast) []pricedPool {
+func (cycle *schedulingCycle) pricedPools(job *allocation.Job, urgency urgency, requiredZone string, forecast *capacityForecast) []pricedPool {
 	var out []pricedPool
 	for typeName, machineType := range cycle.scheduler.MachineTypes {
 		tasksPerMachine := cycle.scheduler.tasksPerMachine(job.Request, typeName)
@@ -65,7 +65,7 @@
 				if !isPoolAllowed(job, pool) || cycle.isBackingOff(pool) {
 					continue
 				}
-				if !spot && machineType.SpotPrice > 0 && !isCritical && cycle.mayAwaitSpot(job) {
+				if !spot && machineType.SpotPrice > 0 && urgency != critical && cycle.mayAwaitSpot(job) {
 					continue // worth the wait for a spot machine
 				}
 				price := machineType.OnDemandPrice
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -72,3 +72,21 @@
 		t.Fatalf("%s first, though its time is over", got)
 	}
 }
+
+// Without a deadline a job is never late; with one, by the time at which it can be done.
+func TestLatenessByPredictedCompletion(t *testing.T) {
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
+	withDeadline := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20, DeadlineSeconds: 100})
+	without := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
+	for _, testCase := range []struct {
+		runSeconds float64
+		want       string
+	}{{100, "on time"}, {101, "late"}, {150, "late"}, {151, "very late"}} {
+		if got := fixture.scheduler.latenessOf(withDeadline, testCase.runSeconds, fixture.now).String(); got != testCase.want {
+			t.Errorf("a job that takes %v s of 100 s is %s, want %s", testCase.runSeconds, got, testCase.want)
+		}
+		if got := fixture.scheduler.latenessOf(without, testCase.runSeconds, fixture.now); got != onTime {
+			t.Errorf("a job without a deadline is %s", got)
+		}
+	}
+}
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -53,7 +53,7 @@
 		if job.IsGang() && cycle.isInfeasible(queued, requiredZone) {
 			continue
 		}
-		offers := cycle.pricedPools(job, queued.isCritical, requiredZone, forecast)
+		offers := cycle.pricedPools(job, queued.urgency, requiredZone, forecast)
 		for remaining > 0 {
 			capacity := cycle.cheapestPool(job, offers, func(zone string) bool { return zoneAllowance(zone) > 0 })
 			if capacity == nil || capacity.requested >= wire.MaxScaleOutCount {
