--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -5,24 +5,25 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// expectedMachine is a machine of the future: what will be free on it one boot time on.
+// expectedMachine is what will be free on a machine one boot time from now.
 type expectedMachine struct {
 	free    allocation.Resources
 	machine *allocation.Machine // nil if not there yet
 }
 
-// capacityForecast holds the slots, pool by pool. Slots with no room left for anything
-// that waits are taken out as they are met.
+// capacityForecast holds the expected machines, pool by pool. A machine with no room left
+// for anything that waits is dropped when it is first found too small.
 type capacityForecast struct {
 	pools   []*poolForecast
-	minNeed allocation.Resources
+	minNeed allocation.Resources // the component-wise minimum of what waits
 }
 
+// poolForecast is what will be free in a pool.
 type poolForecast struct {
 	pool         Pool
 	expected     []expectedMachine
-	machineCount int // machines that are, boot, or are to be rented
-	requested    int // by this plan
+	machineCount int // machines that exist or boot, and those requested
+	requested    int // machines requested by this plan
 }
 
 func (forecast *capacityForecast) forPool(pool Pool) *poolForecast {
@@ -43,7 +44,7 @@
 	}
 }
 
-// allocate uses up to n places of a pool; it returns how many it found.
+// allocate takes room for up to limit tasks in a pool; it returns for how many there was.
 func (forecast *capacityForecast) allocate(capacity *poolForecast, need allocation.Resources, limit int) int {
 	allocated := 0
 	remaining := capacity.expected[:0]
@@ -65,51 +66,80 @@
 	return allocated
 }
 
-// forecastCapacity works out what will be free one boot time on.
-func (cycle *schedulingCycle) forecastCapacity(wanted []*queuedJob, pendingScaleOuts []PendingScaleOut) *capacityForecast {
-	forecast := &capacityForecast{minNeed: wanted[0].job.Request}
-	for _, queued := range wanted {
-		need := queued.job.Request
-		forecast.minNeed = allocation.Resources{MilliCPU: min(forecast.minNeed.MilliCPU, need.MilliCPU), MilliGPU: min(forecast.minNeed.MilliGPU, need.MilliGPU), MemoryMB: min(forecast.minNeed.MemoryMB, need.MemoryMB)}
+// countFitting counts the tasks of a job that will find room in a zone, up to all of them.
+func (forecast *capacityForecast) countFitting(job *allocation.Job, zone string) int {
+	fitCount := 0
+	for _, capacity := range forecast.pools {
+		if capacity.pool.Zone != zone || !isPoolAllowed(job, capacity.pool) {
+			continue
+		}
+		for _, expected := range capacity.expected {
+			for free := expected.free; fitCount < len(job.Tasks) && job.Request.IsWithin(free); fitCount++ {
+				free = free.Sub(job.Request)
+			}
+		}
 	}
-	bootTimes := map[string][2]clock.Micros{}
+	return fitCount
+}
+
+// bootQuantiles are the boot times of a type by which half of its machines are up, and
+// after which one is not counted on any more.
+type bootQuantiles struct{ median, latest clock.Micros }
+
+// forecastCapacity works out what will be free one boot time from now.
+func (cycle *schedulingCycle) forecastCapacity(wanted []*queuedJob, pendingScaleOuts []PendingScaleOut) *capacityForecast {
+	forecast := &capacityForecast{minNeed: minNeed(wanted)}
+	bootTimes := map[string]bootQuantiles{}
 	for _, machine := range cycle.machines {
-		if machine.Draining || machine.ReclaimAt != 0 || cycle.gangReserved[machine.SortIndex] || machine.FirstHeartbeatAt != 0 && !cycle.scheduler.hasRecentHeartbeat(machine, cycle.now) {
+		if cycle.isLeaving(machine) {
 			continue
 		}
-		bootQuantiles, ok := bootTimes[machine.Type]
+		quantiles, ok := bootTimes[machine.Type]
 		if !ok {
-			bootQuantiles = [2]clock.Micros{cycle.scheduler.BootTime(machine.Type, medianBoot), cycle.scheduler.BootTime(machine.Type, latestBoot)}
-			bootTimes[machine.Type] = bootQuantiles
+			quantiles = bootQuantiles{cycle.scheduler.BootTime(machine.Type, medianBoot), cycle.scheduler.BootTime(machine.Type, latestBoot)}
+			bootTimes[machine.Type] = quantiles
 		}
-		if !cycle.isExpected(machine, bootQuantiles[1]) {
-			continue
+		if cycle.isExpected(machine, quantiles.latest) {
+			forecast.addMachine(forecast.forPool(poolOf(machine)), expectedMachine{free: cycle.freeWithin(machine, quantiles.median.Seconds()), machine: machine})
 		}
-		expected := expectedMachine{free: cycle.freeResources(machine), machine: machine}
-		machine.ForEachPlacement(func(placement *allocation.Placement) {
-			if !placement.Job.IsService() && cycle.scheduler.remainingSeconds(placement, cycle.now) <= bootQuantiles[0].Seconds() {
-				expected.free = expected.free.Add(placement.Job.Request)
-			}
-		})
-		forecast.addMachine(forecast.forPool(Pool{machine.Type, machine.Zone, machine.Spot}), expected)
 	}
 	for _, pending := range pendingScaleOuts {
-		for i := 0; i < pending.Count; i++ {
+		for range pending.Count {
 			forecast.addMachine(forecast.forPool(pending.Pool), expectedMachine{free: cycle.scheduler.MachineCapacity(pending.Pool.Type)})
 		}
 	}
 	return forecast
 }
 
-// isExpected tells whether a machine that is not silent can be counted on to take tasks
-// soon. One that has just come up can: it has yet to see the token, which its next report
-// shows. When it was not counted on, every machine that came up was rented once more.
+// isLeaving tells whether a machine will take no tasks: it is drained or reclaimed, kept for
+// a gang, or suspected.
+func (cycle *schedulingCycle) isLeaving(machine *allocation.Machine) bool {
+	return machine.Draining || machine.ReclaimAt != 0 || cycle.gangReserved[machine.SortIndex] ||
+		machine.FirstHeartbeatAt != 0 && !cycle.scheduler.hasRecentHeartbeat(machine, cycle.now)
+}
+
+// freeWithin is what will be free on a machine in so many seconds.
+func (cycle *schedulingCycle) freeWithin(machine *allocation.Machine, seconds float64) allocation.Resources {
+	free := cycle.freeResources(machine)
+	machine.ForEachPlacement(func(placement *allocation.Placement) {
+		if !placement.Job.IsService() && cycle.scheduler.remainingSeconds(placement, cycle.now) <= seconds {
+			free = free.Add(placement.Job.Request)
+		}
+	})
+	return free
+}
+
+// isExpected tells whether a machine that is not leaving will take tasks soon: it has seen
+// the token; or has come up less than a heartbeat window ago, and shows with its next
+// heartbeat that it has; or is still within the boot time of its type. Added after machines
+// that had just come up were not counted, and each was requested once more. One that sends
+// heartbeats for longer without having seen the token gets no commands.
 func (cycle *schedulingCycle) isExpected(machine *allocation.Machine, bootTimeout clock.Micros) bool {
 	switch {
 	case machine.TokenConfirmed:
 		return true
 	case machine.FirstHeartbeatAt != 0:
-		return cycle.now-machine.FirstHeartbeatAt <= cycle.scheduler.HeartbeatWindow // else it is heard, but can't be told anything
+		return cycle.now-machine.FirstHeartbeatAt <= cycle.scheduler.HeartbeatWindow
 	default:
 		return cycle.now-machine.CreatedAt <= bootTimeout
 	}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -70,7 +70,7 @@
 }
 
 func (scheduler *Scheduler) newCycle(tracker *allocation.Tracker, queue []*queuedJob, now clock.Micros) *schedulingCycle {
-	cycle := &schedulingCycle{scheduler: scheduler, tracker: tracker, now: now, machines: tracker.SortedMachines(), zoneHealth: map[string]*zoneHealth{}}
+	cycle := &schedulingCycle{scheduler: scheduler, tracker: tracker, now: now, machines: tracker.SortedMachines(), minNeed: minNeed(queue), zoneHealth: map[string]*zoneHealth{}}
 	scheduler.reservedBuffer = zeroedSlice(scheduler.reservedBuffer, len(cycle.machines))
 	scheduler.busyBuffer = zeroedSlice(scheduler.busyBuffer, len(cycle.machines))
 	scheduler.gangReservedBuffer = zeroedSlice(scheduler.gangReservedBuffer, len(cycle.machines))
@@ -78,15 +78,8 @@
 	for i := range cycle.busySeconds {
 		cycle.busySeconds[i] = -1
 	}
-	for i, queued := range queue {
-		need := queued.job.Request
-		if i == 0 {
-			cycle.minNeed = need
-		}
-		cycle.minNeed = allocation.Resources{MilliCPU: min(cycle.minNeed.MilliCPU, need.MilliCPU), MilliGPU: min(cycle.minNeed.MilliGPU, need.MilliGPU), MemoryMB: min(cycle.minNeed.MemoryMB, need.MemoryMB)}
-	}
 	for _, machine := range cycle.machines {
-		view := cycle.poolView(Pool{machine.Type, machine.Zone, machine.Spot})
+		view := cycle.poolView(poolOf(machine))
 		view.machineCount++
 		// What an earlier leader rented is up for all that is known.
 		if machine.FirstHeartbeatAt != 0 || machine.CreatedAt < scheduler.TermStartedAt {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -148,7 +148,7 @@
 			available = available.Add(placement.Job.Request)
 		}
 		free := machine.Free()
-		cycle.reserved[machine.SortIndex] = allocation.Resources{MilliCPU: min(wanted.MilliCPU, free.MilliCPU), MilliGPU: min(wanted.MilliGPU, free.MilliGPU), MemoryMB: min(wanted.MemoryMB, free.MemoryMB)}
+		cycle.reserved[machine.SortIndex] = componentMin(wanted, free)
 	}
 }
 
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -14,6 +14,10 @@
 	Spot       bool
 }
 
+func poolOf(machine *allocation.Machine) Pool {
+	return Pool{machine.Type, machine.Zone, machine.Spot}
+}
+
 // machineKind tells spot machines, which the cloud may reclaim, from ordinary ones. Its
 // value is that of the Spot fields.
 type machineKind bool
--- a/internal/scheduler/poolchoice.go
+++ b/internal/scheduler/poolchoice.go
@@ -4,9 +4,9 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// chooseZone picks the zone that a job wants all its tasks in, if it wants that:
-// where its tasks are, else where most of them will find room, or a pool that
-// has not just refused. Machines rented in several zones would never do.
+// chooseZone picks the zone that a job has to have all its tasks in, if it has to: where its
+// tasks are, else where most of them will find room, or where machines can be requested.
+// Machines requested in several zones would never do.
 func (cycle *schedulingCycle) chooseZone(job *allocation.Job, forecast *capacityForecast) string {
 	if !job.Spec.SingleZone {
 		return ""
@@ -19,21 +19,11 @@
 	}
 	bestZone, bestFit := "", -1
 	for _, zone := range cycle.scheduler.Zones {
-		fitCount := 0
-		for _, capacity := range forecast.pools {
-			if capacity.pool.Zone != zone || !isPoolAllowed(job, capacity.pool) {
-				continue
-			}
-			for _, expected := range capacity.expected {
-				for free := expected.free; fitCount < len(job.Tasks) && job.Request.IsWithin(free); fitCount++ {
-					free = free.Sub(job.Request)
-				}
-			}
-		}
+		fitCount := forecast.countFitting(job, zone)
 		if len(cycle.pricedPools(job, relaxed, zone, forecast)) > 0 {
 			fitCount = max(fitCount, 1)
 		} else if fitCount < len(job.Tasks) {
-			fitCount = 0 // it cannot grow there now
+			fitCount = 0 // no machine can be requested there now
 		}
 		if fitCount > bestFit {
 			bestZone, bestFit = zone, fitCount
@@ -42,13 +32,14 @@
 	return bestZone
 }
 
-// pricedPool is a pool that a job may rent from, with what a task costs there.
+// pricedPool is a pool that machines may be requested from for a job, with what a task
+// costs there.
 type pricedPool struct {
 	capacity    *poolForecast
 	costPerTask float64
 }
 
-// pricedPools lists the pools that may be asked for a job now.
+// pricedPools lists the pools that machines may be requested from for a job now.
 func (cycle *schedulingCycle) pricedPools(job *allocation.Job, urgency urgency, requiredZone string, forecast *capacityForecast) []pricedPool {
 	var out []pricedPool
 	for typeName, machineType := range cycle.scheduler.MachineTypes {
@@ -62,12 +53,9 @@
 			}
 			for _, spot := range []bool{true, false} {
 				pool := Pool{typeName, zone, spot}
-				if !isPoolAllowed(job, pool) || cycle.isBackingOff(pool) {
+				if !isPoolAllowed(job, pool) || cycle.isBackingOff(pool) || cycle.isTooDear(job, urgency, pool) {
 					continue
 				}
-				if !spot && machineType.SpotPrice > 0 && urgency != critical && cycle.mayAwaitSpot(job) {
-					continue // worth the wait for a spot machine
-				}
 				price := machineType.OnDemandPrice
 				if spot {
 					price = machineType.SpotPrice
@@ -79,15 +67,20 @@
 	return out
 }
 
-// mayAwaitSpot tells whether a job waits for a spot machine rather than have an ordinary
-// one rented. A gang does not: all its machines would have to come in that time.
+// isTooDear tells whether a job rather waits for a spot machine than have a machine of an
+// ordinary pool.
+func (cycle *schedulingCycle) isTooDear(job *allocation.Job, urgency urgency, pool Pool) bool {
+	return !pool.Spot && cycle.scheduler.MachineTypes[pool.Type].SpotPrice > 0 && urgency != critical && cycle.mayAwaitSpot(job)
+}
+
+// mayAwaitSpot tells whether a job waits for a spot machine. A gang does not: all its
+// machines would have to come in that time.
 func (cycle *schedulingCycle) mayAwaitSpot(job *allocation.Job) bool {
 	return job.Spec.AllowsSpot && !job.IsGang() && (job.ActiveCount() > 0 || cycle.now-job.AddedAt < cycle.scheduler.Settings.SpotWaitTimeout)
 }
 
-// cheapestPool picks where to rent one more machine for a job: the cheapest by task,
-// then where the job is better off, then the zone with the fewest machines, so
-// that a loss hits little.
+// cheapestPool picks where to request one more machine for a job: the cheapest by task, then
+// a zone that it prefers, then the pool with the fewest machines, so that a loss hits little.
 func (cycle *schedulingCycle) cheapestPool(job *allocation.Job, offers []pricedPool, isZoneAllowed func(zone string) bool) *poolForecast {
 	var best *poolForecast
 	var bestCost float64
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -21,3 +21,20 @@
 func freeFraction(free, size allocation.Resources) float64 {
 	return max(1-dominantShare(size.Sub(free), size), 0)
 }
+
+// minNeed is the component-wise minimum of what a task of each job needs: a machine with
+// less free can take nothing.
+func minNeed(queue []*queuedJob) allocation.Resources {
+	if len(queue) == 0 {
+		return allocation.Resources{}
+	}
+	need := queue[0].job.Request
+	for _, queued := range queue[1:] {
+		need = componentMin(need, queued.job.Request)
+	}
+	return need
+}
+
+func componentMin(a, b allocation.Resources) allocation.Resources {
+	return allocation.Resources{MilliCPU: min(a.MilliCPU, b.MilliCPU), MilliGPU: min(a.MilliGPU, b.MilliGPU), MemoryMB: min(a.MemoryMB, b.MemoryMB)}
+}
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -4,11 +4,13 @@
 	"cmp"
 	"slices"
 
+	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/wire"
 )
 
-// planScaleOut works out the shortfall: what waits is planned in order onto what will
-// be free within one boot time, and the rest is rented now.
+// planScaleOut works out what is lacking: what waits is planned in order onto what will be
+// free within one boot time (compare the paper's sequential plan, IV-C, Definition 6), and
+// machines for the rest are requested now.
 func (cycle *schedulingCycle) planScaleOut(queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) {
 	wanted := cycle.unconfirmedReplicas()
 	for _, queued := range queue {
@@ -22,55 +24,14 @@
 	forecast := cycle.forecastCapacity(wanted, pendingScaleOuts)
 	var growing []*poolForecast // in the order of need
 	for _, queued := range wanted {
-		job := queued.job
-		zones := map[string]int{}
-		remaining := queued.unplaced
-		requiredZone := cycle.chooseZone(job, forecast)
-		// most is how many more of the job's tasks a zone may have.
-		zoneAllowance := func(zone string) int {
-			if queued.isLossUnconfirmed || !job.Spec.SpreadZones {
-				return remaining
-			}
-			return min(remaining, job.MaxTasksPerZone()-job.CountInZone(zone)-zones[zone])
-		}
-		allocate := func(capacity *poolForecast) {
-			if remaining <= 0 || !isPoolAllowed(job, capacity.pool) || requiredZone != "" && capacity.pool.Zone != requiredZone {
-				return
-			}
-			if count := zoneAllowance(capacity.pool.Zone); count > 0 {
-				allocated := forecast.allocate(capacity, job.Request, count)
-				zones[capacity.pool.Zone] += allocated
-				remaining -= allocated
-			}
-		}
-		for _, capacity := range forecast.pools {
-			allocate(capacity)
-		}
-		if remaining <= 0 {
+		shortfall := jobShortfall{queued: queued, remaining: queued.unplaced, requiredZone: cycle.chooseZone(queued.job, forecast), tasksByZone: map[string]int{}}
+		shortfall.useForecast(forecast)
+		if shortfall.remaining <= 0 {
 			continue
 		}
 		queued.hasShortfall = true
-		if job.IsGang() && cycle.isInfeasible(queued, requiredZone) {
-			continue
-		}
-		offers := cycle.pricedPools(job, queued.urgency, requiredZone, forecast)
-		for remaining > 0 {
-			capacity := cycle.cheapestPool(job, offers, func(zone string) bool { return zoneAllowance(zone) > 0 })
-			if capacity == nil || capacity.requested >= wire.MaxScaleOutCount {
-				break // more than one call may ask for is for the next plan
-			}
-			// A new machine takes what it can of this job at once.
-			expected := expectedMachine{free: cycle.scheduler.MachineCapacity(capacity.pool.Type)}
-			for count := zoneAllowance(capacity.pool.Zone); count > 0 && job.Request.IsWithin(expected.free); count-- {
-				expected.free = expected.free.Sub(job.Request)
-				zones[capacity.pool.Zone]++
-				remaining--
-			}
-			forecast.addMachine(capacity, expected)
-			if capacity.requested == 0 {
-				growing = append(growing, capacity)
-			}
-			capacity.requested++
+		if !queued.job.IsGang() || !cycle.isInfeasible(queued, shortfall.requiredZone) {
+			growing = cycle.requestMachines(&shortfall, forecast, growing)
 		}
 	}
 	for _, capacity := range growing {
@@ -78,9 +39,71 @@
 	}
 }
 
-// isInfeasible tells whether a gang asks for more machines than can be had: every pool
-// that it may use has refused, and all that is rented there would not do. What is
-// rented for it in part would stand idle, be given back and be rented again.
+// jobShortfall is what of a job has found no room in the forecast yet.
+type jobShortfall struct {
+	queued       *queuedJob
+	remaining    int            // tasks without room
+	tasksByZone  map[string]int // tasks with room, of those that waited
+	requiredZone string         // the only zone that the job may use; empty: any
+}
+
+// zoneAllowance is how many more of the job's tasks a zone may have.
+func (shortfall *jobShortfall) zoneAllowance(zone string) int {
+	job := shortfall.queued.job
+	if shortfall.queued.isLossUnconfirmed || !job.Spec.SpreadZones {
+		return shortfall.remaining
+	}
+	return min(shortfall.remaining, job.MaxTasksPerZone()-job.CountInZone(zone)-shortfall.tasksByZone[zone])
+}
+
+// useForecast takes what room the forecast has for the job.
+func (shortfall *jobShortfall) useForecast(forecast *capacityForecast) {
+	job := shortfall.queued.job
+	for _, capacity := range forecast.pools {
+		zone := capacity.pool.Zone
+		if shortfall.remaining <= 0 || !isPoolAllowed(job, capacity.pool) || shortfall.requiredZone != "" && zone != shortfall.requiredZone {
+			continue
+		}
+		if count := shortfall.zoneAllowance(zone); count > 0 {
+			shortfall.place(zone, forecast.allocate(capacity, job.Request, count))
+		}
+	}
+}
+
+func (shortfall *jobShortfall) place(zone string, taskCount int) {
+	shortfall.tasksByZone[zone] += taskCount
+	shortfall.remaining -= taskCount
+}
+
+// requestMachines adds machines to the forecast until the job has room, or as many as one
+// request may ask for; more is left to the next plan. It appends the pools that had not
+// grown yet.
+func (cycle *schedulingCycle) requestMachines(shortfall *jobShortfall, forecast *capacityForecast, growing []*poolForecast) []*poolForecast {
+	job := shortfall.queued.job
+	offers := cycle.pricedPools(job, shortfall.queued.urgency, shortfall.requiredZone, forecast)
+	for shortfall.remaining > 0 {
+		capacity := cycle.cheapestPool(job, offers, func(zone string) bool { return shortfall.zoneAllowance(zone) > 0 })
+		if capacity == nil || capacity.requested >= wire.MaxScaleOutCount {
+			break
+		}
+		// A new machine takes what it can of this job at once.
+		expected := expectedMachine{free: cycle.scheduler.MachineCapacity(capacity.pool.Type)}
+		for count := shortfall.zoneAllowance(capacity.pool.Zone); count > 0 && job.Request.IsWithin(expected.free); count-- {
+			expected.free = expected.free.Sub(job.Request)
+			shortfall.place(capacity.pool.Zone, 1)
+		}
+		forecast.addMachine(capacity, expected)
+		if capacity.requested == 0 {
+			growing = append(growing, capacity)
+		}
+		capacity.requested++
+	}
+	return growing
+}
+
+// isInfeasible tells whether a gang needs more machines than can be had: every pool that it
+// may use was found empty, and all machines there would not hold it. What were requested
+// for a part of it would idle, be deleted and be requested again.
 func (cycle *schedulingCycle) isInfeasible(queued *queuedJob, requiredZone string) bool {
 	taskCapacity := 0
 	for typeName, machineType := range cycle.scheduler.MachineTypes {
@@ -101,29 +124,34 @@
 	return taskCapacity < len(queued.job.Tasks)
 }
 
-// unconfirmedReplicas lists replicas whose machine has fallen silent, or that are in doubt
-// since the take-over. Nothing of them may be started yet, but where they are
-// to go can boot meanwhile: when they are provably gone, a boot later is a
-// boot too late.
+// unconfirmedReplicas lists production replicas on suspected machines, or unconfirmed since
+// a failover. Nothing of them may be started yet, but the machines that they will need can
+// boot meanwhile: requested only once the loss is proven, they would be a boot too late.
 func (cycle *schedulingCycle) unconfirmedReplicas() []*queuedJob {
 	var out []*queuedJob
 	for _, job := range cycle.tracker.Jobs {
 		if !job.IsService() || job.Cancelled || job.Priority != 0 {
 			continue
 		}
-		lostCount := 0
-		if cycle.now-cycle.scheduler.TermStartedAt > cycle.scheduler.HeartbeatWindow {
-			lostCount = job.UnconfirmedCount()
-		}
-		for i := range job.Tasks {
-			if placement := job.Tasks[i].Placement; placement != nil && !placement.Machine.Draining && !cycle.scheduler.hasRecentHeartbeat(placement.Machine, cycle.now) {
-				lostCount++
-			}
-		}
-		if lostCount > 0 {
+		if lostCount := cycle.possiblyLostCount(job); lostCount > 0 {
 			out = append(out, &queuedJob{job: job, unplaced: lostCount, isLossUnconfirmed: true})
 		}
 	}
 	slices.SortFunc(out, func(a, b *queuedJob) int { return cmp.Compare(a.job.Spec.ID, b.job.Spec.ID) })
 	return out
 }
+
+// possiblyLostCount counts tasks of a job that are unconfirmed though machines have had the
+// time for a heartbeat, or on a suspected machine.
+func (cycle *schedulingCycle) possiblyLostCount(job *allocation.Job) int {
+	lostCount := 0
+	if cycle.now-cycle.scheduler.TermStartedAt > cycle.scheduler.HeartbeatWindow {
+		lostCount = job.UnconfirmedCount()
+	}
+	for i := range job.Tasks {
+		if placement := job.Tasks[i].Placement; placement != nil && !placement.Machine.Draining && !cycle.scheduler.hasRecentHeartbeat(placement.Machine, cycle.now) {
+			lostCount++
+		}
+	}
+	return lostCount
+}
