--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -8,20 +8,22 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// A gang starts with its last task, whole machines are rare where most tasks take a
-// part of one, and room that falls free goes to the next small task before enough of
-// it is free together. So a gang looks at when each place will be ready, its image
-// fetched, and at what work would have to be stopped for that, and claims what costs
-// least: nothing behind it in the queue is placed there. A claim lasts one plan; the
-// next one makes it anew or drops it.
+// A gang starts with its last task, whole machines are rare where most tasks take a part of
+// one, and room that becomes free would go to the next small task before enough of it is
+// free together. So for each place it is worked out when it will be ready, its image
+// fetched, and what work would have to be stopped for that, and what costs least is
+// reserved. The reserved amount is withheld from jobs later in the queue; other gangs skip
+// the machine. A reservation lasts one plan; the next one makes it again or drops it. See
+// docs/design.md, "Gangs".
 
-// cheapestSlots picks the cheapest seats that are ready by some time for all tasks of a
-// gang, and of equal ones the best; nil if there are not enough.
+// cheapestSlots picks the cheapest slots that are ready by some time for all tasks of a
+// gang, and of equal ones the best, with the work that is lost for them; nil if there are
+// not enough.
 func cheapestSlots(queued *queuedJob, slots []gangSlot, readyBy float64) (selected []gangSlot, loss float64) {
 	job, taskCount := queued.job, len(queued.readyTasks)
-	for _, taskSlot := range slots {
-		if !math.IsInf(taskSlot.costBy(readyBy), 1) {
-			selected = append(selected, taskSlot)
+	for _, slot := range slots {
+		if !math.IsInf(slot.costBy(readyBy), 1) {
+			selected = append(selected, slot)
 		}
 	}
 	if len(selected) < taskCount {
@@ -32,16 +34,16 @@
 	})
 	zones := map[string]int{}
 	chosen := selected[:0]
-	for _, taskSlot := range selected {
+	for _, slot := range selected {
 		if len(chosen) == taskCount {
 			break
 		}
-		if job.Spec.SpreadZones && job.CountInZone(taskSlot.machine.Zone)+zones[taskSlot.machine.Zone] >= job.MaxTasksPerZone() {
+		if job.Spec.SpreadZones && job.CountInZone(slot.machine.Zone)+zones[slot.machine.Zone] >= job.MaxTasksPerZone() {
 			continue
 		}
-		zones[taskSlot.machine.Zone]++
-		loss += taskSlot.costBy(readyBy)
-		chosen = append(chosen, taskSlot)
+		zones[slot.machine.Zone]++
+		loss += slot.costBy(readyBy)
+		chosen = append(chosen, slot)
 	}
 	if len(chosen) < taskCount {
 		return nil, 0
@@ -50,21 +52,12 @@
 }
 
 // chooseSlots weighs, for a gang, every second that it waits against the work that is
-// stopped to have it wait less.
+// stopped to have it wait less. It returns the slots, when the last of them is ready, in
+// seconds, and what they cost; nil and +Inf if there are not enough.
 func (cycle *schedulingCycle) chooseSlots(queued *queuedJob, slots []gangSlot) (best []gangSlot, readyBy, cost float64) {
 	taskCount := float64(len(queued.job.Tasks)) // all of them wait
-	maxSeconds := cycle.maxReservationSeconds(queued.job, slots)
-	var times []float64
-	for i := range slots {
-		for _, seconds := range []float64{slots[i].readyInSeconds, slots[i].preemptedReadyInSeconds} {
-			if seconds <= maxSeconds || queued.isAged && !math.IsInf(seconds, 1) {
-				times = append(times, math.Ceil(seconds))
-			}
-		}
-	}
-	slices.Sort(times)
 	cost = math.Inf(1)
-	for _, seconds := range slices.Compact(times) {
+	for _, seconds := range cycle.candidateTimes(queued, slots) {
 		wait := cycle.scheduler.Settings.GangWaitWeight * taskCount * seconds
 		if wait >= cost {
 			break // later is dearer, whatever is stopped
@@ -76,26 +69,54 @@
 	return best, readyBy, cost
 }
 
-// maxReservationSeconds bounds, in seconds, how long a gang may keep room from others: as long as
-// a machine rented now would take to be ready.
+// candidateTimes lists the whole seconds at which some slot will be ready, soonest first, as
+// far as a gang may reserve room for so long; an aged one may for any time.
+func (cycle *schedulingCycle) candidateTimes(queued *queuedJob, slots []gangSlot) []float64 {
+	maxSeconds := cycle.maxReservationSeconds(queued.job, slots)
+	var times []float64
+	for i := range slots {
+		for _, seconds := range []float64{slots[i].readyInSeconds, slots[i].preemptedReadyInSeconds} {
+			if seconds <= maxSeconds || queued.isAged && !math.IsInf(seconds, 1) {
+				times = append(times, math.Ceil(seconds))
+			}
+		}
+	}
+	slices.Sort(times)
+	return slices.Compact(times)
+}
+
+// maxReservationSeconds bounds how long a gang may keep room from others: as long as a
+// machine requested now would take to be ready.
 func (cycle *schedulingCycle) maxReservationSeconds(job *allocation.Job, slots []gangSlot) float64 {
 	typeName := slots[0].machine.Type
 	return cycle.scheduler.BootTime(typeName, medianBoot).Seconds() + cycle.scheduler.imageFetchSeconds(job, typeName)
 }
 
-// placeGang places all tasks of a gang, or all that it has lost before it was
-// complete, or none. It may claim room instead.
+// placeGang places all tasks of a gang, or all that it has lost before it was complete, or
+// none. It may reserve room instead. It returns how many it has placed.
 func (cycle *schedulingCycle) placeGang(queued *queuedJob) int {
-	job := queued.job
-	if len(queued.readyTasks) != job.WaitingCount() || queued.taskLimit < len(queued.readyTasks) {
+	if len(queued.readyTasks) != queued.job.WaitingCount() || queued.taskLimit < len(queued.readyTasks) {
+		return 0
+	}
+	slots, readyBy := cycle.bestSlots(queued)
+	switch {
+	case slots == nil:
+		return 0
+	case slices.ContainsFunc(slots, func(slot gangSlot) bool { return !slot.isFree }):
+		cycle.reserveSlots(queued, slots, readyBy)
 		return 0
 	}
+	return cycle.placeOnSlots(queued, slots)
+}
+
+// bestSlots chooses slots for a gang, in the best zone if it has to have all its tasks in
+// one, and when they are ready, in seconds.
+func (cycle *schedulingCycle) bestSlots(queued *queuedJob) (best []gangSlot, bestReadyBy float64) {
 	zones := []string{""}
-	if job.Spec.SingleZone {
+	if queued.job.Spec.SingleZone {
 		zones = cycle.scheduler.Zones
 	}
-	var best []gangSlot
-	bestReadyBy, cost := 0.0, math.Inf(1)
+	cost := math.Inf(1)
 	for _, zone := range zones {
 		slots := cycle.gangSlots(queued, zone)
 		if len(slots) < len(queued.readyTasks) {
@@ -105,59 +126,58 @@
 			best, bestReadyBy, cost = selected, readyBy, selectedCost
 		}
 	}
-	switch {
-	case best == nil:
-		return 0
-	case !slices.ContainsFunc(best, func(taskSlot gangSlot) bool { return !taskSlot.isFree }):
-		return cycle.placeOnSlots(queued, best)
-	}
-	cycle.reserveSlots(queued, best, bestReadyBy)
-	return 0
+	return best, bestReadyBy
 }
 
 // reserveSlots keeps room for a gang, and stops what has to be stopped to have it by
-// then. Nothing is rented for the gang as long as it has a claim.
+// then. Nothing is requested for the gang as long as it has a reservation.
 func (cycle *schedulingCycle) reserveSlots(queued *queuedJob, slots []gangSlot, readyBy float64) {
 	queued.hasReservation = true
-	need := queued.job.Request
 	slotsByMachine := map[*allocation.Machine]int{}
-	for _, taskSlot := range slots {
-		slotsByMachine[taskSlot.machine]++
+	for _, slot := range slots {
+		slotsByMachine[slot.machine]++
 	}
-	for _, taskSlot := range slots {
-		machine := taskSlot.machine
-		if cycle.gangReserved[machine.SortIndex] {
-			continue
+	for _, slot := range slots {
+		if !cycle.gangReserved[slot.machine.SortIndex] {
+			cycle.reserveForGang(queued, slot.machine, queued.job.Request.Times(slotsByMachine[slot.machine]), readyBy)
 		}
-		cycle.gangReserved[machine.SortIndex] = true
-		wanted := need.Times(slotsByMachine[machine])
-		fetchSeconds := cycle.imageReadySeconds(queued.job, machine)
-		available := cycle.freeAfterStopping(machine)
-		for _, placement := range cycle.placementsByEnd(machine) {
-			if !placement.IsStopping() && drainMargin*cycle.scheduler.remainingSeconds(placement, cycle.now)+fetchSeconds <= readyBy {
-				available = available.Add(placement.Job.Request)
-			}
-		}
-		for _, placement := range preemptiblePlacements(machine, func(placement *allocation.Placement) bool {
-			return !placement.IsStopping() && cycle.mayPreempt(queued, placement.Job) && drainMargin*cycle.scheduler.remainingSeconds(placement, cycle.now)+fetchSeconds > readyBy
-		}) {
-			if wanted.IsWithin(available) {
-				break
-			}
-			cycle.stopPlacement(placement)
+	}
+}
+
+// reserveForGang keeps room on one machine, and stops what would not end in time by itself,
+// as far as the room needs it.
+func (cycle *schedulingCycle) reserveForGang(queued *queuedJob, machine *allocation.Machine, wanted allocation.Resources, readyBy float64) {
+	cycle.gangReserved[machine.SortIndex] = true
+	fetchSeconds := cycle.imageReadySeconds(queued.job, machine)
+	endsInTime := func(placement *allocation.Placement) bool {
+		return drainMargin*cycle.scheduler.remainingSeconds(placement, cycle.now)+fetchSeconds <= readyBy
+	}
+	available := cycle.freeAfterStopping(machine)
+	for _, placement := range cycle.placementsByEnd(machine) {
+		if !placement.IsStopping() && endsInTime(placement) {
 			available = available.Add(placement.Job.Request)
 		}
-		free := machine.Free()
-		cycle.reserved[machine.SortIndex] = componentMin(wanted, free)
 	}
+	victims := preemptiblePlacements(machine, func(placement *allocation.Placement) bool {
+		return cycle.mayStop(queued, placement) && !endsInTime(placement)
+	})
+	for _, placement := range victims {
+		if wanted.IsWithin(available) {
+			break
+		}
+		cycle.stopPlacement(placement)
+		available = available.Add(placement.Job.Request)
+	}
+	cycle.reserved[machine.SortIndex] = componentMin(wanted, machine.Free())
 }
 
-// placeOnSlots places a gang on seats that are free.
+// placeOnSlots places a gang on slots that are free. Until its starts are recorded it only
+// reserves the room. It returns the number of tasks.
 func (cycle *schedulingCycle) placeOnSlots(queued *queuedJob, slots []gangSlot) int {
 	job := queued.job
 	if !job.StartsRecorded {
-		for _, taskSlot := range slots {
-			cycle.reserve(taskSlot.machine, job.Request)
+		for _, slot := range slots {
+			cycle.reserve(slot.machine, job.Request)
 		}
 		return len(slots)
 	}
@@ -165,9 +185,9 @@
 	if attempt == 0 {
 		attempt = cycle.tracker.NextAttempt()
 	}
-	for index, taskSlot := range slots {
-		if cycle.tracker.PlaceTask(job, queued.readyTasks[index], taskSlot.machine, attempt, cycle.now) != nil {
-			cycle.tracker.StopJob(job, 0) // cannot start whole; what was decided is undone
+	for index, slot := range slots {
+		if cycle.tracker.PlaceTask(job, queued.readyTasks[index], slot.machine, attempt, cycle.now) != nil {
+			cycle.tracker.StopJob(job, 0) // it cannot start whole; undo what was placed
 			return 0
 		}
 	}
--- a/internal/scheduler/gangslots.go
+++ b/internal/scheduler/gangslots.go
@@ -8,7 +8,7 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// gangSlot is a place for one task of a gang. Times are seconds from now.
+// gangSlot is room for one task of a gang. Times are seconds from now.
 type gangSlot struct {
 	machine                 *allocation.Machine
 	isFree                  bool    // there is room now
@@ -18,77 +18,131 @@
 	score                   float64
 }
 
-// costBy is what it costs to have a seat by some time.
-func (taskSlot *gangSlot) costBy(deadline float64) float64 {
+// costBy is what it costs, in seconds of a machine's work, to have a slot by some time; +Inf
+// if that can't be.
+func (slot *gangSlot) costBy(deadline float64) float64 {
 	switch {
-	case taskSlot.readyInSeconds <= deadline:
+	case slot.readyInSeconds <= deadline:
 		return 0
-	case taskSlot.preemptedReadyInSeconds <= deadline:
-		return taskSlot.preemptionLoss
+	case slot.preemptedReadyInSeconds <= deadline:
+		return slot.preemptionLoss
 	}
 	return math.Inf(1)
 }
 
 const (
-	// drainMargin is what forecasts of room are stretched by: they are means.
+	// drainMargin is the safety factor on predicted run times, which are means.
 	drainMargin = 1.25
-	// stopSeconds is how long, in seconds, a task takes to be gone that saves nothing.
+	// stopSeconds is how long a task that writes no checkpoint takes to stop.
 	stopSeconds = 0.5
 	// restartLossSeconds is what a stopped task loses beside its progress: it has to be placed
-	// anew, mostly with a fetch.
+	// again, mostly with an image fetch.
 	restartLossSeconds = 15
 )
 
-// gangSlots lists where tasks of a gang could go in a zone, or anywhere.
+// gangSlots lists where tasks of a gang could go in a zone, or anywhere if that is empty.
 func (cycle *schedulingCycle) gangSlots(queued *queuedJob, zone string) []gangSlot {
-	job := queued.job
 	var slots []gangSlot
 	for _, machine := range cycle.machines {
-		if zone != "" && machine.Zone != zone || !cycle.isUsable(machine) || cycle.gangReserved[machine.SortIndex] || !allocation.IsEligible(job, machine) {
-			continue
+		if (zone == "" || machine.Zone == zone) && cycle.isUsable(machine) && !cycle.gangReserved[machine.SortIndex] && allocation.IsEligible(queued.job, machine) {
+			slots = cycle.appendMachineSlots(slots, queued, machine)
 		}
-		fetchSeconds, score := cycle.imageReadySeconds(job, machine), cycle.placementScore(job, machine)
-		freeIfDrained := cycle.freeResources(machine) // if nothing is stopped
-		var endingPlacements, victims []*allocation.Placement
-		isListed := false
-		drainSeconds, loss, freeIfPreempted := 0.0, 0.0, cycle.freeResources(machine)
-		for range cycle.scheduler.tasksPerMachine(job.Request, machine.Type) {
-			taskSlot := gangSlot{machine: machine, isFree: job.Request.IsWithin(freeIfDrained), readyInSeconds: fetchSeconds, preemptedReadyInSeconds: math.Inf(1), score: score}
-			if !taskSlot.isFree && !isListed {
-				isListed = true
-				endingPlacements, victims = cycle.placementsByEnd(machine), preemptiblePlacements(machine, func(placement *allocation.Placement) bool {
-					return !placement.IsStopping() && cycle.mayPreempt(queued, placement.Job)
-				})
-				freeIfPreempted = cycle.freeAfterStopping(machine)
-			}
-			for len(endingPlacements) > 0 && !job.Request.IsWithin(freeIfDrained) {
-				drainSeconds = drainMargin * cycle.scheduler.remainingSeconds(endingPlacements[0], cycle.now)
-				freeIfDrained = freeIfDrained.Add(endingPlacements[0].Job.Request)
-				endingPlacements = endingPlacements[1:]
-			}
-			taskSlot.readyInSeconds = drainSeconds + fetchSeconds
-			if !job.Request.IsWithin(freeIfDrained) {
-				taskSlot.readyInSeconds = math.Inf(1)
-			}
-			for len(victims) > 0 && !job.Request.IsWithin(freeIfPreempted) {
-				loss += cycle.preemptionLoss(victims[0])
-				freeIfPreempted = freeIfPreempted.Add(victims[0].Job.Request)
-				victims = victims[1:]
-			}
-			if job.Request.IsWithin(freeIfPreempted) {
-				taskSlot.preemptedReadyInSeconds, taskSlot.preemptionLoss = stopSeconds+fetchSeconds, loss
-			}
-			if math.IsInf(min(taskSlot.readyInSeconds, taskSlot.preemptedReadyInSeconds), 1) {
-				break
-			}
-			freeIfDrained, freeIfPreempted = freeIfDrained.Sub(job.Request), freeIfPreempted.Sub(job.Request)
-			slots = append(slots, taskSlot)
+	}
+	return slots
+}
+
+func (cycle *schedulingCycle) appendMachineSlots(slots []gangSlot, queued *queuedJob, machine *allocation.Machine) []gangSlot {
+	free := cycle.freeResources(machine)
+	search := slotSearch{
+		cycle: cycle, queued: queued, machine: machine,
+		fetchSeconds: cycle.imageReadySeconds(queued.job, machine), score: cycle.placementScore(queued.job, machine),
+		freeIfDrained: free, freeIfPreempted: free,
+	}
+	for range cycle.scheduler.tasksPerMachine(queued.job.Request, machine.Type) {
+		slot, ok := search.next()
+		if !ok {
+			break
 		}
+		slots = append(slots, slot)
 	}
 	return slots
 }
 
-// placementsByEnd lists what is on a machine, what ends first first.
+// slotSearch finds the slots of one machine, one after the other: each by what ends by
+// itself, and by what is stopped, beyond what the slots before it need.
+type slotSearch struct {
+	cycle               *schedulingCycle
+	queued              *queuedJob
+	machine             *allocation.Machine
+	fetchSeconds, score float64
+	isListed            bool // endingPlacements and victims are
+
+	freeIfDrained    allocation.Resources // if nothing is stopped
+	endingPlacements []*allocation.Placement
+	drainSeconds     float64
+
+	freeIfPreempted allocation.Resources
+	victims         []*allocation.Placement
+	loss            float64
+}
+
+// next returns the next slot; false if the machine has no other.
+func (search *slotSearch) next() (gangSlot, bool) {
+	request := search.queued.job.Request
+	slot := gangSlot{machine: search.machine, isFree: request.IsWithin(search.freeIfDrained), readyInSeconds: math.Inf(1), preemptedReadyInSeconds: math.Inf(1), score: search.score}
+	if !slot.isFree {
+		search.listPlacements()
+	}
+	if search.drainUntilFits(request) {
+		slot.readyInSeconds = search.drainSeconds + search.fetchSeconds
+	}
+	if search.preemptUntilFits(request) {
+		slot.preemptedReadyInSeconds, slot.preemptionLoss = stopSeconds+search.fetchSeconds, search.loss
+	}
+	if math.IsInf(min(slot.readyInSeconds, slot.preemptedReadyInSeconds), 1) {
+		return gangSlot{}, false
+	}
+	search.freeIfDrained, search.freeIfPreempted = search.freeIfDrained.Sub(request), search.freeIfPreempted.Sub(request)
+	return slot, true
+}
+
+// listPlacements lists, once, what ends by itself and what may be stopped; a machine with
+// enough free room needs neither.
+func (search *slotSearch) listPlacements() {
+	if search.isListed {
+		return
+	}
+	search.isListed = true
+	search.endingPlacements = search.cycle.placementsByEnd(search.machine)
+	search.victims = preemptiblePlacements(search.machine, func(placement *allocation.Placement) bool {
+		return search.cycle.mayStop(search.queued, placement)
+	})
+	search.freeIfPreempted = search.cycle.freeAfterStopping(search.machine)
+}
+
+// drainUntilFits lets placements end until there is room; false if there never is.
+func (search *slotSearch) drainUntilFits(request allocation.Resources) bool {
+	for len(search.endingPlacements) > 0 && !request.IsWithin(search.freeIfDrained) {
+		ending := search.endingPlacements[0]
+		search.drainSeconds = drainMargin * search.cycle.scheduler.remainingSeconds(ending, search.cycle.now)
+		search.freeIfDrained = search.freeIfDrained.Add(ending.Job.Request)
+		search.endingPlacements = search.endingPlacements[1:]
+	}
+	return request.IsWithin(search.freeIfDrained)
+}
+
+// preemptUntilFits stops placements until there is room; false if there never is.
+func (search *slotSearch) preemptUntilFits(request allocation.Resources) bool {
+	for len(search.victims) > 0 && !request.IsWithin(search.freeIfPreempted) {
+		victim := search.victims[0]
+		search.loss += search.cycle.preemptionLoss(victim)
+		search.freeIfPreempted = search.freeIfPreempted.Add(victim.Job.Request)
+		search.victims = search.victims[1:]
+	}
+	return request.IsWithin(search.freeIfPreempted)
+}
+
+// placementsByEnd lists what will end by itself on a machine, what ends first first.
 func (cycle *schedulingCycle) placementsByEnd(machine *allocation.Machine) []*allocation.Placement {
 	var out []*allocation.Placement
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
@@ -102,8 +156,8 @@
 	return out
 }
 
-// preemptionLoss is what stopping a task loses, in seconds of its machine: its run since the
-// last checkpoint, and a new start.
+// preemptionLoss is what stopping a task loses, in seconds of a whole machine: its run since
+// its last checkpoint, and a new start.
 func (cycle *schedulingCycle) preemptionLoss(placement *allocation.Placement) float64 {
 	elapsed := cycle.scheduler.elapsedSeconds(placement, cycle.now)
 	if checkpointInterval := placement.Job.Spec.CheckpointIntervalSeconds; checkpointInterval > 0 {
@@ -120,7 +174,7 @@
 	}
 	fetchSeconds := cycle.scheduler.imageFetchSeconds(job, machine.Type)
 	if machine.IsFetching(job.Spec.Image) {
-		return fetchSeconds / 2 // under way, for how long is not known
+		return fetchSeconds / 2 // under way since an unknown instant
 	}
 	return fetchSeconds * float64(1+machine.FetchCount())
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -8,7 +8,8 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// freeAfterStopping is what a machine will have once the tasks that are stopping are gone.
+// freeAfterStopping is what will be free on a machine once the tasks that are stopping have
+// stopped.
 func (cycle *schedulingCycle) freeAfterStopping(machine *allocation.Machine) allocation.Resources {
 	if cycle.releasing == nil {
 		cycle.releasing = make([]allocation.Resources, len(cycle.machines))
@@ -23,86 +24,96 @@
 	return cycle.freeResources(machine).Add(cycle.releasing[machine.SortIndex])
 }
 
-// preemptForQueue stops work to make room for tasks of higher rank, and for those that
-// their team's guarantee covers. What loses least goes first. Gangs weigh that
-// themselves, see placeGang.
+// preemptForQueue stops work to make room for production jobs, and for those that their
+// team's quota entitles to it. What loses least goes first. Gangs weigh that themselves, see
+// placeGang.
 func (cycle *schedulingCycle) preemptForQueue(queue []*queuedJob) {
-	var active []*allocation.Job // what may be stopped at all, for somebody
+	var active []*allocation.Job
 	for _, queued := range queue {
-		job := queued.job
-		if queued.unplaced <= 0 || job.IsGang() || job.Priority != 0 && !queued.isEntitled {
+		if queued.unplaced <= 0 || queued.job.IsGang() || queued.job.Priority != 0 && !queued.isEntitled {
 			continue
 		}
 		if active == nil {
-			active = []*allocation.Job{}
-			for _, victim := range cycle.tracker.Jobs {
-				if victim.ActiveCount() > 0 && !victim.IsGang() {
-					active = append(active, victim)
-				}
-			}
+			active = cycle.activeIndependentJobs()
 		}
-		if !slices.ContainsFunc(active, func(victim *allocation.Job) bool { return cycle.mayPreempt(queued, victim) }) {
-			continue // nobody's work is below this job's
+		if slices.ContainsFunc(active, func(victim *allocation.Job) bool { return cycle.mayPreempt(queued, victim) }) {
+			cycle.preemptForTasks(queued)
+		}
+	}
+}
+
+// activeIndependentJobs lists the jobs whose tasks may be stopped at all, for some job; not
+// nil.
+func (cycle *schedulingCycle) activeIndependentJobs() []*allocation.Job {
+	active := []*allocation.Job{}
+	for _, job := range cycle.tracker.Jobs {
+		if job.ActiveCount() > 0 && !job.IsGang() {
+			active = append(active, job)
 		}
-		cycle.preemptForTasks(queued, func(placement *allocation.Placement) bool {
-			return !placement.IsStopping() && cycle.mayPreempt(queued, placement.Job)
-		})
 	}
+	return active
+}
+
+// mayStop tells whether a placement may be stopped for a job.
+func (cycle *schedulingCycle) mayStop(queued *queuedJob, placement *allocation.Placement) bool {
+	return !placement.IsStopping() && cycle.mayPreempt(queued, placement.Job)
 }
 
-// mayPreempt tells whether work of a job may be stopped for another: it is of lower rank,
-// or the other is owed the room and it is not. What a guarantee covers gives way to
-// the same team's, to what is owed too, and to the first rank.
+// mayPreempt tells whether tasks of a victim may be stopped for a job; gangs are never. They
+// may be stopped for a job of a higher priority, unless the victim is within another team's
+// quota; production and entitled jobs ignore that. They may be stopped for an entitled job
+// of the same priority and another team, unless the victim is entitled too, a service, or
+// was started by aging. Added after entitled jobs stopped such work as soon as it was
+// placed, and the next plan placed it again, thousands of times.
 func (cycle *schedulingCycle) mayPreempt(queued *queuedJob, victim *allocation.Job) bool {
 	job := queued.job
-	if victim.IsGang() || victim == job {
+	switch {
+	case victim.IsGang() || victim == job:
 		return false
-	}
-	if victim.Priority > job.Priority {
+	case victim.Priority > job.Priority:
 		return job.Priority == 0 || queued.isEntitled || !cycle.entitled[victim] || victim.Spec.Team == job.Spec.Team
-	}
-	if victim.StartedByAging {
-		// It had waited too long. What guarantees cover once stopped such work as soon
-		// as it was placed, and the next plan placed it again, thousands of times.
+	case victim.StartedByAging:
 		return false
 	}
 	return queued.isEntitled && !cycle.entitled[victim] && victim.Spec.Team != job.Spec.Team && victim.Priority == job.Priority && !victim.IsService()
 }
 
-// reserveReleasing books room that is being freed for a job; its tasks are placed there
-// when it is.
+// reserveReleasing reserves, within this plan, room that is being freed; a later plan places
+// a task there.
 func (cycle *schedulingCycle) reserveReleasing(machine *allocation.Machine, need allocation.Resources) {
 	cycle.releasing[machine.SortIndex] = cycle.releasing[machine.SortIndex].Sub(need)
 }
 
-// stopPlacement stops a task and counts what it frees.
+// stopPlacement stops a task and counts what it frees. freeAfterStopping has been called
+// before.
 func (cycle *schedulingCycle) stopPlacement(placement *allocation.Placement) {
 	cycle.releasing[placement.Machine.SortIndex] = cycle.releasing[placement.Machine.SortIndex].Add(placement.Job.Request)
 	cycle.tracker.StopPlacement(placement, 0)
 }
 
-// preemptibleMachines lists a pool's machines where something may be stopped or is stopping:
-// most others are full of replicas, which nothing outranks.
+// preemptibleMachines lists a pool's machines where something may be stopped or is
+// stopping; most others are full of production replicas, which nothing may preempt.
 func (cycle *schedulingCycle) preemptibleMachines(view *poolView) []*allocation.Machine {
-	if !view.hasPreemptible {
-		view.hasPreemptible = true
-		hasPreemptibleReplicas := false
-		for _, job := range cycle.tracker.Jobs {
-			hasPreemptibleReplicas = hasPreemptibleReplicas || job.IsService() && job.Priority > 0
-		}
-		for _, machine := range cycle.machines {
-			if machine.Type == view.pool.Type && machine.Zone == view.pool.Zone && machine.Spot == view.pool.Spot && cycle.isUsable(machine) &&
-				(hasPreemptibleReplicas || machine.PlacementCount() > machine.ReplicaCount() || cycle.minNeed.IsWithin(cycle.freeAfterStopping(machine))) {
-				view.preemptible = append(view.preemptible, machine)
-			}
+	if view.hasPreemptible {
+		return view.preemptible
+	}
+	view.hasPreemptible = true
+	hasPreemptibleReplicas := false
+	for _, job := range cycle.tracker.Jobs {
+		hasPreemptibleReplicas = hasPreemptibleReplicas || job.IsService() && job.Priority > 0
+	}
+	for _, machine := range cycle.machines {
+		if poolOf(machine) == view.pool && cycle.isUsable(machine) &&
+			(hasPreemptibleReplicas || machine.PlacementCount() > machine.ReplicaCount() || cycle.minNeed.IsWithin(cycle.freeAfterStopping(machine))) {
+			view.preemptible = append(view.preemptible, machine)
 		}
 	}
 	return view.preemptible
 }
 
-// fetchCost weighs, in lost work, the fetch that a replica would wait for on a
-// machine: on a busy day three in four of them got the places of batch work, and
-// waited for their image there.
+// fetchCost weighs the image fetch that a replica would wait for on a machine, in seconds of
+// a thousandth of a CPU of lost work. Added after three in four replicas of a busy day took
+// the places of batch work and waited for their image there.
 func (cycle *schedulingCycle) fetchCost(job *allocation.Job, machine *allocation.Machine) float64 {
 	if _, cached := machine.ImageUsedAt[job.Spec.Image]; cached || !job.IsService() {
 		return 0
@@ -118,68 +129,86 @@
 // worth.
 const replicaFetchWeight = 20
 
-// preemptForTasks stops work for independent tasks, each time where it loses
-// least.
-func (cycle *schedulingCycle) preemptForTasks(queued *queuedJob, mayStop func(*allocation.Placement) bool) {
+// preemptionOption is a machine where a task can start once the victims are stopped.
+type preemptionOption struct {
+	candidate // a negative score: what the start costs in lost work
+	victims   []*allocation.Placement
+}
+
+// preemptionOption works out what a start of a job's task on a machine costs; false if it
+// can't start there.
+func (cycle *schedulingCycle) preemptionOption(queued *queuedJob, machine *allocation.Machine) (preemptionOption, bool) {
 	job := queued.job
-	// What a start on the machine costs in lost work; more is better, as a
-	// heap of options has the highest on top.
-	weigh := func(machine *allocation.Machine) (candidate, []*allocation.Placement, bool) {
-		available := cycle.freeAfterStopping(machine)
-		fetchCost := cycle.fetchCost(job, machine)
-		if job.Request.IsWithin(available) {
-			return candidate{machine, -fetchCost}, nil, true
-		}
-		if machine.PlacementCount() == 0 {
-			return candidate{}, nil, false
-		}
-		victims := preemptiblePlacements(machine, mayStop)
-		cost := 0.0
-		victimCount := 0
-		for ; victimCount < len(victims) && !job.Request.IsWithin(available); victimCount++ {
-			available = available.Add(victims[victimCount].Job.Request)
-			cost += cycle.scheduler.elapsedSeconds(victims[victimCount], cycle.now) * float64(victims[victimCount].Job.Request.MilliCPU)
-		}
-		return candidate{machine, -cost - fetchCost}, victims[:victimCount], job.Request.IsWithin(available)
+	available := cycle.freeAfterStopping(machine)
+	fetchCost := cycle.fetchCost(job, machine)
+	if job.Request.IsWithin(available) {
+		return preemptionOption{candidate: candidate{machine, -fetchCost}}, true
+	}
+	if machine.PlacementCount() == 0 {
+		return preemptionOption{}, false
 	}
+	victims := preemptiblePlacements(machine, func(placement *allocation.Placement) bool { return cycle.mayStop(queued, placement) })
+	cost := 0.0
+	victimCount := 0
+	for ; victimCount < len(victims) && !job.Request.IsWithin(available); victimCount++ {
+		victim := victims[victimCount]
+		available = available.Add(victim.Job.Request)
+		cost += cycle.scheduler.elapsedSeconds(victim, cycle.now) * float64(victim.Job.Request.MilliCPU)
+	}
+	return preemptionOption{candidate{machine, -cost - fetchCost}, victims[:victimCount]}, job.Request.IsWithin(available)
+}
+
+// preemptionCandidates lists the machines where a task of a job can start, some with work
+// stopped for it, as a heap.
+func (cycle *schedulingCycle) preemptionCandidates(queued *queuedJob) candidateHeap {
 	var candidates candidateHeap
 	for _, view := range cycle.pools {
-		if preemptible := cycle.preemptibleMachines(view); len(preemptible) > 0 && allocation.IsEligible(job, preemptible[0]) {
-			for _, machine := range preemptible {
-				if weighed, _, ok := weigh(machine); ok {
-					candidates = append(candidates, weighed)
-				}
+		preemptible := cycle.preemptibleMachines(view)
+		if len(preemptible) == 0 || !allocation.IsEligible(queued.job, preemptible[0]) {
+			continue
+		}
+		for _, machine := range preemptible {
+			if option, ok := cycle.preemptionOption(queued, machine); ok {
+				candidates = append(candidates, option.candidate)
 			}
 		}
 	}
 	heap.Init(&candidates)
-	zones := map[string]int{}
+	return candidates
+}
+
+// preemptForTasks stops work for independent tasks, each time where it loses least. Options
+// are worked out again when their turn comes, as machines may have given room before.
+func (cycle *schedulingCycle) preemptForTasks(queued *queuedJob) {
+	job := queued.job
+	candidates := cycle.preemptionCandidates(queued)
+	tasksByZone := map[string]int{}
 	for queued.unplaced > 0 && len(candidates) > 0 {
 		machine := candidates[0].machine
-		if job.Spec.SpreadZones && job.CountInZone(machine.Zone)+zones[machine.Zone] >= job.MaxTasksPerZone() {
+		if job.Spec.SpreadZones && job.CountInZone(machine.Zone)+tasksByZone[machine.Zone] >= job.MaxTasksPerZone() {
 			candidates.removeBest()
 			continue
 		}
-		weighed, victims, ok := weigh(machine)
+		option, ok := cycle.preemptionOption(queued, machine)
 		if !ok {
 			candidates.removeBest()
 			continue
 		}
-		if weighed.score != candidates[0].score {
-			candidates[0] = weighed // it has given some before
+		if option.score != candidates[0].score {
+			candidates[0] = option.candidate
 			heap.Fix(&candidates, 0)
 			continue
 		}
-		for _, placement := range victims {
+		for _, placement := range option.victims {
 			cycle.stopPlacement(placement)
 		}
 		cycle.reserveReleasing(machine, job.Request)
-		zones[machine.Zone]++
+		tasksByZone[machine.Zone]++
 		queued.unplaced--
 	}
 }
 
-// preemptiblePlacements lists what may be stopped on a machine, what started last first.
+// preemptiblePlacements lists what may be stopped on a machine, what was placed last first.
 func preemptiblePlacements(machine *allocation.Machine, mayStop func(*allocation.Placement) bool) []*allocation.Placement {
 	var victims []*allocation.Placement
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
