--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -6,49 +6,68 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// placementScore orders machines for a job: the kind that it should use, the image at
-// hand, then the fullest, so that others run empty and can be given back.
+// Points of the placement score. The kind of machine comes first, then the image, then
+// what keeps machines free to be deleted.
+const (
+	pointsForKind         = 100 // spot for jobs that may use it, ordinary for others
+	pointsForReplicas     = 50  // a replica, where there are others
+	pointsForImage        = 20  // the image is there
+	pointsForImageReplica = 60  // the same for a replica, which users wait for
+	pointsForFetch        = 10  // the image is being fetched
+	pointsPerFetch        = 10  // taken off for each other fetch under way
+	pointsPerFetchReplica = 25
+	pointsForFailure      = 1000 // taken off where tasks of the job have failed
+	pointsForExtension    = 8    // taken off, at most, for prolonging a machine's use
+	halfExtensionSeconds  = 30   // what half of these are taken off for
+	pointsForFullness     = 5    // at most
+)
+
+// placementScore orders machines for a job, the higher the better: the kind that it should
+// use, the image there, then the fullest, so that others become idle and can be deleted.
 func (cycle *schedulingCycle) placementScore(job *allocation.Job, machine *allocation.Machine) float64 {
 	score := 0.0
 	if job.Spec.AllowsSpot == machine.Spot {
-		score += 100
+		score += pointsForKind
 	}
 	if job.IsService() && machine.ReplicaCount() > 0 {
-		// Replicas stay for long, and a machine that has one cannot be given
-		// back: they go together.
-		score += 50
-	}
-	switch _, ok := machine.ImageUsedAt[job.Spec.Image]; {
-	case ok && job.IsService():
-		score += 60 // a replica is awaited: rather apart than after a fetch
-	case ok:
-		score += 20
-	case machine.IsFetching(job.Spec.Image):
-		score += 10
-	default:
-		// Fetches share a machine's rate: when many replicas have lost their
-		// place, one machine after the other fetched every image there is.
-		penaltyPerFetch := 10.0
-		if job.IsService() {
-			penaltyPerFetch = 25 // rather a machine of its own for a while than a queue of fetches
-		}
-		score -= penaltyPerFetch * float64(machine.FetchCount())
+		// Replicas stay for long, and a machine that has one cannot be deleted: they go
+		// together.
+		score += pointsForReplicas
 	}
-	if errorCount := job.FailuresByMachine[machine.Name]; errorCount > 0 {
-		score -= 1000
+	score += imageScore(job, machine)
+	if job.FailuresByMachine[machine.Name] > 0 {
+		score -= pointsForFailure
 	}
 	if !job.IsService() {
 		// A machine is paid for until its last task ends: a task goes where it
 		// prolongs that least.
 		runSeconds := cycle.scheduler.predictedRunSeconds(job)
 		extension := max(runSeconds-cycle.remainingBusySeconds(machine), 0)
-		score -= 8 * extension / (extension + 30)
+		score -= pointsForExtension * extension / (extension + halfExtensionSeconds)
 	}
-	score += 5 * dominantShare(machine.Used().Add(cycle.reserved[machine.SortIndex]), machine.Capacity)
+	score += pointsForFullness * dominantShare(machine.Used().Add(cycle.reserved[machine.SortIndex]), machine.Capacity)
 	return score
 }
 
-// remainingBusySeconds is how long, in seconds, a machine will be busy with what it has.
+// imageScore is the part of the score for the job's image. Fetches share a machine's rate.
+// Added after many replicas that had lost their machines went to one machine after the
+// other, where each fetched every image there is.
+func imageScore(job *allocation.Job, machine *allocation.Machine) float64 {
+	switch _, cached := machine.ImageUsedAt[job.Spec.Image]; {
+	case cached && job.IsService():
+		return pointsForImageReplica // rather apart than after a fetch
+	case cached:
+		return pointsForImage
+	case machine.IsFetching(job.Spec.Image):
+		return pointsForFetch
+	case job.IsService():
+		return -pointsPerFetchReplica * float64(machine.FetchCount()) // rather alone for a while than after a queue of fetches
+	}
+	return -pointsPerFetch * float64(machine.FetchCount())
+}
+
+// remainingBusySeconds is how long, in seconds, the present tasks of a machine will run;
+// worked out once in a plan.
 func (cycle *schedulingCycle) remainingBusySeconds(machine *allocation.Machine) float64 {
 	busy := &cycle.busySeconds[machine.SortIndex]
 	if *busy < 0 {
@@ -66,14 +85,14 @@
 	score   float64
 }
 
-// candidateHeap is a heap with the best on top, by score, then by name: a job of ten
-// tasks need not sort a thousand machines.
+// candidateHeap is a heap with the best on top, by score, then by name: a job of ten tasks
+// need not sort a thousand machines. Push and Pop are there for heap.Interface alone.
 type candidateHeap []candidate
 
 func (candidates candidateHeap) Len() int { return len(candidates) }
 
 func (candidates candidateHeap) Less(a, b int) bool {
-	return candidates[a].score > candidates[b].score || candidates[a].score == candidates[b].score && candidates[a].machine.SortIndex < candidates[b].machine.SortIndex
+	return isBetterCandidate(candidates[a], candidates[b])
 }
 
 func (candidates candidateHeap) Swap(a, b int) {
@@ -88,7 +107,7 @@
 	return x
 }
 
-// removeBest takes the best off.
+// removeBest drops the best one.
 func (candidates *candidateHeap) removeBest() {
 	n := len(*candidates) - 1
 	(*candidates)[0] = (*candidates)[n]
@@ -98,12 +117,12 @@
 	}
 }
 
-// forEachCandidate lists the machines with room for a task of the job, pool by pool.
-// What has no room left for anything that waits is passed over from now on.
+// forEachCandidate visits the machines with room for a task of the job, pool by pool.
+// Machines with no room left for anything that waits are dropped from the plan's lists.
 func (cycle *schedulingCycle) forEachCandidate(job *allocation.Job, visit func(*allocation.Machine)) {
 	for _, view := range cycle.pools {
 		if len(view.withRoom) == 0 || !allocation.IsEligible(job, view.withRoom[0]) {
-			continue // a job's wishes are for pools, not for single machines
+			continue // what a job allows depends on the pool alone
 		}
 		remaining := view.withRoom[:0]
 		for _, machine := range view.withRoom {
@@ -124,7 +143,8 @@
 	cycle.reserved[machine.SortIndex] = cycle.reserved[machine.SortIndex].Add(need)
 }
 
-// placeTasks places independent tasks.
+// placeTasks places independent tasks; it returns how many. Until the job's starts are
+// recorded it only reserves the room: the record has to be durable first.
 func (cycle *schedulingCycle) placeTasks(queued *queuedJob) int {
 	job := queued.job
 	maxTasks := min(len(queued.readyTasks), queued.taskLimit)
@@ -137,7 +157,6 @@
 			return false
 		}
 		if !job.StartsRecorded {
-			// Its mark has to be durable first; the room is kept until then.
 			cycle.reserve(machine, job.Request)
 		} else if cycle.tracker.PlaceTask(job, queued.readyTasks[placed], machine, cycle.tracker.NextAttempt(), cycle.now) != nil {
 			return false
@@ -161,54 +180,82 @@
 	return placed
 }
 
+// zoneCandidates are the machines of one zone that a spread job may use now.
+type zoneCandidates struct {
+	zone       string
+	candidates candidateHeap
+	taskCount  int // tasks of the job in the zone
+}
+
 // placeSpread places tasks one by one, each in the zone that has the fewest.
 func (cycle *schedulingCycle) placeSpread(job *allocation.Job, maxTasks int, place func(*allocation.Machine) bool) {
-	type zone struct {
-		name  string
-		c     candidateHeap
-		count int
-	}
-	var zones []*zone
-	byName := map[string]*zone{}
-	cycle.forEachCandidate(job, func(machine *allocation.Machine) {
-		z := byName[machine.Zone]
-		if z == nil {
-			z = &zone{name: machine.Zone, count: job.CountInZone(machine.Zone)}
-			byName[machine.Zone] = z
-			zones = append(zones, z)
-		}
-		z.c = append(z.c, candidate{machine, cycle.placementScore(job, machine)})
-	})
-	for _, z := range zones {
-		heap.Init(&z.c)
-	}
+	zones := cycle.candidatesByZone(job)
 	for placed := 0; placed < maxTasks; {
-		var best *zone
-		for _, z := range zones {
-			if len(z.c) == 0 || z.count >= job.MaxTasksPerZone() {
-				continue
-			}
-			if best == nil || cycle.prefersZone(job, z.name, best.name) ||
-				!cycle.prefersZone(job, best.name, z.name) && (z.count < best.count || z.count == best.count && isBetterCandidate(z.c[0], best.c[0])) {
-				best = z
-			}
-		}
+		best := cycle.bestZone(job, zones)
 		if best == nil {
 			return
 		}
-		if place(best.c[0].machine) {
-			best.count++
+		if place(best.candidates[0].machine) {
+			best.taskCount++
 			placed++
 		} else {
-			best.c.removeBest()
+			best.candidates.removeBest()
 		}
 	}
 }
 
-// prefersZone tells whether a job is better off in zone a than in b: replicas outlive
-// a cut only where a controller inside can keep their leases alive.
+func (cycle *schedulingCycle) candidatesByZone(job *allocation.Job) []*zoneCandidates {
+	var zones []*zoneCandidates
+	byName := map[string]*zoneCandidates{}
+	cycle.forEachCandidate(job, func(machine *allocation.Machine) {
+		zone := byName[machine.Zone]
+		if zone == nil {
+			zone = &zoneCandidates{zone: machine.Zone, taskCount: job.CountInZone(machine.Zone)}
+			byName[machine.Zone] = zone
+			zones = append(zones, zone)
+		}
+		zone.candidates = append(zone.candidates, candidate{machine, cycle.placementScore(job, machine)})
+	})
+	for _, zone := range zones {
+		heap.Init(&zone.candidates)
+	}
+	return zones
+}
+
+// bestZone picks the zone for the next task of a spread job; nil if none may have another.
+func (cycle *schedulingCycle) bestZone(job *allocation.Job, zones []*zoneCandidates) *zoneCandidates {
+	var best *zoneCandidates
+	for _, zone := range zones {
+		if len(zone.candidates) == 0 || zone.taskCount >= job.MaxTasksPerZone() {
+			continue
+		}
+		if best == nil || cycle.isBetterZone(job, zone, best) {
+			best = zone
+		}
+	}
+	return best
+}
+
+// isBetterZone compares by the job's preference, then by its tasks there, then by the best
+// machine.
+func (cycle *schedulingCycle) isBetterZone(job *allocation.Job, a, b *zoneCandidates) bool {
+	switch {
+	case cycle.prefersZone(job, a.zone, b.zone):
+		return true
+	case cycle.prefersZone(job, b.zone, a.zone):
+		return false
+	case a.taskCount != b.taskCount:
+		return a.taskCount < b.taskCount
+	}
+	return isBetterCandidate(a.candidates[0], b.candidates[0])
+}
+
+// prefersZone tells whether a job is better off in zone a than in b: replicas outlive the
+// loss of a zone's network only where a controller inside can renew their leases.
 func (cycle *schedulingCycle) prefersZone(job *allocation.Job, a, b string) bool {
 	return job.IsService() && cycle.scheduler.DelegatedZones[a] && !cycle.scheduler.DelegatedZones[b]
 }
 
-func isBetterCandidate(a, b candidate) bool { return candidateHeap{a, b}.Less(0, 1) }
+func isBetterCandidate(a, b candidate) bool {
+	return a.score > b.score || a.score == b.score && a.machine.SortIndex < b.machine.SortIndex
+}
