--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -8,7 +8,7 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Pool is what the cloud rents from: a type, a zone, a kind.
+// Pool is what machines are requested from: a type, a zone, spot or not.
 type Pool struct {
 	Type, Zone string
 	Spot       bool
@@ -27,21 +27,27 @@
 	spotMachines     machineKind = true
 )
 
-// poolBackoff is what refusals have taught of a pool.
+// poolBackoff is the backoff of a pool after empty or partly filled requests.
 type poolBackoff struct {
 	backoffUntil   clock.Micros
-	emptyResponses int
+	emptyResponses int // in a row
 }
 
-// ObserveEmptyPool takes an empty pool; it is left alone for a growing while.
+const (
+	maxBackoffShift = 5
+	maxPoolBackoff  = 20 * clock.Second
+)
+
+// ObserveEmptyPool records that a pool was empty: it is not asked for 2 s, then for twice as
+// long each time, up to maxPoolBackoff.
 func (scheduler *Scheduler) ObserveEmptyPool(pool Pool, now clock.Micros) {
 	backoff := scheduler.backoffFor(pool)
 	backoff.emptyResponses++
-	backoffDuration := min(clock.Second<<min(backoff.emptyResponses, 5), 20*clock.Second)
-	backoff.backoffUntil = now + backoffDuration
+	backoff.backoffUntil = now + min(clock.Second<<min(backoff.emptyResponses, maxBackoffShift), maxPoolBackoff)
 }
 
-// ObserveFilled takes how much of a rental was filled.
+// ObserveFilled records how many of the requested machines a pool gave: all end its backoff,
+// fewer count as an empty pool.
 func (scheduler *Scheduler) ObserveFilled(pool Pool, requested, filled int, now clock.Micros) {
 	backoff := scheduler.backoffFor(pool)
 	if filled >= requested {
@@ -65,6 +71,8 @@
 	return backoff
 }
 
+// isPoolAllowed tells whether a job allows machines of a pool. Its other tasks count for a
+// job of one zone; allocation.IsEligible is stricter, for a placement now.
 func isPoolAllowed(job *allocation.Job, pool Pool) bool {
 	spec := job.Spec
 	if pool.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != pool.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, pool.Type) {
@@ -78,6 +86,7 @@
 	return true
 }
 
+// isPoolBefore breaks ties between pools of one kind.
 func isPoolBefore(a, b Pool) bool {
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Type, b.Type)) < 0
 }
--- a/internal/scheduler/prediction.go
+++ b/internal/scheduler/prediction.go
@@ -7,13 +7,14 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// remainingSeconds predicts the rest of a placement's run, in seconds.
+// remainingSeconds predicts the rest of a placement's run, in seconds; +Inf for a service.
+// The placement keeps the forecast for the forecast's TTL.
 func (scheduler *Scheduler) remainingSeconds(placement *allocation.Placement, now clock.Micros) float64 {
 	if placement.Job.IsService() {
 		return math.Inf(1)
 	}
 	if placement.IsStopping() {
-		return 0.5
+		return stopSeconds
 	}
 	if placement.ForecastMadeAt != 0 && now-placement.ForecastMadeAt < forecastTTL && placement.ForecastEndAt > now {
 		return (placement.ForecastEndAt - now).Seconds()
@@ -23,10 +24,15 @@
 	return seconds
 }
 
-// forecastTTL is how long a forecast is good for. Thousands of tasks run at a
-// time, and what is known of one changes little within a second.
+// forecastTTL is how long a forecast is used again. Thousands of tasks run at a time, and
+// the forecast of one changes little within a second.
 const forecastTTL = 1 * clock.Second
 
+// maxRemainingSeconds is the longest predicted run that counts as bounded.
+const maxRemainingSeconds = 1e6
+
+// estimateRemainingSeconds makes the forecast (50): of a placement that has not started, its
+// image fetch and what is left after its checkpoint.
 func (scheduler *Scheduler) estimateRemainingSeconds(placement *allocation.Placement, now clock.Micros) float64 {
 	job := placement.Job
 	savedSeconds := job.Tasks[placement.TaskIndex].CheckpointedSeconds
@@ -43,8 +49,9 @@
 	return scheduler.RunTimeModel(job.Spec.Class).RemainingSeconds(job.Spec.EstimatedRunSeconds, elapsed)
 }
 
-// elapsedSeconds is for how long, in seconds, a placement has had its place. One that an earlier
-// leader began was found at any time of its run: in the mean half of it is over.
+// elapsedSeconds is how long ago, in seconds, a placement was made. An adopted one was made
+// by an earlier leader, at an unknown time: half of its predicted run is taken to have
+// passed before.
 func (scheduler *Scheduler) elapsedSeconds(placement *allocation.Placement, now clock.Micros) float64 {
 	elapsed := (now - placement.CreatedAt).Seconds()
 	if placement.Adopted && !placement.Job.IsService() {
@@ -66,10 +73,11 @@
 	return 0
 }
 
-// RemainingRun predicts how long a placement will still run.
+// RemainingRun predicts how long a placement will still run; math.MaxInt64 if that has no
+// bound.
 func (scheduler *Scheduler) RemainingRun(placement *allocation.Placement, now clock.Micros) clock.Micros {
 	seconds := scheduler.remainingSeconds(placement, now)
-	if math.IsInf(seconds, 1) || seconds > 1e6 {
+	if math.IsInf(seconds, 1) || seconds > maxRemainingSeconds {
 		return math.MaxInt64
 	}
 	return clock.FromSeconds(seconds)
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -1,29 +1,27 @@
 package scheduler
 
 import (
-	"cmp"
 	"slices"
 
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// quotaCoverage tells whether a guarantee speaks of a need at all, and whether the need
-// is within it. A guarantee of 0 is none: it neither covers nor bounds what is used
-// of that resource, or jobs that take processors beside their cards would never be
-// owed anything by a guarantee in cards alone.
-func quotaCoverage(quota allocation.TeamQuota, need allocation.Resources) (applies, isWithin bool) {
-	isWithin = true
-	for _, dimension := range [][2]int64{{quota.GuaranteedMilliCPU, need.MilliCPU}, {quota.GuaranteedMilliGPU, need.MilliGPU}} {
-		if dimension[0] > 0 && dimension[1] > 0 {
-			applies = true
-			isWithin = isWithin && dimension[1] <= dimension[0]
-		}
-	}
-	return applies, isWithin
+// hasGuarantee tells whether a team's guaranteed quota covers a resource that a task needs.
+// A quota of 0 in a resource means none there. Added after jobs that take CPUs beside their
+// GPUs were never entitled to anything by a quota of GPUs alone.
+func hasGuarantee(quota allocation.TeamQuota, need allocation.Resources) bool {
+	return quota.GuaranteedMilliCPU > 0 && need.MilliCPU > 0 || quota.GuaranteedMilliGPU > 0 && need.MilliGPU > 0
+}
+
+// isWithinGuarantee tells whether a team's usage is within its guaranteed quota, in each
+// resource that this is set for.
+func isWithinGuarantee(quota allocation.TeamQuota, usage allocation.Resources) bool {
+	return (quota.GuaranteedMilliCPU <= 0 || usage.MilliCPU <= quota.GuaranteedMilliCPU) &&
+		(quota.GuaranteedMilliGPU <= 0 || usage.MilliGPU <= quota.GuaranteedMilliGPU)
 }
 
-// quotaEntitlements tells which jobs fit into their team's guarantee together with the
-// team's earlier unfinished jobs.
+// quotaEntitlements tells which jobs fit into their team's guaranteed quota together with
+// the team's earlier unfinished jobs (PROTOCOL, "How aims are counted").
 func (scheduler *Scheduler) quotaEntitlements(tracker *allocation.Tracker) map[*allocation.Job]bool {
 	byTeam := map[string][]*allocation.Job{}
 	for _, job := range tracker.Jobs {
@@ -33,17 +31,14 @@
 	}
 	entitled := map[*allocation.Job]bool{}
 	for team, jobs := range byTeam {
-		slices.SortFunc(jobs, func(a, b *allocation.Job) int {
-			return cmp.Or(cmp.Compare(a.ReleasedAt, b.ReleasedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
-		})
-		quota := scheduler.Teams[team]
+		slices.SortFunc(jobs, compareByAge)
 		var usage allocation.Resources
 		for _, job := range jobs {
 			usage = usage.Add(job.Request.Times(len(job.Tasks)))
-			if _, isWithin := quotaCoverage(quota, usage); !isWithin {
+			if !isWithinGuarantee(scheduler.Teams[team], usage) {
 				break
 			}
-			if applies, _ := quotaCoverage(quota, job.Request); applies {
+			if hasGuarantee(scheduler.Teams[team], job.Request) {
 				entitled[job] = true
 			}
 		}
@@ -51,7 +46,8 @@
 	return entitled
 }
 
-// quotaAllowance is how many more tasks of a job its team's limit allows.
+// quotaAllowance is how many more tasks of a job its team's limit allows; of a gang all that
+// wait, or none.
 func (cycle *schedulingCycle) quotaAllowance(job *allocation.Job) int {
 	quota := cycle.scheduler.Teams[job.Spec.Team]
 	usage := cycle.tracker.TeamUsage(job.Spec.Team)
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -4,7 +4,7 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// dominantShare is how much of a machine a need takes, of what it takes most of.
+// dominantShare is the largest part that a need takes of any of a machine's resources.
 func dominantShare(need, size allocation.Resources) float64 {
 	share := 0.0
 	for _, dimension := range [][2]int64{{need.MilliCPU, size.MilliCPU}, {need.MilliGPU, size.MilliGPU}, {need.MemoryMB, size.MemoryMB}} {
@@ -15,9 +15,8 @@
 	return share
 }
 
-// freeFraction is how much of a machine is left for others: of what is shortest on it.
-// Reckoned in processors alone, machines whose cards were all taken once counted as
-// room for spares.
+// freeFraction is the part of a machine that is left for others, of its scarcest resource.
+// Added after machines whose GPUs were all taken counted, by their CPUs, as room for spares.
 func freeFraction(free, size allocation.Resources) float64 {
 	return max(1-dominantShare(size.Sub(free), size), 0)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,13 @@
-// Package scheduler owns SNF-ICON: the order of waiting work, where it goes,
-// what is rented and given back, the screen, the spare target. It is pure: it
-// reads the ledger and returns decisions.
+// Package scheduler plans: the order of waiting jobs, where their tasks go, what is stopped
+// for them, which machines are requested and deleted, and how many are kept as warm spares.
+// It does no I/O, and time comes in as arguments. Plan records placements and stops in the
+// allocation tracker and returns what else is to be done.
+//
+// It follows SNF-ICON (Pulungan et al., "A Smallest-Need-First Job Scheduling Framework with
+// Adaptive Optimization of Idle Node Counts for Energy-Efficient HPC Systems", "the paper"
+// below); what was changed and why is in docs/design.md, "SNF-ICON, kept and changed".
+// Estimates and the paper's symbols are in package forecast. Numbers in brackets are the
+// paper's equations.
 package scheduler
 
 import (
@@ -14,65 +21,82 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Scheduler holds what is learnt.
+// Scheduler plans for one leader's term, and learns from what it observes. It is used by one
+// goroutine.
 type Scheduler struct {
 	Settings     Settings
-	MachineTypes map[string]wire.MachineType
+	MachineTypes map[string]wire.MachineType // by name
 	Teams        map[string]allocation.TeamQuota
 	Zones        []string
 
-	// CompletionObjectives are the times within which users expect jobs to be done, in seconds
-	// by class, where a job has no deadline of its own.
-	CompletionObjectives map[string]float64
-	// HeartbeatWindow is how long ago a machine that can be heard may have reported last;
-	// Since is when this leader took over, Awake since when it has been able to
-	// hear.
-	HeartbeatWindow, TermStartedAt, ResumedAt clock.Micros
-	// DelegatedZones are the zones in which somebody can keep leases alive in a cut; nil
-	// where nobody can anywhere.
+	// CompletionObjectives are the times within which users expect jobs to be done, in
+	// seconds by class, where a job has no deadline of its own; WaitObjectives those within
+	// which they expect them to start.
+	CompletionObjectives, WaitObjectives map[string]float64
+	// HeartbeatWindow: a machine whose last heartbeat is older is suspected.
+	HeartbeatWindow clock.Micros
+	// TermStartedAt is when this leader's term began, ResumedAt when the process last resumed
+	// after a stall: silence before either does not count.
+	TermStartedAt, ResumedAt clock.Micros
+	// DelegatedZones are the zones in which a controller can renew workers' leases while the
+	// zone has no network; nil where there is none.
 	DelegatedZones map[string]bool
-	// WaitObjectives are the shortest waits that users expect, in seconds by class.
-	WaitObjectives map[string]float64
 
-	runTimes       map[string]*forecast.RunTimeModel
-	spotDemand     forecast.DemandModel
-	ordinaryDemand forecast.DemandModel
-	bootTimes      map[string]*forecast.BootTimeModel
-	poolBackoffs   map[Pool]*poolBackoff
+	models       models
+	poolBackoffs map[Pool]*poolBackoff
+	buffers      buffers
+}
+
+// models are what the scheduler has learned.
+type models struct {
+	runTimes       map[string]*forecast.RunTimeModel  // by class
+	bootTimes      map[string]*forecast.BootTimeModel // by machine type
+	spotDemand     forecast.DemandModel               // of jobs that may use spot machines
+	ordinaryDemand forecast.DemandModel               // of the others
+}
 
-	// Memory that plans use again.
-	reservedBuffer     []allocation.Resources
-	busyBuffer         []float64
-	gangReservedBuffer []bool
+// buffers is memory that each plan uses again, by the machines' SortIndex.
+type buffers struct {
+	reserved     []allocation.Resources
+	gangReserved []bool
+	busySeconds  []float64
 }
 
-// New makes a planner that has learnt nothing.
+// New returns a scheduler without observations.
 func New(settings Settings, types []wire.MachineType, teams map[string]allocation.TeamQuota, zones []string) *Scheduler {
 	scheduler := &Scheduler{
-		Settings: settings, MachineTypes: map[string]wire.MachineType{}, Teams: teams, Zones: zones,
-		runTimes: map[string]*forecast.RunTimeModel{}, bootTimes: map[string]*forecast.BootTimeModel{}, poolBackoffs: map[Pool]*poolBackoff{},
+		Settings: settings, Teams: teams, Zones: zones,
+		models:       models{runTimes: map[string]*forecast.RunTimeModel{}, bootTimes: map[string]*forecast.BootTimeModel{}},
+		poolBackoffs: map[Pool]*poolBackoff{},
 	}
+	scheduler.SetMachineTypes(types)
+	return scheduler
+}
+
+// SetMachineTypes replaces the machine types that the cloud offers.
+func (scheduler *Scheduler) SetMachineTypes(types []wire.MachineType) {
+	scheduler.MachineTypes = map[string]wire.MachineType{}
 	for _, machineType := range types {
 		scheduler.MachineTypes[machineType.Name] = machineType
 	}
-	return scheduler
 }
 
-// RunTimeModel returns the run times of a class.
+// RunTimeModel returns the run times of a class, and adds it if it is new.
 func (scheduler *Scheduler) RunTimeModel(name string) *forecast.RunTimeModel {
-	model := scheduler.runTimes[name]
+	model := scheduler.models.runTimes[name]
 	if model == nil {
 		model = &forecast.RunTimeModel{}
-		scheduler.runTimes[name] = model
+		scheduler.models.runTimes[name] = model
 	}
 	return model
 }
 
-// RunTimeClasses lists the classes of which run times are known.
+// RunTimeClasses lists every class looked up so far; a model may have no observations.
 func (scheduler *Scheduler) RunTimeClasses() []string {
-	return slices.Sorted(maps.Keys(scheduler.runTimes))
+	return slices.Sorted(maps.Keys(scheduler.models.runTimes))
 }
 
+// demandFor returns the demand that a job belongs to.
 func (scheduler *Scheduler) demandFor(job *allocation.Job) *forecast.DemandModel {
 	return scheduler.demandOf(machineKind(job.Spec.AllowsSpot))
 }
@@ -80,18 +104,18 @@
 // demandOf returns the demand that a kind of machines serves.
 func (scheduler *Scheduler) demandOf(kind machineKind) *forecast.DemandModel {
 	if kind == spotMachines {
-		return &scheduler.spotDemand
+		return &scheduler.models.spotDemand
 	}
-	return &scheduler.ordinaryDemand
+	return &scheduler.models.ordinaryDemand
 }
 
-// MachineCapacity is what a machine of a type holds.
+// MachineCapacity is the capacity of machines of a type; zero if the type is unknown.
 func (scheduler *Scheduler) MachineCapacity(typeName string) allocation.Resources {
 	machineType := scheduler.MachineTypes[typeName]
 	return allocation.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
 
-// tasksPerMachine is how many tasks of a job a machine of a type holds.
+// tasksPerMachine is how many tasks with some need fit on an empty machine of a type.
 func (scheduler *Scheduler) tasksPerMachine(need allocation.Resources, typeName string) int {
 	size := scheduler.MachineCapacity(typeName)
 	n := math.MaxInt32
@@ -103,8 +127,8 @@
 	return n
 }
 
-// machineShare is how much of machines a job takes in all, of the type that holds most
-// of its tasks.
+// machineShare is how many machines a job would fill, not rounded, of the allowed type that
+// holds most of its tasks.
 func (scheduler *Scheduler) machineShare(job *allocation.Job) float64 {
 	maxPerMachine := 0
 	for typeName := range scheduler.MachineTypes {
@@ -115,12 +139,13 @@
 	return float64(len(job.Tasks)) / float64(max(maxPerMachine, 1))
 }
 
-// MachinesNeeded is a job's need in machines of the type that holds most of it.
+// MachinesNeeded is how many machines a job needs, r in the paper (4), of the allowed type
+// that holds most of its tasks.
 func (scheduler *Scheduler) MachinesNeeded(job *allocation.Job) int {
-	return max(int(math.Ceil(scheduler.machineShare(job)-1e-9)), 1)
+	return max(int(math.Ceil(scheduler.machineShare(job)-roundingMargin)), 1)
 }
 
-// ObserveArrival takes a new job.
+// ObserveArrival records the arrival of a job.
 func (scheduler *Scheduler) ObserveArrival(job *allocation.Job, now clock.Micros) {
 	demand := scheduler.demandFor(job)
 	if waitObjective, ok := scheduler.WaitObjectives[job.Spec.Class]; ok {
@@ -129,40 +154,42 @@
 	demand.ObserveArrival(now, scheduler.MachinesNeeded(job), scheduler.machineShare(job), &scheduler.Settings.Smoothing)
 }
 
-// ObserveTaskRun takes a task's run time.
+// ObserveTaskRun records the run time of a completed task.
 func (scheduler *Scheduler) ObserveTaskRun(job *allocation.Job, seconds float64, now clock.Micros) {
 	scheduler.RunTimeModel(job.Spec.Class).Observe(job.Spec.EstimatedRunSeconds, seconds, scheduler.Settings.Smoothing.RunTime)
 	scheduler.demandFor(job).ObserveTaskRun(seconds, &scheduler.Settings.Smoothing)
 }
 
-// ObserveJobRun takes a job's run time, the mean of its tasks'. The screen rests on jobs, as
-// arrivals do: the tasks of an array are no draws of their own, and a thousand of
-// them from a few jobs never fit anything.
+// ObserveJobRun records the mean run time of a job's tasks. The screen uses jobs, as for
+// arrivals: the tasks of one array are not independent samples, and a thousand of them from
+// a few jobs fit no distribution.
 func (scheduler *Scheduler) ObserveJobRun(job *allocation.Job, seconds float64, now clock.Micros) {
 	scheduler.demandFor(job).JobRunTimes.Add(now, seconds)
 }
 
+// bootTimeModel returns the boot times of a type, and adds it if it is new.
 func (scheduler *Scheduler) bootTimeModel(typeName string) *forecast.BootTimeModel {
-	model := scheduler.bootTimes[typeName]
+	model := scheduler.models.bootTimes[typeName]
 	if model == nil {
 		model = forecast.NewBootTimeModel()
-		scheduler.bootTimes[typeName] = model
+		scheduler.models.bootTimes[typeName] = model
 	}
 	return model
 }
 
-// ObserveBoot takes the time that a machine took to report.
+// ObserveBoot records the time from a machine's creation to its first heartbeat.
 func (scheduler *Scheduler) ObserveBoot(typeName string, bootTime clock.Micros) {
 	scheduler.bootTimeModel(typeName).Observe(bootTime)
 }
 
-// RecentBootTimes are the last boots of a type, for another leader to go on with.
+// RecentBootTimes returns the last boot times of a type, for the next leader's
+// RestoreBootTimes.
 func (scheduler *Scheduler) RecentBootTimes(typeName string) []clock.Micros {
-	return scheduler.bootTimes[typeName].Recent()
+	return scheduler.models.bootTimes[typeName].Recent()
 }
 
-// RestoreBootTimes takes the boots of a type that another leader has seen, unless some were
-// seen here. Times that make no sense are left out.
+// RestoreBootTimes takes the boot times of a type that an earlier leader has observed,
+// unless there are observations already. Unknown types are ignored.
 func (scheduler *Scheduler) RestoreBootTimes(typeName string, bootTimes []clock.Micros) {
 	if _, ok := scheduler.MachineTypes[typeName]; ok {
 		scheduler.bootTimeModel(typeName).Restore(bootTimes)
@@ -178,24 +205,16 @@
 
 // BootTime is a quantile, in percent, of a type's boot time.
 func (scheduler *Scheduler) BootTime(typeName string, quantile float64) clock.Micros {
-	return scheduler.bootTimes[typeName].Quantile(quantile, clock.FromSeconds(scheduler.MachineTypes[typeName].BootSeconds))
+	return scheduler.models.bootTimes[typeName].Quantile(quantile, clock.FromSeconds(scheduler.MachineTypes[typeName].BootSeconds))
 }
 
-// BootTimeout is how long a machine may boot before it is given up.
+// BootTimeout is how long a machine may boot before it is deleted.
 func (scheduler *Scheduler) BootTimeout(typeName string) clock.Micros {
 	return 2*scheduler.BootTime(typeName, latestBoot) + 2*clock.Second
 }
 
-// hasRecentHeartbeat tells whether a machine has reported lately, as far as this leader could
-// have heard it.
+// hasRecentHeartbeat tells whether a machine's last heartbeat is within the window. Silence
+// before the term, or during a stall of the process, does not count.
 func (scheduler *Scheduler) hasRecentHeartbeat(machine *allocation.Machine, now clock.Micros) bool {
 	return now-max(machine.LastHeartbeatAt, scheduler.TermStartedAt, scheduler.ResumedAt) <= scheduler.HeartbeatWindow
 }
-
-// SetMachineTypes takes what the cloud has on offer.
-func (scheduler *Scheduler) SetMachineTypes(types []wire.MachineType) {
-	scheduler.MachineTypes = map[string]wire.MachineType{}
-	for _, machineType := range types {
-		scheduler.MachineTypes[machineType.Name] = machineType
-	}
-}
