--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -26,7 +26,7 @@
 					b.StartTimer()
 					// As a leader does it: again and again, with little changed.
 					for i := 0; i < plansPerIteration; i++ {
-						fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+						fixture.plan()
 						fixture.now += clock.Second / plansPerIteration
 					}
 				}
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -60,6 +60,7 @@
 	return fixture.tracker.AddJob(&spec, fixture.now, fixture.now, true, nil)
 }
 
+// plan plans at the present time, with no request pending.
 func (fixture *schedulerFixture) plan() Decision {
 	return fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -23,7 +23,7 @@
 		return byZone
 	}
 	job := fixture.addJob(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 5, CPUs: 1, MemoryGB: 1, SpreadZones: true})
-	decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	decision := fixture.plan()
 	for _, request := range decision.ScaleOut {
 		if request.Pool.Zone == "x" {
 			t.Errorf("rented in a zone where nobody keeps leases: %+v", decision.ScaleOut)
@@ -35,7 +35,7 @@
 	for _, zone := range []string{"x", "y", "z"} {
 		fixture.addMachine("i-"+zone, "m", zone, false)
 	}
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	if byZone := countByZone(job); byZone["x"] != 0 || byZone["y"]+byZone["z"] != 5 {
 		t.Errorf("placed at %v", byZone)
 	}
@@ -45,7 +45,7 @@
 	fixture.addMachine("i-x", "big", "x", false)
 	fixture.addMachine("i-y", "big", "y", false)
 	job = fixture.addJob(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 5, CPUs: 1, MemoryGB: 1, SpreadZones: true})
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	if byZone := countByZone(job); byZone["y"] != 3 || byZone["x"] != 2 {
 		t.Errorf("with one kept zone placed at %v", byZone)
 	}
@@ -64,7 +64,7 @@
 		jobs = append(jobs, fixture.addJob(wire.Job{ID: fmt.Sprintf("req-%06d", i), Kind: wire.KindService, Priority: wire.PriorityProduction,
 			TaskCount: 1, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("image-%d", i), ImageSizeGB: 2}))
 	}
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	for _, job := range jobs {
 		job.ForEachPlacement(func(placement *allocation.Placement) {
 			if imagesByMachine[placement.Machine.Name] == nil {
@@ -83,79 +83,19 @@
 	}
 }
 
-// The fast placement decides as the plain one does: every machine scored for
-// every job, sorted in full, and for a spread job sorted anew for every task.
+// The fast placement decides as the plain one does: every machine scored for every job, and
+// all of them looked through for every task.
 func TestPlacementMatchesBruteForce(t *testing.T) {
 	placed := 0
 	for seed := uint64(1); seed <= 300; seed++ {
-		build := func() (*schedulerFixture, []*allocation.Job) {
-			rng := rand.New(rand.NewPCG(seed, 21))
-			fixture := newFixture(map[string]allocation.TeamQuota{"a": {MaxMilliCPU: int64(20+rng.IntN(100)) * 1000}})
-			for i := rng.IntN(30); i >= 0; i-- {
-				machine := fixture.addMachine(fmt.Sprintf("i-%02d", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y", "z"}[rng.IntN(3)], rng.IntN(2) == 0)
-				if rng.IntN(2) == 0 {
-					machine.ImageUsedAt[fmt.Sprint("img-", rng.IntN(3))] = fixture.now
-				}
-			}
-			var jobs []*allocation.Job
-			for i := 0; i < 1+rng.IntN(8); i++ {
-				spec := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: "a", TaskCount: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(1 + rng.IntN(8)),
-					EstimatedRunSeconds: float64(5 + rng.IntN(90)), AllowsSpot: rng.IntN(2) == 0, Image: fmt.Sprint("img-", rng.IntN(3))}
-				if rng.IntN(3) == 0 {
-					spec.Kind, spec.EstimatedRunSeconds, spec.SpreadZones = wire.KindService, 0, true
-				}
-				jobs = append(jobs, fixture.addJob(spec))
-			}
-			return fixture, jobs
-		}
-		place := func(fixture *schedulerFixture, placeJob func(cycle *schedulingCycle, queued *queuedJob)) map[string]string {
-			queue := fixture.scheduler.buildQueue(fixture.tracker, nil, fixture.now, fixture.now)
-			cycle := fixture.scheduler.newCycle(fixture.tracker, queue, fixture.now)
-			for _, queued := range queue {
-				queued.taskLimit = cycle.quotaAllowance(queued.job)
-				placeJob(cycle, queued)
-			}
-			got := map[string]string{}
-			for _, job := range fixture.tracker.Jobs {
-				job.ForEachPlacement(func(placement *allocation.Placement) {
-					got[wire.TaskID(job.Spec.ID, placement.TaskIndex)] = placement.Machine.Name
-				})
-			}
-			return got
-		}
-		fastFixture, _ := build()
-		fast := place(fastFixture, func(cycle *schedulingCycle, queued *queuedJob) { cycle.placeTasks(queued) })
-		plainFixture, _ := build()
-		plain := place(plainFixture, func(cycle *schedulingCycle, queued *queuedJob) {
-			job := queued.job
-			scores := map[*allocation.Machine]float64{}
-			for _, machine := range cycle.machines {
-				scores[machine] = cycle.placementScore(job, machine)
-			}
-			for index := 0; index < min(len(queued.readyTasks), queued.taskLimit); index++ {
-				var best *allocation.Machine
-				for _, machine := range cycle.machines {
-					if !machine.IsSchedulable() || !allocation.IsEligible(job, machine) || !job.Request.IsWithin(cycle.freeResources(machine)) {
-						continue
-					}
-					if job.Spec.SpreadZones && best != nil && job.CountInZone(machine.Zone) > job.CountInZone(best.Zone) {
-						continue
-					}
-					if best == nil || job.Spec.SpreadZones && job.CountInZone(machine.Zone) < job.CountInZone(best.Zone) || scores[machine] > scores[best] {
-						best = machine
-					}
-				}
-				if best == nil || cycle.tracker.PlaceTask(job, queued.readyTasks[index], best, cycle.tracker.NextAttempt(), cycle.now) != nil {
-					return
-				}
-			}
-		})
+		fast := placeAll(newPlacementFixture(seed), func(cycle *schedulingCycle, queued *queuedJob) { cycle.placeTasks(queued) })
+		plain := placeAll(newPlacementFixture(seed), bruteForcePlace)
 		if len(fast) != len(plain) {
-			t.Fatalf("scene %d: %d tasks placed, plainly %d", seed, len(fast), len(plain))
+			t.Fatalf("load %d: %d tasks placed, plainly %d", seed, len(fast), len(plain))
 		}
-		for id, m := range plain {
-			if fast[id] != m {
-				t.Fatalf("scene %d: %s goes to %s, plainly to %s", seed, id, fast[id], m)
+		for id, machine := range plain {
+			if fast[id] != machine {
+				t.Fatalf("load %d: %s goes to %s, plainly to %s", seed, id, fast[id], machine)
 			}
 		}
 		placed += len(plain)
@@ -164,3 +104,66 @@
 		t.Fatalf("only %d tasks were placed", placed)
 	}
 }
+
+// newPlacementFixture generates machines, some with images, and waiting arrays and services.
+func newPlacementFixture(seed uint64) *schedulerFixture {
+	rng := rand.New(rand.NewPCG(seed, 21))
+	fixture := newFixture(map[string]allocation.TeamQuota{"a": {MaxMilliCPU: int64(20+rng.IntN(100)) * 1000}})
+	for i := rng.IntN(30); i >= 0; i-- {
+		machine := fixture.addMachine(fmt.Sprintf("i-%02d", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y", "z"}[rng.IntN(3)], rng.IntN(2) == 0)
+		if rng.IntN(2) == 0 {
+			machine.ImageUsedAt[fmt.Sprint("img-", rng.IntN(3))] = fixture.now
+		}
+	}
+	for i := 0; i < 1+rng.IntN(8); i++ {
+		spec := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: "a", TaskCount: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(1 + rng.IntN(8)),
+			EstimatedRunSeconds: float64(5 + rng.IntN(90)), AllowsSpot: rng.IntN(2) == 0, Image: fmt.Sprint("img-", rng.IntN(3))}
+		if rng.IntN(3) == 0 {
+			spec.Kind, spec.EstimatedRunSeconds, spec.SpreadZones = wire.KindService, 0, true
+		}
+		fixture.addJob(spec)
+	}
+	return fixture
+}
+
+// placeAll places the queue with a function, and returns the machine of each task.
+func placeAll(fixture *schedulerFixture, placeJob func(cycle *schedulingCycle, queued *queuedJob)) map[string]string {
+	queue := fixture.scheduler.buildQueue(fixture.tracker, nil, fixture.now, fixture.now)
+	cycle := fixture.scheduler.newCycle(fixture.tracker, queue, fixture.now)
+	for _, queued := range queue {
+		queued.taskLimit = cycle.quotaAllowance(queued.job)
+		placeJob(cycle, queued)
+	}
+	machines := map[string]string{}
+	for _, job := range fixture.tracker.Jobs {
+		job.ForEachPlacement(func(placement *allocation.Placement) {
+			machines[wire.TaskID(job.Spec.ID, placement.TaskIndex)] = placement.Machine.Name
+		})
+	}
+	return machines
+}
+
+func bruteForcePlace(cycle *schedulingCycle, queued *queuedJob) {
+	job := queued.job
+	scores := map[*allocation.Machine]float64{}
+	for _, machine := range cycle.machines {
+		scores[machine] = cycle.placementScore(job, machine)
+	}
+	for index := 0; index < min(len(queued.readyTasks), queued.taskLimit); index++ {
+		var best *allocation.Machine
+		for _, machine := range cycle.machines {
+			if !machine.IsSchedulable() || !allocation.IsEligible(job, machine) || !job.Request.IsWithin(cycle.freeResources(machine)) {
+				continue
+			}
+			if job.Spec.SpreadZones && best != nil && job.CountInZone(machine.Zone) > job.CountInZone(best.Zone) {
+				continue
+			}
+			if best == nil || job.Spec.SpreadZones && job.CountInZone(machine.Zone) < job.CountInZone(best.Zone) || scores[machine] > scores[best] {
+				best = machine
+			}
+		}
+		if best == nil || cycle.tracker.PlaceTask(job, queued.readyTasks[index], best, cycle.tracker.NextAttempt(), cycle.now) != nil {
+			return
+		}
+	}
+}
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -10,8 +10,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Over generated scenes no plan breaks a job's wishes, a machine's room or a
-// team's limit, and gangs are placed whole.
+// Over generated loads no plan violates what a job allows, a machine's capacity or a team's
+// limit, and gangs are placed whole.
 func TestPlanRespectsJobMachineAndQuotaConstraints(t *testing.T) {
 	rng := rand.New(rand.NewPCG(6, 6))
 	placed, gangs := 0, 0
@@ -21,68 +21,35 @@
 			fixture.addMachine(fmt.Sprint("i-", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y"}[rng.IntN(2)], rng.IntN(2) == 0)
 		}
 		for i := rng.IntN(10); i >= 0; i-- {
-			spec := wire.Job{ID: fmt.Sprintf("req-%06d", i), Team: []string{"a", "b"}[rng.IntN(2)], TaskCount: 1 + rng.IntN(9),
-				CPUs: 0.5 + float64(rng.IntN(6)), GPUs: float64(rng.IntN(2)), MemoryGB: float64(1 + rng.IntN(12)), EstimatedRunSeconds: float64(1 + rng.IntN(90)),
-				Kind:       []string{wire.KindArray, wire.KindGang, wire.KindService}[rng.IntN(3)],
-				Priority:   []string{wire.PriorityProduction, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}[rng.IntN(4)],
-				AllowsSpot: rng.IntN(2) == 0, SingleZone: rng.IntN(4) == 0, SpreadZones: rng.IntN(4) == 0}
-			if spec.SingleZone {
-				spec.SpreadZones = false
-			}
-			if rng.IntN(4) == 0 {
-				spec.Zone = "x"
-			}
-			if rng.IntN(4) == 0 {
-				spec.MachineTypes = []string{"big"}
-			}
-			fixture.addJob(spec)
+			fixture.addJob(generateJob(rng, i))
 		}
 		for cycleIndex := 0; cycleIndex < 3; cycleIndex++ {
-			decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
-			for _, request := range decision.ScaleOut {
+			for _, request := range fixture.plan().ScaleOut {
 				if request.Count < 1 || request.Count > wire.MaxScaleOutCount {
-					t.Fatalf("scene %d: rents %d", n, request.Count)
+					t.Fatalf("load %d: %d machines are requested", n, request.Count)
 				}
 			}
 			fixture.now += clock.Second
 		}
 		usage := map[string]allocation.Resources{}
 		for _, job := range fixture.tracker.Jobs {
-			zones := map[string]int{}
-			for i := range job.Tasks {
-				placement := job.Tasks[i].Placement
-				if placement == nil {
-					continue
-				}
-				placed++
-				zones[placement.Machine.Zone]++
-				usage[job.Spec.Team] = usage[job.Spec.Team].Add(job.Request)
-				if placement.Machine.Spot && !job.Spec.AllowsSpot || job.Spec.Zone != "" && placement.Machine.Zone != job.Spec.Zone || job.Spec.MachineTypes != nil && placement.Machine.Type != "big" {
-					t.Fatalf("scene %d: %s in a wrong place", n, job.Spec.ID)
-				}
-			}
-			if job.Spec.SingleZone && len(zones) > 1 {
-				t.Fatalf("scene %d: %s in several zones", n, job.Spec.ID)
-			}
-			for _, count := range zones {
-				if job.Spec.SpreadZones && count > job.MaxTasksPerZone() {
-					t.Fatalf("scene %d: %s is not spread", n, job.Spec.ID)
-				}
-			}
+			taskCount := checkPlacements(t, n, job)
+			placed += taskCount
+			usage[job.Spec.Team] = usage[job.Spec.Team].Add(job.Request.Times(taskCount))
 			if job.IsGang() && job.ActiveCount() > 0 {
 				gangs++
 				if job.WaitingCount() > 0 {
-					t.Fatalf("scene %d: gang %s is placed in part", n, job.Spec.ID)
+					t.Fatalf("load %d: gang %s is placed in part", n, job.Spec.ID)
 				}
 			}
 		}
 		for _, machine := range fixture.tracker.Machines {
 			if !machine.Used().IsWithin(machine.Capacity) {
-				t.Fatalf("scene %d: %s is over-full", n, machine.Name)
+				t.Fatalf("load %d: more than the capacity of %s is used", n, machine.Name)
 			}
 		}
 		if usage["a"].MilliCPU > 40000 || usage["b"].MilliGPU > 3000 {
-			t.Fatalf("scene %d: over the limit: %v", n, usage)
+			t.Fatalf("load %d: over a team's limit: %v", n, usage)
 		}
 	}
 	if placed < 1000 || gangs < 20 {
@@ -90,6 +57,47 @@
 	}
 }
 
+func generateJob(rng *rand.Rand, index int) wire.Job {
+	spec := wire.Job{ID: fmt.Sprintf("req-%06d", index), Team: []string{"a", "b"}[rng.IntN(2)], TaskCount: 1 + rng.IntN(9),
+		CPUs: 0.5 + float64(rng.IntN(6)), GPUs: float64(rng.IntN(2)), MemoryGB: float64(1 + rng.IntN(12)), EstimatedRunSeconds: float64(1 + rng.IntN(90)),
+		Kind:       []string{wire.KindArray, wire.KindGang, wire.KindService}[rng.IntN(3)],
+		Priority:   []string{wire.PriorityProduction, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}[rng.IntN(4)],
+		AllowsSpot: rng.IntN(2) == 0, SingleZone: rng.IntN(4) == 0, SpreadZones: rng.IntN(4) == 0}
+	if spec.SingleZone {
+		spec.SpreadZones = false
+	}
+	if rng.IntN(4) == 0 {
+		spec.Zone = "x"
+	}
+	if rng.IntN(4) == 0 {
+		spec.MachineTypes = []string{"big"}
+	}
+	return spec
+}
+
+// checkPlacements checks that all tasks of a job are where it allows them, and returns how
+// many are placed.
+func checkPlacements(t *testing.T, load int, job *allocation.Job) (taskCount int) {
+	t.Helper()
+	zones := map[string]int{}
+	job.ForEachPlacement(func(placement *allocation.Placement) {
+		taskCount++
+		zones[placement.Machine.Zone]++
+		if placement.Machine.Spot && !job.Spec.AllowsSpot || job.Spec.Zone != "" && placement.Machine.Zone != job.Spec.Zone || job.Spec.MachineTypes != nil && placement.Machine.Type != "big" {
+			t.Fatalf("load %d: %s in a wrong place", load, job.Spec.ID)
+		}
+	})
+	if job.Spec.SingleZone && len(zones) > 1 {
+		t.Fatalf("load %d: %s in several zones", load, job.Spec.ID)
+	}
+	for _, count := range zones {
+		if job.Spec.SpreadZones && count > job.MaxTasksPerZone() {
+			t.Fatalf("load %d: %s is not spread", load, job.Spec.ID)
+		}
+	}
+	return taskCount
+}
+
 // A machine that is held because tasks fail on many gets nothing, and nothing is rented
 // in its place.
 func TestMachineInFaultBackoffGetsNoTasks(t *testing.T) {
@@ -97,12 +105,12 @@
 	machine := fixture.addMachine("i-0", "small", "x", false)
 	machine.BackoffUntil = fixture.now + 2*clock.Second
 	job := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 2, EstimatedRunSeconds: 50})
-	if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); job.ActiveCount() != 0 || len(decision.ScaleOut) != 0 {
+	if decision := fixture.plan(); job.ActiveCount() != 0 || len(decision.ScaleOut) != 0 {
 		t.Fatalf("%d tasks are placed, %v is rented though there will be room in a moment", job.ActiveCount(), decision.ScaleOut)
 	}
 	fixture.now = machine.BackoffUntil
 	machine.LastHeartbeatAt = fixture.now
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	if job.ActiveCount() != 2 {
 		t.Fatalf("%d tasks are placed when the time is over", job.ActiveCount())
 	}
@@ -115,7 +123,7 @@
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	unreachable, reachable := fixture.addMachine("i-0", "small", "x", false), fixture.addMachine("i-1", "small", "x", false)
 	firstJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 4, EstimatedRunSeconds: 50})
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	if firstJob.ActiveCount() != 2 {
 		t.Fatalf("%d tasks are placed", firstJob.ActiveCount())
 	}
@@ -130,7 +138,7 @@
 	fixture.now += 2 * clock.Second
 	report(unreachable, 2)
 	secondJob := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 4, CPUs: 2, EstimatedRunSeconds: 50})
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	secondJob.ForEachPlacement(func(placement *allocation.Placement) {
 		if placement.Machine == unreachable {
 			t.Fatal("a machine that cannot be told got work")
@@ -142,7 +150,7 @@
 	}
 	fixture.tracker.FinishCommandRequest(unreachable, starts, allocation.CommandExecuted, fixture.now)
 	reachable.Draining = true
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	n := 0
 	secondJob.ForEachPlacement(func(placement *allocation.Placement) {
 		if placement.Machine == unreachable {
@@ -156,7 +164,7 @@
 	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
 	fixture.now += 6 * clock.Second
 	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", TaskCount: 1, CPUs: 2, EstimatedRunSeconds: 50})
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	if !suspected.IsIdle() {
 		t.Fatal("a machine that is not heard got work")
 	}
@@ -167,7 +175,7 @@
 	allocs := func(machines, waiting int) float64 {
 		fixture := newFleetFixture(machines, 1, waiting)
 		return testing.AllocsPerRun(5, func() {
-			fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+			fixture.plan()
 			fixture.now += 100 * clock.Millisecond
 		})
 	}
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -13,27 +13,16 @@
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	machine := fixture.addMachine("i-0", "small", "x", false)
 	batchJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 2, EstimatedRunSeconds: 50})
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	fixture.tracker.HeartbeatCommands(machine, fixture.now) // sent: from here on only a stop ends them
 	fixture.now += 10 * clock.Second
 	service := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 1, CPUs: 2, Priority: wire.PriorityProduction, Kind: wire.KindService})
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
-	stopped := 0
-	for i := range batchJob.Tasks {
-		if placement := batchJob.Tasks[i].Placement; placement != nil && placement.IsStopping() {
-			stopped++
-		}
-	}
-	if stopped != 1 || service.ActiveCount() != 0 {
+	fixture.plan()
+	if stopped := stoppingCount(batchJob); stopped != 1 || service.ActiveCount() != 0 {
 		t.Fatalf("%d stopped, %d replicas placed", stopped, service.ActiveCount())
 	}
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
-	for i := range batchJob.Tasks {
-		if placement := batchJob.Tasks[i].Placement; placement != nil && placement.IsStopping() {
-			stopped--
-		}
-	}
-	if stopped != 0 {
+	fixture.plan()
+	if stoppingCount(batchJob) != 1 {
 		t.Fatal("the same replica stopped a second task")
 	}
 }
@@ -45,32 +34,24 @@
 		fixture.addMachine(n, "small", "x", false)
 	}
 	batchJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 4, CPUs: 2, EstimatedRunSeconds: 50})
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	for _, machine := range fixture.tracker.Machines {
 		fixture.tracker.HeartbeatCommands(machine, fixture.now)
 	}
-	stoppedCount := func() (n int) {
-		for i := range batchJob.Tasks {
-			if placement := batchJob.Tasks[i].Placement; placement != nil && placement.IsStopping() {
-				n++
-			}
-		}
-		return n
-	}
 	gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 3, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindGang})
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
-	if stoppedCount() != 0 {
+	fixture.plan()
+	if stoppingCount(batchJob) != 0 {
 		t.Fatal("work is stopped for a gang that cannot fit")
 	}
 	fixture.tracker.Cancel(gang, fixture.now)
 	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", TaskCount: 3, CPUs: 2, Priority: wire.PriorityProduction, Kind: wire.KindGang})
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
-	if stoppedCount() != 3 {
-		t.Fatalf("%d tasks are stopped for a gang of three", stoppedCount())
+	fixture.plan()
+	if stoppingCount(batchJob) != 3 {
+		t.Fatalf("%d tasks are stopped for a gang of three", stoppingCount(batchJob))
 	}
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
-	if stoppedCount() != 3 {
-		t.Fatalf("%d after another plan", stoppedCount())
+	fixture.plan()
+	if stoppingCount(batchJob) != 3 {
+		t.Fatalf("%d after another plan", stoppingCount(batchJob))
 	}
 }
 
@@ -101,7 +82,7 @@
 			batchJob.Tasks[i].Placement.Phase = allocation.PhaseReported
 		}
 		fixture.addJob(wire.Job{ID: "req-000002", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 1, CPUs: 8, MemoryGB: 1, Image: "replica", ImageSizeGB: 2})
-		fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+		fixture.plan()
 		for i := range batchJob.Tasks {
 			if placement := batchJob.Tasks[i].Placement; placement.IsStopping() != (placement.Machine.Name == testCase.want) {
 				t.Errorf("after %d s: on %s stopping is %v, want it on %s", testCase.ran/clock.Second, placement.Machine.Name, placement.IsStopping(), testCase.want)
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -16,7 +16,7 @@
 	fixture := newFixture(nil)
 	fixture.scheduler.HeartbeatWindow = 8 * clock.Second
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 50, MachineTypes: []string{"small"}})
-	requests := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil).ScaleOut
+	requests := fixture.plan().ScaleOut
 	if len(requests) != 1 || requests[0].Count != 1 {
 		t.Fatalf("rents %v", requests)
 	}
@@ -27,7 +27,7 @@
 	for seq, after := range []clock.Micros{0, 4 * clock.Second, 8 * clock.Second, 9 * clock.Second} {
 		fixture.now = upAt + after
 		fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-0", Incarnation: 1, Sequence: uint64(seq + 1), Address: "127.0.0.1:1"}, fixture.now)
-		isRented := len(fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil).ScaleOut) > 0
+		isRented := len(fixture.plan().ScaleOut) > 0
 		if isRented != (after > fixture.scheduler.HeartbeatWindow) {
 			t.Errorf("%v after it came up another one is rented: %v", after.Duration(), isRented)
 		}
@@ -40,7 +40,7 @@
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 6, CPUs: 16, MachineTypes: []string{"big"}, Kind: wire.KindGang, SingleZone: true})
 	rentedZone := func() string {
-		decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+		decision := fixture.plan()
 		if len(decision.ScaleOut) != 1 || decision.ScaleOut[0].Count != 6 {
 			t.Fatalf("rents %v", decision.ScaleOut)
 		}
@@ -60,17 +60,17 @@
 	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
 	machine := fixture.addMachine("i-0", "small", "x", false)
 	job := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindService})
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	if job.ActiveCount() != 1 {
 		t.Fatal("not placed")
 	}
 	fixture.tracker.HeartbeatCommands(machine, fixture.now)
 	fixture.now += 4 * clock.Second
-	if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); len(decision.ScaleOut) != 0 {
+	if decision := fixture.plan(); len(decision.ScaleOut) != 0 {
 		t.Fatalf("rented too early: %v", decision.ScaleOut)
 	}
 	fixture.now += 2 * clock.Second
-	decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	decision := fixture.plan()
 	if len(decision.ScaleOut) != 1 || decision.ScaleOut[0].Count != 1 || decision.ScaleOut[0].Pool.Spot {
 		t.Fatalf("rents %v", decision.ScaleOut)
 	}
@@ -83,14 +83,14 @@
 func TestEmptyPoolBacksOff(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 3, CPUs: 16, EstimatedRunSeconds: 50, MachineTypes: []string{"big"}})
-	firstRequests := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil).ScaleOut
+	firstRequests := fixture.plan().ScaleOut
 	if len(firstRequests) == 0 {
 		t.Fatal("nothing is rented")
 	}
 	for _, request := range firstRequests {
 		fixture.scheduler.ObserveEmptyPool(request.Pool, fixture.now)
 	}
-	for _, request := range fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil).ScaleOut {
+	for _, request := range fixture.plan().ScaleOut {
 		for _, earlier := range firstRequests {
 			if earlier.Pool == request.Pool {
 				t.Fatalf("%v is asked again at once", request.Pool)
@@ -113,7 +113,7 @@
 		machinesByZone[zone] = append(machinesByZone[zone], fixture.addMachine(fmt.Sprintf("i-%02d", i), "small", zone, false))
 	}
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 12, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindService, SpreadZones: true, MachineTypes: []string{"small"}})
-	fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	fixture.plan()
 	sendHeartbeats := func(zone string) {
 		for _, machine := range machinesByZone[zone] {
 			fixture.heartbeatSeqs[machine.Name]++
@@ -128,7 +128,7 @@
 	sendHeartbeats("y")
 	fixture.now += 6 * clock.Second
 	sendHeartbeats("y")
-	decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+	decision := fixture.plan()
 	if len(decision.ScaleOut) == 0 {
 		t.Fatal("nothing is rented for the replicas of the silent zone")
 	}
@@ -154,11 +154,11 @@
 		fixture.scheduler.ObserveBoot("big", 9*clock.Second)
 	}
 	fixture.now += 14 * clock.Second // nominal is 15
-	if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); len(decision.ScaleOut) > 0 {
+	if decision := fixture.plan(); len(decision.ScaleOut) > 0 {
 		t.Errorf("%d machines boot in their usual time, and %v is rented", len(booting), decision.ScaleOut)
 	}
 	fixture.now += 60 * clock.Second
-	if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); len(decision.ScaleOut) == 0 {
+	if decision := fixture.plan(); len(decision.ScaleOut) == 0 {
 		t.Error("all machines are overdue, and nothing is rented for them")
 	}
 }
@@ -175,7 +175,7 @@
 			}
 		}
 		fixture.addJob(wire.Job{ID: "req-000001", Kind: kind, TaskCount: 4, CPUs: 4, EstimatedRunSeconds: 100, AllowsSpot: true})
-		if decision := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil); (len(decision.ScaleOut) > 0) != (kind == wire.KindGang) {
+		if decision := fixture.plan(); (len(decision.ScaleOut) > 0) != (kind == wire.KindGang) {
 			t.Errorf("%s: rented %v", kind, decision.ScaleOut)
 		}
 	}
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -22,12 +22,12 @@
 			fixture.addMachine(fmt.Sprintf("i-%02d", i), "big", []string{"x", "y", "z"}[i%3], true)
 		}
 		runTimes, firstStarts := map[*allocation.Job]clock.Micros{}, map[*allocation.Job]clock.Micros{}
-		type sub struct {
-			j    *allocation.Job
-			at   clock.Micros
-			size int
+		type submission struct {
+			job         *allocation.Job
+			submittedAt clock.Micros
+			size        int
 		}
-		var submissions []sub
+		var submissions []submission
 		for sec := 0; sec < 900; sec++ {
 			// 48 tasks fit at a time; what comes asks for half as much again.
 			if sec < 660 && rng.IntN(10) == 0 {
@@ -40,21 +40,21 @@
 					CPUs: 4, MemoryGB: 14, AllowsSpot: true, EstimatedRunSeconds: runSeconds, DeadlineSeconds: 2*runSeconds + 30}
 				job := fixture.addJob(spec)
 				runTimes[job] = clock.FromSeconds(runSeconds)
-				submissions = append(submissions, sub{job, fixture.now, size})
+				submissions = append(submissions, submission{job, fixture.now, size})
 			}
-			fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
+			fixture.plan()
 			fixture.simulateSecond(runTimes, firstStarts)
 		}
-		slices.SortFunc(submissions, func(a, b sub) int { return b.size - a.size })
+		slices.SortFunc(submissions, func(a, b submission) int { return b.size - a.size })
 		started, count := map[string]int{}, map[string]int{}
 		for i, submission := range submissions {
-			startedAt := firstStarts[submission.j]
-			for _, group := range []string{submission.j.Spec.Class, submission.j.Spec.Team} {
+			startedAt := firstStarts[submission.job]
+			for _, group := range []string{submission.job.Spec.Class, submission.job.Spec.Team} {
 				count[group]++
 				started[group] += boolToInt(startedAt != 0)
 			}
-			if i < len(submissions)/10 && (startedAt == 0 || startedAt-submission.at > 240*clock.Second) {
-				t.Errorf("load %d: %s with %d tasks begins after %v", seed, submission.j.Spec.ID, submission.size, (startedAt - submission.at).Seconds())
+			if i < len(submissions)/10 && (startedAt == 0 || startedAt-submission.submittedAt > 240*clock.Second) {
+				t.Errorf("load %d: %s with %d tasks begins after %v", seed, submission.job.Spec.ID, submission.size, (startedAt - submission.submittedAt).Seconds())
 			}
 		}
 		for group, n := range count {
