--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -30,6 +30,7 @@
 	heartbeatSeqs map[string]uint64
 }
 
+// newFixture has two machine types and no machines; its heartbeat window is an hour.
 func newFixture(teams map[string]allocation.TeamQuota) *schedulerFixture {
 	types := []wire.MachineType{
 		{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 0.4, BootSeconds: 15, FetchGBPerSecond: 1, Zones: []string{"x", "y", "z"}},
@@ -42,6 +43,7 @@
 	return fixture
 }
 
+// addMachine adds a machine that has sent a heartbeat and seen the token.
 func (fixture *schedulerFixture) addMachine(name, typeName, zone string, spot bool) *allocation.Machine {
 	machine := fixture.tracker.AddMachine(name, typeName, zone, spot, fixture.scheduler.MachineCapacity(typeName), fixture.now)
 	machine.RecordedInStore = true
@@ -50,6 +52,7 @@
 	return machine
 }
 
+// addJob adds a waiting job, by default an array of normal priority.
 func (fixture *schedulerFixture) addJob(spec wire.Job) *allocation.Job {
 	if spec.Priority == "" {
 		spec.Priority = wire.PriorityNormal
@@ -65,7 +68,7 @@
 	return fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 }
 
-// reportTasks has a machine report all that the ledger has placed on it, in a state.
+// reportTasks sends a heartbeat of a machine with all that is placed on it, in one state.
 func (fixture *schedulerFixture) reportTasks(machine *allocation.Machine, taskState string) {
 	fixture.tracker.HeartbeatCommands(machine, fixture.now)
 	var tasks []wire.TaskStatus
@@ -78,8 +81,8 @@
 	fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Tasks: tasks}, fixture.now)
 }
 
-// newCrowdedFixture has machines with two cards each, both taken by tasks of an array that end
-// at different times.
+// newCrowdedFixture has machines with two GPUs each, both used by tasks of an array that end
+// at different times. No pool has more machines.
 func newCrowdedFixture(t *testing.T, machines int, spec wire.Job) (*schedulerFixture, *allocation.Job) {
 	t.Helper()
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
@@ -101,6 +104,7 @@
 	return fixture, batchJob
 }
 
+// stoppingCount counts the tasks of a job that are being stopped.
 func stoppingCount(job *allocation.Job) (n int) {
 	job.ForEachPlacement(func(placement *allocation.Placement) {
 		if placement.IsStopping() {
@@ -110,6 +114,7 @@
 	return n
 }
 
+// completeTask sends a heartbeat in which one task of its machine has completed.
 func (fixture *schedulerFixture) completeTask(job *allocation.Job, index int) {
 	machine := job.Tasks[index].Placement.Machine
 	var tasks []wire.TaskStatus
@@ -124,8 +129,8 @@
 	fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Tasks: tasks}, fixture.now)
 }
 
-// simulateSecond plays workers for a second: what was placed starts, what is through with
-// its time completes.
+// simulateSecond simulates the workers for a second: what was placed starts, what has had its
+// run time completes.
 func (fixture *schedulerFixture) simulateSecond(runTimes, firstStarts map[*allocation.Job]clock.Micros) {
 	fixture.now += clock.Second
 	for _, machine := range fixture.tracker.SortedMachines() {
@@ -154,9 +159,8 @@
 	}
 }
 
-// newFleetFixture makes a ledger of n machines, most of them spot, that are filled to
-// the given part by running tasks of arrays and replicas, with so many more
-// arrays and services waiting.
+// newFleetFixture has n machines, most of them spot, that are filled to the given part by
+// running tasks of arrays and replicas, and so many more arrays and services that wait.
 func newFleetFixture(n int, filled float64, waiting int) *schedulerFixture {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
 	rng := rand.New(rand.NewPCG(uint64(n), 8))
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -10,9 +10,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A card that falls free is kept for a gang whose turn it is, until the machine's
-// other card is free too; it once went to the next array task every time, and gangs
-// waited for as long as there were any.
+// A GPU that becomes free is kept for a gang whose turn it is, until the machine's other
+// GPU is free too. Added after each went to the next array task, and gangs waited for as
+// long as there were any.
 func TestGangReservationHoldsUntilGangFits(t *testing.T) {
 	fixture, batch := newCrowdedFixture(t, 1, wire.Job{EstimatedRunSeconds: 20})
 	gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, TaskCount: 1, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60, Priority: wire.PriorityNormal})
@@ -21,7 +21,7 @@
 	fixture.completeTask(batch, 0)
 	fixture.plan()
 	if small.ActiveCount() != 0 {
-		t.Fatal("a card that a gang waits for went to an array")
+		t.Fatal("a GPU that a gang waits for went to an array")
 	}
 	fixture.completeTask(batch, 1)
 	fixture.plan()
@@ -30,9 +30,9 @@
 	}
 }
 
-// A claim that could not be filled within what a rented machine takes is not made:
-// the room serves others meanwhile. A gang that has waited too long makes it all the
-// same, so that the largest begins too.
+// A reservation that could not be filled before a machine requested now is ready is not made:
+// the room serves others meanwhile. An aged gang makes it all the same, so that the largest
+// starts too.
 func TestGangReservationIsBoundedUnlessAged(t *testing.T) {
 	for _, aged := range []bool{false, true} {
 		fixture, batch := newCrowdedFixture(t, 1, wire.Job{EstimatedRunSeconds: 500})
@@ -44,38 +44,38 @@
 		fixture.completeTask(batch, 0)
 		fixture.plan()
 		if (small.ActiveCount() == 0) != aged {
-			t.Errorf("aged %v: %d tasks were placed on the free card", aged, small.ActiveCount())
+			t.Errorf("aged %v: %d tasks were placed on the free GPU", aged, small.ActiveCount())
 		}
 	}
 }
 
-// Lesser work is stopped for a gang where that costs less than the wait for an image
-// elsewhere, and not where it costs more; never work of its own rank, nor what
-// another team's guarantee covers.
+// Work of lower priority is stopped for a gang where that costs less than the wait for an
+// image elsewhere, and not where it costs more; never work of its own priority, nor what is
+// within another team's quota.
 func TestGangPreemptsWorkCheaperThanItsWait(t *testing.T) {
 	for _, testCase := range []struct {
-		name  string
-		age   clock.Micros
-		rank  string
-		team  allocation.TeamQuota
-		found bool // an earlier leader began the work
-		stops int
+		name     string
+		age      clock.Micros
+		priority string
+		team     allocation.TeamQuota
+		adopted  bool // an earlier leader started the work
+		stops    int
 	}{
 		{"young work", 3 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{}, false, 2},
 		{"old work", 300 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{}, false, 0},
-		{"work found just now, half of which may be over", 3 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{}, true, 0},
-		{"work of its rank", 3 * clock.Second, wire.PriorityNormal, allocation.TeamQuota{}, false, 0},
-		{"work that is owed its room", 3 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{GuaranteedMilliGPU: 8000}, false, 0},
+		{"adopted work, half of which may be over", 3 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{}, true, 0},
+		{"work of its priority", 3 * clock.Second, wire.PriorityNormal, allocation.TeamQuota{}, false, 0},
+		{"entitled work", 3 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{GuaranteedMilliGPU: 8000}, false, 0},
 	} {
 		fixture, batch := newCrowdedFixture(t, 2, wire.Job{EstimatedRunSeconds: 1000})
 		fixture.scheduler.Teams["a"] = testCase.team
-		batch.ForEachPlacement(func(placement *allocation.Placement) { placement.Adopted = testCase.found })
+		batch.ForEachPlacement(func(placement *allocation.Placement) { placement.Adopted = testCase.adopted })
 		for _, machine := range fixture.tracker.Machines {
 			machine.ImageUsedAt["water"] = fixture.now
 		}
 		fixture.addMachine("i-99", "big", "x", false) // free, without the image
 		gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, TaskCount: 1, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60,
-			Priority: testCase.rank, Image: "water", ImageSizeGB: 20})
+			Priority: testCase.priority, Image: "water", ImageSizeGB: 20})
 		fixture.now += testCase.age
 		fixture.plan()
 		if stoppingCount(batch) != testCase.stops {
@@ -87,12 +87,12 @@
 	}
 }
 
-// Under a stream of small jobs in an overloaded fleet the largest gang begins within
-// the four minutes that the users allow, and gangs start whole.
+// Under a stream of small jobs in an overloaded fleet the largest gang starts within the four
+// minutes that the users allow, and gangs start whole.
 func TestLargestGangDoesNotStarve(t *testing.T) {
 	rng := rand.New(rand.NewPCG(9, 9))
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
-	fixture.scheduler.Settings.GangWaitWeight = 0 // by claims alone, with nothing stopped
+	fixture.scheduler.Settings.GangWaitWeight = 0 // by reservations alone, with nothing stopped
 	for i := range 8 {
 		fixture.addMachine(fmt.Sprintf("i-%02d", i), "big", "x", false)
 	}
@@ -134,13 +134,13 @@
 		}
 		if large != nil && large.ActiveCount() == 6 {
 			if waited := fixture.now - large.ReleasedAt; waited > 240*clock.Second {
-				t.Fatalf("begun after %v s", waited.Seconds())
+				t.Fatalf("started after %v s", waited.Seconds())
 			}
 			return
 		}
 		fixture.now += clock.Second
 	}
-	t.Fatal("the large gang never began")
+	t.Fatal("the large gang never started")
 }
 
 // A gang that loses a task before it has been complete gets another with the same
@@ -173,13 +173,13 @@
 	}
 }
 
-// A gang that no fleet to be had can hold waits, is known, and costs nothing: once
-// every pool has refused, nothing is rented for a part of it. Others are served.
+// A gang that no possible fleet can hold waits and costs nothing: once every pool was empty,
+// no machine is requested for a part of it. Other jobs are served.
 func TestNoScaleOutForInfeasibleGang(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	huge := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Kind: wire.KindGang, TaskCount: 100000, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60, MachineTypes: []string{"big"}})
 	if decision := fixture.plan(); len(decision.ScaleOut) == 0 {
-		t.Fatal("nothing is tried for a gang of whose size nothing is known")
+		t.Fatal("no machine is requested for a gang before any pool was empty")
 	}
 	for i := range 6 {
 		fixture.addMachine(fmt.Sprintf("i-%d", i), "big", []string{"x", "y", "z"}[i%3], false)
@@ -188,8 +188,8 @@
 		fixture.scheduler.ObserveEmptyPool(Pool{"big", zone, false}, fixture.now)
 	}
 	small := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindGang, TaskCount: 2, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60})
-	fixture.now += 60 * clock.Second // the pools may be asked again
+	fixture.now += 60 * clock.Second // the backoff of the pools is over
 	if decision := fixture.plan(); len(decision.ScaleOut) != 0 || small.ActiveCount() != 2 || huge.ActiveCount() != 0 {
-		t.Fatalf("rented %v, %d of two tasks placed, %d of the huge gang", decision.ScaleOut, small.ActiveCount(), huge.ActiveCount())
+		t.Fatalf("requested %v, %d of two tasks placed, %d of the huge gang", decision.ScaleOut, small.ActiveCount(), huge.ActiveCount())
 	}
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -9,9 +9,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A cut of a zone without a controller once took a third of the replicas: nobody
-// inside can keep their leases alive. Replicas go, and machines are rented for
-// them, where somebody can, as far as the job's wishes allow.
+// Replicas go, and machines are requested for them, to zones where a controller can renew
+// leases while the zone has no network, as far as the job allows. Added after a zone without
+// a controller lost its network, and with it a third of the replicas.
 func TestReplicasPreferDelegatedZones(t *testing.T) {
 	fixture := newFixture(nil)
 	fixture.scheduler.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: []string{"x", "y", "z"}}})
@@ -26,11 +26,11 @@
 	decision := fixture.plan()
 	for _, request := range decision.ScaleOut {
 		if request.Pool.Zone == "x" {
-			t.Errorf("rented in a zone where nobody keeps leases: %+v", decision.ScaleOut)
+			t.Errorf("requested in a zone without delegation: %+v", decision.ScaleOut)
 		}
 	}
 	if len(decision.ScaleOut) == 0 {
-		t.Fatal("nothing rented")
+		t.Fatal("no machine is requested")
 	}
 	for _, zone := range []string{"x", "y", "z"} {
 		fixture.addMachine("i-"+zone, "m", zone, false)
@@ -39,7 +39,7 @@
 	if byZone := countByZone(job); byZone["x"] != 0 || byZone["y"]+byZone["z"] != 5 {
 		t.Errorf("placed at %v", byZone)
 	}
-	// One kept zone alone may not have them all.
+	// One zone with delegation may not have them all.
 	fixture = newFixture(nil)
 	fixture.scheduler.DelegatedZones = map[string]bool{"y": true}
 	fixture.addMachine("i-x", "big", "x", false)
@@ -47,7 +47,7 @@
 	job = fixture.addJob(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 5, CPUs: 1, MemoryGB: 1, SpreadZones: true})
 	fixture.plan()
 	if byZone := countByZone(job); byZone["y"] != 3 || byZone["x"] != 2 {
-		t.Errorf("with one kept zone placed at %v", byZone)
+		t.Errorf("with delegation in one zone placed at %v", byZone)
 	}
 }
 
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -98,27 +98,26 @@
 	return taskCount
 }
 
-// A machine that is held because tasks fail on many gets nothing, and nothing is rented
-// in its place.
+// A machine that backs off after failed tasks gets none, and no other is requested in its
+// place.
 func TestMachineInFaultBackoffGetsNoTasks(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	machine := fixture.addMachine("i-0", "small", "x", false)
 	machine.BackoffUntil = fixture.now + 2*clock.Second
 	job := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 2, EstimatedRunSeconds: 50})
 	if decision := fixture.plan(); job.ActiveCount() != 0 || len(decision.ScaleOut) != 0 {
-		t.Fatalf("%d tasks are placed, %v is rented though there will be room in a moment", job.ActiveCount(), decision.ScaleOut)
+		t.Fatalf("%d tasks are placed, %v is requested though there will be room in a moment", job.ActiveCount(), decision.ScaleOut)
 	}
 	fixture.now = machine.BackoffUntil
 	machine.LastHeartbeatAt = fixture.now
 	fixture.plan()
 	if job.ActiveCount() != 2 {
-		t.Fatalf("%d tasks are placed when the time is over", job.ActiveCount())
+		t.Fatalf("%d tasks are placed when the backoff is over", job.ActiveCount())
 	}
 }
 
-// A machine that is heard is not by that one that can be told: while direct
-// messages to it get no answer, and once it is not heard, it gets no work; the
-// first sign that it can be told ends that.
+// A machine that sends heartbeats may not be reachable: it gets no tasks while command
+// requests to it get no answer, until one is answered, nor once it is suspected.
 func TestUnreachableMachineGetsNoTasks(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	unreachable, reachable := fixture.addMachine("i-0", "small", "x", false), fixture.addMachine("i-1", "small", "x", false)
@@ -129,24 +128,24 @@
 	}
 	_, starts := fixture.tracker.BuildCommandRequest(unreachable, fixture.now)
 	fixture.tracker.FinishCommandRequest(unreachable, starts, allocation.CommandOutcomeUnknown, fixture.now)
-	report := func(machine *allocation.Machine, session uint64) {
+	sendHeartbeat := func(machine *allocation.Machine, incarnation uint64) {
 		fixture.heartbeatSeqs[machine.Name]++
-		fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: session, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}, fixture.now)
+		fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: incarnation, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}, fixture.now)
 	}
-	// Its lease runs out unseen by us; it reports anew, in its next session.
+	// Its lease expires unseen; it sends heartbeats of its next incarnation.
 	fixture.tracker.Cancel(firstJob, fixture.now)
 	fixture.now += 2 * clock.Second
-	report(unreachable, 2)
+	sendHeartbeat(unreachable, 2)
 	secondJob := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 4, CPUs: 2, EstimatedRunSeconds: 50})
 	fixture.plan()
 	secondJob.ForEachPlacement(func(placement *allocation.Placement) {
 		if placement.Machine == unreachable {
-			t.Fatal("a machine that cannot be told got work")
+			t.Fatal("an unreachable machine got a task")
 		}
 	})
 	request, starts := fixture.tracker.BuildCommandRequest(unreachable, fixture.now)
 	if request == nil {
-		t.Fatal("nobody asks whether it can be told")
+		t.Fatal("no command request checks whether it is reachable")
 	}
 	fixture.tracker.FinishCommandRequest(unreachable, starts, allocation.CommandExecuted, fixture.now)
 	reachable.Draining = true
@@ -158,7 +157,7 @@
 		}
 	})
 	if n == 0 {
-		t.Fatal("it can be told again, and gets no work")
+		t.Fatal("it is reachable again, and gets no task")
 	}
 	suspected := fixture.addMachine("i-2", "small", "x", false)
 	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
@@ -166,7 +165,7 @@
 	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", TaskCount: 1, CPUs: 2, EstimatedRunSeconds: 50})
 	fixture.plan()
 	if !suspected.IsIdle() {
-		t.Fatal("a machine that is not heard got work")
+		t.Fatal("a suspected machine got a task")
 	}
 }
 
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -8,13 +8,13 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A replica that finds no room takes that of batch work, of what started last.
+// A replica that finds no room preempts the batch task that was placed last.
 func TestReplicaPreemptsLatestBatchTask(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	machine := fixture.addMachine("i-0", "small", "x", false)
 	batchJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 2, EstimatedRunSeconds: 50})
 	fixture.plan()
-	fixture.tracker.HeartbeatCommands(machine, fixture.now) // sent: from here on only a stop ends them
+	fixture.tracker.HeartbeatCommands(machine, fixture.now) // sent: from now on only a stop ends them
 	fixture.now += 10 * clock.Second
 	service := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 1, CPUs: 2, Priority: wire.PriorityProduction, Kind: wire.KindService})
 	fixture.plan()
@@ -27,7 +27,7 @@
 	}
 }
 
-// A gang of higher rank gets room whole, or nothing is stopped for it.
+// A gang of higher priority gets room for all its tasks, or nothing is stopped for it.
 func TestGangPreemptsOnlyIfItFitsWhole(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	for _, n := range []string{"i-0", "i-1"} {
@@ -55,8 +55,8 @@
 	}
 }
 
-// A replica that takes a place from batch work takes it where its image is at hand,
-// though a little more work is lost there; where much more would be, it does not.
+// A replica preempts batch work where its image is cached, though a little more work is lost
+// there; where much more would be, it does not.
 func TestPreemptionPrefersMachinesWithCachedImage(t *testing.T) {
 	for _, testCase := range []struct {
 		ran  clock.Micros // how long the work beside the image has run
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -9,7 +9,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Smallest need first, inside rank and guarantee.
+// Smallest need first, within priority and quota entitlement.
 func TestQueueOrderIsSmallestNeedFirst(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {GuaranteedMilliCPU: 4000}, "b": {}})
 	fixture.addMachine("i-0", "big", "x", false)
@@ -48,8 +48,8 @@
 	}
 }
 
-// What a pipeline's last job asks for counts for those that it needs: a deadline that
-// reaches back makes a job tight, and late, like its own.
+// The deadline of a dependent counts for its dependencies: one that is derived makes a job
+// urgent, and late, like its own.
 func TestDependentsDeadlineMakesDependencyUrgent(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
@@ -62,14 +62,14 @@
 	}
 	dependency.Deadline = dependency.ReleasedAt + 110*clock.Second
 	if got := firstJobID(); got != "req-000002" {
-		t.Fatalf("%s first, though the other has to be done for a third", got)
+		t.Fatalf("%s first, though a dependent needs the other in time", got)
 	}
 	dependency.ReleasedAt, dependency.Deadline = fixture.now+2*clock.Second, fixture.now+clock.Second
 	if deadline := fixture.scheduler.deadlineSeconds(dependency); deadline <= 0 {
-		t.Fatalf("a deadline that is over counts as none: %v", deadline)
+		t.Fatalf("a deadline that has passed counts as none: %v", deadline)
 	}
 	if got := firstJobID(); got != "req-000001" {
-		t.Fatalf("%s first, though its time is over", got)
+		t.Fatalf("%s first, though its deadline has passed", got)
 	}
 }
 
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -8,9 +8,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A guarantee of 0 is none, in each dimension for itself: it covers nothing and
-// bounds nothing. Guarantees in cards alone once covered no job at all, since all
-// take processors too.
+// A guaranteed quota of 0 is none, in each resource for itself: it covers nothing and bounds
+// nothing. Added after quotas of GPUs alone covered no job at all, since all take CPUs too.
 func TestQuotaEntitlementsPerResource(t *testing.T) {
 	both := wire.Job{TaskCount: 2, CPUs: 4, GPUs: 1}
 	cpus := wire.Job{TaskCount: 2, CPUs: 4}
@@ -21,11 +20,11 @@
 		want []bool
 	}{
 		{"none", allocation.TeamQuota{}, []wire.Job{both, cpus}, []bool{false, false}},
-		{"cards alone", allocation.TeamQuota{GuaranteedMilliGPU: 4000}, []wire.Job{both, both, both}, []bool{true, true, false}},
-		{"cards alone, a job without any", allocation.TeamQuota{GuaranteedMilliGPU: 4000}, []wire.Job{cpus, both}, []bool{false, true}},
-		{"processors alone", allocation.TeamQuota{GuaranteedMilliCPU: 16000}, []wire.Job{both, cpus, cpus}, []bool{true, true, false}},
-		{"both, cards short", allocation.TeamQuota{GuaranteedMilliCPU: 80000, GuaranteedMilliGPU: 2000}, []wire.Job{both, both}, []bool{true, false}},
-		{"both, processors short", allocation.TeamQuota{GuaranteedMilliCPU: 8000, GuaranteedMilliGPU: 8000}, []wire.Job{both, both}, []bool{true, false}},
+		{"GPUs alone", allocation.TeamQuota{GuaranteedMilliGPU: 4000}, []wire.Job{both, both, both}, []bool{true, true, false}},
+		{"GPUs alone, a job without any", allocation.TeamQuota{GuaranteedMilliGPU: 4000}, []wire.Job{cpus, both}, []bool{false, true}},
+		{"CPUs alone", allocation.TeamQuota{GuaranteedMilliCPU: 16000}, []wire.Job{both, cpus, cpus}, []bool{true, true, false}},
+		{"both, GPUs short", allocation.TeamQuota{GuaranteedMilliCPU: 80000, GuaranteedMilliGPU: 2000}, []wire.Job{both, both}, []bool{true, false}},
+		{"both, CPUs short", allocation.TeamQuota{GuaranteedMilliCPU: 8000, GuaranteedMilliGPU: 8000}, []wire.Job{both, both}, []bool{true, false}},
 		{"what comes after one that is too large", allocation.TeamQuota{GuaranteedMilliGPU: 3000}, []wire.Job{{TaskCount: 4, GPUs: 1}, both}, []bool{false, false}},
 	} {
 		fixture := newFixture(map[string]allocation.TeamQuota{"a": testCase.team})
@@ -37,14 +36,14 @@
 		entitled := fixture.scheduler.quotaEntitlements(fixture.tracker)
 		for i, job := range jobs {
 			if entitled[job] != testCase.want[i] {
-				t.Errorf("%s: job %d owed: %v, want %v", testCase.name, i, entitled[job], testCase.want[i])
+				t.Errorf("%s: job %d entitled: %v, want %v", testCase.name, i, entitled[job], testCase.want[i])
 			}
 		}
 	}
 }
 
-// A machine is as full as what is shortest on it: with all cards taken there is no
-// room on it, however many processors are left, and no spare to count on.
+// A machine is as full as its scarcest resource: with all GPUs used there is no room on it,
+// however many CPUs are left, and no spare to count on.
 func TestFreeFractionIsThatOfScarcestResource(t *testing.T) {
 	size := allocation.Resources{MilliCPU: 12000, MilliGPU: 2000, MemoryMB: 96000}
 	for _, testCase := range []struct {
@@ -57,16 +56,16 @@
 		{allocation.Resources{MilliCPU: 3000, MemoryMB: 72000}, 0.25},
 	} {
 		if got := freeFraction(size.Sub(testCase.used), size); !isAlmostEqual(got, testCase.want) {
-			t.Errorf("%v of %v used: %v is open, want %v", testCase.used, size, got, testCase.want)
+			t.Errorf("%v of %v used: %v is free, want %v", testCase.used, size, got, testCase.want)
 		}
 	}
 	if got := freeFraction(allocation.Resources{MilliCPU: 4000}, allocation.Resources{MilliCPU: 16000}); !isAlmostEqual(got, 0.25) {
-		t.Errorf("a machine without cards: %v", got)
+		t.Errorf("a machine without GPUs: %v", got)
 	}
 }
 
-// What was begun because it had waited too long is not stopped for what a guarantee
-// covers: else each plan places it, and stops it again.
+// What was started by aging is not stopped for entitled jobs: else each plan would place it,
+// and stop it again.
 func TestAgedWorkIsNotPreemptedForQuota(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {GuaranteedMilliGPU: 100000}})
 	machine := fixture.addMachine("i-0", "big", "x", false)
@@ -80,10 +79,10 @@
 		fixture.plan()
 		fixture.reportTasks(machine, wire.TaskRunning)
 		if agedJob.ActiveCount() != 2 || stoppingCount(agedJob) != 0 || entitledJob.ActiveCount() != 0 {
-			t.Fatalf("%d old tasks are placed, %d of them stopping, %d owed ones placed", agedJob.ActiveCount(), stoppingCount(agedJob), entitledJob.ActiveCount())
+			t.Fatalf("%d aged tasks are placed, %d of them stopping, %d entitled ones placed", agedJob.ActiveCount(), stoppingCount(agedJob), entitledJob.ActiveCount())
 		}
 	}
-	// Other work beyond a guarantee does give way.
+	// Other work beyond its team's quota is preempted.
 	fixture = newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {GuaranteedMilliGPU: 100000}})
 	machine = fixture.addMachine("i-0", "big", "x", false)
 	youngJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 5, GPUs: 1, EstimatedRunSeconds: 50})
@@ -92,6 +91,6 @@
 	fixture.addJob(wire.Job{ID: "req-000002", Team: "b", TaskCount: 2, CPUs: 5, GPUs: 1, EstimatedRunSeconds: 50})
 	fixture.plan()
 	if stoppingCount(youngJob) != 2 {
-		t.Fatalf("%d tasks are stopped for a guarantee of two", stoppingCount(youngJob))
+		t.Fatalf("%d tasks are stopped for two entitled ones", stoppingCount(youngJob))
 	}
 }
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -9,16 +9,16 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A machine that has just come up takes work once it has seen the token, with its next
-// report, so nothing is rented in its place. One that is heard for longer without having
-// seen it can't be told anything, and is not counted on.
+// A machine that has just come up takes tasks once it has seen the token, which its next
+// heartbeat shows, so none is requested in its place. One that sends heartbeats for longer
+// without having seen it is unreachable, and not counted on.
 func TestNoScaleOutForMachineThatJustCameUp(t *testing.T) {
 	fixture := newFixture(nil)
 	fixture.scheduler.HeartbeatWindow = 8 * clock.Second
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 50, MachineTypes: []string{"small"}})
 	requests := fixture.plan().ScaleOut
 	if len(requests) != 1 || requests[0].Count != 1 {
-		t.Fatalf("rents %v", requests)
+		t.Fatalf("requests %v", requests)
 	}
 	pool := requests[0].Pool
 	machine := fixture.tracker.AddMachine("i-0", pool.Type, pool.Zone, pool.Spot, fixture.scheduler.MachineCapacity(pool.Type), fixture.now)
@@ -27,34 +27,34 @@
 	for seq, after := range []clock.Micros{0, 4 * clock.Second, 8 * clock.Second, 9 * clock.Second} {
 		fixture.now = upAt + after
 		fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-0", Incarnation: 1, Sequence: uint64(seq + 1), Address: "127.0.0.1:1"}, fixture.now)
-		isRented := len(fixture.plan().ScaleOut) > 0
-		if isRented != (after > fixture.scheduler.HeartbeatWindow) {
-			t.Errorf("%v after it came up another one is rented: %v", after.Duration(), isRented)
+		isRequested := len(fixture.plan().ScaleOut) > 0
+		if isRequested != (after > fixture.scheduler.HeartbeatWindow) {
+			t.Errorf("%v after it came up another one is requested: %v", after.Duration(), isRequested)
 		}
 	}
 }
 
-// All machines for a gang that wants one zone are rented in one zone, and in
-// the next one when that has refused.
+// All machines for a gang of one zone are requested in one zone, and in the next one when
+// the first was empty.
 func TestScaleOutForOneZoneGangUsesOneZone(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 6, CPUs: 16, MachineTypes: []string{"big"}, Kind: wire.KindGang, SingleZone: true})
-	rentedZone := func() string {
+	requestedZone := func() string {
 		decision := fixture.plan()
 		if len(decision.ScaleOut) != 1 || decision.ScaleOut[0].Count != 6 {
-			t.Fatalf("rents %v", decision.ScaleOut)
+			t.Fatalf("requests %v", decision.ScaleOut)
 		}
 		return decision.ScaleOut[0].Pool.Zone
 	}
-	firstZone := rentedZone()
+	firstZone := requestedZone()
 	fixture.scheduler.ObserveEmptyPool(Pool{"big", firstZone, false}, fixture.now)
-	if secondZone := rentedZone(); secondZone == firstZone {
-		t.Fatal("the zone that refused is asked again")
+	if secondZone := requestedZone(); secondZone == firstZone {
+		t.Fatal("the empty zone is asked again")
 	}
 }
 
-// Where a replica is to go boots while its silent machine is not proven gone;
-// nothing of it is started before.
+// A machine for a replica on a suspected machine is requested before the loss is confirmed;
+// the replica is not started before.
 func TestScaleOutForSuspectedMachinesBeforeLossIsConfirmed(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
@@ -67,25 +67,25 @@
 	fixture.tracker.HeartbeatCommands(machine, fixture.now)
 	fixture.now += 4 * clock.Second
 	if decision := fixture.plan(); len(decision.ScaleOut) != 0 {
-		t.Fatalf("rented too early: %v", decision.ScaleOut)
+		t.Fatalf("requested too early: %v", decision.ScaleOut)
 	}
 	fixture.now += 2 * clock.Second
 	decision := fixture.plan()
 	if len(decision.ScaleOut) != 1 || decision.ScaleOut[0].Count != 1 || decision.ScaleOut[0].Pool.Spot {
-		t.Fatalf("rents %v", decision.ScaleOut)
+		t.Fatalf("requests %v", decision.ScaleOut)
 	}
 	if d := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, []PendingScaleOut{{Pool: decision.ScaleOut[0].Pool, Count: 1}}); len(d.ScaleOut) != 0 || job.ActiveCount() != 1 {
-		t.Fatalf("rented twice: %v", d.ScaleOut)
+		t.Fatalf("requested twice: %v", d.ScaleOut)
 	}
 }
 
-// An empty pool is left alone for a while, and the next zone is asked.
+// An empty pool is not asked for a while, and the next zone is.
 func TestEmptyPoolBacksOff(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 3, CPUs: 16, EstimatedRunSeconds: 50, MachineTypes: []string{"big"}})
 	firstRequests := fixture.plan().ScaleOut
 	if len(firstRequests) == 0 {
-		t.Fatal("nothing is rented")
+		t.Fatal("no machine is requested")
 	}
 	for _, request := range firstRequests {
 		fixture.scheduler.ObserveEmptyPool(request.Pool, fixture.now)
@@ -102,8 +102,8 @@
 	}
 }
 
-// When a whole zone falls silent, what is rented for its replicas comes up in
-// another: in the silent one it would be heard no more than the rest.
+// When a whole zone is suspected, machines for its replicas are requested in another: in that
+// one they would be unreachable too.
 func TestNoScaleOutInSuspectedZone(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
@@ -130,17 +130,17 @@
 	sendHeartbeats("y")
 	decision := fixture.plan()
 	if len(decision.ScaleOut) == 0 {
-		t.Fatal("nothing is rented for the replicas of the silent zone")
+		t.Fatal("no machine is requested for the replicas of the suspected zone")
 	}
 	for _, request := range decision.ScaleOut {
 		if request.Pool.Zone == "x" {
-			t.Fatalf("rents %v where nobody is heard", request)
+			t.Fatalf("requests %v in the suspected zone", request)
 		}
 	}
 }
 
-// The first machines of a burst to come up are the fast ones. By their times alone
-// the others counted as overdue, and each was rented a second time.
+// The first machines of a burst to come up are the fast ones. Added after the others counted
+// as overdue by their times alone, and each was requested a second time.
 func TestFastFirstBootsDoNotMakeOthersOverdue(t *testing.T) {
 	fixture := newFixture(nil)
 	var booting []*allocation.Machine
@@ -155,11 +155,11 @@
 	}
 	fixture.now += 14 * clock.Second // nominal is 15
 	if decision := fixture.plan(); len(decision.ScaleOut) > 0 {
-		t.Errorf("%d machines boot in their usual time, and %v is rented", len(booting), decision.ScaleOut)
+		t.Errorf("%d machines boot in their usual time, and %v is requested", len(booting), decision.ScaleOut)
 	}
 	fixture.now += 60 * clock.Second
 	if decision := fixture.plan(); len(decision.ScaleOut) == 0 {
-		t.Error("all machines are overdue, and nothing is rented for them")
+		t.Error("all machines are overdue, and none is requested for them")
 	}
 }
 
@@ -176,7 +176,7 @@
 		}
 		fixture.addJob(wire.Job{ID: "req-000001", Kind: kind, TaskCount: 4, CPUs: 4, EstimatedRunSeconds: 100, AllowsSpot: true})
 		if decision := fixture.plan(); (len(decision.ScaleOut) > 0) != (kind == wire.KindGang) {
-			t.Errorf("%s: rented %v", kind, decision.ScaleOut)
+			t.Errorf("%s: requested %v", kind, decision.ScaleOut)
 		}
 	}
 }
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -11,9 +11,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Under a load above what the fleet can do, smallest first would have the large
-// wait for as long as small ones come. Over generated loads the largest begin
-// within four minutes, and at least half of every class and team is begun.
+// Under a load above the fleet's capacity, smallest first would have the large wait for as
+// long as small ones come. Over generated loads the largest start within four minutes, and
+// at least half of every class and team is started.
 func TestNoStarvationUnderOverload(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 12))
@@ -54,12 +54,12 @@
 				started[group] += boolToInt(startedAt != 0)
 			}
 			if i < len(submissions)/10 && (startedAt == 0 || startedAt-submission.submittedAt > 240*clock.Second) {
-				t.Errorf("load %d: %s with %d tasks begins after %v", seed, submission.job.Spec.ID, submission.size, (startedAt - submission.submittedAt).Seconds())
+				t.Errorf("load %d: %s with %d tasks starts after %v", seed, submission.job.Spec.ID, submission.size, (startedAt - submission.submittedAt).Seconds())
 			}
 		}
 		for group, n := range count {
 			if 2*started[group] < n {
-				t.Errorf("load %d: %d of %d of %s were begun", seed, started[group], n, group)
+				t.Errorf("load %d: %d of %d of %s were started", seed, started[group], n, group)
 			}
 		}
 	}
