--- a/internal/kvstore/commit.go
+++ b/internal/kvstore/queue.go
@@ -2,74 +2,12 @@
 
 import (
 	"cmp"
-	"errors"
 	"slices"
 	"time"
 
-	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/wire"
 )
 
-// maxTransactionBytes leaves room for the frame of a transaction under 64 KiB.
-const maxTransactionBytes = 56 << 10
-
-// Outcome says what became of a write.
-type Outcome uint8
-
-const (
-	// Committed: the write is durable.
-	Committed Outcome = iota
-	// Conflict: one of the write's own conditions failed.
-	Conflict
-	// Fenced: the leader lock is no longer what the write was bound to.
-	Fenced
-	// NotExecuted: the write was certainly not executed.
-	NotExecuted
-	// Unknown: the write may have been executed, or may still be.
-	Unknown
-)
-
-// Priority orders the writes that wait: the service takes few a second.
-type Priority int8
-
-const (
-	// Critical: the lock depends on it.
-	Critical Priority = iota - 1
-	// Interactive: somebody waits for the answer.
-	Interactive
-	// Required: work waits for it.
-	Required
-	// Background: it is sent when nothing else needs the rate.
-	Background
-)
-
-// Write is an atomic set of changes.
-type Write struct {
-	Priority Priority
-	// FencingToken, if not 0, is the version that the lock key must have.
-	FencingToken uint64
-	Conditions   []wire.Condition
-	Changes      []wire.Change
-	// Deadline is when to give up a write that was not sent.
-	Deadline clock.Micros
-	Done     func(Outcome, uint64)
-
-	sizeBytes int
-	queuedAt  clock.Micros
-}
-
-// requiredPromotionAge is after how long a write that work waits for takes turns with those that
-// somebody waits for. Under a flood of submissions a leader once rented no machine for
-// 40 s, and what had been accepted waited for its mark for 100; where both went by age
-// alone, the leader refused all submissions meanwhile.
-const requiredPromotionAge = clock.Second / 2
-
-// isPromoted tells whether a write takes turns with those that somebody waits for.
-func (write *Write) isPromoted(now clock.Micros) bool {
-	return write.Priority == Required && now-write.queuedAt >= requiredPromotionAge
-}
-
 // sortPending puts the waiting writes in the order in which they are sent: by rank, but
 // for needed ones that have waited, which take turns with binding ones. The lock is held.
 func (store *Client) sortPending(now clock.Micros) {
@@ -211,20 +149,6 @@
 // backgroundRecheckInterval is how often it is looked whether the rate has writes to spare.
 const backgroundRecheckInterval = 50 * clock.Millisecond
 
-func (store *Client) runSender() {
-	for {
-		// Waiting for the budget before choosing lets more writes join.
-		store.requestBudget.Wait(0)
-		store.writeBudget.Wait(0)
-		batch := store.takeBatch()
-		if len(batch) == 0 {
-			return
-		}
-		store.requestBudget.Reserve(1)
-		store.commitBatch(batch)
-	}
-}
-
 // recheckPending refuses waiting writes whose time is over, and tries the others.
 func (store *Client) recheckPending() {
 	now := clock.Now()
@@ -242,100 +166,3 @@
 	store.mu.Unlock()
 	completeWrites(expired, NotExecuted, 0)
 }
-
-func (store *Client) commitBatch(batch []*Write) {
-	for len(batch) > 0 {
-		now := clock.Now()
-		batch = slices.DeleteFunc(batch, func(write *Write) bool {
-			isExpired := write.Deadline != 0 && now >= write.Deadline
-			if isExpired {
-				write.Done(NotExecuted, 0)
-			}
-			return isExpired
-		})
-		if len(batch) == 0 {
-			return
-		}
-		transaction := wire.Transaction{}
-		if token := batch[0].FencingToken; token != 0 {
-			transaction.Conditions = append(transaction.Conditions, wire.Condition{Key: store.lockKey, Version: token})
-		}
-		for _, write := range batch {
-			transaction.Conditions = append(transaction.Conditions, write.Conditions...)
-			transaction.Changes = append(transaction.Changes, write.Changes...)
-		}
-		body, err := transaction.MarshalJSON()
-		if err != nil {
-			completeWrites(batch, NotExecuted, 0)
-			return
-		}
-		store.writeBudget.Wait(float64(len(transaction.Changes)))
-		status, responseBody, err := store.sendRequest("POST", "/txn", body, requestTimeout)
-		var sendError *client.NotSentError
-		switch {
-		case errors.As(err, &sendError):
-			completeWrites(batch, NotExecuted, 0)
-			return
-		case err != nil:
-			completeWrites(batch, Unknown, 0)
-			return
-		}
-		var result wire.TransactionResult
-		switch status {
-		case 200:
-			if err := result.UnmarshalJSON(responseBody); err != nil {
-				store.MalformedResponses.Add(1)
-				completeWrites(batch, Unknown, 0)
-				return
-			}
-			store.changesWritten.Add(int64(len(transaction.Changes)))
-			completeWrites(batch, Committed, result.Revision)
-			return
-		case 409:
-			if err := result.UnmarshalJSON(responseBody); err != nil || len(result.FailedKeys) == 0 {
-				store.MalformedResponses.Add(1)
-				completeWrites(batch, Unknown, 0)
-				return
-			}
-			if slices.Contains(result.FailedKeys, store.lockKey) && batch[0].FencingToken != 0 {
-				completeWrites(batch, Fenced, result.Revision)
-				return
-			}
-			before := len(batch)
-			batch = slices.DeleteFunc(batch, func(write *Write) bool {
-				hasConflict := slices.ContainsFunc(write.Conditions, func(condition wire.Condition) bool { return slices.Contains(result.FailedKeys, condition.Key) })
-				if hasConflict {
-					write.Done(Conflict, result.Revision)
-				}
-				return hasConflict
-			})
-			if len(batch) == before {
-				completeWrites(batch, Conflict, result.Revision)
-				return
-			}
-		case 429:
-			// Not executed; the budgets were drained and the loop waits.
-			store.requestBudget.Wait(1)
-		case 400:
-			// One bad write must not fail its neighbours: try them one by one.
-			if len(batch) == 1 {
-				completeWrites(batch, NotExecuted, 0)
-				return
-			}
-			for _, write := range batch {
-				store.requestBudget.Wait(1)
-				store.commitBatch([]*Write{write})
-			}
-			return
-		default:
-			completeWrites(batch, NotExecuted, 0)
-			return
-		}
-	}
-}
-
-func completeWrites(batch []*Write, outcome Outcome, revision uint64) {
-	for _, write := range batch {
-		write.Done(outcome, revision)
-	}
-}
