--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -49,6 +49,18 @@
 	MalformedResponses atomic.Int64
 }
 
+// Statuses of the store's responses.
+const (
+	statusOK                 = 200
+	statusBadRequest         = 400
+	statusNotFound           = 404
+	statusConflict           = 409 // a condition of a transaction failed
+	statusGone               = 410 // a watch begins at a compacted revision
+	statusTooLarge           = 413 // given by package http1 to a response that is too large
+	statusTooManyRequests    = 429
+	statusServiceUnavailable = 503
+)
+
 const (
 	maxSenders     = 3
 	requestTimeout = 3 * clock.Second
@@ -98,9 +110,9 @@
 		return 0, nil, err
 	}
 	switch response.Status {
-	case 503:
+	case statusServiceUnavailable:
 		store.lastFailureAt.Store(int64(clock.Now()))
-	case 429:
+	case statusTooManyRequests:
 		store.requestBudget.Drain()
 		store.writeBudget.Drain()
 	default:
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if status != 200 {
+	if status != statusOK {
 		return 0, fmt.Errorf("%w: status %d", ErrRejected, status)
 	}
 	var grant wire.LeaseGrant
@@ -51,7 +51,7 @@
 	switch {
 	case err != nil:
 		return err
-	case status == 404:
+	case status == statusNotFound:
 		return ErrNotFound
 	case status/100 != 2:
 		return fmt.Errorf("%w: status %d", ErrRejected, status)
--- a/internal/kvstore/queue.go
+++ b/internal/kvstore/queue.go
@@ -71,13 +71,8 @@
 // waits for cannot be sent before its time is over: the sooner that is said, the
 // better.
 func (store *Client) Commit(write *Write) bool {
-	write.sizeBytes, write.queuedAt = 0, clock.Now()
-	for i := range write.Changes {
-		write.sizeBytes += len(write.Changes[i].PutKey) + len(write.Changes[i].DeleteKey) + len(write.Changes[i].Value) + 48
-	}
-	for i := range write.Conditions {
-		write.sizeBytes += len(write.Conditions[i].Key) + 40
-	}
+	write.queuedAt = clock.Now()
+	write.measure()
 	if write.Priority == Interactive && write.Deadline != 0 && clock.Now()+store.InteractiveDelay() > write.Deadline {
 		return false
 	}
@@ -109,43 +104,76 @@
 	defer store.mu.Unlock()
 	store.sortPending(clock.Now())
 	var batch []*Write
-	ops, conditions, size := 0, 0, 0
+	var totals batchTotals
 	hasDeferred := false
 	remaining := store.pending[:0]
 	for _, write := range store.pending {
-		fits := len(batch) == 0 ||
-			write.FencingToken == batch[0].FencingToken && ops+len(write.Changes) <= store.limits.MaxTransactionOps &&
-				conditions+len(write.Conditions)+1 <= 4*store.limits.MaxTransactionOps && size+write.sizeBytes <= maxTransactionBytes
-		if len(batch) > 0 && write.Priority > Critical && !store.writeBudget.HasTokens(float64(ops+len(write.Changes))) {
-			fits = false // what is booked ahead holds up what is more pressing
-		}
-		if write.Priority == Background && !store.writeBudget.HasTokens(float64(ops+2*len(write.Changes))) {
-			fits, hasDeferred = false, true
-		}
-		if !fits {
+		isDeferred := write.Priority == Background && !store.hasSpareRate(totals, write)
+		hasDeferred = hasDeferred || isDeferred
+		if isDeferred || len(batch) > 0 && !store.canJoin(batch[0], totals, write) {
 			remaining = append(remaining, write)
 			continue
 		}
 		batch = append(batch, write)
-		ops += len(write.Changes)
-		conditions += len(write.Conditions)
-		size += write.sizeBytes
+		totals.add(write)
 	}
 	clear(store.pending[len(remaining):])
 	store.pending = remaining
-	if len(batch) > 0 {
-		store.isRequiredTurn = batch[0].Priority == Interactive
-	}
 	if len(batch) == 0 {
-		store.activeSenders--
-		if hasDeferred && !store.isRecheckScheduled {
-			store.isRecheckScheduled = true
-			time.AfterFunc(backgroundRecheckInterval.Duration(), store.recheckPending)
-		}
+		store.endSender(hasDeferred)
+		return nil
 	}
+	store.isRequiredTurn = batch[0].Priority == Interactive
 	return batch
 }
 
+// batchTotals is what the writes of a batch amount to.
+type batchTotals struct{ changes, conditions, sizeBytes int }
+
+func (totals *batchTotals) add(write *Write) {
+	totals.changes += len(write.Changes)
+	totals.conditions += len(write.Conditions)
+	totals.sizeBytes += write.sizeBytes
+}
+
+// canJoin reports that a write may go in one transaction with a batch that is not empty.
+// A critical one may even if the rate does not cover it yet.
+func (store *Client) canJoin(first *Write, totals batchTotals, write *Write) bool {
+	totals.add(write)
+	if write.FencingToken != first.FencingToken || !store.fitsTransaction(totals) {
+		return false
+	}
+	return write.Priority == Critical || store.writeBudget.HasTokens(float64(totals.changes))
+}
+
+// fitsTransaction reports that the store's limits allow a transaction of so much. One
+// condition more, on the lock key, is added to those of the writes.
+func (store *Client) fitsTransaction(totals batchTotals) bool {
+	return totals.changes <= store.limits.MaxTransactionOps &&
+		totals.conditions+1 <= conditionsPerOp*store.limits.MaxTransactionOps &&
+		totals.sizeBytes <= maxTransactionBytes
+}
+
+// hasSpareRate reports that after a batch and a background write the rate still covers
+// as many changes again as the write has.
+func (store *Client) hasSpareRate(totals batchTotals, write *Write) bool {
+	return store.writeBudget.HasTokens(float64(totals.changes + 2*len(write.Changes)))
+}
+
+// endSender counts a sender that ends since there is nothing that it may send. Deferred
+// background writes are rechecked a little later. The lock is held.
+func (store *Client) endSender(hasDeferred bool) {
+	store.activeSenders--
+	if hasDeferred && !store.isRecheckScheduled {
+		store.isRecheckScheduled = true
+		time.AfterFunc(backgroundRecheckInterval.Duration(), store.recheckPending)
+	}
+}
+
+// conditionsPerOp is how many conditions the store takes for each change that its limit
+// of changes allows.
+const conditionsPerOp = 4
+
 // backgroundRecheckInterval is how often it is looked whether the rate has writes to spare.
 const backgroundRecheckInterval = 50 * clock.Millisecond
 
@@ -156,11 +184,11 @@
 	store.mu.Lock()
 	store.isRecheckScheduled = false
 	store.pending = slices.DeleteFunc(store.pending, func(write *Write) bool {
-		if write.Deadline != 0 && now >= write.Deadline {
+		isExpired := write.isExpired(now)
+		if isExpired {
 			expired = append(expired, write)
-			return true
 		}
-		return false
+		return isExpired
 	})
 	store.startSender()
 	store.mu.Unlock()
--- a/internal/kvstore/reads.go
+++ b/internal/kvstore/reads.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if status != 200 {
+	if status != statusOK {
 		return nil, fmt.Errorf("%w: status %d", ErrRejected, status)
 	}
 	page := &wire.KeyPage{}
@@ -75,8 +75,8 @@
 		return nil, err
 	}
 	switch status {
-	case 200:
-	case 410:
+	case statusOK:
+	case statusGone:
 		return nil, ErrCompacted
 	default:
 		return nil, fmt.Errorf("%w: status %d", ErrRejected, status)
@@ -92,7 +92,7 @@
 // isTooLarge tells that an answer was larger than is taken.
 func isTooLarge(err error) bool {
 	var malformed *http1.Error
-	return errors.As(err, &malformed) && malformed.Status == 413
+	return errors.As(err, &malformed) && malformed.Status == statusTooLarge
 }
 
 // Get reads one key with its lease.
@@ -102,10 +102,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if status == 404 {
+	if status == statusNotFound {
 		return nil, ErrNotFound
 	}
-	if status != 200 {
+	if status != statusOK {
 		return nil, fmt.Errorf("%w: status %d", ErrRejected, status)
 	}
 	item := &wire.KeyValue{}
@@ -135,9 +135,9 @@
 	}
 	var result wire.TransactionResult
 	switch status {
-	case 200:
+	case statusOK:
 		return nil, nil
-	case 409:
+	case statusConflict:
 		if err := result.UnmarshalJSON(responseBody); err != nil || len(result.FailedKeys) == 0 {
 			store.MalformedResponses.Add(1)
 			return nil, fmt.Errorf("%w: a conflict without keys", ErrRejected)
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -9,12 +9,15 @@
 	"firwood.dev/firwood/wire"
 )
 
-// maxTransactionBytes leaves room for the frame of a transaction under 64 KiB.
+// maxTransactionBytes leaves room for the JSON around the changes below the store's
+// limit of 64 KiB a request.
 const maxTransactionBytes = 56 << 10
 
+// runSender sends one transaction after another until no queued write may be sent. It
+// runs on a goroutine of its own, of which startSender starts at most maxSenders.
 func (store *Client) runSender() {
 	for {
-		// Waiting for the budget before choosing lets more writes join.
+		// Wait for the rates before the batch is chosen, so that writes queued meanwhile join it.
 		store.requestBudget.Wait(0)
 		store.writeBudget.Wait(0)
 		batch := store.takeBatch()
@@ -26,94 +29,139 @@
 	}
 }
 
+// commitBatch sends writes with one fencing token until each is completed: in one
+// transaction, and those left of it after a conflict or a 429 in another. Writes without
+// Deadline are sent again after 429 without end.
 func (store *Client) commitBatch(batch []*Write) {
-	for len(batch) > 0 {
-		now := clock.Now()
-		batch = slices.DeleteFunc(batch, func(write *Write) bool {
-			isExpired := write.Deadline != 0 && now >= write.Deadline
-			if isExpired {
-				write.Done(NotExecuted, 0)
-			}
-			return isExpired
-		})
+	for {
+		batch = completeExpired(batch)
 		if len(batch) == 0 {
 			return
 		}
-		transaction := wire.Transaction{}
-		if token := batch[0].FencingToken; token != 0 {
-			transaction.Conditions = append(transaction.Conditions, wire.Condition{Key: store.lockKey, Version: token})
-		}
-		for _, write := range batch {
-			transaction.Conditions = append(transaction.Conditions, write.Conditions...)
-			transaction.Changes = append(transaction.Changes, write.Changes...)
-		}
-		body, err := transaction.MarshalJSON()
-		if err != nil {
-			completeWrites(batch, NotExecuted, 0)
-			return
-		}
-		store.writeBudget.Wait(float64(len(transaction.Changes)))
-		status, responseBody, err := store.sendRequest("POST", "/txn", body, requestTimeout)
-		var sendError *client.NotSentError
-		switch {
-		case errors.As(err, &sendError):
-			completeWrites(batch, NotExecuted, 0)
-			return
-		case err != nil:
-			completeWrites(batch, Unknown, 0)
-			return
+		batch = store.sendTransaction(batch)
+	}
+}
+
+// completeExpired completes the writes whose Deadline has passed and returns the others.
+func completeExpired(batch []*Write) []*Write {
+	now := clock.Now()
+	return slices.DeleteFunc(batch, func(write *Write) bool {
+		if !write.isExpired(now) {
+			return false
 		}
-		var result wire.TransactionResult
-		switch status {
-		case 200:
-			if err := result.UnmarshalJSON(responseBody); err != nil {
-				store.MalformedResponses.Add(1)
-				completeWrites(batch, Unknown, 0)
-				return
-			}
-			store.changesWritten.Add(int64(len(transaction.Changes)))
-			completeWrites(batch, Committed, result.Revision)
-			return
-		case 409:
-			if err := result.UnmarshalJSON(responseBody); err != nil || len(result.FailedKeys) == 0 {
-				store.MalformedResponses.Add(1)
-				completeWrites(batch, Unknown, 0)
-				return
-			}
-			if slices.Contains(result.FailedKeys, store.lockKey) && batch[0].FencingToken != 0 {
-				completeWrites(batch, Fenced, result.Revision)
-				return
-			}
-			before := len(batch)
-			batch = slices.DeleteFunc(batch, func(write *Write) bool {
-				hasConflict := slices.ContainsFunc(write.Conditions, func(condition wire.Condition) bool { return slices.Contains(result.FailedKeys, condition.Key) })
-				if hasConflict {
-					write.Done(Conflict, result.Revision)
-				}
-				return hasConflict
-			})
-			if len(batch) == before {
-				completeWrites(batch, Conflict, result.Revision)
-				return
-			}
-		case 429:
-			// Not executed; the budgets were drained and the loop waits.
-			store.requestBudget.Wait(1)
-		case 400:
-			// One bad write must not fail its neighbours: try them one by one.
-			if len(batch) == 1 {
-				completeWrites(batch, NotExecuted, 0)
-				return
-			}
-			for _, write := range batch {
-				store.requestBudget.Wait(1)
-				store.commitBatch([]*Write{write})
-			}
-			return
-		default:
-			completeWrites(batch, NotExecuted, 0)
-			return
+		write.Done(NotExecuted, 0)
+		return true
+	})
+}
+
+// sendTransaction sends the writes in one transaction, completes those whose outcome that
+// decides, and returns the others, which are to be sent again.
+func (store *Client) sendTransaction(batch []*Write) []*Write {
+	transaction := store.buildTransaction(batch)
+	body, err := transaction.MarshalJSON()
+	if err != nil {
+		completeWrites(batch, NotExecuted, 0)
+		return nil
+	}
+	store.writeBudget.Wait(float64(len(transaction.Changes)))
+	status, responseBody, err := store.sendRequest("POST", "/txn", body, requestTimeout)
+	if err != nil {
+		completeWrites(batch, outcomeOfSendError(err), 0)
+		return nil
+	}
+	switch status {
+	case statusOK:
+		store.completeCommitted(batch, len(transaction.Changes), responseBody)
+		return nil
+	case statusConflict:
+		return store.completeConflicting(batch, responseBody)
+	case statusTooManyRequests:
+		// Nothing was executed. sendRequest has drained the budgets, which delays the next attempt.
+		store.requestBudget.Wait(1)
+		return batch
+	case statusBadRequest:
+		store.commitSeparately(batch)
+		return nil
+	default:
+		completeWrites(batch, NotExecuted, 0)
+		return nil
+	}
+}
+
+// buildTransaction joins the writes' conditions and changes, and binds them to the
+// lock key's version if they have a fencing token.
+func (store *Client) buildTransaction(batch []*Write) wire.Transaction {
+	transaction := wire.Transaction{}
+	if token := batch[0].FencingToken; token != 0 {
+		transaction.Conditions = append(transaction.Conditions, wire.Condition{Key: store.lockKey, Version: token})
+	}
+	for _, write := range batch {
+		transaction.Conditions = append(transaction.Conditions, write.Conditions...)
+		transaction.Changes = append(transaction.Changes, write.Changes...)
+	}
+	return transaction
+}
+
+// outcomeOfSendError is the outcome of writes for which no response came.
+func outcomeOfSendError(err error) Outcome {
+	var notSent *client.NotSentError
+	if errors.As(err, &notSent) {
+		return NotExecuted
+	}
+	return Unknown
+}
+
+// completeCommitted handles a 200.
+func (store *Client) completeCommitted(batch []*Write, changes int, responseBody []byte) {
+	var result wire.TransactionResult
+	if err := result.UnmarshalJSON(responseBody); err != nil {
+		store.MalformedResponses.Add(1)
+		completeWrites(batch, Unknown, 0)
+		return
+	}
+	store.changesWritten.Add(int64(changes))
+	completeWrites(batch, Committed, result.Revision)
+}
+
+// completeConflicting handles a 409. All writes are fenced if the lock key is among the
+// failed ones; otherwise those with a failed condition conflict, and the others are returned.
+func (store *Client) completeConflicting(batch []*Write, responseBody []byte) []*Write {
+	var result wire.TransactionResult
+	if err := result.UnmarshalJSON(responseBody); err != nil || len(result.FailedKeys) == 0 {
+		store.MalformedResponses.Add(1)
+		completeWrites(batch, Unknown, 0)
+		return nil
+	}
+	if batch[0].FencingToken != 0 && slices.Contains(result.FailedKeys, store.lockKey) {
+		completeWrites(batch, Fenced, result.Revision)
+		return nil
+	}
+	before := len(batch)
+	batch = slices.DeleteFunc(batch, func(write *Write) bool {
+		if !write.hasConditionOn(result.FailedKeys) {
+			return false
 		}
+		write.Done(Conflict, result.Revision)
+		return true
+	})
+	if len(batch) == before {
+		// The failed keys are nobody's: sending the same again would not end.
+		completeWrites(batch, Conflict, result.Revision)
+		return nil
+	}
+	return batch
+}
+
+// commitSeparately handles a 400: one write that the store does not accept must not fail
+// the others of its transaction, so each is sent by itself.
+func (store *Client) commitSeparately(batch []*Write) {
+	if len(batch) == 1 {
+		completeWrites(batch, NotExecuted, 0)
+		return
+	}
+	for _, write := range batch {
+		store.requestBudget.Wait(1)
+		store.commitBatch([]*Write{write})
 	}
 }
 
--- a/internal/kvstore/write.go
+++ b/internal/kvstore/write.go
@@ -1,6 +1,8 @@
 package kvstore
 
 import (
+	"slices"
+
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/wire"
 )
@@ -50,6 +52,36 @@
 	queuedAt  clock.Micros
 }
 
+// isExpired reports that the write may no longer be sent.
+func (write *Write) isExpired(now clock.Micros) bool {
+	return write.Deadline != 0 && now >= write.Deadline
+}
+
+// hasConditionOn reports that one of the write's conditions is on one of the keys.
+func (write *Write) hasConditionOn(keys []string) bool {
+	return slices.ContainsFunc(write.Conditions, func(condition wire.Condition) bool {
+		return slices.Contains(keys, condition.Key)
+	})
+}
+
+// measure sets sizeBytes to a bound of the write's part of a transaction.
+func (write *Write) measure() {
+	write.sizeBytes = 0
+	for i := range write.Changes {
+		change := &write.Changes[i]
+		write.sizeBytes += len(change.PutKey) + len(change.DeleteKey) + len(change.Value) + changeOverheadBytes
+	}
+	for i := range write.Conditions {
+		write.sizeBytes += len(write.Conditions[i].Key) + conditionOverheadBytes
+	}
+}
+
+// The JSON around a change's or a condition's key and value, braces, names and numbers.
+const (
+	changeOverheadBytes    = 48
+	conditionOverheadBytes = 40
+)
+
 // requiredPromotionAge is after how long a write that work waits for takes turns with those that
 // somebody waits for. Under a flood of submissions a leader once rented no machine for
 // 40 s, and what had been accepted waited for its mark for 100; where both went by age
