--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -5,7 +5,6 @@
 package kvstore
 
 import (
-	"errors"
 	"sync"
 	"sync/atomic"
 
@@ -19,12 +18,6 @@
 	MaxTransactionOps int
 }
 
-// Errors of reads and leases.
-var (
-	ErrCompacted = errors.New("state: the revision is too old to watch from")
-	ErrNotFound  = errors.New("state: no such key or lease")
-	ErrRejected  = errors.New("state: refused")
-)
 
 // Client talks to the state service.
 type Client struct {
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -1,13 +1,15 @@
 package kvstore
 
 import (
-	"fmt"
+	"errors"
 	"strconv"
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/wire"
 )
 
+var errGrantWithoutLease = errors.New("grant without a lease")
+
 // GrantLease takes a lease; renewals and grants do not wait behind other work.
 func (store *Client) GrantLease(ttl clock.Micros) (uint64, error) {
 	store.requestBudget.Reserve(1)
@@ -20,12 +22,14 @@
 		return 0, err
 	}
 	if status != statusOK {
-		return 0, fmt.Errorf("%w: status %d", ErrRejected, status)
+		return 0, &StatusError{status}
 	}
 	var grant wire.LeaseGrant
-	if err := grant.UnmarshalJSON(responseBody); err != nil || grant.LeaseID == 0 {
-		store.MalformedResponses.Add(1)
-		return 0, fmt.Errorf("state: grant without a lease: %w", err)
+	if err := grant.UnmarshalJSON(responseBody); err != nil {
+		return 0, store.countMalformed(err)
+	}
+	if grant.LeaseID == 0 {
+		return 0, store.countMalformed(errGrantWithoutLease)
 	}
 	return grant.LeaseID, nil
 }
@@ -54,7 +58,7 @@
 	case status == statusNotFound:
 		return ErrNotFound
 	case status/100 != 2:
-		return fmt.Errorf("%w: status %d", ErrRejected, status)
+		return &StatusError{status}
 	}
 	return nil
 }
--- a/internal/kvstore/reads.go
+++ b/internal/kvstore/reads.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"net/url"
 	"strconv"
 
@@ -48,12 +47,11 @@
 		return nil, err
 	}
 	if status != statusOK {
-		return nil, fmt.Errorf("%w: status %d", ErrRejected, status)
+		return nil, &StatusError{status}
 	}
 	page := &wire.KeyPage{}
 	if err := page.UnmarshalJSON(body); err != nil {
-		store.MalformedResponses.Add(1)
-		return nil, err
+		return nil, store.countMalformed(err)
 	}
 	page.HasMore = page.HasMore && len(page.KeyValues) > 0
 	return page, nil
@@ -79,12 +77,11 @@
 	case statusGone:
 		return nil, ErrCompacted
 	default:
-		return nil, fmt.Errorf("%w: status %d", ErrRejected, status)
+		return nil, &StatusError{status}
 	}
 	response := &wire.WatchResponse{}
 	if err := response.UnmarshalJSON(body); err != nil {
-		store.MalformedResponses.Add(1)
-		return nil, err
+		return nil, store.countMalformed(err)
 	}
 	return response, nil
 }
@@ -106,16 +103,17 @@
 		return nil, ErrNotFound
 	}
 	if status != statusOK {
-		return nil, fmt.Errorf("%w: status %d", ErrRejected, status)
+		return nil, &StatusError{status}
 	}
 	item := &wire.KeyValue{}
 	if err := item.UnmarshalJSON(body); err != nil {
-		store.MalformedResponses.Add(1)
-		return nil, err
+		return nil, store.countMalformed(err)
 	}
 	return item, nil
 }
 
+var errConflictWithoutKeys = errors.New("conflict without keys")
+
 // FindExisting tells which of some keys exist, in one request, many times fewer than reading
 // them one by one. None: all of them are known to be absent. Some: of those that are not
 // listed nothing is known. No more than four times the limit of changes may be asked for.
@@ -138,11 +136,13 @@
 	case statusOK:
 		return nil, nil
 	case statusConflict:
-		if err := result.UnmarshalJSON(responseBody); err != nil || len(result.FailedKeys) == 0 {
-			store.MalformedResponses.Add(1)
-			return nil, fmt.Errorf("%w: a conflict without keys", ErrRejected)
+		if err := result.UnmarshalJSON(responseBody); err != nil {
+			return nil, store.countMalformed(err)
+		}
+		if len(result.FailedKeys) == 0 {
+			return nil, store.countMalformed(errConflictWithoutKeys)
 		}
 		return result.FailedKeys, nil
 	}
-	return nil, fmt.Errorf("%w: status %d", ErrRejected, status)
+	return nil, &StatusError{status}
 }
--- a/internal/kvstore/write.go
+++ b/internal/kvstore/write.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"strconv"
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/wire"
@@ -37,6 +38,38 @@
 	Background
 )
 
+// String names the outcome as log lines do.
+func (outcome Outcome) String() string {
+	switch outcome {
+	case Committed:
+		return "committed"
+	case Conflict:
+		return "conflict"
+	case Fenced:
+		return "fenced"
+	case NotExecuted:
+		return "not_executed"
+	case Unknown:
+		return "unknown"
+	}
+	return "outcome(" + strconv.Itoa(int(outcome)) + ")"
+}
+
+// String names the priority as log lines do.
+func (priority Priority) String() string {
+	switch priority {
+	case Critical:
+		return "critical"
+	case Interactive:
+		return "interactive"
+	case Required:
+		return "required"
+	case Background:
+		return "background"
+	}
+	return "priority(" + strconv.Itoa(int(priority)) + ")"
+}
+
 // Write is an atomic set of changes.
 type Write struct {
 	Priority Priority
