--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,7 +1,7 @@
-// Package kvstore owns the dealings with the state service: reads and watches
-// that prove how fresh they are, group commit of writes, and leases. It keeps
-// within this process's share of the service's two rates. It decides nothing;
-// results go to the callers' functions, on goroutines of this package.
+// Package kvstore is the client of the key-value store (PROTOCOL, "Controller nodes -> state service"): linearizable
+// reads and watches, batched (group-commit) writes, and leases. It stays within this
+// process's share of the store's request and write rates and decides nothing else.
+// Writes are completed on goroutines of this package.
 package kvstore
 
 import (
@@ -12,33 +12,39 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Limits are the service's, as the settings give them.
+// Limits are the store's limits, as the platform's settings give them.
 type Limits struct {
-	RPS, WriteRPS     float64
+	// RPS is requests a second, WriteRPS changes (puts and deletes) a second, for all
+	// controllers together.
+	RPS, WriteRPS float64
+	// MaxTransactionOps is how many changes one transaction may have.
 	MaxTransactionOps int
 }
 
-
-// Client talks to the state service.
+// Client sends requests to the key-value store. Its methods may be called by any goroutine.
 type Client struct {
 	host          *client.Host
 	limits        Limits
-	lockKey       string
+	lockKey       string // the leader lock, which fenced writes are bound to
 	requestBudget *client.TokenBucket
 	writeBudget   *client.TokenBucket
 
+	// mu guards the queue of writes, down to isRequiredTurn.
 	mu                 sync.Mutex
 	pending            []*Write
-	activeSenders      int
-	isRecheckScheduled bool // a look at the waiting writes is due
-	// isRequiredTurn: the last transaction began with a binding write.
+	activeSenders      int  // goroutines in runSender, at most maxSenders
+	isRecheckScheduled bool // recheckPending will run for deferred background writes
+	// isRequiredTurn: the last transaction began with an interactive write, so a promoted
+	// required write goes first in the next one.
 	isRequiredTurn bool
 
-	// lastSuccessAt and lastFailureAt are instants of the steady clock.
+	// lastSuccessAt and lastFailureAt are instants of the monotonic clock. Every goroutine
+	// that sends a request writes them.
 	lastSuccessAt, lastFailureAt atomic.Int64
-	// changesWritten counts the changes that were carried out.
+	// changesWritten counts the changes committed; the senders write it.
 	changesWritten atomic.Int64
-	// MalformedResponses counts answers that made no sense.
+	// MalformedResponses counts responses and records that could not be decoded. This
+	// package's goroutines write it, and the controller for records.
 	MalformedResponses atomic.Int64
 }
 
@@ -55,47 +61,60 @@
 )
 
 const (
+	maxConnections = 6
 	maxSenders     = 3
 	requestTimeout = 3 * clock.Second
-	// A read's answer has no size limit of the service's; this is ours.
+	// maxResponseBytes bounds a response; the store itself sets no limit.
 	maxResponseBytes = 4 << 20
-	// minQueueCapacity is how many writes may wait here in any deployment; more than the
-	// service takes in queueCapacitySeconds are refused at once.
+	// minQueueCapacity is the smallest capacity of the queue, in writes; it grows to
+	// queueCapacitySeconds of the write rate.
 	minQueueCapacity     = 2048
-	queueCapacitySeconds = 4 // seconds
+	queueCapacitySeconds = 4
+	// initialRateShare is this process's share of both rates until SetRateShare is called.
+	initialRateShare = 0.25
+	// queuedRequestShare is the part of this process's request rate that requests wait for;
+	// the rest is for lease requests, which don't wait.
+	queuedRequestShare = 0.95
+	// minRequestBurst and maxMinWriteBurst let a small share still send a few at once.
+	minRequestBurst  = 2
+	maxMinWriteBurst = 4
 )
 
-// New makes a client; lockKey is the key that fenced writes are bound to.
+// New makes a client of the store at an address. lockKey is the key whose version is the
+// fencing token of writes.
 func New(dial client.Dialer, address string, limits Limits, lockKey string) *Client {
+	requestRate, writeRate := limits.RPS*initialRateShare, limits.WriteRPS*initialRateShare
 	return &Client{
-		host: client.NewHost(dial, address, 6, maxResponseBytes), limits: limits, lockKey: lockKey,
-		requestBudget: client.NewTokenBucket(limits.RPS/4, limits.RPS/4), writeBudget: client.NewTokenBucket(limits.WriteRPS/4, limits.WriteRPS/4),
+		host: client.NewHost(dial, address, maxConnections, maxResponseBytes), limits: limits, lockKey: lockKey,
+		requestBudget: client.NewTokenBucket(requestRate, requestRate), writeBudget: client.NewTokenBucket(writeRate, writeRate),
 	}
 }
 
-// SetRateShare sets which part of the service's rates this process may use.
+// SetRateShare sets which part, from 0 to 1, of the store's rates this process may use.
 func (store *Client) SetRateShare(share float64) {
-	// A little is left for renewals, which do not wait in the queue.
-	rate := share * store.limits.RPS * 0.95
-	store.requestBudget.SetRate(rate, max(rate, 2))
+	rate := share * store.limits.RPS * queuedRequestShare
+	store.requestBudget.SetRate(rate, max(rate, minRequestBurst))
 	store.SetWriteRateShare(share)
 }
 
-// ChangesWritten is how many changes of this process were carried out so far.
+// ChangesWritten is how many changes of this process have been committed.
 func (store *Client) ChangesWritten() int64 { return store.changesWritten.Load() }
 
-// SetWriteRateShare sets which part of the rate of changes this process may use.
+// SetWriteRateShare sets which part, from 0 to 1, of the write rate alone this process may use.
 func (store *Client) SetWriteRateShare(share float64) {
 	rate := max(share*store.limits.WriteRPS, 1)
-	store.writeBudget.SetRate(rate, max(rate, float64(min(store.limits.MaxTransactionOps, 4))))
+	store.writeBudget.SetRate(rate, max(rate, float64(min(store.limits.MaxTransactionOps, maxMinWriteBurst))))
 }
 
-// LastSuccessAt is when the service last answered a request as asked.
+// LastSuccessAt is when the last response other than 429 or 503 came; one with another
+// error status counts too, since it shows that the store can be reached.
 func (store *Client) LastSuccessAt() clock.Micros { return clock.Micros(store.lastSuccessAt.Load()) }
 
-// LastFailureAt is when the service was last out of reach or refusing.
+// LastFailureAt is when a request last had no response, or a 503.
 func (store *Client) LastFailureAt() clock.Micros { return clock.Micros(store.lastFailureAt.Load()) }
 
+// sendRequest sends one request and notes what the response tells of the store's state.
+// A 429 means that this process has used more than its share: its budgets are drained.
 func (store *Client) sendRequest(method, target string, body []byte, timeout clock.Micros) (int, []byte, error) {
 	response, err := store.host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: timeout})
 	if err != nil {
@@ -114,7 +133,7 @@
 	return response.Status, response.Body, nil
 }
 
-// IsFailing tells that the service has not answered this process for a while.
+// IsFailing reports that no request has succeeded for a second and that the latest failed.
 func (store *Client) IsFailing(now clock.Micros) bool {
 	return store.LastFailureAt() > store.LastSuccessAt() && now-store.LastSuccessAt() > clock.Second
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -51,8 +51,8 @@
 	return []wire.Change{{PutKey: key, Value: []byte(value)}}
 }
 
-// A write whose own condition fails does not fail those it went with, and a
-// lost lock fails all that were bound to it and no others.
+// A write whose own condition fails does not fail the others of its transaction. A fencing
+// token that is not the lock's version fails all writes that have it, and no others.
 func TestGroupCommit(t *testing.T) {
 	store, fakeStore := newTestClient(t)
 	if results := commitAll(t, store, &Write{Changes: putChange("a/0", "1")}); results[0].outcome != Committed {
@@ -122,12 +122,12 @@
 		t.Fatalf("in an outage: %v", results)
 	}
 	if store.LastFailureAt() <= store.LastSuccessAt() {
-		t.Fatal("the refusal is not noted")
+		t.Fatal("the failure is not noted")
 	}
 }
 
-// What may no longer be sent is not sent; what was not sent is told from what
-// may have arrived.
+// A request whose send deadline has passed is not sent, and one that was not sent fails
+// with a NotSentError.
 func TestExpiredRequestIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -159,8 +159,8 @@
 	}
 }
 
-// When more waits than the rate allows, what somebody waits for goes first, and
-// what can wait is sent only with rate to spare. Nothing of it is lost.
+// When more is queued than the rate allows, interactive writes go first and background
+// writes are sent only from spare rate. No write is lost.
 func TestWritePriorities(t *testing.T) {
 	store := New(client.DialTCP, "127.0.0.1:1", Limits{RPS: 1000, WriteRPS: 8, MaxTransactionOps: 8}, "lead")
 	store.writeBudget = client.NewTokenBucket(8, 8)
@@ -177,24 +177,24 @@
 	enqueue(Interactive, "binding/0")
 	first := store.takeBatch()
 	if len(first) < 3 || first[0].Priority != Interactive || first[1].Priority != Required || first[2].Priority != Background {
-		t.Fatalf("the first batch has %d writes, ranks %v ...", len(first), first[0].Priority)
+		t.Fatalf("the first batch has %d writes, priorities %v ...", len(first), first[0].Priority)
 	}
 	store.writeBudget.Reserve(8) // the burst is used up
 	if batch := store.takeBatch(); len(batch) != 0 {
-		t.Fatalf("%d writes that can wait are sent with no rate to spare", len(batch))
+		t.Fatalf("%d background writes are sent with no spare rate", len(batch))
 	}
 	store.activeSenders = maxSenders
 	enqueue(Interactive, "binding/1")
 	if batch := store.takeBatch(); len(batch) != 1 || batch[0].Priority != Interactive {
-		t.Fatalf("a binding write waits behind others: %d writes", len(batch))
+		t.Fatalf("an interactive write waits behind others: %d writes", len(batch))
 	}
 	if n := len(first) + 1 + len(store.pending); n != 23 {
 		t.Fatalf("%d of 23 writes are left", n)
 	}
 }
 
-// A watch that would bring more than is read at once is answered by reading all keys,
-// page by page: asked for again it would be too large again.
+// A watch whose response would exceed maxResponseBytes gives ErrCompacted; all keys can still
+// be loaded page by page.
 func TestOversizedWatchIsCompacted(t *testing.T) {
 	store, _ := newTestClient(t)
 	value := `"` + strings.Repeat("x", 40<<10) + `"`
@@ -213,8 +213,8 @@
 	}
 }
 
-// Under a flood of what users ask, writes that work waits for take turns with those once
-// they have waited for a moment, and a flood of these does not have users refused.
+// Under a flood of interactive writes, required writes alternate with them once they have been
+// queued for requiredPromotionAge, and a flood of required ones does not have users refused.
 func TestRequiredWritesAreNotStarved(t *testing.T) {
 	store := New(client.DialTCP, "127.0.0.1:1", Limits{RPS: 1000, WriteRPS: 8, MaxTransactionOps: 1}, "lead")
 	store.writeBudget = client.NewTokenBucket(8, 8)
@@ -256,7 +256,7 @@
 	}
 }
 
-// One request tells which of many keys exist, as far as any does, and that none does.
+// One request finds which of several keys exist, and that none does.
 func TestFindExisting(t *testing.T) {
 	store, fakeStore := newTestClient(t)
 	commitAll(t, store, &Write{Changes: putChange("a/1", "1")})
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -10,7 +10,8 @@
 
 var errGrantWithoutLease = errors.New("grant without a lease")
 
-// GrantLease takes a lease; renewals and grants do not wait behind other work.
+// GrantLease creates a lease and returns its id. Lease requests count against the request
+// rate but don't wait for it, so that a busy leader doesn't lose its lock.
 func (store *Client) GrantLease(ttl clock.Micros) (uint64, error) {
 	store.requestBudget.Reserve(1)
 	body, err := wire.LeaseRequest{TTLMillis: int64(ttl / clock.Millisecond)}.MarshalJSON()
@@ -34,18 +35,19 @@
 	return grant.LeaseID, nil
 }
 
-// RenewLease renews a lease.
+// RenewLease renews a lease for its TTL; ErrNotFound if it has ended.
 func (store *Client) RenewLease(lease uint64, timeout clock.Micros) error {
 	store.requestBudget.Reserve(1)
 	return store.sendLeaseRequest("POST", "/grants/"+strconv.FormatUint(lease, 10)+"/renew", timeout)
 }
 
-// RevokeLease ends a lease at once.
+// RevokeLease ends a lease at once, which deletes its keys.
 func (store *Client) RevokeLease(lease uint64) error {
 	store.requestBudget.Reserve(1)
 	return store.sendLeaseRequest("DELETE", "/grants/"+strconv.FormatUint(lease, 10), requestTimeout)
 }
 
+// sendLeaseRequest sends a request whose response has no content that matters.
 func (store *Client) sendLeaseRequest(method, target string, timeout clock.Micros) error {
 	var body []byte
 	if method == "POST" {
--- a/internal/kvstore/queue.go
+++ b/internal/kvstore/queue.go
@@ -8,10 +8,10 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// sortPending puts the waiting writes in the order in which they are sent: by rank, but
-// for needed ones that have waited, which take turns with binding ones. The lock is held.
+// sortPending puts the queued writes in the order in which they are sent: by priority, except
+// that promoted required writes alternate with interactive ones. The lock is held.
 func (store *Client) sortPending(now clock.Micros) {
-	turns := map[*Write]int{} // of binding and waiting needed writes, in their order
+	turns := map[*Write]int{} // of interactive and promoted writes: even and odd numbers in their order
 	interactive, promoted := 0, 0
 	for _, write := range store.pending {
 		switch {
@@ -37,20 +37,21 @@
 	})
 }
 
-// InteractiveDelay is how long a binding write that comes now would wait for the rate.
+// InteractiveDelay is how long an interactive write queued now would wait for the write rate.
 func (store *Client) InteractiveDelay() clock.Micros {
 	interactive, promoted := store.countQueuedChanges()
 	return store.writeBudget.Delay(float64(interactive + min(promoted, interactive+1) + 1))
 }
 
-// BacklogDuration is how long the writes that somebody or some work waits for will take at the
-// present rate.
+// BacklogDuration is how long the queued critical, interactive and promoted writes take at
+// the present write rate.
 func (store *Client) BacklogDuration() clock.Micros {
 	interactive, promoted := store.countQueuedChanges()
 	return store.writeBudget.Delay(float64(interactive + promoted))
 }
 
-// countQueuedChanges counts the changes of binding writes, and of needed ones that have waited.
+// countQueuedChanges counts the queued changes of critical and interactive writes, and of
+// promoted ones.
 func (store *Client) countQueuedChanges() (interactive, promoted int) {
 	now := clock.Now()
 	store.mu.Lock()
@@ -66,10 +67,9 @@
 	return interactive, promoted
 }
 
-// Commit queues a write for the next transaction. It returns false, without
-// calling Done, when too many writes are waiting, or when one that somebody
-// waits for cannot be sent before its time is over: the sooner that is said, the
-// better.
+// Commit queues a write for the next transaction. It returns false, and never calls Done, if
+// the queue is full or if an interactive write can't be sent before its Deadline: its caller
+// can then be refused at once.
 func (store *Client) Commit(write *Write) bool {
 	write.queuedAt = clock.Now()
 	write.measure()
@@ -86,7 +86,7 @@
 	return true
 }
 
-// startSender starts senders while there is work; the lock is held.
+// startSender starts a sender if there are writes and fewer than maxSenders. The lock is held.
 func (store *Client) startSender() {
 	if store.activeSenders < maxSenders && len(store.pending) > 0 {
 		store.activeSenders++
@@ -94,11 +94,10 @@
 	}
 }
 
-// takeBatch takes the longest run of waiting writes that fits one transaction, the
-// most pressing first. Only writes with the same fence go together: a lost
-// lock fails them all. Writes that can wait are taken only as far as the rate
-// has them to spare: what is booked ahead for them would hold up the others.
-// They are looked at again a little later.
+// takeBatch removes from the queue, by priority, the writes of the next transaction. All have
+// one fencing token, since a lost lock fails the whole transaction. Background writes are taken
+// only from spare rate, since rate reserved for them would delay the others; those left are
+// reconsidered after backgroundRecheckInterval.
 func (store *Client) takeBatch() []*Write {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -171,13 +170,13 @@
 }
 
 // conditionsPerOp is how many conditions the store takes for each change that its limit
-// of changes allows.
+// of changes allows (PROTOCOL, POST /txn).
 const conditionsPerOp = 4
 
-// backgroundRecheckInterval is how often it is looked whether the rate has writes to spare.
+// backgroundRecheckInterval is how often deferred background writes are reconsidered.
 const backgroundRecheckInterval = 50 * clock.Millisecond
 
-// recheckPending refuses waiting writes whose time is over, and tries the others.
+// recheckPending completes expired writes as NotExecuted and starts a sender for the others.
 func (store *Client) recheckPending() {
 	now := clock.Now()
 	var expired []*Write
--- a/internal/kvstore/reads.go
+++ b/internal/kvstore/reads.go
@@ -10,12 +10,12 @@
 	"firwood.dev/firwood/wire"
 )
 
-// maxPageKeys is how many keys one answer holds at most.
+// maxPageKeys is how many keys LoadPrefix asks for in one request.
 const maxPageKeys = 1000
 
-// LoadPrefix reads every key below a prefix, and hands over one page after another: all of them
-// may be more than there is memory for. The revision is that of the first
-// page; what changed since then has to be watched from there.
+// LoadPrefix reads all keys with a prefix and passes them to visit page by page, since all of
+// them may not fit into memory. It returns the first page's revision: a watch from there shows
+// every later change.
 func (store *Client) LoadPrefix(prefix string, visit func(items []wire.KeyValue)) (uint64, error) {
 	var revision uint64
 	after := ""
@@ -35,7 +35,7 @@
 	}
 }
 
-// ReadPage reads so many keys below a prefix at most, after a key if that is not empty.
+// ReadPage reads up to limit keys with a prefix, after the given key if it isn't empty.
 func (store *Client) ReadPage(prefix, after string, limit int) (*wire.KeyPage, error) {
 	target := "/kv?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
 	if after != "" {
@@ -57,16 +57,16 @@
 	return page, nil
 }
 
-// Watch returns every change below the prefix after `since`; block 0 answers
-// at once and so proves what the latest revision is.
+// Watch waits up to timeout for changes of keys with a prefix after revision `since`. With
+// timeout 0 it returns at once and so proves what the latest revision is.
 func (store *Client) Watch(prefix string, since uint64, timeout clock.Micros) (*wire.WatchResponse, error) {
 	store.requestBudget.Wait(1)
 	target := "/watch?under=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(since, 10) +
 		"&blockMs=" + strconv.FormatInt(int64(timeout/clock.Millisecond), 10)
 	status, body, err := store.sendRequest("GET", target, nil, timeout+requestTimeout)
 	if isTooLarge(err) {
-		// More has changed than is read at once: it never would be, however often it is
-		// asked for. Pages of keys are bounded.
+		// The same watch would be too large each time. Pages of keys are bounded, so
+		// loading all keys again works.
 		return nil, ErrCompacted
 	}
 	if err != nil {
@@ -86,13 +86,13 @@
 	return response, nil
 }
 
-// isTooLarge tells that an answer was larger than is taken.
+// isTooLarge reports that a response exceeded maxResponseBytes.
 func isTooLarge(err error) bool {
 	var malformed *http1.Error
 	return errors.As(err, &malformed) && malformed.Status == statusTooLarge
 }
 
-// Get reads one key with its lease.
+// Get reads one key; ErrNotFound if it does not exist.
 func (store *Client) Get(key string) (*wire.KeyValue, error) {
 	store.requestBudget.Wait(1)
 	status, body, err := store.sendRequest("GET", "/kv/"+key, nil, requestTimeout)
@@ -114,9 +114,9 @@
 
 var errConflictWithoutKeys = errors.New("conflict without keys")
 
-// FindExisting tells which of some keys exist, in one request, many times fewer than reading
-// them one by one. None: all of them are known to be absent. Some: of those that are not
-// listed nothing is known. No more than four times the limit of changes may be asked for.
+// FindExisting finds which keys exist with one compare-only transaction. An empty result
+// means that none does. Otherwise it lists keys that exist, and nothing is known of the others.
+// At most four times Limits.MaxTransactionOps keys may be asked for.
 func (store *Client) FindExisting(keys []string) ([]string, error) {
 	transaction := wire.Transaction{}
 	for _, key := range keys {
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -10,7 +10,7 @@
 )
 
 // maxTransactionBytes leaves room for the JSON around the changes below the store's
-// limit of 64 KiB a request.
+// limit of 64 KiB a transaction (PROTOCOL, POST /txn).
 const maxTransactionBytes = 56 << 10
 
 // runSender sends one transaction after another until no queued write may be sent. It
--- a/internal/kvstore/write.go
+++ b/internal/kvstore/write.go
@@ -8,33 +8,35 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Outcome says what became of a write.
+// Outcome is the result of a write.
 type Outcome uint8
 
 const (
-	// Committed: the write is durable.
+	// Committed means that the write is durable.
 	Committed Outcome = iota
-	// Conflict: one of the write's own conditions failed.
+	// Conflict means that one of the write's own conditions failed; nothing was changed.
 	Conflict
-	// Fenced: the leader lock is no longer what the write was bound to.
+	// Fenced means that the lock key's version is not the write's fencing token: another
+	// leader may hold the lock. Nothing was changed.
 	Fenced
-	// NotExecuted: the write was certainly not executed.
+	// NotExecuted means that the write was certainly not executed.
 	NotExecuted
-	// Unknown: the write may have been executed, or may still be.
+	// Unknown means that the write may have been executed, or may still be.
 	Unknown
 )
 
-// Priority orders the writes that wait: the service takes few a second.
+// Priority orders the queued writes, which are many more at times than the store's write
+// rate allows. The zero value is Interactive.
 type Priority int8
 
 const (
-	// Critical: the lock depends on it.
+	// Critical is for writes that the leader lock depends on.
 	Critical Priority = iota - 1
-	// Interactive: somebody waits for the answer.
+	// Interactive is for writes whose result a caller waits for.
 	Interactive
-	// Required: work waits for it.
+	// Required is for writes that scheduling waits for.
 	Required
-	// Background: it is sent when nothing else needs the rate.
+	// Background is for writes that are sent from spare rate only.
 	Background
 )
 
@@ -70,16 +72,20 @@
 	return "priority(" + strconv.Itoa(int(priority)) + ")"
 }
 
-// Write is an atomic set of changes.
+// Write is a set of changes that are made together, or not at all.
 type Write struct {
 	Priority Priority
 	// FencingToken, if not 0, is the version that the lock key must have.
 	FencingToken uint64
-	Conditions   []wire.Condition
-	Changes      []wire.Change
-	// Deadline is when to give up a write that was not sent.
+	// Conditions must all hold for the changes to be made.
+	Conditions []wire.Condition
+	// Changes are at most Limits.MaxTransactionOps puts and deletes.
+	Changes []wire.Change
+	// Deadline is when to give up a write that has not been sent; 0: never.
 	Deadline clock.Micros
-	Done     func(Outcome, uint64)
+	// Done is called once with the result, on a goroutine of this package. The revision is
+	// the store's after a commit, the present one after a conflict, and 0 otherwise.
+	Done func(outcome Outcome, revision uint64)
 
 	sizeBytes int
 	queuedAt  clock.Micros
@@ -115,13 +121,15 @@
 	conditionOverheadBytes = 40
 )
 
-// requiredPromotionAge is after how long a write that work waits for takes turns with those that
-// somebody waits for. Under a flood of submissions a leader once rented no machine for
-// 40 s, and what had been accepted waited for its mark for 100; where both went by age
-// alone, the leader refused all submissions meanwhile.
+// requiredPromotionAge is how long a required write is queued before it alternates with
+// interactive ones. Added after strict priority had starved required writes under a flood of
+// submissions: a leader requested no machine for 40 s, and accepted jobs waited 100 s for their
+// starts to be recorded. Ordering both by age alone starved the submissions instead
+// (docs/incidents/starved-marks.md).
 const requiredPromotionAge = clock.Second / 2
 
-// isPromoted tells whether a write takes turns with those that somebody waits for.
+// isPromoted reports that a required write has waited so long that it alternates with
+// interactive ones.
 func (write *Write) isPromoted(now clock.Micros) bool {
 	return write.Priority == Required && now-write.queuedAt >= requiredPromotionAge
 }
