--- a/wire/job.go
+++ b/wire/job.go
@@ -5,11 +5,6 @@
 package wire
 
 import (
-	"bytes"
-	"errors"
-	"fmt"
-	"math"
-	"slices"
 	"strconv"
 	"strings"
 )
@@ -113,10 +108,16 @@
 	Error string `json:"error"`
 }
 
+// Digits of a job id after "req-", and of the index in a task id.
+const (
+	maxJobIDDigits     = 18
+	maxTaskIndexDigits = 6
+)
+
 // IsValidJobID tells whether s has the form of a job id.
 func IsValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "req-")
-	if !ok || len(digits) == 0 || len(digits) > 18 {
+	if !ok || len(digits) == 0 || len(digits) > maxJobIDDigits {
 		return false
 	}
 	for i := 0; i < len(digits); i++ {
@@ -133,7 +134,7 @@
 // ParseTaskID is the inverse of TaskID.
 func ParseTaskID(taskID string) (job string, index int, ok bool) {
 	job, digits, found := strings.Cut(taskID, "/")
-	if !found || !IsValidJobID(job) || len(digits) == 0 || len(digits) > 6 {
+	if !found || !IsValidJobID(job) || len(digits) == 0 || len(digits) > maxTaskIndexDigits {
 		return "", 0, false
 	}
 	number, err := strconv.Atoi(digits)
@@ -143,114 +144,6 @@
 	return job, number, true
 }
 
-func isInvalidAmount(amount float64) bool {
-	return math.IsNaN(amount) || math.IsInf(amount, 0) || amount < 0 || amount > 1e9
-}
-
-// DecodeJob reads and checks a submission. Every error means 400.
-func DecodeJob(body []byte) (*Job, error) {
-	if t := bytes.TrimLeft(body, " \t\r\n"); len(t) == 0 || t[0] != '{' {
-		return nil, errors.New("the body is not a JSON object")
-	}
-	var submitted submission
-	if err := submitted.UnmarshalJSON(body); err != nil {
-		return nil, fmt.Errorf("malformed JSON: %w", err)
-	}
-	job := &Job{}
-	for _, field := range []struct {
-		name string
-		from *string
-		to   *string
-	}{
-		{"nameId", submitted.ID, &job.ID}, {"lot", submitted.Class, &job.Class}, {"crew", submitted.Team, &job.Team},
-		{"shape", submitted.Kind, &job.Kind}, {"rank", submitted.Priority, &job.Priority}, {"bundle", submitted.Image, &job.Image},
-	} {
-		if field.from == nil {
-			return nil, fmt.Errorf("%s is missing", field.name)
-		}
-		if *field.from == "" || len(*field.from) > 200 {
-			return nil, fmt.Errorf("%s is empty or too long", field.name)
-		}
-		*field.to = *field.from
-	}
-	for _, field := range []struct {
-		name string
-		from *float64
-		to   *float64
-	}{
-		{"cores", submitted.CPUs, &job.CPUs}, {"gpus", submitted.GPUs, &job.GPUs}, {"ramGb", submitted.MemoryGB, &job.MemoryGB},
-		{"pullGb", submitted.ImageSizeGB, &job.ImageSizeGB}, {"guessS", submitted.EstimatedRunSeconds, &job.EstimatedRunSeconds},
-		{"markS", submitted.CheckpointIntervalSeconds, &job.CheckpointIntervalSeconds}, {"stashS", submitted.CheckpointSaveSeconds, &job.CheckpointSaveSeconds},
-	} {
-		if field.from == nil {
-			return nil, fmt.Errorf("%s is missing", field.name)
-		}
-		if isInvalidAmount(*field.from) {
-			return nil, fmt.Errorf("%s is not a valid amount", field.name)
-		}
-		*field.to = *field.from
-	}
-	for _, field := range []struct {
-		name string
-		from *bool
-		to   *bool
-	}{{"oneZone", submitted.SingleZone, &job.SingleZone}, {"spread", submitted.SpreadZones, &job.SpreadZones}, {"loaners", submitted.AllowsSpot, &job.AllowsSpot}} {
-		if field.from == nil {
-			return nil, fmt.Errorf("%s is missing", field.name)
-		}
-		*field.to = *field.from
-	}
-	if submitted.TaskCount == nil {
-		return nil, errors.New("pieces is missing")
-	}
-	if *submitted.TaskCount < 1 || *submitted.TaskCount > MaxTasks {
-		return nil, fmt.Errorf("pieces is not between 1 and %d", MaxTasks)
-	}
-	job.TaskCount = int(*submitted.TaskCount)
-	if !IsValidJobID(job.ID) {
-		return nil, errors.New("nameId has not the form of a job id")
-	}
-	switch job.Kind {
-	case KindArray, KindGang, KindService:
-	default:
-		return nil, errors.New("shape is unknown")
-	}
-	if PriorityIndex(job.Priority) < 0 {
-		return nil, errors.New("rank is unknown")
-	}
-	if submitted.MachineTypes != nil {
-		if len(*submitted.MachineTypes) == 0 {
-			return nil, errors.New("rigs is empty")
-		}
-		for _, t := range *submitted.MachineTypes {
-			if t == "" {
-				return nil, errors.New("rigs holds an empty name")
-			}
-		}
-		job.MachineTypes = *submitted.MachineTypes
-	}
-	if submitted.Zone != nil {
-		if *submitted.Zone == "" {
-			return nil, errors.New("yard is empty")
-		}
-		job.Zone = *submitted.Zone
-	}
-	if submitted.DeadlineSeconds != nil {
-		if isInvalidAmount(*submitted.DeadlineSeconds) {
-			return nil, errors.New("dueS is not a valid amount")
-		}
-		job.DeadlineSeconds = *submitted.DeadlineSeconds
-	}
-	for _, id := range submitted.DependsOn {
-		if !IsValidJobID(id) {
-			return nil, errors.New("awaits holds what has not the form of a job id")
-		}
-	}
-	slices.Sort(submitted.DependsOn)
-	job.DependsOn = slices.Compact(submitted.DependsOn)
-	return job, nil
-}
-
 // PriorityIndex is 0 for the first served priority, and -1 for an unknown one.
 func PriorityIndex(priority string) int {
 	switch priority {
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"reflect"
 	"strings"
@@ -177,3 +178,47 @@
 		t.Fatalf("%s %v", b, err)
 	}
 }
+
+// An invalid submission is refused by the protocol's name of the first field that is wrong.
+func TestDecodeJobNamesTheField(t *testing.T) {
+	for _, testCase := range []struct{ from, to, field, text string }{
+		{`"lot":"train",`, ``, "lot", "lot is missing"},
+		{`"crew":"vision"`, `"crew":""`, "crew", "crew is empty or too long"},
+		{`"cores":8.0`, `"cores":1e10`, "cores", "cores is not a valid amount"},
+		{`"pieces":16`, `"pieces":0`, "pieces", "pieces is not between 1 and 100000"},
+		{`"oneZone":true,`, ``, "oneZone", "oneZone is missing"},
+		{`req-000412`, `412`, "nameId", "nameId has not the form of a job id"},
+		{`"ensemble"`, `"gang"`, "shape", "shape is unknown"},
+		{`"urgent"`, `"high"`, "rank", "rank is unknown"},
+		{`["g8"]`, `[]`, "rigs", "rigs is empty"},
+		{`["g8"]`, `["g8",""]`, "rigs", "rigs holds an empty name"},
+		{`"yard":null`, `"yard":""`, "yard", "yard is empty"},
+		{`"dueS":900.0`, `"dueS":-1`, "dueS", "dueS is not a valid amount"},
+		{`"dueS":900.0`, `"awaits":["x"]`, "awaits", "awaits holds what has not the form of a job id"},
+	} {
+		body := strings.Replace(exampleJobJSON, testCase.from, testCase.to, 1)
+		if body == exampleJobJSON {
+			t.Fatalf("%s is not in the example", testCase.from)
+		}
+		_, err := DecodeJob([]byte(body))
+		var fieldError *FieldError
+		if !errors.As(err, &fieldError) || fieldError.Field != testCase.field || err.Error() != testCase.text {
+			t.Errorf("%s: %v, want %q", testCase.to, err, testCase.text)
+		}
+	}
+}
+
+// submission has the fields of Job under the same JSON names, so that none is forgotten.
+func TestSubmissionMirrorsJob(t *testing.T) {
+	jsonNames := func(structType reflect.Type) map[string]string {
+		names := map[string]string{}
+		for i := range structType.NumField() {
+			name, _, _ := strings.Cut(structType.Field(i).Tag.Get("json"), ",")
+			names[structType.Field(i).Name] = name
+		}
+		return names
+	}
+	if got, want := jsonNames(reflect.TypeFor[submission]()), jsonNames(reflect.TypeFor[Job]()); !reflect.DeepEqual(got, want) {
+		t.Errorf("submission has %v, Job has %v", got, want)
+	}
+}
