--- a/wire/dependencies_test.go
+++ b/wire/dependencies_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// What a job awaits is a list of job ids, each of which counts once; anything else
-// is malformed.
+// A job's dependencies are a list of job ids, each of which counts once; anything else is
+// malformed.
 func TestDecodeJobDependencies(t *testing.T) {
 	const form = `{"nameId":"req-000009","lot":"c","crew":"a","shape":"array","rank":"low","pieces":1,"cores":1,"gpus":0,"ramGb":1,` +
 		`"bundle":"i","pullGb":1,"oneZone":false,"spread":false,"loaners":false,"guessS":1,"markS":0,"stashS":0%s}`
--- a/wire/job.go
+++ b/wire/job.go
@@ -1,7 +1,3 @@
-// Package wire owns the JSON forms of every interface that firwood speaks:
-// users, workers, the cloud and the state service. The odd field names of the
-// platform stay in the struct tags here; the rest of the program, and clients
-// that import this package, use the terms of the field.
 package wire
 
 import (
@@ -11,14 +7,15 @@
 
 //go:generate easyjson -all job.go worker.go cloud.go store.go
 
-// Kinds of job.
+// Kinds of job, in Job.Kind. Tasks of an array are independent, those of a gang run all at the
+// same time or not at all, and those of a service run until the job is cancelled.
 const (
 	KindArray   = "array"
 	KindGang    = "ensemble"
 	KindService = "service"
 )
 
-// Priorities, from the first served to the last.
+// Priorities, in Job.Priority, from the highest to the lowest.
 const (
 	PriorityProduction = "production"
 	PriorityHigh       = "urgent"
@@ -26,7 +23,7 @@
 	PriorityLow        = "low"
 )
 
-// States of a job as users are told.
+// States of a job in JobStatus.
 const (
 	JobPending   = "pending"
 	JobRunning   = "running"
@@ -37,38 +34,50 @@
 // MaxTasks bounds the tasks of one job.
 const MaxTasks = 100000
 
-// MaxBodyBytes bounds a request body.
+// MaxBodyBytes bounds the body of a user's request.
 const MaxBodyBytes = 64 << 10
 
-// Job is a submission, checked and whole.
+// Job is a validated submission (PROTOCOL, POST /api/jobs). It is flat, as the protocol's
+// message and the stored record are. Amounts of resources are per task.
 type Job struct {
-	ID                        string   `json:"nameId"`
-	Class                     string   `json:"lot"`
-	Team                      string   `json:"crew"`
-	Kind                      string   `json:"shape"`
-	Priority                  string   `json:"rank"`
-	TaskCount                 int      `json:"pieces"`
-	CPUs                      float64  `json:"cores"`
-	GPUs                      float64  `json:"gpus"`
-	MemoryGB                  float64  `json:"ramGb"`
-	Image                     string   `json:"bundle"`
-	ImageSizeGB               float64  `json:"pullGb"`
-	MachineTypes              []string `json:"rigs,omitempty"`
-	Zone                      string   `json:"yard,omitempty"`
-	SingleZone                bool     `json:"oneZone"`
-	SpreadZones               bool     `json:"spread"`
-	AllowsSpot                bool     `json:"loaners"`
-	EstimatedRunSeconds       float64  `json:"guessS"`
-	CheckpointIntervalSeconds float64  `json:"markS"`
-	CheckpointSaveSeconds     float64  `json:"stashS"`
-	DeadlineSeconds           float64  `json:"dueS,omitempty"`
-	// DependsOn are the jobs that have to be done before any task of this one starts,
-	// each once.
+	ID       string `json:"nameId"`
+	Class    string `json:"lot"`
+	Team     string `json:"crew"`
+	Kind     string `json:"shape"`
+	Priority string `json:"rank"`
+	// TaskCount is at most MaxTasks; tasks are numbered from 0.
+	TaskCount   int     `json:"pieces"`
+	CPUs        float64 `json:"cores"`
+	GPUs        float64 `json:"gpus"`
+	MemoryGB    float64 `json:"ramGb"`
+	Image       string  `json:"bundle"`
+	ImageSizeGB float64 `json:"pullGb"`
+	// MachineTypes are those allowed; any if empty.
+	MachineTypes []string `json:"rigs,omitempty"`
+	// Zone is the only one allowed; any if empty.
+	Zone string `json:"yard,omitempty"`
+	// SingleZone asks that all tasks are in one zone.
+	SingleZone bool `json:"oneZone"`
+	// SpreadZones asks that at most half of the tasks, rounded up, are in one zone.
+	SpreadZones bool `json:"spread"`
+	// AllowsSpot permits spot machines besides on-demand ones.
+	AllowsSpot bool `json:"loaners"`
+	// EstimatedRunSeconds is the owner's estimate of a task's run time without fetching the
+	// image; 0 for services.
+	EstimatedRunSeconds float64 `json:"guessS"`
+	// CheckpointIntervalSeconds is the progress after which a task saves a checkpoint; 0: it
+	// never saves, and its work is lost when it is stopped.
+	CheckpointIntervalSeconds float64 `json:"markS"`
+	// CheckpointSaveSeconds is how long a task needs to save when it is stopped.
+	CheckpointSaveSeconds float64 `json:"stashS"`
+	// DeadlineSeconds is when the job should be done, counted from its submission; 0: no deadline.
+	DeadlineSeconds float64 `json:"dueS,omitempty"`
+	// DependsOn are the jobs that must be done before any task of this one starts, each once.
 	DependsOn []string `json:"awaits,omitempty"`
 }
 
-// submission mirrors Job with every field optional, so that a missing field
-// can be told from a zero one.
+// submission mirrors Job, field by field, as it may come in: required fields are pointers so
+// that a missing one differs from a zero one. DecodeJob turns it into a Job.
 type submission struct {
 	ID                        *string   `json:"nameId"`
 	Class                     *string   `json:"lot"`
@@ -93,17 +102,18 @@
 	DependsOn                 []string  `json:"awaits"`
 }
 
-// JobStatus is what users are told of a job.
+// JobStatus is a job's state as users get it (PROTOCOL, GET /api/jobs/{id}).
 type JobStatus struct {
-	ID           string `json:"nameId"`
-	State        string `json:"stage"`
-	DoneTasks    *int   `json:"done,omitempty"`
-	RunningTasks *int   `json:"running,omitempty"`
-	// DependsOn are jobs that have to be done before this one starts.
+	ID    string `json:"nameId"`
+	State string `json:"stage"`
+	// DoneTasks and RunningTasks are for display; nil where the response does not carry them.
+	DoneTasks    *int `json:"done,omitempty"`
+	RunningTasks *int `json:"running,omitempty"`
+	// DependsOn are the jobs that must be done before this one starts.
 	DependsOn []string `json:"awaits,omitempty"`
 }
 
-// ErrorResponse is the body of a refusal.
+// ErrorResponse is the body of a response with an error status.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
@@ -114,7 +124,7 @@
 	maxTaskIndexDigits = 6
 )
 
-// IsValidJobID tells whether s has the form of a job id.
+// IsValidJobID reports that an id has the form of a job id: "req-" and digits.
 func IsValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "req-")
 	if !ok || len(digits) == 0 || len(digits) > maxJobIDDigits {
@@ -128,10 +138,10 @@
 	return true
 }
 
-// TaskID names task i of a job.
+// TaskID is the id of a job's task with an index, as in "req-000412/3".
 func TaskID(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTaskID is the inverse of TaskID.
+// ParseTaskID is the inverse of TaskID; ok is false for anything that TaskID doesn't give.
 func ParseTaskID(taskID string) (job string, index int, ok bool) {
 	job, digits, found := strings.Cut(taskID, "/")
 	if !found || !IsValidJobID(job) || len(digits) == 0 || len(digits) > maxTaskIndexDigits {
@@ -144,7 +154,7 @@
 	return job, number, true
 }
 
-// PriorityIndex is 0 for the first served priority, and -1 for an unknown one.
+// PriorityIndex is 0 for the highest priority and 3 for the lowest, -1 for an unknown one.
 func PriorityIndex(priority string) int {
 	switch priority {
 	case PriorityProduction:
--- a/wire/roundtrip_test.go
+++ b/wire/roundtrip_test.go
@@ -14,8 +14,8 @@
 	UnmarshalJSON([]byte) error
 }
 
-// Every wire type comes back as it went out, with unknown fields beside it, and
-// is what the standard library makes of the same bytes.
+// Every message decodes to what was encoded, also with unknown fields beside it, and to what
+// the standard library decodes from the same bytes.
 func TestEveryTypeRoundTrips(t *testing.T) {
 	value := rapid.Custom(func(t *rapid.T) json.RawMessage {
 		encoded, err := json.Marshal(rapid.MapOf(rapid.String(), rapid.Int()).Draw(t, "value"))
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -63,7 +63,7 @@
 	})
 }
 
-// Any one field taken away, or made senseless, makes the submission malformed.
+// A submission that lacks any one required field, or has an invalid one, is refused.
 func TestDecodeJobValidatesFields(t *testing.T) {
 	if _, err := DecodeJob([]byte(exampleJobJSON)); err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 	}
 }
 
-// Whatever bytes come, decoding ends with a value or an error.
+// Decoding any bytes ends with a value or an error.
 func TestDecodeMalformedInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		input := []byte(exampleJobJSON)
@@ -170,7 +170,7 @@
 		t.Fatalf("%+v", heartbeat)
 	}
 	if !heartbeat.IsNewerThan(1, 87) || heartbeat.IsNewerThan(1, 88) || heartbeat.IsNewerThan(2, 1) || !heartbeat.IsNewerThan(0, 99) {
-		t.Fatal("order of reports")
+		t.Fatal("order of heartbeats")
 	}
 	zero := 0.0
 	b, err := HeartbeatResponse{FencingToken: 41, Commands: []Command{{Action: ActionStop, TaskID: "req-000377/1", Attempt: 1, GracePeriodSeconds: &zero}}}.MarshalJSON()
