--- a/wire/roundtrip_test.go
+++ b/wire/roundtrip_test.go
@@ -25,61 +25,61 @@
 		return encoded
 	})
 	for name, generate := range map[string]func(*rapid.T) (jsonCodec, jsonCodec){
-		"Report": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"Heartbeat": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := rapid.Make[Heartbeat]().Draw(t, "v")
 			return &v, &Heartbeat{}
 		},
-		"Reply": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"HeartbeatResponse": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := rapid.Make[HeartbeatResponse]().Draw(t, "v")
 			return &v, &HeartbeatResponse{}
 		},
-		"Direct": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"CommandRequest": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := rapid.Make[CommandRequest]().Draw(t, "v")
 			return &v, &CommandRequest{}
 		},
-		"Elsewhere": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"Redirect": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := rapid.Make[Redirect]().Draw(t, "v")
 			return &v, &Redirect{}
 		},
-		"Status": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"JobStatus": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := rapid.Make[JobStatus]().Draw(t, "v")
 			return &v, &JobStatus{}
 		},
-		"Types": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"MachineTypeList": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := rapid.Make[MachineTypeList]().Draw(t, "v")
 			return &v, &MachineTypeList{}
 		},
-		"Hire": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"ScaleOutRequest": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := rapid.Make[ScaleOutRequest]().Draw(t, "v")
 			return &v, &ScaleOutRequest{}
 		},
-		"Machines": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"MachineIDs": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := rapid.Make[MachineIDs]().Draw(t, "v")
 			return &v, &MachineIDs{}
 		},
-		"List": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"MachineList": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := rapid.Make[MachineList]().Draw(t, "v")
 			return &v, &MachineList{}
 		},
-		"Grant": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"LeaseRequest": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := rapid.Make[LeaseRequest]().Draw(t, "v")
 			return &v, &LeaseRequest{}
 		},
-		"Result": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"TransactionResult": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := rapid.Make[TransactionResult]().Draw(t, "v")
 			return &v, &TransactionResult{}
 		},
-		"Txn": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"Transaction": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := Transaction{Conditions: []Condition{{Key: rapid.String().Draw(t, "key"), Version: rapid.Uint64().Draw(t, "version")}},
 				Changes: []Change{{PutKey: "a", Value: []byte(value.Draw(t, "value")), LeaseID: rapid.Uint64().Draw(t, "lease")}, {DeleteKey: "b"}}}
 			return &v, &Transaction{}
 		},
-		"Page": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"KeyPage": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := KeyPage{KeyValues: []KeyValue{{Key: rapid.String().Draw(t, "key"), Value: []byte(value.Draw(t, "value")), Version: rapid.Uint64().Draw(t, "version")}},
 				HasMore: rapid.Bool().Draw(t, "more"), Revision: rapid.Uint64().Draw(t, "revision")}
 			return &v, &KeyPage{}
 		},
-		"Events": func(t *rapid.T) (jsonCodec, jsonCodec) {
+		"WatchResponse": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := WatchResponse{Revision: rapid.Uint64().Draw(t, "revision"), Events: []WatchEvent{
 				{PutKey: rapid.String().Draw(t, "key"), Value: []byte(value.Draw(t, "value")), Version: rapid.Uint64().Draw(t, "version")},
 				{DeleteKey: "a", Version: 1}}}
