--- /dev/null
+++ b/cmd/firwood/job.go
@@ -0,0 +1,85 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"firwood.dev/firwood/internal/http1"
+	"firwood.dev/firwood/wire"
+)
+
+func printJobStatus(out io.Writer, response *http1.Message) error {
+	if response.Status/100 != 2 {
+		var errorResponse wire.ErrorResponse
+		if err := errorResponse.UnmarshalJSON(response.Body); err == nil && errorResponse.Error != "" {
+			return fmt.Errorf("the controller answered %d: %s", response.Status, errorResponse.Error)
+		}
+		return fmt.Errorf("the controller answered %d", response.Status)
+	}
+	var status wire.JobStatus
+	if err := status.UnmarshalJSON(response.Body); err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%s %s", status.ID, status.State)
+	if status.DoneTasks != nil && status.RunningTasks != nil {
+		fmt.Fprintf(out, " done=%d running=%d", *status.DoneTasks, *status.RunningTasks)
+	}
+	if len(status.DependsOn) > 0 {
+		fmt.Fprintf(out, " awaits=%s", strings.Join(status.DependsOn, ","))
+	}
+	fmt.Fprintln(out)
+	return nil
+}
+
+func newJobCommand() *cobra.Command {
+	var node string
+	command := &cobra.Command{Use: "job", Short: "Submit, show and withdraw jobs"}
+	command.PersistentFlags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
+	newIDCommand := func(use, short, method, suffix string) *cobra.Command {
+		return &cobra.Command{
+			Use: use, Short: short, Args: cobra.ExactArgs(1),
+			RunE: func(cmd *cobra.Command, args []string) error {
+				if !wire.IsValidJobID(args[0]) {
+					return fmt.Errorf("%q has not the form of a job id", args[0])
+				}
+				response, err := sendRequest(node, method, "/api/jobs/"+args[0]+suffix, nil)
+				if err != nil {
+					return err
+				}
+				return printJobStatus(cmd.OutOrStdout(), response)
+			},
+		}
+	}
+	command.AddCommand(
+		&cobra.Command{
+			Use: "submit FILE", Short: "Submit the job described in a JSON file, - for standard input", Args: cobra.ExactArgs(1),
+			RunE: func(cmd *cobra.Command, args []string) error {
+				var body []byte
+				var err error
+				if args[0] == "-" {
+					body, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), wire.MaxBodyBytes+1))
+				} else {
+					body, err = os.ReadFile(args[0])
+				}
+				if err != nil {
+					return err
+				}
+				if _, err := wire.DecodeJob(body); err != nil {
+					return fmt.Errorf("%s: %w", args[0], err)
+				}
+				response, err := sendRequest(node, "POST", "/api/jobs", body)
+				if err != nil {
+					return err
+				}
+				return printJobStatus(cmd.OutOrStdout(), response)
+			},
+		},
+		newIDCommand("show ID", "Show a job's state", "GET", ""),
+		newIDCommand("withdraw ID", "Withdraw a job", "POST", "/withdraw"),
+	)
+	return command
+}
--- /dev/null
+++ b/cmd/firwood/settings.go
@@ -0,0 +1,53 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+
+	"firwood.dev/firwood/internal/config"
+)
+
+// settingsError is about what settings files say, and not about anything that was done.
+type settingsError struct{ error }
+
+// loadSettings reads both files; what is wrong is told of both at once.
+func loadSettings(configPath, settingsPath string) (*config.Platform, config.Tuning, error) {
+	platform, platformErr := config.LoadPlatform(configPath)
+	tuning, tuningErr := config.LoadTuning(settingsPath)
+	err := errors.Join(platformErr, tuningErr)
+	if err == nil {
+		err = config.CheckCompatibility(platform, tuning)
+	}
+	if err != nil {
+		return nil, tuning, settingsError{err}
+	}
+	return platform, tuning, nil
+}
+
+// checkSettings tells whether settings files are good, and can serve the fleet that they name.
+func checkSettings(out io.Writer, configPath, settingsPath string) error {
+	if configPath == "" {
+		if _, err := config.LoadTuning(settingsPath); err != nil {
+			return settingsError{err}
+		}
+		fmt.Fprintf(out, "%s: good\n", settingsPath)
+		return nil
+	}
+	platform, tuning, err := loadSettings(configPath, settingsPath)
+	if err != nil {
+		return err
+	}
+	var shortfalls []error
+	for _, shortfall := range platform.Shortfalls(tuning.FleetMachines) {
+		shortfalls = append(shortfalls, errors.New(shortfall.String()))
+	}
+	if shortfalls != nil {
+		return settingsError{errors.Join(shortfalls...)}
+	}
+	fmt.Fprintf(out, "%s: good: member %s of %d, %d teams\n", configPath, platform.Member, len(platform.Peers)+1, len(platform.Deployment.Teams))
+	if settingsPath != "" {
+		fmt.Fprintf(out, "%s: good\n", settingsPath)
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/firwood/status.go
@@ -0,0 +1,117 @@
+package main
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"io"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"firwood.dev/firwood/internal/controller"
+	"firwood.dev/firwood/wire"
+)
+
+func newWorkerCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "worker IP:PORT", Short: "Show what a worker says of itself", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			response, err := sendRequest(args[0], "GET", "/status", nil)
+			if err != nil {
+				return err
+			}
+			if response.Status != 200 {
+				return fmt.Errorf("the worker answered %d", response.Status)
+			}
+			var heartbeat wire.Heartbeat
+			if err := heartbeat.UnmarshalJSON(response.Body); err != nil {
+				return err
+			}
+			out := cmd.OutOrStdout()
+			fmt.Fprintf(out, "%s %s in %s, session %d, token %d, %d tasks\n", heartbeat.MachineID, heartbeat.MachineType, heartbeat.Zone, heartbeat.Incarnation, heartbeat.FencingToken, len(heartbeat.Tasks))
+			for _, task := range heartbeat.Tasks {
+				fmt.Fprintf(out, "%s attempt %d %s %s\n", task.TaskID, task.Attempt, task.State, task.ExitCause)
+			}
+			return nil
+		},
+	}
+}
+
+func newStandbyCommand() *cobra.Command {
+	var node string
+	command := &cobra.Command{
+		Use: "standby", Short: "Print who stands by for the leader, and how far behind", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			response, err := sendRequest(node, "GET", "/ops/v1/standby", nil)
+			if err != nil {
+				return err
+			}
+			if response.Status != 200 {
+				return fmt.Errorf("the controller answered %d", response.Status)
+			}
+			var status controller.StandbyStatus
+			if err := json.Unmarshal(response.Body, &status); err != nil {
+				return err
+			}
+			printStandbyStatus(cmd.OutOrStdout(), &status)
+			return nil
+		},
+	}
+	command.Flags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
+	return command
+}
+
+func printStandbyStatus(out io.Writer, status *controller.StandbyStatus) {
+	fmt.Fprintf(out, "%s, leader %s\n", status.Member, cmp.Or(status.Leader, "unknown"))
+	if !status.Enabled {
+		fmt.Fprintln(out, "standby is not enabled here")
+	}
+	if replica := status.Replica; replica != nil {
+		fmt.Fprintf(out, "replica: complete=%t token=%d decisions=%d placements=%d doubts=%d digest=%s\n",
+			replica.IsComplete, replica.Token, replica.Decisions, replica.Placements, replica.Unconfirmed, replica.Digest)
+		fmt.Fprintf(out, "dropped: older=%d gaps=%d malformed=%d foreign=%d differing=%d\n",
+			replica.Dropped.Stale, replica.Dropped.OutOfOrder, replica.Dropped.Malformed, replica.Dropped.ForeignToken, replica.Dropped.DigestMismatch)
+	}
+	for _, follower := range status.Followers {
+		fmt.Fprintf(out, "%s: in step=%t, lacks %d decisions for %d ms\n", follower.Member, follower.IsInSync, follower.LagDecisions, follower.LagMs)
+	}
+	if failover := status.Failover; failover != nil {
+		fmt.Fprintf(out, "last take-over here: token=%d replica used=%t in doubt=%d; lock %d ms, rebuild %d ms, first decision %d ms\n",
+			failover.Token, failover.IsReplicaUsed, failover.Unconfirmed, failover.LockMs, failover.RebuildMs, failover.FirstDecisionMs)
+	}
+}
+
+func newReportCommand() *cobra.Command {
+	var node string
+	command := &cobra.Command{
+		Use: "report", Short: "Print what failed or ran late, and why", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			response, err := sendRequest(node, "GET", "/ops/v1/report", nil)
+			if err != nil {
+				return err
+			}
+			if response.Status != 200 {
+				return fmt.Errorf("the controller answered %d", response.Status)
+			}
+			var jobReport controller.JobReport
+			if err := json.Unmarshal(response.Body, &jobReport); err != nil {
+				return err
+			}
+			out := cmd.OutOrStdout()
+			fmt.Fprintf(out, "%d jobs: %d done, %d withdrawn, %d active\n", jobReport.Jobs, jobReport.Done, jobReport.Cancelled, jobReport.Active)
+			if len(jobReport.Problems) == 0 {
+				fmt.Fprintln(out, "nothing failed or ran late")
+				return nil
+			}
+			table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+			fmt.Fprintln(table, "JOB\tCLASS\tSTATE\tLATE BY\tTOOK\tWAITED\tERRORS\tRESTARTS\tWHY")
+			for _, job := range jobReport.Problems {
+				fmt.Fprintf(table, "%s\t%s\t%s\t%.1fs\t%.1fs\t%.1fs\t%d\t%d\t%s\n", job.Job, job.Class, job.State, job.LateByS, job.TookS, job.WaitedS, job.Errors, job.Restarts, job.Reason)
+			}
+			return table.Flush()
+		},
+	}
+	command.Flags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
+	return command
+}
