--- a/cmd/firwood/job.go
+++ b/cmd/firwood/job.go
@@ -12,6 +12,65 @@
 	"firwood.dev/firwood/wire"
 )
 
+func newJobCommand() *cobra.Command {
+	var node string
+	command := &cobra.Command{Use: "job", Short: "Submit, show and withdraw jobs"}
+	addNodeFlag(command, &node)
+	command.AddCommand(
+		newSubmitCommand(&node),
+		newJobIDCommand(&node, "show ID", "Show a job's state", "GET", ""),
+		newJobIDCommand(&node, "withdraw ID", "Withdraw a job", "POST", "/withdraw"),
+	)
+	return command
+}
+
+func newSubmitCommand(node *string) *cobra.Command {
+	return &cobra.Command{
+		Use: "submit FILE", Short: "Submit the job described in a JSON file, - for standard input", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			body, err := readJobFile(cmd.InOrStdin(), args[0])
+			if err != nil {
+				return err
+			}
+			if _, err := wire.DecodeJob(body); err != nil {
+				return fmt.Errorf("%s: %w", args[0], err)
+			}
+			response, err := sendRequest(*node, "POST", "/api/jobs", body)
+			if err != nil {
+				return err
+			}
+			return printJobStatus(cmd.OutOrStdout(), response)
+		},
+	}
+}
+
+// readJobFile reads a file, or standard input if its name is "-".
+func readJobFile(standardInput io.Reader, name string) ([]byte, error) {
+	if name == "-" {
+		return io.ReadAll(io.LimitReader(standardInput, wire.MaxBodyBytes+1))
+	}
+	return os.ReadFile(name)
+}
+
+// newJobIDCommand makes a command that sends one request about the job with an id, and prints
+// the job's state.
+func newJobIDCommand(node *string, use, short, method, targetSuffix string) *cobra.Command {
+	return &cobra.Command{
+		Use: use, Short: short, Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if !wire.IsValidJobID(args[0]) {
+				return fmt.Errorf("%q has not the form of a job id", args[0])
+			}
+			response, err := sendRequest(*node, method, "/api/jobs/"+args[0]+targetSuffix, nil)
+			if err != nil {
+				return err
+			}
+			return printJobStatus(cmd.OutOrStdout(), response)
+		},
+	}
+}
+
+// printJobStatus prints a controller's answer about a job; an error status is an error.
 func printJobStatus(out io.Writer, response *http1.Message) error {
 	if response.Status/100 != 2 {
 		var errorResponse wire.ErrorResponse
@@ -34,52 +93,3 @@
 	fmt.Fprintln(out)
 	return nil
 }
-
-func newJobCommand() *cobra.Command {
-	var node string
-	command := &cobra.Command{Use: "job", Short: "Submit, show and withdraw jobs"}
-	command.PersistentFlags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
-	newIDCommand := func(use, short, method, suffix string) *cobra.Command {
-		return &cobra.Command{
-			Use: use, Short: short, Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				if !wire.IsValidJobID(args[0]) {
-					return fmt.Errorf("%q has not the form of a job id", args[0])
-				}
-				response, err := sendRequest(node, method, "/api/jobs/"+args[0]+suffix, nil)
-				if err != nil {
-					return err
-				}
-				return printJobStatus(cmd.OutOrStdout(), response)
-			},
-		}
-	}
-	command.AddCommand(
-		&cobra.Command{
-			Use: "submit FILE", Short: "Submit the job described in a JSON file, - for standard input", Args: cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				var body []byte
-				var err error
-				if args[0] == "-" {
-					body, err = io.ReadAll(io.LimitReader(cmd.InOrStdin(), wire.MaxBodyBytes+1))
-				} else {
-					body, err = os.ReadFile(args[0])
-				}
-				if err != nil {
-					return err
-				}
-				if _, err := wire.DecodeJob(body); err != nil {
-					return fmt.Errorf("%s: %w", args[0], err)
-				}
-				response, err := sendRequest(node, "POST", "/api/jobs", body)
-				if err != nil {
-					return err
-				}
-				return printJobStatus(cmd.OutOrStdout(), response)
-			},
-		},
-		newIDCommand("show ID", "Show a job's state", "GET", ""),
-		newIDCommand("withdraw ID", "Withdraw a job", "POST", "/withdraw"),
-	)
-	return command
-}
--- a/cmd/firwood/main.go
+++ b/cmd/firwood/main.go
@@ -57,17 +57,29 @@
 			return runController(configPath, settingsPath)
 		},
 	}
-	addSettingsFlags := func(command *cobra.Command) {
-		command.Flags().StringVar(&configPath, "config", "", "the platform's settings `FILE` (JSON)")
-		command.Flags().StringVar(&settingsPath, "settings", os.Getenv("FIRWOOD_SETTINGS"), "the operators' settings `FILE` (YAML; also FIRWOOD_SETTINGS)")
-	}
-	addSettingsFlags(rootCommand)
+	addSettingsFlags(rootCommand, &configPath, &settingsPath)
+	rootCommand.AddCommand(newServeCommand(), newCheckCommand(), newJobCommand(), newWorkerCommand(), newReportCommand(), newStandbyCommand(), newVersionCommand())
+	return rootCommand
+}
 
-	serveCommand := &cobra.Command{
+func addSettingsFlags(command *cobra.Command, configPath, settingsPath *string) {
+	command.Flags().StringVar(configPath, "config", "", "the platform's settings `FILE` (JSON)")
+	command.Flags().StringVar(settingsPath, "settings", os.Getenv("FIRWOOD_SETTINGS"), "the operators' settings `FILE` (YAML; also FIRWOOD_SETTINGS)")
+}
+
+func newServeCommand() *cobra.Command {
+	var configPath, settingsPath string
+	command := &cobra.Command{
 		Use: "serve", Short: "Run a controller", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return runController(configPath, settingsPath) },
 	}
-	checkCommand := &cobra.Command{
+	addSettingsFlags(command, &configPath, &settingsPath)
+	return command
+}
+
+func newCheckCommand() *cobra.Command {
+	var configPath, settingsPath string
+	command := &cobra.Command{
 		Use: "check", Short: "Check settings files without serving", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if configPath == "" && settingsPath == "" {
@@ -76,12 +88,13 @@
 			return checkSettings(cmd.OutOrStdout(), configPath, settingsPath)
 		},
 	}
-	for _, command := range []*cobra.Command{serveCommand, checkCommand} {
-		addSettingsFlags(command)
-	}
-	rootCommand.AddCommand(serveCommand, checkCommand, newJobCommand(), newWorkerCommand(), newReportCommand(), newStandbyCommand(), &cobra.Command{
+	addSettingsFlags(command, &configPath, &settingsPath)
+	return command
+}
+
+func newVersionCommand() *cobra.Command {
+	return &cobra.Command{
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "firwood", version) },
-	})
-	return rootCommand
+	}
 }
--- a/cmd/firwood/request.go
+++ b/cmd/firwood/request.go
@@ -1,20 +1,46 @@
 package main
 
 import (
+	"encoding/json"
 	"fmt"
 	"net/netip"
 
+	"github.com/spf13/cobra"
+
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/http1"
 )
 
-// sendRequest makes one request of a controller.
+const (
+	requestTimeout   = 10 * clock.Second
+	maxResponseBytes = 4 << 20
+	statusOK         = 200
+)
+
+// sendRequest sends one request to a controller or a worker, at IP:port.
 func sendRequest(address, method, target string, body []byte) (*http1.Message, error) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return nil, fmt.Errorf("%q is not IP:port", address)
 	}
-	host := client.NewHost(client.DialTCP, address, 0, 4<<20)
+	host := client.NewHost(client.DialTCP, address, 0, maxResponseBytes)
 	defer host.Close()
-	return host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: 10 * clock.Second})
+	return host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: requestTimeout})
+}
+
+// getJSON decodes what a controller answers to GET.
+func getJSON(address, target string, value any) error {
+	response, err := sendRequest(address, "GET", target, nil)
+	if err != nil {
+		return err
+	}
+	if response.Status != statusOK {
+		return fmt.Errorf("the controller answered %d", response.Status)
+	}
+	return json.Unmarshal(response.Body, value)
+}
+
+// addNodeFlag gives a command, and those below it, the flag --node.
+func addNodeFlag(command *cobra.Command, node *string) {
+	command.PersistentFlags().StringVar(node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
 }
--- a/cmd/firwood/serve.go
+++ b/cmd/firwood/serve.go
@@ -13,11 +13,25 @@
 
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/controller"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/internal/tracing"
 )
 
+const (
+	// memoryLimitShare is the part of the platform's memory limit that the Go runtime keeps
+	// to; the rest is for what it doesn't count, such as the kernel's socket buffers.
+	memoryLimitShare = 0.6
+	// gcPercent trades memory for processor time: the memory limit bounds the heap anyway.
+	gcPercent = 300
+	// maxProcs is enough for a controller, of whose work one goroutine does the most.
+	maxProcs = 2
+
+	idleTimeout = 90 * clock.Second // of connections without requests
+	readTimeout = 10 * clock.Second // of a request that has begun
+)
+
 func newLogger() (*slog.Logger, error) {
 	level := slog.LevelInfo
 	switch name := os.Getenv("LOG_LEVEL"); name {
@@ -32,6 +46,7 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
+// runController serves until a signal ends it, or until it can't listen.
 func runController(configPath, settingsPath string) error {
 	if configPath == "" {
 		return errors.New("serve: --config is missing")
@@ -44,16 +59,10 @@
 	if err != nil {
 		return err
 	}
-	limits := platform.Deployment.ProcessLimits
-	// The collector has to give way before the platform ends the process.
-	debug.SetMemoryLimit(int64(limits.MemoryMB * 0.6 * (1 << 20)))
-	debug.SetGCPercent(300)
-	runtime.GOMAXPROCS(2)
-
+	limitRuntime(platform.Deployment.ProcessLimits)
 	log = log.With("member", platform.Member)
-	for _, shortfall := range platform.Shortfalls(tuning.FleetMachines) {
-		log.Error("a limit is too low for the fleet", "limit", shortfall.Field, "has", shortfall.Limit, "needs", shortfall.Required, "machines", shortfall.Machines, "for", shortfall.Purpose)
-	}
+	logShortfalls(log, platform.Shortfalls(tuning.FleetMachines))
+
 	instance := controller.New(platform, tuning, log, client.DialTCP)
 	if tuning.Standby.Trace != "" {
 		tracer, err := tracing.New(tuning.Standby.Trace, platform.Member)
@@ -63,19 +72,50 @@
 		defer tracer.Close()
 		instance.SetTracer(tracer)
 	}
-	listener := server.New(server.Config{
-		ServeAddress: platform.ListenAddress, PeerAddress: platform.PeerListenAddress, Limiter: instance.ConnLimiter(), EvictOutbound: instance.CloseIdleWorkerConnection,
-		IdleTimeout: 90 * clock.Second, ReadTimeout: 10 * clock.Second, WorkerLeaseTTL: clock.FromSeconds(platform.Deployment.Workers.LeaseSeconds),
-	}, instance, log)
+	listener := newListener(platform, instance, log)
 	log.Info("serving", "version", version, "address", platform.ListenAddress)
+	return serveUntilSignal(listener, instance)
+}
+
+// limitRuntime has the garbage collector act before the platform's memory limit ends the
+// process.
+func limitRuntime(limits config.ProcessLimits) {
+	debug.SetMemoryLimit(int64(limits.MemoryMB * memoryLimitShare * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
+	runtime.GOMAXPROCS(maxProcs)
+}
+
+// logShortfalls logs the limits that are too low for the configured fleet. The controller
+// serves nevertheless, as well as it can.
+func logShortfalls(log *slog.Logger, shortfalls []config.Shortfall) {
+	for _, shortfall := range shortfalls {
+		log.Error("a limit is too low for the fleet", "limit", shortfall.Field, "has", shortfall.Limit, "needs", shortfall.Required, "machines", shortfall.Machines, "for", shortfall.Purpose)
+	}
+}
+
+func newListener(platform *config.Platform, instance *controller.Controller, log *slog.Logger) *server.Server {
+	return server.New(server.Config{
+		ServeAddress:   platform.ListenAddress,
+		PeerAddress:    platform.PeerListenAddress,
+		Limiter:        instance.ConnLimiter(),
+		EvictOutbound:  instance.CloseIdleWorkerConnection,
+		IdleTimeout:    idleTimeout,
+		ReadTimeout:    readTimeout,
+		WorkerLeaseTTL: clock.FromSeconds(platform.Deployment.Workers.LeaseSeconds),
+	}, instance, log)
+}
 
-	serverErrors := make(chan error, 1)
-	go func() { serverErrors <- listener.Run() }()
+// serveUntilSignal runs the listener and the controller, each on a goroutine that lasts as
+// long as the process. SIGTERM and SIGINT make a leader give up its leadership first, so
+// that another one needn't wait for the lock to expire.
+func serveUntilSignal(listener *server.Server, instance *controller.Controller) error {
+	listenerErrors := make(chan error, 1)
+	go func() { listenerErrors <- listener.Run() }()
 	go instance.Run(context.Background())
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	select {
-	case err := <-serverErrors:
+	case err := <-listenerErrors:
 		return err
 	case <-signals:
 		instance.ReleaseLeadership()
--- a/cmd/firwood/status.go
+++ b/cmd/firwood/status.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"fmt"
 	"io"
 	"text/tabwriter"
@@ -21,44 +20,40 @@
 			if err != nil {
 				return err
 			}
-			if response.Status != 200 {
+			if response.Status != statusOK {
 				return fmt.Errorf("the worker answered %d", response.Status)
 			}
 			var heartbeat wire.Heartbeat
 			if err := heartbeat.UnmarshalJSON(response.Body); err != nil {
 				return err
 			}
-			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%s %s in %s, session %d, token %d, %d tasks\n", heartbeat.MachineID, heartbeat.MachineType, heartbeat.Zone, heartbeat.Incarnation, heartbeat.FencingToken, len(heartbeat.Tasks))
-			for _, task := range heartbeat.Tasks {
-				fmt.Fprintf(out, "%s attempt %d %s %s\n", task.TaskID, task.Attempt, task.State, task.ExitCause)
-			}
+			printWorkerStatus(cmd.OutOrStdout(), &heartbeat)
 			return nil
 		},
 	}
 }
 
+func printWorkerStatus(out io.Writer, heartbeat *wire.Heartbeat) {
+	fmt.Fprintf(out, "%s %s in %s, session %d, token %d, %d tasks\n", heartbeat.MachineID, heartbeat.MachineType, heartbeat.Zone, heartbeat.Incarnation, heartbeat.FencingToken, len(heartbeat.Tasks))
+	for _, task := range heartbeat.Tasks {
+		fmt.Fprintf(out, "%s attempt %d %s %s\n", task.TaskID, task.Attempt, task.State, task.ExitCause)
+	}
+}
+
 func newStandbyCommand() *cobra.Command {
 	var node string
 	command := &cobra.Command{
 		Use: "standby", Short: "Print who stands by for the leader, and how far behind", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			response, err := sendRequest(node, "GET", "/ops/v1/standby", nil)
-			if err != nil {
-				return err
-			}
-			if response.Status != 200 {
-				return fmt.Errorf("the controller answered %d", response.Status)
-			}
 			var status controller.StandbyStatus
-			if err := json.Unmarshal(response.Body, &status); err != nil {
+			if err := getJSON(node, "/ops/v1/standby", &status); err != nil {
 				return err
 			}
 			printStandbyStatus(cmd.OutOrStdout(), &status)
 			return nil
 		},
 	}
-	command.Flags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
+	addNodeFlag(command, &node)
 	return command
 }
 
@@ -87,31 +82,27 @@
 	command := &cobra.Command{
 		Use: "report", Short: "Print what failed or ran late, and why", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			response, err := sendRequest(node, "GET", "/ops/v1/report", nil)
-			if err != nil {
-				return err
-			}
-			if response.Status != 200 {
-				return fmt.Errorf("the controller answered %d", response.Status)
-			}
 			var jobReport controller.JobReport
-			if err := json.Unmarshal(response.Body, &jobReport); err != nil {
+			if err := getJSON(node, "/ops/v1/report", &jobReport); err != nil {
 				return err
 			}
-			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%d jobs: %d done, %d withdrawn, %d active\n", jobReport.Jobs, jobReport.Done, jobReport.Cancelled, jobReport.Active)
-			if len(jobReport.Problems) == 0 {
-				fmt.Fprintln(out, "nothing failed or ran late")
-				return nil
-			}
-			table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-			fmt.Fprintln(table, "JOB\tCLASS\tSTATE\tLATE BY\tTOOK\tWAITED\tERRORS\tRESTARTS\tWHY")
-			for _, job := range jobReport.Problems {
-				fmt.Fprintf(table, "%s\t%s\t%s\t%.1fs\t%.1fs\t%.1fs\t%d\t%d\t%s\n", job.Job, job.Class, job.State, job.LateByS, job.TookS, job.WaitedS, job.Errors, job.Restarts, job.Reason)
-			}
-			return table.Flush()
+			return printJobReport(cmd.OutOrStdout(), &jobReport)
 		},
 	}
-	command.Flags().StringVar(&node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
+	addNodeFlag(command, &node)
 	return command
 }
+
+func printJobReport(out io.Writer, jobReport *controller.JobReport) error {
+	fmt.Fprintf(out, "%d jobs: %d done, %d withdrawn, %d active\n", jobReport.Jobs, jobReport.Done, jobReport.Cancelled, jobReport.Active)
+	if len(jobReport.Problems) == 0 {
+		fmt.Fprintln(out, "nothing failed or ran late")
+		return nil
+	}
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "JOB\tCLASS\tSTATE\tLATE BY\tTOOK\tWAITED\tERRORS\tRESTARTS\tWHY")
+	for _, job := range jobReport.Problems {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%.1fs\t%.1fs\t%.1fs\t%d\t%d\t%s\n", job.Job, job.Class, job.State, job.LateByS, job.TookS, job.WaitedS, job.Errors, job.Restarts, job.Reason)
+	}
+	return table.Flush()
+}
