--- a/cmd/firwood/job.go
+++ b/cmd/firwood/job.go
@@ -16,10 +16,12 @@
 	var node string
 	command := &cobra.Command{Use: "job", Short: "Submit, show and withdraw jobs"}
 	addNodeFlag(command, &node)
+	cancelCommand := newJobIDCommand(&node, "cancel ID", "Withdraw a job", "POST", "/withdraw")
+	cancelCommand.Aliases = []string{"withdraw"} // its earlier name
 	command.AddCommand(
 		newSubmitCommand(&node),
 		newJobIDCommand(&node, "show ID", "Show a job's state", "GET", ""),
-		newJobIDCommand(&node, "withdraw ID", "Withdraw a job", "POST", "/withdraw"),
+		cancelCommand,
 	)
 	return command
 }
--- a/cmd/firwood/main_test.go
+++ b/cmd/firwood/main_test.go
@@ -63,6 +63,7 @@
 	}{
 		{nil, "Usage:", true},
 		{[]string{"job", "--help"}, "withdraw", true},
+		{[]string{"job", "--help"}, "cancel", true},
 		{[]string{"version"}, "firwood", true},
 		{[]string{"check", "--settings", validTuning}, "good", true},
 		{[]string{"check", "--settings", misspelledTuning}, "alhpa", false},
