--- a/cmd/firwood/main.go
+++ b/cmd/firwood/main.go
@@ -1,5 +1,5 @@
-// Command firwood is the cluster scheduler: one program for every controller,
-// and the tools that operators use against it.
+// Command firwood is the cluster scheduler: it runs a controller, and has the commands with
+// which users and operators talk to controllers and workers.
 package main
 
 import (
@@ -15,7 +15,7 @@
 // version is set by release builds.
 var version = "0.1.0-dev"
 
-// Exit codes.
+// Exit statuses; 0 is success.
 const (
 	exitFailed          = 1
 	exitInvalidSettings = 2
@@ -25,7 +25,8 @@
 	os.Exit(reportError(newRootCommand().Execute(), os.Stderr))
 }
 
-// reportError says what went wrong, if anything did, a line each.
+// reportError prints an error, one line for each fault of the settings, and returns the exit
+// status.
 func reportError(err error, out io.Writer) int {
 	if err == nil {
 		return 0
--- a/cmd/firwood/main_test.go
+++ b/cmd/firwood/main_test.go
@@ -24,7 +24,7 @@
 	return out.String(), err
 }
 
-// The worker's own account, asked of a stand-in.
+// `firwood worker` prints the status of a fake worker.
 func TestWorkerCommand(t *testing.T) {
 	types := []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, Zones: []string{"x"}}}
 	fakeCloud, stop := fake.NewCloud([]string{"n0"}, map[string]string{"n0": "127.0.0.1:1"}, types, time.Second, time.Minute)
@@ -43,19 +43,23 @@
 	}
 }
 
+// writeFile writes a file and returns its path.
+func writeFile(t *testing.T, dir, name, text string) string {
+	t.Helper()
+	path := filepath.Join(dir, name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// Each command line gives the output or the error that names what it is about.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
-	write := func(name, text string) string {
-		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return path
-	}
-	invalidPlatform := write("bad.json", `{"member":"a","serve_on":"nonsense"}`)
-	validTuning := write("good.yaml", "alpha: 60\n")
-	misspelledTuning := write("typo.yaml", "alhpa: 60\n")
-	invalidJob := write("job.json", `{"nameId":"x"}`)
+	invalidPlatform := writeFile(t, dir, "bad.json", `{"member":"a","serve_on":"nonsense"}`)
+	validTuning := writeFile(t, dir, "good.yaml", "alpha: 60\n")
+	misspelledTuning := writeFile(t, dir, "typo.yaml", "alhpa: 60\n")
+	invalidJob := writeFile(t, dir, "job.json", `{"nameId":"x"}`)
 	for _, testCase := range []struct {
 		args []string
 		out  string // what the output or the error has to name
@@ -94,19 +98,12 @@
 "state":{"rps":150,"write_rps":30,"value_kb":8,"txn_ops":24},"cloud":{"rps":4,"list_lag_s":5},
 "limits":{"cores":0.3,"ram_mb":512,"max_sockets":3500}}}`
 
-// Bad settings end with 2 and a line for each field, of both files at once; so do
+// Invalid settings end with status 2 and a line for each field, of both files at once; so do
 // limits that can't serve the fleet that is named.
 func TestInvalidSettings(t *testing.T) {
 	dir := t.TempDir()
-	write := func(name, text string) string {
-		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return path
-	}
-	platform := write("platform.json", validPlatformJSON)
-	invalidPlatform := write("broken.json", strings.NewReplacer(`"rps":150`, `"rps":0`, `"txn_ops":24`, `"txn_ops":0`).Replace(validPlatformJSON))
+	platform := writeFile(t, dir, "platform.json", validPlatformJSON)
+	invalidPlatform := writeFile(t, dir, "broken.json", strings.NewReplacer(`"rps":150`, `"rps":0`, `"txn_ops":24`, `"txn_ops":0`).Replace(validPlatformJSON))
 	for _, testCase := range []struct {
 		name, platform, tuning string
 		code                   int
@@ -118,7 +115,7 @@
 		{"too many machines", platform, "fleet_machines: 4000\n", 2, []string{"deployment.limits.max_sockets: 3500, and a fleet of 4000 machines needs 4731 (1231 more)", "deployment.limits.cores: "}},
 		{"no such file", filepath.Join(dir, "none"), "", 2, []string{"none: cannot be read"}},
 	} {
-		_, err := executeCommand("check", "--config", testCase.platform, "--settings", write("tuning.yaml", testCase.tuning))
+		_, err := executeCommand("check", "--config", testCase.platform, "--settings", writeFile(t, dir, "tuning.yaml", testCase.tuning))
 		var out bytes.Buffer
 		if code := reportError(err, &out); code != testCase.code {
 			t.Errorf("%s: ends with %d: %s", testCase.name, code, out.String())
--- a/cmd/firwood/serve.go
+++ b/cmd/firwood/serve.go
@@ -32,6 +32,7 @@
 	readTimeout = 10 * clock.Second // of a request that has begun
 )
 
+// newLogger logs to standard error, from the level in LOG_LEVEL on.
 func newLogger() (*slog.Logger, error) {
 	level := slog.LevelInfo
 	switch name := os.Getenv("LOG_LEVEL"); name {
--- a/cmd/firwood/settings.go
+++ b/cmd/firwood/settings.go
@@ -8,10 +8,10 @@
 	"firwood.dev/firwood/internal/config"
 )
 
-// settingsError is about what settings files say, and not about anything that was done.
+// settingsError marks an error in a settings file; the exit status is exitInvalidSettings.
 type settingsError struct{ error }
 
-// loadSettings reads both files; what is wrong is told of both at once.
+// loadSettings reads and checks both files and reports the errors of both together.
 func loadSettings(configPath, settingsPath string) (*config.Platform, config.Tuning, error) {
 	platform, platformErr := config.LoadPlatform(configPath)
 	tuning, tuningErr := config.LoadTuning(settingsPath)
@@ -25,7 +25,7 @@
 	return platform, tuning, nil
 }
 
-// checkSettings tells whether settings files are good, and can serve the fleet that they name.
+// checkSettings validates the files, and the limits for the fleet that they name.
 func checkSettings(out io.Writer, configPath, settingsPath string) error {
 	if configPath == "" {
 		if _, err := config.LoadTuning(settingsPath); err != nil {
--- a/cmd/firwood/status.go
+++ b/cmd/firwood/status.go
@@ -12,6 +12,7 @@
 	"firwood.dev/firwood/wire"
 )
 
+// newWorkerCommand makes the command that prints what a worker answers to GET /status.
 func newWorkerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "worker IP:PORT", Short: "Show what a worker says of itself", Args: cobra.ExactArgs(1),
@@ -40,6 +41,7 @@
 	}
 }
 
+// newStandbyCommand makes the command that prints the replicas of the leader's allocation table.
 func newStandbyCommand() *cobra.Command {
 	var node string
 	command := &cobra.Command{
@@ -77,6 +79,7 @@
 	}
 }
 
+// newReportCommand makes the command that prints the job report.
 func newReportCommand() *cobra.Command {
 	var node string
 	command := &cobra.Command{
