--- /dev/null
+++ b/internal/ci/layout/imports.go
@@ -0,0 +1,92 @@
+package layout
+
+import (
+	"fmt"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// ReadImports finds which of the project's packages each of some packages imports outside test
+// files. Packages are directories below root; modulePath is the project's.
+func ReadImports(root fs.FS, modulePath string, packages []string) (map[string][]string, error) {
+	imports := make(map[string][]string, len(packages))
+	for _, name := range packages {
+		files, err := fs.Glob(root, name+"/*.go")
+		if err != nil {
+			return nil, err
+		}
+		imports[name] = nil
+		for _, file := range files {
+			if strings.HasSuffix(file, "_test.go") {
+				continue
+			}
+			imported, err := readFileImports(root, modulePath, file)
+			if err != nil {
+				return nil, err
+			}
+			imports[name] = append(imports[name], imported...)
+		}
+		slices.Sort(imports[name])
+		imports[name] = slices.Compact(imports[name])
+	}
+	return imports, nil
+}
+
+func readFileImports(root fs.FS, modulePath, name string) ([]string, error) {
+	source, err := fs.ReadFile(root, name)
+	if err != nil {
+		return nil, err
+	}
+	file, err := parser.ParseFile(token.NewFileSet(), path.Base(name), source, parser.ImportsOnly)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	var imported []string
+	for _, spec := range file.Imports {
+		importPath, err := strconv.Unquote(spec.Path.Value)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", name, err)
+		}
+		if directory, isOwn := strings.CutPrefix(importPath, modulePath+"/"); isOwn {
+			imported = append(imported, directory)
+		}
+	}
+	return imported, nil
+}
+
+// CheckLayers lists what breaks the layers, one sentence each, in order: packages in no layer or
+// in two, layers with a package that does not exist, and imports of a higher layer.
+func CheckLayers(layers []Layer, imports map[string][]string) []string {
+	var problems []string
+	rank := map[string]int{}
+	for i, layer := range layers {
+		for _, name := range layer.Packages {
+			if _, isPlaced := rank[name]; isPlaced {
+				problems = append(problems, fmt.Sprintf("%s stands in two places of the layers", name))
+			}
+			if _, exists := imports[name]; !exists {
+				problems = append(problems, fmt.Sprintf("%s stands in layer %q and does not exist", name, layer.Name))
+			}
+			rank[name] = i
+		}
+	}
+	for name, imported := range imports {
+		own, isPlaced := rank[name]
+		if !isPlaced {
+			problems = append(problems, fmt.Sprintf("%s stands in no layer: give it a line in internal/ci/layout/layers.go", name))
+			continue
+		}
+		for _, other := range imported {
+			if otherRank, isPlaced := rank[other]; isPlaced && otherRank > own {
+				problems = append(problems, fmt.Sprintf("%s (layer %q) imports %s of the higher layer %q", name, layers[own].Name, other, layers[otherRank].Name))
+			}
+		}
+	}
+	slices.Sort(problems)
+	return problems
+}
--- /dev/null
+++ b/internal/ci/layout/layers.go
@@ -0,0 +1,59 @@
+package layout
+
+// Layer is a group of packages that may import those of its own layer and of lower ones.
+type Layer struct {
+	// Name says what the packages have in common.
+	Name string
+	// Packages are their directories below the root of the repository.
+	Packages []string
+}
+
+// Layers are the project's layers from the lowest to the highest. Each package stands in one of
+// them, on a line of its own: a new package goes into the lowest layer that is above what it
+// imports and fits what it does. Test files may import what they like.
+var Layers = []Layer{
+	{"values, messages, settings and bounds", []string{
+		"internal/clock",
+		"internal/config",
+		"internal/connlimit",
+		"internal/http1",
+		"internal/peer/fb",
+		"wire",
+	}},
+	{"decisions: pure, without input or output", []string{
+		"internal/allocation",
+		"internal/dag",
+		"internal/delegation",
+		"internal/election",
+		"internal/jobhistory",
+		"internal/records",
+		"internal/scheduler",
+		"internal/staleness",
+		"internal/standby",
+		"internal/storeview",
+	}},
+	{"input and output", []string{
+		"internal/client",
+		"internal/cloud",
+		"internal/kvstore",
+		"internal/peer",
+		"internal/server",
+		"internal/tracing",
+	}},
+	{"the controller, which owns all state", []string{
+		"internal/controller",
+	}},
+	{"the program", []string{
+		"cmd/firwood",
+	}},
+	{"for tests and CI only", []string{
+		"internal/ci/knownred",
+		"internal/ci/layout",
+		"internal/ci/runtests",
+		"internal/e2e",
+		"internal/fake",
+		"internal/protocoltest",
+		"internal/seed",
+		"internal/sim",
+	}},
+}
--- a/internal/ci/layout/layout.go
+++ b/internal/ci/layout/layout.go
@@ -1,5 +1,5 @@
-// Package layout compares the packages that a document names with those that there
-// are.
+// Package layout holds the repository's packages to the table of them in README, and their
+// imports to the project's layers.
 package layout
 
 import (
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// packageReference matches a package's folder between backquotes, as a table names it.
+// packageReference matches a package's directory in backquotes.
 var packageReference = regexp.MustCompile("`((?:cmd|internal|wire)(?:/[^`]*)?)`")
 
-// DocumentedPackages lists the packages that a document names, each once, in order.
+// DocumentedPackages lists the packages that a document names, each once and sorted.
 func DocumentedPackages(document string) []string {
 	var packages []string
 	for _, match := range packageReference.FindAllStringSubmatch(document, -1) {
@@ -23,7 +23,7 @@
 	return slices.Compact(packages)
 }
 
-// ExistingPackages lists the folders below the given ones that hold Go files.
+// ExistingPackages lists the directories in and below the given ones that hold Go files.
 func ExistingPackages(root fs.FS, folders ...string) ([]string, error) {
 	var packages []string
 	for _, folder := range folders {
