--- a/internal/ci/knownred/knownred.go
+++ b/internal/ci/knownred/knownred.go
@@ -1,7 +1,6 @@
-// Package knownred judges a test run against KNOWN-RED.txt, the short list of
-// tests that may fail because of a known fault that is not mended yet. It is
-// pure: it reads the list and the event stream of `go test -json`, and returns a
-// verdict.
+// Package knownred judges a test run against KNOWN-RED.txt, the list of at most three tests that
+// may fail because of a known fault that is not fixed yet. It reads the list and the events of
+// `go test -json`, and touches neither files nor processes.
 package knownred
 
 import (
@@ -30,10 +29,10 @@
 // fieldsPerLine is how many fields a line has.
 const fieldsPerLine = 3
 
-// ErrTooMany tells that the list is longer than MaxEntries.
+// ErrTooMany means that the list is longer than MaxEntries.
 var ErrTooMany = errors.New("too many known failures")
 
-// ErrMalformed tells that a line of the list has not the form of an Entry.
+// ErrMalformed means that a line of the list doesn't have the form of an Entry.
 var ErrMalformed = errors.New("malformed line")
 
 // Parse reads the list. Blank lines and lines that begin with # are skipped.
@@ -65,19 +64,25 @@
 
 func parseLine(line string) (Entry, error) {
 	fields := strings.Split(line, "|")
-	if len(fields) != fieldsPerLine {
-		return Entry{}, fmt.Errorf("%w: %q", ErrMalformed, line)
-	}
 	for i := range fields {
 		fields[i] = strings.TrimSpace(fields[i])
-		if fields[i] == "" {
-			return Entry{}, fmt.Errorf("%w: %q", ErrMalformed, line)
-		}
+	}
+	if len(fields) != fieldsPerLine || slices.Contains(fields, "") {
+		return Entry{}, fmt.Errorf("%w: %q", ErrMalformed, line)
 	}
 	return Entry{Test: fields[0], Cause: fields[1], Issue: fields[2]}, nil
 }
 
-// testEvent is a line of `go test -json`.
+// Actions of test events.
+const (
+	actionOutput      = "output"
+	actionBuildOutput = "build-output"
+	actionPass        = "pass"
+	actionSkip        = "skip"
+	actionFail        = "fail"
+)
+
+// testEvent is a line of `go test -json`. Test is empty in events of a package.
 type testEvent struct {
 	Action  string
 	Package string
@@ -85,8 +90,21 @@
 	Output  string
 }
 
-// Result is what a run came to.
+// topLevelTest is the package and the name of the event's test, or of the test that its
+// subtest belongs to.
+func (event *testEvent) topLevelTest() string {
+	name, _, _ := strings.Cut(event.Test, "/")
+	return event.Package + "." + name
+}
+
+// isTopLevel reports that the event is of a test that is no subtest.
+func (event *testEvent) isTopLevel() bool {
+	return event.Test != "" && !strings.Contains(event.Test, "/")
+}
+
+// Result is the result of a run.
 type Result struct {
+	// Passed, Failed and Skipped count tests, subtests apart.
 	Passed, Failed, Skipped int
 	// UnexpectedFailures are failures that the list does not excuse: tests, and packages
 	// that failed by other means than a test, such as a build failure, a panic
@@ -98,17 +116,19 @@
 	StaleEntries []Entry
 }
 
-// IsSuccess tells whether the run passes.
+// IsSuccess reports that the run passes.
 func (result *Result) IsSuccess() bool {
 	return len(result.UnexpectedFailures) == 0 && len(result.StaleEntries) == 0 && result.Passed > 0
 }
 
-// resultCollector collects events until the verdict.
+// resultCollector collects the events of a run. Tests are named as in Entry, and subtests are
+// not collected.
 type resultCollector struct {
-	failedTests     map[string]bool // tests, subtests apart
-	passedTests     map[string]bool
+	out             io.Writer           // gets the output of packages and of failed tests
+	outputs         map[string][]string // lines of tests that have not passed
+	failedTests     map[string]bool
 	failedPackages  map[string]bool
-	crashedPackages map[string]bool // packages that printed a panic or a timeout
+	crashedPackages map[string]bool // by isCrash
 	result          Result
 }
 
@@ -116,10 +136,9 @@
 // packages and of failed tests is copied to out.
 func Judge(events io.Reader, entries []Entry, out io.Writer) (*Result, error) {
 	collector := &resultCollector{
-		failedTests: map[string]bool{}, passedTests: map[string]bool{},
+		out: out, outputs: map[string][]string{}, failedTests: map[string]bool{},
 		failedPackages: map[string]bool{}, crashedPackages: map[string]bool{},
 	}
-	outputs := map[string][]string{}
 	decoder := json.NewDecoder(events)
 	for {
 		var event testEvent
@@ -128,56 +147,62 @@
 		} else if err != nil {
 			return nil, fmt.Errorf("the test events cannot be read: %w", err)
 		}
-		collector.recordEvent(&event, outputs, out)
+		collector.recordEvent(&event)
 	}
 	return collector.buildResult(entries), nil
 }
 
-func (collector *resultCollector) recordEvent(event *testEvent, outputs map[string][]string, out io.Writer) {
-	name := event.Package + "." + event.Test
-	isSubtest := strings.Contains(event.Test, "/")
+func (collector *resultCollector) recordEvent(event *testEvent) {
 	switch event.Action {
-	case "output", "build-output":
-		if isCrash(event.Output) {
-			collector.crashedPackages[event.Package] = true
-		}
-		if event.Test == "" {
-			fmt.Fprint(out, event.Output)
-			return
-		}
-		topLevelTest, _, _ := strings.Cut(event.Test, "/")
-		key := event.Package + "." + topLevelTest
-		outputs[key] = append(outputs[key], event.Output)
-	case "pass":
-		if event.Test != "" && !isSubtest {
-			collector.passedTests[name] = true
+	case actionOutput, actionBuildOutput:
+		collector.recordOutput(event)
+	case actionPass:
+		if event.isTopLevel() {
 			collector.result.Passed++
-			delete(outputs, name)
+			delete(collector.outputs, event.topLevelTest())
 		}
-	case "skip":
-		if event.Test != "" && !isSubtest {
+	case actionSkip:
+		if event.isTopLevel() {
 			collector.result.Skipped++
 		}
-	case "fail":
-		switch {
-		case event.Test == "":
-			collector.failedPackages[event.Package] = true
-		case !isSubtest:
-			collector.failedTests[name] = true
-			collector.result.Failed++
-			fmt.Fprint(out, strings.Join(outputs[name], ""))
-		}
+	case actionFail:
+		collector.recordFailure(event)
+	}
+}
+
+func (collector *resultCollector) recordOutput(event *testEvent) {
+	if isCrash(event.Output) {
+		collector.crashedPackages[event.Package] = true
+	}
+	if event.Test == "" {
+		fmt.Fprint(collector.out, event.Output)
+		return
+	}
+	test := event.topLevelTest()
+	collector.outputs[test] = append(collector.outputs[test], event.Output)
+}
+
+func (collector *resultCollector) recordFailure(event *testEvent) {
+	switch {
+	case event.Test == "":
+		collector.failedPackages[event.Package] = true
+	case event.isTopLevel():
+		test := event.topLevelTest()
+		collector.failedTests[test] = true
+		collector.result.Failed++
+		fmt.Fprint(collector.out, strings.Join(collector.outputs[test], ""))
 	}
 }
 
-// isCrash tells whether a line of output shows that a test binary ended by
-// itself: the tests after that did not run, so no list excuses it.
+// isCrash reports that a line of output shows that the test binary crashed, timed out, had a data
+// race or wasn't built: later tests did not run, so no entry excuses it.
 func isCrash(line string) bool {
 	return strings.HasPrefix(line, "panic: ") || strings.HasPrefix(line, "fatal error: ") ||
 		strings.HasPrefix(line, "*** Test killed") || strings.Contains(line, "[build failed]") ||
 		strings.Contains(line, "WARNING: DATA RACE")
 }
 
+// buildResult compares the failures with the list.
 func (collector *resultCollector) buildResult(entries []Entry) *Result {
 	listed := map[string]bool{}
 	for _, entry := range entries {
@@ -204,5 +229,5 @@
 	return &collector.result
 }
 
-// packageOf is the package of a test's name; names of tests have no dots.
+// packageOf is the package in a test's name as in Entry; names of tests have no dots.
 func packageOf(testName string) string { return testName[:strings.LastIndex(testName, ".")] }
--- a/internal/ci/runtests/main.go
+++ b/internal/ci/runtests/main.go
@@ -1,5 +1,5 @@
-// Command runtests runs `go test` with the arguments that it is given and
-// judges the outcome against KNOWN-RED.txt; see package knownred.
+// Command runtests runs `go test` with its own arguments and judges the result against
+// KNOWN-RED.txt; see package knownred.
 package main
 
 import (
@@ -23,6 +23,7 @@
 	}
 }
 
+// runTests fails if the run does.
 func runTests(args []string, out io.Writer) error {
 	entries, err := loadKnownFailures()
 	if err != nil {
@@ -57,8 +58,7 @@
 	return knownred.Parse(file)
 }
 
-// printResult prints the verdict. A failed `go test` that shows no failure passes
-// under no list.
+// printResult prints the result. A `go test` that failed without a known failure is an error.
 func printResult(result *knownred.Result, exitErr error, out io.Writer) error {
 	for _, entry := range result.KnownFailures {
 		fmt.Fprintf(out, "known failure: %s: %s (issue %s)\n", entry.Test, entry.Cause, entry.Issue)
