--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -7,7 +7,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"os"
+	"slices"
 )
 
 // Platform is the file that the platform hands over. Unknown fields are
@@ -137,9 +137,9 @@
 
 // LoadPlatform reads and checks the platform's file.
 func LoadPlatform(path string) (*Platform, error) {
-	data, err := os.ReadFile(path)
+	data, err := readFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%s: cannot be read: %w", path, errors.Unwrap(err))
+		return nil, err
 	}
 	platform, err := ParsePlatform(data)
 	if err != nil {
@@ -164,51 +164,97 @@
 	return platform, nil
 }
 
-// checks are what has to hold of the platform's settings.
+// checks are what must hold of the platform's settings, in the order of reports.
 func (platform *Platform) checks() []check {
-	deployment := &platform.Deployment
 	checks := []check{
 		{platform.Member != "", "member", "is missing"},
-		{isAddrPort(platform.ListenAddress), "serve_on", "is not IP:port"},
-		{isAddrPort(platform.PeerListenAddress), "peer_bind", "is not IP:port"},
-		{isAddrPort(platform.External.CloudAddress), "outside.cloud", "is not IP:port"},
-		{isAddrPort(platform.External.StoreAddress), "outside.state", "is not IP:port"},
+		checkAddrPort("serve_on", platform.ListenAddress),
+		checkAddrPort("peer_bind", platform.PeerListenAddress),
+		checkAddrPort("outside.cloud", platform.External.CloudAddress),
+		checkAddrPort("outside.state", platform.External.StoreAddress),
+	}
+	return slices.Concat(checks, platform.Deployment.checks(), platform.peerChecks(), platform.Deployment.teamChecks())
+}
+
+func (deployment *Deployment) checks() []check {
+	zones := []check{
 		{len(deployment.Zones) > 0, "deployment.zones", "is empty"},
 		{hasDistinctNames(deployment.Zones), "deployment.zones", "names a zone twice, or one without a name"},
-		{isPositive(deployment.Workers.HeartbeatIntervalSeconds), "deployment.workers.report_s", "is not above 0"},
-		{deployment.Workers.LeaseSeconds > deployment.Workers.HeartbeatIntervalSeconds && isPositive(deployment.Workers.LeaseSeconds), "deployment.workers.lease_s", "is not above report_s"},
-		{isPositive(deployment.Workers.GangStartTimeoutSeconds), "deployment.workers.gang_wait_s", "is not above 0"},
-		{isPositive(deployment.Workers.GangPeerTimeoutSeconds), "deployment.workers.gang_peer_s", "is not above 0"},
-		{isPositive(deployment.Workers.CancelTimeoutSeconds), "deployment.workers.cancel_s", "is not above 0"},
-		{isPositive(deployment.Store.RPS), "deployment.state.rps", "is not above 0"},
-		{isPositive(deployment.Store.WriteRPS), "deployment.state.write_rps", "is not above 0"},
-		{deployment.Store.MaxValueKB >= 1 && isPositive(deployment.Store.MaxValueKB), "deployment.state.value_kb", "is below 1"},
-		{deployment.Store.MaxTransactionOps >= 1, "deployment.state.txn_ops", "is below 1"},
-		{deployment.Store.Upcoming == nil || isNonNegative(deployment.Store.Upcoming.WriteRPS), "deployment.state.next.write_rps", "is below 0"},
-		{deployment.Store.Upcoming == nil || deployment.Store.Upcoming.MaxValueKB == 0 || deployment.Store.Upcoming.MaxValueKB >= 1 && isPositive(deployment.Store.Upcoming.MaxValueKB), "deployment.state.next.value_kb", "is below 1"},
-		{deployment.Store.Upcoming == nil || deployment.Store.Upcoming.MaxTransactionOps >= 0, "deployment.state.next.txn_ops", "is below 0"},
-		{isPositive(deployment.Cloud.RPS), "deployment.cloud.rps", "is not above 0"},
-		{isNonNegative(deployment.Cloud.ListLagSeconds), "deployment.cloud.list_lag_s", "is below 0"},
-		{isPositive(deployment.ProcessLimits.Cores), "deployment.limits.cores", "is not above 0"},
-		{deployment.ProcessLimits.MemoryMB >= 32 && isPositive(deployment.ProcessLimits.MemoryMB), "deployment.limits.ram_mb", "is below 32"},
-		{deployment.ProcessLimits.MaxSockets >= 32, "deployment.limits.max_sockets", "is below 32"},
-		{isNonNegative(deployment.ClockErrorMillis), "deployment.clock_error_ms", "is below 0"},
 	}
+	cloud := []check{
+		checkPositive("deployment.cloud.rps", deployment.Cloud.RPS),
+		checkNonNegative("deployment.cloud.list_lag_s", deployment.Cloud.ListLagSeconds),
+	}
+	return slices.Concat(zones, deployment.Workers.checks(), deployment.Store.checks(), cloud, deployment.ProcessLimits.checks(),
+		[]check{checkNonNegative("deployment.clock_error_ms", deployment.ClockErrorMillis)})
+}
+
+func (timings *WorkerTimings) checks() []check {
+	isLeaseLongEnough := timings.LeaseSeconds > timings.HeartbeatIntervalSeconds && isPositive(timings.LeaseSeconds)
+	return []check{
+		checkPositive("deployment.workers.report_s", timings.HeartbeatIntervalSeconds),
+		{isLeaseLongEnough, "deployment.workers.lease_s", "is not above report_s"},
+		checkPositive("deployment.workers.gang_wait_s", timings.GangStartTimeoutSeconds),
+		checkPositive("deployment.workers.gang_peer_s", timings.GangPeerTimeoutSeconds),
+		checkPositive("deployment.workers.cancel_s", timings.CancelTimeoutSeconds),
+	}
+}
+
+func (limits *StoreLimits) checks() []check {
+	checks := []check{
+		checkPositive("deployment.state.rps", limits.RPS),
+		checkPositive("deployment.state.write_rps", limits.WriteRPS),
+		{isValidMaxValue(limits.MaxValueKB), "deployment.state.value_kb", "is below 1"},
+		{limits.MaxTransactionOps >= 1, "deployment.state.txn_ops", "is below 1"},
+	}
+	if limits.Upcoming != nil {
+		checks = append(checks, limits.Upcoming.checks()...)
+	}
+	return checks
+}
+
+func (limits *UpcomingStoreLimits) checks() []check {
+	return []check{
+		checkNonNegative("deployment.state.next.write_rps", limits.WriteRPS),
+		{limits.MaxValueKB == 0 || isValidMaxValue(limits.MaxValueKB), "deployment.state.next.value_kb", "is below 1"},
+		{limits.MaxTransactionOps >= 0, "deployment.state.next.txn_ops", "is below 0"},
+	}
+}
+
+func isValidMaxValue(kilobytes float64) bool { return kilobytes >= 1 && isPositive(kilobytes) }
+
+// The least limits of the process that a controller runs with at all.
+const (
+	minMemoryMB = 32
+	minSockets  = 32
+)
+
+func (limits *ProcessLimits) checks() []check {
+	return []check{
+		checkPositive("deployment.limits.cores", limits.Cores),
+		{limits.MemoryMB >= minMemoryMB && isPositive(limits.MemoryMB), "deployment.limits.ram_mb", "is below 32"},
+		{limits.MaxSockets >= minSockets, "deployment.limits.max_sockets", "is below 32"},
+	}
+}
+
+func (platform *Platform) peerChecks() []check {
+	var checks []check
 	members := map[string]bool{platform.Member: true}
 	for i, peer := range platform.Peers {
-		checks = append(checks,
-			check{peer.Member != "" && !members[peer.Member], fmt.Sprintf("others[%d].member", i), "is missing or not unique"},
-			check{isAddrPort(peer.Address), fmt.Sprintf("others[%d].address", i), "is not IP:port"})
-		members[peer.Member] = true
+		field := fmt.Sprintf("others[%d]", i)
+		checks = append(checks, checkUnique(field+".member", peer.Member, members), checkAddrPort(field+".address", peer.Address))
 	}
-	teams := map[string]bool{}
+	return checks
+}
+
+func (deployment *Deployment) teamChecks() []check {
+	var checks []check
+	names := map[string]bool{}
 	for i, team := range deployment.Teams {
 		field := fmt.Sprintf("deployment.teams[%d]", i)
-		checks = append(checks,
-			check{team.Name != "" && !teams[team.Name], field + ".name", "is missing or not unique"},
+		checks = append(checks, checkUnique(field+".name", team.Name, names),
 			check{isNonNegative(team.GuaranteedCPUs) && isNonNegative(team.GuaranteedGPUs), field, "has a guarantee below 0"},
 			check{isNonNegative(team.MaxCPUs) && isNonNegative(team.MaxGPUs), field, "has a limit below 0"})
-		teams[team.Name] = true
 	}
 	return checks
 }
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -3,15 +3,18 @@
 import (
 	"errors"
 	"fmt"
+	"io/fs"
 	"math"
 	"net/netip"
+	"os"
 	"strings"
 )
 
 // FieldError is what is wrong with one field of the settings.
 type FieldError struct{ Field, Reason string }
 
-func (p FieldError) String() string { return p.Field + ": " + p.Reason }
+// Error gives the field and the reason.
+func (problem FieldError) Error() string { return problem.Field + ": " + problem.Reason }
 
 // FieldErrors are all that is wrong with a settings file.
 type FieldErrors []FieldError
@@ -20,11 +23,33 @@
 func (problems FieldErrors) Error() string {
 	lines := make([]string, len(problems))
 	for i := range problems {
-		lines[i] = problems[i].String()
+		lines[i] = problems[i].Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
+// Unwrap gives the problems one by one.
+func (problems FieldErrors) Unwrap() []error {
+	wrapped := make([]error, len(problems))
+	for i := range problems {
+		wrapped[i] = problems[i]
+	}
+	return wrapped
+}
+
+// readFile reads a settings file. The path stands once in the error.
+func readFile(path string) ([]byte, error) {
+	data, err := os.ReadFile(path)
+	var pathError *fs.PathError
+	if errors.As(err, &pathError) {
+		err = pathError.Err
+	}
+	if err != nil {
+		return nil, fmt.Errorf("%s: cannot be read: %w", path, err)
+	}
+	return data, nil
+}
+
 // withFilePath names the file that an error is about, in each of its lines.
 func withFilePath(path string, err error) error {
 	var problems FieldErrors
@@ -38,10 +63,34 @@
 	return prefixed
 }
 
-// check is something that has to hold of a field.
+// check is something that must hold of a field.
 type check struct {
 	ok            bool
-	field, reason string
+	field, reason string // the reason goes on from the field's name, as in "is below 0"
+}
+
+func checkPositive(field string, value float64) check {
+	return check{isPositive(value), field, "is not above 0"}
+}
+
+func checkNonNegative(field string, value float64) check {
+	return check{isNonNegative(value), field, "is below 0"}
+}
+
+// checkFraction asks for a smoothing factor.
+func checkFraction(field string, value float64) check {
+	return check{value > 0 && value <= 1, field, "is not within (0, 1]"}
+}
+
+func checkAddrPort(field, value string) check {
+	return check{isAddrPort(value), field, "is not IP:port"}
+}
+
+// checkUnique asks for a name that is not among those seen, and adds it to them.
+func checkUnique(field, name string, seen map[string]bool) check {
+	ok := name != "" && !seen[name]
+	seen[name] = true
+	return check{ok, field, "is missing or not unique"}
 }
 
 // collectProblems lists the checks that don't hold, nil if there are none.
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -2,9 +2,7 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
-	"os"
 	"path/filepath"
 
 	"github.com/goccy/go-yaml"
@@ -99,9 +97,9 @@
 	if path == "" {
 		return DefaultTuning(), nil
 	}
-	data, err := os.ReadFile(path)
+	data, err := readFile(path)
 	if err != nil {
-		return Tuning{}, fmt.Errorf("%s: cannot be read: %w", path, errors.Unwrap(err))
+		return Tuning{}, err
 	}
 	tuning, err := ParseTuning(data)
 	if err != nil {
@@ -128,26 +126,26 @@
 func (tuning *Tuning) checks() []check {
 	return []check{
 		{isNonNegative(tuning.LeaderTTLS) && (tuning.LeaderTTLS == 0 || tuning.LeaderTTLS >= 0.5) && tuning.LeaderTTLS <= 600, "leader_ttl_s", "is not 0 or between 0.5 and 600"},
-		{isNonNegative(tuning.Alpha), "alpha", "is below 0"},
-		{isNonNegative(tuning.Beta), "beta", "is below 0"},
-		{isNonNegative(tuning.IdleWaitS), "idle_wait_s", "is below 0"},
+		checkNonNegative("alpha", tuning.Alpha),
+		checkNonNegative("beta", tuning.Beta),
+		checkNonNegative("idle_wait_s", tuning.IdleWaitS),
 		{isNonNegative(tuning.LaxIdleWaitS) && tuning.LaxIdleWaitS <= tuning.IdleWaitS, "lax_idle_wait_s", "is not between 0 and idle_wait_s"},
-		{isPositive(tuning.ScreenWindowS), "screen_window_s", "is not above 0"},
-		{isNonNegative(tuning.RecencyS), "recency_s", "is below 0"},
+		checkPositive("screen_window_s", tuning.ScreenWindowS),
+		checkNonNegative("recency_s", tuning.RecencyS),
 		{tuning.SpareMin >= 0, "spare_min", "is below 0"},
 		{tuning.SpareMax == 0 || tuning.SpareMax >= tuning.SpareMin && tuning.SpareMax <= 100_000, "spare_max", "is not 0 or between spare_min and 100000"},
 		{tuning.ScreenMinSamples >= 3, "screen_min_samples", "is below 3"},
 		{tuning.ScreenMaxSamples >= tuning.ScreenMinSamples, "screen_max_samples", "is below screen_min_samples"},
-		{isNonNegative(tuning.ScreenCV), "screen_cv", "is below 0"},
-		{isNonNegative(tuning.ScreenLag), "screen_lag", "is below 0"},
-		{isPositive(tuning.ScreenKS), "screen_ks", "is not above 0"},
-		{tuning.SmoothArrival > 0 && tuning.SmoothArrival <= 1, "smooth_arrival", "is not within (0, 1]"},
-		{tuning.SmoothService > 0 && tuning.SmoothService <= 1, "smooth_service", "is not within (0, 1]"},
-		{tuning.SmoothNeed > 0 && tuning.SmoothNeed <= 1, "smooth_need", "is not within (0, 1]"},
-		{isPositive(tuning.HorizonS), "horizon_s", "is not above 0"},
-		{isNonNegative(tuning.SpotPatienceS), "spot_patience_s", "is below 0"},
-		{isPositive(tuning.AgeAfterS), "age_after_s", "is not above 0"},
-		{isNonNegative(tuning.GangWeight), "gang_weight", "is below 0"},
+		checkNonNegative("screen_cv", tuning.ScreenCV),
+		checkNonNegative("screen_lag", tuning.ScreenLag),
+		checkPositive("screen_ks", tuning.ScreenKS),
+		checkFraction("smooth_arrival", tuning.SmoothArrival),
+		checkFraction("smooth_service", tuning.SmoothService),
+		checkFraction("smooth_need", tuning.SmoothNeed),
+		checkPositive("horizon_s", tuning.HorizonS),
+		checkNonNegative("spot_patience_s", tuning.SpotPatienceS),
+		checkPositive("age_after_s", tuning.AgeAfterS),
+		checkNonNegative("gang_weight", tuning.GangWeight),
 		{tuning.FleetMachines >= 0, "fleet_machines", "is below 0"},
 		{tuning.FinishedJobs == 0 || tuning.FinishedJobs >= minFinishedJobs, "finished_jobs", "is not 0 or at least 100"},
 		{tuning.ArchiveFinishedAfterS == 0 || tuning.ArchiveFinishedAfterS >= minArchiveAfterSeconds && tuning.ArchiveFinishedAfterS <= 1e9, "archive_finished_after_s", "is not 0 or at least 600"},
