--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -74,6 +74,24 @@
 	}
 }
 
+// A setting of the wrong type is refused by its name alone, without the group that it is in.
+func TestTuningTypeErrorsNameTheField(t *testing.T) {
+	for _, testCase := range [][2]string{
+		{"alpha: x\n", "Go struct field Tuning.Alpha of type float64"},
+		{"recency_s: x\n", "Go struct field Tuning.RecencyS of type float64"},
+		{"spare_min: x\n", "Go struct field Tuning.SpareMin of type int"},
+		{"screen_ks: x\n", "Go struct field Tuning.ScreenKS of type float64"},
+		{"smooth_need: x\n", "Go struct field Tuning.SmoothNeed of type float64"},
+		{"horizon_s: x\n", "Go struct field Tuning.HorizonS of type float64"},
+		{"standby:\n  enabled: x\n", "Go struct field Tuning.Standby of type bool"},
+	} {
+		if _, err := ParseTuning([]byte(testCase[0])); err == nil || !strings.HasSuffix(err.Error(), testCase[1]) {
+			t.Errorf("%q: %v", testCase[0], err)
+		}
+	}
+}
+
+// Settings that are missing have their defaults; unknown and invalid ones are refused by name.
 func TestTuning(t *testing.T) {
 	if tuning, err := ParseTuning(nil); err != nil || tuning != DefaultTuning() {
 		t.Fatalf("empty: %v %v", tuning, err)
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -2,97 +2,136 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"path/filepath"
+	"slices"
+	"strings"
 
 	"github.com/goccy/go-yaml"
 )
 
-// Tuning is the operators' file.
+// Tuning is the operators' file: how firwood behaves. Names of settings that end in _s are
+// seconds. The file is flat; the groups exist in Go only.
 type Tuning struct {
-	// Lock time of the leader, in seconds; 0 derives it from the workers' lease.
-	LeaderTTLS float64 `yaml:"leader_ttl_s"`
-	// Weight of a second of wait, in idle machine-seconds.
+	// LeaderTTLS is the TTL of the leader lock; 0 derives it from the workers' lease.
+	LeaderTTLS       float64 `yaml:"leader_ttl_s"`
+	Costs            `yaml:",inline"`
+	ArrivalWindows   `yaml:",inline"`
+	WarmSpares       `yaml:",inline"`
+	ScreenTolerances `yaml:",inline"`
+	Smoothing        `yaml:",inline"`
+	// HorizonS bounds the planning horizon for the cost of idle machines.
+	HorizonS float64 `yaml:"horizon_s"`
+	// SpotPatienceS is how long a job that allows spot machines waits for one before an
+	// on-demand machine is requested for it.
+	SpotPatienceS float64 `yaml:"spot_patience_s"`
+	// AgeAfterS is the threshold of priority aging: a job of which nothing has been started
+	// for so long goes first within its priority.
+	AgeAfterS float64 `yaml:"age_after_s"`
+	// GangWeight is what a second of a gang's wait weighs, in seconds of lower-priority work on
+	// as many machines: it decides whether the gang waits for room or has work preempted.
+	GangWeight float64 `yaml:"gang_weight"`
+	// FleetMachines is the largest fleet planned, used to check the deployment's limits;
+	// 0: no check.
+	FleetMachines int `yaml:"fleet_machines"`
+	// FinishedJobs is the size of a controller's cache of finished jobs, in jobs; others are
+	// looked up in the key-value store. 0 derives it from the memory limit.
+	FinishedJobs int `yaml:"finished_jobs"`
+	// ArchiveFinishedAfterS is the age at which finished jobs are moved to the archive, which is
+	// not read when a controller starts; 0: there is none, and what is in it is moved back.
+	ArchiveFinishedAfterS float64 `yaml:"archive_finished_after_s"`
+	// Standby is about replicas of the leader's allocation table.
+	Standby Standby `yaml:"standby"`
+}
+
+// Costs weigh waiting work against idle machines.
+type Costs struct {
+	// Alpha is the weight of a second of wait, in idle machine-seconds.
 	Alpha float64 `yaml:"alpha"`
-	// Weight of an idle machine-second.
+	// Beta is the weight of an idle machine-second.
 	Beta float64 `yaml:"beta"`
-	// How long an idle machine is kept, in seconds.
+	// IdleWaitS is how long an idle machine is kept.
 	IdleWaitS float64 `yaml:"idle_wait_s"`
-	// The same where users expect no start sooner than a machine boots.
+	// LaxIdleWaitS is the same where users expect no start sooner than a machine boots.
 	LaxIdleWaitS float64 `yaml:"lax_idle_wait_s"`
-	// Window of the screen, in seconds.
+}
+
+// ArrivalWindows are how far back arrivals of jobs count.
+type ArrivalWindows struct {
+	// ScreenWindowS is the window of the arrival screen.
 	ScreenWindowS float64 `yaml:"screen_window_s"`
-	// How long an arrival counts as recent, in seconds.
+	// RecencyS is how long an arrival counts as recent.
 	RecencyS float64 `yaml:"recency_s"`
-	// Bounds of the spare target, in machines; an upper one of 0 grows with the
-	// fleet.
+}
+
+// WarmSpares bounds the target for warm spares, in machines.
+type WarmSpares struct {
 	SpareMin int `yaml:"spare_min"`
+	// SpareMax of 0 grows with the fleet.
 	SpareMax int `yaml:"spare_max"`
-	// The screen's tolerances, as in the paper.
-	ScreenMinSamples int     `yaml:"screen_min_samples"`
-	ScreenMaxSamples int     `yaml:"screen_max_samples"`
-	ScreenCV         float64 `yaml:"screen_cv"`
-	ScreenLag        float64 `yaml:"screen_lag"`
-	ScreenKS         float64 `yaml:"screen_ks"`
-	// Smoothing factors of arrivals, service and request sizes.
+}
+
+// ScreenTolerances are the tolerances of the arrival screen, as in the paper on SNF-ICON
+// (PAPER): how far intervals between arrivals may be from exponential ones.
+type ScreenTolerances struct {
+	// ScreenMinSamples and ScreenMaxSamples bound how many intervals are looked at.
+	ScreenMinSamples int `yaml:"screen_min_samples"`
+	ScreenMaxSamples int `yaml:"screen_max_samples"`
+	// ScreenCV is how far the coefficient of variation may be from 1.
+	ScreenCV float64 `yaml:"screen_cv"`
+	// ScreenLag is the largest correlation, by amount, of successive intervals.
+	ScreenLag float64 `yaml:"screen_lag"`
+	// ScreenKS is the largest Kolmogorov-Smirnov distance, times the square root of the
+	// number of samples.
+	ScreenKS float64 `yaml:"screen_ks"`
+}
+
+// Smoothing are the factors of exponential smoothing, within (0, 1]: of intervals between
+// arrivals, of run times, and of the sizes of requests.
+type Smoothing struct {
 	SmoothArrival float64 `yaml:"smooth_arrival"`
 	SmoothService float64 `yaml:"smooth_service"`
 	SmoothNeed    float64 `yaml:"smooth_need"`
-	// Bound of the planning horizon, in seconds.
-	HorizonS float64 `yaml:"horizon_s"`
-	// How long a job that may use spot machines waits for one before an
-	// ordinary machine is rented for it, in seconds.
-	SpotPatienceS float64 `yaml:"spot_patience_s"`
-	// After how long a job of which nothing has started goes first within its
-	// rank, in seconds.
-	AgeAfterS float64 `yaml:"age_after_s"`
-	// What a second of a gang's wait weighs, in seconds of lesser work on as many
-	// machines: by it gangs wait for room, or have work stopped.
-	GangWeight float64 `yaml:"gang_weight"`
-	// The most machines that the deployment is to have, by which its limits are
-	// checked; 0: not said.
-	FleetMachines int `yaml:"fleet_machines"`
-	// How many finished jobs a controller remembers, beside which it asks the state
-	// service; 0 derives it from its memory.
-	FinishedJobs int `yaml:"finished_jobs"`
-	// After how many seconds finished jobs are moved to the archive, which is not read when
-	// a controller starts; 0: there is none, and what is there is moved back.
-	ArchiveFinishedAfterS float64 `yaml:"archive_finished_after_s"`
-	// Whether, and how, followers keep a copy of the leader's account.
-	Standby Standby `yaml:"standby"`
 }
 
-// Standby are the settings of the followers' copies of the leader's account.
+// Standby are the settings of replicas of the leader's allocation table on the followers.
 type Standby struct {
-	// Enabled has this controller keep such a copy, and stream its account when it leads.
+	// Enabled makes this controller keep a replica, and stream its table when it leads.
 	Enabled bool `yaml:"enabled"`
-	// Trace is a file, or "stderr", that spans of take-overs are written to; none if empty.
+	// Trace is the file, or "stderr", to which spans of failovers are written; none if empty.
 	Trace string `yaml:"trace"`
 }
 
-// minArchiveAfterSeconds is how old a finished job has to be to be archived: later than any
-// late message about it.
-const minArchiveAfterSeconds = 600
-
-// minFinishedJobs is how many finished jobs a controller has to remember, if it is said:
-// users ask for a job until they are told of its end.
-const minFinishedJobs = 100
+const (
+	// minLeaderTTLSeconds and maxLeaderTTLSeconds bound the TTL of the leader lock.
+	minLeaderTTLSeconds = 0.5
+	maxLeaderTTLSeconds = 600
+	// maxSpares bounds the upper bound of warm spares.
+	maxSpares = 100_000
+	// minScreenSamples is the fewest arrivals that the screen's statistics are defined for.
+	minScreenSamples = 3
+	// minArchiveAfterSeconds is later than any late message about a finished job comes.
+	minArchiveAfterSeconds = 600
+	maxArchiveAfterSeconds = 1e9
+	// minFinishedJobs is the smallest cache: users ask for a job until they have got its end.
+	minFinishedJobs = 100
+)
 
-// DefaultTuning holds the named defaults.
+// DefaultTuning gives the defaults.
 func DefaultTuning() Tuning {
 	return Tuning{
-		Alpha: 50, Beta: 1, IdleWaitS: 25, LaxIdleWaitS: 8,
-		ScreenWindowS: 120, RecencyS: 60, SpareMin: 1, SpareMax: 0,
-		ScreenMinSamples: 3, ScreenMaxSamples: 1000,
-		ScreenCV: 0.45, ScreenLag: 0.65, ScreenKS: 3.75,
-		SmoothArrival: 0.2, SmoothService: 0.1, SmoothNeed: 0.1, HorizonS: 600,
-		SpotPatienceS: 40, AgeAfterS: 150, GangWeight: 5,
+		Costs:            Costs{Alpha: 50, Beta: 1, IdleWaitS: 25, LaxIdleWaitS: 8},
+		ArrivalWindows:   ArrivalWindows{ScreenWindowS: 120, RecencyS: 60},
+		WarmSpares:       WarmSpares{SpareMin: 1, SpareMax: 0},
+		ScreenTolerances: ScreenTolerances{ScreenMinSamples: 3, ScreenMaxSamples: 1000, ScreenCV: 0.45, ScreenLag: 0.65, ScreenKS: 3.75},
+		Smoothing:        Smoothing{SmoothArrival: 0.2, SmoothService: 0.1, SmoothNeed: 0.1},
+		HorizonS:         600, SpotPatienceS: 40, AgeAfterS: 150, GangWeight: 5,
 		Standby: Standby{Enabled: true},
 	}
 }
 
-// LoadTuning reads and checks the operators' file; an empty path gives the
-// defaults.
+// LoadTuning reads and checks the operators' file. An empty path gives the defaults.
 func LoadTuning(path string) (Tuning, error) {
 	if path == "" {
 		return DefaultTuning(), nil
@@ -108,11 +147,13 @@
 	return tuning, nil
 }
 
-// ParseTuning checks the operators' settings. An unknown key is an error.
+// ParseTuning decodes and checks the operators' settings. An unknown key is an error; one that
+// is missing has its default.
 func ParseTuning(data []byte) (Tuning, error) {
 	tuning := DefaultTuning()
 	if len(bytes.TrimSpace(data)) > 0 {
 		if err := yaml.UnmarshalWithOptions(data, &tuning, yaml.Strict()); err != nil {
+			nameField(err)
 			return tuning, fmt.Errorf("not valid YAML: %s", yaml.FormatError(err, false, false))
 		}
 	}
@@ -122,34 +163,93 @@
 	return tuning, nil
 }
 
-// checks are what has to hold of the operators' settings.
+// nameField drops the name of a group from a type error, which names the field by Go's names:
+// operators get "Tuning.Alpha", as when there were no groups.
+func nameField(err error) {
+	var typeError *yaml.TypeError
+	if !errors.As(err, &typeError) || typeError.StructFieldName == nil {
+		return
+	}
+	if names := strings.Split(*typeError.StructFieldName, "."); len(names) > 2 {
+		name := names[0] + "." + names[len(names)-1]
+		typeError.StructFieldName = &name
+	}
+}
+
+// checks are what must hold of the operators' settings, in the order of reports.
 func (tuning *Tuning) checks() []check {
+	return slices.Concat(
+		[]check{{isValidLeaderTTL(tuning.LeaderTTLS), "leader_ttl_s", "is not 0 or between 0.5 and 600"}},
+		tuning.Costs.checks(), tuning.ArrivalWindows.checks(), tuning.WarmSpares.checks(),
+		tuning.ScreenTolerances.checks(), tuning.Smoothing.checks(),
+		[]check{
+			checkPositive("horizon_s", tuning.HorizonS),
+			checkNonNegative("spot_patience_s", tuning.SpotPatienceS),
+			checkPositive("age_after_s", tuning.AgeAfterS),
+			checkNonNegative("gang_weight", tuning.GangWeight),
+			{tuning.FleetMachines >= 0, "fleet_machines", "is below 0"},
+			{tuning.FinishedJobs == 0 || tuning.FinishedJobs >= minFinishedJobs, "finished_jobs", "is not 0 or at least 100"},
+			{isValidArchiveAge(tuning.ArchiveFinishedAfterS), "archive_finished_after_s", "is not 0 or at least 600"},
+		},
+		tuning.Standby.checks(),
+	)
+}
+
+func isValidLeaderTTL(seconds float64) bool {
+	return seconds == 0 || seconds >= minLeaderTTLSeconds && seconds <= maxLeaderTTLSeconds
+}
+
+func isValidArchiveAge(seconds float64) bool {
+	return seconds == 0 || seconds >= minArchiveAfterSeconds && seconds <= maxArchiveAfterSeconds
+}
+
+func (costs *Costs) checks() []check {
+	isRelaxedShorter := isNonNegative(costs.LaxIdleWaitS) && costs.LaxIdleWaitS <= costs.IdleWaitS
+	return []check{
+		checkNonNegative("alpha", costs.Alpha),
+		checkNonNegative("beta", costs.Beta),
+		checkNonNegative("idle_wait_s", costs.IdleWaitS),
+		{isRelaxedShorter, "lax_idle_wait_s", "is not between 0 and idle_wait_s"},
+	}
+}
+
+func (windows *ArrivalWindows) checks() []check {
+	return []check{
+		checkPositive("screen_window_s", windows.ScreenWindowS),
+		checkNonNegative("recency_s", windows.RecencyS),
+	}
+}
+
+func (spares *WarmSpares) checks() []check {
+	isBounded := spares.SpareMax == 0 || spares.SpareMax >= spares.SpareMin && spares.SpareMax <= maxSpares
+	return []check{
+		{spares.SpareMin >= 0, "spare_min", "is below 0"},
+		{isBounded, "spare_max", "is not 0 or between spare_min and 100000"},
+	}
+}
+
+func (tolerances *ScreenTolerances) checks() []check {
+	return []check{
+		{tolerances.ScreenMinSamples >= minScreenSamples, "screen_min_samples", "is below 3"},
+		{tolerances.ScreenMaxSamples >= tolerances.ScreenMinSamples, "screen_max_samples", "is below screen_min_samples"},
+		checkNonNegative("screen_cv", tolerances.ScreenCV),
+		checkNonNegative("screen_lag", tolerances.ScreenLag),
+		checkPositive("screen_ks", tolerances.ScreenKS),
+	}
+}
+
+func (smoothing *Smoothing) checks() []check {
+	return []check{
+		checkFraction("smooth_arrival", smoothing.SmoothArrival),
+		checkFraction("smooth_service", smoothing.SmoothService),
+		checkFraction("smooth_need", smoothing.SmoothNeed),
+	}
+}
+
+func (standby *Standby) checks() []check {
+	isValidTrace := standby.Trace == "" || standby.Trace == "stderr" || filepath.IsAbs(standby.Trace)
 	return []check{
-		{isNonNegative(tuning.LeaderTTLS) && (tuning.LeaderTTLS == 0 || tuning.LeaderTTLS >= 0.5) && tuning.LeaderTTLS <= 600, "leader_ttl_s", "is not 0 or between 0.5 and 600"},
-		checkNonNegative("alpha", tuning.Alpha),
-		checkNonNegative("beta", tuning.Beta),
-		checkNonNegative("idle_wait_s", tuning.IdleWaitS),
-		{isNonNegative(tuning.LaxIdleWaitS) && tuning.LaxIdleWaitS <= tuning.IdleWaitS, "lax_idle_wait_s", "is not between 0 and idle_wait_s"},
-		checkPositive("screen_window_s", tuning.ScreenWindowS),
-		checkNonNegative("recency_s", tuning.RecencyS),
-		{tuning.SpareMin >= 0, "spare_min", "is below 0"},
-		{tuning.SpareMax == 0 || tuning.SpareMax >= tuning.SpareMin && tuning.SpareMax <= 100_000, "spare_max", "is not 0 or between spare_min and 100000"},
-		{tuning.ScreenMinSamples >= 3, "screen_min_samples", "is below 3"},
-		{tuning.ScreenMaxSamples >= tuning.ScreenMinSamples, "screen_max_samples", "is below screen_min_samples"},
-		checkNonNegative("screen_cv", tuning.ScreenCV),
-		checkNonNegative("screen_lag", tuning.ScreenLag),
-		checkPositive("screen_ks", tuning.ScreenKS),
-		checkFraction("smooth_arrival", tuning.SmoothArrival),
-		checkFraction("smooth_service", tuning.SmoothService),
-		checkFraction("smooth_need", tuning.SmoothNeed),
-		checkPositive("horizon_s", tuning.HorizonS),
-		checkNonNegative("spot_patience_s", tuning.SpotPatienceS),
-		checkPositive("age_after_s", tuning.AgeAfterS),
-		checkNonNegative("gang_weight", tuning.GangWeight),
-		{tuning.FleetMachines >= 0, "fleet_machines", "is below 0"},
-		{tuning.FinishedJobs == 0 || tuning.FinishedJobs >= minFinishedJobs, "finished_jobs", "is not 0 or at least 100"},
-		{tuning.ArchiveFinishedAfterS == 0 || tuning.ArchiveFinishedAfterS >= minArchiveAfterSeconds && tuning.ArchiveFinishedAfterS <= 1e9, "archive_finished_after_s", "is not 0 or at least 600"},
-		{tuning.Standby.Trace == "" || tuning.Standby.Trace == "stderr" || filepath.IsAbs(tuning.Standby.Trace), "standby.trace", "is not \"stderr\" or the full path of a file"},
-		{tuning.Standby.Trace == "" || tuning.Standby.Enabled, "standby.trace", "is set while standby.enabled is not"},
+		{isValidTrace, "standby.trace", "is not \"stderr\" or the full path of a file"},
+		{standby.Trace == "" || standby.Enabled, "standby.trace", "is set while standby.enabled is not"},
 	}
 }
