--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,13 @@
-// Package clock owns the two clocks a process reads: the steady one, by which
-// leases and timers are reckoned, and the time of day, by which deadlines of
-// jobs are. Both are whole microseconds.
+// Package clock reads the monotonic clock, for leases and timers, and the time of day, for the
+// deadlines of jobs. Both are in whole microseconds.
 package clock
 
-import "time"
+import (
+	"math"
+	"time"
+)
 
-// Micros is a duration or an instant in whole microseconds.
+// Micros is a duration, or an instant of either clock, in whole microseconds.
 type Micros int64
 
 // Units of Micros.
@@ -14,33 +16,35 @@
 	Second      Micros = 1000 * Millisecond
 )
 
+// origin is one second after the zero of the monotonic clock.
 var origin = time.Now()
 
-// ResetOrigin puts the zero of the steady clock to now. Tests in simulated time call it
-// first: their time does not go on from that of the process.
+// ResetOrigin makes the monotonic clock begin now. Tests in simulated time call it before
+// anything else, since their time does not follow on from that of the process; it is not
+// synchronized with Now.
 func ResetOrigin() { origin = time.Now() }
 
-// Now reads the steady clock. Its zero lies one second before the start of the
-// process, so that a zero instant always means "never".
+// Now reads the monotonic clock. Its zero is one second before the start of the process, so
+// that a zero instant always means "never".
 func Now() Micros { return Micros(time.Since(origin).Microseconds()) + Second }
 
-// WallTime reads the time of day, in microseconds since 1970.
+// WallTime reads the time of day, in microseconds since 1970 (UTC).
 func WallTime() Micros { return Micros(time.Now().UnixMicro()) }
 
-// FromSeconds rounds an amount of seconds, as the wire carries it.
+// maxSeconds bounds conversions, so that sums of a few results don't overflow.
+const maxSeconds = 1e12
+
+// FromSeconds converts and rounds a number of seconds, as in messages and settings. Negative
+// numbers and NaN give 0, and those above maxSeconds give maxSeconds.
 func FromSeconds(seconds float64) Micros {
-	const most = 1e12
-	if seconds != seconds || seconds <= 0 {
+	if math.IsNaN(seconds) || seconds <= 0 {
 		return 0
 	}
-	if seconds > most {
-		seconds = most
-	}
-	return Micros(seconds*1e6 + 0.5)
+	return Micros(min(seconds, maxSeconds)*float64(Second) + 0.5)
 }
 
-// Seconds is the amount as the wire carries it.
-func (micros Micros) Seconds() float64 { return float64(micros) / 1e6 }
+// Seconds converts to seconds, as in messages and settings.
+func (micros Micros) Seconds() float64 { return float64(micros) / float64(Second) }
 
-// Duration converts to the standard library's type.
+// Duration converts to the standard library's type, which must not overflow: below 292 years.
 func (micros Micros) Duration() time.Duration { return time.Duration(micros) * time.Microsecond }
