--- a/cmd/firwood/settings.go
+++ b/cmd/firwood/settings.go
@@ -40,7 +40,7 @@
 	}
 	var shortfalls []error
 	for _, shortfall := range platform.Shortfalls(tuning.FleetMachines) {
-		shortfalls = append(shortfalls, errors.New(shortfall.String()))
+		shortfalls = append(shortfalls, shortfall)
 	}
 	if shortfalls != nil {
 		return settingsError{errors.Join(shortfalls...)}
--- a/internal/config/capacity.go
+++ b/internal/config/capacity.go
@@ -3,63 +3,89 @@
 import (
 	"fmt"
 	"math"
+
+	"firwood.dev/firwood/wire"
 )
 
-// Shortfall is a limit of the deployment that is below what its fleet needs.
+// Shortfall is a limit of the deployment that is below what its fleet needs. It is an error.
 type Shortfall struct {
 	// Field is the setting that gives the limit.
 	Field string
-	// Limit is the limit, Needs what a fleet of so many machines needs.
+	// Limit is the setting's value, and Required what a fleet of Machines needs.
 	Limit, Required float64
-	Machines        int
-	// Purpose says what it is needed for.
+	// Machines is the size of the fleet.
+	Machines int
+	// Purpose is what the fleet needs it for.
 	Purpose string
 }
 
-// Deficit is by how much the limit falls short.
+// Deficit is how much is missing.
 func (shortfall Shortfall) Deficit() float64 { return shortfall.Required - shortfall.Limit }
 
-func (shortfall Shortfall) String() string {
-	return fmt.Sprintf("%s: %g, and a fleet of %d machines needs %.4g (%.4g more): %s", shortfall.Field, shortfall.Limit, shortfall.Machines, shortfall.Required, shortfall.Deficit(), shortfall.Purpose)
+// Error gives the limit and what the fleet needs.
+func (shortfall Shortfall) Error() string {
+	return fmt.Sprintf("%s: %g, and a fleet of %d machines needs %.4g (%.4g more): %s",
+		shortfall.Field, shortfall.Limit, shortfall.Machines, shortfall.Required, shortfall.Deficit(), shortfall.Purpose)
 }
 
-// What a fleet costs a controller that leads it. docs/operations.md, "Limits", says
-// where each comes from.
+// What a leader needs for its fleet. docs/operations.md, "Limits", says where each number
+// comes from.
 const (
-	// socketsPerMachine: one for its reports, a sixth for users and commands.
+	// socketsPerMachine is one connection for heartbeats, and a sixth for users and command requests.
 	socketsPerMachine = 1 + 1.0/6
-	// baseMemoryMB is what a process holds without machines, memoryKBPerMachine what each adds:
-	// its connections, its tasks and the collector's slack.
+	// baseMemoryMB is what a process needs without machines, and memoryKBPerMachine what each
+	// adds: its connections, its tasks and the garbage collector's slack.
 	baseMemoryMB, memoryKBPerMachine = 20, 40
-	// heartbeatCPUSeconds is the processor time of a report, from bytes to bytes, with its
-	// system calls; heartbeatCPUShare is the part of the processor that reports may take.
+	// heartbeatCPUSeconds is the processor time of one heartbeat, with its system calls, and
+	// heartbeatCPUShare the part of the processor that heartbeats may take.
 	heartbeatCPUSeconds, heartbeatCPUShare = 150e-6, 0.5
-	// leaderCloudShare and leaderStoreShare are the leader's parts of the two rates.
+	// leaderCloudShare and leaderStoreShare are the leader's shares of the cloud's request rate
+	// and of the store's write rate.
 	leaderCloudShare, leaderStoreShare = 0.8, 0.5
-	// fleetListSeconds is in what time the cloud's list has to be read, fleetScaleOutSeconds in what
-	// time the whole fleet has to be rented.
+	// fleetListSeconds is the time in which the leader must be able to read the cloud's list, and
+	// fleetScaleOutSeconds the time in which it must be able to request the whole fleet.
 	fleetListSeconds, fleetScaleOutSeconds = 10, 60
-	// machinesPerListPage and machinesPerScaleOut are how many machines the cloud lists and rents at once.
-	machinesPerListPage, machinesPerScaleOut = 500, 50
-	// writesPerScaleOut is how often a rental's record is written.
+	// writesPerScaleOut is how often the record of a scale-out request is written.
 	writesPerScaleOut = 2
 )
 
-// Shortfalls lists the limits that can't serve a fleet of so many machines.
+// Shortfalls lists the limits that are too low for a fleet of so many machines.
 func (platform *Platform) Shortfalls(machines int) []Shortfall {
 	machineCount := float64(machines)
 	deployment := &platform.Deployment
-	scaleOuts := math.Ceil(machineCount / machinesPerScaleOut)
-	effective := deployment.Store.Effective()
+	scaleOutRequests := math.Ceil(machineCount / wire.MaxScaleOutCount)
+	listPages := math.Ceil(machineCount / wire.MaxMachinesPerPage)
+	heartbeatsPerSecond := machineCount / deployment.Workers.HeartbeatIntervalSeconds
 	candidates := []Shortfall{
-		{"deployment.limits.max_sockets", float64(deployment.ProcessLimits.MaxSockets), math.Ceil(machineCount*socketsPerMachine) + reservedSockets, machines, "a connection for each worker, and some for users and commands"},
-		{"deployment.limits.ram_mb", deployment.ProcessLimits.MemoryMB, math.Ceil(baseMemoryMB + machineCount*memoryKBPerMachine/1024), machines, "what a leader holds of each machine"},
-		{"deployment.limits.cores", deployment.ProcessLimits.Cores, machineCount / deployment.Workers.HeartbeatIntervalSeconds * heartbeatCPUSeconds / heartbeatCPUShare, machines, "reports of all workers in half of the processor"},
-		{"deployment.cloud.rps", deployment.Cloud.RPS, math.Max(math.Ceil(machineCount/machinesPerListPage)/fleetListSeconds, scaleOuts/fleetScaleOutSeconds) / leaderCloudShare, machines, "a list in 10 s and the whole fleet rented in 60 s, by a leader's part of the rate"},
-		{"deployment.state.write_rps", effective.WriteRPS, writesPerScaleOut * scaleOuts / fleetScaleOutSeconds / leaderStoreShare, machines, "records of the whole fleet's rentals in 60 s, by a leader's part of the rate"},
+		{
+			Field: "deployment.limits.max_sockets", Limit: float64(deployment.ProcessLimits.MaxSockets),
+			Required: math.Ceil(machineCount*socketsPerMachine) + reservedSockets,
+			Purpose:  "a connection for each worker, and some for users and commands",
+		},
+		{
+			Field: "deployment.limits.ram_mb", Limit: deployment.ProcessLimits.MemoryMB,
+			Required: math.Ceil(baseMemoryMB + machineCount*memoryKBPerMachine/1024),
+			Purpose:  "what a leader holds of each machine",
+		},
+		{
+			Field: "deployment.limits.cores", Limit: deployment.ProcessLimits.Cores,
+			Required: heartbeatsPerSecond * heartbeatCPUSeconds / heartbeatCPUShare,
+			Purpose:  "reports of all workers in half of the processor",
+		},
+		{
+			Field: "deployment.cloud.rps", Limit: deployment.Cloud.RPS,
+			Required: math.Max(listPages/fleetListSeconds, scaleOutRequests/fleetScaleOutSeconds) / leaderCloudShare,
+			Purpose:  "a list in 10 s and the whole fleet rented in 60 s, by a leader's part of the rate",
+		},
+		{
+			Field: "deployment.state.write_rps", Limit: deployment.Store.Effective().WriteRPS,
+			Required: writesPerScaleOut * scaleOutRequests / fleetScaleOutSeconds / leaderStoreShare,
+			Purpose:  "records of the whole fleet's rentals in 60 s, by a leader's part of the rate",
+		},
 	}
 	var short []Shortfall
 	for _, shortfall := range candidates {
+		shortfall.Machines = machines
 		if shortfall.Limit < shortfall.Required {
 			short = append(short, shortfall)
 		}
@@ -67,7 +93,7 @@
 	return short
 }
 
-// CheckCompatibility finds what is wrong with the two files taken together.
+// CheckCompatibility checks what must hold of both files together.
 func CheckCompatibility(platform *Platform, tuning Tuning) error {
 	lease := platform.Deployment.Workers.LeaseSeconds
 	return collectProblems([]check{
--- a/internal/config/capacity_test.go
+++ b/internal/config/capacity_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What can't serve the fleet that the settings name is told, each limit by its name and
-// by how much it falls short; a fleet that fits is told nothing of.
+// Each limit that is too low for the fleet is named with its deficit; for a fleet that the
+// limits suffice for there is none.
 func TestShortfalls(t *testing.T) {
 	platform, err := ParsePlatform([]byte(validPlatformJSON))
 	if err != nil {
@@ -19,8 +19,8 @@
 	fields := map[string]Shortfall{}
 	for _, s := range shortfalls {
 		fields[s.Field] = s
-		if !strings.Contains(s.String(), "4000 machines") || s.Deficit() <= 0 {
-			t.Errorf("told as %q", s)
+		if !strings.Contains(s.Error(), "4000 machines") || s.Deficit() <= 0 {
+			t.Errorf("reported as %q", s)
 		}
 	}
 	sockets, ok := fields["deployment.limits.max_sockets"]
@@ -49,7 +49,7 @@
 	}
 }
 
-// All that is wrong is told at once, a line for each field.
+// All faults of a file are reported together, a line for each field.
 func TestAllErrorsReportedTogether(t *testing.T) {
 	broken := strings.NewReplacer(`"member":"n0"`, `"member":""`, `"txn_ops":24`, `"txn_ops":0`, `"cores":0.3`, `"cores":-1`, `"zones":["x","y"]`, `"zones":["x","x"]`).Replace(validPlatformJSON)
 	_, err := ParsePlatform([]byte(broken))
