--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 "state":{"rps":150,"write_rps":30,"value_kb":8,"txn_ops":24},"cloud":{"rps":4,"list_lag_s":5},
 "limits":{"cores":0.3,"ram_mb":179,"max_sockets":3500},"clock_error_ms":5}}`
 
-// Every fault names the field that it is in.
+// Every fault of the platform's file is reported with the field that it is in.
 func TestPlatformErrorsNameTheField(t *testing.T) {
 	if _, err := ParsePlatform([]byte(validPlatformJSON)); err != nil {
 		t.Fatal(err)
@@ -119,9 +119,9 @@
 	}
 }
 
-// Settings that are odd but have a meaning are accepted: guarantees beyond limits or
-// beyond any fleet, guarantees in one resource alone, small values and transactions.
-// What has none is refused by the field's name.
+// Unusual settings that have a meaning are accepted: guarantees above limits or above any
+// fleet, guarantees of one resource alone, small values and transactions. Those that have none
+// are refused by the field's name.
 func TestUnusualDeployments(t *testing.T) {
 	for _, testCase := range []struct {
 		from, to, field string
@@ -158,7 +158,7 @@
 "state":{"rps":200,"write_rps":20,"value_kb":8,"txn_ops":24},"cloud":{"rps":8,"list_lag_s":3},
 "limits":{"cores":0.12,"ram_mb":98,"max_sockets":900},"clock_error_ms":100}}`
 
-// What is kept to is the smaller of each limit in force and to come.
+// The effective limits are the stricter of the current and the upcoming ones.
 func TestEffectiveStoreLimits(t *testing.T) {
 	current := StoreLimits{RPS: 200, WriteRPS: 80, MaxValueKB: 16, MaxTransactionOps: 48}
 	if got := current.Effective(); got != current {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,6 +1,6 @@
-// Package config owns the two settings files: the platform's JSON, which says
-// what the deployment is, and the operators' YAML, which says how firwood is
-// to behave in it. Both are checked whole before anything is bound.
+// Package config reads and checks the two settings files: the platform's JSON, which describes
+// the deployment, and the operators' YAML, which tunes firwood's behavior in it. All faults of
+// both are reported together, before a controller listens.
 package config
 
 import (
@@ -10,8 +10,7 @@
 	"slices"
 )
 
-// Platform is the file that the platform hands over. Unknown fields are
-// ignored: new ones may come.
+// Platform is the platform's file (DEPLOY). Unknown fields are ignored, since new ones may come.
 type Platform struct {
 	Member            string           `json:"member"`
 	Location          string           `json:"location"`
@@ -29,14 +28,15 @@
 	Address  string `json:"address"`
 }
 
-// ExternalServices holds the addresses of the outside services.
+// ExternalServices are the addresses of the cloud and the key-value store, as IP:port.
 type ExternalServices struct {
 	CloudAddress string `json:"cloud"`
 	StoreAddress string `json:"state"`
 }
 
-// Deployment is what all controllers share.
+// Deployment is the part of the file that is the same for all controllers.
 type Deployment struct {
+	// ControllerCount is not used: Peers count.
 	ControllerCount  int           `json:"nodes"`
 	Zones            []string      `json:"zones"`
 	Teams            []Team        `json:"teams"`
@@ -48,7 +48,7 @@
 	ClockErrorMillis float64       `json:"clock_error_ms"`
 }
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team is a team's quota: its guarantees and limits; 0 means none.
 type Team struct {
 	Name           string  `json:"name"`
 	GuaranteedCPUs float64 `json:"cpus"`
@@ -57,42 +57,47 @@
 	MaxGPUs        float64 `json:"gpus_max"`
 }
 
-// Objective is an aim for a class of jobs.
+// Objective is a service level objective of a class of jobs.
 type Objective struct {
-	Kind           string  `json:"kind"`
-	Class          string  `json:"class"`
-	TargetSeconds  float64 `json:"within_s"`
+	Kind          string  `json:"kind"`
+	Class         string  `json:"class"`
+	TargetSeconds float64 `json:"within_s"`
+	// TargetFraction is not used.
 	TargetFraction float64 `json:"share"`
 }
 
-// WorkerTimings holds the workers' times.
+// WorkerTimings are the workers' intervals and timeouts (PROTOCOL, "Workers -> controller nodes").
 type WorkerTimings struct {
 	HeartbeatIntervalSeconds float64 `json:"report_s"`
 	LeaseSeconds             float64 `json:"lease_s"`
-	GangStartTimeoutSeconds  float64 `json:"gang_wait_s"`
-	GangPeerTimeoutSeconds   float64 `json:"gang_peer_s"`
-	CancelTimeoutSeconds     float64 `json:"cancel_s"`
+	// GangStartTimeoutSeconds and GangPeerTimeoutSeconds are not used: workers keep to them.
+	GangStartTimeoutSeconds float64 `json:"gang_wait_s"`
+	GangPeerTimeoutSeconds  float64 `json:"gang_peer_s"`
+	// CancelTimeoutSeconds is the time within which all tasks of a cancelled job must be gone.
+	CancelTimeoutSeconds float64 `json:"cancel_s"`
 }
 
-// StoreLimits holds the state service's limits.
+// StoreLimits are the key-value store's limits, for all controllers together (PROTOCOL,
+// "Controller nodes -> state service").
 type StoreLimits struct {
+	// RPS is requests a second, WriteRPS puts and deletes a second.
 	RPS               float64 `json:"rps"`
 	WriteRPS          float64 `json:"write_rps"`
 	MaxValueKB        float64 `json:"value_kb"`
 	MaxTransactionOps int     `json:"txn_ops"`
-	// Upcoming, if not nil, are limits that take force at some moment, unannounced.
+	// Upcoming, if not nil, are limits that will apply from some moment on, without notice.
 	Upcoming *UpcomingStoreLimits `json:"next"`
 }
 
-// UpcomingStoreLimits holds the state service's limits to come; one that is 0 stays.
+// UpcomingStoreLimits are the key-value store's later limits; 0 means unchanged.
 type UpcomingStoreLimits struct {
 	WriteRPS          float64 `json:"write_rps"`
 	MaxValueKB        float64 `json:"value_kb"`
 	MaxTransactionOps int     `json:"txn_ops"`
 }
 
-// Effective are the limits to keep to: whatever is written fits those in force and
-// those to come.
+// Effective returns the stricter of the current and the upcoming limits: what is written must
+// fit both.
 func (limits StoreLimits) Effective() StoreLimits {
 	if limits.Upcoming == nil {
 		return limits
@@ -110,29 +115,28 @@
 	return limits
 }
 
-// Cloud holds the cloud's limits.
+// Cloud holds the cloud's limits: requests a second, and how far its list of machines lags.
 type Cloud struct {
 	RPS            float64 `json:"rps"`
 	ListLagSeconds float64 `json:"list_lag_s"`
 }
 
-// ProcessLimits are the process's own.
+// ProcessLimits are the limits of a controller's process.
 type ProcessLimits struct {
 	Cores      float64 `json:"cores"`
 	MemoryMB   float64 `json:"ram_mb"`
 	MaxSockets int     `json:"max_sockets"`
 }
 
-// ConnectionLimit is how many connections workers, users, probes, other controllers and
-// direct messages may have together; what is left of the limit is for calls of the
-// state service and the cloud, for the listeners, and for connections that are
-// being closed.
+// ConnectionLimit is how many connections workers, users, probes, other controllers and command
+// requests may use together. reservedSockets are kept for the key-value store, the cloud, the
+// listeners and connections that are being closed, or half of the sockets if there are so few.
 func (platform *Platform) ConnectionLimit() int {
 	limit := platform.Deployment.ProcessLimits.MaxSockets
 	return limit - min(reservedSockets, limit/2)
 }
 
-// reservedSockets is the part kept for everything else.
+// reservedSockets is how many sockets ConnectionLimit leaves for other uses.
 const reservedSockets = 64
 
 // LoadPlatform reads and checks the platform's file.
@@ -148,7 +152,7 @@
 	return platform, nil
 }
 
-// ParsePlatform checks the platform's settings; errors name the field.
+// ParsePlatform decodes and checks the platform's settings. Errors name the field.
 func ParsePlatform(data []byte) (*Platform, error) {
 	platform := &Platform{}
 	if err := json.Unmarshal(data, platform); err != nil {
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// FieldError is what is wrong with one field of the settings.
+// FieldError says what is wrong with one field of the settings.
 type FieldError struct{ Field, Reason string }
 
 // Error gives the field and the reason.
 func (problem FieldError) Error() string { return problem.Field + ": " + problem.Reason }
 
-// FieldErrors are all that is wrong with a settings file.
+// FieldErrors lists all that is wrong with a settings file.
 type FieldErrors []FieldError
 
 // Error lists the problems, a line each.
