--- a/cmd/firwood/serve.go
+++ b/cmd/firwood/serve.go
@@ -74,7 +74,7 @@
 		instance.SetTracer(tracer)
 	}
 	listener := newListener(platform, instance, log)
-	log.Info("serving", "version", version, "address", platform.ListenAddress)
+	log.Info("starting controller", "version", version, "address", platform.ListenAddress)
 	return serveUntilSignal(listener, instance)
 }
 
@@ -90,7 +90,8 @@
 // serves nevertheless, as well as it can.
 func logShortfalls(log *slog.Logger, shortfalls []config.Shortfall) {
 	for _, shortfall := range shortfalls {
-		log.Error("a limit is too low for the fleet", "limit", shortfall.Field, "has", shortfall.Limit, "needs", shortfall.Required, "machines", shortfall.Machines, "for", shortfall.Purpose)
+		log.Error("a limit is too low for the fleet",
+			"setting", shortfall.Field, "value", shortfall.Limit, "required", shortfall.Required, "machines", shortfall.Machines, "purpose", shortfall.Purpose)
 	}
 }
 
