--- a/internal/allocation/commands.go
+++ b/internal/allocation/commands.go
@@ -1,34 +1,10 @@
 package allocation
 
 import (
-	"slices"
-
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/wire"
 )
 
-// queueDispatch notes that a direct message to the machine may be due. What is sent
-// then costs as much as changed, not as much as there are machines.
-func (tracker *Tracker) queueDispatch(machine *Machine) {
-	if !machine.isQueued {
-		machine.isQueued = true
-		tracker.dispatchQueue = append(tracker.dispatchQueue, machine)
-	}
-}
-
-// ProcessDispatchQueue calls f for each machine that a direct message may be due to. One for
-// which f returns true stays listed.
-func (tracker *Tracker) ProcessDispatchQueue(dispatch func(*Machine) bool) {
-	due := tracker.dispatchQueue
-	tracker.dispatchQueue = nil
-	for _, machine := range due {
-		machine.isQueued = false
-		if tracker.Machines[machine.Name] == machine && dispatch(machine) {
-			tracker.queueDispatch(machine)
-		}
-	}
-}
-
 // HeartbeatCommands compiles the commands for the answer to the newest report of m.
 func (tracker *Tracker) HeartbeatCommands(machine *Machine, now clock.Micros) []wire.Command {
 	if !machine.TokenConfirmed {
@@ -73,25 +49,6 @@
 // not know of withdrawals, what is placed waits. Stops go out all the same.
 func (tracker *Tracker) SetStartsPaused(paused bool) { tracker.startsPaused = paused }
 
-// canStart is invariant 6, for a placement already on the books.
-func (tracker *Tracker) canStart(placement *Placement) bool {
-	job, machine := placement.Job, placement.Machine
-	spec := job.Spec
-	if job.Cancelled || job.GangAborting || placement.isStopping || !job.StartsRecorded || !machine.RecordedInStore {
-		return false
-	}
-	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Type) {
-		return false
-	}
-	if spec.SingleZone && (job.unconfirmedCount > 0 || job.placementsByZone[machine.Zone] != job.activeCount) {
-		return false
-	}
-	if spec.SpreadZones && job.CountInZone(machine.Zone) > job.MaxTasksPerZone() {
-		return false
-	}
-	return tracker.IsWithinQuota(spec.Team, Resources{})
-}
-
 func (tracker *Tracker) appendCommands(commands []wire.Command, placement *Placement, now clock.Micros, isDirect bool) []wire.Command {
 	start := wire.Command{Action: wire.ActionStart, TaskID: placement.taskID, Attempt: placement.Attempt}
 	grace := placement.stopGrace.Seconds()
@@ -146,78 +103,3 @@
 	}
 	return false
 }
-
-// BuildCommandRequest compiles a message to be sent straight to the worker: starts not yet
-// sent, and stops; an empty one if it is not known whether it can be told. One message to a worker is out at a time.
-func (tracker *Tracker) BuildCommandRequest(machine *Machine, now clock.Micros) (*wire.CommandRequest, []*Placement) {
-	if machine.commandInFlight || !machine.TokenConfirmed || machine.Address == "" {
-		return nil, nil
-	}
-	var commands []wire.Command
-	var starts []*Placement
-	for _, placement := range machine.placements {
-		if placement.Phase == PhaseReported && !placement.isStopping {
-			continue
-		}
-		before := len(commands)
-		commands = tracker.appendCommands(commands, placement, now, true)
-		if len(commands) > before && commands[before].Action == wire.ActionStart {
-			starts = append(starts, placement)
-		}
-	}
-	if len(commands) == 0 && now >= machine.UnreachableUntil {
-		return nil, nil
-	}
-	// With nothing to say to a worker that may be deaf, an empty message asks.
-	machine.commandInFlight = true
-	return &wire.CommandRequest{FencingToken: tracker.currentToken, Incarnation: machine.Incarnation, Commands: commands}, starts
-}
-
-// CommandResult is how a direct message ended.
-type CommandResult uint8
-
-// FinishCommandRequest takes the end of a direct message; a report that came with it
-// has to be given to Report afterwards.
-func (tracker *Tracker) FinishCommandRequest(machine *Machine, starts []*Placement, result CommandResult, now clock.Micros) {
-	machine.commandInFlight = false
-	switch result {
-	case CommandExecuted:
-		machine.UnreachableUntil = 0
-	case CommandOutcomeUnknown:
-		// If it hears nothing at all, its lease and its session end by then.
-		machine.UnreachableUntil = now + tracker.cfg.LeaseTTL
-	}
-	tracker.queueDispatch(machine)
-	for _, placement := range starts {
-		if result == CommandNotSent && !placement.mayArriveLate {
-			delete(machine.startTokens, attemptKey{placement.taskID, placement.Attempt})
-		}
-		if machine.placements[placement.taskID] != placement {
-			// Ended meanwhile, say by an exit that a report showed. The attempt
-			// was held back from being forgotten while the message was out.
-			if result != CommandOutcomeUnknown && !placement.mayArriveLate {
-				delete(machine.lateStarts, attemptKey{placement.taskID, placement.Attempt})
-			}
-			continue
-		}
-		placement.startsInFlight = max(0, placement.startsInFlight-1)
-		switch result {
-		case CommandOutcomeUnknown:
-			placement.mayArriveLate = true
-		case CommandNotSent, CommandRejected:
-			if placement.Phase == PhaseSent && placement.sentInSequence == 0 && !placement.mayArriveLate {
-				placement.Phase = PhaseAssigned
-			}
-		case CommandExecuted:
-			// The report in the answer shows it.
-			if placement.Phase == PhaseSent {
-				placement.sentInSequence = machine.HeartbeatSequence
-			}
-		}
-	}
-	if result != CommandExecuted {
-		for _, placement := range machine.placements {
-			placement.stopSentAt = 0
-		}
-	}
-}
--- /dev/null
+++ b/internal/allocation/eligibility.go
@@ -0,0 +1,60 @@
+package allocation
+
+import "slices"
+
+// IsWithinQuota tells whether a team may use that much more.
+func (tracker *Tracker) IsWithinQuota(team string, additional Resources) bool {
+	quota := tracker.cfg.Quotas[team]
+	usage := tracker.TeamUsage(team).Add(additional)
+	return (quota.MaxMilliCPU == 0 || usage.MilliCPU <= quota.MaxMilliCPU) && (quota.MaxMilliGPU == 0 || usage.MilliGPU <= quota.MaxMilliGPU)
+}
+
+// IsEligible tells whether the job's own wishes allow the machine now, its other
+// tasks considered.
+func IsEligible(job *Job, machine *Machine) bool {
+	spec := job.Spec
+	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone {
+		return false
+	}
+	if spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Type) {
+		return false
+	}
+	if spec.SingleZone {
+		if job.unconfirmedCount > 0 {
+			return false
+		}
+		if z, ok := job.OccupiedZone(); ok && z != machine.Zone {
+			return false
+		}
+	}
+	if spec.SpreadZones && job.CountInZone(machine.Zone)+1 > job.MaxTasksPerZone() {
+		return false
+	}
+	return true
+}
+
+// CanReplaceLostTasks tells whether a gang waits for tasks that it has lost before it was
+// seen running: others with the same attempt complete it, while stopping the rest
+// would give up the images that they fetch.
+func (job *Job) CanReplaceLostTasks() bool {
+	return job.IsGang() && job.GangAttempt != 0 && !job.GangAborting && !job.GangStarted && !job.Cancelled && job.unconfirmedCount == 0
+}
+
+// canStart is invariant 6, for a placement already on the books.
+func (tracker *Tracker) canStart(placement *Placement) bool {
+	job, machine := placement.Job, placement.Machine
+	spec := job.Spec
+	if job.Cancelled || job.GangAborting || placement.isStopping || !job.StartsRecorded || !machine.RecordedInStore {
+		return false
+	}
+	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Type) {
+		return false
+	}
+	if spec.SingleZone && (job.unconfirmedCount > 0 || job.placementsByZone[machine.Zone] != job.activeCount) {
+		return false
+	}
+	if spec.SpreadZones && job.CountInZone(machine.Zone) > job.MaxTasksPerZone() {
+		return false
+	}
+	return tracker.IsWithinQuota(spec.Team, Resources{})
+}
--- a/internal/allocation/lease.go
+++ b/internal/allocation/lease.go
@@ -1,8 +1,6 @@
 package allocation
 
-import (
-	"firwood.dev/firwood/internal/clock"
-)
+import "firwood.dev/firwood/internal/clock"
 
 // SetDelegatedUntil takes until when other controllers may have answered workers in this
 // leader's name or an earlier one's, as far as can be known now, and in which
@@ -50,13 +48,3 @@
 	tracker.reconcile(machine)
 	return true
 }
-
-// RemoveMachine takes the cloud's word that a machine is gone.
-func (tracker *Tracker) RemoveMachine(machine *Machine, now clock.Micros) {
-	for _, placement := range machine.placements {
-		tracker.endPlacement(placement, CauseVanished, now)
-	}
-	tracker.reconcile(machine)
-	delete(tracker.Machines, machine.Name)
-	tracker.sortedMachines = nil
-}
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -1,8 +1,6 @@
 package allocation
 
-import (
-	"firwood.dev/firwood/internal/clock"
-)
+import "firwood.dev/firwood/internal/clock"
 
 // exitedAttempt is an exited attempt that the worker still lists.
 type exitedAttempt struct {
@@ -120,48 +118,3 @@
 	}
 	return false
 }
-
-// AddMachine takes a machine. One that existed at the take-over has to be
-// accounted for.
-func (tracker *Tracker) AddMachine(name, machineType, zone string, spot bool, capacity Resources, now clock.Micros) *Machine {
-	if machine := tracker.Machines[name]; machine != nil {
-		return machine
-	}
-	machine := &Machine{
-		Name: name, Type: machineType, Zone: zone, Spot: spot, Capacity: capacity, CreatedAt: now, BecameIdleAt: now, leaseRenewedAt: now,
-		ImageUsedAt: map[string]clock.Micros{}, placements: map[string]*Placement{}, FailedJobs: map[string]bool{},
-		lateStarts: map[attemptKey]bool{}, startTokens: map[attemptKey]uint64{},
-	}
-	if tracker.isRecovered {
-		machine.Reconciled = true
-	} else {
-		tracker.unreconciledCount++
-	}
-	tracker.Machines[name] = machine
-	tracker.sortedMachines = nil
-	return machine
-}
-
-func (tracker *Tracker) reconcile(machine *Machine) {
-	if !machine.Reconciled {
-		machine.Reconciled = true
-		tracker.unreconciledCount--
-		tracker.finishReconciliation()
-	}
-}
-
-// finishReconciliation clears all doubt once every machine is accounted for: a task
-// that no machine has is nowhere.
-func (tracker *Tracker) finishReconciliation() {
-	if !tracker.IsReconciled() {
-		return
-	}
-	for _, job := range tracker.Jobs {
-		if job.unconfirmedCount == 0 {
-			continue
-		}
-		for i := range job.Tasks {
-			tracker.clearUnconfirmed(job, i)
-		}
-	}
-}
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"math"
-	"slices"
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/wire"
@@ -75,44 +74,6 @@
 	return tracker.currentToken<<20 | tracker.attemptCounter&(1<<20-1)
 }
 
-// IsWithinQuota tells whether a team may use that much more.
-func (tracker *Tracker) IsWithinQuota(team string, additional Resources) bool {
-	quota := tracker.cfg.Quotas[team]
-	usage := tracker.TeamUsage(team).Add(additional)
-	return (quota.MaxMilliCPU == 0 || usage.MilliCPU <= quota.MaxMilliCPU) && (quota.MaxMilliGPU == 0 || usage.MilliGPU <= quota.MaxMilliGPU)
-}
-
-// IsEligible tells whether the job's own wishes allow the machine now, its other
-// tasks considered.
-func IsEligible(job *Job, machine *Machine) bool {
-	spec := job.Spec
-	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone {
-		return false
-	}
-	if spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Type) {
-		return false
-	}
-	if spec.SingleZone {
-		if job.unconfirmedCount > 0 {
-			return false
-		}
-		if z, ok := job.OccupiedZone(); ok && z != machine.Zone {
-			return false
-		}
-	}
-	if spec.SpreadZones && job.CountInZone(machine.Zone)+1 > job.MaxTasksPerZone() {
-		return false
-	}
-	return true
-}
-
-// CanReplaceLostTasks tells whether a gang waits for tasks that it has lost before it was
-// seen running: others with the same attempt complete it, while stopping the rest
-// would give up the images that they fetch.
-func (job *Job) CanReplaceLostTasks() bool {
-	return job.IsGang() && job.GangAttempt != 0 && !job.GangAborting && !job.GangStarted && !job.Cancelled && job.unconfirmedCount == 0
-}
-
 // PlaceTask decides that a waiting task goes to a machine.
 func (tracker *Tracker) PlaceTask(job *Job, taskIndex int, machine *Machine, attempt uint64, now clock.Micros) error {
 	task := &job.Tasks[taskIndex]
@@ -240,41 +201,3 @@
 		job.waitingCount++
 	}
 }
-
-// abortGang ends an attempt of which a task is gone.
-func (tracker *Tracker) abortGang(job *Job) {
-	if job.GangAborting || job.activeCount == 0 {
-		return
-	}
-	job.GangAborting = true
-	for i := range job.Tasks {
-		if placement := job.Tasks[i].Placement; placement != nil {
-			tracker.StopPlacement(placement, 0)
-		}
-	}
-}
-
-// StopPlacement asks that a placement ends, with time to save if it can.
-func (tracker *Tracker) StopPlacement(placement *Placement, grace clock.Micros) {
-	if placement.Phase == PhaseAssigned && placement.startsInFlight == 0 && !placement.mayArriveLate {
-		tracker.endPlacement(placement, wire.ExitStopped, placement.CreatedAt)
-		return
-	}
-	if placement.isStopping && grace >= placement.stopGrace {
-		return
-	}
-	placement.isStopping, placement.stopGrace, placement.stopSentAt = true, grace, 0
-	tracker.queueDispatch(placement.Machine)
-}
-
-// StopJob stops all tasks of a gang together, or one task otherwise.
-func (tracker *Tracker) StopJob(job *Job, grace clock.Micros) {
-	for i := range job.Tasks {
-		if placement := job.Tasks[i].Placement; placement != nil {
-			tracker.StopPlacement(placement, grace)
-		}
-	}
-	if job.IsGang() && job.activeCount > 0 {
-		job.GangAborting = true
-	}
-}
--- a/internal/allocation/replication.go
+++ b/internal/allocation/replication.go
@@ -128,31 +128,6 @@
 	job.unpublishedResolved = remaining
 }
 
-// mayDispatch tells whether a start may be sent as far as followers are concerned. One that
-// has to wait is looked at again with RetryUnreplicatedStarts.
-func (tracker *Tracker) mayDispatch(placement *Placement) bool {
-	if tracker.cfg.Replicator == nil || tracker.cfg.Replicator.MaySendStart(placement.decisionSequence) {
-		return true
-	}
-	if machine := placement.Machine; !machine.isAwaitingReplication {
-		machine.isAwaitingReplication = true
-		tracker.awaitingReplication = append(tracker.awaitingReplication, machine)
-	}
-	return false
-}
-
-// RetryUnreplicatedStarts has the starts that waited for followers looked at again.
-func (tracker *Tracker) RetryUnreplicatedStarts() {
-	waiting := tracker.awaitingReplication
-	tracker.awaitingReplication = nil
-	for _, machine := range waiting {
-		machine.isAwaitingReplication = false
-		if tracker.Machines[machine.Name] == machine {
-			tracker.queueDispatch(machine)
-		}
-	}
-}
-
 // unconfirmedFilter tells whether an earlier leader may have started a task. A gang whose tasks are
 // not all known to be nowhere is in doubt as a whole.
 func (tracker *Tracker) unconfirmedFilter(job *Job, mayTaskHaveStarted func(i int) bool) func(i int) bool {
--- a/internal/allocation/resources.go
+++ b/internal/allocation/resources.go
@@ -1,8 +1,6 @@
 package allocation
 
-import (
-	"math"
-)
+import "math"
 
 // Resources are amounts in whole thousandths.
 type Resources struct{ MilliCPU, MilliGPU, MemoryMB int64 }
--- /dev/null
+++ b/internal/allocation/task_report.go
@@ -0,0 +1,98 @@
+package allocation
+
+import (
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// applyTaskReport takes one line of a report; true means that it lists a placement
+// that no line before did.
+func (tracker *Tracker) applyTaskReport(machine *Machine, taskReport *wire.TaskStatus, now clock.Micros, tokenConfirmed bool) bool {
+	placement := machine.placements[taskReport.TaskID]
+	if placement != nil && placement.Attempt == taskReport.Attempt && placement.Phase == PhaseReported && placement.ReportedState == taskReport.State && tracker.Jobs[placement.Job.Spec.ID] == placement.Job {
+		return tracker.recordSeen(placement) // nothing new, as in most lines of most reports
+	}
+	jobID, taskIndex, ok := wire.ParseTaskID(taskReport.TaskID)
+	job := tracker.Jobs[jobID]
+	if !ok || job == nil || taskIndex >= len(job.Tasks) {
+		// No job that is not over: it can only be told to go.
+		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, completedOrAlive: taskReport.State != wire.TaskExited})
+		return false
+	}
+	if placement != nil && placement.Attempt != taskReport.Attempt {
+		if taskReport.State == wire.TaskExited {
+			machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex})
+			return false
+		}
+		if placement.Phase == PhaseReported && taskReport.Attempt < placement.Attempt {
+			return tracker.recordSeen(placement) // an older attempt beside a newer one; the worker has one only
+		}
+		// The worker has another attempt than the one on its way, which it will
+		// refuse, or than a late copy told of: what is there counts.
+		if job.Tasks[taskIndex].Placement == placement && job.Tasks[taskIndex].Unconfirmed {
+			tracker.orphanPlacement(placement)
+		}
+		tracker.endPlacement(placement, CauseVanished, now)
+		placement = nil
+	}
+	if taskReport.State == wire.TaskExited {
+		if placement != nil {
+			placement.ProgressSaved = taskReport.Saved
+			tracker.recordExit(placement, taskReport.ExitCause, now)
+		} else if taskReport.ExitCause == wire.ExitDone && !job.IsService() {
+			tracker.recordCompletion(job, taskIndex)
+		}
+		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex, completedOrAlive: taskReport.ExitCause == wire.ExitDone})
+		return false
+	}
+	if placement == nil {
+		placement = tracker.adoptPlacement(machine, job, taskIndex, taskReport, now, tokenConfirmed)
+	}
+	if placement.isStopping {
+		tracker.queueDispatch(machine)
+	}
+	if placement.Phase == PhaseSent && placement.startsInFlight == 0 && !placement.mayArriveLate {
+		machine.UnreachableUntil = 0 // a start in an answer has reached it
+	}
+	placement.Phase = PhaseReported
+	placement.ReportedState = taskReport.State
+	if placement.RunningAt == 0 && taskReport.State == wire.TaskRunning {
+		placement.RunningAt = now
+		job.GangStarted = job.IsGang() && !placement.Orphaned || job.GangStarted
+	}
+	if placement.StartedAt == 0 && (taskReport.State == wire.TaskRunning || taskReport.State == wire.TaskWaitingForGang) {
+		placement.StartedAt = now
+		job.StartedCount++
+		machine.adjustFetchCount(job.Spec.Image, -1)
+		machine.ImageUsedAt[job.Spec.Image] = now
+		tracker.Started = append(tracker.Started, placement)
+	}
+	return tracker.recordSeen(placement)
+}
+
+// recordSeen notes that the present report lists the placement.
+func (tracker *Tracker) recordSeen(placement *Placement) bool {
+	first := placement.lastSeenHeartbeat != tracker.heartbeatCount
+	placement.lastSeenHeartbeat = tracker.heartbeatCount
+	return first
+}
+
+func (tracker *Tracker) recordExit(placement *Placement, cause string, now clock.Micros) {
+	job, machine := placement.Job, placement.Machine
+	task := &job.Tasks[placement.TaskIndex]
+	if cause == wire.ExitDone && job.IsService() {
+		cause = wire.ExitStopped // a replica never completes
+	}
+	if cause == wire.ExitError && !placement.isStopping {
+		job.FailureCount++
+		if task.FailureCount < 255 {
+			task.FailureCount++
+		}
+		if job.FailuresByMachine == nil {
+			job.FailuresByMachine = map[string]int{}
+		}
+		job.FailuresByMachine[machine.Name]++
+		machine.FailedJobs[job.Spec.ID] = true
+	}
+	tracker.endPlacement(placement, cause, now)
+}
