--- a/internal/allocation/adoption.go
+++ b/internal/allocation/adoption.go
@@ -13,7 +13,7 @@
 // is the true one: attempts only grow, and a new one begins when the last is over.
 func (tracker *Tracker) adoptPlacement(machine *Machine, job *Job, taskIndex int, taskReport *wire.TaskStatus, now clock.Micros, tokenConfirmed bool) *Placement {
 	task := &job.Tasks[taskIndex]
-	placement := &Placement{Job: job, TaskIndex: taskIndex, Attempt: taskReport.Attempt, Machine: machine, CreatedAt: now, Adopted: true, taskID: taskReport.TaskID}
+	placement := &Placement{Job: job, TaskIndex: taskIndex, Attempt: taskReport.Attempt, Machine: machine, Adopted: true, taskID: taskReport.TaskID, PlacementTimes: PlacementTimes{CreatedAt: now}}
 	hasConflict := false
 	if job.IsGang() {
 		hasConflict = tracker.supersedeGang(job, taskReport.Attempt)
--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -32,53 +32,86 @@
 	CheckpointedSeconds float64
 }
 
-// Job is an accepted job that is not over, or whose tasks are not all gone.
+// Job is an accepted job that is not over, or whose tasks are not all gone. Its fields are
+// grouped by concern.
 type Job struct {
 	Spec     *wire.Job
 	Request  Resources
 	Priority int
+	Tasks    []Task
+	JobTimes
+	JobCancellation
+	GangState
+	JobFailures
+	jobKind
+	taskCounts
+	unpublishedState
+
+	// StartsRecorded: the state service knows that tasks of it may have been started.
+	StartsRecorded bool
+	// StartedByAging: it was begun because it had waited too long.
+	StartedByAging bool
+	StartedCount   int
+	// CheckpointedSeconds is the most that is safe of any task; a gang's tasks share it.
+	CheckpointedSeconds float64
+}
+
+// JobTimes are the instants that a job's waits and its lateness are measured from.
+type JobTimes struct {
 	// ReleasedAt is the time of day from which its waits count: its submission, or
 	// the end of the last job that it awaited.
 	ReleasedAt clock.Micros
 	// Deadline is the time of day by which it should be done, by its own wish or
 	// for those that await it; 0: there is none.
-	Deadline    clock.Micros
-	AddedAt     clock.Micros // steady clock, when this leader learnt of it
+	Deadline     clock.Micros
+	AddedAt      clock.Micros // steady clock, when this leader learnt of it
+	FirstStartAt clock.Micros // steady clock
+}
+
+// JobCancellation tells whether a job was cancelled.
+type JobCancellation struct {
 	Cancelled   bool
 	CancelledAt clock.Micros
-	// StartsRecorded: the state service knows that tasks of it may have been started.
-	StartsRecorded bool
-	Tasks          []Task
+}
 
-	isGang           bool
-	isService        bool
+// GangState is where the attempt of a gang stands.
+type GangState struct {
+	// GangAttempt of a gang in progress, 0 if none; Broken: it has to end; Under way: it
+	// has been seen running, all its tasks together.
+	GangAttempt  uint64
+	GangAborting bool
+	GangStarted  bool
+}
+
+// JobFailures counts what went wrong with a job's tasks.
+type JobFailures struct {
+	// FailuresByMachine counts failures by machine.
+	FailuresByMachine map[string]int
+	FailureCount      int
+	RestartCount      int
+}
+
+// jobKind is the spec's kind, compared once.
+type jobKind struct{ isGang, isService bool }
+
+// taskCounts sum up the states of a job's tasks.
+type taskCounts struct {
 	unconfirmedCount int
 	doneCount        int
 	durableCount     int
 	activeCount      int // placements
 	waitingCount     int
 	placementsByZone map[string]int
-	unpublishedEnds  []*Placement // that are over, and whose completion is not durable
+}
+
+// unpublishedState is what followers have still to be told of a job, see Replicator.
+type unpublishedState struct {
+	unpublishedEnds []*Placement // that are over, and whose completion is not durable
 	// isWhollyUnconfirmed: followers were told that all that is left of the job is in doubt, and
 	// not of single tasks. unpublishedResolved are tasks that are in doubt no more, and whose
 	// completion is not durable.
 	isWhollyUnconfirmed bool
 	unpublishedResolved []int
-	// GangAttempt of a gang in progress, 0 if none; Broken: it has to end; Under way: it
-	// has been seen running, all its tasks together.
-	GangAttempt  uint64
-	GangAborting bool
-	GangStarted  bool
-	StartedCount int
-	// FailuresByMachine counts failures by machine.
-	FailuresByMachine map[string]int
-	FailureCount      int
-	RestartCount      int
-	FirstStartAt      clock.Micros // steady clock
-	// StartedByAging: it was begun because it had waited too long.
-	StartedByAging bool
-	// CheckpointedSeconds is the most that is safe of any task; a gang's tasks share it.
-	CheckpointedSeconds float64
 }
 
 // IsGang tells whether the job's tasks run together.
--- a/internal/allocation/job_tracking.go
+++ b/internal/allocation/job_tracking.go
@@ -10,11 +10,12 @@
 func (tracker *Tracker) AddJob(spec *wire.Job, releasedAt, now clock.Micros, startsRecorded bool, isDurable func(int) bool) *Job {
 	job := &Job{
 		Spec: spec, Request: NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB),
-		Priority: wire.PriorityIndex(spec.Priority), ReleasedAt: releasedAt, AddedAt: now, StartsRecorded: startsRecorded,
-		Tasks: make([]Task, spec.TaskCount), placementsByZone: map[string]int{},
-		isGang: spec.Kind == wire.KindGang, isService: spec.Kind == wire.KindService,
+		Priority: wire.PriorityIndex(spec.Priority), StartsRecorded: startsRecorded,
+		Tasks:      make([]Task, spec.TaskCount),
+		JobTimes:   JobTimes{ReleasedAt: releasedAt, AddedAt: now},
+		jobKind:    jobKind{isGang: spec.Kind == wire.KindGang, isService: spec.Kind == wire.KindService},
+		taskCounts: taskCounts{waitingCount: spec.TaskCount, placementsByZone: map[string]int{}},
 	}
-	job.waitingCount = spec.TaskCount
 	tracker.Jobs[spec.ID] = job
 	mayHaveStarted := tracker.unconfirmedFilter(job, func(i int) bool { return tracker.cfg.MayHaveStarted(wire.TaskID(spec.ID, i)) })
 	for i := range job.Tasks {
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -16,59 +16,99 @@
 	attempt uint64
 }
 
-// Machine is a machine that exists, or may.
+// Machine is a machine that exists, or may. Its fields are grouped by concern.
 type Machine struct {
-	Name, Type, Zone, Address string
-	Spot                      bool
-	Capacity                  Resources
+	MachineSpec
+	HeartbeatState
+	MachineRestrictions
+	MachineImages
+	machineLoad
+	dispatchState
+	attemptRecords
+	leaseState
+
 	// RecordedInStore: the state service names it. Only then may it get tasks.
-	RecordedInStore   bool
+	RecordedInStore bool
+	CreatedAt       clock.Micros // when this leader learnt of it
+	BecameIdleAt    clock.Micros // since when it has nothing to do
+	// SortIndex is its place in SortedMachines, as of the last call of that.
+	SortIndex int
+}
+
+// MachineSpec is what a machine was created with.
+type MachineSpec struct {
+	Name, Type, Zone string
+	Spot             bool
+	Capacity         Resources
+}
+
+// HeartbeatState is what the worker's heartbeats have told.
+type HeartbeatState struct {
+	Address           string
 	Incarnation       uint64
 	HeartbeatSequence uint64
 	LastHeartbeatAt   clock.Micros // when the last newer report came
+	FirstHeartbeatAt  clock.Micros // when it was first heard
 	// TokenConfirmed: it has reported under this token.
 	TokenConfirmed bool
 	// Reconciled: nothing of an earlier leader can be on it unseen.
 	Reconciled bool
-	// Draining: it gets nothing new.
-	Draining bool
+}
+
+// MachineRestrictions are reasons to give a machine nothing new.
+type MachineRestrictions struct {
 	// ReclaimAt is when the cloud takes it back, 0 if not announced.
 	ReclaimAt clock.Micros
-	// ImageUsedAt that it has fetched, with when each was last used.
-	ImageUsedAt      map[string]clock.Micros
-	CreatedAt        clock.Micros // when this leader learnt of it
-	FirstHeartbeatAt clock.Micros // when it was first heard
-	BecameIdleAt     clock.Micros // since when it has nothing to do
 	// UnreachableUntil: a direct message got no answer lately, so until then it is not
 	// known that the worker can be told anything, though it may be heard.
 	UnreachableUntil clock.Micros
-	// hintedImages are images that it is said to hold in a session, see Says.
-	hintedImages      []string
-	hintedIncarnation uint64
 	// BackoffUntil: tasks fail there for a cause that is not its own, so until then it
 	// gets nothing new.
 	BackoffUntil clock.Micros
 	// FailedJobs counts the jobs that failed on it.
 	FailedJobs map[string]bool
+	// Draining: it gets nothing new.
+	Draining bool
+}
 
-	// SortIndex is its place in SortedMachines, as of the last call of that.
-	SortIndex int
+// MachineImages are the images that a machine has, or fetches.
+type MachineImages struct {
+	// ImageUsedAt that it has fetched, with when each was last used.
+	ImageUsedAt map[string]clock.Micros
+	// hintedImages are images that it is said to hold in a session, see Says.
+	hintedImages      []string
+	hintedIncarnation uint64
+	fetchesByImage    map[string]int // placements that have not run yet, by image
+}
 
-	leaseRenewedAt clock.Micros // its lease may be counted from here
-	used           Resources
-	placements     map[string]*Placement
-	replicaCount   int
-	fetchesByImage map[string]int // placements that have not run yet, by image
-	isQueued       bool           // listed in the ledger's outbox
+// machineLoad is what is booked on a machine.
+type machineLoad struct {
+	used         Resources
+	placements   map[string]*Placement
+	replicaCount int
+}
+
+// dispatchState is where a machine's direct messages stand.
+type dispatchState struct {
+	isQueued bool // listed in the ledger's outbox
 	// isAwaitingReplication: listed among those whose starts wait for followers.
 	isAwaitingReplication bool
-	exitedAttempts        []exitedAttempt
-	lateStarts            map[attemptKey]bool // attempts that a late direct start may bring back
+	commandInFlight       bool // a direct message is out
+}
+
+// attemptRecords decide when the worker may forget an attempt.
+type attemptRecords struct {
+	exitedAttempts []exitedAttempt
+	lateStarts     map[attemptKey]bool // attempts that a late direct start may bring back
 	// startTokens are the tokens of direct starts, of which copies may come, by attempt;
 	// token is the highest that the worker has said it has seen.
-	startTokens     map[attemptKey]uint64
-	seenToken       uint64
-	commandInFlight bool // a direct message is out
+	startTokens map[attemptKey]uint64
+	seenToken   uint64
+}
+
+// leaseState is what bounds the worker's lease.
+type leaseState struct {
+	leaseRenewedAt clock.Micros // its lease may be counted from here
 	// Reports of sessions before this one are void.
 	minIncarnation uint64
 }
--- a/internal/allocation/machine_tracking.go
+++ b/internal/allocation/machine_tracking.go
@@ -9,9 +9,14 @@
 		return machine
 	}
 	machine := &Machine{
-		Name: name, Type: machineType, Zone: zone, Spot: spot, Capacity: capacity, CreatedAt: now, BecameIdleAt: now, leaseRenewedAt: now,
-		ImageUsedAt: map[string]clock.Micros{}, placements: map[string]*Placement{}, FailedJobs: map[string]bool{},
-		lateStarts: map[attemptKey]bool{}, startTokens: map[attemptKey]uint64{},
+		MachineSpec:         MachineSpec{Name: name, Type: machineType, Zone: zone, Spot: spot, Capacity: capacity},
+		MachineRestrictions: MachineRestrictions{FailedJobs: map[string]bool{}},
+		MachineImages:       MachineImages{ImageUsedAt: map[string]clock.Micros{}},
+		machineLoad:         machineLoad{placements: map[string]*Placement{}},
+		attemptRecords:      attemptRecords{lateStarts: map[attemptKey]bool{}, startTokens: map[attemptKey]uint64{}},
+		leaseState:          leaseState{leaseRenewedAt: now},
+		CreatedAt:           now,
+		BecameIdleAt:        now,
 	}
 	if tracker.isRecovered {
 		machine.Reconciled = true
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -21,42 +21,58 @@
 	PhaseReported
 )
 
-// Placement is a task that is, or may be, on a machine.
+// Placement is a task that is, or may be, on a machine. Its fields are grouped by concern.
 type Placement struct {
-	Job           *Job
-	TaskIndex     int
-	Attempt       uint64
-	Machine       *Machine
-	Phase         Phase
-	ReportedState string       // as last reported
-	CreatedAt     clock.Micros // when it was decided or adopted
-	StartedAt     clock.Micros // when it was first seen with its image
-	// RunningAt is when it was first seen running: a gang's task waits for the others.
-	RunningAt clock.Micros
-
+	Job       *Job
+	TaskIndex int
+	Attempt   uint64
+	Machine   *Machine
+	taskID    string
+	Phase     Phase
 	// Adopted: an earlier leader started it, so when it began is not known.
 	Adopted bool
 	// ProgressSaved: it was stopped, and its progress is safe.
 	ProgressSaved bool
-
 	// Orphaned: not the task's place by the ledger's will; it is to be stopped.
-	Orphaned bool
-	taskID   string
-
-	sentInSequence    uint64 // seq of the report whose answer carried the start
-	startsInFlight    int    // direct starts without an answer yet
-	mayArriveLate     bool   // a direct start may still arrive
-	isStopping        bool
-	stopGrace         clock.Micros
-	stopSentAt        clock.Micros
+	Orphaned      bool
+	ReportedState string // as last reported
+	PlacementTimes
+	Forecast
+	startDelivery
+	stopRequest
+
 	lastSeenHeartbeat uint64 // the last report that listed it, by the ledger's count
-	decisionSequence  uint64 // the number of the decision that it may begin
+}
+
+// PlacementTimes are the instants of a placement's life so far.
+type PlacementTimes struct {
+	CreatedAt clock.Micros // when it was decided or adopted
+	StartedAt clock.Micros // when it was first seen with its image
+	// RunningAt is when it was first seen running: a gang's task waits for the others.
+	RunningAt clock.Micros
+}
 
-	// ForecastEndAt is when the planner expects it to end, worked out at ForecastMadeAt;
-	// it is the planner's to use.
+// Forecast is the planner's to use; this package neither reads nor writes it.
+type Forecast struct {
+	// ForecastEndAt is when the planner expects it to end, worked out at ForecastMadeAt.
 	ForecastEndAt, ForecastMadeAt clock.Micros
 }
 
+// startDelivery is how the start of a placement is on its way to the worker.
+type startDelivery struct {
+	decisionSequence uint64 // the number of the decision that it may begin
+	sentInSequence   uint64 // seq of the report whose answer carried the start
+	startsInFlight   int    // direct starts without an answer yet
+	mayArriveLate    bool   // a direct start may still arrive
+}
+
+// stopRequest is how a placement is to end.
+type stopRequest struct {
+	isStopping bool
+	stopGrace  clock.Micros
+	stopSentAt clock.Micros
+}
+
 // IsStopping tells whether the placement is to end.
 func (placement *Placement) IsStopping() bool { return placement.isStopping }
 
@@ -99,7 +115,7 @@
 	if job.IsGang() {
 		job.GangAttempt = attempt
 	}
-	tracker.addPlacement(&Placement{Job: job, TaskIndex: taskIndex, Attempt: attempt, Machine: machine, CreatedAt: now, taskID: taskID})
+	tracker.addPlacement(&Placement{Job: job, TaskIndex: taskIndex, Attempt: attempt, Machine: machine, taskID: taskID, PlacementTimes: PlacementTimes{CreatedAt: now}})
 	return nil
 }
 
--- a/internal/allocation/tracker.go
+++ b/internal/allocation/tracker.go
@@ -35,31 +35,56 @@
 
 // Tracker is a leader's account. It is made anew at every take-over.
 type Tracker struct {
-	cfg              Config
-	Jobs             map[string]*Job
-	Machines         map[string]*Machine
-	placedUsage      map[string]*Resources
-	unconfirmedUsage map[string]*Resources
-	attemptCounter   uint64
+	cfg      Config
+	Jobs     map[string]*Job
+	Machines map[string]*Machine
+	recoveryState
+	tokenState
+	delegationState
+	teamUsage
+	dispatchQueues
+	attemptCounter uint64
+	heartbeatCount uint64 // counts those taken, to mark what each listed
+	sortedMachines []*Machine
+
+	// Exited collects how placements ended, until it is taken.
+	Exited []ExitEvent
+	// Started collects placements first seen running, until it is taken.
+	Started []*Placement
+}
+
+// recoveryState is how far this leader knows what earlier ones started.
+type recoveryState struct {
+	unreconciledCount int // machines not accounted for
+	isRecovered       bool
+}
+
+// tokenState is what messages are fenced with.
+type tokenState struct {
 	// currentToken is what messages carry, issued the highest that may be seen: it is told
 	// to those who are delegates before it is used. Both begin as the lock's.
 	currentToken, issuedToken uint64
-	startsPaused              bool // see SetStartsPaused
 	needsHigherToken          bool // an attempt was not forgotten for want of a higher token
-	unreconciledCount         int  // machines not accounted for
-	isRecovered               bool
-	delegatedUntil            clock.Micros // others may have answered workers until then
+}
+
+// delegationState is until when others may have answered workers.
+type delegationState struct {
+	delegatedUntil clock.Micros // others may have answered workers until then
 	// delegatedUntilByZone is the same for zones of which more is known.
 	delegatedUntilByZone map[string]clock.Micros
-	heartbeatCount       uint64 // counts those taken, to mark what each listed
-	sortedMachines       []*Machine
-	dispatchQueue        []*Machine // machines that something may have to be sent to
-	awaitingReplication  []*Machine // machines whose starts wait for followers
+}
 
-	// Exited collects how placements ended, until it is taken.
-	Exited []ExitEvent
-	// Started collects placements first seen running, until it is taken.
-	Started []*Placement
+// teamUsage sums up requests by team: of placements, and of tasks in doubt without one.
+type teamUsage struct {
+	placedUsage      map[string]*Resources
+	unconfirmedUsage map[string]*Resources
+}
+
+// dispatchQueues list the machines that commands may have to be sent to.
+type dispatchQueues struct {
+	startsPaused        bool       // see SetStartsPaused
+	dispatchQueue       []*Machine // machines that something may have to be sent to
+	awaitingReplication []*Machine // machines whose starts wait for followers
 }
 
 // New makes an empty ledger; Settle opens it once the machines and jobs that
@@ -67,7 +92,8 @@
 func New(cfg Config) *Tracker {
 	return &Tracker{
 		cfg: cfg, Jobs: map[string]*Job{}, Machines: map[string]*Machine{},
-		placedUsage: map[string]*Resources{}, unconfirmedUsage: map[string]*Resources{}, currentToken: cfg.FencingToken, issuedToken: cfg.FencingToken,
+		tokenState: tokenState{currentToken: cfg.FencingToken, issuedToken: cfg.FencingToken},
+		teamUsage:  teamUsage{placedUsage: map[string]*Resources{}, unconfirmedUsage: map[string]*Resources{}},
 	}
 }
 
