--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -37,6 +37,7 @@
 	return tracker.applyHeartbeat(machine, heartbeat, now, false)
 }
 
+// applyHeartbeat applies a heartbeat that came one way or the other.
 func (tracker *Tracker) applyHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros, isOwnHeartbeat bool) HeartbeatResult {
 	if heartbeat.FencingToken > tracker.issuedToken {
 		return HeartbeatFenced
@@ -44,13 +45,36 @@
 	if heartbeat.FencingToken > tracker.currentToken {
 		tracker.currentToken = heartbeat.FencingToken // a delegate has told it first
 	}
-	if !heartbeat.IsNewerThan(machine.Incarnation, machine.HeartbeatSequence) || heartbeat.Incarnation < machine.minIncarnation {
+	if !machine.isNewHeartbeat(heartbeat) {
 		return HeartbeatStale
 	}
 	if heartbeat.Incarnation > machine.Incarnation {
 		tracker.beginIncarnation(machine, now)
 		machine.applyImageHints(heartbeat.Incarnation, now)
 	}
+	machine.recordHeartbeatFacts(heartbeat, now)
+	machine.recordSeenToken(heartbeat.FencingToken)
+	tokenConfirmed := heartbeat.FencingToken >= tracker.cfg.FencingToken
+	listedCount := tracker.applyTaskReports(machine, heartbeat.Tasks, now, tokenConfirmed)
+	if !tokenConfirmed {
+		return HeartbeatAccepted // it may be a late copy, so what it lacks proves nothing
+	}
+	tracker.confirmToken(machine)
+	if listedCount != len(machine.placements) {
+		tracker.handleMissingPlacements(machine, now, isOwnHeartbeat)
+	}
+	tracker.reconcile(machine)
+	return HeartbeatAccepted
+}
+
+// isNewHeartbeat tells whether the heartbeat was made after the last one that was accepted, in
+// an incarnation that is not known to be over.
+func (machine *Machine) isNewHeartbeat(heartbeat *wire.Heartbeat) bool {
+	return heartbeat.IsNewerThan(machine.Incarnation, machine.HeartbeatSequence) && heartbeat.Incarnation >= machine.minIncarnation
+}
+
+// recordHeartbeatFacts records what a heartbeat says of the machine itself.
+func (machine *Machine) recordHeartbeatFacts(heartbeat *wire.Heartbeat, now clock.Micros) {
 	machine.Incarnation, machine.HeartbeatSequence, machine.LastHeartbeatAt = heartbeat.Incarnation, heartbeat.Sequence, now
 	if machine.FirstHeartbeatAt == 0 {
 		machine.FirstHeartbeatAt = now
@@ -61,40 +85,52 @@
 	if heartbeat.ReclaimInSeconds != nil {
 		machine.ReclaimAt = now + max(clock.FromSeconds(*heartbeat.ReclaimInSeconds), 1)
 	}
-	tokenConfirmed := heartbeat.FencingToken >= tracker.cfg.FencingToken
-	if heartbeat.FencingToken > machine.seenToken {
-		machine.seenToken = heartbeat.FencingToken
-		maps.DeleteFunc(machine.startTokens, func(_ attemptKey, t uint64) bool { return t < machine.seenToken })
+}
+
+// recordSeenToken drops the starts that the worker refuses now: those sent under lower tokens.
+func (machine *Machine) recordSeenToken(token uint64) {
+	if token > machine.seenToken {
+		machine.seenToken = token
+		maps.DeleteFunc(machine.startTokens, func(_ attemptKey, startToken uint64) bool { return startToken < token })
 	}
+}
+
+// applyTaskReports applies a heartbeat's list of tasks, and returns how many of the machine's
+// placements it lists.
+func (tracker *Tracker) applyTaskReports(machine *Machine, taskReports []wire.TaskStatus, now clock.Micros, tokenConfirmed bool) int {
 	machine.exitedAttempts = machine.exitedAttempts[:0]
 	tracker.heartbeatCount++
-	listed := 0
-	for i := range heartbeat.Tasks {
-		if tracker.applyTaskReport(machine, &heartbeat.Tasks[i], now, tokenConfirmed) {
-			listed++
+	listedCount := 0
+	for i := range taskReports {
+		if tracker.applyTaskReport(machine, &taskReports[i], now, tokenConfirmed) {
+			listedCount++
 		}
 	}
-	if !tokenConfirmed {
-		return HeartbeatAccepted
-	}
-	if !machine.TokenConfirmed {
-		machine.TokenConfirmed = true
-		tracker.queueDispatch(machine)
-		for _, placement := range machine.placements {
-			if placement.lastSeenHeartbeat == tracker.heartbeatCount && !placement.Orphaned {
-				tracker.clearUnconfirmed(placement.Job, placement.TaskIndex)
-			}
+	return listedCount
+}
+
+// confirmToken records that the worker has reported under this leader's token. The placements
+// that the present heartbeat lists are where they are said to be.
+func (tracker *Tracker) confirmToken(machine *Machine) {
+	if machine.TokenConfirmed {
+		return
+	}
+	machine.TokenConfirmed = true
+	tracker.queueDispatch(machine)
+	for _, placement := range machine.placements {
+		if placement.lastSeenHeartbeat == tracker.heartbeatCount && !placement.Orphaned {
+			tracker.clearUnconfirmed(placement.Job, placement.TaskIndex)
 		}
 	}
-	if listed != len(machine.placements) {
-		for _, placement := range machine.placements {
-			if placement.lastSeenHeartbeat != tracker.heartbeatCount {
-				tracker.handleMissing(placement, now, isOwnHeartbeat)
-			}
+}
+
+// handleMissingPlacements handles the placements that the present heartbeat lacks.
+func (tracker *Tracker) handleMissingPlacements(machine *Machine, now clock.Micros, isOwnHeartbeat bool) {
+	for _, placement := range machine.placements {
+		if placement.lastSeenHeartbeat != tracker.heartbeatCount {
+			tracker.handleMissing(placement, now, isOwnHeartbeat)
 		}
 	}
-	tracker.reconcile(machine)
-	return HeartbeatAccepted
 }
 
 // SetCachedImages takes an earlier leader's word of the images that a machine holds in a session.
@@ -128,9 +164,8 @@
 	machine.leaseRenewedAt = max(machine.leaseRenewedAt, now)
 	clear(machine.lateStarts)
 	for _, placement := range machine.placements {
-		if placement.Phase != PhaseAssigned || placement.mayArriveLate || placement.startsInFlight > 0 {
-			placement.mayArriveLate, placement.startsInFlight = false, 0
-			tracker.endPlacement(placement, CauseVanished, now)
+		if placement.Phase != PhaseAssigned || placement.mayStartArrive() {
+			tracker.endWithLease(placement, now)
 		}
 	}
 	clear(machine.lateStarts)
@@ -144,7 +179,7 @@
 	case PhaseReported:
 		tracker.endPlacement(placement, CauseVanished, now)
 	case PhaseSent:
-		if placement.startsInFlight > 0 || placement.mayArriveLate {
+		if placement.mayStartArrive() {
 			return // invariant 2
 		}
 		if isOwnHeartbeat && placement.sentInSequence < placement.Machine.HeartbeatSequence {
--- a/internal/allocation/lease.go
+++ b/internal/allocation/lease.go
@@ -40,11 +40,17 @@
 	// A report of the session that is over may still come, out of the network.
 	machine.minIncarnation = machine.Incarnation + 1
 	for _, placement := range machine.placements {
-		placement.mayArriveLate, placement.startsInFlight = false, 0
-		tracker.endPlacement(placement, CauseVanished, now)
+		tracker.endWithLease(placement, now)
 	}
 	clear(machine.lateStarts)
 	clear(machine.startTokens)
 	tracker.reconcile(machine)
 	return true
 }
+
+// endWithLease ends a placement whose machine has lost its lease: no start of it can have an
+// effect any more.
+func (tracker *Tracker) endWithLease(placement *Placement, now clock.Micros) {
+	placement.mayArriveLate, placement.startsInFlight = false, 0
+	tracker.endPlacement(placement, CauseVanished, now)
+}
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -76,6 +76,12 @@
 // IsStopping tells whether the placement is to end.
 func (placement *Placement) IsStopping() bool { return placement.isStopping }
 
+// mayStartArrive tells whether a start sent in a command request may still take effect: no
+// answer to it is known.
+func (placement *Placement) mayStartArrive() bool {
+	return placement.startsInFlight > 0 || placement.mayArriveLate
+}
+
 // Errors of Place.
 var (
 	ErrNotPlaceable          = errors.New("ledger: the task or machine is not free for this")
--- a/internal/allocation/task_report.go
+++ b/internal/allocation/task_report.go
@@ -9,8 +9,8 @@
 // that no line before did.
 func (tracker *Tracker) applyTaskReport(machine *Machine, taskReport *wire.TaskStatus, now clock.Micros, tokenConfirmed bool) bool {
 	placement := machine.placements[taskReport.TaskID]
-	if placement != nil && placement.Attempt == taskReport.Attempt && placement.Phase == PhaseReported && placement.ReportedState == taskReport.State && tracker.Jobs[placement.Job.Spec.ID] == placement.Job {
-		return tracker.recordSeen(placement) // nothing new, as in most lines of most reports
+	if placement != nil && tracker.isUnchanged(placement, taskReport) {
+		return tracker.recordSeen(placement)
 	}
 	jobID, taskIndex, ok := wire.ParseTaskID(taskReport.TaskID)
 	job := tracker.Jobs[jobID]
@@ -27,31 +27,54 @@
 		if placement.Phase == PhaseReported && taskReport.Attempt < placement.Attempt {
 			return tracker.recordSeen(placement) // an older attempt beside a newer one; the worker has one only
 		}
-		// The worker has another attempt than the one on its way, which it will
-		// refuse, or than a late copy told of: what is there counts.
-		if job.Tasks[taskIndex].Placement == placement && job.Tasks[taskIndex].Unconfirmed {
-			tracker.orphanPlacement(placement)
-		}
-		tracker.endPlacement(placement, CauseVanished, now)
+		tracker.dropOtherAttempt(placement, &job.Tasks[taskIndex], now)
 		placement = nil
 	}
 	if taskReport.State == wire.TaskExited {
-		if placement != nil {
-			placement.ProgressSaved = taskReport.Saved
-			tracker.recordExit(placement, taskReport.ExitCause, now)
-		} else if taskReport.ExitCause == wire.ExitDone && !job.IsService() {
-			tracker.recordCompletion(job, taskIndex)
-		}
-		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex, completedOrAlive: taskReport.ExitCause == wire.ExitDone})
+		tracker.applyExit(machine, job, taskIndex, placement, taskReport, now)
 		return false
 	}
 	if placement == nil {
 		placement = tracker.adoptPlacement(machine, job, taskIndex, taskReport, now, tokenConfirmed)
 	}
+	tracker.applyProgress(placement, job, taskReport, now)
+	return tracker.recordSeen(placement)
+}
+
+// isUnchanged tells whether a report says nothing new of a placement, as most do.
+func (tracker *Tracker) isUnchanged(placement *Placement, taskReport *wire.TaskStatus) bool {
+	return placement.Attempt == taskReport.Attempt && placement.Phase == PhaseReported &&
+		placement.ReportedState == taskReport.State && tracker.Jobs[placement.Job.Spec.ID] == placement.Job
+}
+
+// dropOtherAttempt ends a placement beside which the worker has another attempt of the task.
+// The worker refuses the start of the one on its way, or the placement was known from a late
+// copy: what is there counts.
+func (tracker *Tracker) dropOtherAttempt(placement *Placement, task *Task, now clock.Micros) {
+	if task.Placement == placement && task.Unconfirmed {
+		tracker.orphanPlacement(placement)
+	}
+	tracker.endPlacement(placement, CauseVanished, now)
+}
+
+// applyExit records that an attempt has exited; placement is nil if it was not expected there.
+func (tracker *Tracker) applyExit(machine *Machine, job *Job, taskIndex int, placement *Placement, taskReport *wire.TaskStatus, now clock.Micros) {
+	if placement != nil {
+		placement.ProgressSaved = taskReport.Saved
+		tracker.recordExit(placement, taskReport.ExitCause, now)
+	} else if taskReport.ExitCause == wire.ExitDone && !job.IsService() {
+		tracker.recordCompletion(job, taskIndex)
+	}
+	machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex, completedOrAlive: taskReport.ExitCause == wire.ExitDone})
+}
+
+// applyProgress records how far a task that has not exited is.
+func (tracker *Tracker) applyProgress(placement *Placement, job *Job, taskReport *wire.TaskStatus, now clock.Micros) {
+	machine := placement.Machine
 	if placement.isStopping {
 		tracker.queueDispatch(machine)
 	}
-	if placement.Phase == PhaseSent && placement.startsInFlight == 0 && !placement.mayArriveLate {
+	if placement.Phase == PhaseSent && !placement.mayStartArrive() {
 		machine.UnreachableUntil = 0 // a start in an answer has reached it
 	}
 	placement.Phase = PhaseReported
@@ -67,7 +90,6 @@
 		machine.ImageUsedAt[job.Spec.Image] = now
 		tracker.Started = append(tracker.Started, placement)
 	}
-	return tracker.recordSeen(placement)
 }
 
 // recordSeen notes that the present report lists the placement.
