--- a/internal/allocation/adoption.go
+++ b/internal/allocation/adoption.go
@@ -55,7 +55,7 @@
 			tracker.orphanPlacement(placement)
 		}
 	}
-	job.GangAttempt, job.GangAborting, job.GangStarted = 0, false, false
+	job.GangState = GangState{}
 	return false
 }
 
--- a/internal/allocation/command_request.go
+++ b/internal/allocation/command_request.go
@@ -59,13 +59,13 @@
 	tracker.queueDispatch(machine)
 	for _, placement := range starts {
 		if result == CommandNotSent && !placement.mayArriveLate {
-			delete(machine.startTokens, attemptKey{placement.taskID, placement.Attempt})
+			delete(machine.startTokens, placement.key())
 		}
 		if machine.placements[placement.taskID] != placement {
 			// Ended meanwhile, say by an exit that a report showed. The attempt
 			// was held back from being forgotten while the message was out.
 			if result != CommandOutcomeUnknown && !placement.mayArriveLate {
-				delete(machine.lateStarts, attemptKey{placement.taskID, placement.Attempt})
+				delete(machine.lateStarts, placement.key())
 			}
 			continue
 		}
--- a/internal/allocation/commands.go
+++ b/internal/allocation/commands.go
@@ -31,9 +31,9 @@
 			continue
 		case exited.job != nil && exited.completedOrAlive && !exited.job.IsService() && !exited.job.Tasks[exited.taskIndex].CompletionDurable:
 			continue // invariant 5
-		case machine.lateStarts[attemptKey{exited.taskID, exited.attempt}]:
+		case machine.lateStarts[exited.key()]:
 			continue // invariant 2
-		case machine.startTokens[attemptKey{exited.taskID, exited.attempt}] != 0:
+		case machine.startTokens[exited.key()] != 0:
 			tracker.needsHigherToken = true
 			continue // the same, of a copy
 		}
@@ -85,7 +85,7 @@
 		placement.Phase = PhaseSent
 		if isDirect {
 			placement.startsInFlight++
-			placement.Machine.startTokens[attemptKey{placement.taskID, placement.Attempt}] = tracker.currentToken
+			placement.Machine.startTokens[placement.key()] = tracker.currentToken
 		} else {
 			placement.sentInSequence = placement.Machine.HeartbeatSequence
 		}
--- a/internal/allocation/eligibility.go
+++ b/internal/allocation/eligibility.go
@@ -12,25 +12,29 @@
 // IsEligible tells whether the job's own wishes allow the machine now, its other
 // tasks considered.
 func IsEligible(job *Job, machine *Machine) bool {
-	spec := job.Spec
-	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone {
-		return false
-	}
-	if spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Type) {
+	if !isStaticallyEligible(job, machine) {
 		return false
 	}
+	spec := job.Spec
 	if spec.SingleZone {
 		if job.unconfirmedCount > 0 {
 			return false
 		}
-		if z, ok := job.OccupiedZone(); ok && z != machine.Zone {
+		if zone, ok := job.OccupiedZone(); ok && zone != machine.Zone {
 			return false
 		}
 	}
-	if spec.SpreadZones && job.CountInZone(machine.Zone)+1 > job.MaxTasksPerZone() {
+	return !spec.SpreadZones || job.CountInZone(machine.Zone)+1 <= job.MaxTasksPerZone()
+}
+
+// isStaticallyEligible tells whether the job allows the kind of machine: whatever else it has
+// running where.
+func isStaticallyEligible(job *Job, machine *Machine) bool {
+	spec := job.Spec
+	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone {
 		return false
 	}
-	return true
+	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, machine.Type)
 }
 
 // CanReplaceLostTasks tells whether a gang waits for tasks that it has lost before it was
@@ -43,13 +47,13 @@
 // canStart is invariant 6, for a placement already on the books.
 func (tracker *Tracker) canStart(placement *Placement) bool {
 	job, machine := placement.Job, placement.Machine
-	spec := job.Spec
 	if job.Cancelled || job.GangAborting || placement.isStopping || !job.StartsRecorded || !machine.RecordedInStore {
 		return false
 	}
-	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Type) {
+	if !isStaticallyEligible(job, machine) {
 		return false
 	}
+	spec := job.Spec
 	if spec.SingleZone && (job.unconfirmedCount > 0 || job.placementsByZone[machine.Zone] != job.activeCount) {
 		return false
 	}
--- a/internal/allocation/job_tracking.go
+++ b/internal/allocation/job_tracking.go
@@ -42,11 +42,7 @@
 	}
 	job.Cancelled = true
 	job.CancelledAt = now
-	for i := range job.Tasks {
-		if placement := job.Tasks[i].Placement; placement != nil {
-			tracker.StopPlacement(placement, 0)
-		}
-	}
+	tracker.stopPlacements(job, 0)
 }
 
 // IsVacated tells that no task of the job is, or may be, anywhere.
@@ -78,8 +74,7 @@
 // addUnconfirmedUsage adds tasks to what a team may use beside its placements. A task that is in
 // doubt and has a place all the same takes its share once, wherever it is.
 func (tracker *Tracker) addUnconfirmedUsage(job *Job, taskCount int) {
-	usage := tracker.usageOf(tracker.unconfirmedUsage, job.Spec.Team)
-	*usage = usage.Add(job.Request.Times(taskCount))
+	addUsage(tracker.unconfirmedUsage, job.Spec.Team, job.Request.Times(taskCount))
 }
 
 // recordCompletion takes the completion of a task. A gang completes as one.
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -16,6 +16,8 @@
 	attempt uint64
 }
 
+func (exited *exitedAttempt) key() attemptKey { return attemptKey{exited.taskID, exited.attempt} }
+
 // Machine is a machine that exists, or may. Its fields are grouped by concern.
 type Machine struct {
 	MachineSpec
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -76,6 +76,9 @@
 // IsStopping tells whether the placement is to end.
 func (placement *Placement) IsStopping() bool { return placement.isStopping }
 
+// key returns what the records of a machine's attempts are kept by.
+func (placement *Placement) key() attemptKey { return attemptKey{placement.taskID, placement.Attempt} }
+
 // mayStartArrive tells whether a start sent in a command request may still take effect: no
 // answer to it is known.
 func (placement *Placement) mayStartArrive() bool {
@@ -98,11 +101,7 @@
 
 // PlaceTask decides that a waiting task goes to a machine.
 func (tracker *Tracker) PlaceTask(job *Job, taskIndex int, machine *Machine, attempt uint64, now clock.Micros) error {
-	task := &job.Tasks[taskIndex]
-	if task.State != TaskWaiting || task.Unconfirmed || task.Placement != nil || job.Cancelled || !job.StartsRecorded || !machine.IsSchedulable() {
-		return ErrNotPlaceable
-	}
-	if job.IsGang() && job.GangAttempt != 0 && (job.GangAttempt != attempt || !job.CanReplaceLostTasks()) {
+	if !job.isPlaceable(taskIndex) || !machine.IsSchedulable() || !job.canUseAttempt(attempt) {
 		return ErrNotPlaceable
 	}
 	taskID := wire.TaskID(job.Spec.ID, taskIndex)
@@ -125,31 +124,55 @@
 	return nil
 }
 
+// isPlaceable tells whether a task waits and is nowhere, and its job may be started.
+func (job *Job) isPlaceable(taskIndex int) bool {
+	task := &job.Tasks[taskIndex]
+	return task.State == TaskWaiting && !task.Unconfirmed && task.Placement == nil && !job.Cancelled && job.StartsRecorded
+}
+
+// canUseAttempt tells whether a task may be placed with an attempt: all tasks of a gang have one.
+func (job *Job) canUseAttempt(attempt uint64) bool {
+	return !job.IsGang() || job.GangAttempt == 0 || job.GangAttempt == attempt && job.CanReplaceLostTasks()
+}
+
 // addPlacement books a placement.
 func (tracker *Tracker) addPlacement(placement *Placement) {
 	job, machine := placement.Job, placement.Machine
 	tracker.publishStarted(placement)
 	machine.placements[placement.taskID] = placement
-	machine.used = machine.used.Add(job.Request)
-	usage := tracker.usageOf(tracker.placedUsage, job.Spec.Team)
-	*usage = usage.Add(job.Request)
-	job.placementsByZone[machine.Zone]++
-	job.activeCount++
-	if job.IsService() {
-		machine.replicaCount++
-	}
+	tracker.bookUsage(placement, 1)
 	machine.adjustFetchCount(job.Spec.Image, 1)
 	tracker.queueDispatch(machine)
 	if !placement.Orphaned {
-		task := &job.Tasks[placement.TaskIndex]
-		if task.Unconfirmed && task.Placement == nil {
-			tracker.addUnconfirmedUsage(job, -1)
-		}
-		task.Placement = placement
-		if task.State == TaskWaiting {
-			task.State = TaskPlaced
-			job.waitingCount--
-		}
+		tracker.assignPlacement(placement)
+	}
+}
+
+// bookUsage adds what a placement takes to the sums of machine, team and job, or with sign -1
+// subtracts it.
+func (tracker *Tracker) bookUsage(placement *Placement, sign int) {
+	job, machine := placement.Job, placement.Machine
+	request := job.Request.Times(sign)
+	machine.used = machine.used.Add(request)
+	addUsage(tracker.placedUsage, job.Spec.Team, request)
+	job.placementsByZone[machine.Zone] += sign
+	job.activeCount += sign
+	if job.IsService() {
+		machine.replicaCount += sign
+	}
+}
+
+// assignPlacement makes a placement the one of its task.
+func (tracker *Tracker) assignPlacement(placement *Placement) {
+	job := placement.Job
+	task := &job.Tasks[placement.TaskIndex]
+	if task.Unconfirmed && task.Placement == nil {
+		tracker.addUnconfirmedUsage(job, -1)
+	}
+	task.Placement = placement
+	if task.State == TaskWaiting {
+		task.State = TaskPlaced
+		job.waitingCount--
 	}
 }
 
@@ -169,14 +192,25 @@
 		return
 	}
 	delete(machine.placements, placement.taskID)
-	machine.used = machine.used.Sub(job.Request)
-	usage := tracker.usageOf(tracker.placedUsage, job.Spec.Team)
-	*usage = usage.Sub(job.Request)
-	job.placementsByZone[machine.Zone]--
-	job.activeCount--
-	if job.IsService() {
-		machine.replicaCount--
+	tracker.bookUsage(placement, -1)
+	tracker.releaseMachine(placement, now)
+	if cause != wire.ExitDone {
+		placement.creditCheckpoint(now)
+	}
+	if job.Tasks[placement.TaskIndex].Placement == placement {
+		tracker.finishTask(placement, cause)
+	}
+	if job.IsGang() && job.activeCount == 0 {
+		job.GangState = GangState{}
 	}
+	tracker.publishEnded(placement)
+	tracker.Exited = append(tracker.Exited, ExitEvent{placement, cause})
+}
+
+// releaseMachine records what the end of a placement means for its machine: an image that was
+// used or is fetched no more, idleness, and a start that may still arrive.
+func (tracker *Tracker) releaseMachine(placement *Placement, now clock.Micros) {
+	job, machine := placement.Job, placement.Machine
 	if placement.StartedAt != 0 {
 		job.StartedCount--
 		machine.ImageUsedAt[job.Spec.Image] = now
@@ -186,30 +220,41 @@
 	if len(machine.placements) == 0 {
 		machine.BecameIdleAt = now
 	}
-	if placement.mayArriveLate || placement.startsInFlight > 0 {
-		machine.lateStarts[attemptKey{placement.taskID, placement.Attempt}] = true
+	if placement.mayStartArrive() {
+		machine.lateStarts[placement.key()] = true
+	}
+}
+
+// creditCheckpoint adds to the task's safe progress what a run that did not complete has saved:
+// all of it, or all up to its last checkpoint.
+func (placement *Placement) creditCheckpoint(now clock.Micros) {
+	job := placement.Job
+	interval := job.Spec.CheckpointIntervalSeconds
+	if placement.RunningAt == 0 || interval <= 0 {
+		return
 	}
 	task := &job.Tasks[placement.TaskIndex]
-	if cause != wire.ExitDone && placement.RunningAt != 0 && job.Spec.CheckpointIntervalSeconds > 0 {
-		task.CheckpointedSeconds += (now - placement.RunningAt).Seconds()
-		if !placement.ProgressSaved {
-			task.CheckpointedSeconds = math.Floor(task.CheckpointedSeconds/job.Spec.CheckpointIntervalSeconds) * job.Spec.CheckpointIntervalSeconds
-		}
-		job.CheckpointedSeconds = max(job.CheckpointedSeconds, task.CheckpointedSeconds)
-	}
-	if task.Placement == placement {
-		tracker.clearPlacement(job, task)
-		if cause == wire.ExitDone {
-			tracker.recordCompletion(job, placement.TaskIndex)
-		} else if job.IsGang() && task.State != TaskDone && (job.GangStarted || cause == wire.ExitPeerLost || cause == wire.ExitError) {
-			tracker.abortGang(job)
-		}
+	task.CheckpointedSeconds += (now - placement.RunningAt).Seconds()
+	if !placement.ProgressSaved {
+		task.CheckpointedSeconds = math.Floor(task.CheckpointedSeconds/interval) * interval
 	}
-	if job.IsGang() && job.activeCount == 0 {
-		job.GangAttempt, job.GangAborting, job.GangStarted = 0, false, false
+	job.CheckpointedSeconds = max(job.CheckpointedSeconds, task.CheckpointedSeconds)
+}
+
+// finishTask takes the ended placement from its task, which is done or waits again. A gang of
+// which a task is lost for good cannot go on.
+func (tracker *Tracker) finishTask(placement *Placement, cause string) {
+	job := placement.Job
+	task := &job.Tasks[placement.TaskIndex]
+	tracker.clearPlacement(job, task)
+	if cause == wire.ExitDone {
+		tracker.recordCompletion(job, placement.TaskIndex)
+		return
+	}
+	endsAttempt := job.GangStarted || cause == wire.ExitPeerLost || cause == wire.ExitError
+	if job.IsGang() && task.State != TaskDone && endsAttempt {
+		tracker.abortGang(job)
 	}
-	tracker.publishEnded(placement)
-	tracker.Exited = append(tracker.Exited, ExitEvent{placement, cause})
 }
 
 // clearPlacement takes a task's place from it.
--- a/internal/allocation/stop.go
+++ b/internal/allocation/stop.go
@@ -11,16 +11,12 @@
 		return
 	}
 	job.GangAborting = true
-	for i := range job.Tasks {
-		if placement := job.Tasks[i].Placement; placement != nil {
-			tracker.StopPlacement(placement, 0)
-		}
-	}
+	tracker.stopPlacements(job, 0)
 }
 
 // StopPlacement asks that a placement ends, with time to save if it can.
 func (tracker *Tracker) StopPlacement(placement *Placement, grace clock.Micros) {
-	if placement.Phase == PhaseAssigned && placement.startsInFlight == 0 && !placement.mayArriveLate {
+	if placement.Phase == PhaseAssigned && !placement.mayStartArrive() {
 		tracker.endPlacement(placement, wire.ExitStopped, placement.CreatedAt)
 		return
 	}
@@ -33,12 +29,17 @@
 
 // StopJob stops all tasks of a gang together, or one task otherwise.
 func (tracker *Tracker) StopJob(job *Job, grace clock.Micros) {
+	tracker.stopPlacements(job, grace)
+	if job.IsGang() && job.activeCount > 0 {
+		job.GangAborting = true
+	}
+}
+
+// stopPlacements stops the placement of each task.
+func (tracker *Tracker) stopPlacements(job *Job, grace clock.Micros) {
 	for i := range job.Tasks {
 		if placement := job.Tasks[i].Placement; placement != nil {
 			tracker.StopPlacement(placement, grace)
 		}
 	}
-	if job.IsGang() && job.activeCount > 0 {
-		job.GangAborting = true
-	}
 }
--- a/internal/allocation/tracker.go
+++ b/internal/allocation/tracker.go
@@ -124,16 +124,24 @@
 	return tracker.sortedMachines
 }
 
-func (tracker *Tracker) usageOf(usageByTeam map[string]*Resources, team string) *Resources {
+// addUsage adds to a team's sum.
+func addUsage(usageByTeam map[string]*Resources, team string, request Resources) {
 	usage := usageByTeam[team]
 	if usage == nil {
 		usage = &Resources{}
 		usageByTeam[team] = usage
 	}
-	return usage
+	*usage = usage.Add(request)
 }
 
 // TeamUsage is what a team's tasks take, or may take.
 func (tracker *Tracker) TeamUsage(team string) Resources {
-	return tracker.usageOf(tracker.placedUsage, team).Add(*tracker.usageOf(tracker.unconfirmedUsage, team))
+	var total Resources
+	if placed := tracker.placedUsage[team]; placed != nil {
+		total = *placed
+	}
+	if unconfirmed := tracker.unconfirmedUsage[team]; unconfirmed != nil {
+		total = total.Add(*unconfirmed)
+	}
+	return total
 }
