--- a/internal/allocation/command_request.go
+++ b/internal/allocation/command_request.go
@@ -18,7 +18,7 @@
 			continue
 		}
 		before := len(commands)
-		commands = tracker.appendCommands(commands, placement, now, true)
+		commands = tracker.appendCommands(commands, placement, now, commandRequest)
 		if len(commands) > before && commands[before].Action == wire.ActionStart {
 			starts = append(starts, placement)
 		}
@@ -58,31 +58,7 @@
 	}
 	tracker.queueDispatch(machine)
 	for _, placement := range starts {
-		if result == CommandNotSent && !placement.mayArriveLate {
-			delete(machine.startTokens, placement.key())
-		}
-		if machine.placements[placement.taskID] != placement {
-			// Ended meanwhile, say by an exit that a report showed. The attempt
-			// was held back from being forgotten while the message was out.
-			if result != CommandOutcomeUnknown && !placement.mayArriveLate {
-				delete(machine.lateStarts, placement.key())
-			}
-			continue
-		}
-		placement.startsInFlight = max(0, placement.startsInFlight-1)
-		switch result {
-		case CommandOutcomeUnknown:
-			placement.mayArriveLate = true
-		case CommandNotSent, CommandRejected:
-			if placement.Phase == PhaseSent && placement.sentInSequence == 0 && !placement.mayArriveLate {
-				placement.Phase = PhaseAssigned
-			}
-		case CommandExecuted:
-			// The report in the answer shows it.
-			if placement.Phase == PhaseSent {
-				placement.sentInSequence = machine.HeartbeatSequence
-			}
-		}
+		finishStart(machine, placement, result)
 	}
 	if result != CommandExecuted {
 		for _, placement := range machine.placements {
@@ -90,3 +66,32 @@
 		}
 	}
 }
+
+// finishStart records what the end of a command request means for a start in it.
+func finishStart(machine *Machine, placement *Placement, result CommandResult) {
+	if result == CommandNotSent && !placement.mayArriveLate {
+		delete(machine.startTokens, placement.key())
+	}
+	if machine.placements[placement.taskID] != placement {
+		// Ended meanwhile, say by an exit that a report showed. The attempt
+		// was held back from being forgotten while the message was out.
+		if result != CommandOutcomeUnknown && !placement.mayArriveLate {
+			delete(machine.lateStarts, placement.key())
+		}
+		return
+	}
+	placement.startsInFlight = max(0, placement.startsInFlight-1)
+	switch result {
+	case CommandOutcomeUnknown:
+		placement.mayArriveLate = true
+	case CommandNotSent, CommandRejected:
+		if placement.Phase == PhaseSent && placement.sentInSequence == 0 && !placement.mayArriveLate {
+			placement.Phase = PhaseAssigned
+		}
+	case CommandExecuted:
+		// The report in the answer shows it.
+		if placement.Phase == PhaseSent {
+			placement.sentInSequence = machine.HeartbeatSequence
+		}
+	}
+}
--- a/internal/allocation/commands.go
+++ b/internal/allocation/commands.go
@@ -13,91 +13,125 @@
 	commands := tracker.exitCleanupCommands(machine)
 	for _, placement := range machine.placements {
 		if placement.Phase != PhaseReported || placement.isStopping {
-			commands = tracker.appendCommands(commands, placement, now, false)
+			commands = tracker.appendCommands(commands, placement, now, heartbeatReply)
 		}
 	}
 	return commands
 }
 
-// exitCleanupCommands forgets exits whose result is durable, and stops what has no job.
+// exitCleanupCommands has the worker forget exits whose result is durable, and stops what has no
+// job. What it must not forget yet stays listed in its heartbeats.
 func (tracker *Tracker) exitCleanupCommands(machine *Machine) []wire.Command {
 	var commands []wire.Command
 	for i := range machine.exitedAttempts {
 		exited := &machine.exitedAttempts[i]
 		switch {
-		case exited.job == nil && exited.completedOrAlive:
-			zero := 0.0
-			commands = append(commands, wire.Command{Action: wire.ActionStop, TaskID: exited.taskID, Attempt: exited.attempt, GracePeriodSeconds: &zero})
-			continue
-		case exited.job != nil && exited.completedOrAlive && !exited.job.IsService() && !exited.job.Tasks[exited.taskIndex].CompletionDurable:
-			continue // invariant 5
-		case machine.lateStarts[exited.key()]:
-			continue // invariant 2
-		case machine.startTokens[exited.key()] != 0:
+		case exited.isRunning:
+			commands = append(commands, stopCommand(exited.taskID, exited.attempt, 0))
+		case exited.hasPendingResult(): // invariant 5
+		case machine.lateStarts[exited.key()]: // invariant 2
+		case machine.startTokens[exited.key()] != 0: // the same, of a copy
 			tracker.needsHigherToken = true
-			continue // the same, of a copy
+		case machine.hasPlacement(exited.key()):
+		default:
+			commands = append(commands, wire.Command{Action: wire.ActionReap, TaskID: exited.taskID, Attempt: exited.attempt})
 		}
-		if placement := machine.placements[exited.taskID]; placement != nil && placement.Attempt == exited.attempt {
-			continue
-		}
-		commands = append(commands, wire.Command{Action: wire.ActionReap, TaskID: exited.taskID, Attempt: exited.attempt})
 	}
 	return commands
 }
 
+func startCommand(placement *Placement) wire.Command {
+	return wire.Command{Action: wire.ActionStart, TaskID: placement.taskID, Attempt: placement.Attempt}
+}
+
+func stopCommand(taskID string, attempt uint64, grace clock.Micros) wire.Command {
+	seconds := grace.Seconds()
+	return wire.Command{Action: wire.ActionStop, TaskID: taskID, Attempt: attempt, GracePeriodSeconds: &seconds}
+}
+
 // SetStartsPaused has no start put into any message, or ends that: while the leader may
 // not know of withdrawals, what is placed waits. Stops go out all the same.
 func (tracker *Tracker) SetStartsPaused(paused bool) { tracker.startsPaused = paused }
 
-func (tracker *Tracker) appendCommands(commands []wire.Command, placement *Placement, now clock.Micros, isDirect bool) []wire.Command {
-	start := wire.Command{Action: wire.ActionStart, TaskID: placement.taskID, Attempt: placement.Attempt}
-	grace := placement.stopGrace.Seconds()
-	stop := wire.Command{Action: wire.ActionStop, TaskID: placement.taskID, Attempt: placement.Attempt, GracePeriodSeconds: &grace}
+// commandChannel is the way that commands go to a worker.
+type commandChannel uint8
+
+const (
+	// heartbeatReply: in the answer to the worker's heartbeat.
+	heartbeatReply commandChannel = iota
+	// commandRequest: in a request that the leader makes to the worker.
+	commandRequest
+)
+
+// appendCommands appends what a placement needs. A placement whose start is not allowed any more,
+// and was never sent, is ended.
+func (tracker *Tracker) appendCommands(commands []wire.Command, placement *Placement, now clock.Micros, channel commandChannel) []wire.Command {
 	switch {
 	case placement.Phase == PhaseReported && placement.isStopping:
-		if placement.ReportedState != wire.TaskCheckpointing || placement.stopGrace == 0 {
-			if isDirect && placement.stopSentAt != 0 {
-				return commands
-			}
-			placement.stopSentAt = now
-			commands = append(commands, stop)
-		}
+		return appendStop(commands, placement, now, channel)
 	case placement.Phase == PhaseReported:
-	case placement.isStopping && placement.mayArriveLate && !isDirect:
-		// A start that was sent directly may still arrive. Met by a start and a
-		// stop in one message, its attempt is listed as exited, and the late
-		// one has no effect. Too long after a withdrawal even that could count
-		// as a start: then only the machine's end helps.
-		if tracker.startsPaused || placement.Job.Cancelled && now-placement.Job.CancelledAt > tracker.cfg.CancelFenceWindow {
-			return commands
-		}
-		zero := 0.0
-		stop.GracePeriodSeconds = &zero
-		commands = append(commands, start, stop)
-	case placement.isStopping:
-	case tracker.startsPaused:
+		return commands
+	case placement.isStopping && placement.mayArriveLate && channel == heartbeatReply:
+		return tracker.appendStartFence(commands, placement, now)
+	case placement.isStopping, tracker.startsPaused:
+		return commands
 	case placement.Phase == PhaseAssigned && !tracker.canStart(placement):
 		tracker.endPlacement(placement, wire.ExitStopped, now)
-	case placement.Phase == PhaseAssigned, placement.Phase == PhaseSent && !isDirect && (placement.startsInFlight > 0 || placement.mayArriveLate):
-		if !tracker.canStart(placement) || !tracker.mayDispatch(placement) {
-			return commands
-		}
-		placement.Phase = PhaseSent
-		if isDirect {
-			placement.startsInFlight++
-			placement.Machine.startTokens[placement.key()] = tracker.currentToken
-		} else {
-			placement.sentInSequence = placement.Machine.HeartbeatSequence
-		}
-		commands = append(commands, start)
+		return commands
+	case placement.Phase == PhaseAssigned, placement.mayStartArrive() && channel == heartbeatReply:
+		return tracker.appendStart(commands, placement, channel)
 	}
 	return commands
 }
 
+// appendStop appends the stop of a task that the worker has reported. A task that saves its
+// progress is left to it, unless it has no time left; a command request repeats no stop.
+func appendStop(commands []wire.Command, placement *Placement, now clock.Micros, channel commandChannel) []wire.Command {
+	isSaving := placement.ReportedState == wire.TaskCheckpointing && placement.stopGrace != 0
+	isRepeated := channel == commandRequest && placement.stopSentAt != 0
+	if isSaving || isRepeated {
+		return commands
+	}
+	placement.stopSentAt = now
+	return append(commands, stopCommand(placement.taskID, placement.Attempt, placement.stopGrace))
+}
+
+// appendStartFence meets a start that may still arrive by a start and a stop in one message: the
+// worker then lists the attempt as exited, and the late start has no effect.
+func (tracker *Tracker) appendStartFence(commands []wire.Command, placement *Placement, now clock.Micros) []wire.Command {
+	if tracker.startsPaused || tracker.isPastFenceWindow(placement.Job, now) {
+		return commands
+	}
+	return append(commands, startCommand(placement), stopCommand(placement.taskID, placement.Attempt, 0))
+}
+
+// isPastFenceWindow tells whether a job was cancelled so long ago that a start of it, even one that
+// is stopped in the same message, would count as a start after the cancellation.
+func (tracker *Tracker) isPastFenceWindow(job *Job, now clock.Micros) bool {
+	return job.Cancelled && now-job.CancelledAt > tracker.cfg.CancelFenceWindow
+}
+
+// appendStart appends the start of a placement, and records how it is sent.
+func (tracker *Tracker) appendStart(commands []wire.Command, placement *Placement, channel commandChannel) []wire.Command {
+	if !tracker.canStart(placement) || !tracker.mayDispatch(placement) {
+		return commands
+	}
+	placement.Phase = PhaseSent
+	switch channel {
+	case commandRequest:
+		placement.startsInFlight++
+		placement.Machine.startTokens[placement.key()] = tracker.currentToken
+	case heartbeatReply:
+		placement.sentInSequence = placement.Machine.HeartbeatSequence
+	}
+	return append(commands, startCommand(placement))
+}
+
 // IsCordoned tells that only the end of the machine resolves what may arrive.
 func (tracker *Tracker) IsCordoned(machine *Machine, now clock.Micros) bool {
 	for _, placement := range machine.placements {
-		if placement.isStopping && placement.mayArriveLate && placement.Phase == PhaseSent && placement.Job.Cancelled && now-placement.Job.CancelledAt > tracker.cfg.CancelFenceWindow {
+		isUnfencedStart := placement.isStopping && placement.mayArriveLate && placement.Phase == PhaseSent
+		if isUnfencedStart && tracker.isPastFenceWindow(placement.Job, now) {
 			return true
 		}
 	}
--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -19,6 +19,16 @@
 	HeartbeatFenced
 )
 
+// heartbeatSource is how a heartbeat came.
+type heartbeatSource uint8
+
+const (
+	// ownHeartbeat: the worker sent it, and so waits for no earlier answer any more.
+	ownHeartbeat heartbeatSource = iota
+	// commandResponse: it came in the answer to a command request.
+	commandResponse
+)
+
 // RecordLeaseRenewal notes that the worker's lease may be renewed by an answer to a report
 // that came at `now`. It has to be called before any report is answered.
 func (tracker *Tracker) RecordLeaseRenewal(machine *Machine, now clock.Micros) {
@@ -28,17 +38,17 @@
 // RecordHeartbeat takes a report that the worker sent. Sending it ends the wait for the
 // answer to its last one.
 func (tracker *Tracker) RecordHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros) HeartbeatResult {
-	return tracker.applyHeartbeat(machine, heartbeat, now, true)
+	return tracker.applyHeartbeat(machine, heartbeat, now, ownHeartbeat)
 }
 
 // RecordCommandHeartbeat takes the report in the answer to a direct message. The answer
 // to the worker's last own report may still be on its way then.
 func (tracker *Tracker) RecordCommandHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros) HeartbeatResult {
-	return tracker.applyHeartbeat(machine, heartbeat, now, false)
+	return tracker.applyHeartbeat(machine, heartbeat, now, commandResponse)
 }
 
 // applyHeartbeat applies a heartbeat that came one way or the other.
-func (tracker *Tracker) applyHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros, isOwnHeartbeat bool) HeartbeatResult {
+func (tracker *Tracker) applyHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros, source heartbeatSource) HeartbeatResult {
 	if heartbeat.FencingToken > tracker.issuedToken {
 		return HeartbeatFenced
 	}
@@ -61,7 +71,7 @@
 	}
 	tracker.confirmToken(machine)
 	if listedCount != len(machine.placements) {
-		tracker.handleMissingPlacements(machine, now, isOwnHeartbeat)
+		tracker.handleMissingPlacements(machine, now, source)
 	}
 	tracker.reconcile(machine)
 	return HeartbeatAccepted
@@ -125,10 +135,10 @@
 }
 
 // handleMissingPlacements handles the placements that the present heartbeat lacks.
-func (tracker *Tracker) handleMissingPlacements(machine *Machine, now clock.Micros, isOwnHeartbeat bool) {
+func (tracker *Tracker) handleMissingPlacements(machine *Machine, now clock.Micros, source heartbeatSource) {
 	for _, placement := range machine.placements {
 		if placement.lastSeenHeartbeat != tracker.heartbeatCount {
-			tracker.handleMissing(placement, now, isOwnHeartbeat)
+			tracker.handleMissing(placement, now, source)
 		}
 	}
 }
@@ -174,7 +184,7 @@
 }
 
 // handleMissing: a report under our token lacks a task that we sent.
-func (tracker *Tracker) handleMissing(placement *Placement, now clock.Micros, isOwnHeartbeat bool) {
+func (tracker *Tracker) handleMissing(placement *Placement, now clock.Micros, source heartbeatSource) {
 	switch placement.Phase {
 	case PhaseReported:
 		tracker.endPlacement(placement, CauseVanished, now)
@@ -182,7 +192,7 @@
 		if placement.mayStartArrive() {
 			return // invariant 2
 		}
-		if isOwnHeartbeat && placement.sentInSequence < placement.Machine.HeartbeatSequence {
+		if source == ownHeartbeat && placement.sentInSequence < placement.Machine.HeartbeatSequence {
 			// The answer that carried it was lost, or dropped as too late.
 			if placement.isStopping {
 				tracker.endPlacement(placement, wire.ExitStopped, now)
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -4,11 +4,17 @@
 
 // exitedAttempt is an exited attempt that the worker still lists.
 type exitedAttempt struct {
-	taskID           string
-	attempt          uint64
-	job              *Job
-	taskIndex        int
-	completedOrAlive bool
+	taskID      string
+	attempt     uint64
+	job         *Job // nil if it has none that is not over
+	taskIndex   int
+	isCompleted bool // its exit is the result of its job's task
+	isRunning   bool // it has no job, and has not exited
+}
+
+// hasPendingResult tells whether it is the completion of a task that is not durable yet.
+func (exited *exitedAttempt) hasPendingResult() bool {
+	return exited.isCompleted && !exited.job.IsService() && !exited.job.Tasks[exited.taskIndex].CompletionDurable
 }
 
 type attemptKey struct {
@@ -160,3 +166,9 @@
 	}
 	return false
 }
+
+// hasPlacement tells whether an attempt is one of the machine's placements.
+func (machine *Machine) hasPlacement(key attemptKey) bool {
+	placement := machine.placements[key.taskID]
+	return placement != nil && placement.Attempt == key.attempt
+}
--- a/internal/allocation/replication.go
+++ b/internal/allocation/replication.go
@@ -27,6 +27,16 @@
 // the whole job, where all that is left of it is in doubt.
 const maxUnconfirmedTasksPublished = 16
 
+// publishScope is which of a job's held back ends are published.
+type publishScope uint8
+
+const (
+	// publishDurable: those whose completion is durable by now.
+	publishDurable publishScope = iota
+	// publishAll: all, as the job is over.
+	publishAll
+)
+
 // publishUnconfirmed tells of what is in doubt of a job that the account begins with.
 func (tracker *Tracker) publishUnconfirmed(job *Job) {
 	if tracker.cfg.Replicator == nil || job.unconfirmedCount == 0 {
@@ -58,7 +68,7 @@
 	task := &job.Tasks[taskIndex]
 	switch {
 	case job.isWhollyUnconfirmed:
-		tracker.narrowUnconfirmed(job, false)
+		tracker.narrowUnconfirmed(job, publishDurable)
 	case task.State == TaskDone && !task.CompletionDurable:
 		job.unpublishedResolved = append(job.unpublishedResolved, taskIndex)
 	default:
@@ -68,8 +78,9 @@
 
 // narrowUnconfirmed replaces the doubt of a whole job by those of its last tasks, once they are
 // few and all that is done is durable. Of a job that is over nothing is left.
-func (tracker *Tracker) narrowUnconfirmed(job *Job, isOver bool) {
-	if !job.isWhollyUnconfirmed || !isOver && (job.unconfirmedCount > maxUnconfirmedTasksPublished || job.durableCount != job.doneCount) {
+func (tracker *Tracker) narrowUnconfirmed(job *Job, scope publishScope) {
+	isNarrow := job.unconfirmedCount <= maxUnconfirmedTasksPublished && job.durableCount == job.doneCount
+	if !job.isWhollyUnconfirmed || scope == publishDurable && !isNarrow {
 		return
 	}
 	job.isWhollyUnconfirmed = false
@@ -98,15 +109,15 @@
 
 // publishDurableEnds tells of the ends that have waited for their completions to be durable;
 // of a job that is over, of all.
-func (tracker *Tracker) publishDurableEnds(job *Job, isOver bool) {
+func (tracker *Tracker) publishDurableEnds(job *Job, scope publishScope) {
 	if tracker.cfg.Replicator == nil {
 		return
 	}
-	tracker.narrowUnconfirmed(job, isOver)
-	tracker.publishDurableResolved(job, isOver)
+	tracker.narrowUnconfirmed(job, scope)
+	tracker.publishDurableResolved(job, scope)
 	remaining := job.unpublishedEnds[:0]
 	for _, placement := range job.unpublishedEnds {
-		if isOver || job.Tasks[placement.TaskIndex].CompletionDurable {
+		if scope == publishAll || job.Tasks[placement.TaskIndex].CompletionDurable {
 			tracker.cfg.Replicator.RecordEnded(placement.taskID, placement.Attempt, placement.Machine.Name)
 		} else {
 			remaining = append(remaining, placement)
@@ -116,10 +127,10 @@
 	job.unpublishedEnds = remaining
 }
 
-func (tracker *Tracker) publishDurableResolved(job *Job, isOver bool) {
+func (tracker *Tracker) publishDurableResolved(job *Job, scope publishScope) {
 	remaining := job.unpublishedResolved[:0]
 	for _, i := range job.unpublishedResolved {
-		if isOver || job.Tasks[i].CompletionDurable {
+		if scope == publishAll || job.Tasks[i].CompletionDurable {
 			tracker.cfg.Replicator.RecordResolved(wire.TaskID(job.Spec.ID, i))
 		} else {
 			remaining = append(remaining, i)
--- a/internal/allocation/task_report.go
+++ b/internal/allocation/task_report.go
@@ -16,7 +16,7 @@
 	job := tracker.Jobs[jobID]
 	if !ok || job == nil || taskIndex >= len(job.Tasks) {
 		// No job that is not over: it can only be told to go.
-		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, completedOrAlive: taskReport.State != wire.TaskExited})
+		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, isRunning: taskReport.State != wire.TaskExited})
 		return false
 	}
 	if placement != nil && placement.Attempt != taskReport.Attempt {
@@ -65,7 +65,7 @@
 	} else if taskReport.ExitCause == wire.ExitDone && !job.IsService() {
 		tracker.recordCompletion(job, taskIndex)
 	}
-	machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex, completedOrAlive: taskReport.ExitCause == wire.ExitDone})
+	machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex, isCompleted: taskReport.ExitCause == wire.ExitDone})
 }
 
 // applyProgress records how far a task that has not exited is.
