--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -172,7 +172,6 @@
 // ran twice.
 func (tracker *Tracker) beginIncarnation(machine *Machine, now clock.Micros) {
 	machine.leaseRenewedAt = max(machine.leaseRenewedAt, now)
-	clear(machine.lateStarts)
 	for _, placement := range machine.placements {
 		if placement.Phase != PhaseAssigned || placement.mayStartArrive() {
 			tracker.endWithLease(placement, now)
