--- a/internal/allocation/dispatch.go
+++ b/internal/allocation/dispatch.go
@@ -25,7 +25,7 @@
 // mayDispatch tells whether a start may be sent as far as followers are concerned. One that
 // has to wait is looked at again with RetryUnreplicatedStarts.
 func (tracker *Tracker) mayDispatch(placement *Placement) bool {
-	if tracker.cfg.Replicator == nil || tracker.cfg.Replicator.MaySendStart(placement.decisionSequence) {
+	if tracker.cfg.Replicator == nil || tracker.cfg.Replicator.MaySendStart(placement.decisionNumber) {
 		return true
 	}
 	if machine := placement.Machine; !machine.isAwaitingReplication {
--- a/internal/allocation/eligibility.go
+++ b/internal/allocation/eligibility.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// IsWithinQuota tells whether a team may use that much more.
-func (tracker *Tracker) IsWithinQuota(team string, additional Resources) bool {
+// isWithinQuota tells whether a team may use that much more.
+func (tracker *Tracker) isWithinQuota(team string, additional Resources) bool {
 	quota := tracker.cfg.Quotas[team]
 	usage := tracker.TeamUsage(team).Add(additional)
 	return (quota.MaxMilliCPU == 0 || usage.MilliCPU <= quota.MaxMilliCPU) && (quota.MaxMilliGPU == 0 || usage.MilliGPU <= quota.MaxMilliGPU)
@@ -60,5 +60,5 @@
 	if spec.SpreadZones && job.CountInZone(machine.Zone) > job.MaxTasksPerZone() {
 		return false
 	}
-	return tracker.IsWithinQuota(spec.Team, Resources{})
+	return tracker.isWithinQuota(spec.Team, Resources{})
 }
--- a/internal/allocation/job_tracking.go
+++ b/internal/allocation/job_tracking.go
@@ -53,7 +53,7 @@
 // RemoveJob forgets a job that is over and gone.
 func (tracker *Tracker) RemoveJob(job *Job) {
 	if tracker.IsVacated(job) {
-		tracker.publishDurableEnds(job, publishAll)
+		tracker.publishHeldBackEnds(job, publishAll)
 		delete(tracker.Jobs, job.Spec.ID)
 	}
 }
@@ -108,5 +108,5 @@
 			job.durableCount++
 		}
 	}
-	tracker.publishDurableEnds(job, publishDurable)
+	tracker.publishHeldBackEnds(job, publishDurable)
 }
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -60,10 +60,10 @@
 
 // startDelivery is how the start of a placement is on its way to the worker.
 type startDelivery struct {
-	decisionSequence uint64 // the number of the decision that it may begin
-	sentInSequence   uint64 // seq of the report whose answer carried the start
-	startsInFlight   int    // direct starts without an answer yet
-	mayArriveLate    bool   // a direct start may still arrive
+	decisionNumber uint64 // the number of the decision that it may begin
+	sentInSequence uint64 // seq of the report whose answer carried the start
+	startsInFlight int    // direct starts without an answer yet
+	mayArriveLate  bool   // a direct start may still arrive
 }
 
 // stopRequest is how a placement is to end.
@@ -111,7 +111,7 @@
 	if !IsEligible(job, machine) {
 		return ErrNotEligible
 	}
-	if !tracker.IsWithinQuota(job.Spec.Team, job.Request) {
+	if !tracker.isWithinQuota(job.Spec.Team, job.Request) {
 		return ErrQuotaExceeded
 	}
 	if !job.Request.IsWithin(machine.Free()) {
--- a/internal/allocation/replication.go
+++ b/internal/allocation/replication.go
@@ -90,7 +90,7 @@
 
 func (tracker *Tracker) publishStarted(placement *Placement) {
 	if d := tracker.cfg.Replicator; d != nil {
-		placement.decisionSequence = d.RecordStarted(placement.taskID, placement.Attempt, placement.Machine.Name)
+		placement.decisionNumber = d.RecordStarted(placement.taskID, placement.Attempt, placement.Machine.Name)
 	}
 }
 
@@ -107,14 +107,14 @@
 	tracker.cfg.Replicator.RecordEnded(placement.taskID, placement.Attempt, placement.Machine.Name)
 }
 
-// publishDurableEnds tells of the ends that have waited for their completions to be durable;
+// publishHeldBackEnds tells of the ends that have waited for their completions to be durable;
 // of a job that is over, of all.
-func (tracker *Tracker) publishDurableEnds(job *Job, scope publishScope) {
+func (tracker *Tracker) publishHeldBackEnds(job *Job, scope publishScope) {
 	if tracker.cfg.Replicator == nil {
 		return
 	}
 	tracker.narrowUnconfirmed(job, scope)
-	tracker.publishDurableResolved(job, scope)
+	tracker.publishHeldBackResolved(job, scope)
 	remaining := job.unpublishedEnds[:0]
 	for _, placement := range job.unpublishedEnds {
 		if scope == publishAll || job.Tasks[placement.TaskIndex].CompletionDurable {
@@ -127,7 +127,7 @@
 	job.unpublishedEnds = remaining
 }
 
-func (tracker *Tracker) publishDurableResolved(job *Job, scope publishScope) {
+func (tracker *Tracker) publishHeldBackResolved(job *Job, scope publishScope) {
 	remaining := job.unpublishedResolved[:0]
 	for _, i := range job.unpublishedResolved {
 		if scope == publishAll || job.Tasks[i].CompletionDurable {
