--- a/internal/allocation/command_request.go
+++ b/internal/allocation/command_request.go
@@ -1,6 +1,8 @@
 package allocation
 
 import (
+	"fmt"
+
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/wire"
 )
@@ -45,6 +47,21 @@
 	CommandOutcomeUnknown
 )
 
+// String returns the name that log lines and test messages use.
+func (result CommandResult) String() string {
+	switch result {
+	case CommandNotSent:
+		return "not sent"
+	case CommandExecuted:
+		return "executed"
+	case CommandRejected:
+		return "rejected"
+	case CommandOutcomeUnknown:
+		return "outcome unknown"
+	}
+	return fmt.Sprintf("CommandResult(%d)", uint8(result))
+}
+
 // FinishCommandRequest takes the end of a direct message; a report that came with it
 // has to be given to Report afterwards.
 func (tracker *Tracker) FinishCommandRequest(machine *Machine, starts []*Placement, result CommandResult, now clock.Micros) {
--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -1,6 +1,7 @@
 package allocation
 
 import (
+	"fmt"
 	"maps"
 
 	"firwood.dev/firwood/internal/clock"
@@ -19,6 +20,19 @@
 	HeartbeatFenced
 )
 
+// String returns the name that log lines and test messages use.
+func (result HeartbeatResult) String() string {
+	switch result {
+	case HeartbeatStale:
+		return "stale"
+	case HeartbeatAccepted:
+		return "accepted"
+	case HeartbeatFenced:
+		return "fenced"
+	}
+	return fmt.Sprintf("HeartbeatResult(%d)", uint8(result))
+}
+
 // heartbeatSource is how a heartbeat came.
 type heartbeatSource uint8
 
--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -1,6 +1,8 @@
 package allocation
 
 import (
+	"fmt"
+
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/wire"
 )
@@ -15,6 +17,19 @@
 	TaskDone
 )
 
+// String returns the name that log lines and test messages use.
+func (state TaskState) String() string {
+	switch state {
+	case TaskWaiting:
+		return "waiting"
+	case TaskPlaced:
+		return "placed"
+	case TaskDone:
+		return "done"
+	}
+	return fmt.Sprintf("TaskState(%d)", uint8(state))
+}
+
 // Task is one task of a job.
 type Task struct {
 	State TaskState
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"math"
 
 	"firwood.dev/firwood/internal/clock"
@@ -21,6 +22,19 @@
 	PhaseReported
 )
 
+// String returns the name that log lines and test messages use.
+func (phase Phase) String() string {
+	switch phase {
+	case PhaseAssigned:
+		return "assigned"
+	case PhaseSent:
+		return "sent"
+	case PhaseReported:
+		return "reported"
+	}
+	return fmt.Sprintf("Phase(%d)", uint8(phase))
+}
+
 // Placement is a task that is, or may be, on a machine. Its fields are grouped by concern.
 type Placement struct {
 	Job       *Job
