--- a/internal/allocation/lease.go
+++ b/internal/allocation/lease.go
@@ -20,6 +20,13 @@
 // answered, by delegates left out.
 func (machine *Machine) LastRenewalAt() clock.Micros { return machine.leaseRenewedAt }
 
+// PROTOCOL bounds the drift of two steady clocks against each other by 0.05 %. LeaseEndsAt allows
+// one part in leaseDriftDivisor (0.2 %), and leaseSlack for what is rounded or late.
+const (
+	leaseDriftDivisor = 500
+	leaseSlack        = clock.Second
+)
+
 // LeaseEndsAt is when the machine's lease has provably run out, if nothing is
 // answered to it any more. The slack covers drift of both clocks.
 func (tracker *Tracker) LeaseEndsAt(machine *Machine) clock.Micros {
@@ -27,7 +34,7 @@
 	if !ok {
 		delegatedUntil = tracker.delegatedUntil
 	}
-	return max(machine.leaseRenewedAt, delegatedUntil) + tracker.cfg.LeaseTTL + tracker.cfg.LeaseTTL/500 + clock.Second
+	return max(machine.leaseRenewedAt, delegatedUntil) + tracker.cfg.LeaseTTL + tracker.cfg.LeaseTTL/leaseDriftDivisor + leaseSlack
 }
 
 // ExpireLease ends what was on a machine whose lease has run out. The machine has
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -101,16 +101,20 @@
 
 // Errors of Place.
 var (
-	ErrNotPlaceable          = errors.New("ledger: the task or machine is not free for this")
-	ErrNotEligible           = errors.New("ledger: the job does not allow this place")
-	ErrQuotaExceeded         = errors.New("ledger: the team's limit does not allow it")
-	ErrInsufficientResources = errors.New("ledger: the machine has no room")
+	ErrNotPlaceable          = errors.New("allocation: task or machine is not placeable")
+	ErrNotEligible           = errors.New("allocation: job does not allow the machine")
+	ErrQuotaExceeded         = errors.New("allocation: quota of the team is exceeded")
+	ErrInsufficientResources = errors.New("allocation: machine has too few free resources")
 )
 
+// attemptCounterBits is how many low bits of an attempt count the attempts under one token. The
+// token stands above them, so that attempts grow over all leaders (invariant 3).
+const attemptCounterBits = 20
+
 // NextAttempt returns a number greater than every earlier one.
 func (tracker *Tracker) NextAttempt() uint64 {
 	tracker.attemptCounter++
-	return tracker.currentToken<<20 | tracker.attemptCounter&(1<<20-1)
+	return tracker.currentToken<<attemptCounterBits | tracker.attemptCounter&(1<<attemptCounterBits-1)
 }
 
 // PlaceTask decides that a waiting task goes to a machine.
