--- a/internal/allocation/adoption.go
+++ b/internal/allocation/adoption.go
@@ -5,12 +5,15 @@
 	"firwood.dev/firwood/wire"
 )
 
-// adoptPlacement books a task that a worker has and the ledger did not expect there:
-// after a take-over, or as a stray that has to go.
+// adoptPlacement adds a placement for a task that a worker lists and the tracker didn't expect
+// there: after a failover, or as an orphan that has to be stopped.
 //
-// A report from before the token may be a late copy, and the task elsewhere by now. So
-// it ends no doubt about the task, and of two places the one with the later attempt
-// is the true one: attempts only grow, and a new one begins when the last is over.
+// A heartbeat made before the worker saw our token may be a late copy, and the task elsewhere by
+// now. So it leaves the task unconfirmed (invariant 4). Of two places, the one with the later
+// attempt is the right one: attempts only grow, and a new one begins when the last is over.
+//
+// Added after a late copy cleared the unconfirmed state of a task, which was started again while it
+// ran elsewhere.
 func (tracker *Tracker) adoptPlacement(machine *Machine, job *Job, taskIndex int, taskReport *wire.TaskStatus, now clock.Micros, tokenConfirmed bool) *Placement {
 	task := &job.Tasks[taskIndex]
 	placement := &Placement{Job: job, TaskIndex: taskIndex, Attempt: taskReport.Attempt, Machine: machine, Adopted: true, taskID: taskReport.TaskID, PlacementTimes: PlacementTimes{CreatedAt: now}}
@@ -24,7 +27,7 @@
 	placement.Orphaned = placement.Orphaned || task.Placement != nil || task.State == TaskDone
 	tracker.addPlacement(placement)
 	if tokenConfirmed {
-		tracker.clearUnconfirmed(job, taskIndex) // after the place is told of, see publishResolved
+		tracker.clearUnconfirmed(job, taskIndex) // after addPlacement has published it, see publishResolved
 	}
 	if job.IsGang() && !placement.Orphaned {
 		if hasConflict || job.GangAttempt != 0 && job.GangAttempt != taskReport.Attempt {
@@ -39,8 +42,8 @@
 	return placement
 }
 
-// supersedeGang takes the places of earlier attempts of a gang for what they are, late
-// copies; it tells whether one of them is not.
+// supersedeGang orphans the placements of a gang's earlier attempt when a later attempt is listed:
+// the earlier ones came from late copies. There is a conflict if one of them is confirmed.
 func (tracker *Tracker) supersedeGang(job *Job, attempt uint64) (hasConflict bool) {
 	if job.GangAttempt == 0 || attempt <= job.GangAttempt {
 		return false
@@ -59,7 +62,7 @@
 	return false
 }
 
-// orphanPlacement makes a stray of a place that a late copy has told of.
+// orphanPlacement takes from its task a placement that came from a late copy, and stops it.
 func (tracker *Tracker) orphanPlacement(placement *Placement) {
 	tracker.clearPlacement(placement.Job, &placement.Job.Tasks[placement.TaskIndex])
 	placement.Orphaned = true
--- a/internal/allocation/command_request.go
+++ b/internal/allocation/command_request.go
@@ -7,8 +7,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// BuildCommandRequest compiles a message to be sent straight to the worker: starts not yet
-// sent, and stops; an empty one if it is not known whether it can be told. One message to a worker is out at a time.
+// BuildCommandRequest builds a request to the worker (POST /commands) of starts that were not sent
+// yet and of stops, and returns it with the placements that it starts. It returns nil if there is
+// nothing to send, if the worker's address is unknown or it hasn't confirmed the token, and if a
+// request to it is in flight: there is one at a time.
 func (tracker *Tracker) BuildCommandRequest(machine *Machine, now clock.Micros) (*wire.CommandRequest, []*Placement) {
 	if machine.commandInFlight || !machine.TokenConfirmed || machine.Address == "" {
 		return nil, nil
@@ -28,22 +30,22 @@
 	if len(commands) == 0 && now >= machine.UnreachableUntil {
 		return nil, nil
 	}
-	// With nothing to say to a worker that may be deaf, an empty message asks.
+	// Without commands it probes whether a worker that may be unreachable can be reached again.
 	machine.commandInFlight = true
 	return &wire.CommandRequest{FencingToken: tracker.currentToken, Incarnation: machine.Incarnation, Commands: commands}, starts
 }
 
-// CommandResult is how a direct message ended.
+// CommandResult is the outcome of a command request.
 type CommandResult uint8
 
 const (
-	// CommandNotSent: it certainly did not and will not arrive.
+	// CommandNotSent means that the request certainly has not arrived and will not.
 	CommandNotSent CommandResult = iota
-	// CommandExecuted: the worker has carried it out.
+	// CommandExecuted means that the worker has executed the commands.
 	CommandExecuted
-	// CommandRejected: the worker has refused it whole.
+	// CommandRejected means that the worker has refused the whole request.
 	CommandRejected
-	// CommandOutcomeUnknown: nothing is known, and it may arrive at any time.
+	// CommandOutcomeUnknown means that there was no answer; the request may arrive at any time.
 	CommandOutcomeUnknown
 )
 
@@ -62,15 +64,15 @@
 	return fmt.Sprintf("CommandResult(%d)", uint8(result))
 }
 
-// FinishCommandRequest takes the end of a direct message; a report that came with it
-// has to be given to Report afterwards.
+// FinishCommandRequest records the outcome of a command request. A heartbeat in the answer has to be
+// given to RecordCommandHeartbeat afterwards.
 func (tracker *Tracker) FinishCommandRequest(machine *Machine, starts []*Placement, result CommandResult, now clock.Micros) {
 	machine.commandInFlight = false
 	switch result {
 	case CommandExecuted:
 		machine.UnreachableUntil = 0
 	case CommandOutcomeUnknown:
-		// If it hears nothing at all, its lease and its session end by then.
+		// If nothing at all reaches the worker, its lease and its incarnation end by then.
 		machine.UnreachableUntil = now + tracker.cfg.LeaseTTL
 	}
 	tracker.queueDispatch(machine)
@@ -84,14 +86,14 @@
 	}
 }
 
-// finishStart records what the end of a command request means for a start in it.
+// finishStart records what the outcome of a command request means for a start in it.
 func finishStart(machine *Machine, placement *Placement, result CommandResult) {
 	if result == CommandNotSent && !placement.mayArriveLate {
 		delete(machine.startTokens, placement.key())
 	}
 	if machine.placements[placement.taskID] != placement {
-		// Ended meanwhile, say by an exit that a report showed. The attempt
-		// was held back from being forgotten while the message was out.
+		// The placement has ended meanwhile, for example by an exit in a heartbeat. While the
+		// request was in flight, lateStarts kept the attempt from being reaped.
 		if result != CommandOutcomeUnknown && !placement.mayArriveLate {
 			delete(machine.lateStarts, placement.key())
 		}
@@ -106,7 +108,7 @@
 			placement.Phase = PhaseAssigned
 		}
 	case CommandExecuted:
-		// The report in the answer shows it.
+		// The heartbeat in the answer lists the task.
 		if placement.Phase == PhaseSent {
 			placement.sentInSequence = machine.HeartbeatSequence
 		}
--- a/internal/allocation/commands.go
+++ b/internal/allocation/commands.go
@@ -5,7 +5,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// HeartbeatCommands compiles the commands for the answer to the newest report of m.
+// HeartbeatCommands returns the commands for the reply to the machine's newest heartbeat.
 func (tracker *Tracker) HeartbeatCommands(machine *Machine, now clock.Micros) []wire.Command {
 	if !machine.TokenConfirmed {
 		return nil
@@ -19,8 +19,8 @@
 	return commands
 }
 
-// exitCleanupCommands has the worker forget exits whose result is durable, and stops what has no
-// job. What it must not forget yet stays listed in its heartbeats.
+// exitCleanupCommands makes the worker forget (reap) exits, and stop tasks without a job. An exit
+// that must not be reaped yet stays listed in its heartbeats.
 func (tracker *Tracker) exitCleanupCommands(machine *Machine) []wire.Command {
 	var commands []wire.Command
 	for i := range machine.exitedAttempts {
@@ -30,7 +30,7 @@
 			commands = append(commands, stopCommand(exited.taskID, exited.attempt, 0))
 		case exited.hasPendingResult(): // invariant 5
 		case machine.lateStarts[exited.key()]: // invariant 2
-		case machine.startTokens[exited.key()] != 0: // the same, of a copy
+		case machine.startTokens[exited.key()] != 0: // invariant 2, a copy of the start may arrive
 			tracker.needsHigherToken = true
 		case machine.hasPlacement(exited.key()):
 		default:
@@ -49,22 +49,22 @@
 	return wire.Command{Action: wire.ActionStop, TaskID: taskID, Attempt: attempt, GracePeriodSeconds: &seconds}
 }
 
-// SetStartsPaused has no start put into any message, or ends that: while the leader may
-// not know of withdrawals, what is placed waits. Stops go out all the same.
+// SetStartsPaused stops or resumes the sending of starts. They are paused while there may be
+// cancellations that the leader doesn't know of; stops still go out.
 func (tracker *Tracker) SetStartsPaused(paused bool) { tracker.startsPaused = paused }
 
 // commandChannel is the way that commands go to a worker.
 type commandChannel uint8
 
 const (
-	// heartbeatReply: in the answer to the worker's heartbeat.
+	// heartbeatReply: in the reply to the worker's heartbeat.
 	heartbeatReply commandChannel = iota
 	// commandRequest: in a request that the leader makes to the worker.
 	commandRequest
 )
 
-// appendCommands appends what a placement needs. A placement whose start is not allowed any more,
-// and was never sent, is ended.
+// appendCommands appends the commands that a placement needs. It also ends a placement whose start
+// was never sent and isn't allowed any more.
 func (tracker *Tracker) appendCommands(commands []wire.Command, placement *Placement, now clock.Micros, channel commandChannel) []wire.Command {
 	switch {
 	case placement.Phase == PhaseReported && placement.isStopping:
@@ -127,7 +127,8 @@
 	return append(commands, startCommand(placement))
 }
 
-// IsCordoned tells that only the end of the machine resolves what may arrive.
+// IsCordoned tells whether a start of a cancelled job may still arrive at the machine and can't be
+// fenced any more, so that only deleting the machine resolves it.
 func (tracker *Tracker) IsCordoned(machine *Machine, now clock.Micros) bool {
 	for _, placement := range machine.placements {
 		isUnfencedStart := placement.isStopping && placement.mayArriveLate && placement.Phase == PhaseSent
--- a/internal/allocation/dispatch.go
+++ b/internal/allocation/dispatch.go
@@ -1,7 +1,7 @@
 package allocation
 
-// queueDispatch notes that a direct message to the machine may be due. What is sent
-// then costs as much as changed, not as much as there are machines.
+// queueDispatch queues a machine that a command request may be due to. So the cost of dispatching
+// depends on the number of changes, not of machines.
 func (tracker *Tracker) queueDispatch(machine *Machine) {
 	if !machine.isQueued {
 		machine.isQueued = true
@@ -9,8 +9,8 @@
 	}
 }
 
-// ProcessDispatchQueue calls f for each machine that a direct message may be due to. One for
-// which f returns true stays listed.
+// ProcessDispatchQueue calls dispatch for each machine that a command request may be due to. The
+// machine is queued again if dispatch returns true.
 func (tracker *Tracker) ProcessDispatchQueue(dispatch func(*Machine) bool) {
 	due := tracker.dispatchQueue
 	tracker.dispatchQueue = nil
@@ -22,8 +22,8 @@
 	}
 }
 
-// mayDispatch tells whether a start may be sent as far as followers are concerned. One that
-// has to wait is looked at again with RetryUnreplicatedStarts.
+// mayDispatch tells whether enough standbys know of a placement for its start to be sent. If not, its
+// machine waits for RetryUnreplicatedStarts.
 func (tracker *Tracker) mayDispatch(placement *Placement) bool {
 	if tracker.cfg.Replicator == nil || tracker.cfg.Replicator.MaySendStart(placement.decisionNumber) {
 		return true
@@ -35,7 +35,7 @@
 	return false
 }
 
-// RetryUnreplicatedStarts has the starts that waited for followers looked at again.
+// RetryUnreplicatedStarts queues the machines whose starts waited for standbys.
 func (tracker *Tracker) RetryUnreplicatedStarts() {
 	waiting := tracker.awaitingReplication
 	tracker.awaitingReplication = nil
--- a/internal/allocation/doc.go
+++ b/internal/allocation/doc.go
@@ -1,29 +1,34 @@
-// Package allocation owns the answer to one question: which task may be on which
-// machine. It is pure: time and messages come in, facts and commands go out.
+// Package allocation tracks which task may be running on which machine. It does no I/O: callers
+// pass in times, the workers' heartbeats and the outcomes of command requests, and get events and
+// commands. It isn't safe for concurrent use; a leader's term owns one Tracker.
 //
-// The invariants, which the generated histories of the tests hold it to:
+// Terms: an attempt is one start of a task (a gang's tasks share it). A worker's incarnation grows
+// when its lease runs out and it kills all its tasks (PROTOCOL, Leases). A placement is a task that
+// is, or may be, on a machine. A task is unconfirmed if an earlier leader may have started it and
+// this leader doesn't know where it is. A start goes to a worker in the reply to its heartbeat, or
+// in a command request that the leader makes.
 //
-//  1. A (task, attempt) that was sent to a machine may be there until: a newer
-//     report by (session, seq), which the machine made after it could no longer
-//     take the command, lacks it or shows it exited; or the session has grown;
-//     or the cloud has answered the machine's deletion; or the machine's lease
-//     has provably run out.
-//  2. A start in a report's answer is dead once the worker sends another
-//     report; what it answers to a direct message meanwhile proves nothing of
-//     it. A start sent straight to the worker, whose answer is missing,
-//     stays possible until the session grows, the machine is gone, or the
-//     worker has seen a higher token. An attempt is never forgotten while such
-//     a start may be on its way: it would run again.
-//     A start that was sent straight and answered may come again, as a copy: its
-//     attempt is not forgotten before the worker has seen a higher token than
-//     that of the start. For that the token rises now and then.
-//  3. Attempts of a task only grow, over all leaders: the token is their upper
-//     part.
-//  4. What an earlier leader started is in doubt until every machine that may
-//     have existed then is accounted for, or until a report made under our token
-//     has the task: one from before may be a late copy. Doubt counts as running for
-//     tasks, team limits, zones and spread.
-//  5. A result is durable before its task is forgotten.
-//  6. Type, zone, kind, team limit and the job's other tasks are checked again
+// The invariants below are cited in the code by number. TestRandomHistories checks them.
+//
+//  1. A placement whose start was sent ends only on proof. Proof is one of: a newer heartbeat
+//     (by incarnation and sequence), made when the worker could no longer accept the start, lacks
+//     the attempt or lists it as exited; the incarnation has grown; the cloud has confirmed that
+//     the machine is deleted; the machine's lease has certainly run out.
+//  2. A start that may still arrive is never overlooked, and the worker isn't told to forget
+//     (reap) its attempt before: it would run again.
+//     A start in a heartbeat's reply can't arrive any more once the worker has sent its next own
+//     heartbeat. What the worker answers to a command request meanwhile proves nothing about it.
+//     A start in a command request without an answer may arrive until the incarnation grows, the
+//     machine is gone, or the worker has seen a higher token.
+//     A command request that was answered may arrive again as a copy. Its attempts are reaped
+//     only after the worker has seen a higher token than that of the request; the token is raised
+//     now and then for this reason (see token.go).
+//  3. The attempts of a task only grow, over all leaders: the fencing token is their upper part.
+//  4. A task that an earlier leader may have started stays unconfirmed until every machine that
+//     may have existed then is reconciled, or a heartbeat made under our token lists it (an
+//     earlier heartbeat may be a late copy). Unconfirmed tasks count as running for quotas,
+//     zones and spread.
+//  5. A completion is durable in the key-value store before the worker is told to forget it.
+//  6. Machine type, zone, spot, quota and the places of the job's other tasks are checked again
 //     when a start is put into a message.
 package allocation
--- a/internal/allocation/eligibility.go
+++ b/internal/allocation/eligibility.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// isWithinQuota tells whether a team may use that much more.
+// isWithinQuota tells whether the team's limit allows additional resources.
 func (tracker *Tracker) isWithinQuota(team string, additional Resources) bool {
 	quota := tracker.cfg.Quotas[team]
 	usage := tracker.TeamUsage(team).Add(additional)
 	return (quota.MaxMilliCPU == 0 || usage.MilliCPU <= quota.MaxMilliCPU) && (quota.MaxMilliGPU == 0 || usage.MilliGPU <= quota.MaxMilliGPU)
 }
 
-// IsEligible tells whether the job's own wishes allow the machine now, its other
-// tasks considered.
+// IsEligible tells whether the job's spec allows one more of its tasks on the machine: by zone,
+// type and spot, and by the places of its other tasks.
 func IsEligible(job *Job, machine *Machine) bool {
 	if !isStaticallyEligible(job, machine) {
 		return false
@@ -27,8 +27,8 @@
 	return !spec.SpreadZones || job.CountInZone(machine.Zone)+1 <= job.MaxTasksPerZone()
 }
 
-// isStaticallyEligible tells whether the job allows the kind of machine: whatever else it has
-// running where.
+// isStaticallyEligible tells whether the job's spec allows the machine's spot, zone and type. It
+// doesn't depend on where the job's other tasks are.
 func isStaticallyEligible(job *Job, machine *Machine) bool {
 	spec := job.Spec
 	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone {
@@ -37,14 +37,15 @@
 	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, machine.Type)
 }
 
-// CanReplaceLostTasks tells whether a gang waits for tasks that it has lost before it was
-// seen running: others with the same attempt complete it, while stopping the rest
-// would give up the images that they fetch.
+// CanReplaceLostTasks tells whether a gang that has not started may get replacements for tasks that
+// it has lost. They take the same attempt and complete the gang (PROTOCOL, gangs); stopping its
+// other tasks instead would throw away the images that they have fetched.
 func (job *Job) CanReplaceLostTasks() bool {
 	return job.IsGang() && job.GangAttempt != 0 && !job.GangAborting && !job.GangStarted && !job.Cancelled && job.unconfirmedCount == 0
 }
 
-// canStart is invariant 6, for a placement already on the books.
+// canStart re-checks invariant 6 when a start is about to be sent. The placement itself is already
+// counted, unlike in IsEligible.
 func (tracker *Tracker) canStart(placement *Placement) bool {
 	job, machine := placement.Job, placement.Machine
 	if job.Cancelled || job.GangAborting || placement.isStopping || !job.StartsRecorded || !machine.RecordedInStore {
--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -8,15 +8,17 @@
 	"firwood.dev/firwood/wire"
 )
 
-// HeartbeatResult says what a report was worth.
+// HeartbeatResult is the outcome of applying a heartbeat.
 type HeartbeatResult uint8
 
 const (
-	// HeartbeatStale: an older message than one already taken.
+	// HeartbeatStale means that it is not newer than one that was accepted, or that its
+	// incarnation's lease is over. It was ignored.
 	HeartbeatStale HeartbeatResult = iota
-	// HeartbeatAccepted: the report was taken.
+	// HeartbeatAccepted means that it was applied.
 	HeartbeatAccepted
-	// HeartbeatFenced: the worker has seen a higher token than ours.
+	// HeartbeatFenced means that the worker has seen a higher token than any of ours: there is a
+	// later leader.
 	HeartbeatFenced
 )
 
@@ -33,41 +35,41 @@
 	return fmt.Sprintf("HeartbeatResult(%d)", uint8(result))
 }
 
-// heartbeatSource is how a heartbeat came.
+// heartbeatSource is how a heartbeat arrived.
 type heartbeatSource uint8
 
 const (
-	// ownHeartbeat: the worker sent it, and so waits for no earlier answer any more.
+	// ownHeartbeat: the worker sent it, so it drops any reply to its earlier ones.
 	ownHeartbeat heartbeatSource = iota
-	// commandResponse: it came in the answer to a command request.
+	// commandResponse: it was in the answer to a command request.
 	commandResponse
 )
 
-// RecordLeaseRenewal notes that the worker's lease may be renewed by an answer to a report
-// that came at `now`. It has to be called before any report is answered.
+// RecordLeaseRenewal records that the reply to a heartbeat that arrived now may renew the worker's
+// lease. It has to be called before a heartbeat is answered.
 func (tracker *Tracker) RecordLeaseRenewal(machine *Machine, now clock.Micros) {
 	machine.leaseRenewedAt = max(machine.leaseRenewedAt, now)
 }
 
-// RecordHeartbeat takes a report that the worker sent. Sending it ends the wait for the
-// answer to its last one.
+// RecordHeartbeat applies a heartbeat that the worker sent. By sending it, the worker has given up
+// waiting for the reply to its last one.
 func (tracker *Tracker) RecordHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros) HeartbeatResult {
 	return tracker.applyHeartbeat(machine, heartbeat, now, ownHeartbeat)
 }
 
-// RecordCommandHeartbeat takes the report in the answer to a direct message. The answer
-// to the worker's last own report may still be on its way then.
+// RecordCommandHeartbeat applies a heartbeat from the answer to a command request. The reply to the
+// worker's last own heartbeat may still be on its way to it.
 func (tracker *Tracker) RecordCommandHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros) HeartbeatResult {
 	return tracker.applyHeartbeat(machine, heartbeat, now, commandResponse)
 }
 
-// applyHeartbeat applies a heartbeat that came one way or the other.
+// applyHeartbeat applies a heartbeat from either source.
 func (tracker *Tracker) applyHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros, source heartbeatSource) HeartbeatResult {
 	if heartbeat.FencingToken > tracker.issuedToken {
 		return HeartbeatFenced
 	}
 	if heartbeat.FencingToken > tracker.currentToken {
-		tracker.currentToken = heartbeat.FencingToken // a delegate has told it first
+		tracker.currentToken = heartbeat.FencingToken // a delegate has sent the issued token before us
 	}
 	if !machine.isNewHeartbeat(heartbeat) {
 		return HeartbeatStale
@@ -91,13 +93,13 @@
 	return HeartbeatAccepted
 }
 
-// isNewHeartbeat tells whether the heartbeat was made after the last one that was accepted, in
-// an incarnation that is not known to be over.
+// isNewHeartbeat tells whether a heartbeat was made after the last one that was accepted, and its
+// incarnation isn't known to be over.
 func (machine *Machine) isNewHeartbeat(heartbeat *wire.Heartbeat) bool {
 	return heartbeat.IsNewerThan(machine.Incarnation, machine.HeartbeatSequence) && heartbeat.Incarnation >= machine.minIncarnation
 }
 
-// recordHeartbeatFacts records what a heartbeat says of the machine itself.
+// recordHeartbeatFacts records what a heartbeat says about the machine itself.
 func (machine *Machine) recordHeartbeatFacts(heartbeat *wire.Heartbeat, now clock.Micros) {
 	machine.Incarnation, machine.HeartbeatSequence, machine.LastHeartbeatAt = heartbeat.Incarnation, heartbeat.Sequence, now
 	if machine.FirstHeartbeatAt == 0 {
@@ -111,7 +113,8 @@
 	}
 }
 
-// recordSeenToken drops the starts that the worker refuses now: those sent under lower tokens.
+// recordSeenToken records the token that the worker has seen. It refuses copies of starts that were
+// sent under lower tokens, so their records are dropped (invariant 2).
 func (machine *Machine) recordSeenToken(token uint64) {
 	if token > machine.seenToken {
 		machine.seenToken = token
@@ -133,8 +136,8 @@
 	return listedCount
 }
 
-// confirmToken records that the worker has reported under this leader's token. The placements
-// that the present heartbeat lists are where they are said to be.
+// confirmToken records that the worker has sent a heartbeat under this leader's token. The placements
+// that this heartbeat lists are confirmed (invariant 4).
 func (tracker *Tracker) confirmToken(machine *Machine) {
 	if machine.TokenConfirmed {
 		return
@@ -148,7 +151,7 @@
 	}
 }
 
-// handleMissingPlacements handles the placements that the present heartbeat lacks.
+// handleMissingPlacements handles the placements that the current heartbeat doesn't list.
 func (tracker *Tracker) handleMissingPlacements(machine *Machine, now clock.Micros, source heartbeatSource) {
 	for _, placement := range machine.placements {
 		if placement.lastSeenHeartbeat != tracker.heartbeatCount {
@@ -157,8 +160,8 @@
 	}
 }
 
-// SetCachedImages takes an earlier leader's word of the images that a machine holds in a session.
-// It is believed once the machine reports in that session.
+// SetCachedImages sets an earlier leader's hint of the images that the machine has in an incarnation.
+// It is applied once a heartbeat of that incarnation is accepted.
 func (machine *Machine) SetCachedImages(incarnation uint64, images []string, now clock.Micros) {
 	machine.hintedImages, machine.hintedIncarnation = images, incarnation
 	if machine.Incarnation == incarnation {
@@ -166,6 +169,7 @@
 	}
 }
 
+// applyImageHints uses or drops the hint when an incarnation is first seen.
 func (machine *Machine) applyImageHints(incarnation uint64, now clock.Micros) {
 	if machine.hintedIncarnation == incarnation {
 		for _, i := range machine.hintedImages {
@@ -177,13 +181,12 @@
 	machine.hintedImages = nil
 }
 
-// beginIncarnation: the worker's lease ran out and everything it had is gone, and
-// commands for the session before are refused from now on.
+// beginIncarnation ends what was sent to the worker before: its lease ran out, it has killed all its
+// tasks, and it refuses commands for the earlier incarnation.
 //
-// The new session has a lease of its own, from its beginning on, which nobody
-// needs to have answered: once a session was first seen in the answer to a probe,
-// got tasks, and was taken for over with the lease of the one before. The tasks
-// ran twice.
+// The new incarnation has its own lease, which begins without any reply. Added after an incarnation
+// that was first seen in the answer to a probe got tasks, and they were taken to be over when the
+// lease of the incarnation before ran out: the tasks ran twice (docs/incidents/session-seen-by-probe.md).
 func (tracker *Tracker) beginIncarnation(machine *Machine, now clock.Micros) {
 	machine.leaseRenewedAt = max(machine.leaseRenewedAt, now)
 	for _, placement := range machine.placements {
@@ -196,7 +199,7 @@
 	clear(machine.ImageUsedAt)
 }
 
-// handleMissing: a report under our token lacks a task that we sent.
+// handleMissing handles a placement that a heartbeat under our token doesn't list.
 func (tracker *Tracker) handleMissing(placement *Placement, now clock.Micros, source heartbeatSource) {
 	switch placement.Phase {
 	case PhaseReported:
@@ -206,7 +209,7 @@
 			return // invariant 2
 		}
 		if source == ownHeartbeat && placement.sentInSequence < placement.Machine.HeartbeatSequence {
-			// The answer that carried it was lost, or dropped as too late.
+			// The reply that carried it was lost, or dropped by the worker.
 			if placement.isStopping {
 				tracker.endPlacement(placement, wire.ExitStopped, now)
 			} else {
--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -7,14 +7,14 @@
 	"firwood.dev/firwood/wire"
 )
 
-// TaskState is where a task stands.
+// TaskState is the state of a task within its job.
 type TaskState uint8
 
 // States of a task.
 const (
-	TaskWaiting TaskState = iota
-	TaskPlaced
-	TaskDone
+	TaskWaiting TaskState = iota // neither placed nor done
+	TaskPlaced                   // it has a placement
+	TaskDone                     // it has completed
 )
 
 // String returns the name that log lines and test messages use.
@@ -33,26 +33,25 @@
 // Task is one task of a job.
 type Task struct {
 	State TaskState
-	// Unconfirmed: an earlier leader may have started it somewhere. It may have a place
-	// all the same, as told by what may be a late copy of a report.
+	// Unconfirmed tells whether an earlier leader may have started it somewhere (invariant 4). It
+	// may have a placement all the same, from a heartbeat that may be a late copy.
 	Unconfirmed bool
-	// CompletionDurable: its completion is in the state service.
+	// CompletionDurable tells whether its completion is in the key-value store.
 	CompletionDurable bool
-	FailureCount      uint8
-	Placement         *Placement
-	// RetryAt holds a failed task back.
+	FailureCount      uint8      // exits with an error, at most 255
+	Placement         *Placement // nil if there is none; orphans aren't set here
+	// RetryAt is the backoff's end of a failed task.
 	RetryAt clock.Micros
 	// CheckpointedSeconds is how many seconds of its run are safe in a checkpoint, as far as
-	// this leader has seen. Predictions use it; nothing else rests on it.
+	// this leader has seen. Only forecasts use it.
 	CheckpointedSeconds float64
 }
 
-// Job is an accepted job that is not over, or whose tasks are not all gone. Its fields are
-// grouped by concern.
+// Job is an accepted job that isn't over, or isn't vacated. Its fields are grouped by concern.
 type Job struct {
 	Spec     *wire.Job
-	Request  Resources
-	Priority int
+	Request  Resources // of one task
+	Priority int       // see wire.PriorityIndex; its own or a dependent's
 	Tasks    []Task
 	JobTimes
 	JobCancellation
@@ -62,92 +61,93 @@
 	taskCounts
 	unpublishedState
 
-	// StartsRecorded: the state service knows that tasks of it may have been started.
+	// StartsRecorded tells whether the key-value store records that tasks of it may have been
+	// started. None is placed before.
 	StartsRecorded bool
-	// StartedByAging: it was begun because it had waited too long.
+	// StartedByAging tells whether it was started because it had waited too long.
 	StartedByAging bool
-	StartedCount   int
-	// CheckpointedSeconds is the most that is safe of any task; a gang's tasks share it.
+	// StartedCount is the number of placements that were seen with their image.
+	StartedCount int
+	// CheckpointedSeconds is the largest of its tasks' CheckpointedSeconds; a gang's tasks share it.
 	CheckpointedSeconds float64
 }
 
 // JobTimes are the instants that a job's waits and its lateness are measured from.
 type JobTimes struct {
-	// ReleasedAt is the time of day from which its waits count: its submission, or
-	// the end of the last job that it awaited.
+	// ReleasedAt is the time of day from which its wait counts: its submission, or the end of the
+	// last of its dependencies.
 	ReleasedAt clock.Micros
-	// Deadline is the time of day by which it should be done, by its own wish or
-	// for those that await it; 0: there is none.
+	// Deadline is the time of day by which it should be done, for its own or its dependents'
+	// deadline. 0 means that there is none.
 	Deadline     clock.Micros
-	AddedAt      clock.Micros // steady clock, when this leader learnt of it
-	FirstStartAt clock.Micros // steady clock
+	AddedAt      clock.Micros // steady clock, when this leader first knew of it
+	FirstStartAt clock.Micros // steady clock, 0 before
 }
 
-// JobCancellation tells whether a job was cancelled.
+// JobCancellation tells whether and when this leader knew that a job was cancelled.
 type JobCancellation struct {
 	Cancelled   bool
-	CancelledAt clock.Micros
+	CancelledAt clock.Micros // steady clock
 }
 
-// GangState is where the attempt of a gang stands.
+// GangState is the state of a gang's attempt. It is zero between attempts, and for other jobs.
 type GangState struct {
-	// GangAttempt of a gang in progress, 0 if none; Broken: it has to end; Under way: it
-	// has been seen running, all its tasks together.
-	GangAttempt  uint64
-	GangAborting bool
-	GangStarted  bool
+	GangAttempt  uint64 // 0 if no task of the gang is placed
+	GangAborting bool   // all its tasks are being stopped
+	GangStarted  bool   // a task was seen running, so all have started together
 }
 
-// JobFailures counts what went wrong with a job's tasks.
+// JobFailures counts exits with an error, and restarts.
 type JobFailures struct {
-	// FailuresByMachine counts failures by machine.
-	FailuresByMachine map[string]int
+	FailuresByMachine map[string]int // by machine name; nil before the first
 	FailureCount      int
-	RestartCount      int
+	RestartCount      int // kept by the controller
 }
 
-// jobKind is the spec's kind, compared once.
+// jobKind caches comparisons of the spec's kind.
 type jobKind struct{ isGang, isService bool }
 
 // taskCounts sum up the states of a job's tasks.
 type taskCounts struct {
 	unconfirmedCount int
 	doneCount        int
-	durableCount     int
-	activeCount      int // placements
-	waitingCount     int
-	placementsByZone map[string]int
+	durableCount     int            // done, and the completion is durable
+	activeCount      int            // placements, orphans included
+	waitingCount     int            // neither placed nor done
+	placementsByZone map[string]int // orphans included
 }
 
-// unpublishedState is what followers have still to be told of a job, see Replicator.
+// unpublishedState is what standbys still have to be told of a job, see Replicator.
 type unpublishedState struct {
-	unpublishedEnds []*Placement // that are over, and whose completion is not durable
-	// isWhollyUnconfirmed: followers were told that all that is left of the job is in doubt, and
-	// not of single tasks. unpublishedResolved are tasks that are in doubt no more, and whose
-	// completion is not durable.
+	// unpublishedEnds are ended placements whose completion isn't durable yet.
+	unpublishedEnds []*Placement
+	// isWhollyUnconfirmed tells whether one entry for the whole job was published, instead of one
+	// for each unconfirmed task.
 	isWhollyUnconfirmed bool
+	// unpublishedResolved are tasks that aren't unconfirmed any more, but whose completion isn't
+	// durable yet.
 	unpublishedResolved []int
 }
 
 // IsGang tells whether the job's tasks run together.
 func (job *Job) IsGang() bool { return job.isGang }
 
-// IsService tells whether the job runs until it is withdrawn.
+// IsService tells whether the job runs until it is cancelled.
 func (job *Job) IsService() bool { return job.isService }
 
-// DoneCount is the number of completed tasks.
+// DoneCount returns the number of completed tasks.
 func (job *Job) DoneCount() int { return job.doneCount }
 
-// WaitingCount is the number of tasks that are neither placed nor done.
+// WaitingCount returns the number of tasks that are neither placed nor done.
 func (job *Job) WaitingCount() int { return job.waitingCount }
 
-// ActiveCount is the number of placements, doubtful ones not included.
+// ActiveCount returns the number of placements. Unconfirmed tasks without one aren't included.
 func (job *Job) ActiveCount() int { return job.activeCount }
 
-// UnconfirmedCount is the number of tasks in doubt.
+// UnconfirmedCount returns the number of unconfirmed tasks.
 func (job *Job) UnconfirmedCount() int { return job.unconfirmedCount }
 
-// ForEachPlacement calls f for every task's placement, strays left out.
+// ForEachPlacement calls visit for every task's placement, orphans left out.
 func (job *Job) ForEachPlacement(visit func(*Placement)) {
 	for i := range job.Tasks {
 		if placement := job.Tasks[i].Placement; placement != nil {
@@ -159,12 +159,12 @@
 // IsComplete tells whether every task is done.
 func (job *Job) IsComplete() bool { return job.doneCount == len(job.Tasks) }
 
-// CountInZone counts the job's tasks that are, or may be, in a zone.
+// CountInZone returns how many of the job's tasks are, or may be, in a zone.
 func (job *Job) CountInZone(zone string) int {
 	return job.placementsByZone[zone] + job.unconfirmedCount
 }
 
-// OccupiedZone returns the zone that the job's tasks are in, if there is one.
+// OccupiedZone returns a zone that has a placement of the job, if there is one.
 func (job *Job) OccupiedZone() (string, bool) {
 	for z, n := range job.placementsByZone {
 		if n > 0 {
@@ -174,16 +174,16 @@
 	return "", false
 }
 
-// MaxTasksPerZone is how many tasks may be in one zone.
+// MaxTasksPerZone returns how many tasks of a job that spreads over zones may be in one zone.
 func (job *Job) MaxTasksPerZone() int { return (len(job.Tasks) + 1) / 2 }
 
-// NeedsPersisting tells whether some completion is not in the state service yet, or the
-// job is complete: then there is something to write, or to clean up.
+// NeedsPersisting tells whether the job has something to write or to clean up: a completion is not
+// in the key-value store yet, or all tasks are done.
 func (job *Job) NeedsPersisting() bool {
 	return job.durableCount != job.doneCount || job.doneCount == len(job.Tasks)
 }
 
-// UnpersistedCompletions lists completions that the state service does not have yet.
+// UnpersistedCompletions returns the indices of done tasks whose completion isn't durable yet.
 func (job *Job) UnpersistedCompletions() []int {
 	if job.durableCount == job.doneCount {
 		return nil
--- a/internal/allocation/job_tracking.go
+++ b/internal/allocation/job_tracking.go
@@ -5,8 +5,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// AddJob takes an accepted job. Before Settle, a marked job's tasks are in
-// doubt, unless their completion is durable.
+// AddJob adds an accepted job. Tasks whose completion is durable are done. Before FinishRecovery,
+// the other tasks of a job with recorded starts are unconfirmed if they may have been started.
+//
+// releasedAt is a time of day, now is the steady clock. isDurable may be nil: no task is done.
 func (tracker *Tracker) AddJob(spec *wire.Job, releasedAt, now clock.Micros, startsRecorded bool, isDurable func(int) bool) *Job {
 	job := &Job{
 		Spec: spec, Request: NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB),
@@ -35,7 +37,7 @@
 	return job
 }
 
-// Cancel takes the durable withdrawal of a job: its tasks are to end.
+// Cancel records the durable cancellation of a job, and stops its tasks without grace.
 func (tracker *Tracker) Cancel(job *Job, now clock.Micros) {
 	if job.Cancelled {
 		return
@@ -45,12 +47,12 @@
 	tracker.stopPlacements(job, 0)
 }
 
-// IsVacated tells that no task of the job is, or may be, anywhere.
+// IsVacated tells whether no task of the job is, or may be, on any machine.
 func (tracker *Tracker) IsVacated(job *Job) bool {
 	return job.activeCount == 0 && job.unconfirmedCount == 0
 }
 
-// RemoveJob forgets a job that is over and gone.
+// RemoveJob removes a job that is over, if it is vacated.
 func (tracker *Tracker) RemoveJob(job *Job) {
 	if tracker.IsVacated(job) {
 		tracker.publishHeldBackEnds(job, publishAll)
@@ -58,6 +60,8 @@
 	}
 }
 
+// clearUnconfirmed records that it is known whether, and where, an earlier leader's start of a task
+// is.
 func (tracker *Tracker) clearUnconfirmed(job *Job, taskIndex int) {
 	task := &job.Tasks[taskIndex]
 	if !task.Unconfirmed {
@@ -71,13 +75,14 @@
 	tracker.publishResolved(job, taskIndex)
 }
 
-// addUnconfirmedUsage adds tasks to what a team may use beside its placements. A task that is in
-// doubt and has a place all the same takes its share once, wherever it is.
+// addUnconfirmedUsage adds unconfirmed tasks to what a job's team may use, or subtracts them. An
+// unconfirmed task with a placement is counted by the placement only.
 func (tracker *Tracker) addUnconfirmedUsage(job *Job, taskCount int) {
 	addUsage(tracker.unconfirmedUsage, job.Spec.Team, job.Request.Times(taskCount))
 }
 
-// recordCompletion takes the completion of a task. A gang completes as one.
+// recordCompletion records that a task has completed. A gang's tasks complete together: if one is
+// done, all are (PROTOCOL, gangs).
 func (tracker *Tracker) recordCompletion(job *Job, taskIndex int) {
 	if job.IsGang() {
 		for index := range job.Tasks {
@@ -88,6 +93,7 @@
 	tracker.completeTask(job, taskIndex)
 }
 
+// completeTask records the completion of one task, once.
 func (tracker *Tracker) completeTask(job *Job, taskIndex int) {
 	task := &job.Tasks[taskIndex]
 	if task.State != TaskDone {
@@ -100,7 +106,7 @@
 	tracker.clearUnconfirmed(job, taskIndex)
 }
 
-// MarkDurable takes the news that completions are in the state service.
+// MarkDurable records that the completions of tasks are in the key-value store.
 func (tracker *Tracker) MarkDurable(job *Job, tasks []int) {
 	for _, i := range tasks {
 		if task := &job.Tasks[i]; task.State == TaskDone && !task.CompletionDurable {
--- a/internal/allocation/lease.go
+++ b/internal/allocation/lease.go
@@ -2,22 +2,21 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// SetDelegatedUntil takes until when other controllers may have answered workers in this
-// leader's name or an earlier one's, as far as can be known now, and in which
-// zones something else is known. No lease ends sooner than one that was renewed
-// then.
+// SetDelegatedUntil sets until when other controllers may have answered workers' heartbeats for this
+// leader or an earlier one, and the zones where another instant is known. A lease is taken to have
+// been renewed then.
 func (tracker *Tracker) SetDelegatedUntil(until clock.Micros, untilByZone map[string]clock.Micros) {
 	tracker.delegatedUntil, tracker.delegatedUntilByZone = until, untilByZone
 }
 
-// CapLeaseRenewal takes what an earlier leader has promised: no report of the
-// machine was answered after that. It holds as long as this leader answers none.
+// CapLeaseRenewal records an earlier leader's renewal constraint: it answered no heartbeat of the
+// machine after the instant. The cap holds until this leader answers one.
 func (tracker *Tracker) CapLeaseRenewal(machine *Machine, at clock.Micros) {
 	machine.leaseRenewedAt = min(machine.leaseRenewedAt, at)
 }
 
-// LastRenewalAt is the last instant at which a report of the machine may have been
-// answered, by delegates left out.
+// LastRenewalAt returns the last instant at which a leader may have renewed the machine's lease.
+// Renewals by delegates aren't included.
 func (machine *Machine) LastRenewalAt() clock.Micros { return machine.leaseRenewedAt }
 
 // PROTOCOL bounds the drift of two steady clocks against each other by 0.05 %. LeaseEndsAt allows
@@ -27,8 +26,8 @@
 	leaseSlack        = clock.Second
 )
 
-// LeaseEndsAt is when the machine's lease has provably run out, if nothing is
-// answered to it any more. The slack covers drift of both clocks.
+// LeaseEndsAt returns the instant of the steady clock from which the machine's lease has certainly
+// run out, if none of its heartbeats is answered any more.
 func (tracker *Tracker) LeaseEndsAt(machine *Machine) clock.Micros {
 	delegatedUntil, ok := tracker.delegatedUntilByZone[machine.Zone]
 	if !ok {
@@ -37,14 +36,14 @@
 	return max(machine.leaseRenewedAt, delegatedUntil) + tracker.cfg.LeaseTTL + tracker.cfg.LeaseTTL/leaseDriftDivisor + leaseSlack
 }
 
-// ExpireLease ends what was on a machine whose lease has run out. The machine has
-// to be heard anew before it gets anything.
+// ExpireLease ends the placements of a machine whose lease has certainly run out, and tells whether
+// it has. The machine gets no task before it sends a heartbeat of a new incarnation.
 func (tracker *Tracker) ExpireLease(machine *Machine, now clock.Micros) bool {
 	if now < tracker.LeaseEndsAt(machine) {
 		return false
 	}
 	machine.TokenConfirmed = false
-	// A report of the session that is over may still come, out of the network.
+	// A heartbeat of the incarnation that is over may still arrive late.
 	machine.minIncarnation = machine.Incarnation + 1
 	for _, placement := range machine.placements {
 		tracker.endWithLease(placement, now)
@@ -55,8 +54,8 @@
 	return true
 }
 
-// endWithLease ends a placement whose machine has lost its lease: no start of it can have an
-// effect any more.
+// endWithLease ends a placement whose machine's lease has ended: the worker has killed the task and
+// refuses commands for the incarnation, so no start of it can have an effect any more.
 func (tracker *Tracker) endWithLease(placement *Placement, now clock.Micros) {
 	placement.mayArriveLate, placement.startsInFlight = false, 0
 	tracker.endPlacement(placement, CauseVanished, now)
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -2,14 +2,15 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// exitedAttempt is an exited attempt that the worker still lists.
+// exitedAttempt is an attempt without a placement that the worker lists, mostly an exited one. It is
+// listed until the worker is told to forget (reap) it.
 type exitedAttempt struct {
 	taskID      string
 	attempt     uint64
-	job         *Job // nil if it has none that is not over
+	job         *Job // nil if the tracker has no such job
 	taskIndex   int
-	isCompleted bool // its exit is the result of its job's task
-	isRunning   bool // it has no job, and has not exited
+	isCompleted bool // it exited as done, so its task's completion has to be durable first
+	isRunning   bool // it has not exited and its job is nil
 }
 
 // hasPendingResult tells whether it is the completion of a task that is not durable yet.
@@ -17,6 +18,7 @@
 	return exited.isCompleted && !exited.job.IsService() && !exited.job.Tasks[exited.taskIndex].CompletionDurable
 }
 
+// attemptKey identifies an attempt of a task.
 type attemptKey struct {
 	taskID  string
 	attempt uint64
@@ -24,7 +26,7 @@
 
 func (exited *exitedAttempt) key() attemptKey { return attemptKey{exited.taskID, exited.attempt} }
 
-// Machine is a machine that exists, or may. Its fields are grouped by concern.
+// Machine is a machine that exists, or may exist. Its fields are grouped by concern.
 type Machine struct {
 	MachineSpec
 	HeartbeatState
@@ -35,126 +37,127 @@
 	attemptRecords
 	leaseState
 
-	// RecordedInStore: the state service names it. Only then may it get tasks.
+	// RecordedInStore tells whether the key-value store has it. Only then may it get tasks.
 	RecordedInStore bool
-	CreatedAt       clock.Micros // when this leader learnt of it
-	BecameIdleAt    clock.Micros // since when it has nothing to do
-	// SortIndex is its place in SortedMachines, as of the last call of that.
+	// CreatedAt is when this leader first knew of it; the controller replaces it by the time of
+	// the scale-out request.
+	CreatedAt    clock.Micros
+	BecameIdleAt clock.Micros // since when it has had no placement
+	// SortIndex is its index in SortedMachines, as of the last call of that.
 	SortIndex int
 }
 
-// MachineSpec is what a machine was created with.
+// MachineSpec is what doesn't change while a machine exists.
 type MachineSpec struct {
 	Name, Type, Zone string
-	Spot             bool
+	Spot             bool // the cloud may reclaim it
 	Capacity         Resources
 }
 
-// HeartbeatState is what the worker's heartbeats have told.
+// HeartbeatState is what is known from the worker's heartbeats. Instants are of this leader's steady
+// clock.
 type HeartbeatState struct {
-	Address           string
-	Incarnation       uint64
-	HeartbeatSequence uint64
-	LastHeartbeatAt   clock.Micros // when the last newer report came
-	FirstHeartbeatAt  clock.Micros // when it was first heard
-	// TokenConfirmed: it has reported under this token.
+	Address           string // HOST:PORT for command requests, "" if unknown
+	Incarnation       uint64 // of the last accepted heartbeat
+	HeartbeatSequence uint64 // of the last accepted heartbeat
+	LastHeartbeatAt   clock.Micros
+	FirstHeartbeatAt  clock.Micros // 0 before the first
+	// TokenConfirmed tells whether a heartbeat was made under this leader's token, and the lease has
+	// not run out since.
 	TokenConfirmed bool
-	// Reconciled: nothing of an earlier leader can be on it unseen.
+	// Reconciled tells whether nothing that an earlier leader started can be on it unseen.
 	Reconciled bool
 }
 
 // MachineRestrictions are reasons to give a machine nothing new.
 type MachineRestrictions struct {
-	// ReclaimAt is when the cloud takes it back, 0 if not announced.
+	// ReclaimAt is when the cloud reclaims a spot machine, 0 if it isn't announced.
 	ReclaimAt clock.Micros
-	// UnreachableUntil: a direct message got no answer lately, so until then it is not
-	// known that the worker can be told anything, though it may be heard.
+	// UnreachableUntil is set after a command request without an answer: until then commands may
+	// not reach the worker, even if its heartbeats arrive.
 	UnreachableUntil clock.Micros
-	// BackoffUntil: tasks fail there for a cause that is not its own, so until then it
-	// gets nothing new.
+	// BackoffUntil is set while tasks fail on it for a cause that isn't the machine's own.
 	BackoffUntil clock.Micros
-	// FailedJobs counts the jobs that failed on it.
+	// FailedJobs is the set of jobs of which a task failed on it.
 	FailedJobs map[string]bool
-	// Draining: it gets nothing new.
+	// Draining is set while the controller places nothing new on it, mostly to delete it.
 	Draining bool
 }
 
 // MachineImages are the images that a machine has, or fetches.
 type MachineImages struct {
-	// ImageUsedAt that it has fetched, with when each was last used.
+	// ImageUsedAt holds, by image that the machine has fetched, when it was last used.
 	ImageUsedAt map[string]clock.Micros
-	// hintedImages are images that it is said to hold in a session, see Says.
+	// hintedImages are images that it is expected to have in hintedIncarnation, see SetCachedImages.
 	hintedImages      []string
 	hintedIncarnation uint64
-	fetchesByImage    map[string]int // placements that have not run yet, by image
+	fetchesByImage    map[string]int // number of placements that wait for an image
 }
 
-// machineLoad is what is booked on a machine.
+// machineLoad is what is placed on a machine.
 type machineLoad struct {
-	used         Resources
-	placements   map[string]*Placement
-	replicaCount int
+	used         Resources             // sum of the placements' requests
+	placements   map[string]*Placement // by task ID
+	replicaCount int                   // placements of services
 }
 
-// dispatchState is where a machine's direct messages stand.
+// dispatchState is the state of a machine's command requests.
 type dispatchState struct {
-	isQueued bool // listed in the ledger's outbox
-	// isAwaitingReplication: listed among those whose starts wait for followers.
-	isAwaitingReplication bool
-	commandInFlight       bool // a direct message is out
+	isQueued              bool // it is in dispatchQueue
+	isAwaitingReplication bool // it is in awaitingReplication
+	commandInFlight       bool // a command request has no outcome yet
 }
 
-// attemptRecords decide when the worker may forget an attempt.
+// attemptRecords decide when the worker may be told to forget (reap) an attempt (invariant 2).
 type attemptRecords struct {
-	exitedAttempts []exitedAttempt
-	lateStarts     map[attemptKey]bool // attempts that a late direct start may bring back
-	// startTokens are the tokens of direct starts, of which copies may come, by attempt;
-	// token is the highest that the worker has said it has seen.
+	exitedAttempts []exitedAttempt     // from the last accepted heartbeat
+	lateStarts     map[attemptKey]bool // ended attempts of which a start may still arrive
+	// startTokens holds the tokens of starts in command requests, of which copies may arrive until
+	// the worker has seen a higher token.
 	startTokens map[attemptKey]uint64
-	seenToken   uint64
+	seenToken   uint64 // the highest token in an accepted heartbeat
 }
 
-// leaseState is what bounds the worker's lease.
+// leaseState bounds the worker's lease.
 type leaseState struct {
-	leaseRenewedAt clock.Micros // its lease may be counted from here
-	// Reports of sessions before this one are void.
-	minIncarnation uint64
+	leaseRenewedAt clock.Micros // the last instant at which the lease may have been renewed
+	minIncarnation uint64       // heartbeats of lower incarnations are stale: their lease is over
 }
 
-// Used is what its placements take.
+// Used returns what its placements take.
 func (machine *Machine) Used() Resources { return machine.used }
 
-// Free is what is left for new tasks.
+// Free returns what is left for new tasks.
 func (machine *Machine) Free() Resources { return machine.Capacity.Sub(machine.used) }
 
-// ReplicaCount is how many tasks of services are, or may be, on it.
+// ReplicaCount returns how many tasks of services are, or may be, on it.
 func (machine *Machine) ReplicaCount() int { return machine.replicaCount }
 
 // IsFetching tells whether a task that has not run yet waits for the image.
 func (machine *Machine) IsFetching(image string) bool { return machine.fetchesByImage[image] > 0 }
 
-// FetchCount is how many images tasks on it wait for; they share its rate.
+// FetchCount returns how many images its tasks wait for; the fetches share its bandwidth.
 func (machine *Machine) FetchCount() int { return len(machine.fetchesByImage) }
 
-// PlacementCount is how many placements are on it.
+// PlacementCount returns how many placements are on it.
 func (machine *Machine) PlacementCount() int { return len(machine.placements) }
 
-// IsIdle tells that nothing is, or may be, on it.
+// IsIdle tells whether no task is, or may be, on it.
 func (machine *Machine) IsIdle() bool { return len(machine.placements) == 0 }
 
-// IsSchedulable tells that it may get tasks.
+// IsSchedulable tells whether it may get tasks.
 func (machine *Machine) IsSchedulable() bool {
 	return machine.RecordedInStore && machine.TokenConfirmed && !machine.Draining && machine.ReclaimAt == 0
 }
 
-// ForEachPlacement calls f for every placement on it.
+// ForEachPlacement calls visit for every placement on it, in no order.
 func (machine *Machine) ForEachPlacement(visit func(*Placement)) {
 	for _, placement := range machine.placements {
 		visit(placement)
 	}
 }
 
-// HasTask tells whether the worker still lists some attempt of the task.
+// HasTask tells whether an attempt of the task is placed on it, or still listed by its worker.
 func (machine *Machine) HasTask(taskID string) bool {
 	if _, ok := machine.placements[taskID]; ok {
 		return true
--- a/internal/allocation/machine_tracking.go
+++ b/internal/allocation/machine_tracking.go
@@ -2,8 +2,8 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// AddMachine takes a machine. One that existed at the take-over has to be
-// accounted for.
+// AddMachine adds a machine, or returns the one that has the name. One that is added before
+// FinishRecovery has to be reconciled.
 func (tracker *Tracker) AddMachine(name, machineType, zone string, spot bool, capacity Resources, now clock.Micros) *Machine {
 	if machine := tracker.Machines[name]; machine != nil {
 		return machine
@@ -28,6 +28,7 @@
 	return machine
 }
 
+// reconcile records that nothing which an earlier leader started can be on the machine unseen.
 func (tracker *Tracker) reconcile(machine *Machine) {
 	if !machine.Reconciled {
 		machine.Reconciled = true
@@ -36,8 +37,8 @@
 	}
 }
 
-// finishReconciliation clears all doubt once every machine is accounted for: a task
-// that no machine has is nowhere.
+// finishReconciliation ends the unconfirmed state of all tasks once every machine is reconciled: a
+// task that no machine has listed is nowhere.
 func (tracker *Tracker) finishReconciliation() {
 	if !tracker.IsReconciled() {
 		return
@@ -52,7 +53,7 @@
 	}
 }
 
-// RemoveMachine takes the cloud's word that a machine is gone.
+// RemoveMachine records that the cloud has confirmed a machine's deletion: its tasks are over.
 func (tracker *Tracker) RemoveMachine(machine *Machine, now clock.Micros) {
 	for _, placement := range machine.placements {
 		tracker.endPlacement(placement, CauseVanished, now)
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -9,16 +9,16 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Phase is how much is known of a placement.
+// Phase is how far the start of a placement is known to have got.
 type Phase uint8
 
 // Phases of a placement.
 const (
-	// PhaseAssigned: decided, not yet sent.
+	// PhaseAssigned means that the start was not sent, or certainly did not arrive.
 	PhaseAssigned Phase = iota
-	// PhaseSent: the start may or may not have arrived.
+	// PhaseSent means that the start may or may not have arrived.
 	PhaseSent
-	// PhaseReported: the worker has reported it.
+	// PhaseReported means that the worker has listed the attempt.
 	PhaseReported
 )
 
@@ -43,67 +43,73 @@
 	Machine   *Machine
 	taskID    string
 	Phase     Phase
-	// Adopted: an earlier leader started it, so when it began is not known.
+	// Adopted tells whether it came from a heartbeat, not from PlaceTask: an earlier leader started
+	// it, and when it started is unknown.
 	Adopted bool
-	// ProgressSaved: it was stopped, and its progress is safe.
+	// ProgressSaved tells whether it has exited with its progress saved.
 	ProgressSaved bool
-	// Orphaned: not the task's place by the ledger's will; it is to be stopped.
+	// Orphaned tells whether it isn't its task's placement, and is to be stopped.
 	Orphaned      bool
-	ReportedState string // as last reported
+	ReportedState string // one of wire's task states, "" before PhaseReported
 	PlacementTimes
 	Forecast
 	startDelivery
 	stopRequest
 
-	lastSeenHeartbeat uint64 // the last report that listed it, by the ledger's count
+	lastSeenHeartbeat uint64 // heartbeatCount of the last heartbeat that listed it
 }
 
-// PlacementTimes are the instants of a placement's life so far.
+// PlacementTimes are instants of the steady clock, 0 before.
 type PlacementTimes struct {
 	CreatedAt clock.Micros // when it was decided or adopted
-	StartedAt clock.Micros // when it was first seen with its image
-	// RunningAt is when it was first seen running: a gang's task waits for the others.
+	StartedAt clock.Micros // when it was first listed with its image
+	// RunningAt is when it was first listed as running. A gang's task waits for the others first.
 	RunningAt clock.Micros
 }
 
-// Forecast is the planner's to use; this package neither reads nor writes it.
+// Forecast belongs to the scheduler; this package neither reads nor writes it.
 type Forecast struct {
-	// ForecastEndAt is when the planner expects it to end, worked out at ForecastMadeAt.
+	// ForecastEndAt is when the scheduler expects the placement to end, computed at ForecastMadeAt.
 	ForecastEndAt, ForecastMadeAt clock.Micros
 }
 
-// startDelivery is how the start of a placement is on its way to the worker.
+// startDelivery records how the start of a placement was sent to the worker.
 type startDelivery struct {
-	decisionNumber uint64 // the number of the decision that it may begin
-	sentInSequence uint64 // seq of the report whose answer carried the start
-	startsInFlight int    // direct starts without an answer yet
-	mayArriveLate  bool   // a direct start may still arrive
+	decisionNumber uint64 // from Replicator.RecordStarted, for MaySendStart
+	sentInSequence uint64 // sequence of the heartbeat whose reply carried the start, 0 if none
+	startsInFlight int    // starts in command requests without an outcome
+	mayArriveLate  bool   // a command request with its start had an unknown outcome
 }
 
-// stopRequest is how a placement is to end.
+// stopRequest is a requested stop.
 type stopRequest struct {
 	isStopping bool
-	stopGrace  clock.Micros
-	stopSentAt clock.Micros
+	stopGrace  clock.Micros // time to save progress
+	stopSentAt clock.Micros // 0 if it has to be sent, perhaps again
 }
 
 // IsStopping tells whether the placement is to end.
 func (placement *Placement) IsStopping() bool { return placement.isStopping }
 
-// key returns what the records of a machine's attempts are kept by.
+// key returns the key of the placement in the machine's attemptRecords.
 func (placement *Placement) key() attemptKey { return attemptKey{placement.taskID, placement.Attempt} }
 
-// mayStartArrive tells whether a start sent in a command request may still take effect: no
-// answer to it is known.
+// mayStartArrive tells whether a start sent in a command request may still arrive, as its outcome is
+// unknown (invariant 2).
 func (placement *Placement) mayStartArrive() bool {
 	return placement.startsInFlight > 0 || placement.mayArriveLate
 }
 
-// Errors of Place.
+// Errors of PlaceTask.
 var (
-	ErrNotPlaceable          = errors.New("allocation: task or machine is not placeable")
-	ErrNotEligible           = errors.New("allocation: job does not allow the machine")
-	ErrQuotaExceeded         = errors.New("allocation: quota of the team is exceeded")
+	// ErrNotPlaceable means that the task isn't waiting, its job may not be started, the machine may
+	// not get tasks or lists the task already, or the gang has another attempt.
+	ErrNotPlaceable = errors.New("allocation: task or machine is not placeable")
+	// ErrNotEligible means that the job's spec doesn't allow the machine, see IsEligible.
+	ErrNotEligible = errors.New("allocation: job does not allow the machine")
+	// ErrQuotaExceeded means that the team's limit doesn't allow the task.
+	ErrQuotaExceeded = errors.New("allocation: quota of the team is exceeded")
+	// ErrInsufficientResources means that the task doesn't fit on the machine.
 	ErrInsufficientResources = errors.New("allocation: machine has too few free resources")
 )
 
@@ -111,13 +117,14 @@
 // token stands above them, so that attempts grow over all leaders (invariant 3).
 const attemptCounterBits = 20
 
-// NextAttempt returns a number greater than every earlier one.
+// NextAttempt returns an attempt number for a task, or for all tasks of a gang (invariant 3).
 func (tracker *Tracker) NextAttempt() uint64 {
 	tracker.attemptCounter++
 	return tracker.currentToken<<attemptCounterBits | tracker.attemptCounter&(1<<attemptCounterBits-1)
 }
 
-// PlaceTask decides that a waiting task goes to a machine.
+// PlaceTask places a waiting task on a machine, with an attempt from NextAttempt. The start is sent
+// with the next message to the worker.
 func (tracker *Tracker) PlaceTask(job *Job, taskIndex int, machine *Machine, attempt uint64, now clock.Micros) error {
 	if !job.isPlaceable(taskIndex) || !machine.IsSchedulable() || !job.canUseAttempt(attempt) {
 		return ErrNotPlaceable
@@ -142,18 +149,20 @@
 	return nil
 }
 
-// isPlaceable tells whether a task waits and is nowhere, and its job may be started.
+// isPlaceable tells whether a task waits and can't be running anywhere, and its job may be started.
 func (job *Job) isPlaceable(taskIndex int) bool {
 	task := &job.Tasks[taskIndex]
 	return task.State == TaskWaiting && !task.Unconfirmed && task.Placement == nil && !job.Cancelled && job.StartsRecorded
 }
 
-// canUseAttempt tells whether a task may be placed with an attempt: all tasks of a gang have one.
+// canUseAttempt tells whether a task may be placed with an attempt. All tasks of a gang share one,
+// and only a gang that may replace lost tasks gets more tasks in an attempt that has begun.
 func (job *Job) canUseAttempt(attempt uint64) bool {
 	return !job.IsGang() || job.GangAttempt == 0 || job.GangAttempt == attempt && job.CanReplaceLostTasks()
 }
 
-// addPlacement books a placement.
+// addPlacement adds a placement to its machine, job and team, and unless it is an orphan, to its
+// task. Standbys are told first.
 func (tracker *Tracker) addPlacement(placement *Placement) {
 	job, machine := placement.Job, placement.Machine
 	tracker.publishStarted(placement)
@@ -166,8 +175,7 @@
 	}
 }
 
-// bookUsage adds what a placement takes to the sums of machine, team and job, or with sign -1
-// subtracts it.
+// bookUsage adds a placement to the sums of its machine, team and job, or subtracts it if sign is -1.
 func (tracker *Tracker) bookUsage(placement *Placement, sign int) {
 	job, machine := placement.Job, placement.Machine
 	request := job.Request.Times(sign)
@@ -180,7 +188,7 @@
 	}
 }
 
-// assignPlacement makes a placement the one of its task.
+// assignPlacement makes a placement its task's.
 func (tracker *Tracker) assignPlacement(placement *Placement) {
 	job := placement.Job
 	task := &job.Tasks[placement.TaskIndex]
@@ -194,6 +202,7 @@
 	}
 }
 
+// adjustFetchCount changes how many placements wait for an image.
 func (machine *Machine) adjustFetchCount(image string, delta int) {
 	if machine.fetchesByImage == nil {
 		machine.fetchesByImage = map[string]int{}
@@ -203,7 +212,7 @@
 	}
 }
 
-// endPlacement takes a placement off the books; the caller has the proof.
+// endPlacement removes a placement, once. The caller has the proof that it is over (invariant 1).
 func (tracker *Tracker) endPlacement(placement *Placement, cause string, now clock.Micros) {
 	job, machine := placement.Job, placement.Machine
 	if machine.placements[placement.taskID] != placement {
@@ -225,8 +234,9 @@
 	tracker.Exited = append(tracker.Exited, ExitEvent{placement, cause})
 }
 
-// releaseMachine records what the end of a placement means for its machine: an image that was
-// used or is fetched no more, idleness, and a start that may still arrive.
+// releaseMachine records what the end of a placement means for its machine: when the image was last
+// used or that nothing waits for it, whether the machine is idle, and whether a start of the ended
+// attempt may still arrive (invariant 2).
 func (tracker *Tracker) releaseMachine(placement *Placement, now clock.Micros) {
 	job, machine := placement.Job, placement.Machine
 	if placement.StartedAt != 0 {
@@ -243,8 +253,9 @@
 	}
 }
 
-// creditCheckpoint adds to the task's safe progress what a run that did not complete has saved:
-// all of it, or all up to its last checkpoint.
+// creditCheckpoint adds the progress that a run has saved to its task's: all of it, or without a save
+// at the end, what its last checkpoint covers. Checkpoints are at multiples of the job's interval
+// (PROTOCOL, gangs: failure).
 func (placement *Placement) creditCheckpoint(now clock.Micros) {
 	job := placement.Job
 	interval := job.Spec.CheckpointIntervalSeconds
@@ -259,8 +270,8 @@
 	job.CheckpointedSeconds = max(job.CheckpointedSeconds, task.CheckpointedSeconds)
 }
 
-// finishTask takes the ended placement from its task, which is done or waits again. A gang of
-// which a task is lost for good cannot go on.
+// finishTask removes an ended placement from its task, which is done or waits again. A gang whose
+// attempt can't go on without the task is aborted.
 func (tracker *Tracker) finishTask(placement *Placement, cause string) {
 	job := placement.Job
 	task := &job.Tasks[placement.TaskIndex]
@@ -275,7 +286,7 @@
 	}
 }
 
-// clearPlacement takes a task's place from it.
+// clearPlacement removes a task's placement from it.
 func (tracker *Tracker) clearPlacement(job *Job, task *Task) {
 	task.Placement = nil
 	if task.Unconfirmed {
--- a/internal/allocation/replication.go
+++ b/internal/allocation/replication.go
@@ -2,32 +2,31 @@
 
 import "firwood.dev/firwood/wire"
 
-// Replicator are told of each placement that may begin and of each that is provably over,
-// so that others can follow the account.
+// Replicator is told of each placement whose start may be sent and of each that is proved to be over,
+// so that standbys can follow the allocation table (docs/standby.md).
 type Replicator interface {
-	// RecordStarted takes a placement that may begin from now on, and tells the decision's
-	// number.
+	// RecordStarted records a placement whose start may be sent from now on. It returns the number of
+	// this decision.
 	RecordStarted(task string, attempt uint64, machine string) uint64
-	// RecordEnded takes a placement that is over, and whose result, if it has one, is durable.
+	// RecordEnded records that a placement is over, and that its completion, if any, is durable.
 	RecordEnded(task string, attempt uint64, machine string)
-	// RecordUnconfirmed takes a task, or a whole job, of which an earlier leader may have started
-	// something somewhere.
+	// RecordUnconfirmed records an unconfirmed task, or a job that is unconfirmed as a whole.
 	RecordUnconfirmed(id string)
-	// RecordResolved takes the end of such a doubt: what it was about is told of as started, is
-	// nowhere, or is durably done.
+	// RecordResolved records that a task or job isn't unconfirmed any more: what it stood for was
+	// recorded as started, is nowhere, or is durably done.
 	RecordResolved(id string)
-	// MaySendStart tells whether the start that has a decision's number may be sent.
+	// MaySendStart tells whether the start with a decision's number may be sent.
 	MaySendStart(number uint64) bool
 }
 
-// HasIssuedAttempt tells whether a task has been placed, or is about to be.
+// HasIssuedAttempt tells whether NextAttempt was called: a task was placed, or is about to be.
 func (tracker *Tracker) HasIssuedAttempt() bool { return tracker.attemptCounter > 0 }
 
-// maxUnconfirmedTasksPublished is how many doubts of one job are told one by one. More are told as one of
-// the whole job, where all that is left of it is in doubt.
+// maxUnconfirmedTasksPublished is how many unconfirmed tasks of a job are published one by one. If
+// there are more, and they are all that is left of the job, one entry for the job is published.
 const maxUnconfirmedTasksPublished = 16
 
-// publishScope is which of a job's held back ends are published.
+// publishScope selects which of a job's held back entries are published.
 type publishScope uint8
 
 const (
@@ -37,7 +36,7 @@
 	publishAll
 )
 
-// publishUnconfirmed tells of what is in doubt of a job that the account begins with.
+// publishUnconfirmed publishes what is unconfirmed of a job that is added.
 func (tracker *Tracker) publishUnconfirmed(job *Job) {
 	if tracker.cfg.Replicator == nil || job.unconfirmedCount == 0 {
 		return
@@ -50,6 +49,7 @@
 	tracker.publishEachUnconfirmed(job)
 }
 
+// publishEachUnconfirmed publishes an entry for each unconfirmed task.
 func (tracker *Tracker) publishEachUnconfirmed(job *Job) {
 	for i := range job.Tasks {
 		if job.Tasks[i].Unconfirmed {
@@ -58,9 +58,9 @@
 	}
 }
 
-// publishResolved tells that a task is in doubt no more. Whatever it was placed on has to be
-// told before, and if it is done, its completion has to be durable: else a follower would
-// take it, in between, for a task that is nowhere and has yet to run.
+// publishResolved publishes that a task isn't unconfirmed any more. Its placement has to be published
+// before, and if it is done, its completion has to be durable. Otherwise a standby would, in between,
+// take it for a task that is nowhere and has yet to run.
 func (tracker *Tracker) publishResolved(job *Job, taskIndex int) {
 	if tracker.cfg.Replicator == nil {
 		return
@@ -76,8 +76,8 @@
 	}
 }
 
-// narrowUnconfirmed replaces the doubt of a whole job by those of its last tasks, once they are
-// few and all that is done is durable. Of a job that is over nothing is left.
+// narrowUnconfirmed replaces the entry of a whole job by entries of its unconfirmed tasks, once they
+// are few and all completions are durable. When the job is over, no task is left.
 func (tracker *Tracker) narrowUnconfirmed(job *Job, scope publishScope) {
 	isNarrow := job.unconfirmedCount <= maxUnconfirmedTasksPublished && job.durableCount == job.doneCount
 	if !job.isWhollyUnconfirmed || scope == publishDurable && !isNarrow {
@@ -88,14 +88,15 @@
 	tracker.cfg.Replicator.RecordResolved(job.Spec.ID)
 }
 
+// publishStarted publishes a placement before its start may be sent.
 func (tracker *Tracker) publishStarted(placement *Placement) {
 	if d := tracker.cfg.Replicator; d != nil {
 		placement.decisionNumber = d.RecordStarted(placement.taskID, placement.Attempt, placement.Machine.Name)
 	}
 }
 
-// publishEnded tells of an end. That of a completed task waits until the completion is
-// durable: who follows the account would take the task for one that has yet to run.
+// publishEnded publishes the end of a placement. If its task is done, it waits until the completion is
+// durable: a standby would take the task for one that has yet to run.
 func (tracker *Tracker) publishEnded(placement *Placement) {
 	if tracker.cfg.Replicator == nil {
 		return
@@ -107,8 +108,7 @@
 	tracker.cfg.Replicator.RecordEnded(placement.taskID, placement.Attempt, placement.Machine.Name)
 }
 
-// publishHeldBackEnds tells of the ends that have waited for their completions to be durable;
-// of a job that is over, of all.
+// publishHeldBackEnds publishes what waited for completions to be durable.
 func (tracker *Tracker) publishHeldBackEnds(job *Job, scope publishScope) {
 	if tracker.cfg.Replicator == nil {
 		return
@@ -127,6 +127,7 @@
 	job.unpublishedEnds = remaining
 }
 
+// publishHeldBackResolved publishes the resolved tasks that waited for durable completions.
 func (tracker *Tracker) publishHeldBackResolved(job *Job, scope publishScope) {
 	remaining := job.unpublishedResolved[:0]
 	for _, i := range job.unpublishedResolved {
@@ -139,8 +140,8 @@
 	job.unpublishedResolved = remaining
 }
 
-// unconfirmedFilter tells whether an earlier leader may have started a task. A gang whose tasks are
-// not all known to be nowhere is in doubt as a whole.
+// unconfirmedFilter returns whether an earlier leader may have started a task, by index. If it may
+// have started any task of a gang, all tasks of the gang are unconfirmed.
 func (tracker *Tracker) unconfirmedFilter(job *Job, mayTaskHaveStarted func(i int) bool) func(i int) bool {
 	if tracker.cfg.MayHaveStarted == nil {
 		return func(int) bool { return true }
--- a/internal/allocation/resources.go
+++ b/internal/allocation/resources.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// Resources are amounts in whole thousandths.
+// Resources are amounts of CPUs and GPUs in thousandths, and of memory in MB (thousandths of a GB).
 type Resources struct{ MilliCPU, MilliGPU, MemoryMB int64 }
 
-// NewResources converts the wire's decimal amounts.
+// NewResources converts the decimal amounts of PROTOCOL (cores, gpus, ramGb), rounded to whole
+// thousandths.
 func NewResources(cpus, gpus, memoryGB float64) Resources {
 	toMilli := func(amount float64) int64 { return int64(math.Round(amount * 1000)) }
 	return Resources{toMilli(cpus), toMilli(gpus), toMilli(memoryGB)}
@@ -26,12 +27,12 @@
 	return Resources{a.MilliCPU * int64(n), a.MilliGPU * int64(n), a.MemoryMB * int64(n)}
 }
 
-// IsWithin tells whether a fits into b.
+// IsWithin tells whether each amount of a is at most that of b.
 func (a Resources) IsWithin(b Resources) bool {
 	return a.MilliCPU <= b.MilliCPU && a.MilliGPU <= b.MilliGPU && a.MemoryMB <= b.MemoryMB
 }
 
-// TeamQuota is a team's guarantee and limit; a limit of 0 is none.
+// TeamQuota is a team's guarantee and limit, in thousandths. A limit of 0 means that there is none.
 type TeamQuota struct {
 	GuaranteedMilliCPU, GuaranteedMilliGPU int64
 	MaxMilliCPU, MaxMilliGPU               int64
--- a/internal/allocation/stop.go
+++ b/internal/allocation/stop.go
@@ -5,7 +5,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// abortGang ends an attempt of which a task is gone.
+// abortGang stops the rest of a gang's attempt that has lost a task.
 func (tracker *Tracker) abortGang(job *Job) {
 	if job.GangAborting || job.activeCount == 0 {
 		return
@@ -14,7 +14,8 @@
 	tracker.stopPlacements(job, 0)
 }
 
-// StopPlacement asks that a placement ends, with time to save if it can.
+// StopPlacement ends a placement at once if no start of it was sent. Else it requests a stop, with
+// the grace as time to save progress. A shorter grace replaces a longer one, never the reverse.
 func (tracker *Tracker) StopPlacement(placement *Placement, grace clock.Micros) {
 	if placement.Phase == PhaseAssigned && !placement.mayStartArrive() {
 		tracker.endPlacement(placement, wire.ExitStopped, placement.CreatedAt)
@@ -27,7 +28,7 @@
 	tracker.queueDispatch(placement.Machine)
 }
 
-// StopJob stops all tasks of a gang together, or one task otherwise.
+// StopJob stops every task of a job. A gang's attempt is aborted, so that no task joins it.
 func (tracker *Tracker) StopJob(job *Job, grace clock.Micros) {
 	tracker.stopPlacements(job, grace)
 	if job.IsGang() && job.activeCount > 0 {
@@ -35,7 +36,7 @@
 	}
 }
 
-// stopPlacements stops the placement of each task.
+// stopPlacements stops the placement of each of the job's tasks. Orphans are stopping already.
 func (tracker *Tracker) stopPlacements(job *Job, grace clock.Micros) {
 	for i := range job.Tasks {
 		if placement := job.Tasks[i].Placement; placement != nil {
--- a/internal/allocation/task_report.go
+++ b/internal/allocation/task_report.go
@@ -5,8 +5,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// applyTaskReport takes one line of a report; true means that it lists a placement
-// that no line before did.
+// applyTaskReport applies one task of a heartbeat's list. It returns true if the task is a placement
+// that the list didn't name before.
 func (tracker *Tracker) applyTaskReport(machine *Machine, taskReport *wire.TaskStatus, now clock.Micros, tokenConfirmed bool) bool {
 	placement := machine.placements[taskReport.TaskID]
 	if placement != nil && tracker.isUnchanged(placement, taskReport) {
@@ -15,7 +15,7 @@
 	jobID, taskIndex, ok := wire.ParseTaskID(taskReport.TaskID)
 	job := tracker.Jobs[jobID]
 	if !ok || job == nil || taskIndex >= len(job.Tasks) {
-		// No job that is not over: it can only be told to go.
+		// The job is over or unknown: the task can only be stopped and reaped.
 		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, isRunning: taskReport.State != wire.TaskExited})
 		return false
 	}
@@ -25,7 +25,7 @@
 			return false
 		}
 		if placement.Phase == PhaseReported && taskReport.Attempt < placement.Attempt {
-			return tracker.recordSeen(placement) // an older attempt beside a newer one; the worker has one only
+			return tracker.recordSeen(placement) // the worker has one attempt of a task, so this is out of date
 		}
 		tracker.dropOtherAttempt(placement, &job.Tasks[taskIndex], now)
 		placement = nil
@@ -41,15 +41,14 @@
 	return tracker.recordSeen(placement)
 }
 
-// isUnchanged tells whether a report says nothing new of a placement, as most do.
+// isUnchanged tells whether a report says nothing new about a placement, as most reports do.
 func (tracker *Tracker) isUnchanged(placement *Placement, taskReport *wire.TaskStatus) bool {
 	return placement.Attempt == taskReport.Attempt && placement.Phase == PhaseReported &&
 		placement.ReportedState == taskReport.State && tracker.Jobs[placement.Job.Spec.ID] == placement.Job
 }
 
-// dropOtherAttempt ends a placement beside which the worker has another attempt of the task.
-// The worker refuses the start of the one on its way, or the placement was known from a late
-// copy: what is there counts.
+// dropOtherAttempt ends a placement when the worker lists another attempt of the task. The worker
+// refuses the placement's start, or the placement came from a late copy: what the worker lists counts.
 func (tracker *Tracker) dropOtherAttempt(placement *Placement, task *Task, now clock.Micros) {
 	if task.Placement == placement && task.Unconfirmed {
 		tracker.orphanPlacement(placement)
@@ -57,7 +56,7 @@
 	tracker.endPlacement(placement, CauseVanished, now)
 }
 
-// applyExit records that an attempt has exited; placement is nil if it was not expected there.
+// applyExit records that an attempt has exited; placement is nil if it has none.
 func (tracker *Tracker) applyExit(machine *Machine, job *Job, taskIndex int, placement *Placement, taskReport *wire.TaskStatus, now clock.Micros) {
 	if placement != nil {
 		placement.ProgressSaved = taskReport.Saved
@@ -68,14 +67,14 @@
 	machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex, isCompleted: taskReport.ExitCause == wire.ExitDone})
 }
 
-// applyProgress records how far a task that has not exited is.
+// applyProgress records the state of a task that hasn't exited.
 func (tracker *Tracker) applyProgress(placement *Placement, job *Job, taskReport *wire.TaskStatus, now clock.Micros) {
 	machine := placement.Machine
 	if placement.isStopping {
 		tracker.queueDispatch(machine)
 	}
 	if placement.Phase == PhaseSent && !placement.mayStartArrive() {
-		machine.UnreachableUntil = 0 // a start in an answer has reached it
+		machine.UnreachableUntil = 0 // the start was in a heartbeat's reply, which has reached it
 	}
 	placement.Phase = PhaseReported
 	placement.ReportedState = taskReport.State
@@ -92,13 +91,15 @@
 	}
 }
 
-// recordSeen notes that the present report lists the placement.
+// recordSeen records that the current heartbeat lists the placement, and returns whether it is the
+// first time that it does.
 func (tracker *Tracker) recordSeen(placement *Placement) bool {
 	first := placement.lastSeenHeartbeat != tracker.heartbeatCount
 	placement.lastSeenHeartbeat = tracker.heartbeatCount
 	return first
 }
 
+// recordExit ends a placement that the worker lists as exited, and counts a failure.
 func (tracker *Tracker) recordExit(placement *Placement, cause string, now clock.Micros) {
 	job, machine := placement.Job, placement.Machine
 	task := &job.Tasks[placement.TaskIndex]
--- a/internal/allocation/tracker.go
+++ b/internal/allocation/tracker.go
@@ -7,33 +7,34 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Config holds what a ledger has to know of its world.
+// Config holds what a Tracker needs to know about its leader and the cluster.
 type Config struct {
-	FencingToken uint64
-	LeaseTTL     clock.Micros
-	Quotas       map[string]TeamQuota
-	// CancelFenceWindow bounds how long after a withdrawal a start that can no longer be
-	// called back may be met by a start and a stop in one message.
+	FencingToken uint64               // the token of the leader's lock
+	LeaseTTL     clock.Micros         // of the workers' leases (PROTOCOL, lease_s)
+	Quotas       map[string]TeamQuota // by team
+	// CancelFenceWindow is how long after a job's cancellation a start that may still arrive may be
+	// fenced by a start and a stop in one message, see appendStartFence.
 	CancelFenceWindow clock.Micros
-	// Replicator, if not nil, follow the account.
+	// Replicator, if not nil, is told of each placement, so that standbys can follow.
 	Replicator Replicator
-	// MayHaveStarted, if not nil, tells whether an earlier leader may have started a task; else
-	// any task of a marked job may run.
+	// MayHaveStarted, if not nil, tells whether an earlier leader may have started a task. If nil,
+	// any task of a job with recorded starts may have been started.
 	MayHaveStarted func(task string) bool
 }
 
 // ExitEvent tells how a placement ended.
 type ExitEvent struct {
 	Placement *Placement
-	// Cause is a cause of the wire, or "vanished".
+	// Cause is one of wire's Exit... causes, or CauseVanished.
 	Cause string
 }
 
-// CauseVanished marks a task that was on a machine, or may have been, and is
-// provably no longer there, without a report of its exit.
+// CauseVanished is the cause of a placement that was on a machine, or may have been, and is proved
+// not to be there any more (invariant 1), without a report of its exit.
 const CauseVanished = "vanished"
 
-// Tracker is a leader's account. It is made anew at every take-over.
+// Tracker is the allocation table of one leadership term. Each failover makes a new one, from the
+// key-value store, a standby's table and the workers' heartbeats.
 type Tracker struct {
 	cfg      Config
 	Jobs     map[string]*Job
@@ -44,51 +45,53 @@
 	teamUsage
 	dispatchQueues
 	attemptCounter uint64
-	heartbeatCount uint64 // counts those taken, to mark what each listed
-	sortedMachines []*Machine
+	heartbeatCount uint64     // accepted heartbeats; placements record it when they are listed
+	sortedMachines []*Machine // nil after machines were added or removed
 
-	// Exited collects how placements ended, until it is taken.
+	// Exited collects how placements ended. The caller takes the events and sets it to nil.
 	Exited []ExitEvent
-	// Started collects placements first seen running, until it is taken.
+	// Started collects placements that were first seen with their image. The caller takes them and
+	// sets it to nil.
 	Started []*Placement
 }
 
-// recoveryState is how far this leader knows what earlier ones started.
+// recoveryState is how much this leader knows about what earlier leaders started (invariant 4).
 type recoveryState struct {
-	unreconciledCount int // machines not accounted for
-	isRecovered       bool
+	unreconciledCount int  // machines that are not Reconciled
+	isRecovered       bool // FinishRecovery was called
 }
 
-// tokenState is what messages are fenced with.
+// tokenState holds the fencing tokens of this leader.
 type tokenState struct {
-	// currentToken is what messages carry, issued the highest that may be seen: it is told
-	// to those who are delegates before it is used. Both begin as the lock's.
+	// currentToken is sent with messages. issuedToken is the highest that a worker may have seen;
+	// delegates learn it before it is used. Both start as the lock's.
 	currentToken, issuedToken uint64
-	needsHigherToken          bool // an attempt was not forgotten for want of a higher token
+	needsHigherToken          bool // an exit could not be reaped before the token rises (invariant 2)
 }
 
-// delegationState is until when others may have answered workers.
+// delegationState is until when other controllers may have renewed workers' leases, see
+// SetDelegatedUntil.
 type delegationState struct {
-	delegatedUntil clock.Micros // others may have answered workers until then
-	// delegatedUntilByZone is the same for zones of which more is known.
+	delegatedUntil clock.Micros
+	// delegatedUntilByZone takes the place of delegatedUntil in the zones that it lists.
 	delegatedUntilByZone map[string]clock.Micros
 }
 
-// teamUsage sums up requests by team: of placements, and of tasks in doubt without one.
+// teamUsage sums up requests by team: of placements, and of unconfirmed tasks without a placement.
 type teamUsage struct {
 	placedUsage      map[string]*Resources
 	unconfirmedUsage map[string]*Resources
 }
 
-// dispatchQueues list the machines that commands may have to be sent to.
+// dispatchQueues list the machines that a command request may be due to.
 type dispatchQueues struct {
 	startsPaused        bool       // see SetStartsPaused
-	dispatchQueue       []*Machine // machines that something may have to be sent to
-	awaitingReplication []*Machine // machines whose starts wait for followers
+	dispatchQueue       []*Machine // see ProcessDispatchQueue
+	awaitingReplication []*Machine // their starts wait for standbys, see mayDispatch
 }
 
-// New makes an empty ledger; Settle opens it once the machines and jobs that
-// existed at the take-over are in it.
+// New returns an empty Tracker. The caller adds the machines and jobs that existed at the failover
+// and then calls FinishRecovery.
 func New(cfg Config) *Tracker {
 	return &Tracker{
 		cfg: cfg, Jobs: map[string]*Job{}, Machines: map[string]*Machine{},
@@ -97,19 +100,21 @@
 	}
 }
 
-// FinishRecovery ends the rebuilding from the state service.
+// FinishRecovery ends the recovery from the key-value store: machines and jobs that are added from
+// now on are new, so earlier leaders started nothing on or of them.
 func (tracker *Tracker) FinishRecovery() {
 	tracker.isRecovered = true
 	tracker.finishReconciliation()
 }
 
-// IsReconciled tells that nothing is in doubt any more.
+// IsReconciled tells whether every machine that an earlier leader may have used is reconciled, so
+// that no task is unconfirmed.
 func (tracker *Tracker) IsReconciled() bool {
 	return tracker.isRecovered && tracker.unreconciledCount == 0
 }
 
-// SortedMachines lists the machines in the order of their names. It is made anew only
-// when machines came or went.
+// SortedMachines returns the machines sorted by name, and sets their SortIndex. The list is cached
+// and rebuilt after machines are added or removed; callers must not change it.
 func (tracker *Tracker) SortedMachines() []*Machine {
 	if tracker.sortedMachines == nil {
 		tracker.sortedMachines = make([]*Machine, 0, len(tracker.Machines))
@@ -124,7 +129,7 @@
 	return tracker.sortedMachines
 }
 
-// addUsage adds to a team's sum.
+// addUsage adds a request to a team's sum.
 func addUsage(usageByTeam map[string]*Resources, team string, request Resources) {
 	usage := usageByTeam[team]
 	if usage == nil {
@@ -134,7 +139,7 @@
 	*usage = usage.Add(request)
 }
 
-// TeamUsage is what a team's tasks take, or may take.
+// TeamUsage returns what a team's placements and unconfirmed tasks use, or may use.
 func (tracker *Tracker) TeamUsage(team string) Resources {
 	var total Resources
 	if placed := tracker.placedUsage[team]; placed != nil {
