--- /dev/null
+++ b/internal/allocation/actions_test.go
@@ -0,0 +1,224 @@
+package allocation
+
+import (
+	"slices"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+func (sim *simulation) pickJobID() string { return sim.jobIDs[len(sim.jobIDs)-1-sim.rng.IntN(4)] }
+
+func (sim *simulation) pickWorker() *fakeWorker {
+	return sim.workers[len(sim.workers)-1-sim.rng.IntN(3)]
+}
+
+func (sim *simulation) exchangeSomeHeartbeat() {
+	sim.exchangeHeartbeat(sim.pickWorker(), sim.rng.IntN(6))
+}
+
+// place tries to place the tasks of a job; many are refused.
+func (sim *simulation) place() {
+	job := sim.tracker.Jobs[sim.pickJobID()]
+	machine := sim.machine(sim.pickWorker())
+	if job == nil || machine == nil {
+		return
+	}
+	sim.startsRecorded[job.Spec.ID] = true
+	job.StartsRecorded = true
+	attempt := job.GangAttempt
+	for i := range job.Tasks {
+		if !job.IsGang() || attempt == 0 || sim.rng.IntN(20) == 0 {
+			attempt = sim.tracker.NextAttempt()
+		}
+		_ = sim.tracker.PlaceTask(job, i, machine, attempt, sim.now) // refusals are the point
+		if other := sim.machine(sim.pickWorker()); job.IsGang() && other != nil {
+			machine, attempt = other, max(job.GangAttempt, attempt)
+		}
+	}
+}
+
+// deliverLateCopy delivers a copy of a heartbeat, perhaps to a later leader.
+func (sim *simulation) deliverLateCopy() {
+	if len(sim.heartbeatCopies) == 0 {
+		return
+	}
+	heartbeat := sim.heartbeatCopies[len(sim.heartbeatCopies)-1-sim.rng.IntN(min(len(sim.heartbeatCopies), 5))]
+	if machine := sim.tracker.Machines[heartbeat.MachineID]; machine != nil && heartbeat.FencingToken <= sim.token {
+		sim.tracker.RecordLeaseRenewal(machine, sim.now)
+		sim.tracker.RecordHeartbeat(machine, heartbeat, sim.now)
+		sim.persistCompletions()
+		sim.tracker.HeartbeatCommands(machine, sim.now) // nobody waits for the answer any more
+	}
+}
+
+func (sim *simulation) stopSomeTask() {
+	if job := sim.tracker.Jobs[sim.pickJobID()]; job != nil {
+		if placement := job.Tasks[sim.rng.IntN(len(job.Tasks))].Placement; placement != nil {
+			sim.tracker.StopPlacement(placement, 0)
+		}
+	}
+}
+
+// sendCommandRequest sends what is due to a worker: it is lost, delayed or delivered.
+func (sim *simulation) sendCommandRequest() {
+	worker := sim.pickWorker()
+	machine := sim.machine(worker)
+	if machine == nil {
+		return
+	}
+	request, starts := sim.tracker.BuildCommandRequest(machine, sim.now)
+	if request == nil {
+		return
+	}
+	// As the owner does: it goes off the list while a message is out.
+	sim.tracker.ProcessDispatchQueue(func(o *Machine) bool { return o != machine })
+	command := delayedCommand{worker, request, sim.tracker, machine, starts}
+	switch sim.rng.IntN(4) {
+	case 0: // never leaves
+		sim.tracker.FinishCommandRequest(machine, starts, CommandNotSent, sim.now)
+	case 1: // held back, given up, perhaps delivered later
+		sim.tracker.FinishCommandRequest(machine, starts, CommandOutcomeUnknown, sim.now)
+		command.machine = nil
+		sim.delayed = append(sim.delayed, command)
+	default:
+		sim.deliverCommand(command)
+	}
+	sim.persistCompletions()
+}
+
+// answerAsDelegate has another controller renew a worker's lease, for this leader or an earlier one.
+func (sim *simulation) answerAsDelegate() {
+	if sim.rng.IntN(4) == 0 {
+		sim.delegatedUntil = sim.now + 20*clock.Second
+		sim.tracker.SetDelegatedUntil(sim.delegatedUntil, nil)
+	}
+	if worker := sim.pickWorker(); !worker.deleted && !worker.hung && sim.now < sim.delegatedUntil {
+		sim.expireLease(worker)
+		sim.heartbeat(worker)
+		worker.hasPendingReply = false
+		worker.leaseRenewedAt = sim.now
+	}
+}
+
+// probe delivers a worker's heartbeat in the answer to a command request without commands.
+func (sim *simulation) probe() {
+	worker := sim.pickWorker()
+	if machine := sim.machine(worker); machine != nil && !worker.deleted && !worker.hung {
+		sim.expireLease(worker)
+		sim.tracker.RecordCommandHeartbeat(machine, sim.heartbeat(worker), sim.now)
+	}
+}
+
+// processDispatchQueue drops machines without anything due from the queue; they must come back.
+func (sim *simulation) processDispatchQueue() {
+	sim.tracker.ProcessDispatchQueue(func(machine *Machine) bool { return sim.rng.IntN(2) == 0 || hasCommandDue(machine) })
+}
+
+// repeatCommandRequest delivers a copy of a command request that was executed.
+func (sim *simulation) repeatCommandRequest() {
+	if len(sim.executed) > 0 {
+		i := len(sim.executed) - 1 - sim.rng.IntN(min(len(sim.executed), 8))
+		sim.deliverCommand(delayedCommand{worker: sim.executed[i].worker, request: sim.executed[i].request})
+	}
+}
+
+// raiseToken issues a higher token, or uses one that was issued.
+func (sim *simulation) raiseToken() {
+	if sim.rng.IntN(4) == 0 {
+		sim.token++
+		sim.tracker.IssueToken(sim.token)
+	} else if sim.rng.IntN(2) == 0 {
+		sim.tracker.RaiseToken()
+	}
+}
+
+func (sim *simulation) deliverDelayedCommand() {
+	if len(sim.delayed) == 0 {
+		return
+	}
+	i := sim.rng.IntN(len(sim.delayed))
+	command := sim.delayed[i]
+	sim.delayed = slices.Delete(sim.delayed, i, i+1)
+	sim.deliverCommand(command)
+}
+
+// finishTask completes a worker's first running task of an array.
+func (sim *simulation) finishTask() {
+	worker := sim.pickWorker()
+	ids := make([]string, 0, len(worker.tasks))
+	for id := range worker.tasks {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		jobID, _, _ := wire.ParseTaskID(id)
+		if task := worker.tasks[id]; task.state == wire.TaskRunning && sim.specs[jobID].Kind == wire.KindArray {
+			task.state, task.cause = wire.TaskExited, wire.ExitDone
+			return
+		}
+	}
+}
+
+// passTime moves the clock on, at times past the end of leases.
+func (sim *simulation) passTime() {
+	sim.now += clock.Micros(1+sim.rng.IntN(2000)) * clock.Millisecond
+	if sim.rng.IntN(25) == 0 {
+		sim.now += clock.Micros(10+sim.rng.IntN(26)) * clock.Second
+	}
+	for _, worker := range sim.workers {
+		sim.expireLease(worker)
+		if machine := sim.machine(worker); machine != nil {
+			sim.tracker.ExpireLease(machine, sim.now)
+		}
+	}
+	sim.persistCompletions()
+}
+
+func (sim *simulation) toggleHang() {
+	worker := sim.pickWorker()
+	worker.hung = !worker.hung && sim.rng.IntN(8) == 0
+}
+
+// deleteMachine replaces a worker's machine by a new one.
+func (sim *simulation) deleteMachine() {
+	if sim.rng.IntN(20) > 0 {
+		return
+	}
+	worker := sim.pickWorker()
+	if machine := sim.machine(worker); machine != nil {
+		worker.deleted = true
+		sim.tracker.RemoveMachine(machine, sim.now)
+		replacement := sim.newWorker()
+		sim.tracker.AddMachine(replacement.name, "t", replacement.zone, false, Resources{4000, 0, 1 << 40}, sim.now).RecordedInStore = true
+	}
+}
+
+func (sim *simulation) stepSomeGang() { sim.stepGang(sim.pickJobID()) }
+
+func (sim *simulation) maybeFailOver() {
+	if sim.rng.IntN(12) == 0 {
+		sim.failOver()
+		// What a new leader hears first of a machine may be a copy of what
+		// was, and the next what is.
+		for range sim.rng.IntN(4) {
+			sim.deliverLateCopy()
+		}
+		worker := sim.pickWorker()
+		sim.exchangeHeartbeat(worker, 5)
+		sim.exchangeHeartbeat(worker, 5)
+		sim.place()
+	}
+}
+
+// cancelSomeJob cancels a job, mostly a complete one, and adds another.
+func (sim *simulation) cancelSomeJob() {
+	id := sim.pickJobID()
+	job := sim.tracker.Jobs[id]
+	if !job.IsComplete() && sim.rng.IntN(20) > 0 {
+		return
+	}
+	sim.cancelled[id] = true
+	sim.tracker.Cancel(job, sim.now)
+	sim.tracker.AddJob(sim.newJob(), 0, sim.now, false, nil)
+}
--- a/internal/allocation/simulation_test.go
+++ b/internal/allocation/simulation_test.go
@@ -18,27 +18,6 @@
 
 const testLeaseTTL = 30 * clock.Second
 
-type fakeTask struct {
-	attempt uint64
-	state   string
-	cause   string
-}
-
-type fakeWorker struct {
-	name, zone      string
-	incarnation     uint64
-	sequence        uint64
-	token           uint64
-	leaseRenewedAt  clock.Micros
-	tasks           map[string]*fakeTask
-	deleted         bool
-	hung            bool
-	replyCommands   []wire.Command // on its way to the worker
-	replyToken      uint64
-	heartbeatSentAt clock.Micros // when its report was sent
-	hasPendingReply bool
-}
-
 type delayedCommand struct {
 	worker  *fakeWorker
 	request *wire.CommandRequest
@@ -48,27 +27,43 @@
 }
 
 type simulation struct {
-	t                    *testing.T
-	seed                 uint64
-	rng                  *rand.Rand
-	now                  clock.Micros
-	workers              []*fakeWorker
-	tracker              *Tracker
-	token                uint64
-	jobIDs               []string
-	specs                map[string]*wire.Job
-	startsRecorded       map[string]bool
-	doneTasks            map[string]map[int]bool
-	cancelled            map[string]bool
-	delayed              []delayedCommand
-	executed             []delayedCommand // carried out before; copies of them may come
-	cpuLimit             int64
+	t       *testing.T
+	seed    uint64
+	rng     *rand.Rand
+	now     clock.Micros
+	workers []*fakeWorker
+	token   uint64
+	tracker *Tracker // of the present leader
+	// delegatedUntil is until when other controllers may answer workers.
+	delegatedUntil clock.Micros
+	follower       *follower // of the present leader
+	cpuLimit       int64     // of each team, in thousandths
+	simulatedJobs
+	delayedMessages
+	simulationCounts
+}
+
+// simulatedJobs is what the key-value store has of jobs, by job ID.
+type simulatedJobs struct {
+	jobIDs         []string
+	specs          map[string]*wire.Job
+	startsRecorded map[string]bool
+	doneTasks      map[string]map[int]bool
+	cancelled      map[string]bool
+}
+
+// delayedMessages may arrive late, or again.
+type delayedMessages struct {
+	delayed         []delayedCommand
+	executed        []delayedCommand // executed before; copies of them may arrive
+	heartbeatCopies []*wire.Heartbeat
+}
+
+// simulationCounts tell whether the histories show enough.
+type simulationCounts struct {
 	startCount           int
-	completeGangCount    int // that were complete
-	heartbeatCopies      []*wire.Heartbeat
-	delegatedUntil       clock.Micros // others may answer workers until then
-	follower             *follower    // of the present ledger
-	replicaFailoverCount int          // take-overs that began with what a follower knew
+	completeGangCount    int // gangs whose tasks all started
+	replicaFailoverCount int // failovers that began with a follower's table
 }
 
 // follower is the account of another controller that is told of each decision at once.
@@ -144,172 +139,6 @@
 	return spec
 }
 
-func (sim *simulation) workerRunning(id string) *fakeWorker {
-	for _, worker := range sim.workers {
-		if task := worker.tasks[id]; task != nil && task.state != wire.TaskExited && !worker.deleted {
-			return worker
-		}
-	}
-	return nil
-}
-
-// gangTasks lists the tasks of a gang that are on machines.
-func (sim *simulation) gangTasks(job string) (out []*fakeTask) {
-	for n := range sim.specs[job].TaskCount {
-		id := wire.TaskID(job, n)
-		if worker := sim.workerRunning(id); worker != nil {
-			out = append(out, worker.tasks[id])
-		}
-	}
-	return out
-}
-
-// stepGang has a gang's tasks do what the workers would: start together, notice
-// that one is missing, give up waiting, or complete together.
-func (sim *simulation) stepGang(job string) {
-	spec := sim.specs[job]
-	tasks := sim.gangTasks(job)
-	if spec.Kind != wire.KindGang || len(tasks) == 0 {
-		return
-	}
-	all := func(state string) bool {
-		return len(tasks) == spec.TaskCount && !slices.ContainsFunc(tasks, func(task *fakeTask) bool { return task.state != state })
-	}
-	exit := func(task *fakeTask, cause string) { task.state, task.cause = wire.TaskExited, cause }
-	switch {
-	case all(wire.TaskWaitingForGang):
-		for _, task := range tasks {
-			task.state = wire.TaskRunning
-		}
-		sim.completeGangCount++
-	case all(wire.TaskRunning):
-		if sim.rng.IntN(3) == 0 {
-			for _, task := range tasks {
-				exit(task, wire.ExitDone)
-			}
-		}
-	default:
-		task := tasks[sim.rng.IntN(len(tasks))]
-		if task.state == wire.TaskRunning {
-			exit(task, wire.ExitPeerLost)
-		} else if sim.rng.IntN(6) == 0 {
-			exit(task, wire.ExitGangIncomplete)
-		}
-	}
-}
-
-func (sim *simulation) expireLease(worker *fakeWorker) {
-	if !worker.deleted && sim.now-worker.leaseRenewedAt > testLeaseTTL {
-		worker.incarnation++
-		worker.leaseRenewedAt = sim.now
-		worker.tasks = map[string]*fakeTask{}
-		worker.hasPendingReply = false // answers to reports of an earlier session are dropped
-	}
-}
-
-func (sim *simulation) execute(worker *fakeWorker, commands []wire.Command) {
-	for _, command := range commands {
-		job, i, ok := wire.ParseTaskID(command.TaskID)
-		if !ok {
-			sim.fatal("bad task id %q", command.TaskID)
-		}
-		task := worker.tasks[command.TaskID]
-		switch command.Action {
-		case wire.ActionStart:
-			switch {
-			case task == nil:
-				if other := sim.workerRunning(command.TaskID); other != nil {
-					sim.fatal("ran twice: %s starts on %s while on %s", command.TaskID, worker.name, other.name)
-				}
-				spec := sim.specs[job]
-				if spec.Zone != "" && spec.Zone != worker.zone {
-					sim.fatal("wrong place: %s in %s", command.TaskID, worker.zone)
-				}
-				inZone, elsewhere := 0, 0
-				for n := 0; n < spec.TaskCount; n++ {
-					if host := sim.workerRunning(wire.TaskID(job, n)); host != nil {
-						if host.zone == worker.zone {
-							inZone++
-						} else {
-							elsewhere++
-						}
-					}
-				}
-				if spec.SingleZone && elsewhere > 0 {
-					sim.fatal("one zone: %s", command.TaskID)
-				}
-				if spec.SpreadZones && inZone+1 > (spec.TaskCount+1)/2 {
-					sim.fatal("spread: %s", command.TaskID)
-				}
-				worker.tasks[command.TaskID] = &fakeTask{attempt: command.Attempt, state: wire.TaskRunning}
-				if spec.Kind == wire.KindGang {
-					worker.tasks[command.TaskID].state = wire.TaskWaitingForGang
-					for _, task := range sim.gangTasks(job) {
-						if task.attempt != command.Attempt {
-							sim.fatal("two attempts of a gang: %s starts as %d beside %d", command.TaskID, command.Attempt, task.attempt)
-						}
-					}
-				}
-				if sim.doneTasks[job][i] {
-					worker.tasks[command.TaskID].state, worker.tasks[command.TaskID].cause = wire.TaskExited, wire.ExitDone
-				}
-				sim.startCount++
-				sim.checkQuotas()
-			case task.attempt == command.Attempt:
-			case task.state == wire.TaskExited:
-				sim.fatal("started beside a listed attempt: %s", command.TaskID)
-			}
-		case wire.ActionStop:
-			if task != nil && task.attempt == command.Attempt && task.state != wire.TaskExited {
-				task.state, task.cause = wire.TaskExited, wire.ExitStopped
-			}
-		case wire.ActionReap:
-			if task != nil && task.attempt == command.Attempt && task.state == wire.TaskExited {
-				if task.cause == wire.ExitDone && !sim.doneTasks[job][i] && !sim.cancelled[job] {
-					sim.fatal("forgot a result that is not durable: %s", command.TaskID)
-				}
-				delete(worker.tasks, command.TaskID)
-			}
-		}
-	}
-}
-
-func (sim *simulation) checkQuotas() {
-	use := map[string]int64{}
-	for _, worker := range sim.workers {
-		if worker.deleted {
-			continue
-		}
-		for id, task := range worker.tasks {
-			if task.state != wire.TaskExited {
-				job, _, _ := wire.ParseTaskID(id)
-				spec := sim.specs[job]
-				use[spec.Team] += NewResources(spec.CPUs, 0, 0).MilliCPU
-			}
-		}
-	}
-	for team, used := range use {
-		if used > sim.cpuLimit {
-			sim.fatal("quota: %s uses %d of %d", team, used, sim.cpuLimit)
-		}
-	}
-}
-
-func (sim *simulation) heartbeat(worker *fakeWorker) *wire.Heartbeat {
-	worker.sequence++
-	heartbeat := &wire.Heartbeat{MachineID: worker.name, Address: "127.0.0.1:1", Zone: worker.zone, Incarnation: worker.incarnation, Sequence: worker.sequence, FencingToken: worker.token}
-	ids := make([]string, 0, len(worker.tasks))
-	for id := range worker.tasks {
-		ids = append(ids, id)
-	}
-	slices.Sort(ids)
-	for _, id := range ids {
-		task := worker.tasks[id]
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: id, Attempt: task.attempt, State: task.state, ExitCause: task.cause})
-	}
-	return heartbeat
-}
-
 func (sim *simulation) deliverCommand(command delayedCommand) {
 	worker := command.worker
 	if worker.deleted {
