--- a/internal/allocation/doc.go
+++ b/internal/allocation/doc.go
@@ -8,7 +8,8 @@
 // this leader doesn't know where it is. A start goes to a worker in the reply to its heartbeat, or
 // in a command request that the leader makes.
 //
-// The invariants below are cited in the code by number. TestRandomHistories checks them.
+// The invariants below are cited in the code by number. TestRandomHistories checks them on random
+// histories; that a start is checked again (6) is checked by TestStartIsCheckedAgainWhenSent.
 //
 //  1. A placement whose start was sent ends only on proof. Proof is one of: a newer heartbeat
 //     (by incarnation and sequence), made when the worker could no longer accept the start, lacks
