--- a/internal/allocation/replication_test.go
+++ b/internal/allocation/replication_test.go
@@ -61,8 +61,8 @@
 func TestStartWaitsForReplication(t *testing.T) {
 	tracker, machine, _, replicator := newReplicatedTracker(t)
 	replicator.replicatedUpTo = 0
-	if orders := tracker.HeartbeatCommands(machine, 2); len(orders) != 0 {
-		t.Fatalf("answered %+v", orders)
+	if commands := tracker.HeartbeatCommands(machine, 2); len(commands) != 0 {
+		t.Fatalf("answered %+v", commands)
 	}
 	if request, _ := tracker.BuildCommandRequest(machine, 2); request != nil {
 		t.Fatalf("sent %+v", request)
--- a/internal/allocation/simulation_test.go
+++ b/internal/allocation/simulation_test.go
@@ -198,9 +198,9 @@
 
 // deliverReply delivers the answer to a worker's last report, unless it is too late.
 func (sim *simulation) deliverReply(worker *fakeWorker) {
-	session := worker.incarnation
+	incarnation := worker.incarnation
 	sim.expireLease(worker)
-	if !worker.hasPendingReply || worker.deleted || worker.hung || worker.incarnation != session || sim.now-worker.heartbeatSentAt > 4*clock.Second || worker.replyToken < worker.token {
+	if !worker.hasPendingReply || worker.deleted || worker.hung || worker.incarnation != incarnation || sim.now-worker.heartbeatSentAt > 4*clock.Second || worker.replyToken < worker.token {
 		worker.hasPendingReply = false
 		return
 	}
--- a/internal/allocation/tracker_test.go
+++ b/internal/allocation/tracker_test.go
@@ -7,8 +7,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-func newHeartbeat(machine *Machine, session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
-	return &wire.Heartbeat{MachineID: machine.Name, Address: "127.0.0.1:1", Zone: machine.Zone, Incarnation: session, Sequence: seq, FencingToken: token, Tasks: tasks}
+func newHeartbeat(machine *Machine, incarnation, sequence, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{MachineID: machine.Name, Address: "127.0.0.1:1", Zone: machine.Zone, Incarnation: incarnation, Sequence: sequence, FencingToken: token, Tasks: tasks}
 }
 
 func newSmallTracker(t *testing.T, kind string, tasks int) (*Tracker, *Job, *Machine) {
