--- a/internal/allocation/actions_test.go
+++ b/internal/allocation/actions_test.go
@@ -17,7 +17,7 @@
 	sim.exchangeHeartbeat(sim.pickWorker(), sim.rng.IntN(6))
 }
 
-// place tries to place the tasks of a job; many are refused.
+// place tries to place the tasks of a job.
 func (sim *simulation) place() {
 	job := sim.tracker.Jobs[sim.pickJobID()]
 	machine := sim.machine(sim.pickWorker())
@@ -31,7 +31,7 @@
 		if !job.IsGang() || attempt == 0 || sim.rng.IntN(20) == 0 {
 			attempt = sim.tracker.NextAttempt()
 		}
-		_ = sim.tracker.PlaceTask(job, i, machine, attempt, sim.now) // refusals are the point
+		_ = sim.tracker.PlaceTask(job, i, machine, attempt, sim.now) // many are refused
 		if other := sim.machine(sim.pickWorker()); job.IsGang() && other != nil {
 			machine, attempt = other, max(job.GangAttempt, attempt)
 		}
@@ -48,10 +48,11 @@
 		sim.tracker.RecordLeaseRenewal(machine, sim.now)
 		sim.tracker.RecordHeartbeat(machine, heartbeat, sim.now)
 		sim.persistCompletions()
-		sim.tracker.HeartbeatCommands(machine, sim.now) // nobody waits for the answer any more
+		sim.tracker.HeartbeatCommands(machine, sim.now) // the worker drops the reply
 	}
 }
 
+// stopSomeTask stops the placement of a task, if it has one.
 func (sim *simulation) stopSomeTask() {
 	if job := sim.tracker.Jobs[sim.pickJobID()]; job != nil {
 		if placement := job.Tasks[sim.rng.IntN(len(job.Tasks))].Placement; placement != nil {
@@ -71,13 +72,13 @@
 	if request == nil {
 		return
 	}
-	// As the owner does: it goes off the list while a message is out.
+	// As the controller does: the machine leaves the queue while a request is in flight.
 	sim.tracker.ProcessDispatchQueue(func(o *Machine) bool { return o != machine })
 	command := delayedCommand{worker, request, sim.tracker, machine, starts}
 	switch sim.rng.IntN(4) {
 	case 0: // never leaves
 		sim.tracker.FinishCommandRequest(machine, starts, CommandNotSent, sim.now)
-	case 1: // held back, given up, perhaps delivered later
+	case 1: // delayed: the leader gives up waiting, and it may arrive later
 		sim.tracker.FinishCommandRequest(machine, starts, CommandOutcomeUnknown, sim.now)
 		command.machine = nil
 		sim.delayed = append(sim.delayed, command)
@@ -133,6 +134,7 @@
 	}
 }
 
+// deliverDelayedCommand delivers a command request after the leader has given up waiting.
 func (sim *simulation) deliverDelayedCommand() {
 	if len(sim.delayed) == 0 {
 		return
@@ -175,6 +177,7 @@
 	sim.persistCompletions()
 }
 
+// toggleHang ends a worker's hang, or at times begins one.
 func (sim *simulation) toggleHang() {
 	worker := sim.pickWorker()
 	worker.hung = !worker.hung && sim.rng.IntN(8) == 0
@@ -196,11 +199,11 @@
 
 func (sim *simulation) stepSomeGang() { sim.stepGang(sim.pickJobID()) }
 
+// maybeFailOver makes a new leader, at times, and has it decide at once.
 func (sim *simulation) maybeFailOver() {
 	if sim.rng.IntN(12) == 0 {
 		sim.failOver()
-		// What a new leader hears first of a machine may be a copy of what
-		// was, and the next what is.
+		// The first heartbeat that a new leader gets may be a late copy, the next a current one.
 		for range sim.rng.IntN(4) {
 			sim.deliverLateCopy()
 		}
--- a/internal/allocation/bench_test.go
+++ b/internal/allocation/bench_test.go
@@ -8,7 +8,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// newBusyTracker makes a machine with n running tasks, and the report that says so.
+// newBusyTracker returns a tracker with a machine of running tasks, and the heartbeat that lists them.
 func newBusyTracker(tb testing.TB, taskCount int) (*Tracker, *Machine, *wire.Heartbeat) {
 	tb.Helper()
 	tracker := New(Config{FencingToken: 7, LeaseTTL: testLeaseTTL, CancelFenceWindow: 20 * clock.Second})
@@ -30,15 +30,14 @@
 	return tracker, machine, heartbeat
 }
 
-// A report in which nothing has changed costs next to nothing, however many
-// tasks it lists.
+// A heartbeat in which nothing has changed allocates nothing, however many tasks it lists.
 func TestUnchangedHeartbeatDoesNotAllocate(t *testing.T) {
 	for _, taskCount := range []int{1, 32, 200} {
 		tracker, machine, heartbeat := newBusyTracker(t, taskCount)
 		if got := testing.AllocsPerRun(50, func() {
 			heartbeat.Sequence++
 			if tracker.RecordHeartbeat(machine, heartbeat, 3) != HeartbeatAccepted || len(tracker.HeartbeatCommands(machine, 3)) != 0 {
-				t.Fatal("not taken, or answered with orders")
+				t.Fatal("not accepted, or answered with commands")
 			}
 		}); got > 0 {
 			t.Errorf("%d tasks: %v allocations", taskCount, got)
@@ -49,7 +48,7 @@
 	}
 }
 
-// From the bytes of a report to the bytes of its answer.
+// BenchmarkHeartbeat measures from the bytes of a heartbeat to the bytes of its reply.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, taskCount := range []int{0, 4, 8, 32} {
 		b.Run(fmt.Sprint(taskCount), func(b *testing.B) {
--- a/internal/allocation/fake_worker_test.go
+++ b/internal/allocation/fake_worker_test.go
@@ -22,9 +22,9 @@
 	tasks           map[string]*fakeTask
 	deleted         bool
 	hung            bool
-	replyCommands   []wire.Command // on its way to the worker
+	replyCommands   []wire.Command // in the reply on its way to the worker
 	replyToken      uint64
-	heartbeatSentAt clock.Micros // when its report was sent
+	heartbeatSentAt clock.Micros // of the heartbeat that the reply answers
 	hasPendingReply bool
 }
 
@@ -48,8 +48,8 @@
 	return out
 }
 
-// stepGang has a gang's tasks do what the workers would: start together, notice
-// that one is missing, give up waiting, or complete together.
+// stepGang has a gang's tasks do what workers do (PROTOCOL, gangs): start together, notice that one is
+// missing, give up waiting, or complete together.
 func (sim *simulation) stepGang(job string) {
 	spec := sim.specs[job]
 	tasks := sim.gangTasks(job)
@@ -87,7 +87,7 @@
 		worker.incarnation++
 		worker.leaseRenewedAt = sim.now
 		worker.tasks = map[string]*fakeTask{}
-		worker.hasPendingReply = false // answers to reports of an earlier session are dropped
+		worker.hasPendingReply = false // replies to heartbeats of an earlier incarnation are dropped
 	}
 }
 
@@ -107,7 +107,7 @@
 				sim.startTask(worker, command, job, i)
 			case isListed:
 			case task.state == wire.TaskExited:
-				sim.fatal("started beside a listed attempt: %s", command.TaskID)
+				sim.fatal("started beside a listed attempt of the task: %s", command.TaskID)
 			}
 		case wire.ActionStop:
 			if isListed && task.state != wire.TaskExited {
@@ -116,7 +116,7 @@
 		case wire.ActionReap:
 			if isListed && task.state == wire.TaskExited {
 				if task.cause == wire.ExitDone && !sim.doneTasks[job][i] && !sim.cancelled[job] {
-					sim.fatal("forgot a result that is not durable: %s", command.TaskID)
+					sim.fatal("reaped a completion that is not durable: %s", command.TaskID)
 				}
 				delete(worker.tasks, command.TaskID)
 			}
@@ -151,7 +151,7 @@
 func (sim *simulation) checkZones(worker *fakeWorker, taskID, job string) {
 	spec := sim.specs[job]
 	if spec.Zone != "" && spec.Zone != worker.zone {
-		sim.fatal("wrong place: %s in %s", taskID, worker.zone)
+		sim.fatal("zone: %s in %s", taskID, worker.zone)
 	}
 	inZone, elsewhere := 0, 0
 	for n := 0; n < spec.TaskCount; n++ {
@@ -164,10 +164,10 @@
 		}
 	}
 	if spec.SingleZone && elsewhere > 0 {
-		sim.fatal("one zone: %s", taskID)
+		sim.fatal("single zone: %s", taskID)
 	}
 	if spec.SpreadZones && inZone+1 > (spec.TaskCount+1)/2 {
-		sim.fatal("spread: %s", taskID)
+		sim.fatal("spread over zones: %s", taskID)
 	}
 }
 
--- a/internal/allocation/gang_stop_test.go
+++ b/internal/allocation/gang_stop_test.go
@@ -7,9 +7,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// An orderly stop goes to all machines of a gang at once. When one of them cannot be
-// reached the save fails, and costs the run since the last checkpoint; no task of a new
-// attempt is placed before the unreachable machine's lease is over.
+// A stop with grace goes to all machines of a gang at once. If one of them can't be reached, the save
+// fails and the run since the last checkpoint is lost. No task of a new attempt is placed before the
+// unreachable machine's lease is over.
 func TestGangStopWithUnreachableMachine(t *testing.T) {
 	tracker := New(Config{FencingToken: 7, LeaseTTL: testLeaseTTL, CancelFenceWindow: 20 * clock.Second})
 	tracker.FinishRecovery()
@@ -38,7 +38,7 @@
 		running(machines[i], i, 2, start)
 	}
 	if !job.GangStarted {
-		t.Fatal("the gang runs, and is not known to")
+		t.Fatal("the gang runs, but is not recorded as started")
 	}
 	now := start + 50*clock.Second
 	for i := range 2 {
@@ -49,7 +49,7 @@
 	for i := range 2 {
 		request, starts := tracker.BuildCommandRequest(machines[i], now)
 		if request == nil || len(request.Commands) != 1 || request.Commands[0].Action != wire.ActionStop || *request.Commands[0].GracePeriodSeconds < 5 {
-			t.Fatalf("machine %d is told %+v", i, request)
+			t.Fatalf("machine %d is sent %+v", i, request)
 		}
 		if i == 0 {
 			tracker.FinishCommandRequest(machines[0], starts, CommandExecuted, now)
@@ -65,7 +65,7 @@
 		}
 	}
 	if job.CheckpointedSeconds != 40 {
-		t.Errorf("%v s are taken for safe after 56 s of run, 20 s apart", job.CheckpointedSeconds)
+		t.Errorf("%v s are checkpointed after 56 s of run, want 40 at an interval of 20 s", job.CheckpointedSeconds)
 	}
 	now = tracker.LeaseEndsAt(machines[1]) + 1
 	if !tracker.ExpireLease(machines[1], now) {
@@ -74,6 +74,6 @@
 	tracker.RecordHeartbeat(machines[2], newHeartbeat(machines[2], 1, 2, 7), now)
 	nextAttempt := tracker.NextAttempt()
 	if err := tracker.PlaceTask(job, 0, machines[2], nextAttempt, now); err != nil || nextAttempt <= attempt {
-		t.Fatalf("after the proof: %v, attempt %d after %d", err, nextAttempt, attempt)
+		t.Fatalf("after the lease has run out: %v, attempt %d after %d", err, nextAttempt, attempt)
 	}
 }
--- a/internal/allocation/history_test.go
+++ b/internal/allocation/history_test.go
@@ -78,19 +78,19 @@
 func (sim *simulation) checkMachines() {
 	for _, machine := range sim.tracker.Machines {
 		if hasCommandDue(machine) && !machine.isQueued {
-			sim.fatal("%s has a message due and is not in the outbox", machine.Name)
+			sim.fatal("%s has a command due and is not in the dispatch queue", machine.Name)
 		}
 		var sum Resources
 		machine.ForEachPlacement(func(placement *Placement) { sum = sum.Add(placement.Job.Request) })
 		if sum != machine.Used() {
-			sim.fatal("books of %s: %v, placements %v", machine.Name, machine.Used(), sum)
+			sim.fatal("usage of %s: %v, placements %v", machine.Name, machine.Used(), sum)
 		}
 	}
 }
 
 // checkJobs checks the counts of jobs and the teams' unconfirmed usage.
 func (sim *simulation) checkJobs() {
-	unconfirmedByTeam := map[string]int64{} // what teams may use, in doubt and without a place
+	unconfirmedByTeam := map[string]int64{} // what unconfirmed tasks without a placement may use
 	for id, job := range sim.tracker.Jobs {
 		waiting, unconfirmed := 0, 0
 		for i := range job.Tasks {
@@ -105,12 +105,12 @@
 			}
 		}
 		if waiting != job.WaitingCount() || unconfirmed != job.UnconfirmedCount() {
-			sim.fatal("books of %s: %d waiting of %d, %d in doubt of %d", id, job.WaitingCount(), waiting, job.UnconfirmedCount(), unconfirmed)
+			sim.fatal("counts of %s: %d waiting of %d, %d unconfirmed of %d", id, job.WaitingCount(), waiting, job.UnconfirmedCount(), unconfirmed)
 		}
 	}
 	for team, usage := range sim.tracker.unconfirmedUsage {
 		if usage.MilliCPU != unconfirmedByTeam[team] {
-			sim.fatal("books of team %s: %d in doubt of %d", team, usage.MilliCPU, unconfirmedByTeam[team])
+			sim.fatal("usage of team %s: %d unconfirmed of %d", team, usage.MilliCPU, unconfirmedByTeam[team])
 		}
 	}
 }
--- a/internal/allocation/late_copy_test.go
+++ b/internal/allocation/late_copy_test.go
@@ -8,8 +8,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// newSuccessorTracker makes a new leader's ledger of token 9 that finds three machines and one
-// marked job, whose tasks may be anywhere.
+// newSuccessorTracker returns the tracker of a new leader with token 9, three machines and a job with
+// recorded starts, whose tasks are unconfirmed.
 func newSuccessorTracker(kind string) (*Tracker, []*Machine, *Job) {
 	tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL})
 	var machines []*Machine
@@ -23,6 +23,7 @@
 	return tracker, machines, job
 }
 
+// heartbeatListing returns a heartbeat of incarnation 1 that lists tasks as running.
 func heartbeatListing(machineName string, seq, token, attempt uint64, tasks ...int) *wire.Heartbeat {
 	heartbeat := &wire.Heartbeat{MachineID: machineName, Incarnation: 1, Sequence: seq, FencingToken: token}
 	for _, i := range tasks {
@@ -31,29 +32,28 @@
 	return heartbeat
 }
 
-// What a new leader hears first of a machine may be a late copy of a report, from
-// before its task went elsewhere. It does not end the doubt about the task: a report
-// made under the new token does, or that all machines are accounted for. Once it did,
-// and the task was started a second time.
+// The first heartbeat that a new leader gets from a machine may be a late copy, from before its task
+// went elsewhere. The task stays unconfirmed until a heartbeat made under the new token lists it, or
+// all machines are reconciled. Added after such a task was started a second time.
 func TestLateCopyKeepsTaskUnconfirmed(t *testing.T) {
 	tracker, machines, job := newSuccessorTracker(wire.KindArray)
 	now := clock.Second
 	tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 5, 4, 40, 0), now) // a copy; the task is on i-1 by now
 	if usage := tracker.TeamUsage(""); job.ActiveCount() != 1 || job.UnconfirmedCount() != 2 || usage.MilliCPU != 2000 {
-		t.Fatalf("%d placed, %d in doubt, the team may use %d", job.ActiveCount(), job.UnconfirmedCount(), usage.MilliCPU)
+		t.Fatalf("%d placed, %d unconfirmed, the team may use %d", job.ActiveCount(), job.UnconfirmedCount(), usage.MilliCPU)
 	}
 	tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 9, 9, 0), now) // i-0 itself, under the new token
 	tracker.RecordHeartbeat(machines[2], heartbeatListing("i-2", 9, 9, 0), now)
 	if err := tracker.PlaceTask(job, 0, machines[2], tracker.NextAttempt(), now); err == nil {
-		t.Fatal("a task is started again that may be on a machine not heard yet")
+		t.Fatal("a task is started again that may be on a machine without a heartbeat yet")
 	}
 	tracker.RecordHeartbeat(machines[1], heartbeatListing("i-1", 7, 4, 41, 0), now)
 	if placement := job.Tasks[0].Placement; placement == nil || placement.Machine != machines[1] || placement.IsStopping() {
-		t.Fatal("the task is not found where it is")
+		t.Fatal("the task is not placed where it runs")
 	}
 	tracker.RecordHeartbeat(machines[1], heartbeatListing("i-1", 8, 9, 41, 0), now)
 	if job.UnconfirmedCount() != 0 || !tracker.IsReconciled() || job.Tasks[0].Placement.IsStopping() {
-		t.Fatalf("%d in doubt when all is accounted for", job.UnconfirmedCount())
+		t.Fatalf("%d unconfirmed when all machines are reconciled", job.UnconfirmedCount())
 	}
 	if err := tracker.PlaceTask(job, 1, machines[2], tracker.NextAttempt(), now); err != nil {
 		t.Fatalf("the other task: %v", err)
@@ -63,8 +63,8 @@
 	}
 }
 
-// A copy and the true report may come in either order, of arrays and of gangs: the
-// later attempt is where the task is, and goes on.
+// A late copy and the current heartbeat may arrive in either order, of arrays and of gangs: the later
+// attempt is where the task is, and it goes on.
 func TestLaterAttemptWins(t *testing.T) {
 	for _, kind := range []string{wire.KindArray, wire.KindGang} {
 		for _, copyFirst := range []bool{true, false} {
@@ -81,29 +81,29 @@
 			both[1]()
 			for i := range job.Tasks {
 				if placement := job.Tasks[i].Placement; placement == nil || placement.Machine != machines[1] || placement.IsStopping() {
-					t.Fatalf("%s, copy first %v: task %d has its place at %+v", kind, copyFirst, i, placement)
+					t.Fatalf("%s, copy first %v: task %d has the placement %+v", kind, copyFirst, i, placement)
 				}
 			}
 			tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 9, 9, 0), now)
 			tracker.RecordHeartbeat(machines[1], heartbeatListing("i-1", 9, 9, 41, 0, 1), now)
 			tracker.RecordHeartbeat(machines[2], heartbeatListing("i-2", 9, 9, 0), now)
 			if job.UnconfirmedCount() != 0 || job.ActiveCount() != 2 || job.GangAborting || job.Tasks[0].Placement.IsStopping() || job.CountInZone("x") != 2 {
-				t.Fatalf("%s, copy first %v: %d in doubt, %d active, broken %v", kind, copyFirst, job.UnconfirmedCount(), job.ActiveCount(), job.GangAborting)
+				t.Fatalf("%s, copy first %v: %d unconfirmed, %d active, aborting %v", kind, copyFirst, job.UnconfirmedCount(), job.ActiveCount(), job.GangAborting)
 			}
 		}
 	}
 }
 
-// Tasks have moved from machine to machine under an earlier leader. Its successor hears
-// reports from any time before, then true ones, in any order. It starts nothing that
-// runs, and has found everything where it is when all machines have reported to it.
+// Tasks have moved between machines under an earlier leader. Its successor gets late copies of
+// heartbeats, then current ones, in any order. It starts no task that runs, and knows where each task
+// is once all machines have sent a heartbeat under its token.
 func TestFailoverWithLateCopies(t *testing.T) {
 	refused := 0
 	for seed := uint64(1); seed <= 3000; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 6))
 		kind := []string{wire.KindArray, wire.KindGang}[seed%2]
 		tracker, machines, job := newSuccessorTracker(kind)
-		// past holds what each machine's list was, at each of several times.
+		// past holds the heartbeats of all machines at each of several times.
 		var past [][]*wire.Heartbeat
 		machineOf := make([]int, len(job.Tasks)) // where each task is, -1: nowhere
 		attempts := make([]uint64, len(job.Tasks))
@@ -166,14 +166,14 @@
 			placement := job.Tasks[i].Placement
 			switch {
 			case job.Tasks[i].Unconfirmed || (placement != nil) != (machineOf[i] >= 0):
-				t.Fatalf("history %d: task %d on %d: doubt %v, place %+v", seed, i, machineOf[i], job.Tasks[i].Unconfirmed, placement)
+				t.Fatalf("history %d: task %d on %d: unconfirmed %v, placement %+v", seed, i, machineOf[i], job.Tasks[i].Unconfirmed, placement)
 			case placement != nil && (placement.Machine != machines[machineOf[i]] || placement.Attempt != attempts[i] || placement.IsStopping()):
-				t.Fatalf("history %d, %s: task %d on %d as %d has its place on %s as %d, stopping %v",
+				t.Fatalf("history %d, %s: task %d on %d as attempt %d is placed on %s as attempt %d, stopping %v",
 					seed, kind, i, machineOf[i], attempts[i], placement.Machine.Name, placement.Attempt, placement.IsStopping())
 			}
 		}
 		if job.GangAborting || job.UnconfirmedCount() != 0 {
-			t.Fatalf("history %d: broken %v, %d in doubt", seed, job.GangAborting, job.UnconfirmedCount())
+			t.Fatalf("history %d: aborting %v, %d unconfirmed", seed, job.GangAborting, job.UnconfirmedCount())
 		}
 	}
 	if refused < 1000 {
--- a/internal/allocation/replication_test.go
+++ b/internal/allocation/replication_test.go
@@ -9,13 +9,13 @@
 	"firwood.dev/firwood/wire"
 )
 
-// recordingReplicator keeps what a follower of a ledger would know.
+// recordingReplicator keeps what a standby that follows a tracker would know.
 type recordingReplicator struct {
 	t              *testing.T
 	covered        string   // a task or job that has to be covered after each decision, if set
-	active         []string // tasks that may be under way, and what is in doubt
+	active         []string // tasks that may be running, and unconfirmed tasks and jobs
 	sequence       uint64
-	replicatedUpTo uint64 // the last decision that all followers have
+	replicatedUpTo uint64 // the last decision that all standbys have
 }
 
 func (replicator *recordingReplicator) RecordStarted(task string, _ uint64, _ string) uint64 {
@@ -29,7 +29,7 @@
 		replicator.active = slices.Delete(replicator.active, i, i+1)
 	}
 	if job, _, _ := strings.Cut(replicator.covered, "/"); job != "" && !slices.Contains(replicator.active, replicator.covered) && !slices.Contains(replicator.active, job) {
-		replicator.t.Errorf("%s is covered by nothing for a moment", replicator.covered)
+		replicator.t.Errorf("%s has no entry for a moment", replicator.covered)
 	}
 }
 
@@ -43,7 +43,9 @@
 
 func (replicator *recordingReplicator) RecordResolved(id string) { replicator.RecordEnded(id, 0, "") }
 
+// newReplicatedTracker returns a tracker with a machine and a job with one placed task.
 func newReplicatedTracker(t *testing.T) (*Tracker, *Machine, *Job, *recordingReplicator) {
+	t.Helper()
 	replicator := &recordingReplicator{replicatedUpTo: 100}
 	tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL, Replicator: replicator})
 	tracker.FinishRecovery()
@@ -57,7 +59,7 @@
 	return tracker, machine, job, replicator
 }
 
-// No start goes out, by either way, before all followers have it; then it does.
+// No start is sent, through either channel, before all standbys have its placement; then it is.
 func TestStartWaitsForReplication(t *testing.T) {
 	tracker, machine, _, replicator := newReplicatedTracker(t)
 	replicator.replicatedUpTo = 0
@@ -77,8 +79,8 @@
 	}
 }
 
-// A task that completed is over for followers only once its completion is durable, or its
-// job is over: the next leader would run it again.
+// Standbys are told of the end of a completed task only once its completion is durable, or its job is
+// over. Otherwise the next leader would run it again.
 func TestCompletionIsDurableBeforeEndIsPublished(t *testing.T) {
 	tracker, machine, job, replicator := newReplicatedTracker(t)
 	tracker.HeartbeatCommands(machine, 2)
@@ -87,28 +89,29 @@
 	done.Tasks = []wire.TaskStatus{{TaskID: wire.TaskID("req-000001", 0), Attempt: attempt, State: wire.TaskExited, ExitCause: wire.ExitDone}}
 	tracker.RecordHeartbeat(machine, done, 3*clock.Second)
 	if job.DoneCount() != 1 || len(replicator.active) != 1 {
-		t.Fatalf("%d done, told of as under way: %v", job.DoneCount(), replicator.active)
+		t.Fatalf("%d done, published as active: %v", job.DoneCount(), replicator.active)
 	}
 	tracker.MarkDurable(job, []int{0})
 	if len(replicator.active) != 0 {
-		t.Fatalf("still told of as under way: %v", replicator.active)
+		t.Fatalf("still published as active: %v", replicator.active)
 	}
 }
 
-// Only tasks that an earlier leader may have started are in doubt; of a gang all, if any.
+// Only tasks that an earlier leader may have started are unconfirmed; of a gang, all or none.
 func TestOnlyPossiblyStartedTasksAreUnconfirmed(t *testing.T) {
 	for kind, want := range map[string]int{wire.KindArray: 1, wire.KindGang: 3} {
 		tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL, MayHaveStarted: func(task string) bool { return task == wire.TaskID("req-000001", 1) }})
 		job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: kind, TaskCount: 3, CPUs: 1, Team: "a"}, 0, 0, true, nil)
 		if job.UnconfirmedCount() != want || tracker.TeamUsage("a").MilliCPU != int64(want)*1000 {
-			t.Errorf("%s: %d in doubt, the team may use %d", kind, job.UnconfirmedCount(), tracker.TeamUsage("a").MilliCPU)
+			t.Errorf("%s: %d unconfirmed, the team may use %d", kind, job.UnconfirmedCount(), tracker.TeamUsage("a").MilliCPU)
 		}
 	}
 }
 
-// newTrackerWithUnconfirmed is the ledger of a new leader with a job of which tasks may run, a machine, and
-// another one that is silent.
+// newTrackerWithUnconfirmed returns the tracker of a new leader with a job whose tasks may be running,
+// and a machine. Another machine sends no heartbeats.
 func newTrackerWithUnconfirmed(t *testing.T, tasks int, mayRun func(string) bool) (*Tracker, *Machine, *Job, *recordingReplicator) {
+	t.Helper()
 	replicator := &recordingReplicator{t: t, replicatedUpTo: 100}
 	tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL, Replicator: replicator, MayHaveStarted: mayRun})
 	for _, name := range []string{"i-0", "i-1"} {
@@ -119,23 +122,22 @@
 	return tracker, tracker.Machines["i-0"], job, replicator
 }
 
-// A task that was in doubt is told of as placed before its doubt is told of as over: in
-// between a follower would take it for one that is nowhere.
+// The placement of an unconfirmed task is published before the task is published as resolved. In
+// between, a standby would take it for one that is nowhere.
 func TestPlacementIsPublishedBeforeResolution(t *testing.T) {
 	task := wire.TaskID("req-000001", 1)
 	tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, 3, func(other string) bool { return other == task })
 	if !slices.Equal(replicator.active, []string{task}) {
-		t.Fatalf("told of %v", replicator.active)
+		t.Fatalf("published %v", replicator.active)
 	}
 	replicator.covered = task
 	tracker.RecordHeartbeat(machine, heartbeatListing("i-0", 1, 9, 3, 1), 1)
 	if job.UnconfirmedCount() != 0 || !slices.Equal(replicator.active, []string{task}) {
-		t.Errorf("%d in doubt, told of %v", job.UnconfirmedCount(), replicator.active)
+		t.Errorf("%d unconfirmed, published %v", job.UnconfirmedCount(), replicator.active)
 	}
 }
 
-// A task that was in doubt and turns out to be done is covered until its completion is
-// durable.
+// An unconfirmed task that turns out to be done keeps its entry until its completion is durable.
 func TestTaskStaysUnconfirmedUntilCompletionIsDurable(t *testing.T) {
 	for name, tasks := range map[string]int{"few": 3, "many": maxUnconfirmedTasksPublished + 1} {
 		tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, tasks, nil)
@@ -145,40 +147,40 @@
 		tracker.RecordHeartbeat(machine, done, 1)
 		tracker.RemoveMachine(tracker.Machines["i-1"], 2)
 		if job.DoneCount() != 1 || job.UnconfirmedCount() != 0 {
-			t.Fatalf("%s: %d done, %d in doubt", name, job.DoneCount(), job.UnconfirmedCount())
+			t.Fatalf("%s: %d done, %d unconfirmed", name, job.DoneCount(), job.UnconfirmedCount())
 		}
 		replicator.covered = ""
 		tracker.MarkDurable(job, []int{0})
 		if len(replicator.active) != 0 {
-			t.Errorf("%s: still told of %v", name, replicator.active)
+			t.Errorf("%s: still published %v", name, replicator.active)
 		}
 	}
 }
 
-// Many doubts of one job are told one by one where more is left of it, which may start.
+// Many unconfirmed tasks of a job are published one by one if other tasks of it may start.
 func TestUnconfirmedTasksOfPartlyConfirmedJobArePublishedSingly(t *testing.T) {
 	const tasks = 2 * maxUnconfirmedTasksPublished
 	_, _, job, replicator := newTrackerWithUnconfirmed(t, tasks, func(task string) bool { return task != wire.TaskID("req-000001", 0) })
 	if job.UnconfirmedCount() != tasks-1 || len(replicator.active) != tasks-1 {
-		t.Errorf("%d in doubt, told of %v", job.UnconfirmedCount(), replicator.active)
+		t.Errorf("%d unconfirmed, published %v", job.UnconfirmedCount(), replicator.active)
 	}
 }
 
-// A job that is in doubt as a whole is told of as such, and its last tasks one by one.
+// A job that is unconfirmed as a whole is published as one entry, its last tasks one by one.
 func TestWhollyUnconfirmedJobIsPublishedAsOne(t *testing.T) {
 	const tasks = maxUnconfirmedTasksPublished + 4
 	tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, tasks, nil)
 	if !slices.Equal(replicator.active, []string{"req-000001"}) {
-		t.Fatalf("told of %v", replicator.active)
+		t.Fatalf("published %v", replicator.active)
 	}
 	tracker.RecordHeartbeat(machine, heartbeatListing("i-0", 1, 9, 3, 0, 1, 2), 1)
 	if job.UnconfirmedCount() != tasks-3 || !slices.Contains(replicator.active, "req-000001") || len(replicator.active) != 4 {
-		t.Fatalf("%d in doubt, told of %v", job.UnconfirmedCount(), replicator.active)
+		t.Fatalf("%d unconfirmed, published %v", job.UnconfirmedCount(), replicator.active)
 	}
 	replicator.covered = wire.TaskID("req-000001", tasks-1)
 	tracker.recordCompletion(job, 3)
 	tracker.MarkDurable(job, []int{3})
 	if job.UnconfirmedCount() != maxUnconfirmedTasksPublished || slices.Contains(replicator.active, "req-000001") || len(replicator.active) != maxUnconfirmedTasksPublished+3 {
-		t.Errorf("%d in doubt, told of %v", job.UnconfirmedCount(), replicator.active)
+		t.Errorf("%d unconfirmed, published %v", job.UnconfirmedCount(), replicator.active)
 	}
 }
--- a/internal/allocation/simulation_test.go
+++ b/internal/allocation/simulation_test.go
@@ -11,17 +11,16 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The history test plays workers as the protocol describes them against
-// ledgers of successive leaders: messages are lost, held back and delivered
-// late, machines die, leaders change. What a worker does is checked against
-// the rules, not against the ledger.
+// The simulation runs workers, as PROTOCOL describes them, against the trackers of successive leaders:
+// messages are lost, delayed and delivered late, machines are deleted, leaders change. What a worker
+// does is checked against the rules of PROTOCOL, not against the tracker.
 
 const testLeaseTTL = 30 * clock.Second
 
 type delayedCommand struct {
 	worker  *fakeWorker
 	request *wire.CommandRequest
-	tracker *Tracker // that sent it and still waits for the answer
+	tracker *Tracker // that sent it; machine is nil if it has given up waiting
 	machine *Machine
 	starts  []*Placement
 }
@@ -66,7 +65,7 @@
 	replicaFailoverCount int // failovers that began with a follower's table
 }
 
-// follower is the account of another controller that is told of each decision at once.
+// follower is the allocation table of a standby that is told of each decision at once.
 type follower struct{ table *standby.Table }
 
 func (f *follower) apply(kind standby.DecisionKind, p standby.Placement) {
@@ -92,7 +91,7 @@
 
 func (f *follower) MaySendStart(uint64) bool { return true }
 
-// checkFollower holds what the follower knows to what is on machines.
+// checkFollower checks that the follower knows of each task that is on a machine.
 func (sim *simulation) checkFollower() {
 	for _, worker := range sim.workers {
 		for id, task := range worker.tasks {
@@ -165,14 +164,14 @@
 	}
 }
 
-// exchangeHeartbeat plays one report and its answer; fate 0 loses the report, 1 the
-// answer.
+// exchangeHeartbeat sends a worker's heartbeat, and a reply. Fate 0 loses the heartbeat and 1 the
+// reply; above 3 the reply arrives at once, else it may arrive later.
 func (sim *simulation) exchangeHeartbeat(worker *fakeWorker, fate int) {
 	if worker.deleted || worker.hung {
 		return
 	}
 	sim.expireLease(worker)
-	worker.hasPendingReply = false // a new report: the answer to the last one is dead
+	worker.hasPendingReply = false // the worker drops the reply to its last heartbeat
 	heartbeat := sim.heartbeat(worker)
 	machine := sim.machine(worker)
 	if fate == 0 || machine == nil {
@@ -183,7 +182,7 @@
 	}
 	sim.tracker.RecordLeaseRenewal(machine, sim.now)
 	if result := sim.tracker.RecordHeartbeat(machine, heartbeat, sim.now); result == HeartbeatFenced {
-		sim.fatal("deposed by %d under %d", heartbeat.FencingToken, sim.token)
+		sim.fatal("fenced by token %d under %d", heartbeat.FencingToken, sim.token)
 	}
 	sim.persistCompletions()
 	commands := sim.tracker.HeartbeatCommands(machine, sim.now)
@@ -196,7 +195,7 @@
 	}
 }
 
-// deliverReply delivers the answer to a worker's last report, unless it is too late.
+// deliverReply delivers the reply to a worker's last heartbeat, unless it is too late.
 func (sim *simulation) deliverReply(worker *fakeWorker) {
 	incarnation := worker.incarnation
 	sim.expireLease(worker)
@@ -217,7 +216,7 @@
 		Quotas: map[string]TeamQuota{"a": {MaxMilliCPU: sim.cpuLimit}, "b": {MaxMilliCPU: sim.cpuLimit}},
 	}
 	if sim.follower != nil && sim.rng.IntN(4) > 0 {
-		// The follower of the last leader, which may have been one itself.
+		// The last leader's follower takes over, whose own table may have come from a follower.
 		cfg.MayHaveStarted = sim.follower.table.MayBeRunning
 		sim.replicaFailoverCount++
 	}
@@ -240,7 +239,7 @@
 			sim.tracker.Cancel(job, sim.now)
 		}
 	}
-	// Somebody may still hold a right of the leader before.
+	// A delegate may still have a grant of the leader before.
 	sim.delegatedUntil = sim.now + 20*clock.Second
 	sim.tracker.SetDelegatedUntil(sim.delegatedUntil, nil)
 	sim.tracker.FinishRecovery()
@@ -248,7 +247,7 @@
 
 func (sim *simulation) machine(worker *fakeWorker) *Machine { return sim.tracker.Machines[worker.name] }
 
-// persistCompletions is what the owner does with completions.
+// persistCompletions makes completions durable, at times, as the controller does.
 func (sim *simulation) persistCompletions() {
 	if sim.rng.IntN(3) > 0 {
 		return
@@ -267,8 +266,8 @@
 	sim.tracker.Exited, sim.tracker.Started = nil, nil
 }
 
-// hasCommandDue tells whether a direct message would be sent now: the plain look at all
-// that is on the machine, which the outbox saves.
+// hasCommandDue tells whether a command request would be sent now. It looks at all placements of the
+// machine, which the dispatch queue avoids.
 func hasCommandDue(machine *Machine) bool {
 	if machine.commandInFlight || !machine.TokenConfirmed {
 		return false
--- a/internal/allocation/tracker_test.go
+++ b/internal/allocation/tracker_test.go
@@ -19,13 +19,13 @@
 	machine.RecordedInStore = true
 	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: kind, Priority: wire.PriorityNormal, TaskCount: tasks, CPUs: 1, Team: "a"}, 0, 1, true, nil)
 	if tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 1, 7), 1) != HeartbeatAccepted {
-		t.Fatal("first report not taken")
+		t.Fatal("the first heartbeat is not accepted")
 	}
 	return tracker, job, machine
 }
 
-// A start that was sent directly and not answered may arrive after the worker
-// was told to forget the attempt: it would run again.
+// A start in a command request without an answer may arrive after the worker was told to forget the
+// attempt: it would run again.
 func TestAttemptIsKeptWhileStartMayArrive(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 2); err != nil {
@@ -33,33 +33,32 @@
 	}
 	request, starts := tracker.BuildCommandRequest(machine, 2)
 	if request == nil || len(starts) != 1 {
-		t.Fatal("no direct start")
+		t.Fatal("no start in a command request")
 	}
 	tracker.FinishCommandRequest(machine, starts, CommandOutcomeUnknown, 2)
 	attempt := request.Commands[0].Attempt
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 2, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: attempt, State: wire.TaskExited, ExitCause: wire.ExitError}), 3)
 	for _, command := range tracker.HeartbeatCommands(machine, 3) {
 		if command.Action == wire.ActionReap {
-			t.Fatal("told to forget an attempt whose start may still arrive")
+			t.Fatal("reaped an attempt whose start may still arrive")
 		}
 	}
-	// A new session refuses commands of the old one.
+	// In a new incarnation the worker refuses commands for the old one.
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 2, 3, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: attempt, State: wire.TaskExited, ExitCause: wire.ExitError}), 4)
 	if commands := tracker.HeartbeatCommands(machine, 4); len(commands) != 1 || commands[0].Action != wire.ActionReap {
-		t.Fatalf("not forgotten in the new session: %v", commands)
+		t.Fatalf("not reaped in the new incarnation: %v", commands)
 	}
 }
 
-// A start in a report's answer may still be on its way when the worker answers a
-// direct message. That answer lacks the task and proves nothing; only the
-// worker's next report does.
+// A start in a heartbeat's reply may still be on its way when the worker answers a command request.
+// That answer lacks the task and proves nothing; only the worker's next own heartbeat does.
 func TestCommandResponseDoesNotDisproveHeartbeatReply(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 2); err != nil {
 		t.Fatal(err)
 	}
 	if commands := tracker.HeartbeatCommands(machine, 2); len(commands) != 1 {
-		t.Fatalf("orders %v", commands)
+		t.Fatalf("commands %v", commands)
 	}
 	tracker.RecordCommandHeartbeat(machine, newHeartbeat(machine, 1, 2, 7), 3)
 	tracker.StopPlacement(job.Tasks[0].Placement, 0)
@@ -68,12 +67,12 @@
 	}
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 3, 7), 4)
 	if !tracker.IsVacated(job) {
-		t.Fatal("the next report is proof")
+		t.Fatal("the worker's next heartbeat proves that the start did not arrive")
 	}
 }
 
-// A withdrawn job's start that may still arrive is met by a start and a stop
-// in one message, so that the late one finds its attempt listed as exited.
+// A cancelled job's start that may still arrive is fenced by a start and a stop in one message, so that
+// the late one finds its attempt listed as exited.
 func TestFenceStartOfCancelledJob(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 2); err != nil {
@@ -88,18 +87,18 @@
 		t.Fatalf("not fenced: %v", commands)
 	}
 	if tracker.IsVacated(job) {
-		t.Fatal("a task that may start is counted as gone")
+		t.Fatal("a job with a task that may start is vacated")
 	}
 	if commands = tracker.HeartbeatCommands(machine, 4+30*clock.Second); len(commands) != 0 {
-		t.Fatalf("fenced too long after the withdrawal: %v", commands)
+		t.Fatalf("fenced too long after the cancellation: %v", commands)
 	}
 	if !tracker.IsCordoned(machine, 4+30*clock.Second) {
-		t.Fatal("the machine has to go")
+		t.Fatal("the machine is not cordoned")
 	}
 }
 
-// A report of a session that was given up for over may come out of the network
-// late; it must not bring its tasks back.
+// A heartbeat of an incarnation whose lease has run out may arrive late. It must not bring the tasks
+// back.
 func TestHeartbeatOfExpiredIncarnationIsStale(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 2); err != nil {
@@ -111,12 +110,12 @@
 	}
 	late := newHeartbeat(machine, 1, 9, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: 1, State: wire.TaskRunning})
 	if tracker.RecordHeartbeat(machine, late, tracker.LeaseEndsAt(machine)) != HeartbeatStale {
-		t.Fatal("a report of the expired session was taken")
+		t.Fatal("a heartbeat of the expired incarnation was accepted")
 	}
 }
 
-// One lost task ends a gang's attempt, and the next attempt waits until every
-// task of the old one is over.
+// One lost task ends a gang's attempt, and the next attempt waits until every task of the old one has
+// ended.
 func TestGangRestartsTogether(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindGang, 2)
 	firstAttempt := tracker.NextAttempt()
@@ -132,7 +131,7 @@
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 2, 7, reportTask(0, wire.TaskRunning, ""), reportTask(1, wire.TaskRunning, "")), 3)
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 3, 7, reportTask(0, wire.TaskExited, wire.ExitError), reportTask(1, wire.TaskRunning, "")), 4)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 5); err == nil {
-		t.Fatal("a new attempt beside the old one")
+		t.Fatal("a new attempt is placed beside the old one")
 	}
 	stops := 0
 	for _, command := range tracker.HeartbeatCommands(machine, 5) {
@@ -156,23 +155,23 @@
 	}
 }
 
-// A worker whose lease ran out begins a new session, with a lease of its own that
-// nobody has to have answered. When that is first seen in the answer to a probe,
-// and tasks are started in it, the old session's lease proves nothing of them.
+// A worker whose lease ran out begins a new incarnation, with its own lease that begins without a
+// reply. If the incarnation is first seen in the answer to a probe and tasks are started in it, the
+// lease of the old one proves nothing about them (docs/incidents/session-seen-by-probe.md).
 func TestNewIncarnationHasOwnLease(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	tracker.RecordLeaseRenewal(machine, 1)
 	now := testLeaseTTL - clock.Second
 	if tracker.RecordCommandHeartbeat(machine, newHeartbeat(machine, 2, 2, 7), now) != HeartbeatAccepted {
-		t.Fatal("the probe's report is not taken")
+		t.Fatal("the heartbeat in the answer to the probe is not accepted")
 	}
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), now); err != nil {
 		t.Fatal(err)
 	}
 	if request, _ := tracker.BuildCommandRequest(machine, now); request == nil || request.Incarnation != 2 {
-		t.Fatal("no start in the new session")
+		t.Fatal("no start in the new incarnation")
 	}
 	if tracker.ExpireLease(machine, now+3*clock.Second) || job.Tasks[0].Placement == nil {
-		t.Fatal("the new session's task is taken for over with the old lease")
+		t.Fatal("the task of the new incarnation is ended with the old lease")
 	}
 }
