--- a/internal/allocation/token.go
+++ b/internal/allocation/token.go
@@ -23,8 +23,8 @@
 // RaiseToken makes messages carry the highest token that was issued.
 func (tracker *Tracker) RaiseToken() { tracker.currentToken = tracker.issuedToken }
 
-// TakeTokenRaiseRequest tells whether an exit could not be reaped before the token rises, and resets
-// the request.
+// TakeTokenRaiseRequest tells whether an exit could not be reaped before the token rises, or the
+// token has few attempts left, and resets the request.
 func (tracker *Tracker) TakeTokenRaiseRequest() bool {
 	needed := tracker.needsHigherToken
 	tracker.needsHigherToken = false
--- a/internal/allocation/tracker.go
+++ b/internal/allocation/tracker.go
@@ -44,7 +44,7 @@
 	delegationState
 	teamUsage
 	dispatchQueues
-	attemptCounter uint64
+	attemptState
 	heartbeatCount uint64     // accepted heartbeats; placements record it when they are listed
 	sortedMachines []*Machine // nil after machines were added or removed
 
@@ -61,12 +61,20 @@
 	isRecovered       bool // FinishRecovery was called
 }
 
+// attemptState is from what NextAttempt makes attempt numbers.
+type attemptState struct {
+	attemptToken   uint64 // the token that the counter belongs to
+	attemptCounter uint64 // attempts under that token
+}
+
 // tokenState holds the fencing tokens of this leader.
 type tokenState struct {
 	// currentToken is sent with messages. issuedToken is the highest that a worker may have seen;
 	// delegates learn it before it is used. Both start as the lock's.
 	currentToken, issuedToken uint64
-	needsHigherToken          bool // an exit could not be reaped before the token rises (invariant 2)
+	// needsHigherToken: an exit could not be reaped before the token rises (invariant 2), or the
+	// token has few attempts left (invariant 3).
+	needsHigherToken bool
 }
 
 // delegationState is until when other controllers may have renewed workers' leases, see
