--- a/internal/allocation/lease.go
+++ b/internal/allocation/lease.go
@@ -19,12 +19,8 @@
 // Renewals by delegates aren't included.
 func (machine *Machine) LastRenewalAt() clock.Micros { return machine.leaseRenewedAt }
 
-// PROTOCOL bounds the drift of two steady clocks against each other by 0.05 %. LeaseEndsAt allows
-// one part in leaseDriftDivisor (0.2 %), and leaseSlack for what is rounded or late.
-const (
-	leaseDriftDivisor = 500
-	leaseSlack        = clock.Second
-)
+// leaseSlack is what LeaseEndsAt allows, beside the drift of clocks, for what is rounded or late.
+const leaseSlack = clock.Second
 
 // LeaseEndsAt returns the instant of the steady clock from which the machine's lease has certainly
 // run out, if none of its heartbeats is answered any more.
@@ -33,7 +29,7 @@
 	if !ok {
 		delegatedUntil = tracker.delegatedUntil
 	}
-	return max(machine.leaseRenewedAt, delegatedUntil) + tracker.cfg.LeaseTTL + tracker.cfg.LeaseTTL/leaseDriftDivisor + leaseSlack
+	return max(machine.leaseRenewedAt, delegatedUntil) + tracker.cfg.LeaseTTL + clock.MutualDrift(tracker.cfg.LeaseTTL) + leaseSlack
 }
 
 // ExpireLease ends the placements of a machine whose lease has certainly run out, and tells whether
