--- a/internal/controller/adopted_tasks_test.go
+++ b/internal/controller/adopted_tasks_test.go
@@ -22,7 +22,7 @@
 	term.controller.view.Progress["req-000001"] = map[int]storeview.ProgressPart{0: {}}
 	term = newLeaderTerm(term.controller, 10, clock.Now())
 	job, machine := term.tracker.Jobs["req-000001"], term.tracker.Machines["i-1"]
-	now := term.startedAt + clock.Second
+	now := term.liveness.startedAt + clock.Second
 	seq := uint64(0)
 	report := func(task string, attempt uint64, state, why string) {
 		seq++
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -44,7 +44,7 @@
 func failOverFleet(b *testing.B, controller *Controller, heartbeats []*wire.Heartbeat) *leaderTerm {
 	b.Helper()
 	term := newLeaderTerm(controller, 10, clock.Now())
-	term.actDeadline.Store(1 << 62)
+	term.entitlement.actDeadline.Store(1 << 62)
 	for _, heartbeat := range heartbeats {
 		term.handleHeartbeat(heartbeat, &server.Reply{})
 	}
--- a/internal/controller/command_requests.go
+++ b/internal/controller/command_requests.go
@@ -22,7 +22,7 @@
 			return false
 		}
 		// Nothing is started where a later leader would take the leases for over.
-		if term.constraints.MayConstrainZone(machine.Zone) || now < machineInfo.commandsBlockedUntil || now-machine.LastHeartbeatAt > term.controller.suspectTimeout() || term.commandRequestsInFlight >= term.controller.maxRequestsInFlight {
+		if term.renewals.constraints.MayConstrainZone(machine.Zone) || now < machineInfo.commandsBlockedUntil || now-machine.LastHeartbeatAt > term.controller.suspectTimeout() || term.commandRequestsInFlight >= term.controller.maxRequestsInFlight {
 			return true
 		}
 		message, starts := term.tracker.BuildCommandRequest(machine, now)
@@ -88,5 +88,5 @@
 		return
 	}
 	term.processTaskEvents(now)
-	term.needsPlan = true
+	term.requestPlan()
 }
--- a/internal/controller/constraints.go
+++ b/internal/controller/constraints.go
@@ -19,7 +19,7 @@
 func (controller *Controller) applyConstraints(constraints delegation.Constraints, version uint64) {
 	controller.unconfirmedConstraints = nil
 	if controller.term != nil {
-		controller.term.constraints.ObserveStored(constraints, version)
+		controller.term.renewals.constraints.ObserveStored(constraints, version)
 	}
 }
 
@@ -36,25 +36,25 @@
 
 // adoptConstraints takes over what earlier leaders have promised.
 func (term *leaderTerm) adoptConstraints(now clock.Micros) {
-	constraints := term.constraints.Confirmed()
+	constraints := term.renewals.constraints.Confirmed()
 	for _, member := range term.tracker.Machines {
 		if zone, ok := constraints.Zones[member.Zone]; ok {
 			term.tracker.CapLeaseRenewal(member, term.controller.latestSteadyInstant(now, zone.LastAnswerAt))
 		}
 	}
 	for member, renewalsUntil := range constraints.MemberGrantUntil {
-		term.grants.RecordInherited(member, term.controller.latestSteadyInstant(now, renewalsUntil))
+		term.renewals.grants.RecordInherited(member, term.controller.latestSteadyInstant(now, renewalsUntil))
 	}
 }
 
 // updateRenewalBounds tells the ledger until when others may have renewed leases as delegates.
 func (term *leaderTerm) updateRenewalBounds(now clock.Micros) {
-	constraints := term.constraints.Confirmed()
+	constraints := term.renewals.constraints.Confirmed()
 	renewalsUntil := map[string]clock.Micros{}
 	for zone, constraint := range constraints.Zones {
-		renewalsUntil[zone] = term.grants.LatestRenewalExcept(now, term.controller.cfg.Member, constraint.KnownBy)
+		renewalsUntil[zone] = term.renewals.grants.LatestRenewalExcept(now, term.controller.cfg.Member, constraint.KnownBy)
 	}
-	term.tracker.SetDelegatedUntil(term.grants.LatestRenewal(now), renewalsUntil)
+	term.tracker.SetDelegatedUntil(term.renewals.grants.LatestRenewal(now), renewalsUntil)
 }
 
 // updateConstraints writes what has changed about who is heard. A zone of which no
@@ -62,18 +62,18 @@
 // rights, until the promise is taken back: a new leader, who has never heard either,
 // then knows when the leases there end.
 func (term *leaderTerm) updateConstraints(now clock.Micros) {
-	current := term.constraints.Confirmed()
+	current := term.renewals.constraints.Confirmed()
 	updated := delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{}, MemberGrantUntil: map[string]clock.Micros{}}
 	wall := func(at clock.Micros) clock.Micros { return clock.WallTime() - (now - at) }
 	for zone, status := range term.zoneStatuses(now) {
 		constraint, ok := current.Zones[zone]
 		switch {
-		case term.liftingZones[zone] || !ok && (status.isReachable || !status.hasMachinesUp):
+		case term.renewals.liftingZones[zone] || !ok && (status.isReachable || !status.hasMachinesUp):
 			continue
 		case !ok:
-			constraint = delegation.ZoneConstraint{LastAnswerAt: wall(max(status.lastReplyAt, term.grants.OwnRenewalsUntil())), KnownBy: []string{term.controller.cfg.Member}}
+			constraint = delegation.ZoneConstraint{LastAnswerAt: wall(max(status.lastReplyAt, term.renewals.grants.OwnRenewalsUntil())), KnownBy: []string{term.controller.cfg.Member}}
 		case !slices.Contains(constraint.KnownBy, term.controller.cfg.Member):
-			constraint.LastAnswerAt = max(constraint.LastAnswerAt, wall(term.grants.OwnRenewalsUntil()))
+			constraint.LastAnswerAt = max(constraint.LastAnswerAt, wall(term.renewals.grants.OwnRenewalsUntil()))
 			constraint.KnownBy = append(slices.Clone(constraint.KnownBy), term.controller.cfg.Member)
 		}
 		updated.Zones[zone] = constraint
@@ -84,14 +84,14 @@
 		}
 		renewalsUntil, ok := current.MemberGrantUntil[other.Member]
 		switch {
-		case !ok && now-term.resumedAt < memberTimeout:
+		case !ok && now-term.liveness.resumedAt < memberTimeout:
 			continue
 		case !ok:
-			renewalsUntil = wall(term.grants.GrantUntil(other.Member))
+			renewalsUntil = wall(term.renewals.grants.GrantUntil(other.Member))
 		}
 		updated.MemberGrantUntil[other.Member] = renewalsUntil
 	}
-	if !updated.Equal(current) || !term.constraints.IsConfirmed() {
+	if !updated.Equal(current) || !term.renewals.constraints.IsConfirmed() {
 		term.writeConstraints(updated)
 	}
 }
@@ -114,9 +114,9 @@
 			statuses[machine.Zone] = status
 		}
 		status.lastReplyAt = max(status.lastReplyAt, machine.LastRenewalAt())
-		if machine.FirstHeartbeatAt != 0 || machine.CreatedAt < term.startedAt { // one that boots says nothing of its zone
+		if machine.FirstHeartbeatAt != 0 || machine.CreatedAt < term.liveness.startedAt { // one that boots says nothing of its zone
 			status.hasMachinesUp = true
-			status.isReachable = status.isReachable || now-max(machine.LastHeartbeatAt, term.resumedAt) < term.heartbeatWindow()
+			status.isReachable = status.isReachable || now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.heartbeatWindow()
 		}
 	}
 	return statuses
@@ -128,7 +128,7 @@
 		term.controller.logDropped("what is to be promised is too large for the state service", "bytes", len(value))
 		return
 	}
-	version, ok := term.constraints.BeginWrite(constraints)
+	version, ok := term.renewals.constraints.BeginWrite(constraints)
 	if !ok {
 		return
 	}
@@ -139,20 +139,20 @@
 	}, func(outcome kvstore.Outcome, revision uint64) {
 		switch outcome {
 		case kvstore.Committed:
-			term.constraints.RecordCommit(revision)
+			term.renewals.constraints.RecordCommit(revision)
 			term.controller.view.SetConstraints(constraints, revision)
 			term.controller.log.Info("promises written", "zones", slices.Sorted(maps.Keys(constraints.Zones)), "members", slices.Sorted(maps.Keys(constraints.MemberGrantUntil)))
 		case kvstore.Unknown:
-			term.constraints.RecordUnknownOutcome()
+			term.renewals.constraints.RecordUnknownOutcome()
 		default:
-			term.constraints.RecordRefusal()
+			term.renewals.constraints.RecordRefusal()
 		}
 		term.retryDeferred()
 		switch {
 		case outcome != kvstore.Committed:
 			// The view tells the version by the time of the next look.
 			term.controller.view.RequestSync(func(error) {}, clock.Now()+2*clock.Second)
-		case len(term.liftingZones) > 0:
+		case len(term.renewals.liftingZones) > 0:
 			term.updateConstraints(clock.Now())
 		}
 	})
@@ -168,22 +168,22 @@
 // deferIfConstrained tells whether a report has to wait until the promise about its zone is
 // taken back, and takes care of that.
 func (term *leaderTerm) deferIfConstrained(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
-	if !term.viewAge.MayRenewLeases(now) {
+	if !term.entitlement.viewAge.MayRenewLeases(now) {
 		// No answer may renew its lease before the next read, which is under way.
-		term.deferredHeartbeats = append(term.deferredHeartbeats, deferredHeartbeat{heartbeat, reply, now})
+		term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, deferredHeartbeat{heartbeat, reply, now})
 		term.refreshView(now)
 		return true
 	}
-	if !term.constraints.MayConstrainZone(heartbeat.Zone) {
+	if !term.renewals.constraints.MayConstrainZone(heartbeat.Zone) {
 		return false
 	}
 	if machine := term.tracker.Machines[heartbeat.MachineID]; machine != nil && !heartbeat.IsNewerThan(machine.Incarnation, machine.HeartbeatSequence) {
 		replyUnavailable(reply, "an older report")
 		return true
 	}
-	term.deferredHeartbeats = append(term.deferredHeartbeats, deferredHeartbeat{heartbeat, reply, now})
-	if !term.liftingZones[heartbeat.Zone] {
-		term.liftingZones[heartbeat.Zone] = true
+	term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, deferredHeartbeat{heartbeat, reply, now})
+	if !term.renewals.liftingZones[heartbeat.Zone] {
+		term.renewals.liftingZones[heartbeat.Zone] = true
 		term.updateConstraints(now)
 	}
 	return true
@@ -193,21 +193,21 @@
 // zones, and those that wait for too long.
 func (term *leaderTerm) retryDeferred() {
 	now := clock.Now()
-	deferred := term.deferredHeartbeats
-	term.deferredHeartbeats = nil
+	deferred := term.renewals.deferredHeartbeats
+	term.renewals.deferredHeartbeats = nil
 	for _, waiting := range deferred {
 		switch {
-		case !term.constraints.MayConstrainZone(waiting.heartbeat.Zone) && term.viewAge.MayRenewLeases(now):
+		case !term.renewals.constraints.MayConstrainZone(waiting.heartbeat.Zone) && term.entitlement.viewAge.MayRenewLeases(now):
 			term.handleHeartbeat(waiting.heartbeat, waiting.reply)
 		case now-waiting.receivedAt > clock.Second:
 			replyUnavailable(waiting.reply, "the state service does not answer")
 		default:
-			term.deferredHeartbeats = append(term.deferredHeartbeats, waiting)
+			term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, waiting)
 		}
 	}
-	for zone := range term.liftingZones {
-		if !term.constraints.MayConstrainZone(zone) {
-			delete(term.liftingZones, zone)
+	for zone := range term.renewals.liftingZones {
+		if !term.renewals.constraints.MayConstrainZone(zone) {
+			delete(term.renewals.liftingZones, zone)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 // in a zone. A member that has not may: a leader that hears nobody of a zone may
 // itself be the one that is cut off from it.
 func (controller *Controller) mayConstrainZone(zone string) bool {
-	if controller.term != nil && controller.term.constraints.MayConstrainZone(zone) || controller.unconfirmedConstraints[zone] {
+	if controller.term != nil && controller.term.renewals.constraints.MayConstrainZone(zone) || controller.unconfirmedConstraints[zone] {
 		return true
 	}
 	return slices.Contains(controller.view.Constraints.Zones[zone].KnownBy, controller.cfg.Member)
--- a/internal/controller/constraints_test.go
+++ b/internal/controller/constraints_test.go
@@ -24,31 +24,31 @@
 	}
 	controller.view.ConstraintsVersion = 8
 	term = newLeaderTerm(controller, 10, clock.Now())
-	term.actDeadline.Store(1 << 62)
+	term.entitlement.actDeadline.Store(1 << 62)
 	machine := term.tracker.Machines["i-1"]
 	if early := plain - term.tracker.LeaseEndsAt(machine); early < ago {
 		t.Fatalf("the lease ends only %d us sooner than without the promise", early)
 	}
 	term.handleHeartbeat(&wire.Heartbeat{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 5, FencingToken: 10}, &server.Reply{})
-	if len(term.deferredHeartbeats) != 1 || machine.LastHeartbeatAt != 0 {
+	if len(term.renewals.deferredHeartbeats) != 1 || machine.LastHeartbeatAt != 0 {
 		t.Fatal("a report is answered though it is promised that none is")
 	}
 	// It is being taken back; nothing goes out before that is durable.
-	constraints := term.constraints.Confirmed()
-	if !term.constraints.MayConstrainZone("x") || term.constraints.IsConfirmed() || len(constraints.Zones) != 1 {
+	constraints := term.renewals.constraints.Confirmed()
+	if !term.renewals.constraints.MayConstrainZone("x") || term.renewals.constraints.IsConfirmed() || len(constraints.Zones) != 1 {
 		t.Fatal("the promise is not being taken back, or counts as taken back already")
 	}
-	term.constraints.RecordCommit(9)
+	term.renewals.constraints.RecordCommit(9)
 	controller.view.Constraints, controller.view.ConstraintsVersion = delegation.Constraints{}, 9
 	term.retryDeferred()
-	if len(term.deferredHeartbeats) != 0 || machine.LastHeartbeatAt == 0 {
+	if len(term.renewals.deferredHeartbeats) != 0 || machine.LastHeartbeatAt == 0 {
 		t.Fatal("the report that waited is not taken")
 	}
 	if term.tracker.LeaseEndsAt(machine) < machine.LastHeartbeatAt+24*clock.Second {
 		t.Fatal("a machine that was answered has its lease counted from before that")
 	}
 	// Word of a zone outlives the leader, with this member among those who know.
-	term.constraints.ObserveStored(delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"y": {KnownBy: []string{"a", "b"}}, "z": {KnownBy: []string{"b"}}}}, 20)
+	term.renewals.constraints.ObserveStored(delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"y": {KnownBy: []string{"a", "b"}}, "z": {KnownBy: []string{"b"}}}}, 20)
 	term.close()
 	controller.term = nil
 	controller.view.IsLoaded = true
@@ -66,21 +66,21 @@
 // is heard is not, nor one that has none but machines that boot.
 func TestSilentZonesAreConstrained(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
-	term.actDeadline.Store(1 << 62)
+	term.entitlement.actDeadline.Store(1 << 62)
 	add := func(name, zone string) *allocation.Machine {
-		return term.tracker.AddMachine(name, "big", zone, false, allocation.Resources{}, term.startedAt)
+		return term.tracker.AddMachine(name, "big", zone, false, allocation.Resources{}, term.liveness.startedAt)
 	}
 	bootingMachine := add("i-9", "y")
-	bootingMachine.CreatedAt = term.startedAt + clock.Second // rented by this leader, boots
-	now := term.startedAt + term.heartbeatWindow() + clock.Second
+	bootingMachine.CreatedAt = term.liveness.startedAt + clock.Second // rented by this leader, boots
+	now := term.liveness.startedAt + term.heartbeatWindow() + clock.Second
 	term.updateConstraints(now)
-	if !term.constraints.MayConstrainZone("x") || term.constraints.MayConstrainZone("y") {
-		t.Fatalf("promised about %v", term.constraints.ConstrainedZones())
+	if !term.renewals.constraints.MayConstrainZone("x") || term.renewals.constraints.MayConstrainZone("y") {
+		t.Fatalf("promised about %v", term.renewals.constraints.ConstrainedZones())
 	}
-	term.constraints.RecordRefusal()
+	term.renewals.constraints.RecordRefusal()
 	term.tracker.Machines["i-2"].LastHeartbeatAt = now
 	term.updateConstraints(now)
-	if term.constraints.MayConstrainZone("x") {
+	if term.renewals.constraints.MayConstrainZone("x") {
 		t.Fatal("a promise about a zone that is heard")
 	}
 }
--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -47,7 +47,7 @@
 	if repliesToEither(controller, heartbeat, now) {
 		t.Fatal("answers as delegate though it never knew of all withdrawals")
 	}
-	term.cancellationsKnownAt = now
+	term.renewals.cancellationsKnownAt = now
 	end := now + controller.delegationTimes.GrantTTL
 	var lastReplyAt, longestGap clock.Micros
 	// The worker reports, is sent on, and comes back after a round of the others.
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -20,7 +20,7 @@
 // reach for four seconds, came here, tried it again, and was back after its lease.
 func (controller *Controller) replyAsDelegate(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if controller.term != nil {
-		controller.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.cancellationsKnownAt)
+		controller.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.renewals.cancellationsKnownAt)
 	}
 	if !controller.view.IsLoaded || controller.mayConstrainZone(heartbeat.Zone) {
 		return false
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -95,7 +95,7 @@
 	}
 	urgency := term.controller.dependencyGraph.UrgencyOf(id, urgencyOf(record))
 	job.Priority, job.Deadline = urgency.Priority, urgency.Deadline
-	term.needsPlan = true
+	term.requestPlan()
 }
 
 // invalidDependencyReason says why a job can never run for what it awaits, if so.
--- a/internal/controller/dependencies_bench_test.go
+++ b/internal/controller/dependencies_bench_test.go
@@ -72,7 +72,7 @@
 				startedAt = clock.Now()
 				term := newLeaderTerm(controller, 10, clock.Now())
 				failover += clock.Now() - startedAt
-				term.actDeadline.Store(1 << 62)
+				term.entitlement.actDeadline.Store(1 << 62)
 				controller.term = term
 				if heldBytes == 0 {
 					heldBytes = heapInUse() - before // of the first round, before which nothing is held
--- a/internal/controller/entitlement.go
+++ b/internal/controller/entitlement.go
@@ -6,33 +6,37 @@
 
 // mayActUntil is the end of the entitlement to act. Unlike the rest it may be asked
 // on any goroutine, right before something is sent.
-func (term *leaderTerm) mayActUntil() clock.Micros { return clock.Micros(term.actDeadline.Load()) }
+func (term *leaderTerm) mayActUntil() clock.Micros {
+	return clock.Micros(term.entitlement.actDeadline.Load())
+}
 
 // recordResume takes the news that the process has stood still, or was not entitled to act.
 func (term *leaderTerm) recordResume(now clock.Micros) {
-	term.resumedAt, term.scheduler.ResumedAt = now, now
+	term.liveness.resumedAt, term.scheduler.ResumedAt = now, now
 }
 
 // mayStartUntil is the end of the time in which tasks may be started; like until it
 // may be asked on any goroutine.
-func (term *leaderTerm) mayStartUntil() clock.Micros { return clock.Micros(term.startDeadline.Load()) }
+func (term *leaderTerm) mayStartUntil() clock.Micros {
+	return clock.Micros(term.entitlement.startDeadline.Load())
+}
 
 // updateDeadlines takes over the election's view of the entitlement, and what the age of the
 // view allows.
 func (term *leaderTerm) updateDeadlines() {
 	until := term.controller.elector.EntitledUntil()
-	term.actDeadline.Store(int64(until))
-	term.startDeadline.Store(int64(min(until, term.viewAge.StartTasksUntil())))
+	term.entitlement.actDeadline.Store(int64(until))
+	term.entitlement.startDeadline.Store(int64(min(until, term.entitlement.viewAge.StartTasksUntil())))
 }
 
 // refreshView makes the view new again where it is too old to start tasks on it.
 func (term *leaderTerm) refreshView(now clock.Micros) {
-	if term.isRefreshingView {
+	if term.entitlement.isRefreshingView {
 		return
 	}
-	term.isRefreshingView = true
+	term.entitlement.isRefreshingView = true
 	term.controller.view.RequestSync(func(err error) {
-		term.isRefreshingView = false
+		term.entitlement.isRefreshingView = false
 		switch {
 		case term.isClosed:
 		case err != nil:
@@ -45,9 +49,9 @@
 
 // recordViewRead takes the news that the view is as new as a read sent at an instant.
 func (term *leaderTerm) recordViewRead(sentAt clock.Micros) {
-	term.viewAge.RecordRead(sentAt)
+	term.entitlement.viewAge.RecordRead(sentAt)
 	term.updateDeadlines()
-	term.tracker.SetStartsPaused(!term.viewAge.MayStartTasks(clock.Now()))
-	term.needsPlan = true
+	term.tracker.SetStartsPaused(!term.entitlement.viewAge.MayStartTasks(clock.Now()))
+	term.requestPlan()
 	term.retryDeferred()
 }
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -27,9 +27,9 @@
 	controller.cfg.Deployment.Objectives = append(controller.cfg.Deployment.Objectives, config.Objective{Kind: "wait", Class: "c", TargetSeconds: 2})
 	term = newLeaderTerm(controller, 10, clock.Now())
 	machine := term.tracker.Machines["i-1"] // heard, and empty; the other one is not heard
-	term.tracker.RecordLeaseRenewal(machine, term.startedAt)
-	term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: 1, FencingToken: 10}, term.startedAt)
-	at := term.startedAt + 40*clock.Second
+	term.tracker.RecordLeaseRenewal(machine, term.liveness.startedAt)
+	term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: 1, FencingToken: 10}, term.liveness.startedAt)
+	at := term.liveness.startedAt + 40*clock.Second
 	machine.LastHeartbeatAt, term.scheduler.HeartbeatWindow = at, 3600*clock.Second
 	if decision := term.scheduler.Plan(term.tracker, at, clock.WallTime(), nil); len(decision.ScaleIn) != 0 {
 		t.Fatalf("%s is given back while tasks are in doubt", decision.ScaleIn[0].Name)
@@ -40,7 +40,7 @@
 	}
 	// With nothing in doubt, the wait is that of a class whose starts press: a leader
 	// that knows of none gives an idle machine back after eight seconds.
-	beforeIdleWait, afterIdleWait := term.startedAt+20*clock.Second, term.startedAt+term.scheduler.Settings.IdleTimeout+clock.Second
+	beforeIdleWait, afterIdleWait := term.liveness.startedAt+20*clock.Second, term.liveness.startedAt+term.scheduler.Settings.IdleTimeout+clock.Second
 	if decision := term.scheduler.Plan(term.tracker, beforeIdleWait, clock.WallTime(), nil); len(decision.ScaleIn) != 0 {
 		t.Fatalf("%s is given back as if no start pressed", decision.ScaleIn[0].Name)
 	}
--- a/internal/controller/faulty_machines_test.go
+++ b/internal/controller/faulty_machines_test.go
@@ -24,7 +24,7 @@
 	}}}
 	term.controller.view.Progress["req-000001"] = map[int]storeview.ProgressPart{0: {}}
 	term = newLeaderTerm(term.controller, 10, clock.Now())
-	now := term.startedAt
+	now := term.liveness.startedAt
 	for i, name := range names {
 		heartbeat := &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: 1, FencingToken: 10}
 		if i == 0 {
--- a/internal/controller/hints.go
+++ b/internal/controller/hints.go
@@ -82,7 +82,7 @@
 )
 
 // resendHints has all machines told of again, for a member that may not have heard it.
-func (term *leaderTerm) resendHints(now clock.Micros) { term.resendHintsBefore = now }
+func (term *leaderTerm) resendHints(now clock.Micros) { term.hints.resendBefore = now }
 
 // addHints adds what the next leader would have to learn anew to a beat: a few machines
 // each time, those first of which something has changed, so that a beat costs the same
@@ -95,16 +95,16 @@
 		if len(heartbeat.CachedImages) >= peer.MaxCachedImageMachines {
 			break
 		}
-		term.nextHintIndex %= len(machines)
-		machine := machines[term.nextHintIndex]
-		term.nextHintIndex++
+		term.hints.nextMachineIndex %= len(machines)
+		machine := machines[term.hints.nextMachineIndex]
+		term.hints.nextMachineIndex++
 		hint := sentHint{machine.Incarnation, len(machine.ImageUsedAt), now}
 		machineInfo := term.machines[machine.Name]
 		if machineInfo == nil || len(machine.ImageUsedAt) == 0 || machine.Incarnation == 0 {
 			continue
 		}
 		hasChanged := machineInfo.sentHint.incarnation != hint.incarnation || machineInfo.sentHint.images != hint.images
-		if !hasChanged && now-machineInfo.sentHint.sentAt < hintResendInterval && machineInfo.sentHint.sentAt >= term.resendHintsBefore {
+		if !hasChanged && now-machineInfo.sentHint.sentAt < hintResendInterval && machineInfo.sentHint.sentAt >= term.hints.resendBefore {
 			continue
 		}
 		machineInfo.sentHint = hint
--- a/internal/controller/hints_test.go
+++ b/internal/controller/hints_test.go
@@ -20,7 +20,7 @@
 		names = append(names, fmt.Sprintf("i-%02d", i))
 	}
 	firstTerm := newTestTerm(t, names...)
-	now := firstTerm.startedAt
+	now := firstTerm.liveness.startedAt
 	for i, name := range names {
 		machine := firstTerm.tracker.Machines[name]
 		firstTerm.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: name, Incarnation: 3, Sequence: 1, FencingToken: 9}, now)
@@ -78,7 +78,7 @@
 	for i, name := range names {
 		machine := term.tracker.Machines[name]
 		session := uint64(3 + i%2) // every second one has lost all it had
-		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: name, Incarnation: session, Sequence: 2, FencingToken: 10}, term.startedAt+clock.Second)
+		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: name, Incarnation: session, Sequence: 2, FencingToken: 10}, term.liveness.startedAt+clock.Second)
 		if _, hasImage := machine.ImageUsedAt[fmt.Sprintf("img-%02d", i)]; hasImage != (session == 3) {
 			t.Errorf("%s in session %d: said to hold its image %v", name, session, hasImage)
 		}
--- a/internal/controller/job_counts.go
+++ b/internal/controller/job_counts.go
@@ -68,9 +68,9 @@
 	parts := uint64(float64(len(counts))/(countsFillFactor*peer.MaxJobProgress)) + 1
 	heartbeat.ProgressPageCount = uint32(parts)
 	for _, count := range counts {
-		if xxhash.Sum64String(count.Job)%parts == term.nextCountsPart%parts {
+		if xxhash.Sum64String(count.Job)%parts == term.hints.nextCountsPart%parts {
 			heartbeat.JobProgress = append(heartbeat.JobProgress, count)
 		}
 	}
-	term.nextCountsPart++
+	term.hints.nextCountsPart++
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -162,7 +162,7 @@
 		return
 	}
 	controller.log.Info("lead given up", "why", reason, "token", controller.term.token)
-	controller.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.cancellationsKnownAt)
+	controller.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.renewals.cancellationsKnownAt)
 	controller.term.close()
 	controller.term = nil
 	controller.isRebuilding = false
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -65,18 +65,18 @@
 			hasCandidate = true
 		}
 	}
-	if hasCandidate && now-max(term.viewAge.LastReadSentAt(), term.resumedAt) > 2*term.controller.leaderTTL() {
-		term.controller.log.Info("the state service answers no reads", "for_s", (now - term.viewAge.LastReadSentAt()).Seconds())
+	if hasCandidate && now-max(term.entitlement.viewAge.LastReadSentAt(), term.liveness.resumedAt) > 2*term.controller.leaderTTL() {
+		term.controller.log.Info("the state service answers no reads", "for_s", (now - term.entitlement.viewAge.LastReadSentAt()).Seconds())
 		term.handOverTerm(now)
 		return true
 	}
-	if term.hadMostReachable && hasCandidate && fleet.isNoneReachable() {
+	if term.liveness.hadMostReachable && hasCandidate && fleet.isNoneReachable() {
 		term.controller.log.Info("no worker is heard any more", "of", fleet.up)
 		term.handOverTerm(now)
 		return true
 	}
-	term.hadMostReachable = term.hadMostReachable || fleet.isMostlyReachable()
-	if now-term.resumedAt < term.controller.suspectTimeout() {
+	term.liveness.hadMostReachable = term.liveness.hadMostReachable || fleet.isMostlyReachable()
+	if now-term.liveness.resumedAt < term.controller.suspectTimeout() {
 		return false
 	}
 	for _, contact := range term.controller.workerContacts {
@@ -117,11 +117,11 @@
 				return
 			}
 		}
-		term.cancellationsKnownAt = now
+		term.renewals.cancellationsKnownAt = now
 		for member, timestamp := range stamps {
-			if !term.constraints.MayConstrainMember(member) {
-				term.acknowledgements[member] = timestamp
-				term.grants.RecordAck(member, now)
+			if !term.renewals.constraints.MayConstrainMember(member) {
+				term.renewals.acknowledgements[member] = timestamp
+				term.renewals.grants.RecordAck(member, now)
 			}
 		}
 	}, now+heartbeatInterval)
@@ -142,7 +142,7 @@
 			zone = &reachability{}
 			zones[machine.Zone] = zone
 		}
-		isReachable := now-max(machine.LastHeartbeatAt, term.resumedAt) < term.heartbeatWindow()
+		isReachable := now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.heartbeatWindow()
 		zone.add(isReachable)
 		all.add(isReachable)
 	}
@@ -152,7 +152,7 @@
 	term.updateConstraints(now)
 	for zone, status := range zones {
 		if !status.isMostlyReachable() {
-			term.zoneUnreachableAt[zone] = now
+			term.liveness.zoneUnreachableAt[zone] = now
 		}
 	}
 	for name, machine := range term.tracker.Machines {
@@ -163,18 +163,18 @@
 		term.retryFaultyMachine(machine, machineInfo, now)
 		// When a zone comes back its machines do one by one: once the last two
 		// thirds of it were deleted when the first third was heard again.
-		silence := now - max(machine.LastHeartbeatAt, term.resumedAt, term.zoneUnreachableAt[machine.Zone])
+		silence := now - max(machine.LastHeartbeatAt, term.liveness.resumedAt, term.liveness.zoneUnreachableAt[machine.Zone])
 		switch {
 		case term.tracker.LeaseEndsAt(machine) <= now && (machine.FirstHeartbeatAt != 0 || !machine.Reconciled):
 			// Its tasks are provably over, and it is of no use.
 			term.tracker.ExpireLease(machine, now)
-			if machine.FirstHeartbeatAt != 0 || machine.CreatedAt < term.startedAt {
+			if machine.FirstHeartbeatAt != 0 || machine.CreatedAt < term.liveness.startedAt {
 				// One that an earlier leader rented and that was taken meanwhile is
 				// on no list: it would count as booting for ever.
 				term.controller.log.Info("machine lost", "machine", name)
 				term.deleteMachine(machine)
 			}
-		case machine.FirstHeartbeatAt == 0 && (machine.CreatedAt > term.startedAt || machineInfo.isListedBooting) && now-machine.CreatedAt > term.scheduler.BootTimeout(machine.Type) && silence > timeout:
+		case machine.FirstHeartbeatAt == 0 && (machine.CreatedAt > term.liveness.startedAt || machineInfo.isListedBooting) && now-machine.CreatedAt > term.scheduler.BootTimeout(machine.Type) && silence > timeout:
 			// Not having been heard is no proof for a new leader: once one took a
 			// zone that was cut off for machines that never came up, and deleted
 			// it with all that ran there.
@@ -196,9 +196,9 @@
 		}
 	}
 	term.processTaskEvents(now)
-	for name, at := range term.deletedAt {
+	for name, at := range term.deletions.deletedAt {
 		if now-at > 600*clock.Second {
-			delete(term.deletedAt, name)
+			delete(term.deletions.deletedAt, name)
 		}
 	}
 	// A machine that no record names comes from a request that was carried
@@ -208,11 +208,11 @@
 	for _, status := range term.scaleOuts {
 		hasOpenRequest = hasOpenRequest || !status.isResolved
 	}
-	for name, at := range term.unknownSince {
-		if !hasOpenRequest && now-at > 5*clock.Second && !slices.Contains(term.pendingDeletes, name) {
+	for name, at := range term.listing.unknownSince {
+		if !hasOpenRequest && now-at > 5*clock.Second && !slices.Contains(term.deletions.pending, name) {
 			term.controller.log.Info("unknown machine returned", "machine", name)
-			term.unknownSince[name] = now + 30*clock.Second
-			term.pendingDeletes = append(term.pendingDeletes, name)
+			term.listing.unknownSince[name] = now + 30*clock.Second
+			term.deletions.pending = append(term.deletions.pending, name)
 		}
 	}
 }
@@ -243,10 +243,10 @@
 
 // logFleet sums up, at debug level, what is rented and what it does.
 func (term *leaderTerm) logFleet(now clock.Micros) {
-	if now < term.nextFleetLogAt {
+	if now < term.pace.nextFleetLogAt {
 		return
 	}
-	term.nextFleetLogAt = now + 5*clock.Second
+	term.pace.nextFleetLogAt = now + 5*clock.Second
 	var machines, booting, idle [2]int
 	var capacity, replicas, tasks [2]int64
 	for _, machine := range term.tracker.Machines {
@@ -288,10 +288,10 @@
 // listMachines reads the cloud's list now and then: for machines that failed, and for
 // machines that nobody knows.
 func (term *leaderTerm) listMachines(now clock.Micros) {
-	if term.isListing || now < term.nextListAt {
+	if term.listing.isInFlight || now < term.listing.nextAt {
 		return
 	}
-	term.isListing = true
+	term.listing.isInFlight = true
 	go func() {
 		listed, err := term.controller.cloud.ListMachines()
 		term.controller.postResult(func() {
@@ -299,10 +299,10 @@
 				return
 			}
 			now := clock.Now()
-			term.isListing = false
-			term.nextListAt = now + 10*clock.Second
+			term.listing.isInFlight = false
+			term.listing.nextAt = now + 10*clock.Second
 			if err != nil {
-				term.nextListAt = now + 3*clock.Second
+				term.listing.nextAt = now + 3*clock.Second
 				return
 			}
 			names := make(map[string]bool, len(listed))
@@ -311,7 +311,7 @@
 				names[listed[i].ID] = true
 			}
 			term.deleteUnlisted(names, now)
-			maps.DeleteFunc(term.deletedAt, func(name string, at clock.Micros) bool { return now-at > deletedMachineTTL && !names[name] })
+			maps.DeleteFunc(term.deletions.deletedAt, func(name string, at clock.Micros) bool { return now-at > deletedMachineTTL && !names[name] })
 		})
 	}()
 }
@@ -321,7 +321,7 @@
 func (term *leaderTerm) deleteUnlisted(names map[string]bool, now clock.Micros) {
 	listLag := clock.FromSeconds(2*term.controller.cfg.Deployment.Cloud.ListLagSeconds) + clock.Second
 	for name, machine := range term.tracker.Machines {
-		if machine.FirstHeartbeatAt == 0 && machine.CreatedAt < term.startedAt && !names[name] && now-machine.CreatedAt > term.scheduler.BootTimeout(machine.Type)+listLag {
+		if machine.FirstHeartbeatAt == 0 && machine.CreatedAt < term.liveness.startedAt && !names[name] && now-machine.CreatedAt > term.scheduler.BootTimeout(machine.Type)+listLag {
 			term.controller.log.Info("machine not listed", "machine", name)
 			term.deleteMachine(machine)
 		}
@@ -329,13 +329,13 @@
 }
 
 func (term *leaderTerm) applyListedMachine(listed *wire.ListedMachine, now clock.Micros) {
-	if _, ok := term.deletedAt[listed.ID]; ok {
+	if _, ok := term.deletions.deletedAt[listed.ID]; ok {
 		return // the list lags
 	}
 	machine := term.tracker.Machines[listed.ID]
 	if machine == nil {
-		if _, ok := term.unknownSince[listed.ID]; !ok {
-			term.unknownSince[listed.ID] = now
+		if _, ok := term.listing.unknownSince[listed.ID]; !ok {
+			term.listing.unknownSince[listed.ID] = now
 		}
 		return
 	}
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -62,7 +62,7 @@
 		controller.delegate.RecordLeaderHeartbeat(now, heartbeat.Token, acknowledgement)
 	}
 	if controller.term != nil && controller.delegate.IsOwnStamp(acknowledgement) {
-		controller.term.grants.RecordReceipt(heartbeat.Member, now, acknowledgement.At, heartbeat.SilentFor)
+		controller.term.renewals.grants.RecordReceipt(heartbeat.Member, now, acknowledgement.At, heartbeat.SilentFor)
 	}
 	if heartbeat.Leader == heartbeat.Member && controller.elector.Phase() != election.Leader {
 		if _, token := controller.elector.LockHolder(); heartbeat.Token >= token {
@@ -140,7 +140,7 @@
 	for i, link := range controller.links {
 		acknowledgement := controller.peerTimestamps[controller.cfg.Peers[i].Member]
 		if controller.term != nil {
-			acknowledgement = controller.term.acknowledgements[controller.cfg.Peers[i].Member]
+			acknowledgement = controller.term.renewals.acknowledgements[controller.cfg.Peers[i].Member]
 		}
 		heartbeat.AckIncarnation, heartbeat.AckTimestamp = acknowledgement.Incarnation, acknowledgement.At
 		heartbeat.Cancellations = controller.cancellations.unknownTo(controller.peerRevision(controller.cfg.Peers[i].Member), now)
--- a/internal/controller/persistence.go
+++ b/internal/controller/persistence.go
@@ -27,7 +27,7 @@
 	// must not take back progress that was written meanwhile.
 	write := &kvstore.Write{Priority: kvstore.Required, Conditions: []wire.Condition{{Key: records.ProgressKey(id, 0)}}, Changes: []wire.Change{records.NewProgressChange(id, 0, nil, nil)}}
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
-		term.needsPlan = true
+		term.requestPlan()
 		switch outcome {
 		case kvstore.Committed:
 			jobInfo.isRecordingStarts = false
@@ -40,7 +40,7 @@
 				jobInfo.isRecordingStarts = false
 				job.StartsRecorded = term.controller.view.Progress[id] != nil
 				jobInfo.updateKeyVersions(term.controller.view.Progress[id])
-				term.needsPlan = true
+				term.requestPlan()
 			}, clock.Now()+2*clock.Second)
 		}
 	})
@@ -157,7 +157,7 @@
 	}
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
 		term.progressWritesInFlight--
-		term.needsPlan = true
+		term.requestPlan()
 		switch outcome {
 		case kvstore.Committed:
 			for key := range keys {
@@ -168,7 +168,7 @@
 			term.controller.view.RequestSync(func(error) {
 				jobInfo.isWriting = false
 				jobInfo.updateKeyVersions(term.controller.view.Progress[id])
-				term.needsPlan = true
+				term.requestPlan()
 			}, clock.Now()+2*clock.Second)
 			return
 		}
@@ -202,7 +202,7 @@
 	}
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
 		jobInfo.isWriting = false
-		term.needsPlan = true
+		term.requestPlan()
 		switch outcome {
 		case kvstore.Committed:
 			jobInfo.isEndDurable = true
@@ -223,7 +223,7 @@
 					jobInfo.isEndDurable = true
 					term.tracker.MarkDurable(job, job.UnpersistedCompletions())
 				}
-				term.needsPlan = true
+				term.requestPlan()
 			}, clock.Now()+2*clock.Second)
 		}
 	})
@@ -269,7 +269,7 @@
 			term.tracker.RemoveJob(job)
 			delete(term.jobs, id)
 		}
-		term.needsPlan = true
+		term.requestPlan()
 	})
 }
 
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -40,7 +40,7 @@
 func (term *leaderTerm) sendProbes(now clock.Micros) {
 	machines := term.tracker.SortedMachines()
 	for _, machine := range machines {
-		if term.probesInFlight >= term.controller.maxRequestsInFlight {
+		if term.probing.inFlight >= term.controller.maxRequestsInFlight {
 			return
 		}
 		if machineInfo := term.machines[machine.Name]; term.canProbe(machine, machineInfo) && term.needsProbe(machine, machineInfo, now) {
@@ -48,12 +48,12 @@
 		}
 	}
 	for range machines {
-		if term.probesInFlight >= term.controller.maxRequestsInFlight {
+		if term.probing.inFlight >= term.controller.maxRequestsInFlight {
 			return
 		}
-		term.nextProbeIndex %= len(machines)
-		machine := machines[term.nextProbeIndex]
-		term.nextProbeIndex++
+		term.probing.nextMachineIndex %= len(machines)
+		machine := machines[term.probing.nextMachineIndex]
+		term.probing.nextMachineIndex++
 		if machineInfo := term.machines[machine.Name]; term.canProbe(machine, machineInfo) && machine.ReplicaCount() > 0 && now-max(machine.LastHeartbeatAt, machineInfo.probes.sentAt) >= probeInterval {
 			term.probeMachine(machine, machineInfo, now)
 		}
@@ -73,11 +73,11 @@
 		return silence >= clock.Second/2
 	}
 	overdue := clock.FromSeconds(1.25*term.controller.cfg.Deployment.Workers.HeartbeatIntervalSeconds) + clock.Second/2
-	return now-max(machine.LastHeartbeatAt, term.resumedAt) >= overdue && silence >= probeInterval
+	return now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) >= overdue && silence >= probeInterval
 }
 
 func (term *leaderTerm) probeMachine(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
-	term.probesInFlight++
+	term.probing.inFlight++
 	machineInfo.probes.isInFlight, machineInfo.probes.sentAt = true, now
 	if machineInfo.host == nil {
 		machineInfo.host = term.controller.workerPool.NewHost(machine.Address, 1, 4*wire.MaxBodyBytes)
@@ -94,7 +94,7 @@
 		}
 		term.controller.postResult(func() {
 			if !term.isClosed {
-				term.probesInFlight--
+				term.probing.inFlight--
 				term.handleProbeResult(machine, machineInfo, now, heartbeat, err)
 			}
 		})
@@ -111,15 +111,15 @@
 	}
 	if heartbeat != nil {
 		probes.misses, probes.answeredAt = 0, now
-		if term.constraints.MayConstrainZone(machine.Zone) {
-			term.liftingZones[machine.Zone] = true // its zone is back
+		if term.renewals.constraints.MayConstrainZone(machine.Zone) {
+			term.renewals.liftingZones[machine.Zone] = true // its zone is back
 		}
 		if term.tracker.RecordCommandHeartbeat(machine, heartbeat, now) == allocation.HeartbeatFenced {
 			term.controller.handleFenced(term.token)
 			return
 		}
 		term.processTaskEvents(now)
-		term.needsPlan = true
+		term.requestPlan()
 		return
 	}
 	// Nothing is known of the machine if it was not asked, or if this process was
@@ -127,7 +127,7 @@
 	if errors.Is(err, client.ErrPoolExhausted) || errors.Is(err, client.ErrSendDeadlinePassed) || now-sent > probeTimeout+clock.Second/2 {
 		return
 	}
-	if sent < max(term.resumedAt, term.zoneUnreachableAt[machine.Zone]) {
+	if sent < max(term.liveness.resumedAt, term.liveness.zoneUnreachableAt[machine.Zone]) {
 		probes.misses = 0 // the way was not open
 		return
 	}
--- a/internal/controller/probes_test.go
+++ b/internal/controller/probes_test.go
@@ -19,7 +19,7 @@
 	term := newTestTerm(t, names...)
 	term.controller.maxRequestsInFlight = 20
 	job := term.tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindService, TaskCount: fleet, CPUs: 1, Team: "t", Priority: wire.PriorityProduction}, 0, 1, true, nil)
-	now := term.startedAt
+	now := term.liveness.startedAt
 	for i, name := range names {
 		machine := term.tracker.Machines[name]
 		term.tracker.RecordLeaseRenewal(machine, now)
@@ -35,7 +35,7 @@
 			if machineInfo := term.machines[name]; machineInfo.probes.isInFlight {
 				probed[name]++
 				machineInfo.probes.isInFlight, machineInfo.probes.answeredAt = false, now
-				term.probesInFlight--
+				term.probing.inFlight--
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 	if probed[last] != before+1 {
 		t.Error("a machine that left a probe unanswered waits for its turn")
 	}
-	if inFlight := term.probesInFlight; inFlight != 0 {
+	if inFlight := term.probing.inFlight; inFlight != 0 {
 		t.Errorf("%d probes are left", inFlight)
 	}
 }
--- a/internal/controller/repeated_writes_test.go
+++ b/internal/controller/repeated_writes_test.go
@@ -46,7 +46,7 @@
 	runUntil(t, controller, func() bool { return token != 0 })
 	controller.view.ScaleOuts, controller.view.IsLoaded, controller.view.Revision = map[string]*storeview.ScaleOut{}, true, token
 	term = newLeaderTerm(controller, token, clock.Now())
-	term.actDeadline.Store(1 << 62)
+	term.entitlement.actDeadline.Store(1 << 62)
 	controller.term = term
 	term.requestScaleOut(scheduler.ScaleOutRequest{Pool: scheduler.Pool{Type: "big", Zone: "x"}, Count: 2}, clock.Now())
 	var request *scaleOutRequest
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -155,15 +155,15 @@
 func (term *leaderTerm) handleScaleOutResult(request *scaleOutRequest, names []string, err error) {
 	now := clock.Now()
 	pool := scheduler.Pool{Type: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot}
-	term.needsPlan = true
+	term.requestPlan()
 	switch {
 	case err == nil:
 		term.scheduler.ObserveFilled(pool, request.record.Count, len(names), now)
 		term.controller.log.Debug("hired", "hire", request.name, "zone", request.record.Zone, "spot", request.record.Spot, "asked", request.record.Count, "got", len(names))
 		request.isResolved, request.record.IsResolved, request.record.Machines = true, true, names
 		for _, name := range names {
-			delete(term.unknownSince, name)
-			if _, isDeleted := term.deletedAt[name]; !isDeleted {
+			delete(term.listing.unknownSince, name)
+			if _, isDeleted := term.deletions.deletedAt[name]; !isDeleted {
 				term.addMachine(request, name)
 			}
 		}
@@ -174,7 +174,7 @@
 					machine.RecordedInStore = true
 				}
 			}
-			term.needsPlan = true
+			term.requestPlan()
 		})
 	case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrInvalidRequest):
 		term.scheduler.ObserveEmptyPool(pool, now)
@@ -195,17 +195,17 @@
 	}
 	machineInfo.isDeleting = true
 	machine.Draining = true
-	term.pendingDeletes = append(term.pendingDeletes, machine.Name)
+	term.deletions.pending = append(term.deletions.pending, machine.Name)
 }
 
 func (term *leaderTerm) sendDeletes(now clock.Micros) {
-	if len(term.pendingDeletes) == 0 || term.isDeleting || now < term.nextDeleteAt {
+	if len(term.deletions.pending) == 0 || term.deletions.isInFlight || now < term.deletions.nextAt {
 		return
 	}
-	count := min(len(term.pendingDeletes), wire.MaxMachinesPerDelete)
-	batch := slices.Clone(term.pendingDeletes[:count])
-	term.pendingDeletes = slices.Delete(term.pendingDeletes, 0, count)
-	term.isDeleting = true
+	count := min(len(term.deletions.pending), wire.MaxMachinesPerDelete)
+	batch := slices.Clone(term.deletions.pending[:count])
+	term.deletions.pending = slices.Delete(term.deletions.pending, 0, count)
+	term.deletions.isInFlight = true
 	go func() {
 		err := term.controller.cloud.DeleteMachines(batch, term.mayActUntil)
 		term.controller.postResult(func() {
@@ -218,17 +218,17 @@
 
 func (term *leaderTerm) handleDeleteResult(batch []string, err error) {
 	now := clock.Now()
-	term.isDeleting = false
+	term.deletions.isInFlight = false
 	if err != nil {
 		term.controller.log.Debug("deletion not answered", "error", err)
-		term.pendingDeletes = append(batch, term.pendingDeletes...)
-		term.nextDeleteAt = now + clock.Second
+		term.deletions.pending = append(batch, term.deletions.pending...)
+		term.deletions.nextAt = now + clock.Second
 		return
 	}
 	affected := map[*scaleOutRequest]bool{}
 	for _, name := range batch {
-		term.deletedAt[name] = now
-		delete(term.unknownSince, name)
+		term.deletions.deletedAt[name] = now
+		delete(term.listing.unknownSince, name)
 		if machine := term.tracker.Machines[name]; machine != nil {
 			term.tracker.RemoveMachine(machine, now)
 		}
@@ -247,5 +247,5 @@
 		term.scheduleScaleOutShrink(request)
 	}
 	term.processTaskEvents(now)
-	term.needsPlan = true
+	term.requestPlan()
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -43,8 +43,8 @@
 		term.controller.log.Debug("idle machine returned", "machine", machine.Name)
 		term.deleteMachine(machine)
 	}
-	if decision.Drain != nil && now-term.consolidatedAt > consolidationInterval {
-		term.consolidatedAt = now
+	if decision.Drain != nil && now-term.pace.consolidatedAt > consolidationInterval {
+		term.pace.consolidatedAt = now
 		term.controller.log.Debug("replicas move together", "from", decision.Drain.Name)
 		term.drainMachine(decision.Drain)
 		decision.Drain.ForEachPlacement(func(placement *allocation.Placement) {
--- a/internal/controller/small_limits_test.go
+++ b/internal/controller/small_limits_test.go
@@ -45,7 +45,7 @@
 	controller.view.RequestSync(func(err error) { synced = err == nil }, clock.Now()+10*clock.Second)
 	runUntil(t, controller, func() bool { return synced })
 	controller.term = newLeaderTerm(controller, token, clock.Now())
-	controller.term.actDeadline.Store(1 << 62)
+	controller.term.entitlement.actDeadline.Store(1 << 62)
 	return controller.term
 }
 
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -74,7 +74,7 @@
 		others = append(others, other.Member)
 	}
 	publisher := standby.NewPublisher(term.token, others)
-	term.standby = &decisionStream{publisher, standby.NewInSyncSet(publisher, controller.view.Standby, controller.view.StandbyVersion, others, term.startedAt)}
+	term.standby = &decisionStream{publisher, standby.NewInSyncSet(publisher, controller.view.Standby, controller.view.StandbyVersion, others, term.liveness.startedAt)}
 	allocationConfig.Replicator = term.standby
 	if copied, ok := controller.trustedReplica(); ok && controller.view.Terms.LastToken() == term.token {
 		allocationConfig.MayHaveStarted = copied.MayBeRunning
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -15,86 +15,134 @@
 	"firwood.dev/firwood/internal/storeview"
 )
 
-// leaderTerm is what a process holds while it leads: made anew at every take-over,
-// thrown away when the lock is lost. Answers that come to a closed one are
-// dropped.
+// leaderTerm is the state of one leadership term: made at a failover, discarded when
+// the lock is lost. Results that arrive once it is closed are dropped.
 type leaderTerm struct {
 	controller *Controller
-	token      uint64
+	token      uint64 // the fencing token that the lock was won with
+	isClosed   bool
 	tracker    *allocation.Tracker
 	scheduler  *scheduler.Scheduler
-	isClosed   bool
-	// actDeadline is the end of the entitlement, 0 once closed; startDeadline is the
-	// end of the time in which tasks may be started, no later than that.
+	scaleOuts  map[string]*scaleOutRequest
+	machines   map[string]*machineState
+	jobs       map[string]*jobState
+
+	entitlement entitlement
+	liveness    liveness
+	renewals    leaseRenewals
+	pace        tickPace
+	hints       hintSender
+	// standby streams the allocation table to replicas, nil if that is turned off.
+	standby *decisionStream
+	backgroundWork
+}
+
+// entitlement is until when the leader may act.
+type entitlement struct {
+	// actDeadline is the end of the lock's lease as known, 0 once the term is closed;
+	// startDeadline is the end of the time in which tasks may be started, no later than
+	// that. The controller's goroutine writes both, senders on other goroutines read them.
 	actDeadline, startDeadline atomic.Int64
-	// viewAge tells what the age of the view allows; reading: a read that makes it
-	// new again is under way.
+	// viewAge tells what the age of the view allows.
 	viewAge          *staleness.Tracker
-	isRefreshingView bool
-	startedAt        clock.Micros
-	// resumedAt is since when this process has been able to hear anybody: what was
-	// silent while it stood still itself is not taken for silent.
-	resumedAt     clock.Micros
-	hasLapsed     bool // the entitlement was over at the last tick
-	nextHintIndex int  // the machine that the next beat tells of
-	// nextCountsPart is which part of jobs' progress the next beat tells.
-	nextCountsPart uint64
-	// resendHintsBefore is when a member last came back, which has to be told of all machines.
-	resendHintsBefore clock.Micros
-	// hadMostReachable: a good part of the machines was heard in this lead.
+	isRefreshingView bool // a read that makes the view new again is under way
+	hasLapsed        bool // the entitlement was over at the last tick
+}
+
+// liveness is since when the leader could receive heartbeats, and from where it did.
+type liveness struct {
+	startedAt clock.Micros // of the term
+	// resumedAt is since when this process has been able to receive heartbeats: machines
+	// that were not heard of while it was stalled itself don't become suspected.
+	resumedAt clock.Micros
+	// hadMostReachable: most machines were reachable at some time in this term.
 	hadMostReachable bool
-	// zoneUnreachableAt is when a zone was last not mostly heard.
+	// zoneUnreachableAt is when a zone was last not mostly reachable.
 	zoneUnreachableAt map[string]clock.Micros
+}
 
-	scaleOuts map[string]*scaleOutRequest
-	machines  map[string]*machineState
-	jobs      map[string]*jobState
-	// deletedAt are machines that the cloud has deleted for us; late reports of
-	// theirs mean nothing.
-	deletedAt map[string]clock.Micros
-	// unknownSince are machines that report and that no record names.
-	unknownSince map[string]clock.Micros
-
-	scaleOutSequence int
-	consolidatedAt   clock.Micros
-	needsPlan        bool
-	nextPlanAt       clock.Micros
-	planInterval     clock.Micros
-	nextSlowTickAt   clock.Micros
-	nextListAt       clock.Micros
-	nextFleetLogAt   clock.Micros
-	isListing        bool
-	pendingDeletes   []string
-	isDeleting       bool
-	nextDeleteAt     clock.Micros
-	// grants tells until when others may have renewed workers' leases as delegates, echoes are the
-	// stamps that give them the right to, cancellationsKnownAt is the last instant before which
-	// every withdrawal is known here.
-	grants               *delegation.Grants
-	acknowledgements     map[string]delegation.Timestamp
+// leaseRenewals bounds until when members may have renewed workers' leases.
+type leaseRenewals struct {
+	// grants is until when other members may have renewed leases as delegates.
+	grants *delegation.Grants
+	// acknowledgements are the members' timestamps that extend their grants.
+	acknowledgements map[string]delegation.Timestamp
+	// cancellationsKnownAt is the last instant before which every cancellation is in the view.
 	cancellationsKnownAt clock.Micros
-	// keeper holds what is promised to leaders to come, opening the zones about
-	// which that is being taken back, held the reports that wait for it.
+	// constraints are the renewal constraints recorded for later leaders; liftingZones
+	// are zones whose constraint is being lifted, deferredHeartbeats wait for that.
 	constraints        *delegation.ConstraintTracker
 	liftingZones       map[string]bool
 	deferredHeartbeats []deferredHeartbeat
+}
 
-	// raiseTokenAt is when the token that was issued last is used, raisedAt when the
-	// one before was issued.
-	raiseTokenAt, tokenIssuedAt clock.Micros
-	isIssuingToken              bool
+// tickPace is when the periodic steps of a tick are due.
+type tickPace struct {
+	needsPlan      bool // something has changed since the last plan
+	nextPlanAt     clock.Micros
+	planInterval   clock.Micros // between the last plan and the next
+	consolidatedAt clock.Micros // when replicas were last moved together
+	nextSlowTickAt clock.Micros
+	nextFleetLogAt clock.Micros
+}
 
-	// standby streams the account to followers, nil if that is turned off.
-	standby *decisionStream
+// hintSender is how far the leader has sent hints to the other members.
+type hintSender struct {
+	nextMachineIndex int    // the machine that the next heartbeat begins with
+	nextCountsPart   uint64 // which part of the jobs' progress the next heartbeat has
+	// resendBefore: hints sent before this instant are repeated, for a member that has
+	// come back since.
+	resendBefore clock.Micros
+}
 
-	cleanup                 cleanupState
-	archiver                archiveState
-	progressWritesInFlight  int // progress writes under way
-	commandRequestsInFlight int // direct messages under way
-	probesInFlight          int // probes under way
-	nextProbeIndex          int // the machine that the next look at those with replicas begins with
+// backgroundWork is what a term does beside placing tasks.
+type backgroundWork struct {
+	scaleOutSequence int // of the last scale-out request's name
+	listing          machineListing
+	deletions        machineDeletions
+	tokenIssue       tokenIssue
+	probing          probing
+	cleanup          cleanupState
+	archiver         archiveState
+	// Requests under way.
+	progressWritesInFlight  int
+	commandRequestsInFlight int
 }
 
+// machineListing is the state of reading the cloud's list of machines.
+type machineListing struct {
+	isInFlight bool
+	nextAt     clock.Micros
+	// unknownSince are machines that send heartbeats, or are listed, and that no record names.
+	unknownSince map[string]clock.Micros
+}
+
+// machineDeletions is the state of deleting machines in the cloud.
+type machineDeletions struct {
+	pending    []string
+	isInFlight bool
+	nextAt     clock.Micros
+	// deletedAt are machines that the cloud has deleted for this leader; heartbeats of
+	// theirs that arrive late mean nothing.
+	deletedAt map[string]clock.Micros
+}
+
+// tokenIssue is the state of issuing a higher fencing token within the term.
+type tokenIssue struct {
+	raiseAt    clock.Micros // when the issued token takes effect, 0: none is issued
+	issuedAt   clock.Micros // when the last one was issued
+	isInFlight bool
+}
+
+// probing is the state of probing machines.
+type probing struct {
+	inFlight         int
+	nextMachineIndex int // where the next round over machines with replicas begins
+}
+
+// requestPlan has the next tick plan, as soon as its pace allows.
+func (term *leaderTerm) requestPlan() { term.pace.needsPlan = true }
+
 // machineState is what the ledger need not know of a machine.
 type machineState struct {
 	scaleOut             *scaleOutRequest
@@ -144,12 +192,13 @@
 	now := clock.Now()
 	deployment := &controller.cfg.Deployment
 	term := &leaderTerm{
-		controller: controller, token: token, startedAt: now, resumedAt: now, needsPlan: true,
+		controller: controller, token: token,
 		scaleOuts: map[string]*scaleOutRequest{}, machines: map[string]*machineState{}, jobs: map[string]*jobState{},
-		zoneUnreachableAt: map[string]clock.Micros{},
-		deletedAt:         map[string]clock.Micros{}, unknownSince: map[string]clock.Micros{},
-		viewAge: staleness.NewTracker(controller.stalenessBounds, readAt),
+		liveness: liveness{startedAt: now, resumedAt: now, zoneUnreachableAt: map[string]clock.Micros{}},
 	}
+	term.entitlement.viewAge = staleness.NewTracker(controller.stalenessBounds, readAt)
+	term.deletions.deletedAt, term.listing.unknownSince = map[string]clock.Micros{}, map[string]clock.Micros{}
+	term.requestPlan()
 	allocationConfig := allocation.Config{
 		FencingToken: token, LeaseTTL: clock.FromSeconds(deployment.Workers.LeaseSeconds), Quotas: controller.teams,
 		CancelFenceWindow: clock.FromSeconds(deployment.Workers.CancelTimeoutSeconds) / 2,
@@ -187,15 +236,15 @@
 			term.scheduler.WaitObjectives[other.Class] = other.TargetSeconds
 		}
 	}
-	term.planInterval = minPlanInterval
-	term.nextListAt = now + 2*clock.Second
+	term.pace.planInterval = minPlanInterval
+	term.listing.nextAt = now + 2*clock.Second
 	term.updateDeadlines()
 	var others []string
 	for _, other := range controller.cfg.Peers {
 		others = append(others, other.Member)
 	}
-	term.grants, term.acknowledgements = delegation.NewGrants(controller.delegationTimes, now, controller.delegate.SilentFor(now), others), map[string]delegation.Timestamp{}
-	term.constraints, term.liftingZones = delegation.NewConstraintTracker(controller.view.Constraints, controller.view.ConstraintsVersion), map[string]bool{}
+	term.renewals.grants, term.renewals.acknowledgements = delegation.NewGrants(controller.delegationTimes, now, controller.delegate.SilentFor(now), others), map[string]delegation.Timestamp{}
+	term.renewals.constraints, term.renewals.liftingZones = delegation.NewConstraintTracker(controller.view.Constraints, controller.view.ConstraintsVersion), map[string]bool{}
 
 	wall := clock.WallTime()
 	for name, record := range controller.view.ScaleOuts {
@@ -241,38 +290,38 @@
 
 func (term *leaderTerm) close() {
 	term.isClosed = true
-	term.actDeadline.Store(0)
-	term.startDeadline.Store(0)
-	term.controller.unconfirmedConstraints = term.constraints.ConstrainedZones()
-	for _, deferred := range term.deferredHeartbeats {
+	term.entitlement.actDeadline.Store(0)
+	term.entitlement.startDeadline.Store(0)
+	term.controller.unconfirmedConstraints = term.renewals.constraints.ConstrainedZones()
+	for _, deferred := range term.renewals.deferredHeartbeats {
 		replyUnavailable(deferred.reply, "the lead is over")
 	}
-	term.deferredHeartbeats = nil
+	term.renewals.deferredHeartbeats = nil
 }
 
 func (term *leaderTerm) tick(now clock.Micros) {
 	term.updateDeadlines()
 	if !term.controller.isEntitled() {
-		term.hasLapsed = true
+		term.entitlement.hasLapsed = true
 		return // nothing may be sent; the lock may yet be renewed
 	}
-	if term.hasLapsed {
+	if term.entitlement.hasLapsed {
 		// It has answered nobody, so who was not heard meanwhile is not silent. After
 		// an outage of 75 s a leader once handed over for hearing nobody.
-		term.hasLapsed = false
+		term.entitlement.hasLapsed = false
 		term.recordResume(now)
 		// Withdrawals may have been confirmed before an outage that a leader which
 		// was refused alone never heard of: once it started their tasks again.
-		term.viewAge.RecordEntitlementRegained(now)
+		term.entitlement.viewAge.RecordEntitlementRegained(now)
 		term.updateDeadlines()
 	}
-	fresh := term.viewAge.MayStartTasks(now)
+	fresh := term.entitlement.viewAge.MayStartTasks(now)
 	term.tracker.SetStartsPaused(!fresh)
 	if !fresh {
 		term.refreshView(now)
 	}
-	if now >= term.nextSlowTickAt {
-		term.nextSlowTickAt = now + 500*clock.Millisecond
+	if now >= term.pace.nextSlowTickAt {
+		term.pace.nextSlowTickAt = now + 500*clock.Millisecond
 		term.reviewMachines(now)
 		if term.isClosed {
 			return
@@ -283,18 +332,18 @@
 		term.issueToken(now)
 		term.controller.adjustRateShare(now)
 		term.logFleet(now)
-		term.needsPlan = true
+		term.requestPlan()
 	}
-	if term.needsPlan && fresh && now >= term.nextPlanAt {
-		term.needsPlan = false
+	if term.pace.needsPlan && fresh && now >= term.pace.nextPlanAt {
+		term.pace.needsPlan = false
 		term.runScheduler(now)
 		term.persistJobs(now)
 		// A plan costs what waits and what has room for it. The time that it
 		// took says how soon the next may come and leave the processor's share
 		// to reports and users.
 		took := clock.Now() - now
-		term.planInterval = min(max(planIntervalFactor*took, minPlanInterval), maxPlanInterval)
-		term.nextPlanAt = now + took + term.planInterval
+		term.pace.planInterval = min(max(planIntervalFactor*took, minPlanInterval), maxPlanInterval)
+		term.pace.nextPlanAt = now + took + term.pace.planInterval
 	}
 	term.streamDecisions(now)
 	term.recordFirstDecision(now)
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -62,16 +62,16 @@
 // is no sign that they never came up; the cloud's list saying so is.
 func TestMissingHeartbeatIsNotBooting(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3")
-	later := term.startedAt + term.controller.suspectTimeout() + 2*clock.Second
+	later := term.liveness.startedAt + term.controller.suspectTimeout() + 2*clock.Second
 	term.reviewMachines(later)
-	if len(term.pendingDeletes) != 0 {
-		t.Fatalf("deleted %v, of which nothing is known", term.pendingDeletes)
+	if len(term.deletions.pending) != 0 {
+		t.Fatalf("deleted %v, of which nothing is known", term.deletions.pending)
 	}
 	term.applyListedMachine(&wire.ListedMachine{ID: "i-1", State: wire.MachineRunning}, later)
 	term.applyListedMachine(&wire.ListedMachine{ID: "i-2", State: wire.MachineBooting}, later)
 	term.reviewMachines(later)
-	if !slices.Equal(term.pendingDeletes, []string{"i-2"}) {
-		t.Fatalf("deleted %v, only i-2 has never come up", term.pendingDeletes)
+	if !slices.Equal(term.deletions.pending, []string{"i-2"}) {
+		t.Fatalf("deleted %v, only i-2 has never come up", term.deletions.pending)
 	}
 }
 
@@ -115,10 +115,10 @@
 // is deleted, nothing is promised and the lead is not given away for it.
 func TestProcessStallDoesNotSuspectMachines(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
-	term.actDeadline.Store(1 << 62)
+	term.entitlement.actDeadline.Store(1 << 62)
 	controller := term.controller
 	controller.term = term
-	now := term.startedAt
+	now := term.liveness.startedAt
 	for _, machine := range term.tracker.Machines {
 		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Address: "127.0.0.1:1", Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
 	}
@@ -129,8 +129,8 @@
 	controller.peerHeartbeats["b"] = &receivedHeartbeat{heartbeat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, receivedAt: now}
 	term.recordResume(now)
 	term.reviewMachines(now)
-	if len(term.pendingDeletes) != 0 || len(term.constraints.ConstrainedZones()) != 0 || term.isClosed {
-		t.Fatalf("after a standstill: deletes %v, promises about %v, lead given up %v", term.pendingDeletes, term.constraints.ConstrainedZones(), term.isClosed)
+	if len(term.deletions.pending) != 0 || len(term.renewals.constraints.ConstrainedZones()) != 0 || term.isClosed {
+		t.Fatalf("after a standstill: deletes %v, promises about %v, lead given up %v", term.deletions.pending, term.renewals.constraints.ConstrainedZones(), term.isClosed)
 	}
 	if term.scheduler.ResumedAt != now {
 		t.Fatal("the planner takes machines for silent")
@@ -138,8 +138,8 @@
 	now += term.controller.suspectTimeout() + clock.Second
 	one.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
 	term.reviewMachines(now)
-	if len(term.pendingDeletes) != 2 {
-		t.Fatalf("machines that stay silent afterwards: deleted %v", term.pendingDeletes)
+	if len(term.deletions.pending) != 2 {
+		t.Fatalf("machines that stay silent afterwards: deleted %v", term.deletions.pending)
 	}
 }
 
@@ -162,14 +162,14 @@
 		{"late", 3, fail, 5 * clock.Second, false, true},
 	} {
 		term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
-		term.actDeadline.Store(1 << 62)
+		term.entitlement.actDeadline.Store(1 << 62)
 		names := []string{"i-1", "i-2", "i-3", "i-4"}
 		for _, name := range names {
 			term.tracker.RecordHeartbeat(term.tracker.Machines[name], &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: 1, FencingToken: 9}, clock.Now())
 			term.tracker.Machines[name].LastHeartbeatAt -= 20 * clock.Second
 		}
-		term.resumedAt -= 60 * clock.Second
-		term.zoneUnreachableAt["x"] = term.resumedAt // the clock may be younger than a probe
+		term.liveness.resumedAt -= 60 * clock.Second
+		term.liveness.zoneUnreachableAt["x"] = term.liveness.resumedAt // the clock may be younger than a probe
 		for round := uint64(0); round < 2; round++ {
 			sent := clock.Now() - probeTimeout - test.late
 			for i, name := range names {
@@ -181,8 +181,8 @@
 				}
 			}
 		}
-		if got := len(term.pendingDeletes) > 0; got != test.deleted {
-			t.Errorf("%s: deleted %v", test.name, term.pendingDeletes)
+		if got := len(term.deletions.pending) > 0; got != test.deleted {
+			t.Errorf("%s: deleted %v", test.name, term.deletions.pending)
 		}
 		if test.unsure && term.machines["i-4"].probes.misses != 0 {
 			t.Errorf("%s: counted as a miss", test.name)
@@ -195,8 +195,8 @@
 func TestRecoveringZoneKeepsItsMachines(t *testing.T) {
 	names := []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"}
 	term := newTestTerm(t, names...)
-	term.actDeadline.Store(1 << 62)
-	now := term.startedAt
+	term.entitlement.actDeadline.Store(1 << 62)
+	now := term.liveness.startedAt
 	for _, name := range names {
 		term.tracker.RecordHeartbeat(term.tracker.Machines[name], &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
 	}
@@ -214,16 +214,16 @@
 		term.handleProbeResult(term.tracker.Machines[name], term.machines[name], now-clock.Second, nil, errors.New("no answer"))
 	}
 	term.reviewMachines(now)
-	if len(term.pendingDeletes) != 0 {
-		t.Fatalf("deleted when the zone comes back: %v", term.pendingDeletes)
+	if len(term.deletions.pending) != 0 {
+		t.Fatalf("deleted when the zone comes back: %v", term.deletions.pending)
 	}
 	recordHeartbeats("i-3", "i-4")
 	for end := now + term.controller.suspectTimeout() + 3*clock.Second; now < end; now += clock.Second / 2 {
 		recordHeartbeats("i-1", "i-2", "i-3", "i-4")
 		term.reviewMachines(now)
 	}
-	slices.Sort(term.pendingDeletes)
-	if !slices.Equal(term.pendingDeletes, []string{"i-5", "i-6"}) {
-		t.Fatalf("silent for long after that: deleted %v", term.pendingDeletes)
+	slices.Sort(term.deletions.pending)
+	if !slices.Equal(term.deletions.pending, []string{"i-5", "i-6"}) {
+		t.Fatalf("silent for long after that: deleted %v", term.deletions.pending)
 	}
 }
--- a/internal/controller/token.go
+++ b/internal/controller/token.go
@@ -11,25 +11,25 @@
 // see package allocation. A worker takes a higher token for a change once in half its
 // lease, so oftener would be of no use.
 func (term *leaderTerm) issueToken(now clock.Micros) {
-	if term.raiseTokenAt != 0 && now >= term.raiseTokenAt {
-		term.raiseTokenAt = 0
+	if term.tokenIssue.raiseAt != 0 && now >= term.tokenIssue.raiseAt {
+		term.tokenIssue.raiseAt = 0
 		term.tracker.RaiseToken()
 	}
 	every := clock.FromSeconds(term.controller.cfg.Deployment.Workers.LeaseSeconds) / 2
-	if term.isIssuingToken || term.raiseTokenAt != 0 || now-max(term.tokenIssuedAt, term.startedAt) < every || !term.tracker.TakeTokenRaiseRequest() {
+	if term.tokenIssue.isInFlight || term.tokenIssue.raiseAt != 0 || now-max(term.tokenIssue.issuedAt, term.liveness.startedAt) < every || !term.tracker.TakeTokenRaiseRequest() {
 		return
 	}
-	term.isIssuingToken = true
+	term.tokenIssue.isInFlight = true
 	term.commitWithRevision(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.TokenKey, Value: []byte(`{}`)}}}, func(outcome kvstore.Outcome, revision uint64) {
-		term.isIssuingToken = false
+		term.tokenIssue.isInFlight = false
 		if outcome != kvstore.Committed {
 			return
 		}
-		term.tokenIssuedAt = clock.Now()
+		term.tokenIssue.issuedAt = clock.Now()
 		term.tracker.IssueToken(revision)
 		// Those who are delegates hear of it first: they could not answer a worker that
 		// has seen a higher token than they know.
-		term.raiseTokenAt = term.tokenIssuedAt + 2*heartbeatInterval
+		term.tokenIssue.raiseAt = term.tokenIssue.issuedAt + 2*heartbeatInterval
 		term.controller.nextHeartbeatAt = 0
 	})
 }
--- a/internal/controller/tracked_jobs.go
+++ b/internal/controller/tracked_jobs.go
@@ -50,7 +50,7 @@
 func (term *leaderTerm) applyJobRecord(id string, record *storeview.Job) {
 	now := clock.Now()
 	job := term.tracker.Jobs[id]
-	term.needsPlan = true
+	term.requestPlan()
 	switch {
 	case record.IsCancelledByDependency:
 	case !record.HasEnded() && job == nil && term.jobs[id] == nil:
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -36,7 +36,7 @@
 		term.controller.term = term
 		term.controller.view.ApplyPut(records.WorkerContactKey("b"), said(test.workers, test.ago), 10)
 		now := clock.Now()
-		term.resumedAt = now - 60*clock.Second
+		term.liveness.resumedAt = now - 60*clock.Second
 		if got := term.handOverIfCutOff(test.h, now); got != test.over || term.isClosed != test.over {
 			t.Errorf("%s: hands over %v, the lead is over %v", test.name, got, term.isClosed)
 		}
@@ -88,11 +88,11 @@
 	if !controller.isEntitled() {
 		t.Fatal("not entitled")
 	}
-	term.resumedAt, term.hasLapsed = now-75*clock.Second, true
+	term.liveness.resumedAt, term.entitlement.hasLapsed = now-75*clock.Second, true
 	controller.peerHeartbeats["b"] = &receivedHeartbeat{receivedAt: now, heartbeat: &peer.Heartbeat{IsStoreReachable: true, WorkerCount: 4}}
 	term.tick(now)
-	if term.isClosed || term.resumedAt != now || term.hasLapsed {
-		t.Fatalf("handed over %v, awake since %d at %d", term.isClosed, term.resumedAt, now)
+	if term.isClosed || term.liveness.resumedAt != now || term.entitlement.hasLapsed {
+		t.Fatalf("handed over %v, awake since %d at %d", term.isClosed, term.liveness.resumedAt, now)
 	}
 	later := now + controller.suspectTimeout()
 	controller.peerHeartbeats["b"].receivedAt = later
@@ -120,7 +120,7 @@
 		term := newTestTerm(t)
 		term.controller.term = term
 		now := 100 * clock.Second
-		term.resumedAt = now
+		term.liveness.resumedAt = now
 		term.controller.peerHeartbeats["b"] = &receivedHeartbeat{receivedAt: now - test.peer, heartbeat: &peer.Heartbeat{IsStoreReachable: test.served}}
 		if term.handOverIfCutOff(test.before, now) {
 			t.Fatalf("%s: hands over at first", test.name)
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -17,9 +17,9 @@
 	var response wire.HeartbeatResponse
 	machine := term.tracker.Machines[heartbeat.MachineID]
 	if machine == nil {
-		if _, ok := term.deletedAt[heartbeat.MachineID]; !ok {
-			if _, ok := term.unknownSince[heartbeat.MachineID]; !ok {
-				term.unknownSince[heartbeat.MachineID] = now
+		if _, ok := term.deletions.deletedAt[heartbeat.MachineID]; !ok {
+			if _, ok := term.listing.unknownSince[heartbeat.MachineID]; !ok {
+				term.listing.unknownSince[heartbeat.MachineID] = now
 			}
 		}
 	} else {
@@ -33,12 +33,12 @@
 			return
 		}
 		if result == allocation.HeartbeatAccepted {
-			if booting && machine.CreatedAt > term.startedAt {
+			if booting && machine.CreatedAt > term.liveness.startedAt {
 				term.scheduler.ObserveBoot(machine.Type, now-machine.CreatedAt)
 			}
 			term.processTaskEvents(now)
 			response.Commands = term.tracker.HeartbeatCommands(machine, now)
-			term.needsPlan = true
+			term.requestPlan()
 		}
 	}
 	response.FencingToken = term.tracker.FencingToken()
@@ -56,7 +56,7 @@
 // replyDeadline is the last instant at which an answer to a report may go out: it
 // renews the worker's lease, and may start tasks.
 func (term *leaderTerm) replyDeadline(commands []wire.Command) clock.Micros {
-	until := min(term.mayActUntil(), term.viewAge.RenewLeasesUntil())
+	until := min(term.mayActUntil(), term.entitlement.viewAge.RenewLeasesUntil())
 	if slices.ContainsFunc(commands, func(command wire.Command) bool { return command.Action == wire.ActionStart }) {
 		until = min(until, term.mayStartUntil())
 	}
@@ -125,5 +125,5 @@
 	case wire.ExitNoResources, wire.ExitAttemptConflict, wire.ExitUnknownTask:
 		task.RetryAt = now + clock.Second
 	}
-	term.needsPlan = true
+	term.requestPlan()
 }
