--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -86,7 +86,7 @@
 // peerRevision is how new a member's view is, as far as it has told lately. A member
 // that is not heard may have been restarted since.
 func (controller *Controller) peerRevision(member string) uint64 {
-	received := controller.peerHeartbeats[member]
+	received := controller.members.heartbeats[member]
 	if received == nil || clock.Now()-received.receivedAt > memberTimeout {
 		return 0
 	}
@@ -97,7 +97,7 @@
 // message, if some other member may lack it. The leader has no need to: it is the
 // one that acts on them.
 func (controller *Controller) sendCancellationNews(now clock.Micros) {
-	log := &controller.cancellations
+	log := &controller.members.cancellations
 	if controller.term != nil || !log.hasNews || now-log.sentAt < newsInterval {
 		return
 	}
--- a/internal/controller/command_requests.go
+++ b/internal/controller/command_requests.go
@@ -22,7 +22,7 @@
 			return false
 		}
 		// Nothing is started where a later leader would take the leases for over.
-		if term.renewals.constraints.MayConstrainZone(machine.Zone) || now < machineInfo.commandsBlockedUntil || now-machine.LastHeartbeatAt > term.controller.suspectTimeout() || term.commandRequestsInFlight >= term.controller.maxRequestsInFlight {
+		if term.renewals.constraints.MayConstrainZone(machine.Zone) || now < machineInfo.commandsBlockedUntil || now-machine.LastHeartbeatAt > term.controller.suspectTimeout() || term.commandRequestsInFlight >= term.controller.workerRequests.maxInFlight {
 			return true
 		}
 		message, starts := term.tracker.BuildCommandRequest(machine, now)
@@ -35,7 +35,7 @@
 			return false
 		}
 		if machineInfo.host == nil {
-			machineInfo.host = term.controller.workerPool.NewHost(machine.Address, 1, 4*wire.MaxBodyBytes)
+			machineInfo.host = term.controller.workerRequests.pool.NewHost(machine.Address, 1, 4*wire.MaxBodyBytes)
 		}
 		host, until := machineInfo.host, term.mayActUntil
 		if len(starts) > 0 {
--- a/internal/controller/constraints.go
+++ b/internal/controller/constraints.go
@@ -17,7 +17,7 @@
 
 // applyConstraints takes newer renewal constraints from the view.
 func (controller *Controller) applyConstraints(constraints delegation.Constraints, version uint64) {
-	controller.unconfirmedConstraints = nil
+	controller.delegation.unconfirmedConstraints = nil
 	if controller.term != nil {
 		controller.term.renewals.constraints.ObserveStored(constraints, version)
 	}
@@ -79,7 +79,7 @@
 		updated.Zones[zone] = constraint
 	}
 	for _, other := range term.controller.cfg.Peers {
-		if received := term.controller.peerHeartbeats[other.Member]; term.controller.delegationTimes.GrantTTL == 0 || received != nil && now-received.receivedAt < memberTimeout {
+		if received := term.controller.members.heartbeats[other.Member]; term.controller.delegation.times.GrantTTL == 0 || received != nil && now-received.receivedAt < memberTimeout {
 			continue
 		}
 		renewalsUntil, ok := current.MemberGrantUntil[other.Member]
@@ -216,7 +216,7 @@
 // in a zone. A member that has not may: a leader that hears nobody of a zone may
 // itself be the one that is cut off from it.
 func (controller *Controller) mayConstrainZone(zone string) bool {
-	if controller.term != nil && controller.term.renewals.constraints.MayConstrainZone(zone) || controller.unconfirmedConstraints[zone] {
+	if controller.term != nil && controller.term.renewals.constraints.MayConstrainZone(zone) || controller.delegation.unconfirmedConstraints[zone] {
 		return true
 	}
 	return slices.Contains(controller.view.Constraints.Zones[zone].KnownBy, controller.cfg.Member)
--- a/internal/controller/constraints_test.go
+++ b/internal/controller/constraints_test.go
@@ -56,7 +56,7 @@
 		t.Fatal("a promise is forgotten with the lead")
 	}
 	// One who has not promised anything is free to delegation.
-	controller.unconfirmedConstraints, controller.view.Constraints = nil, delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"z": {KnownBy: []string{"b"}}}}
+	controller.delegation.unconfirmedConstraints, controller.view.Constraints = nil, delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"z": {KnownBy: []string{"b"}}}}
 	if controller.mayConstrainZone("z") {
 		t.Fatal("bound by another member's promise")
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -31,82 +31,138 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Controller is the owner. Its fields belong to the goroutine of Run, but for those
-// that are made once.
+// Controller is one member of the control plane. Its fields belong to the goroutine of
+// Run, except those of environment, which New sets once, and the atomics.
 type Controller struct {
-	cfg      *config.Platform
-	dial     client.Dialer
-	stopped  chan struct{} // closed when Run has returned
-	tuning   config.Tuning
-	log      *slog.Logger
-	commands *commandQueue
-	store    *kvstore.Client
-	cloud    *cloud.Client
-	links    []*peer.Link
-	// Direct messages share the sockets with what comes in.
-	connLimiter         *connlimit.Limiter
-	workerPool          *client.Pool
-	maxRequestsInFlight int // how many may be under way at a time
-	tasksPerKey         int // tasks in one progress key
-	teams               map[string]allocation.TeamQuota
+	environment
+	process processStatus
 
 	view            *storeview.View
 	watches         watchState
 	dependencyGraph *dag.Graph
 	elector         *election.Elector
-	peerHeartbeats  map[string]*receivedHeartbeat
-	term            *leaderTerm // nil unless leader and rebuilt
-	// isRebuilding: the lock is ours, the view is not yet as new as the token.
+	term            *leaderTerm // nil unless this member leads and the allocation table is rebuilt
+
+	machineTypes machineCatalog
+	failover     failoverState
+	members      memberState
+	workers      workerContactState
+	delegation   delegationState
+	history      finishedJobHistory
+	users        userRequestState
+	hints        leaderHints
+	storeUse     storeUsage
+}
+
+// environment is what a controller works with. New sets it, and nothing changes it later.
+type environment struct {
+	cfg    *config.Platform
+	tuning config.Tuning
+	log    *slog.Logger
+	dial   client.Dialer
+	store  *kvstore.Client
+	cloud  *cloud.Client
+	// commands is the queue of what the goroutine of Run has to do; stopped is closed when
+	// Run has returned.
+	commands *commandQueue
+	stopped  chan struct{}
+
+	workerRequests  workerRequestLimits
+	teams           map[string]allocation.TeamQuota
+	tasksPerKey     int              // tasks in one progress key
+	stalenessBounds staleness.Bounds // what a leader may do on an old view
+}
+
+// workerRequestLimits bounds the requests that a leader sends to workers.
+type workerRequestLimits struct {
+	limiter     *connlimit.Limiter // shared with the server's inbound connections
+	pool        *client.Pool
+	maxInFlight int // command requests and probes under way at a time
+}
+
+// processStatus is how this process itself does.
+type processStatus struct {
+	tickedAt clock.Micros // the last tick, 0 before the first
+	// isUnavailable: users should not be routed here. The goroutine of Run writes it with
+	// each heartbeat, the server's event loop reads it.
+	isUnavailable atomic.Bool
+	// isActiveLeader: this process may answer workers as leader. The goroutine of Run writes
+	// it with each tick, any goroutine may read it.
+	isActiveLeader atomic.Bool
+}
+
+// machineCatalog is what the cloud offers.
+type machineCatalog struct {
+	list        []wire.MachineType
+	isFetching  bool
+	requestedAt clock.Micros // when the cloud was last asked, 0 if never
+}
+
+// failoverState is what a failover needs, and how the last one went.
+type failoverState struct {
+	// isRebuilding is true from winning the lock until the allocation table is rebuilt from a
+	// view at least as new as the fencing token.
 	isRebuilding bool
+	// replica follows the leader's allocation table, nil if standby is turned off.
+	replica          *standby.Replica
+	processStartedAt clock.Micros
+	// leaderHeartbeatAt is when another member's heartbeat as leader last came.
+	leaderHeartbeatAt clock.Micros
+	last              failoverTimes
+	tracer            *tracing.Tracer
+}
+
+// memberState is what is known of the other members, by name.
+type memberState struct {
+	links           []*peer.Link // in the order of the configuration's peers
+	heartbeats      map[string]*receivedHeartbeat
+	timestamps      map[string]delegation.Timestamp // their newest ones
+	nextHeartbeatAt clock.Micros
+	// cancellations are recent ones that other members may not know yet.
+	cancellations cancellationLog
+}
 
-	machineTypes     []wire.MachineType
-	isFetchingTypes  bool
-	typesRequestedAt clock.Micros
+// workerContactState counts the workers that contact members other than the leader.
+type workerContactState struct {
+	contactAt map[string]clock.Micros // when each worker last sent a heartbeat here
+	// reports are the other members' counts, as they wrote them to the key-value store.
+	reports      map[string]workerContact
+	nextReportAt clock.Micros
+}
 
-	// finishedJobs are the finished jobs of the view, finishedCapacity how many are kept,
-	// forgotten what is left of the others; lookups ask for those.
-	finishedJobs     *jobhistory.Cache
-	finishedCapacity int
-	evicted          evictedJobs
-	lookups          *jobhistory.Lookups
+// delegationState is for renewing workers' leases while the leader is unreachable.
+type delegationState struct {
+	times    delegation.Config
+	delegate *delegation.Delegate // this member's grant
+	// repliedAt is when each worker was last answered under the grant.
+	repliedAt map[string]clock.Micros
+	// unconfirmedConstraints are zones that this member, in its last term, may have
+	// constrained: the outcome of that write is not known.
+	unconfirmedConstraints map[string]bool
+}
 
+// finishedJobHistory orders finished jobs for eviction. Those that were evicted are only
+// counted, and looked up in the key-value store on demand.
+type finishedJobHistory struct {
+	finished *jobhistory.Cache // those in the view
+	capacity int               // how many are kept
+	evicted  evictedJobs
+	lookups  *jobhistory.Lookups
+}
+
+// userRequestState is what users' requests need between two commands.
+type userRequestState struct {
+	// pendingSubmissions are the replies that wait for a submission's write, by job.
 	pendingSubmissions map[string][]*server.Reply
 	progressCounts     progressCounts
-	workerContactAt    map[string]clock.Micros
-	// delegate is this member's right to keep leases alive, held   the workers
-	// that were sent to the leader and may come back, stamps the others' clocks
-	// as last heard.
-	delegate         *delegation.Delegate
-	delegatedReplyAt map[string]clock.Micros
-	peerTimestamps   map[string]delegation.Timestamp
-	// unconfirmedConstraints are zones that this member, when it last led, may have promised
-	// to answer nobody as delegate in.
-	unconfirmedConstraints map[string]bool
-	delegationTimes        delegation.Config
-	// stalenessBounds bounds what a leader may do on an old view.
-	stalenessBounds staleness.Bounds
-	// cancellations are recent ones that other members may have to be told of.
-	cancellations cancellationLog
-	hints         leaderHints
-	// replica follows the leader's account, nil if that is turned off.
-	replica *standby.Replica
-	// startedAt is when this life began.
-	startedAt clock.Micros
-	// leaderHeartbeatAt is when a beat of another member as leader last came.
-	leaderHeartbeatAt clock.Micros
-	lastFailover      failoverTimes
-	tracer            *tracing.Tracer
-	// workerContacts is what other members have said of workers, by way of the state service.
-	workerContacts      map[string]workerContact
-	rateShares          rateShares
-	nextWorkerContactAt clock.Micros
-	tickedAt            clock.Micros
-	nextHeartbeatAt     clock.Micros
-	nextDropLogAt       clock.Micros
-	reportedDrops       int64
-	isUnavailable       atomic.Bool // users should not be sent here
-	isActiveLeader      atomic.Bool // as of the last tick
+}
 
+// storeUsage is how the members share the store's rates, and what was logged of its
+// malformed responses.
+type storeUsage struct {
+	shares        rateShares
+	nextDropLogAt clock.Micros
+	reportedDrops int64 // malformed responses that were logged
 }
 
 // New makes the owner, which reaches the outside by dial; nothing runs before Run.
@@ -121,28 +177,27 @@
 		ttl = min(max(clock.FromSeconds(deployment.Workers.LeaseSeconds)/6, 3*clock.Second), 6*clock.Second)
 	}
 	controller := &Controller{
-		cfg: cfg, tuning: tuning, log: log, dial: dial, stopped: make(chan struct{}), commands: newCommandQueue(cfg.Deployment.ProcessLimits.MaxSockets, len(cfg.Peers)),
-		store: kvstore.New(dial, cfg.External.StoreAddress, kvstore.Limits{
-			RPS: deployment.Store.RPS, WriteRPS: deployment.Store.Effective().WriteRPS, MaxTransactionOps: deployment.Store.Effective().MaxTransactionOps,
-		}, records.LockKey),
-		cloud:               cloud.New(dial, cfg.External.CloudAddress, deployment.Cloud.RPS),
-		connLimiter:         connlimit.New(cfg.ConnectionLimit()),
-		maxRequestsInFlight: max(cfg.ConnectionLimit()/24, 4),
-		teams:               map[string]allocation.TeamQuota{},
-		dependencyGraph:     dag.New(),
-		elector:             election.New(election.Config{Member: cfg.Member, TTL: ttl, TimerSlack: 50 * clock.Millisecond}),
-		peerHeartbeats:      map[string]*receivedHeartbeat{},
-		pendingSubmissions:  map[string][]*server.Reply{},
-		workerContactAt:     map[string]clock.Micros{},
-		delegatedReplyAt:    map[string]clock.Micros{},
-		peerTimestamps:      map[string]delegation.Timestamp{},
-		workerContacts:      map[string]workerContact{},
-		startedAt:           clock.Now(),
+		environment: environment{
+			cfg: cfg, tuning: tuning, log: log, dial: dial, stopped: make(chan struct{}), commands: newCommandQueue(cfg.Deployment.ProcessLimits.MaxSockets, len(cfg.Peers)),
+			store: kvstore.New(dial, cfg.External.StoreAddress, kvstore.Limits{
+				RPS: deployment.Store.RPS, WriteRPS: deployment.Store.Effective().WriteRPS, MaxTransactionOps: deployment.Store.Effective().MaxTransactionOps,
+			}, records.LockKey),
+			cloud:          cloud.New(dial, cfg.External.CloudAddress, deployment.Cloud.RPS),
+			workerRequests: workerRequestLimits{limiter: connlimit.New(cfg.ConnectionLimit()), maxInFlight: max(cfg.ConnectionLimit()/24, 4)},
+			teams:          map[string]allocation.TeamQuota{},
+		},
+		dependencyGraph: dag.New(),
+		elector:         election.New(election.Config{Member: cfg.Member, TTL: ttl, TimerSlack: 50 * clock.Millisecond}),
+		failover:        failoverState{processStartedAt: clock.Now()},
+		members:         memberState{heartbeats: map[string]*receivedHeartbeat{}, timestamps: map[string]delegation.Timestamp{}},
+		workers:         workerContactState{contactAt: map[string]clock.Micros{}, reports: map[string]workerContact{}},
+		delegation:      delegationState{repliedAt: map[string]clock.Micros{}},
+		users:           userRequestState{pendingSubmissions: map[string][]*server.Reply{}},
 	}
-	controller.finishedCapacity = finishedJobCapacity(tuning.FinishedJobs, deployment.ProcessLimits.MemoryMB)
-	controller.finishedJobs = jobhistory.NewCache(controller.finishedCapacity)
-	controller.lookups = jobhistory.NewLookups(maxPendingLookups, min(4*deployment.Store.Effective().MaxTransactionOps/keysPerJob, maxJobsPerLookup))
-	controller.workerPool = client.NewPool(dial, controller.connLimiter)
+	controller.history.capacity = finishedJobCapacity(tuning.FinishedJobs, deployment.ProcessLimits.MemoryMB)
+	controller.history.finished = jobhistory.NewCache(controller.history.capacity)
+	controller.history.lookups = jobhistory.NewLookups(maxPendingLookups, min(4*deployment.Store.Effective().MaxTransactionOps/keysPerJob, maxJobsPerLookup))
+	controller.workerRequests.pool = client.NewPool(dial, controller.workerRequests.limiter)
 	controller.tasksPerKey = records.TasksPerProgressKey(deployment.Store.MaxValueKB)
 	workers := &deployment.Workers
 	// A worker waits a second before each other node, and tries it for four seconds.
@@ -153,33 +208,35 @@
 		attemptTime = clock.Second
 	}
 	roundTrip := clock.FromSeconds(1.25*workers.HeartbeatIntervalSeconds) + clock.Second/2 + clock.Micros(len(cfg.Peers))*attemptTime
-	controller.delegationTimes = delegation.NewConfig(clock.FromSeconds(workers.CancelTimeoutSeconds), clock.FromSeconds(workers.LeaseSeconds), 3*heartbeatInterval, roundTrip)
+	controller.delegation.times = delegation.NewConfig(clock.FromSeconds(workers.CancelTimeoutSeconds), clock.FromSeconds(workers.LeaseSeconds), 3*heartbeatInterval, roundTrip)
 	controller.stalenessBounds = staleness.NewBounds(clock.FromSeconds(workers.CancelTimeoutSeconds), clock.FromSeconds(workers.LeaseSeconds), ttl)
-	controller.cancellations = newCancellationLog(clock.FromSeconds(workers.CancelTimeoutSeconds), deployment.Store.WriteRPS)
-	controller.delegate = delegation.NewDelegate(controller.delegationTimes, uint64(clock.WallTime()), clock.Now())
+	controller.members.cancellations = newCancellationLog(clock.FromSeconds(workers.CancelTimeoutSeconds), deployment.Store.WriteRPS)
+	controller.delegation.delegate = delegation.NewDelegate(controller.delegation.times, uint64(clock.WallTime()), clock.Now())
 	for _, team := range deployment.Teams {
 		guaranteed := allocation.NewResources(team.GuaranteedCPUs, team.GuaranteedGPUs, 0)
 		limit := allocation.NewResources(team.MaxCPUs, team.MaxGPUs, 0)
 		controller.teams[team.Name] = allocation.TeamQuota{GuaranteedMilliCPU: guaranteed.MilliCPU, GuaranteedMilliGPU: guaranteed.MilliGPU, MaxMilliCPU: limit.MilliCPU, MaxMilliGPU: limit.MilliGPU}
 	}
 	if tuning.Standby.Enabled {
-		controller.replica = standby.NewReplica(controller.delegate.Timestamp(clock.Now()).Incarnation)
+		controller.failover.replica = standby.NewReplica(controller.delegation.delegate.Timestamp(clock.Now()).Incarnation)
 	}
 	controller.view = storeview.New(viewObserver{controller})
 	return controller
 }
 
 // SetTracer has take-overs written to a tracer; it is called before Run.
-func (controller *Controller) SetTracer(tracer *tracing.Tracer) { controller.tracer = tracer }
+func (controller *Controller) SetTracer(tracer *tracing.Tracer) { controller.failover.tracer = tracer }
 
 // ConnLimiter is the budget of connections that the server shares with this process's
 // direct messages.
-func (controller *Controller) ConnLimiter() *connlimit.Limiter { return controller.connLimiter }
+func (controller *Controller) ConnLimiter() *connlimit.Limiter {
+	return controller.workerRequests.limiter
+}
 
 // CloseIdleWorkerConnection closes a direct connection that lies idle; it may be called on any
 // goroutine.
 func (controller *Controller) CloseIdleWorkerConnection() bool {
-	return controller.workerPool.EvictIdle()
+	return controller.workerRequests.pool.EvictIdle()
 }
 
 // postResult hands a result of this process's own calls to the owner.
@@ -200,7 +257,7 @@
 	for _, other := range controller.cfg.Peers {
 		link := peer.NewLink(controller.dial, other.Address)
 		defer link.Close()
-		controller.links = append(controller.links, link)
+		controller.members.links = append(controller.members.links, link)
 	}
 	controller.applyRateShares()
 	controller.loadAll()
@@ -222,13 +279,13 @@
 
 func (controller *Controller) tick() {
 	now := clock.Now()
-	if controller.tickedAt != 0 && now-controller.tickedAt > stallThreshold {
-		controller.log.Info("stood still", "for_s", (now - controller.tickedAt).Seconds())
+	if controller.process.tickedAt != 0 && now-controller.process.tickedAt > stallThreshold {
+		controller.log.Info("stood still", "for_s", (now - controller.process.tickedAt).Seconds())
 		if controller.term != nil {
 			controller.term.recordResume(now)
 		}
 	}
-	controller.tickedAt = now
+	controller.process.tickedAt = now
 	controller.view.ExpireWaiters(now)
 	controller.startWatches()
 	controller.executeActions(controller.elector.Tick(now))
@@ -242,7 +299,7 @@
 	}
 	controller.evictFinishedJobs()
 	controller.sendLookups(now)
-	controller.isActiveLeader.Store(controller.term != nil && controller.isEntitled())
+	controller.process.isActiveLeader.Store(controller.term != nil && controller.isEntitled())
 	controller.sendCancellationNews(now)
 	controller.tickHeartbeat(now)
 }
@@ -251,9 +308,9 @@
 // rate; the count goes on meanwhile.
 func (controller *Controller) logDropped(what string, args ...any) {
 	now := clock.Now()
-	if now < controller.nextDropLogAt {
+	if now < controller.storeUse.nextDropLogAt {
 		return
 	}
-	controller.nextDropLogAt = now + 5*clock.Second
+	controller.storeUse.nextDropLogAt = now + 5*clock.Second
 	controller.log.Error(what, append(args, "dropped_so_far", controller.store.MalformedResponses.Load())...)
 }
--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -28,13 +28,13 @@
 		deployment.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 900}
 		return New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	}
-	if controller := with("x", "y"); controller.delegationTimes.GrantTTL != 0 {
+	if controller := with("x", "y"); controller.delegation.times.GrantTTL != 0 {
 		t.Fatal("rights where a cut of a zone would put off the proof that a lease is over")
 	}
 	controller := with("x")
 	lease, cancel := 10*clock.Second, 35*clock.Second
-	if controller.delegationTimes.GrantTTL < lease || controller.delegationTimes.CancellationGrace+controller.delegationTimes.GrantTTL+lease >= cancel {
-		t.Fatalf("a right lasts %d us", controller.delegationTimes.GrantTTL)
+	if controller.delegation.times.GrantTTL < lease || controller.delegation.times.CancellationGrace+controller.delegation.times.GrantTTL+lease >= cancel {
+		t.Fatalf("a right lasts %d us", controller.delegation.times.GrantTTL)
 	}
 	controller.view.IsLoaded = true
 	term := newLeaderTerm(controller, 9, clock.Now())
@@ -48,7 +48,7 @@
 		t.Fatal("answers as delegate though it never knew of all withdrawals")
 	}
 	term.renewals.cancellationsKnownAt = now
-	end := now + controller.delegationTimes.GrantTTL
+	end := now + controller.delegation.times.GrantTTL
 	var lastReplyAt, longestGap clock.Micros
 	// The worker reports, is sent on, and comes back after a round of the others.
 	for reportAt := now; reportAt < end+lease; {
@@ -71,7 +71,7 @@
 	if longestGap >= lease/2 || lastReplyAt < end-lease/2 {
 		t.Fatalf("answers lie up to %d us apart, the last %d us before the end", longestGap, end-lastReplyAt)
 	}
-	controller.delegate.RecordLeaderHeartbeat(now, 10, controller.delegate.Timestamp(now)) // a newer leader is there
+	controller.delegation.delegate.RecordLeaderHeartbeat(now, 10, controller.delegation.delegate.Timestamp(now)) // a newer leader is there
 	if repliesToEither(controller, heartbeat, now) {
 		t.Fatal("answers as delegate while a newer leader is heard")
 	}
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -20,31 +20,31 @@
 // reach for four seconds, came here, tried it again, and was back after its lease.
 func (controller *Controller) replyAsDelegate(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if controller.term != nil {
-		controller.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.renewals.cancellationsKnownAt)
+		controller.delegation.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.renewals.cancellationsKnownAt)
 	}
 	if !controller.view.IsLoaded || controller.mayConstrainZone(heartbeat.Zone) {
 		return false
 	}
-	token, until, ok := controller.delegate.MayAnswer(now, heartbeat.FencingToken)
+	token, until, ok := controller.delegation.delegate.MayAnswer(now, heartbeat.FencingToken)
 	if _, newest := controller.elector.LockHolder(); !ok || newest > token {
 		return false
 	}
 	workers := &controller.cfg.Deployment.Workers
-	repliedAt, wasAnswered := controller.delegatedReplyAt[heartbeat.MachineID]
+	repliedAt, wasAnswered := controller.delegation.repliedAt[heartbeat.MachineID]
 	// While it is on its way its lease is not renewed: shortly before the right ends
 	// it is kept.
 	if wasAnswered && now-repliedAt <= clock.FromSeconds(workers.LeaseSeconds) && until-now > clock.FromSeconds(2*workers.HeartbeatIntervalSeconds)+4*clock.Second {
-		delete(controller.delegatedReplyAt, heartbeat.MachineID)
+		delete(controller.delegation.repliedAt, heartbeat.MachineID)
 		return false
 	}
 	body, err := wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}.MarshalJSON()
 	if err != nil {
 		return false
 	}
-	controller.delegatedReplyAt[heartbeat.MachineID] = now
+	controller.delegation.repliedAt[heartbeat.MachineID] = now
 	// The answer goes out soon, or not at all.
 	until = min(until, now+clock.Second)
-	controller.delegate.RecordAnswer(until)
+	controller.delegation.delegate.RecordAnswer(until)
 	if controller.term != nil {
 		// It may yet renew its lock and go on, and must then count with this.
 		if machine := controller.term.tracker.Machines[heartbeat.MachineID]; machine != nil {
@@ -71,7 +71,7 @@
 	if leader == controller.cfg.Member {
 		return ""
 	}
-	received := controller.peerHeartbeats[leader]
+	received := controller.members.heartbeats[leader]
 	isReachable := received != nil && now-received.receivedAt < leaderAdviceWindow
 	if !isReachable && now-controller.store.LastSuccessAt() >= lockAdviceWindow {
 		return ""
@@ -80,7 +80,7 @@
 }
 
 func (controller *Controller) handleWorkerHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
-	controller.workerContactAt[heartbeat.MachineID] = clock.Now()
+	controller.workers.contactAt[heartbeat.MachineID] = clock.Now()
 	if controller.term != nil && controller.isEntitled() {
 		controller.term.handleHeartbeat(heartbeat, reply)
 		return
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -68,7 +68,7 @@
 	for _, id := range change.Cancelled {
 		if record := controller.view.Jobs[id]; record != nil && record.State == "" {
 			record.IsCancelledByDependency = true
-			controller.progressCounts.remove(id)
+			controller.users.progressCounts.remove(id)
 			if controller.term != nil {
 				controller.term.cleanup.impliedCancellations = append(controller.term.cleanup.impliedCancellations, id)
 			}
@@ -115,12 +115,12 @@
 // rejectAfterSync answers 422 once the view is new enough to say so: what was accepted,
 // by any controller, is never refused.
 func (controller *Controller) rejectAfterSync(job *wire.Job, reply *server.Reply, reason func() string, otherwise func()) {
-	evictions := controller.evicted.evictions
+	evictions := controller.history.evicted.evictions
 	controller.view.RequestSync(func(err error) {
 		switch record := controller.view.Jobs[job.ID]; {
 		case err != nil:
 			replyUnavailable(reply, err.Error())
-		case record == nil && controller.evicted.evictions != evictions:
+		case record == nil && controller.history.evicted.evictions != evictions:
 			replyUnavailable(reply, "it may have been forgotten meanwhile")
 		case record != nil:
 			reply.Send(200, controller.encodeJobStatus(job.ID, record), 0)
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -39,12 +39,12 @@
 
 // evictFinishedJobs forgets finished jobs beyond the bound.
 func (controller *Controller) evictFinishedJobs() {
-	for _, id := range controller.finishedJobs.Evict(maxEvictionsPerTick, controller.canEvict) {
+	for _, id := range controller.history.finished.Evict(maxEvictionsPerTick, controller.canEvict) {
 		record := controller.view.Jobs[id]
 		controller.recordEviction()
-		controller.evicted.counts.Add(record.State, 1)
+		controller.history.evicted.counts.Add(record.State, 1)
 		if problem, ok := controller.problemOf(id, record, int64(clock.WallTime())); ok {
-			controller.evicted.problems = worstProblems(append(controller.evicted.problems, problem))
+			controller.history.evicted.problems = worstProblems(append(controller.history.evicted.problems, problem))
 		}
 		controller.view.EvictJob(id)
 		controller.dependencyGraph.Remove(id)
@@ -54,7 +54,7 @@
 // canEvict tells whether nothing but a user's question needs a finished job any more.
 func (controller *Controller) canEvict(id string) bool {
 	record := controller.view.Jobs[id]
-	if record == nil || !record.IsFinished() || controller.view.Progress[id] != nil || controller.view.Dependencies[id] != nil || controller.pendingSubmissions[id] != nil {
+	if record == nil || !record.IsFinished() || controller.view.Progress[id] != nil || controller.view.Dependencies[id] != nil || controller.users.pendingSubmissions[id] != nil {
 		return false
 	}
 	return controller.term == nil || controller.term.tracker.Jobs[id] == nil && controller.term.jobs[id] == nil
@@ -63,13 +63,13 @@
 // recordEviction notes that from now on a job that is not in the view may be known to the
 // state service.
 func (controller *Controller) recordEviction() {
-	controller.evicted.hasEvicted = true
-	controller.evicted.evictions++
+	controller.history.evicted.hasEvicted = true
+	controller.history.evicted.evictions++
 }
 
 // mayBeEvicted tells whether a job is not in the view, and may have been forgotten.
 func (controller *Controller) mayBeEvicted(id string) bool {
-	return controller.view.Jobs[id] == nil && controller.evicted.hasEvicted
+	return controller.view.Jobs[id] == nil && controller.history.evicted.hasEvicted
 }
 
 // recountEvicted counts what is forgotten after all records were read, of which so many
@@ -83,5 +83,5 @@
 			read.Add(record.State, -1)
 		}
 	}
-	controller.evicted.counts = read
+	controller.history.evicted.counts = read
 }
--- a/internal/controller/eviction_bench_test.go
+++ b/internal/controller/eviction_bench_test.go
@@ -38,7 +38,7 @@
 			b.Run(fmt.Sprint(jobs, "/", name), func(b *testing.B) {
 				for b.Loop() {
 					controller := newTestTerm(b).controller
-					controller.finishedCapacity = capacity
+					controller.history.capacity = capacity
 					before, stored := heapInUse(), 0
 					filter := storeview.NewLoadFilter(capacity)
 					for first := 0; first < jobs; first += page {
--- a/internal/controller/hints.go
+++ b/internal/controller/hints.go
@@ -116,7 +116,7 @@
 			heartbeat.RunTimes = append(heartbeat.RunTimes, peer.RunTimeStatistics{Class: class, Count: uint32(count), Mean: mean, MeanSquare: square})
 		}
 	}
-	for _, machineType := range term.controller.machineTypes {
+	for _, machineType := range term.controller.machineTypes.list {
 		if boots := term.scheduler.RecentBootTimes(machineType.Name); len(boots) > 0 && len(heartbeat.BootTimes) < peer.MaxBootTimeTypes {
 			heartbeat.BootTimes = append(heartbeat.BootTimes, peer.BootTimes{MachineType: machineType.Name, Durations: boots})
 		}
--- a/internal/controller/hints_test.go
+++ b/internal/controller/hints_test.go
@@ -28,7 +28,7 @@
 	}
 	firstTerm.scheduler.RunTimeModel("c").Observe(100, 50, 0.2)
 	for range 40 {
-		firstTerm.scheduler.ObserveBoot(firstTerm.controller.machineTypes[0].Name, 20*clock.Second)
+		firstTerm.scheduler.ObserveBoot(firstTerm.controller.machineTypes.list[0].Name, 20*clock.Second)
 	}
 
 	nextController := newTestTerm(t, names...).controller
@@ -83,7 +83,7 @@
 			t.Errorf("%s in session %d: said to hold its image %v", name, session, hasImage)
 		}
 	}
-	if boot := term.scheduler.BootTime(term.controller.machineTypes[0].Name, 50); boot < 19*clock.Second || boot > 21*clock.Second {
+	if boot := term.scheduler.BootTime(term.controller.machineTypes.list[0].Name, 50); boot < 19*clock.Second || boot > 21*clock.Second {
 		t.Errorf("machines are expected to boot in %.1f s, not as long as the last leader saw", boot.Seconds())
 	}
 	for class, want := range map[string]float64{"c": 50, "d": 100, "e": 100} {
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -26,7 +26,7 @@
 // lookUpJob has a job that may have been forgotten looked up. An answer from the state service
 // is as new as the question.
 func (controller *Controller) lookUpJob(id string, until clock.Micros, done func(jobhistory.LookupResult)) {
-	if !controller.lookups.Enqueue(id, until, done) {
+	if !controller.history.lookups.Enqueue(id, until, done) {
 		done(jobhistory.Unavailable)
 		return
 	}
@@ -35,7 +35,7 @@
 
 // sendLookups asks the state service for jobs that were forgotten, if any are wanted.
 func (controller *Controller) sendLookups(now clock.Micros) {
-	jobs := controller.lookups.NextBatch(now)
+	jobs := controller.history.lookups.NextBatch(now)
 	if len(jobs) == 0 {
 		return
 	}
@@ -49,7 +49,7 @@
 			for _, item := range read {
 				present = append(present, controller.applyLookedUpRecord(item))
 			}
-			controller.lookups.CompleteBatch(present, areOthersAbsent, err != nil)
+			controller.history.lookups.CompleteBatch(present, areOthersAbsent, err != nil)
 			controller.sendLookups(clock.Now())
 		})
 	}()
@@ -95,8 +95,8 @@
 		return id
 	}
 	record.IsArchived = isArchived
-	controller.evicted.counts.Add(record.State, -1)
-	controller.evicted.problems = slices.DeleteFunc(controller.evicted.problems, func(problem JobProblem) bool { return problem.Job == id })
+	controller.history.evicted.counts.Add(record.State, -1)
+	controller.history.evicted.problems = slices.DeleteFunc(controller.history.evicted.problems, func(problem JobProblem) bool { return problem.Job == id })
 	return id
 }
 
--- a/internal/controller/job_report.go
+++ b/internal/controller/job_report.go
@@ -45,10 +45,10 @@
 
 func (controller *Controller) replyJobReport(reply *server.Reply) {
 	now := int64(clock.WallTime())
-	evicted := controller.evicted.counts
+	evicted := controller.history.evicted.counts
 	report := JobReport{
 		Member: controller.cfg.Member, Jobs: len(controller.view.Jobs) + evicted.Done + evicted.Cancelled, Done: evicted.Done, Cancelled: evicted.Cancelled,
-		Problems: append([]JobProblem{}, controller.evicted.problems...),
+		Problems: append([]JobProblem{}, controller.history.evicted.problems...),
 	}
 	for id, record := range controller.view.Jobs {
 		switch record.EffectiveState() {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -16,7 +16,7 @@
 
 // IsLeader tells whether this process answers workers as leader; it may be called on
 // any goroutine.
-func (controller *Controller) IsLeader() bool { return controller.isActiveLeader.Load() }
+func (controller *Controller) IsLeader() bool { return controller.process.isActiveLeader.Load() }
 
 // applyRateShares splits the outside services' rates: the leader gets half, the
 // others share the rest.
@@ -28,7 +28,7 @@
 		controller.cloud.SetRateShare(1)
 	case controller.elector.Phase() == election.Leader:
 		controller.store.SetRateShare(minLeaderShare)
-		controller.rateShares.share = minLeaderShare
+		controller.storeUse.shares.share = minLeaderShare
 		controller.cloud.SetRateShare(0.8)
 	default:
 		controller.store.SetRateShare((1 - minLeaderShare) / others)
@@ -88,7 +88,7 @@
 func (controller *Controller) leaderTTL() clock.Micros { return controller.elector.TTL() }
 
 func (controller *Controller) acquireLock(lease uint64) {
-	value, err := records.Lock{Member: controller.cfg.Member, Lease: lease, NeedsStandbyRecord: controller.replica != nil}.MarshalJSON()
+	value, err := records.Lock{Member: controller.cfg.Member, Lease: lease, NeedsStandbyRecord: controller.failover.replica != nil}.MarshalJSON()
 	if err != nil {
 		return
 	}
@@ -118,11 +118,11 @@
 
 // startFailoverIfElected begins the take-over once the lock is ours.
 func (controller *Controller) startFailoverIfElected() {
-	if controller.elector.Phase() != election.Leader || controller.term != nil || controller.isRebuilding {
+	if controller.elector.Phase() != election.Leader || controller.term != nil || controller.failover.isRebuilding {
 		return
 	}
-	controller.isRebuilding = true
-	controller.lastFailover = failoverTimes{leaderHeartbeatAt: controller.leaderHeartbeatAt, lockWonAt: clock.Now(), token: controller.elector.Token()}
+	controller.failover.isRebuilding = true
+	controller.failover.last = failoverTimes{leaderHeartbeatAt: controller.failover.leaderHeartbeatAt, lockWonAt: clock.Now(), token: controller.elector.Token()}
 	controller.applyRateShares()
 	controller.log.Info("lock won", "token", controller.elector.Token(), "lease", controller.elector.LeaseID())
 	controller.rebuildTerm()
@@ -135,24 +135,24 @@
 	controller.view.RequestSync(func(err error) {
 		switch {
 		case controller.elector.Token() != token:
-			controller.isRebuilding = false
+			controller.failover.isRebuilding = false
 			controller.startFailoverIfElected()
-		case err != nil || controller.view.Revision < token || len(controller.machineTypes) == 0:
+		case err != nil || controller.view.Revision < token || len(controller.machineTypes.list) == 0:
 			// Types come from the state service or the cloud; try again soon.
 			time.AfterFunc(100*time.Millisecond, func() {
 				controller.postResult(func() {
-					if controller.elector.Token() == token && controller.isRebuilding {
+					if controller.elector.Token() == token && controller.failover.isRebuilding {
 						controller.rebuildTerm()
 					} else {
-						controller.isRebuilding = false
+						controller.failover.isRebuilding = false
 						controller.startFailoverIfElected()
 					}
 				})
 			})
 		default:
-			controller.isRebuilding = false
+			controller.failover.isRebuilding = false
 			controller.term = newLeaderTerm(controller, token, requestedAt)
-			controller.nextHeartbeatAt = 0
+			controller.members.nextHeartbeatAt = 0
 		}
 	}, clock.Now()+2*clock.Second)
 }
@@ -162,12 +162,12 @@
 		return
 	}
 	controller.log.Info("lead given up", "why", reason, "token", controller.term.token)
-	controller.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.renewals.cancellationsKnownAt)
+	controller.delegation.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.renewals.cancellationsKnownAt)
 	controller.term.close()
 	controller.term = nil
-	controller.isRebuilding = false
+	controller.failover.isRebuilding = false
 	controller.applyRateShares()
-	controller.nextHeartbeatAt = 0
+	controller.members.nextHeartbeatAt = 0
 }
 
 // handleFenced takes the news that the lock is not ours any more.
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -59,7 +59,7 @@
 func (term *leaderTerm) handOverIfCutOff(fleet reachability, now clock.Micros) bool {
 	var othersWorkers uint32
 	hasCandidate := false // another controller could lead
-	for _, received := range term.controller.peerHeartbeats {
+	for _, received := range term.controller.members.heartbeats {
 		if now-received.receivedAt < 2*clock.Second && received.heartbeat.IsStoreReachable {
 			othersWorkers = max(othersWorkers, received.heartbeat.WorkerCount)
 			hasCandidate = true
@@ -79,7 +79,7 @@
 	if now-term.liveness.resumedAt < term.controller.suspectTimeout() {
 		return false
 	}
-	for _, contact := range term.controller.workerContacts {
+	for _, contact := range term.controller.workers.reports {
 		if now-contact.reportedAt < workerContactTTL {
 			othersWorkers = max(othersWorkers, contact.workers)
 		}
@@ -102,7 +102,7 @@
 // only while no withdrawn job is taking long to go. So what a withdrawal leaves
 // behind in a zone that is cut off ends in time; see delegation.Config.
 func (term *leaderTerm) acknowledgeTimestamps(now clock.Micros, then func()) {
-	stamps := maps.Clone(term.controller.peerTimestamps)
+	stamps := maps.Clone(term.controller.members.timestamps)
 	term.controller.view.RequestSync(func(err error) {
 		defer then()
 		if err != nil || term.isClosed {
@@ -113,7 +113,7 @@
 			return
 		}
 		for _, job := range term.tracker.Jobs {
-			if job.Cancelled && !term.tracker.IsVacated(job) && clock.Now()-job.CancelledAt > term.controller.delegationTimes.CancellationGrace {
+			if job.Cancelled && !term.tracker.IsVacated(job) && clock.Now()-job.CancelledAt > term.controller.delegation.times.CancellationGrace {
 				return
 			}
 		}
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -9,20 +9,20 @@
 // again now and then.
 func (controller *Controller) fetchMachineTypes(now clock.Micros) {
 	wait := 2 * clock.Second
-	if len(controller.machineTypes) > 0 {
+	if len(controller.machineTypes.list) > 0 {
 		if controller.term == nil {
 			return
 		}
 		wait = 60 * clock.Second
 	}
-	if controller.isFetchingTypes || controller.typesRequestedAt != 0 && now-controller.typesRequestedAt < wait {
+	if controller.machineTypes.isFetching || controller.machineTypes.requestedAt != 0 && now-controller.machineTypes.requestedAt < wait {
 		return
 	}
-	controller.isFetchingTypes, controller.typesRequestedAt = true, now
+	controller.machineTypes.isFetching, controller.machineTypes.requestedAt = true, now
 	go func() {
 		types, err := controller.cloud.MachineTypes()
 		controller.postResult(func() {
-			controller.isFetchingTypes = false
+			controller.machineTypes.isFetching = false
 			if err != nil {
 				controller.log.Debug("machine types not learnt", "error", err)
 				return
@@ -36,7 +36,7 @@
 }
 
 func (controller *Controller) setMachineTypes(types []wire.MachineType) {
-	controller.machineTypes = types
+	controller.machineTypes.list = types
 	if controller.term != nil {
 		controller.term.scheduler.SetMachineTypes(types)
 	}
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -19,15 +19,15 @@
 // service every node is refused, and leaving then would only cost time after
 // it; a node that alone is refused leaves.
 func (controller *Controller) updateAvailability(now clock.Micros) {
-	unavailable := !controller.view.IsLoaded || len(controller.machineTypes) == 0
+	unavailable := !controller.view.IsLoaded || len(controller.machineTypes.list) == 0
 	if !unavailable && controller.store.LastFailureAt() > controller.store.LastSuccessAt() && now-controller.store.LastSuccessAt() > clock.Second {
-		for _, received := range controller.peerHeartbeats {
+		for _, received := range controller.members.heartbeats {
 			if now-received.receivedAt < 2*clock.Second && received.heartbeat.IsStoreReachable {
 				unavailable = true
 			}
 		}
 	}
-	controller.isUnavailable.Store(unavailable)
+	controller.process.isUnavailable.Store(unavailable)
 }
 
 // receivedHeartbeat is the last beat of another controller.
@@ -46,27 +46,27 @@
 		return
 	}
 	now := clock.Now()
-	last := controller.peerHeartbeats[heartbeat.Member]
+	last := controller.members.heartbeats[heartbeat.Member]
 	if isBack := last == nil || last.heartbeat.Incarnation != heartbeat.Incarnation || now-last.receivedAt >= memberTimeout; isBack && controller.term != nil {
 		controller.term.resendHints(now)
 	}
-	controller.peerHeartbeats[heartbeat.Member] = &receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
+	controller.members.heartbeats[heartbeat.Member] = &receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
 	controller.applyCancellations(heartbeat.Cancellations)
-	if known := controller.peerTimestamps[heartbeat.Member]; heartbeat.Incarnation > known.Incarnation || heartbeat.Incarnation == known.Incarnation && heartbeat.Timestamp > known.At {
-		controller.peerTimestamps[heartbeat.Member] = delegation.Timestamp{Incarnation: heartbeat.Incarnation, At: heartbeat.Timestamp}
+	if known := controller.members.timestamps[heartbeat.Member]; heartbeat.Incarnation > known.Incarnation || heartbeat.Incarnation == known.Incarnation && heartbeat.Timestamp > known.At {
+		controller.members.timestamps[heartbeat.Member] = delegation.Timestamp{Incarnation: heartbeat.Incarnation, At: heartbeat.Timestamp}
 	}
 	acknowledgement := delegation.Timestamp{Incarnation: heartbeat.AckIncarnation, At: heartbeat.AckTimestamp}
 	if heartbeat.Leader == heartbeat.Member && controller.term == nil {
-		controller.leaderHeartbeatAt = now
+		controller.failover.leaderHeartbeatAt = now
 		controller.storeHints(heartbeat, now)
-		controller.delegate.RecordLeaderHeartbeat(now, heartbeat.Token, acknowledgement)
+		controller.delegation.delegate.RecordLeaderHeartbeat(now, heartbeat.Token, acknowledgement)
 	}
-	if controller.term != nil && controller.delegate.IsOwnStamp(acknowledgement) {
+	if controller.term != nil && controller.delegation.delegate.IsOwnStamp(acknowledgement) {
 		controller.term.renewals.grants.RecordReceipt(heartbeat.Member, now, acknowledgement.At, heartbeat.SilentFor)
 	}
 	if heartbeat.Leader == heartbeat.Member && controller.elector.Phase() != election.Leader {
 		if _, token := controller.elector.LockHolder(); heartbeat.Token >= token {
-			controller.progressCounts.update(heartbeat, now, controller.hasJobEnded)
+			controller.users.progressCounts.update(heartbeat, now, controller.hasJobEnded)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 // knownLeader is who workers are sent to, as far as is known.
 func (controller *Controller) knownLeader() string {
 	holder, token := controller.elector.LockHolder()
-	for member, received := range controller.peerHeartbeats {
+	for member, received := range controller.members.heartbeats {
 		if received.heartbeat.Leader == member && received.heartbeat.Token > token && clock.Now()-received.receivedAt < 2*clock.Second {
 			holder, token = member, received.heartbeat.Token
 		}
@@ -92,13 +92,13 @@
 
 // tickHeartbeat tells the other controllers how things are.
 func (controller *Controller) tickHeartbeat(now clock.Micros) {
-	if now < controller.nextHeartbeatAt {
+	if now < controller.members.nextHeartbeatAt {
 		return
 	}
-	controller.nextHeartbeatAt = now + heartbeatInterval
-	if drops := controller.store.MalformedResponses.Load(); drops > controller.reportedDrops {
+	controller.members.nextHeartbeatAt = now + heartbeatInterval
+	if drops := controller.store.MalformedResponses.Load(); drops > controller.storeUse.reportedDrops {
 		controller.logDropped("answers of the state service were dropped")
-		controller.reportedDrops = drops
+		controller.storeUse.reportedDrops = drops
 	}
 	controller.updateAvailability(now)
 	if controller.term == nil || controller.store.IsFailing(now) {
@@ -117,33 +117,33 @@
 		IsStoreReachable:       controller.store.LastSuccessAt() > controller.store.LastFailureAt() && now-controller.store.LastSuccessAt() < 12*clock.Second,
 	}
 	heartbeat.Leader, heartbeat.Token = controller.elector.LockHolder()
-	for name, lastAt := range controller.workerContactAt {
+	for name, lastAt := range controller.workers.contactAt {
 		if now-lastAt > controller.suspectTimeout() {
-			delete(controller.workerContactAt, name)
+			delete(controller.workers.contactAt, name)
 		}
 	}
-	for name, lastAt := range controller.delegatedReplyAt {
+	for name, lastAt := range controller.delegation.repliedAt {
 		if now-lastAt > clock.FromSeconds(controller.cfg.Deployment.Workers.LeaseSeconds) {
-			delete(controller.delegatedReplyAt, name)
+			delete(controller.delegation.repliedAt, name)
 		}
 	}
-	heartbeat.WorkerCount = uint32(len(controller.workerContactAt))
+	heartbeat.WorkerCount = uint32(len(controller.workers.contactAt))
 	controller.reportWorkerContact(now)
 	if controller.term != nil {
 		heartbeat.Leader, heartbeat.Token = controller.cfg.Member, controller.term.tracker.IssuedToken()
 		controller.term.addProgressCounts(heartbeat)
 		controller.term.addHints(heartbeat)
 	}
-	timestamp := controller.delegate.Timestamp(now)
-	heartbeat.Incarnation, heartbeat.Timestamp, heartbeat.SilentFor = timestamp.Incarnation, timestamp.At, controller.delegate.SilentFor(now)
+	timestamp := controller.delegation.delegate.Timestamp(now)
+	heartbeat.Incarnation, heartbeat.Timestamp, heartbeat.SilentFor = timestamp.Incarnation, timestamp.At, controller.delegation.delegate.SilentFor(now)
 	heartbeat.StoreRevision = controller.view.Revision
-	for i, link := range controller.links {
-		acknowledgement := controller.peerTimestamps[controller.cfg.Peers[i].Member]
+	for i, link := range controller.members.links {
+		acknowledgement := controller.members.timestamps[controller.cfg.Peers[i].Member]
 		if controller.term != nil {
 			acknowledgement = controller.term.renewals.acknowledgements[controller.cfg.Peers[i].Member]
 		}
 		heartbeat.AckIncarnation, heartbeat.AckTimestamp = acknowledgement.Incarnation, acknowledgement.At
-		heartbeat.Cancellations = controller.cancellations.unknownTo(controller.peerRevision(controller.cfg.Peers[i].Member), now)
+		heartbeat.Cancellations = controller.members.cancellations.unknownTo(controller.peerRevision(controller.cfg.Peers[i].Member), now)
 		link.SendHeartbeat(peer.Encode(heartbeat))
 	}
 }
--- a/internal/controller/persistence.go
+++ b/internal/controller/persistence.go
@@ -75,7 +75,7 @@
 // saveMachineTypes keeps the machine types where nodes find them that start while the
 // cloud's interface is down.
 func (term *leaderTerm) saveMachineTypes() {
-	value, err := wire.MachineTypeList{Types: term.controller.machineTypes}.MarshalJSON()
+	value, err := wire.MachineTypeList{Types: term.controller.machineTypes.list}.MarshalJSON()
 	if err != nil || len(value) > int(term.controller.cfg.Deployment.Store.Effective().MaxValueKB*1024) {
 		term.controller.log.Info("machine types are too large for the state service; controllers learn them from the cloud alone", "bytes", len(value))
 		return
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -40,7 +40,7 @@
 func (term *leaderTerm) sendProbes(now clock.Micros) {
 	machines := term.tracker.SortedMachines()
 	for _, machine := range machines {
-		if term.probing.inFlight >= term.controller.maxRequestsInFlight {
+		if term.probing.inFlight >= term.controller.workerRequests.maxInFlight {
 			return
 		}
 		if machineInfo := term.machines[machine.Name]; term.canProbe(machine, machineInfo) && term.needsProbe(machine, machineInfo, now) {
@@ -48,7 +48,7 @@
 		}
 	}
 	for range machines {
-		if term.probing.inFlight >= term.controller.maxRequestsInFlight {
+		if term.probing.inFlight >= term.controller.workerRequests.maxInFlight {
 			return
 		}
 		term.probing.nextMachineIndex %= len(machines)
@@ -80,7 +80,7 @@
 	term.probing.inFlight++
 	machineInfo.probes.isInFlight, machineInfo.probes.sentAt = true, now
 	if machineInfo.host == nil {
-		machineInfo.host = term.controller.workerPool.NewHost(machine.Address, 1, 4*wire.MaxBodyBytes)
+		machineInfo.host = term.controller.workerRequests.pool.NewHost(machine.Address, 1, 4*wire.MaxBodyBytes)
 	}
 	host := machineInfo.host
 	go func() {
--- a/internal/controller/rate_share.go
+++ b/internal/controller/rate_share.go
@@ -42,11 +42,11 @@
 
 // adjustRateShare lets the leader use what the others leave of the rate of changes.
 func (controller *Controller) adjustRateShare(now clock.Micros) {
-	if now-controller.rateShares.adjustedAt < shareInterval || len(controller.cfg.Peers) == 0 {
+	if now-controller.storeUse.shares.adjustedAt < shareInterval || len(controller.cfg.Peers) == 0 {
 		return
 	}
-	before := controller.rateShares.share
-	share := controller.rateShares.adjust(now, controller.store.ChangesWritten(), controller.store.BacklogDuration(), controller.cfg.Deployment.Store.Effective().WriteRPS)
+	before := controller.storeUse.shares.share
+	share := controller.storeUse.shares.adjust(now, controller.store.ChangesWritten(), controller.store.BacklogDuration(), controller.cfg.Deployment.Store.Effective().WriteRPS)
 	if share != before {
 		controller.store.SetWriteRateShare(share)
 	}
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -46,7 +46,7 @@
 
 // StandbyVersion is what this member tells others of the messages that it takes.
 func (controller *Controller) standbyVersion() uint8 {
-	if controller.replica == nil {
+	if controller.failover.replica == nil {
 		return 0
 	}
 	return peer.StandbyProtocolVersion
@@ -54,8 +54,8 @@
 
 // applyStandbyRecord takes a newer record of in-sync members from the view.
 func (controller *Controller) applyStandbyRecord(record standby.InSyncRecord, version uint64) {
-	if controller.replica != nil {
-		controller.replica.PruneEarlier(record.Token)
+	if controller.failover.replica != nil {
+		controller.failover.replica.PruneEarlier(record.Token)
 	}
 	if controller.term != nil && controller.term.standby != nil {
 		controller.term.standby.membership.ObserveRecord(record, version)
@@ -66,7 +66,7 @@
 // with what this member's replica of the last leader's account proves.
 func (term *leaderTerm) setUpStandby(allocationConfig *allocation.Config) {
 	controller := term.controller
-	if controller.replica == nil {
+	if controller.failover.replica == nil {
 		return
 	}
 	var others []string
@@ -84,13 +84,13 @@
 // trustedReplica is this member's copy of the last leader's account that sent starts, if
 // it may be believed.
 func (controller *Controller) trustedReplica() (*standby.Table, bool) {
-	return controller.replica.TrustedTable(controller.view.Standby, &controller.view.Terms, controller.cfg.Member)
+	return controller.failover.replica.TrustedTable(controller.view.Standby, &controller.view.Terms, controller.cfg.Member)
 }
 
 // handleStandbyMessage takes a message of the leader's stream, or a follower's answer to one.
 func (controller *Controller) handleStandbyMessage(heartbeat *peer.Heartbeat) {
 	switch {
-	case controller.replica == nil:
+	case controller.failover.replica == nil:
 	case heartbeat.StandbyPosition != nil && controller.term != nil && controller.term.standby != nil:
 		controller.term.standby.publisher.RecordPosition(heartbeat.Member, *heartbeat.StandbyPosition)
 		controller.term.tracker.RetryUnreplicatedStarts()
@@ -102,18 +102,18 @@
 // isLeading tells whether this member holds the lock: a replica that still followed the
 // leader before would answer for what this member has already judged.
 func (controller *Controller) isLeading() bool {
-	return controller.term != nil || controller.isRebuilding
+	return controller.term != nil || controller.failover.isRebuilding
 }
 
 func (controller *Controller) applyStreamMessage(from string, message *standby.Message) {
-	before := controller.replica.DropCounts()
+	before := controller.failover.replica.DropCounts()
 	var position standby.Position
 	if controller.isForeignToken(message.Token) {
-		position = controller.replica.RejectForeignMessage()
+		position = controller.failover.replica.RejectForeignMessage()
 	} else {
-		position = controller.replica.ApplyMessage(message)
+		position = controller.failover.replica.ApplyMessage(message)
 	}
-	if after := controller.replica.DropCounts(); after != before {
+	if after := controller.failover.replica.DropCounts(); after != before {
 		controller.logDropped("a message of the leader's stream was not taken", "from", from, "token", message.Token,
 			"older", after.Stale, "gaps", after.OutOfOrder, "malformed", after.Malformed, "foreign", after.ForeignToken, "differing", after.DigestMismatch)
 	}
@@ -128,13 +128,13 @@
 
 // sendStreamMessage sends a message of a stream to a member that takes such.
 func (controller *Controller) sendStreamMessage(member string, heartbeat *peer.Heartbeat) {
-	received := controller.peerHeartbeats[member]
+	received := controller.members.heartbeats[member]
 	if received == nil || received.heartbeat.StandbyProtocolVersion == 0 {
 		return
 	}
 	for i, other := range controller.cfg.Peers {
 		if other.Member == member {
-			controller.links[i].SendStandby(peer.Encode(heartbeat))
+			controller.members.links[i].SendStandby(peer.Encode(heartbeat))
 		}
 	}
 }
--- a/internal/controller/standby_preference.go
+++ b/internal/controller/standby_preference.go
@@ -16,7 +16,7 @@
 // hasBetterCandidate tells whether another member that is up has a replica that the last leader
 // vouched for, and this one has not. It is a preference: after yieldDelay this one tries.
 func (controller *Controller) hasBetterCandidate(now clock.Micros) bool {
-	if controller.replica == nil || !controller.view.Terms.IsRecordFirstSince(controller.view.Standby.Token) {
+	if controller.failover.replica == nil || !controller.view.Terms.IsRecordFirstSince(controller.view.Standby.Token) {
 		return false
 	}
 	if _, ok := controller.trustedReplica(); ok {
@@ -29,9 +29,9 @@
 // begun its own has not had the time to hear anybody: once such a member, a moment after its
 // crash, was quicker than the one that stood by.
 func (controller *Controller) mayBeUp(member standby.Member, now clock.Micros) bool {
-	received := controller.peerHeartbeats[member.Name]
+	received := controller.members.heartbeats[member.Name]
 	if received == nil {
-		return now-controller.startedAt < 2*heartbeatInterval
+		return now-controller.failover.processStartedAt < 2*heartbeatInterval
 	}
 	return received.heartbeat.Incarnation == member.Incarnation && now-received.receivedAt < 2*heartbeatInterval
 }
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -97,7 +97,7 @@
 
 // recordFirstDecision notes when a new leader first places a task.
 func (term *leaderTerm) recordFirstDecision(now clock.Micros) {
-	times := &term.controller.lastFailover
+	times := &term.controller.failover.last
 	if times.firstDecisionAt != 0 || !term.tracker.HasIssuedAttempt() {
 		return
 	}
@@ -105,15 +105,15 @@
 	status := times.status()
 	term.controller.log.Info("first decision after a take-over", "token", times.token, "lock_ms", status.LockMs, "rebuild_ms", status.RebuildMs,
 		"first_decision_ms", status.FirstDecisionMs, "replica_used", times.isReplicaUsed, "in_doubt", times.unconfirmed)
-	term.controller.tracer.RecordFailover(times.token, times.spans())
+	term.controller.failover.tracer.RecordFailover(times.token, times.spans())
 }
 
 // traceObservedFailover writes what a follower saw of a take-over: for how long nobody was heard.
 func (controller *Controller) traceObservedFailover(token uint64) {
-	if controller.leaderHeartbeatAt == 0 || controller.isLeading() || controller.elector.Token() == token {
+	if controller.failover.leaderHeartbeatAt == 0 || controller.isLeading() || controller.elector.Token() == token {
 		return
 	}
-	controller.tracer.RecordFailover(token, []tracing.Span{{Name: "no leader heard", StartedAt: controller.leaderHeartbeatAt, EndedAt: clock.Now()}})
+	controller.failover.tracer.RecordFailover(token, []tracing.Span{{Name: "no leader heard", StartedAt: controller.failover.leaderHeartbeatAt, EndedAt: clock.Now()}})
 }
 
 // SendStandbyStatus implements server.App.
@@ -123,17 +123,17 @@
 
 func (controller *Controller) replyStandbyStatus(reply *server.Reply) {
 	now := clock.Now()
-	status := StandbyStatus{Member: controller.cfg.Member, Leader: controller.knownLeader(), Enabled: controller.replica != nil, Failover: controller.lastFailover.status()}
+	status := StandbyStatus{Member: controller.cfg.Member, Leader: controller.knownLeader(), Enabled: controller.failover.replica != nil, Failover: controller.failover.last.status()}
 	switch {
-	case controller.replica == nil:
+	case controller.failover.replica == nil:
 	case controller.term != nil:
 		status.Leader = controller.cfg.Member
 		status.Followers = controller.term.followerStatuses(now)
 	default:
-		position, account := controller.replica.Position(), controller.replica.Table()
+		position, account := controller.failover.replica.Position(), controller.failover.replica.Table()
 		status.Replica = &ReplicaStatus{
 			Token: position.Token, IsComplete: position.IsComplete, Decisions: position.Sequence, Placements: account.Len(), Unconfirmed: account.UnconfirmedCount(),
-			Digest: fmt.Sprintf("%016x", account.Digest()), Dropped: controller.replica.DropCounts(),
+			Digest: fmt.Sprintf("%016x", account.Digest()), Dropped: controller.failover.replica.DropCounts(),
 		}
 	}
 	body, err := json.Marshal(status)
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -219,9 +219,9 @@
 		IdleTimeout: clock.FromSeconds(tuning.IdleWaitS), RelaxedIdleTimeout: clock.FromSeconds(tuning.LaxIdleWaitS),
 		SpotWaitTimeout: clock.FromSeconds(tuning.SpotPatienceS), AgingThreshold: clock.FromSeconds(tuning.AgeAfterS),
 		GangWaitWeight: tuning.GangWeight,
-	}, controller.machineTypes, controller.teams, deployment.Zones)
+	}, controller.machineTypes.list, controller.teams, deployment.Zones)
 	term.scheduler.HeartbeatWindow, term.scheduler.TermStartedAt = term.heartbeatWindow(), now
-	if controller.delegationTimes.GrantTTL > 0 {
+	if controller.delegation.times.GrantTTL > 0 {
 		term.scheduler.DelegatedZones = map[string]bool{controller.cfg.Location: true}
 		for _, other := range controller.cfg.Peers {
 			term.scheduler.DelegatedZones[other.Location] = true
@@ -243,7 +243,7 @@
 	for _, other := range controller.cfg.Peers {
 		others = append(others, other.Member)
 	}
-	term.renewals.grants, term.renewals.acknowledgements = delegation.NewGrants(controller.delegationTimes, now, controller.delegate.SilentFor(now), others), map[string]delegation.Timestamp{}
+	term.renewals.grants, term.renewals.acknowledgements = delegation.NewGrants(controller.delegation.times, now, controller.delegation.delegate.SilentFor(now), others), map[string]delegation.Timestamp{}
 	term.renewals.constraints, term.renewals.liftingZones = delegation.NewConstraintTracker(controller.view.Constraints, controller.view.ConstraintsVersion), map[string]bool{}
 
 	wall := clock.WallTime()
@@ -281,7 +281,7 @@
 	term.tracker.FinishRecovery()
 	term.restoreHints(now)
 	term.cleanup.impliedCancellations = cancelled
-	failover := &controller.lastFailover
+	failover := &controller.failover.last
 	failover.rebuiltAt, failover.isReplicaUsed, failover.unconfirmed = clock.Now(), allocationConfig.MayHaveStarted != nil, term.unconfirmedCount()
 	controller.log.Info("account rebuilt", "token", token, "jobs", len(term.tracker.Jobs), "machines", len(term.tracker.Machines), "accounted", term.tracker.IsReconciled(),
 		"in_doubt", failover.unconfirmed, "replica_used", failover.isReplicaUsed)
@@ -292,7 +292,7 @@
 	term.isClosed = true
 	term.entitlement.actDeadline.Store(0)
 	term.entitlement.startDeadline.Store(0)
-	term.controller.unconfirmedConstraints = term.renewals.constraints.ConstrainedZones()
+	term.controller.delegation.unconfirmedConstraints = term.renewals.constraints.ConstrainedZones()
 	for _, deferred := range term.renewals.deferredHeartbeats {
 		replyUnavailable(deferred.reply, "the lead is over")
 	}
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -53,7 +53,7 @@
 	deployment.Cloud = config.Cloud{RPS: 10, ListLagSeconds: 1}
 	deployment.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 1000}
 	controller := New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
-	controller.machineTypes = []wire.MachineType{{Name: "big", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: deployment.Zones}}
+	controller.machineTypes.list = []wire.MachineType{{Name: "big", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: deployment.Zones}}
 	controller.view.ScaleOuts["h"] = &storeview.ScaleOut{ScaleOut: records.ScaleOut{Type: "big", Zone: "x", Count: len(machines), RequestedAt: int64(clock.WallTime() - 300*clock.Second), IsResolved: true, Machines: machines}}
 	return newLeaderTerm(controller, 9, clock.Now())
 }
@@ -92,11 +92,11 @@
 	controller.term, controller.view.IsLoaded = nil, true
 	now, back := 100*clock.Second, 5*clock.Second
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", FencingToken: 5}
-	controller.delegate = delegation.NewDelegate(controller.delegationTimes, 1, now-60*clock.Second)
+	controller.delegation.delegate = delegation.NewDelegate(controller.delegation.times, 1, now-60*clock.Second)
 	if repliesToEither(controller, heartbeat, now) {
 		t.Fatal("answers as delegate without a right")
 	}
-	controller.delegate.RecordLeaderHeartbeat(now-back, 5, controller.delegate.Timestamp(now-back))
+	controller.delegation.delegate.RecordLeaderHeartbeat(now-back, 5, controller.delegation.delegate.Timestamp(now-back))
 	for i, want := range []bool{true, false, true, false} {
 		if got := controller.replyAsDelegate(heartbeat, &server.Reply{}, now); got != want {
 			t.Fatalf("report %d: answered as delegate %v", i, got)
@@ -105,7 +105,7 @@
 	if controller.replyAsDelegate(&wire.Heartbeat{MachineID: "i-1", FencingToken: 6}, &server.Reply{}, now) {
 		t.Fatal("answers as delegate against a newer leader")
 	}
-	controller.delegate.RecordLeaderHeartbeat(now, 5, controller.delegate.Timestamp(now))
+	controller.delegation.delegate.RecordLeaderHeartbeat(now, 5, controller.delegation.delegate.Timestamp(now))
 	if repliesToEither(controller, heartbeat, now) {
 		t.Fatal("holds a worker while the leader is heard")
 	}
@@ -122,11 +122,11 @@
 	for _, machine := range term.tracker.Machines {
 		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Address: "127.0.0.1:1", Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
 	}
-	controller.tickedAt = now
+	controller.process.tickedAt = now
 	now += 20 * clock.Second // less than a lease
 	one := term.tracker.Machines["i-1"]
 	one.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
-	controller.peerHeartbeats["b"] = &receivedHeartbeat{heartbeat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, receivedAt: now}
+	controller.members.heartbeats["b"] = &receivedHeartbeat{heartbeat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, receivedAt: now}
 	term.recordResume(now)
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 0 || len(term.renewals.constraints.ConstrainedZones()) != 0 || term.isClosed {
--- a/internal/controller/token.go
+++ b/internal/controller/token.go
@@ -30,6 +30,6 @@
 		// Those who are delegates hear of it first: they could not answer a worker that
 		// has seen a higher token than they know.
 		term.tokenIssue.raiseAt = term.tokenIssue.issuedAt + 2*heartbeatInterval
-		term.controller.nextHeartbeatAt = 0
+		term.controller.members.nextHeartbeatAt = 0
 	})
 }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -67,7 +67,7 @@
 		return "unknown team"
 	}
 	need := allocation.NewResources(job.CPUs, job.GPUs, job.MemoryGB)
-	fits := slices.ContainsFunc(controller.machineTypes, func(machineType wire.MachineType) bool {
+	fits := slices.ContainsFunc(controller.machineTypes.list, func(machineType wire.MachineType) bool {
 		return (job.MachineTypes == nil || slices.Contains(job.MachineTypes, machineType.Name)) &&
 			(job.Zone == "" || slices.Contains(machineType.Zones, job.Zone)) &&
 			need.IsWithin(allocation.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB))
@@ -91,7 +91,7 @@
 		controller.showJob(job.ID, reply)
 		return
 	}
-	if !controller.view.IsLoaded || len(controller.machineTypes) == 0 {
+	if !controller.view.IsLoaded || len(controller.machineTypes.list) == 0 {
 		replyUnavailable(reply, "not ready")
 		return
 	}
@@ -119,8 +119,8 @@
 		controller.rejectAfterSync(job, reply, func() string { return controller.invalidDependencyReason(job) }, func() { controller.submitJob(job, reply) })
 		return
 	}
-	if replies, ok := controller.pendingSubmissions[job.ID]; ok {
-		controller.pendingSubmissions[job.ID] = append(replies, reply)
+	if replies, ok := controller.users.pendingSubmissions[job.ID]; ok {
+		controller.users.pendingSubmissions[job.ID] = append(replies, reply)
 		return
 	}
 	record := &storeview.Job{Job: records.Job{Spec: job, SubmittedAt: int64(clock.WallTime())}}
@@ -132,7 +132,7 @@
 	if controller.replyIfStoreFailing(reply) {
 		return
 	}
-	controller.pendingSubmissions[job.ID] = []*server.Reply{reply}
+	controller.users.pendingSubmissions[job.ID] = []*server.Reply{reply}
 	write := &kvstore.Write{
 		Conditions: []wire.Condition{{Key: records.JobKey(job.ID)}, {Key: records.ArchiveKey(job.ID)}},
 		Changes:    changes,
@@ -142,15 +142,15 @@
 		controller.postResult(func() { controller.handleSubmissionResult(job, record, outcome, revision) })
 	}
 	if !controller.store.Commit(write) {
-		delete(controller.pendingSubmissions, job.ID)
+		delete(controller.users.pendingSubmissions, job.ID)
 		controller.replyRateLimited(reply)
 	}
 }
 
 func (controller *Controller) handleSubmissionResult(job *wire.Job, record *storeview.Job, outcome kvstore.Outcome, revision uint64) {
 	id := job.ID
-	replies := controller.pendingSubmissions[id]
-	delete(controller.pendingSubmissions, id)
+	replies := controller.users.pendingSubmissions[id]
+	delete(controller.users.pendingSubmissions, id)
 	if outcome == kvstore.Committed && controller.view.Jobs[id] == nil {
 		// The watch will bring it; a leader need not wait for that.
 		record.Version = revision
@@ -199,7 +199,7 @@
 		if job := controller.term.tracker.Jobs[id]; job != nil {
 			done, running = job.DoneCount(), job.StartedCount
 		}
-	} else if count, ok := controller.progressCounts.countOf(id); ok {
+	} else if count, ok := controller.users.progressCounts.countOf(id); ok {
 		done, running = int(count.Done), int(count.Running)
 	}
 	status := wire.JobStatus{ID: id, State: wire.JobPending, DoneTasks: &done, RunningTasks: &running}
@@ -221,7 +221,7 @@
 func (controller *Controller) showJob(id string, reply *server.Reply) {
 	if record := controller.view.Jobs[id]; record != nil && record.HasEnded() {
 		if record.IsFinished() {
-			controller.finishedJobs.Touch(id)
+			controller.history.finished.Touch(id)
 		}
 		reply.Send(200, controller.encodeJobStatus(id, record), 0) // final, so it cannot be overtaken
 		return
@@ -334,4 +334,4 @@
 
 // IsHealthy implements server.App; it is called on the event loop and reads only
 // what is safe to read there.
-func (controller *Controller) IsHealthy() bool { return !controller.isUnavailable.Load() }
+func (controller *Controller) IsHealthy() bool { return !controller.process.isUnavailable.Load() }
--- a/internal/controller/view_observer.go
+++ b/internal/controller/view_observer.go
@@ -18,12 +18,12 @@
 func (observer viewObserver) JobChanged(id string, job *storeview.Job) {
 	controller := observer.controller
 	if job.HasEnded() {
-		controller.progressCounts.remove(id)
+		controller.users.progressCounts.remove(id)
 	}
 	if job.IsFinished() {
-		controller.finishedJobs.Touch(id)
+		controller.history.finished.Touch(id)
 	}
-	controller.cancellations.add(id, job, clock.Now(), clock.WallTime())
+	controller.members.cancellations.add(id, job, clock.Now(), clock.WallTime())
 	job.IsCancelledByDependency = job.State == "" && controller.dependencyGraph.IsCancelled(id)
 	controller.updateDependencyGraph(id, job)
 	if controller.term != nil {
@@ -39,7 +39,7 @@
 // MachineTypesRead implements storeview.Observer. The cloud's own answer is newer than what is
 // stored.
 func (observer viewObserver) MachineTypesRead(types []wire.MachineType) {
-	if len(observer.controller.machineTypes) == 0 {
+	if len(observer.controller.machineTypes.list) == 0 {
 		observer.controller.setMachineTypes(types)
 	}
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -43,7 +43,7 @@
 	}
 	controller.watches.isLoading = true
 	go func() {
-		filter := storeview.NewLoadFilter(controller.finishedCapacity)
+		filter := storeview.NewLoadFilter(controller.history.capacity)
 		revision, err := controller.store.LoadPrefix(records.WatchedPrefix, filter.Add)
 		if err != nil {
 			controller.log.Debug("store not loaded, retrying", "error", err)
@@ -140,7 +140,7 @@
 	events, err := controller.store.Watch(records.WatchedPrefix, from, block)
 	controller.postResult(func() {
 		if err == nil {
-			controller.rateShares.observedChanges += int64(controller.view.Apply(events))
+			controller.storeUse.shares.observedChanges += int64(controller.view.Apply(events))
 			controller.observeLock()
 		} else if errors.Is(err, kvstore.ErrCompacted) {
 			controller.loadAll()
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -30,17 +30,17 @@
 // reportWorkerContact says how many workers ask here, where the leader is not heard.
 func (controller *Controller) reportWorkerContact(now clock.Micros) {
 	leader, _ := controller.elector.LockHolder()
-	if controller.term != nil || leader == "" || leader == controller.cfg.Member || len(controller.workerContactAt) < minWorkerContacts || now < controller.nextWorkerContactAt {
+	if controller.term != nil || leader == "" || leader == controller.cfg.Member || len(controller.workers.contactAt) < minWorkerContacts || now < controller.workers.nextReportAt {
 		return
 	}
-	if received := controller.peerHeartbeats[leader]; received != nil && now-received.receivedAt < memberTimeout {
+	if received := controller.members.heartbeats[leader]; received != nil && now-received.receivedAt < memberTimeout {
 		return
 	}
-	value, err := records.WorkerContact{Workers: uint32(len(controller.workerContactAt)), ReportedAt: int64(clock.WallTime())}.MarshalJSON()
+	value, err := records.WorkerContact{Workers: uint32(len(controller.workers.contactAt)), ReportedAt: int64(clock.WallTime())}.MarshalJSON()
 	if err != nil {
 		return
 	}
-	controller.nextWorkerContactAt = now + workerContactInterval
+	controller.workers.nextReportAt = now + workerContactInterval
 	// A write that is refused or late is made up for by the next.
 	controller.store.Commit(&kvstore.Write{
 		Priority: kvstore.Critical,
@@ -54,5 +54,5 @@
 func (controller *Controller) applyWorkerContact(member string, record records.WorkerContact) {
 	now := clock.Now()
 	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-controller.maxClockSkew(), 0)
-	controller.workerContacts[member] = workerContact{record.Workers, now - age}
+	controller.workers.reports[member] = workerContact{record.Workers, now - age}
 }
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -62,13 +62,13 @@
 		now := 100 * clock.Second
 		controller.elector.ObserveLock(now, election.Lock{Exists: true, Holder: "b", LeaseID: 3, Version: 9})
 		for i := range test.workers {
-			controller.workerContactAt[string(rune('a'+i))] = now
+			controller.workers.contactAt[string(rune('a'+i))] = now
 		}
 		if test.beat != 0 {
-			controller.peerHeartbeats["b"] = &receivedHeartbeat{receivedAt: now - test.beat}
+			controller.members.heartbeats["b"] = &receivedHeartbeat{receivedAt: now - test.beat}
 		}
 		controller.reportWorkerContact(now)
-		if got := controller.nextWorkerContactAt != 0; got != test.told {
+		if got := controller.workers.nextReportAt != 0; got != test.told {
 			t.Errorf("%s: told %v", test.name, got)
 		}
 	}
@@ -89,13 +89,13 @@
 		t.Fatal("not entitled")
 	}
 	term.liveness.resumedAt, term.entitlement.hasLapsed = now-75*clock.Second, true
-	controller.peerHeartbeats["b"] = &receivedHeartbeat{receivedAt: now, heartbeat: &peer.Heartbeat{IsStoreReachable: true, WorkerCount: 4}}
+	controller.members.heartbeats["b"] = &receivedHeartbeat{receivedAt: now, heartbeat: &peer.Heartbeat{IsStoreReachable: true, WorkerCount: 4}}
 	term.tick(now)
 	if term.isClosed || term.liveness.resumedAt != now || term.entitlement.hasLapsed {
 		t.Fatalf("handed over %v, awake since %d at %d", term.isClosed, term.liveness.resumedAt, now)
 	}
 	later := now + controller.suspectTimeout()
-	controller.peerHeartbeats["b"].receivedAt = later
+	controller.members.heartbeats["b"].receivedAt = later
 	if !term.handOverIfCutOff(reachability{4, 0}, later) {
 		t.Fatal("does not hand over when nobody comes back to it")
 	}
@@ -121,7 +121,7 @@
 		term.controller.term = term
 		now := 100 * clock.Second
 		term.liveness.resumedAt = now
-		term.controller.peerHeartbeats["b"] = &receivedHeartbeat{receivedAt: now - test.peer, heartbeat: &peer.Heartbeat{IsStoreReachable: test.served}}
+		term.controller.members.heartbeats["b"] = &receivedHeartbeat{receivedAt: now - test.peer, heartbeat: &peer.Heartbeat{IsStoreReachable: test.served}}
 		if term.handOverIfCutOff(test.before, now) {
 			t.Fatalf("%s: hands over at first", test.name)
 		}
