--- /dev/null
+++ b/internal/commandqueue/queue.go
@@ -0,0 +1,112 @@
+// Package commandqueue holds the commands that wait for the goroutine that owns a
+// process's state. It is bounded by priority, so that users' requests are refused before
+// workers' heartbeats are.
+package commandqueue
+
+import "sync"
+
+// Priority orders commands under overload.
+type Priority uint8
+
+// The priorities, the most urgent one first.
+const (
+	// Heartbeat is for heartbeats of workers and of other members.
+	Heartbeat Priority = iota
+	// Result is for results of this process's own calls, which decisions wait for.
+	Result
+	// User is for users' requests.
+	User
+	priorityCount
+)
+
+// String is the priority's name.
+func (priority Priority) String() string {
+	switch priority {
+	case Heartbeat:
+		return "heartbeat"
+	case Result:
+		return "result"
+	case User:
+		return "user"
+	}
+	return "unknown"
+}
+
+const (
+	// minUserCommands is how many users' requests are queued at least, with few sockets too.
+	minUserCommands = 1024
+	// heartbeatsPerMember is how many messages of another member may wait.
+	heartbeatsPerMember = 64
+	// maxResults bounds results. They are as many as this process's own calls, which are
+	// bounded where they are made, so the limit is not reached.
+	maxResults = 1 << 20
+	// maxUserCommandsPerBatch bounds how many users' requests one batch takes, so that
+	// heartbeats that come meanwhile need not wait for all of them.
+	maxUserCommandsPerBatch = 64
+)
+
+// Queue holds commands by priority. It is safe for concurrent use; one goroutine takes
+// batches from it.
+type Queue struct {
+	mu      sync.Mutex
+	pending [priorityCount][]func()
+	limits  [priorityCount]int
+	wake    chan struct{}
+}
+
+// New makes a queue for a process with so many sockets and other members. Each connection
+// has one request under way at a time, so heartbeats of all workers fit however large the
+// fleet is.
+func New(sockets, members int) *Queue {
+	return &Queue{
+		wake: make(chan struct{}, 1),
+		limits: [priorityCount]int{
+			Heartbeat: sockets + members*heartbeatsPerMember,
+			Result:    maxResults,
+			User:      max(sockets/4, minUserCommands),
+		},
+	}
+}
+
+// Wake returns the channel that receives when commands wait.
+func (queue *Queue) Wake() <-chan struct{} { return queue.wake }
+
+// Post adds a command. It returns false if the limit of the priority is reached.
+func (queue *Queue) Post(priority Priority, command func()) bool {
+	queue.mu.Lock()
+	if len(queue.pending[priority]) >= queue.limits[priority] {
+		queue.mu.Unlock()
+		return false
+	}
+	queue.pending[priority] = append(queue.pending[priority], command)
+	queue.mu.Unlock()
+	queue.signal()
+	return true
+}
+
+// signal wakes the goroutine that takes batches, unless it has been woken already.
+func (queue *Queue) signal() {
+	select {
+	case queue.wake <- struct{}{}:
+	default:
+	}
+}
+
+// TakeBatch removes and returns the commands to run next: all heartbeats, all results, and
+// a bounded number of users' requests.
+func (queue *Queue) TakeBatch() []func() {
+	queue.mu.Lock()
+	defer queue.mu.Unlock()
+	batch := append(queue.pending[Heartbeat], queue.pending[Result]...)
+	userCount := min(len(queue.pending[User]), maxUserCommandsPerBatch)
+	batch = append(batch, queue.pending[User][:userCount]...)
+	queue.pending[Heartbeat], queue.pending[Result] = nil, nil
+	rest := queue.pending[User][userCount:]
+	if len(rest) == 0 {
+		queue.pending[User] = nil
+		return batch
+	}
+	queue.pending[User] = rest
+	queue.signal()
+	return batch
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -14,6 +14,7 @@
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/cloud"
+	"firwood.dev/firwood/internal/commandqueue"
 	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/connlimit"
 	"firwood.dev/firwood/internal/dag"
@@ -64,7 +65,7 @@
 	cloud  *cloud.Client
 	// commands is the queue of what the goroutine of Run has to do; stopped is closed when
 	// Run has returned.
-	commands *commandQueue
+	commands *commandqueue.Queue
 	stopped  chan struct{}
 
 	workerRequests  workerRequestLimits
@@ -178,7 +179,7 @@
 	}
 	controller := &Controller{
 		environment: environment{
-			cfg: cfg, tuning: tuning, log: log, dial: dial, stopped: make(chan struct{}), commands: newCommandQueue(cfg.Deployment.ProcessLimits.MaxSockets, len(cfg.Peers)),
+			cfg: cfg, tuning: tuning, log: log, dial: dial, stopped: make(chan struct{}), commands: commandqueue.New(cfg.Deployment.ProcessLimits.MaxSockets, len(cfg.Peers)),
 			store: kvstore.New(dial, cfg.External.StoreAddress, kvstore.Limits{
 				RPS: deployment.Store.RPS, WriteRPS: deployment.Store.Effective().WriteRPS, MaxTransactionOps: deployment.Store.Effective().MaxTransactionOps,
 			}, records.LockKey),
@@ -241,7 +242,7 @@
 
 // postResult hands a result of this process's own calls to the owner.
 func (controller *Controller) postResult(command func()) {
-	controller.commands.post(priorityResult, command)
+	controller.commands.Post(commandqueue.Result, command)
 }
 
 const (
@@ -267,10 +268,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-controller.commands.wake:
+		case <-controller.commands.Wake():
 		case <-ticker.C:
 		}
-		for _, command := range controller.commands.takeBatch() {
+		for _, command := range controller.commands.TakeBatch() {
 			command()
 		}
 		controller.tick()
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -2,13 +2,14 @@
 
 import (
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/commandqueue"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
 
 // HandleHeartbeat implements server.App.
 func (controller *Controller) HandleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
-	if !controller.commands.post(priorityHeartbeat, func() { controller.handleWorkerHeartbeat(heartbeat, reply) }) {
+	if !controller.commands.Post(commandqueue.Heartbeat, func() { controller.handleWorkerHeartbeat(heartbeat, reply) }) {
 		replyUnavailable(reply, "overloaded")
 	}
 }
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/commandqueue"
 	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/election"
@@ -12,7 +13,7 @@
 
 // HandlePeerHeartbeat implements server.App.
 func (controller *Controller) HandlePeerHeartbeat(heartbeat *peer.Heartbeat) {
-	controller.commands.post(priorityHeartbeat, func() { controller.handlePeerHeartbeat(heartbeat) })
+	controller.commands.Post(commandqueue.Heartbeat, func() { controller.handlePeerHeartbeat(heartbeat) })
 }
 
 // updateAvailability decides whether users should be sent here. In an outage of the state
--- a/internal/controller/repeated_writes_test.go
+++ b/internal/controller/repeated_writes_test.go
@@ -18,7 +18,7 @@
 func runUntil(t *testing.T, controller *Controller, isDone func() bool) {
 	t.Helper()
 	for i := 0; i < 20000; i++ {
-		for _, command := range controller.commands.takeBatch() {
+		for _, command := range controller.commands.TakeBatch() {
 			command()
 		}
 		controller.startWatches()
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -5,6 +5,7 @@
 
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/commandqueue"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
@@ -40,7 +41,7 @@
 
 // postUserRequest queues what a user asks, or refuses it at once.
 func (controller *Controller) postUserRequest(reply *server.Reply, command func()) {
-	if !controller.commands.post(priorityUser, command) {
+	if !controller.commands.Post(commandqueue.User, command) {
 		replyUnavailable(reply, "overloaded")
 	}
 }
