--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,6 +23,7 @@
 	"firwood.dev/firwood/internal/jobhistory"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/peer"
+	"firwood.dev/firwood/internal/rateshare"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/internal/staleness"
@@ -161,7 +162,7 @@
 // storeUsage is how the members share the store's rates, and what was logged of its
 // malformed responses.
 type storeUsage struct {
-	shares        rateShares
+	shares        rateshare.Adjuster
 	nextDropLogAt clock.Micros
 	reportedDrops int64 // malformed responses that were logged
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -7,6 +7,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/election"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/rateshare"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
@@ -18,21 +19,30 @@
 // any goroutine.
 func (controller *Controller) IsLeader() bool { return controller.process.isActiveLeader.Load() }
 
-// applyRateShares splits the outside services' rates: the leader gets half, the
-// others share the rest.
+// applyRateShares sets this member's shares of the outside services' rates, as leader or not.
 func (controller *Controller) applyRateShares() {
-	others := float64(len(controller.cfg.Peers))
-	switch {
-	case others == 0:
-		controller.store.SetRateShare(1)
-		controller.cloud.SetRateShare(1)
-	case controller.elector.Phase() == election.Leader:
-		controller.store.SetRateShare(minLeaderShare)
-		controller.storeUse.shares.share = minLeaderShare
-		controller.cloud.SetRateShare(0.8)
-	default:
-		controller.store.SetRateShare((1 - minLeaderShare) / others)
-		controller.cloud.SetRateShare(0.2 / others)
+	shares := rateshare.OfFollower(len(controller.cfg.Peers))
+	if controller.elector.Phase() == election.Leader {
+		shares = rateshare.OfLeader(len(controller.cfg.Peers))
+		controller.storeUse.shares.BeginTerm()
+	}
+	controller.store.SetRateShare(shares.Store)
+	controller.cloud.SetRateShare(shares.Cloud)
+}
+
+// backlogThreshold is how long the leader's waiting writes take from which it has a backlog.
+const backlogThreshold = rateshare.BacklogThreshold
+
+// adjustRateShare lets the leader use what the others leave of the rate of changes.
+func (controller *Controller) adjustRateShare(now clock.Micros) {
+	if len(controller.cfg.Peers) == 0 {
+		return
+	}
+	share, hasChanged := controller.storeUse.shares.Adjust(now, rateshare.Load{
+		Written: controller.store.ChangesWritten(), Backlog: controller.store.BacklogDuration(), ChangesPerSecond: controller.cfg.Deployment.Store.Effective().WriteRPS,
+	})
+	if hasChanged {
+		controller.store.SetWriteRateShare(share)
 	}
 }
 
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -140,7 +140,7 @@
 	events, err := controller.store.Watch(records.WatchedPrefix, from, block)
 	controller.postResult(func() {
 		if err == nil {
-			controller.storeUse.shares.observedChanges += int64(controller.view.Apply(events))
+			controller.storeUse.shares.ObserveChanges(controller.view.Apply(events))
 			controller.observeLock()
 		} else if errors.Is(err, kvstore.ErrCompacted) {
 			controller.loadAll()
--- /dev/null
+++ b/internal/rateshare/shares.go
@@ -0,0 +1,86 @@
+// Package rateshare splits the rates of the key-value store and the cloud between the
+// leader and the other members.
+//
+// The leader gets half of the store's rate of changes. With a backlog it takes what the
+// others leave, as the watch shows: it brings every change, so those that this process did
+// not write are theirs. Should they need their part again in the same moment, the store
+// answers 429 to somebody, who retries.
+package rateshare
+
+import "firwood.dev/firwood/internal/clock"
+
+const (
+	// minLeaderShare is the leader's share of the store's rates at least, maxLeaderShare its
+	// share of the rate of changes at most.
+	minLeaderShare, maxLeaderShare = 0.5, 0.85
+	// leaderCloudShare is the leader's share of the cloud's rate: the others ask only for
+	// machine types.
+	leaderCloudShare = 0.8
+	// adjustInterval is how often the leader's share of changes is adjusted.
+	adjustInterval = clock.Second
+	// BacklogThreshold is how long waiting writes take from which the leader has a backlog, and
+	// takes more than its half.
+	BacklogThreshold = clock.Second
+	// othersHeadroom is what the others are left, as a multiple of what they use.
+	othersHeadroom = 1.5
+)
+
+// Shares are a member's shares of the rates, from 0 to 1.
+type Shares struct{ Store, Cloud float64 }
+
+// OfLeader returns the shares of a leader beside so many other members.
+func OfLeader(others int) Shares {
+	if others == 0 {
+		return Shares{Store: 1, Cloud: 1}
+	}
+	return Shares{Store: minLeaderShare, Cloud: leaderCloudShare}
+}
+
+// OfFollower returns the shares of a member that doesn't lead, beside so many others.
+func OfFollower(others int) Shares {
+	if others == 0 {
+		return Shares{Store: 1, Cloud: 1}
+	}
+	return Shares{Store: (1 - minLeaderShare) / float64(others), Cloud: (1 - leaderCloudShare) / float64(others)}
+}
+
+// Adjuster adjusts the leader's share of changes to what the others use.
+type Adjuster struct {
+	adjustedAt      clock.Micros
+	observedChanges int64 // changes that the watch has brought
+	observedBefore  int64 // of those, at the last adjustment
+	ownWritesBefore int64 // changes that this process had written by the last adjustment
+	share           float64
+}
+
+// ObserveChanges counts changes that the watch has brought.
+func (adjuster *Adjuster) ObserveChanges(count int) { adjuster.observedChanges += int64(count) }
+
+// BeginTerm starts with the share of a new leader.
+func (adjuster *Adjuster) BeginTerm() { adjuster.share = minLeaderShare }
+
+// Load is what the leader's writes look like at an adjustment.
+type Load struct {
+	Written          int64        // changes that this process has written since its start
+	Backlog          clock.Micros // how long the waiting writes will take
+	ChangesPerSecond float64      // the store's limit for all members
+}
+
+// Adjust returns the leader's share and whether it has changed; not more often than once a
+// second.
+func (adjuster *Adjuster) Adjust(now clock.Micros, load Load) (share float64, hasChanged bool) {
+	elapsed := now - adjuster.adjustedAt
+	if elapsed < adjustInterval {
+		return adjuster.share, false
+	}
+	before := adjuster.share
+	observed, written := adjuster.observedChanges-adjuster.observedBefore, load.Written-adjuster.ownWritesBefore
+	// The watch may lag behind this process's own writes, so the difference may be negative.
+	usedByOthers := max(float64(observed-written)/elapsed.Seconds(), 0)
+	adjuster.adjustedAt, adjuster.observedBefore, adjuster.ownWritesBefore = now, adjuster.observedChanges, load.Written
+	adjuster.share = minLeaderShare
+	if load.Backlog > BacklogThreshold {
+		adjuster.share = min(max(1-othersHeadroom*usedByOthers/load.ChangesPerSecond, minLeaderShare), maxLeaderShare)
+	}
+	return adjuster.share, adjuster.share != before
+}
