--- a/cmd/firwood/status.go
+++ b/cmd/firwood/status.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"firwood.dev/firwood/internal/controller"
+	"firwood.dev/firwood/internal/jobreport"
 	"firwood.dev/firwood/wire"
 )
 
@@ -47,7 +47,7 @@
 	command := &cobra.Command{
 		Use: "standby", Short: "Print who stands by for the leader, and how far behind", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var status controller.StandbyStatus
+			var status jobreport.StandbyStatus
 			if err := getJSON(node, "/ops/v1/standby", &status); err != nil {
 				return err
 			}
@@ -59,7 +59,7 @@
 	return command
 }
 
-func printStandbyStatus(out io.Writer, status *controller.StandbyStatus) {
+func printStandbyStatus(out io.Writer, status *jobreport.StandbyStatus) {
 	fmt.Fprintf(out, "%s, leader %s\n", status.Member, cmp.Or(status.Leader, "unknown"))
 	if !status.Enabled {
 		fmt.Fprintln(out, "standby is not enabled here")
@@ -85,26 +85,26 @@
 	command := &cobra.Command{
 		Use: "report", Short: "Print what failed or ran late, and why", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var jobReport controller.JobReport
-			if err := getJSON(node, "/ops/v1/report", &jobReport); err != nil {
+			var report jobreport.Report
+			if err := getJSON(node, "/ops/v1/report", &report); err != nil {
 				return err
 			}
-			return printJobReport(cmd.OutOrStdout(), &jobReport)
+			return printJobReport(cmd.OutOrStdout(), &report)
 		},
 	}
 	addNodeFlag(command, &node)
 	return command
 }
 
-func printJobReport(out io.Writer, jobReport *controller.JobReport) error {
-	fmt.Fprintf(out, "%d jobs: %d done, %d withdrawn, %d active\n", jobReport.Jobs, jobReport.Done, jobReport.Cancelled, jobReport.Active)
-	if len(jobReport.Problems) == 0 {
+func printJobReport(out io.Writer, report *jobreport.Report) error {
+	fmt.Fprintf(out, "%d jobs: %d done, %d withdrawn, %d active\n", report.Jobs, report.Done, report.Cancelled, report.Active)
+	if len(report.Problems) == 0 {
 		fmt.Fprintln(out, "nothing failed or ran late")
 		return nil
 	}
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "JOB\tCLASS\tSTATE\tLATE BY\tTOOK\tWAITED\tERRORS\tRESTARTS\tWHY")
-	for _, job := range jobReport.Problems {
+	for _, job := range report.Problems {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%.1fs\t%.1fs\t%.1fs\t%d\t%d\t%s\n", job.Job, job.Class, job.State, job.LateByS, job.TookS, job.WaitedS, job.Errors, job.Restarts, job.Reason)
 	}
 	return table.Flush()
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -2,6 +2,7 @@
 
 import (
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/jobreport"
 	"firwood.dev/firwood/internal/storeview"
 )
 
@@ -34,7 +35,7 @@
 	evictions  int
 	counts     storeview.FinishedCounts
 	// problems are the worst of them, for the morning report.
-	problems []JobProblem
+	problems []jobreport.Problem
 }
 
 // evictFinishedJobs forgets finished jobs beyond the bound.
@@ -44,7 +45,7 @@
 		controller.recordEviction()
 		controller.history.evicted.counts.Add(record.State, 1)
 		if problem, ok := controller.problemOf(id, record, int64(clock.WallTime())); ok {
-			controller.history.evicted.problems = worstProblems(append(controller.history.evicted.problems, problem))
+			controller.history.evicted.problems = jobreport.Worst(append(controller.history.evicted.problems, problem))
 		}
 		controller.view.EvictJob(id)
 		controller.dependencyGraph.Remove(id)
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -7,6 +7,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/jobhistory"
+	"firwood.dev/firwood/internal/jobreport"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
@@ -96,7 +97,7 @@
 	}
 	record.IsArchived = isArchived
 	controller.history.evicted.counts.Add(record.State, -1)
-	controller.history.evicted.problems = slices.DeleteFunc(controller.history.evicted.problems, func(problem JobProblem) bool { return problem.Job == id })
+	controller.history.evicted.problems = slices.DeleteFunc(controller.history.evicted.problems, func(problem jobreport.Problem) bool { return problem.Job == id })
 	return id
 }
 
--- a/internal/controller/job_report.go
+++ b/internal/controller/job_report.go
@@ -1,148 +1,125 @@
 package controller
 
 import (
-	"cmp"
 	"encoding/json"
-	"slices"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/jobreport"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
-// SendJobReport implements server.App.
+// SendJobReport replies with which jobs failed or ran late, and why, as far as this member
+// knows. It may be called on any goroutine.
 func (controller *Controller) SendJobReport(reply *server.Reply) {
 	controller.postUserRequest(reply, func() { controller.replyJobReport(reply) })
 }
 
-// JobProblem is one line of the morning report.
-type JobProblem struct {
-	Job      string  `json:"job"`
-	Class    string  `json:"class"`
-	State    string  `json:"state"`
-	IsLate   bool    `json:"late"`
-	Reason   string  `json:"why"`
-	TookS    float64 `json:"took_s"`
-	LateByS  float64 `json:"late_by_s,omitempty"`
-	WaitedS  float64 `json:"waited_s,omitempty"`
-	Errors   int     `json:"errors,omitempty"`
-	Restarts int     `json:"restarts,omitempty"`
-}
-
-// JobReport says what failed or ran late, and why.
-type JobReport struct {
-	Member    string       `json:"member"`
-	Jobs      int          `json:"jobs"`
-	Done      int          `json:"done"`
-	Cancelled int          `json:"aborted"`
-	Active    int          `json:"active"`
-	Problems  []JobProblem `json:"troubles"`
-}
-
-// maxProblems bounds the answer.
-const maxProblems = 200
-
 func (controller *Controller) replyJobReport(reply *server.Reply) {
-	now := int64(clock.WallTime())
-	evicted := controller.history.evicted.counts
-	report := JobReport{
-		Member: controller.cfg.Member, Jobs: len(controller.view.Jobs) + evicted.Done + evicted.Cancelled, Done: evicted.Done, Cancelled: evicted.Cancelled,
-		Problems: append([]JobProblem{}, controller.history.evicted.problems...),
+	wall := int64(clock.WallTime())
+	evicted := &controller.history.evicted
+	report := jobreport.Report{
+		Member: controller.cfg.Member, Jobs: len(controller.view.Jobs) + evicted.counts.Done + evicted.counts.Cancelled,
+		Done: evicted.counts.Done, Cancelled: evicted.counts.Cancelled,
+		Problems: append([]jobreport.Problem{}, evicted.problems...),
 	}
 	for id, record := range controller.view.Jobs {
-		switch record.EffectiveState() {
-		case wire.JobDone:
-			report.Done++
-		case wire.JobCancelled:
-			report.Cancelled++
-		default:
-			report.Active++
-		}
-		if problem, ok := controller.problemOf(id, record, now); ok {
+		report.CountJob(record.EffectiveState())
+		if problem, isProblem := controller.problemOf(id, record, wall); isProblem {
 			report.Problems = append(report.Problems, problem)
 		}
 	}
-	report.Problems = worstProblems(report.Problems)
+	report.Problems = jobreport.Worst(report.Problems)
 	body, err := json.Marshal(report)
 	if err != nil {
-		replyUnavailable(reply, "cannot be encoded")
+		replyUnavailable(reply, reasonNotEncodable)
 		return
 	}
 	reply.Send(200, body, 0)
 }
 
-// worstProblems is the worst of some troubles, as many as are told.
-func worstProblems(problems []JobProblem) []JobProblem {
-	slices.SortFunc(problems, func(a, b JobProblem) int {
-		return cmp.Or(-cmp.Compare(a.LateByS, b.LateByS), cmp.Compare(a.Job, b.Job))
-	})
-	return problems[:min(len(problems), maxProblems)]
+// problemOf returns a job's line in the report, and whether it belongs there; wall is the
+// time of day.
+func (controller *Controller) problemOf(id string, record *storeview.Job, wall int64) (problem jobreport.Problem, isProblem bool) {
+	if record.HasEnded() {
+		return jobreport.Assess(controller.reportedEndedJob(id, record))
+	}
+	return jobreport.Assess(controller.reportedActiveJob(id, record, clock.Micros(wall)))
 }
 
-// completionObjective is the class's aim for finishing, 0 if it has none.
-func (controller *Controller) completionObjective(class string) clock.Micros {
-	var longest clock.Micros
-	for _, objective := range controller.cfg.Deployment.Objectives {
-		if objective.Kind == "finished" && objective.Class == class {
-			longest = max(longest, clock.FromSeconds(objective.TargetSeconds))
-		}
+// reportedEndedJob is a job that has ended, as its record tells it.
+func (controller *Controller) reportedEndedJob(id string, record *storeview.Job) jobreport.Job {
+	submitted := clock.Micros(record.SubmittedAt)
+	job := jobreport.Job{
+		ID: id, Class: record.Class, State: record.EffectiveState(),
+		SubmittedAt: submitted, ReleasedAt: max(submitted, clock.Micros(record.ReleasedAt)), FirstStartAt: clock.Micros(record.FirstStartAt), EndedAt: clock.Micros(record.EndedAt),
+		DeadlineAt: clock.Micros(record.DeadlineAt), Errors: record.Errors, Restarts: record.Restarts,
 	}
-	return longest
+	if job.DeadlineAt == 0 {
+		job.DeadlineAt = controller.objectiveDeadline(record.Class, record)
+	}
+	return job
 }
 
-func (controller *Controller) problemOf(id string, record *storeview.Job, now int64) (JobProblem, bool) {
-	problem := JobProblem{Job: id, Class: record.Class, State: record.State, Errors: record.Errors, Restarts: record.Restarts}
-	end, deadline, firstStart := record.EndedAt, record.DeadlineAt, record.FirstStartAt
-	if !record.HasEnded() {
-		problem.Class, problem.State, end = record.Spec.Class, "active", now
-		if record.Spec.DeadlineSeconds > 0 {
-			deadline = record.SubmittedAt + int64(clock.FromSeconds(record.Spec.DeadlineSeconds))
-		}
-		if controller.term != nil {
-			if job := controller.term.tracker.Jobs[id]; job != nil {
-				problem.Errors, problem.Restarts = job.FailureCount, job.RestartCount
-				if job.FirstStartAt != 0 {
-					firstStart = now - int64(clock.Now()-job.FirstStartAt)
-				}
-			}
-		}
-		if record.Spec.Kind == wire.KindService {
-			deadline = 0
-		}
+// reportedActiveJob is a job that has not ended. Of its tasks the leader alone knows.
+func (controller *Controller) reportedActiveJob(id string, record *storeview.Job, wall clock.Micros) jobreport.Job {
+	submitted := clock.Micros(record.SubmittedAt)
+	job := jobreport.Job{
+		ID: id, Class: record.Spec.Class, State: jobreport.StateActive,
+		SubmittedAt: submitted, ReleasedAt: controller.dependencyGraph.ReleasedAt(id, submitted), FirstStartAt: clock.Micros(record.FirstStartAt), EndedAt: wall,
+		DeadlineAt: controller.activeDeadline(record), Errors: record.Errors, Restarts: record.Restarts,
+		HasProgress: controller.view.Progress[id] != nil,
+	}
+	if controller.dependencyGraph.IsBlocked(id) {
+		job.PendingDependency = controller.dependencyGraph.PendingDependencies(id)[0]
 	}
-	if objective := controller.completionObjective(problem.Class); deadline == 0 && objective > 0 {
-		deadline = max(record.SubmittedAt, record.ReleasedAt) + int64(objective)
+	if controller.term == nil {
+		return job
 	}
-	if record.EffectiveState() == wire.JobCancelled {
-		return problem, false
+	if tracked := controller.term.tracker.Jobs[id]; tracked != nil {
+		job.Errors, job.Restarts = tracked.FailureCount, tracked.RestartCount
+		if tracked.FirstStartAt != 0 {
+			job.FirstStartAt = wall - (clock.Now() - tracked.FirstStartAt)
+		}
 	}
-	problem.TookS = clock.Micros(end - record.SubmittedAt).Seconds()
-	released := max(record.SubmittedAt, record.ReleasedAt)
-	if !record.HasEnded() {
-		released = int64(controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt)))
+	return job
+}
+
+// activeDeadline is the time of day until which a job that has not ended should, 0 if there
+// is none. A service has no deadline of its own.
+func (controller *Controller) activeDeadline(record *storeview.Job) clock.Micros {
+	deadline := clock.Micros(record.DeadlineAt)
+	if record.Spec.DeadlineSeconds > 0 {
+		deadline = clock.Micros(record.SubmittedAt) + clock.FromSeconds(record.Spec.DeadlineSeconds)
 	}
-	if firstStart > released {
-		problem.WaitedS = clock.Micros(firstStart - released).Seconds()
+	if deadline == 0 || record.Spec.Kind == wire.KindService {
+		return controller.objectiveDeadline(record.Spec.Class, record)
 	}
-	if deadline > 0 && end > deadline {
-		problem.IsLate, problem.LateByS = true, clock.Micros(end-deadline).Seconds()
+	return deadline
+}
+
+// objectiveDeadline is the time of day until which a job ends by its class's objective, 0 if
+// the class has none.
+func (controller *Controller) objectiveDeadline(class string, record *storeview.Job) clock.Micros {
+	objective := controller.completionObjective(class)
+	if objective <= 0 {
+		return 0
 	}
-	switch {
-	case problem.Errors > 0:
-		problem.Reason = "tasks failed with an error and were started again"
-	case problem.Restarts > 0:
-		problem.Reason = "tasks were lost with their machines and were started again"
-	case !record.HasEnded() && controller.dependencyGraph.IsBlocked(id):
-		problem.Reason = "waits for " + controller.dependencyGraph.PendingDependencies(id)[0]
-	case problem.IsLate && clock.Micros(released-record.SubmittedAt).Seconds() > problem.TookS/2:
-		problem.Reason = "waited for jobs before it in its pipeline"
-	case firstStart == 0 && !record.HasEnded() && controller.view.Progress[id] == nil:
-		problem.Reason = "no task has started yet"
-	case problem.IsLate && problem.WaitedS > problem.TookS/2:
-		problem.Reason = "waited for machines"
-	case problem.IsLate:
-		problem.Reason = "ran longer than estimated"
+	return clock.Micros(max(record.SubmittedAt, record.ReleasedAt)) + objective
+}
+
+// objectiveFinished is the kind of the objectives for the time until a job has finished.
+const objectiveFinished = "finished"
+
+// completionObjective is within which time jobs of a class should finish, by the most
+// lenient of its objectives; 0 if it has none.
+func (controller *Controller) completionObjective(class string) clock.Micros {
+	var longest clock.Micros
+	for _, objective := range controller.cfg.Deployment.Objectives {
+		if objective.Kind == objectiveFinished && objective.Class == class {
+			longest = max(longest, clock.FromSeconds(objective.TargetSeconds))
+		}
 	}
-	return problem, problem.IsLate || problem.Errors > 0
+	return longest
 }
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -5,58 +5,11 @@
 	"fmt"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/jobreport"
 	"firwood.dev/firwood/internal/server"
-	"firwood.dev/firwood/internal/standby"
 	"firwood.dev/firwood/internal/tracing"
 )
 
-// StandbyStatus says who stands by, as one controller knows it.
-type StandbyStatus struct {
-	Member  string `json:"member"`
-	Leader  string `json:"leader"`
-	Enabled bool   `json:"enabled"`
-	// Replica is this controller's copy of the leader's account, if it follows one.
-	Replica *ReplicaStatus `json:"replica,omitempty"`
-	// Followers are the others, if this controller leads.
-	Followers []FollowerStatus `json:"followers,omitempty"`
-	// Failover is the last one of this controller.
-	Failover *FailoverStatus `json:"take_over,omitempty"`
-}
-
-// ReplicaStatus is where a copy stands.
-type ReplicaStatus struct {
-	Token      uint64 `json:"token"`
-	IsComplete bool   `json:"complete"`
-	Decisions  uint64 `json:"decisions"`
-	Placements int    `json:"placements"`
-	// Unconfirmed are the placements of which the leader does not know where they are.
-	Unconfirmed int    `json:"doubts"`
-	Digest      string `json:"digest"`
-	// Dropped are messages that were not taken, by reason.
-	Dropped standby.DropCounts `json:"dropped"`
-}
-
-// FollowerStatus is how far behind a follower is.
-type FollowerStatus struct {
-	Member   string `json:"member"`
-	IsInSync bool   `json:"in_step"`
-	// LagDecisions is how many decisions it lacks, all of them if it follows none, LagMs since
-	// when it has lacked something.
-	LagDecisions uint64 `json:"lacks_decisions"`
-	LagMs        int64  `json:"lacks_ms"`
-}
-
-// FailoverStatus are the parts of a take-over in milliseconds, from the last beat of the
-// leader before.
-type FailoverStatus struct {
-	Token           uint64 `json:"token"`
-	IsReplicaUsed   bool   `json:"replica_used"`
-	Unconfirmed     int    `json:"in_doubt"`
-	LockMs          int64  `json:"lock_ms"`
-	RebuildMs       int64  `json:"rebuild_ms"`
-	FirstDecisionMs int64  `json:"first_decision_ms"`
-}
-
 // lastFailover are the instants of this member's last take-over.
 type failoverTimes struct {
 	leaderHeartbeatAt, lockWonAt, rebuiltAt, firstDecisionAt clock.Micros
@@ -65,11 +18,11 @@
 	unconfirmed                                              int
 }
 
-func (times *failoverTimes) status() *FailoverStatus {
+func (times *failoverTimes) status() *jobreport.FailoverStatus {
 	if times.rebuiltAt == 0 {
 		return nil
 	}
-	status := &FailoverStatus{Token: times.token, IsReplicaUsed: times.isReplicaUsed, Unconfirmed: times.unconfirmed, RebuildMs: milliseconds(times.rebuiltAt - times.lockWonAt)}
+	status := &jobreport.FailoverStatus{Token: times.token, IsReplicaUsed: times.isReplicaUsed, Unconfirmed: times.unconfirmed, RebuildMs: milliseconds(times.rebuiltAt - times.lockWonAt)}
 	if times.leaderHeartbeatAt != 0 {
 		status.LockMs = milliseconds(times.lockWonAt - times.leaderHeartbeatAt)
 	}
@@ -123,7 +76,7 @@
 
 func (controller *Controller) replyStandbyStatus(reply *server.Reply) {
 	now := clock.Now()
-	status := StandbyStatus{Member: controller.cfg.Member, Leader: controller.knownLeader(), Enabled: controller.failover.replica != nil, Failover: controller.failover.last.status()}
+	status := jobreport.StandbyStatus{Member: controller.cfg.Member, Leader: controller.knownLeader(), Enabled: controller.failover.replica != nil, Failover: controller.failover.last.status()}
 	switch {
 	case controller.failover.replica == nil:
 	case controller.term != nil:
@@ -131,7 +84,7 @@
 		status.Followers = controller.term.followerStatuses(now)
 	default:
 		position, account := controller.failover.replica.Position(), controller.failover.replica.Table()
-		status.Replica = &ReplicaStatus{
+		status.Replica = &jobreport.ReplicaStatus{
 			Token: position.Token, IsComplete: position.IsComplete, Decisions: position.Sequence, Placements: account.Len(), Unconfirmed: account.UnconfirmedCount(),
 			Digest: fmt.Sprintf("%016x", account.Digest()), Dropped: controller.failover.replica.DropCounts(),
 		}
@@ -144,14 +97,14 @@
 	reply.Send(200, body, 0)
 }
 
-func (term *leaderTerm) followerStatuses(now clock.Micros) []FollowerStatus {
-	var statuses []FollowerStatus
+func (term *leaderTerm) followerStatuses(now clock.Micros) []jobreport.FollowerStatus {
+	var statuses []jobreport.FollowerStatus
 	inStep := map[string]bool{}
 	for _, member := range term.standby.membership.InSyncMembers() {
 		inStep[member.Name] = true
 	}
 	for _, other := range term.controller.cfg.Peers {
-		statuses = append(statuses, FollowerStatus{
+		statuses = append(statuses, jobreport.FollowerStatus{
 			Member: other.Member, IsInSync: inStep[other.Member],
 			LagDecisions: term.standby.publisher.LagCount(other.Member), LagMs: milliseconds(term.standby.publisher.LagDuration(other.Member, now)),
 		})
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -20,6 +20,9 @@
 // submitTimeout bounds how long a submission waits to be durable.
 const submitTimeout = 2500 * clock.Millisecond
 
+// reasonNotEncodable is the body's reason when a reply or a record can't be encoded.
+const reasonNotEncodable = "cannot be encoded"
+
 func replyUnavailable(reply *server.Reply, reason string) {
 	reply.Send(503, server.ErrorBody(reason), 1)
 }
@@ -289,7 +292,7 @@
 	end := storeview.NewEndedJob(record, wire.JobCancelled, clock.WallTime())
 	value, err := end.MarshalJSON()
 	if err != nil {
-		replyUnavailable(reply, "cannot be encoded")
+		replyUnavailable(reply, reasonNotEncodable)
 		return
 	}
 	write := &kvstore.Write{
--- a/internal/e2e/leader_kill_test.go
+++ b/internal/e2e/leader_kill_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/controller"
+	"firwood.dev/firwood/internal/jobreport"
 	"firwood.dev/firwood/wire"
 )
 
@@ -34,9 +34,9 @@
 }
 
 // status is what a controller says of who stands by.
-func (member *memberProcess) status() (s controller.StandbyStatus) {
+func (member *memberProcess) status() (s jobreport.StandbyStatus) {
 	if message := sendRequest(member, "GET", "/ops/v1/standby", nil); message.Status != 200 || json.Unmarshal(message.Body, &s) != nil {
-		return controller.StandbyStatus{}
+		return jobreport.StandbyStatus{}
 	}
 	return s
 }
@@ -70,7 +70,7 @@
 // isStandbyInSync tells whether the leader has both others in step.
 func (deployment *testDeployment) isStandbyInSync() bool {
 	leader := deployment.leader()
-	return leader != nil && !slices.ContainsFunc(leader.status().Followers, func(f controller.FollowerStatus) bool { return !f.IsInSync })
+	return leader != nil && !slices.ContainsFunc(leader.status().Followers, func(f jobreport.FollowerStatus) bool { return !f.IsInSync })
 }
 
 // The leader is killed again and again under load, without a warning: nothing is started
--- /dev/null
+++ b/internal/jobreport/assess.go
@@ -0,0 +1,64 @@
+package jobreport
+
+import (
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/wire"
+)
+
+// StateActive is the reported state of a job that has not ended.
+const StateActive = "active"
+
+// Job is what is known of a job. Its instants are times of day, 0 if there is none.
+type Job struct {
+	ID, Class string
+	State     string // StateActive, or the state in which it ended
+	// SubmittedAt is the submission, ReleasedAt the end of its last dependency if that is later.
+	SubmittedAt, ReleasedAt clock.Micros
+	FirstStartAt            clock.Micros // of any of its tasks
+	EndedAt                 clock.Micros // now, if it is active
+	DeadlineAt              clock.Micros
+	Errors, Restarts        int
+	// PendingDependency is a job that an active one waits for, "" if there is none.
+	PendingDependency string
+	HasProgress       bool // some task may have been started
+}
+
+// Assess returns a job's line in the report, and whether it belongs there. Cancelled jobs
+// don't.
+func Assess(job Job) (problem Problem, isProblem bool) {
+	problem = Problem{Job: job.ID, Class: job.Class, State: job.State, Errors: job.Errors, Restarts: job.Restarts}
+	if job.State == wire.JobCancelled {
+		return problem, false
+	}
+	problem.TookS = (job.EndedAt - job.SubmittedAt).Seconds()
+	if job.FirstStartAt > job.ReleasedAt {
+		problem.WaitedS = (job.FirstStartAt - job.ReleasedAt).Seconds()
+	}
+	if job.DeadlineAt > 0 && job.EndedAt > job.DeadlineAt {
+		problem.IsLate, problem.LateByS = true, (job.EndedAt - job.DeadlineAt).Seconds()
+	}
+	problem.Reason = reasonFor(&job, &problem)
+	return problem, problem.IsLate || problem.Errors > 0
+}
+
+// reasonFor returns the likely cause of a problem in words, "" if none is known.
+func reasonFor(job *Job, problem *Problem) string {
+	isActive := job.State == StateActive
+	switch {
+	case problem.Errors > 0:
+		return "tasks failed with an error and were started again"
+	case problem.Restarts > 0:
+		return "tasks were lost with their machines and were started again"
+	case isActive && job.PendingDependency != "":
+		return "waits for " + job.PendingDependency
+	case problem.IsLate && (job.ReleasedAt-job.SubmittedAt).Seconds() > problem.TookS/2:
+		return "waited for jobs before it in its pipeline"
+	case isActive && job.FirstStartAt == 0 && !job.HasProgress:
+		return "no task has started yet"
+	case problem.IsLate && problem.WaitedS > problem.TookS/2:
+		return "waited for machines"
+	case problem.IsLate:
+		return "ran longer than estimated"
+	}
+	return ""
+}
