--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -3,7 +3,6 @@
 import (
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/dag"
-	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
@@ -97,37 +96,3 @@
 	job.Priority, job.Deadline = urgency.Priority, urgency.Deadline
 	term.requestPlan()
 }
-
-// invalidDependencyReason says why a job can never run for what it awaits, if so.
-func (controller *Controller) invalidDependencyReason(job *wire.Job) string {
-	for _, id := range job.DependsOn {
-		record := controller.view.Jobs[id]
-		switch {
-		case id == job.ID || record == nil:
-			return "it awaits a job that was never accepted: " + id
-		case !record.HasEnded() && record.Spec != nil && record.Spec.Kind == wire.KindService:
-			return "it awaits a service, which is never done: " + id
-		}
-	}
-	return ""
-}
-
-// rejectAfterSync answers 422 once the view is new enough to say so: what was accepted,
-// by any controller, is never refused.
-func (controller *Controller) rejectAfterSync(job *wire.Job, reply *server.Reply, reason func() string, otherwise func()) {
-	evictions := controller.history.evicted.evictions
-	controller.view.RequestSync(func(err error) {
-		switch record := controller.view.Jobs[job.ID]; {
-		case err != nil:
-			replyUnavailable(reply, err.Error())
-		case record == nil && controller.history.evicted.evictions != evictions:
-			replyUnavailable(reply, "it may have been forgotten meanwhile")
-		case record != nil:
-			reply.Send(200, controller.encodeJobStatus(job.ID, record), 0)
-		case reason() != "":
-			reply.Send(422, server.ErrorBody(reason()), 0)
-		default:
-			otherwise()
-		}
-	}, clock.Now()+userTimeout)
-}
--- /dev/null
+++ b/internal/controller/job_cancellation.go
@@ -0,0 +1,129 @@
+package controller
+
+import (
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/jobhistory"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/internal/storeview"
+	"firwood.dev/firwood/wire"
+)
+
+// The way of a cancellation: the job is found in the view, after a sync, or by a look-up in
+// the store if it may have been evicted. Its end is then written under the condition that its
+// record is still the one of the view. After a conflict the whole way is taken again.
+
+// maxCancelAttempts bounds how often a cancellation starts over, after a sync, a look-up
+// or a conflict.
+const maxCancelAttempts = 3
+
+// CancelJob makes a job's cancellation durable, and replies with its status. It may be called
+// on any goroutine.
+func (controller *Controller) CancelJob(id string, reply *server.Reply) {
+	controller.postUserRequest(reply, func() { controller.cancelJob(id, reply, maxCancelAttempts) })
+}
+
+func (controller *Controller) cancelJob(id string, reply *server.Reply, attemptsLeft int) {
+	record := controller.view.Jobs[id]
+	switch {
+	case record != nil && record.HasEnded():
+		reply.Send(200, controller.encodeJobStatus(id, record), 0)
+	case !controller.view.IsLoaded || attemptsLeft == 0:
+		replyUnavailable(reply, reasonNotReady)
+	case controller.mayBeEvicted(id):
+		controller.cancelEvictedJob(id, reply, attemptsLeft)
+	case record == nil:
+		controller.cancelAfterSync(id, reply, attemptsLeft)
+	case controller.replyIfStoreFailing(reply):
+	default:
+		controller.commitCancellation(id, record, reply, attemptsLeft)
+	}
+}
+
+// cancelAfterSync cancels a job that is not in the view once the view is new enough to say
+// whether there is such a job.
+func (controller *Controller) cancelAfterSync(id string, reply *server.Reply, attemptsLeft int) {
+	controller.view.RequestSync(func(err error) {
+		switch {
+		case err != nil:
+			replyUnavailable(reply, err.Error())
+		case controller.mayBeEvicted(id):
+			controller.cancelEvictedJob(id, reply, attemptsLeft-1) // it was evicted meanwhile
+		default:
+			controller.cancelProvenJob(id, reply, attemptsLeft-1)
+		}
+	}, clock.Now()+syncTimeout)
+}
+
+// cancelEvictedJob looks up a job that may have been evicted from the view, and cancels it.
+func (controller *Controller) cancelEvictedJob(id string, reply *server.Reply, attemptsLeft int) {
+	controller.lookUpJob(id, clock.Now()+syncTimeout, func(result jobhistory.LookupResult) {
+		if result == jobhistory.Unavailable {
+			replyUnavailable(reply, reasonStoreUnavailable)
+			return
+		}
+		controller.cancelProvenJob(id, reply, attemptsLeft-1)
+	})
+}
+
+// cancelProvenJob cancels a job on a view that has been proven to have it, if there is such
+// a job at all.
+func (controller *Controller) cancelProvenJob(id string, reply *server.Reply, attemptsLeft int) {
+	if controller.view.Jobs[id] == nil {
+		reply.Send(404, server.ErrorBody(reasonNoSuchJob), 0)
+		return
+	}
+	controller.cancelJob(id, reply, attemptsLeft)
+}
+
+// commitCancellation writes a job's end. That its record is still the one of the view is the
+// write's condition.
+func (controller *Controller) commitCancellation(id string, record *storeview.Job, reply *server.Reply, attemptsLeft int) {
+	end := storeview.NewEndedJob(record, wire.JobCancelled, clock.WallTime())
+	value, err := end.MarshalJSON()
+	if err != nil {
+		replyUnavailable(reply, reasonNotEncodable)
+		return
+	}
+	write := &kvstore.Write{
+		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.Version}},
+		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
+		Deadline:   clock.Now() + submitTimeout,
+	}
+	write.Done = func(outcome kvstore.Outcome, revision uint64) {
+		controller.postResult(func() {
+			switch outcome {
+			case kvstore.Committed:
+				end.Version = revision
+				controller.applyCancellation(id, end)
+				reply.Send(200, encodeStatus(wire.JobStatus{ID: id, State: wire.JobCancelled}), 0)
+			case kvstore.Conflict:
+				controller.retryCancellation(id, reply, attemptsLeft-1)
+			default:
+				replyUnavailable(reply, reasonNotStored)
+			}
+		})
+	}
+	if !controller.store.Commit(write) {
+		controller.replyRateLimited(reply)
+	}
+}
+
+// applyCancellation takes a durable end into the view, unless the watch was faster.
+func (controller *Controller) applyCancellation(id string, end *storeview.Job) {
+	if current := controller.view.Jobs[id]; current == nil || current.Version < end.Version {
+		controller.view.SetJob(id, end)
+	}
+}
+
+// retryCancellation starts over on a view that has the record which was in the way.
+func (controller *Controller) retryCancellation(id string, reply *server.Reply, attemptsLeft int) {
+	controller.view.RequestSync(func(err error) {
+		if err != nil {
+			replyUnavailable(reply, err.Error())
+			return
+		}
+		controller.cancelJob(id, reply, attemptsLeft)
+	}, clock.Now()+syncTimeout)
+}
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -10,7 +10,6 @@
 	"firwood.dev/firwood/internal/jobreport"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
-	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
 
@@ -101,66 +100,6 @@
 	return id
 }
 
-// showEvictedJob answers a question for a job that is not in the view.
-func (controller *Controller) showEvictedJob(id string, reply *server.Reply) {
-	controller.lookUpJob(id, clock.Now()+userTimeout, func(answer jobhistory.LookupResult) {
-		until := clock.Now() + userTimeout
-		record := controller.view.Jobs[id]
-		switch {
-		case answer == jobhistory.Unavailable:
-			replyUnavailable(reply, "the state service does not answer")
-		case record == nil:
-			reply.SendBefore(404, server.ErrorBody("no such job"), 0, until)
-		case record.HasEnded():
-			reply.Send(200, controller.encodeJobStatus(id, record), 0)
-		default:
-			reply.SendBefore(200, controller.encodeJobStatus(id, record), 0, until)
-		}
-	})
-}
-
-// cancelEvictedJob takes a withdrawal of a job that is not in the view.
-func (controller *Controller) cancelEvictedJob(id string, reply *server.Reply, retries int) {
-	controller.lookUpJob(id, clock.Now()+userTimeout, func(answer jobhistory.LookupResult) {
-		if answer == jobhistory.Unavailable {
-			replyUnavailable(reply, "the state service does not answer")
-			return
-		}
-		controller.cancelKnownJob(id, reply, retries-1)
-	})
-}
-
-// resolveDependencies looks up the jobs that a submission names, and the job itself, where they may
-// have been forgotten; then it goes on, with those that are proven absent.
-func (controller *Controller) resolveDependencies(job *wire.Job, reply *server.Reply, proceed func(absent map[string]bool)) {
-	absent := map[string]bool{}
-	var ids []string
-	for _, id := range append(slices.Clone(job.DependsOn), job.ID) {
-		if controller.mayBeEvicted(id) {
-			ids = append(ids, id)
-		}
-	}
-	remaining, isAnswered := len(ids), true
-	if remaining == 0 {
-		proceed(absent)
-		return
-	}
-	for _, id := range ids {
-		controller.lookUpJob(id, clock.Now()+userTimeout, func(answer jobhistory.LookupResult) {
-			isAnswered = isAnswered && answer != jobhistory.Unavailable
-			absent[id] = answer == jobhistory.Absent
-			if remaining--; remaining > 0 {
-				return
-			}
-			if !isAnswered {
-				replyUnavailable(reply, "the state service does not answer")
-				return
-			}
-			proceed(absent)
-		})
-	}
-}
-
 // lookUpUnknownDependencies looks up the jobs that others await and that are not in the view: all of
 // them were accepted, so they are over and were forgotten. Until they are known, what
 // awaits them does not start.
@@ -171,7 +110,7 @@
 }
 
 func (controller *Controller) lookUpUntilKnown(id string) {
-	controller.lookUpJob(id, clock.Now()+userTimeout, func(answer jobhistory.LookupResult) {
+	controller.lookUpJob(id, clock.Now()+syncTimeout, func(answer jobhistory.LookupResult) {
 		if answer != jobhistory.Present {
 			controller.runAfter(lookUpRetryInterval, func() {
 				if controller.view.Jobs[id] == nil {
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -31,6 +31,9 @@
 	controller.process.isUnavailable.Store(unavailable)
 }
 
+// IsHealthy tells whether users may be routed here. It may be called on any goroutine.
+func (controller *Controller) IsHealthy() bool { return !controller.process.isUnavailable.Load() }
+
 // receivedHeartbeat is the last beat of another controller.
 type receivedHeartbeat struct {
 	heartbeat  *peer.Heartbeat
