--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -66,12 +66,9 @@
 	archive := &term.archiver
 	archive.isReading = true
 	after := archive.afterKey
-	go func() {
+	term.background(func() func() {
 		page, err := term.controller.store.ReadPage(prefix, after, archivePageSize)
-		term.controller.postResult(func() {
-			if term.isClosed {
-				return
-			}
+		return func() {
 			archive.isReading = false
 			archive.nextAt = clock.Now() + archiveInterval
 			if err != nil {
@@ -84,8 +81,8 @@
 				archive.nextAt = clock.Now() + archivePassInterval
 			}
 			handlePage(page.KeyValues, after == "" && !page.HasMore)
-		})
-	}()
+		}
+	})
 }
 
 // archiveExpired moves those of a page that finished long ago to the archive.
--- a/internal/controller/persistence.go
+++ b/internal/controller/persistence.go
@@ -26,52 +26,25 @@
 	// Conditional on the key's absence: one that is carried out late, or again,
 	// must not take back progress that was written meanwhile.
 	write := &kvstore.Write{Priority: kvstore.Required, Conditions: []wire.Condition{{Key: records.ProgressKey(id, 0)}}, Changes: []wire.Change{records.NewProgressChange(id, 0, nil, nil)}}
-	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
+	verify := term.afterSync(func() { // it may be there already
+		jobInfo.isRecordingStarts = false
+		job.StartsRecorded = term.controller.view.Progress[id] != nil
+		jobInfo.updateKeyVersions(term.controller.view.Progress[id])
 		term.requestPlan()
-		switch outcome {
-		case kvstore.Committed:
+	})
+	term.commitHandled(write, outcomeHandlers{
+		committed: func(revision uint64) {
 			jobInfo.isRecordingStarts = false
 			job.StartsRecorded = true
 			jobInfo.setKeyVersion(0, revision)
-		case kvstore.NotExecuted:
-			jobInfo.isRecordingStarts = false
-		default: // it may be there already
-			term.controller.view.RequestSync(func(error) {
-				jobInfo.isRecordingStarts = false
-				job.StartsRecorded = term.controller.view.Progress[id] != nil
-				jobInfo.updateKeyVersions(term.controller.view.Progress[id])
-				term.requestPlan()
-			}, clock.Now()+2*clock.Second)
-		}
+		},
+		conflict:    verify,
+		notExecuted: func() { jobInfo.isRecordingStarts = false },
+		unknown:     verify,
+		afterwards:  term.requestPlan,
 	})
 }
 
-// commit commits a change that is bound to the lock.
-func (term *leaderTerm) commit(write *kvstore.Write, done func(kvstore.Outcome)) {
-	term.commitWithRevision(write, func(outcome kvstore.Outcome, _ uint64) { done(outcome) })
-}
-
-// commitWithRevision is the same where the revision matters.
-func (term *leaderTerm) commitWithRevision(write *kvstore.Write, done func(kvstore.Outcome, uint64)) {
-	write.FencingToken = term.token
-	write.Deadline = clock.Now() + 3*clock.Second
-	write.Done = func(outcome kvstore.Outcome, revision uint64) {
-		term.controller.postResult(func() {
-			if term.isClosed {
-				return
-			}
-			if outcome == kvstore.Fenced {
-				term.controller.handleFenced(term.token)
-				return
-			}
-			done(outcome, revision)
-		})
-	}
-	if !term.controller.store.Commit(write) {
-		done(kvstore.NotExecuted, 0)
-	}
-}
-
 // saveMachineTypes keeps the machine types where nodes find them that start while the
 // cloud's interface is down.
 func (term *leaderTerm) saveMachineTypes() {
@@ -155,24 +128,26 @@
 		write.Changes = append(write.Changes, jobInfo.layout.PutChange(id, key, len(job.Tasks), isDone))
 		jobInfo.setKeyVersion(key, 0)
 	}
-	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
-		term.progressWritesInFlight--
+	verify := term.afterSync(func() {
+		jobInfo.isWriting = false
+		jobInfo.updateKeyVersions(term.controller.view.Progress[id])
 		term.requestPlan()
-		switch outcome {
-		case kvstore.Committed:
+	})
+	term.commitHandled(write, outcomeHandlers{
+		committed: func(revision uint64) {
 			for key := range keys {
 				jobInfo.setKeyVersion(key, revision)
 			}
 			term.tracker.MarkDurable(job, tasks)
-		case kvstore.Conflict, kvstore.Unknown:
-			term.controller.view.RequestSync(func(error) {
-				jobInfo.isWriting = false
-				jobInfo.updateKeyVersions(term.controller.view.Progress[id])
-				term.requestPlan()
-			}, clock.Now()+2*clock.Second)
-			return
-		}
-		jobInfo.isWriting = false
+			jobInfo.isWriting = false
+		},
+		conflict:    verify,
+		notExecuted: func() { jobInfo.isWriting = false },
+		unknown:     verify,
+		afterwards: func() {
+			term.progressWritesInFlight--
+			term.requestPlan()
+		},
 	})
 }
 
@@ -200,32 +175,29 @@
 	if term.controller.store.BacklogDuration() < backlogThreshold {
 		term.addProgressDeletes(write, id, jobInfo)
 	}
-	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
+	verify := term.afterSync(func() { // cancelled meanwhile, or this write was executed
 		jobInfo.isWriting = false
-		term.requestPlan()
-		switch outcome {
-		case kvstore.Committed:
+		if current := term.controller.view.Jobs[id]; current != nil && current.State == wire.JobDone {
 			jobInfo.isEndDurable = true
-			tasks := job.UnpersistedCompletions()
-			term.tracker.MarkDurable(job, tasks)
+			term.tracker.MarkDurable(job, job.UnpersistedCompletions())
+		}
+		term.requestPlan()
+	})
+	term.commitHandled(write, outcomeHandlers{
+		committed: func(revision uint64) {
+			jobInfo.isWriting, jobInfo.isEndDurable = false, true
+			term.tracker.MarkDurable(job, job.UnpersistedCompletions())
 			if current := term.controller.view.Jobs[id]; current == nil || current.Version < revision {
 				// Jobs that need this one need not wait for the watch.
 				end.Version = revision
 				term.controller.view.SetJob(id, end)
 			}
 			term.logJobEnd(id, end)
-		case kvstore.Conflict, kvstore.Unknown:
-			// Withdrawn meanwhile, or done without our knowing: the view tells.
-			jobInfo.isWriting = true
-			term.controller.view.RequestSync(func(error) {
-				jobInfo.isWriting = false
-				if current := term.controller.view.Jobs[id]; current != nil && current.State == wire.JobDone {
-					jobInfo.isEndDurable = true
-					term.tracker.MarkDurable(job, job.UnpersistedCompletions())
-				}
-				term.requestPlan()
-			}, clock.Now()+2*clock.Second)
-		}
+		},
+		conflict:    verify,
+		notExecuted: func() { jobInfo.isWriting = false },
+		unknown:     verify,
+		afterwards:  term.requestPlan,
 	})
 }
 
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -142,14 +142,10 @@
 		return
 	}
 	cloudRequest := wire.ScaleOutRequest{RequestID: request.name, MachineType: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot, Count: request.record.Count}
-	go func() {
+	term.background(func() func() {
 		names, err := term.controller.cloud.ScaleOut(cloudRequest, term.mayActUntil)
-		term.controller.postResult(func() {
-			if !term.isClosed {
-				term.handleScaleOutResult(request, names, err)
-			}
-		})
-	}()
+		return func() { term.handleScaleOutResult(request, names, err) }
+	})
 }
 
 func (term *leaderTerm) handleScaleOutResult(request *scaleOutRequest, names []string, err error) {
@@ -206,14 +202,10 @@
 	batch := slices.Clone(term.deletions.pending[:count])
 	term.deletions.pending = slices.Delete(term.deletions.pending, 0, count)
 	term.deletions.isInFlight = true
-	go func() {
+	term.background(func() func() {
 		err := term.controller.cloud.DeleteMachines(batch, term.mayActUntil)
-		term.controller.postResult(func() {
-			if !term.isClosed {
-				term.handleDeleteResult(batch, err)
-			}
-		})
-	}()
+		return func() { term.handleDeleteResult(batch, err) }
+	})
 }
 
 func (term *leaderTerm) handleDeleteResult(batch []string, err error) {
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -169,19 +169,20 @@
 		Conditions: []wire.Condition{{Key: records.StandbyKey, Version: version}},
 		Changes:    []wire.Change{{PutKey: records.StandbyKey, Value: value}},
 	}
-	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
-		switch outcome {
-		case kvstore.Committed:
+	syncView := term.afterSync(func() {}) // applyStandbyRecord takes what is there
+	reject := func() {
+		membership.RejectWrite()
+		syncView()
+	}
+	term.commitHandled(write, outcomeHandlers{
+		committed: func(revision uint64) {
 			membership.ConfirmWrite(revision)
 			term.controller.log.Debug("members in step", "token", record.Token, "members", record.Members)
-		case kvstore.Unknown:
-			membership.MarkWriteUnresolved()
-		default:
-			// After a conflict the view tells what is there.
-			membership.RejectWrite()
-			term.controller.view.RequestSync(func(error) {}, clock.Now()+2*clock.Second)
-		}
-		term.tracker.RetryUnreplicatedStarts()
+		},
+		conflict:    reject,
+		notExecuted: reject,
+		unknown:     membership.MarkWriteUnresolved,
+		afterwards:  term.tracker.RetryUnreplicatedStarts,
 	})
 }
 
--- a/internal/controller/token.go
+++ b/internal/controller/token.go
@@ -20,16 +20,16 @@
 		return
 	}
 	term.tokenIssue.isInFlight = true
-	term.commitWithRevision(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.TokenKey, Value: []byte(`{}`)}}}, func(outcome kvstore.Outcome, revision uint64) {
-		term.tokenIssue.isInFlight = false
-		if outcome != kvstore.Committed {
-			return
-		}
-		term.tokenIssue.issuedAt = clock.Now()
-		term.tracker.IssueToken(revision)
-		// Those who are delegates hear of it first: they could not answer a worker that
-		// has seen a higher token than they know.
-		term.tokenIssue.raiseAt = term.tokenIssue.issuedAt + 2*heartbeatInterval
-		term.controller.members.nextHeartbeatAt = 0
+	write := &kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.TokenKey, Value: []byte(`{}`)}}}
+	term.commitHandled(write, outcomeHandlers{
+		committed: func(revision uint64) {
+			term.tokenIssue.issuedAt = clock.Now()
+			term.tracker.IssueToken(revision)
+			// Those who are delegates hear of it first: they could not answer a worker that
+			// has seen a higher token than they know.
+			term.tokenIssue.raiseAt = term.tokenIssue.issuedAt + 2*heartbeatInterval
+			term.controller.members.nextHeartbeatAt = 0
+		},
+		afterwards: func() { term.tokenIssue.isInFlight = false },
 	})
 }
