--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -9,125 +9,134 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The archive holds records of jobs that finished long ago, below a prefix that is neither
-// read at the start nor watched. With `archive_finished_after_s` set the leader moves them
-// there, a page at a time; without it, it moves back what is there, so that a version that
-// knows no archive can take over. A record is moved in one transaction, so it is always in
-// exactly one place, and a submission asks for its absence from both.
-
 const (
-	// archivePageSize is how many records are looked at in one request.
+	// archivePageSize is how many records are read in one request.
 	archivePageSize = 200
-	// archiveInterval is the time between two requests, archivePassInterval that between two times
-	// through all records.
+	// archiveInterval is the time between two requests, archivePassInterval that between two
+	// passes through all records.
 	archiveInterval, archivePassInterval = clock.Second, 60 * clock.Second
 	// maxMovesInFlight bounds the records that are being moved.
 	maxMovesInFlight = 64
 )
 
-// archiveState is how far the leader has gone through the records.
-type archiveState struct {
-	afterKey      string // the last key that was looked at
+// archiver moves records of jobs that finished long ago to the archive: keys below a prefix that
+// is neither loaded at the start nor watched. It does so with `archive_finished_after_s` set, a
+// page at a time. With the setting at 0 it moves archived records back, so that a version that
+// knows no archive can take over. A record is moved in one transaction, so it is always in
+// exactly one of the two places, and a submission requires its absence from both.
+type archiver struct {
+	term          *leaderTerm
+	afterKey      string // the last key that was read in this pass
 	nextAt        clock.Micros
 	isReading     bool
 	movesInFlight int
-	// isWritingMarker: that there may be an archive is being made durable.
+	// isWritingMarker: the key that says whether there may be an archive is being written.
 	isWritingMarker bool
 }
 
-// tickArchive goes on with moving records there, or back.
-func (term *leaderTerm) tickArchive(now clock.Micros) {
-	archive := &term.archiver
-	isWanted := term.controller.tuning.ArchiveFinishedAfterS > 0
+// tick goes on with moving records into the archive, or back.
+func (archiver *archiver) tick(now clock.Micros) {
+	controller := archiver.term.controller
+	isWanted, hasArchive := controller.tuning.ArchiveFinishedAfterS > 0, controller.view.HasArchive
 	switch {
-	case archive.isReading || archive.movesInFlight > 0 || archive.isWritingMarker || now < archive.nextAt || term.controller.store.IsFailing(now):
-	case isWanted && !term.controller.view.HasArchive:
-		term.writeArchiveMarker(wire.Change{PutKey: records.ArchiveMarkerKey, Value: []byte("{}")})
+	case archiver.isBusy() || now < archiver.nextAt || controller.store.IsFailing(now):
+	case isWanted && !hasArchive:
+		archiver.writeMarker(wire.Change{PutKey: records.ArchiveMarkerKey, Value: []byte("{}")})
 	case isWanted:
-		term.readArchivePage(records.JobPrefix, term.archiveExpired)
-	case term.controller.view.HasArchive:
-		term.readArchivePage(records.ArchivePrefix, term.restoreArchived)
+		archiver.readPage(records.JobPrefix, archiver.archiveExpired)
+	case hasArchive:
+		archiver.readPage(records.ArchivePrefix, archiver.restore)
 	}
 }
 
-// writeArchiveMarker makes it durable that there may be an archive, before the first record is
-// moved there, or that there is none any more.
-func (term *leaderTerm) writeArchiveMarker(change wire.Change) {
-	archive := &term.archiver
-	archive.isWritingMarker = true
+func (archiver *archiver) isBusy() bool {
+	return archiver.isReading || archiver.movesInFlight > 0 || archiver.isWritingMarker
+}
+
+// writeMarker makes it durable that there may be an archive, before the first record is moved
+// there, or that there is none any more. The view shows whether it was executed.
+func (archiver *archiver) writeMarker(change wire.Change) {
+	term := archiver.term
+	archiver.isWritingMarker = true
 	term.commit(&kvstore.Write{Priority: kvstore.Background, Changes: []wire.Change{change}}, func(kvstore.Outcome) {
-		// The watch tells whether it was carried out.
-		term.runAfter(archiveInterval, func() { archive.isWritingMarker = false })
+		term.runAfter(archiveInterval, func() { archiver.isWritingMarker = false })
 	})
 }
 
-// readArchivePage looks at the next page of records below a prefix.
-func (term *leaderTerm) readArchivePage(prefix string, handlePage func(page []wire.KeyValue, isAll bool)) {
-	archive := &term.archiver
-	archive.isReading = true
-	after := archive.afterKey
+// archivePage is a page of records below a prefix.
+type archivePage struct {
+	records []wire.KeyValue
+	isAll   bool // there are no other records below the prefix
+}
+
+// readPage reads the next page of records below a prefix.
+func (archiver *archiver) readPage(prefix string, handlePage func(archivePage)) {
+	term := archiver.term
+	archiver.isReading = true
+	after := archiver.afterKey
 	term.background(func() func() {
 		page, err := term.controller.store.ReadPage(prefix, after, archivePageSize)
 		return func() {
-			archive.isReading = false
-			archive.nextAt = clock.Now() + archiveInterval
+			archiver.isReading = false
+			archiver.nextAt = clock.Now() + archiveInterval
 			if err != nil {
 				return
 			}
-			archive.afterKey = ""
+			archiver.afterKey = ""
 			if page.HasMore {
-				archive.afterKey = page.KeyValues[len(page.KeyValues)-1].Key
+				archiver.afterKey = page.KeyValues[len(page.KeyValues)-1].Key
 			} else {
-				archive.nextAt = clock.Now() + archivePassInterval
+				archiver.nextAt = clock.Now() + archivePassInterval
 			}
-			handlePage(page.KeyValues, after == "" && !page.HasMore)
+			handlePage(archivePage{records: page.KeyValues, isAll: after == "" && !page.HasMore})
 		}
 	})
 }
 
-// archiveExpired moves those of a page that finished long ago to the archive.
-func (term *leaderTerm) archiveExpired(page []wire.KeyValue, _ bool) {
-	before := clock.WallTime() - clock.FromSeconds(term.controller.tuning.ArchiveFinishedAfterS)
-	for _, item := range page {
+// archiveExpired moves those records of a page to the archive whose jobs finished long ago.
+func (archiver *archiver) archiveExpired(page archivePage) {
+	finishedBefore := clock.WallTime() - clock.FromSeconds(archiver.term.controller.tuning.ArchiveFinishedAfterS)
+	for _, item := range page.records {
 		id := strings.TrimPrefix(item.Key, records.JobPrefix)
 		var record records.Job
-		if record.UnmarshalJSON(item.Value) != nil || !record.IsFinished() || clock.Micros(record.EndedAt) > before || !term.canArchive(id) {
+		if record.UnmarshalJSON(item.Value) != nil || !record.IsFinished() || clock.Micros(record.EndedAt) > finishedBefore || !archiver.canArchive(id) {
 			continue
 		}
-		term.moveRecord(item, records.ArchiveKey(id))
+		archiver.move(item, records.ArchiveKey(id))
 	}
 }
 
 // canArchive tells whether nothing of a finished job is left but its record.
-func (term *leaderTerm) canArchive(id string) bool {
+func (archiver *archiver) canArchive(id string) bool {
+	term := archiver.term
 	view := term.controller.view
 	return view.Progress[id] == nil && view.Dependencies[id] == nil && term.tracker.Jobs[id] == nil && term.jobs[id] == nil
 }
 
-// restoreArchived moves a page of the archive back; once there is nothing left of it, that is said.
-func (term *leaderTerm) restoreArchived(page []wire.KeyValue, isAll bool) {
-	if len(page) == 0 && isAll {
-		term.controller.log.Info("the archive is empty; versions without one may lead")
-		term.writeArchiveMarker(wire.Change{DeleteKey: records.ArchiveMarkerKey})
+// restore moves a page of the archive back. Once the archive is empty, its marker is removed.
+func (archiver *archiver) restore(page archivePage) {
+	if len(page.records) == 0 && page.isAll {
+		archiver.term.controller.log.Info("the archive is empty; versions without one may lead")
+		archiver.writeMarker(wire.Change{DeleteKey: records.ArchiveMarkerKey})
 		return
 	}
-	term.archiver.nextAt = clock.Now() + archiveInterval
-	for _, item := range page {
-		term.moveRecord(item, records.JobPrefix+strings.TrimPrefix(item.Key, records.ArchivePrefix))
+	archiver.nextAt = clock.Now() + archiveInterval
+	for _, item := range page.records {
+		archiver.move(item, records.JobPrefix+strings.TrimPrefix(item.Key, records.ArchivePrefix))
 	}
 }
 
-// moveRecord moves a record as it was read to another key.
-func (term *leaderTerm) moveRecord(item wire.KeyValue, newKey string) {
-	archive := &term.archiver
-	if archive.movesInFlight >= maxMovesInFlight {
-		return // the next time through
+// move moves a record to another key, if it is still as it was read. What is over the bound on
+// moves under way is moved in the next pass.
+func (archiver *archiver) move(item wire.KeyValue, newKey string) {
+	if archiver.movesInFlight >= maxMovesInFlight {
+		return
 	}
-	archive.movesInFlight++
+	archiver.movesInFlight++
 	write := &kvstore.Write{
 		Priority:   kvstore.Background,
 		Conditions: []wire.Condition{{Key: item.Key, Version: item.Version}, {Key: newKey}},
 		Changes:    []wire.Change{{PutKey: newKey, Value: item.Value}, {DeleteKey: item.Key}},
 	}
-	term.commit(write, func(kvstore.Outcome) { archive.movesInFlight-- })
+	archiver.term.commit(write, func(kvstore.Outcome) { archiver.movesInFlight-- })
 }
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -11,115 +11,135 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Some of what lies in the state service is of no use any more, and nobody waits for
-// its removal: what an ended job awaited, progress of an ended job that its end left
-// because it came in parts, or because a write was carried out late, and ends that so
-// far only follow from those of other jobs. The leader cleans it up, a little at a
-// time, with what the rate of writes has to spare. Every write is conditional on the
-// lock and on the ended job's record, so neither a former leader nor a late write can
-// remove anything of a job that is not over.
-
 const (
-	// sweepInterval is how often the leader looks for keys that are left over.
+	// sweepInterval is how often the leader looks for obsolete keys.
 	sweepInterval = 5 * clock.Second
-	// maxCleanupsInFlight bounds the writes of a clean-up that are under way, so that they
-	// never fill the queue in which users' writes wait.
+	// maxCleanupsInFlight bounds the writes of the cleaner under way, so that they never fill the
+	// queue in which users' writes wait. Added after submissions were refused while thousands of
+	// implied cancellations were written.
 	maxCleanupsInFlight = 4
-	// cleanupRetryDelay is how long a write that failed is left alone.
+	// cleanupRetryDelay is the time until a failed write is tried again.
 	cleanupRetryDelay = 2 * clock.Second
 )
 
-// cleanupState is the leader's account of what is left to be cleaned up.
-type cleanupState struct {
+// cleaner removes from the key-value store what is of no use any more and that nobody waits for:
+//   - the dependencies of jobs that have ended;
+//   - progress of jobs that have ended, which the write of their end left because it didn't fit
+//     into its transaction, or which a write that was executed late has put back;
+//
+// and it writes the ends of jobs that were cancelled with one that they depend on, which follow
+// so far from that job's record. It does a little at a time, with what the rate of writes has to
+// spare. Every write is conditional on the lock and on the record of the ended job, so neither a
+// former leader nor a write that is executed late removes anything of a job that has not ended.
+type cleaner struct {
+	term        *leaderTerm
 	nextSweepAt clock.Micros
-	// impliedCancellations are jobs that are cancelled with others, whose own records don't say so.
+	// impliedCancellations are jobs that were cancelled with another one, and whose own records
+	// don't say so yet.
 	impliedCancellations []string
-	// jobsWithObsoleteKeys are jobs that are over and have keys that are of no use.
+	// jobsWithObsoleteKeys are jobs that have ended and still have keys, as of the last sweep.
 	jobsWithObsoleteKeys []string
 	inFlight             int
 }
 
-// tickCleanup writes what is left, as far as not too much is under way.
-func (term *leaderTerm) tickCleanup(now clock.Micros) {
-	if now >= term.cleanup.nextSweepAt {
-		term.cleanup.nextSweepAt = now + sweepInterval
-		term.cleanup.jobsWithObsoleteKeys = term.findJobsWithObsoleteKeys()
+// addImpliedCancellations has the end of jobs written that were cancelled with another one.
+func (cleaner *cleaner) addImpliedCancellations(ids ...string) {
+	cleaner.impliedCancellations = append(cleaner.impliedCancellations, ids...)
+}
+
+// tick looks for obsolete keys when that is due, and starts writes up to the bound on those under
+// way.
+func (cleaner *cleaner) tick(now clock.Micros) {
+	if now >= cleaner.nextSweepAt {
+		cleaner.nextSweepAt = now + sweepInterval
+		cleaner.lookUpEvicted()
+		cleaner.jobsWithObsoleteKeys = cleaner.findJobsWithObsoleteKeys()
 	}
-	for term.cleanup.inFlight < maxCleanupsInFlight && term.startNextCleanup() {
+	for cleaner.inFlight < maxCleanupsInFlight && cleaner.startNext() {
 	}
 }
 
-// startNextCleanup begins the next clean-up; false means that there is none.
-func (term *leaderTerm) startNextCleanup() bool {
-	cleanup := &term.cleanup
+// startNext takes the next job to clean up after; false means that there is none.
+func (cleaner *cleaner) startNext() bool {
 	switch {
-	case len(cleanup.impliedCancellations) > 0:
-		id := cleanup.impliedCancellations[0]
-		cleanup.impliedCancellations = cleanup.impliedCancellations[1:]
-		term.writeImpliedCancellation(id)
-	case len(cleanup.jobsWithObsoleteKeys) > 0:
-		id := cleanup.jobsWithObsoleteKeys[0]
-		cleanup.jobsWithObsoleteKeys = cleanup.jobsWithObsoleteKeys[1:]
-		term.deleteObsoleteKeys(id)
+	case len(cleaner.impliedCancellations) > 0:
+		id := cleaner.impliedCancellations[0]
+		cleaner.impliedCancellations = cleaner.impliedCancellations[1:]
+		cleaner.writeImpliedCancellation(id)
+	case len(cleaner.jobsWithObsoleteKeys) > 0:
+		id := cleaner.jobsWithObsoleteKeys[0]
+		cleaner.jobsWithObsoleteKeys = cleaner.jobsWithObsoleteKeys[1:]
+		cleaner.deleteObsoleteKeys(id)
 	default:
 		return false
 	}
 	return true
 }
 
-// findJobsWithObsoleteKeys lists jobs that are over and still have keys. It looks at jobs that
-// have keys of their own, which are few, and not at all jobs.
-func (term *leaderTerm) findJobsWithObsoleteKeys() []string {
+// lookUpEvicted fetches the records of jobs that have progress and that were evicted from the
+// view: a write that was executed late has put their progress back.
+func (cleaner *cleaner) lookUpEvicted() {
+	controller := cleaner.term.controller
+	for id := range controller.view.Progress {
+		if controller.mayBeEvicted(id) {
+			controller.lookUpUntilKnown(id)
+		}
+	}
+}
+
+// findJobsWithObsoleteKeys lists jobs that have ended and still have keys. It looks at the jobs
+// that have keys of their own, which are few, and not at all jobs.
+func (cleaner *cleaner) findJobsWithObsoleteKeys() []string {
+	view := cleaner.term.controller.view
 	found := map[string]bool{}
-	for id := range term.controller.view.Dependencies {
-		found[id] = len(term.obsoleteKeys(id)) > 0
+	for id := range view.Dependencies {
+		found[id] = len(cleaner.obsoleteKeys(id)) > 0
 	}
-	for id := range term.controller.view.Progress {
-		if term.controller.mayBeEvicted(id) {
-			term.controller.lookUpUntilKnown(id) // a late write came after the job was forgotten
-		}
-		found[id] = len(term.obsoleteKeys(id)) > 0
+	for id := range view.Progress {
+		found[id] = len(cleaner.obsoleteKeys(id)) > 0
 	}
-	maps.DeleteFunc(found, func(_ string, left bool) bool { return !left })
+	maps.DeleteFunc(found, func(_ string, hasObsoleteKeys bool) bool { return !hasObsoleteKeys })
 	return slices.Sorted(maps.Keys(found))
 }
 
-// obsoleteKeys are the keys of a job that are of no use any more. As long as tasks of a
-// cancelled job may be on machines, its progress tells the next leader to look for them.
-func (term *leaderTerm) obsoleteKeys(id string) []string {
-	record := term.controller.view.Jobs[id]
+// obsoleteKeys are the keys of a job that are of no use any more. While tasks of a cancelled job
+// may be on machines, its progress stays: it tells the next leader to look for them.
+func (cleaner *cleaner) obsoleteKeys(id string) []string {
+	controller := cleaner.term.controller
+	record := controller.view.Jobs[id]
 	if record == nil || record.State == "" {
 		return nil
 	}
 	var keys []string
-	for _, part := range slices.Sorted(maps.Keys(term.controller.view.Dependencies[id])) {
+	for _, part := range slices.Sorted(maps.Keys(controller.view.Dependencies[id])) {
 		keys = append(keys, records.DependenciesKey(id, part))
 	}
 	if record.Spec != nil {
 		return keys
 	}
-	for _, number := range term.controller.view.ProgressKeys(id) {
+	for _, number := range controller.view.ProgressKeys(id) {
 		keys = append(keys, records.ProgressKey(id, number))
 	}
 	return keys
 }
 
-func (term *leaderTerm) deleteObsoleteKeys(id string) {
-	record, keys := term.controller.view.Jobs[id], term.obsoleteKeys(id)
+func (cleaner *cleaner) deleteObsoleteKeys(id string) {
+	record, keys := cleaner.term.controller.view.Jobs[id], cleaner.obsoleteKeys(id)
 	if len(keys) == 0 {
 		return
 	}
 	write := &kvstore.Write{Priority: kvstore.Background, Conditions: []wire.Condition{{Key: record.Key(id), Version: record.Version}}}
-	for _, key := range keys[:min(len(keys), term.controller.cfg.Deployment.Store.Effective().MaxTransactionOps)] {
+	for _, key := range keys[:min(len(keys), cleaner.term.maxTransactionOps())] {
 		write.Changes = append(write.Changes, wire.Change{DeleteKey: key})
 	}
-	// What is left after this one, or after a failure, is found by the next sweep.
-	term.writeCleanup(write, func(kvstore.Outcome) {})
+	// The next sweep finds what is left after this write, or after its failure.
+	cleaner.commit(write, func(kvstore.Outcome) {})
 }
 
-// writeImpliedCancellation makes the end of a job durable that is cancelled with one that it
-// needs. Users are told without that; it spares later readers the derivation.
-func (term *leaderTerm) writeImpliedCancellation(id string) {
+// writeImpliedCancellation makes the end of a job durable that was cancelled with one that it
+// depends on. Users get that state without it; it spares later readers the derivation.
+func (cleaner *cleaner) writeImpliedCancellation(id string) {
+	term := cleaner.term
 	record := term.controller.view.Jobs[id]
 	if record == nil || record.State != "" {
 		return
@@ -135,17 +155,17 @@
 		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.Version}},
 		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
 	}
-	term.writeCleanup(write, func(outcome kvstore.Outcome) {
+	cleaner.commit(write, func(outcome kvstore.Outcome) {
 		if outcome != kvstore.Committed {
-			term.runAfter(cleanupRetryDelay, func() { term.cleanup.impliedCancellations = append(term.cleanup.impliedCancellations, id) })
+			term.runAfter(cleanupRetryDelay, func() { cleaner.addImpliedCancellations(id) })
 		}
 	})
 }
 
-func (term *leaderTerm) writeCleanup(write *kvstore.Write, done func(kvstore.Outcome)) {
-	term.cleanup.inFlight++
-	term.commit(write, func(outcome kvstore.Outcome) {
-		term.cleanup.inFlight--
+func (cleaner *cleaner) commit(write *kvstore.Write, done func(kvstore.Outcome)) {
+	cleaner.inFlight++
+	cleaner.term.commit(write, func(outcome kvstore.Outcome) {
+		cleaner.inFlight--
 		done(outcome)
 	})
 }
--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -74,12 +74,12 @@
 	now := clock.Now()
 	runUntil(t, term.controller, func() bool {
 		now += 2 * sweepInterval
-		term.tickCleanup(now)
+		term.persistence.cleanup.tick(now)
 		return slices.Equal(dependencyAndProgressKeys(fakeStore), stays)
 	})
 	for range 3 { // and no more than that
 		now += 2 * sweepInterval
-		term.tickCleanup(now)
+		term.persistence.cleanup.tick(now)
 		idle := 0
 		runUntil(t, term.controller, func() bool { idle++; return idle > 50 })
 	}
@@ -103,7 +103,7 @@
 	})
 	before := len(fakeStore.Transactions())
 	runUntil(t, term.controller, func() bool {
-		term.tickCleanup(clock.Now() + 2*sweepInterval)
+		term.persistence.cleanup.tick(clock.Now() + 2*sweepInterval)
 		return len(dependencyAndProgressKeys(fakeStore)) == 0
 	})
 	cleanUps := fakeStore.Transactions()[before:]
@@ -146,12 +146,12 @@
 	end := storeview.NewEndedJob(root, wire.JobCancelled, clock.WallTime())
 	end.Version = 2
 	controller.view.SetJob("req-000000", end)
-	if got := len(term.cleanup.impliedCancellations); got != jobs {
+	if got := len(term.persistence.cleanup.impliedCancellations); got != jobs {
 		t.Fatalf("%d of %d ends are to be written", got, jobs)
 	}
-	term.tickCleanup(clock.Now())
-	if term.cleanup.inFlight > maxCleanupsInFlight {
-		t.Fatalf("%d writes are under way", term.cleanup.inFlight)
+	term.persistence.cleanup.tick(clock.Now())
+	if term.persistence.cleanup.inFlight > maxCleanupsInFlight {
+		t.Fatalf("%d writes are under way", term.persistence.cleanup.inFlight)
 	}
 	accepted := false
 	ok := controller.store.Commit(&kvstore.Write{
@@ -164,7 +164,7 @@
 	if !ok {
 		t.Fatal("a submission is refused")
 	}
-	runUntil(t, controller, func() bool { term.tickCleanup(clock.Now()); return accepted })
+	runUntil(t, controller, func() bool { term.persistence.cleanup.tick(clock.Now()); return accepted })
 	if fakeStore.Value(records.JobKey("req-009999")) == "" {
 		t.Error("the submission is not stored")
 	}
@@ -246,7 +246,7 @@
 	runUntil(t, term.controller, func() bool {
 		term.persistJobs(clock.Now() + clock.Second)
 		sweepAt += sweepInterval
-		term.tickCleanup(sweepAt)
+		term.persistence.cleanup.tick(sweepAt)
 		return len(fakeStore.Keys(records.ProgressPrefix)) == 0 && term.controller.view.Jobs[id].State == wire.JobDone
 	})
 	if tooLarge := fakeStore.OversizedCount(); tooLarge != 0 {
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -112,3 +112,8 @@
 		})
 	}()
 }
+
+// maxTransactionOps is how many changes one transaction takes.
+func (term *leaderTerm) maxTransactionOps() int {
+	return term.controller.cfg.Deployment.Store.Effective().MaxTransactionOps
+}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -69,7 +69,7 @@
 			record.IsCancelledByDependency = true
 			controller.users.progressCounts.remove(id)
 			if controller.term != nil {
-				controller.term.cleanup.impliedCancellations = append(controller.term.cleanup.impliedCancellations, id)
+				controller.term.persistence.cleanup.addImpliedCancellations(id)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/controller/job_end_writer.go
@@ -0,0 +1,82 @@
+package controller
+
+import (
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/storeview"
+	"firwood.dev/firwood/wire"
+)
+
+// jobEndWriter makes the end of complete jobs durable. Nobody is told of an end before.
+type jobEndWriter struct{ term *leaderTerm }
+
+func (writer *jobEndWriter) write(id string, job *allocation.Job, jobInfo *jobState) {
+	term := writer.term
+	record := term.controller.view.Jobs[id]
+	if record == nil || record.HasEnded() {
+		return
+	}
+	end := writer.endRecord(id, record, job, jobInfo)
+	value, err := end.MarshalJSON()
+	if err != nil {
+		return
+	}
+	jobInfo.isWriting = true
+	write := &kvstore.Write{
+		Priority:   kvstore.Required,
+		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.Version}},
+		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
+	}
+	if term.controller.store.BacklogDuration() < backlogThreshold {
+		term.appendProgressDeletes(write, id, jobInfo)
+	}
+	verify := term.afterSync(func() { writer.verify(id, job, jobInfo) })
+	term.commitHandled(write, outcomeHandlers{
+		committed: func(revision uint64) {
+			jobInfo.isWriting = false
+			writer.recordCommit(id, end, revision, job, jobInfo)
+		},
+		conflict:    verify,
+		notExecuted: func() { jobInfo.isWriting = false },
+		unknown:     verify,
+		afterwards:  term.requestPlan,
+	})
+}
+
+// endRecord is the record of a job that has completed.
+func (writer *jobEndWriter) endRecord(id string, record *storeview.Job, job *allocation.Job, jobInfo *jobState) *storeview.Job {
+	end := storeview.NewEndedJob(record, wire.JobDone, clock.WallTime())
+	end.FirstStartAt, end.Errors, end.Restarts = jobInfo.firstStartAt, job.FailureCount, job.RestartCount
+	releasedAt := writer.term.controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
+	if int64(releasedAt) != record.SubmittedAt {
+		end.ReleasedAt = int64(releasedAt)
+	}
+	return end
+}
+
+// recordCommit applies an end that is durable since a revision.
+func (writer *jobEndWriter) recordCommit(id string, end *storeview.Job, revision uint64, job *allocation.Job, jobInfo *jobState) {
+	term := writer.term
+	jobInfo.isEndDurable = true
+	term.tracker.MarkDurable(job, job.UnpersistedCompletions())
+	if current := term.controller.view.Jobs[id]; current == nil || current.Version < revision {
+		// Dependent jobs need not wait for the watch.
+		end.Version = revision
+		term.controller.view.SetJob(id, end)
+	}
+	term.logJobEnd(id, end)
+}
+
+// verify reads from the view what became of a write whose outcome isn't known, or that had a
+// conflict: the job was cancelled meanwhile, or the write was executed after all.
+func (writer *jobEndWriter) verify(id string, job *allocation.Job, jobInfo *jobState) {
+	term := writer.term
+	jobInfo.isWriting = false
+	if current := term.controller.view.Jobs[id]; current != nil && current.State == wire.JobDone {
+		jobInfo.isEndDurable = true
+		term.tracker.MarkDurable(job, job.UnpersistedCompletions())
+	}
+	term.requestPlan()
+}
--- /dev/null
+++ b/internal/controller/job_persistence.go
@@ -0,0 +1,107 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/wire"
+)
+
+// persistence groups what keeps the key-value store up to date with the allocation table and
+// tidies it up. Each part has a file of its own.
+type persistence struct {
+	progress  progressWriter
+	jobEnds   jobEndWriter
+	cancelled cancelledJobShrinker
+	cleanup   cleaner
+	archive   archiver
+}
+
+func newPersistence(term *leaderTerm) persistence {
+	return persistence{
+		progress: progressWriter{term: term}, jobEnds: jobEndWriter{term: term}, cancelled: cancelledJobShrinker{term: term},
+		cleanup: cleaner{term: term}, archive: archiver{term: term},
+	}
+}
+
+// persistJobs writes which tasks of jobs have completed, and the end of jobs that are complete
+// or cancelled. At most one write of a job is under way at a time.
+func (term *leaderTerm) persistJobs(now clock.Micros) {
+	var due []string
+	for id, job := range term.tracker.Jobs {
+		jobInfo := term.jobs[id]
+		if jobInfo == nil || jobInfo.isWriting || !job.Cancelled && !job.NeedsPersisting() {
+			continue
+		}
+		switch {
+		case job.Cancelled:
+			term.persistence.cancelled.shrinkIfVacated(id, job, jobInfo)
+		case jobInfo.isEndDurable:
+			if term.tracker.IsVacated(job) {
+				term.removeJob(id, job)
+			}
+		case job.IsComplete():
+			term.persistence.jobEnds.write(id, job, jobInfo)
+		case now-jobInfo.writtenAt >= progressInterval:
+			due = append(due, id)
+		}
+	}
+	term.persistence.progress.writeDue(due, now)
+}
+
+// removeJob ends the tracking of a job whose end is durable and that has no tasks left.
+func (term *leaderTerm) removeJob(id string, job *allocation.Job) {
+	term.tracker.RemoveJob(job)
+	delete(term.jobs, id)
+}
+
+// recordStarts makes it durable that tasks of the job may have been started from now on. A later
+// leader looks on the machines for tasks of such jobs, and knows that no other job has any.
+func (term *leaderTerm) recordStarts(job *allocation.Job) {
+	id := job.Spec.ID
+	jobInfo := term.jobs[id]
+	if jobInfo == nil || jobInfo.isRecordingStarts || job.StartsRecorded {
+		return
+	}
+	jobInfo.isRecordingStarts = true
+	// The key must not exist: a write that is executed late, or twice, must not undo progress
+	// that was written meanwhile.
+	write := &kvstore.Write{
+		Priority:   kvstore.Required,
+		Conditions: []wire.Condition{{Key: records.ProgressKey(id, 0)}},
+		Changes:    []wire.Change{records.NewProgressChange(id, 0, nil, nil)},
+	}
+	verify := term.afterSync(func() { // the key may exist by now
+		jobInfo.isRecordingStarts = false
+		job.StartsRecorded = term.controller.view.Progress[id] != nil
+		jobInfo.updateKeyVersions(term.controller.view.Progress[id])
+		term.requestPlan()
+	})
+	term.commitHandled(write, outcomeHandlers{
+		committed: func(revision uint64) {
+			jobInfo.isRecordingStarts = false
+			job.StartsRecorded = true
+			jobInfo.setKeyVersion(0, revision)
+		},
+		conflict:    verify,
+		notExecuted: func() { jobInfo.isRecordingStarts = false },
+		unknown:     verify,
+		afterwards:  term.requestPlan,
+	})
+}
+
+// appendProgressDeletes adds the removal of a job's progress to the write of its end, as far as
+// one transaction takes it; the cleaner removes the rest later.
+func (term *leaderTerm) appendProgressDeletes(write *kvstore.Write, id string, jobInfo *jobState) {
+	maxChanges := term.maxTransactionOps()
+	for _, number := range slices.Sorted(maps.Keys(jobInfo.keyVersions)) {
+		if len(write.Changes) >= maxChanges {
+			return
+		}
+		write.Changes = append(write.Changes, wire.Change{DeleteKey: records.ProgressKey(id, number)})
+	}
+}
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -2,6 +2,8 @@
 
 import (
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
 
@@ -41,3 +43,14 @@
 		controller.term.scheduler.SetMachineTypes(types)
 	}
 }
+
+// saveMachineTypes keeps the machine types in the key-value store, for controllers that start
+// while the cloud's interface is down. If it fails they are written with the next fetch.
+func (term *leaderTerm) saveMachineTypes() {
+	value, err := wire.MachineTypeList{Types: term.controller.machineTypes.list}.MarshalJSON()
+	if err != nil || len(value) > int(term.controller.cfg.Deployment.Store.Effective().MaxValueKB*1024) {
+		term.controller.log.Info("machine types are too large for the state service; controllers learn them from the cloud alone", "bytes", len(value))
+		return
+	}
+	term.commitHandled(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.MachineTypesKey, Value: value}}}, outcomeHandlers{})
+}
--- a/internal/controller/small_limits_test.go
+++ b/internal/controller/small_limits_test.go
@@ -112,7 +112,7 @@
 		runUntil(t, controller, func() bool {
 			term.persistJobs(clock.Now() + clock.Second)
 			sweepAt += sweepInterval
-			term.tickCleanup(sweepAt) // what the end's transaction could not take
+			term.persistence.cleanup.tick(sweepAt) // what the end's transaction could not take
 			return len(fakeStore.Keys(records.ProgressPrefix)) == 0 && term.tracker.Jobs[id] == nil
 		})
 		for _, transaction := range fakeStore.Transactions() {
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -97,15 +97,12 @@
 
 // backgroundWork is what a term does beside placing tasks.
 type backgroundWork struct {
-	scaleOutSequence int // of the last scale-out request's name
-	listing          machineListing
-	deletions        machineDeletions
-	tokenIssue       tokenIssue
-	probing          probing
-	cleanup          cleanupState
-	archiver         archiveState
-	// Requests under way.
-	progressWritesInFlight  int
+	scaleOutSequence        int // of the last scale-out request's name
+	listing                 machineListing
+	deletions               machineDeletions
+	tokenIssue              tokenIssue
+	probing                 probing
+	persistence             persistence
 	commandRequestsInFlight int
 }
 
@@ -198,6 +195,7 @@
 	}
 	term.entitlement.viewAge = staleness.NewTracker(controller.stalenessBounds, readAt)
 	term.deletions.deletedAt, term.listing.unknownSince = map[string]clock.Micros{}, map[string]clock.Micros{}
+	term.persistence = newPersistence(term)
 	term.requestPlan()
 	allocationConfig := allocation.Config{
 		FencingToken: token, LeaseTTL: clock.FromSeconds(deployment.Workers.LeaseSeconds), Quotas: controller.teams,
@@ -280,7 +278,7 @@
 	term.updateRenewalBounds(now)
 	term.tracker.FinishRecovery()
 	term.restoreHints(now)
-	term.cleanup.impliedCancellations = cancelled
+	term.persistence.cleanup.addImpliedCancellations(cancelled...)
 	failover := &controller.failover.last
 	failover.rebuiltAt, failover.isReplicaUsed, failover.unconfirmed = clock.Now(), allocationConfig.MayHaveStarted != nil, term.unconfirmedCount()
 	controller.log.Info("account rebuilt", "token", token, "jobs", len(term.tracker.Jobs), "machines", len(term.tracker.Machines), "accounted", term.tracker.IsReconciled(),
@@ -349,8 +347,8 @@
 	term.recordFirstDecision(now)
 	term.sendCommandRequests(now)
 	term.sendDeletes(now)
-	term.tickCleanup(now)
-	term.tickArchive(now)
+	term.persistence.cleanup.tick(now)
+	term.persistence.archive.tick(now)
 }
 
 // runAfter runs f on the owner later, unless the lead is over by then.
