--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -100,19 +100,6 @@
 	}
 }
 
-// background runs work, which may block, on a goroutine of its own, and what work returns on
-// the owner's goroutine, unless the term is closed by then.
-func (term *leaderTerm) background(work func() (resume func())) {
-	go func() {
-		resume := work()
-		term.controller.postResult(func() {
-			if !term.isClosed {
-				resume()
-			}
-		})
-	}()
-}
-
 // maxTransactionOps is how many changes one transaction takes.
 func (term *leaderTerm) maxTransactionOps() int {
 	return term.controller.cfg.Deployment.Store.Effective().MaxTransactionOps
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -100,7 +100,7 @@
 func (term *leaderTerm) followerStatuses(now clock.Micros) []jobreport.FollowerStatus {
 	var statuses []jobreport.FollowerStatus
 	inStep := map[string]bool{}
-	for _, member := range term.standby.membership.InSyncMembers() {
+	for _, member := range term.standby.inSync.InSyncMembers() {
 		inStep[member.Name] = true
 	}
 	for _, other := range term.controller.cfg.Peers {
--- a/internal/controller/standby_preference.go
+++ b/internal/controller/standby_trust.go
@@ -2,19 +2,32 @@
 
 import (
 	"slices"
-	"time"
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/election"
 	"firwood.dev/firwood/internal/standby"
 )
 
-// yieldDelay is how long a member whose replica could not be used lets another one try for
-// the lock first: a lease and a transaction, with time to spare.
+// Whether a member's replica may be used in a failover, and who should run for election first.
+
+// trustedReplica is this member's copy of the allocation table of the last leader that sent
+// starts, if the record of members in step names it.
+func (controller *Controller) trustedReplica() (*standby.Table, bool) {
+	return controller.failover.replica.TrustedTable(controller.view.Standby, &controller.view.Terms, controller.cfg.Member)
+}
+
+// isForeignToken tells whether a token is certainly not that of the lock: the view is as new as
+// the token and has the lock with another one.
+func (controller *Controller) isForeignToken(token uint64) bool {
+	return controller.view.Revision >= token && controller.view.Terms.LastToken() != token && controller.view.Lock.Exists
+}
+
+// yieldDelay is for how long a member whose replica can't be used lets another one try for the
+// lock first: as long as a grant of a lease and a transaction take, with time to spare.
 const yieldDelay = 300 * clock.Millisecond
 
-// hasBetterCandidate tells whether another member that is up has a replica that the last leader
-// vouched for, and this one has not. It is a preference: after yieldDelay this one tries.
+// hasBetterCandidate tells whether another member that is up has a replica that may be trusted,
+// and this one has not. It is a preference only: after yieldDelay this member runs as well.
 func (controller *Controller) hasBetterCandidate(now clock.Micros) bool {
 	if controller.failover.replica == nil || !controller.view.Terms.IsRecordFirstSince(controller.view.Standby.Token) {
 		return false
@@ -25,9 +38,9 @@
 	return slices.ContainsFunc(controller.view.Standby.Members, func(member standby.Member) bool { return controller.mayBeUp(member, now) })
 }
 
-// mayBeUp tells whether a member was heard lately in one of its lives. One that has just
-// begun its own has not had the time to hear anybody: once such a member, a moment after its
-// crash, was quicker than the one that stood by.
+// mayBeUp tells whether a member's process that was in step has sent a heartbeat lately. A process
+// that has just started can't know yet, and takes the other for up. Added after a member, a moment
+// after its own crash, won the lock before the one with the trusted replica.
 func (controller *Controller) mayBeUp(member standby.Member, now clock.Micros) bool {
 	received := controller.members.heartbeats[member.Name]
 	if received == nil {
@@ -36,7 +49,7 @@
 	return received.heartbeat.Incarnation == member.Incarnation && now-received.receivedAt < 2*heartbeatInterval
 }
 
-// acquireLockInTurn tries for the lock, after others that stand better.
+// acquireLockInTurn tries for the lock, after yieldDelay if there is a better candidate.
 func (controller *Controller) acquireLockInTurn(lease uint64) {
 	if !controller.hasBetterCandidate(clock.Now()) {
 		controller.acquireLock(lease)
@@ -52,8 +65,3 @@
 		}
 	})
 }
-
-// runAfter runs f on the owner after a while.
-func (controller *Controller) runAfter(after clock.Micros, command func()) {
-	time.AfterFunc(after.Duration(), func() { controller.postResult(command) })
-}
--- a/internal/controller/tracked_jobs.go
+++ b/internal/controller/tracked_jobs.go
@@ -73,3 +73,12 @@
 	job.CancelledAt = now - max(clock.WallTime()-clock.Micros(record.EndedAt), 0)
 	term.jobs[job.Spec.ID].isEndDurable = true
 }
+
+// unconfirmedCount counts tasks that may be anywhere.
+func (term *leaderTerm) unconfirmedCount() int {
+	count := 0
+	for _, job := range term.tracker.Jobs {
+		count += job.UnconfirmedCount()
+	}
+	return count
+}
