--- a/internal/controller/constraints.go
+++ b/internal/controller/constraints.go
@@ -116,7 +116,7 @@
 		status.lastReplyAt = max(status.lastReplyAt, machine.LastRenewalAt())
 		if machine.FirstHeartbeatAt != 0 || machine.CreatedAt < term.liveness.startedAt { // one that boots says nothing of its zone
 			status.hasMachinesUp = true
-			status.isReachable = status.isReachable || now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.heartbeatWindow()
+			status.isReachable = status.isReachable || now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.controller.heartbeatWindow()
 		}
 	}
 	return statuses
--- a/internal/controller/constraints_test.go
+++ b/internal/controller/constraints_test.go
@@ -72,7 +72,7 @@
 	}
 	bootingMachine := add("i-9", "y")
 	bootingMachine.CreatedAt = term.liveness.startedAt + clock.Second // rented by this leader, boots
-	now := term.liveness.startedAt + term.heartbeatWindow() + clock.Second
+	now := term.liveness.startedAt + term.controller.heartbeatWindow() + clock.Second
 	term.updateConstraints(now)
 	if !term.renewals.constraints.MayConstrainZone("x") || term.renewals.constraints.MayConstrainZone("y") {
 		t.Fatalf("promised about %v", term.renewals.constraints.ConstrainedZones())
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -18,8 +18,8 @@
 
 // heartbeatWindow is how long ago a machine that can be heard may have reported last:
 // its longest interval and one slow message.
-func (term *leaderTerm) heartbeatWindow() clock.Micros {
-	return clock.FromSeconds(1.25*term.controller.cfg.Deployment.Workers.HeartbeatIntervalSeconds) + 1500*clock.Millisecond
+func (controller *Controller) heartbeatWindow() clock.Micros {
+	return clock.FromSeconds(1.25*controller.cfg.Deployment.Workers.HeartbeatIntervalSeconds) + 1500*clock.Millisecond
 }
 
 // reachability counts machines that are up, and those of them heard just now.
@@ -142,7 +142,7 @@
 			zone = &reachability{}
 			zones[machine.Zone] = zone
 		}
-		isReachable := now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.heartbeatWindow()
+		isReachable := now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.controller.heartbeatWindow()
 		zone.add(isReachable)
 		all.add(isReachable)
 	}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -5,14 +5,10 @@
 	"time"
 
 	"firwood.dev/firwood/internal/allocation"
-	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
-	"firwood.dev/firwood/internal/forecast"
-	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/internal/staleness"
-	"firwood.dev/firwood/internal/storeview"
 )
 
 // leaderTerm is the state of one leadership term: made at a failover, discarded when
@@ -140,54 +136,9 @@
 // requestPlan has the next tick plan, as soon as its pace allows.
 func (term *leaderTerm) requestPlan() { term.pace.needsPlan = true }
 
-// machineState is what the ledger need not know of a machine.
-type machineState struct {
-	scaleOut             *scaleOutRequest
-	host                 *client.Host
-	commandsBlockedUntil clock.Micros // no direct messages before this instant
-	isDeleting           bool
-	probes               probeState
-	faults               faultState
-	sentHint             sentHint
-	// isListedBooting: the cloud's last list said so. Of a machine that an earlier
-	// leader rented this alone tells that it has never come up.
-	isListedBooting bool
-}
-
-// jobState is what the ledger need not know of a job.
-type jobState struct {
-	isRecordingStarts  bool
-	isWriting          bool
-	writtenAt          clock.Micros
-	layout             records.ProgressLayout
-	keyVersions        map[int]uint64 // versions of progress keys as last known, by number
-	hasWarnedLate      bool
-	isEndDurable       bool    // its end is durable
-	observedRuns       int     // tasks that this leader saw run to their end
-	observedRunSeconds float64 // how long they ran in all, in seconds
-	isJobRunObserved   bool    // they are in the screen as one run
-	firstStartAt       int64
-}
-
-// setKeyVersion notes the version of a progress key.
-func (jobInfo *jobState) setKeyVersion(number int, version uint64) {
-	if jobInfo.keyVersions == nil {
-		jobInfo.keyVersions = map[int]uint64{}
-	}
-	jobInfo.keyVersions[number] = max(jobInfo.keyVersions[number], version)
-}
-
-// updateKeyVersions takes the versions of progress keys from the view.
-func (jobInfo *jobState) updateKeyVersions(parts map[int]storeview.ProgressPart) {
-	for number, part := range parts {
-		jobInfo.setKeyVersion(number, part.Version)
-	}
-}
-
-// newLeaderTerm rebuilds the account from a view that rests on a read sent at readAt.
+// newLeaderTerm rebuilds a leader's state from a view that is as new as a read sent at readAt.
 func newLeaderTerm(controller *Controller, token uint64, readAt clock.Micros) *leaderTerm {
 	now := clock.Now()
-	deployment := &controller.cfg.Deployment
 	term := &leaderTerm{
 		controller: controller, token: token,
 		scaleOuts: map[string]*scaleOutRequest{}, machines: map[string]*machineState{}, jobs: map[string]*jobState{},
@@ -196,93 +147,18 @@
 	term.entitlement.viewAge = staleness.NewTracker(controller.stalenessBounds, readAt)
 	term.deletions.deletedAt, term.listing.unknownSince = map[string]clock.Micros{}, map[string]clock.Micros{}
 	term.persistence = newPersistence(term)
-	term.requestPlan()
-	allocationConfig := allocation.Config{
-		FencingToken: token, LeaseTTL: clock.FromSeconds(deployment.Workers.LeaseSeconds), Quotas: controller.teams,
-		CancelFenceWindow: clock.FromSeconds(deployment.Workers.CancelTimeoutSeconds) / 2,
-	}
+	allocationConfig := controller.allocationConfig(token)
 	term.setUpStandby(&allocationConfig)
 	term.tracker = allocation.New(allocationConfig)
-	tuning := &controller.tuning
-	term.scheduler = scheduler.New(scheduler.Settings{
-		Screen: forecast.ScreenSettings{
-			Window: clock.FromSeconds(tuning.ScreenWindowS), MinSamples: tuning.ScreenMinSamples, MaxSamples: tuning.ScreenMaxSamples,
-			MaxVariationDeviation: tuning.ScreenCV, MaxLagCorrelation: tuning.ScreenLag, MaxKSDistance: tuning.ScreenKS,
-		},
-		Smoothing: forecast.Smoothing{Arrival: tuning.SmoothArrival, RunTime: tuning.SmoothService, DemandSize: tuning.SmoothNeed},
-		Spares: scheduler.SpareSettings{
-			WaitWeight: tuning.Alpha, IdleWeight: tuning.Beta, Min: tuning.SpareMin, Max: tuning.SpareMax,
-			IdleCostHorizon: clock.FromSeconds(tuning.HorizonS), ArrivalRecencyWindow: clock.FromSeconds(tuning.RecencyS),
-		},
-		IdleTimeout: clock.FromSeconds(tuning.IdleWaitS), RelaxedIdleTimeout: clock.FromSeconds(tuning.LaxIdleWaitS),
-		SpotWaitTimeout: clock.FromSeconds(tuning.SpotPatienceS), AgingThreshold: clock.FromSeconds(tuning.AgeAfterS),
-		GangWaitWeight: tuning.GangWeight,
-	}, controller.machineTypes.list, controller.teams, deployment.Zones)
-	term.scheduler.HeartbeatWindow, term.scheduler.TermStartedAt = term.heartbeatWindow(), now
-	if controller.delegation.times.GrantTTL > 0 {
-		term.scheduler.DelegatedZones = map[string]bool{controller.cfg.Location: true}
-		for _, other := range controller.cfg.Peers {
-			term.scheduler.DelegatedZones[other.Location] = true
-		}
-	}
-	term.scheduler.WaitObjectives, term.scheduler.CompletionObjectives = map[string]float64{}, map[string]float64{}
-	for _, other := range deployment.Objectives {
-		if within, ok := term.scheduler.CompletionObjectives[other.Class]; other.Kind == "finished" && (!ok || other.TargetSeconds < within) {
-			term.scheduler.CompletionObjectives[other.Class] = other.TargetSeconds
-		}
-		if within, ok := term.scheduler.WaitObjectives[other.Class]; other.Kind == "wait" && (!ok || other.TargetSeconds < within) {
-			term.scheduler.WaitObjectives[other.Class] = other.TargetSeconds
-		}
-	}
+	term.scheduler = controller.newScheduler(now)
 	term.pace.planInterval = minPlanInterval
-	term.listing.nextAt = now + 2*clock.Second
+	term.listing.nextAt = now + firstListDelay
 	term.updateDeadlines()
-	var others []string
-	for _, other := range controller.cfg.Peers {
-		others = append(others, other.Member)
-	}
-	term.renewals.grants, term.renewals.acknowledgements = delegation.NewGrants(controller.delegation.times, now, controller.delegation.delegate.SilentFor(now), others), map[string]delegation.Timestamp{}
-	term.renewals.constraints, term.renewals.liftingZones = delegation.NewConstraintTracker(controller.view.Constraints, controller.view.ConstraintsVersion), map[string]bool{}
-
-	wall := clock.WallTime()
-	for name, record := range controller.view.ScaleOuts {
-		request := &scaleOutRequest{name: name, record: record.ScaleOut, version: record.Version, requestedAt: now - max(wall-clock.Micros(record.RequestedAt), 0), isResolved: record.IsResolved}
-		term.scaleOuts[name] = request
-		for _, machineName := range record.Machines {
-			term.addMachine(request, machineName).RecordedInStore = true
-		}
-		if !record.IsResolved {
-			// Whether it was carried out is not known. The same name gets the
-			// same answer, so asking again settles it.
-			term.sendScaleOut(request)
-		}
-	}
-	var cancelled []string // with jobs that they need
-	for id, record := range controller.view.Jobs {
-		done := controller.view.Progress[id]
-		switch {
-		case record.IsCancelledByDependency:
-			cancelled = append(cancelled, id)
-		case !record.HasEnded():
-			if !controller.isBlocked(id, record) {
-				term.addJob(id, record, len(done) > 0)
-			}
-		case record.Spec != nil:
-			// Withdrawn, but its tasks are not known to be gone.
-			job := term.addJob(id, record, len(done) > 0)
-			term.cancelJob(job, record, now)
-		}
-	}
-	term.replayArrivals(now, wall)
-	term.adoptConstraints(now)
-	term.updateRenewalBounds(now)
-	term.tracker.FinishRecovery()
-	term.restoreHints(now)
-	term.persistence.cleanup.addImpliedCancellations(cancelled...)
-	failover := &controller.failover.last
-	failover.rebuiltAt, failover.isReplicaUsed, failover.unconfirmed = clock.Now(), allocationConfig.MayHaveStarted != nil, term.unconfirmedCount()
-	controller.log.Info("account rebuilt", "token", token, "jobs", len(term.tracker.Jobs), "machines", len(term.tracker.Machines), "accounted", term.tracker.IsReconciled(),
-		"in_doubt", failover.unconfirmed, "replica_used", failover.isReplicaUsed)
+	term.renewals = controller.newLeaseRenewals(now)
+	term.restore(now, clock.WallTime())
+	term.requestPlan()
+	controller.failover.last.isReplicaUsed = allocationConfig.MayHaveStarted != nil
+	term.recordRebuilt()
 	return term
 }
 
--- /dev/null
+++ b/internal/controller/term_recovery.go
@@ -0,0 +1,173 @@
+package controller
+
+import (
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/config"
+	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/forecast"
+	"firwood.dev/firwood/internal/scheduler"
+)
+
+// A new leader rebuilds its state from the records of the key-value store, the hints of
+// the last leader, and, if it was a replica of that leader's allocation table, from the
+// replica. What the records don't tell comes with the workers' heartbeats.
+
+// firstListDelay is how long after its start a term first reads the cloud's list.
+const firstListDelay = 2 * clock.Second
+
+// allocationConfig is how a term with this fencing token counts tasks and leases.
+func (controller *Controller) allocationConfig(token uint64) allocation.Config {
+	workers := &controller.cfg.Deployment.Workers
+	return allocation.Config{
+		FencingToken: token, LeaseTTL: clock.FromSeconds(workers.LeaseSeconds), Quotas: controller.teams,
+		CancelFenceWindow: clock.FromSeconds(workers.CancelTimeoutSeconds) / 2,
+	}
+}
+
+// schedulerSettings translates the tuning file; its durations are in seconds.
+func schedulerSettings(tuning *config.Tuning) scheduler.Settings {
+	return scheduler.Settings{
+		Screen: forecast.ScreenSettings{
+			Window:                clock.FromSeconds(tuning.ScreenWindowS),
+			MinSamples:            tuning.ScreenMinSamples,
+			MaxSamples:            tuning.ScreenMaxSamples,
+			MaxVariationDeviation: tuning.ScreenCV,
+			MaxLagCorrelation:     tuning.ScreenLag,
+			MaxKSDistance:         tuning.ScreenKS,
+		},
+		Smoothing: forecast.Smoothing{
+			Arrival:    tuning.SmoothArrival,
+			RunTime:    tuning.SmoothService,
+			DemandSize: tuning.SmoothNeed,
+		},
+		Spares: scheduler.SpareSettings{
+			WaitWeight:           tuning.Alpha,
+			IdleWeight:           tuning.Beta,
+			Min:                  tuning.SpareMin,
+			Max:                  tuning.SpareMax,
+			IdleCostHorizon:      clock.FromSeconds(tuning.HorizonS),
+			ArrivalRecencyWindow: clock.FromSeconds(tuning.RecencyS),
+		},
+		IdleTimeout:        clock.FromSeconds(tuning.IdleWaitS),
+		RelaxedIdleTimeout: clock.FromSeconds(tuning.LaxIdleWaitS),
+		SpotWaitTimeout:    clock.FromSeconds(tuning.SpotPatienceS),
+		AgingThreshold:     clock.FromSeconds(tuning.AgeAfterS),
+		GangWaitWeight:     tuning.GangWeight,
+	}
+}
+
+// newScheduler makes the scheduler of a term that starts now.
+func (controller *Controller) newScheduler(now clock.Micros) *scheduler.Scheduler {
+	deployment := &controller.cfg.Deployment
+	created := scheduler.New(schedulerSettings(&controller.tuning), controller.machineTypes.list, controller.teams, deployment.Zones)
+	created.HeartbeatWindow, created.TermStartedAt = controller.heartbeatWindow(), now
+	created.DelegatedZones = controller.delegatedZones()
+	created.WaitObjectives = strictestObjectives(deployment.Objectives, "wait")
+	created.CompletionObjectives = strictestObjectives(deployment.Objectives, "finished")
+	return created
+}
+
+// delegatedZones are the zones in which some member may renew leases as delegate; nil if
+// delegation is turned off.
+func (controller *Controller) delegatedZones() map[string]bool {
+	if controller.delegation.times.GrantTTL <= 0 {
+		return nil
+	}
+	zones := map[string]bool{controller.cfg.Location: true}
+	for _, other := range controller.cfg.Peers {
+		zones[other.Location] = true
+	}
+	return zones
+}
+
+// strictestObjectives is, by class, the smallest target in seconds of the objectives of a kind.
+func strictestObjectives(objectives []config.Objective, kind string) map[string]float64 {
+	targets := map[string]float64{}
+	for _, objective := range objectives {
+		if objective.Kind != kind {
+			continue
+		}
+		if target, ok := targets[objective.Class]; !ok || objective.TargetSeconds < target {
+			targets[objective.Class] = objective.TargetSeconds
+		}
+	}
+	return targets
+}
+
+// newLeaseRenewals bounds what others may have renewed, from what this member knows itself
+// and from the constraints in the store.
+func (controller *Controller) newLeaseRenewals(now clock.Micros) leaseRenewals {
+	var others []string
+	for _, other := range controller.cfg.Peers {
+		others = append(others, other.Member)
+	}
+	return leaseRenewals{
+		grants:           delegation.NewGrants(controller.delegation.times, now, controller.delegation.delegate.SilentFor(now), others),
+		acknowledgements: map[string]delegation.Timestamp{},
+		constraints:      delegation.NewConstraintTracker(controller.view.Constraints, controller.view.ConstraintsVersion),
+		liftingZones:     map[string]bool{},
+	}
+}
+
+// restore takes over what the view tells of scale-out requests and jobs, adopts the
+// constraints and hints of earlier leaders, and completes the allocation table. The
+// order matters: jobs are placed on machines that are known, arrivals are replayed
+// before anything is planned, and leases are bounded before the table is complete.
+func (term *leaderTerm) restore(now, wall clock.Micros) {
+	term.restoreScaleOuts(now, wall)
+	cancelled := term.restoreJobs(now)
+	term.replayArrivals(now, wall)
+	term.adoptConstraints(now)
+	term.updateRenewalBounds(now)
+	term.tracker.FinishRecovery()
+	term.restoreHints(now)
+	term.persistence.cleanup.addImpliedCancellations(cancelled...)
+}
+
+// restoreScaleOuts adds the machines of all recorded scale-out requests, and sends again
+// those that have no recorded result.
+func (term *leaderTerm) restoreScaleOuts(now, wall clock.Micros) {
+	for name, record := range term.controller.view.ScaleOuts {
+		request := &scaleOutRequest{name: name, record: record.ScaleOut, version: record.Version, requestedAt: now - max(wall-clock.Micros(record.RequestedAt), 0), isResolved: record.IsResolved}
+		term.scaleOuts[name] = request
+		for _, machineName := range record.Machines {
+			term.addMachine(request, machineName).RecordedInStore = true
+		}
+		if !record.IsResolved {
+			// Whether it was carried out is not known. A request is idempotent by its
+			// name, so sending it again settles that.
+			term.sendScaleOut(request)
+		}
+	}
+}
+
+// restoreJobs adds the jobs that have not ended and whose dependencies allow them to run,
+// and those that were cancelled but may have tasks left. It returns the jobs whose
+// cancellation follows from that of a dependency and is not yet in their own records.
+func (term *leaderTerm) restoreJobs(now clock.Micros) (impliedCancellations []string) {
+	controller := term.controller
+	for id, record := range controller.view.Jobs {
+		hasProgress := len(controller.view.Progress[id]) > 0
+		switch {
+		case record.IsCancelledByDependency:
+			impliedCancellations = append(impliedCancellations, id)
+		case !record.HasEnded():
+			if !controller.isBlocked(id, record) {
+				term.addJob(id, record, hasProgress)
+			}
+		case record.Spec != nil: // cancelled, and its tasks may still run
+			job := term.addJob(id, record, hasProgress)
+			term.cancelJob(job, record, now)
+		}
+	}
+	return impliedCancellations
+}
+
+// recordRebuilt ends the failover's second phase.
+func (term *leaderTerm) recordRebuilt() {
+	failover := &term.controller.failover.last
+	failover.rebuiltAt, failover.unconfirmed = clock.Now(), term.unconfirmedCount()
+	term.controller.log.Info("account rebuilt", "token", term.token, "jobs", len(term.tracker.Jobs), "machines", len(term.tracker.Machines), "accounted", term.tracker.IsReconciled(),
+		"in_doubt", failover.unconfirmed, "replica_used", failover.isReplicaUsed)
+}
