--- a/internal/controller/entitlement.go
+++ b/internal/controller/entitlement.go
@@ -29,6 +29,33 @@
 	term.entitlement.startDeadline.Store(int64(min(until, term.entitlement.viewAge.StartTasksUntil())))
 }
 
+// resumeAfterLapse is called while the leader is entitled to act. After a time in which it
+// was not, it has replied to nobody, so machines and members without heartbeats since
+// then are not suspected. Added after a leader handed over for lack of heartbeats after
+// an outage of the key-value store of 75 s.
+func (term *leaderTerm) resumeAfterLapse(now clock.Micros) {
+	if !term.entitlement.hasLapsed {
+		return
+	}
+	term.entitlement.hasLapsed = false
+	term.recordResume(now)
+	// Jobs may have been cancelled by other members while the store refused only this
+	// one. Added after a leader started tasks of such a job again.
+	term.entitlement.viewAge.RecordEntitlementRegained(now)
+	term.updateDeadlines()
+}
+
+// pauseStartsIfStale pauses starts while the view is too old for them, and has it read
+// again; it tells whether tasks may be started.
+func (term *leaderTerm) pauseStartsIfStale(now clock.Micros) (mayStart bool) {
+	mayStart = term.entitlement.viewAge.MayStartTasks(now)
+	term.tracker.SetStartsPaused(!mayStart)
+	if !mayStart {
+		term.refreshView(now)
+	}
+	return mayStart
+}
+
 // refreshView makes the view new again where it is too old to start tasks on it.
 func (term *leaderTerm) refreshView(now clock.Micros) {
 	if term.entitlement.isRefreshingView {
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -162,6 +162,7 @@
 	return term
 }
 
+// close ends the term: nothing is sent any more, and workers that wait for a reply are refused.
 func (term *leaderTerm) close() {
 	term.isClosed = true
 	term.entitlement.actDeadline.Store(0)
@@ -173,51 +174,26 @@
 	term.renewals.deferredHeartbeats = nil
 }
 
+// slowTickInterval is how often machines are reviewed, and planned though nothing has
+// been reported.
+const slowTickInterval = 500 * clock.Millisecond
+
+// tick does what is due, at every tick of the controller.
 func (term *leaderTerm) tick(now clock.Micros) {
 	term.updateDeadlines()
 	if !term.controller.isEntitled() {
 		term.entitlement.hasLapsed = true
 		return // nothing may be sent; the lock may yet be renewed
 	}
-	if term.entitlement.hasLapsed {
-		// It has answered nobody, so who was not heard meanwhile is not silent. After
-		// an outage of 75 s a leader once handed over for hearing nobody.
-		term.entitlement.hasLapsed = false
-		term.recordResume(now)
-		// Withdrawals may have been confirmed before an outage that a leader which
-		// was refused alone never heard of: once it started their tasks again.
-		term.entitlement.viewAge.RecordEntitlementRegained(now)
-		term.updateDeadlines()
-	}
-	fresh := term.entitlement.viewAge.MayStartTasks(now)
-	term.tracker.SetStartsPaused(!fresh)
-	if !fresh {
-		term.refreshView(now)
-	}
+	term.resumeAfterLapse(now)
+	mayStart := term.pauseStartsIfStale(now)
 	if now >= term.pace.nextSlowTickAt {
-		term.pace.nextSlowTickAt = now + 500*clock.Millisecond
-		term.reviewMachines(now)
-		if term.isClosed {
+		if isOver := term.slowTick(now); isOver {
 			return
 		}
-		term.warnLateJobs(now)
-		term.listMachines(now)
-		term.sendProbes(now)
-		term.issueToken(now)
-		term.controller.adjustRateShare(now)
-		term.logFleet(now)
-		term.requestPlan()
 	}
-	if term.pace.needsPlan && fresh && now >= term.pace.nextPlanAt {
-		term.pace.needsPlan = false
-		term.runScheduler(now)
-		term.persistJobs(now)
-		// A plan costs what waits and what has room for it. The time that it
-		// took says how soon the next may come and leave the processor's share
-		// to reports and users.
-		took := clock.Now() - now
-		term.pace.planInterval = min(max(planIntervalFactor*took, minPlanInterval), maxPlanInterval)
-		term.pace.nextPlanAt = now + took + term.pace.planInterval
+	if mayStart {
+		term.planIfDue(now)
 	}
 	term.streamDecisions(now)
 	term.recordFirstDecision(now)
@@ -227,7 +203,40 @@
 	term.persistence.archive.tick(now)
 }
 
-// runAfter runs f on the owner later, unless the lead is over by then.
+// slowTick does the steps that need not be done at every tick; it tells whether they ended
+// the term.
+func (term *leaderTerm) slowTick(now clock.Micros) (isOver bool) {
+	term.pace.nextSlowTickAt = now + slowTickInterval
+	term.reviewMachines(now)
+	if term.isClosed {
+		return true
+	}
+	term.warnLateJobs(now)
+	term.listMachines(now)
+	term.sendProbes(now)
+	term.issueToken(now)
+	term.controller.adjustRateShare(now)
+	term.logFleet(now)
+	term.requestPlan()
+	return false
+}
+
+// planIfDue plans if something has changed and the last plan is long enough ago. The
+// duration of a plan grows with the waiting tasks and the machines with free capacity;
+// the interval grows with it, so that heartbeats and users get their share of the processor.
+func (term *leaderTerm) planIfDue(now clock.Micros) {
+	if !term.pace.needsPlan || now < term.pace.nextPlanAt {
+		return
+	}
+	term.pace.needsPlan = false
+	term.runScheduler(now)
+	term.persistJobs(now)
+	took := clock.Now() - now
+	term.pace.planInterval = min(max(planIntervalFactor*took, minPlanInterval), maxPlanInterval)
+	term.pace.nextPlanAt = now + took + term.pace.planInterval
+}
+
+// runAfter runs a command on the controller's goroutine after a delay, unless the term is over by then.
 func (term *leaderTerm) runAfter(delay clock.Micros, command func()) {
 	time.AfterFunc(delay.Duration(), func() {
 		term.controller.postResult(func() {
