--- a/internal/controller/command_requests.go
+++ b/internal/controller/command_requests.go
@@ -6,73 +6,92 @@
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/http1"
 	"firwood.dev/firwood/wire"
 )
 
-// commandRequestTimeout bounds a direct message; past it the start stays possible.
-const commandRequestTimeout = 2 * clock.Second
+const (
+	// commandRequestTimeout bounds a command request. After a timeout the start may or may
+	// not have happened.
+	commandRequestTimeout = 2 * clock.Second
+	// commandBlockTime is how long a worker gets no command requests after one that failed;
+	// the replies to its heartbeats carry its commands meanwhile.
+	commandBlockTime = 2 * clock.Second
+)
 
-// sendCommandRequests sends starts and stops straight to the workers: a report's answer
-// would wait for the next report.
+// sendCommandRequests sends starts and stops straight to the workers, in place of waiting
+// for their next heartbeats.
 func (term *leaderTerm) sendCommandRequests(now clock.Micros) {
-	term.tracker.ProcessDispatchQueue(func(machine *allocation.Machine) bool {
-		name := machine.Name
-		machineInfo := term.machines[name]
+	term.tracker.ProcessDispatchQueue(func(machine *allocation.Machine) (isDeferred bool) {
+		machineInfo := term.machines[machine.Name]
 		if machineInfo == nil || machineInfo.isDeleting {
 			return false
 		}
-		// Nothing is started where a later leader would take the leases for over.
-		if term.renewals.constraints.MayConstrainZone(machine.Zone) || now < machineInfo.commandsBlockedUntil || now-machine.LastHeartbeatAt > term.controller.suspectTimeout() || term.commandRequestsInFlight >= term.controller.workerRequests.maxInFlight {
+		if term.isCommandBlocked(machine, machineInfo, now) {
 			return true
 		}
-		message, starts := term.tracker.BuildCommandRequest(machine, now)
-		if message == nil {
-			return false
-		}
-		body, err := message.MarshalJSON()
-		if err != nil {
-			term.tracker.FinishCommandRequest(machine, starts, allocation.CommandNotSent, now)
-			return false
-		}
-		if machineInfo.host == nil {
-			machineInfo.host = term.controller.workerRequests.pool.NewHost(machine.Address, 1, 4*wire.MaxBodyBytes)
-		}
-		host, until := machineInfo.host, term.mayActUntil
-		if len(starts) > 0 {
-			until = term.mayStartUntil
-		}
-		term.commandRequestsInFlight++
-		go func() {
-			response, err := host.Do(client.Request{Method: "POST", Target: "/commands", Body: body, Timeout: commandRequestTimeout, SendDeadline: until})
-			result := allocation.CommandOutcomeUnknown
-			var heartbeat *wire.Heartbeat
-			var sendError *client.NotSentError
-			switch {
-			case errors.As(err, &sendError), errors.Is(err, client.ErrSendDeadlinePassed):
-				result = allocation.CommandNotSent
-			case err != nil:
-			case response.Status == 200:
-				result = allocation.CommandExecuted
-			case response.Status == 409, response.Status == 400:
-				result = allocation.CommandRejected
-			}
-			if err == nil && (response.Status == 200 || response.Status == 409) {
-				decoded := &wire.Heartbeat{}
-				if decoded.UnmarshalJSON(response.Body) == nil && decoded.MachineID == name {
-					heartbeat = decoded
-				}
-			}
-			term.controller.postResult(func() {
-				if !term.isClosed {
-					term.commandRequestsInFlight--
-					term.handleCommandResponse(machine, machineInfo, starts, result, heartbeat)
-				}
-			})
-		}()
+		term.sendCommandRequest(machine, machineInfo, now)
 		return false
 	})
 }
 
+// isCommandBlocked tells whether a machine's commands have to wait. In a zone with a renewal
+// constraint nothing is started: a later leader would assume its leases to have ended.
+func (term *leaderTerm) isCommandBlocked(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
+	isSuspected := now-machine.LastHeartbeatAt > term.controller.suspectTimeout()
+	return term.renewals.constraints.MayConstrainZone(machine.Zone) || now < machineInfo.commandsBlockedUntil || isSuspected ||
+		term.commandRequestsInFlight >= term.controller.workerRequests.maxInFlight
+}
+
+// sendCommandRequest sends what is due to one machine.
+func (term *leaderTerm) sendCommandRequest(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
+	message, starts := term.tracker.BuildCommandRequest(machine, now)
+	if message == nil {
+		return
+	}
+	body, err := message.MarshalJSON()
+	if err != nil {
+		term.tracker.FinishCommandRequest(machine, starts, allocation.CommandNotSent, now)
+		return
+	}
+	name, host, deadline := machine.Name, term.workerHost(machine, machineInfo), term.mayActUntil
+	if len(starts) > 0 {
+		deadline = term.mayStartUntil
+	}
+	term.commandRequestsInFlight++
+	go func() {
+		response, err := host.Do(client.Request{Method: "POST", Target: "/commands", Body: body, Timeout: commandRequestTimeout, SendDeadline: deadline})
+		result := classifyCommandResponse(response, err)
+		var heartbeat *wire.Heartbeat
+		if err == nil && (response.Status == 200 || response.Status == 409) {
+			heartbeat = decodeHeartbeatOf(name, response.Body)
+		}
+		term.controller.postResult(func() {
+			if !term.isClosed {
+				term.commandRequestsInFlight--
+				term.handleCommandResponse(machine, machineInfo, starts, result, heartbeat)
+			}
+		})
+	}()
+}
+
+// classifyCommandResponse tells what became of the commands.
+func classifyCommandResponse(response *http1.Message, err error) allocation.CommandResult {
+	var notSent *client.NotSentError
+	switch {
+	case errors.As(err, &notSent), errors.Is(err, client.ErrSendDeadlinePassed):
+		return allocation.CommandNotSent
+	case err != nil:
+		return allocation.CommandOutcomeUnknown
+	case response.Status == 200:
+		return allocation.CommandExecuted
+	case response.Status == 409, response.Status == 400:
+		return allocation.CommandRejected
+	default:
+		return allocation.CommandOutcomeUnknown
+	}
+}
+
 func (term *leaderTerm) handleCommandResponse(machine *allocation.Machine, machineInfo *machineState, starts []*allocation.Placement, result allocation.CommandResult, heartbeat *wire.Heartbeat) {
 	now := clock.Now()
 	if term.tracker.Machines[machine.Name] != machine {
@@ -80,8 +99,7 @@
 	}
 	term.tracker.FinishCommandRequest(machine, starts, result, now)
 	if result != allocation.CommandExecuted {
-		// The way to this worker is bad; its reports' answers will do.
-		machineInfo.commandsBlockedUntil = now + 2*clock.Second
+		machineInfo.commandsBlockedUntil = now + commandBlockTime
 	}
 	if heartbeat != nil && term.tracker.RecordCommandHeartbeat(machine, heartbeat, now) == allocation.HeartbeatFenced {
 		term.controller.handleFenced(term.token)
--- a/internal/controller/faulty_machines_test.go
+++ b/internal/controller/faulty_machines_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/health"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
@@ -46,7 +47,7 @@
 	if machine.Draining {
 		t.Fatal("drained for one job")
 	}
-	backoff := retryBackoff
+	backoff := health.RetryBackoff
 	for round := range 3 {
 		fail("i-00", "req-000003")
 		fail("i-00", "req-000004")
@@ -66,16 +67,16 @@
 		backoff *= 2
 	}
 	idle := term.tracker.Machines["i-01"]
-	now += 2 * sharedFaultWindow
+	now += 2 * health.SharedFaultWindow
 	fail("i-01", "req-000002")
 	fail("i-01", "req-000003")
-	now += 2 * retryBackoff
+	now += 2 * health.RetryBackoff
 	term.retryFaultyMachine(idle, term.machines["i-01"], now)
 	if !idle.Draining {
 		t.Fatal("an empty faulty machine is tried again in place of being given back")
 	}
 
-	now += 2 * sharedFaultWindow
+	now += 2 * health.SharedFaultWindow
 	for _, name := range names[2:] {
 		fail(name, "req-000002")
 	}
@@ -87,7 +88,7 @@
 		}
 	}
 	// Where it fails on after that, the machine is at fault after all.
-	now += sharedFaultWindow
+	now += health.SharedFaultWindow
 	fail("i-05", "req-000003")
 	if !term.tracker.Machines["i-05"].Draining {
 		t.Fatal("a machine that fails for a minute is never blamed")
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -2,54 +2,61 @@
 
 import (
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/health"
 )
 
-// handOverBackoff is how long a leader that was cut off leaves the lead to others.
+// handOverBackoff is how long a leader that handed over doesn't run for election.
 const handOverBackoff = 30 * clock.Second
 
-// handOverIfCutOff gives the lead to a controller that the workers do reach: their
-// leases would run out while this one renews its lock. So it does where the state
-// service renews the lock but answers no reads. Where all machines fall silent
-// at once it does not wait until another says that it is asked: a worker that has
-// waited for an answer for four seconds, and is then sent back here, is lost with a
-// lease of ten. A leader that has never heard them does not pass the lead on.
-func (term *leaderTerm) handOverIfCutOff(fleet reachability, now clock.Micros) bool {
-	var othersWorkers uint32
-	hasCandidate := false // another controller could lead
-	for _, received := range term.controller.members.heartbeats {
-		if now-received.receivedAt < 2*clock.Second && received.heartbeat.IsStoreReachable {
-			othersWorkers = max(othersWorkers, received.heartbeat.WorkerCount)
-			hasCandidate = true
-		}
-	}
-	if hasCandidate && now-max(term.entitlement.viewAge.LastReadSentAt(), term.liveness.resumedAt) > 2*term.controller.leaderTTL() {
+// candidateWindow is how long ago another member's last heartbeat may be for it to count
+// as one that could lead.
+const candidateWindow = 2 * clock.Second
+
+// handOverIfCutOff gives up leadership for a member that the workers do reach, or that can
+// read the store; it tells whether it did. See health.LeaderReach for the reasons.
+func (term *leaderTerm) handOverIfCutOff(fleet health.Reachability, now clock.Micros) bool {
+	reach := term.reach(fleet, now)
+	reason := reach.HandOverReason()
+	term.liveness.hadMostReachable = term.liveness.hadMostReachable || fleet.IsMostlyReachable()
+	switch reason {
+	case health.KeepLeadership:
+		return false
+	case health.StoreUnreadable:
 		term.controller.log.Info("the state service answers no reads", "for_s", (now - term.entitlement.viewAge.LastReadSentAt()).Seconds())
-		term.handOverTerm(now)
-		return true
+	case health.NoneReachable:
+		term.controller.log.Info("no worker is heard any more", "of", fleet.Up)
+	case health.OnlyLeaderCutOff:
+		term.controller.log.Info("few workers are heard, others hear them", "heard", fleet.Reachable, "of", fleet.Up, "others", reach.ContactingOther)
 	}
-	if term.liveness.hadMostReachable && hasCandidate && fleet.isNoneReachable() {
-		term.controller.log.Info("no worker is heard any more", "of", fleet.up)
-		term.handOverTerm(now)
-		return true
+	term.handOver(now)
+	return true
+}
+
+// reach collects what this leader knows of its way to the machines, the store and the others.
+func (term *leaderTerm) reach(fleet health.Reachability, now clock.Micros) health.LeaderReach {
+	reach := health.LeaderReach{
+		Fleet:            fleet,
+		HadMostReachable: term.liveness.hadMostReachable,
+		ReadAge:          now - max(term.entitlement.viewAge.LastReadSentAt(), term.liveness.resumedAt),
+		LeaderTTL:        term.controller.leaderTTL(),
+		HasSettled:       now-term.liveness.resumedAt >= term.controller.suspectTimeout(),
 	}
-	term.liveness.hadMostReachable = term.liveness.hadMostReachable || fleet.isMostlyReachable()
-	if now-term.liveness.resumedAt < term.controller.suspectTimeout() {
-		return false
+	for _, received := range term.controller.members.heartbeats {
+		if now-received.receivedAt < candidateWindow && received.heartbeat.IsStoreReachable {
+			reach.HasCandidate = true
+			reach.ContactingOther = max(reach.ContactingOther, received.heartbeat.WorkerCount)
+		}
 	}
 	for _, contact := range term.controller.workers.reports {
 		if now-contact.reportedAt < workerContactTTL {
-			othersWorkers = max(othersWorkers, contact.workers)
+			reach.ContactingOther = max(reach.ContactingOther, contact.workers)
 		}
 	}
-	if !fleet.isOnlyLeaderCutOff(othersWorkers) {
-		return false
-	}
-	term.controller.log.Info("few workers are heard, others hear them", "heard", fleet.reachable, "of", fleet.up, "others", othersWorkers)
-	term.handOverTerm(now)
-	return true
+	return reach
 }
 
-func (term *leaderTerm) handOverTerm(now clock.Micros) {
+// handOver ends the term, and stays out of elections for a while.
+func (term *leaderTerm) handOver(now clock.Micros) {
 	term.controller.executeActions(term.controller.elector.StepDown(now, handOverBackoff))
 	term.controller.endTerm("handed over")
 }
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -5,134 +5,145 @@
 
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/health"
 	"firwood.dev/firwood/wire"
 )
 
-// suspectTimeout is when a machine that has not reported counts as silent: its
-// longest report interval, an answer that never came, and the way to the
-// leader by way of another node.
-func (controller *Controller) suspectTimeout() clock.Micros {
-	return clock.FromSeconds(1.25*controller.cfg.Deployment.Workers.HeartbeatIntervalSeconds) + 6500*clock.Millisecond
-}
-
-// heartbeatWindow is how long ago a machine that can be heard may have reported last:
-// its longest interval and one slow message.
-func (controller *Controller) heartbeatWindow() clock.Micros {
-	return clock.FromSeconds(1.25*controller.cfg.Deployment.Workers.HeartbeatIntervalSeconds) + 1500*clock.Millisecond
+// timing is how old a machine's last heartbeat may be.
+func (controller *Controller) timing() health.Timing {
+	return health.NewTiming(controller.cfg.Deployment.Workers.HeartbeatIntervalSeconds)
 }
 
-// reachability counts machines that are up, and those of them heard just now.
-type reachability struct{ up, reachable int }
-
-func (counts *reachability) add(isReachable bool) {
-	counts.up++
-	if isReachable {
-		counts.reachable++
-	}
-}
-
-// isMostlyReachable tells that the way to these machines is open: enough of them are
-// heard, even while a wave takes many of the others.
-func (counts *reachability) isMostlyReachable() bool {
-	return counts.reachable > 0 && 3*counts.reachable >= counts.up
+// suspectTimeout is after how long without a heartbeat a machine is suspected.
+func (controller *Controller) suspectTimeout() clock.Micros {
+	return controller.timing().SuspectTimeout
 }
 
-// isOnlyLeaderCutOff tells that the leader hears next to none of its machines while another
-// controller is asked by many: the fault is on the leader's side.
-func (counts *reachability) isOnlyLeaderCutOff(othersWorkers uint32) bool {
-	return counts.up >= 3 && 4*counts.reachable < counts.up && 3*int(othersWorkers) >= counts.up
+// heartbeatWindow is how long ago the last heartbeat of a reachable machine may be.
+func (controller *Controller) heartbeatWindow() clock.Micros {
+	return controller.timing().HeartbeatWindow
 }
 
-// isNoneReachable tells that nobody is heard, of enough machines for that to mean something.
-func (counts *reachability) isNoneReachable() bool { return counts.up >= 3 && counts.reachable == 0 }
-
-// reviewMachines gives up machines that are stuck, silent, taken or over.
+// reviewMachines hands leadership over if this leader is cut off, and otherwise judges each
+// machine: see health.Verdict.
 func (term *leaderTerm) reviewMachines(now clock.Micros) {
 	term.updateRenewalBounds(now)
-	timeout := term.controller.suspectTimeout()
-	zones := map[string]*reachability{}
-	var all reachability
-	for _, machine := range term.tracker.Machines {
-		if machine.FirstHeartbeatAt == 0 {
-			continue
-		}
-		zone := zones[machine.Zone]
-		if zone == nil {
-			zone = &reachability{}
-			zones[machine.Zone] = zone
-		}
-		isReachable := now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.controller.heartbeatWindow()
-		zone.add(isReachable)
-		all.add(isReachable)
-	}
-	if term.handOverIfCutOff(all, now) {
+	fleet, zones := term.countReachable(now)
+	if term.handOverIfCutOff(fleet, now) {
 		return
 	}
 	term.updateConstraints(now)
-	for zone, status := range zones {
-		if !status.isMostlyReachable() {
+	for zone, counts := range zones {
+		if !counts.IsMostlyReachable() {
 			term.liveness.zoneUnreachableAt[zone] = now
 		}
 	}
+	judge := &health.Term{
+		StartedAt: term.liveness.startedAt, SuspectTimeout: term.controller.suspectTimeout(), Tracker: term.tracker, BootTimeout: term.scheduler.BootTimeout,
+	}
 	for name, machine := range term.tracker.Machines {
 		machineInfo := term.machines[name]
 		if machineInfo == nil || machineInfo.isDeleting {
 			continue
 		}
 		term.retryFaultyMachine(machine, machineInfo, now)
-		// When a zone comes back its machines do one by one: once the last two
-		// thirds of it were deleted when the first third was heard again.
-		silence := now - max(machine.LastHeartbeatAt, term.liveness.resumedAt, term.liveness.zoneUnreachableAt[machine.Zone])
-		switch {
-		case term.tracker.LeaseEndsAt(machine) <= now && (machine.FirstHeartbeatAt != 0 || !machine.Reconciled):
-			// Its tasks are provably over, and it is of no use.
-			term.tracker.ExpireLease(machine, now)
-			if machine.FirstHeartbeatAt != 0 || machine.CreatedAt < term.liveness.startedAt {
-				// One that an earlier leader rented and that was taken meanwhile is
-				// on no list: it would count as booting for ever.
-				term.controller.log.Info("machine lost", "machine", name)
-				term.deleteMachine(machine)
-			}
-		case machine.FirstHeartbeatAt == 0 && (machine.CreatedAt > term.liveness.startedAt || machineInfo.isListedBooting) && now-machine.CreatedAt > term.scheduler.BootTimeout(machine.Type) && silence > timeout:
-			// Not having been heard is no proof for a new leader: once one took a
-			// zone that was cut off for machines that never came up, and deleted
-			// it with all that ran there.
-			term.controller.log.Info("machine does not come up", "machine", name)
-			term.deleteMachine(machine)
-		case machine.FirstHeartbeatAt != 0 && silence > timeout && zones[machine.Zone].isMostlyReachable():
-			// It is silent while others of its zone are heard. Deleting it
-			// proves its tasks over, sooner than its lease would. When a whole
-			// zone falls silent a cut is more likely, and it comes back: once
-			// a leader that was cut off deleted half its fleet.
-			term.controller.log.Info("machine silent", "machine", name, "for_s", silence.Seconds())
-			term.deleteMachine(machine)
-		case machine.Draining && machine.IsIdle() || term.tracker.IsCordoned(machine, now):
-			term.deleteMachine(machine)
-		case machine.ReclaimAt != 0 && machine.IsIdle():
-			term.deleteMachine(machine)
-		case machine.ReclaimAt != 0:
-			term.evacuateReclaimed(machine, now)
-		}
+		evidence := health.Evidence{Silence: term.silenceOf(machine, now), IsListedBooting: machineInfo.isListedBooting, Zone: zones[machine.Zone]}
+		term.applyVerdict(judge.Judge(machine, evidence, now), machine, evidence, now)
 	}
 	term.processTaskEvents(now)
+	term.expireDeletedMachines(now)
+	term.deleteUnknownMachines(now)
+}
+
+// countReachable counts the machines that have booted, in all and by zone.
+func (term *leaderTerm) countReachable(now clock.Micros) (fleet health.Reachability, zones map[string]health.Reachability) {
+	zones = map[string]health.Reachability{}
+	for _, machine := range term.tracker.Machines {
+		if machine.FirstHeartbeatAt == 0 {
+			continue
+		}
+		isReachable := term.isReachable(machine, now)
+		zone := zones[machine.Zone]
+		zone.Add(isReachable)
+		zones[machine.Zone] = zone
+		fleet.Add(isReachable)
+	}
+	return fleet, zones
+}
+
+// isReachable tells whether a machine's last heartbeat, or the process's last stall, is
+// within the heartbeat window.
+func (term *leaderTerm) isReachable(machine *allocation.Machine, now clock.Micros) bool {
+	return now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.controller.heartbeatWindow()
+}
+
+// silenceOf is how long a machine's heartbeats have been missing while they could arrive.
+// The machines of a zone that was cut off come back one by one, so it counts from when
+// most of the zone was reachable again. Added after two thirds of a zone were deleted
+// when the first third was reachable again.
+func (term *leaderTerm) silenceOf(machine *allocation.Machine, now clock.Micros) clock.Micros {
+	return now - max(machine.LastHeartbeatAt, term.liveness.resumedAt, term.liveness.zoneUnreachableAt[machine.Zone])
+}
+
+// applyVerdict carries out what was decided about a machine.
+func (term *leaderTerm) applyVerdict(verdict health.Verdict, machine *allocation.Machine, evidence health.Evidence, now clock.Micros) {
+	switch verdict {
+	case health.Keep:
+	case health.LeaseExpired:
+		term.tracker.ExpireLease(machine, now)
+		term.controller.log.Info("machine lost", "machine", machine.Name)
+		term.deleteMachine(machine)
+	case health.LeaseExpiredBooting:
+		term.tracker.ExpireLease(machine, now)
+	case health.NeverBooted:
+		term.controller.log.Info("machine does not come up", "machine", machine.Name)
+		term.deleteMachine(machine)
+	case health.Suspected:
+		term.controller.log.Info("machine silent", "machine", machine.Name, "for_s", evidence.Silence.Seconds())
+		term.deleteMachine(machine)
+	case health.Drained, health.ReclaimedIdle:
+		term.deleteMachine(machine)
+	case health.Reclaimed:
+		term.evacuateReclaimed(machine, now)
+	}
+}
+
+// expireDeletedMachines forgets machines that were deleted long ago. Since it doesn't look
+// at the cloud's list, the rule in listMachines, which keeps those that are still listed,
+// has no effect; which of the two should hold has yet to be decided.
+func (term *leaderTerm) expireDeletedMachines(now clock.Micros) {
 	for name, at := range term.deletions.deletedAt {
-		if now-at > 600*clock.Second {
+		if now-at > deletedMachineTTL {
 			delete(term.deletions.deletedAt, name)
 		}
 	}
-	// A machine that no record names comes from a request that was carried
-	// out late. It has no tasks; it is returned once no rental is open that it
-	// might belong to.
-	hasOpenRequest := false
-	for _, status := range term.scaleOuts {
-		hasOpenRequest = hasOpenRequest || !status.isResolved
+}
+
+const (
+	// unknownMachineGrace is how long a machine that no record names is left alone.
+	unknownMachineGrace = 5 * clock.Second
+	// unknownMachineRetry is how long after its deletion was requested such a machine is
+	// left alone, besides the grace.
+	unknownMachineRetry = 30 * clock.Second
+)
+
+// deleteUnknownMachines deletes machines that no record names. Such a machine comes from a
+// scale-out request that was carried out late. It has no tasks, and is deleted once no
+// request is open that it might belong to.
+func (term *leaderTerm) deleteUnknownMachines(now clock.Micros) {
+	for _, request := range term.scaleOuts {
+		if !request.isResolved {
+			return
+		}
 	}
-	for name, at := range term.listing.unknownSince {
-		if !hasOpenRequest && now-at > 5*clock.Second && !slices.Contains(term.deletions.pending, name) {
-			term.controller.log.Info("unknown machine returned", "machine", name)
-			term.listing.unknownSince[name] = now + 30*clock.Second
-			term.deletions.pending = append(term.deletions.pending, name)
+	for name, since := range term.listing.unknownSince {
+		if now-since <= unknownMachineGrace || slices.Contains(term.deletions.pending, name) {
+			continue
 		}
+		term.controller.log.Info("unknown machine returned", "machine", name)
+		// An instant in the future, in a map of past ones: it delays the next attempt.
+		term.listing.unknownSince[name] = now + unknownMachineRetry
+		term.deletions.pending = append(term.deletions.pending, name)
 	}
 }
 
--- a/internal/controller/machine_state.go
+++ b/internal/controller/machine_state.go
@@ -3,6 +3,7 @@
 import (
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/health"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/storeview"
 )
@@ -13,8 +14,8 @@
 	host                 *client.Host
 	commandsBlockedUntil clock.Micros // no direct messages before this instant
 	isDeleting           bool
-	probes               probeState
-	faults               faultState
+	probes               health.Probes
+	faults               health.Faults
 	sentHint             sentHint
 	// isListedBooting: the cloud's last list said so. Of a machine that an earlier
 	// leader rented this alone tells that it has never come up.
--- a/internal/controller/probes_test.go
+++ b/internal/controller/probes_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/health"
 	"firwood.dev/firwood/wire"
 )
 
@@ -32,19 +33,19 @@
 	sendRound := func() {
 		term.sendProbes(now)
 		for _, name := range names {
-			if machineInfo := term.machines[name]; machineInfo.probes.isInFlight {
+			if machineInfo := term.machines[name]; machineInfo.probes.IsInFlight {
 				probed[name]++
-				machineInfo.probes.isInFlight, machineInfo.probes.answeredAt = false, now
+				machineInfo.probes.IsInFlight, machineInfo.probes.AnsweredAt = false, now
 				term.probing.inFlight--
 			}
 		}
 	}
-	now += probeInterval
+	now += health.ProbeInterval
 	for range fleet/term.controller.workerRequests.maxInFlight + 1 {
 		sendRound()
 		now += clock.Second / 2
 		for _, machine := range term.tracker.Machines {
-			machine.LastHeartbeatAt = max(machine.LastHeartbeatAt, now-probeInterval) // reports are not overdue
+			machine.LastHeartbeatAt = max(machine.LastHeartbeatAt, now-health.ProbeInterval) // reports are not overdue
 		}
 	}
 	for _, name := range names {
@@ -53,7 +54,7 @@
 		}
 	}
 	last := names[fleet-1]
-	term.machines[last].probes.misses = 1
+	term.machines[last].probes.Misses = 1
 	before := probed[last]
 	sendRound()
 	if probed[last] != before+1 {
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -10,6 +10,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/health"
 	"firwood.dev/firwood/internal/peer"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
@@ -17,28 +18,6 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A leader that is cut off from the workers hands over; one whose machines are
-// taken in a wave, or that nobody can replace, does not, and one that hears
-// nobody deletes nothing.
-func TestReachability(t *testing.T) {
-	for _, test := range []struct {
-		h            reachability
-		peers        uint32
-		mostly, lost bool
-	}{
-		{reachability{20, 20}, 0, true, false},
-		{reachability{20, 8}, 0, true, false},  // a wave
-		{reachability{20, 0}, 12, false, true}, // cut off from all workers
-		{reachability{20, 0}, 2, false, false}, // the workers reach nobody else
-		{reachability{20, 12}, 8, true, false}, // one zone is cut off
-		{reachability{2, 0}, 2, false, false},  // too few to tell
-	} {
-		if test.h.isMostlyReachable() != test.mostly || test.h.isOnlyLeaderCutOff(test.peers) != test.lost {
-			t.Errorf("%+v with %d: mostly %v, lost %v", test.h, test.peers, test.h.isMostlyReachable(), test.h.isOnlyLeaderCutOff(test.peers))
-		}
-	}
-}
-
 // newTestTerm makes a leader of token 9 that has found these machines recorded,
 // rented long ago. What it sends goes nowhere.
 func newTestTerm(t testing.TB, machines ...string) *leaderTerm {
@@ -171,7 +150,7 @@
 		term.liveness.resumedAt -= 60 * clock.Second
 		term.liveness.zoneUnreachableAt["x"] = term.liveness.resumedAt // the clock may be younger than a probe
 		for round := uint64(0); round < 2; round++ {
-			sent := clock.Now() - probeTimeout - test.late
+			sent := clock.Now() - health.ProbeTimeout - test.late
 			for i, name := range names {
 				machine := term.tracker.Machines[name]
 				if i < test.answer {
@@ -184,7 +163,7 @@
 		if got := len(term.deletions.pending) > 0; got != test.deleted {
 			t.Errorf("%s: deleted %v", test.name, term.deletions.pending)
 		}
-		if test.unsure && term.machines["i-4"].probes.misses != 0 {
+		if test.unsure && term.machines["i-4"].probes.Misses != 0 {
 			t.Errorf("%s: counted as a miss", test.name)
 		}
 	}
@@ -210,7 +189,7 @@
 	}
 	recordHeartbeats("i-1", "i-2")
 	for _, name := range names[2:] {
-		term.machines[name].probes.misses = 5
+		term.machines[name].probes.Misses = 5
 		term.handleProbeResult(term.tracker.Machines[name], term.machines[name], now-clock.Second, nil, errors.New("no answer"))
 	}
 	term.reviewMachines(now)
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -5,6 +5,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/election"
+	"firwood.dev/firwood/internal/health"
 	"firwood.dev/firwood/internal/peer"
 	"firwood.dev/firwood/internal/records"
 )
@@ -22,15 +23,15 @@
 	}
 	for _, test := range []struct {
 		name    string
-		h       reachability
+		h       health.Reachability
 		workers uint32
 		ago     clock.Micros
 		over    bool
 	}{
-		{"many ask another", reachability{20, 0}, 12, clock.Second, true},
-		{"a few do", reachability{20, 0}, 3, clock.Second, false},
-		{"many did", reachability{20, 0}, 12, 8 * clock.Second, false},
-		{"they come here too", reachability{20, 15}, 12, clock.Second, false},
+		{"many ask another", health.Reachability{Up: 20, Reachable: 0}, 12, clock.Second, true},
+		{"a few do", health.Reachability{Up: 20, Reachable: 0}, 3, clock.Second, false},
+		{"many did", health.Reachability{Up: 20, Reachable: 0}, 12, 8 * clock.Second, false},
+		{"they come here too", health.Reachability{Up: 20, Reachable: 15}, 12, clock.Second, false},
 	} {
 		term := newTestTerm(t)
 		term.controller.term = term
@@ -96,7 +97,7 @@
 	}
 	later := now + controller.suspectTimeout()
 	controller.members.heartbeats["b"].receivedAt = later
-	if !term.handOverIfCutOff(reachability{4, 0}, later) {
+	if !term.handOverIfCutOff(health.Reachability{Up: 4, Reachable: 0}, later) {
 		t.Fatal("does not hand over when nobody comes back to it")
 	}
 }
@@ -106,16 +107,16 @@
 func TestHandOverWhenNoMachineIsReachable(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		before, then reachability
+		before, then health.Reachability
 		peer         clock.Micros // how long ago it was heard
 		served, over bool
 	}{
-		{"all at once", reachability{20, 18}, reachability{20, 0}, clock.Second, true, true},
-		{"a third is left", reachability{20, 18}, reachability{20, 7}, clock.Second, true, false},
-		{"never heard", reachability{20, 0}, reachability{20, 0}, clock.Second, true, false},
-		{"too few to tell", reachability{2, 2}, reachability{2, 0}, clock.Second, true, false},
-		{"nobody else is there", reachability{20, 18}, reachability{20, 0}, 9 * clock.Second, true, false},
-		{"nobody else could", reachability{20, 18}, reachability{20, 0}, clock.Second, false, false},
+		{"all at once", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, true, true},
+		{"a third is left", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 7}, clock.Second, true, false},
+		{"never heard", health.Reachability{Up: 20, Reachable: 0}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, true, false},
+		{"too few to tell", health.Reachability{Up: 2, Reachable: 2}, health.Reachability{Up: 2, Reachable: 0}, clock.Second, true, false},
+		{"nobody else is there", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, 9 * clock.Second, true, false},
+		{"nobody else could", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, false, false},
 	} {
 		term := newTestTerm(t)
 		term.controller.term = term
--- /dev/null
+++ b/internal/health/health.go
@@ -0,0 +1,37 @@
+// Package health detects failures: of machines (missing heartbeats, unanswered probes,
+// failed tasks), of the way to a zone, and of the leader's own way to its machines. It
+// decides only; the controller deletes machines, hands leadership over and sends probes.
+//
+// The package does no I/O and never reads the clock. Every instant is a parameter, of
+// the process's steady clock.
+package health
+
+import "firwood.dev/firwood/internal/clock"
+
+const (
+	// lateHeartbeatFactor is the longest interval between two heartbeats of a worker that
+	// runs well, as a multiple of the configured one.
+	lateHeartbeatFactor = 1.25
+	// slowMessage, lostReply and probeSlack are added to the longest interval: a message
+	// that was sent again once; a lost reply and the redirect to the leader through another
+	// member; a message in time.
+	slowMessage = 1500 * clock.Millisecond
+	lostReply   = 6500 * clock.Millisecond
+	probeSlack  = clock.Second / 2
+)
+
+// Timing is how long ago the last heartbeat of a machine may be.
+type Timing struct {
+	// HeartbeatWindow is the age up to which the machine is reachable.
+	HeartbeatWindow clock.Micros
+	// SuspectTimeout is the age from which the machine is suspected.
+	SuspectTimeout clock.Micros
+	// ProbeAfter is the age from which the machine is probed.
+	ProbeAfter clock.Micros
+}
+
+// NewTiming derives the times from the configured heartbeat interval of workers.
+func NewTiming(heartbeatIntervalSeconds float64) Timing {
+	longest := clock.FromSeconds(lateHeartbeatFactor * heartbeatIntervalSeconds)
+	return Timing{HeartbeatWindow: longest + slowMessage, SuspectTimeout: longest + lostReply, ProbeAfter: longest + probeSlack}
+}
--- /dev/null
+++ b/internal/health/reachability.go
@@ -0,0 +1,33 @@
+package health
+
+// Reachability counts machines that are up, and those of them whose last heartbeat is
+// within the heartbeat window.
+type Reachability struct{ Up, Reachable int }
+
+// minUpForVerdict is how many machines have to be up for their silence to mean something.
+const minUpForVerdict = 3
+
+// Add counts one machine that is up.
+func (counts *Reachability) Add(isReachable bool) {
+	counts.Up++
+	if isReachable {
+		counts.Reachable++
+	}
+}
+
+// IsMostlyReachable tells whether the network to these machines works: at least a third of
+// them is reachable. A third is enough, since many machines of a zone may fail at once.
+func (counts Reachability) IsMostlyReachable() bool {
+	return counts.Reachable > 0 && 3*counts.Reachable >= counts.Up
+}
+
+// IsOnlyLeaderCutOff tells whether the fault is on the leader's side: fewer than a quarter
+// of the machines reach it, while at least a third contact another member.
+func (counts Reachability) IsOnlyLeaderCutOff(contactingOther uint32) bool {
+	return counts.Up >= minUpForVerdict && 4*counts.Reachable < counts.Up && 3*int(contactingOther) >= counts.Up
+}
+
+// IsNoneReachable tells whether no machine is reachable, of enough for that to mean something.
+func (counts Reachability) IsNoneReachable() bool {
+	return counts.Up >= minUpForVerdict && counts.Reachable == 0
+}
--- /dev/null
+++ b/internal/health/verdict.go
@@ -0,0 +1,98 @@
+package health
+
+import (
+	"fmt"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+)
+
+// Verdict is what becomes of a machine.
+type Verdict uint8
+
+const (
+	// Keep is the zero value: the machine stays.
+	Keep Verdict = iota
+	// LeaseExpired means: its tasks are over for certain, and it is of no use.
+	LeaseExpired
+	// LeaseExpiredBooting means: as LeaseExpired, but this leader asked for it and it may yet boot.
+	LeaseExpiredBooting
+	// NeverBooted means: it has taken too long to boot.
+	NeverBooted
+	// Suspected means: its heartbeats are missing while most of its zone is reachable.
+	Suspected
+	// Drained means: it is empty and gets no tasks, or a command that may arrive late makes it unfit.
+	Drained
+	// ReclaimedIdle means: the cloud reclaims it, and it is empty.
+	ReclaimedIdle
+	// Reclaimed means: the cloud reclaims it, and it has tasks.
+	Reclaimed
+)
+
+// String is the verdict as logged.
+func (verdict Verdict) String() string {
+	names := [...]string{
+		Keep: "keep", LeaseExpired: "lease expired", LeaseExpiredBooting: "lease expired while booting", NeverBooted: "did not boot",
+		Suspected: "suspected", Drained: "drained", ReclaimedIdle: "reclaimed, idle", Reclaimed: "reclaimed",
+	}
+	if int(verdict) >= len(names) {
+		return fmt.Sprintf("Verdict(%d)", uint8(verdict))
+	}
+	return names[verdict]
+}
+
+// Term is the part of a leadership term that machines are judged by.
+type Term struct {
+	StartedAt      clock.Micros
+	SuspectTimeout clock.Micros
+	Tracker        *allocation.Tracker // only read
+	BootTimeout    func(machineType string) clock.Micros
+}
+
+// Evidence is what else is known of one machine.
+type Evidence struct {
+	// Silence is how long its heartbeats have been missing, while they could arrive.
+	Silence clock.Micros
+	// IsListedBooting: the cloud's last list said that it boots.
+	IsListedBooting bool
+	Zone            Reachability
+}
+
+// Judge decides what becomes of a machine, which it only reads.
+func (term *Term) Judge(machine *allocation.Machine, evidence Evidence, now clock.Micros) Verdict {
+	hasBooted := machine.FirstHeartbeatAt != 0
+	isFromEarlierTerm := machine.CreatedAt < term.StartedAt
+	switch {
+	case term.Tracker.LeaseEndsAt(machine) <= now && (hasBooted || !machine.Reconciled):
+		if hasBooted || isFromEarlierTerm {
+			// One of an earlier leader that was reclaimed meanwhile is on no list: it would
+			// count as booting for ever.
+			return LeaseExpired
+		}
+		return LeaseExpiredBooting
+	case !hasBooted && term.isBootOverdue(machine, evidence, now):
+		return NeverBooted
+	case hasBooted && evidence.Silence > term.SuspectTimeout && evidence.Zone.IsMostlyReachable():
+		// Deleting it proves its tasks over, sooner than its lease would. If a whole zone
+		// is silent a network partition is more likely, and its machines come back. Added
+		// after a leader that was cut off had deleted half of its fleet.
+		return Suspected
+	case machine.Draining && machine.IsIdle(), term.Tracker.IsCordoned(machine, now):
+		return Drained
+	case machine.ReclaimAt != 0 && machine.IsIdle():
+		return ReclaimedIdle
+	case machine.ReclaimAt != 0:
+		return Reclaimed
+	default:
+		return Keep
+	}
+}
+
+// isBootOverdue tells whether a machine without a heartbeat has taken too long to boot. For
+// a new leader the missing heartbeat alone is no proof: the machine has to be its own,
+// or be listed as booting. Added after a leader had taken a zone that was cut off for
+// machines that never booted, and deleted it with all that ran there.
+func (term *Term) isBootOverdue(machine *allocation.Machine, evidence Evidence, now clock.Micros) bool {
+	return (machine.CreatedAt > term.StartedAt || evidence.IsListedBooting) &&
+		now-machine.CreatedAt > term.BootTimeout(machine.Type) && evidence.Silence > term.SuspectTimeout
+}
