--- a/internal/controller/machine_listing.go
+++ b/internal/controller/machine_listing.go
@@ -60,9 +60,7 @@
 	}
 	machine := term.tracker.Machines[listed.ID]
 	if machine == nil {
-		if _, ok := term.listing.unknownSince[listed.ID]; !ok {
-			term.listing.unknownSince[listed.ID] = now
-		}
+		term.noteUnknownMachine(listed.ID, now)
 		return
 	}
 	if machine.Address == "" {
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -6,59 +6,73 @@
 	"firwood.dev/firwood/internal/scheduler"
 )
 
-// drainMachine gives a machine nothing new and returns it when it is empty.
+// drainMachine gives a machine no new tasks, and has it deleted once it is empty.
 func (term *leaderTerm) drainMachine(machine *allocation.Machine) { machine.Draining = true }
 
-// Between two plans lies planIntervalFactor times what the last one took, within bounds.
 const (
+	// The interval between two plans is planIntervalFactor times the duration of the last
+	// one, within bounds.
 	planIntervalFactor = 4
 	minPlanInterval    = 20 * clock.Millisecond
 	maxPlanInterval    = 500 * clock.Millisecond
+	// consolidationInterval bounds how often replicas are moved together.
+	consolidationInterval = 10 * clock.Second
 )
 
+// runScheduler plans once, and carries out what was decided.
 func (term *leaderTerm) runScheduler(now clock.Micros) {
-	var pending []scheduler.PendingScaleOut
-	for _, request := range term.scaleOuts {
-		if !request.isResolved {
-			pending = append(pending, scheduler.PendingScaleOut{
-				Pool: scheduler.Pool{Type: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot}, Count: request.record.Count,
-			})
-		}
-	}
+	pending := term.pendingScaleOuts()
 	decision := term.scheduler.Plan(term.tracker, now, clock.WallTime(), pending)
 	term.processTaskEvents(now)
 	for _, job := range decision.RecordStarts {
 		term.recordStarts(job)
 	}
-	for _, wanted := range decision.ScaleOut {
-		// Few at a time: the cloud takes few requests a second, and what is
-		// asked for next should rest on how these were answered.
-		if len(pending) >= term.maxScaleOutsInFlight() {
-			break
-		}
-		pending = append(pending, scheduler.PendingScaleOut{})
-		term.requestScaleOut(wanted, now)
-	}
+	term.requestScaleOuts(decision.ScaleOut, len(pending), now)
 	for _, machine := range decision.ScaleIn {
 		term.controller.log.Debug("idle machine returned", "machine", machine.Name)
 		term.deleteMachine(machine)
 	}
 	if decision.Drain != nil && now-term.pace.consolidatedAt > consolidationInterval {
 		term.pace.consolidatedAt = now
-		term.controller.log.Debug("replicas move together", "from", decision.Drain.Name)
-		term.drainMachine(decision.Drain)
-		decision.Drain.ForEachPlacement(func(placement *allocation.Placement) {
-			term.tracker.StopPlacement(placement, clock.FromSeconds(placement.Job.Spec.CheckpointSaveSeconds))
-		})
+		term.consolidateReplicas(decision.Drain)
 	}
-	for _, screen := range []struct {
-		kind string
-		r    *scheduler.SpareReport
-	}{{"spot", &decision.SpotSpares}, {"ordinary", &decision.OrdinarySpares}} {
-		term.controller.log.Debug("screen", "kind", screen.kind, "gaps", screen.r.ArrivalScreen.RejectReason, "n", screen.r.ArrivalScreen.SampleCount, "runs", screen.r.RunTimeScreen.RejectReason,
-			"open", screen.r.IsEnabled, "x", screen.r.Cost.Target, "w", screen.r.Cost.ExpectedWait, "e", screen.r.Cost.IdleSeconds)
+	term.logSpares("spot", &decision.SpotSpares)
+	term.logSpares("ordinary", &decision.OrdinarySpares)
+}
+
+// pendingScaleOuts are the requests that the cloud has not answered yet.
+func (term *leaderTerm) pendingScaleOuts() []scheduler.PendingScaleOut {
+	var pending []scheduler.PendingScaleOut
+	for _, request := range term.scaleOuts {
+		if !request.isResolved {
+			pending = append(pending, scheduler.PendingScaleOut{
+				Pool: scheduler.Pool{Type: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot}, Count: request.record.Count,
+			})
+		}
 	}
+	return pending
 }
 
-// consolidationInterval bounds how often replicas are moved together.
-const consolidationInterval = 10 * clock.Second
+// requestScaleOuts requests machines, a few requests at a time: the cloud takes few requests
+// a second, and the next ones should rest on the answers to these.
+func (term *leaderTerm) requestScaleOuts(requests []scheduler.ScaleOutRequest, pending int, now clock.Micros) {
+	free := max(term.maxScaleOutsInFlight()-pending, 0)
+	for _, request := range requests[:min(free, len(requests))] {
+		term.requestScaleOut(request, now)
+	}
+}
+
+// consolidateReplicas moves the replicas of a machine elsewhere, so that it can be deleted.
+func (term *leaderTerm) consolidateReplicas(machine *allocation.Machine) {
+	term.controller.log.Debug("replicas move together", "from", machine.Name)
+	term.drainMachine(machine)
+	machine.ForEachPlacement(func(placement *allocation.Placement) {
+		term.tracker.StopPlacement(placement, clock.FromSeconds(placement.Job.Spec.CheckpointSaveSeconds))
+	})
+}
+
+// logSpares logs, at debug level, why warm spares are kept or not.
+func (term *leaderTerm) logSpares(kind string, report *scheduler.SpareReport) {
+	term.controller.log.Debug("screen", "kind", kind, "gaps", report.ArrivalScreen.RejectReason, "n", report.ArrivalScreen.SampleCount, "runs", report.RunTimeScreen.RejectReason,
+		"open", report.IsEnabled, "x", report.Cost.Target, "w", report.Cost.ExpectedWait, "e", report.Cost.IdleSeconds)
+}
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -9,52 +9,72 @@
 	"firwood.dev/firwood/wire"
 )
 
+// handleHeartbeat takes a worker's heartbeat and replies to it, which renews its lease.
 func (term *leaderTerm) handleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
 	now := clock.Now()
 	if term.deferIfConstrained(heartbeat, reply, now) {
 		return
 	}
-	var response wire.HeartbeatResponse
-	machine := term.tracker.Machines[heartbeat.MachineID]
-	if machine == nil {
-		if _, ok := term.deletions.deletedAt[heartbeat.MachineID]; !ok {
-			if _, ok := term.listing.unknownSince[heartbeat.MachineID]; !ok {
-				term.listing.unknownSince[heartbeat.MachineID] = now
-			}
-		}
+	commands := []wire.Command{}
+	if machine := term.tracker.Machines[heartbeat.MachineID]; machine == nil {
+		term.noteUnknownMachine(heartbeat.MachineID, now)
 	} else {
-		term.tracker.RecordLeaseRenewal(machine, now)
-		booting := machine.FirstHeartbeatAt == 0
-		result := term.tracker.RecordHeartbeat(machine, heartbeat, now)
+		result := term.recordHeartbeat(machine, heartbeat, now)
 		if result == allocation.HeartbeatFenced {
 			term.controller.log.Info("a worker has seen a higher token", "worker", heartbeat.MachineID, "token", heartbeat.FencingToken)
 			replyUnavailable(reply, "deposed")
 			term.controller.handleFenced(term.token)
 			return
 		}
-		if result == allocation.HeartbeatAccepted {
-			if booting && machine.CreatedAt > term.liveness.startedAt {
-				term.scheduler.ObserveBoot(machine.Type, now-machine.CreatedAt)
-			}
-			term.processTaskEvents(now)
-			response.Commands = term.tracker.HeartbeatCommands(machine, now)
-			term.requestPlan()
+		if due := term.commandsAfter(result, machine, now); due != nil {
+			commands = due
 		}
 	}
-	response.FencingToken = term.tracker.FencingToken()
-	if response.Commands == nil {
-		response.Commands = []wire.Command{}
-	}
-	body, err := response.MarshalJSON()
+	body, err := wire.HeartbeatResponse{FencingToken: term.tracker.FencingToken(), Commands: commands}.MarshalJSON()
 	if err != nil {
 		replyUnavailable(reply, "cannot be encoded")
 		return
 	}
-	reply.SendBefore(200, body, 0, term.replyDeadline(response.Commands))
+	reply.SendBefore(200, body, 0, term.replyDeadline(commands))
+}
+
+// noteUnknownMachine records that a machine exists that no record names, unless this leader
+// has deleted it.
+func (term *leaderTerm) noteUnknownMachine(name string, now clock.Micros) {
+	if _, isDeleted := term.deletions.deletedAt[name]; isDeleted {
+		return
+	}
+	if _, isKnown := term.listing.unknownSince[name]; !isKnown {
+		term.listing.unknownSince[name] = now
+	}
+}
+
+// recordHeartbeat has the allocation table take a heartbeat, and the scheduler the time
+// that a machine of this term took to boot.
+func (term *leaderTerm) recordHeartbeat(machine *allocation.Machine, heartbeat *wire.Heartbeat, now clock.Micros) allocation.HeartbeatResult {
+	term.tracker.RecordLeaseRenewal(machine, now)
+	wasBooting := machine.FirstHeartbeatAt == 0
+	result := term.tracker.RecordHeartbeat(machine, heartbeat, now)
+	if result == allocation.HeartbeatAccepted && wasBooting && machine.CreatedAt > term.liveness.startedAt {
+		term.scheduler.ObserveBoot(machine.Type, now-machine.CreatedAt)
+	}
+	return result
 }
 
-// replyDeadline is the last instant at which an answer to a report may go out: it
-// renews the worker's lease, and may start tasks.
+// commandsAfter is what the reply to an accepted heartbeat commands; a repeated or older one
+// gets none.
+func (term *leaderTerm) commandsAfter(result allocation.HeartbeatResult, machine *allocation.Machine, now clock.Micros) []wire.Command {
+	if result != allocation.HeartbeatAccepted {
+		return nil
+	}
+	term.processTaskEvents(now)
+	commands := term.tracker.HeartbeatCommands(machine, now)
+	term.requestPlan()
+	return commands
+}
+
+// replyDeadline is the latest instant at which the reply to a heartbeat may be sent, since
+// it renews the worker's lease and may start tasks.
 func (term *leaderTerm) replyDeadline(commands []wire.Command) clock.Micros {
 	until := min(term.mayActUntil(), term.entitlement.viewAge.RenewLeasesUntil())
 	if slices.ContainsFunc(commands, func(command wire.Command) bool { return command.Action == wire.ActionStart }) {
@@ -63,18 +83,10 @@
 	return until
 }
 
-// processTaskEvents draws the conclusions from what reports showed.
+// processTaskEvents takes the tasks that heartbeats have shown as started or exited.
 func (term *leaderTerm) processTaskEvents(now clock.Micros) {
 	for _, placement := range term.tracker.Started {
-		job := placement.Job
-		term.controller.log.Debug("task up", "job", job.Spec.ID, "task", placement.TaskIndex, "class", job.Spec.Class, "machine", placement.Machine.Name,
-			"waited_s", (clock.WallTime() - job.ReleasedAt).Seconds(), "placed_s", (now - placement.CreatedAt).Seconds())
-		if job.FirstStartAt == 0 {
-			job.FirstStartAt = now
-			if jobInfo := term.jobs[job.Spec.ID]; jobInfo != nil && jobInfo.firstStartAt == 0 {
-				jobInfo.firstStartAt = int64(clock.WallTime())
-			}
-		}
+		term.handleTaskStart(placement, now)
 	}
 	term.tracker.Started = term.tracker.Started[:0]
 	for _, exit := range term.tracker.Exited {
@@ -83,47 +95,95 @@
 	term.tracker.Exited = term.tracker.Exited[:0]
 }
 
+func (term *leaderTerm) handleTaskStart(placement *allocation.Placement, now clock.Micros) {
+	job := placement.Job
+	term.controller.log.Debug("task up", "job", job.Spec.ID, "task", placement.TaskIndex, "class", job.Spec.Class, "machine", placement.Machine.Name,
+		"waited_s", (clock.WallTime() - job.ReleasedAt).Seconds(), "placed_s", (now - placement.CreatedAt).Seconds())
+	if job.FirstStartAt != 0 {
+		return
+	}
+	job.FirstStartAt = now
+	if jobInfo := term.jobs[job.Spec.ID]; jobInfo != nil && jobInfo.firstStartAt == 0 {
+		jobInfo.firstStartAt = int64(clock.WallTime())
+	}
+}
+
+const (
+	// maxFailureDoublings bounds the backoff of a task that fails: it is 1 s at first, twice
+	// as long after each failure, and at most 32 s.
+	maxFailureDoublings = 5
+	// minFailedMachines is on how many machines a job has to fail, with no task done, for
+	// the job to be at fault.
+	minFailedMachines = 3
+	// rejectedRetryDelay is how long a task waits that a worker would not start.
+	rejectedRetryDelay = clock.Second
+)
+
 func (term *leaderTerm) handleTaskExit(exit allocation.ExitEvent, now clock.Micros) {
 	placement, job := exit.Placement, exit.Placement.Job
-	task := &job.Tasks[placement.TaskIndex]
 	if exit.Cause != wire.ExitDone && !job.Cancelled {
 		term.controller.log.Debug("task ended", "job", job.Spec.ID, "task", placement.TaskIndex, "class", job.Spec.Class, "machine", placement.Machine.Name, "why", exit.Cause,
 			"told", placement.IsStopping(), "saved", placement.ProgressSaved, "state", placement.ReportedState, "placed_s", (now - placement.CreatedAt).Seconds())
 	}
 	switch exit.Cause {
 	case wire.ExitDone:
-		if placement.RunningAt != 0 && !placement.Adopted && !job.IsService() && task.CheckpointedSeconds == 0 && !(job.IsGang() && job.CheckpointedSeconds > 0) {
-			runSeconds := (now - placement.RunningAt).Seconds()
-			term.scheduler.ObserveTaskRun(job, runSeconds, now)
-			if jobInfo := term.jobs[job.Spec.ID]; jobInfo != nil {
-				jobInfo.observedRuns, jobInfo.observedRunSeconds = jobInfo.observedRuns+1, jobInfo.observedRunSeconds+runSeconds
-				if job.IsComplete() && !jobInfo.isJobRunObserved {
-					jobInfo.isJobRunObserved = true
-					term.scheduler.ObserveJobRun(job, jobInfo.observedRunSeconds/float64(jobInfo.observedRuns), now)
-				}
-			}
-			term.controller.log.Debug("task done", "job", job.Spec.ID, "task", placement.TaskIndex, "machine", placement.Machine.Name, "took_s", runSeconds, "estimate_s", job.Spec.EstimatedRunSeconds)
-		}
+		term.observeCompletedRun(placement, now)
 	case wire.ExitError:
-		// A faulty machine fails many jobs, a faulty job fails everywhere. The
-		// more often a job fails on different machines without any task done,
-		// the more slowly it is tried again, and no machine is blamed for it.
-		backoff := clock.Second << min(int(task.FailureCount), 5)
-		if len(job.FailuresByMachine) >= 3 && job.DoneCount() == 0 {
-			backoff = 2 * backoff
-			for _, machine := range term.tracker.Machines {
-				delete(machine.FailedJobs, job.Spec.ID)
-			}
-		}
-		task.RetryAt = now + backoff
-		term.controller.log.Info("task failed", "job", job.Spec.ID, "task", placement.TaskIndex, "machine", placement.Machine.Name, "fails", task.FailureCount)
-		term.recordTaskFailure(placement.Machine, now)
+		term.handleTaskFailure(placement, now)
 	case allocation.CauseVanished:
 		if !job.Cancelled {
 			job.RestartCount++
 		}
 	case wire.ExitNoResources, wire.ExitAttemptConflict, wire.ExitUnknownTask:
-		task.RetryAt = now + clock.Second
+		job.Tasks[placement.TaskIndex].RetryAt = now + rejectedRetryDelay
 	}
 	term.requestPlan()
 }
+
+// hasFullRun tells whether this leader has seen the whole run of a task, from its beginning
+// and not from a checkpoint, so that its duration says something of the class.
+func hasFullRun(placement *allocation.Placement) bool {
+	job := placement.Job
+	wasSeen := placement.RunningAt != 0 && !placement.Adopted
+	isResumedTask := job.Tasks[placement.TaskIndex].CheckpointedSeconds != 0
+	isResumedGang := job.IsGang() && job.CheckpointedSeconds > 0
+	return wasSeen && !job.IsService() && !isResumedTask && !isResumedGang
+}
+
+// observeCompletedRun has the scheduler learn from the duration of a task's run, and of the
+// job's once all its tasks are done.
+func (term *leaderTerm) observeCompletedRun(placement *allocation.Placement, now clock.Micros) {
+	if !hasFullRun(placement) {
+		return
+	}
+	job := placement.Job
+	runSeconds := (now - placement.RunningAt).Seconds()
+	term.scheduler.ObserveTaskRun(job, runSeconds, now)
+	if jobInfo := term.jobs[job.Spec.ID]; jobInfo != nil {
+		jobInfo.observedRuns++
+		jobInfo.observedRunSeconds += runSeconds
+		if job.IsComplete() && !jobInfo.isJobRunObserved {
+			jobInfo.isJobRunObserved = true
+			term.scheduler.ObserveJobRun(job, jobInfo.observedRunSeconds/float64(jobInfo.observedRuns), now)
+		}
+	}
+	term.controller.log.Debug("task done", "job", job.Spec.ID, "task", placement.TaskIndex, "machine", placement.Machine.Name, "took_s", runSeconds, "estimate_s", job.Spec.EstimatedRunSeconds)
+}
+
+// handleTaskFailure delays the next attempt of a task that failed. A faulty machine fails
+// many jobs, a faulty job fails everywhere: a job that fails on several machines without
+// any task done is retried more slowly, and no machine is blamed for it.
+func (term *leaderTerm) handleTaskFailure(placement *allocation.Placement, now clock.Micros) {
+	job := placement.Job
+	task := &job.Tasks[placement.TaskIndex]
+	backoff := clock.Second << min(int(task.FailureCount), maxFailureDoublings)
+	if len(job.FailuresByMachine) >= minFailedMachines && job.DoneCount() == 0 {
+		backoff = 2 * backoff
+		for _, machine := range term.tracker.Machines {
+			delete(machine.FailedJobs, job.Spec.ID)
+		}
+	}
+	task.RetryAt = now + backoff
+	term.controller.log.Info("task failed", "job", job.Spec.ID, "task", placement.TaskIndex, "machine", placement.Machine.Name, "fails", task.FailureCount)
+	term.recordTaskFailure(placement.Machine, now)
+}
