--- a/internal/controller/constraints.go
+++ b/internal/controller/constraints.go
@@ -12,8 +12,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// What a leader promises to those after it: zones that are silent, members that are not
-// heard. See delegation.Constraints.
+// A leader records in the store in which zones it renews no leases, and which members get
+// no grants, so that its successor can bound the leases there. See delegation.Constraints.
 
 // applyConstraints takes newer renewal constraints from the view.
 func (controller *Controller) applyConstraints(constraints delegation.Constraints, version uint64) {
@@ -23,23 +23,23 @@
 	}
 }
 
-// maxClockSkew bounds how far two members' times of day may be apart.
+// maxClockSkew bounds the difference between two members' times of day.
 func (controller *Controller) maxClockSkew() clock.Micros {
 	return 2 * clock.FromSeconds(controller.cfg.Deployment.ClockErrorMillis/1000)
 }
 
-// latestSteadyInstant is an instant of the steady clock that is certainly not before a time of
-// day that some member has noted.
+// latestSteadyInstant converts a time of day noted by some member to this process's steady
+// clock, rounded up by the clock error.
 func (controller *Controller) latestSteadyInstant(now, wall clock.Micros) clock.Micros {
 	return now - (clock.WallTime() - wall) + controller.maxClockSkew()
 }
 
-// adoptConstraints takes over what earlier leaders have promised.
+// adoptConstraints bounds the machines' leases by the constraints of earlier leaders.
 func (term *leaderTerm) adoptConstraints(now clock.Micros) {
 	constraints := term.renewals.constraints.Confirmed()
-	for _, member := range term.tracker.Machines {
-		if zone, ok := constraints.Zones[member.Zone]; ok {
-			term.tracker.CapLeaseRenewal(member, term.controller.latestSteadyInstant(now, zone.LastAnswerAt))
+	for _, machine := range term.tracker.Machines {
+		if zone, ok := constraints.Zones[machine.Zone]; ok {
+			term.tracker.CapLeaseRenewal(machine, term.controller.latestSteadyInstant(now, zone.LastAnswerAt))
 		}
 	}
 	for member, renewalsUntil := range constraints.MemberGrantUntil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// updateRenewalBounds tells the ledger until when others may have renewed leases as delegates.
+// updateRenewalBounds sets until when other members may have renewed leases as delegates.
 func (term *leaderTerm) updateRenewalBounds(now clock.Micros) {
 	constraints := term.renewals.constraints.Confirmed()
 	renewalsUntil := map[string]clock.Micros{}
@@ -57,54 +57,79 @@
 	term.tracker.SetDelegatedUntil(term.renewals.grants.LatestRenewal(now), renewalsUntil)
 }
 
-// updateConstraints writes what has changed about who is heard. A zone of which no
-// machine is heard gets no answers from now on, and a member that is not heard no
-// rights, until the promise is taken back: a new leader, who has never heard either,
-// then knows when the leases there end.
+// memberTimeout is after how long without a heartbeat a member counts as unreachable.
+const memberTimeout = 3 * heartbeatInterval
+
+// updateConstraints constrains zones without reachable machines and unreachable members, and
+// lifts the constraints of those that are reachable again. From the write on a constrained
+// zone gets no replies and a constrained member no grants, so that a new leader, which has
+// reached neither, can bound the leases there.
 func (term *leaderTerm) updateConstraints(now clock.Micros) {
 	current := term.renewals.constraints.Confirmed()
-	updated := delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{}, MemberGrantUntil: map[string]clock.Micros{}}
-	wall := func(at clock.Micros) clock.Micros { return clock.WallTime() - (now - at) }
+	updated := delegation.Constraints{Zones: term.zoneConstraints(current, now), MemberGrantUntil: term.memberConstraints(current, now)}
+	if !updated.Equal(current) || !term.renewals.constraints.IsConfirmed() {
+		term.writeConstraints(updated)
+	}
+}
+
+// wallTimeAt converts an instant of the steady clock to a time of day.
+func wallTimeAt(at, now clock.Micros) clock.Micros { return clock.WallTime() - (now - at) }
+
+// zoneConstraints are the constraints that zones should have: those they have, but for zones
+// being lifted, and new ones for zones without reachable machines. This member is among
+// those that know of each.
+func (term *leaderTerm) zoneConstraints(current delegation.Constraints, now clock.Micros) map[string]delegation.ZoneConstraint {
+	member := term.controller.cfg.Member
+	constraints := map[string]delegation.ZoneConstraint{}
 	for zone, status := range term.zoneStatuses(now) {
-		constraint, ok := current.Zones[zone]
+		constraint, isConstrained := current.Zones[zone]
+		needsConstraint := status.hasMachinesUp && !status.isReachable
 		switch {
-		case term.renewals.liftingZones[zone] || !ok && (status.isReachable || !status.hasMachinesUp):
+		case term.renewals.liftingZones[zone], !isConstrained && !needsConstraint:
 			continue
-		case !ok:
-			constraint = delegation.ZoneConstraint{LastAnswerAt: wall(max(status.lastReplyAt, term.renewals.grants.OwnRenewalsUntil())), KnownBy: []string{term.controller.cfg.Member}}
-		case !slices.Contains(constraint.KnownBy, term.controller.cfg.Member):
-			constraint.LastAnswerAt = max(constraint.LastAnswerAt, wall(term.renewals.grants.OwnRenewalsUntil()))
-			constraint.KnownBy = append(slices.Clone(constraint.KnownBy), term.controller.cfg.Member)
+		case !isConstrained:
+			lastAnswerAt := max(status.lastReplyAt, term.renewals.grants.OwnRenewalsUntil())
+			constraint = delegation.ZoneConstraint{LastAnswerAt: wallTimeAt(lastAnswerAt, now), KnownBy: []string{member}}
+		case !slices.Contains(constraint.KnownBy, member):
+			constraint.LastAnswerAt = max(constraint.LastAnswerAt, wallTimeAt(term.renewals.grants.OwnRenewalsUntil(), now))
+			constraint.KnownBy = append(slices.Clone(constraint.KnownBy), member)
 		}
-		updated.Zones[zone] = constraint
+		constraints[zone] = constraint
+	}
+	return constraints
+}
+
+// memberConstraints is, for each unreachable member, until when (as a time of day) it may
+// renew leases with the grants it has.
+func (term *leaderTerm) memberConstraints(current delegation.Constraints, now clock.Micros) map[string]clock.Micros {
+	grantUntil := map[string]clock.Micros{}
+	if term.controller.delegation.times.GrantTTL == 0 {
+		return grantUntil
 	}
 	for _, other := range term.controller.cfg.Peers {
-		if received := term.controller.members.heartbeats[other.Member]; term.controller.delegation.times.GrantTTL == 0 || received != nil && now-received.receivedAt < memberTimeout {
+		if received := term.controller.members.heartbeats[other.Member]; received != nil && now-received.receivedAt < memberTimeout {
 			continue
 		}
-		renewalsUntil, ok := current.MemberGrantUntil[other.Member]
-		switch {
-		case !ok && now-term.liveness.resumedAt < memberTimeout:
-			continue
-		case !ok:
-			renewalsUntil = wall(term.renewals.grants.GrantUntil(other.Member))
+		until, isConstrained := current.MemberGrantUntil[other.Member]
+		if !isConstrained {
+			if now-term.liveness.resumedAt < memberTimeout {
+				continue // it may not have had the time to send a heartbeat
+			}
+			until = wallTimeAt(term.renewals.grants.GrantUntil(other.Member), now)
 		}
-		updated.MemberGrantUntil[other.Member] = renewalsUntil
-	}
-	if !updated.Equal(current) || !term.renewals.constraints.IsConfirmed() {
-		term.writeConstraints(updated)
+		grantUntil[other.Member] = until
 	}
+	return grantUntil
 }
 
-// memberTimeout is after how long without a beat a member counts as not heard.
-const memberTimeout = 3 * heartbeatInterval
-
-// zoneStatus is how a zone's machines are heard.
+// zoneStatus is whether a zone's machines are reachable.
 type zoneStatus struct {
 	hasMachinesUp, isReachable bool
-	lastReplyAt                clock.Micros // when the last of them may have been answered
+	lastReplyAt                clock.Micros // the last reply that may have renewed a lease
 }
 
+// zoneStatuses looks at all machines. One of this term that still boots says nothing of its
+// zone; one of an earlier term may have been up for long.
 func (term *leaderTerm) zoneStatuses(now clock.Micros) map[string]*zoneStatus {
 	statuses := map[string]*zoneStatus{}
 	for _, machine := range term.tracker.Machines {
@@ -114,14 +139,16 @@
 			statuses[machine.Zone] = status
 		}
 		status.lastReplyAt = max(status.lastReplyAt, machine.LastRenewalAt())
-		if machine.FirstHeartbeatAt != 0 || machine.CreatedAt < term.liveness.startedAt { // one that boots says nothing of its zone
+		if machine.FirstHeartbeatAt != 0 || machine.CreatedAt < term.liveness.startedAt {
 			status.hasMachinesUp = true
-			status.isReachable = status.isReachable || now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.controller.heartbeatWindow()
+			status.isReachable = status.isReachable || term.isReachable(machine, now)
 		}
 	}
 	return statuses
 }
 
+// writeConstraints makes constraints durable. Until the outcome is known, both the old and
+// the new ones hold.
 func (term *leaderTerm) writeConstraints(constraints delegation.Constraints) {
 	value, err := records.Constraints{Constraints: constraints}.MarshalJSON()
 	if err != nil || len(value) > int(term.controller.cfg.Deployment.Store.Effective().MaxValueKB*1024) {
@@ -150,7 +177,7 @@
 		term.retryDeferred()
 		switch {
 		case outcome != kvstore.Committed:
-			// The view tells the version by the time of the next look.
+			// By the next review the view has the version that is stored.
 			term.controller.view.RequestSync(func(error) {}, clock.Now()+2*clock.Second)
 		case len(term.renewals.liftingZones) > 0:
 			term.updateConstraints(clock.Now())
@@ -158,18 +185,21 @@
 	})
 }
 
-// deferredHeartbeat is a report from a zone whose reports are not answered.
+// deferredHeartbeat is a worker's heartbeat that can't be replied to yet.
 type deferredHeartbeat struct {
 	heartbeat  *wire.Heartbeat
 	reply      *server.Reply
 	receivedAt clock.Micros
 }
 
-// deferIfConstrained tells whether a report has to wait until the promise about its zone is
-// taken back, and takes care of that.
+// maxDeferral is how long a heartbeat is deferred at most.
+const maxDeferral = clock.Second
+
+// deferIfConstrained tells whether a heartbeat's reply has to wait: for a newer view, or until
+// the constraint of its zone is lifted, which it starts.
 func (term *leaderTerm) deferIfConstrained(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if !term.entitlement.viewAge.MayRenewLeases(now) {
-		// No answer may renew its lease before the next read, which is under way.
+		// No reply may renew its lease before the view has been read again.
 		term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, deferredHeartbeat{heartbeat, reply, now})
 		term.refreshView(now)
 		return true
@@ -189,8 +219,8 @@
 	return true
 }
 
-// retryDeferred answers the reports that waited, once nothing is promised about their
-// zones, and those that wait for too long.
+// retryDeferred handles the deferred heartbeats whose zones are not constrained any more, and
+// refuses those that have waited for too long.
 func (term *leaderTerm) retryDeferred() {
 	now := clock.Now()
 	deferred := term.renewals.deferredHeartbeats
@@ -199,7 +229,7 @@
 		switch {
 		case !term.renewals.constraints.MayConstrainZone(waiting.heartbeat.Zone) && term.entitlement.viewAge.MayRenewLeases(now):
 			term.handleHeartbeat(waiting.heartbeat, waiting.reply)
-		case now-waiting.receivedAt > clock.Second:
+		case now-waiting.receivedAt > maxDeferral:
 			replyUnavailable(waiting.reply, "the state service does not answer")
 		default:
 			term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, waiting)
@@ -212,9 +242,9 @@
 	}
 }
 
-// mayConstrainZone tells whether this member has, or may have, promised to answer nobody as delegate
-// in a zone. A member that has not may: a leader that hears nobody of a zone may
-// itself be the one that is cut off from it.
+// mayConstrainZone tells whether this member has, or may have, recorded that it renews no
+// leases in a zone. A member that has not may still act as delegate there, since a leader
+// that reaches no machine of a zone may itself be the one that is cut off from it.
 func (controller *Controller) mayConstrainZone(zone string) bool {
 	if controller.term != nil && controller.term.renewals.constraints.MayConstrainZone(zone) || controller.delegation.unconfirmedConstraints[zone] {
 		return true
