--- a/internal/controller/entitlement.go
+++ b/internal/controller/entitlement.go
@@ -4,25 +4,26 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// mayActUntil is the end of the entitlement to act. Unlike the rest it may be asked
-// on any goroutine, right before something is sent.
+// mayActUntil is the end of the leader's lease as known. It may be called on any goroutine,
+// right before something is sent.
 func (term *leaderTerm) mayActUntil() clock.Micros {
 	return clock.Micros(term.entitlement.actDeadline.Load())
 }
 
-// recordResume takes the news that the process has stood still, or was not entitled to act.
+// recordResume restarts all silences: no heartbeats could arrive while the process was
+// stalled, and none were replied to while it was not entitled to act.
 func (term *leaderTerm) recordResume(now clock.Micros) {
 	term.liveness.resumedAt, term.scheduler.ResumedAt = now, now
 }
 
-// mayStartUntil is the end of the time in which tasks may be started; like until it
-// may be asked on any goroutine.
+// mayStartUntil is the end of the time in which tasks may be started. It may be called on
+// any goroutine.
 func (term *leaderTerm) mayStartUntil() clock.Micros {
 	return clock.Micros(term.entitlement.startDeadline.Load())
 }
 
-// updateDeadlines takes over the election's view of the entitlement, and what the age of the
-// view allows.
+// updateDeadlines takes the end of the lock's lease from the election, and the bound that the
+// age of the view sets.
 func (term *leaderTerm) updateDeadlines() {
 	until := term.controller.elector.EntitledUntil()
 	term.entitlement.actDeadline.Store(int64(until))
@@ -56,7 +57,7 @@
 	return mayStart
 }
 
-// refreshView makes the view new again where it is too old to start tasks on it.
+// refreshView has the view read again; until then it is too old to start tasks on it.
 func (term *leaderTerm) refreshView(now clock.Micros) {
 	if term.entitlement.isRefreshingView {
 		return
@@ -67,14 +68,15 @@
 		switch {
 		case term.isClosed:
 		case err != nil:
-			term.retryDeferred() // those that have waited for too long are refused
+			term.retryDeferred() // refuses those that have waited for too long
 		default:
 			term.recordViewRead(now)
 		}
 	}, now+heartbeatInterval)
 }
 
-// recordViewRead takes the news that the view is as new as a read sent at an instant.
+// recordViewRead records that the view is as new as a read sent at an instant, and does what
+// waited for that.
 func (term *leaderTerm) recordViewRead(sentAt clock.Micros) {
 	term.entitlement.viewAge.RecordRead(sentAt)
 	term.updateDeadlines()
--- a/internal/controller/fleet_log.go
+++ b/internal/controller/fleet_log.go
@@ -5,35 +5,48 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// logFleet sums up, at debug level, what is rented and what it does.
+// fleetLogInterval is between two logs of the fleet.
+const fleetLogInterval = 5 * clock.Second
+
+// fleetUse sums up machines of one kind, and what runs on them, in whole CPUs.
+type fleetUse struct {
+	machines, booting, idle            int
+	cpus, cpusOfReplicas, cpusOfOthers int64
+}
+
+func (use *fleetUse) add(machine *allocation.Machine) {
+	use.machines++
+	if machine.FirstHeartbeatAt == 0 {
+		use.booting++
+		return
+	}
+	if machine.IsIdle() {
+		use.idle++
+	}
+	use.cpus += machine.Capacity.MilliCPU / 1000
+	machine.ForEachPlacement(func(placement *allocation.Placement) {
+		cpus := placement.Job.Request.MilliCPU / 1000
+		if placement.Job.IsService() {
+			use.cpusOfReplicas += cpus
+		} else {
+			use.cpusOfOthers += cpus
+		}
+	})
+}
+
+// logFleet sums up, at debug level, which machines there are and what they do.
 func (term *leaderTerm) logFleet(now clock.Micros) {
 	if now < term.pace.nextFleetLogAt {
 		return
 	}
-	term.pace.nextFleetLogAt = now + 5*clock.Second
-	var machines, booting, idle [2]int
-	var capacity, replicas, tasks [2]int64
+	term.pace.nextFleetLogAt = now + fleetLogInterval
+	var onDemand, spot fleetUse
 	for _, machine := range term.tracker.Machines {
-		kind := 0
 		if machine.Spot {
-			kind = 1
-		}
-		machines[kind]++
-		if machine.FirstHeartbeatAt == 0 {
-			booting[kind]++
-			continue
-		}
-		if machine.IsIdle() {
-			idle[kind]++
+			spot.add(machine)
+		} else {
+			onDemand.add(machine)
 		}
-		capacity[kind] += machine.Capacity.MilliCPU / 1000
-		machine.ForEachPlacement(func(placement *allocation.Placement) {
-			if placement.Job.IsService() {
-				replicas[kind] += placement.Job.Request.MilliCPU / 1000
-			} else {
-				tasks[kind] += placement.Job.Request.MilliCPU / 1000
-			}
-		})
 	}
 	waiting := 0
 	for _, job := range term.tracker.Jobs {
@@ -41,6 +54,6 @@
 			waiting += job.WaitingCount()
 		}
 	}
-	term.controller.log.Debug("fleet", "ordinary", machines[0], "booting", booting[0], "idle", idle[0], "cpus", capacity[0], "replicas", replicas[0], "tasks", tasks[0],
-		"spot", machines[1], "spot_booting", booting[1], "spot_idle", idle[1], "spot_cpus", capacity[1], "spot_tasks", tasks[1], "waiting", waiting)
+	term.controller.log.Debug("fleet", "ordinary", onDemand.machines, "booting", onDemand.booting, "idle", onDemand.idle, "cpus", onDemand.cpus, "replicas", onDemand.cpusOfReplicas, "tasks", onDemand.cpusOfOthers,
+		"spot", spot.machines, "spot_booting", spot.booting, "spot_idle", spot.idle, "spot_cpus", spot.cpus, "spot_tasks", spot.cpusOfOthers, "waiting", waiting)
 }
--- a/internal/controller/grants.go
+++ b/internal/controller/grants.go
@@ -6,12 +6,13 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// acknowledgeTimestamps renews the rights of the others to keep leases alive: the stamps that
-// have come so far are echoed once the view is known to be newer than them, and
-// only while no withdrawn job is taking long to go. So what a withdrawal leaves
-// behind in a zone that is cut off ends in time; see delegation.Config.
+// acknowledgeTimestamps renews the other members' grants to renew leases as delegates: the
+// timestamps received so far are acknowledged once the view is known to be newer than
+// them, and only while no cancelled job is overdue to stop. So the tasks of a cancelled
+// job in a zone that is cut off end in time; see delegation.Config. Then is called in
+// any case.
 func (term *leaderTerm) acknowledgeTimestamps(now clock.Micros, then func()) {
-	stamps := maps.Clone(term.controller.members.timestamps)
+	timestamps := maps.Clone(term.controller.members.timestamps)
 	term.controller.view.RequestSync(func(err error) {
 		defer then()
 		if err != nil || term.isClosed {
@@ -21,13 +22,11 @@
 		if !term.controller.isEntitled() {
 			return
 		}
-		for _, job := range term.tracker.Jobs {
-			if job.Cancelled && !term.tracker.IsVacated(job) && clock.Now()-job.CancelledAt > term.controller.delegation.times.CancellationGrace {
-				return
-			}
+		if term.isCancellationOverdue() {
+			return
 		}
 		term.renewals.cancellationsKnownAt = now
-		for member, timestamp := range stamps {
+		for member, timestamp := range timestamps {
 			if !term.renewals.constraints.MayConstrainMember(member) {
 				term.renewals.acknowledgements[member] = timestamp
 				term.renewals.grants.RecordAck(member, now)
@@ -35,3 +34,13 @@
 		}
 	}, now+heartbeatInterval)
 }
+
+// isCancellationOverdue tells whether tasks of some cancelled job are left after its grace.
+func (term *leaderTerm) isCancellationOverdue() bool {
+	for _, job := range term.tracker.Jobs {
+		if job.Cancelled && !term.tracker.IsVacated(job) && clock.Now()-job.CancelledAt > term.controller.delegation.times.CancellationGrace {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -109,7 +109,7 @@
 }
 
 // expireDeletedMachines forgets machines that were deleted long ago. Since it doesn't look
-// at the cloud's list, the rule in listMachines, which keeps those that are still listed,
+// at the cloud's list, the rule in handleList, which keeps those that are still listed,
 // has no effect; which of the two should hold has yet to be decided.
 func (term *leaderTerm) expireDeletedMachines(now clock.Micros) {
 	for name, at := range term.deletions.deletedAt {
@@ -147,22 +147,20 @@
 	}
 }
 
-// evacuateReclaimed moves tasks off a machine that is about to be taken, unless they will
-// be done in time.
+// checkpointMargin is the time that two saves of a checkpoint must leave before a reclaim for
+// a task to run on.
+const checkpointMargin = 3 * clock.Second
+
+// evacuateReclaimed stops the tasks of a machine that the cloud reclaims, unless they will be
+// done in time, or are better left running.
 func (term *leaderTerm) evacuateReclaimed(machine *allocation.Machine, now clock.Micros) {
 	remaining := machine.ReclaimAt - now
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
-		job := placement.Job
-		if placement.IsStopping() {
-			return
-		}
-		if term.scheduler.RemainingRun(placement, now) <= remaining {
+		if placement.IsStopping() || term.scheduler.RemainingRun(placement, now) <= remaining || isBetterLeftRunning(placement, remaining) {
 			return
 		}
+		job := placement.Job
 		grace := clock.FromSeconds(job.Spec.CheckpointSaveSeconds)
-		if job.Spec.CheckpointIntervalSeconds > 0 && grace > 0 && (remaining > 2*grace+3*clock.Second || remaining <= grace && placement.ReportedState == wire.TaskRunning) {
-			return // there is time to run on and still save, or none to save at all
-		}
 		if job.IsGang() && job.GangStarted {
 			term.tracker.StopJob(job, grace)
 		} else {
@@ -170,3 +168,16 @@
 		}
 	})
 }
+
+// isBetterLeftRunning tells whether a task that saves checkpoints should run on although its
+// machine is reclaimed: there is time to run and still save, or too little to save at all.
+func isBetterLeftRunning(placement *allocation.Placement, remaining clock.Micros) bool {
+	spec := placement.Job.Spec
+	saveTime := clock.FromSeconds(spec.CheckpointSaveSeconds)
+	if spec.CheckpointIntervalSeconds <= 0 || saveTime <= 0 {
+		return false
+	}
+	canRunOn := remaining > 2*saveTime+checkpointMargin
+	isTooLateToSave := remaining <= saveTime && placement.ReportedState == wire.TaskRunning
+	return canRunOn || isTooLateToSave
+}
--- a/internal/controller/machine_listing.go
+++ b/internal/controller/machine_listing.go
@@ -7,12 +7,17 @@
 	"firwood.dev/firwood/wire"
 )
 
-// deletedMachineTTL is how long a deleted machine is remembered at least: late reports of it, and
-// lists that lag, mean nothing.
-const deletedMachineTTL = 600 * clock.Second
+const (
+	// deletedMachineTTL is how long a deleted machine is remembered: heartbeats of it that
+	// arrive late, and lists that lag, mean nothing.
+	deletedMachineTTL = 600 * clock.Second
+	// listInterval is between two reads of the cloud's list, listRetryDelay after one failed.
+	listInterval   = 10 * clock.Second
+	listRetryDelay = 3 * clock.Second
+)
 
-// listMachines reads the cloud's list now and then: for machines that failed, and for
-// machines that nobody knows.
+// listMachines reads the cloud's list periodically, for machines that failed and machines
+// that no record names.
 func (term *leaderTerm) listMachines(now clock.Micros) {
 	if term.listing.isInFlight || now < term.listing.nextAt {
 		return
@@ -21,39 +26,45 @@
 	go func() {
 		listed, err := term.controller.cloud.ListMachines()
 		term.controller.postResult(func() {
-			if term.isClosed {
-				return
-			}
-			now := clock.Now()
-			term.listing.isInFlight = false
-			term.listing.nextAt = now + 10*clock.Second
-			if err != nil {
-				term.listing.nextAt = now + 3*clock.Second
-				return
+			if !term.isClosed {
+				term.handleList(listed, err)
 			}
-			names := make(map[string]bool, len(listed))
-			for i := range listed {
-				term.applyListedMachine(&listed[i], now)
-				names[listed[i].ID] = true
-			}
-			term.deleteUnlisted(names, now)
-			maps.DeleteFunc(term.deletions.deletedAt, func(name string, at clock.Micros) bool { return now-at > deletedMachineTTL && !names[name] })
 		})
 	}()
 }
 
-// deleteUnlisted gives up machines that an earlier leader rented, that nobody has heard
-// and that the cloud does not list: they are gone, though a record names them.
+// handleList takes the cloud's list, or its failure.
+func (term *leaderTerm) handleList(listed []wire.ListedMachine, err error) {
+	now := clock.Now()
+	term.listing.isInFlight = false
+	if err != nil {
+		term.listing.nextAt = now + listRetryDelay
+		return
+	}
+	term.listing.nextAt = now + listInterval
+	names := make(map[string]bool, len(listed))
+	for i := range listed {
+		term.applyListedMachine(&listed[i], now)
+		names[listed[i].ID] = true
+	}
+	term.deleteUnlisted(names, now)
+	maps.DeleteFunc(term.deletions.deletedAt, func(name string, at clock.Micros) bool { return now-at > deletedMachineTTL && !names[name] })
+}
+
+// deleteUnlisted deletes machines of an earlier term that have sent no heartbeat and that the
+// cloud doesn't list, though a record names them: they don't exist any more.
 func (term *leaderTerm) deleteUnlisted(names map[string]bool, now clock.Micros) {
 	listLag := clock.FromSeconds(2*term.controller.cfg.Deployment.Cloud.ListLagSeconds) + clock.Second
 	for name, machine := range term.tracker.Machines {
-		if machine.FirstHeartbeatAt == 0 && machine.CreatedAt < term.liveness.startedAt && !names[name] && now-machine.CreatedAt > term.scheduler.BootTimeout(machine.Type)+listLag {
+		wasNeverSeen := machine.FirstHeartbeatAt == 0 && machine.CreatedAt < term.liveness.startedAt && !names[name]
+		if wasNeverSeen && now-machine.CreatedAt > term.scheduler.BootTimeout(machine.Type)+listLag {
 			term.controller.log.Info("machine not listed", "machine", name)
 			term.deleteMachine(machine)
 		}
 	}
 }
 
+// applyListedMachine takes what the cloud says of one machine.
 func (term *leaderTerm) applyListedMachine(listed *wire.ListedMachine, now clock.Micros) {
 	if _, ok := term.deletions.deletedAt[listed.ID]; ok {
 		return // the list lags
--- a/internal/controller/machine_state.go
+++ b/internal/controller/machine_state.go
@@ -8,36 +8,36 @@
 	"firwood.dev/firwood/internal/storeview"
 )
 
-// machineState is what the ledger need not know of a machine.
+// machineState is what the controller knows of a machine besides the allocation table.
 type machineState struct {
 	scaleOut             *scaleOutRequest
 	host                 *client.Host
-	commandsBlockedUntil clock.Micros // no direct messages before this instant
+	commandsBlockedUntil clock.Micros // no command requests before this instant
 	isDeleting           bool
 	probes               health.Probes
 	faults               health.Faults
 	sentHint             sentHint
-	// isListedBooting: the cloud's last list said so. Of a machine that an earlier
-	// leader rented this alone tells that it has never come up.
+	// isListedBooting: the cloud's last list said that it boots. For a machine that an
+	// earlier leader requested this is the only sign that it has never booted.
 	isListedBooting bool
 }
 
-// jobState is what the ledger need not know of a job.
+// jobState is what the controller knows of a job besides the allocation table.
 type jobState struct {
 	isRecordingStarts  bool
 	isWriting          bool
 	writtenAt          clock.Micros
 	layout             records.ProgressLayout
-	keyVersions        map[int]uint64 // versions of progress keys as last known, by number
+	keyVersions        map[int]uint64 // of progress keys as last known, by number
 	hasWarnedLate      bool
 	isEndDurable       bool    // its end is durable
-	observedRuns       int     // tasks that this leader saw run to their end
-	observedRunSeconds float64 // how long they ran in all, in seconds
-	isJobRunObserved   bool    // they are in the screen as one run
+	observedRuns       int     // tasks whose whole run this leader has seen
+	observedRunSeconds float64 // of these runs in all
+	isJobRunObserved   bool    // the scheduler has them as one run
 	firstStartAt       int64
 }
 
-// setKeyVersion notes the version of a progress key.
+// setKeyVersion records the version of a progress key, if it is newer than the one known.
 func (jobInfo *jobState) setKeyVersion(number int, version uint64) {
 	if jobInfo.keyVersions == nil {
 		jobInfo.keyVersions = map[int]uint64{}
