--- a/internal/controller/command_requests.go
+++ b/internal/controller/command_requests.go
@@ -59,20 +59,18 @@
 		deadline = term.mayStartUntil
 	}
 	term.commandRequestsInFlight++
-	go func() {
+	term.background(func() func() {
 		response, err := host.Do(client.Request{Method: "POST", Target: "/commands", Body: body, Timeout: commandRequestTimeout, SendDeadline: deadline})
 		result := classifyCommandResponse(response, err)
 		var heartbeat *wire.Heartbeat
 		if err == nil && (response.Status == 200 || response.Status == 409) {
 			heartbeat = decodeHeartbeatOf(name, response.Body)
 		}
-		term.controller.postResult(func() {
-			if !term.isClosed {
-				term.commandRequestsInFlight--
-				term.handleCommandResponse(machine, machineInfo, starts, result, heartbeat)
-			}
-		})
-	}()
+		return func() {
+			term.commandRequestsInFlight--
+			term.handleCommandResponse(machine, machineInfo, starts, result, heartbeat)
+		}
+	})
 }
 
 // classifyCommandResponse tells what became of the commands.
@@ -92,6 +90,7 @@
 	}
 }
 
+// handleCommandResponse takes what became of a command request.
 func (term *leaderTerm) handleCommandResponse(machine *allocation.Machine, machineInfo *machineState, starts []*allocation.Placement, result allocation.CommandResult, heartbeat *wire.Heartbeat) {
 	now := clock.Now()
 	if term.tracker.Machines[machine.Name] != machine {
--- a/internal/controller/constraints.go
+++ b/internal/controller/constraints.go
@@ -159,32 +159,42 @@
 	if !ok {
 		return
 	}
-	term.commitWithRevision(&kvstore.Write{
+	// By the next review the view has the version that is stored.
+	reread := func() {
+		term.retryDeferred()
+		term.controller.view.RequestSync(func(error) {}, clock.Now()+verifyTimeout)
+	}
+	refused := func() {
+		term.renewals.constraints.RecordRefusal()
+		reread()
+	}
+	term.commitHandled(&kvstore.Write{
 		Priority:   kvstore.Critical,
 		Conditions: []wire.Condition{{Key: records.ConstraintsKey, Version: version}},
 		Changes:    []wire.Change{{PutKey: records.ConstraintsKey, Value: value}},
-	}, func(outcome kvstore.Outcome, revision uint64) {
-		switch outcome {
-		case kvstore.Committed:
-			term.renewals.constraints.RecordCommit(revision)
-			term.controller.view.SetConstraints(constraints, revision)
-			term.controller.log.Info("promises written", "zones", slices.Sorted(maps.Keys(constraints.Zones)), "members", slices.Sorted(maps.Keys(constraints.MemberGrantUntil)))
-		case kvstore.Unknown:
+	}, outcomeHandlers{
+		committed:   func(revision uint64) { term.handleConstraintsCommitted(constraints, revision) },
+		conflict:    refused,
+		notExecuted: refused,
+		unknown: func() {
 			term.renewals.constraints.RecordUnknownOutcome()
-		default:
-			term.renewals.constraints.RecordRefusal()
-		}
-		term.retryDeferred()
-		switch {
-		case outcome != kvstore.Committed:
-			// By the next review the view has the version that is stored.
-			term.controller.view.RequestSync(func(error) {}, clock.Now()+2*clock.Second)
-		case len(term.renewals.liftingZones) > 0:
-			term.updateConstraints(clock.Now())
-		}
+			reread()
+		},
 	})
 }
 
+// handleConstraintsCommitted takes constraints that are durable, and goes on with those that
+// are to be lifted.
+func (term *leaderTerm) handleConstraintsCommitted(constraints delegation.Constraints, revision uint64) {
+	term.renewals.constraints.RecordCommit(revision)
+	term.controller.view.SetConstraints(constraints, revision)
+	term.controller.log.Info("promises written", "zones", slices.Sorted(maps.Keys(constraints.Zones)), "members", slices.Sorted(maps.Keys(constraints.MemberGrantUntil)))
+	term.retryDeferred()
+	if len(term.renewals.liftingZones) > 0 {
+		term.updateConstraints(clock.Now())
+	}
+}
+
 // deferredHeartbeat is a worker's heartbeat that can't be replied to yet.
 type deferredHeartbeat struct {
 	heartbeat  *wire.Heartbeat
--- a/internal/controller/machine_listing.go
+++ b/internal/controller/machine_listing.go
@@ -23,14 +23,10 @@
 		return
 	}
 	term.listing.isInFlight = true
-	go func() {
+	term.background(func() func() {
 		listed, err := term.controller.cloud.ListMachines()
-		term.controller.postResult(func() {
-			if !term.isClosed {
-				term.handleList(listed, err)
-			}
-		})
-	}()
+		return func() { term.handleList(listed, err) }
+	})
 }
 
 // handleList takes the cloud's list, or its failure.
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -64,19 +64,17 @@
 	machineInfo.probes.Begin(now)
 	host := term.workerHost(machine, machineInfo)
 	name := machine.Name
-	go func() {
+	term.background(func() func() {
 		response, err := host.Do(client.Request{Method: "GET", Target: "/status", Timeout: health.ProbeTimeout, SendDeadline: term.mayActUntil})
 		var heartbeat *wire.Heartbeat
 		if err == nil && response.Status == 200 {
 			heartbeat = decodeHeartbeatOf(name, response.Body)
 		}
-		term.controller.postResult(func() {
-			if !term.isClosed {
-				term.probing.inFlight--
-				term.handleProbeResult(machine, machineInfo, now, heartbeat, err)
-			}
-		})
-	}()
+		return func() {
+			term.probing.inFlight--
+			term.handleProbeResult(machine, machineInfo, now, heartbeat, err)
+		}
+	})
 }
 
 // handleProbeResult takes the result of a probe that was sent at an instant: a heartbeat, or
