--- /dev/null
+++ b/internal/controller/machine_deletion.go
@@ -0,0 +1,84 @@
+package controller
+
+import (
+	"slices"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/scaleout"
+	"firwood.dev/firwood/wire"
+)
+
+// deleteRetryInterval is the time after which a deletion that the cloud didn't answer is sent again.
+const deleteRetryInterval = clock.Second
+
+// deleteMachine has a machine deleted in the cloud. It gets no tasks from now on.
+func (term *leaderTerm) deleteMachine(machine *allocation.Machine) {
+	machineInfo := term.machines[machine.Name]
+	if machineInfo == nil || machineInfo.isDeleting {
+		return
+	}
+	machineInfo.isDeleting = true
+	machine.Draining = true
+	term.deletions.pending = append(term.deletions.pending, machine.Name)
+}
+
+// sendDeletes sends the next request to delete machines, one at a time.
+func (term *leaderTerm) sendDeletes(now clock.Micros) {
+	deletions := &term.deletions
+	if len(deletions.pending) == 0 || deletions.isInFlight || now < deletions.nextAt {
+		return
+	}
+	count := min(len(deletions.pending), wire.MaxMachinesPerDelete)
+	batch := slices.Clone(deletions.pending[:count])
+	deletions.pending = slices.Delete(deletions.pending, 0, count)
+	deletions.isInFlight = true
+	term.background(func() func() {
+		err := term.controller.cloud.DeleteMachines(batch, term.mayActUntil)
+		return func() { term.handleDeleteResult(batch, err) }
+	})
+}
+
+func (term *leaderTerm) handleDeleteResult(batch []string, err error) {
+	now := clock.Now()
+	term.deletions.isInFlight = false
+	if err != nil {
+		term.controller.log.Debug("deletion not answered", "error", err)
+		term.deletions.pending = append(batch, term.deletions.pending...)
+		term.deletions.nextAt = now + deleteRetryInterval
+		return
+	}
+	affected := map[*scaleout.Request]bool{}
+	for _, name := range batch {
+		if request := term.removeDeletedMachine(name, now); request != nil {
+			affected[request] = true
+		}
+	}
+	for request := range affected {
+		term.scheduleScaleOutShrink(request)
+	}
+	term.processTaskEvents(now)
+	term.requestPlan()
+}
+
+// removeDeletedMachine ends the tracking of a machine that the cloud has deleted. It returns the
+// request that the machine came from, if one is known.
+func (term *leaderTerm) removeDeletedMachine(name string, now clock.Micros) *scaleout.Request {
+	term.deletions.deletedAt[name] = now
+	delete(term.listing.unknownSince, name)
+	if machine := term.tracker.Machines[name]; machine != nil {
+		term.tracker.RemoveMachine(machine, now)
+	}
+	machineInfo := term.machines[name]
+	if machineInfo == nil {
+		return nil
+	}
+	if machineInfo.host != nil {
+		machineInfo.host.Close()
+	}
+	if machineInfo.scaleOut != nil {
+		machineInfo.scaleOut.RemoveMachine(name)
+	}
+	delete(term.machines, name)
+	return machineInfo.scaleOut
+}
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -132,7 +132,7 @@
 // request is open that it might belong to.
 func (term *leaderTerm) deleteUnknownMachines(now clock.Micros) {
 	for _, request := range term.scaleOuts {
-		if !request.isResolved {
+		if !request.IsAnswered() {
 			return
 		}
 	}
--- a/internal/controller/machine_state.go
+++ b/internal/controller/machine_state.go
@@ -5,12 +5,13 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/health"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/scaleout"
 	"firwood.dev/firwood/internal/storeview"
 )
 
 // machineState is what the controller knows of a machine besides the allocation table.
 type machineState struct {
-	scaleOut             *scaleOutRequest
+	scaleOut             *scaleout.Request
 	host                 *client.Host
 	commandsBlockedUntil clock.Micros // no command requests before this instant
 	isDeleting           bool
--- a/internal/controller/repeated_writes_test.go
+++ b/internal/controller/repeated_writes_test.go
@@ -9,6 +9,7 @@
 	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/scaleout"
 	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
@@ -49,10 +50,10 @@
 	term.entitlement.actDeadline.Store(1 << 62)
 	controller.term = term
 	term.requestScaleOut(scheduler.ScaleOutRequest{Pool: scheduler.Pool{Type: "big", Zone: "x"}, Count: 2}, clock.Now())
-	var request *scaleOutRequest
+	var request *scaleout.Request
 	for _, request = range term.scaleOuts {
 	}
-	runUntil(t, controller, func() bool { return request.version != 0 })
+	runUntil(t, controller, func() bool { return request.Version() != 0 })
 	term.handleScaleOutResult(request, []string{"i-1", "i-2"}, nil)
 	runUntil(t, controller, func() bool { return term.tracker.Machines["i-1"].RecordedInStore })
 	job := term.tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindArray, Team: "t", TaskCount: 3}, 0, 1, false, nil)
@@ -76,7 +77,8 @@
 	}
 	// An open end: the transaction was carried out, its answer lost. The next write
 	// finds the version that it left.
-	request.version = 1
-	term.writeScaleOutRecord(request, kvstore.Required, func() { request.version |= 1 << 40 })
-	runUntil(t, controller, func() bool { return request.version>>40 == 1 })
+	written := request.Version()
+	request.RetryFrom(1)
+	term.writeScaleOutRecord(request, kvstore.Required)
+	runUntil(t, controller, func() bool { return request.Version() > written })
 }
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -3,241 +3,183 @@
 import (
 	"errors"
 	"fmt"
-	"slices"
 
-	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/cloud"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/internal/scaleout"
 	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/wire"
 )
 
-// scaleOutRequest is one from its record on, until the last machine of it is gone.
-type scaleOutRequest struct {
-	name         string
-	record       records.ScaleOut
-	requestedAt  clock.Micros
-	isResolved   bool // the cloud has answered
-	isWriting    bool
-	needsRewrite bool // the record has to be written again
-	// isShrinkScheduled: a write without the machines that are gone is due.
-	isShrinkScheduled bool
-	version           uint64 // of the record as last known
-}
+const (
+	// scaleOutVerifyDelay is the time from a write of a request's record that was not confirmed
+	// to reading back what is there.
+	scaleOutVerifyDelay = 200 * clock.Millisecond
+	// scaleOutRetryInterval is the time after which a request that the cloud didn't answer is
+	// sent again, scaleOutEntitlementInterval that after which one is looked at again that the
+	// leader was not entitled to send.
+	scaleOutRetryInterval, scaleOutEntitlementInterval = clock.Second, 300 * clock.Millisecond
+	// scaleOutShrinkDelay is the time from the deletion of a machine to the write of its
+	// request's record without it.
+	scaleOutShrinkDelay = clock.Second
+)
 
-// maxScaleOutsInFlight bounds the rentals under way: what the cloud answers in a second
-// or so, and the two records of each within the rate of writes.
+// maxScaleOutsInFlight bounds the requests under way: no more than the cloud answers in two
+// seconds, and than have both of their records written in half a second.
 func (term *leaderTerm) maxScaleOutsInFlight() int {
 	deployment := &term.controller.cfg.Deployment
 	return max(int(min(2*deployment.Cloud.RPS, deployment.Store.Effective().WriteRPS/4)), 2)
 }
 
-// requestScaleOut begins a rental: its record comes first, so that whoever leads next knows
-// which machines may exist.
+// requestScaleOut begins requests for machines: as many as it takes, since the cloud bounds the
+// machines of one. They are sent once their records are durable.
 func (term *leaderTerm) requestScaleOut(wanted scheduler.ScaleOutRequest, now clock.Micros) {
 	for remaining := wanted.Count; remaining > 0; remaining -= wire.MaxScaleOutCount {
 		term.scaleOutSequence++
-		request := &scaleOutRequest{
-			name: fmt.Sprintf("%s-%d-%d", term.controller.cfg.Member, term.token, term.scaleOutSequence), requestedAt: now,
-			record: records.ScaleOut{Type: wanted.Pool.Type, Zone: wanted.Pool.Zone, Spot: wanted.Pool.Spot, Count: min(remaining, wire.MaxScaleOutCount), RequestedAt: int64(clock.WallTime())},
-		}
-		term.scaleOuts[request.name] = request
-		term.writeScaleOutRecord(request, kvstore.Required, func() { term.sendScaleOut(request) })
+		name := fmt.Sprintf("%s-%d-%d", term.controller.cfg.Member, term.token, term.scaleOutSequence)
+		request := scaleout.New(name, records.ScaleOut{
+			Type: wanted.Pool.Type, Zone: wanted.Pool.Zone, Spot: wanted.Pool.Spot,
+			Count: min(remaining, wire.MaxScaleOutCount), RequestedAt: int64(clock.WallTime()),
+		}, now)
+		term.scaleOuts[name] = request
+		term.writeScaleOutRecord(request, kvstore.Required)
 	}
 }
 
-// writeScaleOutRecord writes the rental's record until it is durable, then goes on. Each
-// write is conditional on the record's version: one that is carried out late, or
-// again, must not take back the names of machines that have tasks by then.
-func (term *leaderTerm) writeScaleOutRecord(request *scaleOutRequest, priority kvstore.Priority, done func()) {
-	if request.isWriting {
-		request.needsRewrite = true
+// poolOf is the pool that a request takes machines from.
+func poolOf(request *scaleout.Request) scheduler.Pool {
+	wanted := request.CloudRequest()
+	return scheduler.Pool{Type: wanted.MachineType, Zone: wanted.Zone, Spot: wanted.Spot}
+}
+
+// writeScaleOutRecord writes a request's record until that is confirmed, and then goes on with what
+// is due. If a write of the record is under way, it is written again after that one.
+func (term *leaderTerm) writeScaleOutRecord(request *scaleout.Request, priority kvstore.Priority) {
+	write, ok := request.BeginWrite()
+	if !ok {
 		return
 	}
-	request.isWriting, request.needsRewrite = true, false
-	change := wire.Change{PutKey: records.ScaleOutKey(request.name)}
-	if request.isResolved && len(request.record.Machines) == 0 {
-		change = wire.Change{DeleteKey: records.ScaleOutKey(request.name)}
-	} else {
-		value, err := request.record.MarshalJSON()
-		if err != nil {
-			return
-		}
-		change.Value = value
-	}
-	isDelete := change.DeleteKey != ""
-	write := &kvstore.Write{
-		Priority: priority, Conditions: []wire.Condition{{Key: records.ScaleOutKey(request.name), Version: request.version}}, Changes: []wire.Change{change},
-	}
-	term.commitWithRevision(write, func(outcome kvstore.Outcome, revision uint64) {
-		if outcome != kvstore.Committed {
-			term.rereadScaleOutVersion(request, func() { term.writeScaleOutRecord(request, priority, done) })
-			return
-		}
-		request.isWriting, request.version = false, revision
-		if isDelete {
-			request.version = 0
-		}
-		switch {
-		case request.needsRewrite:
-			term.writeScaleOutRecord(request, priority, done)
-		default:
-			if isDelete {
-				delete(term.scaleOuts, request.name)
+	rewrite := func() { term.writeScaleOutRecord(request, priority) }
+	verify := func() { term.verifyScaleOutRecord(request, rewrite) }
+	term.commitHandled(&kvstore.Write{
+		Priority: priority, Conditions: []wire.Condition{write.Condition}, Changes: []wire.Change{write.Change},
+	}, outcomeHandlers{
+		committed: func(revision uint64) {
+			step := request.ConfirmWrite(revision)
+			if request.IsOver() {
+				delete(term.scaleOuts, request.Name())
 			}
-			done()
-		}
+			switch step {
+			case scaleout.StepWriteAgain:
+				rewrite()
+			case scaleout.StepSend:
+				term.sendScaleOut(request)
+			case scaleout.StepAdmitMachines:
+				term.admitMachines(request)
+			case scaleout.StepNone:
+			}
+		},
+		conflict: verify, notExecuted: verify, unknown: verify,
 	})
 }
 
-// rereadScaleOutVersion learns the version of a rental's record, a little later.
-func (term *leaderTerm) rereadScaleOutVersion(request *scaleOutRequest, done func()) {
-	term.runAfter(200*clock.Millisecond, func() {
+// verifyScaleOutRecord reads back which version a request's record has, a little later and until
+// the view could be brought up to date, and then calls rewrite.
+func (term *leaderTerm) verifyScaleOutRecord(request *scaleout.Request, rewrite func()) {
+	term.runAfter(scaleOutVerifyDelay, func() {
 		term.controller.view.RequestSync(func(err error) {
 			switch {
 			case term.isClosed:
 				return
 			case err != nil:
-				term.rereadScaleOutVersion(request, done)
+				term.verifyScaleOutRecord(request, rewrite)
 				return
 			}
-			request.isWriting, request.version = false, 0
-			if record := term.controller.view.ScaleOuts[request.name]; record != nil {
-				request.version = record.Version
+			var version uint64
+			if record := term.controller.view.ScaleOuts[request.Name()]; record != nil {
+				version = record.Version
 			}
-			done()
-		}, clock.Now()+2*clock.Second)
+			request.RetryFrom(version)
+			rewrite()
+		}, clock.Now()+verifyTimeout)
 	})
 }
 
-// shrinkDelay is how long the record of a rental waits to be written after one of its
-// machines has gone.
-const shrinkDelay = clock.Second
+// admitMachines lets machines get tasks that their request's durable record names.
+func (term *leaderTerm) admitMachines(request *scaleout.Request) {
+	for _, name := range request.Machines() {
+		if machine := term.tracker.Machines[name]; machine != nil {
+			machine.RecordedInStore = true
+		}
+	}
+	term.requestPlan()
+}
 
-// scheduleScaleOutShrink has machines that are gone taken out of a rental's record. A new leader
-// that finds them there looks for them until the cloud's list lacks them, so it is done
-// soon, but not for each machine at once, and where there is a backlog with what the rate
-// has to spare: these records took half of the rate of changes in a fleet of 4,000
-// machines that shrank.
-func (term *leaderTerm) scheduleScaleOutShrink(request *scaleOutRequest) {
-	if request.isShrinkScheduled {
+// scheduleScaleOutShrink has machines that were deleted taken out of their request's record. A new
+// leader that finds them there looks for them until the cloud's list lacks them, so it is done
+// soon, but not for each machine at once, and with a backlog only as far as the rate of writes has
+// it to spare. Added after these writes took half of the rate while a fleet of 4,000 machines was
+// scaled in.
+func (term *leaderTerm) scheduleScaleOutShrink(request *scaleout.Request) {
+	if !request.ScheduleShrink() {
 		return
 	}
-	request.isShrinkScheduled = true
-	term.runAfter(shrinkDelay, func() {
-		request.isShrinkScheduled = false
+	term.runAfter(scaleOutShrinkDelay, func() {
+		request.BeginShrink()
 		priority := kvstore.Required
 		if term.controller.store.BacklogDuration() > backlogThreshold {
 			priority = kvstore.Background
 		}
-		term.writeScaleOutRecord(request, priority, func() {})
+		term.writeScaleOutRecord(request, priority)
 	})
 }
 
-func (term *leaderTerm) sendScaleOut(request *scaleOutRequest) {
+// sendScaleOut sends a request to the cloud, as soon as the leader is entitled to act.
+func (term *leaderTerm) sendScaleOut(request *scaleout.Request) {
 	if !term.controller.isEntitled() {
-		term.runAfter(300*clock.Millisecond, func() { term.sendScaleOut(request) })
+		term.runAfter(scaleOutEntitlementInterval, func() { term.sendScaleOut(request) })
 		return
 	}
-	cloudRequest := wire.ScaleOutRequest{RequestID: request.name, MachineType: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot, Count: request.record.Count}
+	cloudRequest := request.CloudRequest()
 	term.background(func() func() {
-		names, err := term.controller.cloud.ScaleOut(cloudRequest, term.mayActUntil)
-		return func() { term.handleScaleOutResult(request, names, err) }
+		machines, err := term.controller.cloud.ScaleOut(cloudRequest, term.mayActUntil)
+		return func() { term.handleScaleOutResult(request, machines, err) }
 	})
 }
 
-func (term *leaderTerm) handleScaleOutResult(request *scaleOutRequest, names []string, err error) {
+// handleScaleOutResult takes the cloud's answer to a request. Without one the request is sent
+// again; the cloud carries it out once.
+func (term *leaderTerm) handleScaleOutResult(request *scaleout.Request, machines []string, err error) {
 	now := clock.Now()
-	pool := scheduler.Pool{Type: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot}
+	pool, requested := poolOf(request), request.CloudRequest().Count
 	term.requestPlan()
 	switch {
 	case err == nil:
-		term.scheduler.ObserveFilled(pool, request.record.Count, len(names), now)
-		term.controller.log.Debug("hired", "hire", request.name, "zone", request.record.Zone, "spot", request.record.Spot, "asked", request.record.Count, "got", len(names))
-		request.isResolved, request.record.IsResolved, request.record.Machines = true, true, names
-		for _, name := range names {
-			delete(term.listing.unknownSince, name)
-			if _, isDeleted := term.deletions.deletedAt[name]; !isDeleted {
-				term.addMachine(request, name)
-			}
-		}
-		term.writeScaleOutRecord(request, kvstore.Required, func() {
-			// Only machines that the record names may get tasks.
-			for _, name := range request.record.Machines {
-				if machine := term.tracker.Machines[name]; machine != nil {
-					machine.RecordedInStore = true
-				}
-			}
-			term.requestPlan()
-		})
+		term.scheduler.ObserveFilled(pool, requested, len(machines), now)
+		term.controller.log.Debug("hired", "hire", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "asked", requested, "got", len(machines))
+		request.Grant(machines)
+		term.addGrantedMachines(request)
+		term.writeScaleOutRecord(request, kvstore.Required)
 	case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrInvalidRequest):
 		term.scheduler.ObserveEmptyPool(pool, now)
-		term.controller.log.Debug("nothing to hire", "hire", request.name, "zone", request.record.Zone, "spot", request.record.Spot, "error", err)
-		request.isResolved, request.record.IsResolved = true, true
-		term.writeScaleOutRecord(request, kvstore.Required, func() {})
+		term.controller.log.Debug("nothing to hire", "hire", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "error", err)
+		request.Refuse()
+		term.writeScaleOutRecord(request, kvstore.Required)
 	default:
-		term.controller.log.Debug("hire not answered", "hire", request.name, "error", err)
-		term.runAfter(clock.Second, func() { term.sendScaleOut(request) })
+		term.controller.log.Debug("hire not answered", "hire", request.Name(), "error", err)
+		term.runAfter(scaleOutRetryInterval, func() { term.sendScaleOut(request) })
 	}
 }
 
-// deleteMachine returns a machine to the cloud.
-func (term *leaderTerm) deleteMachine(machine *allocation.Machine) {
-	machineInfo := term.machines[machine.Name]
-	if machineInfo == nil || machineInfo.isDeleting {
-		return
-	}
-	machineInfo.isDeleting = true
-	machine.Draining = true
-	term.deletions.pending = append(term.deletions.pending, machine.Name)
-}
-
-func (term *leaderTerm) sendDeletes(now clock.Micros) {
-	if len(term.deletions.pending) == 0 || term.deletions.isInFlight || now < term.deletions.nextAt {
-		return
-	}
-	count := min(len(term.deletions.pending), wire.MaxMachinesPerDelete)
-	batch := slices.Clone(term.deletions.pending[:count])
-	term.deletions.pending = slices.Delete(term.deletions.pending, 0, count)
-	term.deletions.isInFlight = true
-	term.background(func() func() {
-		err := term.controller.cloud.DeleteMachines(batch, term.mayActUntil)
-		return func() { term.handleDeleteResult(batch, err) }
-	})
-}
-
-func (term *leaderTerm) handleDeleteResult(batch []string, err error) {
-	now := clock.Now()
-	term.deletions.isInFlight = false
-	if err != nil {
-		term.controller.log.Debug("deletion not answered", "error", err)
-		term.deletions.pending = append(batch, term.deletions.pending...)
-		term.deletions.nextAt = now + clock.Second
-		return
-	}
-	affected := map[*scaleOutRequest]bool{}
-	for _, name := range batch {
-		term.deletions.deletedAt[name] = now
+// addGrantedMachines has the machines tracked that the cloud gave, but for those that were
+// deleted as unknown before its answer came.
+func (term *leaderTerm) addGrantedMachines(request *scaleout.Request) {
+	for _, name := range request.Machines() {
 		delete(term.listing.unknownSince, name)
-		if machine := term.tracker.Machines[name]; machine != nil {
-			term.tracker.RemoveMachine(machine, now)
-		}
-		if machineInfo := term.machines[name]; machineInfo != nil {
-			if machineInfo.host != nil {
-				machineInfo.host.Close()
-			}
-			if machineInfo.scaleOut != nil {
-				machineInfo.scaleOut.record.Machines = slices.DeleteFunc(machineInfo.scaleOut.record.Machines, func(other string) bool { return other == name })
-				affected[machineInfo.scaleOut] = true
-			}
-			delete(term.machines, name)
+		if _, isDeleted := term.deletions.deletedAt[name]; !isDeleted {
+			term.addMachine(request, name)
 		}
 	}
-	for request := range affected {
-		term.scheduleScaleOutShrink(request)
-	}
-	term.processTaskEvents(now)
-	term.requestPlan()
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -44,10 +44,8 @@
 func (term *leaderTerm) pendingScaleOuts() []scheduler.PendingScaleOut {
 	var pending []scheduler.PendingScaleOut
 	for _, request := range term.scaleOuts {
-		if !request.isResolved {
-			pending = append(pending, scheduler.PendingScaleOut{
-				Pool: scheduler.Pool{Type: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot}, Count: request.record.Count,
-			})
+		if !request.IsAnswered() {
+			pending = append(pending, scheduler.PendingScaleOut{Pool: poolOf(request), Count: request.CloudRequest().Count})
 		}
 	}
 	return pending
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -7,6 +7,7 @@
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/scaleout"
 	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/internal/staleness"
 )
@@ -19,7 +20,7 @@
 	isClosed   bool
 	tracker    *allocation.Tracker
 	scheduler  *scheduler.Scheduler
-	scaleOuts  map[string]*scaleOutRequest
+	scaleOuts  map[string]*scaleout.Request
 	machines   map[string]*machineState
 	jobs       map[string]*jobState
 
@@ -141,7 +142,7 @@
 	now := clock.Now()
 	term := &leaderTerm{
 		controller: controller, token: token,
-		scaleOuts: map[string]*scaleOutRequest{}, machines: map[string]*machineState{}, jobs: map[string]*jobState{},
+		scaleOuts: map[string]*scaleout.Request{}, machines: map[string]*machineState{}, jobs: map[string]*jobState{},
 		liveness: liveness{startedAt: now, resumedAt: now, zoneUnreachableAt: map[string]clock.Micros{}},
 	}
 	term.entitlement.viewAge = staleness.NewTracker(controller.stalenessBounds, readAt)
--- a/internal/controller/term_recovery.go
+++ b/internal/controller/term_recovery.go
@@ -6,6 +6,7 @@
 	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/forecast"
+	"firwood.dev/firwood/internal/scaleout"
 	"firwood.dev/firwood/internal/scheduler"
 )
 
@@ -129,7 +130,7 @@
 // those that have no recorded result.
 func (term *leaderTerm) restoreScaleOuts(now, wall clock.Micros) {
 	for name, record := range term.controller.view.ScaleOuts {
-		request := &scaleOutRequest{name: name, record: record.ScaleOut, version: record.Version, requestedAt: now - max(wall-clock.Micros(record.RequestedAt), 0), isResolved: record.IsResolved}
+		request := scaleout.Restore(name, record.ScaleOut, record.Version, now-max(wall-clock.Micros(record.RequestedAt), 0))
 		term.scaleOuts[name] = request
 		for _, machineName := range record.Machines {
 			term.addMachine(request, machineName).RecordedInStore = true
--- a/internal/controller/tracked_jobs.go
+++ b/internal/controller/tracked_jobs.go
@@ -7,6 +7,7 @@
 
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/scaleout"
 	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
@@ -36,10 +37,11 @@
 	return job
 }
 
-func (term *leaderTerm) addMachine(request *scaleOutRequest, name string) *allocation.Machine {
+func (term *leaderTerm) addMachine(request *scaleout.Request, name string) *allocation.Machine {
 	now := clock.Now()
-	machine := term.tracker.AddMachine(name, request.record.Type, request.record.Zone, request.record.Spot, term.scheduler.MachineCapacity(request.record.Type), now)
-	machine.CreatedAt = request.requestedAt
+	pool := poolOf(request)
+	machine := term.tracker.AddMachine(name, pool.Type, pool.Zone, pool.Spot, term.scheduler.MachineCapacity(pool.Type), now)
+	machine.CreatedAt = request.RequestedAt()
 	if term.machines[name] == nil {
 		term.machines[name] = &machineState{scaleOut: request}
 	}
