--- a/internal/controller/token.go
+++ b/internal/controller/token.go
@@ -7,16 +7,14 @@
 	"firwood.dev/firwood/wire"
 )
 
-// issueToken has the token rise while attempts cannot be forgotten without that;
-// see package allocation. A worker takes a higher token for a change once in half its
-// lease, so oftener would be of no use.
+// issueToken issues a higher fencing token when the tracker asks for one, so that it can forget
+// attempts; see package allocation. The token takes effect later; see raiseAt.
 func (term *leaderTerm) issueToken(now clock.Micros) {
 	if term.tokenIssue.raiseAt != 0 && now >= term.tokenIssue.raiseAt {
 		term.tokenIssue.raiseAt = 0
 		term.tracker.RaiseToken()
 	}
-	every := clock.FromSeconds(term.controller.cfg.Deployment.Workers.LeaseSeconds) / 2
-	if term.tokenIssue.isInFlight || term.tokenIssue.raiseAt != 0 || now-max(term.tokenIssue.issuedAt, term.liveness.startedAt) < every || !term.tracker.TakeTokenRaiseRequest() {
+	if !term.mayIssueToken(now) || !term.tracker.TakeTokenRaiseRequest() {
 		return
 	}
 	term.tokenIssue.isInFlight = true
@@ -25,11 +23,20 @@
 		committed: func(revision uint64) {
 			term.tokenIssue.issuedAt = clock.Now()
 			term.tracker.IssueToken(revision)
-			// Those who are delegates hear of it first: they could not answer a worker that
-			// has seen a higher token than they know.
+			// The members learn it first, by two heartbeats: a delegate can't answer a worker that
+			// has seen a higher token than the delegate knows.
 			term.tokenIssue.raiseAt = term.tokenIssue.issuedAt + 2*heartbeatInterval
 			term.controller.members.nextHeartbeatAt = 0
 		},
 		afterwards: func() { term.tokenIssue.isInFlight = false },
 	})
 }
+
+// mayIssueToken tells whether the last token has taken effect, and is half a lease old: a worker
+// reports a higher token at once no more often than that (PROTOCOL, "Workers -> controller nodes"), so to
+// issue one more often would be of no use.
+func (term *leaderTerm) mayIssueToken(now clock.Micros) bool {
+	issue := &term.tokenIssue
+	interval := clock.FromSeconds(term.controller.cfg.Deployment.Workers.LeaseSeconds) / 2
+	return !issue.isInFlight && issue.raiseAt == 0 && now-max(issue.issuedAt, term.liveness.startedAt) >= interval
+}
--- a/internal/controller/tracked_jobs.go
+++ b/internal/controller/tracked_jobs.go
@@ -12,9 +12,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// replayArrivals takes the arrivals that the records still tell of. A leader that knew of
-// none held that no start was pressing, and gave back, within seconds of its
-// take-over, every machine that the jobs of the one before were about to need again.
+// replayArrivals feeds the arrivals of the jobs that the view still has to the scheduler's
+// forecasts. Added after new leaders, whose forecasts knew of no arrivals, scaled in every idle
+// machine within seconds of a failover, although the classes of waiting jobs were about to need
+// them.
 func (term *leaderTerm) replayArrivals(now, wall clock.Micros) {
 	jobs := slices.Collect(maps.Values(term.tracker.Jobs))
 	slices.SortFunc(jobs, func(a, b *allocation.Job) int {
@@ -25,6 +26,7 @@
 	}
 }
 
+// addJob has an active job tracked, with the completed tasks that its progress names.
 func (term *leaderTerm) addJob(id string, record *storeview.Job, startsRecorded bool) *allocation.Job {
 	completed := term.controller.view.CompletedTasks(id, record, term.controller.tasksPerKey)
 	released := term.controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
@@ -37,6 +39,7 @@
 	return job
 }
 
+// addMachine has a machine tracked that a scale-out request was granted.
 func (term *leaderTerm) addMachine(request *scaleout.Request, name string) *allocation.Machine {
 	now := clock.Now()
 	pool := poolOf(request)
@@ -48,7 +51,7 @@
 	return machine
 }
 
-// applyJobRecord takes a job's record as the state service has it.
+// applyJobRecord applies a job's record that is new in the view.
 func (term *leaderTerm) applyJobRecord(id string, record *storeview.Job) {
 	now := clock.Now()
 	job := term.tracker.Jobs[id]
@@ -67,16 +70,17 @@
 	}
 }
 
-// cancelJob takes a durable withdrawal. The time that its tasks have runs from the
-// confirmation, of which a leader that was refused by the state service may have
-// learnt late.
+// cancelJob applies a durable cancellation. The tasks' grace period runs from the end that the
+// record has, which this leader may have read late, for instance while the key-value store refused
+// its requests.
 func (term *leaderTerm) cancelJob(job *allocation.Job, record *storeview.Job, now clock.Micros) {
 	term.tracker.Cancel(job, now)
 	job.CancelledAt = now - max(clock.WallTime()-clock.Micros(record.EndedAt), 0)
 	term.jobs[job.Spec.ID].isEndDurable = true
 }
 
-// unconfirmedCount counts tasks that may be anywhere.
+// unconfirmedCount counts the tasks that may run on any machine since an earlier leader may have
+// started them.
 func (term *leaderTerm) unconfirmedCount() int {
 	count := 0
 	for _, job := range term.tracker.Jobs {
