--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -116,7 +116,7 @@
 // restore moves a page of the archive back. Once the archive is empty, its marker is removed.
 func (archiver *archiver) restore(page archivePage) {
 	if len(page.records) == 0 && page.isAll {
-		archiver.term.controller.log.Info("the archive is empty; versions without one may lead")
+		archiver.term.controller.log.Info("archive emptied; a version without an archive may take over")
 		archiver.writeMarker(wire.Change{DeleteKey: records.ArchiveMarkerKey})
 		return
 	}
--- a/internal/controller/late_jobs.go
+++ b/internal/controller/late_jobs.go
@@ -11,7 +11,7 @@
 		term.controller.log.Error("job finished late", "job", id, "class", problem.Class, "late_by_s", problem.LateByS, "took_s", problem.TookS, "why", problem.Reason)
 		return
 	}
-	term.controller.log.Debug("job done", "job", id)
+	term.controller.log.Debug("job completed", "job", id)
 }
 
 // warnLateJobs warns, once a job, of batch work that misses its objective while it runs.
--- a/internal/controller/machine_deletion.go
+++ b/internal/controller/machine_deletion.go
@@ -43,7 +43,7 @@
 	now := clock.Now()
 	term.deletions.isInFlight = false
 	if err != nil {
-		term.controller.log.Debug("deletion not answered", "error", err)
+		term.controller.log.Debug("machine deletion not answered", "machines", len(batch), "error", err)
 		term.deletions.pending = append(batch, term.deletions.pending...)
 		term.deletions.nextAt = now + deleteRetryInterval
 		return
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -49,7 +49,7 @@
 func (term *leaderTerm) saveMachineTypes() {
 	value, err := wire.MachineTypeList{Types: term.controller.machineTypes.list}.MarshalJSON()
 	if err != nil || len(value) > int(term.controller.cfg.Deployment.Store.Effective().MaxValueKB*1024) {
-		term.controller.log.Info("machine types are too large for the state service; controllers learn them from the cloud alone", "bytes", len(value))
+		term.controller.log.Info("machine types exceed the store's value limit; members get them from the cloud alone", "size_bytes", len(value))
 		return
 	}
 	term.commitHandled(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.MachineTypesKey, Value: value}}}, outcomeHandlers{})
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -158,17 +158,17 @@
 	switch {
 	case err == nil:
 		term.scheduler.ObserveFilled(pool, requested, len(machines), now)
-		term.controller.log.Debug("hired", "hire", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "asked", requested, "got", len(machines))
+		term.controller.log.Debug("scale-out request granted", "request", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "requested", requested, "granted", len(machines))
 		request.Grant(machines)
 		term.addGrantedMachines(request)
 		term.writeScaleOutRecord(request, kvstore.Required)
 	case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrInvalidRequest):
 		term.scheduler.ObserveEmptyPool(pool, now)
-		term.controller.log.Debug("nothing to hire", "hire", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "error", err)
+		term.controller.log.Debug("scale-out request refused", "request", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "error", err)
 		request.Refuse()
 		term.writeScaleOutRecord(request, kvstore.Required)
 	default:
-		term.controller.log.Debug("hire not answered", "hire", request.Name(), "error", err)
+		term.controller.log.Debug("scale-out request not answered", "request", request.Name(), "error", err)
 		term.runAfter(scaleOutRetryInterval, func() { term.sendScaleOut(request) })
 	}
 }
--- a/internal/controller/standby_record.go
+++ b/internal/controller/standby_record.go
@@ -48,7 +48,7 @@
 	term.commitHandled(write, outcomeHandlers{
 		committed: func(revision uint64) {
 			inSync.ConfirmWrite(revision)
-			term.controller.log.Debug("members in step", "token", record.Token, "members", record.Members)
+			term.controller.log.Debug("in-sync members recorded", "token", record.Token, "members", record.Members)
 		},
 		conflict:    reject,
 		notExecuted: reject,
--- a/internal/controller/standby_stream.go
+++ b/internal/controller/standby_stream.go
@@ -108,8 +108,8 @@
 		position = controller.failover.replica.ApplyMessage(message)
 	}
 	if after := controller.failover.replica.DropCounts(); after != before {
-		controller.logDropped("a message of the leader's stream was not taken", "from", from, "token", message.Token,
-			"older", after.Stale, "gaps", after.OutOfOrder, "malformed", after.Malformed, "foreign", after.ForeignToken, "differing", after.DigestMismatch)
+		controller.logDropped("standby message rejected", "member", from, "token", message.Token,
+			"stale", after.Stale, "out_of_order", after.OutOfOrder, "malformed", after.Malformed, "foreign_token", after.ForeignToken, "digest_mismatch", after.DigestMismatch)
 	}
 	controller.sendStreamMessage(from, &peer.Heartbeat{Member: controller.cfg.Member, StandbyPosition: &position})
 }
