--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -18,7 +18,7 @@
 
 var cleanupLimits = config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4}
 
-// putAndSync writes keys as another controller would, and waits for the watch to bring them.
+// putAndSync writes keys as another member would, and waits until the view has them.
 func putAndSync(t *testing.T, controller *Controller, values map[string]any) {
 	t.Helper()
 	for key, value := range values {
@@ -44,8 +44,8 @@
 	return append(fakeStore.Keys(records.DependenciesPrefix), fakeStore.Keys(records.ProgressPrefix)...)
 }
 
-// What ended jobs have left behind goes; what an active job needs stays, and the
-// progress of a cancelled one as long as its tasks may be on machines.
+// Keys of ended jobs are deleted; those of an active job stay, and so does the progress of a
+// cancelled one while its tasks may be on machines.
 func TestObsoleteKeysAreDeleted(t *testing.T) {
 	fakeStore, term := newTermOnStore(t, cleanupLimits)
 	job := func(id string) *wire.Job {
@@ -93,8 +93,8 @@
 	}
 }
 
-// A clean-up that is carried out late, by a leader that has been replaced, removes
-// nothing, be it of a job that is over by now.
+// A cleanup that is executed late, after another leader was elected, deletes nothing, even of a job
+// that has ended.
 func TestStaleCleanupDeletesNothing(t *testing.T) {
 	fakeStore, term := newTermOnStore(t, cleanupLimits)
 	const id = "req-000001"
@@ -116,7 +116,7 @@
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a former leader's clean-up is carried out")
 	}
-	// The same leader's is refused once the record is another.
+	// The same leader's own is refused once the job has another record.
 	own := cleanUps[0]
 	own.Conditions = slices.Clone(own.Conditions)
 	for i := range own.Conditions {
@@ -131,8 +131,8 @@
 	}
 }
 
-// When thousands of jobs are cancelled with one, making that durable never fills the
-// queue of writes: once submissions were refused until it was through.
+// When thousands of jobs are cancelled with one, writing their ends never fills the queue of
+// writes. Added after submissions were refused until all of them were written.
 func TestImpliedCancellationsLeaveRoomForSubmissions(t *testing.T) {
 	fakeStore, term := newTermOnStore(t, config.StoreLimits{RPS: 1000, WriteRPS: 400, MaxValueKB: 8, MaxTransactionOps: 24})
 	controller := term.controller
@@ -170,9 +170,9 @@
 	}
 }
 
-// A large job that was accepted under higher limits keeps its progress when they are
-// lowered: it goes on in keys whose values fit, a version that doesn't know them is not
-// misled, and the next leader has all of it.
+// A large job that was accepted under higher limits keeps its progress when they are lowered: it
+// is written to further keys whose values fit, a version that doesn't know those keys concludes
+// nothing wrong, and the next leader has all of it.
 func TestProgressSurvivesLoweredLimits(t *testing.T) {
 	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4, Upcoming: &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 3}}
 	fakeStore, term := newTermOnStore(t, limits)
--- /dev/null
+++ b/internal/controller/commit_test.go
@@ -0,0 +1,67 @@
+package controller
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/kvstore"
+)
+
+// Each outcome has the handler of its name, then the one that always runs; a handler that is not
+// set means nothing.
+func TestOutcomeHandlers(t *testing.T) {
+	for outcome, want := range map[kvstore.Outcome]string{
+		kvstore.Committed: "committed", kvstore.Conflict: "conflict", kvstore.NotExecuted: "notExecuted", kvstore.Unknown: "unknown",
+	} {
+		var called []string
+		call := func(name string) func() { return func() { called = append(called, name) } }
+		handlers := outcomeHandlers{
+			committed: func(revision uint64) {
+				if revision != 7 {
+					t.Errorf("committed with revision %d, want 7", revision)
+				}
+				call("committed")()
+			},
+			conflict: call("conflict"), notExecuted: call("notExecuted"), unknown: call("unknown"), afterwards: call("afterwards"),
+		}
+		handlers.handle(outcome, 7)
+		if !slices.Equal(called, []string{want, "afterwards"}) {
+			t.Errorf("outcome %d calls %v, want %s, then afterwards", outcome, called, want)
+		}
+		(&outcomeHandlers{}).handle(outcome, 7)
+	}
+}
+
+// What comes back to the owner after the term was closed is dropped.
+func TestNothingResumesInClosedTerm(t *testing.T) {
+	for _, isClosed := range []bool{false, true} {
+		term := newTestTerm(t)
+		controller := term.controller
+		synced, ran := 0, 0
+		term.afterSync(func() { synced++ })()
+		term.background(func() func() { return func() { ran++ } })
+		if isClosed {
+			term.close()
+		}
+		posted := 0
+		for deadline := time.Now().Add(10 * time.Second); posted == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+			for _, command := range controller.commands.TakeBatch() {
+				command()
+				posted++
+			}
+		}
+		if posted == 0 {
+			t.Fatal("the result of background work is not posted")
+		}
+		controller.view.ExpireWaiters(clock.Now() + 2*verifyTimeout)
+		want := 1
+		if isClosed {
+			want = 0
+		}
+		if synced != want || ran != want {
+			t.Errorf("closed %v: resumed %d times after a sync, %d times after background work, want %d", isClosed, synced, ran, want)
+		}
+	}
+}
--- a/internal/controller/repeated_writes_test.go
+++ b/internal/controller/repeated_writes_test.go
@@ -15,7 +15,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// runUntil runs what is posted to the owner until the condition holds.
+// runUntil runs the commands that are posted to the owner until the condition holds.
 func runUntil(t *testing.T, controller *Controller, isDone func() bool) {
 	t.Helper()
 	for i := 0; i < 20000; i++ {
@@ -32,8 +32,8 @@
 	t.Fatal("it does not come about")
 }
 
-// Every transaction of a rental's and a mark's life comes again, at any later time:
-// none takes back what a later one has written.
+// Every transaction that writes a scale-out request's record, or that tasks of a job may be started,
+// is executed again at a later time: none undoes what a later one has written.
 func TestRepeatedWritesAreIdempotent(t *testing.T) {
 	fakeStore, stop := fake.NewStore()
 	defer stop()
@@ -75,8 +75,8 @@
 	if len(before) < 3 {
 		t.Fatalf("only %v written", before)
 	}
-	// An open end: the transaction was carried out, its answer lost. The next write
-	// finds the version that it left.
+	// An unknown outcome: the transaction was executed, its answer lost. The next write reads back
+	// the version that it left.
 	written := request.Version()
 	request.RetryFrom(1)
 	term.writeScaleOutRecord(request, kvstore.Required)
--- a/internal/controller/small_limits_test.go
+++ b/internal/controller/small_limits_test.go
@@ -14,8 +14,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// newTermOnStore makes a lead that holds the lock of a stand-in state service. Nothing
-// but the test works through its commands.
+// newTermOnStore makes the term of a leader that holds the lock of a fake store. Only the test runs
+// its commands.
 func newTermOnStore(t *testing.T, limits config.StoreLimits) (*fake.Store, *leaderTerm) {
 	t.Helper()
 	fakeStore, stop := fake.NewStore()
@@ -29,7 +29,7 @@
 	return fakeStore, startNewTerm(t, controller)
 }
 
-// startNewTerm takes the lock in place of whoever holds it, and leads.
+// startNewTerm takes the lock from whoever holds it and begins a term.
 func startNewTerm(t *testing.T, controller *Controller) *leaderTerm {
 	t.Helper()
 	if controller.term != nil {
@@ -49,9 +49,9 @@
 	return controller.term
 }
 
-// The life of a large job in the state service, with small values and transactions:
-// every value and every transaction stays within the limits, every task's end is
-// told, and nothing is left but the job's own end.
+// A large job's records in a store with small values and transactions: every value and every
+// transaction stays within the limits, every completed task is recorded, and nothing is left in the
+// end but the record of the job's end.
 func TestLargeJobFitsSmallStoreLimits(t *testing.T) {
 	for _, test := range []struct {
 		valueKB float64
