--- a/internal/controller/constraints.go
+++ b/internal/controller/constraints.go
@@ -151,8 +151,9 @@
 // the new ones hold.
 func (term *leaderTerm) writeConstraints(constraints delegation.Constraints) {
 	value, err := records.Constraints{Constraints: constraints}.MarshalJSON()
-	if err != nil || len(value) > int(term.controller.cfg.Deployment.Store.Effective().MaxValueKB*1024) {
-		term.controller.logDropped("what is to be promised is too large for the state service", "bytes", len(value))
+	limit := int(term.controller.cfg.Deployment.Store.Effective().MaxValueKB * 1024)
+	if err != nil || len(value) > limit {
+		term.controller.logDropped("renewal constraints exceed the store's value limit", "bytes", len(value), "limit_bytes", limit)
 		return
 	}
 	version, ok := term.renewals.constraints.BeginWrite(constraints)
@@ -188,7 +189,7 @@
 func (term *leaderTerm) handleConstraintsCommitted(constraints delegation.Constraints, revision uint64) {
 	term.renewals.constraints.RecordCommit(revision)
 	term.controller.view.SetConstraints(constraints, revision)
-	term.controller.log.Info("promises written", "zones", slices.Sorted(maps.Keys(constraints.Zones)), "members", slices.Sorted(maps.Keys(constraints.MemberGrantUntil)))
+	term.controller.log.Info("renewal constraints recorded", "zones", slices.Sorted(maps.Keys(constraints.Zones)), "members", slices.Sorted(maps.Keys(constraints.MemberGrantUntil)))
 	term.retryDeferred()
 	if len(term.renewals.liftingZones) > 0 {
 		term.updateConstraints(clock.Now())
--- a/internal/controller/fleet_log.go
+++ b/internal/controller/fleet_log.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"log/slog"
+
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
 )
@@ -54,6 +56,11 @@
 			waiting += job.WaitingCount()
 		}
 	}
-	term.controller.log.Debug("fleet", "ordinary", onDemand.machines, "booting", onDemand.booting, "idle", onDemand.idle, "cpus", onDemand.cpus, "replicas", onDemand.cpusOfReplicas, "tasks", onDemand.cpusOfOthers,
-		"spot", spot.machines, "spot_booting", spot.booting, "spot_idle", spot.idle, "spot_cpus", spot.cpus, "spot_tasks", spot.cpusOfOthers, "waiting", waiting)
+	onDemand.log(term.controller.log, "on_demand")
+	spot.log(term.controller.log, "spot")
+	term.controller.log.Debug("waiting tasks", "tasks", waiting)
+}
+
+func (use *fleetUse) log(log *slog.Logger, kind string) {
+	log.Debug("fleet", "kind", kind, "machines", use.machines, "booting", use.booting, "idle", use.idle, "cpus", use.cpus, "replica_cpus", use.cpusOfReplicas, "task_cpus", use.cpusOfOthers)
 }
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -18,16 +18,11 @@
 	reach := term.reach(fleet, now)
 	reason := reach.HandOverReason()
 	term.liveness.hadMostReachable = term.liveness.hadMostReachable || fleet.IsMostlyReachable()
-	switch reason {
-	case health.KeepLeadership:
+	if reason == health.KeepLeadership {
 		return false
-	case health.StoreUnreadable:
-		term.controller.log.Info("the state service answers no reads", "for_s", (now - term.entitlement.viewAge.LastReadSentAt()).Seconds())
-	case health.NoneReachable:
-		term.controller.log.Info("no worker is heard any more", "of", fleet.Up)
-	case health.OnlyLeaderCutOff:
-		term.controller.log.Info("few workers are heard, others hear them", "heard", fleet.Reachable, "of", fleet.Up, "others", reach.ContactingOther)
 	}
+	term.controller.log.Info("handing over leadership", "reason", reason.String(), "machines", fleet.Up, "reachable", fleet.Reachable,
+		"contacted", reach.ContactingOther, "read_age_s", (now - term.entitlement.viewAge.LastReadSentAt()).Seconds())
 	term.handOver(now)
 	return true
 }
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -91,15 +91,12 @@
 	case health.Keep:
 	case health.LeaseExpired:
 		term.tracker.ExpireLease(machine, now)
-		term.controller.log.Info("machine lost", "machine", machine.Name)
+		term.logDeletion(machine, verdict.String(), evidence.Silence)
 		term.deleteMachine(machine)
 	case health.LeaseExpiredBooting:
 		term.tracker.ExpireLease(machine, now)
-	case health.NeverBooted:
-		term.controller.log.Info("machine does not come up", "machine", machine.Name)
-		term.deleteMachine(machine)
-	case health.Suspected:
-		term.controller.log.Info("machine silent", "machine", machine.Name, "for_s", evidence.Silence.Seconds())
+	case health.NeverBooted, health.Suspected:
+		term.logDeletion(machine, verdict.String(), evidence.Silence)
 		term.deleteMachine(machine)
 	case health.Drained, health.ReclaimedIdle:
 		term.deleteMachine(machine)
@@ -108,6 +105,12 @@
 	}
 }
 
+// logDeletion logs why a machine is deleted that ought to work. Silence is how long nothing
+// has been received from it.
+func (term *leaderTerm) logDeletion(machine *allocation.Machine, reason string, silence clock.Micros) {
+	term.controller.log.Info("deleting machine", "machine", machine.Name, "zone", machine.Zone, "spot", machine.Spot, "reason", reason, "silent_s", silence.Seconds())
+}
+
 // expireDeletedMachines forgets machines that were deleted long ago. Since it doesn't look
 // at the cloud's list, the rule in handleList, which keeps those that are still listed,
 // has no effect; which of the two should hold has yet to be decided.
@@ -140,7 +143,7 @@
 		if now-since <= unknownMachineGrace || slices.Contains(term.deletions.pending, name) {
 			continue
 		}
-		term.controller.log.Info("unknown machine returned", "machine", name)
+		term.controller.log.Info("deleting unknown machine", "machine", name)
 		// An instant in the future, in a map of past ones: it delays the next attempt.
 		term.listing.unknownSince[name] = now + unknownMachineRetry
 		term.deletions.pending = append(term.deletions.pending, name)
--- a/internal/controller/machine_listing.go
+++ b/internal/controller/machine_listing.go
@@ -54,7 +54,7 @@
 	for name, machine := range term.tracker.Machines {
 		wasNeverSeen := machine.FirstHeartbeatAt == 0 && machine.CreatedAt < term.liveness.startedAt && !names[name]
 		if wasNeverSeen && now-machine.CreatedAt > term.scheduler.BootTimeout(machine.Type)+listLag {
-			term.controller.log.Info("machine not listed", "machine", name)
+			term.logDeletion(machine, "not in the cloud's list", term.silenceOf(machine, now))
 			term.deleteMachine(machine)
 		}
 	}
@@ -77,7 +77,7 @@
 		machineInfo.isListedBooting = listed.State == wire.MachineBooting
 	}
 	if listed.State == wire.MachineFailed {
-		term.controller.log.Info("machine failed", "machine", listed.ID)
+		term.logDeletion(machine, "cloud reports failure", term.silenceOf(machine, now))
 		term.deleteMachine(machine)
 	}
 }
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -112,7 +112,7 @@
 	probes := &machineInfo.probes
 	probes.RecordMiss(sentAt, max(term.liveness.resumedAt, term.liveness.zoneUnreachableAt[machine.Zone]))
 	if probes.HasTooManyMisses() && term.isZoneAnswering(machine, probes.FirstMissSentAt()) {
-		term.controller.log.Info("machine does not answer", "machine", machine.Name, "for_s", (now - max(machine.LastHeartbeatAt, probes.AnsweredAt)).Seconds())
+		term.logDeletion(machine, "probes unanswered", now-max(machine.LastHeartbeatAt, probes.AnsweredAt))
 		term.deleteMachine(machine)
 	}
 }
--- a/internal/controller/term_recovery.go
+++ b/internal/controller/term_recovery.go
@@ -169,6 +169,6 @@
 func (term *leaderTerm) recordRebuilt() {
 	failover := &term.controller.failover.last
 	failover.rebuiltAt, failover.unconfirmed = clock.Now(), term.unconfirmedCount()
-	term.controller.log.Info("account rebuilt", "token", term.token, "jobs", len(term.tracker.Jobs), "machines", len(term.tracker.Machines), "accounted", term.tracker.IsReconciled(),
-		"in_doubt", failover.unconfirmed, "replica_used", failover.isReplicaUsed)
+	term.controller.log.Info("allocation table rebuilt", "token", term.token, "jobs", len(term.tracker.Jobs), "machines", len(term.tracker.Machines), "reconciled", term.tracker.IsReconciled(),
+		"unconfirmed", failover.unconfirmed, "replica_used", failover.isReplicaUsed)
 }
--- a/internal/e2e/three_controllers_test.go
+++ b/internal/e2e/three_controllers_test.go
@@ -41,7 +41,7 @@
 	submit(members["n0"], "req-000004", wire.KindArray, 12)
 	leader := ""
 	for _, name := range names {
-		if strings.Contains(members[name].logOutput(t), "account rebuilt") {
+		if strings.Contains(members[name].logOutput(t), "allocation table rebuilt") {
 			leader = name
 		}
 	}
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -34,7 +34,7 @@
 func (recorder *failoverRecorder) WithGroup(string) slog.Handler            { return recorder }
 
 func (recorder *failoverRecorder) Handle(_ context.Context, record slog.Record) error {
-	if record.Message != "account rebuilt" {
+	if record.Message != "allocation table rebuilt" {
 		return nil
 	}
 	var failover failoverRecord
@@ -42,7 +42,7 @@
 		switch attr.Key {
 		case "replica_used":
 			failover.isReplicaUsed = attr.Value.Bool()
-		case "in_doubt":
+		case "unconfirmed":
 			failover.unconfirmed = attr.Value.Int64()
 		}
 		return true
