--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -98,16 +98,21 @@
 	finishedBefore := clock.WallTime() - clock.FromSeconds(archiver.term.controller.tuning.ArchiveFinishedAfterS)
 	for _, item := range page.records {
 		id := strings.TrimPrefix(item.Key, records.JobPrefix)
-		var record records.Job
-		if record.UnmarshalJSON(item.Value) != nil || !record.IsFinished() || clock.Micros(record.EndedAt) > finishedBefore || !archiver.canArchive(id) {
-			continue
+		if isExpired(item.Value, finishedBefore) && archiver.isRecordAllThatIsLeft(id) {
+			archiver.move(item, records.ArchiveKey(id))
 		}
-		archiver.move(item, records.ArchiveKey(id))
 	}
 }
 
-// canArchive tells whether nothing of a finished job is left but its record.
-func (archiver *archiver) canArchive(id string) bool {
+// isExpired tells whether a stored record is that of a job that finished before a time of day.
+func isExpired(value []byte, finishedBefore clock.Micros) bool {
+	var record records.Job
+	return record.UnmarshalJSON(value) == nil && record.IsFinished() && clock.Micros(record.EndedAt) <= finishedBefore
+}
+
+// isRecordAllThatIsLeft tells whether nothing is left of a job but its record: neither other keys
+// nor a place in the allocation table.
+func (archiver *archiver) isRecordAllThatIsLeft(id string) bool {
 	term := archiver.term
 	view := term.controller.view
 	return view.Progress[id] == nil && view.Dependencies[id] == nil && term.tracker.Jobs[id] == nil && term.jobs[id] == nil
