--- a/internal/controller/constraints_test.go
+++ b/internal/controller/constraints_test.go
@@ -10,9 +10,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A new leader that finds a promise about a silent zone reckons its leases from the last
-// answer there, not from its own beginning; it answers nobody there before the
-// promise is taken back, and answers nobody as delegate there when it leads no more.
+// A new leader that finds a constrained zone counts the leases there from the last reply
+// recorded, not from its own start; it replies to no heartbeat there before the constraint
+// is lifted, and doesn't reply there as delegate after its term.
 func TestNewLeaderAdoptsZoneConstraint(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
 	controller := term.controller
@@ -27,43 +27,43 @@
 	term.entitlement.actDeadline.Store(1 << 62)
 	machine := term.tracker.Machines["i-1"]
 	if early := plain - term.tracker.LeaseEndsAt(machine); early < ago {
-		t.Fatalf("the lease ends only %d us sooner than without the promise", early)
+		t.Fatalf("the lease ends only %d us sooner than without the constraint", early)
 	}
 	term.handleHeartbeat(&wire.Heartbeat{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 5, FencingToken: 10}, &server.Reply{})
 	if len(term.renewals.deferredHeartbeats) != 1 || machine.LastHeartbeatAt != 0 {
-		t.Fatal("a report is answered though it is promised that none is")
+		t.Fatal("a heartbeat from a constrained zone is not deferred")
 	}
-	// It is being taken back; nothing goes out before that is durable.
+	// The constraint is being lifted; nothing is sent before that is durable.
 	constraints := term.renewals.constraints.Confirmed()
 	if !term.renewals.constraints.MayConstrainZone("x") || term.renewals.constraints.IsConfirmed() || len(constraints.Zones) != 1 {
-		t.Fatal("the promise is not being taken back, or counts as taken back already")
+		t.Fatal("the constraint is not being lifted, or counts as lifted already")
 	}
 	term.renewals.constraints.RecordCommit(9)
 	controller.view.Constraints, controller.view.ConstraintsVersion = delegation.Constraints{}, 9
 	term.retryDeferred()
 	if len(term.renewals.deferredHeartbeats) != 0 || machine.LastHeartbeatAt == 0 {
-		t.Fatal("the report that waited is not taken")
+		t.Fatal("the deferred heartbeat is not handled")
 	}
 	if term.tracker.LeaseEndsAt(machine) < machine.LastHeartbeatAt+24*clock.Second {
-		t.Fatal("a machine that was answered has its lease counted from before that")
+		t.Fatal("the lease of a machine that got a reply is counted from before it")
 	}
-	// Word of a zone outlives the leader, with this member among those who know.
+	// A constraint that this member knows of outlives its term.
 	term.renewals.constraints.ObserveStored(delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"y": {KnownBy: []string{"a", "b"}}, "z": {KnownBy: []string{"b"}}}}, 20)
 	term.close()
 	controller.term = nil
 	controller.view.IsLoaded = true
 	if !controller.mayConstrainZone("y") || controller.mayConstrainZone("x") {
-		t.Fatal("a promise is forgotten with the lead")
+		t.Fatal("the constraint is forgotten with the term, or holds for another zone")
 	}
-	// One who has not promised anything is free to delegation.
+	// A member that knows nothing of a constraint may act as delegate.
 	controller.delegation.unconfirmedConstraints, controller.view.Constraints = nil, delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"z": {KnownBy: []string{"b"}}}}
 	if controller.mayConstrainZone("z") {
-		t.Fatal("bound by another member's promise")
+		t.Fatal("bound by a constraint that only another member knows of")
 	}
 }
 
-// The zone of which nobody is heard is promised, once; one with a machine that
-// is heard is not, nor one that has none but machines that boot.
+// A zone without reachable machines is constrained, one with a reachable machine is not, nor
+// one in which machines of this term boot and nothing else is.
 func TestSilentZonesAreConstrained(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
 	term.entitlement.actDeadline.Store(1 << 62)
@@ -71,16 +71,16 @@
 		return term.tracker.AddMachine(name, "big", zone, false, allocation.Resources{}, term.liveness.startedAt)
 	}
 	bootingMachine := add("i-9", "y")
-	bootingMachine.CreatedAt = term.liveness.startedAt + clock.Second // rented by this leader, boots
+	bootingMachine.CreatedAt = term.liveness.startedAt + clock.Second // requested in this term, boots
 	now := term.liveness.startedAt + term.controller.heartbeatWindow() + clock.Second
 	term.updateConstraints(now)
 	if !term.renewals.constraints.MayConstrainZone("x") || term.renewals.constraints.MayConstrainZone("y") {
-		t.Fatalf("promised about %v", term.renewals.constraints.ConstrainedZones())
+		t.Fatalf("constrained %v", term.renewals.constraints.ConstrainedZones())
 	}
 	term.renewals.constraints.RecordRefusal()
 	term.tracker.Machines["i-2"].LastHeartbeatAt = now
 	term.updateConstraints(now)
 	if term.renewals.constraints.MayConstrainZone("x") {
-		t.Fatal("a promise about a zone that is heard")
+		t.Fatal("a reachable zone is constrained")
 	}
 }
--- a/internal/controller/faulty_machines_test.go
+++ b/internal/controller/faulty_machines_test.go
@@ -11,9 +11,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// One machine that fails jobs is drained, and given back when it is empty; one that
-// cannot be given back, since a replica runs on it, is tried again, at longer and
-// longer intervals. When others fail too, none is drained: all pause.
+// One machine that fails jobs is drained, and stays so if it is empty, until it is deleted;
+// one that cannot be deleted, since a replica runs on it, is retried, at longer and longer
+// intervals. While many fail, none is drained: all pause.
 func TestFaultyMachines(t *testing.T) {
 	var names []string
 	for i := range 12 {
@@ -57,12 +57,12 @@
 		now += backoff - 1
 		term.retryFaultyMachine(machine, term.machines["i-00"], now)
 		if !machine.Draining {
-			t.Fatalf("round %d: tried again too soon", round)
+			t.Fatalf("round %d: retried too soon", round)
 		}
 		now++
 		term.retryFaultyMachine(machine, term.machines["i-00"], now)
 		if machine.Draining {
-			t.Fatalf("round %d: not tried again", round)
+			t.Fatalf("round %d: not retried", round)
 		}
 		backoff *= 2
 	}
@@ -73,7 +73,7 @@
 	now += 2 * health.RetryBackoff
 	term.retryFaultyMachine(idle, term.machines["i-01"], now)
 	if !idle.Draining {
-		t.Fatal("an empty faulty machine is tried again in place of being given back")
+		t.Fatal("an empty faulty machine is retried in place of being deleted")
 	}
 
 	now += 2 * health.SharedFaultWindow
@@ -84,13 +84,13 @@
 		fail(name, "req-000003")
 		machine := term.tracker.Machines[name]
 		if machine.Draining || machine.BackoffUntil <= now {
-			t.Fatalf("%s: draining %v, held until %d at %d, while all fail", name, machine.Draining, machine.BackoffUntil, now)
+			t.Fatalf("%s: draining %v, paused until %d at %d, while all fail", name, machine.Draining, machine.BackoffUntil, now)
 		}
 	}
-	// Where it fails on after that, the machine is at fault after all.
+	// If it still fails after the window, the machine is faulty after all.
 	now += health.SharedFaultWindow
 	fail("i-05", "req-000003")
 	if !term.tracker.Machines["i-05"].Draining {
-		t.Fatal("a machine that fails for a minute is never blamed")
+		t.Fatal("a machine that fails for a minute is not drained")
 	}
 }
--- a/internal/controller/probes_test.go
+++ b/internal/controller/probes_test.go
@@ -9,8 +9,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// In a fleet with more replicas than probes may be under way at a time, each machine is
-// asked in its turn, and one that left a probe unanswered is asked at once.
+// In a fleet with more replicas than probes may be in flight, each machine is probed in its
+// turn, and one that left a probe unanswered is probed out of turn.
 func TestProbesAreRoundRobin(t *testing.T) {
 	const fleet = 300
 	var names []string
@@ -45,12 +45,12 @@
 		sendRound()
 		now += clock.Second / 2
 		for _, machine := range term.tracker.Machines {
-			machine.LastHeartbeatAt = max(machine.LastHeartbeatAt, now-health.ProbeInterval) // reports are not overdue
+			machine.LastHeartbeatAt = max(machine.LastHeartbeatAt, now-health.ProbeInterval) // heartbeats are not overdue
 		}
 	}
 	for _, name := range names {
 		if probed[name] == 0 {
-			t.Fatalf("%s is never asked", name)
+			t.Fatalf("%s is never probed", name)
 		}
 	}
 	last := names[fleet-1]
@@ -61,6 +61,6 @@
 		t.Error("a machine that left a probe unanswered waits for its turn")
 	}
 	if inFlight := term.probing.inFlight; inFlight != 0 {
-		t.Errorf("%d probes are left", inFlight)
+		t.Errorf("%d probes are still in flight", inFlight)
 	}
 }
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -19,7 +19,7 @@
 )
 
 // newTestTerm makes a leader of token 9 that has found these machines recorded,
-// rented long ago. What it sends goes nowhere.
+// requested long ago. What it sends goes nowhere.
 func newTestTerm(t testing.TB, machines ...string) *leaderTerm {
 	t.Helper()
 	cfg := &config.Platform{Member: "a", Location: "x", Peers: []config.Peer{{Member: "b", Location: "y", Address: "127.0.0.1:1"}}}
@@ -37,7 +37,7 @@
 	return newLeaderTerm(controller, 9, clock.Now())
 }
 
-// A new leader has heard none of the machines that an earlier one rented. That
+// A new leader has no heartbeats yet of the machines that an earlier one requested. That
 // is no sign that they never came up; the cloud's list saying so is.
 func TestMissingHeartbeatIsNotBooting(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3")
@@ -64,7 +64,7 @@
 
 // A follower that hears neither leader nor state service keeps a worker's lease
 // alive at once, and sends it on after each answer; not at all while the leader is
-// heard: a worker that reaches the leader is not held.
+// reachable: a worker that reaches the leader is not kept from it.
 func TestDelegateRedirectsAfterEachReply(t *testing.T) {
 	term := newTestTerm(t)
 	controller := term.controller
@@ -86,12 +86,12 @@
 	}
 	controller.delegation.delegate.RecordLeaderHeartbeat(now, 5, controller.delegation.delegate.Timestamp(now))
 	if repliesToEither(controller, heartbeat, now) {
-		t.Fatal("holds a worker while the leader is heard")
+		t.Fatal("replies as delegate while the leader is reachable")
 	}
 }
 
-// What was silent while this process stood still is not taken for silent: nothing
-// is deleted, nothing is promised and the lead is not given away for it.
+// Machines without heartbeats while this process was stalled are not suspected: none is
+// deleted, no zone is constrained and leadership is not handed over for it.
 func TestProcessStallDoesNotSuspectMachines(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
 	term.entitlement.actDeadline.Store(1 << 62)
@@ -109,16 +109,16 @@
 	term.recordResume(now)
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 0 || len(term.renewals.constraints.ConstrainedZones()) != 0 || term.isClosed {
-		t.Fatalf("after a standstill: deletes %v, promises about %v, lead given up %v", term.deletions.pending, term.renewals.constraints.ConstrainedZones(), term.isClosed)
+		t.Fatalf("after a stall: deletes %v, constrains %v, term closed %v", term.deletions.pending, term.renewals.constraints.ConstrainedZones(), term.isClosed)
 	}
 	if term.scheduler.ResumedAt != now {
-		t.Fatal("the planner takes machines for silent")
+		t.Fatal("the scheduler suspects machines")
 	}
 	now += term.controller.suspectTimeout() + clock.Second
 	one.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 2 {
-		t.Fatalf("machines that stay silent afterwards: deleted %v", term.deletions.pending)
+		t.Fatalf("machines without heartbeats since the stall: deleted %v", term.deletions.pending)
 	}
 }
 
@@ -169,8 +169,8 @@
 	}
 }
 
-// When a zone that was cut off comes back, machines that are not heard in the same
-// second as the first third of it are left their time; those that stay silent go.
+// When a zone that was cut off comes back, machines whose heartbeats come later than those of
+// the first third get the suspect timeout from there; those without are deleted after it.
 func TestRecoveringZoneKeepsItsMachines(t *testing.T) {
 	names := []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"}
 	term := newTestTerm(t, names...)
@@ -203,6 +203,6 @@
 	}
 	slices.Sort(term.deletions.pending)
 	if !slices.Equal(term.deletions.pending, []string{"i-5", "i-6"}) {
-		t.Fatalf("silent for long after that: deleted %v", term.deletions.pending)
+		t.Fatalf("after the suspect timeout: deleted %v", term.deletions.pending)
 	}
 }
