--- a/internal/controller/job_end_writer.go
+++ b/internal/controller/job_end_writer.go
@@ -9,7 +9,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// jobEndWriter makes the end of complete jobs durable. Nobody is told of an end before.
+// jobEndWriter makes the end of complete jobs durable. Users get it in no reply before that.
 type jobEndWriter struct{ term *leaderTerm }
 
 func (writer *jobEndWriter) write(id string, job *allocation.Job, jobInfo *jobState) {
