--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -20,7 +20,7 @@
 // appended; the recorded bytes of the version in production are read as they were
 // meant, and what that version knows is written as it reads it.
 func TestProductionHeartbeatCompatibility(t *testing.T) {
-	text, err := os.ReadFile("testdata/beat-production.hex")
+	text, err := os.ReadFile("testdata/heartbeat-production.hex")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -22,12 +22,12 @@
 	if len(content) < 8 {
 		return nil, errMalformed
 	}
-	table := fb.GetRootAsBeat(content, 0)
+	table := fb.GetRootAsHeartbeat(content, 0)
 	heartbeat = &Heartbeat{
-		Member: string(table.Member()), IsStoreReachable: table.Served(), Leader: string(table.Leader()),
-		Token: table.Token(), WorkerCount: table.Workers(),
-		Incarnation: table.Life(), Timestamp: clock.Micros(table.Stamp()), AckIncarnation: table.EchoLife(), AckTimestamp: clock.Micros(table.EchoStamp()),
-		SilentFor: clock.Micros(table.QuietFor()),
+		Member: string(table.Member()), IsStoreReachable: table.IsStoreReachable(), Leader: string(table.Leader()),
+		Token: table.Token(), WorkerCount: table.WorkerCount(),
+		Incarnation: table.Incarnation(), Timestamp: clock.Micros(table.Timestamp()), AckIncarnation: table.AckIncarnation(), AckTimestamp: clock.Micros(table.AckTimestamp()),
+		SilentFor: clock.Micros(table.SilentFor()),
 	}
 	if heartbeat.Member == "" {
 		return nil, errMalformed
@@ -35,12 +35,12 @@
 	if err := decodeHints(table, heartbeat); err != nil {
 		return nil, err
 	}
-	heartbeat.StoreRevision = table.Revision()
+	heartbeat.StoreRevision = table.StoreRevision()
 	heartbeat.Cancellations, err = decodeCancellations(table)
 	if err != nil {
 		return nil, err
 	}
-	heartbeat.StandbyProtocolVersion = table.StandbyVersion()
+	heartbeat.StandbyProtocolVersion = table.StandbyProtocolVersion()
 	if err := decodeStandby(table, heartbeat); err != nil {
 		return nil, err
 	}
@@ -48,8 +48,8 @@
 }
 
 // decodeHints reads what the next leader need not learn anew, and progress.
-func decodeHints(table *fb.Beat, heartbeat *Heartbeat) (err error) {
-	heartbeat.ProgressPageCount = table.CountsOf()
+func decodeHints(table *fb.Heartbeat, heartbeat *Heartbeat) (err error) {
+	heartbeat.ProgressPageCount = table.ProgressPageCount()
 	if heartbeat.JobProgress, err = decodeJobProgress(table); err != nil {
 		return err
 	}
@@ -80,21 +80,21 @@
 	return items, nil
 }
 
-func decodeJobProgress(table *fb.Beat) ([]JobProgress, error) {
-	var entry fb.Count
-	return decodeTables(table.CountsLength(), MaxJobProgress, func(i int) (JobProgress, bool) {
-		ok := table.Counts(&entry, i)
+func decodeJobProgress(table *fb.Heartbeat) ([]JobProgress, error) {
+	var entry fb.JobProgress
+	return decodeTables(table.JobProgressLength(), MaxJobProgress, func(i int) (JobProgress, bool) {
+		ok := table.JobProgress(&entry, i)
 		return JobProgress{Job: string(entry.Job()), Done: entry.Done(), Running: entry.Running()}, ok
 	})
 }
 
-func decodeCachedImages(table *fb.Beat) ([]CachedImages, error) {
-	var entry fb.Holding
-	return decodeTables(table.HoldingsLength(), MaxCachedImageMachines, func(i int) (CachedImages, bool) {
-		if !table.Holdings(&entry, i) || entry.ImagesLength() > MaxImagesPerMachine {
+func decodeCachedImages(table *fb.Heartbeat) ([]CachedImages, error) {
+	var entry fb.CachedImages
+	return decodeTables(table.CachedImagesLength(), MaxCachedImageMachines, func(i int) (CachedImages, bool) {
+		if !table.CachedImages(&entry, i) || entry.ImagesLength() > MaxImagesPerMachine {
 			return CachedImages{}, false
 		}
-		machineImages := CachedImages{Machine: string(entry.Machine()), Incarnation: entry.Session()}
+		machineImages := CachedImages{Machine: string(entry.Machine()), Incarnation: entry.Incarnation()}
 		for k := range entry.ImagesLength() {
 			machineImages.Images = append(machineImages.Images, string(entry.Images(k)))
 		}
@@ -102,32 +102,32 @@
 	})
 }
 
-func decodeRunTimes(table *fb.Beat) ([]RunTimeStatistics, error) {
-	var entry fb.RunTimes
+func decodeRunTimes(table *fb.Heartbeat) ([]RunTimeStatistics, error) {
+	var entry fb.RunTimeStatistics
 	return decodeTables(table.RunTimesLength(), MaxRunTimeClasses, func(i int) (RunTimeStatistics, bool) {
 		ok := table.RunTimes(&entry, i)
-		return RunTimeStatistics{Class: string(entry.Class()), Count: entry.Count(), Mean: entry.Mean(), MeanSquare: entry.Square()}, ok
+		return RunTimeStatistics{Class: string(entry.Class()), Count: entry.Count(), Mean: entry.Mean(), MeanSquare: entry.MeanSquare()}, ok
 	})
 }
 
-func decodeBootTimes(table *fb.Beat) ([]BootTimes, error) {
+func decodeBootTimes(table *fb.Heartbeat) ([]BootTimes, error) {
 	var entry fb.BootTimes
 	return decodeTables(table.BootTimesLength(), MaxBootTimeTypes, func(i int) (BootTimes, bool) {
-		if !table.BootTimes(&entry, i) || entry.BootsLength() > MaxBootTimesPerType {
+		if !table.BootTimes(&entry, i) || entry.DurationsLength() > MaxBootTimesPerType {
 			return BootTimes{}, false
 		}
-		bootTimes := BootTimes{MachineType: string(entry.Type())}
-		for k := range entry.BootsLength() {
-			bootTimes.Durations = append(bootTimes.Durations, clock.Micros(entry.Boots(k)))
+		bootTimes := BootTimes{MachineType: string(entry.MachineType())}
+		for k := range entry.DurationsLength() {
+			bootTimes.Durations = append(bootTimes.Durations, clock.Micros(entry.Durations(k)))
 		}
 		return bootTimes, true
 	})
 }
 
-func decodeCancellations(table *fb.Beat) ([]Cancellation, error) {
-	var entry fb.Withdrawal
-	return decodeTables(table.WithdrawalsLength(), MaxCancellations, func(i int) (Cancellation, bool) {
-		ok := table.Withdrawals(&entry, i)
-		return Cancellation{Job: string(entry.Job()), Revision: entry.Revision(), CancelledAt: clock.Micros(entry.At())}, ok
+func decodeCancellations(table *fb.Heartbeat) ([]Cancellation, error) {
+	var entry fb.Cancellation
+	return decodeTables(table.CancellationsLength(), MaxCancellations, func(i int) (Cancellation, bool) {
+		ok := table.Cancellations(&entry, i)
+		return Cancellation{Job: string(entry.Job()), Revision: entry.Revision(), CancelledAt: clock.Micros(entry.CancelledAt())}, ok
 	})
 }
--- a/internal/peer/fb/BootTimes.go
+++ b/internal/peer/fb/BootTimes.go
@@ -33,7 +33,7 @@
 	return rcv._tab
 }
 
-func (rcv *BootTimes) Type() []byte {
+func (rcv *BootTimes) MachineType() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func (rcv *BootTimes) Boots(j int) int64 {
+func (rcv *BootTimes) Durations(j int) int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -50,7 +50,7 @@
 	return 0
 }
 
-func (rcv *BootTimes) BootsLength() int {
+func (rcv *BootTimes) DurationsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -58,7 +58,7 @@
 	return 0
 }
 
-func (rcv *BootTimes) MutateBoots(j int, n int64) bool {
+func (rcv *BootTimes) MutateDurations(j int, n int64) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -70,13 +70,13 @@
 func BootTimesStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func BootTimesAddType(builder *flatbuffers.Builder, type_ flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(type_), 0)
+func BootTimesAddMachineType(builder *flatbuffers.Builder, machineType flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(machineType), 0)
 }
-func BootTimesAddBoots(builder *flatbuffers.Builder, boots flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(boots), 0)
+func BootTimesAddDurations(builder *flatbuffers.Builder, durations flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(durations), 0)
 }
-func BootTimesStartBootsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func BootTimesStartDurationsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(8, numElems, 8)
 }
 func BootTimesEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
--- a/internal/peer/fb/Holding.go
+++ b/internal/peer/fb/CachedImages.go
@@ -6,34 +6,34 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type Holding struct {
+type CachedImages struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsHolding(buf []byte, offset flatbuffers.UOffsetT) *Holding {
+func GetRootAsCachedImages(buf []byte, offset flatbuffers.UOffsetT) *CachedImages {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Holding{}
+	x := &CachedImages{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsHolding(buf []byte, offset flatbuffers.UOffsetT) *Holding {
+func GetSizePrefixedRootAsCachedImages(buf []byte, offset flatbuffers.UOffsetT) *CachedImages {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Holding{}
+	x := &CachedImages{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Holding) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *CachedImages) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Holding) Table() flatbuffers.Table {
+func (rcv *CachedImages) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Holding) Machine() []byte {
+func (rcv *CachedImages) Machine() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func (rcv *Holding) Session() uint64 {
+func (rcv *CachedImages) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -49,11 +49,11 @@
 	return 0
 }
 
-func (rcv *Holding) MutateSession(n uint64) bool {
+func (rcv *CachedImages) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *Holding) Images(j int) []byte {
+func (rcv *CachedImages) Images(j int) []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func (rcv *Holding) ImagesLength() int {
+func (rcv *CachedImages) ImagesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -70,21 +70,21 @@
 	return 0
 }
 
-func HoldingStart(builder *flatbuffers.Builder) {
+func CachedImagesStart(builder *flatbuffers.Builder) {
 	builder.StartObject(3)
 }
-func HoldingAddMachine(builder *flatbuffers.Builder, machine flatbuffers.UOffsetT) {
+func CachedImagesAddMachine(builder *flatbuffers.Builder, machine flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(machine), 0)
 }
-func HoldingAddSession(builder *flatbuffers.Builder, session uint64) {
-	builder.PrependUint64Slot(1, session, 0)
+func CachedImagesAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(1, incarnation, 0)
 }
-func HoldingAddImages(builder *flatbuffers.Builder, images flatbuffers.UOffsetT) {
+func CachedImagesAddImages(builder *flatbuffers.Builder, images flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(images), 0)
 }
-func HoldingStartImagesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func CachedImagesStartImagesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func HoldingEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func CachedImagesEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/peer/fb/Withdrawal.go
+++ b/internal/peer/fb/Cancellation.go
@@ -6,34 +6,34 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type Withdrawal struct {
+type Cancellation struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsWithdrawal(buf []byte, offset flatbuffers.UOffsetT) *Withdrawal {
+func GetRootAsCancellation(buf []byte, offset flatbuffers.UOffsetT) *Cancellation {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Withdrawal{}
+	x := &Cancellation{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsWithdrawal(buf []byte, offset flatbuffers.UOffsetT) *Withdrawal {
+func GetSizePrefixedRootAsCancellation(buf []byte, offset flatbuffers.UOffsetT) *Cancellation {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Withdrawal{}
+	x := &Cancellation{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Withdrawal) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Cancellation) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Withdrawal) Table() flatbuffers.Table {
+func (rcv *Cancellation) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Withdrawal) Job() []byte {
+func (rcv *Cancellation) Job() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func (rcv *Withdrawal) Revision() uint64 {
+func (rcv *Cancellation) Revision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -49,11 +49,11 @@
 	return 0
 }
 
-func (rcv *Withdrawal) MutateRevision(n uint64) bool {
+func (rcv *Cancellation) MutateRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *Withdrawal) At() int64 {
+func (rcv *Cancellation) CancelledAt() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -61,22 +61,22 @@
 	return 0
 }
 
-func (rcv *Withdrawal) MutateAt(n int64) bool {
+func (rcv *Cancellation) MutateCancelledAt(n int64) bool {
 	return rcv._tab.MutateInt64Slot(8, n)
 }
 
-func WithdrawalStart(builder *flatbuffers.Builder) {
+func CancellationStart(builder *flatbuffers.Builder) {
 	builder.StartObject(3)
 }
-func WithdrawalAddJob(builder *flatbuffers.Builder, job flatbuffers.UOffsetT) {
+func CancellationAddJob(builder *flatbuffers.Builder, job flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(job), 0)
 }
-func WithdrawalAddRevision(builder *flatbuffers.Builder, revision uint64) {
+func CancellationAddRevision(builder *flatbuffers.Builder, revision uint64) {
 	builder.PrependUint64Slot(1, revision, 0)
 }
-func WithdrawalAddAt(builder *flatbuffers.Builder, at int64) {
-	builder.PrependInt64Slot(2, at, 0)
+func CancellationAddCancelledAt(builder *flatbuffers.Builder, cancelledAt int64) {
+	builder.PrependInt64Slot(2, cancelledAt, 0)
 }
-func WithdrawalEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func CancellationEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/peer/fb/Count.go
+++ b/internal/peer/fb/JobProgress.go
@@ -6,34 +6,34 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type Count struct {
+type JobProgress struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsCount(buf []byte, offset flatbuffers.UOffsetT) *Count {
+func GetRootAsJobProgress(buf []byte, offset flatbuffers.UOffsetT) *JobProgress {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Count{}
+	x := &JobProgress{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsCount(buf []byte, offset flatbuffers.UOffsetT) *Count {
+func GetSizePrefixedRootAsJobProgress(buf []byte, offset flatbuffers.UOffsetT) *JobProgress {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Count{}
+	x := &JobProgress{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Count) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *JobProgress) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Count) Table() flatbuffers.Table {
+func (rcv *JobProgress) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Count) Job() []byte {
+func (rcv *JobProgress) Job() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func (rcv *Count) Done() uint32 {
+func (rcv *JobProgress) Done() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -49,11 +49,11 @@
 	return 0
 }
 
-func (rcv *Count) MutateDone(n uint32) bool {
+func (rcv *JobProgress) MutateDone(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(6, n)
 }
 
-func (rcv *Count) Running() uint32 {
+func (rcv *JobProgress) Running() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -61,22 +61,22 @@
 	return 0
 }
 
-func (rcv *Count) MutateRunning(n uint32) bool {
+func (rcv *JobProgress) MutateRunning(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(8, n)
 }
 
-func CountStart(builder *flatbuffers.Builder) {
+func JobProgressStart(builder *flatbuffers.Builder) {
 	builder.StartObject(3)
 }
-func CountAddJob(builder *flatbuffers.Builder, job flatbuffers.UOffsetT) {
+func JobProgressAddJob(builder *flatbuffers.Builder, job flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(job), 0)
 }
-func CountAddDone(builder *flatbuffers.Builder, done uint32) {
+func JobProgressAddDone(builder *flatbuffers.Builder, done uint32) {
 	builder.PrependUint32Slot(1, done, 0)
 }
-func CountAddRunning(builder *flatbuffers.Builder, running uint32) {
+func JobProgressAddRunning(builder *flatbuffers.Builder, running uint32) {
 	builder.PrependUint32Slot(2, running, 0)
 }
-func CountEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func JobProgressEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/peer/fb/StandbyMessage.go
+++ b/internal/peer/fb/StandbyMessage.go
@@ -45,7 +45,7 @@
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *StandbyMessage) After() uint64 {
+func (rcv *StandbyMessage) AfterSequence() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -53,7 +53,7 @@
 	return 0
 }
 
-func (rcv *StandbyMessage) MutateAfter(n uint64) bool {
+func (rcv *StandbyMessage) MutateAfterSequence(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
@@ -101,7 +101,7 @@
 	return rcv._tab.MutateUint64Slot(12, n)
 }
 
-func (rcv *StandbyMessage) PartNumber() uint32 {
+func (rcv *StandbyMessage) PartIndex() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -109,11 +109,11 @@
 	return 0
 }
 
-func (rcv *StandbyMessage) MutatePartNumber(n uint32) bool {
+func (rcv *StandbyMessage) MutatePartIndex(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(14, n)
 }
 
-func (rcv *StandbyMessage) PartOf() uint32 {
+func (rcv *StandbyMessage) PartCount() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -121,7 +121,7 @@
 	return 0
 }
 
-func (rcv *StandbyMessage) MutatePartOf(n uint32) bool {
+func (rcv *StandbyMessage) MutatePartCount(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(16, n)
 }
 
@@ -199,8 +199,8 @@
 func StandbyMessageAddToken(builder *flatbuffers.Builder, token uint64) {
 	builder.PrependUint64Slot(0, token, 0)
 }
-func StandbyMessageAddAfter(builder *flatbuffers.Builder, after uint64) {
-	builder.PrependUint64Slot(1, after, 0)
+func StandbyMessageAddAfterSequence(builder *flatbuffers.Builder, afterSequence uint64) {
+	builder.PrependUint64Slot(1, afterSequence, 0)
 }
 func StandbyMessageAddDecisions(builder *flatbuffers.Builder, decisions flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(decisions), 0)
@@ -214,11 +214,11 @@
 func StandbyMessageAddPartSequence(builder *flatbuffers.Builder, partSequence uint64) {
 	builder.PrependUint64Slot(4, partSequence, 0)
 }
-func StandbyMessageAddPartNumber(builder *flatbuffers.Builder, partNumber uint32) {
-	builder.PrependUint32Slot(5, partNumber, 0)
+func StandbyMessageAddPartIndex(builder *flatbuffers.Builder, partIndex uint32) {
+	builder.PrependUint32Slot(5, partIndex, 0)
 }
-func StandbyMessageAddPartOf(builder *flatbuffers.Builder, partOf uint32) {
-	builder.PrependUint32Slot(6, partOf, 0)
+func StandbyMessageAddPartCount(builder *flatbuffers.Builder, partCount uint32) {
+	builder.PrependUint32Slot(6, partCount, 0)
 }
 func StandbyMessageAddPlacements(builder *flatbuffers.Builder, placements flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(placements), 0)
--- a/internal/peer/fb/StandbyPosition.go
+++ b/internal/peer/fb/StandbyPosition.go
@@ -33,7 +33,7 @@
 	return rcv._tab
 }
 
-func (rcv *StandbyPosition) Life() uint64 {
+func (rcv *StandbyPosition) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -41,7 +41,7 @@
 	return 0
 }
 
-func (rcv *StandbyPosition) MutateLife(n uint64) bool {
+func (rcv *StandbyPosition) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
@@ -81,7 +81,7 @@
 	return rcv._tab.MutateUint64Slot(10, n)
 }
 
-func (rcv *StandbyPosition) Building() uint64 {
+func (rcv *StandbyPosition) SnapshotSequence() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -89,11 +89,11 @@
 	return 0
 }
 
-func (rcv *StandbyPosition) MutateBuilding(n uint64) bool {
+func (rcv *StandbyPosition) MutateSnapshotSequence(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(12, n)
 }
 
-func (rcv *StandbyPosition) Parts() uint32 {
+func (rcv *StandbyPosition) SnapshotParts() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -101,11 +101,11 @@
 	return 0
 }
 
-func (rcv *StandbyPosition) MutateParts(n uint32) bool {
+func (rcv *StandbyPosition) MutateSnapshotParts(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(14, n)
 }
 
-func (rcv *StandbyPosition) Version() byte {
+func (rcv *StandbyPosition) ProtocolVersion() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -113,15 +113,15 @@
 	return 0
 }
 
-func (rcv *StandbyPosition) MutateVersion(n byte) bool {
+func (rcv *StandbyPosition) MutateProtocolVersion(n byte) bool {
 	return rcv._tab.MutateByteSlot(16, n)
 }
 
 func StandbyPositionStart(builder *flatbuffers.Builder) {
 	builder.StartObject(7)
 }
-func StandbyPositionAddLife(builder *flatbuffers.Builder, life uint64) {
-	builder.PrependUint64Slot(0, life, 0)
+func StandbyPositionAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(0, incarnation, 0)
 }
 func StandbyPositionAddToken(builder *flatbuffers.Builder, token uint64) {
 	builder.PrependUint64Slot(1, token, 0)
@@ -132,14 +132,14 @@
 func StandbyPositionAddSequence(builder *flatbuffers.Builder, sequence uint64) {
 	builder.PrependUint64Slot(3, sequence, 0)
 }
-func StandbyPositionAddBuilding(builder *flatbuffers.Builder, building uint64) {
-	builder.PrependUint64Slot(4, building, 0)
+func StandbyPositionAddSnapshotSequence(builder *flatbuffers.Builder, snapshotSequence uint64) {
+	builder.PrependUint64Slot(4, snapshotSequence, 0)
 }
-func StandbyPositionAddParts(builder *flatbuffers.Builder, parts uint32) {
-	builder.PrependUint32Slot(5, parts, 0)
+func StandbyPositionAddSnapshotParts(builder *flatbuffers.Builder, snapshotParts uint32) {
+	builder.PrependUint32Slot(5, snapshotParts, 0)
 }
-func StandbyPositionAddVersion(builder *flatbuffers.Builder, version byte) {
-	builder.PrependByteSlot(6, version, 0)
+func StandbyPositionAddProtocolVersion(builder *flatbuffers.Builder, protocolVersion byte) {
+	builder.PrependByteSlot(6, protocolVersion, 0)
 }
 func StandbyPositionEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
--- a/internal/peer/standby_codec.go
+++ b/internal/peer/standby_codec.go
@@ -41,13 +41,13 @@
 	decisionVector, placementVector := encodeOffsets(builder, decisions), encodeOffsets(builder, placements)
 	fb.StandbyMessageStart(builder)
 	fb.StandbyMessageAddToken(builder, message.Token)
-	fb.StandbyMessageAddAfter(builder, message.AfterSequence)
+	fb.StandbyMessageAddAfterSequence(builder, message.AfterSequence)
 	fb.StandbyMessageAddDecisions(builder, decisionVector)
 	if part := message.Part; part != nil {
 		fb.StandbyMessageAddHasPart(builder, true)
 		fb.StandbyMessageAddPartSequence(builder, part.Sequence)
-		fb.StandbyMessageAddPartNumber(builder, uint32(part.Index))
-		fb.StandbyMessageAddPartOf(builder, uint32(part.PartCount))
+		fb.StandbyMessageAddPartIndex(builder, uint32(part.Index))
+		fb.StandbyMessageAddPartCount(builder, uint32(part.PartCount))
 		fb.StandbyMessageAddPlacements(builder, placementVector)
 		fb.StandbyMessageAddPartDigest(builder, part.Digest)
 	}
@@ -71,18 +71,18 @@
 
 func encodePosition(builder *flatbuffers.Builder, position *standby.Position) flatbuffers.UOffsetT {
 	fb.StandbyPositionStart(builder)
-	fb.StandbyPositionAddLife(builder, position.Incarnation)
+	fb.StandbyPositionAddIncarnation(builder, position.Incarnation)
 	fb.StandbyPositionAddToken(builder, position.Token)
 	fb.StandbyPositionAddIsComplete(builder, position.IsComplete)
 	fb.StandbyPositionAddSequence(builder, position.Sequence)
-	fb.StandbyPositionAddBuilding(builder, position.SnapshotSequence)
-	fb.StandbyPositionAddParts(builder, uint32(position.SnapshotParts))
-	fb.StandbyPositionAddVersion(builder, position.ProtocolVersion)
+	fb.StandbyPositionAddSnapshotSequence(builder, position.SnapshotSequence)
+	fb.StandbyPositionAddSnapshotParts(builder, uint32(position.SnapshotParts))
+	fb.StandbyPositionAddProtocolVersion(builder, position.ProtocolVersion)
 	return fb.StandbyPositionEnd(builder)
 }
 
 // decodeStandby reads what the frame holds of a stream into a beat.
-func decodeStandby(table *fb.Beat, heartbeat *Heartbeat) error {
+func decodeStandby(table *fb.Heartbeat, heartbeat *Heartbeat) error {
 	if messageTable := table.StandbyMessage(nil); messageTable != nil {
 		message, err := decodeMessage(messageTable)
 		if err != nil {
@@ -92,8 +92,8 @@
 	}
 	if positionTable := table.StandbyPosition(nil); positionTable != nil {
 		heartbeat.StandbyPosition = &standby.Position{
-			Incarnation: positionTable.Life(), Token: positionTable.Token(), IsComplete: positionTable.IsComplete(), Sequence: positionTable.Sequence(),
-			SnapshotSequence: positionTable.Building(), SnapshotParts: int(positionTable.Parts()), ProtocolVersion: positionTable.Version(),
+			Incarnation: positionTable.Incarnation(), Token: positionTable.Token(), IsComplete: positionTable.IsComplete(), Sequence: positionTable.Sequence(),
+			SnapshotSequence: positionTable.SnapshotSequence(), SnapshotParts: int(positionTable.SnapshotParts()), ProtocolVersion: positionTable.ProtocolVersion(),
 		}
 	}
 	return nil
@@ -103,7 +103,7 @@
 	if table.DecisionsLength() > standby.MaxDecisions || table.PlacementsLength() > standby.MaxPartPlacements {
 		return nil, errMalformed
 	}
-	message := &standby.Message{Token: table.Token(), AfterSequence: table.After()}
+	message := &standby.Message{Token: table.Token(), AfterSequence: table.AfterSequence()}
 	var entry fb.StandbyPlacement
 	for i := range table.DecisionsLength() {
 		if !table.Decisions(&entry, i) {
@@ -112,7 +112,7 @@
 		message.Decisions = append(message.Decisions, standby.Decision{Kind: standby.DecisionKind(entry.Kind()), Placement: decodePlacement(&entry)})
 	}
 	if table.HasPart() {
-		message.Part = &standby.SnapshotPart{Sequence: table.PartSequence(), Index: int(table.PartNumber()), PartCount: int(table.PartOf()), Digest: table.PartDigest()}
+		message.Part = &standby.SnapshotPart{Sequence: table.PartSequence(), Index: int(table.PartIndex()), PartCount: int(table.PartCount()), Digest: table.PartDigest()}
 		for i := range table.PlacementsLength() {
 			if !table.Placements(&entry, i) {
 				return nil, errMalformed
