--- a/internal/controller/hints_test.go
+++ b/internal/controller/hints_test.go
@@ -44,10 +44,10 @@
 		}
 		nextController.storeHints(heartbeat, now)
 	}
-	nextController.storeHints(&peer.Heartbeat{RunTimes: []peer.RunTimeStatistics{
+	nextController.storeHints(&peer.Heartbeat{LeaderHints: peer.LeaderHints{RunTimes: []peer.RunTimeStatistics{
 		{Class: "c", Count: 1, Mean: math.Log(0.5), MeanSquare: math.Log(0.5) * math.Log(0.5)},
 		{Class: "d", Count: 9, Mean: math.NaN(), MeanSquare: 1}, {Class: "e", Count: 9, Mean: 3, MeanSquare: 1},
-	}, BootTimes: []peer.BootTimes{{MachineType: "none", Durations: []clock.Micros{clock.Second}}}}, now)
+	}, BootTimes: []peer.BootTimes{{MachineType: "none", Durations: []clock.Micros{clock.Second}}}}}, now)
 
 	// What has not changed is not told again, what has is, and all of it once a member
 	// is back that may not have heard it.
--- a/internal/controller/standby_stream.go
+++ b/internal/controller/standby_stream.go
@@ -111,7 +111,7 @@
 		controller.logDropped("standby message rejected", "member", from, "token", message.Token,
 			"stale", after.Stale, "out_of_order", after.OutOfOrder, "malformed", after.Malformed, "foreign_token", after.ForeignToken, "digest_mismatch", after.DigestMismatch)
 	}
-	controller.sendStreamMessage(from, &peer.Heartbeat{Member: controller.cfg.Member, StandbyPosition: &position})
+	controller.sendStreamMessage(from, &peer.Heartbeat{Member: controller.cfg.Member, StandbyFrame: peer.StandbyFrame{StandbyPosition: &position}})
 }
 
 // sendStreamMessage sends a message of a stream to a member that takes such messages.
@@ -135,7 +135,7 @@
 	}
 	for _, other := range term.controller.cfg.Peers {
 		if message, ok := term.standby.publisher.NextMessage(other.Member, now); ok {
-			term.controller.sendStreamMessage(other.Member, &peer.Heartbeat{Member: term.controller.cfg.Member, StandbyMessage: message})
+			term.controller.sendStreamMessage(other.Member, &peer.Heartbeat{Member: term.controller.cfg.Member, StandbyFrame: peer.StandbyFrame{StandbyMessage: message}})
 		}
 	}
 	term.writeStandbyRecord(now)
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -106,7 +106,7 @@
 		part.Part.Placements = append(part.Part.Placements, placement)
 	}
 	for name, message := range map[string]*standby.Message{"decisions": &decisions, "part": &part} {
-		if frame := Encode(&Heartbeat{Member: "n1", StandbyMessage: message}); len(frame) > MaxFrame {
+		if frame := Encode(&Heartbeat{Member: "n1", StandbyFrame: StandbyFrame{StandbyMessage: message}}); len(frame) > MaxFrame {
 			t.Errorf("%s: %d bytes", name, len(frame))
 		}
 	}
@@ -116,7 +116,7 @@
 func TestOversizedStandbyMessageIsRefused(t *testing.T) {
 	message := &standby.Message{Token: 1, Decisions: make([]standby.Decision, standby.MaxDecisions+1)}
 	var frames FrameReader
-	if err := frames.Feed(Encode(&Heartbeat{Member: "n1", StandbyMessage: message}), func(*Heartbeat) { t.Error("taken") }); err == nil {
+	if err := frames.Feed(Encode(&Heartbeat{Member: "n1", StandbyFrame: StandbyFrame{StandbyMessage: message}}), func(*Heartbeat) { t.Error("taken") }); err == nil {
 		t.Error("not refused")
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer owns the links between controllers: one-way beats in
-// FlatBuffers over TCP. Beats may be lost, late or repeated: what is learnt from
-// them is advice, but for the stamps and their echoes, which package delegation
-// explains.
+// Package peer implements the links between controllers: heartbeats, standby messages and
+// standby positions, one way, as FlatBuffers frames over TCP. Frames may be lost, delayed or
+// repeated, so what a heartbeat says is only a hint, except its timestamps and their
+// acknowledgements, which package delegation explains.
 package peer
 
 import (
@@ -11,51 +11,58 @@
 
 //go:generate flatc --go peer.fbs
 
-// MaxFrame bounds a frame.
+// MaxFrame bounds the size of a frame in bytes, without its size prefix. A receiver closes the
+// link on a larger one.
 const MaxFrame = 1 << 18
 
-// Bounds of what one beat tells, so that it stays under MaxFrame.
+// Bounds of the content of one heartbeat, so that it stays under MaxFrame. A receiver takes a
+// frame over them as malformed.
 const (
-	// MaxJobProgress bounds the jobs whose progress one beat tells.
-	MaxJobProgress         = 2000
+	// MaxJobProgress bounds the jobs with their progress.
+	MaxJobProgress = 2000
+	// MaxCachedImageMachines bounds the machines with their cached images.
 	MaxCachedImageMachines = 16
-	MaxImagesPerMachine    = 64 // of one machine
-	MaxRunTimeClasses      = 64
-	// MaxBootTimeTypes and MaxBootTimesPerType bound the machine types whose boot times one beat tells, and
-	// the boots of each.
-	MaxBootTimeTypes    = 32
+	// MaxImagesPerMachine bounds the cached images of one machine.
+	MaxImagesPerMachine = 64
+	// MaxRunTimeClasses bounds the classes with run-time statistics.
+	MaxRunTimeClasses = 64
+	// MaxBootTimeTypes bounds the machine types with boot times.
+	MaxBootTimeTypes = 32
+	// MaxBootTimesPerType bounds the boot times of one machine type.
 	MaxBootTimesPerType = 32
-	// MaxCancellations bounds the withdrawals that one message tells.
+	// MaxCancellations bounds the cancellations.
 	MaxCancellations = 512
 )
 
-// JobProgress is a job's progress, for display.
+// JobProgress is the progress of a job in tasks, for display.
 type JobProgress struct {
 	Job           string
 	Done, Running uint32
 }
 
-// CachedImages is what images a machine holds in one of its sessions.
+// CachedImages lists the images that a machine has cached, in one incarnation of its worker.
 type CachedImages struct {
 	Machine     string
 	Incarnation uint64
 	Images      []string
 }
 
-// RunTimeStatistics is what is learnt of a class.
+// RunTimeStatistics are the run times of a class: their number, and the mean and the mean
+// square of log(actual/estimated).
 type RunTimeStatistics struct {
 	Class            string
 	Count            uint32
 	Mean, MeanSquare float64
 }
 
-// BootTimes are how long machines of a type took lately to report for the first time.
+// BootTimes are the latest durations from the creation of a machine of a type to its first
+// heartbeat.
 type BootTimes struct {
 	MachineType string
 	Durations   []clock.Micros
 }
 
-// Cancellation is a durable withdrawal of a job.
+// Cancellation is a durable cancellation of a job.
 type Cancellation struct {
 	Job string
 	// Revision is that of the transaction which made it durable.
@@ -64,40 +71,55 @@
 	CancelledAt clock.Micros
 }
 
-// Heartbeat is one message.
+// LeaderHints is what only a leader sends. The next leader starts from it, so that it need not
+// collect everything again; none of it is needed for correctness.
+type LeaderHints struct {
+	JobProgress []JobProgress
+	// ProgressPageCount is the number of heartbeats over which the progress of all jobs is
+	// spread; 0 or 1: JobProgress has all of it.
+	ProgressPageCount uint32
+	CachedImages      []CachedImages
+	RunTimes          []RunTimeStatistics
+	BootTimes         []BootTimes
+}
+
+// StandbyFrame is the content of a frame of package standby: one of the two is set. Such a
+// frame has only the sender's name besides.
+type StandbyFrame struct {
+	StandbyMessage  *standby.Message
+	StandbyPosition *standby.Position
+}
+
+// Heartbeat is one frame between controllers: a heartbeat, or a StandbyFrame.
 type Heartbeat struct {
-	Member           string
+	// Member is the sender's name.
+	Member string
+	// IsStoreReachable tells that the key-value store answers the sender.
 	IsStoreReachable bool
-	Leader           string
-	Token            uint64
-	WorkerCount      uint32
-	JobProgress      []JobProgress
-	// ProgressPageCount is in how many beats the progress of all jobs is told; up to 1: Counts has
-	// all of it.
-	ProgressPageCount uint32
+	// Leader and Token are the leader's name and fencing token as the sender knows them.
+	Leader string
+	Token  uint64
+	// WorkerCount is the number of workers with recent heartbeats.
+	WorkerCount uint32
 
-	// Incarnation and Stamp are the speaker's, AckIncarnation and AckTimestamp a stamp of the
-	// receiver's that it echoes; see package delegation.
+	// Incarnation and Timestamp identify this heartbeat by the sender's process and its
+	// steady clock; AckIncarnation and AckTimestamp acknowledge one of the receiver's.
 	Incarnation    uint64
 	Timestamp      clock.Micros
 	AckIncarnation uint64
 	AckTimestamp   clock.Micros
-	SilentFor      clock.Micros
+	// SilentFor is for how long the sender has answered no worker as a delegate.
+	SilentFor clock.Micros
 
-	// CachedImages, RunTimeStatistics and BootTimes are what the next leader would have to learn anew.
-	CachedImages []CachedImages
-	RunTimes     []RunTimeStatistics
-	BootTimes    []BootTimes
+	LeaderHints
 
-	// StoreRevision tells how new the speaker's view of the state service is.
+	// StoreRevision is a revision of the store that the sender's view has at least.
 	StoreRevision uint64
-	// Cancellations are those that the receiver's view may lack.
+	// Cancellations are recent ones that the receiver's view may lack.
 	Cancellations []Cancellation
 
-	// StandbyProtocolVersion is that of the standby messages which the speaker takes, 0 if none.
+	// StandbyProtocolVersion is the version of standby messages that the sender reads, 0 if
+	// it reads none.
 	StandbyProtocolVersion uint8
-	// StandbyMessage and Position, of which a frame that is no beat holds one, are of package
-	// standby.
-	StandbyMessage  *standby.Message
-	StandbyPosition *standby.Position
+	StandbyFrame
 }
--- a/internal/peer/standby_bench_test.go
+++ b/internal/peer/standby_bench_test.go
@@ -34,7 +34,7 @@
 				if !ok {
 					break
 				}
-				frame := Encode(&Heartbeat{Member: "n0", StandbyMessage: message})
+				frame := Encode(&Heartbeat{Member: "n0", StandbyFrame: StandbyFrame{StandbyMessage: message}})
 				sentBytes += len(frame)
 				received, err := Decode(frame[4:])
 				if err != nil {
