--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -1,6 +1,7 @@
 package peer
 
 import (
+	"errors"
 	"reflect"
 	"strconv"
 	"strings"
@@ -18,55 +19,67 @@
 func heartbeatGenerator() *rapid.Generator[Heartbeat] {
 	return rapid.Custom(func(t *rapid.T) Heartbeat {
 		heartbeat := Heartbeat{
-			Member: rapid.StringMatching(`[a-z]{1,9}`).Draw(t, "member"), IsStoreReachable: rapid.Bool().Draw(t, "served"),
+			Member: rapid.StringMatching(`[a-z]{1,9}`).Draw(t, "member"), IsStoreReachable: rapid.Bool().Draw(t, "store reachable"),
 			Leader: rapid.StringMatching(`[a-z]{0,9}`).Draw(t, "leader"), Token: rapid.Uint64().Draw(t, "token"),
 			WorkerCount: rapid.Uint32().Draw(t, "workers"),
 		}
-		for i := rapid.IntRange(0, 5).Draw(t, "counts"); i > 0; i-- {
-			heartbeat.JobProgress = append(heartbeat.JobProgress, JobProgress{Job: rapid.String().Draw(t, "job"), Done: rapid.Uint32().Draw(t, "done"), Running: rapid.Uint32().Draw(t, "running")})
-		}
-		for i := rapid.IntRange(0, 3).Draw(t, "holdings"); i > 0; i-- {
-			machineImages := CachedImages{Machine: rapid.StringMatching(`i-[0-9]{1,6}`).Draw(t, "machine"), Incarnation: rapid.Uint64().Draw(t, "session")}
-			for k := rapid.IntRange(0, 4).Draw(t, "images"); k > 0; k-- {
-				machineImages.Images = append(machineImages.Images, rapid.String().Draw(t, "image"))
-			}
-			heartbeat.CachedImages = append(heartbeat.CachedImages, machineImages)
-		}
-		for i := rapid.IntRange(0, 3).Draw(t, "runs"); i > 0; i-- {
-			heartbeat.RunTimes = append(heartbeat.RunTimes, RunTimeStatistics{
-				Class: rapid.String().Draw(t, "class"), Count: rapid.Uint32().Draw(t, "count"),
-				Mean: rapid.Float64Range(-9, 9).Draw(t, "mean"), MeanSquare: rapid.Float64Range(0, 81).Draw(t, "square"),
-			})
-		}
-		heartbeat.ProgressPageCount = rapid.Uint32().Draw(t, "counts of")
-		for i := rapid.IntRange(0, 3).Draw(t, "boot times"); i > 0; i-- {
-			heartbeat.BootTimes = append(heartbeat.BootTimes, BootTimes{
-				MachineType: rapid.String().Draw(t, "type"), Durations: []clock.Micros{clock.Micros(rapid.Int64().Draw(t, "boot"))},
-			})
-		}
+		heartbeat.LeaderHints = drawLeaderHints(t)
 		heartbeat.StoreRevision = rapid.Uint64().Draw(t, "revision")
-		for i := rapid.IntRange(0, 3).Draw(t, "withdrawals"); i > 0; i-- {
+		for i := rapid.IntRange(0, 3).Draw(t, "cancellations"); i > 0; i-- {
 			heartbeat.Cancellations = append(heartbeat.Cancellations, Cancellation{
-				Job: rapid.String().Draw(t, "withdrawn job"), Revision: rapid.Uint64().Draw(t, "withdrawn at revision"),
-				CancelledAt: clock.Micros(rapid.Int64().Draw(t, "withdrawn at")),
+				Job: rapid.String().Draw(t, "cancelled job"), Revision: rapid.Uint64().Draw(t, "revision of the cancellation"),
+				CancelledAt: clock.Micros(rapid.Int64().Draw(t, "cancelled at")),
 			})
 		}
-		heartbeat.StandbyProtocolVersion = rapid.Uint8().Draw(t, "standby version")
-		if rapid.Bool().Draw(t, "has message") {
-			heartbeat.StandbyMessage = messageGenerator().Draw(t, "message")
-		}
-		if rapid.Bool().Draw(t, "has position") {
-			heartbeat.StandbyPosition = &standby.Position{
-				ProtocolVersion: rapid.Uint8().Draw(t, "version"),
-				Incarnation:     rapid.Uint64().Draw(t, "replica's life"), Token: rapid.Uint64().Draw(t, "replica's token"),
-				IsComplete: rapid.Bool().Draw(t, "complete"), Sequence: rapid.Uint64().Draw(t, "sequence"),
-				SnapshotSequence: rapid.Uint64().Draw(t, "building"), SnapshotParts: rapid.IntRange(0, standby.MaxSnapshotParts).Draw(t, "parts"),
-			}
-		}
+		heartbeat.StandbyProtocolVersion = rapid.Uint8().Draw(t, "standby protocol version")
+		heartbeat.StandbyFrame = drawStandbyFrame(t)
 		return heartbeat
 	})
 }
 
+func drawLeaderHints(t *rapid.T) LeaderHints {
+	var hints LeaderHints
+	for i := rapid.IntRange(0, 5).Draw(t, "jobs with progress"); i > 0; i-- {
+		hints.JobProgress = append(hints.JobProgress, JobProgress{Job: rapid.String().Draw(t, "job"), Done: rapid.Uint32().Draw(t, "done"), Running: rapid.Uint32().Draw(t, "running")})
+	}
+	for i := rapid.IntRange(0, 3).Draw(t, "machines with images"); i > 0; i-- {
+		machineImages := CachedImages{Machine: rapid.StringMatching(`i-[0-9]{1,6}`).Draw(t, "machine"), Incarnation: rapid.Uint64().Draw(t, "incarnation")}
+		for k := rapid.IntRange(0, 4).Draw(t, "images"); k > 0; k-- {
+			machineImages.Images = append(machineImages.Images, rapid.String().Draw(t, "image"))
+		}
+		hints.CachedImages = append(hints.CachedImages, machineImages)
+	}
+	for i := rapid.IntRange(0, 3).Draw(t, "classes with run times"); i > 0; i-- {
+		hints.RunTimes = append(hints.RunTimes, RunTimeStatistics{
+			Class: rapid.String().Draw(t, "class"), Count: rapid.Uint32().Draw(t, "count"),
+			Mean: rapid.Float64Range(-9, 9).Draw(t, "mean"), MeanSquare: rapid.Float64Range(0, 81).Draw(t, "mean square"),
+		})
+	}
+	hints.ProgressPageCount = rapid.Uint32().Draw(t, "progress page count")
+	for i := rapid.IntRange(0, 3).Draw(t, "machine types with boot times"); i > 0; i-- {
+		hints.BootTimes = append(hints.BootTimes, BootTimes{
+			MachineType: rapid.String().Draw(t, "machine type"), Durations: []clock.Micros{clock.Micros(rapid.Int64().Draw(t, "boot time"))},
+		})
+	}
+	return hints
+}
+
+func drawStandbyFrame(t *rapid.T) StandbyFrame {
+	var frame StandbyFrame
+	if rapid.Bool().Draw(t, "has message") {
+		frame.StandbyMessage = messageGenerator().Draw(t, "message")
+	}
+	if rapid.Bool().Draw(t, "has position") {
+		frame.StandbyPosition = &standby.Position{
+			ProtocolVersion: rapid.Uint8().Draw(t, "protocol version"),
+			Incarnation:     rapid.Uint64().Draw(t, "replica's incarnation"), Token: rapid.Uint64().Draw(t, "replica's token"),
+			IsComplete: rapid.Bool().Draw(t, "complete"), Sequence: rapid.Uint64().Draw(t, "sequence"),
+			SnapshotSequence: rapid.Uint64().Draw(t, "snapshot sequence"), SnapshotParts: rapid.IntRange(0, standby.MaxSnapshotParts).Draw(t, "snapshot parts"),
+		}
+	}
+	return frame
+}
+
 func placementGenerator() *rapid.Generator[standby.Placement] {
 	return rapid.Custom(func(t *rapid.T) standby.Placement {
 		return standby.Placement{
@@ -94,14 +107,14 @@
 	})
 }
 
-// The largest messages of a stream fit into a frame, whatever jobs and machines are called.
+// The largest standby messages fit into a frame, however long the names of jobs and machines.
 func TestLargestStandbyMessageFitsFrame(t *testing.T) {
 	longest := standby.Placement{Task: strings.Repeat("t", 140), Attempt: 1 << 60, Machine: strings.Repeat("m", 64)}
 	var decisions, part standby.Message
 	part.Part = &standby.SnapshotPart{PartCount: 1}
 	for i := range standby.MaxDecisions {
 		placement := longest
-		placement.Machine += strconv.Itoa(i) // strings that are alike are written once
+		placement.Machine += strconv.Itoa(i) // equal strings are written once
 		decisions.Decisions = append(decisions.Decisions, standby.Decision{Kind: standby.Started, Placement: placement})
 		part.Part.Placements = append(part.Part.Placements, placement)
 	}
@@ -112,19 +125,19 @@
 	}
 }
 
-// A message over its bounds is refused as malformed.
+// A standby message over its bounds is rejected as malformed.
 func TestOversizedStandbyMessageIsRefused(t *testing.T) {
 	message := &standby.Message{Token: 1, Decisions: make([]standby.Decision, standby.MaxDecisions+1)}
 	var frames FrameReader
-	if err := frames.Feed(Encode(&Heartbeat{Member: "n1", StandbyFrame: StandbyFrame{StandbyMessage: message}}), func(*Heartbeat) { t.Error("taken") }); err == nil {
-		t.Error("not refused")
+	if err := frames.Feed(Encode(&Heartbeat{Member: "n1", StandbyFrame: StandbyFrame{StandbyMessage: message}}), func(*Heartbeat) { t.Error("a frame was handled") }); !errors.Is(err, ErrMalformed) {
+		t.Errorf("got error %v, want %v", err, ErrMalformed)
 	}
 }
 
-// Beats come out as they went in, however the stream is cut.
+// Frames are decoded as they were encoded, however the stream is split.
 func TestHeartbeatsSurviveAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := rapid.SliceOfN(heartbeatGenerator(), 1, 4).Draw(t, "beats")
+		in := rapid.SliceOfN(heartbeatGenerator(), 1, 4).Draw(t, "heartbeats")
 		var stream []byte
 		for i := range in {
 			stream = append(stream, Encode(&in[i])...)
@@ -144,26 +157,34 @@
 	})
 }
 
-// Garbage on the peers' port is refused; it neither panics nor piles up.
+// Garbage on the port for peers is rejected as malformed; it neither panics nor accumulates.
 func TestGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		heartbeat := heartbeatGenerator().Draw(t, "beat")
+		heartbeat := heartbeatGenerator().Draw(t, "heartbeat")
 		frame := append([]byte(nil), Encode(&heartbeat)...)
 		for i := rapid.IntRange(1, 6).Draw(t, "changes"); i > 0; i-- {
 			frame[rapid.IntRange(0, len(frame)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		}
 		var reader FrameReader
-		if err := reader.Feed(frame, func(*Heartbeat) {}); err == nil && len(reader.buffer) > MaxFrame+4 {
-			t.Fatalf("%d bytes are kept", len(reader.buffer))
+		err := reader.Feed(frame, func(*Heartbeat) {})
+		if err == nil && len(reader.buffer) > MaxFrame+sizePrefixLength {
+			t.Fatalf("%d bytes are buffered", len(reader.buffer))
+		}
+		if err != nil && !errors.Is(err, ErrMalformed) {
+			t.Fatalf("got error %v, want %v", err, ErrMalformed)
+		}
+		decoded, err := Decode(rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "bytes"))
+		if err == nil && decoded.Member == "" {
+			t.Fatal("a heartbeat without a sender")
 		}
-		if heartbeat, err := Decode(rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "bytes")); err == nil && heartbeat.Member == "" {
-			t.Fatal("a beat of nobody")
+		if err != nil && !errors.Is(err, ErrMalformed) {
+			t.Fatalf("got error %v, want %v", err, ErrMalformed)
 		}
 	})
 }
 
-// Names as long as users like don't make a frame that receivers refuse; what matters
-// goes all the same.
+// Long names of jobs and images don't make a frame that receivers reject; hints are left out,
+// everything else is sent.
 func TestLargeHeartbeatsFitFrame(t *testing.T) {
 	longName := strings.Repeat("x", 2000)
 	heartbeat := &Heartbeat{Member: "a", Leader: "a", Token: 7}
@@ -187,13 +208,13 @@
 		var got *Heartbeat
 		var frames FrameReader
 		if err := frames.Feed(Encode(heartbeat), func(heartbeat *Heartbeat) { got = heartbeat }); err != nil || got == nil {
-			t.Fatalf("refused: %v", err)
+			t.Fatalf("rejected: %v", err)
 		}
 		if got.Token != 7 || len(got.Cancellations) != 1 || len(got.CachedImages) != 0 {
 			t.Errorf("received %+v", got)
 		}
 		if (len(got.JobProgress) == MaxJobProgress) == withLongJobs {
-			t.Errorf("%d counts", len(got.JobProgress))
+			t.Errorf("progress of %d jobs", len(got.JobProgress))
 		}
 	}
 }
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -8,46 +8,45 @@
 	"firwood.dev/firwood/internal/peer/fb"
 )
 
-var errMalformed = errors.New("peer: malformed beat")
+// ErrMalformed reports a frame that can't be read or exceeds a bound.
+var ErrMalformed = errors.New("peer: malformed frame")
 
-// Decode reads one frame's content, without its size. FlatBuffers for Go has
-// no verifier: bytes that are no beat make its readers run out of the buffer,
-// and that must not end the process.
+// Decode reads one frame without its size prefix. FlatBuffers for Go has no verifier: its
+// accessors panic on malformed input, which is recovered here and returned as ErrMalformed.
 func Decode(content []byte) (heartbeat *Heartbeat, err error) {
 	defer func() {
-		if r := recover(); r != nil {
-			heartbeat, err = nil, fmt.Errorf("%w: %v", errMalformed, r)
+		if fault := recover(); fault != nil {
+			heartbeat, err = nil, fmt.Errorf("%w: %v", ErrMalformed, fault)
 		}
 	}()
-	if len(content) < 8 {
-		return nil, errMalformed
+	if len(content) < minFrameLength {
+		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, len(content))
 	}
 	table := fb.GetRootAsHeartbeat(content, 0)
 	heartbeat = &Heartbeat{
 		Member: string(table.Member()), IsStoreReachable: table.IsStoreReachable(), Leader: string(table.Leader()),
 		Token: table.Token(), WorkerCount: table.WorkerCount(),
-		Incarnation: table.Incarnation(), Timestamp: clock.Micros(table.Timestamp()), AckIncarnation: table.AckIncarnation(), AckTimestamp: clock.Micros(table.AckTimestamp()),
-		SilentFor: clock.Micros(table.SilentFor()),
+		Incarnation: table.Incarnation(), Timestamp: clock.Micros(table.Timestamp()),
+		AckIncarnation: table.AckIncarnation(), AckTimestamp: clock.Micros(table.AckTimestamp()),
+		SilentFor: clock.Micros(table.SilentFor()), StoreRevision: table.StoreRevision(),
+		StandbyProtocolVersion: table.StandbyProtocolVersion(),
 	}
 	if heartbeat.Member == "" {
-		return nil, errMalformed
+		return nil, fmt.Errorf("%w: no sender", ErrMalformed)
 	}
 	if err := decodeHints(table, heartbeat); err != nil {
 		return nil, err
 	}
-	heartbeat.StoreRevision = table.StoreRevision()
-	heartbeat.Cancellations, err = decodeCancellations(table)
-	if err != nil {
+	if heartbeat.Cancellations, err = decodeCancellations(table); err != nil {
 		return nil, err
 	}
-	heartbeat.StandbyProtocolVersion = table.StandbyProtocolVersion()
 	if err := decodeStandby(table, heartbeat); err != nil {
 		return nil, err
 	}
 	return heartbeat, nil
 }
 
-// decodeHints reads what the next leader need not learn anew, and progress.
+// decodeHints reads what only a leader sends.
 func decodeHints(table *fb.Heartbeat, heartbeat *Heartbeat) (err error) {
 	heartbeat.ProgressPageCount = table.ProgressPageCount()
 	if heartbeat.JobProgress, err = decodeJobProgress(table); err != nil {
@@ -63,17 +62,17 @@
 	return err
 }
 
-// decodeTables reads a vector of tables of a length, up to a bound; read tells whether there
-// is one at an index that makes sense.
+// decodeTables reads a vector of tables, of which a frame may have `limit`. read returns the
+// entry at an index, false if it is missing or exceeds a bound of its own.
 func decodeTables[T any](length, limit int, read func(i int) (T, bool)) ([]T, error) {
 	if length > limit {
-		return nil, errMalformed
+		return nil, fmt.Errorf("%w: %d entries, at most %d are allowed", ErrMalformed, length, limit)
 	}
 	var items []T
 	for i := range length {
 		item, ok := read(i)
 		if !ok {
-			return nil, errMalformed
+			return nil, fmt.Errorf("%w: entry %d of %d", ErrMalformed, i, length)
 		}
 		items = append(items, item)
 	}
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -8,9 +8,11 @@
 	"firwood.dev/firwood/internal/peer/fb"
 )
 
-// Encode makes the frame of a beat. What would make it larger than a receiver takes is
-// left out: images first, then what jobs have done, which are advice; a receiver that
-// refuses a frame closes the link.
+// initialBuilderSize is the first capacity of a frame's buffer in bytes; it grows as needed.
+const initialBuilderSize = 256
+
+// Encode makes a frame with its size prefix. If it were larger than a receiver accepts, which
+// closes the link on such a frame, hints are left out: first cached images, then job progress.
 func Encode(heartbeat *Heartbeat) []byte {
 	frame := encodeUnbounded(heartbeat)
 	if len(frame) <= MaxFrame {
@@ -26,7 +28,7 @@
 }
 
 func encodeUnbounded(heartbeat *Heartbeat) []byte {
-	builder := flatbuffers.NewBuilder(256)
+	builder := flatbuffers.NewBuilder(initialBuilderSize)
 	progress := encodeJobProgress(builder, heartbeat.JobProgress)
 	cancellations := encodeCancellations(builder, heartbeat.Cancellations)
 	cachedImages, runTimes := encodeCachedImages(builder, heartbeat.CachedImages), encodeRunTimes(builder, heartbeat.RunTimes)
@@ -58,7 +60,7 @@
 	return builder.FinishedBytes()
 }
 
-// encodeTables writes a vector of tables, one for each item, up to a bound.
+// encodeTables writes a vector of tables, one for each of the first `limit` items.
 func encodeTables[T any](builder *flatbuffers.Builder, items []T, limit int, encode func(T) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	var offsets []flatbuffers.UOffsetT
 	for _, item := range items[:min(len(items), limit)] {
@@ -78,8 +80,9 @@
 	})
 }
 
-// encodeBootTimes writes nothing at all where there are none: versions that know no boot
-// times compare recorded messages to the byte.
+// encodeBootTimes leaves the field out, instead of writing an empty vector, if there are no
+// boot times: the recorded frame of an earlier version, which had no such field, must be
+// encoded to the same bytes (TestProductionHeartbeatCompatibility).
 func encodeBootTimes(builder *flatbuffers.Builder, times []BootTimes) flatbuffers.UOffsetT {
 	if len(times) == 0 {
 		return 0
@@ -99,11 +102,11 @@
 	})
 }
 
-// encodeOffsets writes offsets; all vectors of them are alike.
+// encodeOffsets writes a vector of offsets to tables or strings.
 func encodeOffsets(builder *flatbuffers.Builder, offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	builder.StartVector(flatbuffers.SizeUOffsetT, len(offsets), flatbuffers.SizeUOffsetT)
-	for i := len(offsets) - 1; i >= 0; i-- {
-		builder.PrependUOffsetT(offsets[i])
+	for _, offset := range slices.Backward(offsets) {
+		builder.PrependUOffsetT(offset)
 	}
 	return builder.EndVector(len(offsets))
 }
--- /dev/null
+++ b/internal/peer/frame_reader.go
@@ -0,0 +1,39 @@
+package peer
+
+import (
+	"encoding/binary"
+	"fmt"
+)
+
+const (
+	// sizePrefixLength is the length of a frame's little-endian size prefix.
+	sizePrefixLength = 4
+	// minFrameLength is the length of the smallest FlatBuffers root, without the prefix.
+	minFrameLength = 8
+)
+
+// FrameReader cuts a stream into frames.
+type FrameReader struct{ buffer []byte }
+
+// Feed adds bytes and calls handle for each complete frame. After an error, which wraps
+// ErrMalformed, the stream can't be read any further and the link must be closed.
+func (reader *FrameReader) Feed(data []byte, handle func(*Heartbeat)) error {
+	reader.buffer = append(reader.buffer, data...)
+	for len(reader.buffer) >= sizePrefixLength {
+		size := int(binary.LittleEndian.Uint32(reader.buffer))
+		if size < minFrameLength || size > MaxFrame {
+			return fmt.Errorf("%w: size %d", ErrMalformed, size)
+		}
+		end := sizePrefixLength + size
+		if len(reader.buffer) < end {
+			return nil
+		}
+		heartbeat, err := Decode(reader.buffer[sizePrefixLength:end])
+		if err != nil {
+			return err
+		}
+		handle(heartbeat)
+		reader.buffer = append(reader.buffer[:0], reader.buffer[end:]...)
+	}
+	return nil
+}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -1,7 +1,6 @@
 package peer
 
 import (
-	"encoding/binary"
 	"net"
 	"sync"
 	"time"
@@ -9,63 +8,46 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// FrameReader cuts a stream into frames.
-type FrameReader struct{ buffer []byte }
+const (
+	dialTimeout   = 2 * clock.Second
+	writeTimeout  = 3 * clock.Second
+	redialBackoff = 1 * clock.Second
+)
 
-// Feed adds bytes and calls each for every whole frame.
-func (reader *FrameReader) Feed(data []byte, handle func(*Heartbeat)) error {
-	reader.buffer = append(reader.buffer, data...)
-	for len(reader.buffer) >= 4 {
-		size := int(binary.LittleEndian.Uint32(reader.buffer))
-		if size < 8 || size > MaxFrame {
-			return errMalformed
-		}
-		if len(reader.buffer) < 4+size {
-			return nil
-		}
-		heartbeat, err := Decode(reader.buffer[4 : 4+size])
-		if err != nil {
-			return err
-		}
-		handle(heartbeat)
-		reader.buffer = append(reader.buffer[:0], reader.buffer[4+size:]...)
-	}
-	return nil
-}
+// Dialer opens a connection to an address.
+type Dialer = func(address string, timeout time.Duration) (net.Conn, error)
 
-// Link sends beats to one other controller. Only the newest waits: a beat that
-// was overtaken says nothing that the newer one does not. The same holds of messages of a
-// stream: one at a time is under way, and what it lacks is sent again.
+// Link sends frames to one other controller. Only the newest heartbeat and the newest standby
+// frame wait to be sent; a newer one replaces an older one. A frame that is lost isn't sent
+// again: the next heartbeat supersedes it, and package standby repeats its messages.
 type Link struct {
-	dial             Dialer
-	address          string
+	dial    Dialer
+	address string
+	wake    chan struct{} // holds one token while frames may be waiting
+	done    chan struct{}
+
 	mu               sync.Mutex
 	pendingHeartbeat []byte
 	pendingStandby   []byte
-	wake             chan struct{}
-	done             chan struct{}
 }
 
-// Dialer opens a connection to an address.
-type Dialer = func(address string, timeout time.Duration) (net.Conn, error)
-
-// NewLink starts a link.
+// NewLink starts a link, whose goroutine runs until Close.
 func NewLink(dial Dialer, address string) *Link {
 	link := &Link{dial: dial, address: address, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go link.run()
 	return link
 }
 
-// Close ends the link; nothing may be sent after that.
+// Close ends the link. It must be called once; nothing may be sent after it.
 func (link *Link) Close() { close(link.done) }
 
-// SendHeartbeat replaces the beat that waits to be sent.
+// SendHeartbeat replaces the heartbeat that waits to be sent.
 func (link *Link) SendHeartbeat(frame []byte) { link.replacePending(&link.pendingHeartbeat, frame) }
 
-// SendStandby replaces the message of a stream that waits to be sent.
+// SendStandby replaces the standby frame that waits to be sent.
 func (link *Link) SendStandby(frame []byte) { link.replacePending(&link.pendingStandby, frame) }
 
-// takePending takes what waits: what a stream tells comes first.
+// takePending removes and returns the waiting frames, the standby frame first.
 func (link *Link) takePending() [][]byte {
 	link.mu.Lock()
 	defer link.mu.Unlock()
@@ -89,12 +71,8 @@
 	}
 }
 
-const (
-	dialTimeout   = 2 * clock.Second
-	writeTimeout  = 3 * clock.Second
-	redialBackoff = 1 * clock.Second
-)
-
+// run owns the connection. It dials when there is something to send, and again after a failed
+// write.
 func (link *Link) run() {
 	var connection net.Conn
 	defer func() {
@@ -116,21 +94,21 @@
 				continue
 			}
 		}
-		if !writeFrames(connection, link.takePending()) {
+		if err := writeFrames(connection, link.takePending()); err != nil {
 			connection.Close()
 			connection = nil
 		}
 	}
 }
 
-func writeFrames(connection net.Conn, frames [][]byte) bool {
+func writeFrames(connection net.Conn, frames [][]byte) error {
 	for _, frame := range frames {
 		if err := connection.SetWriteDeadline(time.Now().Add(writeTimeout.Duration())); err != nil {
-			return false
+			return err
 		}
 		if _, err := connection.Write(frame); err != nil {
-			return false
+			return err
 		}
 	}
-	return true
+	return nil
 }
--- a/internal/peer/standby_bench_test.go
+++ b/internal/peer/standby_bench_test.go
@@ -8,8 +8,8 @@
 	"firwood.dev/firwood/internal/standby"
 )
 
-// BenchmarkStandbyStream measures what a task's start and end cost the leader and two followers,
-// and what goes over the links, by the size of the account: four tasks to a machine.
+// BenchmarkStandbyStream measures the cost of a task's start and end for the leader and two
+// followers, and the bytes over the links, by the size of the table: four tasks per machine.
 func BenchmarkStandbyStream(b *testing.B) {
 	for _, machines := range []int{500, 1500, 4000} {
 		b.Run(fmt.Sprint(machines, "machines"), func(b *testing.B) { benchmarkStandbyStream(b, 4*machines) })
@@ -36,7 +36,7 @@
 				}
 				frame := Encode(&Heartbeat{Member: "n0", StandbyFrame: StandbyFrame{StandbyMessage: message}})
 				sentBytes += len(frame)
-				received, err := Decode(frame[4:])
+				received, err := Decode(frame[sizePrefixLength:])
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -49,20 +49,20 @@
 	b.ReportMetric(0, "snapshot-bytes")
 	snapshotBytes := sentBytes
 	sentBytes = 0
-	// Ten decisions in a message, as a plan of a busy fleet makes them.
-	const together = 10
+	// A scheduling cycle of a busy fleet starts and ends about ten tasks.
+	const tasksPerMessage = 10
 	for i := 0; b.Loop(); i++ {
 		now += 50 * clock.Millisecond
-		for k := range together {
-			number := i*together + k
+		for k := range tasksPerMessage {
+			number := i*tasksPerMessage + k
 			publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: benchmarkPlacement(number)})
 			publisher.AppendDecision(started(number + placements))
 		}
 		exchange()
 	}
 	b.ReportMetric(float64(snapshotBytes)/2, "snapshot-bytes")
-	b.ReportMetric(float64(sentBytes)/float64(2*2*together*b.N), "bytes/decision")
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(2*together*b.N), "ns/decision")
+	b.ReportMetric(float64(sentBytes)/float64(2*2*tasksPerMessage*b.N), "bytes/decision")
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(2*tasksPerMessage*b.N), "ns/decision")
 }
 
 func benchmarkPlacement(number int) standby.Placement {
--- a/internal/peer/standby_codec.go
+++ b/internal/peer/standby_codec.go
@@ -1,22 +1,23 @@
 package peer
 
 import (
+	"fmt"
+
 	flatbuffers "github.com/google/flatbuffers/go"
 
 	"firwood.dev/firwood/internal/peer/fb"
 	"firwood.dev/firwood/internal/standby"
 )
 
-// StandbyProtocolVersion is that of the standby messages which this version takes.
+// StandbyProtocolVersion is the version of the standby messages that this build reads.
 const StandbyProtocolVersion = standby.ProtocolVersion
 
-// IsStandby tells whether the frame is one of a stream of decisions, or an answer to one,
-// and says nothing else.
+// IsStandby tells whether the frame is a standby message or position, and no heartbeat.
 func (heartbeat *Heartbeat) IsStandby() bool {
 	return heartbeat.StandbyMessage != nil || heartbeat.StandbyPosition != nil
 }
 
-// encodeStandby writes what the frame holds of a stream; 0 stands for what it lacks.
+// encodeStandby writes the standby message and position; an offset is 0 if there is none.
 func encodeStandby(builder *flatbuffers.Builder, heartbeat *Heartbeat) (message, position flatbuffers.UOffsetT) {
 	if heartbeat.StandbyMessage != nil {
 		message = encodeMessage(builder, heartbeat.StandbyMessage)
@@ -81,7 +82,7 @@
 	return fb.StandbyPositionEnd(builder)
 }
 
-// decodeStandby reads what the frame holds of a stream into a beat.
+// decodeStandby reads the standby message and position, if the frame has them.
 func decodeStandby(table *fb.Heartbeat, heartbeat *Heartbeat) error {
 	if messageTable := table.StandbyMessage(nil); messageTable != nil {
 		message, err := decodeMessage(messageTable)
@@ -100,24 +101,27 @@
 }
 
 func decodeMessage(table *fb.StandbyMessage) (*standby.Message, error) {
-	if table.DecisionsLength() > standby.MaxDecisions || table.PlacementsLength() > standby.MaxPartPlacements {
-		return nil, errMalformed
+	if table.PlacementsLength() > standby.MaxPartPlacements {
+		return nil, fmt.Errorf("%w: a part of %d placements", ErrMalformed, table.PlacementsLength())
 	}
 	message := &standby.Message{Token: table.Token(), AfterSequence: table.AfterSequence()}
 	var entry fb.StandbyPlacement
-	for i := range table.DecisionsLength() {
-		if !table.Decisions(&entry, i) {
-			return nil, errMalformed
-		}
-		message.Decisions = append(message.Decisions, standby.Decision{Kind: standby.DecisionKind(entry.Kind()), Placement: decodePlacement(&entry)})
+	var err error
+	message.Decisions, err = decodeTables(table.DecisionsLength(), standby.MaxDecisions, func(i int) (standby.Decision, bool) {
+		ok := table.Decisions(&entry, i)
+		return standby.Decision{Kind: standby.DecisionKind(entry.Kind()), Placement: decodePlacement(&entry)}, ok
+	})
+	if err != nil {
+		return nil, err
 	}
 	if table.HasPart() {
 		message.Part = &standby.SnapshotPart{Sequence: table.PartSequence(), Index: int(table.PartIndex()), PartCount: int(table.PartCount()), Digest: table.PartDigest()}
-		for i := range table.PlacementsLength() {
-			if !table.Placements(&entry, i) {
-				return nil, errMalformed
-			}
-			message.Part.Placements = append(message.Part.Placements, decodePlacement(&entry))
+		message.Part.Placements, err = decodeTables(table.PlacementsLength(), standby.MaxPartPlacements, func(i int) (standby.Placement, bool) {
+			ok := table.Placements(&entry, i)
+			return decodePlacement(&entry), ok
+		})
+		if err != nil {
+			return nil, err
 		}
 	}
 	if table.HasCheck() {
