--- a/internal/dag/graph_bench_test.go
+++ b/internal/dag/graph_bench_test.go
@@ -9,10 +9,10 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// graphShape makes the jobs of a graph of a size, each after those that it needs.
+// graphShape generates the jobs of a graph of a given size, each after its dependencies.
 type graphShape struct {
 	name     string
-	makeJobs func(n int) []Job
+	makeJobs func(size int) []Job
 }
 
 func jobID(index int) string { return fmt.Sprintf("req-%06d", index) }
@@ -26,49 +26,49 @@
 }
 
 var graphShapes = []graphShape{
-	{"chain", func(n int) []Job {
+	{"chain", func(size int) []Job {
 		jobs := []Job{jobWithDependencies(0)}
-		for i := 1; i < n; i++ {
+		for i := 1; i < size; i++ {
 			jobs = append(jobs, jobWithDependencies(i, i-1))
 		}
 		return jobs
 	}},
-	{"fan out", func(n int) []Job {
+	{"fan out", func(size int) []Job {
 		jobs := []Job{jobWithDependencies(0)}
-		for i := 1; i < n; i++ {
+		for i := 1; i < size; i++ {
 			jobs = append(jobs, jobWithDependencies(i, 0))
 		}
 		return jobs
 	}},
-	{"fan in", func(n int) []Job {
+	{"fan in", func(size int) []Job {
 		var jobs []Job
-		last := jobWithDependencies(n - 1)
-		for i := range n - 1 {
+		last := jobWithDependencies(size - 1)
+		for i := range size - 1 {
 			jobs = append(jobs, jobWithDependencies(i))
 			last.DependsOn = append(last.DependsOn, jobID(i))
 		}
 		return append(jobs, last)
 	}},
-	{"diamonds", func(n int) []Job { return diamondJobs(n, 0) }},
-	{"diamonds, long way first", func(n int) []Job { return diamondJobs(n, 1) }},
-	{"any", func(n int) []Job {
-		rng := rand.New(rand.NewPCG(uint64(n), 3))
+	{"diamonds", func(size int) []Job { return diamondJobs(size, 0) }},
+	{"diamonds, long way first", func(size int) []Job { return diamondJobs(size, 1) }},
+	{"any", func(size int) []Job {
+		rng := rand.New(rand.NewPCG(uint64(size), 3))
 		var jobs []Job
-		for i := range n {
-			var needs []int
+		for i := range size {
+			var dependencies []int
 			for range rng.IntN(4) {
 				if i > 0 {
-					needs = append(needs, rng.IntN(i))
+					dependencies = append(dependencies, rng.IntN(i))
 				}
 			}
-			jobs = append(jobs, jobWithDependencies(i, needs...))
+			jobs = append(jobs, jobWithDependencies(i, dependencies...))
 		}
 		return jobs
 	}},
 }
 
-// diamondJobs are one job, two side by side, one, two, and so on; of the two, the one that
-// is chosen takes longer.
+// diamondJobs is a chain of diamonds: one job, two parallel ones, one, and so on. slowBranch, 0 or
+// 1, selects which of the two parallel ones takes longer.
 func diamondJobs(size, slowBranch int) []Job {
 	jobs := []Job{jobWithDependencies(0)}
 	for i := 1; i+2 < size; i += 3 {
@@ -78,9 +78,9 @@
 	return jobs
 }
 
-// What a graph costs a job, over its size: to take all records, as a new leader does, the
-// last with a deadline that reaches back over all; then half of the jobs end, and the
-// rest is cancelled with the first that is left.
+// BenchmarkGraph measures the time and memory per job by the size of the graph: all records are
+// added, as by a new leader, the last with a deadline that propagates to all; then half of the
+// jobs are completed and the next one is cancelled with its dependents.
 func BenchmarkGraph(b *testing.B) {
 	for _, graphShape := range graphShapes {
 		for _, size := range []int{1000, 10000, 50000} {
@@ -118,8 +118,8 @@
 	return stats.HeapAlloc
 }
 
-// Taking a record costs what follows from it, not the graph's size: where ways of
-// different lengths meet again and again, deadlines once more don't run over all of them.
+// Propagation of urgency is linear in the number of edges, also where paths of different lengths
+// meet repeatedly.
 func TestUrgencyPropagatesInLinearTime(t *testing.T) {
 	for _, graphShape := range graphShapes {
 		for _, size := range []int{300, 3000} {
@@ -127,7 +127,7 @@
 			for _, job := range graphShape.makeJobs(size) {
 				graph.AddJob(job)
 			}
-			// The one that comes last asks for more than all before it.
+			// The last job is more urgent than all before it.
 			last := graphShape.makeJobs(size)[len(graphShape.makeJobs(size))-1]
 			urgent := jobWithDependencies(size+1, 0)
 			urgent.DependsOn = []string{last.ID}
