--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -49,7 +49,7 @@
 			for _, item := range read {
 				present = append(present, controller.applyLookedUpRecord(item))
 			}
-			controller.history.lookups.CompleteBatch(present, areOthersAbsent, err != nil)
+			controller.history.lookups.CompleteBatch(jobhistory.BatchResult{Present: present, AreOthersAbsent: areOthersAbsent, HasFailed: err != nil})
 			controller.sendLookups(clock.Now())
 		})
 	}()
--- a/internal/jobhistory/cache.go
+++ b/internal/jobhistory/cache.go
@@ -1,10 +1,10 @@
-// Package jobhistory bounds what a controller remembers of jobs that are over, and asks the
-// state service for those that it has forgotten. Their records stay there for good, since
-// users may ask at any time; a memory of all of them would end a process within days. It is
-// pure: jobs, instants and answers come in, questions go out.
+// Package jobhistory bounds how many finished jobs a controller caches, and batches lookups of
+// the others in the key-value store. Their records stay there for good, since users may ask for
+// them at any time; a cache of all of them would exhaust a process's memory within days. The
+// package does no I/O and reads no clock.
 //
-// What must hold: a job that is not remembered is called unknown only on an answer of the
-// state service to a request that was sent after the question.
+// Invariant: an uncached job is reported as absent only after a request to the store that was sent
+// after the lookup was enqueued.
 package jobhistory
 
 import (
@@ -13,15 +13,16 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Cache is which finished jobs are remembered: those that ended, or were asked for, last.
+// Cache tracks which finished jobs are cached, in the order of their last use.
 type Cache struct {
-	capacity int
+	capacity int // in jobs
 	recency  *simplelru.LRU[string, struct{}]
 }
 
-// NewCache makes a memory of so many jobs.
+// NewCache returns an empty cache for the given number of jobs.
 func NewCache(capacity int) *Cache {
-	// The order has no bound of its own: some jobs may not be forgotten yet.
+	// The LRU itself is unbounded: Evict enforces the capacity, and jobs that must not be evicted
+	// yet may exceed it.
 	recency, err := simplelru.NewLRU[string, struct{}](math.MaxInt, nil)
 	if err != nil {
 		panic(err) // only for a size that is not positive
@@ -29,14 +30,14 @@
 	return &Cache{capacity: capacity, recency: recency}
 }
 
-// Touch notes that a finished job is remembered, and that it is asked for.
+// Touch marks a finished job as cached and most recently used.
 func (cache *Cache) Touch(jobID string) { cache.recency.Add(jobID, struct{}{}) }
 
-// Len is how many finished jobs are remembered.
+// Len is the number of cached jobs.
 func (cache *Cache) Len() int { return cache.recency.Len() }
 
-// Evict picks the jobs to forget beyond the bound, the ones longest not asked for first. It
-// looks at so many jobs at most; one that may not be forgotten counts as asked for.
+// Evict removes the least recently used jobs beyond the capacity and returns them. It checks at
+// most maxChecks jobs; a job that must not be evicted yet becomes the most recently used.
 func (cache *Cache) Evict(maxChecks int, canEvict func(jobID string) bool) []string {
 	var evicted []string
 	for ; maxChecks > 0 && cache.recency.Len() > cache.capacity; maxChecks-- {
--- a/internal/jobhistory/jobhistory_test.go
+++ b/internal/jobhistory/jobhistory_test.go
@@ -9,30 +9,29 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Beyond the bound those that were longest not asked for are forgotten, but for those that
-// may not be.
+// Beyond the capacity the least recently used jobs are evicted, except those that must not be.
 func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	cache := NewCache(3)
 	for i := range 6 {
 		cache.Touch(fmt.Sprint(i))
 	}
-	cache.Touch("0") // a user asks
+	cache.Touch("0") // a user asks for it
 	evicted := cache.Evict(100, func(jobID string) bool { return jobID != "2" })
 	if !slices.Equal(evicted, []string{"1", "3", "4"}) || cache.Len() != 3 {
-		t.Errorf("forgotten %v, %d are left", evicted, cache.Len())
+		t.Errorf("evicted %v, %d are left", evicted, cache.Len())
 	}
 	if again := cache.Evict(100, func(string) bool { return true }); again != nil {
-		t.Errorf("forgotten within the bound: %v", again)
+		t.Errorf("evicted within the capacity: %v", again)
 	}
 	cache.Touch("5")
 	cache.Touch("6")
 	if none := cache.Evict(100, func(string) bool { return false }); none != nil || cache.Len() != 4 {
-		t.Errorf("forgotten %v, %d are left", none, cache.Len())
+		t.Errorf("evicted %v, %d are left", none, cache.Len())
 	}
 }
 
-// Of any number of records in any order the newest are kept, and no more than twice as many
-// are held.
+// Of any number of records in any order the newest are kept, and never more than twice the
+// capacity is held.
 func TestNewestKeepsLatestRecords(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
@@ -52,9 +51,9 @@
 	}
 }
 
-// Over generated courses of questions, jobs that come to exist, lost answers and requests
-// that read only some: nobody is told that a job is absent which existed when it was asked
-// for, and each question is answered.
+// In generated histories of lookups, new jobs, failed requests and requests that read only some of
+// the records, no job is reported as absent that existed when its lookup was enqueued, and each
+// lookup is completed exactly once.
 func TestLookupsAreAnsweredCorrectly(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -67,7 +66,7 @@
 			isEnqueued := lookups.Enqueue(jobID, now+clock.Second, func(result LookupResult) {
 				answeredCount++
 				if result == Absent && existed || result == Present && !exists[jobID] {
-					t.Fatalf("seed %d: %s is answered %d, existed %v, exists %v", seed, jobID, result, existed, exists[jobID])
+					t.Fatalf("seed %d: result of %s is %v, existed %v, exists %v", seed, jobID, result, existed, exists[jobID])
 				}
 			})
 			if isEnqueued {
@@ -90,19 +89,19 @@
 			serveBatch(lookups, rng, exists, now, func() {})
 		}
 		if enqueuedCount != answeredCount || enqueuedCount == 0 {
-			t.Fatalf("seed %d: %d questions, %d answered", seed, enqueuedCount, answeredCount)
+			t.Fatalf("seed %d: %d lookups, %d completed", seed, enqueuedCount, answeredCount)
 		}
 	}
 }
 
-// serveBatch has one request carried out, while more may be asked.
+// serveBatch carries out one request; jobs may come to exist and lookups may be enqueued meanwhile.
 func serveBatch(lookups *Lookups, rng *rand.Rand, exists map[string]bool, now clock.Micros, enqueue func()) {
 	jobIDs := lookups.NextBatch(now)
 	if len(jobIDs) == 0 {
 		return
 	}
 	if len(jobIDs) > 4 {
-		panic("more than a request holds")
+		panic("the batch is larger than its bound")
 	}
 	var present []string
 	for _, jobID := range jobIDs {
@@ -111,13 +110,13 @@
 		}
 	}
 	for range rng.IntN(3) {
-		exists[fmt.Sprint(rng.IntN(12))] = true // after it was carried out
+		exists[fmt.Sprint(rng.IntN(12))] = true // after the request was carried out
 	}
-	enqueue() // while its answer is on the way: it is for the next one
+	enqueue() // while the response is on its way: this lookup needs the next batch
 	hasFailed := rng.IntN(5) == 0
 	if hasFailed {
 		present = nil
 	}
 	areOthersAbsent := len(present) == 0 && !hasFailed
-	lookups.CompleteBatch(present[:min(len(present), 2)], areOthersAbsent, hasFailed)
+	lookups.CompleteBatch(BatchResult{Present: present[:min(len(present), 2)], AreOthersAbsent: areOthersAbsent, HasFailed: hasFailed})
 }
--- a/internal/jobhistory/lookups.go
+++ b/internal/jobhistory/lookups.go
@@ -1,48 +1,62 @@
 package jobhistory
 
 import (
+	"fmt"
 	"slices"
 
 	"firwood.dev/firwood/internal/clock"
 )
 
-// LookupResult is what the state service has said of a job.
+// LookupResult is the result of the lookup of a job in the key-value store.
 type LookupResult uint8
 
 const (
-	// Unavailable: nothing; the user is to ask again later.
+	// Unavailable means that the store gave no result; the user should retry.
 	Unavailable LookupResult = iota
-	// Absent: there is no record of it.
+	// Absent means that the store has no record of the job.
 	Absent
-	// Present: there is one, and it was read.
+	// Present means that the store has a record, and that it was read.
 	Present
 )
 
-// pendingLookup is one that waits for what the state service says of a job.
+func (result LookupResult) String() string {
+	switch result {
+	case Unavailable:
+		return "unavailable"
+	case Absent:
+		return "absent"
+	case Present:
+		return "present"
+	}
+	return fmt.Sprintf("lookup result %d", uint8(result))
+}
+
+// pendingLookup is a lookup without a result yet.
 type pendingLookup struct {
 	jobID    string
 	deadline clock.Micros
 	onResult func(LookupResult)
 }
 
-// Lookups are questions for jobs that are not remembered, asked many at a time. Each is
-// answered from a request that was sent after it came.
+// Lookups batches lookups of uncached jobs. At most one batch is in flight, and a lookup is
+// completed only by a request that was sent after it was enqueued.
 type Lookups struct {
 	maxWaiting, batchSize int
 	waiting               []pendingLookup
-	// retries are questions of a batch in which other jobs were present, which proves
-	// nothing of theirs; they are asked by themselves.
+	// retries are lookups of a batch that found other jobs, which proves nothing of theirs.
+	// They are sent before new ones.
 	retries  []pendingLookup
 	inFlight []pendingLookup
 }
 
-// NewLookups lets so many questions wait, and asks for so many jobs at a time.
+// NewLookups lets maxWaiting lookups wait, those in flight not counted, and sends lookups of up to
+// batchSize jobs at a time.
 func NewLookups(maxWaiting, batchSize int) *Lookups {
 	return &Lookups{maxWaiting: maxWaiting, batchSize: batchSize}
 }
 
-// Enqueue takes a question, unless too many wait. It is answered by an instant or later, at
-// once when that has passed.
+// Enqueue adds a lookup, or returns false if too many are waiting. A lookup that waits past its
+// deadline is completed as Unavailable by the next NextBatch; one in flight waits for its batch.
 func (lookups *Lookups) Enqueue(jobID string, deadline clock.Micros, onResult func(LookupResult)) bool {
 	if len(lookups.waiting)+len(lookups.retries) >= lookups.maxWaiting {
 		return false
@@ -51,8 +65,8 @@
 	return true
 }
 
-// NextBatch are the jobs to ask for now; none while others are being asked for. Answered has to
-// follow.
+// NextBatch returns the jobs to look up now, none while a batch is in flight. If it returns some,
+// CompleteBatch must follow.
 func (lookups *Lookups) NextBatch(now clock.Micros) []string {
 	if len(lookups.inFlight) > 0 {
 		return nil
@@ -62,6 +76,12 @@
 	if len(lookups.retries) > 0 {
 		source = &lookups.retries
 	}
+	return lookups.fillBatch(source)
+}
+
+// fillBatch moves lookups of the first jobs of a queue to the batch in flight, several lookups of
+// one job together.
+func (lookups *Lookups) fillBatch(source *[]pendingLookup) []string {
 	var jobIDs []string
 	rest := (*source)[:0]
 	for _, lookup := range *source {
@@ -80,7 +100,7 @@
 	return jobIDs
 }
 
-// expireOverdue answers questions whose time is over.
+// expireOverdue completes the waiting lookups whose deadline has passed.
 func (lookups *Lookups) expireOverdue(now clock.Micros) {
 	var overdue []pendingLookup
 	for _, queue := range []*[]pendingLookup{&lookups.waiting, &lookups.retries} {
@@ -93,23 +113,32 @@
 		})
 	}
 	for _, lookup := range overdue {
-		lookup.onResult(Unavailable) // which may ask anew
+		lookup.onResult(Unavailable) // after the loop above, since the callback may call Enqueue
 	}
 }
 
-// CompleteBatch takes what was said of the jobs that were asked for: those that are present and
-// were read, and whether all others are known to be absent. What stays open is asked again,
-// or gets no answer if the request failed.
-func (lookups *Lookups) CompleteBatch(present []string, areOthersAbsent, hasFailed bool) {
+// BatchResult is the outcome of the request for a batch.
+type BatchResult struct {
+	// Present lists jobs that have a record which was read.
+	Present []string
+	// AreOthersAbsent tells that all other jobs of the batch have no record.
+	AreOthersAbsent bool
+	// HasFailed tells that the request failed.
+	HasFailed bool
+}
+
+// CompleteBatch completes the lookups of the batch in flight. Those that the result says nothing
+// of are retried, or completed as Unavailable if the request failed.
+func (lookups *Lookups) CompleteBatch(result BatchResult) {
 	batch := lookups.inFlight
-	lookups.inFlight = nil
+	lookups.inFlight = nil // before the callbacks, which may call Enqueue
 	for _, lookup := range batch {
 		switch {
-		case slices.Contains(present, lookup.jobID):
+		case slices.Contains(result.Present, lookup.jobID):
 			lookup.onResult(Present)
-		case areOthersAbsent:
+		case result.AreOthersAbsent:
 			lookup.onResult(Absent)
-		case hasFailed:
+		case result.HasFailed:
 			lookup.onResult(Unavailable)
 		default:
 			lookups.retries = append(lookups.retries, lookup)
--- a/internal/jobhistory/newest.go
+++ b/internal/jobhistory/newest.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Newest keeps, of records that come in any order, those of the jobs that ended last. It
-// holds twice as many as it keeps at most.
+// Newest keeps the records with the latest end, up to a capacity, from records in any order. It
+// holds at most twice its capacity.
 type Newest[R any] struct {
 	capacity int
 	entries  []entry[R]
@@ -14,14 +14,14 @@
 }
 
 type entry[R any] struct {
-	endedAt int64
+	endedAt int64 // time of day in microseconds
 	record  R
 }
 
-// NewNewest keeps so many records.
+// NewNewest returns an empty Newest for the given number of records.
 func NewNewest[R any](capacity int) *Newest[R] { return &Newest[R]{capacity: capacity} }
 
-// Add takes the record of a job that ended at a time of day.
+// Add adds the record of a job that ended at a time of day in microseconds.
 func (newest *Newest[R]) Add(endedAt int64, record R) {
 	newest.entries = append(newest.entries, entry[R]{endedAt, record})
 	if len(newest.entries) >= 2*newest.capacity+1 {
@@ -29,6 +29,7 @@
 	}
 }
 
+// trim drops the records with the earliest end beyond the capacity.
 func (newest *Newest[R]) trim() {
 	if len(newest.entries) <= newest.capacity {
 		return
@@ -39,7 +40,7 @@
 	newest.entries = newest.entries[:newest.capacity]
 }
 
-// Records are the records that are kept, and how many were not.
+// Records returns the kept records and the number of dropped ones.
 func (newest *Newest[R]) Records() (records []R, dropped int) {
 	newest.trim()
 	for _, entry := range newest.entries {
