--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,77 +1,101 @@
-// Package connlimit owns the budget of connections that a process may have: what
-// comes in (workers, users, probes, other controllers) and what goes out to
-// workers share it by need. Incoming connections come first: without one a
-// worker's lease runs out, while a direct message only saves time.
+// Package connlimit limits the connections of a process. Inbound connections (workers, users,
+// probes, other controllers) and outbound ones (command requests to workers) share one limit.
+// Inbound connections have priority: without one a worker's lease expires, while a command
+// request only saves time.
 package connlimit
 
 import "sync"
 
-// Limiter counts connections. The sum never passes the bound, but for the few
-// that Force lets in while others are being closed for them.
+// Limiter counts connections. Their sum doesn't exceed the limit, except for the few that
+// ForceInbound admits while others are being closed for them; package server bounds those.
 type Limiter struct {
-	limit, outboundMinimum, inboundHeadroom int
+	limit           int
+	outboundMinimum int // outbound connections that are allowed regardless of the headroom
+	inboundHeadroom int // room that further outbound connections leave for inbound ones
 
 	mu                sync.Mutex
 	inbound, outbound int
 }
 
-// New makes a budget of so many connections. A few going out are always allowed,
-// and beyond those, going out leaves some room for what may come in.
+const (
+	// outboundMinimumShare and maxOutboundMinimum set the outbound minimum: a 64th of the limit,
+	// from 1 to 32.
+	outboundMinimumShare = 64
+	maxOutboundMinimum   = 32
+	// inboundHeadroomShare sets the inbound headroom: a 16th of the limit.
+	inboundHeadroomShare = 16
+)
+
+// New returns a limiter for the given number of connections.
 func New(limit int) *Limiter {
-	return &Limiter{limit: limit, outboundMinimum: max(min(limit/64, 32), 1), inboundHeadroom: limit / 16}
+	return &Limiter{
+		limit:           limit,
+		outboundMinimum: max(min(limit/outboundMinimumShare, maxOutboundMinimum), 1),
+		inboundHeadroom: limit / inboundHeadroomShare,
+	}
+}
+
+// isFull tells whether the limit is reached. The caller holds the mutex.
+func (limiter *Limiter) isFull() bool { return limiter.inbound+limiter.outbound >= limiter.limit }
+
+// isHeadroomUsed tells whether no more than the inbound headroom is left. The caller holds the mutex.
+func (limiter *Limiter) isHeadroomUsed() bool {
+	return limiter.inbound+limiter.outbound >= limiter.limit-limiter.inboundHeadroom
 }
 
-// AcquireInbound books an incoming connection; false means that there is no room.
+// AcquireInbound reserves an inbound connection; false means that there is no room.
 func (limiter *Limiter) AcquireInbound() bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	if limiter.inbound >= limiter.limit-limiter.outboundMinimum || limiter.inbound+limiter.outbound >= limiter.limit {
+	if limiter.inbound >= limiter.limit-limiter.outboundMinimum || limiter.isFull() {
 		return false
 	}
 	limiter.inbound++
 	return true
 }
 
-// ForceInbound books an incoming connection for which another is being closed.
+// ForceInbound reserves an inbound connection for which another one is being closed.
 func (limiter *Limiter) ForceInbound() {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	limiter.inbound++
 }
 
-// ReleaseInbound gives back so many incoming connections.
+// ReleaseInbound releases a number of inbound connections.
 func (limiter *Limiter) ReleaseInbound(count int) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	limiter.inbound -= count
 }
 
-// AcquireOutbound books a connection to a worker; false means that there is no room.
+// AcquireOutbound reserves an outbound connection; false means that there is no room.
 func (limiter *Limiter) AcquireOutbound() bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	if limiter.outbound >= limiter.outboundMinimum && limiter.inbound+limiter.outbound >= limiter.limit-limiter.inboundHeadroom || limiter.inbound+limiter.outbound >= limiter.limit {
+	needsHeadroom := limiter.outbound >= limiter.outboundMinimum
+	if limiter.isFull() || needsHeadroom && limiter.isHeadroomUsed() {
 		return false
 	}
 	limiter.outbound++
 	return true
 }
 
-// ReleaseOutbound gives back a connection to a worker.
+// ReleaseOutbound releases an outbound connection.
 func (limiter *Limiter) ReleaseOutbound() {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	limiter.outbound--
 }
 
-// IsUnderPressure tells that what comes in is about to need what goes out.
+// IsUnderPressure tells whether outbound connections should be closed, to restore the headroom for
+// inbound ones.
 func (limiter *Limiter) IsUnderPressure() bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	return limiter.outbound > limiter.outboundMinimum && limiter.inbound+limiter.outbound >= limiter.limit-limiter.inboundHeadroom
+	return limiter.outbound > limiter.outboundMinimum && limiter.isHeadroomUsed()
 }
 
-// Counts is how many there are of each.
+// Counts returns the numbers of inbound and outbound connections.
 func (limiter *Limiter) Counts() (inbound, outbound int) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// At the limits and the numbers of machines of both fleets, and at half as many
-// machines again, every worker and then some users hold a connection whatever
-// direct messages want, and direct messages get what is left, down to a few.
+// At the limits and the numbers of machines of both fleets, and with half as many machines again,
+// every worker and several hundred users get a connection however many outbound connections are
+// requested, and outbound ones get what is left, at least a few.
 func TestInboundHasPriorityOverOutbound(t *testing.T) {
 	for _, fleet := range []struct{ limit, machines, users int }{
 		{3172, 1457, 300}, {3172, 2190, 300}, {2215, 1205, 300}, {2215, 1810, 300},
@@ -17,7 +17,7 @@
 			limiter.AcquireOutbound()
 			limiter.AcquireOutbound()
 			if !limiter.AcquireInbound() {
-				// What goes out gives way to what comes in.
+				// An outbound connection is closed for the inbound one.
 				limiter.ReleaseOutbound()
 				if !limiter.AcquireInbound() {
 					t.Fatalf("%+v: worker %d finds no room", fleet, i)
@@ -38,6 +38,8 @@
 	}
 }
 
+// In generated histories the limit is never exceeded, and no inbound connection is rejected while
+// outbound ones hold more than their minimum and there is headroom.
 func TestLimitIsNeverExceeded(t *testing.T) {
 	for seed := uint64(1); seed <= 300; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -66,11 +68,11 @@
 				t.Fatalf("history %d: %d in and %d out of %d", seed, inbound, outbound, limit)
 			}
 			if outbound > limiter.outboundMinimum && inbound+outbound < limit-limiter.inboundHeadroom && !limiter.AcquireInbound() {
-				t.Fatalf("history %d: refused with room left", seed)
+				t.Fatalf("history %d: rejected with room left", seed)
 			}
 		}
 		if refused == 0 && limit < 20 {
-			t.Fatalf("history %d never came to its bound", seed)
+			t.Fatalf("history %d never reached its limit", seed)
 		}
 	}
 }
