--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
-// Package client owns outgoing HTTP: keep-alive connections, time limits, and
-// the rate budgets that keep this process under the limits of the services it
-// calls.
+// Package client is the outbound HTTP client: keep-alive connections, timeouts, a pool of
+// connections to many hosts, and token buckets that keep this process within the rate limits of
+// the services it calls.
 package client
 
 import (
@@ -17,15 +17,16 @@
 	return net.DialTimeout("tcp4", address, timeout)
 }
 
-// ErrSendDeadlinePassed tells that a request was not sent because its sender was no longer
-// entitled to send it.
+// ErrSendDeadlinePassed reports that a request was not sent because its SendDeadline had passed.
 var ErrSendDeadlinePassed = errors.New("client: the time to send has passed")
 
-// NotSentError tells that the request certainly did not reach the other side.
+// NotSentError reports that the request was certainly not sent.
 type NotSentError struct{ Err error }
 
 func (e *NotSentError) Error() string { return "client: not sent: " + e.Err.Error() }
+
+// Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// ErrPoolExhausted tells that every connection of the pool is in use.
+// ErrPoolExhausted reports that no connection is available: the limit is reached and none is idle.
 var ErrPoolExhausted = errors.New("client: no connection is free")
--- a/internal/client/host.go
+++ b/internal/client/host.go
@@ -11,32 +11,40 @@
 	"firwood.dev/firwood/internal/http1"
 )
 
-// Host is one place that is called, with its idle connections.
+const (
+	// maxIdleAge bounds the reuse of an idle connection: after a network partition an old
+	// connection may be dead without an error.
+	maxIdleAge = 20 * clock.Second
+	// typicalHeadSize is the capacity for a request's head in bytes; it grows as needed.
+	typicalHeadSize = 160
+	// readBufferSize is the size of the shared buffers for reads in bytes.
+	readBufferSize = 8 << 10
+)
+
+// Host is the address of a service with its idle connections.
 type Host struct {
 	dial    Dialer
 	address string
 	limits  http1.Limits
 
-	pool *Pool // nil: unbounded
-
-	mu      sync.Mutex
-	idle    []*conn
+	pool    *Pool // nil: the number of connections is not limited
 	maxIdle int
+
+	mu   sync.Mutex
+	idle []*conn // the latest used last
 }
 
+// conn is one connection. It is used by one request at a time, or idle.
 type conn struct {
 	netConn     net.Conn
 	parser      *http1.Parser
 	lastUsedAt  clock.Micros
 	host        *Host
-	idleElement *list.Element // in the pool's list of idle ones
+	idleElement *list.Element // in the pool's list of idle connections; nil while in use or closed
 }
 
-// maxIdleAge bounds how long a connection may lie unused: after a cut an old one
-// may be dead without saying so.
-const maxIdleAge = 20 * clock.Second
-
-// NewHost makes a place to call; at most `most` idle connections are kept.
+// NewHost returns a host that keeps at most maxIdle idle connections and accepts response bodies up
+// to maxBody bytes.
 func NewHost(dial Dialer, address string, maxIdle, maxBody int) *Host {
 	limits := http1.DefaultLimits
 	limits.Body = maxBody
@@ -52,7 +60,7 @@
 	}
 }
 
-// closeConn closes a connection that is in use.
+// closeConn closes a connection that is in use, and gives back its reservation.
 func (host *Host) closeConn(connection *conn) {
 	connection.netConn.Close()
 	if host.pool != nil {
@@ -60,12 +68,12 @@
 	}
 }
 
-// claimIdle tells whether an idle connection is this host's to use.
+// claimIdle claims an idle connection for use; false means that the pool has closed it meanwhile.
 func (host *Host) claimIdle(connection *conn) bool {
 	return host.pool == nil || host.pool.claimIdle(connection)
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections; those in use are not affected.
 func (host *Host) Close() {
 	host.mu.Lock()
 	idle := host.idle
@@ -78,6 +86,7 @@
 	}
 }
 
+// takeIdle returns the connection that was used last, or nil. Connections over maxIdleAge are closed.
 func (host *Host) takeIdle(now clock.Micros) *conn {
 	host.mu.Lock()
 	defer host.mu.Unlock()
@@ -95,6 +104,7 @@
 	return nil
 }
 
+// returnIdle keeps a connection for reuse, or closes it if enough are idle.
 func (host *Host) returnIdle(connection *conn) {
 	host.mu.Lock()
 	defer host.mu.Unlock()
@@ -109,58 +119,79 @@
 	}
 }
 
-// Request is one call.
+// Request is an HTTP request.
 type Request struct {
 	Method, Target string
-	Body           []byte
-	Timeout        clock.Micros
-	// SendDeadline, if not nil, tells the last instant at which the request may be
-	// sent; it is asked right before the write.
+	Body           []byte // nil: none
+	// Timeout bounds the whole exchange.
+	Timeout clock.Micros
+	// SendDeadline, if not nil, returns the instant from which on the request must not be sent
+	// any more. It is called immediately before the write, after any waiting.
 	SendDeadline func() clock.Micros
 }
 
-// Do sends the request and waits for its answer. An error that is not a
-// *NotSentError or ErrSendDeadlinePassed leaves open whether the request was carried out.
+// Do sends the request and waits for its response. After an error that is not a *NotSentError or
+// ErrSendDeadlinePassed it is unknown whether the request was carried out.
 func (host *Host) Do(request Request) (*http1.Message, error) {
 	deadline := time.Now().Add(request.Timeout.Duration())
 	connection := host.takeIdle(clock.Now())
 	if connection == nil {
-		if host.pool != nil && !host.pool.acquire() {
-			return nil, &NotSentError{ErrPoolExhausted}
-		}
-		netConn, err := host.dial(host.address, request.Timeout.Duration())
-		if err != nil {
-			if host.pool != nil {
-				host.pool.release()
-			}
+		var err error
+		if connection, err = host.connect(request.Timeout); err != nil {
 			return nil, &NotSentError{err}
 		}
-		connection = &conn{netConn: netConn, parser: http1.NewResponseParser(host.limits), host: host}
 	}
-	response, err := connection.roundTrip(host.address, request, deadline)
-	if err != nil || response.Close {
+	response, err := connection.roundTrip(request, deadline)
+	if err != nil {
 		host.closeConn(connection)
-		return response, err
+		return nil, err
+	}
+	if response.Close {
+		host.closeConn(connection)
+	} else {
+		host.returnIdle(connection)
 	}
-	host.returnIdle(connection)
 	return response, nil
 }
 
-func (connection *conn) roundTrip(address string, request Request, deadline time.Time) (*http1.Message, error) {
+// connect dials a new connection, with a reservation of the pool.
+func (host *Host) connect(timeout clock.Micros) (*conn, error) {
+	if host.pool != nil && !host.pool.acquire() {
+		return nil, ErrPoolExhausted
+	}
+	netConn, err := host.dial(host.address, timeout.Duration())
+	if err != nil {
+		if host.pool != nil {
+			host.pool.release()
+		}
+		return nil, err
+	}
+	return &conn{netConn: netConn, parser: http1.NewResponseParser(host.limits), host: host}, nil
+}
+
+// roundTrip writes a request and reads its response.
+func (connection *conn) roundTrip(request Request, deadline time.Time) (*http1.Message, error) {
 	if err := connection.netConn.SetDeadline(deadline); err != nil {
 		return nil, &NotSentError{err}
 	}
-	encoded := http1.AppendRequest(make([]byte, 0, 160+len(request.Body)), request.Method, request.Target, address, request.Body)
-	// The check comes last before the write: a process that was paused between
-	// the decision and this line must not act on an entitlement that is over.
+	encoded := make([]byte, 0, typicalHeadSize+len(request.Body))
+	encoded = http1.AppendRequest(encoded, request.Method, request.Target, connection.host.address, request.Body)
+	// This check is the last step before the write: a process that was paused between the
+	// decision and this line must not act on a lease that has expired.
 	if request.SendDeadline != nil {
 		if sendDeadline := request.SendDeadline(); clock.Now() >= sendDeadline {
 			return nil, ErrSendDeadlinePassed
 		}
 	}
+	// A failed write is no NotSentError, since a part may have been sent.
 	if _, err := connection.netConn.Write(encoded); err != nil {
 		return nil, err
 	}
+	return connection.readResponse()
+}
+
+// readResponse reads until the parser has a whole response.
+func (connection *conn) readResponse() (*http1.Message, error) {
 	buffer := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(buffer)
 	for {
@@ -168,9 +199,9 @@
 		if err != nil || response != nil {
 			return response, err
 		}
-		n, err := connection.netConn.Read(*buffer)
-		if n > 0 {
-			connection.parser.Feed((*buffer)[:n])
+		size, err := connection.netConn.Read(*buffer)
+		if size > 0 {
+			connection.parser.Feed((*buffer)[:size])
 			continue
 		}
 		if err != nil {
@@ -182,4 +213,5 @@
 	}
 }
 
-var readBuffers = sync.Pool{New: func() any { b := make([]byte, 8<<10); return &b }}
+// readBuffers are shared by all connections, since most of them are idle.
+var readBuffers = sync.Pool{New: func() any { buffer := make([]byte, readBufferSize); return &buffer }}
--- a/internal/client/pool.go
+++ b/internal/client/pool.go
@@ -7,28 +7,30 @@
 	"firwood.dev/firwood/internal/connlimit"
 )
 
-// Pool bounds the connections to many hosts together. When the budget allows no
-// more, the one that has lain idle longest makes room.
+// Pool shares one limit of outbound connections among many hosts. At the limit, the connection
+// that has been idle longest is closed for a new one.
 type Pool struct {
 	dial    Dialer
 	limiter *connlimit.Limiter
 
+	// mu guards idle and the idleElement of all connections. It is taken while a host's mutex is
+	// held, never the other way round.
 	mu   sync.Mutex
 	idle *list.List // of *conn, the longest idle first
 }
 
-// NewPool makes a pool of connections that go out, within the budget.
+// NewPool returns a pool whose connections count as outbound ones of the limiter.
 func NewPool(dial Dialer, limiter *connlimit.Limiter) *Pool {
 	return &Pool{dial: dial, limiter: limiter, idle: list.New()}
 }
 
-// acquire books a connection, at the cost of an idle one if need be.
+// acquire reserves a connection with the limiter, closing an idle one if necessary.
 func (pool *Pool) acquire() bool {
-	// The booking of the one that makes room passes on.
+	// The reservation of the closed connection is reused, so the limiter isn't called for it.
 	return pool.limiter.AcquireOutbound() || pool.closeOldestIdle()
 }
 
-// EvictIdle closes the connection that has lain idle longest; false if none does.
+// EvictIdle closes the connection that has been idle longest; false if none is idle.
 func (pool *Pool) EvictIdle() bool {
 	if !pool.closeOldestIdle() {
 		return false
@@ -37,7 +39,8 @@
 	return true
 }
 
-// closeOldestIdle closes the connection that has lain idle longest; its booking is left.
+// closeOldestIdle closes the connection that has been idle longest and leaves its reservation to
+// the caller; false if none is idle.
 func (pool *Pool) closeOldestIdle() bool {
 	pool.mu.Lock()
 	oldest := pool.idle.Front()
@@ -48,17 +51,18 @@
 	connection := pool.idle.Remove(oldest).(*conn)
 	connection.idleElement = nil
 	pool.mu.Unlock()
-	// The list has given it to us alone, unless its host takes it just now:
-	// then that host finds it missing from the list and leaves it.
+	// Nobody else can use it: a host that takes it from its own list at the same time finds
+	// idleElement nil in claimIdle and skips it.
 	connection.netConn.Close()
 	connection.host.removeIdle(connection)
 	return true
 }
 
+// release gives a connection's reservation back.
 func (pool *Pool) release() { pool.limiter.ReleaseOutbound() }
 
-// claimIdle takes an idle connection for use; false means that it made room for
-// another meanwhile.
+// claimIdle removes an idle connection from the pool's list for use; false means that the pool has
+// closed it meanwhile.
 func (pool *Pool) claimIdle(connection *conn) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -70,13 +74,14 @@
 	return true
 }
 
+// addIdle appends a connection to the list of idle ones.
 func (pool *Pool) addIdle(connection *conn) {
 	pool.mu.Lock()
 	connection.idleElement = pool.idle.PushBack(connection)
 	pool.mu.Unlock()
 }
 
-// NewHost makes a place to call whose connections count towards the pool.
+// NewHost returns a host whose connections belong to the pool; see the function NewHost.
 func (pool *Pool) NewHost(address string, maxIdle, maxBody int) *Host {
 	host := NewHost(pool.dial, address, maxIdle, maxBody)
 	host.pool = pool
--- a/internal/client/pool_test.go
+++ b/internal/client/pool_test.go
@@ -12,8 +12,8 @@
 	"firwood.dev/firwood/internal/connlimit"
 )
 
-// A pool never has more connections than its bound, whoever calls whom; the
-// one idle longest makes room, and when none is idle the caller is told so.
+// A pool never has more connections than its limit, in sequential and concurrent calls; idle ones are
+// closed for new ones, and if none is idle the caller gets ErrPoolExhausted.
 func TestPoolStaysWithinLimit(t *testing.T) {
 	const most = 3
 	limiter := connlimit.New(most)
@@ -82,7 +82,7 @@
 	if peakCount > most || outboundCount() > most {
 		t.Fatalf("%d connections, then %d, at most %d are allowed", peakCount, outboundCount(), most)
 	}
-	// All in use: the next caller is refused at once and knows it was not sent.
+	// All are in use: the next call is rejected at once as not sent.
 	startedRequests := make(chan struct{}, most)
 	onRequest = func() { startedRequests <- struct{}{} }
 	for _, host := range hosts[:most] {
--- a/internal/client/threads_test.go
+++ b/internal/client/threads_test.go
@@ -11,8 +11,8 @@
 	"firwood.dev/firwood/internal/connlimit"
 )
 
-// Hundreds of hung machines, each with a call under way, take no thread each: the
-// platform allows a process two thousand.
+// Hundreds of machines that don't respond, each with a request in flight, don't hold a thread each.
+// The platform allows a process 2000 threads.
 func TestHungRequestsHoldNoThreads(t *testing.T) {
 	const hung = 300
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 	for i := 0; i < hung; i++ {
 		<-acceptSignals
 	}
-	time.Sleep(50 * time.Millisecond) // let the calls come to their reads
+	time.Sleep(50 * time.Millisecond) // let the requests reach their reads
 	if n := pprof.Lookup("threadcreate").Count(); n > 64 {
 		t.Errorf("%d threads for %d hung machines", n, hung)
 	}
