--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,11 +1,12 @@
-// Package cloud owns the dealings with the cloud's API: what is on offer,
-// hires under unique names, lists and deletions, within this process's share
-// of the cloud's rate. Its calls block; callers run them on goroutines.
+// Package cloud is the client of the cloud's API (PROTOCOL, "Controller nodes -> cloud"): machine
+// types, scale-out requests under unique names, lists and deletions, rate-limited to this
+// process's share. Its calls block; callers run them on goroutines of their own.
 package cloud
 
 import (
 	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"strconv"
 
@@ -14,109 +15,144 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	// ErrNoCapacity: nothing was rented; the pool is empty.
+	// ErrNoCapacity reports that the pool has no capacity; nothing was created.
 	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrUnavailable: the cloud's interface is down or throttled; nothing was done.
+	// ErrUnavailable reports that the cloud's API is down or throttled; nothing was done.
 	ErrUnavailable = errors.New("cloud: not served")
-	// ErrInvalidRequest: the request itself was refused.
+	// ErrInvalidRequest reports that the cloud rejected the request as malformed.
 	ErrInvalidRequest = errors.New("cloud: bad request")
 )
 
-// Client talks to the cloud.
-type Client struct {
-	host              *client.Host
-	bucket            *client.TokenBucket
-	requestsPerSecond float64
-}
+// StatusError is a response with a status that the protocol doesn't have.
+type StatusError struct{ Status int }
+
+func (e *StatusError) Error() string { return fmt.Sprintf("cloud: status %d", e.Status) }
 
 const (
 	requestTimeout  = 8 * clock.Second
-	maxResponseBody = 1 << 20
+	maxResponseBody = 1 << 20 // bytes
+	maxIdle         = 4       // connections
+	// initialRateShare and initialBurst apply until the first SetRateShare.
+	initialRateShare = 0.25
+	initialBurst     = 2
+	// burstSeconds is how many seconds' worth of requests the cloud accepts at once.
+	burstSeconds = 2
+	// noCapacity is the error text of a 503 that means ErrNoCapacity.
+	noCapacity = "no capacity"
 )
 
-// New makes a client for the cloud at addr, which allows rps requests a second.
+// Client calls the cloud's API.
+type Client struct {
+	host              *client.Host
+	bucket            *client.TokenBucket
+	requestsPerSecond float64 // that the cloud allows all controllers together
+}
+
+// New returns a client of the cloud at an address, which allows that many requests per second from
+// all controllers together.
 func New(dial client.Dialer, address string, requestsPerSecond float64) *Client {
-	return &Client{host: client.NewHost(dial, address, 4, maxResponseBody), bucket: client.NewTokenBucket(requestsPerSecond/4, 2), requestsPerSecond: requestsPerSecond}
+	return &Client{
+		host:              client.NewHost(dial, address, maxIdle, maxResponseBody),
+		bucket:            client.NewTokenBucket(requestsPerSecond*initialRateShare, initialBurst),
+		requestsPerSecond: requestsPerSecond,
+	}
 }
 
-// SetRateShare sets which part of the cloud's rate this process may use.
+// SetRateShare sets the share, from 0 to 1, of the cloud's rate that this process may use.
 func (c *Client) SetRateShare(share float64) {
 	rate := c.requestsPerSecond * share
-	c.bucket.SetRate(rate, max(2*rate, 1))
+	c.bucket.SetRate(rate, max(burstSeconds*rate, 1))
 }
 
-func (c *Client) call(method, target string, body []byte, sendDeadline func() clock.Micros) ([]byte, error) {
+// call sends a request when the rate allows it, and returns the body of the response.
+func (c *Client) call(request client.Request) ([]byte, error) {
 	c.bucket.Wait(1)
-	response, err := c.host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: requestTimeout, SendDeadline: sendDeadline})
+	request.Timeout = requestTimeout
+	response, err := c.host.Do(request)
 	if err != nil {
 		return nil, err
 	}
 	switch response.Status {
-	case 200:
+	case http.StatusOK:
 		return response.Body, nil
-	case 429:
+	case http.StatusTooManyRequests:
 		c.bucket.Drain()
 		return nil, ErrUnavailable
-	case 503:
+	case http.StatusServiceUnavailable:
 		var errorBody wire.ErrorResponse
-		if err := errorBody.UnmarshalJSON(response.Body); err == nil && errorBody.Error == "no capacity" {
+		if err := errorBody.UnmarshalJSON(response.Body); err == nil && errorBody.Error == noCapacity {
 			return nil, ErrNoCapacity
 		}
 		return nil, ErrUnavailable
-	case 400:
+	case http.StatusBadRequest:
 		return nil, ErrInvalidRequest
 	}
-	return nil, fmt.Errorf("cloud: status %d", response.Status)
+	return nil, &StatusError{response.Status}
 }
 
-// MachineTypes asks what is on offer.
-func (c *Client) MachineTypes() ([]wire.MachineType, error) {
-	responseBody, err := c.call("GET", "/flavors", nil, nil)
+// callAndDecode sends a request and decodes the body of the response.
+func (c *Client) callAndDecode(request client.Request, into interface{ UnmarshalJSON([]byte) error }) error {
+	body, err := c.call(request)
 	if err != nil {
-		return nil, err
+		return err
+	}
+	if err := into.UnmarshalJSON(body); err != nil {
+		return fmt.Errorf("cloud: malformed response to %s %s: %w", request.Method, request.Target, err)
 	}
-	var machineTypes wire.MachineTypeList
-	if err := machineTypes.UnmarshalJSON(responseBody); err != nil {
+	return nil
+}
+
+// MachineTypes returns the types of machines on offer, with their current prices.
+func (c *Client) MachineTypes() ([]wire.MachineType, error) {
+	var list wire.MachineTypeList
+	if err := c.callAndDecode(client.Request{Method: http.MethodGet, Target: "/flavors"}, &list); err != nil {
 		return nil, err
 	}
-	for _, machineType := range machineTypes.Types {
-		if machineType.Name == "" || !(machineType.CPUs > 0) || !(machineType.MemoryGB > 0) || machineType.GPUs < 0 || machineType.OnDemandPrice < 0 || machineType.SpotPrice < 0 {
+	for _, machineType := range list.Types {
+		if !isPlausible(machineType) {
 			return nil, fmt.Errorf("cloud: machine type %q makes no sense", machineType.Name)
 		}
 	}
-	return machineTypes.Types, nil
+	return list.Types, nil
+}
+
+// isPlausible rejects types that the scheduler can't calculate with.
+func isPlausible(machineType wire.MachineType) bool {
+	hasSize := machineType.CPUs > 0 && machineType.MemoryGB > 0 && !(machineType.GPUs < 0)
+	hasPrice := !(machineType.OnDemandPrice < 0) && !(machineType.SpotPrice < 0)
+	return machineType.Name != "" && hasSize && hasPrice
 }
 
-// ScaleOut rents machines; until tells the last instant at which it may be sent.
+// ScaleOut requests machines under the unique name in the request, and returns the ids of those that
+// were created, up to the requested count. From sendDeadline on the request is not sent.
 func (c *Client) ScaleOut(request wire.ScaleOutRequest, sendDeadline func() clock.Micros) ([]string, error) {
 	body, err := request.MarshalJSON()
 	if err != nil {
 		return nil, err
 	}
-	responseBody, err := c.call("POST", "/hosts", body, sendDeadline)
-	if err != nil {
-		return nil, err
-	}
 	var machines wire.MachineIDs
-	if err := machines.UnmarshalJSON(responseBody); err != nil {
+	err = c.callAndDecode(client.Request{Method: http.MethodPost, Target: "/hosts", Body: body, SendDeadline: sendDeadline}, &machines)
+	if err != nil {
 		return nil, err
 	}
 	return machines.IDs, nil
 }
 
-// DeleteMachines returns machines. Once it returns nil they are gone.
+// DeleteMachines deletes machines; unknown ones are ignored. If it returns nil, they are gone. From
+// sendDeadline on the request is not sent.
 func (c *Client) DeleteMachines(names []string, sendDeadline func() clock.Micros) error {
 	body, err := wire.MachineIDs{IDs: names}.MarshalJSON()
 	if err != nil {
 		return err
 	}
-	_, err = c.call("POST", "/hosts/delete", body, sendDeadline)
+	_, err = c.call(client.Request{Method: http.MethodPost, Target: "/hosts/delete", Body: body, SendDeadline: sendDeadline})
 	return err
 }
 
-// ListMachines reads the whole list of machines, page by page.
+// ListMachines returns the list of all machines, which it reads page by page. The cloud's lists lag
+// behind, and a list may be older than the one before it.
 func (c *Client) ListMachines() ([]wire.ListedMachine, error) {
 	var machines []wire.ListedMachine
 	lastID := ""
@@ -125,12 +161,8 @@
 		if lastID != "" {
 			target += "&since=" + url.QueryEscape(lastID)
 		}
-		responseBody, err := c.call("GET", target, nil, nil)
-		if err != nil {
-			return nil, err
-		}
 		var page wire.MachineList
-		if err := page.UnmarshalJSON(responseBody); err != nil {
+		if err := c.callAndDecode(client.Request{Method: http.MethodGet, Target: target}, &page); err != nil {
 			return nil, err
 		}
 		machines = append(machines, page.Machines...)
