--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -1,52 +1,75 @@
-// Package http1 owns HTTP/1.1 framing in both directions: an incremental,
-// bounded parser of requests and responses, and the writers of both. It knows
-// nothing of sockets, so that it can be fed any split of any bytes.
+// Package http1 implements HTTP/1.1 framing in both directions: an incremental, bounded parser of
+// requests and responses, and the writers of both. It does no I/O, so that tests can feed it any
+// split of any bytes.
 package http1
 
 import (
 	"bytes"
-	"strconv"
+	"fmt"
+	"net/http"
 )
 
+// phase is the part of a message that the parser reads next.
 type phase uint8
 
 const (
-	phaseHead phase = iota
-	phaseFixedBody
-	phaseChunkSize
-	phaseChunkData
-	phaseChunkEnd
-	phaseTrailer
-	phaseUntilClose
-	phaseFailed
+	phaseHead       phase = iota // start line and headers
+	phaseFixedBody               // a body of Content-Length bytes
+	phaseChunkSize               // the line before a chunk
+	phaseChunkData               // the bytes of a chunk
+	phaseChunkEnd                // the CRLF after a chunk
+	phaseTrailer                 // header lines after the last chunk
+	phaseUntilClose              // the body of a response that the peer's close ends
+	phaseFailed                  // a fault was found; nothing more is parsed
 )
 
-// Parser takes bytes as they come and yields whole messages.
+func (p phase) String() string {
+	names := [...]string{"head", "fixed body", "chunk size", "chunk data", "chunk end", "trailer", "until close", "failed"}
+	if int(p) < len(names) {
+		return names[p]
+	}
+	return fmt.Sprintf("phase %d", uint8(p))
+}
+
+// headState is what the parser knows of the head of the present message.
+type headState struct {
+	headBytes     int  // bytes of head and trailer seen so far, line ends included
+	hasStartLine  bool // the start line has been read
+	contentLength int  // -1 if there is no Content-Length
+	isChunked     bool
+}
+
+// newHeadState returns the state before a message.
+func newHeadState() headState { return headState{contentLength: -1} }
+
+// Parser is an incremental parser of requests or of responses.
 type Parser struct {
 	limits     Limits
 	isResponse bool
 
-	buffer          []byte
-	consumed        int // start of what is not yet consumed
-	scanOffset      int // where the search for the end of a line goes on
-	headBytes       int // bytes of the head seen so far, line ends included
-	phase           phase
-	hasStartLine    bool // the start line has been read
-	message         *Message
-	remaining       int // bytes left of the body or chunk
-	contentLength   int // Content-Length, -1 if none
-	isChunked       bool
-	isHTTP10        bool
-	err             *Error
+	buffer     []byte
+	consumed   int // offset of the first byte that is not consumed
+	scanOffset int // offset from which the search for the end of a line continues
+
+	phase     phase
+	headState          // reset for each message
+	isHTTP10  bool     // set by each start line
+	message   *Message // being read; nil before its start line
+	remaining int      // bytes left of the body or chunk
+	err       *Error   // set in phaseFailed
+
+	// continuePending outlives its message until TakeContinueRequest is called.
 	continuePending bool
 }
 
-// NewRequestParser parses what clients send.
-func NewRequestParser(limits Limits) *Parser { return &Parser{limits: limits, contentLength: -1} }
+// NewRequestParser returns a parser of requests.
+func NewRequestParser(limits Limits) *Parser {
+	return &Parser{limits: limits, headState: newHeadState()}
+}
 
-// NewResponseParser parses what servers send.
+// NewResponseParser returns a parser of responses.
 func NewResponseParser(limits Limits) *Parser {
-	return &Parser{limits: limits, contentLength: -1, isResponse: true}
+	return &Parser{limits: limits, headState: newHeadState(), isResponse: true}
 }
 
 // Feed adds bytes that arrived.
@@ -62,20 +85,20 @@
 	parser.buffer = append(parser.buffer, data...)
 }
 
-// IsIdle tells that no message is half read.
+// IsIdle tells whether no part of a message has been received.
 func (parser *Parser) IsIdle() bool {
 	return parser.phase == phaseHead && !parser.hasStartLine && parser.consumed == len(parser.buffer)
 }
 
-// TakeContinueRequest tells, once, that the message being read waits for a 100.
+// TakeContinueRequest returns true once for each message whose sender waits for a 100 Continue.
 func (parser *Parser) TakeContinueRequest() bool {
 	isPending := parser.continuePending
 	parser.continuePending = false
 	return isPending
 }
 
-// Next returns the next whole message, nil if more bytes are needed, or the
-// fault that ends the connection.
+// Next returns the next whole message, or nil without an error if more bytes are needed. An error is
+// an *Error, ends the connection, and is returned by every later call.
 func (parser *Parser) Next() (*Message, error) {
 	for {
 		result, err := parser.advance()
@@ -98,8 +121,8 @@
 	}
 }
 
-// HandleEOF tells that the peer has closed. A response that runs until the close is
-// whole then; anything else half read is a fault.
+// HandleEOF records that the peer has closed the connection. It returns the response that the close
+// ends, if there is one; another incomplete message is an error.
 func (parser *Parser) HandleEOF() (*Message, error) {
 	if parser.phase == phaseUntilClose {
 		message := parser.takeMessage()
@@ -112,28 +135,26 @@
 	if parser.IsIdle() {
 		return nil, nil
 	}
-	return nil, newError(400, "connection closed within a message")
+	return nil, newError(http.StatusBadRequest, "connection closed within a message")
 }
 
+// takeMessage returns the complete message and prepares for the next one.
 func (parser *Parser) takeMessage() *Message {
 	message := parser.message
 	parser.message = nil
 	parser.phase = phaseHead
-	parser.hasStartLine = false
-	parser.headBytes = 0
-	parser.contentLength = -1
-	parser.isChunked = false
+	parser.headState = newHeadState()
 	parser.compact()
 	return message
 }
 
-// compact gives back the room of consumed bytes, and large buffers altogether.
+// compact drops the consumed bytes, and a large buffer if it is empty.
 func (parser *Parser) compact() {
 	if parser.consumed == 0 {
 		return
 	}
-	remaining := len(parser.buffer) - parser.consumed
-	if remaining == 0 && cap(parser.buffer) > 8<<10 {
+	remaining := parser.Buffered()
+	if remaining == 0 && cap(parser.buffer) > maxIdleBuffer {
 		parser.buffer = nil
 	} else {
 		copy(parser.buffer, parser.buffer[parser.consumed:])
@@ -143,15 +164,34 @@
 	parser.consumed = 0
 }
 
+// lineEnd ends the lines of a head, of chunk sizes and of the trailer, and follows each chunk.
+var lineEnd = []byte("\r\n")
+
+// maxIdleBuffer is the largest buffer in bytes that an idle parser keeps.
+const maxIdleBuffer = 8 << 10
+
+// stepResult is the outcome of one step of the parser.
 type stepResult uint8
 
 const (
-	stepContinues stepResult = iota
-	stepNeedsInput
-	stepHasMessage
+	stepContinues  stepResult = iota // call advance again
+	stepNeedsInput                   // the buffer has no whole line or body
+	stepHasMessage                   // parser.message is complete
 )
 
-// readLine cuts the next line that ends in CRLF, nil if it is not whole yet.
+func (result stepResult) String() string {
+	switch result {
+	case stepContinues:
+		return "continues"
+	case stepNeedsInput:
+		return "needs input"
+	case stepHasMessage:
+		return "has message"
+	}
+	return fmt.Sprintf("step result %d", uint8(result))
+}
+
+// readLine consumes the next line and returns it without its CRLF; false if it is not whole yet.
 func (parser *Parser) readLine() ([]byte, bool, *Error) {
 	if parser.scanOffset < parser.consumed {
 		parser.scanOffset = parser.consumed
@@ -159,106 +199,44 @@
 	newline := bytes.IndexByte(parser.buffer[parser.scanOffset:], '\n')
 	if newline < 0 {
 		parser.scanOffset = len(parser.buffer)
-		if len(parser.buffer)-parser.consumed > parser.limits.Line {
-			return nil, false, newError(431, "line too long")
+		if parser.Buffered() > parser.limits.Line {
+			return nil, false, errLineTooLong
 		}
 		return nil, false, nil
 	}
 	end := parser.scanOffset + newline
 	line := parser.buffer[parser.consumed:end]
 	if len(line) > parser.limits.Line {
-		return nil, false, newError(431, "line too long")
+		return nil, false, errLineTooLong
 	}
 	if len(line) == 0 || line[len(line)-1] != '\r' {
-		return nil, false, newError(400, "line does not end in CRLF")
+		return nil, false, newError(http.StatusBadRequest, "line does not end in CRLF")
 	}
 	parser.consumed = end + 1
 	parser.scanOffset = parser.consumed
 	return line[:len(line)-1], true, nil
 }
 
+// advance does one step of the present phase.
 func (parser *Parser) advance() (stepResult, *Error) {
 	switch parser.phase {
 	case phaseHead:
 		return parser.parseHead()
 	case phaseFixedBody:
-		size := min(parser.remaining, len(parser.buffer)-parser.consumed)
-		parser.message.Body = append(parser.message.Body, parser.buffer[parser.consumed:parser.consumed+size]...)
-		parser.consumed += size
-		parser.remaining -= size
-		if parser.remaining > 0 {
-			return stepNeedsInput, nil
-		}
-		return stepHasMessage, nil
+		return parser.readFixedBody()
 	case phaseChunkSize:
-		line, ok, err := parser.readLine()
-		if err != nil || !ok {
-			return stepNeedsInput, err
-		}
-		if semicolon := bytes.IndexByte(line, ';'); semicolon >= 0 {
-			line = line[:semicolon]
-		}
-		line = bytes.TrimRight(line, " \t")
-		if len(line) == 0 || len(line) > 8 {
-			return stepNeedsInput, newError(400, "bad chunk size")
-		}
-		size, parseErr := strconv.ParseUint(string(line), 16, 32)
-		if parseErr != nil || line[0] == '+' {
-			return stepNeedsInput, newError(400, "bad chunk size")
-		}
-		if size == 0 {
-			parser.phase = phaseTrailer
-			return stepContinues, nil
-		}
-		if int(size) > parser.limits.Body-len(parser.message.Body) {
-			return stepNeedsInput, newError(413, "body too large")
-		}
-		parser.remaining = int(size)
-		parser.phase = phaseChunkData
-		return stepContinues, nil
+		return parser.readChunkSize()
 	case phaseChunkData:
-		size := min(parser.remaining, len(parser.buffer)-parser.consumed)
-		parser.message.Body = append(parser.message.Body, parser.buffer[parser.consumed:parser.consumed+size]...)
-		parser.consumed += size
-		parser.remaining -= size
-		if parser.remaining > 0 {
-			return stepNeedsInput, nil
-		}
-		parser.phase = phaseChunkEnd
-		return stepContinues, nil
+		return parser.readChunkData()
 	case phaseChunkEnd:
-		if len(parser.buffer)-parser.consumed < 2 {
-			return stepNeedsInput, nil
-		}
-		if parser.buffer[parser.consumed] != '\r' || parser.buffer[parser.consumed+1] != '\n' {
-			return stepNeedsInput, newError(400, "chunk does not end in CRLF")
-		}
-		parser.consumed += 2
-		parser.phase = phaseChunkSize
-		return stepContinues, nil
+		return parser.readChunkEnd()
 	case phaseTrailer:
-		line, ok, err := parser.readLine()
-		if err != nil || !ok {
-			return stepNeedsInput, err
-		}
-		parser.headBytes += len(line) + 2
-		if parser.headBytes > parser.limits.Head {
-			return stepNeedsInput, newError(431, "trailer too large")
-		}
-		if len(line) == 0 {
-			return stepHasMessage, nil
-		}
-		return stepContinues, nil
+		return parser.skipTrailer()
 	case phaseUntilClose:
-		if len(parser.message.Body)+len(parser.buffer)-parser.consumed > parser.limits.Body {
-			return stepNeedsInput, newError(413, "body too large")
-		}
-		parser.message.Body = append(parser.message.Body, parser.buffer[parser.consumed:]...)
-		parser.consumed = len(parser.buffer)
-		return stepNeedsInput, nil
+		return parser.readUntilClose()
 	}
 	return stepNeedsInput, parser.err
 }
 
-// Buffered is how many bytes wait to be parsed.
+// Buffered is the number of bytes that are not parsed yet.
 func (parser *Parser) Buffered() int { return len(parser.buffer) - parser.consumed }
--- a/internal/http1/parser_head.go
+++ b/internal/http1/parser_head.go
@@ -2,23 +2,26 @@
 
 import (
 	"bytes"
+	"net/http"
+	"slices"
 	"strconv"
 )
 
+// parseHead reads one line of the head: the start line, a header, or the empty line that ends it.
 func (parser *Parser) parseHead() (stepResult, *Error) {
 	line, ok, err := parser.readLine()
 	if err != nil {
 		return stepNeedsInput, err
 	}
 	if !ok {
-		if parser.headBytes+len(parser.buffer)-parser.consumed > parser.limits.Head {
-			return stepNeedsInput, newError(431, "head too large")
+		if parser.headBytes+parser.Buffered() > parser.limits.Head {
+			return stepNeedsInput, errHeadTooLarge
 		}
 		return stepNeedsInput, nil
 	}
-	parser.headBytes += len(line) + 2
+	parser.headBytes += len(line) + len(lineEnd)
 	if parser.headBytes > parser.limits.Head {
-		return stepNeedsInput, newError(431, "head too large")
+		return stepNeedsInput, errHeadTooLarge
 	}
 	if !parser.hasStartLine {
 		if len(line) == 0 {
@@ -37,26 +40,28 @@
 	return parser.finishHead()
 }
 
+// finishHead decides from the head how the body is delimited (RFC 9112, section 6.3).
 func (parser *Parser) finishHead() (stepResult, *Error) {
 	message := parser.message
 	if parser.isChunked && parser.contentLength >= 0 {
-		return stepNeedsInput, newError(400, "both Content-Length and Transfer-Encoding")
+		return stepNeedsInput, newError(http.StatusBadRequest, "both Content-Length and Transfer-Encoding")
 	}
-	if parser.isResponse && message.Status < 200 {
-		parser.takeMessage() // an interim response says nothing to us
+	if parser.isResponse && message.Status < http.StatusOK {
+		parser.takeMessage() // interim (1xx) responses are skipped
 		return stepContinues, nil
 	}
 	if message.ExpectContinue {
 		parser.continuePending = true
 	}
+	hasNoBody := parser.isResponse && (message.Status == http.StatusNoContent || message.Status == http.StatusNotModified)
 	switch {
-	case parser.isResponse && (message.Status == 204 || message.Status == 304):
+	case hasNoBody:
 		return stepHasMessage, nil
 	case parser.isChunked:
 		parser.phase = phaseChunkSize
 		return stepContinues, nil
 	case parser.contentLength > parser.limits.Body:
-		return stepNeedsInput, newError(413, "body too large")
+		return stepNeedsInput, errBodyTooLarge
 	case parser.contentLength > 0:
 		parser.remaining = parser.contentLength
 		parser.phase = phaseFixedBody
@@ -68,6 +73,10 @@
 	return stepHasMessage, nil
 }
 
+// deleteByte is the last of the ASCII control characters.
+const deleteByte = 0x7f
+
+// parseVersion reads the protocol version. HTTP/1.0 closes by default.
 func (parser *Parser) parseVersion(version []byte) *Error {
 	switch string(version) {
 	case "HTTP/1.1":
@@ -76,7 +85,7 @@
 		parser.isHTTP10 = true
 		parser.message.Close = true
 	default:
-		return newError(400, "unknown protocol version")
+		return newError(http.StatusBadRequest, "unknown protocol version")
 	}
 	return nil
 }
@@ -85,16 +94,14 @@
 	firstSpace := bytes.IndexByte(line, ' ')
 	lastSpace := bytes.LastIndexByte(line, ' ')
 	if firstSpace <= 0 || lastSpace <= firstSpace+1 || bytes.IndexByte(line[firstSpace+1:lastSpace], ' ') >= 0 {
-		return newError(400, "bad request line")
+		return newError(http.StatusBadRequest, "bad request line")
 	}
-	for _, c := range line[:firstSpace] {
-		if !isTokenByte(c) {
-			return newError(400, "bad method")
-		}
+	if !isToken(line[:firstSpace]) {
+		return newError(http.StatusBadRequest, "bad method")
 	}
 	for _, c := range line[firstSpace+1 : lastSpace] {
-		if c <= ' ' || c >= 0x7f {
-			return newError(400, "bad request target")
+		if c <= ' ' || c >= deleteByte {
+			return newError(http.StatusBadRequest, "bad request target")
 		}
 	}
 	parser.message.Method = string(line[:firstSpace])
@@ -103,20 +110,30 @@
 }
 
 func (parser *Parser) parseStatusLine(line []byte) *Error {
-	if len(line) < 12 || line[8] != ' ' {
-		return newError(400, "bad status line")
-	}
-	if err := parser.parseVersion(line[:8]); err != nil {
+	const (
+		versionEnd  = len("HTTP/1.1")
+		statusStart = versionEnd + 1
+		statusEnd   = statusStart + 3
+	)
+	if len(line) < statusEnd || line[versionEnd] != ' ' {
+		return newError(http.StatusBadRequest, "bad status line")
+	}
+	if err := parser.parseVersion(line[:versionEnd]); err != nil {
 		return err
 	}
-	status, err := strconv.ParseUint(string(line[9:12]), 10, 16)
-	if err != nil || status < 100 || status > 599 || len(line) > 12 && line[12] != ' ' {
-		return newError(400, "bad status line")
+	status, err := strconv.ParseUint(string(line[statusStart:statusEnd]), 10, 16)
+	if err != nil || status < 100 || status > 599 || len(line) > statusEnd && line[statusEnd] != ' ' {
+		return newError(http.StatusBadRequest, "bad status line")
 	}
 	parser.message.Status = int(status)
 	return nil
 }
 
+// isToken tells whether all bytes are allowed in a method or a header name (RFC 9110, section 5.6.2).
+func isToken(text []byte) bool {
+	return !slices.ContainsFunc(text, func(c byte) bool { return !isTokenByte(c) })
+}
+
 func isTokenByte(c byte) bool {
 	switch {
 	case c >= '0' && c <= '9', c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z':
@@ -125,60 +142,77 @@
 	return bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), c) >= 0
 }
 
+// parseHeader reads a header line. Headers without a meaning for the framing are only checked.
 func (parser *Parser) parseHeader(line []byte) *Error {
-	colon := bytes.IndexByte(line, ':')
-	if colon <= 0 {
-		return newError(400, "bad header line")
-	}
-	name := line[:colon]
-	for _, c := range name {
-		if !isTokenByte(c) {
-			return newError(400, "bad header name")
-		}
-	}
-	value := bytes.Trim(line[colon+1:], " \t")
-	for _, c := range value {
-		if c < ' ' && c != '\t' || c == 0x7f {
-			return newError(400, "bad header value")
-		}
+	name, value, err := splitHeader(line)
+	if err != nil {
+		return err
 	}
-	message := parser.message
 	switch {
 	case equalsLowercase(name, "content-length"):
-		number, ok := parseDecimal(value)
-		if !ok {
-			return newError(400, "bad Content-Length")
-		}
-		if parser.contentLength >= 0 && parser.contentLength != number {
-			return newError(400, "conflicting Content-Length")
-		}
-		parser.contentLength = number
+		return parser.applyContentLength(value)
 	case equalsLowercase(name, "transfer-encoding"):
 		if parser.isChunked || !bytes.EqualFold(value, []byte("chunked")) {
-			return newError(400, "unsupported Transfer-Encoding")
+			return newError(http.StatusBadRequest, "unsupported Transfer-Encoding")
 		}
 		parser.isChunked = true
 	case equalsLowercase(name, "connection"):
-		for _, option := range bytes.Split(value, []byte{','}) {
-			option = bytes.TrimSpace(option)
-			if bytes.EqualFold(option, []byte("close")) {
-				message.Close = true
-			} else if parser.isHTTP10 && bytes.EqualFold(option, []byte("keep-alive")) {
-				message.Close = false
-			}
-		}
+		parser.applyConnection(value)
 	case equalsLowercase(name, "retry-after"):
-		if number, ok := parseDecimal(value); ok {
-			message.RetryAfter = number
+		if seconds, ok := parseDecimal(value); ok {
+			parser.message.RetryAfter = seconds
 		}
 	case equalsLowercase(name, "expect"):
 		if !parser.isResponse && bytes.EqualFold(value, []byte("100-continue")) {
-			message.ExpectContinue = true
+			parser.message.ExpectContinue = true
 		}
 	}
 	return nil
 }
 
+// splitHeader returns name and value of a header line, without the whitespace around the value.
+func splitHeader(line []byte) (name, value []byte, err *Error) {
+	name, value, hasColon := bytes.Cut(line, []byte{':'})
+	if !hasColon || len(name) == 0 {
+		return nil, nil, newError(http.StatusBadRequest, "bad header line")
+	}
+	if !isToken(name) {
+		return nil, nil, newError(http.StatusBadRequest, "bad header name")
+	}
+	value = bytes.Trim(value, " \t")
+	for _, c := range value {
+		if c < ' ' && c != '\t' || c == deleteByte {
+			return nil, nil, newError(http.StatusBadRequest, "bad header value")
+		}
+	}
+	return name, value, nil
+}
+
+func (parser *Parser) applyContentLength(value []byte) *Error {
+	length, ok := parseDecimal(value)
+	if !ok {
+		return newError(http.StatusBadRequest, "bad Content-Length")
+	}
+	if parser.contentLength >= 0 && parser.contentLength != length {
+		return newError(http.StatusBadRequest, "conflicting Content-Length")
+	}
+	parser.contentLength = length
+	return nil
+}
+
+func (parser *Parser) applyConnection(value []byte) {
+	for _, option := range bytes.Split(value, []byte{','}) {
+		option = bytes.TrimSpace(option)
+		switch {
+		case bytes.EqualFold(option, []byte("close")):
+			parser.message.Close = true
+		case parser.isHTTP10 && bytes.EqualFold(option, []byte("keep-alive")):
+			parser.message.Close = false
+		}
+	}
+}
+
+// equalsLowercase compares ASCII text with a lower-case string, without regard to its case.
 func equalsLowercase(text []byte, lower string) bool {
 	if len(text) != len(lower) {
 		return false
@@ -194,9 +228,12 @@
 	return true
 }
 
-// parseDecimal reads digits alone, within 2^31.
+// maxDecimalDigits is the number of digits of the largest number that parseDecimal reads.
+const maxDecimalDigits = 10
+
+// parseDecimal reads a number below 2^31 of digits only: no sign, no spaces.
 func parseDecimal(digits []byte) (int, bool) {
-	if len(digits) == 0 || len(digits) > 10 {
+	if len(digits) == 0 || len(digits) > maxDecimalDigits {
 		return 0, false
 	}
 	value := 0
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -4,6 +4,7 @@
 	"strconv"
 )
 
+// reasonPhrases are those of the statuses in use; for another status the phrase is empty.
 var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 409: "Conflict", 413: "Content Too Large",
@@ -11,7 +12,7 @@
 	431: "Request Header Fields Too Large", 503: "Service Unavailable", 504: "Gateway Timeout",
 }
 
-// AppendResponse writes a response with a JSON body.
+// AppendResponse appends a response with a JSON body to dst. retryAfter is in seconds, 0 for none.
 func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closeAfter bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
@@ -30,7 +31,7 @@
 	return append(dst, body...)
 }
 
-// AppendRequest writes a request; a nil body writes none.
+// AppendRequest appends a request to dst, with a JSON body unless it is nil.
 func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
