--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -13,7 +14,7 @@
 
 func TestMain(m *testing.M) { seed.Main(m) }
 
-// feedInPieces gives b to p in pieces and returns what came out of it.
+// feedInPieces feeds data to a parser in pieces and returns the parsed messages.
 func feedInPieces(parser *Parser, data []byte, piece func() int) (messages []*Message, err error) {
 	for len(data) > 0 {
 		n := min(max(piece(), 1), len(data))
@@ -33,6 +34,40 @@
 	return messages, nil
 }
 
+// drawMessage draws a message and returns its bytes and its expected summary.
+func drawMessage(t *rapid.T, isResponse bool) (encoded []byte, summary string) {
+	body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
+	var head string
+	if isResponse {
+		status := rapid.SampledFrom([]int{200, 409, 503}).Draw(t, "status")
+		head = fmt.Sprintf("HTTP/1.1 %d Whatever\r\n", status)
+		summary = fmt.Sprint(status, body)
+	} else {
+		target := rapid.StringMatching(`/[a-z0-9/?=&-]{0,40}`).Draw(t, "target")
+		head = "POST " + target + " HTTP/1.1\r\n"
+		summary = fmt.Sprint(target, body)
+	}
+	if !rapid.Bool().Draw(t, "chunked") {
+		return fmt.Appendf(nil, "%sContent-Length: %d\r\nX-Other: y\r\n\r\n%s", head, len(body), body), summary
+	}
+	encoded = append(encoded, head+"transfer-encoding: Chunked\r\n\r\n"...)
+	for rest := body; len(rest) > 0; {
+		size := rapid.IntRange(1, len(rest)).Draw(t, "chunk")
+		encoded = fmt.Appendf(encoded, "%x;ext=1\r\n%s\r\n", size, rest[:size])
+		rest = rest[size:]
+	}
+	return append(encoded, "0\r\nTrailer: x\r\n\r\n"...), summary
+}
+
+// summarize returns the part of a message that drawMessage expects.
+func summarize(message *Message, isResponse bool) string {
+	body := append([]byte{}, message.Body...)
+	if isResponse {
+		return fmt.Sprint(message.Status, body)
+	}
+	return fmt.Sprint(message.Target, body)
+}
+
 // Any split of the bytes gives the same messages, in both directions.
 func TestSplitsGiveSameMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -40,29 +75,10 @@
 		var stream []byte
 		var want []string
 		count := rapid.IntRange(1, 4).Draw(t, "messages")
-		for i := 0; i < count; i++ {
-			body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
-			var head string
-			if isResponse {
-				status := rapid.SampledFrom([]int{200, 409, 503}).Draw(t, "status")
-				head = fmt.Sprintf("HTTP/1.1 %d Whatever\r\n", status)
-				want = append(want, fmt.Sprint(status, body))
-			} else {
-				target := rapid.StringMatching(`/[a-z0-9/?=&-]{0,40}`).Draw(t, "target")
-				head = "POST " + target + " HTTP/1.1\r\n"
-				want = append(want, fmt.Sprint(target, body))
-			}
-			if rapid.Bool().Draw(t, "chunked") {
-				stream = append(stream, head+"transfer-encoding: Chunked\r\n\r\n"...)
-				for rest := body; len(rest) > 0; {
-					size := rapid.IntRange(1, len(rest)).Draw(t, "chunk")
-					stream = append(stream, fmt.Sprintf("%x;ext=1\r\n%s\r\n", size, rest[:size])...)
-					rest = rest[size:]
-				}
-				stream = append(stream, "0\r\nTrailer: x\r\n\r\n"...)
-			} else {
-				stream = append(stream, fmt.Sprintf("%sContent-Length: %d\r\nX-Other: y\r\n\r\n%s", head, len(body), body)...)
-			}
+		for range count {
+			encoded, summary := drawMessage(t, isResponse)
+			stream = append(stream, encoded...)
+			want = append(want, summary)
 		}
 		parser := NewRequestParser(DefaultLimits)
 		if isResponse {
@@ -76,21 +92,17 @@
 			t.Fatalf("%d messages, want %d", len(got), len(want))
 		}
 		for i, message := range got {
-			summary := fmt.Sprint(message.Target, append([]byte{}, message.Body...))
-			if isResponse {
-				summary = fmt.Sprint(message.Status, append([]byte{}, message.Body...))
-			}
-			if summary != want[i] {
+			if summary := summarize(message, isResponse); summary != want[i] {
 				t.Fatalf("message %d: %s, want %s", i, summary, want[i])
 			}
 		}
 		if !parser.IsIdle() {
-			t.Fatal("something is left over")
+			t.Fatal("bytes are left over")
 		}
 	})
 }
 
-// Whatever comes, memory stays bounded and nothing panics.
+// On any input the memory stays bounded and nothing panics.
 func TestBufferIsBoundedOnGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Line: 64, Head: 256, Body: 128}
@@ -100,7 +112,7 @@
 		}
 		fragments := rapid.SampledFrom([]string{"GET / HTTP/1.1\r\n", "HTTP/1.1 200 OK\r\n", "\r\n", "Content-Length: 5\r\n", "a:b\r\n", "Transfer-Encoding: chunked\r\n", "5\r\n", "0\r\n", "hello", "\n", "\x00\xff", "x"})
 		for i := 0; i < 60; i++ {
-			parser.Feed([]byte(fragments.Draw(t, "word")))
+			parser.Feed([]byte(fragments.Draw(t, "fragment")))
 			for {
 				message, err := parser.Next()
 				if err != nil || message == nil {
@@ -111,12 +123,13 @@
 				}
 			}
 			if parser.Buffered() > limits.Line+limits.Head+limits.Body+64 {
-				t.Fatalf("%d bytes held", parser.Buffered())
+				t.Fatalf("%d bytes buffered", parser.Buffered())
 			}
 		}
 	})
 }
 
+// Malformed and oversized messages are rejected with the matching status.
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	long := strings.Repeat("a", 9<<10)
 	for _, test := range []struct {
@@ -146,18 +159,19 @@
 		parser := NewRequestParser(DefaultLimits)
 		parser.Feed([]byte(test.in))
 		message, err := parser.Next()
-		httpError, ok := err.(*Error)
-		if !ok || httpError.Status != test.status {
+		var httpError *Error
+		if !errors.As(err, &httpError) || httpError.Status != test.status {
 			t.Errorf("%.60q: %v %v, want %d", test.in, message, err, test.status)
 		}
-		// A broken stream stays broken.
+		// After an error nothing more is parsed.
 		parser.Feed([]byte("GET / HTTP/1.1\r\n\r\n"))
 		if message, _ := parser.Next(); message != nil {
-			t.Errorf("%.60q: a message after the fault", test.in)
+			t.Errorf("%.60q: a message after the error", test.in)
 		}
 	}
 }
 
+// The parser reads what the writers write.
 func TestWritersAndParserAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "body")
@@ -178,6 +192,7 @@
 	})
 }
 
+// The close of the connection ends a response without a length, but no other one.
 func TestResponseUntilClose(t *testing.T) {
 	parser := NewResponseParser(DefaultLimits)
 	parser.Feed([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.0 200 OK\r\n\r\nabc"))
@@ -194,6 +209,6 @@
 		t.Fatal(message, err)
 	}
 	if _, err := truncated.HandleEOF(); err == nil {
-		t.Fatal("half a response is taken for a whole one")
+		t.Fatal("an incomplete response is returned")
 	}
 }
