--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -6,7 +6,6 @@
 import (
 	"fmt"
 	"log/slog"
-	"sync"
 	"time"
 
 	"github.com/tidwall/evio"
@@ -53,34 +52,6 @@
 	closingCount int                // of those, told to go for others to come
 }
 
-// conn is one connection. Its parser belongs to the event loop; out is shared.
-type conn struct {
-	evioConn        evio.Conn
-	parser          *http1.Parser
-	frames          *peer.FrameReader
-	stateChangedAt  clock.Micros // when the present state began: idle, or half a request
-	role            clientRole
-	isBusy          bool // a request is being worked on
-	closeAfterReply bool // the peer will close after this answer
-	isClosed        bool // to be closed once what was written is out
-	isClosing       bool // told to go
-
-	mu             sync.Mutex
-	pendingReply   *storedResponse
-	closeRequested bool
-}
-
-// clientRole is who speaks on a connection, in the order in which they have to go when
-// sockets run out; from worker on they do not.
-type clientRole uint8
-
-const (
-	roleUnidentified clientRole = iota // has not asked anything
-	roleUser
-	roleWorker
-	roleController
-)
-
 // New makes a server.
 func New(cfg Config, app App, log *slog.Logger) *Server {
 	return &Server{cfg: cfg, app: app, log: log, connections: map[*conn]struct{}{}}
@@ -132,57 +103,6 @@
 	return nil, opts, evio.None
 }
 
-// admit books a connection. When sockets run out, a direct connection that lies
-// idle goes, then one that has not asked anything, then a user's. The price is
-// never a worker's lease: a worker's connection, once it has reported, stays.
-func (server *Server) admit() bool {
-	if server.cfg.Limiter.AcquireInbound() {
-		return true
-	}
-	if server.cfg.EvictOutbound != nil && server.cfg.EvictOutbound() && server.cfg.Limiter.AcquireInbound() {
-		return true
-	}
-	if server.closingCount >= maxClosing {
-		return false
-	}
-	var victim *conn
-	now := clock.Now()
-	for connection := range server.connections {
-		// Who has come just now may be about to say who it is.
-		if connection.role >= roleWorker || connection.isBusy || connection.isClosing || now-connection.stateChangedAt < newConnectionGrace {
-			continue
-		}
-		if victim == nil || connection.role < victim.role || connection.role == victim.role && connection.stateChangedAt < victim.stateChangedAt {
-			victim = connection
-		}
-	}
-	if victim == nil {
-		return false
-	}
-	server.requestClose(victim)
-	server.cfg.Limiter.ForceInbound()
-	return true
-}
-
-const (
-	// maxClosing bounds the connections that are being closed for others.
-	maxClosing = 16
-	// newConnectionGrace is for how long a connection is left alone.
-	newConnectionGrace = clock.Second
-)
-
-// requestClose has a connection closed on the event loop's next round.
-func (server *Server) requestClose(connection *conn) {
-	if !connection.isClosing {
-		connection.isClosing = true
-		server.closingCount++
-	}
-	connection.mu.Lock()
-	connection.closeRequested = true
-	connection.mu.Unlock()
-	connection.evioConn.Wake()
-}
-
 func (server *Server) handleClosed(evioConn evio.Conn, _ error) evio.Action {
 	connection, ok := evioConn.Context().(*conn)
 	if !ok {
@@ -198,31 +118,6 @@
 	return evio.None
 }
 
-// handleTick closes what lies idle, what is no worker's sooner when sockets run short.
-func (server *Server) handleTick() (time.Duration, evio.Action) {
-	now := clock.Now()
-	idleTimeout := server.cfg.IdleTimeout
-	for server.cfg.Limiter.IsUnderPressure() {
-		idleTimeout = min(idleTimeout, server.cfg.ReadTimeout)
-		if server.cfg.EvictOutbound == nil || !server.cfg.EvictOutbound() {
-			break
-		}
-	}
-	for connection := range server.connections {
-		limit := idleTimeout
-		switch {
-		case connection.parser != nil && !connection.parser.IsIdle() || connection.role == roleUnidentified:
-			limit = server.cfg.ReadTimeout
-		case connection.role == roleWorker:
-			limit = max(server.cfg.WorkerLeaseTTL, server.cfg.ReadTimeout)
-		}
-		if !connection.isBusy && !connection.isClosing && now-connection.stateChangedAt > limit {
-			server.requestClose(connection)
-		}
-	}
-	return time.Second, evio.None
-}
-
 // maxPipelinedBytes bounds what a client may send while its request is worked on.
 const maxPipelinedBytes = 128 << 10
 
