--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"fmt"
 	"sync"
 
 	"github.com/tidwall/evio"
@@ -10,30 +11,72 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// conn is one connection. Its parser belongs to the event loop; out is shared.
+// conn is one connection. Its fields belong to the event loop, except those under the mutex. Either
+// parser or frames is set.
 type conn struct {
-	evioConn        evio.Conn
-	parser          *http1.Parser
-	frames          *peer.FrameReader
-	stateChangedAt  clock.Micros // when the present state began: idle, or half a request
-	role            clientRole
-	isBusy          bool // a request is being worked on
-	closeAfterReply bool // the peer will close after this answer
-	isClosed        bool // to be closed once what was written is out
-	isClosing       bool // told to go
-
-	mu             sync.Mutex
-	pendingReply   *storedResponse
-	closeRequested bool
+	evioConn evio.Conn
+	parser   *http1.Parser     // of a connection to the serve address
+	frames   *peer.FrameReader // of a connection to the peer address
+	role     clientRole
+
+	stateChangedAt  clock.Micros // start of the idle time, or of the request that is being received
+	isBusy          bool         // a request is being processed
+	closeAfterReply bool         // the connection is closed after the reply to the present request
+	isClosing       bool         // it is to be closed as soon as it isn't busy
+	isClosed        bool         // its close was decided; evio closes it after writing
+
+	mu           sync.Mutex
+	pendingReply *storedResponse // set by any goroutine, taken by the event loop
+}
+
+// takePendingReply removes and returns the reply that waits to be written, or nil.
+func (connection *conn) takePendingReply() *storedResponse {
+	connection.mu.Lock()
+	defer connection.mu.Unlock()
+	response := connection.pendingReply
+	connection.pendingReply = nil
+	return response
 }
 
-// clientRole is who speaks on a connection, in the order in which they have to go when
-// sockets run out; from worker on they do not.
+func (connection *conn) setPendingReply(response *storedResponse) {
+	connection.mu.Lock()
+	defer connection.mu.Unlock()
+	connection.pendingReply = response
+}
+
+// replyNow sets the reply on the event loop itself, where no wake is needed.
+func (connection *conn) replyNow(status int, body []byte) {
+	connection.setPendingReply(&storedResponse{status: status, body: body})
+}
+
+// isReceiving tells whether a part of a request has been received.
+func (connection *conn) isReceiving() bool {
+	return connection.parser != nil && !connection.parser.IsIdle()
+}
+
+// clientRole tells what a client is, in the order in which connections are evicted at the limit:
+// unidentified ones first, then users'. Those of workers and controllers are never evicted.
 type clientRole uint8
 
 const (
-	roleUnidentified clientRole = iota // has not asked anything
+	roleUnidentified clientRole = iota // no request yet
 	roleUser
 	roleWorker
 	roleController
 )
+
+func (role clientRole) String() string {
+	switch role {
+	case roleUnidentified:
+		return "unidentified"
+	case roleUser:
+		return "user"
+	case roleWorker:
+		return "worker"
+	case roleController:
+		return "controller"
+	}
+	return fmt.Sprintf("role %d", uint8(role))
+}
+
+func (role clientRole) isEvictable() bool { return role < roleWorker }
--- a/internal/server/eviction.go
+++ b/internal/server/eviction.go
@@ -8,30 +8,31 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// admit books a connection. When sockets run out, a direct connection that lies
-// idle goes, then one that has not asked anything, then a user's. The price is
-// never a worker's lease: a worker's connection, once it has reported, stays.
+const (
+	// maxClosing bounds the connections that are being closed for others, and with it how far the
+	// limit may be exceeded.
+	maxClosing = 16
+	// newConnectionGrace is the age up to which a connection isn't evicted: it may be about to send
+	// its first request.
+	newConnectionGrace = clock.Second
+	// tickInterval is the interval of the checks for idle connections.
+	tickInterval = time.Second
+)
+
+// admit reserves an inbound connection. At the limit it closes, in this order, an idle outbound
+// connection, one that has sent no request, or a user's idle one. It never closes a worker's, once it has
+// sent a heartbeat: the worker would lose its lease.
 func (server *Server) admit() bool {
 	if server.cfg.Limiter.AcquireInbound() {
 		return true
 	}
-	if server.cfg.EvictOutbound != nil && server.cfg.EvictOutbound() && server.cfg.Limiter.AcquireInbound() {
+	if server.evictOutbound() && server.cfg.Limiter.AcquireInbound() {
 		return true
 	}
 	if server.closingCount >= maxClosing {
 		return false
 	}
-	var victim *conn
-	now := clock.Now()
-	for connection := range server.connections {
-		// Who has come just now may be about to say who it is.
-		if connection.role >= roleWorker || connection.isBusy || connection.isClosing || now-connection.stateChangedAt < newConnectionGrace {
-			continue
-		}
-		if victim == nil || connection.role < victim.role || connection.role == victim.role && connection.stateChangedAt < victim.stateChangedAt {
-			victim = connection
-		}
-	}
+	victim := server.evictionVictim(clock.Now())
 	if victim == nil {
 		return false
 	}
@@ -40,46 +41,72 @@
 	return true
 }
 
-const (
-	// maxClosing bounds the connections that are being closed for others.
-	maxClosing = 16
-	// newConnectionGrace is for how long a connection is left alone.
-	newConnectionGrace = clock.Second
-)
+// evictOutbound closes an idle outbound connection; false if there is none.
+func (server *Server) evictOutbound() bool {
+	return server.cfg.EvictOutbound != nil && server.cfg.EvictOutbound()
+}
 
-// requestClose has a connection closed on the event loop's next round.
+// evictionVictim returns the connection to close for a new one, or nil.
+func (server *Server) evictionVictim(now clock.Micros) *conn {
+	var victim *conn
+	for connection := range server.connections {
+		if connection.isEvictable(now) && (victim == nil || connection.isEvictedBefore(victim)) {
+			victim = connection
+		}
+	}
+	return victim
+}
+
+func (connection *conn) isEvictable(now clock.Micros) bool {
+	isNew := now-connection.stateChangedAt < newConnectionGrace
+	return connection.role.isEvictable() && !connection.isBusy && !connection.isClosing && !isNew
+}
+
+// isEvictedBefore compares by role, then by the time in the present state.
+func (connection *conn) isEvictedBefore(other *conn) bool {
+	if connection.role != other.role {
+		return connection.role < other.role
+	}
+	return connection.stateChangedAt < other.stateChangedAt
+}
+
+// requestClose has a connection closed in the event loop's next round.
 func (server *Server) requestClose(connection *conn) {
 	if !connection.isClosing {
 		connection.isClosing = true
 		server.closingCount++
 	}
-	connection.mu.Lock()
-	connection.closeRequested = true
-	connection.mu.Unlock()
 	connection.evioConn.Wake()
 }
 
-// handleTick closes what lies idle, what is no worker's sooner when sockets run short.
+// handleTick closes connections that have been idle, or receiving a request, for too long. Under
+// pressure it also closes outbound connections, and idle ones sooner.
 func (server *Server) handleTick() (time.Duration, evio.Action) {
 	now := clock.Now()
 	idleTimeout := server.cfg.IdleTimeout
 	for server.cfg.Limiter.IsUnderPressure() {
 		idleTimeout = min(idleTimeout, server.cfg.ReadTimeout)
-		if server.cfg.EvictOutbound == nil || !server.cfg.EvictOutbound() {
+		if !server.evictOutbound() {
 			break
 		}
 	}
 	for connection := range server.connections {
-		limit := idleTimeout
-		switch {
-		case connection.parser != nil && !connection.parser.IsIdle() || connection.role == roleUnidentified:
-			limit = server.cfg.ReadTimeout
-		case connection.role == roleWorker:
-			limit = max(server.cfg.WorkerLeaseTTL, server.cfg.ReadTimeout)
-		}
-		if !connection.isBusy && !connection.isClosing && now-connection.stateChangedAt > limit {
+		isExpired := now-connection.stateChangedAt > server.timeoutOf(connection, idleTimeout)
+		if isExpired && !connection.isBusy && !connection.isClosing {
 			server.requestClose(connection)
 		}
 	}
-	return time.Second, evio.None
+	return tickInterval, evio.None
+}
+
+// timeoutOf returns how long a connection may stay in its present state. ReadTimeout also bounds the time
+// to the first request.
+func (server *Server) timeoutOf(connection *conn, idleTimeout clock.Micros) clock.Micros {
+	switch {
+	case connection.isReceiving() || connection.role == roleUnidentified:
+		return server.cfg.ReadTimeout
+	case connection.role == roleWorker:
+		return max(server.cfg.WorkerLeaseTTL, server.cfg.ReadTimeout)
+	}
+	return idleTimeout
 }
--- a/internal/server/reply.go
+++ b/internal/server/reply.go
@@ -1,37 +1,43 @@
 package server
 
 import (
+	"net/http"
+
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/wire"
 )
 
+// storedResponse is a response that waits to be written.
 type storedResponse struct {
-	status, retryAfter int
-	body               []byte
-	deadline           clock.Micros
+	status     int
+	retryAfter int // seconds; 0: no header
+	body       []byte
+	deadline   clock.Micros // from which on 503 is sent in its place; 0: none
 }
 
-// Reply takes the answer to one request.
+// Reply takes the response to one request.
 type Reply struct {
-	conn       *conn
-	ReceivedAt clock.Micros // when the request had arrived
-	// send, if not nil, takes the answer in place of a connection.
+	conn *conn
+	// ReceivedAt is when the whole request had been received.
+	ReceivedAt clock.Micros
+	// send, if not nil, receives the response in place of a connection.
 	send func(status int, body []byte, retryAfter int)
 }
 
-// NewReply makes a Reply whose answer goes to a function, for callers of an App
-// that have no connection.
+// NewReply returns a Reply that passes the response to a function, for callers of an App without a
+// connection.
 func NewReply(send func(status int, body []byte, retryAfter int)) *Reply {
 	return &Reply{ReceivedAt: clock.Now(), send: send}
 }
 
-// Send answers. It may be called once, from any goroutine.
+// Send sends the response; retryAfter is in seconds, 0 for none. It may be called once, from any
+// goroutine.
 func (reply *Reply) Send(status int, body []byte, retryAfter int) {
 	reply.SendBefore(status, body, retryAfter, 0)
 }
 
-// SendBefore answers unless the instant has passed when the answer is written:
-// then 503 goes out in its place.
+// SendBefore is Send with a deadline: if it has passed when the response is written, 503 is sent in
+// its place. A deadline of 0 is none.
 func (reply *Reply) SendBefore(status int, body []byte, retryAfter int, deadline clock.Micros) {
 	if reply.send != nil {
 		response := (&storedResponse{status, retryAfter, body, deadline}).enforceDeadline()
@@ -41,27 +47,26 @@
 	if reply.conn == nil {
 		return
 	}
-	reply.conn.mu.Lock()
-	reply.conn.pendingReply = &storedResponse{status, retryAfter, body, deadline}
-	reply.conn.mu.Unlock()
+	reply.conn.setPendingReply(&storedResponse{status, retryAfter, body, deadline})
 	reply.conn.evioConn.Wake()
 }
 
-// enforceDeadline is the answer, or a refusal once its time is over.
+// expiredRetryAfter is the Retry-After of a response whose deadline has passed, in seconds.
+const expiredRetryAfter = 1
+
+// enforceDeadline returns the response, or a 503 in its place if its deadline has passed.
 func (response *storedResponse) enforceDeadline() *storedResponse {
 	if response.deadline != 0 && clock.Now() >= response.deadline {
-		return &storedResponse{status: 503, retryAfter: 1, body: encodeError("no longer entitled to answer")}
+		return &storedResponse{status: http.StatusServiceUnavailable, retryAfter: expiredRetryAfter, body: ErrorBody("no longer entitled to answer")}
 	}
 	return response
 }
 
-func encodeError(text string) []byte {
+// ErrorBody encodes the body of an error response.
+func ErrorBody(text string) []byte {
 	encoded, err := wire.ErrorResponse{Error: text}.MarshalJSON()
 	if err != nil {
 		return []byte("{}")
 	}
 	return encoded
 }
-
-// ErrorBody is the body of a refusal.
-func ErrorBody(text string) []byte { return encodeError(text) }
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -1,164 +1,114 @@
 package server
 
 import (
+	"net/http"
 	"strings"
 
-	"github.com/tidwall/evio"
-
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/http1"
 	"firwood.dev/firwood/wire"
 )
 
-func (server *Server) processInput(connection *conn, input []byte) ([]byte, evio.Action) {
-	if connection.frames != nil {
-		connection.stateChangedAt = clock.Now()
-		if connection.closeRequested {
-			return nil, evio.Close
-		}
-		if err := connection.frames.Feed(input, server.app.HandlePeerHeartbeat); err != nil {
-			server.log.Debug("peer link dropped", "error", err)
-			return nil, evio.Close
-		}
-		return nil, evio.None
-	}
-	var output []byte
-	connection.mu.Lock()
-	response, mustClose := connection.pendingReply, connection.closeRequested
-	connection.pendingReply = nil
-	connection.mu.Unlock()
-	if mustClose && response == nil && !connection.isBusy {
-		return nil, evio.Close
-	}
-	if len(input) > 0 {
-		if connection.parser.IsIdle() {
-			connection.stateChangedAt = clock.Now()
-		}
-		connection.parser.Feed(input)
-		if connection.isBusy && connection.parser.Buffered() > maxPipelinedBytes {
-			return nil, evio.Close
-		}
-	}
-	if response != nil {
-		output = server.appendReply(output, connection, response)
-		connection.isBusy = false
-		connection.stateChangedAt = clock.Now()
-		if connection.closeAfterReply {
-			return output, evio.Close
-		}
-	}
-	for !connection.isBusy {
-		request, err := connection.parser.Next()
-		if err != nil {
-			status := 400
-			if httpError, ok := err.(*http1.Error); ok {
-				status = httpError.Status
-			}
-			return http1.AppendResponse(output, status, encodeError(err.Error()), 0, true), evio.Close
-		}
-		if connection.parser.TakeContinueRequest() {
-			output = append(output, "HTTP/1.1 100 Continue\r\n\r\n"...)
-		}
-		if request == nil {
-			break
-		}
-		connection.isBusy, connection.closeAfterReply = true, request.Close
-		server.route(connection, request)
-		// A route that answered at once has done so by now.
-		connection.mu.Lock()
-		response = connection.pendingReply
-		connection.pendingReply = nil
-		connection.mu.Unlock()
-		if response != nil {
-			output = server.appendReply(output, connection, response)
-			connection.isBusy = false
-			if connection.closeAfterReply {
-				return output, evio.Close
-			}
-		}
-	}
-	return output, evio.None
+// exchange is one request on its way to the App.
+type exchange struct {
+	connection *conn
+	body       []byte
+	jobID      string // of a path with jobPlaceholder
+	reply      *Reply
+}
+
+// route leads a path to its handler.
+type route struct {
+	method, path string // the path may have jobPlaceholder once
+	role         clientRole
+	handle       func(server *Server, exchange exchange)
 }
 
-// replyNow is an answer given on the event loop itself: no wake is needed.
-func (connection *conn) replyNow(status int, body []byte) {
-	connection.mu.Lock()
-	connection.pendingReply = &storedResponse{status: status, body: body}
-	connection.mu.Unlock()
+// jobPlaceholder stands for a job's id in a path.
+const jobPlaceholder = "{job}"
+
+// routes are tried in order; the first with a matching path applies, so the cancellation of a job
+// comes before showing it.
+var routes = []route{
+	{http.MethodPost, "/checkin", roleWorker, (*Server).handleHeartbeat},
+	{http.MethodGet, "/up", roleUser, (*Server).handleHealth},
+	{http.MethodPost, "/api/jobs", roleUser, (*Server).submitJob},
+	{http.MethodPost, "/api/jobs/" + jobPlaceholder + "/withdraw", roleUser, func(server *Server, exchange exchange) {
+		server.app.CancelJob(exchange.jobID, exchange.reply)
+	}},
+	{http.MethodGet, "/api/jobs/" + jobPlaceholder, roleUser, func(server *Server, exchange exchange) {
+		server.app.ShowJob(exchange.jobID, exchange.reply)
+	}},
+	{http.MethodGet, "/ops/v1/report", roleUser, func(server *Server, exchange exchange) {
+		server.app.SendJobReport(exchange.reply)
+	}},
+	{http.MethodGet, "/ops/v1/standby", roleUser, func(server *Server, exchange exchange) {
+		server.app.SendStandbyStatus(exchange.reply)
+	}},
+}
+
+// hasJob tells whether the path of the route has a job's id.
+func (r *route) hasJob() bool { return strings.Contains(r.path, jobPlaceholder) }
+
+// match tells whether the route leads from a path, and returns the job's id, which may be invalid.
+func (r *route) match(path string) (jobID string, matches bool) {
+	prefix, suffix, hasJob := strings.Cut(r.path, jobPlaceholder)
+	if !hasJob {
+		return "", path == r.path
+	}
+	rest, hasPrefix := strings.CutPrefix(path, prefix)
+	jobID, hasSuffix := strings.CutSuffix(rest, suffix)
+	return jobID, hasPrefix && hasSuffix
 }
 
-func (server *Server) route(connection *conn, request *http1.Message) {
+// routeRequest hands a request to the handler of its path. The method is checked before the job's id, so
+// 405 comes before 404 for an invalid id.
+func (server *Server) routeRequest(connection *conn, request *http1.Message) {
 	path, _, _ := strings.Cut(request.Target, "?")
+	for i := range routes {
+		route := &routes[i]
+		jobID, matches := route.match(path)
+		if !matches {
+			continue
+		}
+		connection.role = route.role
+		switch {
+		case request.Method != route.method:
+			connection.replyNow(http.StatusMethodNotAllowed, ErrorBody("method not allowed"))
+		case route.hasJob() && !wire.IsValidJobID(jobID):
+			connection.replyNow(http.StatusNotFound, ErrorBody("no such job"))
+		default:
+			reply := &Reply{conn: connection, ReceivedAt: clock.Now()}
+			route.handle(server, exchange{connection: connection, body: request.Body, jobID: jobID, reply: reply})
+		}
+		return
+	}
 	connection.role = roleUser
-	reply := &Reply{conn: connection, ReceivedAt: clock.Now()}
-	requireMethod := func(method string) bool {
-		if request.Method != method {
-			connection.replyNow(405, encodeError("method not allowed"))
-			return false
-		}
-		return true
+	connection.replyNow(http.StatusNotFound, ErrorBody("no such path"))
+}
+
+func (server *Server) handleHeartbeat(exchange exchange) {
+	heartbeat := &wire.Heartbeat{}
+	if err := heartbeat.UnmarshalJSON(exchange.body); err != nil || heartbeat.MachineID == "" {
+		exchange.connection.replyNow(http.StatusBadRequest, ErrorBody("malformed report"))
+		return
 	}
-	switch {
-	case path == "/checkin":
-		connection.role = roleWorker
-		if !requireMethod("POST") {
-			return
-		}
-		heartbeat := &wire.Heartbeat{}
-		if err := heartbeat.UnmarshalJSON(request.Body); err != nil || heartbeat.MachineID == "" {
-			connection.replyNow(400, encodeError("malformed report"))
-			return
-		}
-		server.app.HandleHeartbeat(heartbeat, reply)
-	case path == "/up":
-		if !requireMethod("GET") {
-			return
-		}
-		if server.app.IsHealthy() {
-			connection.replyNow(200, []byte(`{"up":true}`))
-		} else {
-			connection.replyNow(503, []byte(`{"up":false}`))
-		}
-	case path == "/api/jobs":
-		if !requireMethod("POST") {
-			return
-		}
-		job, err := wire.DecodeJob(request.Body)
-		if err != nil {
-			connection.replyNow(400, encodeError(err.Error()))
-			return
-		}
-		server.app.SubmitJob(job, reply)
-	case strings.HasPrefix(path, "/api/jobs/"):
-		jobID := path[len("/api/jobs/"):]
-		if cancelledID, ok := strings.CutSuffix(jobID, "/withdraw"); ok {
-			if !requireMethod("POST") {
-				return
-			}
-			if !wire.IsValidJobID(cancelledID) {
-				connection.replyNow(404, encodeError("no such job"))
-				return
-			}
-			server.app.CancelJob(cancelledID, reply)
-			return
-		}
-		if !requireMethod("GET") {
-			return
-		}
-		if !wire.IsValidJobID(jobID) {
-			connection.replyNow(404, encodeError("no such job"))
-			return
-		}
-		server.app.ShowJob(jobID, reply)
-	case path == "/ops/v1/report":
-		if requireMethod("GET") {
-			server.app.SendJobReport(reply)
-		}
-	case path == "/ops/v1/standby":
-		if requireMethod("GET") {
-			server.app.SendStandbyStatus(reply)
-		}
-	default:
-		connection.replyNow(404, encodeError("no such path"))
+	server.app.HandleHeartbeat(heartbeat, exchange.reply)
+}
+
+func (server *Server) handleHealth(exchange exchange) {
+	if server.app.IsHealthy() {
+		exchange.connection.replyNow(http.StatusOK, []byte(`{"up":true}`))
+	} else {
+		exchange.connection.replyNow(http.StatusServiceUnavailable, []byte(`{"up":false}`))
+	}
+}
+
+func (server *Server) submitJob(exchange exchange) {
+	job, err := wire.DecodeJob(exchange.body)
+	if err != nil {
+		exchange.connection.replyNow(http.StatusBadRequest, ErrorBody(err.Error()))
+		return
 	}
+	server.app.SubmitJob(job, exchange.reply)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,6 @@
-// Package server owns the listeners: evio's event loop, the framing of
-// connections, the routes. It decodes requests and hands them on; replies may
-// come at any time from any goroutine.
+// Package server serves HTTP and the links from other controllers: the listeners with evio's event
+// loop, the framing of connections, the routes. It decodes requests and hands them to an App, whose
+// replies may come at any time from any goroutine.
 package server
 
 import (
@@ -17,7 +17,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// App is what the routes lead to. Its methods must not block.
+// App handles the requests. Its methods run on the event loop and must not block.
 type App interface {
 	SubmitJob(job *wire.Job, reply *Reply)
 	ShowJob(id string, reply *Reply)
@@ -29,36 +29,48 @@
 	HandlePeerHeartbeat(heartbeat *peer.Heartbeat)
 }
 
-// Config holds addresses and bounds.
+// Config holds addresses and limits.
 type Config struct {
 	ServeAddress, PeerAddress string
-	// Limiter bounds the connections; EvictOutbound closes one of those that the
-	// budget holds beside the incoming ones, if it can.
+	// Limiter counts the connections. EvictOutbound closes one idle outbound connection, which the
+	// Limiter counts too; false if there is none. It may be nil.
 	Limiter       *connlimit.Limiter
 	EvictOutbound func() bool
-	// WorkerLeaseTTL is how long a worker may be away before its connection is of no use.
+	// WorkerLeaseTTL bounds how long a worker's connection may be idle: afterwards its lease has
+	// expired.
 	WorkerLeaseTTL clock.Micros
-	// IdleTimeout bounds how long a connection may lie idle, Half how long a request
-	// may take to arrive.
+	// IdleTimeout bounds how long other connections may be idle, ReadTimeout how long a request may
+	// take to arrive.
 	IdleTimeout, ReadTimeout clock.Micros
 }
 
 // Server serves an App.
 type Server struct {
-	cfg          Config
-	app          App
-	log          *slog.Logger
-	connections  map[*conn]struct{} // owned by the event loop
-	closingCount int                // of those, told to go for others to come
+	cfg Config
+	app App
+	log *slog.Logger
+	// The event loop owns these.
+	connections  map[*conn]struct{}
+	closingCount int // connections with isClosing
 }
 
-// New makes a server.
+const (
+	// maxListenerFailures is the number of failures in a row after which Run gives up. A failure
+	// after stableAfter doesn't count as in a row.
+	maxListenerFailures = 20
+	stableAfter         = 10 * clock.Second
+	restartBackoff      = 200 * time.Millisecond
+	// peerListener is the index of the peer address among the arguments of evio.Serve.
+	peerListener = 1
+)
+
+// New returns a server; Run starts it.
 func New(cfg Config, app App, log *slog.Logger) *Server {
 	return &Server{cfg: cfg, app: app, log: log, connections: map[*conn]struct{}{}}
 }
 
-// Run serves until the listeners fail, and begins anew then: one failed accept
-// ends evio's loop, and that must not end the process.
+// Run serves until the listeners fail, and restarts them: one failed accept ends evio's loop, which
+// must not end the process. It returns an error if they fail again and again.
 func (server *Server) Run() error {
 	failures := 0
 	for {
@@ -67,13 +79,13 @@
 		server.connections, server.closingCount = map[*conn]struct{}{}, 0
 		err := evio.Serve(server.eventHandlers(), "tcp://"+server.cfg.ServeAddress, "tcp://"+server.cfg.PeerAddress)
 		server.log.Error("listeners ended", "error", err)
-		if clock.Now()-startedAt > 10*clock.Second {
+		if clock.Now()-startedAt > stableAfter {
 			failures = 0
 		}
-		if failures++; failures > 20 {
+		if failures++; failures > maxListenerFailures {
 			return fmt.Errorf("server: listeners cannot be kept open: %w", err)
 		}
-		time.Sleep(200 * time.Millisecond)
+		time.Sleep(restartBackoff)
 	}
 }
 
@@ -93,7 +105,7 @@
 		return nil, opts, evio.Close
 	}
 	connection := &conn{evioConn: evioConn, stateChangedAt: clock.Now()}
-	if evioConn.AddrIndex() == 1 {
+	if evioConn.AddrIndex() == peerListener {
 		connection.frames, connection.role = &peer.FrameReader{}, roleController
 	} else {
 		connection.parser = http1.NewRequestParser(http1.DefaultLimits)
@@ -117,30 +129,3 @@
 	}
 	return evio.None
 }
-
-// maxPipelinedBytes bounds what a client may send while its request is worked on.
-const maxPipelinedBytes = 128 << 10
-
-// handleData takes what came in on a connection, or a wake. A reply that was there at
-// once has still woken the loop, and evio closes only after it has written: such a
-// wake would have the next of several requests worked on, its answer written over
-// the one that is on its way, and the close taken back.
-func (server *Server) handleData(evioConn evio.Conn, input []byte) ([]byte, evio.Action) {
-	connection, ok := evioConn.Context().(*conn)
-	if !ok || connection.isClosed {
-		return nil, evio.Close
-	}
-	output, action := server.processInput(connection, input)
-	connection.isClosed = action == evio.Close
-	return output, action
-}
-
-// appendReply appends an answer. evio replaces what it has not written yet when a
-// later wake has more to write, and an answer would be lost. Without pipelining,
-// as the protocol has it, that cannot happen: the next request comes after this
-// answer. A client that pipelines all the same gets one answer and a close.
-func (server *Server) appendReply(output []byte, connection *conn, response *storedResponse) []byte {
-	connection.closeAfterReply = connection.closeAfterReply || connection.parser.Buffered() > 0
-	response = response.enforceDeadline()
-	return http1.AppendResponse(output, response.status, response.body, response.retryAfter, connection.closeAfterReply)
-}
