--- a/internal/server/input.go
+++ b/internal/server/input.go
@@ -38,7 +38,7 @@
 		return nil, evio.Close
 	}
 	if err := connection.frames.Feed(input, server.app.HandlePeerHeartbeat); err != nil {
-		server.log.Debug("peer link dropped", "error", err)
+		server.log.Debug("closing peer connection", "error", err, "address", connection.evioConn.RemoteAddr())
 		return nil, evio.Close
 	}
 	return nil, evio.None
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -78,11 +78,13 @@
 		server.cfg.Limiter.ReleaseInbound(len(server.connections))
 		server.connections, server.closingCount = map[*conn]struct{}{}, 0
 		err := evio.Serve(server.eventHandlers(), "tcp://"+server.cfg.ServeAddress, "tcp://"+server.cfg.PeerAddress)
-		server.log.Error("listeners ended", "error", err)
-		if clock.Now()-startedAt > stableAfter {
+		servedFor := clock.Now() - startedAt
+		if servedFor > stableAfter {
 			failures = 0
 		}
-		if failures++; failures > maxListenerFailures {
+		failures++
+		server.log.Error("listeners failed", "error", err, "failures", failures, "served_for_s", servedFor.Seconds())
+		if failures > maxListenerFailures {
 			return fmt.Errorf("server: listeners cannot be kept open: %w", err)
 		}
 		time.Sleep(restartBackoff)
