--- /dev/null
+++ b/internal/server/routes_test.go
@@ -0,0 +1,145 @@
+package server
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/tidwall/evio"
+
+	"firwood.dev/firwood/internal/connlimit"
+)
+
+func TestRoutesAndMalformedInput(t *testing.T) {
+	address, peerAddress := startServer(t, &echoApp{replyDeadline: 1}, 100)
+	post := func(path, body string) string {
+		return fmt.Sprintf("POST %s HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
+	}
+	for _, c := range []struct {
+		in     string
+		status int
+	}{
+		{"GET /up HTTP/1.1\r\n\r\n", 200},
+		{"POST /up HTTP/1.1\r\n\r\n", 405},
+		{"GET /nowhere HTTP/1.1\r\n\r\n", 404},
+		{"GET /api/jobs/req-000001 HTTP/1.1\r\n\r\n", 200},
+		{"GET /api/jobs/x HTTP/1.1\r\n\r\n", 404},
+		{"DELETE /api/jobs/req-000001 HTTP/1.1\r\n\r\n", 405},
+		{post("/api/jobs/req-000001/withdraw", "{}"), 503},
+		{post("/api/jobs", "{"), 400},
+		{post("/api/jobs", "[]"), 400},
+		{post("/checkin", "{}"), 400},
+		{post("/checkin", `{"box":"i-1","tick":18446744073709551616}`), 400},
+		// Its entitlement has passed when the answer is written.
+		{post("/checkin", `{"box":"i-1"}`), 503},
+		{"POST /api/jobs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413},
+		{"GET /up HTTP/1.1\r\nA: " + strings.Repeat("a", 9000), 431},
+		{"nonsense\r\n\r\n", 400},
+		{"POST /api/jobs HTTP/1.1\r\nContent-Length: 10\r\n\r\n{", 0}, // never ends
+	} {
+		if got := statusOf(t, address, c.in); got != c.status {
+			t.Errorf("%.50q: %d, want %d", c.in, got, c.status)
+		}
+	}
+	// Garbage on both ports ends connections, never the process.
+	rng := rand.New(rand.NewPCG(8, 8))
+	for i := 0; i < 60; i++ {
+		garbage := make([]byte, 1+rng.IntN(400))
+		for offset := range garbage {
+			garbage[offset] = byte(rng.Uint32())
+		}
+		for _, target := range []string{address, peerAddress} {
+			netConn, err := net.Dial("tcp4", target)
+			if err != nil {
+				t.Fatal(err)
+			}
+			netConn.Write(garbage) //nolint:errcheck // the server may close early
+			netConn.Close()
+		}
+	}
+	if got := statusOf(t, address, "GET /up HTTP/1.1\r\n\r\n"); got != 200 {
+		t.Fatalf("after the garbage: %d", got)
+	}
+}
+
+// Requests one after the other on one connection are answered in order. Those
+// that come at once, against the protocol, get one answer and a close, never a
+// wrong one.
+func TestPipelinedRequestsGetOneReply(t *testing.T) {
+	address, _ := startServer(t, &echoApp{}, 100)
+	dial := func() (net.Conn, *bufio.Reader) {
+		netConn, err := net.Dial("tcp4", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := netConn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+			t.Fatal(err)
+		}
+		return netConn, bufio.NewReader(netConn)
+	}
+	readReply := func(reader *bufio.Reader) (string, bool, error) {
+		httpResponse, err := http.ReadResponse(reader, nil)
+		if err != nil {
+			return "", false, err
+		}
+		body, err := io.ReadAll(httpResponse.Body)
+		return string(body), httpResponse.Close, err
+	}
+	showRequest := func(i int) string { return fmt.Sprintf("GET /api/jobs/req-%06d HTTP/1.1\r\n\r\n", i) }
+
+	netConn, reader := dial()
+	defer netConn.Close()
+	for i := 0; i < 200; i++ {
+		if _, err := io.WriteString(netConn, showRequest(i)); err != nil {
+			t.Fatal(err)
+		}
+		if body, _, err := readReply(reader); err != nil || body != fmt.Sprintf(`"req-%06d"`, i) {
+			t.Fatalf("answer %d is %s: %v", i, body, err)
+		}
+	}
+
+	for _, first := range []string{showRequest(0), "GET /api/jobs/req-000000/withdraw HTTP/1.1\r\n\r\n"} {
+		netConn, reader = dial()
+		defer netConn.Close()
+		if _, err := io.WriteString(netConn, first+showRequest(1)+showRequest(2)); err != nil {
+			t.Fatal(err)
+		}
+		body, closing, err := readReply(reader)
+		if err != nil || !closing || strings.Contains(body, "req-000001") {
+			t.Fatalf("first of three at once: %s %v %v", body, closing, err)
+		}
+		if body, _, err := readReply(reader); err == nil {
+			t.Fatalf("a second answer: %s", body)
+		}
+	}
+}
+
+// A reply that is there before the request's turn ends is written then, and its
+// wake comes later. After a close has been decided it must not bring another answer.
+func TestWakeAfterCloseSendsNothing(t *testing.T) {
+	server := New(Config{Limiter: connlimit.New(10)}, &echoApp{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	conn := &fakeConn{}
+	if _, _, action := server.handleOpened(conn); action != evio.None {
+		t.Fatal("no room")
+	}
+	cancelRequest := "POST /api/jobs/req-000001/withdraw HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
+	output, action := server.handleData(conn, []byte(cancelRequest+cancelRequest+cancelRequest))
+	if action != evio.Close || strings.Count(string(output), "HTTP/1.1 503") != 1 {
+		t.Fatalf("three at once: %q, action %v", output, action)
+	}
+	for i := 0; i < 3; i++ {
+		if output, action := server.handleData(conn, nil); len(output) > 0 || action != evio.Close {
+			t.Fatalf("wake %d: %q, action %v", i, output, action)
+		}
+	}
+	if conn.wakeCount != 1 {
+		t.Fatalf("%d requests were worked on", conn.wakeCount)
+	}
+}
