--- a/internal/client/pool_test.go
+++ b/internal/client/pool_test.go
@@ -12,101 +12,128 @@
 	"firwood.dev/firwood/internal/connlimit"
 )
 
-// A pool never has more connections than its limit, in sequential and concurrent calls; idle ones are
-// closed for new ones, and if none is idle the caller gets ErrPoolExhausted.
-func TestPoolStaysWithinLimit(t *testing.T) {
-	const most = 3
-	limiter := connlimit.New(most)
-	pool := NewPool(DialTCP, limiter)
-	outboundCount := func() int {
-		_, out := limiter.Counts()
-		return out
-	}
-	releaseRequests := make(chan struct{})
-	var mu sync.Mutex
-	openCount, peakCount := 0, 0
-	var hosts []*Host
-	onRequest := func() {}
-	for i := 0; i < 8; i++ {
+// poolFixture is a pool with a small limit, and more hosts than that.
+type poolFixture struct {
+	limiter *connlimit.Limiter
+	hosts   []*Host
+	// onWait is called for each request to /wait, which is answered once releaseRequests is closed.
+	onWait          func()
+	releaseRequests chan struct{}
+
+	mu        sync.Mutex
+	peakCount int // highest number of outbound connections when a server accepted one
+}
+
+func newPoolFixture(t *testing.T, limit int) *poolFixture {
+	t.Helper()
+	fixture := &poolFixture{limiter: connlimit.New(limit), onWait: func() {}, releaseRequests: make(chan struct{})}
+	pool := NewPool(DialTCP, fixture.limiter)
+	for range 8 {
 		testServer := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/wait" {
-				onRequest()
-				<-releaseRequests
+				fixture.onWait()
+				<-fixture.releaseRequests
 			}
 			w.Write([]byte("{}")) //nolint:errcheck // the peer may be gone
 		}))
 		testServer.Config.ConnState = func(_ net.Conn, state http.ConnState) {
-			mu.Lock()
-			defer mu.Unlock()
-			switch state {
-			case http.StateNew:
-				openCount++
-				peakCount = max(peakCount, outboundCount())
-			case http.StateClosed:
-				openCount--
+			if state != http.StateNew {
+				return
 			}
+			fixture.mu.Lock()
+			defer fixture.mu.Unlock()
+			fixture.peakCount = max(fixture.peakCount, fixture.outboundCount())
 		}
 		testServer.Start()
 		t.Cleanup(testServer.Close)
-		hosts = append(hosts, pool.NewHost(testServer.Listener.Addr().String(), 1, 1<<10))
+		fixture.hosts = append(fixture.hosts, pool.NewHost(testServer.Listener.Addr().String(), 1, 1<<10))
 	}
-	get := func(host *Host, path string) error {
-		_, err := host.Do(Request{Method: "GET", Target: path, Timeout: 30 * clock.Second})
-		return err
+	return fixture
+}
+
+func (fixture *poolFixture) outboundCount() int {
+	_, outbound := fixture.limiter.Counts()
+	return outbound
+}
+
+func (fixture *poolFixture) peak() int {
+	fixture.mu.Lock()
+	defer fixture.mu.Unlock()
+	return fixture.peakCount
+}
+
+func get(host *Host, path string) error {
+	_, err := host.Do(Request{Method: "GET", Target: path, Timeout: 30 * clock.Second})
+	return err
+}
+
+// A pool never has more connections than its limit, in sequential and concurrent calls; idle ones are
+// closed for new ones, and if none is idle the caller gets ErrPoolExhausted.
+func TestPoolStaysWithinLimit(t *testing.T) {
+	const limit = 3
+	fixture := newPoolFixture(t, limit)
+	t.Run("sequential calls", func(t *testing.T) { testSequentialCalls(t, fixture, limit) })
+	t.Run("concurrent calls", func(t *testing.T) { testConcurrentCalls(t, fixture, limit) })
+	t.Run("exhausted", func(t *testing.T) { testExhaustedPool(t, fixture, limit) })
+	for _, host := range fixture.hosts {
+		host.Close()
 	}
-	for round := 0; round < 3; round++ {
-		for i, host := range hosts {
+	if fixture.outboundCount() != 0 {
+		t.Fatalf("%d connections are left after all were closed", fixture.outboundCount())
+	}
+}
+
+func testSequentialCalls(t *testing.T, fixture *poolFixture, limit int) {
+	for range 3 {
+		for i, host := range fixture.hosts {
 			if err := get(host, "/"); err != nil {
 				t.Fatalf("host %d: %v", i, err)
 			}
-			if n := outboundCount(); n > most {
-				t.Fatalf("%d connections, at most %d are allowed", n, most)
+			if count := fixture.outboundCount(); count > limit {
+				t.Fatalf("%d connections, at most %d are allowed", count, limit)
 			}
 		}
 	}
-	var wg sync.WaitGroup
-	for _, host := range hosts {
-		for k := 0; k < 4; k++ {
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
-				for n := 0; n < 20; n++ {
+}
+
+func testConcurrentCalls(t *testing.T, fixture *poolFixture, limit int) {
+	var callers sync.WaitGroup
+	for _, host := range fixture.hosts {
+		for range 4 {
+			callers.Go(func() {
+				for range 20 {
 					if err := get(host, "/"); err != nil && !errors.Is(err, ErrPoolExhausted) {
 						t.Error(err)
 					}
 				}
-			}()
+			})
 		}
 	}
-	wg.Wait()
-	if peakCount > most || outboundCount() > most {
-		t.Fatalf("%d connections, then %d, at most %d are allowed", peakCount, outboundCount(), most)
+	callers.Wait()
+	if peak := fixture.peak(); peak > limit || fixture.outboundCount() > limit {
+		t.Fatalf("%d connections, then %d, at most %d are allowed", peak, fixture.outboundCount(), limit)
 	}
-	// All are in use: the next call is rejected at once as not sent.
-	startedRequests := make(chan struct{}, most)
-	onRequest = func() { startedRequests <- struct{}{} }
-	for _, host := range hosts[:most] {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
+}
+
+// With all connections in use, the next call is rejected at once as not sent.
+func testExhaustedPool(t *testing.T, fixture *poolFixture, limit int) {
+	startedRequests := make(chan struct{}, limit)
+	fixture.onWait = func() { startedRequests <- struct{}{} }
+	var callers sync.WaitGroup
+	for _, host := range fixture.hosts[:limit] {
+		callers.Go(func() {
 			if err := get(host, "/wait"); err != nil {
 				t.Error(err)
 			}
-		}()
+		})
 	}
-	for i := 0; i < most; i++ {
+	for range limit {
 		<-startedRequests
 	}
 	var notSent *NotSentError
-	if err := get(hosts[most], "/"); !errors.Is(err, ErrPoolExhausted) || !errors.As(err, &notSent) {
+	if err := get(fixture.hosts[limit], "/"); !errors.Is(err, ErrPoolExhausted) || !errors.As(err, &notSent) {
 		t.Fatalf("%v", err)
 	}
-	close(releaseRequests)
-	wg.Wait()
-	for _, host := range hosts {
-		host.Close()
-	}
-	if outboundCount() != 0 {
-		t.Fatalf("%d connections are left after all were closed", outboundCount())
-	}
+	close(fixture.releaseRequests)
+	callers.Wait()
 }
