--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -23,6 +23,7 @@
 // NotSentError reports that the request was certainly not sent.
 type NotSentError struct{ Err error }
 
+// Error implements error.
 func (e *NotSentError) Error() string { return "client: not sent: " + e.Err.Error() }
 
 // Unwrap returns the cause.
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -28,6 +28,7 @@
 // StatusError is a response with a status that the protocol doesn't have.
 type StatusError struct{ Status int }
 
+// Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("cloud: status %d", e.Status) }
 
 const (
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -21,6 +21,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("http: %s (%d)", e.Reason, e.Status) }
 
 func newError(status int, reason string) *Error { return &Error{Status: status, Reason: reason} }
--- a/internal/jobhistory/lookups.go
+++ b/internal/jobhistory/lookups.go
@@ -19,6 +19,7 @@
 	Present
 )
 
+// String returns the result in lower case, for messages.
 func (result LookupResult) String() string {
 	switch result {
 	case Unavailable:
--- a/internal/server/eviction_test.go
+++ b/internal/server/eviction_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// More connections than the bound allows are closed at once; the others live.
+// Connections over the limit are closed at once; the others are served.
 func TestConnectionLimit(t *testing.T) {
 	address, _ := startServer(t, &echoApp{}, 5)
 	var netConns []net.Conn
@@ -39,8 +39,8 @@
 	}
 }
 
-// When sockets run out, connections that have not asked anything go, then users';
-// those of workers stay, and a worker or a probe that comes always finds room.
+// At the limit, connections without a request are closed, then users'; those of workers stay, and a new
+// worker or probe is always admitted.
 func TestWorkerConnectionsSurviveFlood(t *testing.T) {
 	const workers, bound = 20, 32
 	address, _ := startServer(t, &echoApp{}, bound)
@@ -82,7 +82,7 @@
 	}
 	for round := 0; round < 3; round++ {
 		for i := 0; i < 2*bound; i++ {
-			dial() // and says nothing
+			dial() // without a request
 		}
 		time.Sleep(newConnectionGrace.Duration() + 100*time.Millisecond)
 		if err := sendRequest(dial(), "/up", ""); err != nil {
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -17,7 +17,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// echoApp answers everything with what was asked, some of it from elsewhere.
+// echoApp answers with the id in the request; ShowJob does so from another goroutine.
 type echoApp struct{ replyDeadline clock.Micros }
 
 func (app *echoApp) SubmitJob(job *wire.Job, reply *Reply) {
@@ -35,6 +35,7 @@
 func (app *echoApp) SendStandbyStatus(reply *Reply)      { reply.Send(200, []byte(`{}`), 0) }
 func (app *echoApp) HandlePeerHeartbeat(*peer.Heartbeat) {}
 
+// startServer returns the serve address and the peer address of a server with a connection limit.
 func startServer(t *testing.T, app App, limit int) (string, string) {
 	t.Helper()
 	port := func() string {
@@ -59,8 +60,8 @@
 	return "", ""
 }
 
-// statusOf sends bytes and returns the status of the first answer, 0 if the
-// connection was closed without one.
+// statusOf sends bytes and returns the status of the first response, 0 if the connection was closed
+// without one.
 func statusOf(t *testing.T, address, bytes string) int {
 	t.Helper()
 	netConn, err := net.Dial("tcp4", address)
@@ -80,7 +81,7 @@
 	return httpResponse.StatusCode
 }
 
-// fakeConn is a connection whose wakes are left to the test.
+// fakeConn is a connection whose wakes are only counted; the test calls handleData for them.
 type fakeConn struct {
 	evio.Conn
 	context   any
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -17,6 +17,8 @@
 	"firwood.dev/firwood/internal/connlimit"
 )
 
+// Each route answers with its status, malformed requests with theirs, and garbage on either port ends
+// only its connection.
 func TestRoutesAndMalformedInput(t *testing.T) {
 	address, peerAddress := startServer(t, &echoApp{replyDeadline: 1}, 100)
 	post := func(path, body string) string {
@@ -37,7 +39,7 @@
 		{post("/api/jobs", "[]"), 400},
 		{post("/checkin", "{}"), 400},
 		{post("/checkin", `{"box":"i-1","tick":18446744073709551616}`), 400},
-		// Its entitlement has passed when the answer is written.
+		// The deadline of the reply has passed when it is written.
 		{post("/checkin", `{"box":"i-1"}`), 503},
 		{"POST /api/jobs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413},
 		{"GET /up HTTP/1.1\r\nA: " + strings.Repeat("a", 9000), 431},
@@ -48,7 +50,6 @@
 			t.Errorf("%.50q: %d, want %d", c.in, got, c.status)
 		}
 	}
-	// Garbage on both ports ends connections, never the process.
 	rng := rand.New(rand.NewPCG(8, 8))
 	for i := 0; i < 60; i++ {
 		garbage := make([]byte, 1+rng.IntN(400))
@@ -69,9 +70,8 @@
 	}
 }
 
-// Requests one after the other on one connection are answered in order. Those
-// that come at once, against the protocol, get one answer and a close, never a
-// wrong one.
+// Requests that wait for the reply to the one before are answered in order. Pipelined ones, which the
+// protocol doesn't have, get one reply and a close, never a wrong one.
 func TestPipelinedRequestsGetOneReply(t *testing.T) {
 	address, _ := startServer(t, &echoApp{}, 100)
 	dial := func() (net.Conn, *bufio.Reader) {
@@ -101,7 +101,7 @@
 			t.Fatal(err)
 		}
 		if body, _, err := readReply(reader); err != nil || body != fmt.Sprintf(`"req-%06d"`, i) {
-			t.Fatalf("answer %d is %s: %v", i, body, err)
+			t.Fatalf("reply %d is %s: %v", i, body, err)
 		}
 	}
 
@@ -113,16 +113,16 @@
 		}
 		body, closing, err := readReply(reader)
 		if err != nil || !closing || strings.Contains(body, "req-000001") {
-			t.Fatalf("first of three at once: %s %v %v", body, closing, err)
+			t.Fatalf("first of three pipelined: %s %v %v", body, closing, err)
 		}
 		if body, _, err := readReply(reader); err == nil {
-			t.Fatalf("a second answer: %s", body)
+			t.Fatalf("a second reply: %s", body)
 		}
 	}
 }
 
-// A reply that is there before the request's turn ends is written then, and its
-// wake comes later. After a close has been decided it must not bring another answer.
+// A synchronous reply is written at once, and its wake comes later. After a close was decided the wake
+// must not cause another reply.
 func TestWakeAfterCloseSendsNothing(t *testing.T) {
 	server := New(Config{Limiter: connlimit.New(10)}, &echoApp{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	conn := &fakeConn{}
@@ -132,7 +132,7 @@
 	cancelRequest := "POST /api/jobs/req-000001/withdraw HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
 	output, action := server.handleData(conn, []byte(cancelRequest+cancelRequest+cancelRequest))
 	if action != evio.Close || strings.Count(string(output), "HTTP/1.1 503") != 1 {
-		t.Fatalf("three at once: %q, action %v", output, action)
+		t.Fatalf("three pipelined: %q, action %v", output, action)
 	}
 	for i := 0; i < 3; i++ {
 		if output, action := server.handleData(conn, nil); len(output) > 0 || action != evio.Close {
@@ -140,6 +140,6 @@
 		}
 	}
 	if conn.wakeCount != 1 {
-		t.Fatalf("%d requests were worked on", conn.wakeCount)
+		t.Fatalf("%d requests were processed", conn.wakeCount)
 	}
 }
