--- /dev/null
+++ b/internal/cancellation/log.go
@@ -0,0 +1,90 @@
+// Package cancellation has the log of recent durable cancellations, which members send each
+// other in heartbeats.
+//
+// The leader learns of cancellations from the key-value store. If only the leader is refused
+// there, other members go on confirming cancellations, and an outage for all may follow
+// before another leader is elected. So every member forwards the cancellations that it knows
+// to be durable until the others' views are as new, and the leader stops those tasks while
+// it may still act.
+package cancellation
+
+import (
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/peer"
+)
+
+// NewsInterval bounds how often news is sent outside of the regular heartbeats.
+const NewsInterval = 100 * clock.Millisecond
+
+// Log holds recent durable cancellations, in the order in which this member learned of them.
+type Log struct {
+	entries    []entry
+	retention  clock.Micros
+	maxEntries int // beyond them the older half is dropped
+	// nextIndex is where the next message begins, if not all entries fit into one.
+	nextIndex int
+	// hasNews: an entry has come that was not sent yet.
+	hasNews    bool
+	newsSentAt clock.Micros
+}
+
+type entry struct {
+	peer.Cancellation
+	receivedAt clock.Micros
+}
+
+// NewLog makes a log that keeps entries for the time that cancelled tasks have (PROTOCOL:
+// cancel timeout): after that they are gone. In that time no more cancellations become durable
+// than the store takes changes; what a reload brings at once is as many again.
+func NewLog(cancelTimeout clock.Micros, changesPerSecond float64) Log {
+	return Log{retention: cancelTimeout, maxEntries: 2 * (int(changesPerSecond*cancelTimeout.Seconds()) + 1)}
+}
+
+// Add takes a durable cancellation, unless its tasks are gone by the time of day.
+func (log *Log) Add(cancellation peer.Cancellation, now, wall clock.Micros) {
+	if wall-cancellation.CancelledAt > log.retention {
+		return
+	}
+	if len(log.entries) >= log.maxEntries {
+		log.entries = append(log.entries[:0], log.entries[len(log.entries)/2:]...)
+	}
+	log.entries = append(log.entries, entry{Cancellation: cancellation, receivedAt: now})
+	log.hasNews = true
+}
+
+// TakeNews tells whether there are entries to be sent without waiting for the next regular
+// heartbeat, at most once per NewsInterval. They count as sent then.
+func (log *Log) TakeNews(now clock.Micros) bool {
+	if !log.hasNews || now-log.newsSentAt < NewsInterval {
+		return false
+	}
+	log.hasNews, log.newsSentAt = false, now
+	return true
+}
+
+// UnknownTo lists the entries that a view of a revision may lack. When they are more than a
+// message takes, the next call goes on where this one ended.
+func (log *Log) UnknownTo(revision uint64, now clock.Micros) []peer.Cancellation {
+	log.expire(now)
+	var unknown []peer.Cancellation
+	for _, entry := range log.entries {
+		if entry.Revision > revision {
+			unknown = append(unknown, entry.Cancellation)
+		}
+	}
+	if len(unknown) <= peer.MaxCancellations {
+		return unknown
+	}
+	from := log.nextIndex % len(unknown)
+	log.nextIndex = from + peer.MaxCancellations
+	rotated := append(unknown[from:len(unknown):len(unknown)], unknown[:from]...)
+	return rotated[:peer.MaxCancellations]
+}
+
+func (log *Log) expire(now clock.Micros) {
+	old := 0
+	for old < len(log.entries) && now-log.entries[old].receivedAt > log.retention {
+		old++
+	}
+	log.entries = append(log.entries[:0], log.entries[old:]...)
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/cancellation"
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/cloud"
@@ -121,7 +122,7 @@
 	timestamps      map[string]delegation.Timestamp // their newest ones
 	nextHeartbeatAt clock.Micros
 	// cancellations are recent ones that other members may not know yet.
-	cancellations cancellationLog
+	cancellations cancellation.Log
 }
 
 // workerContactState counts the workers that contact members other than the leader.
@@ -212,7 +213,7 @@
 	roundTrip := clock.FromSeconds(1.25*workers.HeartbeatIntervalSeconds) + clock.Second/2 + clock.Micros(len(cfg.Peers))*attemptTime
 	controller.delegation.times = delegation.NewConfig(clock.FromSeconds(workers.CancelTimeoutSeconds), clock.FromSeconds(workers.LeaseSeconds), 3*heartbeatInterval, roundTrip)
 	controller.stalenessBounds = staleness.NewBounds(clock.FromSeconds(workers.CancelTimeoutSeconds), clock.FromSeconds(workers.LeaseSeconds), ttl)
-	controller.members.cancellations = newCancellationLog(clock.FromSeconds(workers.CancelTimeoutSeconds), deployment.Store.WriteRPS)
+	controller.members.cancellations = cancellation.NewLog(clock.FromSeconds(workers.CancelTimeoutSeconds), deployment.Store.WriteRPS)
 	controller.delegation.delegate = delegation.NewDelegate(controller.delegation.times, uint64(clock.WallTime()), clock.Now())
 	for _, team := range deployment.Teams {
 		guaranteed := allocation.NewResources(team.GuaranteedCPUs, team.GuaranteedGPUs, 0)
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -147,7 +147,7 @@
 			acknowledgement = controller.term.renewals.acknowledgements[controller.cfg.Peers[i].Member]
 		}
 		heartbeat.AckIncarnation, heartbeat.AckTimestamp = acknowledgement.Incarnation, acknowledgement.At
-		heartbeat.Cancellations = controller.members.cancellations.unknownTo(controller.peerRevision(controller.cfg.Peers[i].Member), now)
+		heartbeat.Cancellations = controller.members.cancellations.UnknownTo(controller.peerRevision(controller.cfg.Peers[i].Member), now)
 		link.SendHeartbeat(peer.Encode(heartbeat))
 	}
 }
--- a/internal/controller/view_observer.go
+++ b/internal/controller/view_observer.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/standby"
@@ -23,7 +22,7 @@
 	if job.IsFinished() {
 		controller.history.finished.Touch(id)
 	}
-	controller.members.cancellations.add(id, job, clock.Now(), clock.WallTime())
+	controller.logCancellation(id, job)
 	job.IsCancelledByDependency = job.State == "" && controller.dependencyGraph.IsCancelled(id)
 	controller.updateDependencyGraph(id, job)
 	if controller.term != nil {
