--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -21,6 +21,7 @@
 	"firwood.dev/firwood/internal/dag"
 	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/election"
+	"firwood.dev/firwood/internal/hints"
 	"firwood.dev/firwood/internal/jobhistory"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/peer"
@@ -53,7 +54,7 @@
 	delegation   delegationState
 	history      finishedJobHistory
 	users        userRequestState
-	hints        leaderHints
+	hints        *hints.Hints
 	storeUse     storeUsage
 }
 
@@ -157,7 +158,7 @@
 type userRequestState struct {
 	// pendingSubmissions are the replies that wait for a submission's write, by job.
 	pendingSubmissions map[string][]*server.Reply
-	progressCounts     progressCounts
+	progressCounts     *hints.Counts
 }
 
 // storeUsage is how the members share the store's rates, and what was logged of its
@@ -195,7 +196,8 @@
 		members:         memberState{heartbeats: map[string]*receivedHeartbeat{}, timestamps: map[string]delegation.Timestamp{}},
 		workers:         workerContactState{contactAt: map[string]clock.Micros{}, reports: map[string]workerContact{}},
 		delegation:      delegationState{repliedAt: map[string]clock.Micros{}},
-		users:           userRequestState{pendingSubmissions: map[string][]*server.Reply{}},
+		users:           userRequestState{pendingSubmissions: map[string][]*server.Reply{}, progressCounts: hints.NewCounts(heartbeatInterval)},
+		hints:           hints.New(),
 	}
 	controller.history.capacity = finishedJobCapacity(tuning.FinishedJobs, deployment.ProcessLimits.MemoryMB)
 	controller.history.finished = jobhistory.NewCache(controller.history.capacity)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -67,7 +67,7 @@
 	for _, id := range change.Cancelled {
 		if record := controller.view.Jobs[id]; record != nil && record.State == "" {
 			record.IsCancelledByDependency = true
-			controller.users.progressCounts.remove(id)
+			controller.users.progressCounts.Remove(id)
 			if controller.term != nil {
 				controller.term.persistence.cleanup.addImpliedCancellations(id)
 			}
--- a/internal/controller/machine_state.go
+++ b/internal/controller/machine_state.go
@@ -4,6 +4,7 @@
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/health"
+	"firwood.dev/firwood/internal/hints"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/scaleout"
 	"firwood.dev/firwood/internal/storeview"
@@ -17,7 +18,7 @@
 	isDeleting           bool
 	probes               health.Probes
 	faults               health.Faults
-	sentHint             sentHint
+	sentHint             hints.Sent
 	// isListedBooting: the cloud's last list said that it boots. For a machine that an
 	// earlier leader requested this is the only sign that it has never booted.
 	isListedBooting bool
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -52,7 +52,7 @@
 	now := clock.Now()
 	last := controller.members.heartbeats[heartbeat.Member]
 	if isBack := last == nil || last.heartbeat.Incarnation != heartbeat.Incarnation || now-last.receivedAt >= memberTimeout; isBack && controller.term != nil {
-		controller.term.resendHints(now)
+		controller.term.hints.images.ResendAll(now)
 	}
 	controller.members.heartbeats[heartbeat.Member] = &receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
 	controller.applyCancellations(heartbeat.Cancellations)
@@ -70,7 +70,7 @@
 	}
 	if heartbeat.Leader == heartbeat.Member && controller.elector.Phase() != election.Leader {
 		if _, token := controller.elector.LockHolder(); heartbeat.Token >= token {
-			controller.users.progressCounts.update(heartbeat, now, controller.hasJobEnded)
+			controller.users.progressCounts.Update(heartbeat, now, controller.hasJobEnded)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	controller.reportWorkerContact(now)
 	if controller.term != nil {
 		heartbeat.Leader, heartbeat.Token = controller.cfg.Member, controller.term.tracker.IssuedToken()
-		controller.term.addProgressCounts(heartbeat)
+		controller.term.hints.counts.Add(heartbeat, controller.term.tracker.Jobs)
 		controller.term.addHints(heartbeat)
 	}
 	timestamp := controller.delegation.delegate.Timestamp(now)
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -7,6 +7,7 @@
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/hints"
 	"firwood.dev/firwood/internal/scaleout"
 	"firwood.dev/firwood/internal/scheduler"
 	"firwood.dev/firwood/internal/staleness"
@@ -83,13 +84,10 @@
 	nextFleetLogAt clock.Micros
 }
 
-// hintSender is how far the leader has sent hints to the other members.
+// hintSender is how far the leader has sent advisory state to the other members.
 type hintSender struct {
-	nextMachineIndex int    // the machine that the next heartbeat begins with
-	nextCountsPart   uint64 // which part of the jobs' progress the next heartbeat has
-	// resendBefore: hints sent before this instant are repeated, for a member that has
-	// come back since.
-	resendBefore clock.Micros
+	images hints.Sender
+	counts hints.CountsSender
 }
 
 // backgroundWork is what a term does beside placing tasks.
--- a/internal/controller/view_observer.go
+++ b/internal/controller/view_observer.go
@@ -17,7 +17,7 @@
 func (observer viewObserver) JobChanged(id string, job *storeview.Job) {
 	controller := observer.controller
 	if job.HasEnded() {
-		controller.users.progressCounts.remove(id)
+		controller.users.progressCounts.Remove(id)
 	}
 	if job.IsFinished() {
 		controller.history.finished.Touch(id)
--- a/internal/controller/job_counts_test.go
+++ b/internal/hints/counts_test.go
@@ -1,4 +1,4 @@
-package controller
+package hints
 
 import (
 	"fmt"
@@ -9,42 +9,44 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// The progress of more jobs than fit into a beat is told in turn, and all of it is known
-// after one turn; what has no progress any more is forgotten after another two.
+// The progress of more jobs than fit into a heartbeat is sent in turn, and all of it is known
+// after one turn; a job that has no progress any more is dropped after another two.
 func TestProgressCountsAreSentInParts(t *testing.T) {
 	const jobs = 3*peer.MaxJobProgress + 17
-	term := newTestTerm(t, "i-00")
+	running := map[string]*allocation.Job{}
 	for i := range jobs {
-		term.tracker.Jobs[fmt.Sprintf("req-%06d", i)] = &allocation.Job{StartedCount: 1}
+		running[fmt.Sprintf("req-%06d", i)] = &allocation.Job{StartedCount: 1}
 	}
-	var follower progressCounts
+	const interval = clock.Second
+	var sender CountsSender
+	follower := NewCounts(interval)
 	hasEnded := func(job string) bool { return job == "req-000003" }
 	now := clock.Second
 	turn := func() (heartbeats int) {
 		for parts := uint32(1); heartbeats < int(parts); heartbeats++ {
 			heartbeat := &peer.Heartbeat{Member: "b", Leader: "b", Token: 9}
-			term.addProgressCounts(heartbeat)
+			sender.Add(heartbeat, running)
 			parts = max(heartbeat.ProgressPageCount, 1)
 			heartbeat, err := peer.Decode(peer.Encode(heartbeat)[4:])
 			if err != nil {
 				t.Fatal(err)
 			}
-			now += heartbeatInterval
-			follower.update(heartbeat, now, hasEnded)
+			now += interval
+			follower.Update(heartbeat, now, hasEnded)
 		}
 		return heartbeats
 	}
 	if heartbeats := turn(); heartbeats < 4 || len(follower.jobs) != jobs-1 {
 		t.Fatalf("%d of %d jobs are known after %d beats", len(follower.jobs), jobs-1, heartbeats)
 	}
-	delete(term.tracker.Jobs, "req-000007")
+	delete(running, "req-000007")
 	for range 3 {
 		turn()
 	}
-	if _, ok := follower.countOf("req-000007"); ok || len(follower.jobs) != jobs-2 {
+	if _, ok := follower.Of("req-000007"); ok || len(follower.jobs) != jobs-2 {
 		t.Errorf("%d jobs are known", len(follower.jobs))
 	}
-	clear(term.tracker.Jobs)
+	clear(running)
 	turn()
 	if len(follower.jobs) != 0 {
 		t.Errorf("%d jobs are known when none has progress", len(follower.jobs))
--- /dev/null
+++ b/internal/hints/sender.go
@@ -0,0 +1,87 @@
+package hints
+
+import (
+	"maps"
+	"slices"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/peer"
+	"firwood.dev/firwood/internal/scheduler"
+	"firwood.dev/firwood/wire"
+)
+
+const (
+	// scanRounds is in how many heartbeats the leader goes through all machines for images
+	// that are news to the others.
+	scanRounds = 10
+	// resendInterval is after how long a machine's hint is repeated though nothing has
+	// changed: a member may have come back meanwhile.
+	resendInterval = imageTTL / 2
+)
+
+// Sent is the hint of a machine that was last sent. The zero value is for a machine of which
+// none was.
+type Sent struct {
+	incarnation uint64
+	images      int
+	sentAt      clock.Micros
+}
+
+// Sender is how far a leader has sent hints to the other members. The zero value has sent
+// nothing.
+type Sender struct {
+	nextMachineIndex int // the machine that the next heartbeat begins with
+	// resendBefore: hints sent before this instant are repeated.
+	resendBefore clock.Micros
+}
+
+// ResendAll has the hints of all machines repeated, for a member that may have missed them.
+func (sender *Sender) ResendAll(now clock.Micros) { sender.resendBefore = now }
+
+// AddImages adds the cached images of machines to a heartbeat: of a few machines each time,
+// and of those whose images have changed, so that a heartbeat costs the same in any fleet.
+// sentOf returns what was last sent of a machine, nil if it gets no hint.
+func (sender *Sender) AddImages(heartbeat *peer.Heartbeat, machines []*allocation.Machine, sentOf func(machine string) *Sent, now clock.Micros) {
+	scanned := max((len(machines)+scanRounds-1)/scanRounds, peer.MaxCachedImageMachines)
+	for range min(scanned, len(machines)) {
+		if len(heartbeat.CachedImages) >= peer.MaxCachedImageMachines {
+			break
+		}
+		sender.nextMachineIndex %= len(machines)
+		machine := machines[sender.nextMachineIndex]
+		sender.nextMachineIndex++
+		if len(machine.ImageUsedAt) == 0 || machine.Incarnation == 0 {
+			continue
+		}
+		sent := sentOf(machine.Name)
+		current := Sent{machine.Incarnation, len(machine.ImageUsedAt), now}
+		if sent == nil || !sender.isDue(*sent, current) {
+			continue
+		}
+		*sent = current
+		images := slices.Sorted(maps.Keys(machine.ImageUsedAt))
+		heartbeat.CachedImages = append(heartbeat.CachedImages, peer.CachedImages{Machine: machine.Name, Incarnation: machine.Incarnation, Images: images[:min(len(images), peer.MaxImagesPerMachine)]})
+	}
+}
+
+// isDue tells whether a machine's hint has changed since it was sent, or has to be repeated.
+func (sender *Sender) isDue(sent, current Sent) bool {
+	hasChanged := sent.incarnation != current.incarnation || sent.images != current.images
+	return hasChanged || current.sentAt-sent.sentAt >= resendInterval || sent.sentAt < sender.resendBefore
+}
+
+// AddForecasts adds what the scheduler has observed of classes' run times and machine types'
+// boot times to a heartbeat, as far as there is room.
+func AddForecasts(heartbeat *peer.Heartbeat, forecasts *scheduler.Scheduler, machineTypes []wire.MachineType) {
+	for _, class := range forecasts.RunTimeClasses() {
+		if count, mean, square := forecasts.RunTimeModel(class).Hint(); count > 0 && len(heartbeat.RunTimes) < peer.MaxRunTimeClasses {
+			heartbeat.RunTimes = append(heartbeat.RunTimes, peer.RunTimeStatistics{Class: class, Count: uint32(count), Mean: mean, MeanSquare: square})
+		}
+	}
+	for _, machineType := range machineTypes {
+		if boots := forecasts.RecentBootTimes(machineType.Name); len(boots) > 0 && len(heartbeat.BootTimes) < peer.MaxBootTimeTypes {
+			heartbeat.BootTimes = append(heartbeat.BootTimes, peer.BootTimes{MachineType: machineType.Name, Durations: boots})
+		}
+	}
+}
