--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -130,7 +130,7 @@
 		return
 	}
 	if controller.elector.Phase() != election.Leader {
-		controller.endTerm("the lock is lost")
+		controller.endTerm(endLockLost)
 		return
 	}
 	controller.term.tick(now)
--- /dev/null
+++ b/internal/controller/election_actions.go
@@ -0,0 +1,117 @@
+package controller
+
+import (
+	"errors"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/election"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/wire"
+)
+
+// lockRefreshTimeout bounds how long a sync may take that shows who has the lock.
+const lockRefreshTimeout = 10 * clock.Second
+
+// executeActions carries out what the elector decided. Requests run on goroutines of their
+// own, and their results go back to the elector as commands.
+func (controller *Controller) executeActions(actions []election.Action) {
+	for _, action := range actions {
+		switch action.Kind {
+		case election.GrantLease:
+			controller.grantLease()
+		case election.AcquireLock:
+			controller.acquireLockInTurn(action.LeaseID)
+		case election.RenewLease:
+			controller.renewLease(action.LeaseID)
+		case election.RevokeLease:
+			controller.revokeLease(action.LeaseID)
+		case election.RefreshLock:
+			controller.refreshLock()
+		}
+	}
+}
+
+func (controller *Controller) leaderTTL() clock.Micros { return controller.elector.TTL() }
+
+func (controller *Controller) grantLease() {
+	ttl := controller.leaderTTL()
+	go func() {
+		lease, err := controller.store.GrantLease(ttl)
+		if err != nil {
+			controller.log.Debug("no lease granted", "error", err)
+		}
+		controller.postResult(func() { controller.executeActions(controller.elector.HandleGrantResult(clock.Now(), lease)) })
+	}()
+}
+
+func (controller *Controller) renewLease(lease uint64) {
+	timeout := controller.leaderTTL() / 4
+	go func() {
+		result := renewResult(controller.store.RenewLease(lease, timeout))
+		controller.postResult(func() {
+			controller.executeActions(controller.elector.HandleRenewResult(clock.Now(), lease, result))
+		})
+	}()
+}
+
+// renewResult is the outcome of a renewal that returned an error, or nil.
+func renewResult(err error) election.RenewResult {
+	switch {
+	case err == nil:
+		return election.RenewSucceeded
+	case errors.Is(err, kvstore.ErrNotFound):
+		return election.RenewLeaseExpired
+	}
+	return election.RenewUnknown
+}
+
+func (controller *Controller) revokeLease(lease uint64) {
+	go func() {
+		if err := controller.store.RevokeLease(lease); err != nil {
+			controller.log.Debug("lease not revoked", "lease", lease, "error", err)
+		} else {
+			controller.log.Debug("lease revoked", "lease", lease)
+		}
+		// The lock that hung on the lease is deleted with it; the watch may not have shown that yet.
+		controller.postResult(controller.refreshLock)
+	}()
+}
+
+// refreshLock has the view show soon who has the lock.
+func (controller *Controller) refreshLock() {
+	controller.view.RequestSync(func(error) {}, clock.Now()+lockRefreshTimeout)
+}
+
+func (controller *Controller) acquireLock(lease uint64) {
+	value, err := records.Lock{Member: controller.cfg.Member, Lease: lease, NeedsStandbyRecord: controller.failover.replica != nil}.MarshalJSON()
+	if err != nil {
+		return
+	}
+	write := &kvstore.Write{
+		Priority:   kvstore.Critical,
+		Conditions: []wire.Condition{{Key: records.LockKey}},
+		Changes:    []wire.Change{{PutKey: records.LockKey, Value: value, LeaseID: lease}},
+		Deadline:   clock.Now() + controller.leaderTTL()/2,
+	}
+	write.Done = func(outcome kvstore.Outcome, revision uint64) {
+		controller.postResult(func() {
+			controller.executeActions(controller.elector.HandleAcquireResult(clock.Now(), acquireResult(outcome), revision))
+			controller.startFailoverIfElected()
+		})
+	}
+	if !controller.store.Commit(write) {
+		controller.executeActions(controller.elector.HandleAcquireResult(clock.Now(), election.AcquireFailed, 0))
+	}
+}
+
+// acquireResult is what the outcome of the lock's write means to the elector.
+func acquireResult(outcome kvstore.Outcome) election.AcquireResult {
+	switch outcome {
+	case kvstore.Committed:
+		return election.AcquireSucceeded
+	case kvstore.Conflict, kvstore.NotExecuted, kvstore.Fenced:
+		return election.AcquireFailed
+	}
+	return election.AcquireUnknown
+}
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -53,5 +53,5 @@
 // handOver ends the term, and stays out of elections for a while.
 func (term *leaderTerm) handOver(now clock.Micros) {
 	term.controller.executeActions(term.controller.elector.StepDown(now, handOverBackoff))
-	term.controller.endTerm("handed over")
+	term.controller.endTerm(endHandedOver)
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -1,132 +1,40 @@
 package controller
 
 import (
-	"errors"
 	"time"
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/election"
-	"firwood.dev/firwood/internal/kvstore"
-	"firwood.dev/firwood/internal/rateshare"
-	"firwood.dev/firwood/internal/records"
-	"firwood.dev/firwood/wire"
 )
 
-// isEntitled tells whether this process may act for the controllers now.
-func (controller *Controller) isEntitled() bool { return controller.elector.IsEntitled(clock.Now()) }
-
-// IsLeader tells whether this process answers workers as leader; it may be called on
-// any goroutine.
-func (controller *Controller) IsLeader() bool { return controller.process.isActiveLeader.Load() }
-
-// applyRateShares sets this member's shares of the outside services' rates, as leader or not.
-func (controller *Controller) applyRateShares() {
-	shares := rateshare.OfFollower(len(controller.cfg.Peers))
-	if controller.elector.Phase() == election.Leader {
-		shares = rateshare.OfLeader(len(controller.cfg.Peers))
-		controller.storeUse.shares.BeginTerm()
-	}
-	controller.store.SetRateShare(shares.Store)
-	controller.cloud.SetRateShare(shares.Cloud)
-}
+// endReason says why a leadership term has ended.
+type endReason string
 
-// backlogThreshold is how long the leader's waiting writes take from which it has a backlog.
-const backlogThreshold = rateshare.BacklogThreshold
-
-// adjustRateShare lets the leader use what the others leave of the rate of changes.
-func (controller *Controller) adjustRateShare(now clock.Micros) {
-	if len(controller.cfg.Peers) == 0 {
-		return
-	}
-	share, hasChanged := controller.storeUse.shares.Adjust(now, rateshare.Load{
-		Written: controller.store.ChangesWritten(), Backlog: controller.store.BacklogDuration(), ChangesPerSecond: controller.cfg.Deployment.Store.Effective().WriteRPS,
-	})
-	if hasChanged {
-		controller.store.SetWriteRateShare(share)
-	}
-}
-
-// executeActions carries out what the election asks for.
-func (controller *Controller) executeActions(actions []election.Action) {
-	ttl := controller.leaderTTL()
-	for _, action := range actions {
-		switch action.Kind {
-		case election.GrantLease:
-			go func() {
-				lease, err := controller.store.GrantLease(ttl)
-				if err != nil {
-					controller.log.Debug("no lease granted", "error", err)
-				}
-				controller.postResult(func() { controller.executeActions(controller.elector.HandleGrantResult(clock.Now(), lease)) })
-			}()
-		case election.AcquireLock:
-			controller.acquireLockInTurn(action.LeaseID)
-		case election.RenewLease:
-			go func() {
-				result := renewResult(controller.store.RenewLease(action.LeaseID, ttl/4))
-				controller.postResult(func() {
-					controller.executeActions(controller.elector.HandleRenewResult(clock.Now(), action.LeaseID, result))
-				})
-			}()
-		case election.RevokeLease:
-			go func() {
-				if err := controller.store.RevokeLease(action.LeaseID); err != nil {
-					controller.log.Debug("lease not revoked", "lease", action.LeaseID, "error", err)
-				} else {
-					controller.log.Debug("lease revoked", "lease", action.LeaseID)
-				}
-				// What it held is gone now; nobody else may have noticed.
-				controller.postResult(func() { controller.view.RequestSync(func(error) {}, clock.Now()+10*clock.Second) })
-			}()
-		case election.RefreshLock:
-			controller.view.RequestSync(func(error) {}, clock.Now()+10*clock.Second)
-		}
-	}
-}
+const (
+	endLockLost    endReason = "the lock is lost"
+	endWriteFenced endReason = "a write was fenced"
+	endHandedOver  endReason = "handed over"
+)
 
-// renewResult is the outcome of a renewal that returned an error, or nil.
-func renewResult(err error) election.RenewResult {
-	switch {
-	case err == nil:
-		return election.RenewSucceeded
-	case errors.Is(err, kvstore.ErrNotFound):
-		return election.RenewLeaseExpired
-	}
-	return election.RenewUnknown
-}
+const (
+	// rebuildSyncTimeout bounds the sync that a rebuild starts from; rebuildRetryInterval is after
+	// how long the next one is tried.
+	rebuildSyncTimeout   = 2 * clock.Second
+	rebuildRetryInterval = clock.Second / 10
+	// releaseBackoff is for how long a member that shuts down doesn't run for election;
+	// releaseTimeout bounds how long the shutdown waits for the lease to be revoked.
+	releaseBackoff = 3600 * clock.Second
+	releaseTimeout = 2 * time.Second
+)
 
-func (controller *Controller) leaderTTL() clock.Micros { return controller.elector.TTL() }
+// isEntitled tells whether this process may act as leader now.
+func (controller *Controller) isEntitled() bool { return controller.elector.IsEntitled(clock.Now()) }
 
-func (controller *Controller) acquireLock(lease uint64) {
-	value, err := records.Lock{Member: controller.cfg.Member, Lease: lease, NeedsStandbyRecord: controller.failover.replica != nil}.MarshalJSON()
-	if err != nil {
-		return
-	}
-	write := &kvstore.Write{
-		Priority:   kvstore.Critical,
-		Conditions: []wire.Condition{{Key: records.LockKey}},
-		Changes:    []wire.Change{{PutKey: records.LockKey, Value: value, LeaseID: lease}},
-		Deadline:   clock.Now() + controller.leaderTTL()/2,
-	}
-	write.Done = func(outcome kvstore.Outcome, revision uint64) {
-		controller.postResult(func() {
-			result := election.AcquireUnknown
-			switch outcome {
-			case kvstore.Committed:
-				result = election.AcquireSucceeded
-			case kvstore.Conflict, kvstore.NotExecuted, kvstore.Fenced:
-				result = election.AcquireFailed
-			}
-			controller.executeActions(controller.elector.HandleAcquireResult(clock.Now(), result, revision))
-			controller.startFailoverIfElected()
-		})
-	}
-	if !controller.store.Commit(write) {
-		controller.executeActions(controller.elector.HandleAcquireResult(clock.Now(), election.AcquireFailed, 0))
-	}
-}
+// IsLeader tells whether this process answers workers as leader, as of the last tick. It may be
+// called on any goroutine.
+func (controller *Controller) IsLeader() bool { return controller.process.isActiveLeader.Load() }
 
-// startFailoverIfElected begins the take-over once the lock is ours.
+// startFailoverIfElected begins the failover once this member has the lock.
 func (controller *Controller) startFailoverIfElected() {
 	if controller.elector.Phase() != election.Leader || controller.term != nil || controller.failover.isRebuilding {
 		return
@@ -138,40 +46,48 @@
 	controller.rebuildTerm()
 }
 
-// rebuildTerm rebuilds the account from a view that is as new as the token.
+// rebuildTerm begins the term on a view that is as new as the fencing token.
 func (controller *Controller) rebuildTerm() {
 	token := controller.elector.Token()
 	requestedAt := clock.Now()
 	controller.view.RequestSync(func(err error) {
 		switch {
 		case controller.elector.Token() != token:
-			controller.failover.isRebuilding = false
-			controller.startFailoverIfElected()
+			controller.restartFailover()
 		case err != nil || controller.view.Revision < token || len(controller.machineTypes.list) == 0:
-			// Types come from the state service or the cloud; try again soon.
-			time.AfterFunc(100*time.Millisecond, func() {
-				controller.postResult(func() {
-					if controller.elector.Token() == token && controller.failover.isRebuilding {
-						controller.rebuildTerm()
-					} else {
-						controller.failover.isRebuilding = false
-						controller.startFailoverIfElected()
-					}
-				})
-			})
+			controller.runAfter(rebuildRetryInterval, func() { controller.retryRebuild(token) })
 		default:
 			controller.failover.isRebuilding = false
 			controller.term = newLeaderTerm(controller, token, requestedAt)
 			controller.members.nextHeartbeatAt = 0
 		}
-	}, clock.Now()+2*clock.Second)
+	}, clock.Now()+rebuildSyncTimeout)
+}
+
+// retryRebuild rebuilds again where the view was too old, or the machine types were not known:
+// they come from the store or the cloud.
+func (controller *Controller) retryRebuild(token uint64) {
+	if controller.elector.Token() != token || !controller.failover.isRebuilding {
+		controller.restartFailover()
+		return
+	}
+	controller.rebuildTerm()
+}
+
+// restartFailover gives up a rebuild for a token that is not this member's any more, and begins
+// another one if it has won the lock again.
+func (controller *Controller) restartFailover() {
+	controller.failover.isRebuilding = false
+	controller.startFailoverIfElected()
 }
 
-func (controller *Controller) endTerm(reason string) {
+// endTerm ends the leadership term, if there is one. This member's grant as a delegate begins
+// then, so that it may go on to renew workers' leases until there is another leader.
+func (controller *Controller) endTerm(reason endReason) {
 	if controller.term == nil {
 		return
 	}
-	controller.log.Info("lead given up", "why", reason, "token", controller.term.token)
+	controller.log.Info("lead given up", "why", string(reason), "token", controller.term.token)
 	controller.delegation.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.renewals.cancellationsKnownAt)
 	controller.term.close()
 	controller.term = nil
@@ -180,19 +96,20 @@
 	controller.members.nextHeartbeatAt = 0
 }
 
-// handleFenced takes the news that the lock is not ours any more.
+// handleFenced ends the term of a token that a write or a worker has proven to be outdated.
 func (controller *Controller) handleFenced(token uint64) {
 	controller.executeActions(controller.elector.HandleFencedWrite(clock.Now(), token))
 	if controller.elector.Phase() != election.Leader {
-		controller.endTerm("a write was fenced")
+		controller.endTerm(endWriteFenced)
 	}
 }
 
-// ReleaseLeadership gives the lead away; a new leader need not wait for the lock to end.
+// ReleaseLeadership revokes the lease, so that another member can be elected at once. It waits
+// at most two seconds, and may be called on any goroutine while Run runs.
 func (controller *Controller) ReleaseLeadership() {
 	done := make(chan struct{})
 	controller.postResult(func() {
-		for _, action := range controller.elector.StepDown(clock.Now(), 3600*clock.Second) {
+		for _, action := range controller.elector.StepDown(clock.Now(), releaseBackoff) {
 			if action.Kind == election.RevokeLease {
 				if err := controller.store.RevokeLease(action.LeaseID); err != nil {
 					controller.log.Debug("lease not revoked", "error", err)
@@ -203,6 +120,6 @@
 	})
 	select {
 	case <-done:
-	case <-time.After(2 * time.Second):
+	case <-time.After(releaseTimeout):
 	}
 }
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -11,38 +11,26 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// HandlePeerHeartbeat implements server.App.
-func (controller *Controller) HandlePeerHeartbeat(heartbeat *peer.Heartbeat) {
-	controller.commands.Post(commandqueue.Heartbeat, func() { controller.handlePeerHeartbeat(heartbeat) })
-}
-
-// updateAvailability decides whether users should be sent here. In an outage of the state
-// service every node is refused, and leaving then would only cost time after
-// it; a node that alone is refused leaves.
-func (controller *Controller) updateAvailability(now clock.Micros) {
-	unavailable := !controller.view.IsLoaded || len(controller.machineTypes.list) == 0
-	if !unavailable && controller.store.LastFailureAt() > controller.store.LastSuccessAt() && now-controller.store.LastSuccessAt() > clock.Second {
-		for _, received := range controller.members.heartbeats {
-			if now-received.receivedAt < 2*clock.Second && received.heartbeat.IsStoreReachable {
-				unavailable = true
-			}
-		}
-	}
-	controller.process.isUnavailable.Store(unavailable)
-}
-
-// IsHealthy tells whether users may be routed here. It may be called on any goroutine.
-func (controller *Controller) IsHealthy() bool { return !controller.process.isUnavailable.Load() }
+const (
+	heartbeatInterval = 1 * clock.Second
+	// storeReachableWindow is how long ago the store's last answer may be for this member to
+	// say that it reaches the store.
+	storeReachableWindow = 12 * clock.Second
+)
 
-// receivedHeartbeat is the last beat of another controller.
+// receivedHeartbeat is the last heartbeat of another member.
 type receivedHeartbeat struct {
 	heartbeat  *peer.Heartbeat
 	receivedAt clock.Micros
 }
 
+// HandlePeerHeartbeat takes a message of another member. It may be called on any goroutine.
+func (controller *Controller) HandlePeerHeartbeat(heartbeat *peer.Heartbeat) {
+	controller.commands.Post(commandqueue.Heartbeat, func() { controller.handlePeerHeartbeat(heartbeat) })
+}
+
 func (controller *Controller) handlePeerHeartbeat(heartbeat *peer.Heartbeat) {
-	known := slices.ContainsFunc(controller.cfg.Peers, func(other config.Peer) bool { return other.Member == heartbeat.Member })
-	if !known {
+	if !slices.ContainsFunc(controller.cfg.Peers, func(other config.Peer) bool { return other.Member == heartbeat.Member }) {
 		return
 	}
 	if heartbeat.IsStandby() {
@@ -50,87 +38,125 @@
 		return
 	}
 	now := clock.Now()
-	last := controller.members.heartbeats[heartbeat.Member]
-	if isBack := last == nil || last.heartbeat.Incarnation != heartbeat.Incarnation || now-last.receivedAt >= memberTimeout; isBack && controller.term != nil {
+	if controller.term != nil && controller.hasComeBack(heartbeat, now) {
 		controller.term.hints.images.ResendAll(now)
 	}
 	controller.members.heartbeats[heartbeat.Member] = &receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
 	controller.applyCancellations(heartbeat.Cancellations)
-	if known := controller.members.timestamps[heartbeat.Member]; heartbeat.Incarnation > known.Incarnation || heartbeat.Incarnation == known.Incarnation && heartbeat.Timestamp > known.At {
+	controller.recordTimestamp(heartbeat)
+	controller.recordDelegation(heartbeat, now)
+	controller.updateProgressCounts(heartbeat, now)
+}
+
+// hasComeBack tells whether a heartbeat is a member's first one since its start or since it was
+// last reachable.
+func (controller *Controller) hasComeBack(heartbeat *peer.Heartbeat, now clock.Micros) bool {
+	last := controller.members.heartbeats[heartbeat.Member]
+	return last == nil || last.heartbeat.Incarnation != heartbeat.Incarnation || now-last.receivedAt >= memberTimeout
+}
+
+// recordTimestamp keeps a member's timestamp if it is the newest one: messages may arrive out
+// of order.
+func (controller *Controller) recordTimestamp(heartbeat *peer.Heartbeat) {
+	known := controller.members.timestamps[heartbeat.Member]
+	isNewer := heartbeat.Incarnation > known.Incarnation || heartbeat.Incarnation == known.Incarnation && heartbeat.Timestamp > known.At
+	if isNewer {
 		controller.members.timestamps[heartbeat.Member] = delegation.Timestamp{Incarnation: heartbeat.Incarnation, At: heartbeat.Timestamp}
 	}
+}
+
+// recordDelegation takes what a heartbeat means for delegation: a leader's one extends this
+// member's grant, and a member's one tells the leader until when that one may have acted.
+func (controller *Controller) recordDelegation(heartbeat *peer.Heartbeat, now clock.Micros) {
 	acknowledgement := delegation.Timestamp{Incarnation: heartbeat.AckIncarnation, At: heartbeat.AckTimestamp}
-	if heartbeat.Leader == heartbeat.Member && controller.term == nil {
-		controller.failover.leaderHeartbeatAt = now
-		controller.storeHints(heartbeat, now)
-		controller.delegation.delegate.RecordLeaderHeartbeat(now, heartbeat.Token, acknowledgement)
+	if controller.term == nil {
+		if heartbeat.Leader == heartbeat.Member {
+			controller.failover.leaderHeartbeatAt = now
+			controller.storeHints(heartbeat, now)
+			controller.delegation.delegate.RecordLeaderHeartbeat(now, heartbeat.Token, acknowledgement)
+		}
+		return
 	}
-	if controller.term != nil && controller.delegation.delegate.IsOwnStamp(acknowledgement) {
+	if controller.delegation.delegate.IsOwnStamp(acknowledgement) {
 		controller.term.renewals.grants.RecordReceipt(heartbeat.Member, now, acknowledgement.At, heartbeat.SilentFor)
 	}
-	if heartbeat.Leader == heartbeat.Member && controller.elector.Phase() != election.Leader {
-		if _, token := controller.elector.LockHolder(); heartbeat.Token >= token {
-			controller.users.progressCounts.Update(heartbeat, now, controller.hasJobEnded)
-		}
+}
+
+// updateProgressCounts takes the jobs' progress from the heartbeat of the newest known leader.
+func (controller *Controller) updateProgressCounts(heartbeat *peer.Heartbeat, now clock.Micros) {
+	if heartbeat.Leader != heartbeat.Member || controller.elector.Phase() == election.Leader {
+		return
+	}
+	if _, token := controller.elector.LockHolder(); heartbeat.Token >= token {
+		controller.users.progressCounts.Update(heartbeat, now, controller.hasJobEnded)
 	}
 }
 
-// hasJobEnded tells whether a job is known to be over.
+// hasJobEnded tells whether a job is known to have ended.
 func (controller *Controller) hasJobEnded(job string) bool {
 	record := controller.view.Jobs[job]
 	return record != nil && record.HasEnded()
 }
 
-// knownLeader is who workers are sent to, as far as is known.
+// knownLeader is the member with the highest token that holds the lock, or says that it leads;
+// "" if there is none.
 func (controller *Controller) knownLeader() string {
 	holder, token := controller.elector.LockHolder()
 	for member, received := range controller.members.heartbeats {
-		if received.heartbeat.Leader == member && received.heartbeat.Token > token && clock.Now()-received.receivedAt < 2*clock.Second {
+		if received.heartbeat.Leader == member && received.heartbeat.Token > token && clock.Now()-received.receivedAt < recentHeartbeatWindow {
 			holder, token = member, received.heartbeat.Token
 		}
 	}
 	return holder
 }
 
-const heartbeatInterval = 1 * clock.Second
-
-// tickHeartbeat tells the other controllers how things are.
+// tickHeartbeat sends a heartbeat to the other members when it is due.
 func (controller *Controller) tickHeartbeat(now clock.Micros) {
 	if now < controller.members.nextHeartbeatAt {
 		return
 	}
 	controller.members.nextHeartbeatAt = now + heartbeatInterval
-	if drops := controller.store.MalformedResponses.Load(); drops > controller.storeUse.reportedDrops {
-		controller.logDropped("answers of the state service were dropped")
-		controller.storeUse.reportedDrops = drops
-	}
+	controller.logMalformedResponses()
 	controller.updateAvailability(now)
 	if controller.term == nil || controller.store.IsFailing(now) {
 		controller.sendHeartbeats(now)
 		return
 	}
-	// What the stamps give is confirmed first: a beat that carries it at once makes
-	// the rights of those who are cut off a second longer.
+	// Acknowledge before sending, so that this heartbeat carries the newest acknowledgements:
+	// the grants of members that are cut off then last a second longer.
 	controller.term.acknowledgeTimestamps(now, func() { controller.sendHeartbeats(clock.Now()) })
 }
 
+// logMalformedResponses logs that the store sent responses that could not be used, if it has
+// sent more of them since.
+func (controller *Controller) logMalformedResponses() {
+	if drops := controller.store.MalformedResponses.Load(); drops > controller.storeUse.reportedDrops {
+		controller.logDropped("answers of the state service were dropped")
+		controller.storeUse.reportedDrops = drops
+	}
+}
+
+// sendHeartbeats sends a heartbeat to each of the other members.
 func (controller *Controller) sendHeartbeats(now clock.Micros) {
+	heartbeat := controller.newHeartbeat(now)
+	for i, link := range controller.members.links {
+		member := controller.cfg.Peers[i].Member
+		acknowledgement := controller.acknowledgementFor(member)
+		heartbeat.AckIncarnation, heartbeat.AckTimestamp = acknowledgement.Incarnation, acknowledgement.At
+		heartbeat.Cancellations = controller.members.cancellations.UnknownTo(controller.peerRevision(member), now)
+		link.SendHeartbeat(peer.Encode(heartbeat))
+	}
+}
+
+// newHeartbeat is what all members are sent alike.
+func (controller *Controller) newHeartbeat(now clock.Micros) *peer.Heartbeat {
 	heartbeat := &peer.Heartbeat{
 		Member:                 controller.cfg.Member,
 		StandbyProtocolVersion: controller.standbyVersion(),
-		IsStoreReachable:       controller.store.LastSuccessAt() > controller.store.LastFailureAt() && now-controller.store.LastSuccessAt() < 12*clock.Second,
+		IsStoreReachable:       controller.store.LastSuccessAt() > controller.store.LastFailureAt() && now-controller.store.LastSuccessAt() < storeReachableWindow,
 	}
 	heartbeat.Leader, heartbeat.Token = controller.elector.LockHolder()
-	for name, lastAt := range controller.workers.contactAt {
-		if now-lastAt > controller.suspectTimeout() {
-			delete(controller.workers.contactAt, name)
-		}
-	}
-	for name, lastAt := range controller.delegation.repliedAt {
-		if now-lastAt > clock.FromSeconds(controller.cfg.Deployment.Workers.LeaseSeconds) {
-			delete(controller.delegation.repliedAt, name)
-		}
-	}
+	controller.expireWorkerContacts(now)
 	heartbeat.WorkerCount = uint32(len(controller.workers.contactAt))
 	controller.reportWorkerContact(now)
 	if controller.term != nil {
@@ -141,13 +167,14 @@
 	timestamp := controller.delegation.delegate.Timestamp(now)
 	heartbeat.Incarnation, heartbeat.Timestamp, heartbeat.SilentFor = timestamp.Incarnation, timestamp.At, controller.delegation.delegate.SilentFor(now)
 	heartbeat.StoreRevision = controller.view.Revision
-	for i, link := range controller.members.links {
-		acknowledgement := controller.members.timestamps[controller.cfg.Peers[i].Member]
-		if controller.term != nil {
-			acknowledgement = controller.term.renewals.acknowledgements[controller.cfg.Peers[i].Member]
-		}
-		heartbeat.AckIncarnation, heartbeat.AckTimestamp = acknowledgement.Incarnation, acknowledgement.At
-		heartbeat.Cancellations = controller.members.cancellations.UnknownTo(controller.peerRevision(controller.cfg.Peers[i].Member), now)
-		link.SendHeartbeat(peer.Encode(heartbeat))
+	return heartbeat
+}
+
+// acknowledgementFor is the timestamp of a member that a heartbeat to it acknowledges: as
+// leader the one that extends its grant, else the newest one.
+func (controller *Controller) acknowledgementFor(member string) delegation.Timestamp {
+	if controller.term != nil {
+		return controller.term.renewals.acknowledgements[member]
 	}
+	return controller.members.timestamps[member]
 }
--- /dev/null
+++ b/internal/controller/rate_shares.go
@@ -0,0 +1,34 @@
+package controller
+
+import (
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/election"
+	"firwood.dev/firwood/internal/rateshare"
+)
+
+// backlogThreshold is how long the leader's waiting writes take from which it has a backlog.
+const backlogThreshold = rateshare.BacklogThreshold
+
+// applyRateShares sets this member's shares of the outside services' rates, as leader or not.
+func (controller *Controller) applyRateShares() {
+	shares := rateshare.OfFollower(len(controller.cfg.Peers))
+	if controller.elector.Phase() == election.Leader {
+		shares = rateshare.OfLeader(len(controller.cfg.Peers))
+		controller.storeUse.shares.BeginTerm()
+	}
+	controller.store.SetRateShare(shares.Store)
+	controller.cloud.SetRateShare(shares.Cloud)
+}
+
+// adjustRateShare lets the leader use what the others leave of the rate of changes.
+func (controller *Controller) adjustRateShare(now clock.Micros) {
+	if len(controller.cfg.Peers) == 0 {
+		return
+	}
+	share, hasChanged := controller.storeUse.shares.Adjust(now, rateshare.Load{
+		Written: controller.store.ChangesWritten(), Backlog: controller.store.BacklogDuration(), ChangesPerSecond: controller.cfg.Deployment.Store.Effective().WriteRPS,
+	})
+	if hasChanged {
+		controller.store.SetWriteRateShare(share)
+	}
+}
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -7,33 +7,44 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Workers that reach this member and not the leader are what has a leader hand over,
-// and beats tell it of them. When the way between controllers is shut too, a leader
-// that no worker reaches would hold its lock for as long as that lasts, while all
-// leases run out: once for 78 s. So members that the leader does not hear tell it by
-// way of the state service.
+// A leader hands over if workers reach other members and not it. Heartbeats tell it how many
+// workers contact each member. If the members cannot reach the leader either, they write that
+// count to the store instead. Added after a leader that neither workers nor members reached
+// held its lock for 78 s, while all leases ran out.
 
-// workerContact is how many workers asked a member lately, and when it said so.
+// workerContact is how many workers contacted a member lately, and when it said so.
 type workerContact struct {
 	workers    uint32
 	reportedAt clock.Micros
 }
 
 const (
-	// workerContactInterval is how often a member says so, workerContactTTL how long it counts.
+	// workerContactInterval is how often a member reports the count, workerContactTTL for how
+	// long a report counts.
 	workerContactInterval = clock.Second
 	workerContactTTL      = 5 * clock.Second
-	// minWorkerContacts is from how many workers on it is worth a write.
+	// minWorkerContacts is the count from which a report is worth a write.
 	minWorkerContacts = 3
 )
 
-// reportWorkerContact says how many workers ask here, where the leader is not heard.
-func (controller *Controller) reportWorkerContact(now clock.Micros) {
-	leader, _ := controller.elector.LockHolder()
-	if controller.term != nil || leader == "" || leader == controller.cfg.Member || len(controller.workers.contactAt) < minWorkerContacts || now < controller.workers.nextReportAt {
-		return
+// expireWorkerContacts drops workers that have not contacted this member for a while.
+func (controller *Controller) expireWorkerContacts(now clock.Micros) {
+	for name, lastAt := range controller.workers.contactAt {
+		if now-lastAt > controller.suspectTimeout() {
+			delete(controller.workers.contactAt, name)
+		}
 	}
-	if received := controller.members.heartbeats[leader]; received != nil && now-received.receivedAt < memberTimeout {
+	for name, lastAt := range controller.delegation.repliedAt {
+		if now-lastAt > clock.FromSeconds(controller.cfg.Deployment.Workers.LeaseSeconds) {
+			delete(controller.delegation.repliedAt, name)
+		}
+	}
+}
+
+// reportWorkerContact writes how many workers contact this member to the store, while it
+// receives no heartbeats of the leader.
+func (controller *Controller) reportWorkerContact(now clock.Micros) {
+	if !controller.isWorkerContactReportDue(now) {
 		return
 	}
 	value, err := records.WorkerContact{Workers: uint32(len(controller.workers.contactAt)), ReportedAt: int64(clock.WallTime())}.MarshalJSON()
@@ -50,7 +61,20 @@
 	})
 }
 
-// applyWorkerContact takes what a member has said. It may be long ago.
+// isWorkerContactReportDue tells whether another member leads, doesn't send heartbeats, and
+// workers contact this one.
+func (controller *Controller) isWorkerContactReportDue(now clock.Micros) bool {
+	leader, _ := controller.elector.LockHolder()
+	isOtherLeading := controller.term == nil && leader != "" && leader != controller.cfg.Member
+	if !isOtherLeading || len(controller.workers.contactAt) < minWorkerContacts || now < controller.workers.nextReportAt {
+		return false
+	}
+	received := controller.members.heartbeats[leader]
+	return received == nil || now-received.receivedAt >= memberTimeout
+}
+
+// applyWorkerContact takes a member's report. It may be old: then it counts from when it was
+// written, as far as the members' clocks may differ.
 func (controller *Controller) applyWorkerContact(member string, record records.WorkerContact) {
 	now := clock.Now()
 	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-controller.maxClockSkew(), 0)
