--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -7,18 +7,42 @@
 	"firwood.dev/firwood/wire"
 )
 
-// HandleHeartbeat implements server.App.
+const (
+	// leaderAdviceWindow is for how long after its last heartbeat a leader is named to workers,
+	// lockAdviceWindow for how long after the store's last answer the lock's holder is.
+	leaderAdviceWindow = 3 * heartbeatInterval
+	lockAdviceWindow   = 12 * clock.Second
+	// delegatedReplyTimeout bounds how long a reply under a grant may take to go out.
+	delegatedReplyTimeout = clock.Second
+	// redirectMargin is how much longer than two of a worker's heartbeat intervals a grant must
+	// last for the worker to be redirected.
+	redirectMargin = 4 * clock.Second
+)
+
+// HandleHeartbeat replies to a worker's heartbeat: with commands as leader, without any as
+// delegate, else with a redirect. It may be called on any goroutine.
 func (controller *Controller) HandleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
 	if !controller.commands.Post(commandqueue.Heartbeat, func() { controller.handleWorkerHeartbeat(heartbeat, reply) }) {
-		replyUnavailable(reply, "overloaded")
+		replyUnavailable(reply, reasonOverloaded)
+	}
+}
+
+func (controller *Controller) handleWorkerHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
+	controller.workers.contactAt[heartbeat.MachineID] = clock.Now()
+	switch {
+	case controller.term != nil && controller.isEntitled():
+		controller.term.handleHeartbeat(heartbeat, reply)
+	case controller.replyAsDelegate(heartbeat, reply, clock.Now()):
+	default:
+		controller.replyRedirect(reply)
 	}
 }
 
-// replyAsDelegate keeps the lease of a worker alive that cannot reach the leader any
-// more than this member can. It is held here for one report at a time: after each
-// answer it is sent on, so a worker that does reach the leader is not kept from it.
-// The answer comes first: a worker that was sent on first had tried a leader out of
-// reach for four seconds, came here, tried it again, and was back after its lease.
+// replyAsDelegate renews the lease of a worker that cannot reach the leader, if this member may,
+// and tells whether it replied. Renewals and redirects alternate, so a worker that can reach
+// the leader is not kept from it. The renewal comes first: a worker that was redirected first
+// had tried an unreachable leader for four seconds, came here, tried it again, and was back
+// after its lease had ended.
 func (controller *Controller) replyAsDelegate(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if controller.term != nil {
 		controller.delegation.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.renewals.cancellationsKnownAt)
@@ -26,15 +50,11 @@
 	if !controller.view.IsLoaded || controller.mayConstrainZone(heartbeat.Zone) {
 		return false
 	}
-	token, until, ok := controller.delegation.delegate.MayAnswer(now, heartbeat.FencingToken)
+	token, grantUntil, ok := controller.delegation.delegate.MayAnswer(now, heartbeat.FencingToken)
 	if _, newest := controller.elector.LockHolder(); !ok || newest > token {
 		return false
 	}
-	workers := &controller.cfg.Deployment.Workers
-	repliedAt, wasAnswered := controller.delegation.repliedAt[heartbeat.MachineID]
-	// While it is on its way its lease is not renewed: shortly before the right ends
-	// it is kept.
-	if wasAnswered && now-repliedAt <= clock.FromSeconds(workers.LeaseSeconds) && until-now > clock.FromSeconds(2*workers.HeartbeatIntervalSeconds)+4*clock.Second {
+	if controller.isRedirectDue(heartbeat.MachineID, grantUntil, now) {
 		delete(controller.delegation.repliedAt, heartbeat.MachineID)
 		return false
 	}
@@ -42,31 +62,51 @@
 	if err != nil {
 		return false
 	}
-	controller.delegation.repliedAt[heartbeat.MachineID] = now
-	// The answer goes out soon, or not at all.
-	until = min(until, now+clock.Second)
-	controller.delegation.delegate.RecordAnswer(until)
-	if controller.term != nil {
-		// It may yet renew its lock and go on, and must then count with this.
-		if machine := controller.term.tracker.Machines[heartbeat.MachineID]; machine != nil {
-			controller.term.tracker.RecordLeaseRenewal(machine, until)
-		}
-	}
+	// The reply goes out soon, or not at all.
+	until := min(grantUntil, now+delegatedReplyTimeout)
+	controller.recordDelegatedReply(heartbeat.MachineID, until, now)
 	reply.SendBefore(200, body, 0, until)
 	return true
 }
 
-const (
-	// leaderAdviceWindow is for how long after its last beat a leader is named to workers, and
-	// lockAdviceWindow for how long after the state service last answered its holder is.
-	leaderAdviceWindow = 3 * heartbeatInterval
-	lockAdviceWindow   = 12 * clock.Second
-)
+// isRedirectDue tells whether a worker was answered under the grant last time, and can be back
+// before the grant ends. While it is on its way its lease is not renewed, so shortly before that
+// end it is kept here.
+func (controller *Controller) isRedirectDue(machine string, grantUntil, now clock.Micros) bool {
+	workers := &controller.cfg.Deployment.Workers
+	repliedAt, wasAnswered := controller.delegation.repliedAt[machine]
+	if !wasAnswered || now-repliedAt > clock.FromSeconds(workers.LeaseSeconds) {
+		return false
+	}
+	return grantUntil-now > clock.FromSeconds(2*workers.HeartbeatIntervalSeconds)+redirectMargin
+}
+
+// recordDelegatedReply notes a renewal under the grant. A leader without the lock may yet renew
+// it and go on, and must then count with its own renewals.
+func (controller *Controller) recordDelegatedReply(machineName string, until, now clock.Micros) {
+	controller.delegation.repliedAt[machineName] = now
+	controller.delegation.delegate.RecordAnswer(until)
+	if controller.term == nil {
+		return
+	}
+	if machine := controller.term.tracker.Machines[machineName]; machine != nil {
+		controller.term.tracker.RecordLeaseRenewal(machine, until)
+	}
+}
+
+// replyRedirect sends a worker to the leader, or to try the other members if none is named.
+func (controller *Controller) replyRedirect(reply *server.Reply) {
+	body, err := wire.Redirect{Member: controller.leaderForWorkers(clock.Now())}.MarshalJSON()
+	if err != nil {
+		body = []byte("{}")
+	}
+	reply.Send(421, body, 0)
+}
 
-// leaderForWorkers is who workers are sent to, empty if nobody is known well enough. A member
-// that hears neither the leader nor the state service names nobody: once one sent its
-// workers to a leader that was dead, whose next node in their lists it was itself, and they
-// went back and forth between the two for minutes while another one led.
+// leaderForWorkers is the leader that workers are redirected to, "" if none is known well
+// enough. A member that reaches neither the leader nor the store names nobody. Added after one
+// sent its workers to a leader that was down, whose successor in their lists it was itself, and
+// they went back and forth between the two for minutes while another one led.
 func (controller *Controller) leaderForWorkers(now clock.Micros) string {
 	leader := controller.knownLeader()
 	if leader == controller.cfg.Member {
@@ -79,20 +119,3 @@
 	}
 	return leader
 }
-
-func (controller *Controller) handleWorkerHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
-	controller.workers.contactAt[heartbeat.MachineID] = clock.Now()
-	if controller.term != nil && controller.isEntitled() {
-		controller.term.handleHeartbeat(heartbeat, reply)
-		return
-	}
-	if controller.replyAsDelegate(heartbeat, reply, clock.Now()) {
-		return
-	}
-	redirect := wire.Redirect{Member: controller.leaderForWorkers(clock.Now())}
-	body, err := redirect.MarshalJSON()
-	if err != nil {
-		body = []byte("{}")
-	}
-	reply.Send(421, body, 0)
-}
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -7,17 +7,16 @@
 	"firwood.dev/firwood/wire"
 )
 
-// fetchMachineTypes learns what the cloud has on offer; prices move, so it is asked
-// again now and then.
+const (
+	// firstTypesInterval is how often the cloud is asked for machine types until they are known,
+	// typesRefreshInterval how often a leader asks again: prices change.
+	firstTypesInterval   = 2 * clock.Second
+	typesRefreshInterval = 60 * clock.Second
+)
+
+// fetchMachineTypes asks the cloud for its machine types when that is due.
 func (controller *Controller) fetchMachineTypes(now clock.Micros) {
-	wait := 2 * clock.Second
-	if len(controller.machineTypes.list) > 0 {
-		if controller.term == nil {
-			return
-		}
-		wait = 60 * clock.Second
-	}
-	if controller.machineTypes.isFetching || controller.machineTypes.requestedAt != 0 && now-controller.machineTypes.requestedAt < wait {
+	if !controller.isTypesFetchDue(now) {
 		return
 	}
 	controller.machineTypes.isFetching, controller.machineTypes.requestedAt = true, now
@@ -37,6 +36,21 @@
 	}()
 }
 
+// isTypesFetchDue tells whether machine types are not known, or have to be refreshed by this
+// member as leader.
+func (controller *Controller) isTypesFetchDue(now clock.Micros) bool {
+	catalog := &controller.machineTypes
+	interval := firstTypesInterval
+	if len(catalog.list) > 0 {
+		if controller.term == nil {
+			return false
+		}
+		interval = typesRefreshInterval
+	}
+	return !catalog.isFetching && (catalog.requestedAt == 0 || now-catalog.requestedAt >= interval)
+}
+
+// setMachineTypes takes machine types from the cloud or the store.
 func (controller *Controller) setMachineTypes(types []wire.MachineType) {
 	controller.machineTypes.list = types
 	if controller.term != nil {
