--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -7,15 +7,14 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Jobs that await others. A job's own record, and the records of the jobs that it
-// names, are all there is: whether it may start, whether it is cancelled with one
-// of them, and how urgent it is are derived from them by every controller alike.
-// The leader's account has only jobs that may start.
+// A job's state with respect to its dependencies (whether it may start, whether it is cancelled
+// with one of them, how urgent it is) is not stored. Every controller derives it from the jobs'
+// records alone. The leader's allocation table has only released jobs.
 
-// startOverhead is about how long a job takes beside its run: its machine and its image.
+// startOverhead is about how long a job takes beside its run, to get a machine and an image.
 const startOverhead = 5 * clock.Second
 
-// urgencyOf is what a job itself asks for.
+// urgencyOf is the urgency that a job has by itself. A service has no deadline.
 func urgencyOf(record *storeview.Job) dag.Urgency {
 	urgency := dag.Urgency{Priority: wire.PriorityIndex(record.Spec.Priority)}
 	if record.Spec.DeadlineSeconds > 0 && record.Spec.Kind != wire.KindService {
@@ -24,7 +23,7 @@
 	return urgency
 }
 
-// updateDependencyGraph draws the conclusions from a job's record for those that need it.
+// updateDependencyGraph applies a job's record to the graph, and what follows for other jobs.
 func (controller *Controller) updateDependencyGraph(id string, record *storeview.Job) {
 	switch {
 	case record.State == wire.JobDone:
@@ -34,7 +33,7 @@
 	case record.Spec != nil:
 		dependencies, isComplete := controller.view.DependenciesOf(id, record)
 		if !isComplete {
-			return // the rest comes with the same transaction
+			return // the other parts were written in the same transaction
 		}
 		controller.lookUpEvictedDependencies(dependencies)
 		controller.applyGraphChange(controller.dependencyGraph.AddJob(dag.Job{
@@ -44,11 +43,11 @@
 	}
 }
 
-// lookUpEvictedDependencies looks up jobs that a new job awaits and that were forgotten. It waits for
-// them until they are known.
+// lookUpEvictedDependencies looks up dependencies of a new job that may have been evicted. The
+// job is blocked until they are known.
 func (controller *Controller) lookUpEvictedDependencies(dependencies []string) {
 	if !controller.view.IsLoaded {
-		return // lookUpUnknownDependencies looks at all
+		return // lookUpUnknownDependencies does it for all jobs after the load
 	}
 	for _, id := range dependencies {
 		if controller.mayBeEvicted(id) {
@@ -57,22 +56,15 @@
 	}
 }
 
-// isBlocked tells whether a job that is not over must not start yet.
+// isBlocked tells whether a job that has not ended must not start yet.
 func (controller *Controller) isBlocked(id string, record *storeview.Job) bool {
 	_, isComplete := controller.view.DependenciesOf(id, record)
 	return !isComplete || controller.dependencyGraph.IsBlocked(id)
 }
 
+// applyGraphChange applies the effects of one job's change on the others.
 func (controller *Controller) applyGraphChange(change dag.Effects) {
-	for _, id := range change.Cancelled {
-		if record := controller.view.Jobs[id]; record != nil && record.State == "" {
-			record.IsCancelledByDependency = true
-			controller.users.progressCounts.Remove(id)
-			if controller.term != nil {
-				controller.term.persistence.cleanup.addImpliedCancellations(id)
-			}
-		}
-	}
+	controller.applyImpliedCancellations(change.Cancelled)
 	if controller.term == nil {
 		return
 	}
@@ -86,7 +78,21 @@
 	}
 }
 
-// updateUrgency takes over what has come to be demanded of a job.
+// applyImpliedCancellations marks jobs as cancelled with a dependency. The leader writes that to
+// their own records in time.
+func (controller *Controller) applyImpliedCancellations(ids []string) {
+	for _, id := range ids {
+		if record := controller.view.Jobs[id]; record != nil && record.State == "" {
+			record.IsCancelledByDependency = true
+			controller.users.progressCounts.Remove(id)
+			if controller.term != nil {
+				controller.term.persistence.cleanup.addImpliedCancellations(id)
+			}
+		}
+	}
+}
+
+// updateUrgency gives a job the urgency that it has by itself and by the jobs that depend on it.
 func (term *leaderTerm) updateUrgency(id string) {
 	job, record := term.tracker.Jobs[id], term.controller.view.Jobs[id]
 	if job == nil || record == nil || record.Spec == nil {
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -6,39 +6,40 @@
 	"firwood.dev/firwood/internal/storeview"
 )
 
-// Finished jobs' records stay in the state service for good. A controller remembers those
-// that ended or were asked for last, and looks the others up; see package jobhistory.
+// Finished jobs' records stay in the store. Each controller keeps those in memory that ended
+// or were requested last, and fetches others on demand; see package jobhistory.
 
 const (
-	// finishedMemoryDivisor is which part of the memory finished jobs may take, finishedJobBytes what
-	// one takes.
+	// finishedMemoryDivisor: finished jobs may take this part of the memory. finishedJobBytes is
+	// about what one takes.
 	finishedMemoryDivisor, finishedJobBytes = 16, 512
-	// minFinishedJobs is how many are remembered however little memory there is.
+	// minFinishedJobs is how many are kept however little memory there is.
 	minFinishedJobs = 1000
-	// maxEvictionsPerTick is how many are looked at in one tick.
+	// maxEvictionsPerTick bounds how many are considered in one tick.
 	maxEvictionsPerTick = 200
 )
 
-// finishedCapacity is how many finished jobs are remembered.
-func finishedJobCapacity(wanted int, ramMB float64) int {
-	if wanted > 0 {
-		return wanted
+// finishedJobCapacity is how many finished jobs are kept: as many as are configured, else as
+// many as the process's memory allows.
+func finishedJobCapacity(configured int, memoryMB float64) int {
+	if configured > 0 {
+		return configured
 	}
-	return max(int(ramMB*(1<<20)/finishedMemoryDivisor/finishedJobBytes), minFinishedJobs)
+	return max(int(memoryMB*(1<<20)/finishedMemoryDivisor/finishedJobBytes), minFinishedJobs)
 }
 
-// evictedJobs is what is left of finished jobs that are not remembered.
+// evictedJobs summarizes finished jobs that are not in the view any more.
 type evictedJobs struct {
-	// hasEvicted: some job was forgotten in this life. It is never taken back, since the counts
-	// are for display and may lag. times counts how often.
+	// hasEvicted: a job that is not in the view may have a record. It is never reset, since the
+	// counts are for display and may lag. evictions counts how often that was noted.
 	hasEvicted bool
 	evictions  int
 	counts     storeview.FinishedCounts
-	// problems are the worst of them, for the morning report.
+	// problems are their worst ones, for the job report.
 	problems []jobreport.Problem
 }
 
-// evictFinishedJobs forgets finished jobs beyond the bound.
+// evictFinishedJobs evicts finished jobs beyond the capacity from the view.
 func (controller *Controller) evictFinishedJobs() {
 	for _, id := range controller.history.finished.Evict(maxEvictionsPerTick, controller.canEvict) {
 		record := controller.view.Jobs[id]
@@ -52,29 +53,31 @@
 	}
 }
 
-// canEvict tells whether nothing but a user's question needs a finished job any more.
+// canEvict tells whether nothing but a user's request needs a finished job any more.
 func (controller *Controller) canEvict(id string) bool {
 	record := controller.view.Jobs[id]
-	if record == nil || !record.IsFinished() || controller.view.Progress[id] != nil || controller.view.Dependencies[id] != nil || controller.users.pendingSubmissions[id] != nil {
+	hasOtherKeys := controller.view.Progress[id] != nil || controller.view.Dependencies[id] != nil
+	if record == nil || !record.IsFinished() || hasOtherKeys || controller.users.pendingSubmissions[id] != nil {
 		return false
 	}
-	return controller.term == nil || controller.term.tracker.Jobs[id] == nil && controller.term.jobs[id] == nil
+	isTracked := controller.term != nil && (controller.term.tracker.Jobs[id] != nil || controller.term.jobs[id] != nil)
+	return !isTracked
 }
 
-// recordEviction notes that from now on a job that is not in the view may be known to the
-// state service.
+// recordEviction notes that from now on a job that is not in the view may have a record in the
+// store.
 func (controller *Controller) recordEviction() {
 	controller.history.evicted.hasEvicted = true
 	controller.history.evicted.evictions++
 }
 
-// mayBeEvicted tells whether a job is not in the view, and may have been forgotten.
+// mayBeEvicted tells whether a job is not in the view, and may have been evicted.
 func (controller *Controller) mayBeEvicted(id string) bool {
 	return controller.view.Jobs[id] == nil && controller.history.evicted.hasEvicted
 }
 
-// recountEvicted counts what is forgotten after all records were read, of which so many
-// were finished.
+// recountEvicted counts evicted jobs after all records were read: read are the finished ones of
+// these, dropped is how many of them were not taken into the view.
 func (controller *Controller) recountEvicted(read storeview.FinishedCounts, dropped int) {
 	if dropped > 0 {
 		controller.recordEviction()
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -13,18 +13,23 @@
 	"firwood.dev/firwood/wire"
 )
 
+// Jobs that may have been evicted are looked up in the store, many with one request for which of
+// their keys exist, and then a few at a time.
+
 const (
-	// maxPendingLookups bounds the questions for forgotten jobs that wait, maxJobsPerLookup the jobs
-	// that one request asks for, maxReadsPerLookup those that are read after it.
-	maxPendingLookups, maxJobsPerLookup, maxReadsPerLookup = 1024, 96, 8
-	// keysPerJob is in how many places a job's record may lie.
+	// maxPendingLookups bounds the look-ups that wait.
+	maxPendingLookups = 1024
+	// maxJobsPerLookup bounds the jobs whose keys one request asks for.
+	maxJobsPerLookup = 96
+	// maxReadsPerLookup bounds the records that are read after it.
+	maxReadsPerLookup = 8
+	// keysPerJob: a job's record is under its job key or under its archive key.
 	keysPerJob = 2
-	// lookUpRetryInterval is after how long a job that others await is asked for again.
+	// lookUpRetryInterval is after how long a dependency is looked up again.
 	lookUpRetryInterval = clock.Second
 )
 
-// lookUpJob has a job that may have been forgotten looked up. An answer from the state service
-// is as new as the question.
+// lookUpJob fetches a job that may have been evicted. The result is at least as new as the call.
 func (controller *Controller) lookUpJob(id string, until clock.Micros, done func(jobhistory.LookupResult)) {
 	if !controller.history.lookups.Enqueue(id, until, done) {
 		done(jobhistory.Unavailable)
@@ -33,7 +38,8 @@
 	controller.sendLookups(clock.Now())
 }
 
-// sendLookups asks the state service for jobs that were forgotten, if any are wanted.
+// sendLookups sends the next request for jobs that wait to be looked up, if there are any. Its
+// goroutine ends with the result of that request.
 func (controller *Controller) sendLookups(now clock.Micros) {
 	jobs := controller.history.lookups.NextBatch(now)
 	if len(jobs) == 0 {
@@ -55,8 +61,8 @@
 	}()
 }
 
-// readJobRecords reads the records of some jobs, of a few at a time. Whether the others are
-// absent is known only if none was present.
+// readJobRecords reads the records of a few of some jobs. Whether the others are absent is known
+// only if none of them exists.
 func (controller *Controller) readJobRecords(jobs []string) (read []wire.KeyValue, areOthersAbsent bool, err error) {
 	var keys []string
 	for _, id := range jobs {
@@ -72,7 +78,7 @@
 		}
 		item, err := controller.store.Get(key)
 		if errors.Is(err, kvstore.ErrNotFound) {
-			continue // it was moved meanwhile, and is asked for again
+			continue // it was archived meanwhile, and is looked up again
 		}
 		if err != nil {
 			return read, false, err
@@ -82,7 +88,7 @@
 	return read, false, nil
 }
 
-// applyLookedUpRecord takes the record of a job that was looked up into the view, and tells the job.
+// applyLookedUpRecord takes a record that was looked up into the view, and returns the job's id.
 func (controller *Controller) applyLookedUpRecord(item wire.KeyValue) string {
 	id, isArchived := strings.CutPrefix(item.Key, records.ArchivePrefix)
 	if !isArchived {
@@ -100,18 +106,19 @@
 	return id
 }
 
-// lookUpUnknownDependencies looks up the jobs that others await and that are not in the view: all of
-// them were accepted, so they are over and were forgotten. Until they are known, what
-// awaits them does not start.
+// lookUpUnknownDependencies looks up the dependencies that are not in the view. All of them were
+// accepted, so they have finished and were evicted. Until they are known, the jobs that depend
+// on them don't start.
 func (controller *Controller) lookUpUnknownDependencies() {
 	for _, id := range controller.dependencyGraph.UnknownDependencies() {
 		controller.lookUpUntilKnown(id)
 	}
 }
 
+// lookUpUntilKnown looks a job up, again and again until it is in the view.
 func (controller *Controller) lookUpUntilKnown(id string) {
-	controller.lookUpJob(id, clock.Now()+syncTimeout, func(answer jobhistory.LookupResult) {
-		if answer != jobhistory.Present {
+	controller.lookUpJob(id, clock.Now()+syncTimeout, func(result jobhistory.LookupResult) {
+		if result != jobhistory.Present {
 			controller.runAfter(lookUpRetryInterval, func() {
 				if controller.view.Jobs[id] == nil {
 					controller.lookUpUntilKnown(id)
