--- /dev/null
+++ b/internal/controller/failover_times.go
@@ -0,0 +1,74 @@
+package controller
+
+import (
+	"fmt"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/jobreport"
+	"firwood.dev/firwood/internal/tracing"
+)
+
+// failoverTimes are the instants of this member's last failover, 0 for what hasn't happened.
+type failoverTimes struct {
+	leaderHeartbeatAt clock.Micros // the last heartbeat of the leader before
+	lockWonAt         clock.Micros
+	rebuiltAt         clock.Micros // the allocation table was rebuilt
+	firstDecisionAt   clock.Micros // the first task was placed
+	token             uint64
+	isReplicaUsed     bool // the allocation table was rebuilt from a replica
+	unconfirmed       int  // placements of which it was not known whether they were started
+}
+
+// status is the failover's part of the standby status, nil before one is complete.
+func (times *failoverTimes) status() *jobreport.FailoverStatus {
+	if times.rebuiltAt == 0 {
+		return nil
+	}
+	status := &jobreport.FailoverStatus{Token: times.token, IsReplicaUsed: times.isReplicaUsed, Unconfirmed: times.unconfirmed, RebuildMs: milliseconds(times.rebuiltAt - times.lockWonAt)}
+	if times.leaderHeartbeatAt != 0 {
+		status.LockMs = milliseconds(times.lockWonAt - times.leaderHeartbeatAt)
+	}
+	if times.firstDecisionAt != 0 {
+		status.FirstDecisionMs = milliseconds(times.firstDecisionAt - times.rebuiltAt)
+	}
+	return status
+}
+
+// spans are the failover's parts for the tracer. Their names and attributes are in traces that are
+// kept, so they stay.
+func (times *failoverTimes) spans() []tracing.Span {
+	startedAt := times.leaderHeartbeatAt
+	if startedAt == 0 {
+		startedAt = times.lockWonAt
+	}
+	attributes := map[string]string{"replica_used": fmt.Sprint(times.isReplicaUsed), "in_doubt": fmt.Sprint(times.unconfirmed)}
+	return []tracing.Span{
+		{Name: "take-over", StartedAt: startedAt, EndedAt: times.firstDecisionAt, Attributes: attributes},
+		{Name: "lock", StartedAt: startedAt, EndedAt: times.lockWonAt},
+		{Name: "rebuild", StartedAt: times.lockWonAt, EndedAt: times.rebuiltAt},
+		{Name: "first decision", StartedAt: times.rebuiltAt, EndedAt: times.firstDecisionAt},
+	}
+}
+
+func milliseconds(duration clock.Micros) int64 { return int64(duration / (clock.Second / 1000)) }
+
+// recordFirstDecision notes when a new leader first places a task. The failover is complete then.
+func (term *leaderTerm) recordFirstDecision(now clock.Micros) {
+	times := &term.controller.failover.last
+	if times.firstDecisionAt != 0 || !term.tracker.HasIssuedAttempt() {
+		return
+	}
+	times.firstDecisionAt = now
+	status := times.status()
+	term.controller.log.Info("first decision after a take-over", "token", times.token, "lock_ms", status.LockMs, "rebuild_ms", status.RebuildMs,
+		"first_decision_ms", status.FirstDecisionMs, "replica_used", times.isReplicaUsed, "in_doubt", times.unconfirmed)
+	term.controller.failover.tracer.RecordFailover(times.token, times.spans())
+}
+
+// traceObservedFailover traces what a follower saw of a failover: for how long there was no leader.
+func (controller *Controller) traceObservedFailover(token uint64) {
+	if controller.failover.leaderHeartbeatAt == 0 || controller.isLeading() || controller.elector.Token() == token {
+		return
+	}
+	controller.failover.tracer.RecordFailover(token, []tracing.Span{{Name: "no leader heard", StartedAt: controller.failover.leaderHeartbeatAt, EndedAt: clock.Now()}})
+}
