--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// applyCancellations takes cancellations that another member knows to be durable. Of a job
+// applyCancellations takes cancellations that a member knows to be durable. Of a job
 // that is not in the view this member can't have started anything.
-func (controller *Controller) applyCancellations(cancellations []peer.Cancellation) {
+func (controller *Controller) applyCancellations(member string, cancellations []peer.Cancellation) {
 	for _, cancellation := range cancellations {
 		record := controller.view.Jobs[cancellation.Job]
 		if record == nil || record.HasEnded() || record.Spec == nil || cancellation.Revision <= record.Version {
@@ -52,6 +52,6 @@
 		end := storeview.NewEndedJob(record, wire.JobCancelled, cancellation.CancelledAt)
 		end.Version = cancellation.Revision
 		controller.view.SetJob(cancellation.Job, end)
-		controller.log.Debug("withdrawal told by another member", "job", cancellation.Job, "revision", cancellation.Revision)
+		controller.log.Debug("applied cancellation forwarded by another member", "job", cancellation.Job, "revision", cancellation.Revision, "member", member)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -118,7 +118,7 @@
 	if lastTickAt == 0 || now-lastTickAt <= stallThreshold {
 		return
 	}
-	controller.log.Info("stood still", "for_s", (now - lastTickAt).Seconds())
+	controller.log.Info("process stalled", "gap_s", (now - lastTickAt).Seconds())
 	if controller.term != nil {
 		controller.term.recordResume(now)
 	}
--- a/internal/controller/election_actions.go
+++ b/internal/controller/election_actions.go
@@ -39,7 +39,7 @@
 	go func() {
 		lease, err := controller.store.GrantLease(ttl)
 		if err != nil {
-			controller.log.Debug("no lease granted", "error", err)
+			controller.log.Debug("lease not granted", "error", err)
 		}
 		controller.postResult(func() { controller.executeActions(controller.elector.HandleGrantResult(clock.Now(), lease)) })
 	}()
--- a/internal/controller/failover_times.go
+++ b/internal/controller/failover_times.go
@@ -60,8 +60,8 @@
 	}
 	times.firstDecisionAt = now
 	status := times.status()
-	term.controller.log.Info("first decision after a take-over", "token", times.token, "lock_ms", status.LockMs, "rebuild_ms", status.RebuildMs,
-		"first_decision_ms", status.FirstDecisionMs, "replica_used", times.isReplicaUsed, "in_doubt", times.unconfirmed)
+	term.controller.log.Info("first decision after failover", "token", times.token, "lock_ms", status.LockMs, "rebuild_ms", status.RebuildMs,
+		"first_decision_ms", status.FirstDecisionMs, "replica_used", times.isReplicaUsed, "unconfirmed", times.unconfirmed)
 	term.controller.failover.tracer.RecordFailover(times.token, times.spans())
 }
 
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -48,7 +48,7 @@
 	go func() {
 		read, areOthersAbsent, err := controller.readJobRecords(jobs)
 		if err != nil {
-			controller.log.Debug("jobs not looked up", "error", err)
+			controller.log.Debug("job look-up failed", "jobs", len(jobs), "error", err)
 		}
 		controller.postResult(func() {
 			var present []string
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -42,7 +42,7 @@
 	controller.failover.isRebuilding = true
 	controller.failover.last = failoverTimes{leaderHeartbeatAt: controller.failover.leaderHeartbeatAt, lockWonAt: clock.Now(), token: controller.elector.Token()}
 	controller.applyRateShares()
-	controller.log.Info("lock won", "token", controller.elector.Token(), "lease", controller.elector.LeaseID())
+	controller.log.Info("leadership acquired", "token", controller.elector.Token(), "lease", controller.elector.LeaseID())
 	controller.rebuildTerm()
 }
 
@@ -87,7 +87,7 @@
 	if controller.term == nil {
 		return
 	}
-	controller.log.Info("lead given up", "why", string(reason), "token", controller.term.token)
+	controller.log.Info("leadership term ended", "reason", string(reason), "token", controller.term.token)
 	controller.delegation.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.renewals.cancellationsKnownAt)
 	controller.term.close()
 	controller.term = nil
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -25,7 +25,7 @@
 		controller.postResult(func() {
 			controller.machineTypes.isFetching = false
 			if err != nil {
-				controller.log.Debug("machine types not learnt", "error", err)
+				controller.log.Debug("machine types not fetched", "error", err)
 				return
 			}
 			controller.setMachineTypes(types)
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -42,7 +42,7 @@
 		controller.term.hints.images.ResendAll(now)
 	}
 	controller.members.heartbeats[heartbeat.Member] = &receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
-	controller.applyCancellations(heartbeat.Cancellations)
+	controller.applyCancellations(heartbeat.Member, heartbeat.Cancellations)
 	controller.recordTimestamp(heartbeat)
 	controller.recordDelegation(heartbeat, now)
 	controller.updateProgressCounts(heartbeat, now)
@@ -131,7 +131,7 @@
 // sent more of them since.
 func (controller *Controller) logMalformedResponses() {
 	if drops := controller.store.MalformedResponses.Load(); drops > controller.storeUse.reportedDrops {
-		controller.logDropped("answers of the state service were dropped")
+		controller.logDropped("malformed or unexpected store responses")
 		controller.storeUse.reportedDrops = drops
 	}
 }
