--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -17,9 +17,9 @@
 	}}, Version: 1}
 }
 
-// The leader's account has a job once all that it awaits is done, with the urgency of
-// what awaits it, and its waits count from then; one that names a job which is
-// cancelled is over at once, as is everything after it.
+// The leader's allocation table has a job once all its dependencies are done, with the urgency
+// of its dependents, and its waits count from then. A job that depends on a cancelled one is
+// cancelled at once, as are its dependents.
 func TestDependentJobsAreTrackedWhenReleased(t *testing.T) {
 	term := newTestTerm(t)
 	controller := term.controller
@@ -27,7 +27,7 @@
 	wall := clock.WallTime().Seconds()
 	controller.view.SetJob("req-000002", newJobRecord("req-000002", wire.PriorityLow, wall, 0, "req-000001"))
 	if term.tracker.Jobs["req-000002"] != nil {
-		t.Fatal("a job is in the account whose awaited job is not even known")
+		t.Fatal("a job is tracked whose dependency is not even known")
 	}
 	controller.view.SetJob("req-000001", newJobRecord("req-000001", wire.PriorityLow, wall, 0))
 	first := term.tracker.Jobs["req-000001"]
@@ -46,7 +46,7 @@
 		t.Fatalf("the second is %+v", second)
 	}
 	if term.tracker.Jobs["req-000003"] != nil {
-		t.Fatal("the third is in the account before the second is done")
+		t.Fatal("the third is tracked before the second is done")
 	}
 	over := storeview.NewEndedJob(controller.view.Jobs["req-000002"], wire.JobCancelled, clock.WallTime())
 	over.Version = 3
@@ -60,7 +60,7 @@
 	}
 }
 
-// What a job awaits is split so that every value fits, and comes together again in
+// A long list of dependencies is split so that every value fits, and is put together again in
 // whatever order its keys are read.
 func TestLongDependencyListsAreSplit(t *testing.T) {
 	term := newTestTerm(t)
--- a/internal/controller/hints_test.go
+++ b/internal/controller/hints_test.go
@@ -11,9 +11,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// What a leader tells in its beats, some machines at a time, is what the next one
-// begins with: images of machines that are still in the same session, and run times.
-// Words that make no sense are not believed.
+// What a leader sends in its heartbeats, some machines at a time, is what the next one begins
+// with: images of machines that are still in the same incarnation, run times and boot times.
+// Hints that are impossible are ignored.
 func TestNextLeaderRestoresHints(t *testing.T) {
 	var names []string
 	for i := range 2*peer.MaxCachedImageMachines + 3 {
@@ -36,7 +36,7 @@
 		heartbeat := &peer.Heartbeat{Member: "b", Leader: "b", Token: 9}
 		firstTerm.addHints(heartbeat)
 		if len(heartbeat.CachedImages) > peer.MaxCachedImageMachines {
-			t.Fatalf("one beat tells of %d machines", len(heartbeat.CachedImages))
+			t.Fatalf("one heartbeat has hints of %d machines", len(heartbeat.CachedImages))
 		}
 		heartbeat, err := peer.Decode(peer.Encode(heartbeat)[4:])
 		if err != nil {
@@ -49,8 +49,8 @@
 		{Class: "d", Count: 9, Mean: math.NaN(), MeanSquare: 1}, {Class: "e", Count: 9, Mean: 3, MeanSquare: 1},
 	}, BootTimes: []peer.BootTimes{{MachineType: "none", Durations: []clock.Micros{clock.Second}}}}}, now)
 
-	// What has not changed is not told again, what has is, and all of it once a member
-	// is back that may not have heard it.
+	// What has not changed is not sent again, what has is, and all of it once a member is back
+	// that may have missed it.
 	sentMachines := func(heartbeats int) (machines []string) {
 		for range heartbeats {
 			heartbeat := &peer.Heartbeat{Member: "b", Leader: "b", Token: 9}
@@ -62,25 +62,25 @@
 		return machines
 	}
 	if again := sentMachines(3); len(again) > 0 {
-		t.Errorf("told again: %v", again)
+		t.Errorf("sent again: %v", again)
 	}
 	firstTerm.tracker.Machines["i-07"].ImageUsedAt["another"] = now
 	if changed := sentMachines(3); !slices.Equal(changed, []string{"i-07"}) {
-		t.Errorf("news are %v", changed)
+		t.Errorf("changes are sent of %v", changed)
 	}
 	firstTerm.controller.term = firstTerm
 	firstTerm.controller.handlePeerHeartbeat(&peer.Heartbeat{Member: "b", Incarnation: 5, Timestamp: 1})
 	if all := sentMachines(3); len(all) != len(names) {
-		t.Errorf("a member that is back is told of %d machines", len(all))
+		t.Errorf("a member that is back is sent hints of %d machines", len(all))
 	}
 
 	term := newLeaderTerm(nextController, 10, clock.Now())
 	for i, name := range names {
 		machine := term.tracker.Machines[name]
-		session := uint64(3 + i%2) // every second one has lost all it had
-		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: name, Incarnation: session, Sequence: 2, FencingToken: 10}, term.liveness.startedAt+clock.Second)
-		if _, hasImage := machine.ImageUsedAt[fmt.Sprintf("img-%02d", i)]; hasImage != (session == 3) {
-			t.Errorf("%s in session %d: said to hold its image %v", name, session, hasImage)
+		incarnation := uint64(3 + i%2) // every second one has lost all it had
+		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: name, Incarnation: incarnation, Sequence: 2, FencingToken: 10}, term.liveness.startedAt+clock.Second)
+		if _, hasImage := machine.ImageUsedAt[fmt.Sprintf("img-%02d", i)]; hasImage != (incarnation == 3) {
+			t.Errorf("%s in incarnation %d: said to have its image cached %v", name, incarnation, hasImage)
 		}
 	}
 	if boot := term.scheduler.BootTime(term.controller.machineTypes.list[0].Name, 50); boot < 19*clock.Second || boot > 21*clock.Second {
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -10,9 +10,8 @@
 	"firwood.dev/firwood/internal/records"
 )
 
-// A leader that no worker reaches, and that hears no controller either, hands over on
-// what others say by way of the state service: not on what they said long ago, nor of
-// a few, nor while it hears the workers itself.
+// A leader that neither workers nor members reach hands over on the members' reports in the
+// store: not on old ones, nor on a few workers, nor while the workers reach it too.
 func TestHandOverOnWorkerContactRecords(t *testing.T) {
 	said := func(workers uint32, ago clock.Micros) []byte {
 		value, err := records.WorkerContact{Workers: workers, ReportedAt: int64(clock.WallTime() - ago)}.MarshalJSON()
@@ -39,18 +38,18 @@
 		now := clock.Now()
 		term.liveness.resumedAt = now - 60*clock.Second
 		if got := term.handOverIfCutOff(test.h, now); got != test.over || term.isClosed != test.over {
-			t.Errorf("%s: hands over %v, the lead is over %v", test.name, got, term.isClosed)
+			t.Errorf("%s: hands over %v, the term is closed %v", test.name, got, term.isClosed)
 		}
 	}
 }
 
-// Who says so is a member that is asked by many and does not hear the leader.
+// The member that reports is one that many workers contact and that receives no heartbeats of the leader.
 func TestWorkerContactIsReported(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		workers int
-		beat    clock.Micros // how long ago the leader was heard, 0: never
-		told    bool
+		age     clock.Micros // of the leader's last heartbeat, 0: there is none
+		reports bool
 	}{
 		{"the leader is not heard", 6, 0, true},
 		{"no more", 6, 10 * clock.Second, true},
@@ -65,18 +64,18 @@
 		for i := range test.workers {
 			controller.workers.contactAt[string(rune('a'+i))] = now
 		}
-		if test.beat != 0 {
-			controller.members.heartbeats["b"] = &receivedHeartbeat{receivedAt: now - test.beat}
+		if test.age != 0 {
+			controller.members.heartbeats["b"] = &receivedHeartbeat{receivedAt: now - test.age}
 		}
 		controller.reportWorkerContact(now)
-		if got := controller.workers.nextReportAt != 0; got != test.told {
-			t.Errorf("%s: told %v", test.name, got)
+		if got := controller.workers.nextReportAt != 0; got != test.reports {
+			t.Errorf("%s: reported %v", test.name, got)
 		}
 	}
 }
 
-// A leader that could not renew its lock for a while does not take what it has not
-// heard meanwhile for silent, nor hand over for it.
+// A leader that could not renew its lock for a while does not suspect machines whose heartbeats
+// are missing for that time, nor hand over for it.
 func TestLapsedTermDoesNotSuspectMachines(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
 	controller := term.controller
@@ -102,8 +101,8 @@
 	}
 }
 
-// A leader that hears all machines fall silent at once hands over, if another could
-// lead, and the next one does not pass the lead on that it has heard nobody with.
+// A leader whose machines all become unreachable at once hands over, if another member could
+// lead. The next one, which no machine has reached yet, does not hand over in turn.
 func TestHandOverWhenNoMachineIsReachable(t *testing.T) {
 	for _, test := range []struct {
 		name         string
