--- a/internal/ci/layout/layers.go
+++ b/internal/ci/layout/layers.go
@@ -47,6 +47,10 @@
 		"internal/server",
 		"internal/tracing",
 	}},
+	{"what controllers tell each other: pure, in the messages' own types", []string{
+		"internal/cancellation",
+		"internal/hints",
+	}},
 	{"the controller, which owns all state", []string{
 		"internal/controller",
 	}},
