--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -76,6 +76,7 @@
 	stageCancelled
 )
 
+// String names the stage in test failures.
 func (s stage) String() string {
 	switch s {
 	case stageUnknown:
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -23,6 +23,7 @@
 	phaseFailed                  // a fault was found; nothing more is parsed
 )
 
+// String names the phase in test failures.
 func (p phase) String() string {
 	names := [...]string{"head", "fixed body", "chunk size", "chunk data", "chunk end", "trailer", "until close", "failed"}
 	if int(p) < len(names) {
@@ -179,6 +180,7 @@
 	stepHasMessage                   // parser.message is complete
 )
 
+// String names the result in test failures.
 func (result stepResult) String() string {
 	switch result {
 	case stepContinues:
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -89,18 +89,23 @@
 // need not sort a thousand machines. Push and Pop are there for heap.Interface alone.
 type candidateHeap []candidate
 
+// Len implements sort.Interface.
 func (candidates candidateHeap) Len() int { return len(candidates) }
 
+// Less implements sort.Interface; the better candidate comes first.
 func (candidates candidateHeap) Less(a, b int) bool {
 	return isBetterCandidate(candidates[a], candidates[b])
 }
 
+// Swap implements sort.Interface.
 func (candidates candidateHeap) Swap(a, b int) {
 	candidates[a], candidates[b] = candidates[b], candidates[a]
 }
 
+// Push implements heap.Interface.
 func (candidates *candidateHeap) Push(x any) { *candidates = append(*candidates, x.(candidate)) }
 
+// Pop implements heap.Interface.
 func (candidates *candidateHeap) Pop() any {
 	x := (*candidates)[len(*candidates)-1]
 	*candidates = (*candidates)[:len(*candidates)-1]
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -65,6 +65,7 @@
 	roleController
 )
 
+// String names the role in log lines.
 func (role clientRole) String() string {
 	switch role {
 	case roleUnidentified:
