--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -65,7 +65,7 @@
 	roleController
 )
 
-// String names the role in log lines.
+// String names the role.
 func (role clientRole) String() string {
 	switch role {
 	case roleUnidentified:
