--- a/internal/delegation/constraints.go
+++ b/internal/delegation/constraints.go
@@ -11,7 +11,7 @@
 // Constraints are what a leader records in the key-value store for its successors; they bind
 // every leader until one removes them there. Without them a new leader has to assume that leases
 // and grants that it hasn't observed began with its own term. Added after replicas of a zone that
-// was cut off were replaced half a minute later than they could have been
+// was cut off had been replaced only half a minute after the last of them had ended
 // (docs/incidents/late-proof.md).
 type Constraints struct {
 	// Zones are those in which no worker's heartbeat is answered.
--- a/internal/delegation/delegate.go
+++ b/internal/delegation/delegate.go
@@ -46,14 +46,15 @@
 }
 
 // EndTerm gives this member a grant of its own when its entitlement as leader has ended, if only
-// for now. syncedAt is the last instant before which it knew of every cancellation while it was
-// entitled. It may be called repeatedly, and in a term that goes on later.
+// for now, and lets it answer as delegate at once. syncedAt is the last instant before which it
+// knew of every cancellation while it was entitled; 0 if there is none, and then it gets no grant.
+// It may be called repeatedly, and in a term that goes on later.
 func (delegate *Delegate) EndTerm(token uint64, syncedAt clock.Micros) {
 	if token < delegate.leaderToken || !delegate.cfg.isEnabled() || syncedAt == 0 {
 		return
 	}
 	delegate.leaderToken = token
-	delegate.leaderHeartbeatAt = 0
+	delegate.leaderHeartbeatAt = 0 // there is no other leader yet whose silence has to be awaited
 	delegate.grantUntil = max(delegate.grantUntil, syncedAt+delegate.cfg.GrantTTL)
 }
 
@@ -73,8 +74,8 @@
 	delegate.lastAnswerUntil = max(delegate.lastAnswerUntil, until)
 }
 
-// SilentFor returns for how long this incarnation has certainly not answered as delegate; it is
-// at most its age.
+// SilentFor returns for how long this incarnation has certainly not answered as delegate. That is
+// never longer than its age: of earlier incarnations it knows nothing.
 func (delegate *Delegate) SilentFor(now clock.Micros) clock.Micros {
 	if delegate.lastAnswerUntil == 0 {
 		return now - delegate.startedAt
--- a/internal/delegation/grants.go
+++ b/internal/delegation/grants.go
@@ -10,7 +10,7 @@
 type Grants struct {
 	cfg              Config
 	termStartedAt    clock.Micros
-	ownRenewalsUntil clock.Micros // until when this member may have renewed leases as delegate before its term
+	ownRenewalsUntil clock.Micros // see OwnRenewalsUntil
 	members          map[string]*memberState
 }
 
@@ -41,7 +41,8 @@
 }
 
 // RecordInherited applies an earlier leader's constraint, which no leader has removed since: the
-// member's last grant ends by grantUntil.
+// member's last grant ends by grantUntil. The caller has converted that from the time of day, in
+// which it is stored, to an instant of this member's steady clock.
 func (grants *Grants) RecordInherited(name string, grantUntil clock.Micros) {
 	if member := grants.members[name]; member != nil {
 		member.grantUntil = min(member.grantUntil, grantUntil)
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -212,8 +212,8 @@
 		return []Action{{Kind: GrantLease}}
 	case elector.observed.isHeld() && now >= elector.revocation.retryAt:
 		// The revocation may have failed, so it is repeated after a TTL. It has a timer
-		// of its own, added after sharing nextAttemptAt had delayed the campaign for a
-		// free lock by a whole TTL (docs/incidents/free-lock.md).
+		// of its own: it once shared nextAttemptAt, which delayed the campaign for a free
+		// lock by a whole TTL (docs/incidents/free-lock.md).
 		elector.revocation.retryAt = now + elector.cfg.TTL
 		clear(elector.revocation.revoked)
 		return elector.revokeEarlierLease(now, elector.observed.Lock)
--- a/internal/election/transitions.go
+++ b/internal/election/transitions.go
@@ -77,7 +77,10 @@
 	return elector.becomeFollowerAndRefresh(now)
 }
 
-// StepDown gives up leadership, and doesn't campaign again before the backoff has passed.
+// StepDown gives up leadership, and doesn't campaign again before the backoff has passed. The
+// backoff has to be longer than the timeout of a request to the store: results of GrantLease and
+// AcquireLock don't say which campaign they belong to, and a late one would be taken for that of
+// the next campaign, which was sent later and so seems to entitle for longer.
 func (elector *Elector) StepDown(now, backoff clock.Micros) []Action {
 	elector.backoffUntil = now + backoff
 	if elector.phase == Follower {
