--- a/internal/standby/in_sync_set.go
+++ b/internal/standby/in_sync_set.go
@@ -39,8 +39,8 @@
 	maxInSyncLag = clock.Second / 2
 	// firstRecordTimeout is how long a new leader waits for the members of the last record before
 	// it writes its own. Added after a first record that named nobody had left the next leader
-	// without a trusted replica, when this one failed soon (docs/standby.md, "A chain of
-	// leaders").
+	// without a trusted replica, when this one failed soon (docs/standby.md, "Successive
+	// failovers").
 	firstRecordTimeout = 300 * clock.Millisecond
 )
 
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -70,8 +70,10 @@
 	return publisher.lastSequence - uint64(len(publisher.decisionLog))
 }
 
-// RecordPosition records a follower's position. A position under another token, or of another
-// incarnation of the follower, only means that a full snapshot is needed.
+// RecordPosition records a follower's position. A position under an earlier token says only which
+// process answers: that follower has nothing of this leader yet, and counts as one of the first
+// protocol version until it answers under this leader's token. A position under a later token is
+// ignored: it answers another leader. A transfer to an earlier process of the member is abandoned.
 func (publisher *Publisher) RecordPosition(name string, position Position) {
 	follower := publisher.followers[name]
 	if follower == nil || position.Token > publisher.token {
@@ -204,8 +206,8 @@
 	return follower.hasPosition && position.Incarnation == member.Incarnation && position.IsComplete && position.Sequence >= sequence
 }
 
-// LagCount returns how many decisions a member's replica lacks; all of them if it is not
-// complete.
+// LagCount returns how many decisions a member's replica lacks; if it is not complete, one more
+// than there are, so that it never seems up to date.
 func (publisher *Publisher) LagCount(name string) uint64 {
 	follower := publisher.followers[name]
 	if follower == nil || !follower.position.IsComplete {
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -5,8 +5,9 @@
 // maxEarlierReplicas bounds how many replicas of earlier leaders are kept.
 const maxEarlierReplicas = 3
 
-// Replica is a follower's copy of the leader's table. A replica that differs, or misses a
-// decision, is discarded and asks for a snapshot.
+// Replica is a follower's copy of the leader's table. Decisions after a gap are not applied; the
+// position in the answer shows the leader what is missing, and it sends that again. A replica whose
+// digest differs from the leader's is discarded, and gets a snapshot.
 //
 // Replicas of earlier leaders are kept as they were, as long as the in-sync record may still be
 // that leader's: a new leader that fails before it has written a record of its own has sent no
@@ -41,13 +42,15 @@
 type DropCounts struct {
 	// Stale: from a leader that has been replaced.
 	Stale int `json:"older"`
-	// OutOfOrder: decisions after a gap, or parts out of order.
+	// OutOfOrder: decisions after a gap, parts out of order, or parts of a snapshot that is older
+	// than what the replica has acknowledged.
 	OutOfOrder int `json:"gaps"`
 	// Malformed: over the bounds, or inconsistent.
 	Malformed int `json:"malformed"`
 	// ForeignToken: under a token that is not the lock's.
 	ForeignToken int `json:"foreign"`
-	// DigestMismatch: the digest differs; the replica was discarded.
+	// DigestMismatch: the digest of the replica, or of a snapshot, differs from the leader's; the
+	// replica was discarded.
 	DigestMismatch int `json:"differing"`
 }
 
--- a/internal/standby/snapshot_assembly.go
+++ b/internal/standby/snapshot_assembly.go
@@ -15,7 +15,7 @@
 	case replica.isComplete && part.Sequence <= replica.lastSequence:
 		return // a repetition
 	case part.Sequence < replica.acknowledgedSequence:
-		replica.dropped.OutOfOrder++
+		replica.dropped.OutOfOrder++ // see acknowledgedSequence
 		return
 	}
 	if part.Index == 0 {
--- a/internal/standby/term_history.go
+++ b/internal/standby/term_history.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// maxTerms is how many leadership terms a member remembers.
+// maxTerms is how many leadership terms a member remembers at most; beyond that the older half is
+// dropped. A record of a term that was dropped makes no replica trusted.
 const maxTerms = 64
 
 // TermHistory is the gapless sequence of leadership terms that a member has observed.
