--- a/internal/health/handover.go
+++ b/internal/health/handover.go
@@ -14,9 +14,10 @@
 	KeepLeadership HandOverReason = iota
 	// StoreUnreadable means: the key-value store renews the lock but answers no reads.
 	StoreUnreadable
-	// NoneReachable means: all machines became unreachable at once. This doesn't wait for another
-	// member to be contacted: a worker that has waited four seconds for a reply, and is
-	// then redirected here, loses a lease of ten seconds.
+	// NoneReachable means: all machines became unreachable at once. The leader doesn't wait
+	// until another member reports that workers contact it: a worker that has waited four
+	// seconds for a reply, and is then redirected to this leader, would lose a lease of ten
+	// seconds.
 	NoneReachable
 	// OnlyLeaderCutOff means: few machines reach the leader while many contact another member.
 	OnlyLeaderCutOff
@@ -44,20 +45,22 @@
 	// HadMostReachable tells that most machines were reachable at some time in this term. A
 	// leader that never reached them doesn't pass leadership on for that.
 	HadMostReachable bool
-	// HasCandidate tells that another member sends heartbeats and reaches the store.
+	// HasCandidate tells that another member, which sends heartbeats and reaches the store,
+	// could lead.
 	HasCandidate bool
-	// ReadAge is since when the store has answered no read, at most since the process resumed.
+	// ReadAge is how long ago the newest read was sent that the store has answered; it counts
+	// from the end of the process's last stall at the earliest.
 	ReadAge clock.Micros
 	// LeaderTTL is how long the lock lasts without renewal.
 	LeaderTTL clock.Micros
-	// HasSettled tells that workers had the time to come back since the process resumed.
+	// HasSettled tells that workers had the time to come back since the process's last stall.
 	HasSettled bool
 	// ContactingOther is how many workers contact the member with the most of them.
 	ContactingOther uint32
 }
 
-// HandOverReason tells whether to hand over, and why. Until the leader does, it keeps its
-// lock while the workers' leases run out.
+// HandOverReason returns why to hand over, or KeepLeadership. As long as a leader that is cut off
+// keeps renewing its lock, no other member can lead, and the workers' leases run out.
 func (reach LeaderReach) HandOverReason() HandOverReason {
 	switch {
 	case reach.HasCandidate && reach.ReadAge > 2*reach.LeaderTTL:
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -12,12 +12,15 @@
 	// lateHeartbeatFactor is the longest interval between two heartbeats of a worker that
 	// runs well, as a multiple of the configured one.
 	lateHeartbeatFactor = 1.25
-	// slowMessage, lostReply and probeSlack are added to the longest interval: a message
-	// that was sent again once; a lost reply and the redirect to the leader through another
-	// member; a message in time.
+	// slowMessage is how much later than the longest interval a heartbeat comes that was slow
+	// once, as after one retransmission.
 	slowMessage = 1500 * clock.Millisecond
-	lostReply   = 6500 * clock.Millisecond
-	probeSlack  = clock.Second / 2
+	// lostReply is how much later it comes if the reply to the one before was lost, so that the
+	// worker waited for it in vain and was redirected to the leader by another member.
+	lostReply = 6500 * clock.Millisecond
+	// probeSlack is what a heartbeat without any delay of that kind may take; a later one is
+	// overdue, which costs a probe and nothing else.
+	probeSlack = clock.Second / 2
 )
 
 // Timing is how long ago the last heartbeat of a machine may be.
--- a/internal/health/probe.go
+++ b/internal/health/probe.go
@@ -7,7 +7,8 @@
 	ProbeInterval = 2 * clock.Second
 	// ProbeTimeout bounds a probe; a lost packet is retransmitted within it.
 	ProbeTimeout = 1500 * clock.Millisecond
-	// probeLateness is how late the controller may take a probe's result for it to count.
+	// probeLateness is how long after ProbeTimeout the controller may handle a probe's result
+	// for a miss to count; see IsResultTooLate.
 	probeLateness = clock.Second / 2
 	// missRetryInterval is how soon a machine is probed again after a miss.
 	missRetryInterval = clock.Second / 2
@@ -30,8 +31,9 @@
 // RecordAnswer records the answer to a probe.
 func (probes *Probes) RecordAnswer(now clock.Micros) { probes.Misses, probes.AnsweredAt = 0, now }
 
-// RecordMiss records that a probe sent at an instant stayed unanswered. Before
-// reachableSince the way to the machine's zone was not open, and a miss means nothing.
+// RecordMiss records that a probe sent at an instant stayed unanswered. reachableSince is since
+// when this process has run without a stall and most of the machine's zone has been reachable; a
+// probe sent before that proves nothing, and neither do the misses before it.
 func (probes *Probes) RecordMiss(sentAt, reachableSince clock.Micros) {
 	if sentAt < reachableSince {
 		probes.Misses = 0
@@ -43,17 +45,19 @@
 	probes.Misses++
 }
 
-// HasTooManyMisses tells whether the machine may be deleted, if most of its zone answers.
+// HasTooManyMisses reports whether the machine is to be deleted, provided that most of its zone
+// answers; see ZoneAnswers.
 func (probes *Probes) HasTooManyMisses() bool { return probes.Misses > allowedProbeMisses }
 
 // FirstMissSentAt is when the first of the misses in a row was sent.
 func (probes *Probes) FirstMissSentAt() clock.Micros { return probes.firstMissSentAt }
 
-// IsResultTooLate tells whether the controller itself took too long to take a probe's result.
+// IsResultTooLate reports whether the controller itself was too late to handle a probe's result,
+// as after a stall: then a missing answer says nothing about the machine.
 func IsResultTooLate(sentAt, now clock.Micros) bool { return now-sentAt > ProbeTimeout+probeLateness }
 
-// NeedsProbe tells whether a machine is probed out of turn: it left a probe unanswered, or
-// its heartbeat is overdue, and the last probe is long enough ago.
+// NeedsProbe reports whether a machine, with or without replicas, is probed out of turn: it left a
+// probe unanswered, or its heartbeat is overdue, and the last probe is long enough ago.
 func (probes *Probes) NeedsProbe(lastHeartbeatAt, resumedAt, now clock.Micros, timing Timing) bool {
 	if probes.Misses > 0 {
 		return probes.silence(lastHeartbeatAt, now) >= missRetryInterval
@@ -61,7 +65,7 @@
 	return now-max(lastHeartbeatAt, resumedAt) >= timing.ProbeAfter && probes.IsRoundDue(lastHeartbeatAt, now)
 }
 
-// IsRoundDue tells whether a machine with replicas is probed in its turn.
+// IsRoundDue reports whether a machine with replicas is due in its turn.
 func (probes *Probes) IsRoundDue(lastHeartbeatAt, now clock.Micros) bool {
 	return probes.silence(lastHeartbeatAt, now) >= ProbeInterval
 }
@@ -75,7 +79,8 @@
 // some machine there began to miss them.
 type ZoneAnswers struct{ answered, missed int }
 
-// Add counts one machine of the zone. Since is when the first unanswered probe was sent.
+// Add counts one machine of the zone. since is when the first unanswered probe was sent to the
+// machine in question; another one counts as answering only if it was heard some time after that.
 func (answers *ZoneAnswers) Add(probes *Probes, lastHeartbeatAt, since clock.Micros) {
 	switch {
 	case max(probes.AnsweredAt, lastHeartbeatAt) > since+ProbeTimeout/2:
@@ -85,5 +90,6 @@
 	}
 }
 
-// IsMostlyAnswering tells whether the way to the zone is open: at least two in three answer.
+// IsMostlyAnswering reports whether the network to the zone works: at least two in three of the
+// machines counted have answered. In a partition nobody answers, and nothing may be deleted.
 func (answers ZoneAnswers) IsMostlyAnswering() bool { return answers.answered >= 2*answers.missed }
--- a/internal/health/reachability.go
+++ b/internal/health/reachability.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// IsMostlyReachable tells whether the network to these machines works: at least a third of
-// them is reachable. A third is enough, since many machines of a zone may fail at once.
+// IsMostlyReachable reports whether the network to these machines works: at least a third of
+// them, and at least one, is reachable. A third is enough, since many may fail at once.
 func (counts Reachability) IsMostlyReachable() bool {
 	return counts.Reachable > 0 && 3*counts.Reachable >= counts.Up
 }
--- a/internal/health/verdict.go
+++ b/internal/health/verdict.go
@@ -13,15 +13,18 @@
 const (
 	// Keep is the zero value: the machine stays.
 	Keep Verdict = iota
-	// LeaseExpired means: its tasks are over for certain, and it is of no use.
+	// LeaseExpired means: its lease has run out, so its tasks have ended for certain, and it is
+	// to be deleted.
 	LeaseExpired
-	// LeaseExpiredBooting means: as LeaseExpired, but this leader asked for it and it may yet boot.
+	// LeaseExpiredBooting means: no task can be on it, but it stays: it was requested in this
+	// term and may yet boot.
 	LeaseExpiredBooting
 	// NeverBooted means: it has taken too long to boot.
 	NeverBooted
 	// Suspected means: its heartbeats are missing while most of its zone is reachable.
 	Suspected
-	// Drained means: it is empty and gets no tasks, or a command that may arrive late makes it unfit.
+	// Drained means: it gets no tasks and is empty, or it is cordoned, since a start of a
+	// cancelled job may still arrive there.
 	Drained
 	// ReclaimedIdle means: the cloud reclaims it, and it is empty.
 	ReclaimedIdle
@@ -51,11 +54,14 @@
 
 // Evidence is what else is known of one machine.
 type Evidence struct {
-	// Silence is how long its heartbeats have been missing, while they could arrive.
+	// Silence is for how long its heartbeats have been missing although they could have arrived.
+	// It counts from the last stall of this process, and from the last time that its zone was
+	// mostly unreachable, at the earliest.
 	Silence clock.Micros
 	// IsListedBooting: the cloud's last list said that it boots.
 	IsListedBooting bool
-	Zone            Reachability
+	// Zone counts the machines of its zone that have booted.
+	Zone Reachability
 }
 
 // Judge decides what becomes of a machine, which it only reads.
@@ -64,18 +70,20 @@
 	isFromEarlierTerm := machine.CreatedAt < term.StartedAt
 	switch {
 	case term.Tracker.LeaseEndsAt(machine) <= now && (hasBooted || !machine.Reconciled):
+		// The lease of a machine that hasn't booted matters only until it is reconciled: then
+		// no task can be there.
 		if hasBooted || isFromEarlierTerm {
-			// One of an earlier leader that was reclaimed meanwhile is on no list: it would
-			// count as booting for ever.
+			// A machine that an earlier leader requested, and that was reclaimed meanwhile, is
+			// missing from the cloud's list: it would count as booting for ever.
 			return LeaseExpired
 		}
 		return LeaseExpiredBooting
 	case !hasBooted && term.isBootOverdue(machine, evidence, now):
 		return NeverBooted
 	case hasBooted && evidence.Silence > term.SuspectTimeout && evidence.Zone.IsMostlyReachable():
-		// Deleting it proves its tasks over, sooner than its lease would. If a whole zone
-		// is silent a network partition is more likely, and its machines come back. Added
-		// after a leader that was cut off had deleted half of its fleet.
+		// Deleting it proves that its tasks have ended, sooner than its lease would. If a
+		// whole zone is silent, a network partition is more likely, and its machines come
+		// back. Zone was added after a leader that was cut off had deleted half of its fleet.
 		return Suspected
 	case machine.Draining && machine.IsIdle(), term.Tracker.IsCordoned(machine, now):
 		return Drained
@@ -88,10 +96,11 @@
 	}
 }
 
-// isBootOverdue tells whether a machine without a heartbeat has taken too long to boot. For
-// a new leader the missing heartbeat alone is no proof: the machine has to be its own,
-// or be listed as booting. Added after a leader had taken a zone that was cut off for
-// machines that never booted, and deleted it with all that ran there.
+// isBootOverdue reports whether a machine without a heartbeat has taken too long to boot. That
+// this leader has had no heartbeat of it is no proof: an earlier leader may have had some. So the
+// machine has to have been requested in this term, or be listed as booting. Added after a leader
+// had taken a zone that was cut off for machines that never booted, and had deleted it with all
+// that ran there (docs/incidents/zone-taken-for-booting.md).
 func (term *Term) isBootOverdue(machine *allocation.Machine, evidence Evidence, now clock.Micros) bool {
 	return (machine.CreatedAt > term.StartedAt || evidence.IsListedBooting) &&
 		now-machine.CreatedAt > term.BootTimeout(machine.Type) && evidence.Silence > term.SuspectTimeout
