--- a/internal/records/progress.go
+++ b/internal/records/progress.go
@@ -135,7 +135,7 @@
 // NewProgressChange writes a progress key; first, if not nil, is the task of the first bit.
 func NewProgressChange(id string, key int, first *int, bits Bitmap) wire.Change {
 	value, err := Progress{Bits: bits.Encode(), FirstTask: first}.MarshalJSON()
-	if err != nil {
+	if err != nil { // never: it is text and a number
 		value = []byte(`{"b":""}`)
 	}
 	return wire.Change{PutKey: ProgressKey(id, key), Value: value}
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -18,8 +18,8 @@
 	// Member is the leader, Lease the lease of the key-value store that the lock is bound to.
 	Member string `json:"m"`
 	Lease  uint64 `json:"l"`
-	// NeedsStandbyRecord: the leader sends no start before its own record of the in-sync members
-	// is durable below StandbyKey.
+	// NeedsStandbyRecord: the leader is record-first, that is, it sends no start before a record
+	// of its own is durable under StandbyKey (docs/standby.md, "The argument").
 	NeedsStandbyRecord bool `json:"s,omitempty"`
 }
 
@@ -38,13 +38,14 @@
 	Class string `json:"c,omitempty"`
 	// EndedAt is when the job was completed or cancelled.
 	EndedAt int64 `json:"e,omitempty"`
-	// DeadlineAt is the deadline, FirstStartAt the start of the first task; 0: none.
+	// DeadlineAt is the deadline, FirstStartAt the start of the first task; 0: none. Both are
+	// set when the job ends.
 	DeadlineAt   int64 `json:"d,omitempty"`
 	FirstStartAt int64 `json:"f,omitempty"`
 	// Tasks is the number of tasks, kept without the submission.
 	Tasks int `json:"n,omitempty"`
 	// Errors counts the failures of tasks, Restarts the tasks that were started again because
-	// their machines were lost.
+	// their machines were lost. Both are set when the job ends.
 	Errors   int `json:"x,omitempty"`
 	Restarts int `json:"r,omitempty"`
 	// DependencyParts is the number of the job's Dependencies records; 0: the list is in Spec.
@@ -52,7 +53,8 @@
 	// TasksPerKey is the number of tasks in one progress key whose value does not say where it
 	// begins; 0: see TasksPerProgressKey. Earlier versions wrote it; it is only read and kept.
 	TasksPerKey int `json:"k,omitempty"`
-	// ReleasedAt is the end of the last job that this one depended on.
+	// ReleasedAt is the end of the last job that this one depended on; 0: none. It is set when
+	// the job ends.
 	ReleasedAt int64 `json:"w,omitempty"`
 }
 
@@ -95,7 +97,8 @@
 	Count int    `json:"n"`
 	// RequestedAt is the time of day of the request, in microseconds since the Unix epoch.
 	RequestedAt int64 `json:"at"`
-	// IsResolved: the cloud has answered, and Machines are the names of those that exist.
+	// IsResolved: the cloud has answered, and Machines are the names of the machines that it
+	// gave and that have not been deleted.
 	IsResolved bool     `json:"ok,omitempty"`
 	Machines   []string `json:"m,omitempty"`
 }
--- a/internal/scaleout/request.go
+++ b/internal/scaleout/request.go
@@ -99,8 +99,8 @@
 	request.record.Machines = slices.DeleteFunc(request.record.Machines, func(other string) bool { return other == name })
 }
 
-// ScheduleShrink tells whether a write without the machines that were deleted has to be scheduled;
-// false means that one already is.
+// ScheduleShrink notes that a write without the machines that were deleted is due, and reports
+// whether the caller has to schedule it; false means that one is scheduled already.
 func (request *Request) ScheduleShrink() bool {
 	if request.isShrinkScheduled {
 		return false
@@ -109,5 +109,5 @@
 	return true
 }
 
-// BeginShrink tells that the write that ScheduleShrink has asked for begins.
+// BeginShrink records that the scheduled write begins: machines removed from now on need another.
 func (request *Request) BeginShrink() { request.isShrinkScheduled = false }
--- a/internal/scaleout/write.go
+++ b/internal/scaleout/write.go
@@ -13,9 +13,10 @@
 	Change    wire.Change
 }
 
-// BeginWrite makes the write that brings the record up to date. Its outcome is to be reported by
-// ConfirmWrite or RetryFrom. False means that a write is under way; the record is then written
-// once more after it.
+// BeginWrite makes the write that brings the record up to date; it deletes the record once the
+// cloud has answered and no machine is left. The caller has to report the outcome with
+// ConfirmWrite or RetryFrom. False means that a write is under way, after which ConfirmWrite asks
+// for one more, or that the record can't be encoded.
 func (request *Request) BeginWrite() (Write, bool) {
 	if request.write.isInFlight {
 		request.write.isStale = true
@@ -38,7 +39,7 @@
 }
 
 // ConfirmWrite records that the write under way is durable since a revision, and returns what is
-// due next.
+// due next. The state only moves on with a write of the record as it is now, not with a stale one.
 func (request *Request) ConfirmWrite(revision uint64) Step {
 	write := request.write
 	request.write.isInFlight, request.version = false, revision
@@ -62,9 +63,9 @@
 	return StepNone
 }
 
-// RetryFrom records the version that the record was read back with, 0 if there is none, after the
-// write under way had a conflict, was not executed, or had an unknown outcome. A write is to be
-// begun again.
+// RetryFrom ends a write that had a conflict, was not executed, or whose outcome is unknown.
+// version is what the record was read back with since, 0 if there is none. The caller has to begin
+// a write again, also if the one that ended was executed after all.
 func (request *Request) RetryFrom(version uint64) {
 	request.write.isInFlight, request.version = false, version
 }
--- a/internal/storeview/load.go
+++ b/internal/storeview/load.go
@@ -58,8 +58,9 @@
 	return append(filter.others, newest...), dropped
 }
 
-// Load applies everything that was read of the store as of a revision, and tells how many finished
-// jobs the filter has dropped. It is false, and nothing is changed, if the view is newer.
+// Load replaces the view by everything that was read of the store as of a revision, and returns how
+// many finished jobs the filter has dropped. ok is false, and nothing is changed, if the view is
+// newer.
 func (view *View) Load(filter *LoadFilter, revision uint64) (dropped int, ok bool) {
 	if view.IsLoaded && revision < view.Revision {
 		return 0, false
--- a/internal/storeview/sync.go
+++ b/internal/storeview/sync.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// RequestSync calls back once the view is at least as new as this call, or with an error when that
-// could not be had by the deadline.
+// RequestSync calls back once, when the view is at least as new as this call: when a watch that
+// was opened after it has been applied. It calls back with an error if that watch fails, or with
+// ErrSyncTimeout at the deadline.
 func (view *View) RequestSync(callback func(error), deadline clock.Micros) {
 	view.waiters = append(view.waiters, &syncWaiter{callback: callback, deadline: deadline})
 }
