--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -33,14 +33,16 @@
 	receivedAt clock.Micros
 }
 
-// NewLog makes a log that keeps entries for the time that cancelled tasks have (PROTOCOL:
-// cancel timeout): after that they are gone. In that time no more cancellations become durable
-// than the store takes changes; what a reload brings at once is as many again.
+// NewLog makes a log that keeps entries for the cancellation timeout: after that no task of a
+// cancelled job is left (PROTOCOL, "Rules"). changesPerSecond is the store's limit; each
+// cancellation is a change, so no more can become durable within the timeout. The log has room for
+// twice as many, since reading all keys again brings those of the last timeout at once.
 func NewLog(cancelTimeout clock.Micros, changesPerSecond float64) Log {
 	return Log{retention: cancelTimeout, maxEntries: 2 * (int(changesPerSecond*cancelTimeout.Seconds()) + 1)}
 }
 
-// Add takes a durable cancellation, unless its tasks are gone by the time of day.
+// Add adds a durable cancellation, unless it is so old that the job's tasks are gone. now is an
+// instant of the steady clock; wall is the time of day, which CancelledAt is compared with.
 func (log *Log) Add(cancellation peer.Cancellation, now, wall clock.Micros) {
 	if wall-cancellation.CancelledAt > log.retention {
 		return
@@ -52,8 +54,8 @@
 	log.hasNews = true
 }
 
-// TakeNews tells whether there are entries to be sent without waiting for the next regular
-// heartbeat, at most once per NewsInterval. They count as sent then.
+// TakeNews reports whether there are entries to be sent without waiting for the next regular
+// heartbeat, at most once per NewsInterval. If so, they count as sent from now on.
 func (log *Log) TakeNews(now clock.Micros) bool {
 	if !log.hasNews || now-log.newsSentAt < NewsInterval {
 		return false
@@ -81,6 +83,7 @@
 	return rotated[:peer.MaxCancellations]
 }
 
+// expire drops entries that were added longer ago than the retention.
 func (log *Log) expire(now clock.Micros) {
 	old := 0
 	for old < len(log.entries) && now-log.entries[old].receivedAt > log.retention {
--- a/internal/commandqueue/queue.go
+++ b/internal/commandqueue/queue.go
@@ -5,7 +5,7 @@
 
 import "sync"
 
-// Priority orders commands under overload.
+// Priority says which commands are run first, and which limit applies to them.
 type Priority uint8
 
 // The priorities, the most urgent one first.
@@ -33,7 +33,7 @@
 }
 
 const (
-	// minUserCommands is how many users' requests are queued at least, with few sockets too.
+	// minUserCommands is how many users' requests may wait even if there are few sockets.
 	minUserCommands = 1024
 	// heartbeatsPerMember is how many messages of another member may wait.
 	heartbeatsPerMember = 64
@@ -54,9 +54,9 @@
 	wake    chan struct{}
 }
 
-// New makes a queue for a process with so many sockets and other members. Each connection
-// has one request under way at a time, so heartbeats of all workers fit however large the
-// fleet is.
+// New makes a queue for a process with so many sockets and other members. Each connection has one
+// request under way at a time, so heartbeats of all workers that can be connected fit. A fixed
+// limit of 4,096 had been too small for a large fleet.
 func New(sockets, members int) *Queue {
 	return &Queue{
 		wake: make(chan struct{}, 1),
--- a/internal/hints/counts.go
+++ b/internal/hints/counts.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// pageFillFactor is how full a heartbeat is made of counts that don't all fit into one: the
-// pages are not all of the same size.
+// pageFillFactor is how full a heartbeat is on average if the counts don't all fit into one. Jobs
+// are spread over the pages by a hash of their ids, so some pages get more than others.
 const pageFillFactor = 0.75
 
 // CountsSender is how far a leader has sent counts. The zero value has sent none.
--- a/internal/hints/hints.go
+++ b/internal/hints/hints.go
@@ -16,8 +16,8 @@
 	"firwood.dev/firwood/internal/scheduler"
 )
 
-// imageTTL is for how long a machine's images are kept after the last hint of it, once there
-// are many.
+// imageTTL is for how long after its last hint a machine's images are kept, once there are hints
+// of more machines than Store's maxMachines.
 const imageTTL = 600 * clock.Second
 
 // Hints is what a leader has sent, for the case that this member leads next.
--- a/internal/hints/sender.go
+++ b/internal/hints/sender.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// scanRounds is in how many heartbeats the leader goes through all machines for images
-	// that are news to the others.
+	// scanRounds is in how many heartbeats the leader looks at all machines for hints that are
+	// due. In a small fleet it takes fewer: each heartbeat looks at as many as it has room for.
 	scanRounds = 10
 	// resendInterval is after how long a machine's hint is repeated though nothing has
 	// changed: a member may have come back meanwhile.
@@ -39,9 +39,10 @@
 // ResendAll has the hints of all machines repeated, for a member that may have missed them.
 func (sender *Sender) ResendAll(now clock.Micros) { sender.resendBefore = now }
 
-// AddImages adds the cached images of machines to a heartbeat: of a few machines each time,
-// and of those whose images have changed, so that a heartbeat costs the same in any fleet.
-// sentOf returns what was last sent of a machine, nil if it gets no hint.
+// AddImages adds the cached images of machines to a heartbeat. Each call looks at some of the
+// machines, in turn, and adds those whose hint is due, peer.MaxCachedImageMachines at most, so that
+// the size of a heartbeat does not grow with the fleet. sentOf returns what was last sent of a
+// machine, nil if it gets no hint.
 func (sender *Sender) AddImages(heartbeat *peer.Heartbeat, machines []*allocation.Machine, sentOf func(machine string) *Sent, now clock.Micros) {
 	scanned := max((len(machines)+scanRounds-1)/scanRounds, peer.MaxCachedImageMachines)
 	for range min(scanned, len(machines)) {
@@ -65,7 +66,9 @@
 	}
 }
 
-// isDue tells whether a machine's hint has changed since it was sent, or has to be repeated.
+// isDue reports whether a machine's hint has changed since it was sent, or has to be repeated. Of
+// the images only their number is compared: if one has replaced another, the hint is due only when
+// it is repeated.
 func (sender *Sender) isDue(sent, current Sent) bool {
 	hasChanged := sent.incarnation != current.incarnation || sent.images != current.images
 	return hasChanged || current.sentAt-sent.sentAt >= resendInterval || sent.sentAt < sender.resendBefore
--- a/internal/jobreport/standby.go
+++ b/internal/jobreport/standby.go
@@ -23,11 +23,12 @@
 	Token uint64 `json:"token"`
 	// IsComplete tells whether the replica has the leader's whole table.
 	IsComplete bool `json:"complete"`
-	// Decisions is how many decisions of that leader it has, Placements how many tasks it
-	// knows to be placed.
+	// Decisions is how many decisions of that leader it has, Placements how many placements
+	// its table has, unconfirmed entries included.
 	Decisions  uint64 `json:"decisions"`
 	Placements int    `json:"placements"`
-	// Unconfirmed are placements of which the leader doesn't know whether they were started.
+	// Unconfirmed counts the unconfirmed entries: tasks, or whole jobs, of which the leader
+	// doesn't know yet whether and where they run.
 	Unconfirmed int `json:"doubts"`
 	// Digest is the table's, in hexadecimal; equal tables have equal digests.
 	Digest string `json:"digest"`
@@ -41,19 +42,20 @@
 	Member string `json:"member"`
 	// IsInSync tells whether it is recorded as in sync with the leader.
 	IsInSync bool `json:"in_step"`
-	// LagDecisions is how many decisions it lacks, all of them if it follows none.
+	// LagDecisions is how many decisions it lacks; if its replica is not complete, one more
+	// than there are.
 	LagDecisions uint64 `json:"lacks_decisions"`
-	// LagMs is for how long it has lacked something, in milliseconds.
+	// LagMs is for how long its replica has been incomplete or behind, in milliseconds.
 	LagMs int64 `json:"lacks_ms"`
 }
 
-// FailoverStatus is the duration of a failover's parts, in milliseconds.
+// FailoverStatus says how a failover went, and how long its parts took.
 type FailoverStatus struct {
 	// Token is the new leader's fencing token.
 	Token uint64 `json:"token"`
 	// IsReplicaUsed tells whether it started from a replica of the allocation table.
 	IsReplicaUsed bool `json:"replica_used"`
-	// Unconfirmed is how many placements it had to find out about.
+	// Unconfirmed is how many tasks were unconfirmed when it began.
 	Unconfirmed int `json:"in_doubt"`
 	// LockMs is from the last heartbeat of the leader before to the lock, 0 if none was seen.
 	LockMs int64 `json:"lock_ms"`
--- a/internal/rateshare/shares.go
+++ b/internal/rateshare/shares.go
@@ -10,22 +10,23 @@
 import "firwood.dev/firwood/internal/clock"
 
 const (
-	// minLeaderShare is the leader's share of the store's rates at least, maxLeaderShare its
-	// share of the rate of changes at most.
+	// minLeaderShare is the leader's share of the store's rates, of requests and of changes;
+	// of the rate of changes it may get more, up to maxLeaderShare.
 	minLeaderShare, maxLeaderShare = 0.5, 0.85
 	// leaderCloudShare is the leader's share of the cloud's rate: the others ask only for
 	// machine types.
 	leaderCloudShare = 0.8
 	// adjustInterval is how often the leader's share of changes is adjusted.
 	adjustInterval = clock.Second
-	// BacklogThreshold is how long waiting writes take from which the leader has a backlog, and
-	// takes more than its half.
+	// BacklogThreshold is a duration: if the waiting writes will take longer than this at the
+	// present rate, the leader has a backlog, and takes what the others leave.
 	BacklogThreshold = clock.Second
 	// othersHeadroom is what the others are left, as a multiple of what they use.
 	othersHeadroom = 1.5
 )
 
-// Shares are a member's shares of the rates, from 0 to 1.
+// Shares are a member's shares of the rates, from 0 to 1: of the store's requests and changes, and
+// of the cloud's requests.
 type Shares struct{ Store, Cloud float64 }
 
 // OfLeader returns the shares of a leader beside so many other members.
@@ -66,8 +67,8 @@
 	ChangesPerSecond float64      // the store's limit for all members
 }
 
-// Adjust returns the leader's share and whether it has changed; not more often than once a
-// second.
+// Adjust works out the leader's share of changes anew, once per adjustInterval at most, and returns
+// it and whether it has changed.
 func (adjuster *Adjuster) Adjust(now clock.Micros, load Load) (share float64, hasChanged bool) {
 	elapsed := now - adjuster.adjustedAt
 	if elapsed < adjustInterval {
