--- a/internal/commandqueue/queue_test.go
+++ b/internal/commandqueue/queue_test.go
@@ -40,7 +40,7 @@
 }
 
 // Heartbeats of every worker that can be connected fit, with messages of the other
-// members, whatever the limit of sockets is. Added after a queue of 4,096 was too small.
+// members, whatever the limit of sockets is. Added after a queue of 4,096 had been too small.
 func TestQueueLimitsFollowConnections(t *testing.T) {
 	for _, connections := range []int{900, 3500, 4700, 7100, 20000} {
 		queue := New(connections, 2)
--- a/internal/hints/counts_test.go
+++ b/internal/hints/counts_test.go
@@ -23,10 +23,10 @@
 	hasEnded := func(job string) bool { return job == "req-000003" }
 	now := clock.Second
 	turn := func() (heartbeats int) {
-		for parts := uint32(1); heartbeats < int(parts); heartbeats++ {
+		for pageCount := uint32(1); heartbeats < int(pageCount); heartbeats++ {
 			heartbeat := &peer.Heartbeat{Member: "b", Leader: "b", Token: 9}
 			sender.Add(heartbeat, running)
-			parts = max(heartbeat.ProgressPageCount, 1)
+			pageCount = max(heartbeat.ProgressPageCount, 1)
 			heartbeat, err := peer.Decode(peer.Encode(heartbeat)[4:])
 			if err != nil {
 				t.Fatal(err)
@@ -37,7 +37,7 @@
 		return heartbeats
 	}
 	if heartbeats := turn(); heartbeats < 4 || len(follower.jobs) != jobs-1 {
-		t.Fatalf("%d of %d jobs are known after %d beats", len(follower.jobs), jobs-1, heartbeats)
+		t.Fatalf("%d of %d jobs are known after %d heartbeats", len(follower.jobs), jobs-1, heartbeats)
 	}
 	delete(running, "req-000007")
 	for range 3 {
--- a/internal/records/compatibility_test.go
+++ b/internal/records/compatibility_test.go
@@ -37,8 +37,8 @@
 	DeadlineS float64 `json:"dueS,omitempty"`
 }
 
-// The records that the version in production has written are read as they were
-// meant: an active job, a withdrawn one whose tasks may be about, one that is done.
+// The records that the version in production has written are read as they were meant: an active
+// job, a cancelled one whose tasks may still be on machines, and one that is done.
 func TestProductionRecords(t *testing.T) {
 	text, err := os.ReadFile("testdata/records-production.jsonl")
 	if err != nil {
@@ -88,12 +88,12 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v", got)
 	}
-	// What a job awaits lies in a key that the other version passes over.
+	// What a job depends on lies in a key that the other version ignores.
 	if strings.HasPrefix(DependenciesKey("req-000007", 0), JobPrefix) || strings.HasPrefix(DependenciesKey("req-000007", 0), ProgressPrefix) {
 		t.Error("the key is taken for another kind")
 	}
 	// Jobs whose progress fits one key in both versions have the same layout.
-	if chunk := TasksPerProgressKey(2); chunk < 10000 || chunk >= TasksPerProgressKey(16) {
-		t.Errorf("%d tasks in a key", chunk)
+	if tasksPerKey := TasksPerProgressKey(2); tasksPerKey < 10000 || tasksPerKey >= TasksPerProgressKey(16) {
+		t.Errorf("%d tasks in a key", tasksPerKey)
 	}
 }
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -42,7 +42,7 @@
 		hasLapsed := false
 		for step := 0; step < 300 && now < 400*clock.Second; step++ {
 			now += clock.Micros(rapid.Int64Range(1, 3*int64(clock.Second)).Draw(t, "pause"))
-			switch rapid.SampledFrom([]string{"read", "report", "report", "lapse", "silence"}).Draw(t, "event") {
+			switch rapid.SampledFrom([]string{"read", "heartbeat", "heartbeat", "lapse", "silence"}).Draw(t, "event") {
 			case "read":
 				sentAt := now - clock.Micros(rapid.Int64Range(0, 3*int64(clock.Second)).Draw(t, "read took"))
 				tracker.RecordRead(sentAt)
