--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -85,9 +85,9 @@
 
 // expire drops entries that were added longer ago than the retention.
 func (log *Log) expire(now clock.Micros) {
-	old := 0
-	for old < len(log.entries) && now-log.entries[old].receivedAt > log.retention {
-		old++
+	expiredCount := 0
+	for expiredCount < len(log.entries) && now-log.entries[expiredCount].receivedAt > log.retention {
+		expiredCount++
 	}
-	log.entries = append(log.entries[:0], log.entries[old:]...)
+	log.entries = append(log.entries[:0], log.entries[expiredCount:]...)
 }
--- a/internal/hints/sender.go
+++ b/internal/hints/sender.go
@@ -24,7 +24,7 @@
 // none was.
 type Sent struct {
 	incarnation uint64
-	images      int
+	imageCount  int
 	sentAt      clock.Micros
 }
 
@@ -70,7 +70,7 @@
 // the images only their number is compared: if one has replaced another, the hint is due only when
 // it is repeated.
 func (sender *Sender) isDue(sent, current Sent) bool {
-	hasChanged := sent.incarnation != current.incarnation || sent.images != current.images
+	hasChanged := sent.incarnation != current.incarnation || sent.imageCount != current.imageCount
 	return hasChanged || current.sentAt-sent.sentAt >= resendInterval || sent.sentAt < sender.resendBefore
 }
 
@@ -78,13 +78,13 @@
 // boot times to a heartbeat, as far as there is room.
 func AddForecasts(heartbeat *peer.Heartbeat, forecasts *scheduler.Scheduler, machineTypes []wire.MachineType) {
 	for _, class := range forecasts.RunTimeClasses() {
-		if count, mean, square := forecasts.RunTimeModel(class).Hint(); count > 0 && len(heartbeat.RunTimes) < peer.MaxRunTimeClasses {
-			heartbeat.RunTimes = append(heartbeat.RunTimes, peer.RunTimeStatistics{Class: class, Count: uint32(count), Mean: mean, MeanSquare: square})
+		if count, mean, meanSquare := forecasts.RunTimeModel(class).Hint(); count > 0 && len(heartbeat.RunTimes) < peer.MaxRunTimeClasses {
+			heartbeat.RunTimes = append(heartbeat.RunTimes, peer.RunTimeStatistics{Class: class, Count: uint32(count), Mean: mean, MeanSquare: meanSquare})
 		}
 	}
 	for _, machineType := range machineTypes {
-		if boots := forecasts.RecentBootTimes(machineType.Name); len(boots) > 0 && len(heartbeat.BootTimes) < peer.MaxBootTimeTypes {
-			heartbeat.BootTimes = append(heartbeat.BootTimes, peer.BootTimes{MachineType: machineType.Name, Durations: boots})
+		if bootTimes := forecasts.RecentBootTimes(machineType.Name); len(bootTimes) > 0 && len(heartbeat.BootTimes) < peer.MaxBootTimeTypes {
+			heartbeat.BootTimes = append(heartbeat.BootTimes, peer.BootTimes{MachineType: machineType.Name, Durations: bootTimes})
 		}
 	}
 }
--- a/internal/records/progress.go
+++ b/internal/records/progress.go
@@ -115,16 +115,16 @@
 
 // TaskRange is the range of tasks that a key holds, of a job of total tasks: from the first up to,
 // and without, the last.
-func (layout ProgressLayout) TaskRange(key, total int) (first, last int) {
+func (layout ProgressLayout) TaskRange(key, total int) (first, end int) {
 	first = (key - layout.firstKey) * layout.tasksPerKey
 	return first, min(first+layout.tasksPerKey, total)
 }
 
 // PutChange writes what a key holds of a job of total tasks.
 func (layout ProgressLayout) PutChange(id string, key, total int, isDone func(task int) bool) wire.Change {
-	first, last := layout.TaskRange(key, total)
+	first, end := layout.TaskRange(key, total)
 	var bits Bitmap
-	for i := first; i < last; i++ {
+	for i := first; i < end; i++ {
 		if isDone(i) {
 			bits.Set(i - first)
 		}
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -125,8 +125,8 @@
 
 // needsSnapshot reports whether decisions from the log can't bring the follower up to date.
 func (publisher *Publisher) needsSnapshot(follower *followerState) bool {
-	oldest := max(publisher.sequenceBeforeLog(), publisher.minLogSequence(follower))
-	return !follower.position.IsComplete || follower.position.Sequence < oldest
+	requiredSequence := max(publisher.sequenceBeforeLog(), publisher.minLogSequence(follower))
+	return !follower.position.IsComplete || follower.position.Sequence < requiredSequence
 }
 
 // buildDecisions makes a message of the next decisions, with the digest if they are the last ones.
--- a/internal/standby/snapshot_transfer.go
+++ b/internal/standby/snapshot_transfer.go
@@ -20,7 +20,7 @@
 	isInProgress := isUsable && position.SnapshotSequence == transfer.sequence
 	switch {
 	case isInProgress && position.SnapshotParts == transfer.receivedParts+1:
-		transfer.advancePage()
+		transfer.advance()
 	case isInProgress && position.SnapshotParts == transfer.receivedParts:
 		// The last message, or its answer, was lost: send the same part again.
 	case isUsable && transfer.receivedParts == 0 && position.SnapshotParts == 0:
@@ -31,7 +31,7 @@
 	}
 	return &SnapshotPart{
 		Sequence: transfer.sequence, Index: transfer.receivedParts, PartCount: transfer.partCount,
-		Placements: transfer.currentPage(), Digest: transfer.digest,
+		Placements: transfer.currentPlacements(), Digest: transfer.digest,
 	}
 }
 
@@ -44,18 +44,18 @@
 	}
 }
 
-// currentPage returns the placements of the part that comes after those the follower has.
-func (transfer *snapshotTransfer) currentPage() []Placement {
-	var page []Placement
+// currentPlacements returns the placements of the part that comes after those the follower has.
+func (transfer *snapshotTransfer) currentPlacements() []Placement {
+	var placements []Placement
 	transfer.placements.Ascend(transfer.nextPlacement, func(placement Placement) bool {
-		page = append(page, placement)
-		return len(page) < MaxPartPlacements
+		placements = append(placements, placement)
+		return len(placements) < MaxPartPlacements
 	})
-	return page
+	return placements
 }
 
-// advancePage goes on to the next part.
-func (transfer *snapshotTransfer) advancePage() {
+// advance goes on to the next part.
+func (transfer *snapshotTransfer) advance() {
 	visited := 0
 	transfer.placements.Ascend(transfer.nextPlacement, func(placement Placement) bool {
 		transfer.nextPlacement = placement
