--- a/internal/health/verdict.go
+++ b/internal/health/verdict.go
@@ -102,6 +102,9 @@
 // had taken a zone that was cut off for machines that never booted, and had deleted it with all
 // that ran there (docs/incidents/zone-taken-for-booting.md).
 func (term *Term) isBootOverdue(machine *allocation.Machine, evidence Evidence, now clock.Micros) bool {
-	return (machine.CreatedAt > term.StartedAt || evidence.IsListedBooting) &&
-		now-machine.CreatedAt > term.BootTimeout(machine.Type) && evidence.Silence > term.SuspectTimeout
+	isRequestedInTerm := machine.CreatedAt > term.StartedAt
+	if !isRequestedInTerm && !evidence.IsListedBooting {
+		return false
+	}
+	return now-machine.CreatedAt > term.BootTimeout(machine.Type) && evidence.Silence > term.SuspectTimeout
 }
--- a/internal/hints/sender.go
+++ b/internal/hints/sender.go
@@ -62,7 +62,8 @@
 		}
 		*sent = current
 		images := slices.Sorted(maps.Keys(machine.ImageUsedAt))
-		heartbeat.CachedImages = append(heartbeat.CachedImages, peer.CachedImages{Machine: machine.Name, Incarnation: machine.Incarnation, Images: images[:min(len(images), peer.MaxImagesPerMachine)]})
+		images = images[:min(len(images), peer.MaxImagesPerMachine)]
+		heartbeat.CachedImages = append(heartbeat.CachedImages, peer.CachedImages{Machine: machine.Name, Incarnation: machine.Incarnation, Images: images})
 	}
 }
 
@@ -78,12 +79,14 @@
 // boot times to a heartbeat, as far as there is room.
 func AddForecasts(heartbeat *peer.Heartbeat, forecasts *scheduler.Scheduler, machineTypes []wire.MachineType) {
 	for _, class := range forecasts.RunTimeClasses() {
-		if count, mean, meanSquare := forecasts.RunTimeModel(class).Hint(); count > 0 && len(heartbeat.RunTimes) < peer.MaxRunTimeClasses {
+		count, mean, meanSquare := forecasts.RunTimeModel(class).Hint()
+		if count > 0 && len(heartbeat.RunTimes) < peer.MaxRunTimeClasses {
 			heartbeat.RunTimes = append(heartbeat.RunTimes, peer.RunTimeStatistics{Class: class, Count: uint32(count), Mean: mean, MeanSquare: meanSquare})
 		}
 	}
 	for _, machineType := range machineTypes {
-		if bootTimes := forecasts.RecentBootTimes(machineType.Name); len(bootTimes) > 0 && len(heartbeat.BootTimes) < peer.MaxBootTimeTypes {
+		bootTimes := forecasts.RecentBootTimes(machineType.Name)
+		if len(bootTimes) > 0 && len(heartbeat.BootTimes) < peer.MaxBootTimeTypes {
 			heartbeat.BootTimes = append(heartbeat.BootTimes, peer.BootTimes{MachineType: machineType.Name, Durations: bootTimes})
 		}
 	}
--- a/internal/rateshare/shares.go
+++ b/internal/rateshare/shares.go
@@ -81,7 +81,8 @@
 	adjuster.adjustedAt, adjuster.observedBefore, adjuster.ownWritesBefore = now, adjuster.observedChanges, load.Written
 	adjuster.share = minLeaderShare
 	if load.Backlog > BacklogThreshold {
-		adjuster.share = min(max(1-othersHeadroom*usedByOthers/load.ChangesPerSecond, minLeaderShare), maxLeaderShare)
+		leftByOthers := 1 - othersHeadroom*usedByOthers/load.ChangesPerSecond
+		adjuster.share = min(max(leftByOthers, minLeaderShare), maxLeaderShare)
 	}
 	return adjuster.share, adjuster.share != before
 }
--- a/internal/records/progress.go
+++ b/internal/records/progress.go
@@ -113,8 +113,8 @@
 // KeyOf is the number of the key that holds a task.
 func (layout ProgressLayout) KeyOf(task int) int { return layout.firstKey + task/layout.tasksPerKey }
 
-// TaskRange is the range of tasks that a key holds, of a job of total tasks: from the first up to,
-// and without, the last.
+// TaskRange is the range of tasks that a key holds, of a job of total tasks: from first up to, and
+// without, end.
 func (layout ProgressLayout) TaskRange(key, total int) (first, end int) {
 	first = (key - layout.firstKey) * layout.tasksPerKey
 	return first, min(first+layout.tasksPerKey, total)
