--- a/internal/storeview/load.go
+++ b/internal/storeview/load.go
@@ -66,7 +66,7 @@
 		return 0, false
 	}
 	// Keys may have been deleted while nobody watched. Those of jobs never are, except to be moved
-	// to the archive.
+	// to the archive, nor are the records of constraints and of in-sync members.
 	view.Dependencies = map[string]map[int][]string{}
 	view.Progress = map[string]map[int]ProgressPart{}
 	view.ScaleOuts = map[string]*ScaleOut{}
--- a/internal/storeview/view.go
+++ b/internal/storeview/view.go
@@ -33,7 +33,8 @@
 	WorkerContactRead(member string, record records.WorkerContact)
 	// ArchiveMarkerRead reports that there may be an archive.
 	ArchiveMarkerRead()
-	// RecordRejected reports a key or value that cannot be read; the view keeps what it had.
+	// RecordRejected reports a key or value that cannot be read. The view keeps what it had, except
+	// for the record of in-sync members, of which see StandbyChanged.
 	RecordRejected(key string, err error)
 }
 
