--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -149,7 +149,7 @@
 // ObserveLock records the lock key as read from the store. The caller passes observations in the
 // order of their revisions.
 func (elector *Elector) ObserveLock(now clock.Micros, lock Lock) []Action {
-	elector.observed = observedLock{lock, true}
+	elector.observed = observedLock{Lock: lock, isKnown: true}
 	switch {
 	case elector.phase == Leader && (!lock.Exists || lock.Version != elector.own.token):
 		return elector.becomeFollower(now)
--- a/internal/records/progress.go
+++ b/internal/records/progress.go
@@ -105,7 +105,7 @@
 	nominal := record.TasksPerProgressKey(nominalTasksPerKey)
 	fitting := TasksPerProgressKey(limits.MaxValueKB)
 	if min(record.Spec.TaskCount, nominal) <= fitting {
-		return ProgressLayout{0, nominal}
+		return ProgressLayout{firstKey: 0, tasksPerKey: nominal}
 	}
 	return ProgressLayout{firstKey: (record.Spec.TaskCount + nominal - 1) / nominal, tasksPerKey: fitting}
 }
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -154,7 +154,7 @@
 
 // digestCheck returns the digest of the table as it is now.
 func (publisher *Publisher) digestCheck() *DigestCheck {
-	return &DigestCheck{publisher.lastSequence, publisher.table.Digest()}
+	return &DigestCheck{Sequence: publisher.lastSequence, Digest: publisher.table.Digest()}
 }
 
 // isDigestDue reports whether the last digest or announcement was sent long enough ago.
