--- a/internal/health/faults.go
+++ b/internal/health/faults.go
@@ -20,7 +20,8 @@
 	RetryBackoff        = 15 * clock.Second
 	pauseBackoff        = 2 * clock.Second
 	maxBackoffDoublings = 4
-	// faultTTL is after how long without a failure a machine's earlier ones no longer count.
+	// faultTTL is after how long without a failure a machine's earlier ones no longer count, and
+	// its backoffs begin anew.
 	faultTTL = 300 * clock.Second
 )
 
@@ -63,11 +64,11 @@
 	drainCount, pauseCount int
 }
 
-// RecordFailure records a failed task and decides what to do. A machine on which tasks of
-// minFaultyJobs jobs have failed is drained; while failures are widespread it is paused instead.
-// Nothing is done about one that is drained or paused already. isWidespread, which looks at the
-// other machines, is called only if the decision depends on it. The instant is the end of the
-// pause; 0 for the other actions.
+// RecordFailure records a failed task, whose job machine.FailedJobs has to have by then, and decides
+// what the caller has to do. A machine on which tasks of minFaultyJobs jobs have failed is drained;
+// while failures are widespread it is paused instead. Nothing is done about one that is drained or
+// paused already. isWidespread, which looks at the other machines, is called only if the decision
+// depends on it. The instant is the end of the pause; 0 for the other actions.
 func (faults *Faults) RecordFailure(machine *allocation.Machine, isWidespread func() bool, now clock.Micros) (FaultAction, clock.Micros) {
 	if faults.firstAt == 0 || now-faults.lastAt > faultTTL {
 		*faults = Faults{firstAt: now, retryAt: faults.retryAt}
@@ -101,10 +102,10 @@
 func (faults *Faults) RetryAt() clock.Micros { return faults.retryAt }
 
 // TakeRetry reports whether a faulty machine that can't be deleted, since it still has tasks, is
-// to get new ones again. It reports that once per drain, and failures count anew from then on.
-// Added after two of a fleet's three machines, for which the cloud had no replacement, got no
-// tasks for eight minutes because replicas went on running on them without a fault
-// (docs/incidents/all-faulty.md).
+// to get new ones again. It reports that once per drain, and failures count anew from then on, for
+// which the caller has to clear machine.FailedJobs and machine.Draining. Added after two of a
+// fleet's three machines, for which the cloud had no replacement, got no tasks for eight minutes
+// because replicas went on running on them without a fault (docs/incidents/all-faulty.md).
 func (faults *Faults) TakeRetry(machine *allocation.Machine, now clock.Micros) bool {
 	if faults.retryAt == 0 || now < faults.retryAt || machine.IsIdle() {
 		return false
