--- a/internal/allocation/attempt.go
+++ b/internal/allocation/attempt.go
@@ -4,8 +4,8 @@
 // token stands above them, so that attempts grow over all leaders (invariant 3).
 const attemptCounterBits = 20
 
-// maxAttemptsPerToken is how many attempts the counter can tell apart under one token; from half of
-// them on a higher token is asked for.
+// maxAttemptsPerToken is how many attempts the counter can tell apart under one token. From half of
+// them on, TakeTokenRaiseRequest reports that a higher token is needed.
 const maxAttemptsPerToken = 1 << attemptCounterBits
 
 // NextAttempt returns an attempt number for a task, or for all tasks of a gang (invariant 3). The
--- a/internal/allocation/command_request.go
+++ b/internal/allocation/command_request.go
@@ -81,7 +81,7 @@
 	}
 	if result != CommandExecuted {
 		for _, placement := range machine.placements {
-			placement.stopSentAt = 0
+			placement.stopSentAt = 0 // stops may be lost too, so they are sent again
 		}
 	}
 }
@@ -104,11 +104,14 @@
 	case CommandOutcomeUnknown:
 		placement.mayArriveLate = true
 	case CommandNotSent, CommandRejected:
+		// This start has no effect. Unless a heartbeat's reply (sentInSequence) or an earlier request
+		// (mayArriveLate) has carried another, the task isn't on the machine.
 		if placement.Phase == PhaseSent && placement.sentInSequence == 0 && !placement.mayArriveLate {
 			placement.Phase = PhaseAssigned
 		}
 	case CommandExecuted:
-		// The heartbeat in the answer lists the task.
+		// The heartbeat in the answer lists the task. The start is done with: if a later heartbeat of
+		// the worker's own lacks it, handleMissing takes it for lost.
 		if placement.Phase == PhaseSent {
 			placement.sentInSequence = machine.HeartbeatSequence
 		}
--- a/internal/allocation/commands.go
+++ b/internal/allocation/commands.go
@@ -63,8 +63,8 @@
 	commandRequest
 )
 
-// appendCommands appends the commands that a placement needs. It also ends a placement whose start
-// was never sent and isn't allowed any more.
+// appendCommands appends the commands that a placement needs. It also ends a placement in
+// PhaseAssigned whose start isn't allowed any more.
 func (tracker *Tracker) appendCommands(commands []wire.Command, placement *Placement, now clock.Micros, channel commandChannel) []wire.Command {
 	switch {
 	case placement.Phase == PhaseReported && placement.isStopping:
@@ -79,6 +79,8 @@
 		tracker.endPlacement(placement, wire.ExitStopped, now)
 		return commands
 	case placement.Phase == PhaseAssigned, placement.mayStartArrive() && channel == heartbeatReply:
+		// A start whose command request has no answer is sent again in the reply: the worker ignores
+		// the second copy of an attempt.
 		return tracker.appendStart(commands, placement, channel)
 	}
 	return commands
--- a/internal/allocation/doc.go
+++ b/internal/allocation/doc.go
@@ -27,8 +27,8 @@
 //  3. The attempts of a task only grow, over all leaders: the fencing token is their upper part.
 //  4. A task that an earlier leader may have started stays unconfirmed until every machine that
 //     may have existed then is reconciled, or a heartbeat made under our token lists it (an
-//     earlier heartbeat may be a late copy). Unconfirmed tasks count as running for quotas,
-//     zones and spread.
+//     earlier heartbeat may be a late copy). Unconfirmed tasks count as running: they aren't
+//     started, and quotas, zones and spread include them.
 //  5. A completion is durable in the key-value store before the worker is told to forget it.
 //  6. Machine type, zone, spot, quota and the places of the job's other tasks are checked again
 //     when a start is put into a message.
--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -40,7 +40,8 @@
 	CompletionDurable bool
 	FailureCount      uint8      // exits with an error, at most 255
 	Placement         *Placement // nil if there is none; orphans aren't set here
-	// RetryAt is the backoff's end of a failed task.
+	// RetryAt is when the backoff of a failed task ends, 0 if it has none. The scheduler places it
+	// no sooner; PlaceTask doesn't check it.
 	RetryAt clock.Micros
 	// CheckpointedSeconds is how many seconds of its run are safe in a checkpoint, as far as
 	// this leader has seen. Only forecasts use it.
@@ -66,7 +67,7 @@
 	StartsRecorded bool
 	// StartedByAging tells whether it was started because it had waited too long.
 	StartedByAging bool
-	// StartedCount is the number of placements that were seen with their image.
+	// StartedCount is the number of present placements that were seen with their image.
 	StartedCount int
 	// CheckpointedSeconds is the largest of its tasks' CheckpointedSeconds; a gang's tasks share it.
 	CheckpointedSeconds float64
@@ -84,15 +85,18 @@
 	FirstStartAt clock.Micros // steady clock, 0 before
 }
 
-// JobCancellation tells whether and when this leader knew that a job was cancelled.
+// JobCancellation tells whether a job is cancelled, and since when.
 type JobCancellation struct {
-	Cancelled   bool
-	CancelledAt clock.Micros // steady clock
+	Cancelled bool
+	// CancelledAt is an instant of the steady clock. Cancel sets it to its own time; the controller
+	// then moves it back to the end in the job's record, which this leader may have read late. The
+	// time that the job's tasks have to end runs from there (PROTOCOL, cancel_s).
+	CancelledAt clock.Micros
 }
 
 // GangState is the state of a gang's attempt. It is zero between attempts, and for other jobs.
 type GangState struct {
-	GangAttempt  uint64 // 0 if no task of the gang is placed
+	GangAttempt  uint64 // 0 if the gang has no placement, orphans included
 	GangAborting bool   // all its tasks are being stopped
 	GangStarted  bool   // a task was seen running, so all have started together
 }
@@ -164,7 +168,8 @@
 	return job.placementsByZone[zone] + job.unconfirmedCount
 }
 
-// OccupiedZone returns a zone that has a placement of the job, if there is one.
+// OccupiedZone returns a zone that has a placement of the job, if there is one. Of several zones it
+// may return any; unconfirmed tasks without a placement aren't considered.
 func (job *Job) OccupiedZone() (string, bool) {
 	for z, n := range job.placementsByZone {
 		if n > 0 {
--- a/internal/allocation/job_tracking.go
+++ b/internal/allocation/job_tracking.go
@@ -37,7 +37,8 @@
 	return job
 }
 
-// Cancel records the durable cancellation of a job, and stops its tasks without grace.
+// Cancel records the durable cancellation of a job, and stops its tasks without grace. If it was
+// confirmed before now, the caller corrects CancelledAt afterwards.
 func (tracker *Tracker) Cancel(job *Job, now clock.Micros) {
 	if job.Cancelled {
 		return
--- a/internal/allocation/lease.go
+++ b/internal/allocation/lease.go
@@ -19,7 +19,8 @@
 // Renewals by delegates aren't included.
 func (machine *Machine) LastRenewalAt() clock.Micros { return machine.leaseRenewedAt }
 
-// leaseSlack is what LeaseEndsAt allows, beside the drift of clocks, for what is rounded or late.
+// leaseSlack is the margin that LeaseEndsAt adds to the drift of both clocks, for rounding and for a
+// worker that kills its tasks somewhat after the end of its lease.
 const leaseSlack = clock.Second
 
 // LeaseEndsAt returns the instant of the steady clock from which the machine's lease has certainly
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -78,7 +78,8 @@
 	UnreachableUntil clock.Micros
 	// BackoffUntil is set while tasks fail on it for a cause that isn't the machine's own.
 	BackoffUntil clock.Micros
-	// FailedJobs is the set of jobs of which a task failed on it.
+	// FailedJobs is the set of jobs of which a task failed on it. The controller pauses or drains
+	// the machine when there are several.
 	FailedJobs map[string]bool
 	// Draining is set while the controller places nothing new on it, mostly to delete it.
 	Draining bool
@@ -145,7 +146,8 @@
 // IsIdle tells whether no task is, or may be, on it.
 func (machine *Machine) IsIdle() bool { return len(machine.placements) == 0 }
 
-// IsSchedulable tells whether it may get tasks.
+// IsSchedulable tells whether PlaceTask accepts it. The scheduler also leaves out machines that are
+// suspected, unreachable or backing off.
 func (machine *Machine) IsSchedulable() bool {
 	return machine.RecordedInStore && machine.TokenConfirmed && !machine.Draining && machine.ReclaimAt == 0
 }
--- a/internal/allocation/stop.go
+++ b/internal/allocation/stop.go
@@ -18,6 +18,7 @@
 // the grace as time to save progress. A shorter grace replaces a longer one, never the reverse.
 func (tracker *Tracker) StopPlacement(placement *Placement, grace clock.Micros) {
 	if placement.Phase == PhaseAssigned && !placement.mayStartArrive() {
+		// Nothing ran, so the machine counts as idle from when the task was placed, not from now.
 		tracker.endPlacement(placement, wire.ExitStopped, placement.CreatedAt)
 		return
 	}
