--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -20,7 +20,7 @@
 
 	// By SortIndex; the first three are the scheduler's buffers.
 	reserved     []allocation.Resources // for jobs whose starts are not recorded yet, and gangs
-	gangReserved []bool                 // for a gang, until more of the machine is free
+	gangReserved []bool                 // a gang waits here until more of the machine is free
 	busySeconds  []float64              // until the last task ends; -1: not worked out
 	releasing    []allocation.Resources // used by tasks that are stopping; nil: not worked out
 }
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -38,7 +38,8 @@
 }
 
 const (
-	// minUrgentSlackSeconds is the least slack that makes a job urgent.
+	// minUrgentSlackSeconds: with less slack than this a job is urgent, however short its run
+	// is. A long run is urgent from a quarter of its time on.
 	minUrgentSlackSeconds = 20
 	// alreadyLateSeconds stands for a deadline that had passed before the job could start.
 	alreadyLateSeconds = 0.001
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -86,14 +86,15 @@
 }
 
 // maxReservationSeconds bounds how long a gang may keep room from others: as long as a
-// machine requested now would take to be ready.
+// machine requested now would take to be ready. The type of the first slot stands for all.
 func (cycle *schedulingCycle) maxReservationSeconds(job *allocation.Job, slots []gangSlot) float64 {
 	typeName := slots[0].machine.Type
 	return cycle.scheduler.BootTime(typeName, medianBoot).Seconds() + cycle.scheduler.imageFetchSeconds(job, typeName)
 }
 
 // placeGang places all tasks of a gang, or all that it has lost before it was complete, or
-// none. It may reserve room instead. It returns how many it has placed.
+// none. It may reserve room that is not free yet instead. It returns what placeOnSlots does,
+// or 0.
 func (cycle *schedulingCycle) placeGang(queued *queuedJob) int {
 	if len(queued.readyTasks) != queued.job.WaitingCount() || queued.taskLimit < len(queued.readyTasks) {
 		return 0
@@ -172,7 +173,8 @@
 }
 
 // placeOnSlots places a gang on slots that are free. Until its starts are recorded it only
-// reserves the room. It returns the number of tasks.
+// reserves the room. It returns the number of tasks that it has placed or has reserved room
+// for.
 func (cycle *schedulingCycle) placeOnSlots(queued *queuedJob, slots []gangSlot) int {
 	job := queued.job
 	if !job.StartsRecorded {
@@ -187,7 +189,7 @@
 	}
 	for index, slot := range slots {
 		if cycle.tracker.PlaceTask(job, queued.readyTasks[index], slot.machine, attempt, cycle.now) != nil {
-			cycle.tracker.StopJob(job, 0) // it cannot start whole; undo what was placed
+			cycle.tracker.StopJob(job, 0) // it cannot start whole: end what this attempt has
 			return 0
 		}
 	}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -9,16 +9,16 @@
 // Points of the placement score. The kind of machine comes first, then the image, then
 // what keeps machines free to be deleted.
 const (
-	pointsForKind         = 100 // spot for jobs that may use it, ordinary for others
-	pointsForReplicas     = 50  // a replica, where there are others
-	pointsForImage        = 20  // the image is there
-	pointsForImageReplica = 60  // the same for a replica, which users wait for
-	pointsForFetch        = 10  // the image is being fetched
-	pointsPerFetch        = 10  // taken off for each other fetch under way
-	pointsPerFetchReplica = 25
+	pointsForKind         = 100  // spot for jobs that may use it, ordinary for others
+	pointsForReplicas     = 50   // a replica, where there are others
+	pointsForImage        = 20   // the image is there
+	pointsForImageReplica = 60   // the same for a replica, which users wait for
+	pointsForFetch        = 10   // the image is being fetched
+	pointsPerFetch        = 10   // taken off for each other fetch under way
+	pointsPerFetchReplica = 25   // the same for a replica
 	pointsForFailure      = 1000 // taken off where tasks of the job have failed
 	pointsForExtension    = 8    // taken off, at most, for prolonging a machine's use
-	halfExtensionSeconds  = 30   // what half of these are taken off for
+	halfExtensionSeconds  = 30   // the prolongation for which half of pointsForExtension are taken off
 	pointsForFullness     = 5    // at most
 )
 
@@ -55,13 +55,15 @@
 func imageScore(job *allocation.Job, machine *allocation.Machine) float64 {
 	switch _, cached := machine.ImageUsedAt[job.Spec.Image]; {
 	case cached && job.IsService():
-		return pointsForImageReplica // rather apart than after a fetch
+		return pointsForImageReplica // more than pointsForReplicas: the image counts before the company
 	case cached:
 		return pointsForImage
 	case machine.IsFetching(job.Spec.Image):
 		return pointsForFetch
 	case job.IsService():
-		return -pointsPerFetchReplica * float64(machine.FetchCount()) // rather alone for a while than after a queue of fetches
+		// From two fetches on this outweighs pointsForReplicas: a replica rather goes to a
+		// machine of its own for a while than wait for several fetches.
+		return -pointsPerFetchReplica * float64(machine.FetchCount())
 	}
 	return -pointsPerFetch * float64(machine.FetchCount())
 }
@@ -148,8 +150,9 @@
 	cycle.reserved[machine.SortIndex] = cycle.reserved[machine.SortIndex].Add(need)
 }
 
-// placeTasks places independent tasks; it returns how many. Until the job's starts are
-// recorded it only reserves the room: the record has to be durable first.
+// placeTasks places independent tasks. Until the job's starts are recorded it only reserves
+// the room: the record has to be durable first. It returns the number of tasks that it has
+// placed or has reserved room for.
 func (cycle *schedulingCycle) placeTasks(queued *queuedJob) int {
 	job := queued.job
 	maxTasks := min(len(queued.readyTasks), queued.taskLimit)
--- a/internal/scheduler/poolchoice.go
+++ b/internal/scheduler/poolchoice.go
@@ -73,13 +73,14 @@
 	return !pool.Spot && cycle.scheduler.MachineTypes[pool.Type].SpotPrice > 0 && urgency != critical && cycle.mayAwaitSpot(job)
 }
 
-// mayAwaitSpot tells whether a job waits for a spot machine. A gang does not: all its
+// mayAwaitSpot tells whether a job waits for a spot machine: for SpotWaitTimeout from when this
+// leader first knew of it, and for as long as tasks of it run. A gang does not: all its
 // machines would have to come in that time.
 func (cycle *schedulingCycle) mayAwaitSpot(job *allocation.Job) bool {
 	return job.Spec.AllowsSpot && !job.IsGang() && (job.ActiveCount() > 0 || cycle.now-job.AddedAt < cycle.scheduler.Settings.SpotWaitTimeout)
 }
 
-// cheapestPool picks where to request one more machine for a job: the cheapest by task, then
+// cheapestPool picks where to request one more machine for a job: the cheapest per task, then
 // a zone that it prefers, then the pool with the fewest machines, so that a loss hits little.
 func (cycle *schedulingCycle) cheapestPool(job *allocation.Job, offers []pricedPool, isZoneAllowed func(zone string) bool) *poolForecast {
 	var best *poolForecast
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -112,7 +112,7 @@
 }
 
 // fetchCost weighs the image fetch that a replica would wait for on a machine, in seconds of
-// a thousandth of a CPU of lost work. Added after three in four replicas of a busy day took
+// a thousandth of a CPU of lost work. A fetch at an unknown rate counts as 1 s. Added after three in four replicas of a busy day took
 // the places of batch work and waited for their image there.
 func (cycle *schedulingCycle) fetchCost(job *allocation.Job, machine *allocation.Machine) float64 {
 	if _, cached := machine.ImageUsedAt[job.Spec.Image]; cached || !job.IsService() {
@@ -131,8 +131,10 @@
 
 // preemptionOption is a machine where a task can start once the victims are stopped.
 type preemptionOption struct {
-	candidate // a negative score: what the start costs in lost work
-	victims   []*allocation.Placement
+	// candidate has as its score, negated, the lost work that the start costs, in seconds of a
+	// thousandth of a CPU.
+	candidate
+	victims []*allocation.Placement
 }
 
 // preemptionOption works out what a start of a job's task on a machine costs; false if it
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -46,8 +46,8 @@
 	return entitled
 }
 
-// quotaAllowance is how many more tasks of a job its team's limit allows; of a gang all that
-// wait, or none.
+// quotaAllowance is how many more tasks of a job its team's limit allows; 0 for a gang unless it
+// allows all of its tasks that wait.
 func (cycle *schedulingCycle) quotaAllowance(job *allocation.Job) int {
 	quota := cycle.scheduler.Teams[job.Spec.Team]
 	usage := cycle.tracker.TeamUsage(job.Spec.Team)
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -102,8 +102,8 @@
 }
 
 // isInfeasible tells whether a gang needs more machines than can be had: every pool that it
-// may use was found empty, and all machines there would not hold it. What were requested
-// for a part of it would idle, be deleted and be requested again.
+// may use was found empty, and all machines there would not hold it. Machines requested for a
+// part of it would idle, be deleted and be requested again.
 func (cycle *schedulingCycle) isInfeasible(queued *queuedJob, requiredZone string) bool {
 	taskCapacity := 0
 	for typeName, machineType := range cycle.scheduler.MachineTypes {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -35,11 +35,12 @@
 	CompletionObjectives, WaitObjectives map[string]float64
 	// HeartbeatWindow: a machine whose last heartbeat is older is suspected.
 	HeartbeatWindow clock.Micros
-	// TermStartedAt is when this leader's term began, ResumedAt when the process last resumed
-	// after a stall: silence before either does not count.
+	// TermStartedAt is when this leader's term began, ResumedAt when it last resumed after a
+	// stall of the process or a lapse of its entitlement, in which no heartbeat arrived or was
+	// answered: silence before either does not count.
 	TermStartedAt, ResumedAt clock.Micros
 	// DelegatedZones are the zones in which a controller can renew workers' leases while the
-	// zone has no network; nil where there is none.
+	// zone has no network; nil if there is no such zone.
 	DelegatedZones map[string]bool
 
 	models       models
@@ -214,7 +215,7 @@
 }
 
 // hasRecentHeartbeat tells whether a machine's last heartbeat is within the window. Silence
-// before the term, or during a stall of the process, does not count.
+// before TermStartedAt or ResumedAt does not count.
 func (scheduler *Scheduler) hasRecentHeartbeat(machine *allocation.Machine, now clock.Micros) bool {
 	return now-max(machine.LastHeartbeatAt, scheduler.TermStartedAt, scheduler.ResumedAt) <= scheduler.HeartbeatWindow
 }
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -10,11 +10,12 @@
 	Screen    forecast.ScreenSettings
 	Smoothing forecast.Smoothing
 	Spares    SpareSettings
-	// IdleTimeout is how long a machine may be idle before it is deleted, RelaxedIdleTimeout
-	// the same where users expect no start sooner than a machine boots.
+	// IdleTimeout is how long a machine may be idle before it is deleted (half of it in a
+	// large fleet, see planScaleIn), RelaxedIdleTimeout the same where users expect no start
+	// sooner than a machine boots.
 	IdleTimeout, RelaxedIdleTimeout clock.Micros
-	// SpotWaitTimeout is how long a job that may use spot machines waits for one
-	// before an ordinary machine is requested for it.
+	// SpotWaitTimeout is how long a job that may use spot machines waits for one before an
+	// ordinary machine is requested for it; see mayAwaitSpot for jobs that wait on.
 	SpotWaitTimeout clock.Micros
 	// AgingThreshold is how long a job waits for its first start before it goes first
 	// within its priority; 0: never.
