--- a/internal/forecast/boottime.go
+++ b/internal/forecast/boottime.go
@@ -7,14 +7,18 @@
 )
 
 const (
-	// minBootSamples is the number of boots of a type that say more than the nominal figure.
+	// minBootSamples is the number of observed boots of a type from which on their quantiles
+	// are used instead of the nominal figure.
 	minBootSamples = 8
 	// maxRecentBoots is how many boots of a type are kept for the next leader.
 	maxRecentBoots = 32
 	// maxBootTime is the longest boot time that is distinguished from longer ones.
 	maxBootTime = 3600 * clock.Second
-	// upperQuantile, in percent: quantiles above it are never below the nominal figure's.
+	// upperQuantile, in percent: quantiles above it are never below 1.5 times the nominal
+	// figure, see Quantile.
 	upperQuantile = 90
+	// bootTimeDigits is the precision of the histogram, in significant digits.
+	bootTimeDigits = 2
 )
 
 // BootTimeModel holds how long machines of one type took from their creation to their first
@@ -26,7 +30,7 @@
 
 // NewBootTimeModel returns a model without observations.
 func NewBootTimeModel() *BootTimeModel {
-	return &BootTimeModel{histogram: hdrhistogram.New(1, int64(maxBootTime/clock.Millisecond), 2)}
+	return &BootTimeModel{histogram: hdrhistogram.New(1, int64(maxBootTime/clock.Millisecond), bootTimeDigits)}
 }
 
 // Observe records the boot time of a machine.
@@ -63,9 +67,9 @@
 // Quantile is a quantile, in percent, of the boot time; before there are enough
 // observations it rests on the nominal figure of the type.
 //
-// An upper quantile is never below what the nominal figure gives, since the first machines
-// of a burst to come up are the fast ones. Added after all others of a burst counted as
-// overdue by the times of these, and were requested a second time.
+// An upper quantile is never below 1.5 times the nominal figure, since the first machines of a
+// burst to come up are the fast ones. Added after all others of a burst counted as overdue
+// by the times of these, and were requested a second time.
 func (model *BootTimeModel) Quantile(quantile float64, nominal clock.Micros) clock.Micros {
 	if quantile > upperQuantile {
 		nominal += nominal / 2 // usually 0.6 to 1.5 times the figure
--- a/internal/forecast/demand.go
+++ b/internal/forecast/demand.go
@@ -30,8 +30,8 @@
 	meanRunSeconds  float64
 	gapCount        int
 	sizeWeights     map[int]float64 // by the number of machines that a job needs
-	machineFraction float64
-	waitObjective   float64 // seconds, the shortest one of its classes; 0: none
+	machineFraction float64         // see MachineFraction
+	waitObjective   float64         // seconds, the shortest one of its classes; 0: none
 }
 
 // ObserveArrival records the arrival of a job that needs machineCount machines and would
--- a/internal/forecast/screen.go
+++ b/internal/forecast/screen.go
@@ -22,7 +22,8 @@
 // RejectReason is why the screen rejects a series.
 type RejectReason string
 
-// Reasons of the screen, as they are logged; RejectNone: the series is accepted.
+// Reasons of the screen, as they are logged; RejectNone: the series is accepted. No spread
+// means that all samples are 0.
 const (
 	RejectNone        RejectReason = ""
 	RejectTooFew      RejectReason = "too few samples"
@@ -57,9 +58,10 @@
 	series.samples = append(series.samples, sample{observedAt, value})
 }
 
-// trim drops samples from before the window, and the oldest of more than maxSamples.
-// The paper caps the samples during bursts (IV-A). Where thousands of tasks end in a
-// window, rejecting it would disable the screen for good.
+// trim drops samples from before the window, and the oldest of more than maxSamples. The
+// paper (IV-A) says both that nmax caps the samples and that the screen rejects more of them.
+// The cap is taken (docs/questions.md, 9): where jobs always come so fast, a screen that
+// rejects more samples would never pass.
 func (series *Series) trim(now, window clock.Micros, maxSamples int) {
 	i := 0
 	for i < len(series.samples) && series.samples[i].observedAt < now-window {
--- a/internal/forecast/sparecost.go
+++ b/internal/forecast/sparecost.go
@@ -29,7 +29,7 @@
 }
 
 // expectedRemainder is the expected part of a transition of delay seconds that is still left
-// at the next event, phi (59).
+// at the next event, phi (59); 0 if no event is expected, as the limit of (59) is.
 func expectedRemainder(delay, rate float64) float64 {
 	if rate <= 0 {
 		return 0
@@ -46,7 +46,8 @@
 	return cost
 }
 
-// meanHorizon is the mean time to the next event, H, capped by the horizon (25).
+// meanHorizon is the mean time to the next event, H, capped by the horizon (25); if no event
+// is expected, the horizon, 0 if there is none.
 func (model *SpareModel) meanHorizon(eventRate float64) float64 {
 	switch {
 	case eventRate <= 0:
