--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -36,7 +36,7 @@
 }
 
 // forDependencies returns the urgency that a job passes on to its dependencies: they have to be
-// done earlier by its own run time.
+// done earlier by its own run time. A deadline stays above 0, which means that there is none.
 func (u Urgency) forDependencies(runTime clock.Micros) Urgency {
 	if u.Deadline != 0 {
 		u.Deadline = max(u.Deadline-runTime, 1)
@@ -105,7 +105,7 @@
 	isQueued               bool         // waits in propagateUrgency's heap
 }
 
-// hasEnded tells whether a record of the job's end was seen.
+// hasEnded tells whether the job is done, or cancelled by its own record or with a dependency.
 func (n *node) hasEnded() bool { return n.stage == stageDone || n.stage == stageCancelled }
 
 // Graph holds the jobs of a view of the store.
@@ -114,7 +114,8 @@
 // New returns an empty graph.
 func New() *Graph { return &Graph{nodes: map[string]*node{}} }
 
-// lowestUrgency is the urgency of a job whose record was not seen: below any real priority.
+// lowestUrgency is the urgency of a job whose record was not seen: its priority is lower than any
+// real one (a greater index), and it has no deadline.
 var lowestUrgency = Urgency{Priority: 1 << 30}
 
 // ensureNode returns the node of a job. It creates one, of an unknown stage, if necessary.
@@ -206,7 +207,8 @@
 	}
 }
 
-// IsBlocked tells whether a job has a dependency that is not done.
+// IsBlocked tells whether a job has a dependency that is not done. It says nothing useful of a
+// cancelled job: see IsCancelled.
 func (graph *Graph) IsBlocked(id string) bool {
 	jobNode := graph.nodes[id]
 	return jobNode != nil && jobNode.unfinishedDependencies > 0
