--- a/internal/jobhistory/lookups.go
+++ b/internal/jobhistory/lookups.go
@@ -56,8 +56,9 @@
 	return &Lookups{maxWaiting: maxWaiting, batchSize: batchSize}
 }
 
-// Enqueue adds a lookup, or returns false if too many are waiting. A lookup that waits past its
-// deadline is completed as Unavailable by the next NextBatch; one in flight waits for its batch.
+// Enqueue adds a lookup, or returns false if too many are waiting. A lookup that still waits at its
+// deadline is completed as Unavailable by the first NextBatch that finds no batch in flight; one in
+// flight waits for its batch.
 func (lookups *Lookups) Enqueue(jobID string, deadline clock.Micros, onResult func(LookupResult)) bool {
 	if len(lookups.waiting)+len(lookups.retries) >= lookups.maxWaiting {
 		return false
@@ -114,7 +115,9 @@
 		})
 	}
 	for _, lookup := range overdue {
-		lookup.onResult(Unavailable) // after the loop above, since the callback may call Enqueue
+		// After the loop above, since the callback may call Enqueue. It must not call NextBatch
+		// when the result is Unavailable: the call of NextBatch that is under way would add to that batch.
+		lookup.onResult(Unavailable)
 	}
 }
 
@@ -132,7 +135,7 @@
 // of are retried, or completed as Unavailable if the request failed.
 func (lookups *Lookups) CompleteBatch(result BatchResult) {
 	batch := lookups.inFlight
-	lookups.inFlight = nil // before the callbacks, which may call Enqueue
+	lookups.inFlight = nil // before the callbacks, which may call Enqueue and NextBatch
 	for _, lookup := range batch {
 		switch {
 		case slices.Contains(result.Present, lookup.jobID):
