--- a/internal/allocation/command_request.go
+++ b/internal/allocation/command_request.go
@@ -12,7 +12,7 @@
 // nothing to send, if the worker's address is unknown or it hasn't confirmed the token, and if a
 // request to it is in flight: there is one at a time.
 func (tracker *Tracker) BuildCommandRequest(machine *Machine, now clock.Micros) (*wire.CommandRequest, []*Placement) {
-	if machine.commandInFlight || !machine.TokenConfirmed || machine.Address == "" {
+	if machine.hasCommandInFlight || !machine.TokenConfirmed || machine.Address == "" {
 		return nil, nil
 	}
 	var commands []wire.Command
@@ -31,7 +31,7 @@
 		return nil, nil
 	}
 	// Without commands it probes whether a worker that may be unreachable can be reached again.
-	machine.commandInFlight = true
+	machine.hasCommandInFlight = true
 	return &wire.CommandRequest{FencingToken: tracker.currentToken, Incarnation: machine.Incarnation, Commands: commands}, starts
 }
 
@@ -67,7 +67,7 @@
 // FinishCommandRequest records the outcome of a command request. A heartbeat in the answer has to be
 // given to RecordCommandHeartbeat afterwards.
 func (tracker *Tracker) FinishCommandRequest(machine *Machine, starts []*Placement, result CommandResult, now clock.Micros) {
-	machine.commandInFlight = false
+	machine.hasCommandInFlight = false
 	switch result {
 	case CommandExecuted:
 		machine.UnreachableUntil = 0
--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -172,9 +172,9 @@
 // applyImageHints uses or drops the hint when an incarnation is first seen.
 func (machine *Machine) applyImageHints(incarnation uint64, now clock.Micros) {
 	if machine.hintedIncarnation == incarnation {
-		for _, i := range machine.hintedImages {
-			if _, ok := machine.ImageUsedAt[i]; !ok {
-				machine.ImageUsedAt[i] = now
+		for _, image := range machine.hintedImages {
+			if _, ok := machine.ImageUsedAt[image]; !ok {
+				machine.ImageUsedAt[image] = now
 			}
 		}
 	}
--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -171,9 +171,9 @@
 // OccupiedZone returns a zone that has a placement of the job, if there is one. Of several zones it
 // may return any; unconfirmed tasks without a placement aren't considered.
 func (job *Job) OccupiedZone() (string, bool) {
-	for z, n := range job.placementsByZone {
-		if n > 0 {
-			return z, true
+	for zone, placementCount := range job.placementsByZone {
+		if placementCount > 0 {
+			return zone, true
 		}
 	}
 	return "", false
--- a/internal/allocation/job_tracking.go
+++ b/internal/allocation/job_tracking.go
@@ -108,8 +108,8 @@
 }
 
 // MarkDurable records that the completions of tasks are in the key-value store.
-func (tracker *Tracker) MarkDurable(job *Job, tasks []int) {
-	for _, i := range tasks {
+func (tracker *Tracker) MarkDurable(job *Job, taskIndices []int) {
+	for _, i := range taskIndices {
 		if task := &job.Tasks[i]; task.State == TaskDone && !task.CompletionDurable {
 			task.CompletionDurable = true
 			job.durableCount++
--- a/internal/allocation/late_copy_test.go
+++ b/internal/allocation/late_copy_test.go
@@ -132,23 +132,23 @@
 		}
 		last := past[len(past)-1]
 		now := clock.Second
-		synced := make([]bool, len(machines))
+		hasConfirmedToken := make([]bool, len(machines))
 		for round := 0; round < 40 || !tracker.IsReconciled(); round++ {
 			now += clock.Second / 10
 			machineIndex := rng.IntN(len(machines))
 			heartbeat := *last[machineIndex]
 			switch rng.IntN(4) {
 			case 0:
-				if old := past[rng.IntN(len(past))][machineIndex]; !synced[machineIndex] {
+				if old := past[rng.IntN(len(past))][machineIndex]; !hasConfirmedToken[machineIndex] {
 					tracker.RecordHeartbeat(machines[machineIndex], old, now)
 				}
 			case 1:
 				heartbeat.Sequence, heartbeat.FencingToken = uint64(10+round), 9
 				tracker.RecordHeartbeat(machines[machineIndex], &heartbeat, now)
-				synced[machineIndex] = true
+				hasConfirmedToken[machineIndex] = true
 			case 2:
 				heartbeat.Sequence = uint64(10 + round)
-				if !synced[machineIndex] {
+				if !hasConfirmedToken[machineIndex] {
 					tracker.RecordHeartbeat(machines[machineIndex], &heartbeat, now)
 				}
 			default:
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -106,7 +106,7 @@
 type dispatchState struct {
 	isQueued              bool // it is in dispatchQueue
 	isAwaitingReplication bool // it is in awaitingReplication
-	commandInFlight       bool // a command request has no outcome yet
+	hasCommandInFlight    bool // a command request has no outcome yet
 }
 
 // attemptRecords decide when the worker may be told to forget (reap) an attempt (invariant 2).
--- a/internal/allocation/replication.go
+++ b/internal/allocation/replication.go
@@ -90,8 +90,8 @@
 
 // publishStarted publishes a placement before its start may be sent.
 func (tracker *Tracker) publishStarted(placement *Placement) {
-	if d := tracker.cfg.Replicator; d != nil {
-		placement.decisionNumber = d.RecordStarted(placement.taskID, placement.Attempt, placement.Machine.Name)
+	if replicator := tracker.cfg.Replicator; replicator != nil {
+		placement.decisionNumber = replicator.RecordStarted(placement.taskID, placement.Attempt, placement.Machine.Name)
 	}
 }
 
--- a/internal/allocation/replication_test.go
+++ b/internal/allocation/replication_test.go
@@ -110,10 +110,10 @@
 
 // newTrackerWithUnconfirmed returns the tracker of a new leader with a job whose tasks may be running,
 // and a machine. Another machine sends no heartbeats.
-func newTrackerWithUnconfirmed(t *testing.T, tasks int, mayRun func(string) bool) (*Tracker, *Machine, *Job, *recordingReplicator) {
+func newTrackerWithUnconfirmed(t *testing.T, tasks int, mayHaveStarted func(string) bool) (*Tracker, *Machine, *Job, *recordingReplicator) {
 	t.Helper()
 	replicator := &recordingReplicator{t: t, replicatedUpTo: 100}
-	tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL, Replicator: replicator, MayHaveStarted: mayRun})
+	tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL, Replicator: replicator, MayHaveStarted: mayHaveStarted})
 	for _, name := range []string{"i-0", "i-1"} {
 		tracker.AddMachine(name, "t", "x", false, Resources{64000, 0, 1 << 40}, 0).RecordedInStore = true
 	}
--- a/internal/allocation/simulation_test.go
+++ b/internal/allocation/simulation_test.go
@@ -269,7 +269,7 @@
 // hasCommandDue tells whether a command request would be sent now. It looks at all placements of the
 // machine, which the dispatch queue avoids.
 func hasCommandDue(machine *Machine) bool {
-	if machine.commandInFlight || !machine.TokenConfirmed {
+	if machine.hasCommandInFlight || !machine.TokenConfirmed {
 		return false
 	}
 	for _, placement := range machine.placements {
--- a/internal/dag/graph_bench_test.go
+++ b/internal/dag/graph_bench_test.go
@@ -82,10 +82,10 @@
 // added, as by a new leader, the last with a deadline that propagates to all; then half of the
 // jobs are completed and the next one is cancelled with its dependents.
 func BenchmarkGraph(b *testing.B) {
-	for _, graphShape := range graphShapes {
+	for _, shape := range graphShapes {
 		for _, size := range []int{1000, 10000, 50000} {
-			b.Run(fmt.Sprintf("%s/%d", graphShape.name, size), func(b *testing.B) {
-				jobs := graphShape.makeJobs(size)
+			b.Run(fmt.Sprintf("%s/%d", shape.name, size), func(b *testing.B) {
+				jobs := shape.makeJobs(size)
 				jobs[len(jobs)-1].Urgency = Urgency{Priority: 1, Deadline: 1 << 50}
 				var retainedBytes uint64
 				for b.Loop() {
@@ -121,24 +121,24 @@
 // Propagation of urgency is linear in the number of edges, also where paths of different lengths
 // meet repeatedly.
 func TestUrgencyPropagatesInLinearTime(t *testing.T) {
-	for _, graphShape := range graphShapes {
+	for _, shape := range graphShapes {
 		for _, size := range []int{300, 3000} {
 			graph := New()
-			for _, job := range graphShape.makeJobs(size) {
+			for _, job := range shape.makeJobs(size) {
 				graph.AddJob(job)
 			}
 			// The last job is more urgent than all before it.
-			last := graphShape.makeJobs(size)[len(graphShape.makeJobs(size))-1]
+			last := shape.makeJobs(size)[len(shape.makeJobs(size))-1]
 			urgent := jobWithDependencies(size+1, 0)
 			urgent.DependsOn = []string{last.ID}
 			urgent.Urgency = Urgency{Priority: 0, Deadline: 1 << 50}
 			effects := graph.AddJob(urgent)
 			edges := 0
-			for _, job := range graphShape.makeJobs(size) {
+			for _, job := range shape.makeJobs(size) {
 				edges += len(job.DependsOn)
 			}
 			if len(effects.MoreUrgent) > 4*(edges+1) {
-				t.Errorf("%s of %d: %d changes over %d edges", graphShape.name, size, len(effects.MoreUrgent), edges)
+				t.Errorf("%s of %d: %d changes over %d edges", shape.name, size, len(effects.MoreUrgent), edges)
 			}
 		}
 	}
--- a/internal/jobhistory/jobhistory_test.go
+++ b/internal/jobhistory/jobhistory_test.go
@@ -54,17 +54,17 @@
 // In generated histories of lookups, new jobs, failed requests and requests that read only some of
 // the records, no job is reported as absent that existed when its lookup was enqueued, and each
 // lookup is completed exactly once.
-func TestLookupsAreAnsweredCorrectly(t *testing.T) {
+func TestNoExistingJobIsReportedAbsent(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		lookups := NewLookups(20, 4)
 		exists := map[string]bool{}
-		now, enqueuedCount, answeredCount := clock.Micros(0), 0, 0
+		now, enqueuedCount, completedCount := clock.Micros(0), 0, 0
 		enqueue := func() {
 			jobID := fmt.Sprint(rng.IntN(12))
 			existed := exists[jobID]
 			isEnqueued := lookups.Enqueue(jobID, now+clock.Second, func(result LookupResult) {
-				answeredCount++
+				completedCount++
 				if result == Absent && existed || result == Present && !exists[jobID] {
 					t.Fatalf("seed %d: result of %s is %v, existed %v, exists %v", seed, jobID, result, existed, exists[jobID])
 				}
@@ -88,8 +88,8 @@
 			now += 50 * clock.Millisecond
 			serveBatch(lookups, rng, exists, now, func() {})
 		}
-		if enqueuedCount != answeredCount || enqueuedCount == 0 {
-			t.Fatalf("seed %d: %d lookups, %d completed", seed, enqueuedCount, answeredCount)
+		if enqueuedCount != completedCount || enqueuedCount == 0 {
+			t.Fatalf("seed %d: %d lookups, %d completed", seed, enqueuedCount, completedCount)
 		}
 	}
 }
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -91,7 +91,7 @@
 	forecast := &capacityForecast{minNeed: minNeed(wanted)}
 	bootTimes := map[string]bootQuantiles{}
 	for _, machine := range cycle.machines {
-		if cycle.isLeaving(machine) {
+		if cycle.isUnavailable(machine) {
 			continue
 		}
 		quantiles, ok := bootTimes[machine.Type]
@@ -111,9 +111,9 @@
 	return forecast
 }
 
-// isLeaving tells whether a machine will take no tasks: it is drained or reclaimed, kept for
+// isUnavailable tells whether a machine will take no tasks: it is drained or reclaimed, kept for
 // a gang, or suspected.
-func (cycle *schedulingCycle) isLeaving(machine *allocation.Machine) bool {
+func (cycle *schedulingCycle) isUnavailable(machine *allocation.Machine) bool {
 	return machine.Draining || machine.ReclaimAt != 0 || cycle.gangReserved[machine.SortIndex] ||
 		machine.FirstHeartbeatAt != 0 && !cycle.scheduler.hasRecentHeartbeat(machine, cycle.now)
 }
@@ -129,7 +129,7 @@
 	return free
 }
 
-// isExpected tells whether a machine that is not leaving will take tasks soon: it has seen
+// isExpected tells whether a machine that is not unavailable will take tasks soon: it has seen
 // the token; or has come up less than a heartbeat window ago, and shows with its next
 // heartbeat that it has; or is still within the boot time of its type. Added after machines
 // that had just come up were not counted, and each was requested once more. One that sends
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -77,13 +77,13 @@
 // isUrgent tells whether a job's run still fits before its deadline, with little slack. By
 // need and run time alone, the last tasks of a long job would wait for every shorter one
 // that comes. A job that is late anyway has no such claim.
-func (scheduler *Scheduler) isUrgent(job *allocation.Job, runSeconds float64, wall clock.Micros) bool {
+func (scheduler *Scheduler) isUrgent(job *allocation.Job, minSeconds float64, wall clock.Micros) bool {
 	deadline := scheduler.deadlineSeconds(job)
 	if deadline == 0 {
 		return false
 	}
-	slack := deadline - (wall - job.ReleasedAt).Seconds() - runSeconds
-	return slack >= 0 && slack < max(runSeconds/4, minUrgentSlackSeconds)
+	slack := deadline - (wall - job.ReleasedAt).Seconds() - minSeconds
+	return slack >= 0 && slack < max(minSeconds/4, minUrgentSlackSeconds)
 }
 
 // isCritical tells whether a job that has started will miss its deadline with the tasks
@@ -99,10 +99,10 @@
 	return (wall-job.ReleasedAt).Seconds()+waves*queued.runSeconds > deadline
 }
 
-// latenessOf predicts the lateness of a job that takes runSeconds from now on.
-func (scheduler *Scheduler) latenessOf(job *allocation.Job, runSeconds float64, wall clock.Micros) lateness {
+// latenessOf predicts the lateness of a job that takes minSeconds from now on at the least.
+func (scheduler *Scheduler) latenessOf(job *allocation.Job, minSeconds float64, wall clock.Micros) lateness {
 	deadline := scheduler.deadlineSeconds(job)
-	end := (wall - job.ReleasedAt).Seconds() + runSeconds
+	end := (wall - job.ReleasedAt).Seconds() + minSeconds
 	switch {
 	case deadline == 0 || end <= deadline:
 		return onTime
--- a/internal/scheduler/poolchoice.go
+++ b/internal/scheduler/poolchoice.go
@@ -53,7 +53,7 @@
 			}
 			for _, spot := range []bool{true, false} {
 				pool := Pool{typeName, zone, spot}
-				if !isPoolAllowed(job, pool) || cycle.isBackingOff(pool) || cycle.isTooDear(job, urgency, pool) {
+				if !isPoolAllowed(job, pool) || cycle.isBackingOff(pool) || cycle.isTooExpensive(job, urgency, pool) {
 					continue
 				}
 				price := machineType.OnDemandPrice
@@ -67,9 +67,9 @@
 	return out
 }
 
-// isTooDear tells whether a job rather waits for a spot machine than have a machine of an
+// isTooExpensive tells whether a job rather waits for a spot machine than have a machine of an
 // ordinary pool.
-func (cycle *schedulingCycle) isTooDear(job *allocation.Job, urgency urgency, pool Pool) bool {
+func (cycle *schedulingCycle) isTooExpensive(job *allocation.Job, urgency urgency, pool Pool) bool {
 	return !pool.Spot && cycle.scheduler.MachineTypes[pool.Type].SpotPrice > 0 && urgency != critical && cycle.mayAwaitSpot(job)
 }
 
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -129,7 +129,7 @@
 // worth.
 const replicaFetchWeight = 20
 
-// preemptionOption is a machine where a task can start once the victims are stopped.
+// evaluatePreemption is a machine where a task can start once the victims are stopped.
 type preemptionOption struct {
 	// candidate has as its score, negated, the lost work that the start costs, in seconds of a
 	// thousandth of a CPU.
@@ -137,9 +137,9 @@
 	victims []*allocation.Placement
 }
 
-// preemptionOption works out what a start of a job's task on a machine costs; false if it
+// evaluatePreemption works out what a start of a job's task on a machine costs; false if it
 // can't start there.
-func (cycle *schedulingCycle) preemptionOption(queued *queuedJob, machine *allocation.Machine) (preemptionOption, bool) {
+func (cycle *schedulingCycle) evaluatePreemption(queued *queuedJob, machine *allocation.Machine) (preemptionOption, bool) {
 	job := queued.job
 	available := cycle.freeAfterStopping(machine)
 	fetchCost := cycle.fetchCost(job, machine)
@@ -170,7 +170,7 @@
 			continue
 		}
 		for _, machine := range preemptible {
-			if option, ok := cycle.preemptionOption(queued, machine); ok {
+			if option, ok := cycle.evaluatePreemption(queued, machine); ok {
 				candidates = append(candidates, option.candidate)
 			}
 		}
@@ -191,7 +191,7 @@
 			candidates.removeBest()
 			continue
 		}
-		option, ok := cycle.preemptionOption(queued, machine)
+		option, ok := cycle.evaluatePreemption(queued, machine)
 		if !ok {
 			candidates.removeBest()
 			continue
