--- a/internal/allocation/task_report.go
+++ b/internal/allocation/task_report.go
@@ -80,7 +80,9 @@
 	placement.ReportedState = taskReport.State
 	if placement.RunningAt == 0 && taskReport.State == wire.TaskRunning {
 		placement.RunningAt = now
-		job.GangStarted = job.IsGang() && !placement.Orphaned || job.GangStarted
+		if job.IsGang() && !placement.Orphaned {
+			job.GangStarted = true
+		}
 	}
 	if placement.StartedAt == 0 && (taskReport.State == wire.TaskRunning || taskReport.State == wire.TaskWaitingForGang) {
 		placement.StartedAt = now
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -134,13 +134,13 @@
 // heartbeat that it has; or is still within the boot time of its type. Added after machines
 // that had just come up were not counted, and each was requested once more. One that sends
 // heartbeats for longer without having seen the token gets no commands.
-func (cycle *schedulingCycle) isExpected(machine *allocation.Machine, bootTimeout clock.Micros) bool {
+func (cycle *schedulingCycle) isExpected(machine *allocation.Machine, latestBootTime clock.Micros) bool {
 	switch {
 	case machine.TokenConfirmed:
 		return true
 	case machine.FirstHeartbeatAt != 0:
 		return cycle.now-machine.FirstHeartbeatAt <= cycle.scheduler.HeartbeatWindow
 	default:
-		return cycle.now-machine.CreatedAt <= bootTimeout
+		return cycle.now-machine.CreatedAt <= latestBootTime
 	}
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -11,17 +11,23 @@
 // freeAfterStopping is what will be free on a machine once the tasks that are stopping have
 // stopped.
 func (cycle *schedulingCycle) freeAfterStopping(machine *allocation.Machine) allocation.Resources {
+	return cycle.freeResources(machine).Add(*cycle.releasingOn(machine))
+}
+
+// releasingOn returns what tasks that are stopping use on a machine, less what reserveReleasing
+// has taken. It is worked out for all machines when a plan first needs it.
+func (cycle *schedulingCycle) releasingOn(machine *allocation.Machine) *allocation.Resources {
 	if cycle.releasing == nil {
 		cycle.releasing = make([]allocation.Resources, len(cycle.machines))
-		for _, machine := range cycle.machines {
+		for i, machine := range cycle.machines {
 			machine.ForEachPlacement(func(placement *allocation.Placement) {
 				if placement.IsStopping() {
-					cycle.releasing[machine.SortIndex] = cycle.releasing[machine.SortIndex].Add(placement.Job.Request)
+					cycle.releasing[i] = cycle.releasing[i].Add(placement.Job.Request)
 				}
 			})
 		}
 	}
-	return cycle.freeResources(machine).Add(cycle.releasing[machine.SortIndex])
+	return &cycle.releasing[machine.SortIndex]
 }
 
 // preemptForQueue stops work to make room for production jobs, and for those that their
@@ -81,13 +87,14 @@
 // reserveReleasing reserves, within this plan, room that is being freed; a later plan places
 // a task there.
 func (cycle *schedulingCycle) reserveReleasing(machine *allocation.Machine, need allocation.Resources) {
-	cycle.releasing[machine.SortIndex] = cycle.releasing[machine.SortIndex].Sub(need)
+	releasing := cycle.releasingOn(machine)
+	*releasing = releasing.Sub(need)
 }
 
-// stopPlacement stops a task and counts what it frees. freeAfterStopping has been called
-// before.
+// stopPlacement stops a task that isn't stopping yet, and counts what it frees.
 func (cycle *schedulingCycle) stopPlacement(placement *allocation.Placement) {
-	cycle.releasing[placement.Machine.SortIndex] = cycle.releasing[placement.Machine.SortIndex].Add(placement.Job.Request)
+	releasing := cycle.releasingOn(placement.Machine) // before the stop, or the task would count twice
+	*releasing = releasing.Add(placement.Job.Request)
 	cycle.tracker.StopPlacement(placement, 0)
 }
 
