--- a/internal/allocation/actions_test.go
+++ b/internal/allocation/actions_test.go
@@ -14,7 +14,7 @@
 }
 
 func (sim *simulation) exchangeSomeHeartbeat() {
-	sim.exchangeHeartbeat(sim.pickWorker(), sim.rng.IntN(6))
+	sim.exchangeHeartbeat(sim.pickWorker(), sim.rng.IntN(fateCount))
 }
 
 // place tries to place the tasks of a job.
@@ -208,8 +208,8 @@
 			sim.deliverLateCopy()
 		}
 		worker := sim.pickWorker()
-		sim.exchangeHeartbeat(worker, 5)
-		sim.exchangeHeartbeat(worker, 5)
+		sim.exchangeHeartbeat(worker, replyArrives)
+		sim.exchangeHeartbeat(worker, replyArrives)
 		sim.place()
 	}
 }
--- a/internal/allocation/simulation_test.go
+++ b/internal/allocation/simulation_test.go
@@ -164,8 +164,16 @@
 	}
 }
 
-// exchangeHeartbeat sends a worker's heartbeat, and a reply. Fate 0 loses the heartbeat and 1 the
-// reply; above 3 the reply arrives at once, else it may arrive later.
+// Fates of a heartbeat and its reply, below fateCount. Between replyIsLost and replyArrives the reply
+// is on its way, and may arrive later; from replyArrives on it arrives at once.
+const (
+	heartbeatIsLost = 0
+	replyIsLost     = 1
+	replyArrives    = 4
+	fateCount       = 6
+)
+
+// exchangeHeartbeat sends a worker's heartbeat, and a reply.
 func (sim *simulation) exchangeHeartbeat(worker *fakeWorker, fate int) {
 	if worker.deleted || worker.hung {
 		return
@@ -174,7 +182,7 @@
 	worker.hasPendingReply = false // the worker drops the reply to its last heartbeat
 	heartbeat := sim.heartbeat(worker)
 	machine := sim.machine(worker)
-	if fate == 0 || machine == nil {
+	if fate == heartbeatIsLost || machine == nil {
 		return
 	}
 	if sim.rng.IntN(4) == 0 {
@@ -186,11 +194,11 @@
 	}
 	sim.persistCompletions()
 	commands := sim.tracker.HeartbeatCommands(machine, sim.now)
-	if fate == 1 {
+	if fate == replyIsLost {
 		return
 	}
 	worker.replyCommands, worker.replyToken, worker.heartbeatSentAt, worker.hasPendingReply = commands, sim.tracker.FencingToken(), sim.now, true
-	if fate > 3 {
+	if fate >= replyArrives {
 		sim.deliverReply(worker)
 	}
 }
--- a/internal/allocation/start_check_test.go
+++ b/internal/allocation/start_check_test.go
@@ -33,6 +33,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, channel := range []commandChannel{heartbeatReply, commandRequest} {
+				channelName := map[commandChannel]string{heartbeatReply: "heartbeat reply", commandRequest: "command request"}[channel]
 				tracker := New(Config{FencingToken: 7, LeaseTTL: testLeaseTTL, CancelFenceWindow: 20 * clock.Second, Quotas: map[string]TeamQuota{"limited": {MaxMilliCPU: 1000}}})
 				tracker.FinishRecovery()
 				spec := c.spec
@@ -53,10 +54,10 @@
 					commands = request.Commands
 				}
 				if len(commands) != c.starts {
-					t.Fatalf("channel %d: %d commands, want %d: %+v", channel, len(commands), c.starts, commands)
+					t.Fatalf("%s: %d commands, want %d: %+v", channelName, len(commands), c.starts, commands)
 				}
 				if isPlaced := f.job.Tasks[0].Placement != nil; isPlaced != (c.starts == 1) {
-					t.Errorf("channel %d: the task is placed: %v", channel, isPlaced)
+					t.Errorf("%s: the task is placed: %v", channelName, isPlaced)
 				}
 			}
 		})
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -33,7 +33,7 @@
 			Urgency: Urgency{Priority: rapid.IntRange(0, 3).Draw(t, "priority"), Deadline: clock.Micros(rapid.IntRange(0, 1).Draw(t, "has a deadline") * rapid.IntRange(500, 900).Draw(t, "deadline"))},
 		}
 		for _, earlier := range jobs {
-			if rapid.IntRange(0, 3).Draw(t, "needs") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "depends on") == 0 {
 				job.DependsOn = append(job.DependsOn, earlier.ID)
 			}
 		}
--- a/internal/forecast/screen_test.go
+++ b/internal/forecast/screen_test.go
@@ -12,6 +12,8 @@
 	return ScreenSettings{Window: 120 * clock.Second, MinSamples: 3, MaxSamples: 1000, MaxVariationDeviation: 0.45, MaxLagCorrelation: 0.65, MaxKSDistance: 3.75}
 }
 
+// Most windows of exponential samples pass the screen; equal samples, a trend and too few samples do
+// not. Samples from before the window don't count, and of too many only the newest.
 func TestScreenAcceptsOnlyExponentialSamples(t *testing.T) {
 	settings := testScreenSettings()
 	rng := rand.New(rand.NewPCG(4, 4))
--- a/internal/forecast/sparecost_test.go
+++ b/internal/forecast/sparecost_test.go
@@ -8,11 +8,10 @@
 
 func isAlmostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
 
-// W and E worked by hand from (23), (25), (34), (35) and (59): arrivals 0.1 a
-// second, nearest finish in 10 s, so each is next with chance one half and the
-// next event comes after 5 s; one machine is ready, one boots for 6 s more, a
-// new one takes 20 s; the next job asks for 1, 2 or 3 machines with weights
-// 0.5, 0.3 and 0.2.
+// W and E worked by hand from (23), (25), (34), (35) and (59): 0.1 arrivals and 0.1 completions a
+// second, so each is the next event with probability one half, and that comes after 5 s in the
+// mean. One machine is ready, one boots for 6 s more, a new one takes 20 s. The next job needs 1, 2
+// or 3 machines with weights 0.5, 0.3 and 0.2.
 func TestSpareCostMatchesHandComputedValues(t *testing.T) {
 	model := SpareModel{MachineFraction: 1, ArrivalRate: 0.1, CompletionRate: 0.1, SizeWeights: map[int]float64{1: 0.5, 2: 0.3, 3: 0.2}, ReadyCount: 1, BootingSeconds: []float64{6}, BootSeconds: 20}
 	remainder6 := 6 - (1-math.Exp(-1.2))/0.2
@@ -42,6 +41,7 @@
 	}
 }
 
+// No target within the bounds costs less than the chosen one.
 func TestCheapestTargetMatchesBruteForce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	for n := 0; n < 2000; n++ {
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -164,16 +164,22 @@
 func newFleetFixture(n int, filled float64, waiting int) *schedulerFixture {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
 	rng := rand.New(rand.NewPCG(uint64(n), 8))
-	var machines []*allocation.Machine
+	var machines, spotOnly, ordinaryOnly []*allocation.Machine
 	for i := 0; i < n; i++ {
-		machines = append(machines, fixture.addMachine(fmt.Sprintf("i-%06d", i), "big", []string{"x", "y", "z"}[i%3], i%4 != 0))
+		machine := fixture.addMachine(fmt.Sprintf("i-%06d", i), "big", []string{"x", "y", "z"}[i%3], i%4 != 0)
+		machines = append(machines, machine)
+		if machine.Spot {
+			spotOnly = append(spotOnly, machine)
+		} else {
+			ordinaryOnly = append(ordinaryOnly, machine)
+		}
 	}
 	id := 0
-	addWaitingJob := func(service bool, tasks int) *allocation.Job {
+	addWaitingJob := func(kind string, tasks int) *allocation.Job {
 		id++
 		spec := wire.Job{ID: fmt.Sprintf("req-%06d", id), Class: "array", Team: "a", TaskCount: tasks, CPUs: 4, MemoryGB: 9, AllowsSpot: true,
 			EstimatedRunSeconds: 20 + 60*rng.Float64(), Priority: wire.PriorityHigh, Image: fmt.Sprint("array-", id%4), ImageSizeGB: 0.6}
-		if service {
+		if kind == wire.KindService {
 			spec.Class, spec.Team, spec.CPUs, spec.MemoryGB, spec.AllowsSpot, spec.EstimatedRunSeconds = "service", "b", 1, 2, false, 0
 			spec.Kind, spec.Priority, spec.SpreadZones, spec.Image = wire.KindService, wire.PriorityProduction, true, fmt.Sprint("service-", id%16)
 		}
@@ -184,16 +190,14 @@
 		fixture.heartbeatSeqs[machine.Name]++
 		heartbeats[machine] = &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}
 	}
-	fillMachines := func(spot bool, size int) {
+	// fillMachines places running tasks of jobs of a kind and size on machines.
+	fillMachines := func(machines []*allocation.Machine, jobKind string, jobSize int) {
 		var job *allocation.Job
 		next := 0
 		for _, machine := range machines {
-			if machine.Spot != spot {
-				continue
-			}
 			for float64(machine.Used().MilliCPU) < filled*float64(machine.Capacity.MilliCPU) {
 				if job == nil || next == len(job.Tasks) {
-					job, next = addWaitingJob(!spot, size), 0
+					job, next = addWaitingJob(jobKind, jobSize), 0
 					job.Spec.SpreadZones = false
 				}
 				if !job.Request.IsWithin(machine.Free()) {
@@ -208,8 +212,8 @@
 			}
 		}
 	}
-	fillMachines(true, 90)
-	fillMachines(false, 8)
+	fillMachines(spotOnly, wire.KindArray, 90)
+	fillMachines(ordinaryOnly, wire.KindService, 8)
 	fixture.now += clock.Second
 	for _, machine := range machines {
 		fixture.tracker.BuildCommandRequest(machine, fixture.now)
@@ -217,7 +221,11 @@
 	}
 	fixture.now += 10 * clock.Second
 	for i := 0; i < waiting; i++ {
-		addWaitingJob(i%3 == 0, []int{90, 8}[boolToInt(i%3 == 0)])
+		if i%3 == 0 {
+			addWaitingJob(wire.KindService, 8)
+		} else {
+			addWaitingJob(wire.KindArray, 90)
+		}
 	}
 	return fixture
 }
