--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -143,8 +143,8 @@
 
 // DeleteMachines deletes machines; unknown ones are ignored. If it returns nil, they are gone. From
 // sendDeadline on the request is not sent.
-func (c *Client) DeleteMachines(names []string, sendDeadline func() clock.Micros) error {
-	body, err := wire.MachineIDs{IDs: names}.MarshalJSON()
+func (c *Client) DeleteMachines(ids []string, sendDeadline func() clock.Micros) error {
+	body, err := wire.MachineIDs{IDs: ids}.MarshalJSON()
 	if err != nil {
 		return err
 	}
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -18,20 +18,20 @@
 }
 
 const (
-	// outboundMinimumShare and maxOutboundMinimum set the outbound minimum: a 64th of the limit,
+	// outboundMinimumDivisor and maxOutboundMinimum set the outbound minimum: a 64th of the limit,
 	// from 1 to 32.
-	outboundMinimumShare = 64
-	maxOutboundMinimum   = 32
-	// inboundHeadroomShare sets the inbound headroom: a 16th of the limit.
-	inboundHeadroomShare = 16
+	outboundMinimumDivisor = 64
+	maxOutboundMinimum     = 32
+	// inboundHeadroomDivisor sets the inbound headroom: a 16th of the limit.
+	inboundHeadroomDivisor = 16
 )
 
 // New returns a limiter for the given number of connections.
 func New(limit int) *Limiter {
 	return &Limiter{
 		limit:           limit,
-		outboundMinimum: max(min(limit/outboundMinimumShare, maxOutboundMinimum), 1),
-		inboundHeadroom: limit / inboundHeadroomShare,
+		outboundMinimum: max(min(limit/outboundMinimumDivisor, maxOutboundMinimum), 1),
+		inboundHeadroom: limit / inboundHeadroomDivisor,
 	}
 }
 
@@ -72,8 +72,8 @@
 func (limiter *Limiter) AcquireOutbound() bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	needsHeadroom := limiter.outbound >= limiter.outboundMinimum
-	if limiter.isFull() || needsHeadroom && limiter.isHeadroomUsed() {
+	mustLeaveHeadroom := limiter.outbound >= limiter.outboundMinimum
+	if limiter.isFull() || mustLeaveHeadroom && limiter.isHeadroomUsed() {
 		return false
 	}
 	limiter.outbound++
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -75,9 +75,9 @@
 	// queuedRequestShare is the part of this process's request rate that requests wait for;
 	// the rest is for lease requests, which don't wait.
 	queuedRequestShare = 0.95
-	// minRequestBurst and maxMinWriteBurst let a small share still send a few at once.
-	minRequestBurst  = 2
-	maxMinWriteBurst = 4
+	// minRequestBurst and minWriteBurst let a small share still send a few at once.
+	minRequestBurst = 2
+	minWriteBurst   = 4
 )
 
 // New makes a client of the store at an address. lockKey is the key whose version is the
@@ -103,7 +103,7 @@
 // SetWriteRateShare sets which part, from 0 to 1, of the write rate alone this process may use.
 func (store *Client) SetWriteRateShare(share float64) {
 	rate := max(share*store.limits.WriteRPS, 1)
-	store.writeBudget.SetRate(rate, max(rate, float64(min(store.limits.MaxTransactionOps, maxMinWriteBurst))))
+	store.writeBudget.SetRate(rate, max(rate, float64(min(store.limits.MaxTransactionOps, minWriteBurst))))
 }
 
 // LastSuccessAt is when the last response other than 429 or 503 came; one with another
--- a/internal/server/eviction.go
+++ b/internal/server/eviction.go
@@ -12,9 +12,9 @@
 	// maxClosing bounds the connections that are being closed for others, and with it how far the
 	// limit may be exceeded.
 	maxClosing = 16
-	// newConnectionGrace is the age up to which a connection isn't evicted: it may be about to send
+	// evictionGrace is the age up to which a connection isn't evicted: it may be about to send
 	// its first request.
-	newConnectionGrace = clock.Second
+	evictionGrace = clock.Second
 	// tickInterval is the interval of the checks for idle connections.
 	tickInterval = time.Second
 )
@@ -58,8 +58,8 @@
 }
 
 func (connection *conn) isEvictable(now clock.Micros) bool {
-	isNew := now-connection.stateChangedAt < newConnectionGrace
-	return connection.role.isEvictable() && !connection.isBusy && !connection.isClosing && !isNew
+	hasJustChanged := now-connection.stateChangedAt < evictionGrace
+	return connection.role.isEvictable() && !connection.isBusy && !connection.isClosing && !hasJustChanged
 }
 
 // isEvictedBefore compares by role, then by the time in the present state.
--- a/internal/server/eviction_test.go
+++ b/internal/server/eviction_test.go
@@ -84,7 +84,7 @@
 		for i := 0; i < 2*bound; i++ {
 			dial() // without a request
 		}
-		time.Sleep(newConnectionGrace.Duration() + 100*time.Millisecond)
+		time.Sleep(evictionGrace.Duration() + 100*time.Millisecond)
 		if err := sendRequest(dial(), "/up", ""); err != nil {
 			t.Fatalf("round %d: a probe finds no room: %v", round, err)
 		}
