--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,7 +1,8 @@
-// Package kvstore is the client of the key-value store (PROTOCOL, "Controller nodes -> state service"): linearizable
-// reads and watches, batched (group-commit) writes, and leases. It stays within this
-// process's share of the store's request and write rates and decides nothing else.
-// Writes are completed on goroutines of this package.
+// Package kvstore is the client of the key-value store (PROTOCOL, "Controller nodes -> state
+// service"): linearizable reads and watches, batched (group-commit) writes, and leases. It keeps
+// within this process's share of the store's request and write rates; what is read and written
+// is decided by its callers. Reads and lease requests block the caller. Results of writes are
+// passed to Write.Done on goroutines of this package.
 package kvstore
 
 import (
@@ -32,7 +33,7 @@
 	// mu guards the queue of writes, down to isRequiredTurn.
 	mu                 sync.Mutex
 	pending            []*Write
-	activeSenders      int  // goroutines in runSender, at most maxSenders
+	activeSenders      int  // goroutines in runSender, at most maxSenders; they end when nothing may be sent
 	isRecheckScheduled bool // recheckPending will run for deferred background writes
 	// isRequiredTurn: the last transaction began with an interactive write, so a promoted
 	// required write goes first in the next one.
@@ -66,8 +67,8 @@
 	requestTimeout = 3 * clock.Second
 	// maxResponseBytes bounds a response; the store itself sets no limit.
 	maxResponseBytes = 4 << 20
-	// minQueueCapacity is the smallest capacity of the queue, in writes; it grows to
-	// queueCapacitySeconds of the write rate.
+	// The queue holds as many writes as the store's whole write rate takes in
+	// queueCapacitySeconds, and at least minQueueCapacity; Commit refuses further ones.
 	minQueueCapacity     = 2048
 	queueCapacitySeconds = 4
 	// initialRateShare is this process's share of both rates until SetRateShare is called.
@@ -75,13 +76,14 @@
 	// queuedRequestShare is the part of this process's request rate that requests wait for;
 	// the rest is for lease requests, which don't wait.
 	queuedRequestShare = 0.95
-	// minRequestBurst and minWriteBurst let a small share still send a few at once.
+	// minRequestBurst and minWriteBurst let a process with a small share still send a few
+	// requests or changes at once; the latter is less if MaxTransactionOps is.
 	minRequestBurst = 2
 	minWriteBurst   = 4
 )
 
-// New makes a client of the store at an address. lockKey is the key whose version is the
-// fencing token of writes.
+// New makes a client of the store at an address. lockKey is the key of the leader lock: a write
+// with a fencing token is made only if that is the lock key's version.
 func New(dial client.Dialer, address string, limits Limits, lockKey string) *Client {
 	requestRate, writeRate := limits.RPS*initialRateShare, limits.WriteRPS*initialRateShare
 	return &Client{
@@ -90,7 +92,8 @@
 	}
 }
 
-// SetRateShare sets which part, from 0 to 1, of the store's rates this process may use.
+// SetRateShare sets which part, from 0 to 1, of the store's request and write rates this process
+// may use. The write rate is at least one change a second.
 func (store *Client) SetRateShare(share float64) {
 	rate := share * store.limits.RPS * queuedRequestShare
 	store.requestBudget.SetRate(rate, max(rate, minRequestBurst))
@@ -100,7 +103,8 @@
 // ChangesWritten is how many changes of this process have been committed.
 func (store *Client) ChangesWritten() int64 { return store.changesWritten.Load() }
 
-// SetWriteRateShare sets which part, from 0 to 1, of the write rate alone this process may use.
+// SetWriteRateShare sets which part, from 0 to 1, of the store's write rate this process may use,
+// at least one change a second, and leaves the request rate as it is.
 func (store *Client) SetWriteRateShare(share float64) {
 	rate := max(share*store.limits.WriteRPS, 1)
 	store.writeBudget.SetRate(rate, max(rate, float64(min(store.limits.MaxTransactionOps, minWriteBurst))))
@@ -113,8 +117,9 @@
 // LastFailureAt is when a request last had no response, or a 503.
 func (store *Client) LastFailureAt() clock.Micros { return clock.Micros(store.lastFailureAt.Load()) }
 
-// sendRequest sends one request and notes what the response tells of the store's state.
-// A 429 means that this process has used more than its share: its budgets are drained.
+// sendRequest sends one request and records whether the store can be reached. A 429 means that
+// the store counts more requests or changes than the budgets here assumed, of this process or of
+// others: both budgets are drained. It shows neither a success nor a failure of the store.
 func (store *Client) sendRequest(method, target string, body []byte, timeout clock.Micros) (int, []byte, error) {
 	response, err := store.host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: timeout})
 	if err != nil {
@@ -133,7 +138,8 @@
 	return response.Status, response.Body, nil
 }
 
-// IsFailing reports that no request has succeeded for a second and that the latest failed.
+// IsFailing reports that a request has failed since the last success, which is more than a second
+// ago.
 func (store *Client) IsFailing(now clock.Micros) bool {
 	return store.LastFailureAt() > store.LastSuccessAt() && now-store.LastSuccessAt() > clock.Second
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -63,13 +63,13 @@
 		key := fmt.Sprint("a/", i)
 		writes = append(writes, &Write{Conditions: []wire.Condition{{Key: key}}, Changes: putChange(key, "2")})
 	}
-	for i, results := range commitAll(t, store, writes...) {
+	for i, result := range commitAll(t, store, writes...) {
 		want := Committed
 		if i == 0 {
 			want = Conflict
 		}
-		if results.outcome != want {
-			t.Errorf("write %d: %v", i, results)
+		if result.outcome != want {
+			t.Errorf("write %d: %v", i, result)
 		}
 	}
 	if n := len(fakeStore.Keys("a/")); n != 10 {
@@ -82,6 +82,8 @@
 	}
 }
 
+// A key on a lease is deleted with it, a watch shows that, and an ended lease can't be renewed. In
+// an outage writes are not executed, and the failure is recorded.
 func TestWatchAndLeases(t *testing.T) {
 	store, fakeStore := newTestClient(t)
 	if _, err := store.Get("a/lock"); !errors.Is(err, ErrNotFound) {
@@ -122,7 +124,7 @@
 		t.Fatalf("in an outage: %v", results)
 	}
 	if store.LastFailureAt() <= store.LastSuccessAt() {
-		t.Fatal("the failure is not noted")
+		t.Fatal("the failure is not recorded")
 	}
 }
 
@@ -171,10 +173,10 @@
 		}
 	}
 	for i := 0; i < 20; i++ {
-		enqueue(Background, fmt.Sprint("spare/", i))
+		enqueue(Background, fmt.Sprint("background/", i))
 	}
-	enqueue(Required, "needed/0")
-	enqueue(Interactive, "binding/0")
+	enqueue(Required, "required/0")
+	enqueue(Interactive, "interactive/0")
 	first := store.takeBatch()
 	if len(first) < 3 || first[0].Priority != Interactive || first[1].Priority != Required || first[2].Priority != Background {
 		t.Fatalf("the first batch has %d writes, priorities %v ...", len(first), first[0].Priority)
@@ -184,7 +186,7 @@
 		t.Fatalf("%d background writes are sent with no spare rate", len(batch))
 	}
 	store.activeSenders = maxSenders
-	enqueue(Interactive, "binding/1")
+	enqueue(Interactive, "interactive/1")
 	if batch := store.takeBatch(); len(batch) != 1 || batch[0].Priority != Interactive {
 		t.Fatalf("an interactive write waits behind others: %d writes", len(batch))
 	}
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -7,8 +7,8 @@
 
 // Errors of reads and leases; requests without a response give errors of package client.
 var (
-	// ErrCompacted means that changes since the watch's start can't be had any more: the
-	// revision is compacted, or they are more than one response may hold. Load the keys again instead.
+	// ErrCompacted means that the changes since the watch's revision can't be read: the store has
+	// dropped some of them, or they exceed maxResponseBytes. The caller must load the keys again.
 	ErrCompacted = errors.New("kvstore: the revision is too old to watch from")
 	// ErrNotFound means that the key or the lease does not exist.
 	ErrNotFound = errors.New("kvstore: no such key or lease")
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -11,7 +11,8 @@
 var errGrantWithoutLease = errors.New("grant without a lease")
 
 // GrantLease creates a lease and returns its id. Lease requests count against the request
-// rate but don't wait for it, so that a busy leader doesn't lose its lock.
+// rate but don't wait for it, so that a busy leader doesn't lose its lock. A response later than
+// the ttl is not waited for: the lease could have ended.
 func (store *Client) GrantLease(ttl clock.Micros) (uint64, error) {
 	store.requestBudget.Reserve(1)
 	body, err := wire.LeaseRequest{TTLMillis: int64(ttl / clock.Millisecond)}.MarshalJSON()
--- a/internal/kvstore/queue.go
+++ b/internal/kvstore/queue.go
@@ -9,7 +9,7 @@
 )
 
 // sortPending puts the queued writes in the order in which they are sent: by priority, except
-// that promoted required writes alternate with interactive ones. The lock is held.
+// that promoted required writes alternate with interactive ones. The caller holds the mutex.
 func (store *Client) sortPending(now clock.Micros) {
 	turns := map[*Write]int{} // of interactive and promoted writes: even and odd numbers in their order
 	interactive, promoted := 0, 0
@@ -37,7 +37,9 @@
 	})
 }
 
-// InteractiveDelay is how long an interactive write queued now would wait for the write rate.
+// InteractiveDelay is how long an interactive write of one change queued now would wait for the
+// write rate. The interactive changes go before it and, since the two kinds alternate, promoted
+// ones up to one more than these.
 func (store *Client) InteractiveDelay() clock.Micros {
 	interactive, promoted := store.countQueuedChanges()
 	return store.writeBudget.Delay(float64(interactive + min(promoted, interactive+1) + 1))
@@ -86,7 +88,8 @@
 	return true
 }
 
-// startSender starts a sender if there are writes and fewer than maxSenders. The lock is held.
+// startSender starts a sender if there are writes and fewer than maxSenders senders. The caller
+// holds the mutex.
 func (store *Client) startSender() {
 	if store.activeSenders < maxSenders && len(store.pending) > 0 {
 		store.activeSenders++
@@ -135,8 +138,9 @@
 	totals.sizeBytes += write.sizeBytes
 }
 
-// canJoin reports that a write may go in one transaction with a batch that is not empty.
-// A critical one may even if the rate does not cover it yet.
+// canJoin reports that a write may go in one transaction with a batch that is not empty. The
+// batch does not grow beyond what the rate covers now, since all that are queued meanwhile, also
+// more urgent ones, would wait for the rest; only critical writes may join all the same.
 func (store *Client) canJoin(first *Write, totals batchTotals, write *Write) bool {
 	totals.add(write)
 	if write.FencingToken != first.FencingToken || !store.fitsTransaction(totals) {
@@ -160,7 +164,7 @@
 }
 
 // endSender counts a sender that ends since there is nothing that it may send. Deferred
-// background writes are rechecked a little later. The lock is held.
+// background writes are rechecked a little later. The caller holds the mutex.
 func (store *Client) endSender(hasDeferred bool) {
 	store.activeSenders--
 	if hasDeferred && !store.isRecheckScheduled {
--- a/internal/kvstore/reads.go
+++ b/internal/kvstore/reads.go
@@ -14,8 +14,8 @@
 const maxPageKeys = 1000
 
 // LoadPrefix reads all keys with a prefix and passes them to visit page by page, since all of
-// them may not fit into memory. It returns the first page's revision: a watch from there shows
-// every later change.
+// them may not fit into memory. Later pages may show later revisions. It returns the first page's:
+// a watch from there shows every change that a page lacks.
 func (store *Client) LoadPrefix(prefix string, visit func(items []wire.KeyValue)) (uint64, error) {
 	var revision uint64
 	after := ""
@@ -58,7 +58,7 @@
 }
 
 // Watch waits up to timeout for changes of keys with a prefix after revision `since`. With
-// timeout 0 it returns at once and so proves what the latest revision is.
+// timeout 0 it returns at once, so that the response proves what the latest revision is.
 func (store *Client) Watch(prefix string, since uint64, timeout clock.Micros) (*wire.WatchResponse, error) {
 	store.requestBudget.Wait(1)
 	target := "/watch?under=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(since, 10) +
@@ -114,9 +114,10 @@
 
 var errConflictWithoutKeys = errors.New("conflict without keys")
 
-// FindExisting finds which keys exist with one compare-only transaction. An empty result
-// means that none does. Otherwise it lists keys that exist, and nothing is known of the others.
-// At most four times Limits.MaxTransactionOps keys may be asked for.
+// FindExisting finds which keys exist with one compare-only transaction, instead of a request for
+// each. An empty result means that none exists. Otherwise it lists keys that exist, and nothing
+// is known of the others. At most conditionsPerOp times Limits.MaxTransactionOps keys may be
+// asked for.
 func (store *Client) FindExisting(keys []string) ([]string, error) {
 	transaction := wire.Transaction{}
 	for _, key := range keys {
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -9,8 +9,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// maxTransactionBytes leaves room for the JSON around the changes below the store's
-// limit of 64 KiB a transaction (PROTOCOL, POST /txn).
+// maxTransactionBytes bounds the sum of the writes' sizeBytes. The rest of the store's limit of
+// 64 KiB a transaction (PROTOCOL, POST /txn) is for what they don't count: the JSON around the
+// two lists, the condition on the lock key, and what the estimate misses.
 const maxTransactionBytes = 56 << 10
 
 // runSender sends one transaction after another until no queued write may be sent. It
@@ -82,7 +83,7 @@
 	case statusBadRequest:
 		store.commitSeparately(batch)
 		return nil
-	default:
+	default: // 503; PROTOCOL has no other status for transactions
 		completeWrites(batch, NotExecuted, 0)
 		return nil
 	}
@@ -145,15 +146,16 @@
 		return true
 	})
 	if len(batch) == before {
-		// The failed keys are nobody's: sending the same again would not end.
+		// No write has a condition on a failed key, so the same transaction would fail again
+		// and again.
 		completeWrites(batch, Conflict, result.Revision)
 		return nil
 	}
 	return batch
 }
 
-// commitSeparately handles a 400: one write that the store does not accept must not fail
-// the others of its transaction, so each is sent by itself.
+// commitSeparately handles a 400, such as for a put with an expired lease: one write that the
+// store does not accept must not fail the others of its transaction, so each is sent by itself.
 func (store *Client) commitSeparately(batch []*Write) {
 	if len(batch) == 1 {
 		completeWrites(batch, NotExecuted, 0)
--- a/internal/kvstore/write.go
+++ b/internal/kvstore/write.go
@@ -30,7 +30,8 @@
 type Priority int8
 
 const (
-	// Critical is for writes that the leader lock depends on.
+	// Critical is for writes that the leader lock depends on. They go first, and even into a
+	// transaction that the rate does not cover yet.
 	Critical Priority = iota - 1
 	// Interactive is for writes whose result a caller waits for.
 	Interactive
@@ -81,14 +82,16 @@
 	Conditions []wire.Condition
 	// Changes are at most Limits.MaxTransactionOps puts and deletes.
 	Changes []wire.Change
-	// Deadline is when to give up a write that has not been sent; 0: never.
+	// Deadline is the instant from which on the write is not sent any more; 0: none. One that
+	// was sent before may still be executed after it.
 	Deadline clock.Micros
-	// Done is called once with the result, on a goroutine of this package. The revision is
-	// the store's after a commit, the present one after a conflict, and 0 otherwise.
+	// Done is called once with the result, on a goroutine of this package that sends other writes
+	// only after it: it must not block. The revision is that of the changes if they were
+	// committed, the store's latest one for Conflict and Fenced, and 0 otherwise.
 	Done func(outcome Outcome, revision uint64)
 
-	sizeBytes int
-	queuedAt  clock.Micros
+	sizeBytes int          // estimated size in a transaction; see measure
+	queuedAt  clock.Micros // when Commit was called
 }
 
 // isExpired reports that the write may no longer be sent.
@@ -103,7 +106,7 @@
 	})
 }
 
-// measure sets sizeBytes to a bound of the write's part of a transaction.
+// measure sets sizeBytes to an estimate of the write's part of a transaction.
 func (write *Write) measure() {
 	write.sizeBytes = 0
 	for i := range write.Changes {
@@ -115,7 +118,8 @@
 	}
 }
 
-// The JSON around a change's or a condition's key and value, braces, names and numbers.
+// Estimated size of the JSON around a change's or a condition's key and value: braces, names and
+// numbers.
 const (
 	changeOverheadBytes    = 48
 	conditionOverheadBytes = 40
