--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -20,7 +20,7 @@
 // ErrSendDeadlinePassed reports that a request was not sent because its SendDeadline had passed.
 var ErrSendDeadlinePassed = errors.New("client: the time to send has passed")
 
-// NotSentError reports that the request was certainly not sent.
+// NotSentError reports that the request was certainly not sent, so that it may be sent again.
 type NotSentError struct{ Err error }
 
 // Error implements error.
@@ -29,5 +29,6 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// ErrPoolExhausted reports that no connection is available: the limit is reached and none is idle.
+// ErrPoolExhausted reports that no connection may be opened: the pool's limiter has no room, and no
+// connection of the pool is idle. Do returns it within a *NotSentError.
 var ErrPoolExhausted = errors.New("client: no connection is free")
--- a/internal/client/host.go
+++ b/internal/client/host.go
@@ -38,7 +38,7 @@
 type conn struct {
 	netConn     net.Conn
 	parser      *http1.Parser
-	lastUsedAt  clock.Micros
+	lastUsedAt  clock.Micros // end of its latest request
 	host        *Host
 	idleElement *list.Element // in the pool's list of idle connections; nil while in use or closed
 }
@@ -123,7 +123,7 @@
 type Request struct {
 	Method, Target string
 	Body           []byte // nil: none
-	// Timeout bounds the whole exchange.
+	// Timeout bounds the whole exchange, dialing included.
 	Timeout clock.Micros
 	// SendDeadline, if not nil, returns the instant from which on the request must not be sent
 	// any more. It is called immediately before the write, after any waiting.
@@ -169,7 +169,7 @@
 	return &conn{netConn: netConn, parser: http1.NewResponseParser(host.limits), host: host}, nil
 }
 
-// roundTrip writes a request and reads its response.
+// roundTrip writes a request and reads its response. After an error the connection must be closed.
 func (connection *conn) roundTrip(request Request, deadline time.Time) (*http1.Message, error) {
 	if err := connection.netConn.SetDeadline(deadline); err != nil {
 		return nil, &NotSentError{err}
--- a/internal/client/pool.go
+++ b/internal/client/pool.go
@@ -7,8 +7,9 @@
 	"firwood.dev/firwood/internal/connlimit"
 )
 
-// Pool shares one limit of outbound connections among many hosts. At the limit, the connection
-// that has been idle longest is closed for a new one.
+// Pool bounds the connections to many hosts together, by a limiter that other connections of the
+// process use too. At the limit, the pool's connection that has been idle longest is closed for a
+// new one.
 type Pool struct {
 	dial    Dialer
 	limiter *connlimit.Limiter
--- a/internal/client/pool_test.go
+++ b/internal/client/pool_test.go
@@ -67,8 +67,8 @@
 	return err
 }
 
-// A pool never has more connections than its limit, in sequential and concurrent calls; idle ones are
-// closed for new ones, and if none is idle the caller gets ErrPoolExhausted.
+// A pool never has more connections than its limit, in sequential and concurrent calls. At the limit
+// idle connections are closed for new ones, and if none is idle the caller gets ErrPoolExhausted.
 func TestPoolStaysWithinLimit(t *testing.T) {
 	const limit = 3
 	fixture := newPoolFixture(t, limit)
--- a/internal/client/token_bucket.go
+++ b/internal/client/token_bucket.go
@@ -7,13 +7,13 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// TokenBucket limits the rate of calls. Tokens may be reserved in advance: the balance is then
-// negative, and callers wait until it is covered.
+// TokenBucket limits the rate of calls. Reserve and Wait take tokens that the bucket doesn't have
+// yet: the balance is then negative, and each caller waits until its own tokens are covered.
 type TokenBucket struct {
 	mu              sync.Mutex
 	tokensPerSecond float64
 	burst           float64 // most tokens that accumulate
-	tokens          float64
+	tokens          float64 // negative if more are reserved than there are
 	refilledAt      clock.Micros
 }
 
@@ -58,24 +58,24 @@
 	}
 }
 
-// Delay returns how long it takes until the bucket has that many tokens. It is negative if the
-// bucket has more.
+// Delay returns how long it takes until the bucket has that many tokens, 0 if it has them now. It
+// takes none.
 func (bucket *TokenBucket) Delay(tokens float64) clock.Micros {
 	bucket.lockAndRefill()
 	defer bucket.mu.Unlock()
 	return clock.FromSeconds((tokens - bucket.tokens) / bucket.tokensPerSecond)
 }
 
-// HasTokens tells whether that many tokens may be used now. More than the burst are taken as the
-// burst, since the bucket never has more.
+// HasTokens tells whether the bucket has that many tokens now, and takes none. For more than the
+// burst it tells whether the bucket is full, since it never has more.
 func (bucket *TokenBucket) HasTokens(tokens float64) bool {
 	bucket.lockAndRefill()
 	defer bucket.mu.Unlock()
 	return bucket.tokens >= min(tokens, bucket.burst)
 }
 
-// Drain empties the bucket. It is called after the service answered 429, which shows that the
-// balance was too high.
+// Drain empties the bucket; a negative balance stays. It is called after the service answered 429,
+// which shows that the balance was too high.
 func (bucket *TokenBucket) Drain() {
 	bucket.lockAndRefill()
 	defer bucket.mu.Unlock()
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock reads the monotonic clock, for leases and timers, and the time of day, for the
-// deadlines of jobs. Both are in whole microseconds.
+// Package clock reads the monotonic clock (PROTOCOL and comments: the steady clock), for leases and
+// timers, and the time of day, for the deadlines of jobs. Both are in whole microseconds.
 package clock
 
 import (
@@ -20,12 +20,13 @@
 var origin = time.Now()
 
 // ResetOrigin makes the monotonic clock begin now. Tests in simulated time call it before
-// anything else, since their time does not follow on from that of the process; it is not
-// synchronized with Now.
+// anything else, since their time does not follow on from that of the process. It must not be
+// called while another goroutine may call Now.
 func ResetOrigin() { origin = time.Now() }
 
-// Now reads the monotonic clock. Its zero is one second before the start of the process, so
-// that a zero instant always means "never".
+// Now reads the monotonic clock. Its zero is one second before the start of the process, so that
+// no reading is 0 and a zero instant can mean "never". Instants of two processes, also of two
+// lives of a process, can't be compared.
 func Now() Micros { return Micros(time.Since(origin).Microseconds()) + Second }
 
 // WallTime reads the time of day, in microseconds since 1970 (UTC).
@@ -46,5 +47,6 @@
 // Seconds converts to seconds, as in messages and settings.
 func (micros Micros) Seconds() float64 { return float64(micros) / float64(Second) }
 
-// Duration converts to the standard library's type, which must not overflow: below 292 years.
+// Duration converts to the standard library's type. It overflows from 292 years on, which is less
+// than maxSeconds.
 func (micros Micros) Duration() time.Duration { return time.Duration(micros) * time.Microsecond }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Seconds are rounded to whole microseconds; what makes no sense is 0, and what is too much bounded.
+// Seconds are rounded to whole microseconds. Negative numbers and NaN give 0, and those above
+// maxSeconds give maxSeconds.
 func TestFromSeconds(t *testing.T) {
 	for _, testCase := range []struct {
 		seconds float64
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -19,7 +19,8 @@
 var (
 	// ErrNoCapacity reports that the pool has no capacity; nothing was created.
 	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrUnavailable reports that the cloud's API is down or throttled; nothing was done.
+	// ErrUnavailable reports that the cloud's API is in an outage or that the rate is exceeded; nothing
+	// was done.
 	ErrUnavailable = errors.New("cloud: not served")
 	// ErrInvalidRequest reports that the cloud rejected the request as malformed.
 	ErrInvalidRequest = errors.New("cloud: bad request")
@@ -126,8 +127,10 @@
 	return machineType.Name != "" && hasSize && hasPrice
 }
 
-// ScaleOut requests machines under the unique name in the request, and returns the ids of those that
-// were created, up to the requested count. From sendDeadline on the request is not sent.
+// ScaleOut requests machines, at most wire.MaxScaleOutCount, and returns the ids of those that were
+// created, up to the requested count. The same request may be repeated after an error: its RequestID
+// makes the cloud create the machines once. From sendDeadline on, if it is not nil, the request is
+// not sent.
 func (c *Client) ScaleOut(request wire.ScaleOutRequest, sendDeadline func() clock.Micros) ([]string, error) {
 	body, err := request.MarshalJSON()
 	if err != nil {
@@ -141,8 +144,9 @@
 	return machines.IDs, nil
 }
 
-// DeleteMachines deletes machines; unknown ones are ignored. If it returns nil, they are gone. From
-// sendDeadline on the request is not sent.
+// DeleteMachines deletes machines, at most wire.MaxMachinesPerDelete; unknown ones are ignored. If it
+// returns nil, they and all tasks on them are gone. From sendDeadline on, if it is not nil, the
+// request is not sent.
 func (c *Client) DeleteMachines(ids []string, sendDeadline func() clock.Micros) error {
 	body, err := wire.MachineIDs{IDs: ids}.MarshalJSON()
 	if err != nil {
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -10,7 +10,7 @@
 // ForceInbound admits while others are being closed for them; package server bounds those.
 type Limiter struct {
 	limit           int
-	outboundMinimum int // outbound connections that are allowed regardless of the headroom
+	outboundMinimum int // outbound connections that may use the headroom; AcquireInbound leaves room for them
 	inboundHeadroom int // room that further outbound connections leave for inbound ones
 
 	mu                sync.Mutex
@@ -38,12 +38,14 @@
 // isFull tells whether the limit is reached. The caller holds the mutex.
 func (limiter *Limiter) isFull() bool { return limiter.inbound+limiter.outbound >= limiter.limit }
 
-// isHeadroomUsed tells whether no more than the inbound headroom is left. The caller holds the mutex.
+// isHeadroomUsed tells whether no more room than the inbound headroom is left, so that further
+// outbound connections would take it. The caller holds the mutex.
 func (limiter *Limiter) isHeadroomUsed() bool {
 	return limiter.inbound+limiter.outbound >= limiter.limit-limiter.inboundHeadroom
 }
 
-// AcquireInbound reserves an inbound connection; false means that there is no room.
+// AcquireInbound reserves an inbound connection; false means that there is no room besides the
+// outbound minimum, which inbound connections leave free.
 func (limiter *Limiter) AcquireInbound() bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
@@ -54,7 +56,8 @@
 	return true
 }
 
-// ForceInbound reserves an inbound connection for which another one is being closed.
+// ForceInbound reserves an inbound connection, beyond the limit if need be: the caller is closing
+// another one for it.
 func (limiter *Limiter) ForceInbound() {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
@@ -68,7 +71,8 @@
 	limiter.inbound -= count
 }
 
-// AcquireOutbound reserves an outbound connection; false means that there is no room.
+// AcquireOutbound reserves an outbound connection; false means that there is no room. Beyond the
+// outbound minimum, the inbound headroom counts as none.
 func (limiter *Limiter) AcquireOutbound() bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
