--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -2,9 +2,9 @@
 
 // States of a machine in the cloud's list, in ListedMachine.State.
 const (
-	MachineBooting = "booting"
+	MachineBooting = "booting" // also of one that never comes up, until it is deleted
 	MachineRunning = "running"
-	MachineFailed  = "failed"
+	MachineFailed  = "failed" // stopped by itself; no longer charged, but listed until it is deleted
 )
 
 // Limits of one request to the cloud, in machines.
@@ -26,7 +26,7 @@
 	// OnDemandPrice and SpotPrice are per hour; spot prices change.
 	OnDemandPrice float64 `json:"rate"`
 	SpotPrice     float64 `json:"spotPrice"`
-	// BootSeconds is nominal; usual boot times are 0.6 to 1.5 times as long.
+	// BootSeconds is nominal; usual boot times are 0.6 to 1.5 times as long, some far outside.
 	BootSeconds float64  `json:"bootS"`
 	Zones       []string `json:"yards"`
 }
@@ -37,7 +37,8 @@
 }
 
 // ScaleOutRequest asks the cloud for up to Count machines (PROTOCOL, POST /hosts). RequestID
-// makes it idempotent and must never be used for another request, by any controller.
+// makes it idempotent: repeating one that was filled creates nothing more. It must never be used for another
+// request, by any controller.
 type ScaleOutRequest struct {
 	RequestID   string `json:"hire"`
 	MachineType string `json:"rig"`
@@ -51,7 +52,8 @@
 	IDs []string `json:"boxes"`
 }
 
-// ListedMachine is a machine in the cloud's list, which lags (PROTOCOL, GET /hosts).
+// ListedMachine is a machine in the cloud's list (PROTOCOL, GET /hosts). The list lags: it may lack
+// new machines, and have machines that are gone.
 type ListedMachine struct {
 	ID          string `json:"nameId"`
 	Address     string `json:"endpoint"`
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -68,6 +68,6 @@
 //	yards       Zones                          zones
 //
 // Among values, "ensemble" is a gang, "urgent" the high and "standard" the normal priority,
-// "aborted" a cancelled job, "flushing" a task that saves a checkpoint, and the commands "run",
-// "halt" and "reap" start, stop and remove a task.
+// "aborted" a cancelled job, "flushing" a task that was told to stop and saves a checkpoint, and the
+// commands "run", "halt" and "reap" start, stop and remove a task.
 package wire
--- a/wire/job.go
+++ b/wire/job.go
@@ -34,7 +34,7 @@
 // MaxTasks bounds the tasks of one job.
 const MaxTasks = 100000
 
-// MaxBodyBytes bounds the body of a user's request.
+// MaxBodyBytes bounds the body of a request (PROTOCOL, first section).
 const MaxBodyBytes = 64 << 10
 
 // Job is a validated submission (PROTOCOL, POST /api/jobs). It is flat, as the protocol's
@@ -65,8 +65,8 @@
 	// EstimatedRunSeconds is the owner's estimate of a task's run time without fetching the
 	// image; 0 for services.
 	EstimatedRunSeconds float64 `json:"guessS"`
-	// CheckpointIntervalSeconds is the progress after which a task saves a checkpoint; 0: it
-	// never saves, and its work is lost when it is stopped.
+	// CheckpointIntervalSeconds is the progress after which a task saves a checkpoint by itself;
+	// 0: it never saves, and its work is lost when it is stopped.
 	CheckpointIntervalSeconds float64 `json:"markS"`
 	// CheckpointSaveSeconds is how long a task needs to save when it is stopped.
 	CheckpointSaveSeconds float64 `json:"stashS"`
@@ -118,13 +118,13 @@
 	Error string `json:"error"`
 }
 
-// Digits of a job id after "req-", and of the index in a task id.
+// Most digits of a job id after "req-", and of the index in a task id.
 const (
 	maxJobIDDigits     = 18
 	maxTaskIndexDigits = 6
 )
 
-// IsValidJobID reports that an id has the form of a job id: "req-" and digits.
+// IsValidJobID reports that an id has the form of a job id: "req-" and 1 to maxJobIDDigits digits.
 func IsValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "req-")
 	if !ok || len(digits) == 0 || len(digits) > maxJobIDDigits {
--- a/wire/store.go
+++ b/wire/store.go
@@ -18,7 +18,8 @@
 	Revision  uint64     `json:"ledger"`
 }
 
-// Condition requires that a key has a version; 0: that it does not exist.
+// Condition requires that a key has a version, the revision of its last change; 0: that it does
+// not exist.
 type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"stamp"`
@@ -47,7 +48,7 @@
 	FailedKeys []string `json:"failed,omitempty"`
 }
 
-// LeaseRequest asks for a lease (PROTOCOL, POST /grants).
+// LeaseRequest asks for a lease, of 100 ms to 600 s (PROTOCOL, POST /grants).
 type LeaseRequest struct {
 	TTLMillis int64 `json:"ttlMs"`
 }
@@ -65,7 +66,8 @@
 	Version   uint64              `json:"stamp"`
 }
 
-// WatchResponse is the response to a watch: the changes up to a revision (PROTOCOL, GET /watch).
+// WatchResponse is the response to a watch: all changes after the revision that was asked for, up to
+// Revision (PROTOCOL, GET /watch).
 type WatchResponse struct {
 	Revision uint64       `json:"ledger"`
 	Events   []WatchEvent `json:"log"`
