--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -15,7 +15,8 @@
 // DefaultLimits are for requests of users and workers, and with another Body for responses.
 var DefaultLimits = Limits{Line: 8 << 10, Head: 16 << 10, Body: 64 << 10}
 
-// Error is a violation of the protocol or of a limit; Status is the HTTP status to answer with.
+// Error is a violation of the protocol or of a limit; Status is the HTTP status with which a server
+// answers it. A client can tell a limit (413, 431) from a malformed response (400) by it.
 type Error struct {
 	Status int
 	Reason string
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -59,7 +59,8 @@
 	remaining int      // bytes left of the body or chunk
 	err       *Error   // set in phaseFailed
 
-	// continuePending outlives its message until TakeContinueRequest is called.
+	// continuePending tells that the sender of a message whose head is complete waits for a 100
+	// Continue. It stays until TakeContinueRequest is called, also when the message is over.
 	continuePending bool
 }
 
@@ -122,8 +123,8 @@
 	}
 }
 
-// HandleEOF records that the peer has closed the connection. It returns the response that the close
-// ends, if there is one; another incomplete message is an error.
+// HandleEOF is called when the peer has closed the connection. It returns the response that the close
+// ends, or nil without an error between two messages; any other incomplete message is an error.
 func (parser *Parser) HandleEOF() (*Message, error) {
 	if parser.phase == phaseUntilClose {
 		message := parser.takeMessage()
@@ -149,7 +150,7 @@
 	return message
 }
 
-// compact drops the consumed bytes, and a large buffer if it is empty.
+// compact drops the consumed bytes, and a buffer larger than maxIdleBuffer if nothing is left in it.
 func (parser *Parser) compact() {
 	if parser.consumed == 0 {
 		return
--- a/internal/http1/parser_head.go
+++ b/internal/http1/parser_head.go
@@ -70,6 +70,7 @@
 		parser.phase = phaseUntilClose
 		return stepContinues, nil
 	}
+	// A Content-Length of 0, or a request without a length: there is no body.
 	return stepHasMessage, nil
 }
 
@@ -231,7 +232,8 @@
 // maxDecimalDigits is the number of digits of the largest number that parseDecimal reads.
 const maxDecimalDigits = 10
 
-// parseDecimal reads a number below 2^31 of digits only: no sign, no spaces.
+// parseDecimal reads a number below 2^31, of at most maxDecimalDigits digits and nothing else: no
+// sign, no spaces.
 func parseDecimal(digits []byte) (int, bool) {
 	if len(digits) == 0 || len(digits) > maxDecimalDigits {
 		return 0, false
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -11,8 +11,8 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// conn is one connection. Its fields belong to the event loop, except those under the mutex. Either
-// parser or frames is set.
+// conn is one connection. Its fields belong to the event loop, except pendingReply, which the mutex
+// guards. Either parser or frames is set.
 type conn struct {
 	evioConn evio.Conn
 	parser   *http1.Parser     // of a connection to the serve address
@@ -22,8 +22,8 @@
 	stateChangedAt  clock.Micros // start of the idle time, or of the request that is being received
 	isBusy          bool         // a request is being processed
 	closeAfterReply bool         // the connection is closed after the reply to the present request
-	isClosing       bool         // it is to be closed as soon as it isn't busy
-	isClosed        bool         // its close was decided; evio closes it after writing
+	isClosing       bool         // the server wants it closed; its next wake or input does that
+	isClosed        bool         // handleData has returned evio.Close; evio closes it after writing
 
 	mu           sync.Mutex
 	pendingReply *storedResponse // set by any goroutine, taken by the event loop
--- a/internal/server/eviction.go
+++ b/internal/server/eviction.go
@@ -12,16 +12,16 @@
 	// maxClosing bounds the connections that are being closed for others, and with it how far the
 	// limit may be exceeded.
 	maxClosing = 16
-	// evictionGrace is the age up to which a connection isn't evicted: it may be about to send
-	// its first request.
+	// evictionGrace is how long a connection isn't evicted after its state has changed, as when it
+	// was opened: it may be about to send its first request.
 	evictionGrace = clock.Second
 	// tickInterval is the interval of the checks for idle connections.
 	tickInterval = time.Second
 )
 
-// admit reserves an inbound connection. At the limit it closes, in this order, an idle outbound
-// connection, one that has sent no request, or a user's idle one. It never closes a worker's, once it has
-// sent a heartbeat: the worker would lose its lease.
+// admit reserves an inbound connection; false means that there is no room. At the limit it closes, in
+// this order, an idle outbound connection, one that has sent no request, or a user's idle one. It never
+// closes a controller's, nor a worker's that has sent a heartbeat: the worker could lose its lease.
 func (server *Server) admit() bool {
 	if server.cfg.Limiter.AcquireInbound() {
 		return true
@@ -62,7 +62,7 @@
 	return connection.role.isEvictable() && !connection.isBusy && !connection.isClosing && !hasJustChanged
 }
 
-// isEvictedBefore compares by role, then by the time in the present state.
+// isEvictedBefore compares by role, then by the time in the present state, the longest first.
 func (connection *conn) isEvictedBefore(other *conn) bool {
 	if connection.role != other.role {
 		return connection.role < other.role
--- a/internal/server/eviction_test.go
+++ b/internal/server/eviction_test.go
@@ -35,15 +35,15 @@
 		}
 	}
 	if closed < 7 || closed > 8 {
-		t.Fatalf("%d of 12 connections were closed with a bound of 5", closed)
+		t.Fatalf("%d of 12 connections were closed with a limit of 5", closed)
 	}
 }
 
-// At the limit, connections without a request are closed, then users'; those of workers stay, and a new
-// worker or probe is always admitted.
+// At the limit, connections without a request are closed, once the grace for them is over; those of
+// workers stay, and a new worker or probe is admitted.
 func TestWorkerConnectionsSurviveFlood(t *testing.T) {
-	const workers, bound = 20, 32
-	address, _ := startServer(t, &echoApp{}, bound)
+	const workers, limit = 20, 32
+	address, _ := startServer(t, &echoApp{}, limit)
 	dial := func() net.Conn {
 		netConn, err := net.Dial("tcp4", address)
 		if err != nil {
@@ -81,14 +81,14 @@
 		workerConns = append(workerConns, netConn)
 	}
 	for round := 0; round < 3; round++ {
-		for i := 0; i < 2*bound; i++ {
+		for i := 0; i < 2*limit; i++ {
 			dial() // without a request
 		}
 		time.Sleep(evictionGrace.Duration() + 100*time.Millisecond)
 		if err := sendRequest(dial(), "/up", ""); err != nil {
 			t.Fatalf("round %d: a probe finds no room: %v", round, err)
 		}
-		if netConn := dial(); len(workerConns) < bound-8 {
+		if netConn := dial(); len(workerConns) < limit-8 {
 			if err := sendHeartbeat(netConn); err != nil {
 				t.Fatalf("round %d: a new worker finds no room: %v", round, err)
 			}
--- a/internal/server/reply.go
+++ b/internal/server/reply.go
@@ -12,10 +12,10 @@
 	status     int
 	retryAfter int // seconds; 0: no header
 	body       []byte
-	deadline   clock.Micros // from which on 503 is sent in its place; 0: none
+	deadline   clock.Micros // instant from which on a 503 is sent in its place; 0: none
 }
 
-// Reply takes the response to one request.
+// Reply takes the response to one request. The zero Reply discards it.
 type Reply struct {
 	conn *conn
 	// ReceivedAt is when the whole request had been received.
@@ -36,8 +36,9 @@
 	reply.SendBefore(status, body, retryAfter, 0)
 }
 
-// SendBefore is Send with a deadline: if it has passed when the response is written, 503 is sent in
-// its place. A deadline of 0 is none.
+// SendBefore is Send with a deadline, an instant of the steady clock: if it has passed when the event
+// loop takes the response, a 503 is sent in its place, since the process may have stalled meanwhile
+// and be no longer entitled to answer. A deadline of 0 is none.
 func (reply *Reply) SendBefore(status int, body []byte, retryAfter int, deadline clock.Micros) {
 	if reply.send != nil {
 		response := (&storedResponse{status, retryAfter, body, deadline}).enforceDeadline()
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -61,8 +61,9 @@
 	return jobID, hasPrefix && hasSuffix
 }
 
-// routeRequest hands a request to the handler of its path. The method is checked before the job's id, so
-// 405 comes before 404 for an invalid id.
+// routeRequest hands a request to the handler of its path. The path alone decides the role of the
+// connection, whatever the method and the body are. The method is checked before the job's id, so 405
+// comes before 404 for an invalid id.
 func (server *Server) routeRequest(connection *conn, request *http1.Message) {
 	path, _, _ := strings.Cut(request.Target, "?")
 	for i := range routes {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -17,7 +17,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// App handles the requests. Its methods run on the event loop and must not block.
+// App handles the requests. Its methods run on the event loop and must not block: all connections
+// would wait. Those with a Reply send it once, at once or later, from any goroutine.
 type App interface {
 	SubmitJob(job *wire.Job, reply *Reply)
 	ShowJob(id string, reply *Reply)
@@ -33,14 +34,14 @@
 type Config struct {
 	ServeAddress, PeerAddress string
 	// Limiter counts the connections. EvictOutbound closes one idle outbound connection, which the
-	// Limiter counts too; false if there is none. It may be nil.
+	// Limiter counts too; false if there is none. EvictOutbound may be nil: there are none.
 	Limiter       *connlimit.Limiter
 	EvictOutbound func() bool
 	// WorkerLeaseTTL bounds how long a worker's connection may be idle: afterwards its lease has
-	// expired.
+	// expired, and keeping the connection doesn't help.
 	WorkerLeaseTTL clock.Micros
-	// IdleTimeout bounds how long other connections may be idle, ReadTimeout how long a request may
-	// take to arrive.
+	// IdleTimeout bounds how long other connections may be idle. ReadTimeout bounds how long the
+	// first request may take to begin and any request to arrive, and under pressure the idle time.
 	IdleTimeout, ReadTimeout clock.Micros
 }
 
@@ -55,8 +56,8 @@
 }
 
 const (
-	// maxListenerFailures is the number of failures in a row after which Run gives up. A failure
-	// after stableAfter doesn't count as in a row.
+	// Run gives up at the failure after maxListenerFailures in a row. A failure after the listeners
+	// have worked for longer than stableAfter begins a new row.
 	maxListenerFailures = 20
 	stableAfter         = 10 * clock.Second
 	restartBackoff      = 200 * time.Millisecond
