--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -12,7 +12,8 @@
 
 // Platform is the platform's file (DEPLOY). Unknown fields are ignored, since new ones may come.
 type Platform struct {
-	Member            string           `json:"member"`
+	Member string `json:"member"`
+	// Location is the controller's zone.
 	Location          string           `json:"location"`
 	ListenAddress     string           `json:"serve_on"`
 	PeerListenAddress string           `json:"peer_bind"`
@@ -37,18 +38,20 @@
 // Deployment is the part of the file that is the same for all controllers.
 type Deployment struct {
 	// ControllerCount is not used: Peers count.
-	ControllerCount  int           `json:"nodes"`
-	Zones            []string      `json:"zones"`
-	Teams            []Team        `json:"teams"`
-	Objectives       []Objective   `json:"objectives"`
-	Workers          WorkerTimings `json:"workers"`
-	Store            StoreLimits   `json:"state"`
-	Cloud            Cloud         `json:"cloud"`
-	ProcessLimits    ProcessLimits `json:"limits"`
-	ClockErrorMillis float64       `json:"clock_error_ms"`
+	ControllerCount int           `json:"nodes"`
+	Zones           []string      `json:"zones"`
+	Teams           []Team        `json:"teams"`
+	Objectives      []Objective   `json:"objectives"`
+	Workers         WorkerTimings `json:"workers"`
+	Store           StoreLimits   `json:"state"`
+	Cloud           Cloud         `json:"cloud"`
+	ProcessLimits   ProcessLimits `json:"limits"`
+	// ClockErrorMillis bounds how far the time of day of a process is from the true time.
+	ClockErrorMillis float64 `json:"clock_error_ms"`
 }
 
-// Team is a team's quota: its guarantees and limits; 0 means none.
+// Team is a team's quota: its guarantees and its limits. A guarantee of 0 is no guarantee, a limit of
+// 0 no limit.
 type Team struct {
 	Name           string  `json:"name"`
 	GuaranteedCPUs float64 `json:"cpus"`
@@ -85,7 +88,8 @@
 	WriteRPS          float64 `json:"write_rps"`
 	MaxValueKB        float64 `json:"value_kb"`
 	MaxTransactionOps int     `json:"txn_ops"`
-	// Upcoming, if not nil, are limits that will apply from some moment on, without notice.
+	// Upcoming, if not nil, are limits that will apply from some moment on, without notice; see
+	// Effective.
 	Upcoming *UpcomingStoreLimits `json:"next"`
 }
 
@@ -97,7 +101,7 @@
 }
 
 // Effective returns the stricter of the current and the upcoming limits: what is written must
-// fit both.
+// fit both, since nothing tells when the upcoming ones apply.
 func (limits StoreLimits) Effective() StoreLimits {
 	if limits.Upcoming == nil {
 		return limits
@@ -115,7 +119,8 @@
 	return limits
 }
 
-// Cloud holds the cloud's limits: requests a second, and how far its list of machines lags.
+// Cloud holds the cloud's limits: requests a second for all controllers together, and how far its
+// list of machines mostly lags (PROTOCOL, GET /hosts: at times up to twice as far).
 type Cloud struct {
 	RPS            float64 `json:"rps"`
 	ListLagSeconds float64 `json:"list_lag_s"`
@@ -168,7 +173,7 @@
 	return platform, nil
 }
 
-// checks are what must hold of the platform's settings, in the order of reports.
+// checks are what must hold of the platform's settings, in the order in which faults are reported.
 func (platform *Platform) checks() []check {
 	checks := []check{
 		{platform.Member != "", "member", "is missing"},
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -59,7 +59,8 @@
 
 // ArrivalWindows are how far back arrivals of jobs count.
 type ArrivalWindows struct {
-	// ScreenWindowS is the window of the arrival screen.
+	// ScreenWindowS is the window of the screen, which tests whether intervals between arrivals and
+	// run times look exponential.
 	ScreenWindowS float64 `yaml:"screen_window_s"`
 	// RecencyS is how long an arrival counts as recent.
 	RecencyS float64 `yaml:"recency_s"`
@@ -68,19 +69,20 @@
 // WarmSpares bounds the target for warm spares, in machines.
 type WarmSpares struct {
 	SpareMin int `yaml:"spare_min"`
-	// SpareMax of 0 grows with the fleet.
+	// SpareMax of 0 stands for a bound that grows with the fleet.
 	SpareMax int `yaml:"spare_max"`
 }
 
-// ScreenTolerances are the tolerances of the arrival screen, as in the paper on SNF-ICON
-// (PAPER): how far intervals between arrivals may be from exponential ones.
+// ScreenTolerances are the tolerances of the screen, as in the paper on SNF-ICON (PAPER,
+// section IV-A): how far intervals between arrivals, and run times, may be from exponential ones.
 type ScreenTolerances struct {
-	// ScreenMinSamples and ScreenMaxSamples bound how many intervals are looked at.
+	// The screen rejects fewer samples than ScreenMinSamples; of more than ScreenMaxSamples the
+	// newest count.
 	ScreenMinSamples int `yaml:"screen_min_samples"`
 	ScreenMaxSamples int `yaml:"screen_max_samples"`
 	// ScreenCV is how far the coefficient of variation may be from 1.
 	ScreenCV float64 `yaml:"screen_cv"`
-	// ScreenLag is the largest correlation, by amount, of successive intervals.
+	// ScreenLag is the largest correlation, by amount, of successive samples.
 	ScreenLag float64 `yaml:"screen_lag"`
 	// ScreenKS is the largest Kolmogorov-Smirnov distance, times the square root of the
 	// number of samples.
@@ -109,12 +111,14 @@
 	maxLeaderTTLSeconds = 600
 	// maxSpares bounds the upper bound of warm spares.
 	maxSpares = 100_000
-	// minScreenSamples is the fewest arrivals that the screen's statistics are defined for.
+	// minScreenSamples is the fewest samples that the screen's statistics are defined for.
 	minScreenSamples = 3
-	// minArchiveAfterSeconds is later than any late message about a finished job comes.
+	// minArchiveAfterSeconds is the smallest age, after which no late message about a finished job
+	// comes any more.
 	minArchiveAfterSeconds = 600
 	maxArchiveAfterSeconds = 1e9
-	// minFinishedJobs is the smallest cache: users ask for a job until they have got its end.
+	// minFinishedJobs is the smallest cache, in jobs: users poll a job until they have seen its
+	// final state, so recently finished ones are asked for.
 	minFinishedJobs = 100
 )
 
@@ -176,7 +180,7 @@
 	}
 }
 
-// checks are what must hold of the operators' settings, in the order of reports.
+// checks are what must hold of the operators' settings, in the order in which faults are reported.
 func (tuning *Tuning) checks() []check {
 	return slices.Concat(
 		[]check{{isValidLeaderTTL(tuning.LeaderTTLS), "leader_ttl_s", "is not 0 or between 0.5 and 600"}},
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -183,8 +183,8 @@
 	})
 }
 
-// Long names of jobs and images don't make a frame that receivers reject; hints are left out,
-// everything else is sent.
+// Long names of jobs and images don't make a frame that receivers reject: cached images are left out,
+// and job progress too if that isn't enough. Everything else is sent.
 func TestLargeHeartbeatsFitFrame(t *testing.T) {
 	longName := strings.Repeat("x", 2000)
 	heartbeat := &Heartbeat{Member: "a", Leader: "a", Token: 7}
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -11,8 +11,9 @@
 // initialBuilderSize is the first capacity of a frame's buffer in bytes; it grows as needed.
 const initialBuilderSize = 256
 
-// Encode makes a frame with its size prefix. If it were larger than a receiver accepts, which
-// closes the link on such a frame, hints are left out: first cached images, then job progress.
+// Encode makes a frame with its size prefix. A receiver closes the link on a frame over MaxFrame, so
+// hints are left out of one: first cached images, then also job progress. Standby frames have none;
+// the bounds of package standby keep them small enough (TestLargestStandbyMessageFitsFrame).
 func Encode(heartbeat *Heartbeat) []byte {
 	frame := encodeUnbounded(heartbeat)
 	if len(frame) <= MaxFrame {
@@ -60,7 +61,8 @@
 	return builder.FinishedBytes()
 }
 
-// encodeTables writes a vector of tables, one for each of the first `limit` items.
+// encodeTables writes a vector of tables, one for each of the first `limit` items; further ones are
+// left out.
 func encodeTables[T any](builder *flatbuffers.Builder, items []T, limit int, encode func(T) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	var offsets []flatbuffers.UOffsetT
 	for _, item := range items[:min(len(items), limit)] {
--- a/internal/peer/frame_reader.go
+++ b/internal/peer/frame_reader.go
@@ -12,7 +12,7 @@
 	minFrameLength = 8
 )
 
-// FrameReader cuts a stream into frames.
+// FrameReader cuts a stream into frames. Between calls of Feed it buffers less than one frame.
 type FrameReader struct{ buffer []byte }
 
 // Feed adds bytes and calls handle for each complete frame. After an error, which wraps
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -31,7 +31,8 @@
 	pendingStandby   []byte
 }
 
-// NewLink starts a link, whose goroutine runs until Close.
+// NewLink starts a link, whose goroutine runs until Close or, if it is dialing or writing then, until
+// that has ended.
 func NewLink(dial Dialer, address string) *Link {
 	link := &Link{dial: dial, address: address, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go link.run()
@@ -72,7 +73,7 @@
 }
 
 // run owns the connection. It dials when there is something to send, and again after a failed
-// write.
+// write. After a failed dial the frames wait until a newer one is to be sent.
 func (link *Link) run() {
 	var connection net.Conn
 	defer func() {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,8 +15,9 @@
 // link on a larger one.
 const MaxFrame = 1 << 18
 
-// Bounds of the content of one heartbeat, so that it stays under MaxFrame. A receiver takes a
-// frame over them as malformed.
+// Bounds of the content of one heartbeat. Encode leaves out entries beyond them, and a receiver takes
+// a frame over them as malformed. With names of usual length they keep a heartbeat under MaxFrame;
+// Encode sees to the others.
 const (
 	// MaxJobProgress bounds the jobs with their progress.
 	MaxJobProgress = 2000
@@ -71,8 +72,9 @@
 	CancelledAt clock.Micros
 }
 
-// LeaderHints is what only a leader sends. The next leader starts from it, so that it need not
-// collect everything again; none of it is needed for correctness.
+// LeaderHints is what only a leader sends; none of it is needed for correctness. Followers show
+// JobProgress to users. The next leader starts from the other hints, so that it need not collect
+// them again.
 type LeaderHints struct {
 	JobProgress []JobProgress
 	// ProgressPageCount is the number of heartbeats over which the progress of all jobs is
@@ -99,7 +101,7 @@
 	// Leader and Token are the leader's name and fencing token as the sender knows them.
 	Leader string
 	Token  uint64
-	// WorkerCount is the number of workers with recent heartbeats.
+	// WorkerCount is the number of workers that have lately sent heartbeats to the sender.
 	WorkerCount uint32
 
 	// Incarnation and Timestamp identify this heartbeat by the sender's process and its
@@ -113,7 +115,7 @@
 
 	LeaderHints
 
-	// StoreRevision is a revision of the store that the sender's view has at least.
+	// StoreRevision is the revision of the sender's view of the store.
 	StoreRevision uint64
 	// Cancellations are recent ones that the receiver's view may lack.
 	Cancellations []Cancellation
