--- a/cmd/firwood/job.go
+++ b/cmd/firwood/job.go
@@ -17,7 +17,7 @@
 	command := &cobra.Command{Use: "job", Short: "Submit, show and withdraw jobs"}
 	addNodeFlag(command, &node)
 	cancelCommand := newJobIDCommand(&node, "cancel ID", "Withdraw a job", "POST", "/withdraw")
-	cancelCommand.Aliases = []string{"withdraw"} // its earlier name
+	cancelCommand.Aliases = []string{"withdraw"} // its former name
 	command.AddCommand(
 		newSubmitCommand(&node),
 		newJobIDCommand(&node, "show ID", "Show a job's state", "GET", ""),
--- a/cmd/firwood/serve.go
+++ b/cmd/firwood/serve.go
@@ -28,8 +28,9 @@
 	// maxProcs is enough for a controller, of whose work one goroutine does the most.
 	maxProcs = 2
 
-	idleTimeout = 90 * clock.Second // of connections without requests
-	readTimeout = 10 * clock.Second // of a request that has begun
+	// idleTimeout and readTimeout are explained at server.Config.
+	idleTimeout = 90 * clock.Second
+	readTimeout = 10 * clock.Second
 )
 
 // newLogger logs to standard error, from the level in LOG_LEVEL on.
@@ -78,8 +79,8 @@
 	return serveUntilSignal(listener, instance)
 }
 
-// limitRuntime has the garbage collector act before the platform's memory limit ends the
-// process.
+// limitRuntime has the garbage collector work harder before the process reaches the platform's
+// memory limit, at which the platform ends it.
 func limitRuntime(limits config.ProcessLimits) {
 	debug.SetMemoryLimit(int64(limits.MemoryMB * memoryLimitShare * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
@@ -108,8 +109,8 @@
 }
 
 // serveUntilSignal runs the listener and the controller, each on a goroutine that lasts as
-// long as the process. SIGTERM and SIGINT make a leader give up its leadership first, so
-// that another one needn't wait for the lock to expire.
+// long as the process. At SIGTERM or SIGINT a leader first gives up its leadership, so that the
+// next one needn't wait for the lock's lease to expire; the process then ends without an error.
 func serveUntilSignal(listener *server.Server, instance *controller.Controller) error {
 	listenerErrors := make(chan error, 1)
 	go func() { listenerErrors <- listener.Run() }()
--- a/cmd/firwood/settings.go
+++ b/cmd/firwood/settings.go
@@ -11,7 +11,8 @@
 // settingsError marks an error in a settings file; the exit status is exitInvalidSettings.
 type settingsError struct{ error }
 
-// loadSettings reads and checks both files and reports the errors of both together.
+// loadSettings reads and checks both files and reports the errors of both together. Only if each
+// is valid it checks that they fit together. Errors are a settingsError.
 func loadSettings(configPath, settingsPath string) (*config.Platform, config.Tuning, error) {
 	platform, platformErr := config.LoadPlatform(configPath)
 	tuning, tuningErr := config.LoadTuning(settingsPath)
@@ -25,7 +26,9 @@
 	return platform, tuning, nil
 }
 
-// checkSettings validates the files, and the limits for the fleet that they name.
+// checkSettings checks the files that are given, and with the platform's file also whether its limits
+// suffice for the fleet that the operators' file names. A limit that is too low is an error here,
+// but only logged by a controller.
 func checkSettings(out io.Writer, configPath, settingsPath string) error {
 	if configPath == "" {
 		if _, err := config.LoadTuning(settingsPath); err != nil {
--- a/internal/ci/knownred/knownred.go
+++ b/internal/ci/knownred/knownred.go
@@ -104,25 +104,26 @@
 
 // Result is the result of a run.
 type Result struct {
-	// Passed, Failed and Skipped count tests, subtests apart.
+	// Passed, Failed and Skipped count tests, without subtests.
 	Passed, Failed, Skipped int
 	// UnexpectedFailures are failures that the list does not excuse: tests, and packages
 	// that failed by other means than a test, such as a build failure, a panic
 	// or a timeout.
 	UnexpectedFailures []string
-	// KnownFailures are listed tests that failed.
+	// KnownFailures are listed tests that failed; they don't fail the run.
 	KnownFailures []Entry
-	// StaleEntries are listed tests that passed or did not run.
+	// StaleEntries are listed tests that passed, were skipped or did not run.
 	StaleEntries []Entry
 }
 
-// IsSuccess reports that the run passes.
+// IsSuccess reports that the run passes: no failure but listed ones, no listed test that did not fail,
+// and at least one test that passed.
 func (result *Result) IsSuccess() bool {
 	return len(result.UnexpectedFailures) == 0 && len(result.StaleEntries) == 0 && result.Passed > 0
 }
 
-// resultCollector collects the events of a run. Tests are named as in Entry, and subtests are
-// not collected.
+// resultCollector collects the events of a run. Tests are named as in Entry; output of subtests
+// counts as their test's, and their other events are left out.
 type resultCollector struct {
 	out             io.Writer           // gets the output of packages and of failed tests
 	outputs         map[string][]string // lines of tests that have not passed
@@ -195,7 +196,8 @@
 }
 
 // isCrash reports that a line of output shows that the test binary crashed, timed out, had a data
-// race or wasn't built: later tests did not run, so no entry excuses it.
+// race or wasn't built. No entry excuses that: other tests may not have run, and a data race is
+// another fault than the listed one.
 func isCrash(line string) bool {
 	return strings.HasPrefix(line, "panic: ") || strings.HasPrefix(line, "fatal error: ") ||
 		strings.HasPrefix(line, "*** Test killed") || strings.Contains(line, "[build failed]") ||
@@ -229,5 +231,5 @@
 	return &collector.result
 }
 
-// packageOf is the package in a test's name as in Entry; names of tests have no dots.
+// packageOf is the package in a test's name as in Entry. Names of tests have no dots, import paths may.
 func packageOf(testName string) string { return testName[:strings.LastIndex(testName, ".")] }
--- a/internal/ci/layout/imports.go
+++ b/internal/ci/layout/imports.go
@@ -59,8 +59,9 @@
 	return imported, nil
 }
 
-// CheckLayers lists what breaks the layers, one sentence each, in order: packages in no layer or
-// in two, layers with a package that does not exist, and imports of a higher layer.
+// CheckLayers lists what breaks the layers, one sentence each and sorted: packages in no layer or
+// in two, layers with a package that does not exist, and imports of a higher layer. imports has all
+// packages, as ReadImports returns them.
 func CheckLayers(layers []Layer, imports map[string][]string) []string {
 	var problems []string
 	rank := map[string]int{}
--- a/internal/ci/runtests/main.go
+++ b/internal/ci/runtests/main.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// runTests fails if the run does.
+// runTests runs `go test` with the arguments and returns an error if the run fails.
 func runTests(args []string, out io.Writer) error {
 	entries, err := loadKnownFailures()
 	if err != nil {
@@ -58,7 +58,8 @@
 	return knownred.Parse(file)
 }
 
-// printResult prints the result. A `go test` that failed without a known failure is an error.
+// printResult prints the result and returns an error if the run fails: by its events, or because
+// `go test` failed although no known failure explains that.
 func printResult(result *knownred.Result, exitErr error, out io.Writer) error {
 	for _, entry := range result.KnownFailures {
 		fmt.Fprintf(out, "known failure: %s: %s (issue %s)\n", entry.Test, entry.Cause, entry.Issue)
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,7 +1,7 @@
 // Package tracing writes spans of failovers with OpenTelemetry, one JSON object each, to a file
 // or standard error; docs/standby-operations.md describes them. Invariant: controllers that
 // observe the same failover give it the same trace id, so that their files can be read together.
-// Spans beyond a bound are dropped silently.
+// A process writes at most maxTraceBytes; later spans are dropped silently.
 package tracing
 
 import (
@@ -105,18 +105,19 @@
 	return trace.NewSpanContext(trace.SpanContextConfig{TraceID: traceID, SpanID: spanID, TraceFlags: trace.FlagsSampled, Remote: true})
 }
 
-// wallTime converts an instant of the steady clock to the time of day.
+// wallTime converts an instant of the steady clock to the time of day, by the present difference of
+// the two clocks.
 func wallTime(steadyTime clock.Micros) time.Time {
 	wallMicros := clock.WallTime() - (clock.Now() - steadyTime)
 	return time.UnixMicro(int64(wallMicros))
 }
 
-// boundedWriter drops what exceeds its bound, so that a process that is elected again and again
-// can't fill the disk.
+// boundedWriter drops the first write that exceeds its bound and all later ones, so that a process
+// that is elected again and again can't fill the disk. Write reports them as written.
 type boundedWriter struct {
 	mu             sync.Mutex // guards remainingBytes and the order of writes
 	destination    io.Writer
-	remainingBytes int
+	remainingBytes int // 0 from the first drop on
 }
 
 // Write implements io.Writer.
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// What exceeds the bound is dropped, and reported to the caller as written.
+// A write that exceeds the bound and all later ones are dropped, and reported as written.
 func TestBoundedWriterDropsExcess(t *testing.T) {
 	var out bytes.Buffer
 	writer := &boundedWriter{destination: &out, remainingBytes: 10}
