--- a/cmd/firwood/job.go
+++ b/cmd/firwood/job.go
@@ -83,7 +83,7 @@
 	}
 	var status wire.JobStatus
 	if err := status.UnmarshalJSON(response.Body); err != nil {
-		return err
+		return fmt.Errorf("the controller's answer cannot be decoded: %w", err)
 	}
 	fmt.Fprintf(out, "%s %s", status.ID, status.State)
 	if status.DoneTasks != nil && status.RunningTasks != nil {
--- a/cmd/firwood/request.go
+++ b/cmd/firwood/request.go
@@ -37,7 +37,10 @@
 	if response.Status != statusOK {
 		return fmt.Errorf("the controller answered %d", response.Status)
 	}
-	return json.Unmarshal(response.Body, value)
+	if err := json.Unmarshal(response.Body, value); err != nil {
+		return fmt.Errorf("the controller's answer cannot be decoded: %w", err)
+	}
+	return nil
 }
 
 // addNodeFlag gives a command, and those below it, the flag --node.
--- a/cmd/firwood/status.go
+++ b/cmd/firwood/status.go
@@ -26,7 +26,7 @@
 			}
 			var heartbeat wire.Heartbeat
 			if err := heartbeat.UnmarshalJSON(response.Body); err != nil {
-				return err
+				return fmt.Errorf("the worker's answer cannot be decoded: %w", err)
 			}
 			printWorkerStatus(cmd.OutOrStdout(), &heartbeat)
 			return nil
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -122,8 +122,8 @@
 
 // isPlausible rejects types that the scheduler can't calculate with.
 func isPlausible(machineType wire.MachineType) bool {
-	hasSize := machineType.CPUs > 0 && machineType.MemoryGB > 0 && !(machineType.GPUs < 0)
-	hasPrice := !(machineType.OnDemandPrice < 0) && !(machineType.SpotPrice < 0)
+	hasSize := machineType.CPUs > 0 && machineType.MemoryGB > 0 && machineType.GPUs >= 0
+	hasPrice := machineType.OnDemandPrice >= 0 && machineType.SpotPrice >= 0
 	return machineType.Name != "" && hasSize && hasPrice
 }
 
