--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -158,7 +158,8 @@
 	if len(bytes.TrimSpace(data)) > 0 {
 		if err := yaml.UnmarshalWithOptions(data, &tuning, yaml.Strict()); err != nil {
 			nameField(err)
-			return tuning, fmt.Errorf("not valid YAML: %s", yaml.FormatError(err, false, false))
+			const isColored, withSource = false, false
+			return tuning, fmt.Errorf("not valid YAML: %s", yaml.FormatError(err, isColored, withSource))
 		}
 	}
 	if problems := collectProblems(tuning.checks()); problems != nil {
--- a/internal/server/input.go
+++ b/internal/server/input.go
@@ -112,5 +112,6 @@
 	if errors.As(err, &httpError) {
 		status = httpError.Status
 	}
-	return http1.AppendResponse(output, status, ErrorBody(err.Error()), 0, true)
+	const retryAfter, closeAfter = 0, true
+	return http1.AppendResponse(output, status, ErrorBody(err.Error()), retryAfter, closeAfter)
 }
