--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -162,7 +162,7 @@
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
 	if cloud.isDown {
-		writeJSON(w, 503, wire.ErrorResponse{Error: "trouble"})
+		writeUnavailable(w)
 		return
 	}
 	switch r.URL.Path {
--- /dev/null
+++ b/internal/fake/store_http.go
@@ -0,0 +1,166 @@
+package fake
+
+import (
+	"net/http"
+	"net/url"
+	"sort"
+	"strconv"
+	"strings"
+	"time"
+
+	"firwood.dev/firwood/wire"
+)
+
+// maxKeysPerPage is how many keys a page of the listing holds at most.
+const maxKeysPerPage = 1000
+
+// ServeHTTP is the store's interface; faults of the caller come first.
+func (store *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	path, caller := r.URL.Path, HostOf(r.RemoteAddr)
+	if store.isRejected(caller, path) {
+		writeUnavailable(w)
+		return
+	}
+	switch {
+	case path == "/kv":
+		store.serveKeyPage(w, r.URL.Query())
+	case strings.HasPrefix(path, "/kv/"):
+		store.serveKey(w, strings.TrimPrefix(path, "/kv/"))
+	case path == "/txn":
+		store.serveTransaction(w, r, store.faults.byCaller[caller])
+	case path == "/grants":
+		store.serveLeaseGrant(w, r)
+	case strings.HasPrefix(path, "/grants/"):
+		store.serveLease(w, r.Method, strings.TrimPrefix(path, "/grants/"))
+	case path == "/watch":
+		store.serveWatch(w, caller, r.URL.Query())
+	default:
+		writeJSON(w, 404, struct{}{})
+	}
+}
+
+// serveKeyPage answers with a page of the keys below a prefix, in their order.
+func (store *Store) serveKeyPage(w http.ResponseWriter, query url.Values) {
+	limit, err := strconv.Atoi(query.Get("limit"))
+	if err != nil || limit > maxKeysPerPage {
+		limit = maxKeysPerPage
+	}
+	var names []string
+	for key := range store.keys {
+		if strings.HasPrefix(key, query.Get("under")) && key > query.Get("since") {
+			names = append(names, key)
+		}
+	}
+	sort.Strings(names)
+	page := wire.KeyPage{Revision: store.revision, KeyValues: []wire.KeyValue{}}
+	for _, key := range names {
+		if len(page.KeyValues) == limit {
+			page.HasMore = true
+			break
+		}
+		page.KeyValues = append(page.KeyValues, wire.KeyValue{Key: key, Value: []byte(store.keys[key].value), Version: store.keys[key].version})
+	}
+	writeJSON(w, 200, page)
+}
+
+// serveKey answers with one key, or with the revision at which it is missing.
+func (store *Store) serveKey(w http.ResponseWriter, key string) {
+	stored := store.keys[key]
+	if stored == nil {
+		writeJSON(w, 404, map[string]uint64{"ledger": store.revision})
+		return
+	}
+	writeJSON(w, 200, wire.KeyValue{Key: key, Value: []byte(stored.value), Version: stored.version, LeaseID: stored.lease})
+}
+
+// serveLeaseGrant grants a new lease.
+func (store *Store) serveLeaseGrant(w http.ResponseWriter, r *http.Request) {
+	var lease wire.LeaseRequest
+	if !readJSON(r, &lease) || lease.TTLMillis < 100 {
+		writeJSON(w, 400, struct{}{})
+		return
+	}
+	store.lastLeaseID++
+	ttl := time.Duration(lease.TTLMillis) * time.Millisecond
+	store.leases[store.lastLeaseID] = &storeLease{ttl, time.Now().Add(ttl)}
+	writeJSON(w, 200, wire.LeaseGrant{LeaseID: store.lastLeaseID})
+}
+
+// serveLease renews a lease, or revokes it if the method is DELETE.
+func (store *Store) serveLease(w http.ResponseWriter, method, path string) {
+	id, err := strconv.ParseUint(strings.TrimSuffix(path, "/renew"), 10, 64)
+	lease := store.leases[id]
+	if err != nil || lease == nil {
+		writeJSON(w, 404, struct{}{})
+		return
+	}
+	if method == "DELETE" {
+		store.removeLease(id)
+	} else {
+		lease.expiresAt = time.Now().Add(lease.ttl)
+	}
+	writeJSON(w, 200, struct{}{})
+}
+
+func (store *Store) serveTransaction(w http.ResponseWriter, r *http.Request, fault StoreFault) {
+	var transaction wire.Transaction
+	if !readJSON(r, &transaction) {
+		writeJSON(w, 400, struct{}{})
+		return
+	}
+	if !store.isWithinLimits(&transaction) {
+		store.oversizedCount++
+		writeJSON(w, 400, wire.ErrorResponse{Error: "too large"})
+		return
+	}
+	if store.isDelayed(&transaction) {
+		fault = StoreWritesDelayed
+	}
+	switch fault {
+	case StoreRepliesLost:
+		store.applyTransaction(transaction)
+		panic(http.ErrAbortHandler) // the connection ends without an answer
+	case StoreWritesDelayed:
+		time.AfterFunc(writeDelay, func() { store.ReapplyTransaction(transaction) })
+		panic(http.ErrAbortHandler)
+	}
+	switch failed, ok := store.applyTransaction(transaction); {
+	case !ok:
+		writeJSON(w, 400, wire.ErrorResponse{Error: "no such lease"})
+	case failed != nil:
+		writeJSON(w, 409, wire.TransactionResult{Revision: store.revision, FailedKeys: failed})
+	default:
+		writeJSON(w, 200, wire.TransactionResult{Revision: store.revision})
+	}
+}
+
+// serveWatch answers once a key has changed, or the time is over. In an outage it waits.
+func (store *Store) serveWatch(w http.ResponseWriter, caller string, query url.Values) {
+	since, err1 := strconv.ParseUint(query.Get("since"), 10, 64)
+	blockMs, err2 := strconv.Atoi(query.Get("blockMs"))
+	if err1 != nil || err2 != nil {
+		writeJSON(w, 400, struct{}{})
+		return
+	}
+	deadline, prefix := time.Now().Add(time.Duration(blockMs)*time.Millisecond), query.Get("under")
+	for !store.isClosed() {
+		answer := wire.WatchResponse{Revision: store.revision, Events: []wire.WatchEvent{}}
+		first := sort.Search(len(store.changeLog), func(i int) bool { return store.changeLog[i].event.Version > since })
+		for _, record := range store.changeLog[first:] {
+			if strings.HasPrefix(record.key, prefix) {
+				answer.Events = append(answer.Events, record.event)
+			}
+		}
+		if store.faults.byCaller[caller] == StoreReadsRejected {
+			writeUnavailable(w)
+			return
+		}
+		if !store.isOutOfService(caller) && (len(answer.Events) > 0 || !time.Now().Before(deadline)) {
+			writeJSON(w, 200, answer)
+			return
+		}
+		store.cond.Wait()
+	}
+}
