--- a/internal/e2e/deployment_test.go
+++ b/internal/e2e/deployment_test.go
@@ -276,7 +276,7 @@
 // checkRules fails the test if a rule was broken, or fewer tasks were started than expected.
 func (deployment *testDeployment) checkRules(t *testing.T, leastStarts int) {
 	t.Helper()
-	broken, starts := deployment.cloud.Violations()
+	broken, starts := deployment.cloud.Violations(), deployment.cloud.StartCount()
 	if len(broken) > 0 || starts < leastStarts {
 		t.Errorf("%d starts, broken: %v", starts, broken)
 	}
--- a/internal/e2e/leader_kill_test.go
+++ b/internal/e2e/leader_kill_test.go
@@ -101,11 +101,11 @@
 			defer close(cancelled)
 			deployment.cancel(t, deployment.members[others[1]], cancelledID)
 		}()
-		_, before := deployment.cloud.Violations()
+		before := deployment.cloud.StartCount()
 		after := next()
 		submit(deployment.members[others[0]], after, wire.KindArray, 2)
 		done = append(done, after)
-		waitFor(t, "a task starts", func() bool { _, starts := deployment.cloud.Violations(); return starts > before })
+		waitFor(t, "a task starts", func() bool { return deployment.cloud.StartCount() > before })
 		durations = append(durations, time.Since(killed).Round(10*time.Millisecond))
 		<-cancelled
 		leader.start(t, leader.cmd.Path)
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -2,85 +2,102 @@
 
 import (
 	"fmt"
-	"net/http"
-	"net/url"
+	"slices"
 	"sort"
-	"strconv"
 	"sync"
 	"time"
 
 	"firwood.dev/firwood/wire"
 )
 
-// Observer is told what happens on machines. Its methods are called in order, one
-// at a time, and must not call back.
+// Observer receives the starts and exits of tasks on machines, in order and one at a time.
+// Its methods run under the cloud's lock: they must not call the cloud.
 type Observer interface {
-	// RecordTaskStart tells that a task is on a machine from now on.
+	// RecordTaskStart is called when a task starts on a machine.
 	RecordTaskStart(machine wire.ListedMachine, task string)
-	// RecordTaskEnd tells that a task is not on a machine any more, and its cause on the
-	// wire.
+	// RecordTaskEnd is called when a task is no longer on a machine; the cause is the wire's
+	// (wire.ExitDone and its like).
 	RecordTaskEnd(machine, task, cause string)
 }
 
-// CloudConfig says what a cloud and its workers are like.
+// noObserver is the observer of a cloud that has none.
+type noObserver struct{}
+
+func (noObserver) RecordTaskStart(wire.ListedMachine, string) {}
+func (noObserver) RecordTaskEnd(_, _, _ string)               {}
+
+// CloudConfig describes a cloud and its workers.
 type CloudConfig struct {
+	// Network is what the cloud and its workers listen and dial on.
 	Network Network
-	// ControllerNames are the controllers in the order in which workers try them, and
-	// Controllers their addresses.
+	// ControllerNames are the controllers in the order in which workers try them,
+	// ControllerAddresses their addresses (host:port) by name.
 	ControllerNames     []string
 	ControllerAddresses map[string]string
 	MachineTypes        []wire.MachineType
-	// TaskDuration is how long a task runs; 0 is until it is stopped.
+	// TaskDuration returns how long a task runs; 0: until it is stopped.
 	TaskDuration func(task string) time.Duration
-	// LeaseTTL is the workers' lease, HeartbeatInterval the time between two reports.
+	// LeaseTTL is how long a worker runs tasks without an answered heartbeat,
+	// HeartbeatInterval the time between two heartbeats (PROTOCOL, workers).
 	LeaseTTL, HeartbeatInterval time.Duration
-	// BootDuration is how long a machine takes to come up.
+	// BootDuration is the time from a scale-out request to the machine's first heartbeat.
 	BootDuration time.Duration
-	// Observer, if not nil, is told of tasks.
+	// Observer, if not nil, receives the starts and exits of tasks.
 	Observer Observer
 }
 
-// CloudHost is the host of the cloud.
+// CloudHost is the host of the cloud's interface in a network.
 const CloudHost = "cloud"
 
-// Cloud rents machines whose workers run tasks without fetching images.
+// Cloud is a fake cloud: machines with workers that run tasks without fetching images.
 type Cloud struct {
-	Addr string
+	Addr string // host:port of its interface
 
 	cfg               CloudConfig
 	mu                sync.Mutex
-	violations        []string // what the rules forbid and was seen
+	isDown            bool // its interface answers 503
 	workers           map[string]*workerProcess
-	machinesByRequest map[string][]string
+	machinesByRequest map[string][]string // by scale-out request
 	nextMachineNumber int
-	startCount        int
-	done              chan struct{}
-	goroutines        sync.WaitGroup
-	workerByTask      map[string]*workerProcess // where each task runs that was started last
-	isDown            bool                      // its interface answers 503
-	zoneByMachine     sync.Map                  // zone by machine, of all that were ever rented
+	zoneByMachine     sync.Map // zone by machine, of every machine that ever booted; written by bootMachine only
+
+	// What is seen of tasks.
+	workerByTask map[string]*workerProcess // that last started each task, to detect duplicate execution
+	startCount   int
+	violations   []string // duplicate executions
+
+	// Lifecycle.
+	done       chan struct{}
+	goroutines sync.WaitGroup // the workers and the loop that advances them
 }
 
-// NewCloud starts a cloud on loopback; the function ends it.
-func NewCloud(names []string, controllers map[string]string, types []wire.MachineType, runFor, lease time.Duration) (*Cloud, func()) {
+// NewCloud starts a cloud on loopback, whose tasks all run for runFor and whose workers have
+// leases of leaseTTL; the function stops it.
+func NewCloud(names []string, controllers map[string]string, types []wire.MachineType, runFor, leaseTTL time.Duration) (*Cloud, func()) {
 	return NewCloudWithConfig(CloudConfig{
 		Network: Loopback{}, ControllerNames: names, ControllerAddresses: controllers, MachineTypes: types,
-		TaskDuration: func(string) time.Duration { return runFor }, LeaseTTL: lease, HeartbeatInterval: 300 * time.Millisecond,
+		TaskDuration: func(string) time.Duration { return runFor }, LeaseTTL: leaseTTL, HeartbeatInterval: 300 * time.Millisecond,
 	})
 }
 
-// advanceInterval is how often time acts on the machines.
+// advanceInterval is how often task ends and lease expiries are looked for.
 const advanceInterval = 50 * time.Millisecond
 
-// NewCloudWithConfig starts a cloud; the function ends it.
+// NewCloudWithConfig starts a cloud; the function stops it and its machines.
 func NewCloudWithConfig(cfg CloudConfig) (*Cloud, func()) {
-	cloud := &Cloud{cfg: cfg, workers: map[string]*workerProcess{}, workerByTask: map[string]*workerProcess{}, machinesByRequest: map[string][]string{}, done: make(chan struct{})}
-	var stop func()
-	cloud.Addr, stop = Serve(cfg.Network, CloudHost, cloud)
+	if cfg.Observer == nil {
+		cfg.Observer = noObserver{}
+	}
+	cloud := &Cloud{
+		cfg: cfg, workers: map[string]*workerProcess{}, machinesByRequest: map[string][]string{},
+		workerByTask: map[string]*workerProcess{}, done: make(chan struct{}),
+	}
+	var stopServing func()
+	cloud.Addr, stopServing = Serve(cfg.Network, CloudHost, cloud)
 	cloud.goroutines.Go(cloud.runAdvanceLoop)
 	return cloud, func() {
 		close(cloud.done)
-		stop()
+		stopServing()
 		cloud.mu.Lock()
 		for _, worker := range cloud.workers {
 			worker.stop()
@@ -90,7 +107,7 @@
 	}
 }
 
-// runAdvanceLoop lets time act on the machines until the end.
+// runAdvanceLoop ends tasks and leases that are due, until the cloud is stopped.
 func (cloud *Cloud) runAdvanceLoop() {
 	ticker := time.NewTicker(advanceInterval)
 	defer ticker.Stop()
@@ -108,15 +125,21 @@
 	}
 }
 
-// Violations returns what the rules forbid and was seen, and how many tasks were
-// started in all.
-func (cloud *Cloud) Violations() ([]string, int) {
+// Violations lists the starts of tasks that were running on another machine.
+func (cloud *Cloud) Violations() []string {
+	cloud.mu.Lock()
+	defer cloud.mu.Unlock()
+	return slices.Clone(cloud.violations)
+}
+
+// StartCount is how many tasks were started so far, each attempt counted.
+func (cloud *Cloud) StartCount() int {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
-	return append([]string(nil), cloud.violations...), cloud.startCount
+	return cloud.startCount
 }
 
-// MachineNames lists the machines that are up, in the order of their names.
+// MachineNames lists the machines that were not deleted, sorted.
 func (cloud *Cloud) MachineNames() []string {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -128,7 +151,7 @@
 	return names
 }
 
-// SetFault sets what is wrong with a machine.
+// SetFault sets the fault of a machine, in place of any other; MachineHealthy ends it.
 func (cloud *Cloud) SetFault(machine string, fault MachineFault) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -137,14 +160,14 @@
 	}
 }
 
-// SetDown begins or ends an outage of the cloud's interface; machines go on.
+// SetDown begins or ends an outage of the cloud's interface; machines keep running.
 func (cloud *Cloud) SetDown(down bool) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
 	cloud.isDown = down
 }
 
-// LastHeartbeats are the bodies of the newest reports that machines have sent.
+// LastHeartbeats are the bodies of the last heartbeat that each machine has sent.
 func (cloud *Cloud) LastHeartbeats() [][]byte {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -157,69 +180,7 @@
 	return bodies
 }
 
-// ServeHTTP is the cloud's interface.
-func (cloud *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	cloud.mu.Lock()
-	defer cloud.mu.Unlock()
-	if cloud.isDown {
-		writeUnavailable(w)
-		return
-	}
-	switch r.URL.Path {
-	case "/flavors":
-		writeJSON(w, 200, wire.MachineTypeList{Types: cloud.cfg.MachineTypes})
-	case "/hosts":
-		if r.Method == "GET" {
-			cloud.serveMachineList(w, r.URL.Query())
-			return
-		}
-		var request wire.ScaleOutRequest
-		if !readJSON(r, &request) || request.Count < 1 || request.Count > wire.MaxScaleOutCount {
-			writeJSON(w, 400, struct{}{})
-			return
-		}
-		if cloud.machinesByRequest[request.RequestID] == nil {
-			for i := 0; i < request.Count; i++ {
-				cloud.machinesByRequest[request.RequestID] = append(cloud.machinesByRequest[request.RequestID], cloud.bootMachine(request))
-			}
-		}
-		writeJSON(w, 200, wire.MachineIDs{IDs: cloud.machinesByRequest[request.RequestID]})
-	case "/hosts/delete":
-		var request wire.MachineIDs
-		if !readJSON(r, &request) {
-			writeJSON(w, 400, struct{}{})
-			return
-		}
-		for _, machine := range request.IDs {
-			cloud.deleteMachine(machine)
-		}
-		writeJSON(w, 200, struct{}{})
-	default:
-		writeJSON(w, 404, struct{}{})
-	}
-}
-
-// serveMachineList answers with a page of the machines, in the order of their names.
-func (cloud *Cloud) serveMachineList(w http.ResponseWriter, query url.Values) {
-	limit, err := strconv.Atoi(query.Get("limit"))
-	if err != nil || limit < 1 || limit > wire.MaxMachinesPerPage {
-		limit = wire.MaxMachinesPerPage
-	}
-	var names []string
-	for name := range cloud.workers {
-		if name > query.Get("since") {
-			names = append(names, name)
-		}
-	}
-	sort.Strings(names)
-	page := wire.MachineList{Machines: []wire.ListedMachine{}, HasMore: len(names) > limit}
-	for _, name := range names[:min(len(names), limit)] {
-		page.Machines = append(page.Machines, cloud.workers[name].listedMachine())
-	}
-	writeJSON(w, 200, page)
-}
-
-// deleteMachine ends a machine and everything on it. The lock is held.
+// deleteMachine deletes a machine with its tasks. The lock is held.
 func (cloud *Cloud) deleteMachine(name string) {
 	worker := cloud.workers[name]
 	if worker == nil {
@@ -231,16 +192,17 @@
 	delete(cloud.workers, name)
 }
 
+// bootMachine adds a machine and returns its name. The lock is held.
 func (cloud *Cloud) bootMachine(request wire.ScaleOutRequest) string {
 	worker := newWorker(cloud, request, fmt.Sprintf("i-%06d", cloud.nextMachineNumber))
 	cloud.nextMachineNumber++
-	cloud.workers[worker.name] = worker
-	cloud.zoneByMachine.Store(worker.name, request.Zone)
+	cloud.workers[worker.machine.ID] = worker
+	cloud.zoneByMachine.Store(worker.machine.ID, request.Zone)
 	cloud.goroutines.Go(worker.run)
-	return worker.name
+	return worker.machine.ID
 }
 
-// KillBusyMachine takes a machine that runs something away, without notice.
+// KillBusyMachine deletes a machine that runs a task, without notice; false if there is none.
 func (cloud *Cloud) KillBusyMachine() bool {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -255,7 +217,7 @@
 	return false
 }
 
-// Fail has a task end with an error, wherever it is.
+// Fail has a task exit with an error, on whatever machine it runs.
 func (cloud *Cloud) Fail(task string) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -267,7 +229,7 @@
 	}
 }
 
-// RunningTaskCount is how many tasks are on machines.
+// RunningTaskCount is how many tasks are on machines and have not exited.
 func (cloud *Cloud) RunningTaskCount() int {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -282,7 +244,7 @@
 	return count
 }
 
-// RunningTasks lists the tasks that are on machines, as "machine task".
+// RunningTasks lists the tasks that are on machines and have not exited, as "machine task", sorted.
 func (cloud *Cloud) RunningTasks() []string {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -298,8 +260,7 @@
 	return lines
 }
 
-// ZoneOf is the zone of a machine that is, or was, rented; empty if there is none
-// of the name.
+// ZoneOf is the zone of a machine, also of a deleted one; empty if no machine had that name.
 func (cloud *Cloud) ZoneOf(machine string) string {
 	zone, _ := cloud.zoneByMachine.Load(machine)
 	name, _ := zone.(string)
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -87,8 +87,7 @@
 }
 
 func (cluster *Cluster) taskStartCount() int {
-	_, starts := cluster.Cloud.Violations()
-	return starts
+	return cluster.Cloud.StartCount()
 }
 
 // waitForNextStart tells how long after now the next task starts.
