--- a/internal/fake/memory_network.go
+++ b/internal/fake/memory_network.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// MemoryNetwork is a network in memory, for tests in simulated time: hosts by name, links
-// that can be cut. A cut holds what was sent and delivers it once it is over, even
-// if the sender has given up meanwhile.
+// MemoryNetwork is a network in memory, for tests in simulated time: hosts by name, and links
+// that can be partitioned. A partition delays data until it heals, and delivers it then even if
+// the sender has given up meanwhile; it drops nothing.
 type MemoryNetwork struct {
 	mu           sync.Mutex
 	latency      time.Duration            // of each piece of data
-	extraLatency map[string]time.Duration // more than that, to and from a host
+	extraLatency map[string]time.Duration // added to it, to and from a host
 	listeners    map[string]*memoryListener
 	connections  map[string]map[net.Conn]bool // open ones, by host
 	partitions   map[string]LinkMatcher       // by name
 	lastPort     int
 }
 
-// LinkMatcher tells whether something holds between two hosts, in either order.
+// LinkMatcher reports whether the link between two hosts is meant. It must not depend on their order.
 type LinkMatcher func(a, b string) bool
 
-// LinkBetween is a pair of hosts.
+// LinkBetween matches the link of a pair of hosts, in both directions.
 func LinkBetween(a, b string) LinkMatcher {
 	return func(source, destination string) bool {
 		return source == a && destination == b || source == b && destination == a
@@ -41,21 +41,21 @@
 	}
 }
 
-// Partition begins a cut under a name, in place of any other of that name.
+// Partition begins a partition of a name, in place of any other of that name.
 func (network *MemoryNetwork) Partition(name string, links LinkMatcher) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	network.partitions[name] = links
 }
 
-// Heal ends the cut of a name.
+// Heal ends the partition of a name.
 func (network *MemoryNetwork) Heal(name string) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	delete(network.partitions, name)
 }
 
-// HealAll ends every cut.
+// HealAll ends every partition.
 func (network *MemoryNetwork) HealAll() {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -86,12 +86,16 @@
 	return false
 }
 
-// memoryAddr is an address; its text is "host:port".
+// memoryAddr is a net.Addr of the form "host:port".
 type memoryAddr string
 
-func (memoryAddr) Network() string  { return "memory" }
-func (a memoryAddr) String() string { return string(a) }
+// Network is the name of the network.
+func (memoryAddr) Network() string { return "memory" }
 
+// String is the address, "host:port".
+func (addr memoryAddr) String() string { return string(addr) }
+
+// memoryListener is a net.Listener of a host.
 type memoryListener struct {
 	network  *MemoryNetwork
 	host     string
@@ -122,7 +126,7 @@
 	return listener, nil
 }
 
-// CloseConnections closes every connection of a host, as its end would.
+// CloseConnections closes every connection of a host, as the end of its process would.
 func (network *MemoryNetwork) CloseConnections(host string) {
 	network.mu.Lock()
 	connections := network.connections[host]
@@ -133,7 +137,7 @@
 	}
 }
 
-// trackConnection notes an open connection of a host.
+// trackConnection records an open connection of a host.
 func (network *MemoryNetwork) trackConnection(host string, connection net.Conn) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -143,13 +147,14 @@
 	network.connections[host][connection] = true
 }
 
-// untrackConnection notes that a connection of a host is not open any more.
+// untrackConnection records that a connection of a host has closed.
 func (network *MemoryNetwork) untrackConnection(host string, connection net.Conn) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	delete(network.connections[host], connection)
 }
 
+// Accept waits for the next connection; it returns net.ErrClosed after Close.
 func (listener *memoryListener) Accept() (net.Conn, error) {
 	select {
 	case connection := <-listener.incoming:
@@ -159,6 +164,7 @@
 	}
 }
 
+// Close ends the listener; another one at the same address stays.
 func (listener *memoryListener) Close() error {
 	listener.once.Do(func() {
 		close(listener.done)
@@ -171,14 +177,16 @@
 	return nil
 }
 
+// Addr is the address that hosts dial.
 func (listener *memoryListener) Addr() net.Addr { return listener.addr }
 
-var errConnectionRefused = errors.New("standin: connection refused")
+var errConnectionRefused = errors.New("fake: connection refused")
 
-// partitionPollInterval is how often what a cut holds back looks whether it is over.
+// partitionPollInterval is how often data and dials that a partition delays look whether it has
+// healed.
 const partitionPollInterval = 20 * time.Millisecond
 
-// Dial connects a host to an address. In a cut it hangs until its time is over.
+// Dial connects a host to an address. In a partition it hangs until that heals, or the timeout.
 func (network *MemoryNetwork) Dial(host, address string, timeout time.Duration) (net.Conn, error) {
 	network.mu.Lock()
 	listener := network.listeners[address]
@@ -238,15 +246,16 @@
 	}
 }
 
-// memoryConn tells the accepting side who has dialled.
+// memoryConn is the accepting side of a connection; its remote address names the host that dialled.
 type memoryConn struct {
 	net.Conn
 	remote memoryAddr
 }
 
-func (c *memoryConn) RemoteAddr() net.Addr { return c.remote }
+// RemoteAddr is the address of the host that dialled.
+func (conn *memoryConn) RemoteAddr() net.Addr { return conn.remote }
 
-// HostOf is the host behind the remote address of a connection in memory.
+// HostOf is the host of a remote address, "host:port"; empty if it is not one.
 func HostOf(remote string) string {
 	host, _, err := net.SplitHostPort(remote)
 	if err != nil {
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Network is how stand-ins listen and call: over loopback, or in memory.
+// Network is how fakes listen and dial: over loopback (Loopback), or in memory (MemoryNetwork).
 type Network interface {
 	// Listen opens a listener of a host.
 	Listen(host string) (net.Listener, error)
@@ -16,7 +16,7 @@
 	Dial(host, address string, timeout time.Duration) (net.Conn, error)
 }
 
-// Loopback is the real network of this machine; it does not tell hosts apart.
+// Loopback is the loopback interface of this machine; it does not tell hosts apart.
 type Loopback struct{}
 
 // Listen opens a listener on a free port.
@@ -38,8 +38,8 @@
 	return listener.Addr().String(), func() { server.Close() }
 }
 
-// bufferResponse has a handler's answer written after it has returned: handlers hold
-// locks, and a peer behind a cut takes no data.
+// bufferResponse has a handler's response written after the handler has returned: handlers hold
+// locks, and a partitioned peer takes no data.
 func bufferResponse(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -1,6 +1,6 @@
-// Package fake owns our own stand-ins of the outside world: a state
-// service, a cloud and its workers, written from the published protocol, for
-// tests that run controllers on loopback, or in memory and simulated time.
+// Package fake implements the services that controllers depend on: a key-value store and a
+// cloud with workers, written from PROTOCOL. Tests run controllers against them on loopback,
+// or over a network in memory and in simulated time, and inject faults into them.
 package fake
 
 import (
@@ -18,11 +18,11 @@
 	Addr string // host:port of its interface
 
 	mu             sync.Mutex
-	cond           *sync.Cond // signals every change and every look at time, to watches
+	cond           *sync.Cond // wakes watches: on changes, faults, and every expiryInterval
 	revision       uint64
 	keys           map[string]*storedValue
 	changeLog      []changeRecord
-	transactions   []wire.Transaction // all that were carried out
+	transactions   []wire.Transaction // all that were applied and changed something
 	leases         map[uint64]*storeLease
 	lastLeaseID    uint64
 	limits         StoreLimits
@@ -31,32 +31,35 @@
 	done           chan struct{}
 }
 
+// storedValue is what the store keeps of a key.
 type storedValue struct {
 	value   json.RawMessage
-	version uint64
-	lease   uint64
+	version uint64 // the revision that wrote it
+	lease   uint64 // 0: none
 }
 
+// changeRecord is a change as watches get it.
 type changeRecord struct {
 	key   string
 	event wire.WatchEvent
 }
 
+// storeLease is a lease that has not expired yet.
 type storeLease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// NewStore starts a state service on loopback; the function ends it.
+// NewStore starts a store on loopback; the function stops it.
 func NewStore() (*Store, func()) { return NewStoreOnNetwork(Loopback{}) }
 
-// StoreHost is the host of the state service.
+// StoreHost is the host of the store in a network.
 const StoreHost = "state"
 
-// expiryInterval is how often leases and long polls are looked at.
+// expiryInterval is how often expired leases and watches whose time is over are looked for.
 const expiryInterval = 20 * time.Millisecond
 
-// NewStoreOnNetwork starts a state service on a network; the function ends it.
+// NewStoreOnNetwork starts a store on a network; the function stops it.
 func NewStoreOnNetwork(network Network) (*Store, func()) {
 	store := &Store{
 		keys: map[string]*storedValue{}, leases: map[uint64]*storeLease{}, faults: storeFaults{byCaller: map[string]StoreFault{}}, done: make(chan struct{}),
@@ -80,7 +83,8 @@
 	return store, func() { close(store.done); stop() }
 }
 
-// SetDown begins or ends an outage; after it every lease has its time again.
+// SetDown begins or ends an outage. Either gives every lease its whole TTL again, as PROTOCOL
+// has it at the end of an outage.
 func (store *Store) SetDown(down bool) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -105,7 +109,7 @@
 	return keys
 }
 
-// Value is what a key holds, empty if there is none.
+// Value is the value of a key, empty if the key does not exist.
 func (store *Store) Value(key string) string {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -115,20 +119,21 @@
 	return ""
 }
 
-// Transactions are those that were carried out so far.
+// Transactions are the transactions that were applied so far and changed something.
 func (store *Store) Transactions() []wire.Transaction {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	return append([]wire.Transaction(nil), store.transactions...)
 }
 
-// ReapplyTransaction carries a transaction out again, as a copy that comes late would be.
+// ReapplyTransaction applies a transaction again, as a delayed copy would be.
 func (store *Store) ReapplyTransaction(transaction wire.Transaction) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.applyTransaction(transaction)
 }
 
+// expireLeases removes expired leases, which an outage suspends, and wakes the watches.
 func (store *Store) expireLeases() {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -139,9 +144,10 @@
 			}
 		}
 	}
-	store.cond.Broadcast() // long polls look at their time
+	store.cond.Broadcast() // watches check their deadlines
 }
 
+// removeLease removes a lease and the keys bound to it. The lock is held.
 func (store *Store) removeLease(id uint64) {
 	delete(store.leases, id)
 	for key, stored := range store.keys {
@@ -154,8 +160,8 @@
 	store.cond.Broadcast()
 }
 
-// applyTransaction carries a transaction out, or tells which conditions failed; not ok means
-// that a lease is gone. The lock is held.
+// applyTransaction applies a transaction, or returns the keys whose conditions failed; not ok
+// means that a lease of it does not exist. The lock is held.
 func (store *Store) applyTransaction(transaction wire.Transaction) (_ []string, ok bool) {
 	for _, change := range transaction.Changes {
 		if change.PutKey != "" && change.LeaseID != 0 && store.leases[change.LeaseID] == nil {
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -8,24 +8,46 @@
 	"firwood.dev/firwood/wire"
 )
 
-// StoreFault is how the service treats one caller.
+// StoreFault is a fault of the store towards one caller, injected by a test.
 type StoreFault uint8
 
+// The faults of the store towards a caller.
 const (
-	// StoreHealthy: as usual.
+	// StoreHealthy is the absence of a fault.
 	StoreHealthy StoreFault = iota
-	// StoreRequestsRejected: each request gets 503, open watches wait.
+	// StoreRequestsRejected has each request answered with 503; open watches wait.
 	StoreRequestsRejected
-	// StoreRepliesLost: transactions are carried out, their answers are lost.
+	// StoreRepliesLost has transactions applied and their replies lost.
 	StoreRepliesLost
-	// StoreReadsRejected: reads and watches get 503, the rest is served.
+	// StoreReadsRejected has reads and watches answered with 503; the rest is served.
 	StoreReadsRejected
-	// StoreWritesDelayed: transactions get no answer and are carried out writeDelay later.
+	// StoreWritesDelayed has transactions get no reply and applied writeDelay later.
 	StoreWritesDelayed
-	// StoreRenewalsRejected: leases are neither granted nor renewed, the rest is served.
+	// StoreRenewalsRejected has leases neither granted nor renewed nor revoked; the rest is
+	// served.
 	StoreRenewalsRejected
 )
 
+// String is the fault's name in test names and messages.
+func (fault StoreFault) String() string {
+	switch fault {
+	case StoreHealthy:
+		return "healthy"
+	case StoreRequestsRejected:
+		return "requests_rejected"
+	case StoreRepliesLost:
+		return "replies_lost"
+	case StoreReadsRejected:
+		return "reads_rejected"
+	case StoreWritesDelayed:
+		return "writes_delayed"
+	case StoreRenewalsRejected:
+		return "renewals_rejected"
+	default:
+		return "unknown"
+	}
+}
+
 // storeFaults are the faults injected into a store.
 type storeFaults struct {
 	isDown        bool                  // an outage for every caller
@@ -33,10 +55,10 @@
 	delayedPrefix string                // writes to keys below it are delayed, whoever sends them; empty: none
 }
 
-// writeDelay is how late transactions are carried out that are to be late.
+// writeDelay is how late delayed transactions are applied.
 const writeDelay = 5 * time.Second
 
-// SetFault sets how the service treats a caller.
+// SetFault sets the fault towards a caller, in place of any other; StoreHealthy ends it.
 func (store *Store) SetFault(host string, fault StoreFault) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -44,21 +66,21 @@
 	store.cond.Broadcast()
 }
 
-// SetDelayedPrefix has transactions that write a key below a prefix get no answer and be
-// carried out late, whoever sends them; an empty prefix ends that.
+// SetDelayedPrefix delays transactions that write a key below a prefix, as StoreWritesDelayed
+// does, whoever sends them; an empty prefix ends that.
 func (store *Store) SetDelayedPrefix(prefix string) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.faults.delayedPrefix = prefix
 }
 
-// isOutOfService tells whether a caller gets nothing from the store: in an outage, or with its
+// isOutOfService reports whether a caller gets nothing from the store: in an outage, or with its
 // requests rejected. The lock is held.
 func (store *Store) isOutOfService(caller string) bool {
 	return store.faults.isDown || store.faults.byCaller[caller] == StoreRequestsRejected
 }
 
-// isRejected tells whether a request to a path gets 503. The lock is held.
+// isRejected reports whether a request to a path gets 503. The lock is held.
 func (store *Store) isRejected(caller, path string) bool {
 	if store.isOutOfService(caller) {
 		return true
@@ -73,7 +95,7 @@
 	}
 }
 
-// isDelayed tells whether a transaction is to be carried out late. The lock is held.
+// isDelayed reports whether a transaction writes a key below the delayed prefix. The lock is held.
 func (store *Store) isDelayed(transaction *wire.Transaction) bool {
 	if store.faults.delayedPrefix == "" {
 		return false
@@ -83,24 +105,27 @@
 	})
 }
 
-// StoreLimits bound what the service takes; 0 is no bound.
-type StoreLimits struct{ ValueBytes, TxnOps int }
+// StoreLimits bound transactions; 0 is no bound.
+type StoreLimits struct {
+	ValueBytes int // of each value that is put
+	TxnOps     int // changes of a transaction; it may have four times as many conditions
+}
 
-// SetLimits sets the bounds from now on; what is stored stays readable.
+// SetLimits sets the limits from now on; what is stored stays readable.
 func (store *Store) SetLimits(limits StoreLimits) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.limits = limits
 }
 
-// OversizedCount counts the transactions refused for their size.
+// OversizedCount is how many transactions were rejected for their size.
 func (store *Store) OversizedCount() int {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	return store.oversizedCount
 }
 
-// isWithinLimits tells whether a transaction is within the limits. The lock is held.
+// isWithinLimits reports whether a transaction is within the limits. The lock is held.
 func (store *Store) isWithinLimits(transaction *wire.Transaction) bool {
 	if store.limits.TxnOps > 0 && (len(transaction.Changes) > store.limits.TxnOps || len(transaction.Conditions) > 4*store.limits.TxnOps) {
 		return false
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -104,6 +104,7 @@
 	writeJSON(w, 200, struct{}{})
 }
 
+// serveTransaction applies a transaction, as the caller's fault has it. The lock is held.
 func (store *Store) serveTransaction(w http.ResponseWriter, r *http.Request, fault StoreFault) {
 	var transaction wire.Transaction
 	if !readJSON(r, &transaction) {
@@ -136,7 +137,8 @@
 	}
 }
 
-// serveWatch answers once a key has changed, or the time is over. In an outage it waits.
+// serveWatch answers once a key below the prefix has changed, or the time to block is over. In an
+// outage it waits. The lock is held, but not while it waits.
 func (store *Store) serveWatch(w http.ResponseWriter, caller string, query url.Values) {
 	since, err1 := strconv.ParseUint(query.Get("since"), 10, 64)
 	blockMs, err2 := strconv.Atoi(query.Get("blockMs"))
