--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -23,8 +23,11 @@
 // noObserver is the observer of a cloud that has none.
 type noObserver struct{}
 
+// RecordTaskStart does nothing.
 func (noObserver) RecordTaskStart(wire.ListedMachine, string) {}
-func (noObserver) RecordTaskEnd(_, _, _ string)               {}
+
+// RecordTaskEnd does nothing.
+func (noObserver) RecordTaskEnd(_, _, _ string) {}
 
 // CloudConfig describes a cloud and its workers.
 type CloudConfig struct {
--- /dev/null
+++ b/internal/protocoltest/checks.go
@@ -0,0 +1,129 @@
+package protocoltest
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"firwood.dev/firwood/wire"
+)
+
+// The lock of the checker is held in all functions of this file.
+
+// checkPlacement checks that a job allows a machine for one more task, given its other tasks.
+func (checker *Checker) checkPlacement(job *jobRecord, machine wire.ListedMachine, task string) {
+	if !allowsMachine(job.spec, machine) || !allowsZone(job, machine.Zone) {
+		checker.addViolation(PlacementViolated, "%s starts on %s (%s, %s, spot %v)", task, machine.ID, machine.MachineType, machine.Zone, machine.Spot)
+	}
+}
+
+// allowsMachine reports whether a job allows a machine, its other tasks apart.
+func allowsMachine(spec *wire.Job, machine wire.ListedMachine) bool {
+	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone {
+		return false
+	}
+	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, machine.MachineType)
+}
+
+// allowsZone reports whether one more task of a job may be in a zone, given where the others are.
+func allowsZone(job *jobRecord, zone string) bool {
+	inZone := 1
+	for _, other := range job.machineByTask {
+		if other.Zone == zone {
+			inZone++
+		} else if job.spec.SingleZone {
+			return false
+		}
+	}
+	return !job.spec.SpreadZones || inZone <= (job.spec.TaskCount+1)/2
+}
+
+// checkDependencies checks that all tasks are done of the jobs that a starting task's job names.
+func (checker *Checker) checkDependencies(job *jobRecord, task string) {
+	for _, id := range job.spec.DependsOn {
+		if dependency := checker.jobs[id]; dependency == nil || len(dependency.doneTasks) < dependency.spec.TaskCount {
+			checker.addViolation(DependencyNotDone, "%s starts before %s is done", task, id)
+		}
+	}
+}
+
+// checkQuota checks that a team's tasks on machines are within its quota.
+func (checker *Checker) checkQuota(team string) {
+	limit := checker.cfg.QuotaByTeam[team]
+	var cpus, gpus float64
+	for _, job := range checker.jobs {
+		if job.spec.Team == team {
+			cpus += float64(len(job.machineByTask)) * job.spec.CPUs
+			gpus += float64(len(job.machineByTask)) * job.spec.GPUs
+		}
+	}
+	if limit.CPUs > 0 && cpus > limit.CPUs || limit.GPUs > 0 && gpus > limit.GPUs {
+		checker.addViolation(QuotaExceeded, "%s uses %g CPUs and %g GPUs", team, cpus, gpus)
+	}
+}
+
+// checkLateStart counts a start after the confirmed cancellation of the job, which is a
+// violation once the grace is over.
+func (checker *Checker) checkLateStart(job *jobRecord, machine, task string) {
+	if job.finalState != wire.JobCancelled {
+		return
+	}
+	since := time.Since(job.finalStateAt)
+	checker.lateStarts = append(checker.lateStarts, fmt.Sprintf("%s on %s, %v after its job was cancelled", task, machine, since))
+	if since > checker.cfg.CancellationGrace {
+		checker.addViolation(CancelledTaskRan, "%s starts %v after its job was cancelled", task, since)
+	}
+}
+
+// checkOverdueCancellations finds tasks on machines whose jobs' cancellations were confirmed
+// longer ago than the grace; each job's once.
+func (checker *Checker) checkOverdueCancellations() {
+	for id, job := range checker.jobs {
+		if job.overdueReported || job.finalState != wire.JobCancelled || time.Since(job.finalStateAt) <= checker.cfg.CancellationGrace {
+			continue
+		}
+		job.overdueReported = true
+		for index, machine := range job.machineByTask {
+			checker.addViolation(CancelledTaskRan, "%s/%d is on %s %v after its job was cancelled", id, index, machine.ID, time.Since(job.finalStateAt))
+		}
+	}
+}
+
+// anyDependency reports whether a job matches that a job depends on, directly or through others.
+// It stops at the first one.
+func (checker *Checker) anyDependency(job *jobRecord, matches func(*jobRecord) bool) bool {
+	seen := map[*jobRecord]bool{job: true}
+	queue := []*jobRecord{job}
+	for len(queue) > 0 {
+		next := queue[len(queue)-1]
+		queue = queue[:len(queue)-1]
+		for _, id := range next.spec.DependsOn {
+			dependency := checker.jobs[id]
+			if dependency == nil || seen[dependency] {
+				continue
+			}
+			if matches(dependency) {
+				return true
+			}
+			seen[dependency] = true
+			queue = append(queue, dependency)
+		}
+	}
+	return false
+}
+
+// isCancellationExpected reports whether a user requested the cancellation of a job, or of one
+// that it depends on.
+func (checker *Checker) isCancellationExpected(job *jobRecord) bool {
+	return job.cancelRequested || checker.anyDependency(job, func(dependency *jobRecord) bool { return dependency.cancelRequested })
+}
+
+// dependencyCancelledAt returns when the cancellation of a job was confirmed that a job depends
+// on, and whether there is one.
+func (checker *Checker) dependencyCancelledAt(job *jobRecord) (at time.Time, cancelled bool) {
+	cancelled = checker.anyDependency(job, func(dependency *jobRecord) bool {
+		at = dependency.finalStateAt
+		return dependency.finalState == wire.JobCancelled
+	})
+	return at, cancelled
+}
