--- a/internal/protocoltest/checker_test.go
+++ b/internal/protocoltest/checker_test.go
@@ -27,8 +27,8 @@
 	return scenario
 }
 
-func (scenario singleJobScenario) recordState(stage string) {
-	scenario.RecordJobState(jobID, stage, time.Now())
+func (scenario singleJobScenario) recordState(state string) {
+	scenario.RecordJobState(jobID, state, time.Now())
 }
 
 func (scenario singleJobScenario) cancelJob() {
@@ -41,15 +41,15 @@
 	return wire.ListedMachine{ID: name, MachineType: "m", Zone: zone}
 }
 
-// Each rule is found broken where a history breaks it, and in no other history.
+// Each rule is found violated in a history that violates it, and in no other.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	const first, second = jobID + "/0", jobID + "/1"
 	for _, test := range []struct {
 		name string
-		rule Rule // empty: none is broken
+		rule Rule // violated; empty: none
 		play func(scenario singleJobScenario)
 	}{
-		{"a good day", "", func(scenario singleJobScenario) {
+		{"job runs to completion", "", func(scenario singleJobScenario) {
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 			scenario.RecordTaskStart(newMachine("i-2", "y"), second)
 			scenario.recordState(wire.JobRunning)
@@ -58,75 +58,75 @@
 			scenario.recordState(wire.JobDone)
 			scenario.recordState(wire.JobDone)
 		}},
-		{"a task moves", "", func(scenario singleJobScenario) {
+		{"task moves to another machine", "", func(scenario singleJobScenario) {
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 			scenario.RecordTaskEnd("i-1", first, wire.ExitStopped)
 			scenario.RecordTaskStart(newMachine("i-2", "y"), first)
 		}},
-		{"a task on two machines", DuplicateExecution, func(scenario singleJobScenario) {
+		{"task on two machines", DuplicateExecution, func(scenario singleJobScenario) {
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 			scenario.RecordTaskStart(newMachine("i-2", "x"), first)
 		}},
-		{"over the limit", QuotaExceeded, func(scenario singleJobScenario) {
+		{"team over its quota", QuotaExceeded, func(scenario singleJobScenario) {
 			scenario.spec.CPUs = 5
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 			scenario.RecordTaskStart(newMachine("i-2", "x"), second)
 		}},
-		{"another zone", PlacementViolated, func(scenario singleJobScenario) {
+		{"machine in another zone", PlacementViolated, func(scenario singleJobScenario) {
 			scenario.spec.Zone = "y"
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 		}},
-		{"another type", PlacementViolated, func(scenario singleJobScenario) {
+		{"machine of another type", PlacementViolated, func(scenario singleJobScenario) {
 			scenario.spec.MachineTypes = []string{"other"}
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 		}},
-		{"a spot machine", PlacementViolated, func(scenario singleJobScenario) {
+		{"spot machine not allowed", PlacementViolated, func(scenario singleJobScenario) {
 			machine := newMachine("i-1", "x")
 			machine.Spot = true
 			scenario.RecordTaskStart(machine, first)
 		}},
-		{"two zones", PlacementViolated, func(scenario singleJobScenario) {
+		{"single-zone job in two zones", PlacementViolated, func(scenario singleJobScenario) {
 			scenario.spec.SingleZone = true
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 			scenario.RecordTaskStart(newMachine("i-2", "y"), second)
 		}},
-		{"not spread", PlacementViolated, func(scenario singleJobScenario) {
+		{"spread job in one zone", PlacementViolated, func(scenario singleJobScenario) {
 			scenario.spec.SpreadZones = true
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 			scenario.RecordTaskStart(newMachine("i-2", "x"), second)
 		}},
-		{"a cancelled task stays", CancelledTaskRan, func(scenario singleJobScenario) {
+		{"cancelled task outlasts the grace", CancelledTaskRan, func(scenario singleJobScenario) {
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 			scenario.cancelJob()
 			time.Sleep(11 * time.Second)
 		}},
-		{"a cancelled task goes in time", "", func(scenario singleJobScenario) {
+		{"cancelled task ends within the grace", "", func(scenario singleJobScenario) {
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 			scenario.cancelJob()
 			time.Sleep(8 * time.Second)
 			scenario.RecordTaskEnd("i-1", first, wire.ExitStopped)
 			time.Sleep(8 * time.Second)
 		}},
-		{"a cancelled task starts much later", CancelledTaskRan, func(scenario singleJobScenario) {
+		{"cancelled task starts after the grace", CancelledTaskRan, func(scenario singleJobScenario) {
 			scenario.cancelJob()
 			time.Sleep(11 * time.Second)
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 		}},
-		{"an accepted job is not found", AcceptedJobLost, func(scenario singleJobScenario) { scenario.RecordRejection(jobID, 404, time.Now()) }},
-		{"a job that nobody submitted", UnknownJob, func(scenario singleJobScenario) { scenario.RecordJobState("req-000002", wire.JobPending, time.Now()) }},
-		{"done too early", IncompleteJobDone, func(scenario singleJobScenario) { scenario.recordState(wire.JobDone) }},
-		{"cancelled, then running", StateRegressed, func(scenario singleJobScenario) {
+		{"accepted job is not found", AcceptedJobLost, func(scenario singleJobScenario) { scenario.RecordRejection(jobID, 404, time.Now()) }},
+		{"job that nobody submitted", UnknownJob, func(scenario singleJobScenario) { scenario.RecordJobState("req-000002", wire.JobPending, time.Now()) }},
+		{"job done before its tasks", IncompleteJobDone, func(scenario singleJobScenario) { scenario.recordState(wire.JobDone) }},
+		{"cancelled job is running again", StateRegressed, func(scenario singleJobScenario) {
 			scenario.cancelJob()
 			scenario.recordState(wire.JobRunning)
 		}},
-		{"cancelled without being asked", StateRegressed, func(scenario singleJobScenario) { scenario.recordState(wire.JobCancelled) }},
-		{"started before what it needs", DependencyNotDone, func(scenario singleJobScenario) {
+		{"cancellation that nobody requested", StateRegressed, func(scenario singleJobScenario) { scenario.recordState(wire.JobCancelled) }},
+		{"task starts before the dependency is done", DependencyNotDone, func(scenario singleJobScenario) {
 			scenario.RecordSubmission(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 			scenario.RecordTaskEnd("i-1", first, wire.ExitDone)
 			scenario.RecordTaskStart(newMachine("i-1", "x"), "req-000002/0")
 		}},
-		{"started after what it needs", "", func(scenario singleJobScenario) {
+		{"task starts after the dependency is done", "", func(scenario singleJobScenario) {
 			scenario.RecordSubmission(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
 			for _, task := range []string{first, second} {
 				scenario.RecordTaskStart(newMachine("i-1", "x"), task)
@@ -134,21 +134,21 @@
 			}
 			scenario.RecordTaskStart(newMachine("i-1", "x"), "req-000002/0")
 		}},
-		{"cancelled with what it needs", "", func(scenario singleJobScenario) {
+		{"dependent is cancelled with its dependency", "", func(scenario singleJobScenario) {
 			scenario.RecordSubmission(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
 			scenario.cancelJob()
 			scenario.RecordJobState("req-000002", wire.JobPending, time.Now())
 			time.Sleep(11 * time.Second)
 			scenario.RecordJobState("req-000002", wire.JobCancelled, time.Now())
 		}},
-		{"not cancelled with what it needs", DependentNotCancelled, func(scenario singleJobScenario) {
+		{"dependent is not cancelled with its dependency", DependentNotCancelled, func(scenario singleJobScenario) {
 			scenario.RecordSubmission(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{"req-000003"}})
 			scenario.RecordSubmission(&wire.Job{ID: "req-000003", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
 			scenario.cancelJob()
 			time.Sleep(11 * time.Second)
 			scenario.RecordJobState("req-000002", wire.JobPending, time.Now())
 		}},
-		{"a question that was on its way", "", func(scenario singleJobScenario) {
+		{"read sent before the cancellation was confirmed", "", func(scenario singleJobScenario) {
 			sentAt := time.Now()
 			scenario.cancelJob()
 			scenario.RecordJobState(jobID, wire.JobPending, sentAt)
@@ -170,14 +170,14 @@
 	}
 }
 
-// Starts after a confirmed cancellation are counted though they break no rule yet.
+// Starts after a confirmed cancellation are counted though they violate no rule within the grace.
 func TestLateStartsAreCountedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		scenario := newScenario()
 		scenario.cancelJob()
 		scenario.RecordTaskStart(newMachine("i-1", "x"), jobID+"/0")
 		if len(scenario.LateStarts()) != 1 || len(scenario.Violations()) != 0 {
-			t.Fatalf("late starts %v, broken %v", scenario.LateStarts(), scenario.Violations())
+			t.Fatalf("late starts %v, violations %v", scenario.LateStarts(), scenario.Violations())
 		}
 	})
 }
