--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -103,7 +103,7 @@
 // One-task jobs come four a second, a quarter of them cancelled: each is answered
 // and comes to its end.
 func TestManySmallJobs(t *testing.T) {
-	Run(t, Options{TaskDuration: 3 * time.Second, WriteRPS: 30}, func(cluster *Cluster) {
+	Run(t, Options{TaskDuration: 3 * time.Second, Limits: Limits{WriteRPS: 30}}, func(cluster *Cluster) {
 		// Large arrays whose tasks end all the time have much progress to write.
 		for i := 1001; i <= 1012; i++ {
 			cluster.MustSubmit("n0", Array(i, 60, "a"))
--- a/internal/sim/dependencies_test.go
+++ b/internal/sim/dependencies_test.go
@@ -75,7 +75,7 @@
 		cluster.MustSubmit("n1", dependentArray(25, "a", 20))
 		for _, member := range cluster.Members() {
 			for i := 1; i <= 25; i++ {
-				cluster.WaitForState(member, jobIDOf(i), wire.JobCancelled, cluster.options.CancellationGrace)
+				cluster.WaitForState(member, jobIDOf(i), wire.JobCancelled, cluster.options.Workers.CancellationGrace)
 			}
 		}
 		cluster.WaitForRunningTasks(jobIDOf(1), 0)
@@ -144,7 +144,7 @@
 // all the same, nothing is refused for its size, and a change of the leader finds it.
 func TestStoreLimitsAreLowered(t *testing.T) {
 	next := &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 10, WriteRPS: 40}
-	Run(t, Options{NextLimits: next, TaskDuration: 3 * time.Second}, func(cluster *Cluster) {
+	Run(t, Options{Limits: Limits{UpcomingStore: next}, TaskDuration: 3 * time.Second}, func(cluster *Cluster) {
 		const awaited = 300
 		last := Array(1000, 1, "a")
 		for i := 1; i <= awaited; i++ {
@@ -176,7 +176,7 @@
 // cancelled with their roots as the leader ends, and users go on submitting. Every
 // controller says the same of each, submissions are answered in time, and the others end.
 func TestManyDependentJobs(t *testing.T) {
-	Run(t, Options{TaskDuration: 2 * time.Second, WriteRPS: 200}, func(cluster *Cluster) {
+	Run(t, Options{TaskDuration: 2 * time.Second, Limits: Limits{WriteRPS: 200}}, func(cluster *Cluster) {
 		lastJobNumber := 0
 		submit := func(awaits ...int) int {
 			lastJobNumber++
@@ -219,7 +219,7 @@
 		cluster.Start(leader)
 		for _, member := range cluster.Members() {
 			for _, i := range cancelled {
-				cluster.WaitForState(member, jobIDOf(i), wire.JobCancelled, cluster.options.CancellationGrace)
+				cluster.WaitForState(member, jobIDOf(i), wire.JobCancelled, cluster.options.Workers.CancellationGrace)
 			}
 		}
 		for _, i := range kept {
--- a/internal/sim/failover_test.go
+++ b/internal/sim/failover_test.go
@@ -26,7 +26,7 @@
 		cluster.Start(leader)
 		for i := 1; i <= 7; i++ {
 			id := fmt.Sprintf("req-%06d", i)
-			cluster.WaitFor(id+" is gone", cluster.options.CancellationGrace, func() bool { return len(cluster.MachinesRunning(id)) == 0 })
+			cluster.WaitFor(id+" is gone", cluster.options.Workers.CancellationGrace, func() bool { return len(cluster.MachinesRunning(id)) == 0 })
 		}
 		cluster.WaitForRunningTasks("req-000008", 1)
 	})
@@ -100,7 +100,7 @@
 				cluster.Start("n0")
 				cluster.Start("n2")
 				cluster.WaitForRunningTasks("req-000002", 2)
-				cluster.WaitFor("the cancelled tasks are gone", cluster.options.CancellationGrace, func() bool { return len(cluster.MachinesRunning("req-000001")) == 0 })
+				cluster.WaitFor("the cancelled tasks are gone", cluster.options.Workers.CancellationGrace, func() bool { return len(cluster.MachinesRunning("req-000001")) == 0 })
 			})
 		})
 	}
@@ -148,7 +148,7 @@
 			time.Sleep(10 * time.Second)
 		}
 		for i := 1; i <= 2; i++ {
-			cluster.WaitFor(jobIDOf(i)+" is gone", cluster.options.CancellationGrace, func() bool { return len(cluster.MachinesRunning(jobIDOf(i))) == 0 })
+			cluster.WaitFor(jobIDOf(i)+" is gone", cluster.options.Workers.CancellationGrace, func() bool { return len(cluster.MachinesRunning(jobIDOf(i))) == 0 })
 		}
 		cluster.WaitForRunningTasks(jobIDOf(4), 3)
 	})
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"time"
 
 	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/internal/server"
@@ -81,13 +80,6 @@
 	}
 }
 
-// Restart ends a controller's life and begins another one a while later.
-func (cluster *Cluster) Restart(name string, delay time.Duration) {
-	cluster.Crash(name)
-	time.Sleep(delay)
-	cluster.Start(name)
-}
-
 // nextMember is the controller that a worker tries after another.
 func (cluster *Cluster) nextMember(name string) string {
 	nodes := cluster.Members()
--- a/internal/sim/finished_jobs_test.go
+++ b/internal/sim/finished_jobs_test.go
@@ -19,7 +19,7 @@
 
 // smallCacheOptions is a deployment whose controllers remember few finished jobs.
 func smallCacheOptions() Options {
-	return Options{CachedFinishedJobs: cachedJobCount, TaskDuration: time.Second, WriteRPS: 2000}
+	return Options{FinishedJobs: FinishedJobOptions{CachedCount: cachedJobCount}, TaskDuration: time.Second, Limits: Limits{WriteRPS: 2000}}
 }
 
 // finishJobs has many more jobs finish than controllers remember; one in ten is cancelled.
@@ -211,7 +211,7 @@
 // come again. All the while every controller knows every job, also one that has just begun.
 func TestFinishedJobsAreArchived(t *testing.T) {
 	options := smallCacheOptions()
-	options.ArchiveAfter = archiveAfter
+	options.FinishedJobs.ArchiveAfter = archiveAfter
 	Run(t, options, func(cluster *Cluster) {
 		cluster.finishJobs()
 		submissions := cluster.Store.Transactions()
@@ -228,7 +228,7 @@
 		cluster.getAllJobs()
 		cluster.checkDependencyOnArchivedJob()
 
-		cluster.options.MembersWithoutArchive = cluster.Members()
+		cluster.options.FinishedJobs.NotArchivedBy = cluster.Members()
 		cluster.restartAllMembers()
 		cluster.injectFaultsWhileArchiving()
 		cluster.WaitFor("all records are back", 10*time.Minute, func() bool {
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -18,8 +18,8 @@
 // fleetOptions describes a deployment that has room for so many machines.
 func fleetOptions(machines int) Options {
 	return Options{
-		TaskDuration: longTaskDuration, HeartbeatInterval: 6 * time.Second, BootDuration: 5 * time.Second,
-		CloudRPS: 20, WriteRPS: 200, MaxSockets: machines + machines/6 + 64, Logger: controllerLogger(),
+		TaskDuration: longTaskDuration, BootDuration: 5 * time.Second, Workers: WorkerTimes{HeartbeatInterval: 6 * time.Second},
+		Limits: Limits{CloudRPS: 20, WriteRPS: 200, MaxSockets: machines + machines/6 + 64}, Logger: controllerLogger(),
 	}
 }
 
@@ -137,6 +137,6 @@
 		fleet.MustCancel("n2", job.ID)
 		fleet.taskCount -= job.TaskCount
 	}
-	fleet.waitForAllRunning("after cancellations", fleet.options.CancellationGrace)
+	fleet.waitForAllRunning("after cancellations", fleet.options.Workers.CancellationGrace)
 	fleet.t.Logf("%d machines in the end", len(fleet.Cloud.MachineNames()))
 }
--- a/internal/sim/generated_history_test.go
+++ b/internal/sim/generated_history_test.go
@@ -63,7 +63,7 @@
 		job = Array(number, 1+history.random.IntN(4), team)
 		switch history.random.IntN(4) {
 		case 0:
-			job.Zone = history.pickName(history.options.Zones)
+			job.Zone = history.pickName(zones)
 		case 1:
 			job.SingleZone = true
 		}
@@ -171,7 +171,7 @@
 	case 7:
 		history.injectFault(history.randomDuration(5, 50), func(active bool) { history.PartitionFromWorkers(member, active) })
 	case 8:
-		zone := history.pickName(history.options.Zones)
+		zone := history.pickName(zones)
 		history.injectFault(history.randomDuration(5, 60), func(active bool) { history.PartitionZone(zone, active) })
 	case 9:
 		history.injectFault(history.randomDuration(2, 50), machineFault(fake.MachineHanging))
@@ -248,7 +248,7 @@
 		if history.GetJob("n0", id).JobState() == wire.JobDone {
 			continue
 		}
-		history.WaitFor("no task of "+id+" is on a machine", history.options.CancellationGrace, func() bool { return len(history.MachinesRunning(id)) == 0 })
+		history.WaitFor("no task of "+id+" is on a machine", history.options.Workers.CancellationGrace, func() bool { return len(history.MachinesRunning(id)) == 0 })
 	}
 }
 
@@ -261,7 +261,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			options := Options{Logger: controllerLogger()}
 			if seed%3 == 0 {
-				options.LeaseTTL, options.CancellationGrace, options.HeartbeatInterval = 14*time.Second, 44*time.Second, 2*time.Second
+				options.Workers = WorkerTimes{LeaseTTL: 14 * time.Second, CancellationGrace: 44 * time.Second, HeartbeatInterval: 2 * time.Second}
 			}
 			Run(t, options, func(cluster *Cluster) {
 				history := &generatedHistory{
--- a/internal/sim/isolated_leader_test.go
+++ b/internal/sim/isolated_leader_test.go
@@ -48,7 +48,7 @@
 func TestPartitionedLeaderThenStoreOutage(t *testing.T) {
 	for _, times := range []struct{ lease, cancellation time.Duration }{{36 * time.Second, 66 * time.Second}, {14 * time.Second, 44 * time.Second}} {
 		t.Run(fmt.Sprint(times.lease), func(t *testing.T) {
-			Run(t, Options{TaskDuration: longTaskDuration, LeaseTTL: times.lease, CancellationGrace: times.cancellation}, func(cluster *Cluster) {
+			Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{LeaseTTL: times.lease, CancellationGrace: times.cancellation}}, func(cluster *Cluster) {
 				cluster.MustSubmit("n0", Array(1, 4, "a"))
 				cluster.WaitForRunningTasks("req-000001", 4)
 				leader := rejectLeaderRequests(cluster)
@@ -80,7 +80,7 @@
 		cluster.PartitionFromPeers(leader, true)
 		cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
 		cluster.Store.SetDown(true)
-		time.Sleep(cluster.options.CancellationGrace + 20*time.Second)
+		time.Sleep(cluster.options.Workers.CancellationGrace + 20*time.Second)
 		cluster.Store.SetFault(leader, fake.StoreReadsRejected)
 		cluster.Store.SetDown(false)
 		time.Sleep(8 * time.Second)
@@ -96,7 +96,7 @@
 // time back, and then reads are refused: however new the view is, what was cancelled
 // between the last read and the outage is not known, and nothing is started.
 func TestLeaseRegainedWithRecentView(t *testing.T) {
-	Run(t, Options{TaskDuration: longTaskDuration, HeartbeatInterval: time.Second / 2}, func(cluster *Cluster) {
+	Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{HeartbeatInterval: time.Second / 2}}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 8, "b"))
 		cluster.WaitForRunningTasks(jobIDOf(1), 8)
 		cluster.MustSubmit("n0", Array(2, 2, "b")) // over the team's limit, so it waits
@@ -144,7 +144,7 @@
 				if peersReachable {
 					cluster.WaitFor("another leads", 20*time.Second, func() bool { return cluster.Leader() != "" && cluster.Leader() != leader })
 				}
-				time.Sleep(cluster.options.CancellationGrace + 5*time.Second)
+				time.Sleep(cluster.options.Workers.CancellationGrace + 5*time.Second)
 				if on := cluster.MachinesRunning("req-000002"); peersReachable && len(on) != 2 {
 					t.Errorf("%d of 2 other tasks run", len(on))
 				}
@@ -192,7 +192,7 @@
 func TestPartitionedLeaderKeepsWorkers(t *testing.T) {
 	for _, times := range []struct{ lease, cancellation time.Duration }{{36 * time.Second, 66 * time.Second}, {14 * time.Second, 44 * time.Second}} {
 		t.Run(fmt.Sprint(times.lease), func(t *testing.T) {
-			Run(t, Options{TaskDuration: longTaskDuration, LeaseTTL: times.lease, CancellationGrace: times.cancellation}, func(cluster *Cluster) {
+			Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{LeaseTTL: times.lease, CancellationGrace: times.cancellation}}, func(cluster *Cluster) {
 				cluster.MustSubmit("n0", Array(1, 4, "a"))
 				cluster.MustSubmit("n0", Service(2, 2, "a"))
 				cluster.WaitForRunningTasks(jobIDOf(1), 4)
@@ -206,7 +206,7 @@
 				if response := cluster.GetJob(isolated, jobIDOf(1)); response.JobState() != "" {
 					t.Errorf("the old leader answers %q", response.JobState())
 				}
-				cluster.WaitFor("the tasks are gone", cluster.options.CancellationGrace, func() bool { return len(cluster.MachinesRunning(jobIDOf(1))) == 0 })
+				cluster.WaitFor("the tasks are gone", cluster.options.Workers.CancellationGrace, func() bool { return len(cluster.MachinesRunning(jobIDOf(1))) == 0 })
 				// The new leader takes the leases for over, and starts the replicas again.
 				time.Sleep(times.lease)
 				cluster.PartitionFromStore(isolated, false)
--- a/internal/sim/stale_heartbeats_test.go
+++ b/internal/sim/stale_heartbeats_test.go
@@ -120,6 +120,6 @@
 			cluster.Cloud.SetFault(machine, fake.MachineHealthy)
 		}
 		cluster.WaitForRunningTasks("req-000002", 4)
-		cluster.WaitFor("the cancelled tasks are gone", cluster.options.CancellationGrace, func() bool { return len(cluster.MachinesRunning("req-000001")) == 0 })
+		cluster.WaitFor("the cancelled tasks are gone", cluster.options.Workers.CancellationGrace, func() bool { return len(cluster.MachinesRunning("req-000001")) == 0 })
 	})
 }
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -69,7 +69,7 @@
 // that keeps none, while a machine hangs now and then.
 func TestFailoversBetweenVersions(t *testing.T) {
 	options, _ := limitedTeamOptions(true)
-	options.MembersWithoutStandby = []string{"n1"}
+	options.Standby.ExceptFor = []string{"n1"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 60, "b"))
 		cluster.MustSubmit("n0", Array(2, 20, "a"))
@@ -116,7 +116,7 @@
 func TestFollowersCrashDuringSnapshot(t *testing.T) {
 	const machines = 160
 	options := fleetOptions(machines)
-	options.Standby = true
+	options.Standby.Enabled = true
 	failovers := &failoverRecorder{}
 	options.Logger = failovers.logger()
 	Run(t, options, func(cluster *Cluster) {
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -75,7 +75,7 @@
 // which four are on a machine that hangs when the leader ends.
 func limitedTeamOptions(standby bool) (Options, *failoverRecorder) {
 	failovers := &failoverRecorder{}
-	return Options{Standby: standby, TaskDuration: 15 * time.Second, TaskDurationStep: 300 * time.Millisecond, Logger: failovers.logger()}, failovers
+	return Options{Standby: StandbyOptions{Enabled: standby}, TaskDuration: 15 * time.Second, TaskDurationStep: 300 * time.Millisecond, Logger: failovers.logger()}, failovers
 }
 
 // hangOneMachine waits until the team's first tasks run, and has one machine hang.
@@ -185,7 +185,7 @@
 // the leader before says nothing of what was started since.
 func TestLeaderWithoutReplicaInBetween(t *testing.T) {
 	options, failovers := limitedTeamOptions(true)
-	options.MembersWithoutStandby = []string{"n2"}
+	options.Standby.ExceptFor = []string{"n2"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
 		cluster.MustSubmit("n0", Array(1, 40, "b"))
@@ -214,7 +214,7 @@
 // which has the whole job in doubt, and starts nothing of it before that is over.
 func TestLeaderCrashesWithUnconfirmedTasks(t *testing.T) {
 	options, failovers := limitedTeamOptions(true)
-	options.MembersWithoutStandby = []string{"n0"}
+	options.Standby.ExceptFor = []string{"n0"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
 		cluster.hangOneMachine()
@@ -253,7 +253,7 @@
 // start, end and are cancelled: the checker watches, and nothing waits for long.
 func TestRepeatedFailoversWithReplicas(t *testing.T) {
 	failovers := &failoverRecorder{}
-	Run(t, Options{Standby: true, TaskDuration: 12 * time.Second, TaskDurationStep: 200 * time.Millisecond, Logger: failovers.logger()}, func(cluster *Cluster) {
+	Run(t, Options{Standby: StandbyOptions{Enabled: true}, TaskDuration: 12 * time.Second, TaskDurationStep: 200 * time.Millisecond, Logger: failovers.logger()}, func(cluster *Cluster) {
 		for i := range 12 {
 			cluster.MustSubmit(cluster.Members()[i%3], Array(i+1, 6, []string{"a", "b"}[i%2]))
 			time.Sleep([]time.Duration{300 * time.Millisecond, 4 * time.Second, 20 * time.Second}[i%3])
--- a/internal/sim/store_transactions_test.go
+++ b/internal/sim/store_transactions_test.go
@@ -131,7 +131,7 @@
 // New machines are up at once while writes lag, and the leader ends: no task is on a
 // machine that the next leader may not know of when it starts the task again.
 func TestFastBootWithDelayedWrites(t *testing.T) {
-	Run(t, Options{BootDuration: 200 * time.Millisecond, HeartbeatInterval: time.Second, TaskDuration: longTaskDuration}, func(cluster *Cluster) {
+	Run(t, Options{BootDuration: 200 * time.Millisecond, Workers: WorkerTimes{HeartbeatInterval: time.Second}, TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		leader := cluster.Leader()
 		// Once a rental is recorded, the names that the cloud gives are not written for
 		// seconds; the next leader learns them when it asks for the same rental again.
--- a/internal/sim/successive_failovers_test.go
+++ b/internal/sim/successive_failovers_test.go
@@ -126,7 +126,7 @@
 // begins with everything in doubt, and the chain goes on from there.
 func TestSuccessiveFailoversThroughLeaderWithoutReplica(t *testing.T) {
 	options, failovers := limitedTeamOptions(true)
-	options.MembersWithoutStandby = []string{"n2"}
+	options.Standby.ExceptFor = []string{"n2"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
 		cluster.hangOneMachine()
--- a/internal/sim/zone_partition_test.go
+++ b/internal/sim/zone_partition_test.go
@@ -24,7 +24,7 @@
 				}
 				time.Sleep(2 * time.Second)
 				cluster.MustCancel(outside, inside.ID)
-				time.Sleep(cluster.options.CancellationGrace + time.Second)
+				time.Sleep(cluster.options.Workers.CancellationGrace + time.Second)
 				cluster.PartitionZone(zone, false)
 				cluster.WaitForRunningTasks(everywhere.ID, 4)
 			})
