--- a/internal/sim/client.go
+++ b/internal/sim/client.go
@@ -45,10 +45,13 @@
 // userTimeout is how long a user waits for an answer.
 const userTimeout = 5 * time.Second
 
+// JobID is the ID of the job of a number.
+func JobID(number int) string { return fmt.Sprintf("req-%06d", number) }
+
 // Array describes an array of a team.
 func Array(number, tasks int, team string) *wire.Job {
 	return &wire.Job{
-		ID: fmt.Sprintf("req-%06d", number), Class: "c", Team: team, Kind: wire.KindArray, Priority: "standard",
+		ID: JobID(number), Class: "c", Team: team, Kind: wire.KindArray, Priority: "standard",
 		TaskCount: tasks, CPUs: 2, MemoryGB: 1, Image: "img", ImageSizeGB: 0.1, EstimatedRunSeconds: 20,
 	}
 }
@@ -120,16 +123,17 @@
 	})
 }
 
-// MustCancel cancels a job.
-func (cluster *Cluster) MustCancel(name, id string) {
+// MustRun submits a job and waits until all its tasks are on machines.
+func (cluster *Cluster) MustRun(name string, job *wire.Job) {
 	cluster.t.Helper()
-	cluster.WaitFor(id+" is cancelled", time.Minute, func() bool { return cluster.Cancel(name, id).JobState() == wire.JobCancelled })
+	cluster.MustSubmit(name, job)
+	cluster.WaitForRunningTasks(job.ID, job.TaskCount)
 }
 
-// WaitForRunningTasks waits until so many tasks of a job are on machines.
-func (cluster *Cluster) WaitForRunningTasks(id string, tasks int) {
+// MustCancel cancels a job.
+func (cluster *Cluster) MustCancel(name, id string) {
 	cluster.t.Helper()
-	cluster.WaitFor(fmt.Sprintf("%d tasks of %s run", tasks, id), 2*time.Minute, func() bool { return len(cluster.MachinesRunning(id)) == tasks })
+	cluster.WaitFor(id+" is cancelled", time.Minute, func() bool { return cluster.Cancel(name, id).JobState() == wire.JobCancelled })
 }
 
 // WaitForState waits until a controller tells a state of a job.
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -59,7 +59,7 @@
 		clock.ResetOrigin()
 		cluster := startCluster(t, options)
 		defer cluster.close()
-		cluster.WaitFor("a leader is elected", 30*time.Second, func() bool { return cluster.Leader() != "" })
+		cluster.WaitForLeader(30 * time.Second)
 		run(cluster)
 		cluster.FailOnViolations()
 	})
@@ -156,6 +156,18 @@
 	cluster.t.Fatalf("not within %v: %s", timeout, description)
 }
 
+// WaitForRunningTasks waits until so many tasks of a job are on machines.
+func (cluster *Cluster) WaitForRunningTasks(id string, tasks int) {
+	cluster.t.Helper()
+	cluster.WaitFor(fmt.Sprintf("%d tasks of %s run", tasks, id), 2*time.Minute, func() bool { return len(cluster.MachinesRunning(id)) == tasks })
+}
+
+// WaitForNoTasks waits until no task of a job is on a machine.
+func (cluster *Cluster) WaitForNoTasks(id string, timeout time.Duration) {
+	cluster.t.Helper()
+	cluster.WaitFor("no task of "+id+" is on a machine", timeout, func() bool { return len(cluster.MachinesRunning(id)) == 0 })
+}
+
 // FailOnViolations fails the test if a rule was violated.
 func (cluster *Cluster) FailOnViolations() {
 	cluster.t.Helper()
--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -1,7 +1,6 @@
 package sim
 
 import (
-	"fmt"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -22,8 +21,7 @@
 	Run(t, Options{TaskDuration: 2 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 60; i++ {
 			job := Array(i, 1, "a")
-			cluster.MustSubmit("n0", job)
-			cluster.WaitForRunningTasks(job.ID, 1)
+			cluster.MustRun("n0", job)
 			for len(cluster.MachinesRunning(job.ID)) > 0 {
 				time.Sleep(time.Millisecond)
 			}
@@ -78,8 +76,7 @@
 // hang, and the leader changes: cancelled tasks that may still run count.
 func TestQuotaCountsCancelledTasksOnFaultyMachines(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
-		cluster.MustSubmit("n0", Array(1, 8, "b"))
-		cluster.WaitForRunningTasks("req-000001", 8)
+		cluster.MustRun("n0", Array(1, 8, "b"))
 		cluster.MustSubmit("n1", Array(2, 8, "b"))
 		for i, machine := range cluster.Cloud.MachineNames() {
 			if i%2 == 0 {
@@ -92,9 +89,7 @@
 		cluster.MustCancel("n1", "req-000001")
 		cluster.Restart(cluster.Leader(), 5*time.Second)
 		time.Sleep(20 * time.Second)
-		for _, machine := range cluster.Cloud.MachineNames() {
-			cluster.Cloud.SetFault(machine, fake.MachineHealthy)
-		}
+		cluster.SetFaultOnAllMachines(fake.MachineHealthy)
 		cluster.Network.HealAll()
 		cluster.WaitForRunningTasks("req-000002", 8)
 	})
@@ -126,7 +121,7 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		for i := 1; i <= jobs; i++ {
-			id := fmt.Sprintf("req-%06d", i)
+			id := JobID(i)
 			cluster.WaitFor(id+" is over", time.Minute, func() bool {
 				s := cluster.GetJob(cluster.Members()[i%3], id).JobState()
 				return s == wire.JobDone || s == wire.JobCancelled
@@ -149,7 +144,7 @@
 		time.Sleep(10 * time.Second)
 		cluster.Restart(cluster.Leader(), 3*time.Second)
 		for i := 1; i <= 12; i++ {
-			cluster.WaitForState("n1", fmt.Sprintf("req-%06d", i), wire.JobDone, 3*time.Minute)
+			cluster.WaitForState("n1", JobID(i), wire.JobDone, 3*time.Minute)
 		}
 	})
 }
--- a/internal/sim/dependencies_test.go
+++ b/internal/sim/dependencies_test.go
@@ -1,7 +1,6 @@
 package sim
 
 import (
-	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -15,13 +14,11 @@
 func dependentArray(number int, team string, awaits ...int) *wire.Job {
 	job := Array(number, 2, team)
 	for _, n := range awaits {
-		job.DependsOn = append(job.DependsOn, jobIDOf(n))
+		job.DependsOn = append(job.DependsOn, JobID(n))
 	}
 	return job
 }
 
-func jobIDOf(number int) string { return fmt.Sprintf("req-%06d", number) }
-
 // A pipeline runs in order, over changes of the leader, across teams; what waits is
 // pending and holds nothing of its team's limit.
 func TestDependencyOrder(t *testing.T) {
@@ -31,9 +28,8 @@
 		cluster.MustSubmit("n1", dependentArray(2, "b", 1))
 		cluster.MustSubmit("n2", dependentArray(3, "a", 2))
 		cluster.MustSubmit("n0", dependentArray(4, "b", 1, 3))
-		cluster.MustSubmit("n1", Array(5, 2, "b")) // the whole limit, while 2 and 4 wait
-		cluster.WaitForRunningTasks(jobIDOf(5), 2)
-		if s := cluster.GetJob("n2", jobIDOf(4)).JobState(); s != wire.JobPending {
+		cluster.MustRun("n1", Array(5, 2, "b")) // the whole limit, while 2 and 4 wait
+		if s := cluster.GetJob("n2", JobID(4)).JobState(); s != wire.JobPending {
 			t.Errorf("a waiting job is %q", s)
 		}
 		for range 4 {
@@ -41,10 +37,10 @@
 			time.Sleep(15 * time.Second)
 		}
 		for i := 1; i <= 5; i++ {
-			cluster.WaitForState("n2", jobIDOf(i), wire.JobDone, 3*time.Minute)
+			cluster.WaitForState("n2", JobID(i), wire.JobDone, 3*time.Minute)
 		}
 		cluster.MustSubmit("n2", dependentArray(6, "a", 1, 4)) // long after those that it needs
-		cluster.WaitForState("n0", jobIDOf(6), wire.JobDone, time.Minute)
+		cluster.WaitForState("n0", JobID(6), wire.JobDone, time.Minute)
 	})
 }
 
@@ -59,12 +55,12 @@
 		for i := 10; i <= 20; i++ {
 			cluster.MustSubmit(cluster.Members()[i%3], dependentArray(i, "a", 1))
 		}
-		cluster.WaitForRunningTasks(jobIDOf(1), 2)
+		cluster.WaitForRunningTasks(JobID(1), 2)
 		leader := rejectLeaderRequests(cluster)
 		for i := 21; i <= 24; i++ {
 			go cluster.MustSubmit(cluster.OtherMembers(leader)[i%2], dependentArray(i, "a", 9))
 		}
-		cluster.MustCancel(cluster.OtherMembers(leader)[0], jobIDOf(1))
+		cluster.MustCancel(cluster.OtherMembers(leader)[0], JobID(1))
 		cluster.Crash(leader)
 		time.Sleep(100 * time.Millisecond)
 		cluster.Store.SetDown(true)
@@ -75,10 +71,10 @@
 		cluster.MustSubmit("n1", dependentArray(25, "a", 20))
 		for _, member := range cluster.Members() {
 			for i := 1; i <= 25; i++ {
-				cluster.WaitForState(member, jobIDOf(i), wire.JobCancelled, cluster.options.Workers.CancellationGrace)
+				cluster.WaitForState(member, JobID(i), wire.JobCancelled, cluster.options.Workers.CancellationGrace)
 			}
 		}
-		cluster.WaitForRunningTasks(jobIDOf(1), 0)
+		cluster.WaitForRunningTasks(JobID(1), 0)
 		// The derived ends become durable too.
 		cluster.WaitFor("every record says so", time.Minute, func() bool {
 			for i := 1; i <= 25; i++ {
@@ -95,7 +91,7 @@
 	var record struct {
 		State string `json:"s"`
 	}
-	if err := unmarshalJSON(cluster.Store.Value("firwood/job/"+jobIDOf(number)), &record); err != nil {
+	if err := unmarshalJSON(cluster.Store.Value("firwood/job/"+JobID(number)), &record); err != nil {
 		return false
 	}
 	return record.State == wire.JobCancelled
@@ -106,11 +102,11 @@
 	Run(t, Options{}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 1, "a"))
 		cluster.MustSubmit("n1", dependentArray(2, "a", 1))
-		cluster.WaitForState("n2", jobIDOf(1), wire.JobDone, time.Minute)
-		if s := cluster.Cancel("n0", jobIDOf(1)).JobState(); s != wire.JobDone {
+		cluster.WaitForState("n2", JobID(1), wire.JobDone, time.Minute)
+		if s := cluster.Cancel("n0", JobID(1)).JobState(); s != wire.JobDone {
 			t.Errorf("cancelled after its end: %q", s)
 		}
-		cluster.WaitForState("n2", jobIDOf(2), wire.JobDone, time.Minute)
+		cluster.WaitForState("n2", JobID(2), wire.JobDone, time.Minute)
 	})
 }
 
@@ -149,7 +145,7 @@
 		last := Array(1000, 1, "a")
 		for i := 1; i <= awaited; i++ {
 			cluster.MustSubmit(cluster.Members()[i%3], Array(i, 1, "a"))
-			last.DependsOn = append(last.DependsOn, jobIDOf(i))
+			last.DependsOn = append(last.DependsOn, JobID(i))
 			if i == awaited/2 {
 				cluster.Store.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 10})
 			}
@@ -204,7 +200,7 @@
 		cluster.Cloud.SetDown(true) // nothing starts while they come
 		first, second := submit(), submit()
 		cancelled, kept := pipelines(first), pipelines(second)
-		go cluster.MustCancel(cluster.OtherMembers(leader)[0], jobIDOf(first))
+		go cluster.MustCancel(cluster.OtherMembers(leader)[0], JobID(first))
 		time.Sleep(50 * time.Millisecond)
 		cluster.Crash(leader)
 		cluster.Cloud.SetDown(false)
@@ -219,11 +215,11 @@
 		cluster.Start(leader)
 		for _, member := range cluster.Members() {
 			for _, i := range cancelled {
-				cluster.WaitForState(member, jobIDOf(i), wire.JobCancelled, cluster.options.Workers.CancellationGrace)
+				cluster.WaitForState(member, JobID(i), wire.JobCancelled, cluster.options.Workers.CancellationGrace)
 			}
 		}
 		for _, i := range kept {
-			cluster.WaitForState(cluster.Members()[i%3], jobIDOf(i), wire.JobDone, 10*time.Minute)
+			cluster.WaitForState(cluster.Members()[i%3], JobID(i), wire.JobDone, 10*time.Minute)
 		}
 	})
 }
--- a/internal/sim/failover_test.go
+++ b/internal/sim/failover_test.go
@@ -20,13 +20,13 @@
 		others := cluster.OtherMembers(leader)
 		cluster.Crash(leader)
 		for i := 1; i <= 7; i++ {
-			go cluster.MustCancel(others[i%2], fmt.Sprintf("req-%06d", i))
+			go cluster.MustCancel(others[i%2], JobID(i))
 			time.Sleep(time.Second)
 		}
 		cluster.Start(leader)
 		for i := 1; i <= 7; i++ {
-			id := fmt.Sprintf("req-%06d", i)
-			cluster.WaitFor(id+" is gone", cluster.options.Workers.CancellationGrace, func() bool { return len(cluster.MachinesRunning(id)) == 0 })
+			id := JobID(i)
+			cluster.WaitForNoTasks(id, cluster.options.Workers.CancellationGrace)
 		}
 		cluster.WaitForRunningTasks("req-000008", 1)
 	})
@@ -38,11 +38,9 @@
 	for name, fault := range map[string]fake.MachineFault{"hanging": fake.MachineHanging, "deaf": fake.MachineCommandsLost, "mute": fake.MachineHeartbeatsLost, "slow": fake.MachineSlow} {
 		t.Run(name, func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
-				cluster.MustSubmit("n0", Array(1, 8, "a"))
-				cluster.WaitForRunningTasks("req-000001", 8)
+				cluster.MustRun("n0", Array(1, 8, "a"))
 				machines := cluster.Cloud.MachineNames()
-				cluster.MustSubmit("n0", Array(2, 1, "a")) // on a machine that has room for more
-				cluster.WaitForRunningTasks("req-000002", 1)
+				cluster.MustRun("n0", Array(2, 1, "a")) // on a machine that has room for more
 				for _, machine := range machines {
 					cluster.Cloud.SetFault(machine, fault)
 				}
@@ -76,7 +74,7 @@
 			time.Sleep(11 * time.Second)
 		}
 		for i := 1; i <= 4; i++ {
-			cluster.WaitForState("n2", fmt.Sprintf("req-%06d", i), wire.JobDone, 2*time.Minute)
+			cluster.WaitForState("n2", JobID(i), wire.JobDone, 2*time.Minute)
 		}
 	})
 }
@@ -100,7 +98,7 @@
 				cluster.Start("n0")
 				cluster.Start("n2")
 				cluster.WaitForRunningTasks("req-000002", 2)
-				cluster.WaitFor("the cancelled tasks are gone", cluster.options.Workers.CancellationGrace, func() bool { return len(cluster.MachinesRunning("req-000001")) == 0 })
+				cluster.WaitForNoTasks("req-000001", cluster.options.Workers.CancellationGrace)
 			})
 		})
 	}
@@ -113,16 +111,16 @@
 		for i := 1; i <= 4; i++ {
 			cluster.MustSubmit("n0", Array(i, 2+i%2, "a"))
 		}
-		cluster.WaitForRunningTasks(jobIDOf(4), 2)
+		cluster.WaitForRunningTasks(JobID(4), 2)
 		for range 5 {
 			time.Sleep(6 * time.Second)
 			cluster.Restart(cluster.Leader(), 500*time.Millisecond)
 			for i := 1; i <= 4; i++ {
-				go cluster.GetJob("n0", jobIDOf(i))
+				go cluster.GetJob("n0", JobID(i))
 			}
 		}
 		for i := 1; i <= 4; i++ {
-			cluster.WaitForState("n1", jobIDOf(i), wire.JobDone, 3*time.Minute)
+			cluster.WaitForState("n1", JobID(i), wire.JobDone, 3*time.Minute)
 		}
 		if again := cluster.Checker.Reruns(); len(again) > 0 {
 			t.Errorf("done tasks are started again: %v", again)
@@ -137,19 +135,19 @@
 		for i := 1; i <= 4; i++ {
 			cluster.MustSubmit("n0", Array(i, 3, "a"))
 		}
-		cluster.WaitForRunningTasks(jobIDOf(4), 3)
+		cluster.WaitForRunningTasks(JobID(4), 3)
 		for i := 1; i <= 2; i++ {
 			leader := cluster.Leader()
 			cluster.PartitionFromWorkers(leader, true)
 			time.Sleep(3 * time.Second)
-			go cluster.MustCancel(leader, jobIDOf(i))
-			cluster.WaitFor("another leads", time.Minute, func() bool { current := cluster.Leader(); return current != "" && current != leader })
+			go cluster.MustCancel(leader, JobID(i))
+			cluster.WaitForNewLeader(leader, time.Minute)
 			cluster.PartitionFromWorkers(leader, false)
 			time.Sleep(10 * time.Second)
 		}
 		for i := 1; i <= 2; i++ {
-			cluster.WaitFor(jobIDOf(i)+" is gone", cluster.options.Workers.CancellationGrace, func() bool { return len(cluster.MachinesRunning(jobIDOf(i))) == 0 })
+			cluster.WaitForNoTasks(JobID(i), cluster.options.Workers.CancellationGrace)
 		}
-		cluster.WaitForRunningTasks(jobIDOf(4), 3)
+		cluster.WaitForRunningTasks(JobID(4), 3)
 	})
 }
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -43,6 +43,13 @@
 	})
 }
 
+// SetFaultOnAllMachines sets the fault of every machine that there is now.
+func (cluster *Cluster) SetFaultOnAllMachines(fault fake.MachineFault) {
+	for _, machine := range cluster.Cloud.MachineNames() {
+		cluster.Cloud.SetFault(machine, fault)
+	}
+}
+
 func (cluster *Cluster) isController(host string) bool {
 	for _, member := range cluster.members {
 		if member.name == host {
--- a/internal/sim/finished_jobs_test.go
+++ b/internal/sim/finished_jobs_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	for i := range finishedJobCount {
-		id := jobID(i)
+		id := JobID(i)
 		cluster.WaitFor(id+" is over", time.Minute, func() bool {
 			stage := cluster.GetJob("n0", id).JobState()
 			return stage == wire.JobDone || stage == wire.JobCancelled
@@ -41,8 +41,6 @@
 	time.Sleep(5 * time.Second)
 }
 
-func jobID(number int) string { return fmt.Sprintf("req-%06d", number) }
-
 // Controllers that have forgotten most finished jobs say the same of them as ever, at once
 // and to many: their end, also to a repeated submission and cancellation, and 404 only of
 // what nobody has submitted. The checker watches. So do controllers that come back.
@@ -57,7 +55,7 @@
 		for _, name := range cluster.Members() {
 			cluster.Restart(name, time.Second)
 		}
-		cluster.WaitFor("another leads", time.Minute, func() bool { return cluster.Leader() != "" })
+		cluster.WaitForLeader(time.Minute)
 		t.Logf("%s led, now %s does", leader, cluster.Leader())
 		time.Sleep(5 * time.Second)
 		cluster.getAllJobs()
@@ -77,8 +75,8 @@
 		statuses <- ""
 	}
 	for i := range many {
-		go get(jobID(i), 200)
-		go get(jobID(500000+i), 404)
+		go get(JobID(i), 200)
+		go get(JobID(500000+i), 404)
 	}
 	for range 2 * many {
 		if failure := <-statuses; failure != "" {
@@ -90,7 +88,7 @@
 // getAllJobs asks every controller about every job, each job at all controllers at once.
 func (cluster *Cluster) getAllJobs() {
 	for i := range finishedJobCount {
-		id, failures := jobID(i), make(chan string, 3)
+		id, failures := JobID(i), make(chan string, 3)
 		for _, name := range cluster.Members() {
 			go func() {
 				if response := cluster.GetJob(name, id); response.Status != 200 || response.JobState() != wire.JobDone && response.JobState() != wire.JobCancelled {
@@ -116,7 +114,7 @@
 		}
 	}
 	for i := range 50 {
-		id := jobID(500000 + i)
+		id := JobID(500000 + i)
 		if response := cluster.GetJob(cluster.Members()[i%3], id); response.Status != 404 {
 			cluster.t.Errorf("a job that nobody submitted: %d", response.Status)
 		}
@@ -131,7 +129,7 @@
 		cluster.finishJobs()
 		var done, cancelled string
 		for i := range finishedJobCount / 3 {
-			switch id := jobID(i); cluster.GetJob("n1", id).JobState() {
+			switch id := JobID(i); cluster.GetJob("n1", id).JobState() {
 			case wire.JobDone:
 				done = id
 			case wire.JobCancelled:
@@ -139,7 +137,7 @@
 			}
 		}
 		for i := range 2 * cachedJobCount { // so that these are forgotten again
-			cluster.GetJob("n1", jobID(finishedJobCount-1-i))
+			cluster.GetJob("n1", JobID(finishedJobCount-1-i))
 		}
 		afterDone, afterCancelled, afterUnknown := Array(600001, 1, "a"), Array(600002, 1, "a"), Array(600003, 1, "a")
 		afterDone.DependsOn, afterCancelled.DependsOn, afterUnknown.DependsOn = []string{done}, []string{cancelled, done}, []string{"req-700000"}
@@ -150,7 +148,7 @@
 			cluster.WaitForState(name, afterCancelled.ID, wire.JobCancelled, 20*time.Second)
 		}
 		for i := range 2 * cachedJobCount {
-			cluster.GetJob("n1", jobID(finishedJobCount-1-i))
+			cluster.GetJob("n1", JobID(finishedJobCount-1-i))
 		}
 		later := Array(600004, 1, "a")
 		later.DependsOn = afterDone.DependsOn
@@ -176,8 +174,8 @@
 		began := time.Now()
 		for i := range 60 {
 			name := cluster.Members()[i%3]
-			if response := cluster.GetJob(name, jobID(i)); response.Status == 404 {
-				t.Errorf("%s does not know %s", name, jobID(i))
+			if response := cluster.GetJob(name, JobID(i)); response.Status == 404 {
+				t.Errorf("%s does not know %s", name, JobID(i))
 			}
 			if response := cluster.Submit(name, Array(i, 1, "a")); response.Status != 503 && response.Status != 200 {
 				t.Errorf("submitted again: %d", response.Status)
@@ -188,7 +186,7 @@
 		}
 		cluster.Store.SetDown(false)
 		time.Sleep(5 * time.Second)
-		cluster.WaitForState("n0", jobID(1), wire.JobDone, 10*time.Second)
+		cluster.WaitForState("n0", JobID(1), wire.JobDone, 10*time.Second)
 	})
 }
 
@@ -270,7 +268,7 @@
 	for _, name := range cluster.Members() {
 		cluster.Restart(name, time.Second)
 	}
-	cluster.WaitFor("somebody leads", time.Minute, func() bool { return cluster.Leader() != "" })
+	cluster.WaitForLeader(time.Minute)
 	time.Sleep(5 * time.Second)
 }
 
@@ -278,8 +276,8 @@
 func (cluster *Cluster) checkDependencyOnArchivedJob() {
 	job := Array(600001, 1, "a")
 	for i := range finishedJobCount {
-		if cluster.GetJob("n1", jobID(i)).JobState() == wire.JobDone {
-			job.DependsOn = []string{jobID(i)}
+		if cluster.GetJob("n1", JobID(i)).JobState() == wire.JobDone {
+			job.DependsOn = []string{JobID(i)}
 			break
 		}
 	}
--- a/internal/sim/generated_history_test.go
+++ b/internal/sim/generated_history_test.go
@@ -248,7 +248,7 @@
 		if history.GetJob("n0", id).JobState() == wire.JobDone {
 			continue
 		}
-		history.WaitFor("no task of "+id+" is on a machine", history.options.Workers.CancellationGrace, func() bool { return len(history.MachinesRunning(id)) == 0 })
+		history.WaitForNoTasks(id, history.options.Workers.CancellationGrace)
 	}
 }
 
--- a/internal/sim/isolated_leader_test.go
+++ b/internal/sim/isolated_leader_test.go
@@ -30,7 +30,7 @@
 		time.Sleep(500 * time.Millisecond)
 		cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
 		cluster.Store.SetDown(true)
-		cluster.WaitFor("the tasks are gone", 3*time.Second, func() bool { return len(cluster.MachinesRunning("req-000001")) == 0 })
+		cluster.WaitForNoTasks("req-000001", 3*time.Second)
 		time.Sleep(80 * time.Second)
 		cluster.Store.SetFault(leader, fake.StoreHealthy)
 		cluster.Store.SetDown(false)
@@ -49,8 +49,7 @@
 	for _, times := range []struct{ lease, cancellation time.Duration }{{36 * time.Second, 66 * time.Second}, {14 * time.Second, 44 * time.Second}} {
 		t.Run(fmt.Sprint(times.lease), func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{LeaseTTL: times.lease, CancellationGrace: times.cancellation}}, func(cluster *Cluster) {
-				cluster.MustSubmit("n0", Array(1, 4, "a"))
-				cluster.WaitForRunningTasks("req-000001", 4)
+				cluster.MustRun("n0", Array(1, 4, "a"))
 				leader := rejectLeaderRequests(cluster)
 				cluster.PartitionFromPeers(leader, true)
 				cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
@@ -97,8 +96,7 @@
 // between the last read and the outage is not known, and nothing is started.
 func TestLeaseRegainedWithRecentView(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{HeartbeatInterval: time.Second / 2}}, func(cluster *Cluster) {
-		cluster.MustSubmit("n0", Array(1, 8, "b"))
-		cluster.WaitForRunningTasks(jobIDOf(1), 8)
+		cluster.MustRun("n0", Array(1, 8, "b"))
 		cluster.MustSubmit("n0", Array(2, 2, "b")) // over the team's limit, so it waits
 		time.Sleep(time.Second)
 		leader := cluster.Leader()
@@ -107,13 +105,13 @@
 		time.Sleep(4 * time.Second)
 		cluster.Store.SetFault(leader, fake.StoreRequestsRejected)
 		time.Sleep(100 * time.Millisecond) // the last read has come back
-		cluster.MustCancel(cluster.OtherMembers(leader)[0], jobIDOf(2))
+		cluster.MustCancel(cluster.OtherMembers(leader)[0], JobID(2))
 		cluster.Store.SetDown(true)
 		time.Sleep(2 * time.Second) // the entitlement ends
 		cluster.Store.SetFault(leader, fake.StoreReadsRejected)
 		cluster.Store.SetDown(false)
 		for i := range 8 {
-			cluster.Cloud.Fail(wire.TaskID(jobIDOf(1), i)) // there is room for the other job
+			cluster.Cloud.Fail(wire.TaskID(JobID(1), i)) // there is room for the other job
 			time.Sleep(time.Second / 2)
 		}
 		cluster.Store.SetFault(leader, fake.StoreHealthy)
@@ -142,7 +140,7 @@
 				time.Sleep(time.Second)
 				cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
 				if peersReachable {
-					cluster.WaitFor("another leads", 20*time.Second, func() bool { return cluster.Leader() != "" && cluster.Leader() != leader })
+					cluster.WaitForNewLeader(leader, 20*time.Second)
 				}
 				time.Sleep(cluster.options.Workers.CancellationGrace + 5*time.Second)
 				if on := cluster.MachinesRunning("req-000002"); peersReachable && len(on) != 2 {
@@ -168,17 +166,17 @@
 		var confirmed [6]atomic.Bool
 		for i := 1; i <= 5; i++ {
 			go func() {
-				confirmed[i].Store(cluster.Cancel(cluster.OtherMembers(leader)[i%2], jobIDOf(i)).JobState() == wire.JobCancelled)
+				confirmed[i].Store(cluster.Cancel(cluster.OtherMembers(leader)[i%2], JobID(i)).JobState() == wire.JobCancelled)
 			}()
 		}
 		time.Sleep(time.Second)
 		cluster.Store.SetDown(true)
 		for i := 1; i <= 5; i++ {
 			if !confirmed[i].Load() {
-				t.Errorf("%s is not cancelled before the outage", jobIDOf(i))
+				t.Errorf("%s is not cancelled before the outage", JobID(i))
 			}
 			// The others tell the old leader, which stops the tasks while it may.
-			cluster.WaitFor(jobIDOf(i)+" is gone", 3*time.Second, func() bool { return len(cluster.MachinesRunning(jobIDOf(i))) == 0 })
+			cluster.WaitForNoTasks(JobID(i), 3*time.Second)
 		}
 		time.Sleep(75 * time.Second)
 		cluster.Store.SetFault(leader, fake.StoreHealthy)
@@ -195,24 +193,24 @@
 			Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{LeaseTTL: times.lease, CancellationGrace: times.cancellation}}, func(cluster *Cluster) {
 				cluster.MustSubmit("n0", Array(1, 4, "a"))
 				cluster.MustSubmit("n0", Service(2, 2, "a"))
-				cluster.WaitForRunningTasks(jobIDOf(1), 4)
-				cluster.WaitForRunningTasks(jobIDOf(2), 2)
+				cluster.WaitForRunningTasks(JobID(1), 4)
+				cluster.WaitForRunningTasks(JobID(2), 2)
 				isolated := cluster.Leader()
 				cluster.PartitionFromStore(isolated, true)
 				cluster.PartitionFromPeers(isolated, true)
 				other := cluster.OtherMembers(isolated)[0]
-				cluster.WaitFor("another leads", 30*time.Second, func() bool { return cluster.Leader() != "" && cluster.Leader() != isolated })
-				cluster.MustCancel(other, jobIDOf(1))
-				if response := cluster.GetJob(isolated, jobIDOf(1)); response.JobState() != "" {
+				cluster.WaitForNewLeader(isolated, 30*time.Second)
+				cluster.MustCancel(other, JobID(1))
+				if response := cluster.GetJob(isolated, JobID(1)); response.JobState() != "" {
 					t.Errorf("the old leader answers %q", response.JobState())
 				}
-				cluster.WaitFor("the tasks are gone", cluster.options.Workers.CancellationGrace, func() bool { return len(cluster.MachinesRunning(jobIDOf(1))) == 0 })
+				cluster.WaitForNoTasks(JobID(1), cluster.options.Workers.CancellationGrace)
 				// The new leader takes the leases for over, and starts the replicas again.
 				time.Sleep(times.lease)
 				cluster.PartitionFromStore(isolated, false)
 				cluster.PartitionFromPeers(isolated, false)
-				cluster.WaitForState(isolated, jobIDOf(1), wire.JobCancelled, 20*time.Second)
-				cluster.WaitForRunningTasks(jobIDOf(2), 2)
+				cluster.WaitForState(isolated, JobID(1), wire.JobCancelled, 20*time.Second)
+				cluster.WaitForRunningTasks(JobID(2), 2)
 			})
 		})
 	}
--- a/internal/sim/member.go
+++ b/internal/sim/member.go
@@ -73,6 +73,33 @@
 	return ""
 }
 
+// WaitForLeader waits until some controller is leader, and returns its name.
+func (cluster *Cluster) WaitForLeader(timeout time.Duration) (leader string) {
+	cluster.t.Helper()
+	cluster.WaitFor("some member is leader", timeout, func() bool {
+		leader = cluster.Leader()
+		return leader != ""
+	})
+	return leader
+}
+
+// WaitForNewLeader waits until another controller than the previous leader is leader, and returns
+// its name.
+func (cluster *Cluster) WaitForNewLeader(previous string, timeout time.Duration) (leader string) {
+	cluster.t.Helper()
+	cluster.WaitFor("another member than "+previous+" is leader", timeout, func() bool {
+		leader = cluster.Leader()
+		return leader != "" && leader != previous
+	})
+	return leader
+}
+
+// WaitForLeaderToBe waits until the controller of a name is leader.
+func (cluster *Cluster) WaitForLeaderToBe(name string, timeout time.Duration) {
+	cluster.t.Helper()
+	cluster.WaitFor(name+" is leader", timeout, func() bool { return cluster.Leader() == name })
+}
+
 // Start starts a controller, unless it runs.
 func (cluster *Cluster) Start(name string) {
 	member := cluster.member(name)
--- a/internal/sim/normal_operation_test.go
+++ b/internal/sim/normal_operation_test.go
@@ -12,8 +12,7 @@
 func TestNormalOperation(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 5, "a"))
-		cluster.MustSubmit("n1", Service(2, 2, "a"))
-		cluster.WaitForRunningTasks("req-000002", 2)
+		cluster.MustRun("n1", Service(2, 2, "a"))
 		for _, member := range cluster.Members() {
 			cluster.WaitForState(member, "req-000001", wire.JobDone, 3*time.Minute)
 			cluster.WaitForState(member, "req-000002", wire.JobRunning, time.Minute)
--- a/internal/sim/stale_heartbeats_test.go
+++ b/internal/sim/stale_heartbeats_test.go
@@ -12,8 +12,7 @@
 // held back until a new leader has acted arrives there.
 func TestStaleHeartbeatsAtFailover(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
-		cluster.MustSubmit("n0", Array(1, 6, "a"))
-		cluster.WaitForRunningTasks("req-000001", 6)
+		cluster.MustRun("n0", Array(1, 6, "a"))
 		time.Sleep(5 * time.Second)
 		staleHeartbeats := cluster.Cloud.LastHeartbeats()
 		for cluster.Cloud.KillBusyMachine() && len(cluster.MachinesRunning("req-000001")) > 2 {
@@ -37,12 +36,10 @@
 // them: that it lacks them says nothing.
 func TestStaleHeartbeatsUnderSameLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
-		cluster.MustSubmit("n0", Array(1, 2, "a")) // half a machine
-		cluster.WaitForRunningTasks(jobIDOf(1), 2)
+		cluster.MustRun("n0", Array(1, 2, "a")) // half a machine
 		time.Sleep(5 * time.Second)
 		staleHeartbeats := cluster.Cloud.LastHeartbeats()
-		cluster.MustSubmit("n0", Array(2, 2, "a"))
-		cluster.WaitForRunningTasks(jobIDOf(2), 2)
+		cluster.MustRun("n0", Array(2, 2, "a"))
 		time.Sleep(5 * time.Second)
 		// More than there is room for, and it goes first: were the tasks taken for gone,
 		// their room would be given away.
@@ -51,8 +48,8 @@
 			cluster.ReplayHeartbeats(staleHeartbeats)
 			time.Sleep(200 * time.Millisecond)
 		}
-		cluster.WaitForRunningTasks(jobIDOf(3), 24)
-		cluster.WaitForRunningTasks(jobIDOf(2), 2)
+		cluster.WaitForRunningTasks(JobID(3), 24)
+		cluster.WaitForRunningTasks(JobID(2), 2)
 	})
 }
 
@@ -63,8 +60,7 @@
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		moved, filler := Array(1, 1, "a"), Array(2, 1, "a")
 		moved.CPUs, filler.CPUs = 8, 8
-		cluster.MustSubmit("n0", moved)
-		cluster.WaitForRunningTasks(moved.ID, 1)
+		cluster.MustRun("n0", moved)
 		previousMachine := cluster.MachinesRunning(moved.ID)[0]
 		time.Sleep(5 * time.Second)
 		staleHeartbeats := cluster.Cloud.LastHeartbeats()
@@ -82,7 +78,7 @@
 		// The copies are what the new leader hears first of that machine.
 		cluster.Network.Partition("copies first", func(a, b string) bool { return a == previousMachine || b == previousMachine })
 		cluster.Restart(cluster.Leader(), 200*time.Millisecond)
-		cluster.WaitFor("somebody leads again", 20*time.Second, func() bool { return cluster.Leader() != "" })
+		cluster.WaitForLeader(20 * time.Second)
 		for range 20 {
 			cluster.ReplayHeartbeats(staleHeartbeats)
 			time.Sleep(50 * time.Millisecond)
@@ -98,28 +94,23 @@
 // A command that is held up for seconds is carried out after the new leader's.
 func TestLateCommandsOfFormerLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
-		cluster.MustSubmit("n0", Array(1, 2, "a"))
-		cluster.WaitForRunningTasks("req-000001", 2)
-		for _, machine := range cluster.Cloud.MachineNames() {
-			cluster.Cloud.SetFault(machine, fake.MachineSlow)
-		}
+		cluster.MustRun("n0", Array(1, 2, "a"))
+		cluster.SetFaultOnAllMachines(fake.MachineSlow)
 		cluster.MustSubmit("n0", Array(2, 4, "a"))
 		cluster.MustSubmit("n0", Array(3, 2, "a"))
 		time.Sleep(500 * time.Millisecond)
 		cluster.MustCancel(cluster.OtherMembers(cluster.Leader())[0], "req-000001")
 		old := cluster.Leader()
 		cluster.Restart(old, 200*time.Millisecond)
-		cluster.WaitFor("somebody leads again", 5*time.Second, func() bool { return cluster.Leader() != "" })
+		cluster.WaitForLeader(5 * time.Second)
 		time.Sleep(2 * time.Second) // the workers have heard of the new leader
 		cluster.MustCancel(cluster.Leader(), "req-000003")
 		time.Sleep(10 * time.Second)
 		if late := cluster.Checker.LateStarts(); len(late) > 0 {
 			t.Errorf("started by a command of the ended leader: %v", late)
 		}
-		for _, machine := range cluster.Cloud.MachineNames() {
-			cluster.Cloud.SetFault(machine, fake.MachineHealthy)
-		}
+		cluster.SetFaultOnAllMachines(fake.MachineHealthy)
 		cluster.WaitForRunningTasks("req-000002", 4)
-		cluster.WaitFor("the cancelled tasks are gone", cluster.options.Workers.CancellationGrace, func() bool { return len(cluster.MachinesRunning("req-000001")) == 0 })
+		cluster.WaitForNoTasks("req-000001", cluster.options.Workers.CancellationGrace)
 	})
 }
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -24,7 +24,7 @@
 		cluster.waitForNextStart(30 * time.Second)
 		cluster.PartitionFromStore(isolated, true)
 		cluster.Crash(leader)
-		cluster.WaitFor("the other one leads", 12*time.Second, func() bool { return cluster.Leader() == other })
+		cluster.WaitForLeaderToBe(other, 12*time.Second)
 		cluster.waitForNextStart(90 * time.Second)
 		cluster.PartitionFromPeers(isolated, false)
 		time.Sleep(5 * time.Second)
@@ -34,7 +34,7 @@
 		cluster.PartitionFromStore(isolated, false)
 		time.Sleep(20 * time.Second)
 		cluster.Crash(other)
-		cluster.WaitFor("it leads itself", 12*time.Second, func() bool { return cluster.Leader() == isolated })
+		cluster.WaitForLeaderToBe(isolated, 12*time.Second)
 		if used, _ := failovers.last(); !used {
 			t.Error("it has not proved its replica")
 		}
@@ -57,7 +57,7 @@
 		time.Sleep(2 * time.Second) // the lock is alive when the service is back
 		cluster.Store.SetDown(false)
 		last := cluster.OtherMembers(leader)[1]
-		cluster.WaitFor("the last one leads", 15*time.Second, func() bool { return cluster.Leader() == last })
+		cluster.WaitForLeaderToBe(last, 15*time.Second)
 		time.Sleep(5 * time.Second)
 		cluster.Start(leader)
 		cluster.Start(cluster.OtherMembers(leader)[0])
@@ -93,7 +93,7 @@
 	options, _ := limitedTeamOptions(true)
 	Run(t, options, func(cluster *Cluster) {
 		for round := range 6 {
-			cluster.WaitFor("somebody leads", 30*time.Second, func() bool { return cluster.Leader() != "" })
+			cluster.WaitForLeader(30 * time.Second)
 			leader := cluster.Leader()
 			outOfSync, inSync := cluster.OtherMembers(leader)[0], cluster.OtherMembers(leader)[1]
 			time.Sleep(10 * time.Second)
@@ -101,7 +101,7 @@
 			cluster.MustSubmit(inSync, Array(round+1, 2, "a")) // what the other one lacks
 			time.Sleep(15 * time.Second)
 			cluster.Crash(leader)
-			cluster.WaitFor("another leads", 15*time.Second, func() bool { return cluster.Leader() != "" })
+			cluster.WaitForLeader(15 * time.Second)
 			if cluster.Leader() != inSync {
 				t.Errorf("%s leads, which was out of step", cluster.Leader())
 			}
@@ -132,9 +132,8 @@
 		cluster.Restart(follower, time.Second)
 		time.Sleep(1050 * time.Millisecond)
 		cluster.Restart(leader, 10*time.Second)
-		cluster.WaitFor("another leads", 15*time.Second, func() bool { return cluster.Leader() != "" })
-		cluster.MustSubmit("n0", Array(2, 4, "a"))
-		cluster.WaitForRunningTasks("req-000002", 4)
+		cluster.WaitForLeader(15 * time.Second)
+		cluster.MustRun("n0", Array(2, 4, "a"))
 		if running := cluster.Cloud.RunningTaskCount(); running != machines*4+4 {
 			t.Errorf("%d tasks run", running)
 		}
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -149,13 +149,11 @@
 		time.Sleep(6 * time.Second)
 		leader := cluster.Leader()
 		cluster.PartitionFromPeers(leader, true)
-		cluster.waitForNextStart(30 * time.Second) // what is told to nobody
-		for _, machine := range cluster.Cloud.MachineNames() {
-			cluster.Cloud.SetFault(machine, fake.MachineHanging) // nobody can tell of it
-		}
+		cluster.waitForNextStart(30 * time.Second)         // what is told to nobody
+		cluster.SetFaultOnAllMachines(fake.MachineHanging) // nobody can tell of it
 		time.Sleep(time.Second)
 		cluster.Crash(leader)
-		cluster.WaitFor("another leads", 30*time.Second, func() bool { return cluster.Leader() != "" })
+		cluster.WaitForLeader(30 * time.Second)
 		if used, count := failovers.last(); used || count != 2 {
 			t.Errorf("replica used: %v, in take-over %d", used, count)
 		}
@@ -169,8 +167,7 @@
 func TestUnresponsiveFollowerDelaysStartsBriefly(t *testing.T) {
 	options, _ := limitedTeamOptions(true)
 	Run(t, options, func(cluster *Cluster) {
-		cluster.MustSubmit("n0", Array(1, 2, "a"))
-		cluster.WaitForRunningTasks("req-000001", 2)
+		cluster.MustRun("n0", Array(1, 2, "a"))
 		time.Sleep(6 * time.Second)
 		leader := cluster.Leader()
 		cluster.PartitionFromPeers(cluster.OtherMembers(leader)[0], true)
@@ -193,14 +190,12 @@
 		time.Sleep(6 * time.Second)
 		cluster.Crash("n0")
 		cluster.PartitionFromStore("n1", true) // so that n2 leads
-		cluster.WaitFor("n2 leads", time.Minute, func() bool { return cluster.Leader() == "n2" })
+		cluster.WaitForLeaderToBe("n2", time.Minute)
 		cluster.PartitionFromStore("n1", false)
 		time.Sleep(40 * time.Second)
-		for _, machine := range cluster.Cloud.MachineNames() {
-			cluster.Cloud.SetFault(machine, fake.MachineHanging)
-		}
+		cluster.SetFaultOnAllMachines(fake.MachineHanging)
 		cluster.Crash("n2")
-		cluster.WaitFor("n1 leads", time.Minute, func() bool { return cluster.Leader() == "n1" })
+		cluster.WaitForLeaderToBe("n1", time.Minute)
 		if used, _ := failovers.last(); used {
 			t.Error("a replica of an earlier leader was used")
 		}
@@ -219,10 +214,10 @@
 		cluster.makeLeader("n0")
 		cluster.hangOneMachine()
 		cluster.Crash("n0")
-		cluster.WaitFor("another leads", time.Minute, func() bool { return cluster.Leader() != "" })
+		cluster.WaitForLeader(time.Minute)
 		time.Sleep(4 * time.Second)
 		cluster.Crash(cluster.Leader())
-		cluster.WaitFor("the third leads", time.Minute, func() bool { return cluster.Leader() != "" })
+		cluster.WaitForLeader(time.Minute)
 		all := failovers.records()
 		last, before := all[len(all)-1], all[len(all)-2]
 		// Of the eight that ran some may be durably done by now.
@@ -244,7 +239,7 @@
 		if leader != "" {
 			cluster.Restart(leader, 2*time.Second)
 		}
-		cluster.WaitFor("somebody leads", 30*time.Second, func() bool { return cluster.Leader() != "" })
+		cluster.WaitForLeader(30 * time.Second)
 	}
 	cluster.t.Fatalf("%s does not come to lead", name)
 }
--- a/internal/sim/store_transactions_test.go
+++ b/internal/sim/store_transactions_test.go
@@ -1,7 +1,6 @@
 package sim
 
 import (
-	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -49,7 +48,7 @@
 		for _, member := range cluster.Members() {
 			cluster.MustCancel(member, job.ID)
 		}
-		cluster.WaitFor("its task is gone", 10*time.Second, func() bool { return len(cluster.MachinesRunning(job.ID)) == 0 })
+		cluster.WaitForNoTasks(job.ID, 10*time.Second)
 	})
 }
 
@@ -66,11 +65,11 @@
 		time.Sleep(4 * time.Second)
 		cluster.Store.SetFault(leader, fake.StoreHealthy)
 		for i := 1; i <= 3; i++ {
-			cluster.WaitForState("n1", fmt.Sprintf("req-%06d", i), wire.JobDone, 2*time.Minute)
+			cluster.WaitForState("n1", JobID(i), wire.JobDone, 2*time.Minute)
 		}
 		time.Sleep(20 * time.Second)
 		for i := 1; i <= 3; i++ {
-			cluster.WaitForState("n2", fmt.Sprintf("req-%06d", i), wire.JobDone, time.Second)
+			cluster.WaitForState("n2", JobID(i), wire.JobDone, time.Second)
 		}
 	})
 }
@@ -104,25 +103,24 @@
 		for i := 1; i <= 4; i++ {
 			cluster.MustSubmit("n0", Array(i, 6, "a"))
 		}
-		cluster.MustSubmit("n1", Service(5, 2, "a"))
-		cluster.WaitForRunningTasks(jobIDOf(5), 2)
+		cluster.MustRun("n1", Service(5, 2, "a"))
 		for i := range 6 {
 			time.Sleep(1500 * time.Millisecond)
 			repeat("under the same leader")
 			if i == 2 {
-				cluster.MustCancel("n2", jobIDOf(4))
+				cluster.MustCancel("n2", JobID(4))
 			}
 		}
 		cluster.Restart(cluster.Leader(), time.Second)
-		cluster.WaitFor("somebody leads again", 20*time.Second, func() bool { return cluster.Leader() != "" })
+		cluster.WaitForLeader(20 * time.Second)
 		before := len(cluster.Store.Transactions())
 		cluster.WaitFor("the new leader has written", time.Minute, func() bool { return len(cluster.Store.Transactions()) > before+6 })
 		repeat("under another leader")
 		for i := 1; i <= 3; i++ {
-			cluster.WaitForState("n2", jobIDOf(i), wire.JobDone, 3*time.Minute)
+			cluster.WaitForState("n2", JobID(i), wire.JobDone, 3*time.Minute)
 		}
-		cluster.MustCancel("n0", jobIDOf(5))
-		cluster.WaitForRunningTasks(jobIDOf(5), 0)
+		cluster.MustCancel("n0", JobID(5))
+		cluster.WaitForRunningTasks(JobID(5), 0)
 		time.Sleep(20 * time.Second)
 		repeat("at the end")
 	})
@@ -151,19 +149,15 @@
 		if running := cluster.Cloud.RunningTasks(); len(running) > 0 {
 			t.Errorf("on machines that no record names: %v", running)
 		}
-		for _, machine := range cluster.Cloud.MachineNames() {
-			cluster.Cloud.SetFault(machine, fake.MachineHanging)
-		}
+		cluster.SetFaultOnAllMachines(fake.MachineHanging)
 		cluster.Crash(leader)
 		cluster.Store.SetDelayedPrefix("")
 		time.Sleep(300 * time.Millisecond)
 		cluster.Start(leader)
 		time.Sleep(15 * time.Second)
-		for _, machine := range cluster.Cloud.MachineNames() {
-			cluster.Cloud.SetFault(machine, fake.MachineHealthy)
-		}
+		cluster.SetFaultOnAllMachines(fake.MachineHealthy)
 		for i := 1; i <= 4; i++ {
-			cluster.WaitForRunningTasks(jobIDOf(i), 4)
+			cluster.WaitForRunningTasks(JobID(i), 4)
 		}
 	})
 }
@@ -176,13 +170,13 @@
 		for i := 1; i <= 6; i++ {
 			cluster.MustSubmit(cluster.Members()[i%3], Array(i, 2, "a"))
 		}
-		cluster.WaitForRunningTasks(jobIDOf(6), 2)
-		cluster.MustCancelUnlessDone("n1", jobIDOf(6))
+		cluster.WaitForRunningTasks(JobID(6), 2)
+		cluster.MustCancelUnlessDone("n1", JobID(6))
 		cluster.Restart(cluster.Leader(), time.Second)
 		answered := 0
 		for range 20 {
 			for _, member := range cluster.Members() {
-				if cluster.GetJob(member, jobIDOf(6)).JobState() != "" {
+				if cluster.GetJob(member, JobID(6)).JobState() != "" {
 					answered++
 				}
 			}
@@ -192,7 +186,7 @@
 			t.Errorf("%d of 60 questions are answered", answered)
 		}
 		for i := 1; i <= 5; i++ {
-			cluster.WaitForState("n2", jobIDOf(i), wire.JobDone, 2*time.Minute)
+			cluster.WaitForState("n2", JobID(i), wire.JobDone, 2*time.Minute)
 		}
 	})
 }
--- a/internal/sim/successive_failovers_test.go
+++ b/internal/sim/successive_failovers_test.go
@@ -19,7 +19,7 @@
 	cluster.t.Helper()
 	before := cluster.Leader()
 	cluster.Restart(before, time.Second)
-	cluster.WaitFor("another leads", 15*time.Second, func() bool { return cluster.Leader() != "" && cluster.Leader() != before })
+	cluster.WaitForNewLeader(before, 15*time.Second)
 	return cluster.Leader()
 }
 
@@ -116,7 +116,7 @@
 		for i := range 5 {
 			cluster.WaitForState("n1", Array(10*i+3, 2, "a").ID, wire.JobDone, 3*time.Minute)
 			cancelled := Array(10*i+4, 30, "a").ID
-			cluster.WaitFor(cancelled+" is gone", time.Minute, func() bool { return len(cluster.MachinesRunning(cancelled)) == 0 })
+			cluster.WaitForNoTasks(cancelled, time.Minute)
 		}
 		cluster.WaitForState(cluster.Leader(), "req-000001", wire.JobDone, 8*time.Minute)
 	})
@@ -132,12 +132,12 @@
 		cluster.hangOneMachine()
 		cluster.Crash("n0")
 		cluster.PartitionFromStore("n1", true) // so that n2 leads
-		cluster.WaitFor("n2 leads", time.Minute, func() bool { return cluster.Leader() == "n2" })
+		cluster.WaitForLeaderToBe("n2", time.Minute)
 		cluster.PartitionFromStore("n1", false)
 		cluster.Start("n0")
 		time.Sleep(3 * time.Second)
 		cluster.Crash("n2")
-		cluster.WaitFor("another leads", time.Minute, func() bool { return cluster.Leader() != "" })
+		cluster.WaitForLeader(time.Minute)
 		if used, _ := failovers.last(); used {
 			t.Error("a replica of before n2 led was used")
 		}
--- a/internal/sim/zone_partition_test.go
+++ b/internal/sim/zone_partition_test.go
@@ -38,16 +38,14 @@
 func TestZonePartitionInCloudOutage(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		job := Array(1, 2, "a")
-		cluster.MustSubmit("n0", job)
-		cluster.WaitForRunningTasks(job.ID, 2)
+		cluster.MustRun("n0", job)
 		zone := cluster.Cloud.ZoneOf(cluster.MachinesRunning(job.ID)[0])
 		filler := Array(2, 2, "a") // its machine has room for the job
 		filler.Zone = "y"
 		if zone == "y" {
 			filler.Zone = "x"
 		}
-		cluster.MustSubmit("n0", filler)
-		cluster.WaitForRunningTasks(filler.ID, 2)
+		cluster.MustRun("n0", filler)
 		cluster.Cloud.SetDown(true)
 		cluster.PartitionZone(zone, true)
 		time.Sleep(90 * time.Second)
@@ -64,8 +62,7 @@
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		job := Array(1, 6, "a")
 		job.SingleZone = true
-		cluster.MustSubmit("n0", job)
-		cluster.WaitForRunningTasks(job.ID, 6)
+		cluster.MustRun("n0", job)
 		for range 3 {
 			cluster.Cloud.KillBusyMachine()
 			cluster.Restart(cluster.Leader(), time.Second)
