--- a/internal/sim/failover_test.go
+++ b/internal/sim/failover_test.go
@@ -138,11 +138,11 @@
 		cluster.WaitForRunningTasks(JobID(4), 3)
 		for i := 1; i <= 2; i++ {
 			leader := cluster.Leader()
-			cluster.PartitionFromWorkers(leader, true)
+			cluster.PartitionFromWorkers(leader)
 			time.Sleep(3 * time.Second)
 			go cluster.MustCancel(leader, JobID(i))
 			cluster.WaitForNewLeader(leader, time.Minute)
-			cluster.PartitionFromWorkers(leader, false)
+			cluster.ReconnectToWorkers(leader)
 			time.Sleep(10 * time.Second)
 		}
 		for i := 1; i <= 2; i++ {
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -8,41 +8,45 @@
 	"firwood.dev/firwood/wire"
 )
 
-// setPartition begins or ends a cut of a name.
-func (cluster *Cluster) setPartition(active bool, name string, links fake.LinkMatcher) {
-	if active {
-		cluster.Network.Partition(name, links)
-	} else {
-		cluster.Network.Heal(name)
-	}
+// PartitionFromStore partitions a controller from the store, until ReconnectToStore.
+func (cluster *Cluster) PartitionFromStore(name string) {
+	cluster.Network.Partition("store of "+name, fake.LinkBetween(name, fake.StoreHost))
 }
 
-// PartitionFromStore begins or ends a cut between a controller and the state service.
-func (cluster *Cluster) PartitionFromStore(name string, active bool) {
-	cluster.setPartition(active, "state of "+name, fake.LinkBetween(name, fake.StoreHost))
-}
+// ReconnectToStore ends PartitionFromStore.
+func (cluster *Cluster) ReconnectToStore(name string) { cluster.Network.Heal("store of " + name) }
 
-// PartitionFromPeers begins or ends a cut between a controller and all others.
-func (cluster *Cluster) PartitionFromPeers(name string, active bool) {
-	cluster.setPartition(active, "peers of "+name, func(a, b string) bool {
+// PartitionFromPeers partitions a controller from all others, until ReconnectToPeers.
+func (cluster *Cluster) PartitionFromPeers(name string) {
+	cluster.Network.Partition("peers of "+name, func(a, b string) bool {
 		return a != b && (a == name || b == name) && cluster.isController(a) && cluster.isController(b)
 	})
 }
 
-// PartitionFromWorkers begins or ends a cut between a controller and all machines.
-func (cluster *Cluster) PartitionFromWorkers(name string, active bool) {
-	cluster.setPartition(active, "workers of "+name, func(a, b string) bool {
-		return a == name && cluster.Cloud.ZoneOf(b) != "" || b == name && cluster.Cloud.ZoneOf(a) != ""
+// ReconnectToPeers ends PartitionFromPeers.
+func (cluster *Cluster) ReconnectToPeers(name string) { cluster.Network.Heal("peers of " + name) }
+
+// PartitionFromWorkers partitions a controller from all machines, until ReconnectToWorkers.
+func (cluster *Cluster) PartitionFromWorkers(name string) {
+	cluster.Network.Partition("workers of "+name, func(a, b string) bool {
+		return a == name && cluster.isMachine(b) || b == name && cluster.isMachine(a)
 	})
 }
 
-// PartitionZone begins or ends a cut between a zone's hosts and everything outside of it.
-func (cluster *Cluster) PartitionZone(zone string, active bool) {
-	cluster.setPartition(active, "zone "+zone, func(a, b string) bool {
+// ReconnectToWorkers ends PartitionFromWorkers.
+func (cluster *Cluster) ReconnectToWorkers(name string) { cluster.Network.Heal("workers of " + name) }
+
+// PartitionZone partitions the controllers and machines of a zone from all other hosts, until
+// ReconnectZone.
+func (cluster *Cluster) PartitionZone(zone string) {
+	cluster.Network.Partition("zone "+zone, func(a, b string) bool {
 		return (cluster.zoneOf(a) == zone) != (cluster.zoneOf(b) == zone)
 	})
 }
 
+// ReconnectZone ends PartitionZone.
+func (cluster *Cluster) ReconnectZone(zone string) { cluster.Network.Heal("zone " + zone) }
+
 // SetFaultOnAllMachines sets the fault of every machine that there is now.
 func (cluster *Cluster) SetFaultOnAllMachines(fault fake.MachineFault) {
 	for _, machine := range cluster.Cloud.MachineNames() {
@@ -50,6 +54,9 @@
 	}
 }
 
+// isMachine reports whether a host is, or was, a machine.
+func (cluster *Cluster) isMachine(host string) bool { return cluster.Cloud.ZoneOf(host) != "" }
+
 func (cluster *Cluster) isController(host string) bool {
 	for _, member := range cluster.members {
 		if member.name == host {
@@ -59,7 +66,7 @@
 	return false
 }
 
-// zoneOf is the zone of a controller or machine; the region's services have none.
+// zoneOf is the zone of a controller or machine; the store and the cloud have none.
 func (cluster *Cluster) zoneOf(host string) string {
 	for _, member := range cluster.members {
 		if member.name == host {
@@ -69,8 +76,8 @@
 	return cluster.Cloud.ZoneOf(host)
 }
 
-// ReplayHeartbeats hands copies of reports to every controller; what they answer
-// reaches nobody.
+// ReplayHeartbeats delivers copies of workers' heartbeats to every controller; the replies are
+// lost.
 func (cluster *Cluster) ReplayHeartbeats(heartbeats [][]byte) {
 	for _, member := range cluster.members {
 		instance := cluster.runningInstance(member)
@@ -87,8 +94,8 @@
 	}
 }
 
-// nextMember is the controller that a worker tries after another.
+// nextMember is the controller that workers try after another one.
 func (cluster *Cluster) nextMember(name string) string {
-	nodes := cluster.Members()
-	return nodes[(slices.Index(nodes, name)+1)%len(nodes)]
+	members := cluster.Members()
+	return members[(slices.Index(members, name)+1)%len(members)]
 }
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -116,16 +116,16 @@
 	fleet.waitForAllRunning("after an outage", time.Minute)
 
 	fleet.Network.Partition("all workers", func(a, b string) bool {
-		return fleet.isController(a) != fleet.isController(b) && (fleet.Cloud.ZoneOf(a) != "" || fleet.Cloud.ZoneOf(b) != "")
+		return fleet.isController(a) != fleet.isController(b) && (fleet.isMachine(a) || fleet.isMachine(b))
 	})
 	time.Sleep(15 * time.Second)
 	fleet.Network.Heal("all workers")
 	fleet.waitForNewJob(900002, 30*time.Second)
 	fleet.waitForAllRunning("after nobody could be reached", time.Minute)
 
-	fleet.PartitionZone("x", true)
+	fleet.PartitionZone("x")
 	time.Sleep(20 * time.Second)
-	fleet.PartitionZone("x", false)
+	fleet.ReconnectZone("x")
 	fleet.waitForNewJob(900003, 30*time.Second)
 	fleet.waitForAllRunning("after the cut of a zone", time.Minute)
 
--- a/internal/sim/generated_history_test.go
+++ b/internal/sim/generated_history_test.go
@@ -43,13 +43,16 @@
 	return time.Duration((from + history.random.Float64()*(to-from)) * float64(time.Second))
 }
 
-// injectFault begins a trouble and ends it a while later.
-func (history *generatedHistory) injectFault(duration time.Duration, set func(active bool)) {
-	set(true)
+// reversibleFault is a fault that is injected and ended.
+type reversibleFault struct{ begin, end func() }
+
+// injectFault injects a fault now and ends it after a duration.
+func (history *generatedHistory) injectFault(duration time.Duration, fault reversibleFault) {
+	fault.begin()
 	if end := time.Now().Add(duration); end.After(history.faultsOverAt) {
 		history.faultsOverAt = end
 	}
-	time.AfterFunc(duration, func() { set(false) })
+	time.AfterFunc(duration, fault.end)
 }
 
 func (history *generatedHistory) submitRandomJob() {
@@ -117,7 +120,8 @@
 	}
 }
 
-// injectRandomFault begins one of the troubles that days hold.
+// injectRandomFault injects a random fault, into the leader more often than into another member.
+// The order of the cases, and of the random draws in each, is part of what a seed stands for.
 func (history *generatedHistory) injectRandomFault() {
 	member := history.pickName(history.Members())
 	if leader := history.Leader(); leader != "" && history.random.IntN(3) > 0 {
@@ -127,71 +131,80 @@
 	if machines := history.Cloud.MachineNames(); len(machines) > 0 {
 		machine = history.pickName(machines)
 	}
-	storeFault := func(fault fake.StoreFault) func(bool) {
-		return func(active bool) {
-			if active {
-				history.Store.SetFault(member, fault)
-			} else {
-				history.Store.SetFault(member, fake.StoreHealthy)
-			}
-		}
-	}
-	machineFault := func(fault fake.MachineFault) func(bool) {
-		return func(active bool) {
-			if active {
-				history.Cloud.SetFault(machine, fault)
-			} else {
-				history.Cloud.SetFault(machine, fake.MachineHealthy)
-			}
-		}
-	}
 	switch history.random.IntN(13) {
 	case 0:
-		history.injectFault(history.randomDuration(0.2, 4), func(active bool) { history.setRunning(member, !active) })
+		history.injectFault(history.randomDuration(0.2, 4), history.crashFault(member))
 	case 1:
 		for _, member := range history.Members() {
-			history.injectFault(history.randomDuration(0.2, 50), func(active bool) { history.setRunning(member, !active) })
+			history.injectFault(history.randomDuration(0.2, 50), history.crashFault(member))
 		}
 	case 2:
-		history.injectFault(history.randomDuration(1, 20), storeFault(fake.StoreRequestsRejected))
+		history.injectFault(history.randomDuration(1, 20), history.storeFault(member, fake.StoreRequestsRejected))
 	case 3:
-		// The leader alone first, then everybody.
-		history.injectFault(history.randomDuration(5, 15), storeFault(fake.StoreRequestsRejected))
+		// The store rejects the member alone first, then everybody.
+		history.injectFault(history.randomDuration(5, 15), history.storeFault(member, fake.StoreRequestsRejected))
 		time.Sleep(history.randomDuration(0.2, 3))
-		history.injectFault(history.randomDuration(2, 90), history.Store.SetDown)
+		history.injectFault(history.randomDuration(2, 90), history.storeOutage())
 	case 4:
-		history.injectFault(history.randomDuration(1, 10), storeFault(fake.StoreRepliesLost))
+		history.injectFault(history.randomDuration(1, 10), history.storeFault(member, fake.StoreRepliesLost))
 	case 5:
-		history.injectFault(history.randomDuration(1, 10), storeFault(fake.StoreWritesDelayed))
+		history.injectFault(history.randomDuration(1, 10), history.storeFault(member, fake.StoreWritesDelayed))
 	case 6:
-		history.injectFault(history.randomDuration(5, 50), func(active bool) {
-			history.PartitionFromStore(member, active)
-			history.PartitionFromPeers(member, active)
-		})
+		history.injectFault(history.randomDuration(5, 50), history.isolation(member))
 	case 7:
-		history.injectFault(history.randomDuration(5, 50), func(active bool) { history.PartitionFromWorkers(member, active) })
+		history.injectFault(history.randomDuration(5, 50), history.workerPartition(member))
 	case 8:
 		zone := history.pickName(zones)
-		history.injectFault(history.randomDuration(5, 60), func(active bool) { history.PartitionZone(zone, active) })
+		history.injectFault(history.randomDuration(5, 60), history.zonePartition(zone))
 	case 9:
-		history.injectFault(history.randomDuration(2, 50), machineFault(fake.MachineHanging))
+		history.injectFault(history.randomDuration(2, 50), history.machineFault(machine, fake.MachineHanging))
 	case 10:
-		history.injectFault(history.randomDuration(2, 50), machineFault(fake.MachineCommandsLost))
+		history.injectFault(history.randomDuration(2, 50), history.machineFault(machine, fake.MachineCommandsLost))
 	case 11:
-		history.injectFault(history.randomDuration(2, 50), machineFault(fake.MachineHeartbeatsLost))
+		history.injectFault(history.randomDuration(2, 50), history.machineFault(machine, fake.MachineHeartbeatsLost))
 	case 12:
-		history.injectFault(history.randomDuration(2, 20), machineFault(fake.MachineSlow))
+		history.injectFault(history.randomDuration(2, 20), history.machineFault(machine, fake.MachineSlow))
 	}
 }
 
-func (history *generatedHistory) setRunning(member string, running bool) {
-	if running {
-		history.Start(member)
-	} else {
-		history.Crash(member)
+// crashFault crashes a controller and starts it again.
+func (history *generatedHistory) crashFault(member string) reversibleFault {
+	return reversibleFault{func() { history.Crash(member) }, func() { history.Start(member) }}
+}
+
+// storeFault has the store treat a controller by a fault.
+func (history *generatedHistory) storeFault(member string, fault fake.StoreFault) reversibleFault {
+	return reversibleFault{func() { history.Store.SetFault(member, fault) }, func() { history.Store.SetFault(member, fake.StoreHealthy) }}
+}
+
+// storeOutage has the store down for everybody.
+func (history *generatedHistory) storeOutage() reversibleFault {
+	return reversibleFault{func() { history.Store.SetDown(true) }, func() { history.Store.SetDown(false) }}
+}
+
+// isolation partitions a controller from the store and from its peers.
+func (history *generatedHistory) isolation(member string) reversibleFault {
+	return reversibleFault{
+		func() { history.PartitionFromStore(member); history.PartitionFromPeers(member) },
+		func() { history.ReconnectToStore(member); history.ReconnectToPeers(member) },
 	}
 }
 
+// workerPartition partitions a controller from the machines.
+func (history *generatedHistory) workerPartition(member string) reversibleFault {
+	return reversibleFault{func() { history.PartitionFromWorkers(member) }, func() { history.ReconnectToWorkers(member) }}
+}
+
+// zonePartition partitions a zone from everything outside of it.
+func (history *generatedHistory) zonePartition(zone string) reversibleFault {
+	return reversibleFault{func() { history.PartitionZone(zone) }, func() { history.ReconnectZone(zone) }}
+}
+
+// machineFault gives a machine a fault.
+func (history *generatedHistory) machineFault(machine string, fault fake.MachineFault) reversibleFault {
+	return reversibleFault{func() { history.Cloud.SetFault(machine, fault) }, func() { history.Cloud.SetFault(machine, fake.MachineHealthy) }}
+}
+
 func (history *generatedHistory) runRandomStep() {
 	switch history.random.IntN(9) {
 	case 0, 1, 2:
--- a/internal/sim/isolated_leader_test.go
+++ b/internal/sim/isolated_leader_test.go
@@ -51,11 +51,11 @@
 			Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{LeaseTTL: times.lease, CancellationGrace: times.cancellation}}, func(cluster *Cluster) {
 				cluster.MustRun("n0", Array(1, 4, "a"))
 				leader := rejectLeaderRequests(cluster)
-				cluster.PartitionFromPeers(leader, true)
+				cluster.PartitionFromPeers(leader)
 				cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
 				cluster.Store.SetDown(true)
 				time.Sleep(times.cancellation + 20*time.Second)
-				cluster.PartitionFromPeers(leader, false)
+				cluster.ReconnectToPeers(leader)
 				cluster.Store.SetFault(leader, fake.StoreHealthy)
 				cluster.Store.SetDown(false)
 				time.Sleep(30 * time.Second)
@@ -76,7 +76,7 @@
 		cluster.WaitForRunningTasks("req-000001", 4)
 		cluster.WaitForRunningTasks("req-000002", 2)
 		leader := rejectLeaderRequests(cluster)
-		cluster.PartitionFromPeers(leader, true)
+		cluster.PartitionFromPeers(leader)
 		cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
 		cluster.Store.SetDown(true)
 		time.Sleep(cluster.options.Workers.CancellationGrace + 20*time.Second)
@@ -100,7 +100,7 @@
 		cluster.MustSubmit("n0", Array(2, 2, "b")) // over the team's limit, so it waits
 		time.Sleep(time.Second)
 		leader := cluster.Leader()
-		cluster.PartitionFromPeers(leader, true)
+		cluster.PartitionFromPeers(leader)
 		cluster.Store.SetFault(leader, fake.StoreRenewalsRejected)
 		time.Sleep(4 * time.Second)
 		cluster.Store.SetFault(leader, fake.StoreRequestsRejected)
@@ -115,7 +115,7 @@
 			time.Sleep(time.Second / 2)
 		}
 		cluster.Store.SetFault(leader, fake.StoreHealthy)
-		cluster.PartitionFromPeers(leader, false)
+		cluster.ReconnectToPeers(leader)
 		time.Sleep(20 * time.Second)
 		if late := cluster.Checker.LateStarts(); len(late) > 0 {
 			t.Errorf("started after the cancellation: %v", late)
@@ -135,7 +135,9 @@
 				cluster.WaitForRunningTasks("req-000001", 4)
 				cluster.WaitForRunningTasks("req-000002", 2)
 				leader := cluster.Leader()
-				cluster.PartitionFromPeers(leader, !peersReachable)
+				if !peersReachable {
+					cluster.PartitionFromPeers(leader)
+				}
 				cluster.Store.SetFault(leader, fake.StoreReadsRejected)
 				time.Sleep(time.Second)
 				cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
@@ -146,7 +148,7 @@
 				if on := cluster.MachinesRunning("req-000002"); peersReachable && len(on) != 2 {
 					t.Errorf("%d of 2 other tasks run", len(on))
 				}
-				cluster.PartitionFromPeers(leader, false)
+				cluster.ReconnectToPeers(leader)
 				cluster.Store.SetFault(leader, fake.StoreHealthy)
 				cluster.WaitForRunningTasks("req-000002", 2)
 			})
@@ -196,8 +198,8 @@
 				cluster.WaitForRunningTasks(JobID(1), 4)
 				cluster.WaitForRunningTasks(JobID(2), 2)
 				isolated := cluster.Leader()
-				cluster.PartitionFromStore(isolated, true)
-				cluster.PartitionFromPeers(isolated, true)
+				cluster.PartitionFromStore(isolated)
+				cluster.PartitionFromPeers(isolated)
 				other := cluster.OtherMembers(isolated)[0]
 				cluster.WaitForNewLeader(isolated, 30*time.Second)
 				cluster.MustCancel(other, JobID(1))
@@ -207,8 +209,8 @@
 				cluster.WaitForNoTasks(JobID(1), cluster.options.Workers.CancellationGrace)
 				// The new leader takes the leases for over, and starts the replicas again.
 				time.Sleep(times.lease)
-				cluster.PartitionFromStore(isolated, false)
-				cluster.PartitionFromPeers(isolated, false)
+				cluster.ReconnectToStore(isolated)
+				cluster.ReconnectToPeers(isolated)
 				cluster.WaitForState(isolated, JobID(1), wire.JobCancelled, 20*time.Second)
 				cluster.WaitForRunningTasks(JobID(2), 2)
 			})
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -20,18 +20,18 @@
 		leader := cluster.Leader()
 		isolated := cluster.nextMember(leader)
 		other := cluster.nextMember(isolated)
-		cluster.PartitionFromPeers(isolated, true)
+		cluster.PartitionFromPeers(isolated)
 		cluster.waitForNextStart(30 * time.Second)
-		cluster.PartitionFromStore(isolated, true)
+		cluster.PartitionFromStore(isolated)
 		cluster.Crash(leader)
 		cluster.WaitForLeaderToBe(other, 12*time.Second)
 		cluster.waitForNextStart(90 * time.Second)
-		cluster.PartitionFromPeers(isolated, false)
+		cluster.ReconnectToPeers(isolated)
 		time.Sleep(5 * time.Second)
 		if cluster.Leader() != other {
 			t.Errorf("%s leads without the state service", cluster.Leader())
 		}
-		cluster.PartitionFromStore(isolated, false)
+		cluster.ReconnectToStore(isolated)
 		time.Sleep(20 * time.Second)
 		cluster.Crash(other)
 		cluster.WaitForLeaderToBe(isolated, 12*time.Second)
@@ -178,7 +178,7 @@
 			cluster.WaitForRunningTasks("req-000001", 8)
 			time.Sleep(6 * time.Second)
 			if isSilent {
-				cluster.PartitionFromPeers(cluster.OtherMembers(cluster.Leader())[0], true)
+				cluster.PartitionFromPeers(cluster.OtherMembers(cluster.Leader())[0])
 			}
 			cluster.Store.SetDown(true)
 			before := cluster.taskStartCount()
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -148,7 +148,7 @@
 		cluster.WaitForRunningTasks("req-000001", 8)
 		time.Sleep(6 * time.Second)
 		leader := cluster.Leader()
-		cluster.PartitionFromPeers(leader, true)
+		cluster.PartitionFromPeers(leader)
 		cluster.waitForNextStart(30 * time.Second)         // what is told to nobody
 		cluster.SetFaultOnAllMachines(fake.MachineHanging) // nobody can tell of it
 		time.Sleep(time.Second)
@@ -170,7 +170,7 @@
 		cluster.MustRun("n0", Array(1, 2, "a"))
 		time.Sleep(6 * time.Second)
 		leader := cluster.Leader()
-		cluster.PartitionFromPeers(cluster.OtherMembers(leader)[0], true)
+		cluster.PartitionFromPeers(cluster.OtherMembers(leader)[0])
 		cluster.MustSubmit(leader, Array(2, 2, "a"))
 		if took := cluster.waitForNextStart(30 * time.Second); took > 3*time.Second {
 			t.Errorf("the start took %v", took)
@@ -189,9 +189,9 @@
 		cluster.WaitForRunningTasks("req-000001", 8)
 		time.Sleep(6 * time.Second)
 		cluster.Crash("n0")
-		cluster.PartitionFromStore("n1", true) // so that n2 leads
+		cluster.PartitionFromStore("n1") // so that n2 leads
 		cluster.WaitForLeaderToBe("n2", time.Minute)
-		cluster.PartitionFromStore("n1", false)
+		cluster.ReconnectToStore("n1")
 		time.Sleep(40 * time.Second)
 		cluster.SetFaultOnAllMachines(fake.MachineHanging)
 		cluster.Crash("n2")
--- a/internal/sim/successive_failovers_test.go
+++ b/internal/sim/successive_failovers_test.go
@@ -131,9 +131,9 @@
 		cluster.makeLeader("n0")
 		cluster.hangOneMachine()
 		cluster.Crash("n0")
-		cluster.PartitionFromStore("n1", true) // so that n2 leads
+		cluster.PartitionFromStore("n1") // so that n2 leads
 		cluster.WaitForLeaderToBe("n2", time.Minute)
-		cluster.PartitionFromStore("n1", false)
+		cluster.ReconnectToStore("n1")
 		cluster.Start("n0")
 		time.Sleep(3 * time.Second)
 		cluster.Crash("n2")
--- a/internal/sim/zone_partition_test.go
+++ b/internal/sim/zone_partition_test.go
@@ -17,7 +17,7 @@
 				cluster.MustSubmit("n1", everywhere)
 				cluster.WaitForRunningTasks(inside.ID, 4)
 				cluster.WaitForRunningTasks(everywhere.ID, 4)
-				cluster.PartitionZone(zone, true)
+				cluster.PartitionZone(zone)
 				outside := "n1"
 				if zone == "y" {
 					outside = "n0"
@@ -25,7 +25,7 @@
 				time.Sleep(2 * time.Second)
 				cluster.MustCancel(outside, inside.ID)
 				time.Sleep(cluster.options.Workers.CancellationGrace + time.Second)
-				cluster.PartitionZone(zone, false)
+				cluster.ReconnectZone(zone)
 				cluster.WaitForRunningTasks(everywhere.ID, 4)
 			})
 		})
@@ -47,11 +47,11 @@
 		}
 		cluster.MustRun("n0", filler)
 		cluster.Cloud.SetDown(true)
-		cluster.PartitionZone(zone, true)
+		cluster.PartitionZone(zone)
 		time.Sleep(90 * time.Second)
 		cluster.WaitForRunningTasks(job.ID, 2)
 		cluster.Cloud.SetDown(false)
-		cluster.PartitionZone(zone, false)
+		cluster.ReconnectZone(zone)
 		time.Sleep(20 * time.Second)
 		cluster.WaitForRunningTasks(job.ID, 2)
 	})
@@ -79,8 +79,8 @@
 		cluster.WaitForRunningTasks("req-000001", 8)
 		leader := cluster.Leader()
 		isolated := cluster.nextMember(leader)
-		cluster.PartitionFromPeers(isolated, true)
-		cluster.PartitionFromStore(isolated, true)
+		cluster.PartitionFromPeers(isolated)
+		cluster.PartitionFromStore(isolated)
 		cluster.Crash(leader)
 		cluster.waitForNextStart(90 * time.Second)
 	})
