--- a/internal/sim/dependencies_test.go
+++ b/internal/sim/dependencies_test.go
@@ -91,7 +91,7 @@
 	var record struct {
 		State string `json:"s"`
 	}
-	if err := unmarshalJSON(cluster.Store.Value("firwood/job/"+JobID(number)), &record); err != nil {
+	if err := unmarshalJSON(cluster.Store.Value(jobKeys+JobID(number)), &record); err != nil {
 		return false
 	}
 	return record.State == wire.JobCancelled
@@ -162,52 +162,67 @@
 		if keys := cluster.Store.Keys("firwood/needs/"); len(keys) < 2 {
 			t.Errorf("a long list lies in %v", keys)
 		}
-		if !slices.Contains(cluster.Store.Keys("firwood/job/"), "firwood/job/"+last.ID) {
+		if !slices.Contains(cluster.Store.Keys(jobKeys), jobKeys+last.ID) {
 			t.Error("its record is missing")
 		}
 	})
 }
 
+// dagSubmitter submits jobs that depend on each other, numbered from 1, to all controllers in
+// turn.
+type dagSubmitter struct {
+	*Cluster
+	lastJobNumber int
+}
+
+// submit submits a job that depends on others, and returns its number.
+func (submitter *dagSubmitter) submit(dependencies ...int) int {
+	submitter.t.Helper()
+	submitter.lastJobNumber++
+	number := submitter.lastJobNumber
+	submitter.MustSubmit(submitter.Members()[number%3], dependentArray(number, "a", dependencies...))
+	return number
+}
+
+// submitDependents submits a chain, a fan and two diamonds of jobs that all depend on a root; it
+// returns their numbers with the root's.
+func (submitter *dagSubmitter) submitDependents(root int) (jobs []int) {
+	submitter.t.Helper()
+	jobs = append(jobs, root)
+	last := root
+	for range 4 { // a chain
+		last = submitter.submit(last)
+		jobs = append(jobs, last)
+	}
+	for range 40 { // a fan
+		jobs = append(jobs, submitter.submit(root))
+	}
+	for range 2 { // diamonds
+		left, right := submitter.submit(last), submitter.submit(last)
+		last = submitter.submit(left, right)
+		jobs = append(jobs, left, right, last)
+	}
+	return jobs
+}
+
 // A hundred jobs depend on each other in chains, fans and diamonds; half of them are
 // cancelled with their roots as the leader ends, and users go on submitting. Every
 // controller says the same of each, submissions are answered in time, and the others end.
 func TestManyDependentJobs(t *testing.T) {
 	Run(t, Options{TaskDuration: 2 * time.Second, Limits: Limits{WriteRPS: 200}}, func(cluster *Cluster) {
-		lastJobNumber := 0
-		submit := func(awaits ...int) int {
-			lastJobNumber++
-			cluster.MustSubmit(cluster.Members()[lastJobNumber%3], dependentArray(lastJobNumber, "a", awaits...))
-			return lastJobNumber
-		}
-		pipelines := func(root int) (jobs []int) {
-			jobs = append(jobs, root)
-			last := root
-			for range 4 { // a chain
-				last = submit(last)
-				jobs = append(jobs, last)
-			}
-			for range 40 { // a fan
-				jobs = append(jobs, submit(root))
-			}
-			for range 2 { // diamonds
-				left, right := submit(last), submit(last)
-				last = submit(left, right)
-				jobs = append(jobs, left, right, last)
-			}
-			return jobs
-		}
+		submitter := &dagSubmitter{Cluster: cluster}
 		leader := cluster.Leader()
 		cluster.Cloud.SetDown(true) // nothing starts while they come
-		first, second := submit(), submit()
-		cancelled, kept := pipelines(first), pipelines(second)
+		first, second := submitter.submit(), submitter.submit()
+		cancelled, kept := submitter.submitDependents(first), submitter.submitDependents(second)
 		go cluster.MustCancel(cluster.OtherMembers(leader)[0], JobID(first))
 		time.Sleep(50 * time.Millisecond)
 		cluster.Crash(leader)
 		cluster.Cloud.SetDown(false)
 		for i := range 20 {
 			sentAt := time.Now()
-			lastJobNumber++
-			cluster.MustSubmit(cluster.OtherMembers(leader)[i%2], dependentArray(lastJobNumber, "a"))
+			submitter.lastJobNumber++
+			cluster.MustSubmit(cluster.OtherMembers(leader)[i%2], dependentArray(submitter.lastJobNumber, "a"))
 			if took := time.Since(sentAt); took > 2*time.Second {
 				t.Errorf("a submission takes %v", took)
 			}
--- a/internal/sim/failover_test.go
+++ b/internal/sim/failover_test.go
@@ -35,8 +35,8 @@
 // A leader ends while machines with long tasks can't be reached, or don't hear the
 // new leader's answers.
 func TestFaultyMachinesAtFailover(t *testing.T) {
-	for name, fault := range map[string]fake.MachineFault{"hanging": fake.MachineHanging, "deaf": fake.MachineCommandsLost, "mute": fake.MachineHeartbeatsLost, "slow": fake.MachineSlow} {
-		t.Run(name, func(t *testing.T) {
+	for _, fault := range []fake.MachineFault{fake.MachineHanging, fake.MachineCommandsLost, fake.MachineHeartbeatsLost, fake.MachineSlow} {
+		t.Run(fault.String(), func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 				cluster.MustRun("n0", Array(1, 8, "a"))
 				machines := cluster.Cloud.MachineNames()
--- a/internal/sim/finished_jobs_test.go
+++ b/internal/sim/finished_jobs_test.go
@@ -193,7 +193,6 @@
 const (
 	archiveAfter = 20 * time.Second
 	archivedKeys = "firwood.finished/"
-	jobKeys      = "firwood/job/"
 )
 
 // waitForArchived waits until so many records lie in the archive, and the others where they were.
--- a/internal/sim/isolated_leader_test.go
+++ b/internal/sim/isolated_leader_test.go
@@ -10,6 +10,12 @@
 	"firwood.dev/firwood/wire"
 )
 
+// leaseTimes are worker times to play a test with: the default ones, and short ones.
+var leaseTimes = []WorkerTimes{
+	{LeaseTTL: 36 * time.Second, CancellationGrace: 66 * time.Second},
+	{LeaseTTL: 14 * time.Second, CancellationGrace: 44 * time.Second},
+}
+
 // rejectLeaderRequests has the state service refuse the leader alone, and returns its name.
 func rejectLeaderRequests(cluster *Cluster) string {
 	leader := cluster.Leader()
@@ -46,15 +52,15 @@
 // tell it. Its workers' leases end in time, and when its lock comes back with the
 // state service it reads before it starts anything.
 func TestPartitionedLeaderThenStoreOutage(t *testing.T) {
-	for _, times := range []struct{ lease, cancellation time.Duration }{{36 * time.Second, 66 * time.Second}, {14 * time.Second, 44 * time.Second}} {
-		t.Run(fmt.Sprint(times.lease), func(t *testing.T) {
-			Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{LeaseTTL: times.lease, CancellationGrace: times.cancellation}}, func(cluster *Cluster) {
+	for _, times := range leaseTimes {
+		t.Run(times.LeaseTTL.String(), func(t *testing.T) {
+			Run(t, Options{TaskDuration: longTaskDuration, Workers: times}, func(cluster *Cluster) {
 				cluster.MustRun("n0", Array(1, 4, "a"))
 				leader := rejectLeaderRequests(cluster)
 				cluster.PartitionFromPeers(leader)
 				cluster.MustCancel(cluster.OtherMembers(leader)[0], "req-000001")
 				cluster.Store.SetDown(true)
-				time.Sleep(times.cancellation + 20*time.Second)
+				time.Sleep(times.CancellationGrace + 20*time.Second)
 				cluster.ReconnectToPeers(leader)
 				cluster.Store.SetFault(leader, fake.StoreHealthy)
 				cluster.Store.SetDown(false)
@@ -190,9 +196,9 @@
 // A leader is cut off from the state service and the other controllers while workers
 // and users still reach it, and jobs are cancelled through the new one.
 func TestPartitionedLeaderKeepsWorkers(t *testing.T) {
-	for _, times := range []struct{ lease, cancellation time.Duration }{{36 * time.Second, 66 * time.Second}, {14 * time.Second, 44 * time.Second}} {
-		t.Run(fmt.Sprint(times.lease), func(t *testing.T) {
-			Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{LeaseTTL: times.lease, CancellationGrace: times.cancellation}}, func(cluster *Cluster) {
+	for _, times := range leaseTimes {
+		t.Run(times.LeaseTTL.String(), func(t *testing.T) {
+			Run(t, Options{TaskDuration: longTaskDuration, Workers: times}, func(cluster *Cluster) {
 				cluster.MustSubmit("n0", Array(1, 4, "a"))
 				cluster.MustSubmit("n0", Service(2, 2, "a"))
 				cluster.WaitForRunningTasks(JobID(1), 4)
@@ -208,7 +214,7 @@
 				}
 				cluster.WaitForNoTasks(JobID(1), cluster.options.Workers.CancellationGrace)
 				// The new leader takes the leases for over, and starts the replicas again.
-				time.Sleep(times.lease)
+				time.Sleep(times.LeaseTTL)
 				cluster.ReconnectToStore(isolated)
 				cluster.ReconnectToPeers(isolated)
 				cluster.WaitForState(isolated, JobID(1), wire.JobCancelled, 20*time.Second)
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -12,10 +12,9 @@
 // decides nothing and holds nobody up. Once the way is back it follows the new leader, and
 // when that dies takes over with a replica which that one has vouched for.
 func TestFollowerPartitionedFromStoreAtLeaderCrash(t *testing.T) {
-	options, failovers := limitedTeamOptions(true)
+	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
-		cluster.MustSubmit("n0", Array(1, 60, "b"))
-		cluster.WaitForRunningTasks("req-000001", 8)
+		cluster.runQuotaBoundJob(60)
 		time.Sleep(6 * time.Second)
 		leader := cluster.Leader()
 		isolated := cluster.nextMember(leader)
@@ -44,10 +43,9 @@
 
 // The leader and a follower die at once, and the state service is down meanwhile.
 func TestTwoMembersCrashInStoreOutage(t *testing.T) {
-	options, _ := limitedTeamOptions(true)
+	options, _ := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
-		cluster.MustSubmit("n0", Array(1, 40, "b"))
-		cluster.WaitForRunningTasks("req-000001", 8)
+		cluster.runQuotaBoundJob(40)
 		time.Sleep(8 * time.Second)
 		leader := cluster.Leader()
 		cluster.Store.SetDown(true)
@@ -68,7 +66,7 @@
 // The lead passes five times in two minutes between versions that keep replicas and one
 // that keeps none, while a machine hangs now and then.
 func TestFailoversBetweenVersions(t *testing.T) {
-	options, _ := limitedTeamOptions(true)
+	options, _ := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n1"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 60, "b"))
@@ -90,7 +88,7 @@
 
 // Of two followers the one in step gets the lead, also where the other is as quick.
 func TestOutOfSyncFollowerYields(t *testing.T) {
-	options, _ := limitedTeamOptions(true)
+	options, _ := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
 		for round := range 6 {
 			cluster.WaitForLeader(30 * time.Second)
@@ -143,10 +141,9 @@
 // The leader is back within a moment of its crash, without what it knew: the follower that
 // stands by gets the lead all the same.
 func TestRestartedLeaderYields(t *testing.T) {
-	options, failovers := limitedTeamOptions(true)
+	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
-		cluster.MustSubmit("n0", Array(1, 60, "b"))
-		cluster.WaitForRunningTasks("req-000001", 8)
+		cluster.runQuotaBoundJob(60)
 		for range 4 {
 			time.Sleep(15 * time.Second)
 			_, before := failovers.last()
@@ -171,19 +168,18 @@
 // the service back, they go on.
 func TestUnresponsiveFollowerInStoreOutage(t *testing.T) {
 	run := func(isSilent bool) (starts int, after time.Duration) {
-		options, _ := limitedTeamOptions(true)
+		options, _ := quotaBoundOptions(true)
 		options.TaskDuration, options.TaskDurationStep = 3*time.Second, 100*time.Millisecond
 		Run(t, options, func(cluster *Cluster) {
-			cluster.MustSubmit("n0", Array(1, 200, "b"))
-			cluster.WaitForRunningTasks("req-000001", 8)
+			cluster.runQuotaBoundJob(200)
 			time.Sleep(6 * time.Second)
 			if isSilent {
 				cluster.PartitionFromPeers(cluster.OtherMembers(cluster.Leader())[0])
 			}
 			cluster.Store.SetDown(true)
-			before := cluster.taskStartCount()
+			before := cluster.Cloud.StartCount()
 			time.Sleep(12 * time.Second)
-			starts = cluster.taskStartCount() - before
+			starts = cluster.Cloud.StartCount() - before
 			cluster.Store.SetDown(false)
 			after = cluster.waitForNextStart(20 * time.Second)
 		})
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -71,29 +71,47 @@
 	return all[len(all)-1].isReplicaUsed, len(all)
 }
 
-// limitedTeamOptions is a deployment where a team of many tasks has a limit of eight at a time, of
-// which four are on a machine that hangs when the leader ends.
-func limitedTeamOptions(standby bool) (Options, *failoverRecorder) {
+// quotaBoundTasks is how many tasks of a quota-bound job run at a time: team b's quota.
+const quotaBoundTasks = 8
+
+// quotaBoundOptions is a deployment for jobs that have more tasks than their team's quota allows
+// at a time, so that each end of a task allows a start. Failovers are recorded.
+func quotaBoundOptions(standby bool) (Options, *failoverRecorder) {
 	failovers := &failoverRecorder{}
 	return Options{Standby: StandbyOptions{Enabled: standby}, TaskDuration: 15 * time.Second, TaskDurationStep: 300 * time.Millisecond, Logger: failovers.logger()}, failovers
 }
 
-// hangOneMachine waits until the team's first tasks run, and has one machine hang.
+// runQuotaBoundJob submits job 1 of team b and waits until as many of its tasks run as the quota
+// allows.
+func (cluster *Cluster) runQuotaBoundJob(tasks int) {
+	cluster.t.Helper()
+	cluster.MustSubmit("n0", Array(1, tasks, "b"))
+	cluster.WaitForRunningTasks(JobID(1), quotaBoundTasks)
+}
+
+// hangOneMachine runs a quota-bound job, and has one of its two machines hang once every start is
+// confirmed.
 func (cluster *Cluster) hangOneMachine() {
-	cluster.MustSubmit("n0", Array(1, 40, "b"))
-	cluster.WaitForRunningTasks("req-000001", 8)
-	time.Sleep(9 * time.Second) // all that there is to account for is accounted for
-	cluster.Cloud.SetFault(cluster.MachinesRunning("req-000001")[0], fake.MachineHanging)
+	cluster.t.Helper()
+	cluster.runQuotaBoundJob(40)
+	time.Sleep(9 * time.Second) // by then every start is confirmed
+	cluster.Cloud.SetFault(cluster.MachinesRunning(JobID(1))[0], fake.MachineHanging)
 }
 
-func (cluster *Cluster) taskStartCount() int {
-	return cluster.Cloud.StartCount()
+// failOverPast crashes the leader and has the next member become leader though another one stands
+// by: that one is partitioned from the store meanwhile.
+func (cluster *Cluster) failOverPast(leader, passedOver, next string) {
+	cluster.t.Helper()
+	cluster.Crash(leader)
+	cluster.PartitionFromStore(passedOver)
+	cluster.WaitForLeaderToBe(next, time.Minute)
+	cluster.ReconnectToStore(passedOver)
 }
 
 // waitForNextStart tells how long after now the next task starts.
 func (cluster *Cluster) waitForNextStart(timeout time.Duration) time.Duration {
-	began, before := time.Now(), cluster.taskStartCount()
-	cluster.WaitFor("a task starts", timeout, func() bool { return cluster.taskStartCount() > before })
+	began, before := time.Now(), cluster.Cloud.StartCount()
+	cluster.WaitFor("a task starts", timeout, func() bool { return cluster.Cloud.StartCount() > before })
 	return time.Since(began)
 }
 
@@ -110,7 +128,7 @@
 // some time.
 func compareFailover(t *testing.T, longer time.Duration) {
 	after := func(standby bool) (first, done time.Duration) {
-		options, failovers := limitedTeamOptions(standby)
+		options, failovers := quotaBoundOptions(standby)
 		options.TaskDuration += longer
 		Run(t, options, func(cluster *Cluster) {
 			cluster.hangOneMachine()
@@ -142,10 +160,9 @@
 // A follower that was cut off from the leader for a while lacks starts. It is left out of
 // the record of those in step, and takes over by the slower way.
 func TestIncompleteReplicaIsNotUsed(t *testing.T) {
-	options, failovers := limitedTeamOptions(true)
+	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
-		cluster.MustSubmit("n0", Array(1, 40, "b"))
-		cluster.WaitForRunningTasks("req-000001", 8)
+		cluster.runQuotaBoundJob(40)
 		time.Sleep(6 * time.Second)
 		leader := cluster.Leader()
 		cluster.PartitionFromPeers(leader)
@@ -165,7 +182,7 @@
 // A start waits for followers in step that don't answer, for half a second and a write,
 // and not for ever.
 func TestUnresponsiveFollowerDelaysStartsBriefly(t *testing.T) {
-	options, _ := limitedTeamOptions(true)
+	options, _ := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 2, "a"))
 		time.Sleep(6 * time.Second)
@@ -181,17 +198,13 @@
 // Somebody who keeps no replica led in between: a record that still names a follower of
 // the leader before says nothing of what was started since.
 func TestLeaderWithoutReplicaInBetween(t *testing.T) {
-	options, failovers := limitedTeamOptions(true)
+	options, failovers := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n2"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
-		cluster.MustSubmit("n0", Array(1, 40, "b"))
-		cluster.WaitForRunningTasks("req-000001", 8)
+		cluster.runQuotaBoundJob(40)
 		time.Sleep(6 * time.Second)
-		cluster.Crash("n0")
-		cluster.PartitionFromStore("n1") // so that n2 leads
-		cluster.WaitForLeaderToBe("n2", time.Minute)
-		cluster.ReconnectToStore("n1")
+		cluster.failOverPast("n0", "n1", "n2")
 		time.Sleep(40 * time.Second)
 		cluster.SetFaultOnAllMachines(fake.MachineHanging)
 		cluster.Crash("n2")
@@ -208,7 +221,7 @@
 // replicas, ends before it does. It passes its doubt on: the next one believes its copy,
 // which has the whole job in doubt, and starts nothing of it before that is over.
 func TestLeaderCrashesWithUnconfirmedTasks(t *testing.T) {
-	options, failovers := limitedTeamOptions(true)
+	options, failovers := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n0"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
--- a/internal/sim/store_transactions_test.go
+++ b/internal/sim/store_transactions_test.go
@@ -10,8 +10,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Prefixes of the keys that record rentals and which tasks are done.
+// Prefixes of stored keys: records of jobs, of scale-out requests, and which tasks are done.
 const (
+	jobKeys      = "firwood/job/"
 	scaleOutKeys = "firwood/hire/"
 	progressKeys = "firwood/done/"
 )
@@ -74,39 +75,43 @@
 	})
 }
 
+// replayAllTransactions applies every transaction of the store again, and checks that records of
+// jobs and scale-out requests, and progress, stay as they are.
+func (cluster *Cluster) replayAllTransactions(when string) {
+	cluster.t.Helper()
+	watched := []string{jobKeys, scaleOutKeys, progressKeys}
+	before := map[string]string{}
+	for _, prefix := range watched {
+		for _, key := range cluster.Store.Keys(prefix) {
+			before[key] = cluster.Store.Value(key)
+		}
+	}
+	for _, transaction := range cluster.Store.Transactions() {
+		cluster.Store.ReapplyTransaction(transaction)
+		for _, change := range transaction.Changes {
+			key := change.PutKey + change.DeleteKey
+			isWatched := slices.ContainsFunc(watched, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
+			// Progress may come back after its job has ended; the leader removes it.
+			isLateProgress := strings.HasPrefix(key, progressKeys) && before[key] == ""
+			if value := cluster.Store.Value(key); isWatched && !isLateProgress && value != before[key] {
+				cluster.t.Errorf("%s, %s was %q and is %q", when, key, before[key], value)
+			}
+		}
+	}
+}
+
 // Every transaction that was ever carried out comes again, while the same leader goes on
 // and once another one has written: records of jobs and rentals, and progress, stay as
 // they are.
 func TestEveryTransactionReplayed(t *testing.T) {
 	Run(t, Options{TaskDuration: 3 * time.Second, TaskDurationStep: 4 * time.Second}, func(cluster *Cluster) {
-		watched := []string{"firwood/job/", scaleOutKeys, progressKeys}
-		repeat := func(when string) {
-			before := map[string]string{}
-			for _, prefix := range watched {
-				for _, key := range cluster.Store.Keys(prefix) {
-					before[key] = cluster.Store.Value(key)
-				}
-			}
-			for _, transaction := range cluster.Store.Transactions() {
-				cluster.Store.ReapplyTransaction(transaction)
-				for _, change := range transaction.Changes {
-					key := change.PutKey + change.DeleteKey
-					isWatched := slices.ContainsFunc(watched, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
-					// A mark may come again after the end of its job; the leader removes it.
-					isLateProgress := strings.HasPrefix(key, progressKeys) && before[key] == ""
-					if value := cluster.Store.Value(key); isWatched && !isLateProgress && value != before[key] {
-						t.Errorf("%s, %s was %q and is %q", when, key, before[key], value)
-					}
-				}
-			}
-		}
 		for i := 1; i <= 4; i++ {
 			cluster.MustSubmit("n0", Array(i, 6, "a"))
 		}
 		cluster.MustRun("n1", Service(5, 2, "a"))
 		for i := range 6 {
 			time.Sleep(1500 * time.Millisecond)
-			repeat("under the same leader")
+			cluster.replayAllTransactions("under the same leader")
 			if i == 2 {
 				cluster.MustCancel("n2", JobID(4))
 			}
@@ -115,14 +120,14 @@
 		cluster.WaitForLeader(20 * time.Second)
 		before := len(cluster.Store.Transactions())
 		cluster.WaitFor("the new leader has written", time.Minute, func() bool { return len(cluster.Store.Transactions()) > before+6 })
-		repeat("under another leader")
+		cluster.replayAllTransactions("under another leader")
 		for i := 1; i <= 3; i++ {
 			cluster.WaitForState("n2", JobID(i), wire.JobDone, 3*time.Minute)
 		}
 		cluster.MustCancel("n0", JobID(5))
 		cluster.WaitForRunningTasks(JobID(5), 0)
 		time.Sleep(20 * time.Second)
-		repeat("at the end")
+		cluster.replayAllTransactions("at the end")
 	})
 }
 
--- a/internal/sim/successive_failovers_test.go
+++ b/internal/sim/successive_failovers_test.go
@@ -29,7 +29,7 @@
 func TestSecondLeaderCrash(t *testing.T) {
 	var durations []time.Duration
 	for i := range *secondFailoverRounds {
-		options, failovers := limitedTeamOptions(true)
+		options, failovers := quotaBoundOptions(true)
 		options.TaskDuration += time.Duration(i) * 700 * time.Millisecond
 		Run(t, options, func(cluster *Cluster) {
 			cluster.hangOneMachine()
@@ -55,12 +55,11 @@
 // anything or can't tell, or is back in a new session in between. All use their replicas,
 // and are in doubt of no more than what runs.
 func TestSuccessiveFailoversWithUnconfirmedTasks(t *testing.T) {
-	for name, fault := range map[string]fake.MachineFault{"hanging": fake.MachineHanging, "deaf": fake.MachineCommandsLost, "mute": fake.MachineHeartbeatsLost} {
-		t.Run(name, func(t *testing.T) {
-			options, failovers := limitedTeamOptions(true)
+	for _, fault := range []fake.MachineFault{fake.MachineHanging, fake.MachineCommandsLost, fake.MachineHeartbeatsLost} {
+		t.Run(fault.String(), func(t *testing.T) {
+			options, failovers := quotaBoundOptions(true)
 			Run(t, options, func(cluster *Cluster) {
-				cluster.MustSubmit("n0", Array(1, 60, "b"))
-				cluster.WaitForRunningTasks("req-000001", 8)
+				cluster.runQuotaBoundJob(60)
 				time.Sleep(9 * time.Second)
 				faulty := cluster.MachinesRunning("req-000001")[0]
 				cluster.Cloud.SetFault(faulty, fault)
@@ -93,7 +92,7 @@
 // Leaders end one after another while jobs are cancelled, jobs wait for others, and copies
 // of reports from two leaders ago reach the newest one.
 func TestSuccessiveFailoversWithStaleHeartbeats(t *testing.T) {
-	options, failovers := limitedTeamOptions(true)
+	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
 		cluster.hangOneMachine()
 		var copies [][][]byte
@@ -125,15 +124,12 @@
 // A controller that keeps no replicas leads in the middle of a chain: the one after it
 // begins with everything in doubt, and the chain goes on from there.
 func TestSuccessiveFailoversThroughLeaderWithoutReplica(t *testing.T) {
-	options, failovers := limitedTeamOptions(true)
+	options, failovers := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n2"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
 		cluster.hangOneMachine()
-		cluster.Crash("n0")
-		cluster.PartitionFromStore("n1") // so that n2 leads
-		cluster.WaitForLeaderToBe("n2", time.Minute)
-		cluster.ReconnectToStore("n1")
+		cluster.failOverPast("n0", "n1", "n2")
 		cluster.Start("n0")
 		time.Sleep(3 * time.Second)
 		cluster.Crash("n2")
--- a/internal/sim/zone_partition_test.go
+++ b/internal/sim/zone_partition_test.go
@@ -75,8 +75,7 @@
 // send them to a leader that is dead by then: they find the one that leads.
 func TestWorkersLeavePartitionedMember(t *testing.T) {
 	Run(t, Options{TaskDuration: 15 * time.Second, TaskDurationStep: 300 * time.Millisecond}, func(cluster *Cluster) {
-		cluster.MustSubmit("n0", Array(1, 60, "b"))
-		cluster.WaitForRunningTasks("req-000001", 8)
+		cluster.runQuotaBoundJob(60)
 		leader := cluster.Leader()
 		isolated := cluster.nextMember(leader)
 		cluster.PartitionFromPeers(isolated)
