--- a/internal/sim/client.go
+++ b/internal/sim/client.go
@@ -10,14 +10,14 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Response is what a request came to; a status of 0 is none.
+// Response is a controller's reply to a request.
 type Response struct {
-	Status            int
+	Status            int // of HTTP; 0: the controller is down, 504: no reply in time
 	Body              []byte
-	RetryAfterSeconds int
+	RetryAfterSeconds int // 0: none
 }
 
-// JobState is the state that the answer tells of, empty if it tells none.
+// JobState is the job state in the body, empty if there is none.
 func (response Response) JobState() string {
 	var status wire.JobStatus
 	if response.Status/100 != 2 || status.UnmarshalJSON(response.Body) != nil {
@@ -28,7 +28,7 @@
 
 func decodeJSON(r io.Reader, v any) error { return json.NewDecoder(r).Decode(v) }
 
-// awaitResponse makes a request and waits for its answer, for so long at most.
+// awaitResponse makes a request and waits for its reply, 504 after the timeout.
 func awaitResponse(request func(*server.Reply), timeout time.Duration) Response {
 	answered := make(chan Response, 1)
 	request(server.NewReply(func(status int, body []byte, retryAfter int) {
@@ -42,13 +42,13 @@
 	}
 }
 
-// userTimeout is how long a user waits for an answer.
+// userTimeout is how long a user waits for a reply.
 const userTimeout = 5 * time.Second
 
 // JobID is the ID of the job of a number.
 func JobID(number int) string { return fmt.Sprintf("req-%06d", number) }
 
-// Array describes an array of a team.
+// Array is an array job of a team, as a user submits it.
 func Array(number, tasks int, team string) *wire.Job {
 	return &wire.Job{
 		ID: JobID(number), Class: "c", Team: team, Kind: wire.KindArray, Priority: "standard",
@@ -56,14 +56,14 @@
 	}
 }
 
-// Service describes a service that is spread over zones.
+// Service is a service of a team that is spread over zones, as a user submits it.
 func Service(number, tasks int, team string) *wire.Job {
 	job := Array(number, tasks, team)
 	job.Kind, job.Priority, job.SpreadZones, job.EstimatedRunSeconds = wire.KindService, "production", true, 0
 	return job
 }
 
-// Submit submits a job to a controller, once.
+// Submit submits a job to a controller, once. The checker records it and the reply.
 func (cluster *Cluster) Submit(name string, job *wire.Job) Response {
 	instance := cluster.runningInstance(cluster.member(name))
 	sentAt := time.Now()
@@ -82,7 +82,7 @@
 	return response
 }
 
-// GetJob asks a controller about a job, once.
+// GetJob reads a job from a controller, once. The checker records the reply.
 func (cluster *Cluster) GetJob(name, id string) Response {
 	instance := cluster.runningInstance(cluster.member(name))
 	if instance == nil {
@@ -99,7 +99,8 @@
 	return response
 }
 
-// Cancel asks a controller to cancel a job, once.
+// Cancel requests the cancellation of a job at a controller, once. The checker records it and the
+// reply.
 func (cluster *Cluster) Cancel(name, id string) Response {
 	instance := cluster.runningInstance(cluster.member(name))
 	if instance == nil {
@@ -114,7 +115,7 @@
 	return response
 }
 
-// MustSubmit submits a job until it is accepted.
+// MustSubmit submits a job to a controller until it is accepted.
 func (cluster *Cluster) MustSubmit(name string, job *wire.Job) {
 	cluster.t.Helper()
 	cluster.WaitFor(job.ID+" is accepted", time.Minute, func() bool {
@@ -130,19 +131,19 @@
 	cluster.WaitForRunningTasks(job.ID, job.TaskCount)
 }
 
-// MustCancel cancels a job.
+// MustCancel requests the cancellation of a job at a controller until it is confirmed.
 func (cluster *Cluster) MustCancel(name, id string) {
 	cluster.t.Helper()
 	cluster.WaitFor(id+" is cancelled", time.Minute, func() bool { return cluster.Cancel(name, id).JobState() == wire.JobCancelled })
 }
 
-// WaitForState waits until a controller tells a state of a job.
+// WaitForState waits until a controller shows a job in a state.
 func (cluster *Cluster) WaitForState(name, id, state string, timeout time.Duration) {
 	cluster.t.Helper()
 	cluster.WaitFor(id+" is "+state+" at "+name, timeout, func() bool { return cluster.GetJob(name, id).JobState() == state })
 }
 
-// MustCancelUnlessDone cancels a job, unless it is done already.
+// MustCancelUnlessDone requests the cancellation of a job until it is confirmed, or the job is done.
 func (cluster *Cluster) MustCancelUnlessDone(name, id string) {
 	cluster.t.Helper()
 	cluster.WaitFor(id+" is cancelled", time.Minute, func() bool { return cluster.Cancel(name, id).Status == 200 })
--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -10,13 +10,13 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Each test brings two troubles together; the rules are checked by Run.
+// Each test of this file combines two faults; Run checks the protocol's rules.
 
-// longTaskDuration is a run time that no test waits for.
+// longTaskDuration is longer than any test runs.
 const longTaskDuration = 20 * time.Minute
 
-// Cancellations, questions and repeated submissions meet the end of a job's last
-// task, at every controller at once, some milliseconds earlier or later each time.
+// Cancellations, reads and repeated submissions race with the end of a job's last task, at every
+// controller at once, some milliseconds earlier or later each time.
 func TestRequestsRaceWithJobCompletion(t *testing.T) {
 	Run(t, Options{TaskDuration: 2 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 60; i++ {
@@ -25,7 +25,7 @@
 			for len(cluster.MachinesRunning(job.ID)) > 0 {
 				time.Sleep(time.Millisecond)
 			}
-			// The worker reports some 20 ms later, and the end is written then.
+			// The worker's heartbeat follows some 20 ms later, and the end is written then.
 			time.Sleep(time.Duration(18+i/4) * time.Millisecond)
 			for index, member := range cluster.Members() {
 				if index == i%3 {
@@ -44,8 +44,8 @@
 	})
 }
 
-// Users ask at all controllers within milliseconds after a job was accepted or
-// confirmed as cancelled, and repeat both; nobody answers anything older.
+// Users read a job at all controllers within milliseconds after it was accepted or its
+// cancellation confirmed, and repeat both requests: no reply is older than that.
 func TestReadsRightAfterWrites(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 20; i++ {
@@ -72,8 +72,8 @@
 	})
 }
 
-// Teams are at their limit while jobs are cancelled whose machines are cut off or
-// hang, and the leader changes: cancelled tasks that may still run count.
+// A team is at its quota while a job of it is cancelled whose machines are partitioned or hang,
+// and the leader changes: cancelled tasks that may still run count towards the quota.
 func TestQuotaCountsCancelledTasksOnFaultyMachines(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 8, "b"))
@@ -95,11 +95,11 @@
 	})
 }
 
-// One-task jobs come four a second, a quarter of them cancelled: each is answered
-// and comes to its end.
+// Four one-task jobs are submitted a second and a quarter of them cancelled: each is answered and
+// ends.
 func TestManySmallJobs(t *testing.T) {
 	Run(t, Options{TaskDuration: 3 * time.Second, Limits: Limits{WriteRPS: 30}}, func(cluster *Cluster) {
-		// Large arrays whose tasks end all the time have much progress to write.
+		// Large arrays whose tasks end all the time cause many writes of progress.
 		for i := 1001; i <= 1012; i++ {
 			cluster.MustSubmit("n0", Array(i, 60, "a"))
 		}
@@ -122,7 +122,7 @@
 		}
 		for i := 1; i <= jobs; i++ {
 			id := JobID(i)
-			cluster.WaitFor(id+" is over", time.Minute, func() bool {
+			cluster.WaitFor(id+" is done or cancelled", time.Minute, func() bool {
 				s := cluster.GetJob(cluster.Members()[i%3], id).JobState()
 				return s == wire.JobDone || s == wire.JobCancelled
 			})
@@ -133,8 +133,8 @@
 	})
 }
 
-// There is more work than a team may use, the leader changes, and each job comes to
-// its turn.
+// A team has more work than its quota allows at a time, the leader changes, and every job gets
+// done.
 func TestWorkBeyondQuota(t *testing.T) {
 	teams := []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 8}}
 	Run(t, Options{TaskDuration: 5 * time.Second, Teams: teams}, func(cluster *Cluster) {
@@ -149,8 +149,8 @@
 	})
 }
 
-// Jobs that can't run are refused by every controller alike, also while the leader
-// is refused by the state service; what nobody submitted is not found.
+// Jobs that can't run are rejected by every controller alike, and jobs that nobody submitted are
+// not found. The leader, once the store rejects its requests, does not decide either.
 func TestInvalidRequestsAtEveryMember(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
 		unknownTeam, tooLarge, overLimit := Array(1, 1, "nobody"), Array(2, 1, "a"), Service(3, 9, "b")
@@ -162,21 +162,21 @@
 				}
 			}
 			if response := cluster.GetJob(member, "req-999999"); response.Status != 404 {
-				t.Errorf("a job of nobody gets %d at %s", response.Status, member)
+				t.Errorf("a job that nobody submitted gets %d at %s", response.Status, member)
 			}
 			if response := cluster.Cancel(member, "req-999998"); response.Status != 404 {
-				t.Errorf("a job of nobody gets %d at %s", response.Status, member)
+				t.Errorf("a job that nobody submitted gets %d at %s", response.Status, member)
 			}
 		}
 		leader := rejectLeaderRequests(cluster)
 		time.Sleep(2 * time.Second)
 		for _, job := range []*wire.Job{unknownTeam, tooLarge} {
 			if response := cluster.Submit(leader, job); response.Status != 503 || response.RetryAfterSeconds == 0 {
-				t.Errorf("a controller that can't decide answers %d, retry after %d s", response.Status, response.RetryAfterSeconds)
+				t.Errorf("a submission to a leader without the store gets %d, retry after %d s", response.Status, response.RetryAfterSeconds)
 			}
 		}
 		if response := cluster.GetJob(leader, "req-999997"); response.Status != 503 {
-			t.Errorf("a controller that can't know of a job answers %d", response.Status)
+			t.Errorf("a read of an unknown job at a leader without the store gets %d", response.Status)
 		}
 	})
 }
--- a/internal/sim/dependencies_test.go
+++ b/internal/sim/dependencies_test.go
@@ -10,17 +10,17 @@
 	"firwood.dev/firwood/wire"
 )
 
-// dependentArray describes an array that awaits others.
-func dependentArray(number int, team string, awaits ...int) *wire.Job {
+// dependentArray describes an array of two tasks that depends on the jobs of some numbers.
+func dependentArray(number int, team string, dependencies ...int) *wire.Job {
 	job := Array(number, 2, team)
-	for _, n := range awaits {
+	for _, n := range dependencies {
 		job.DependsOn = append(job.DependsOn, JobID(n))
 	}
 	return job
 }
 
-// A pipeline runs in order, over changes of the leader, across teams; what waits is
-// pending and holds nothing of its team's limit.
+// Jobs of two teams run in the order of their dependencies, across failovers; a job that waits for
+// a dependency is pending and uses nothing of its team's quota.
 func TestDependencyOrder(t *testing.T) {
 	teams := []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 4}}
 	Run(t, Options{Teams: teams}, func(cluster *Cluster) {
@@ -28,9 +28,9 @@
 		cluster.MustSubmit("n1", dependentArray(2, "b", 1))
 		cluster.MustSubmit("n2", dependentArray(3, "a", 2))
 		cluster.MustSubmit("n0", dependentArray(4, "b", 1, 3))
-		cluster.MustRun("n1", Array(5, 2, "b")) // the whole limit, while 2 and 4 wait
+		cluster.MustRun("n1", Array(5, 2, "b")) // the whole quota, while 2 and 4 wait
 		if s := cluster.GetJob("n2", JobID(4)).JobState(); s != wire.JobPending {
-			t.Errorf("a waiting job is %q", s)
+			t.Errorf("a job that waits for its dependencies is %q", s)
 		}
 		for range 4 {
 			cluster.Restart(cluster.Leader(), time.Second)
@@ -39,13 +39,13 @@
 		for i := 1; i <= 5; i++ {
 			cluster.WaitForState("n2", JobID(i), wire.JobDone, 3*time.Minute)
 		}
-		cluster.MustSubmit("n2", dependentArray(6, "a", 1, 4)) // long after those that it needs
+		cluster.MustSubmit("n2", dependentArray(6, "a", 1, 4)) // long after its dependencies are done
 		cluster.WaitForState("n0", JobID(6), wire.JobDone, time.Minute)
 	})
 }
 
-// Cancelling a job cancels everything that needs it, on every controller, through a
-// change of the leader, an outage, and submissions that race with it.
+// Cancelling a job cancels all its dependents at every controller, through a failover, a store
+// outage, and submissions that race with it.
 func TestDependentsAreCancelledWithRoot(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 2, "a"))
@@ -75,8 +75,8 @@
 			}
 		}
 		cluster.WaitForRunningTasks(JobID(1), 0)
-		// The derived ends become durable too.
-		cluster.WaitFor("every record says so", time.Minute, func() bool {
+		// The dependents' cancellations become durable too.
+		cluster.WaitFor("every job's record is cancelled", time.Minute, func() bool {
 			for i := 1; i <= 25; i++ {
 				if !isRecordCancelled(cluster, i) {
 					return false
@@ -87,6 +87,7 @@
 	})
 }
 
+// isRecordCancelled reports whether the stored record of a job says that it was cancelled.
 func isRecordCancelled(cluster *Cluster, number int) bool {
 	var record struct {
 		State string `json:"s"`
@@ -97,73 +98,73 @@
 	return record.State == wire.JobCancelled
 }
 
-// A cancellation that is answered with done leaves the jobs after it alone.
+// A cancellation of a job that is done already leaves its dependents alone.
 func TestCancelAfterDoneKeepsDependents(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 1, "a"))
 		cluster.MustSubmit("n1", dependentArray(2, "a", 1))
 		cluster.WaitForState("n2", JobID(1), wire.JobDone, time.Minute)
 		if s := cluster.Cancel("n0", JobID(1)).JobState(); s != wire.JobDone {
-			t.Errorf("cancelled after its end: %q", s)
+			t.Errorf("the cancellation of a done job gets %q", s)
 		}
 		cluster.WaitForState("n2", JobID(2), wire.JobDone, time.Minute)
 	})
 }
 
-// Jobs that were never accepted cannot be awaited, nor a job itself, nor a service;
-// every controller says so, and one that cannot know says when to come back. What
-// another controller accepted a moment ago can.
+// A job must not depend on one that was never accepted, on itself or on a service: every
+// controller rejects that, and a leader without the store answers when to retry. It may depend on
+// a job that another controller accepted a moment ago.
 func TestDependenciesAreValidated(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Service(1, 1, "a"))
 		for _, member := range cluster.Members() {
 			for _, job := range []*wire.Job{dependentArray(2, "a", 99), dependentArray(3, "a", 3), dependentArray(4, "a", 1)} {
 				if response := cluster.Submit(member, job); response.Status != 422 {
-					t.Errorf("%s awaiting %v gets %d at %s", job.ID, job.DependsOn, response.Status, member)
+					t.Errorf("%s depending on %v gets %d at %s", job.ID, job.DependsOn, response.Status, member)
 				}
 			}
 		}
 		for i := 10; i < 30; i += 2 {
 			cluster.MustSubmit(cluster.Members()[i%3], Array(i, 1, "a"))
 			if response := cluster.Submit(cluster.Members()[(i+1)%3], dependentArray(i+1, "a", i)); response.Status != 201 {
-				t.Errorf("awaiting what was accepted a moment ago: %d", response.Status)
+				t.Errorf("a job that depends on one accepted a moment ago gets %d", response.Status)
 			}
 		}
 		leader := rejectLeaderRequests(cluster)
 		if response := cluster.Submit(leader, dependentArray(5, "a", 98)); response.Status != 503 || response.RetryAfterSeconds == 0 {
-			t.Errorf("a controller that cannot know answers %d, retry after %d s", response.Status, response.RetryAfterSeconds)
+			t.Errorf("an unknown dependency at a leader without the store gets %d, retry after %d s", response.Status, response.RetryAfterSeconds)
 		}
 	})
 }
 
-// The state service takes less from some moment on: a job that awaits hundreds fits
-// all the same, nothing is refused for its size, and a change of the leader finds it.
+// The store lowers its limits as announced: a job with hundreds of dependencies is accepted all the
+// same, no transaction is rejected for its size, and the next leader knows the job.
 func TestStoreLimitsAreLowered(t *testing.T) {
 	next := &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 10, WriteRPS: 40}
 	Run(t, Options{Limits: Limits{UpcomingStore: next}, TaskDuration: 3 * time.Second}, func(cluster *Cluster) {
-		const awaited = 300
+		const dependencies = 300
 		last := Array(1000, 1, "a")
-		for i := 1; i <= awaited; i++ {
+		for i := 1; i <= dependencies; i++ {
 			cluster.MustSubmit(cluster.Members()[i%3], Array(i, 1, "a"))
 			last.DependsOn = append(last.DependsOn, JobID(i))
-			if i == awaited/2 {
+			if i == dependencies/2 {
 				cluster.Store.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 10})
 			}
 		}
 		cluster.MustSubmit("n1", last)
 		if s := cluster.GetJob("n0", last.ID).JobState(); s != wire.JobPending && s != wire.JobDone {
-			t.Errorf("it is %q", s)
+			t.Errorf("the job with %d dependencies is %q", dependencies, s)
 		}
 		cluster.Restart(cluster.Leader(), time.Second)
 		cluster.WaitForState("n2", last.ID, wire.JobDone, 5*time.Minute)
 		if oversized := cluster.Store.OversizedCount(); oversized > 0 {
-			t.Errorf("%d transactions were refused for their size", oversized)
+			t.Errorf("%d transactions were rejected for their size", oversized)
 		}
 		if keys := cluster.Store.Keys("firwood/needs/"); len(keys) < 2 {
-			t.Errorf("a long list lies in %v", keys)
+			t.Errorf("a long list of dependencies is in %v alone", keys)
 		}
 		if !slices.Contains(cluster.Store.Keys(jobKeys), jobKeys+last.ID) {
-			t.Error("its record is missing")
+			t.Errorf("the record of %s is missing", last.ID)
 		}
 	})
 }
@@ -205,14 +206,14 @@
 	return jobs
 }
 
-// A hundred jobs depend on each other in chains, fans and diamonds; half of them are
-// cancelled with their roots as the leader ends, and users go on submitting. Every
-// controller says the same of each, submissions are answered in time, and the others end.
+// A hundred jobs depend on each other in chains, fans and diamonds; half of them are cancelled with
+// their root as the leader crashes, while users submit more. Every controller shows the same of
+// each, submissions are answered in time, and the other jobs get done.
 func TestManyDependentJobs(t *testing.T) {
 	Run(t, Options{TaskDuration: 2 * time.Second, Limits: Limits{WriteRPS: 200}}, func(cluster *Cluster) {
 		submitter := &dagSubmitter{Cluster: cluster}
 		leader := cluster.Leader()
-		cluster.Cloud.SetDown(true) // nothing starts while they come
+		cluster.Cloud.SetDown(true) // nothing starts until all are submitted
 		first, second := submitter.submit(), submitter.submit()
 		cancelled, kept := submitter.submitDependents(first), submitter.submitDependents(second)
 		go cluster.MustCancel(cluster.OtherMembers(leader)[0], JobID(first))
--- a/internal/sim/failover_test.go
+++ b/internal/sim/failover_test.go
@@ -1,7 +1,6 @@
 package sim
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
@@ -9,7 +8,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Jobs are cancelled in the seconds in which the lead changes hands.
+// Jobs are cancelled in the seconds of a failover.
 func TestCancelDuringFailover(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 8; i++ {
@@ -32,8 +31,8 @@
 	})
 }
 
-// A leader ends while machines with long tasks can't be reached, or don't hear the
-// new leader's answers.
+// The leader restarts while machines with long tasks hang, are slow, or lose heartbeats or
+// commands: no task runs on two machines.
 func TestFaultyMachinesAtFailover(t *testing.T) {
 	for _, fault := range []fake.MachineFault{fake.MachineHanging, fake.MachineCommandsLost, fake.MachineHeartbeatsLost, fake.MachineSlow} {
 		t.Run(fault.String(), func(t *testing.T) {
@@ -55,7 +54,7 @@
 	}
 }
 
-// Leaders change ten times in two minutes, also inside an outage.
+// The leader restarts ten times in two minutes, also during a store outage.
 func TestFrequentFailovers(t *testing.T) {
 	Run(t, Options{TaskDuration: 15 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
@@ -79,11 +78,11 @@
 	})
 }
 
-// Controllers all end, and one returns within a second; all are away for longer
-// than a lease.
+// All controllers crash; one is back within a second, or all stay down for longer than a worker's
+// lease.
 func TestAllMembersDown(t *testing.T) {
-	for _, away := range []time.Duration{300 * time.Millisecond, 45 * time.Second} {
-		t.Run(fmt.Sprint(away), func(t *testing.T) {
+	for _, downtime := range []time.Duration{300 * time.Millisecond, 45 * time.Second} {
+		t.Run(downtime.String(), func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 				cluster.MustSubmit("n0", Array(1, 4, "a"))
 				cluster.MustSubmit("n1", Service(2, 2, "a"))
@@ -92,7 +91,7 @@
 				for _, member := range cluster.Members() {
 					cluster.Crash(member)
 				}
-				time.Sleep(away)
+				time.Sleep(downtime)
 				cluster.Start("n1")
 				cluster.MustCancel("n1", "req-000001")
 				cluster.Start("n0")
@@ -104,8 +103,8 @@
 	}
 }
 
-// Jobs of two or three tasks end far apart, across changes of the leader: what is done
-// stays done, and no job is called done before its last task.
+// The tasks of a job end far apart, across failovers: tasks that are done are not run again, and no
+// job is called done before its last task.
 func TestTaskProgressAcrossFailovers(t *testing.T) {
 	Run(t, Options{TaskDuration: 3 * time.Second, TaskDurationStep: 25 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
@@ -123,13 +122,13 @@
 			cluster.WaitForState("n1", JobID(i), wire.JobDone, 3*time.Minute)
 		}
 		if again := cluster.Checker.Reruns(); len(again) > 0 {
-			t.Errorf("done tasks are started again: %v", again)
+			t.Errorf("done tasks were started again: %v", again)
 		}
 	})
 }
 
-// Controllers hand over and back: the leader loses its workers, then the next one
-// does, while jobs are cancelled at both.
+// The leader is partitioned from its workers and hands over, then the next one is and does, while
+// jobs are cancelled at both.
 func TestLeaderHandoverAndBack(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
--- a/internal/sim/finished_jobs_test.go
+++ b/internal/sim/finished_jobs_test.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// cachedJobCount is how many finished jobs controllers of these tests remember.
+	// cachedJobCount is how many finished jobs controllers of these tests cache.
 	cachedJobCount   = 100
 	finishedJobCount = 3 * cachedJobCount
 )
 
-// smallCacheOptions is a deployment whose controllers remember few finished jobs.
+// smallCacheOptions is a deployment whose controllers cache few finished jobs.
 func smallCacheOptions() Options {
 	return Options{FinishedJobs: FinishedJobOptions{CachedCount: cachedJobCount}, TaskDuration: time.Second, Limits: Limits{WriteRPS: 2000}}
 }
 
-// finishJobs has many more jobs finish than controllers remember; one in ten is cancelled.
+// finishJobs has many more jobs finish than controllers cache; one in ten is cancelled.
 func (cluster *Cluster) finishJobs() {
 	for i := range finishedJobCount {
 		job := Array(i, 1, "a")
@@ -33,17 +33,17 @@
 	}
 	for i := range finishedJobCount {
 		id := JobID(i)
-		cluster.WaitFor(id+" is over", time.Minute, func() bool {
-			stage := cluster.GetJob("n0", id).JobState()
-			return stage == wire.JobDone || stage == wire.JobCancelled
+		cluster.WaitFor(id+" is done or cancelled", time.Minute, func() bool {
+			state := cluster.GetJob("n0", id).JobState()
+			return state == wire.JobDone || state == wire.JobCancelled
 		})
 	}
 	time.Sleep(5 * time.Second)
 }
 
-// Controllers that have forgotten most finished jobs say the same of them as ever, at once
-// and to many: their end, also to a repeated submission and cancellation, and 404 only of
-// what nobody has submitted. The checker watches. So do controllers that come back.
+// Controllers that have evicted most finished jobs from their caches show them as before, also to
+// many concurrent reads, to repeated submissions and to cancellations; 404 is for jobs that nobody
+// submitted alone. So do controllers that have restarted.
 func TestEvictedJobsAreKnown(t *testing.T) {
 	Run(t, smallCacheOptions(), func(cluster *Cluster) {
 		cluster.finishJobs()
@@ -56,20 +56,19 @@
 			cluster.Restart(name, time.Second)
 		}
 		cluster.WaitForLeader(time.Minute)
-		t.Logf("%s led, now %s does", leader, cluster.Leader())
+		t.Logf("%s was leader, now %s is", leader, cluster.Leader())
 		time.Sleep(5 * time.Second)
 		cluster.getAllJobs()
 	})
 }
 
-// getJobsConcurrently asks a controller for many forgotten jobs, and as many unknown ones, in
-// one moment.
+// getJobsConcurrently reads many evicted jobs and as many unknown ones from a controller at once.
 func (cluster *Cluster) getJobsConcurrently(name string) {
 	const many = 60
 	statuses := make(chan string, 2*many)
 	get := func(id string, want int) {
 		if response := cluster.GetJob(name, id); response.Status != want {
-			statuses <- fmt.Sprintf("%s says %d of %s", name, response.Status, id)
+			statuses <- fmt.Sprintf("%s answers %d for %s", name, response.Status, id)
 			return
 		}
 		statuses <- ""
@@ -85,14 +84,15 @@
 	}
 }
 
-// getAllJobs asks every controller about every job, each job at all controllers at once.
+// getAllJobs reads every job from all controllers at once, one job after the other, repeats some
+// submissions and cancellations, and reads some unknown jobs.
 func (cluster *Cluster) getAllJobs() {
 	for i := range finishedJobCount {
 		id, failures := JobID(i), make(chan string, 3)
 		for _, name := range cluster.Members() {
 			go func() {
 				if response := cluster.GetJob(name, id); response.Status != 200 || response.JobState() != wire.JobDone && response.JobState() != wire.JobCancelled {
-					failures <- fmt.Sprintf("%s says %d, %q of %s", name, response.Status, response.JobState(), id)
+					failures <- fmt.Sprintf("%s answers %d, %q for %s", name, response.Status, response.JobState(), id)
 					return
 				}
 				failures <- ""
@@ -106,24 +106,23 @@
 		if i%7 == 0 {
 			name := cluster.Members()[i%3]
 			if response := cluster.Submit(name, Array(i, 1, "a")); response.Status != 200 || response.JobState() == wire.JobPending {
-				cluster.t.Errorf("submitted again: %d, %s", response.Status, response.JobState())
+				cluster.t.Errorf("a repeated submission of %s gets %d, %q", id, response.Status, response.JobState())
 			}
 			if response := cluster.Cancel(name, id); response.Status != 200 {
-				cluster.t.Errorf("cancelled again: %d", response.Status)
+				cluster.t.Errorf("a cancellation of %s gets %d", id, response.Status)
 			}
 		}
 	}
 	for i := range 50 {
 		id := JobID(500000 + i)
 		if response := cluster.GetJob(cluster.Members()[i%3], id); response.Status != 404 {
-			cluster.t.Errorf("a job that nobody submitted: %d", response.Status)
+			cluster.t.Errorf("a job that nobody submitted gets %d", response.Status)
 		}
 	}
 }
 
-// Jobs await ones that were forgotten: they run after those that are done, also when all
-// controllers have begun anew meanwhile, are cancelled with those that are, and are refused
-// only for what was never accepted.
+// Jobs depend on evicted ones: they run if those are done, also after a restart of all controllers,
+// are cancelled if one is cancelled, and are rejected only for a dependency that was never accepted.
 func TestEvictedJobsAsDependencies(t *testing.T) {
 	Run(t, smallCacheOptions(), func(cluster *Cluster) {
 		cluster.finishJobs()
@@ -136,7 +135,7 @@
 				cancelled = id
 			}
 		}
-		for i := range 2 * cachedJobCount { // so that these are forgotten again
+		for i := range 2 * cachedJobCount { // so that done and cancelled are evicted again
 			cluster.GetJob("n1", JobID(finishedJobCount-1-i))
 		}
 		afterDone, afterCancelled, afterUnknown := Array(600001, 1, "a"), Array(600002, 1, "a"), Array(600003, 1, "a")
@@ -154,7 +153,7 @@
 		later.DependsOn = afterDone.DependsOn
 		cluster.MustSubmit("n2", later)
 		if response := cluster.Submit("n0", afterUnknown); response.Status != 422 {
-			t.Errorf("it awaits a job that was never accepted: %d", response.Status)
+			t.Errorf("a job that depends on one that was never accepted gets %d", response.Status)
 		}
 		for _, name := range cluster.Members() {
 			cluster.Restart(name, time.Second)
@@ -165,8 +164,8 @@
 	})
 }
 
-// While the state service is down nobody is told that a forgotten job is unknown, and
-// nobody is held up.
+// During a store outage an evicted job is never called unknown, and requests for it are answered
+// in time.
 func TestEvictedJobsInStoreOutage(t *testing.T) {
 	Run(t, smallCacheOptions(), func(cluster *Cluster) {
 		cluster.finishJobs()
@@ -175,14 +174,14 @@
 		for i := range 60 {
 			name := cluster.Members()[i%3]
 			if response := cluster.GetJob(name, JobID(i)); response.Status == 404 {
-				t.Errorf("%s does not know %s", name, JobID(i))
+				t.Errorf("%s answers 404 for %s", name, JobID(i))
 			}
 			if response := cluster.Submit(name, Array(i, 1, "a")); response.Status != 503 && response.Status != 200 {
-				t.Errorf("submitted again: %d", response.Status)
+				t.Errorf("a repeated submission of %s gets %d", JobID(i), response.Status)
 			}
 		}
 		if took := time.Since(began); took > 60*2*2*time.Second {
-			t.Errorf("answers took %v", took)
+			t.Errorf("120 replies took %v", took)
 		}
 		cluster.Store.SetDown(false)
 		time.Sleep(5 * time.Second)
@@ -195,7 +194,7 @@
 	archivedKeys = "firwood.finished/"
 )
 
-// waitForArchived waits until so many records lie in the archive, and the others where they were.
+// waitForArchived waits until so many records are in the archive, and the others where they were.
 func (cluster *Cluster) waitForArchived(archived int) {
 	cluster.t.Helper()
 	cluster.WaitFor(fmt.Sprintf("%d records are archived", archived), 10*time.Minute, func() bool {
@@ -203,9 +202,9 @@
 	})
 }
 
-// Finished jobs are moved to the archive, and back when that is turned off, while leaders
-// end, the state service is down, loses answers and carries writes out late, and old writes
-// come again. All the while every controller knows every job, also one that has just begun.
+// Finished jobs are moved to the archive, and back when archiving is turned off, while leaders
+// crash, the store is down, loses replies and delays writes, and old writes are applied again.
+// All the while every controller shows every job, also right after a restart.
 func TestFinishedJobsAreArchived(t *testing.T) {
 	options := smallCacheOptions()
 	options.FinishedJobs.ArchiveAfter = archiveAfter
@@ -218,7 +217,7 @@
 			cluster.Store.ReapplyTransaction(transaction)
 		}
 		if left := cluster.Store.Keys(jobKeys); len(left) > 0 {
-			t.Errorf("old writes brought back %d records", len(left))
+			t.Errorf("replayed submissions brought back %d records", len(left))
 		}
 		cluster.getAllJobs()
 		cluster.restartAllMembers()
@@ -228,7 +227,7 @@
 		cluster.options.FinishedJobs.NotArchivedBy = cluster.Members()
 		cluster.restartAllMembers()
 		cluster.injectFaultsWhileArchiving()
-		cluster.WaitFor("all records are back", 10*time.Minute, func() bool {
+		cluster.WaitFor("all records are out of the archive", 10*time.Minute, func() bool {
 			return len(cluster.Store.Keys(archivedKeys)) == 0 && len(cluster.Store.Keys("firwood/archive")) == 0
 		})
 		for _, transaction := range cluster.Store.Transactions() {
@@ -237,13 +236,13 @@
 			}
 		}
 		if left := cluster.Store.Keys(archivedKeys); len(left) > 0 {
-			t.Errorf("old moves archived %d records again", len(left))
+			t.Errorf("replayed moves archived %d records again", len(left))
 		}
 		cluster.getAllJobs()
 	})
 }
 
-// injectFaultsWhileArchiving has one trouble after another while records are moved.
+// injectFaultsWhileArchiving injects one fault after another while records are moved.
 func (cluster *Cluster) injectFaultsWhileArchiving() {
 	time.Sleep(archiveAfter)
 	for _, fault := range []fake.StoreFault{fake.StoreRepliesLost, fake.StoreWritesDelayed, fake.StoreRequestsRejected} {
@@ -262,7 +261,7 @@
 	time.Sleep(3 * time.Second)
 }
 
-// restartAllMembers has every controller begin anew.
+// restartAllMembers restarts one controller after the other, and waits for a leader.
 func (cluster *Cluster) restartAllMembers() {
 	for _, name := range cluster.Members() {
 		cluster.Restart(name, time.Second)
@@ -271,7 +270,8 @@
 	time.Sleep(5 * time.Second)
 }
 
-// checkDependencyOnArchivedJob has a job await one that lies in the archive.
+// checkDependencyOnArchivedJob submits a job that depends on an archived one, and waits until it
+// is done.
 func (cluster *Cluster) checkDependencyOnArchivedJob() {
 	job := Array(600001, 1, "a")
 	for i := range finishedJobCount {
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -10,12 +10,12 @@
 	"firwood.dev/firwood/wire"
 )
 
-// fleetSizes are the fleets that TestLargeFleet plays. The race detector follows no more
-// than some 8,000 goroutines at a time for long, so the test command plays a large one
+// fleetSizes are the numbers of machines of the fleets that TestLargeFleet plays. The race detector
+// follows no more than some 8,000 goroutines at a time for long, so that test.sh plays the large one
 // without it.
-var fleetSizes = flag.String("fleet-sizes", "400", "numbers of machines that large fleets have, separated by commas")
+var fleetSizes = flag.String("fleet-sizes", "400", "numbers of machines of the fleets that TestLargeFleet plays, separated by commas")
 
-// fleetOptions describes a deployment that has room for so many machines.
+// fleetOptions is a deployment whose limits allow so many machines.
 func fleetOptions(machines int) Options {
 	return Options{
 		TaskDuration: longTaskDuration, BootDuration: 5 * time.Second, Workers: WorkerTimes{HeartbeatInterval: 6 * time.Second},
@@ -23,7 +23,7 @@
 	}
 }
 
-// maxArrayTasks is how many tasks an array of a large fleet has at most.
+// maxArrayTasks is the number of tasks of the largest array.
 const maxArrayTasks = 250
 
 // largeFleet is a cluster whose machines are all in use.
@@ -33,8 +33,8 @@
 	jobs      []*wire.Job
 }
 
-// submitJobs submits arrays of whole machines and services of parts of them, at all
-// controllers at once, to a fleet of which nothing is up.
+// submitJobs submits arrays whose tasks need a whole machine each and services whose replicas need
+// a quarter of one, to all controllers in turn, before any machine is up.
 func (fleet *largeFleet) submitJobs(machines int) {
 	const replicas = 24
 	number := 0
@@ -55,7 +55,7 @@
 	}
 }
 
-// waitForAllRunning waits until all tasks are on machines, and tells how long that took.
+// waitForAllRunning waits until all tasks are on machines, and logs how long that took.
 func (fleet *largeFleet) waitForAllRunning(what string, timeout time.Duration) {
 	fleet.t.Helper()
 	began := time.Now()
@@ -68,14 +68,14 @@
 	fleet.t.Logf("%s: all %d tasks run after %v", what, fleet.taskCount, time.Since(began).Round(time.Millisecond))
 }
 
-// checkMachineCount checks that not many more machines were rented than are needed. Each
-// one that came up used to be rented once more, since it had not seen the token yet.
+// checkMachineCount checks that there are not many more machines than are needed. Added after each
+// machine that came up was requested a second time, since it had not seen the token yet.
 func (fleet *largeFleet) checkMachineCount(needed int) {
 	fleet.t.Helper()
-	rented := len(fleet.Cloud.MachineNames())
-	fleet.t.Logf("%d machines for %d", rented, needed)
-	if rented > needed+needed/10 {
-		fleet.t.Errorf("%d machines are rented for work on %d", rented, needed)
+	machines := len(fleet.Cloud.MachineNames())
+	fleet.t.Logf("%d machines for work on %d", machines, needed)
+	if machines > needed+needed/10 {
+		fleet.t.Errorf("%d machines for work on %d", machines, needed)
 	}
 }
 
@@ -90,9 +90,9 @@
 	fleet.t.Logf("a new job runs after %v", time.Since(began).Round(time.Millisecond))
 }
 
-// A large fleet comes up from nothing, all its workers report at once after an outage
-// and after they could reach nobody, a zone is cut off, the leader ends, half of the work
-// is cancelled: nothing that runs is lost, and what is submitted then starts.
+// A large fleet boots, all its workers send heartbeats at once after a store outage and after a
+// partition from all controllers, a zone is partitioned, the leader restarts, half of the work is
+// cancelled: no running task is lost, and jobs that are submitted afterwards start.
 func TestLargeFleet(t *testing.T) {
 	for _, size := range strings.Split(*fleetSizes, ",") {
 		machines, err := strconv.Atoi(size)
@@ -105,15 +105,16 @@
 	}
 }
 
+// runLargeFleet plays TestLargeFleet with one size.
 func runLargeFleet(fleet *largeFleet, machines int) {
 	fleet.submitJobs(machines)
-	fleet.waitForAllRunning("from nothing", 3*time.Minute)
+	fleet.waitForAllRunning("after the boot of the fleet", 3*time.Minute)
 	fleet.checkMachineCount(machines)
 	fleet.Store.SetDown(true)
 	time.Sleep(20 * time.Second)
 	fleet.Store.SetDown(false)
 	fleet.waitForNewJob(900001, 30*time.Second)
-	fleet.waitForAllRunning("after an outage", time.Minute)
+	fleet.waitForAllRunning("after a store outage", time.Minute)
 
 	fleet.Network.Partition("all workers", func(a, b string) bool {
 		return fleet.isController(a) != fleet.isController(b) && (fleet.isMachine(a) || fleet.isMachine(b))
@@ -121,17 +122,17 @@
 	time.Sleep(15 * time.Second)
 	fleet.Network.Heal("all workers")
 	fleet.waitForNewJob(900002, 30*time.Second)
-	fleet.waitForAllRunning("after nobody could be reached", time.Minute)
+	fleet.waitForAllRunning("after a partition of all workers", time.Minute)
 
 	fleet.PartitionZone("x")
 	time.Sleep(20 * time.Second)
 	fleet.ReconnectZone("x")
 	fleet.waitForNewJob(900003, 30*time.Second)
-	fleet.waitForAllRunning("after the cut of a zone", time.Minute)
+	fleet.waitForAllRunning("after a partition of a zone", time.Minute)
 
 	fleet.Restart(fleet.Leader(), 3*time.Second)
 	fleet.waitForNewJob(900004, 30*time.Second)
-	fleet.waitForAllRunning("after the leader's end", time.Minute)
+	fleet.waitForAllRunning("after a restart of the leader", time.Minute)
 
 	for _, job := range fleet.jobs[:len(fleet.jobs)/2] {
 		fleet.MustCancel("n2", job.ID)
--- a/internal/sim/generated_history_test.go
+++ b/internal/sim/generated_history_test.go
@@ -12,27 +12,27 @@
 	"firwood.dev/firwood/wire"
 )
 
-// historyCount is how many generated histories are played; firstSeed is the first's
-// seed.
+// historyCount is how many generated histories TestGeneratedHistories plays; firstSeed is the seed
+// of the first one, and the others' follow it.
 var (
-	historyCount = flag.Int("histories", 10, "generated histories of overlapping troubles to play")
+	historyCount = flag.Int("histories", 10, "how many histories of overlapping faults TestGeneratedHistories plays")
 	firstSeed    = flag.Uint64("first-seed", 1, "seed of the first generated history")
 )
 
-// generatedHistory is a generated course of jobs and overlapping troubles.
+// generatedHistory is a random sequence of jobs, requests and overlapping faults.
 type generatedHistory struct {
 	*Cluster
 	random *rand.Rand
 	jobs   []*wire.Job
-	// cancelRequested are jobs that users have called off.
+	// cancelRequested are the jobs whose cancellation a user requests.
 	cancelRequested map[string]bool
-	// cancelledWithDependency are jobs that are cancelled with others.
+	// cancelledWithDependency are the jobs that are cancelled with one that they depend on.
 	cancelledWithDependency map[string]bool
-	// ends are when the troubles under way are over.
+	// faultsOverAt is when the last injected fault ends.
 	faultsOverAt    time.Time
 	heartbeatCopies [][]byte
-	pendingRequests int // submissions and cancellations under way
-	answered        chan struct{}
+	pendingRequests int           // submissions and cancellations that were begun
+	answered        chan struct{} // gets a value for each of them that has succeeded
 }
 
 func (history *generatedHistory) pickName(names []string) string {
@@ -60,7 +60,7 @@
 	team := []string{"a", "b", "b"}[history.random.IntN(3)]
 	var job *wire.Job
 	if history.random.IntN(4) == 0 {
-		// Of the team without a limit: services would hold the other's for good.
+		// Of the team without a quota: services would use up the other's for good.
 		job = Service(number, 1+history.random.IntN(3), "a")
 	} else {
 		job = Array(number, 1+history.random.IntN(4), team)
@@ -99,9 +99,9 @@
 	})
 }
 
-// retryInBackground tries something at one controller after the other until it succeeds, while
+// retryInBackground retries a request at one controller after the other until it succeeds, while
 // the history goes on.
-func (history *generatedHistory) retryInBackground(try func(node string) bool) {
+func (history *generatedHistory) retryInBackground(try func(member string) bool) {
 	history.pendingRequests++
 	members, next := history.Members(), history.random.IntN(3)
 	go func() {
@@ -113,7 +113,7 @@
 	}()
 }
 
-// getJobEverywhere asks every controller about a job at once.
+// getJobEverywhere reads a job from every controller at once.
 func (history *generatedHistory) getJobEverywhere(id string) {
 	for _, member := range history.Members() {
 		go history.GetJob(member, id)
@@ -224,13 +224,13 @@
 	}
 }
 
-// isCancellationPropagated tells whether what needs a job is cancelled with it.
+// isCancellationPropagated reports whether the dependents of a job are to be cancelled with it.
 func (history *generatedHistory) isCancellationPropagated(id string) bool {
 	return history.cancelledWithDependency[id] || history.cancelRequested[id] && history.GetJob("n1", id).JobState() == wire.JobCancelled
 }
 
-// waitForCompletion waits until the troubles are over, and checks that every accepted job that
-// was not cancelled comes to its end or runs, and is known.
+// waitForCompletion waits until all faults are over, and checks that every request is answered and
+// that every job that was not cancelled is done, or runs if it is a service.
 func (history *generatedHistory) waitForCompletion() {
 	if left := time.Until(history.faultsOverAt); left > 0 {
 		time.Sleep(left)
@@ -240,7 +240,7 @@
 		select {
 		case <-history.answered:
 		case <-time.After(75 * time.Second):
-			history.t.Fatal("a request gets no answer after the troubles")
+			history.t.Fatal("a request gets no reply after the faults")
 		}
 	}
 	for _, job := range history.jobs {
@@ -265,8 +265,8 @@
 	}
 }
 
-// Over generated histories of jobs, cancellations, questions and overlapping
-// troubles no rule is broken, and everything accepted is served.
+// In generated histories of jobs, cancellations, reads and overlapping faults no rule of the protocol
+// is violated, and every accepted job ends or runs.
 func TestGeneratedHistories(t *testing.T) {
 	lateStarts := 0
 	for i := range *historyCount {
@@ -285,9 +285,9 @@
 					history.runRandomStep()
 				}
 				history.waitForCompletion()
-				for _, s := range cluster.Checker.LateStarts() {
+				for _, start := range cluster.Checker.LateStarts() {
 					lateStarts++
-					t.Log("late start: ", s)
+					t.Log("late start: ", start)
 				}
 			})
 		})
--- a/internal/sim/isolated_leader_test.go
+++ b/internal/sim/isolated_leader_test.go
@@ -16,17 +16,17 @@
 	{LeaseTTL: 14 * time.Second, CancellationGrace: 44 * time.Second},
 }
 
-// rejectLeaderRequests has the state service refuse the leader alone, and returns its name.
+// rejectLeaderRequests has the store reject the requests of the leader alone, and returns its name.
 func rejectLeaderRequests(cluster *Cluster) string {
 	leader := cluster.Leader()
 	cluster.Store.SetFault(leader, fake.StoreRequestsRejected)
 	return leader
 }
 
-// The state service refuses the leader alone, another controller confirms
-// cancellations, and then it is down for all for longer than the cancellation time,
-// while workers report to the old leader. It learns of the cancellations from the
-// others, and stops the tasks while it may.
+// The store rejects the leader's requests alone, another controller confirms a cancellation, and
+// then the store is down for everybody for longer than the cancellation grace, while workers send
+// their heartbeats to the old leader. It learns of the cancellation from its peers, and stops the
+// tasks while it holds the leader lease.
 func TestRejectedLeaderThenStoreOutage(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 4, "a"))
@@ -43,14 +43,14 @@
 		cluster.WaitForRunningTasks("req-000002", 2)
 		time.Sleep(30 * time.Second)
 		if late := cluster.Checker.LateStarts(); len(late) > 0 {
-			t.Errorf("started after the cancellation: %v", late)
+			t.Errorf("started after the cancellation was confirmed: %v", late)
 		}
 	})
 }
 
-// The same where the leader is cut off from the other controllers too: nobody can
-// tell it. Its workers' leases end in time, and when its lock comes back with the
-// state service it reads before it starts anything.
+// The same where the leader is partitioned from its peers too, so that it does not learn of the
+// cancellation. Its workers' leases expire in time, and when the end of the outage gives it the
+// leader lease back, it reads before it starts anything.
 func TestPartitionedLeaderThenStoreOutage(t *testing.T) {
 	for _, times := range leaseTimes {
 		t.Run(times.LeaseTTL.String(), func(t *testing.T) {
@@ -66,19 +66,19 @@
 				cluster.Store.SetDown(false)
 				time.Sleep(30 * time.Second)
 				if late := cluster.Checker.LateStarts(); len(late) > 0 {
-					t.Errorf("started after the cancellation: %v", late)
+					t.Errorf("started after the cancellation was confirmed: %v", late)
 				}
 			})
 		})
 	}
 }
 
-// The lock comes back at the end of an outage before the old leader can read what was
-// cancelled meanwhile: it starts nothing until it has read.
+// The end of an outage gives the old leader its lease back before it can read what was cancelled
+// meanwhile: it starts nothing until it has read.
 func TestLeaseRegainedBeforeRead(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 4, "a"))
-		cluster.MustSubmit("n0", Service(2, 2, "a")) // its machines are asked for their state
+		cluster.MustSubmit("n0", Service(2, 2, "a")) // its machines are probed for their state
 		cluster.WaitForRunningTasks("req-000001", 4)
 		cluster.WaitForRunningTasks("req-000002", 2)
 		leader := rejectLeaderRequests(cluster)
@@ -92,49 +92,49 @@
 		cluster.Store.SetFault(leader, fake.StoreHealthy)
 		time.Sleep(20 * time.Second)
 		if late := cluster.Checker.LateStarts(); len(late) > 0 {
-			t.Errorf("started after the cancellation: %v", late)
+			t.Errorf("started after the cancellation was confirmed: %v", late)
 		}
 	})
 }
 
-// The lock is not renewed for a while though reads are answered, an outage gives it its
-// time back, and then reads are refused: however new the view is, what was cancelled
-// between the last read and the outage is not known, and nothing is started.
+// The leader lease is not renewed for a while though reads are answered, an outage gives it its TTL
+// back, and then reads are rejected. However recent the leader's view is, a cancellation between the
+// last read and the outage is not in it: nothing is started.
 func TestLeaseRegainedWithRecentView(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{HeartbeatInterval: time.Second / 2}}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 8, "b"))
-		cluster.MustSubmit("n0", Array(2, 2, "b")) // over the team's limit, so it waits
+		cluster.MustSubmit("n0", Array(2, 2, "b")) // over the team's quota, so it waits
 		time.Sleep(time.Second)
 		leader := cluster.Leader()
 		cluster.PartitionFromPeers(leader)
 		cluster.Store.SetFault(leader, fake.StoreRenewalsRejected)
 		time.Sleep(4 * time.Second)
 		cluster.Store.SetFault(leader, fake.StoreRequestsRejected)
-		time.Sleep(100 * time.Millisecond) // the last read has come back
+		time.Sleep(100 * time.Millisecond) // by then the last read is answered
 		cluster.MustCancel(cluster.OtherMembers(leader)[0], JobID(2))
 		cluster.Store.SetDown(true)
-		time.Sleep(2 * time.Second) // the entitlement ends
+		time.Sleep(2 * time.Second) // the leader is no longer entitled to act
 		cluster.Store.SetFault(leader, fake.StoreReadsRejected)
 		cluster.Store.SetDown(false)
 		for i := range 8 {
-			cluster.Cloud.Fail(wire.TaskID(JobID(1), i)) // there is room for the other job
+			cluster.Cloud.Fail(wire.TaskID(JobID(1), i)) // the quota has room for the other job
 			time.Sleep(time.Second / 2)
 		}
 		cluster.Store.SetFault(leader, fake.StoreHealthy)
 		cluster.ReconnectToPeers(leader)
 		time.Sleep(20 * time.Second)
 		if late := cluster.Checker.LateStarts(); len(late) > 0 {
-			t.Errorf("started after the cancellation: %v", late)
+			t.Errorf("started after the cancellation was confirmed: %v", late)
 		}
 	})
 }
 
-// A leader renews its lock, but is refused every read, and the other controllers
-// can't tell it of cancellations: it answers workers no longer than the tasks may
-// stay. Where others are heard and served, it hands over long before that.
+// The leader renews its lease, but every read of it is rejected. Where its peers can't tell it of
+// cancellations, it answers workers no longer than the cancellation grace; where they can, and are
+// served by the store, it hands over long before that.
 func TestLeaderWithoutReads(t *testing.T) {
 	for _, peersReachable := range []bool{false, true} {
-		t.Run(fmt.Sprint("peers heard ", peersReachable), func(t *testing.T) {
+		t.Run(fmt.Sprint("peers reachable ", peersReachable), func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 				cluster.MustSubmit("n0", Array(1, 4, "a"))
 				cluster.MustSubmit("n0", Array(2, 2, "a"))
@@ -152,7 +152,7 @@
 				}
 				time.Sleep(cluster.options.Workers.CancellationGrace + 5*time.Second)
 				if on := cluster.MachinesRunning("req-000002"); peersReachable && len(on) != 2 {
-					t.Errorf("%d of 2 other tasks run", len(on))
+					t.Errorf("%d of 2 tasks of the job that was not cancelled run", len(on))
 				}
 				cluster.ReconnectToPeers(leader)
 				cluster.Store.SetFault(leader, fake.StoreHealthy)
@@ -162,8 +162,8 @@
 	}
 }
 
-// Jobs are cancelled at the very moment at which the leader is refused alone, and a
-// second later the state service is down for longer than the cancellation time.
+// Jobs are cancelled just as the store begins to reject the leader's requests alone, and a second
+// later the store is down for longer than the cancellation grace.
 func TestCancelWhileLeaderIsRejected(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 6; i++ {
@@ -183,7 +183,7 @@
 			if !confirmed[i].Load() {
 				t.Errorf("%s is not cancelled before the outage", JobID(i))
 			}
-			// The others tell the old leader, which stops the tasks while it may.
+			// The peers tell the old leader, which stops the tasks while it holds its lease.
 			cluster.WaitForNoTasks(JobID(i), 3*time.Second)
 		}
 		time.Sleep(75 * time.Second)
@@ -193,8 +193,8 @@
 	})
 }
 
-// A leader is cut off from the state service and the other controllers while workers
-// and users still reach it, and jobs are cancelled through the new one.
+// The leader is partitioned from the store and its peers while workers and users still reach it,
+// and a job is cancelled at the new leader.
 func TestPartitionedLeaderKeepsWorkers(t *testing.T) {
 	for _, times := range leaseTimes {
 		t.Run(times.LeaseTTL.String(), func(t *testing.T) {
@@ -210,10 +210,10 @@
 				cluster.WaitForNewLeader(isolated, 30*time.Second)
 				cluster.MustCancel(other, JobID(1))
 				if response := cluster.GetJob(isolated, JobID(1)); response.JobState() != "" {
-					t.Errorf("the old leader answers %q", response.JobState())
+					t.Errorf("the partitioned leader answers %q", response.JobState())
 				}
 				cluster.WaitForNoTasks(JobID(1), cluster.options.Workers.CancellationGrace)
-				// The new leader takes the leases for over, and starts the replicas again.
+				// The new leader knows the workers' leases to have expired, and starts the replicas again.
 				time.Sleep(times.LeaseTTL)
 				cluster.ReconnectToStore(isolated)
 				cluster.ReconnectToPeers(isolated)
--- a/internal/sim/logger_test.go
+++ b/internal/sim/logger_test.go
@@ -6,7 +6,8 @@
 	"os"
 )
 
-// showControllerLogs has controllers' logs written to standard error.
+// showControllerLogs has the controllers' logs of generated histories and large fleets written to
+// standard error.
 var showControllerLogs = flag.Bool("controller-logs", false, "write the controllers' logs to standard error")
 
 func controllerLogger() *slog.Logger {
--- a/internal/sim/normal_operation_test.go
+++ b/internal/sim/normal_operation_test.go
@@ -7,8 +7,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The usual way, with no trouble: work of all kinds runs, ends and is told of by
-// every controller.
+// Without faults an array and a service run, and every controller shows them.
 func TestNormalOperation(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 5, "a"))
--- a/internal/sim/stale_heartbeats_test.go
+++ b/internal/sim/stale_heartbeats_test.go
@@ -8,8 +8,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// An old report reaches every controller just as a new leader begins, and a report
-// held back until a new leader has acted arrives there.
+// Copies of old heartbeats reach every controller during a failover, and once more when the new
+// leader has acted.
 func TestStaleHeartbeatsAtFailover(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 6, "a"))
@@ -32,8 +32,8 @@
 	})
 }
 
-// A report from before tasks were started comes again under the leader that started
-// them: that it lacks them says nothing.
+// A copy of a heartbeat from before tasks were started reaches the leader that started them: that
+// it lacks them does not mean that they have exited.
 func TestStaleHeartbeatsUnderSameLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 2, "a")) // half a machine
@@ -41,7 +41,7 @@
 		staleHeartbeats := cluster.Cloud.LastHeartbeats()
 		cluster.MustRun("n0", Array(2, 2, "a"))
 		time.Sleep(5 * time.Second)
-		// More than there is room for, and it goes first: were the tasks taken for gone,
+		// More than there is room for, and of a higher priority: were the tasks taken for exited,
 		// their room would be given away.
 		cluster.MustSubmit("n0", Service(3, 24, "a"))
 		for range 30 {
@@ -53,9 +53,9 @@
 	})
 }
 
-// A task goes from one machine to another, which then can't be reached; a new leader
-// hears first a copy of a report from before, of the machine that had the task. Neither
-// that copy, nor that the machine's next report lacks the task, says that it is over.
+// A task moves from one machine to another, which then hangs. The first heartbeat that a new leader
+// gets of the former machine is a copy from when it had the task. Neither that copy, nor that the
+// machine's next heartbeat lacks the task, means that the task has exited.
 func TestStaleHeartbeatOfMovedTask(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		moved, filler := Array(1, 1, "a"), Array(2, 1, "a")
@@ -73,17 +73,17 @@
 		time.Sleep(5 * time.Second)
 		currentMachine := cluster.MachinesRunning(moved.ID)[0]
 		cluster.Cloud.SetFault(currentMachine, fake.MachineHanging)
-		cluster.MustCancel("n1", filler.ID) // where the task was there is room again
+		cluster.MustCancel("n1", filler.ID) // the former machine has room again
 		time.Sleep(time.Second)
-		// The copies are what the new leader hears first of that machine.
-		cluster.Network.Partition("copies first", func(a, b string) bool { return a == previousMachine || b == previousMachine })
+		// The new leader gets the copies before any other heartbeat of the former machine.
+		cluster.Network.Partition("former machine", func(a, b string) bool { return a == previousMachine || b == previousMachine })
 		cluster.Restart(cluster.Leader(), 200*time.Millisecond)
 		cluster.WaitForLeader(20 * time.Second)
 		for range 20 {
 			cluster.ReplayHeartbeats(staleHeartbeats)
 			time.Sleep(50 * time.Millisecond)
 		}
-		cluster.Network.Heal("copies first")
+		cluster.Network.Heal("former machine")
 		time.Sleep(20 * time.Second)
 		cluster.Cloud.SetFault(currentMachine, fake.MachineHealthy)
 		time.Sleep(10 * time.Second)
@@ -91,7 +91,7 @@
 	})
 }
 
-// A command that is held up for seconds is carried out after the new leader's.
+// Command requests of the former leader are carried out seconds late, after those of the new one.
 func TestLateCommandsOfFormerLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 2, "a"))
@@ -103,11 +103,11 @@
 		old := cluster.Leader()
 		cluster.Restart(old, 200*time.Millisecond)
 		cluster.WaitForLeader(5 * time.Second)
-		time.Sleep(2 * time.Second) // the workers have heard of the new leader
+		time.Sleep(2 * time.Second) // by then the workers have the new leader's token
 		cluster.MustCancel(cluster.Leader(), "req-000003")
 		time.Sleep(10 * time.Second)
 		if late := cluster.Checker.LateStarts(); len(late) > 0 {
-			t.Errorf("started by a command of the ended leader: %v", late)
+			t.Errorf("started by a command of the former leader: %v", late)
 		}
 		cluster.SetFaultOnAllMachines(fake.MachineHealthy)
 		cluster.WaitForRunningTasks("req-000002", 4)
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -8,9 +8,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A follower lags, and loses its way to the state service just as the leader dies: it
-// decides nothing and holds nobody up. Once the way is back it follows the new leader, and
-// when that dies takes over with a replica which that one has vouched for.
+// A follower lags, and is partitioned from the store just as the leader crashes: it decides nothing
+// and delays nobody. Reconnected, it follows the new leader, and when that one crashes takes over
+// with a replica that the new leader has recorded as in sync.
 func TestFollowerPartitionedFromStoreAtLeaderCrash(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -28,20 +28,20 @@
 		cluster.ReconnectToPeers(isolated)
 		time.Sleep(5 * time.Second)
 		if cluster.Leader() != other {
-			t.Errorf("%s leads without the state service", cluster.Leader())
+			t.Errorf("%s is leader, though %s is partitioned from the store", cluster.Leader(), isolated)
 		}
 		cluster.ReconnectToStore(isolated)
 		time.Sleep(20 * time.Second)
 		cluster.Crash(other)
 		cluster.WaitForLeaderToBe(isolated, 12*time.Second)
 		if used, _ := failovers.last(); !used {
-			t.Error("it has not proved its replica")
+			t.Errorf("%s has not used its replica", isolated)
 		}
 		cluster.WaitForState(isolated, "req-000001", wire.JobDone, 6*time.Minute)
 	})
 }
 
-// The leader and a follower die at once, and the state service is down meanwhile.
+// The leader and a follower crash together during a store outage.
 func TestTwoMembersCrashInStoreOutage(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -52,7 +52,7 @@
 		time.Sleep(time.Second)
 		cluster.Crash(leader)
 		cluster.Crash(cluster.OtherMembers(leader)[0])
-		time.Sleep(2 * time.Second) // the lock is alive when the service is back
+		time.Sleep(2 * time.Second) // the leader lease has not expired when the store is back
 		cluster.Store.SetDown(false)
 		last := cluster.OtherMembers(leader)[1]
 		cluster.WaitForLeaderToBe(last, 15*time.Second)
@@ -63,8 +63,8 @@
 	})
 }
 
-// The lead passes five times in two minutes between versions that keep replicas and one
-// that keeps none, while a machine hangs now and then.
+// The leader restarts five times in two minutes, among members that keep replicas and one that
+// keeps none, while one machine after another hangs.
 func TestFailoversBetweenVersions(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n1"}
@@ -86,7 +86,7 @@
 	})
 }
 
-// Of two followers the one in step gets the lead, also where the other is as quick.
+// Of two followers the one in sync becomes leader, also where the other is as quick.
 func TestOutOfSyncFollowerYields(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -95,22 +95,22 @@
 			leader := cluster.Leader()
 			outOfSync, inSync := cluster.OtherMembers(leader)[0], cluster.OtherMembers(leader)[1]
 			time.Sleep(10 * time.Second)
-			cluster.Network.Partition("two", fake.LinkBetween(leader, outOfSync))
-			cluster.MustSubmit(inSync, Array(round+1, 2, "a")) // what the other one lacks
+			cluster.Network.Partition("out of sync", fake.LinkBetween(leader, outOfSync))
+			cluster.MustSubmit(inSync, Array(round+1, 2, "a")) // the other follower lacks it
 			time.Sleep(15 * time.Second)
 			cluster.Crash(leader)
 			cluster.WaitForLeader(15 * time.Second)
 			if cluster.Leader() != inSync {
-				t.Errorf("%s leads, which was out of step", cluster.Leader())
+				t.Errorf("%s is leader, which was out of sync", cluster.Leader())
 			}
-			cluster.Network.Heal("two")
+			cluster.Network.Heal("out of sync")
 			cluster.Start(leader)
 		}
 	})
 }
 
-// The account is larger than a message. A follower dies while it takes a snapshot, and
-// again; then the leader dies while another takes one.
+// The allocation table is larger than a message. A follower crashes while it receives a snapshot,
+// and again; then the leader crashes while the follower receives another one.
 func TestFollowersCrashDuringSnapshot(t *testing.T) {
 	const machines = 160
 	options := fleetOptions(machines)
@@ -119,7 +119,7 @@
 	options.Logger = failovers.logger()
 	Run(t, options, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, machines*4, "a"))
-		cluster.WaitFor("all run", 3*time.Minute, func() bool { return cluster.Cloud.RunningTaskCount() == machines*4 })
+		cluster.WaitFor("all tasks run", 3*time.Minute, func() bool { return cluster.Cloud.RunningTaskCount() == machines*4 })
 		time.Sleep(15 * time.Second)
 		leader := cluster.Leader()
 		follower := cluster.OtherMembers(leader)[0]
@@ -133,13 +133,13 @@
 		cluster.WaitForLeader(15 * time.Second)
 		cluster.MustRun("n0", Array(2, 4, "a"))
 		if running := cluster.Cloud.RunningTaskCount(); running != machines*4+4 {
-			t.Errorf("%d tasks run", running)
+			t.Errorf("%d of %d tasks run", running, machines*4+4)
 		}
 	})
 }
 
-// The leader is back within a moment of its crash, without what it knew: the follower that
-// stands by gets the lead all the same.
+// The leader is back at once after its crash, without its allocation table: a follower with a
+// replica becomes leader all the same.
 func TestRestartedLeaderYields(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -149,31 +149,31 @@
 			_, before := failovers.last()
 			leader := cluster.Leader()
 			for _, other := range cluster.OtherMembers(leader) {
-				cluster.Network.SetExtraLatency(other, 12*time.Millisecond) // it would be the quicker one
+				cluster.Network.SetExtraLatency(other, 12*time.Millisecond) // the restarted leader would be quicker
 			}
 			cluster.Network.SetExtraLatency(leader, 0)
 			cluster.Crash(leader)
 			cluster.Start(leader)
-			cluster.WaitFor("somebody takes over", 15*time.Second, func() bool { _, count := failovers.last(); return count > before })
+			cluster.WaitFor("a failover", 15*time.Second, func() bool { _, count := failovers.last(); return count > before })
 			if used, _ := failovers.last(); !used {
-				t.Error("no replica was used")
+				t.Error("the new leader used no replica")
 			}
 		}
 		cluster.WaitForState("n0", "req-000001", wire.JobDone, 6*time.Minute)
 	})
 }
 
-// A follower in step falls silent as the state service goes down, so that it can't be left
-// out: starts wait for it until the lock ends, as they would a little later anyway. With
-// the service back, they go on.
+// A follower in sync becomes unresponsive as the store goes down, so that the leader can't record
+// that it is out of sync: starts wait for it until the leader lease ends, as they would a little
+// later anyway. When the store is back they go on.
 func TestUnresponsiveFollowerInStoreOutage(t *testing.T) {
-	run := func(isSilent bool) (starts int, after time.Duration) {
+	run := func(isUnresponsive bool) (starts int, after time.Duration) {
 		options, _ := quotaBoundOptions(true)
 		options.TaskDuration, options.TaskDurationStep = 3*time.Second, 100*time.Millisecond
 		Run(t, options, func(cluster *Cluster) {
 			cluster.runQuotaBoundJob(200)
 			time.Sleep(6 * time.Second)
-			if isSilent {
+			if isUnresponsive {
 				cluster.PartitionFromPeers(cluster.OtherMembers(cluster.Leader())[0])
 			}
 			cluster.Store.SetDown(true)
@@ -185,10 +185,10 @@
 		})
 		return starts, after
 	}
-	silent, afterSilent := run(true)
-	all, after := run(false)
-	t.Logf("starts in an outage of 12 s: %d with a silent follower, %d without; the first one after it: %v, %v", silent, all, afterSilent, after)
-	if afterSilent > after+3*time.Second {
-		t.Errorf("starts go on %v after the outage, %v without a silent follower", afterSilent, after)
+	startsUnresponsive, afterUnresponsive := run(true)
+	starts, after := run(false)
+	t.Logf("starts in an outage of 12 s: %d with an unresponsive follower, %d without; the first one after it: %v, %v", startsUnresponsive, starts, afterUnresponsive, after)
+	if afterUnresponsive > after+3*time.Second {
+		t.Errorf("starts go on %v after the outage, %v without an unresponsive follower", afterUnresponsive, after)
 	}
 }
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -14,16 +14,16 @@
 	"firwood.dev/firwood/wire"
 )
 
-// failoverRounds is how many take-overs are compared with and without replicas.
-var failoverRounds = flag.Int("take-over-plays", 1, "how many take-overs are played with replicas and without")
+// failoverRounds is how many failovers TestReplicaConfirmsTasks plays with replicas and without.
+var failoverRounds = flag.Int("take-over-plays", 1, "how many failovers TestReplicaConfirmsTasks plays with replicas and without")
 
-// failoverRecord is what a new leader began with.
+// failoverRecord is what a new leader logged of its allocation table.
 type failoverRecord struct {
 	isReplicaUsed bool
 	unconfirmed   int64 // tasks
 }
 
-// failoverRecorder notes take-overs from the log.
+// failoverRecorder is a slog.Handler that records failovers from the controllers' logs.
 type failoverRecorder struct {
 	mu       sync.Mutex
 	recorded []failoverRecord
@@ -55,14 +55,14 @@
 
 func (recorder *failoverRecorder) logger() *slog.Logger { return slog.New(recorder) }
 
-// records are the take-overs so far.
+// records are the failovers so far, the first leader's election included.
 func (recorder *failoverRecorder) records() []failoverRecord {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	return slices.Clone(recorder.recorded)
 }
 
-// last tells whether the last take-over used its replica, and how many there were.
+// last returns whether the last failover used a replica, and how many there were.
 func (recorder *failoverRecorder) last() (replicaUsed bool, count int) {
 	all := recorder.records()
 	if len(all) == 0 {
@@ -108,24 +108,24 @@
 	cluster.ReconnectToStore(passedOver)
 }
 
-// waitForNextStart tells how long after now the next task starts.
+// waitForNextStart waits until a task starts, and returns how long that took.
 func (cluster *Cluster) waitForNextStart(timeout time.Duration) time.Duration {
 	began, before := time.Now(), cluster.Cloud.StartCount()
 	cluster.WaitFor("a task starts", timeout, func() bool { return cluster.Cloud.StartCount() > before })
 	return time.Since(began)
 }
 
-// The leader ends while a machine hangs, so that its tasks can't be accounted for before
-// its lease ends. Without a replica no task of the job starts until then; with one, those
-// that the replica has nowhere do, within ten seconds.
+// The leader crashes while a machine hangs, so that its tasks can't be confirmed before its lease
+// expires. Without a replica no task of the job starts until then; with one, the tasks start within
+// ten seconds that are on no machine according to the replica.
 func TestReplicaConfirmsTasks(t *testing.T) {
 	for i := range *failoverRounds {
 		t.Run(strconv.Itoa(i), func(t *testing.T) { compareFailover(t, time.Duration(i)*700*time.Millisecond) })
 	}
 }
 
-// compareFailover plays a take-over with replicas and without, where tasks run longer by
-// some time.
+// compareFailover plays a failover with replicas and without, with tasks that run longer than usual
+// by some time.
 func compareFailover(t *testing.T, longer time.Duration) {
 	after := func(standby bool) (first, done time.Duration) {
 		options, failovers := quotaBoundOptions(standby)
@@ -151,14 +151,14 @@
 		return
 	}
 	without, doneWithout := after(false)
-	t.Logf("from the leader's end to the first start and the job's: %v and %v with a replica, %v and %v without", with, doneWith, without, doneWithout)
+	t.Logf("from the leader's crash to the first start and to the job's end: %v and %v with a replica, %v and %v without", with, doneWith, without, doneWithout)
 	if without < 20*time.Second {
-		t.Errorf("without a replica it took %v: the test causes no doubt", without)
+		t.Errorf("without a replica the first start took %v: no task was unconfirmed", without)
 	}
 }
 
-// A follower that was cut off from the leader for a while lacks starts. It is left out of
-// the record of those in step, and takes over by the slower way.
+// A follower that is partitioned from the leader lacks starts. The record of the followers in sync
+// leaves it out, so that it takes over without its replica.
 func TestIncompleteReplicaIsNotUsed(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -166,21 +166,21 @@
 		time.Sleep(6 * time.Second)
 		leader := cluster.Leader()
 		cluster.PartitionFromPeers(leader)
-		cluster.waitForNextStart(30 * time.Second)         // what is told to nobody
-		cluster.SetFaultOnAllMachines(fake.MachineHanging) // nobody can tell of it
+		cluster.waitForNextStart(30 * time.Second)         // a start that no follower knows of
+		cluster.SetFaultOnAllMachines(fake.MachineHanging) // nor does it get into a heartbeat
 		time.Sleep(time.Second)
 		cluster.Crash(leader)
 		cluster.WaitForLeader(30 * time.Second)
 		if used, count := failovers.last(); used || count != 2 {
-			t.Errorf("replica used: %v, in take-over %d", used, count)
+			t.Errorf("replica used: %v, in failover %d", used, count)
 		}
 		time.Sleep(20 * time.Second)
 		cluster.WaitForState(cluster.Leader(), "req-000001", wire.JobDone, 5*time.Minute)
 	})
 }
 
-// A start waits for followers in step that don't answer, for half a second and a write,
-// and not for ever.
+// A start waits for a follower in sync that is unresponsive for half a second and a write, and not
+// for ever.
 func TestUnresponsiveFollowerDelaysStartsBriefly(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -195,8 +195,8 @@
 	})
 }
 
-// Somebody who keeps no replica led in between: a record that still names a follower of
-// the leader before says nothing of what was started since.
+// A member that keeps no replica was leader in between: a record that still names a follower of the
+// leader before does not cover what was started since.
 func TestLeaderWithoutReplicaInBetween(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n2"}
@@ -210,16 +210,16 @@
 		cluster.Crash("n2")
 		cluster.WaitForLeaderToBe("n1", time.Minute)
 		if used, _ := failovers.last(); used {
-			t.Error("a replica of an earlier leader was used")
+			t.Error("a replica of the leader before the last was used")
 		}
 		time.Sleep(time.Minute)
 		cluster.WaitForState("n1", "req-000001", wire.JobDone, 5*time.Minute)
 	})
 }
 
-// A leader that itself does not know where tasks are, since the one before kept no
-// replicas, ends before it does. It passes its doubt on: the next one believes its copy,
-// which has the whole job in doubt, and starts nothing of it before that is over.
+// A leader whose tasks are all unconfirmed, since the one before kept no replicas, crashes before
+// they are confirmed. The next one uses its replica, in which they are unconfirmed too, and starts
+// none of them before that has changed.
 func TestLeaderCrashesWithUnconfirmedTasks(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n0"}
@@ -233,16 +233,16 @@
 		cluster.WaitForLeader(time.Minute)
 		all := failovers.records()
 		last, before := all[len(all)-1], all[len(all)-2]
-		// Of the eight that ran some may be durably done by now.
+		// Of the eight tasks that ran some may be durably done by now.
 		if !last.isReplicaUsed || before.isReplicaUsed || last.unconfirmed > before.unconfirmed || last.unconfirmed < before.unconfirmed-8 {
-			t.Errorf("%+v after %+v", last, before)
+			t.Errorf("the last failover has %+v, the one before %+v", last, before)
 		}
 		time.Sleep(20 * time.Second)
 		cluster.WaitForState(cluster.Leader(), "req-000001", wire.JobDone, 6*time.Minute)
 	})
 }
 
-// makeLeader ends leaders until a controller of a name leads.
+// makeLeader restarts leaders until the controller of a name is leader.
 func (cluster *Cluster) makeLeader(name string) {
 	for range 20 {
 		leader := cluster.Leader()
@@ -254,11 +254,11 @@
 		}
 		cluster.WaitForLeader(30 * time.Second)
 	}
-	cluster.t.Fatalf("%s does not come to lead", name)
+	cluster.t.Fatalf("%s does not become leader", name)
 }
 
-// The leader ends again and again, also soon after a take-over, while tasks of all kinds
-// start, end and are cancelled: the checker watches, and nothing waits for long.
+// The leader restarts again and again, also soon after a failover, while jobs are submitted: all get
+// done, and replicas are used.
 func TestRepeatedFailoversWithReplicas(t *testing.T) {
 	failovers := &failoverRecorder{}
 	Run(t, Options{Standby: StandbyOptions{Enabled: true}, TaskDuration: 12 * time.Second, TaskDurationStep: 200 * time.Millisecond, Logger: failovers.logger()}, func(cluster *Cluster) {
@@ -273,7 +273,7 @@
 			cluster.WaitForState("n1", Array(i+1, 1, "a").ID, wire.JobDone, 3*time.Minute)
 		}
 		if !slices.ContainsFunc(failovers.records(), func(failover failoverRecord) bool { return failover.isReplicaUsed }) {
-			t.Error("no take-over used its replica")
+			t.Error("no failover used a replica")
 		}
 	})
 }
--- a/internal/sim/store_transactions_test.go
+++ b/internal/sim/store_transactions_test.go
@@ -17,9 +17,8 @@
 	progressKeys = "firwood/done/"
 )
 
-// A transaction is carried out and only its answer is lost, while other controllers
-// read what it wrote: what they have told holds for the writer, whose retry ends in
-// the same verdict.
+// A transaction is applied and its reply lost, while other controllers read what it wrote: the
+// writer's replies agree with theirs, also to a repeated submission.
 func TestLostTransactionReplies(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		leader := cluster.Leader()
@@ -27,13 +26,13 @@
 		cluster.Store.SetFault(writer, fake.StoreRepliesLost)
 		job := Array(1, 1, "a")
 		if response := cluster.Submit(writer, job); response.Status != 503 {
-			t.Errorf("a submission whose write has no answer gets %d", response.Status)
+			t.Errorf("a submission whose write gets no reply gets %d", response.Status)
 		}
 		if s := cluster.GetJob(reader, job.ID).JobState(); s == "" {
-			t.Error("what was carried out is not known to others")
+			t.Errorf("%s does not know a job that was written", reader)
 		}
-		// A writer that has had no answer for a second may ask to come back later; in the
-		// end the verdict is that the job is known.
+		// A writer that got no reply for a second may answer 503 with a time to retry after; in the
+		// end it answers that the job is known.
 		cluster.WaitFor("the repeated submission is answered", 5*time.Second, func() bool {
 			response := cluster.Submit(writer, job)
 			if response.Status != 200 && (response.Status != 503 || response.RetryAfterSeconds == 0) {
@@ -43,7 +42,7 @@
 		})
 		cluster.WaitForRunningTasks(job.ID, 1)
 		if response := cluster.Cancel(writer, job.ID); response.Status != 503 {
-			t.Errorf("a cancellation whose write has no answer gets %d", response.Status)
+			t.Errorf("a cancellation whose write gets no reply gets %d", response.Status)
 		}
 		cluster.WaitForState(reader, job.ID, wire.JobCancelled, 5*time.Second)
 		for _, member := range cluster.Members() {
@@ -53,8 +52,7 @@
 	})
 }
 
-// Transactions without an answer are carried out seconds later, after newer ones of
-// the same controller.
+// Transactions that got no reply are applied seconds later, after newer ones of the same controller.
 func TestDelayedTransactions(t *testing.T) {
 	Run(t, Options{TaskDuration: 10 * time.Second}, func(cluster *Cluster) {
 		leader := cluster.Leader()
@@ -100,9 +98,8 @@
 	}
 }
 
-// Every transaction that was ever carried out comes again, while the same leader goes on
-// and once another one has written: records of jobs and rentals, and progress, stay as
-// they are.
+// Every transaction so far is applied again, under the same leader and once another one has written:
+// records of jobs and scale-out requests, and progress, stay as they are.
 func TestEveryTransactionReplayed(t *testing.T) {
 	Run(t, Options{TaskDuration: 3 * time.Second, TaskDurationStep: 4 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
@@ -131,13 +128,13 @@
 	})
 }
 
-// New machines are up at once while writes lag, and the leader ends: no task is on a
+// New machines are up at once while writes are delayed, and the leader crashes: no task is on a
 // machine that the next leader may not know of when it starts the task again.
 func TestFastBootWithDelayedWrites(t *testing.T) {
 	Run(t, Options{BootDuration: 200 * time.Millisecond, Workers: WorkerTimes{HeartbeatInterval: time.Second}, TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		leader := cluster.Leader()
-		// Once a rental is recorded, the names that the cloud gives are not written for
-		// seconds; the next leader learns them when it asks for the same rental again.
+		// Once a scale-out request is recorded, the names that the cloud gives are not written for
+		// seconds; the next leader gets them by repeating the request.
 		go func() {
 			for len(cluster.Store.Keys(scaleOutKeys)) == 0 {
 				time.Sleep(time.Millisecond)
@@ -152,7 +149,7 @@
 			t.Error("no machine is up")
 		}
 		if running := cluster.Cloud.RunningTasks(); len(running) > 0 {
-			t.Errorf("on machines that no record names: %v", running)
+			t.Errorf("tasks on machines that no record names: %v", running)
 		}
 		cluster.SetFaultOnAllMachines(fake.MachineHanging)
 		cluster.Crash(leader)
@@ -167,8 +164,8 @@
 	})
 }
 
-// The state service answers slowly while users submit, cancel and ask, and the leader
-// ends: every question is answered, and nothing older than before.
+// The store is slow while users submit, cancel and read, and the leader restarts: reads are
+// answered, and no reply is older than one before.
 func TestSlowStore(t *testing.T) {
 	Run(t, Options{TaskDuration: 10 * time.Second}, func(cluster *Cluster) {
 		cluster.Network.SetExtraLatency(fake.StoreHost, 250*time.Millisecond)
@@ -188,7 +185,7 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		if answered < 40 {
-			t.Errorf("%d of 60 questions are answered", answered)
+			t.Errorf("%d of 60 reads are answered", answered)
 		}
 		for i := 1; i <= 5; i++ {
 			cluster.WaitForState("n2", JobID(i), wire.JobDone, 2*time.Minute)
--- a/internal/sim/successive_failovers_test.go
+++ b/internal/sim/successive_failovers_test.go
@@ -10,11 +10,11 @@
 	"firwood.dev/firwood/wire"
 )
 
-// secondFailoverRounds is how many times a second death is played.
-var secondFailoverRounds = flag.Int("second-deaths", 1, "how many times a leader ends before its own doubt has")
+// secondFailoverRounds is how many second crashes TestSecondLeaderCrash plays.
+var secondFailoverRounds = flag.Int("second-deaths", 1, "how many times TestSecondLeaderCrash crashes a leader that still has unconfirmed tasks")
 
-// failOver ends the leader, has it come back a second later, and waits until another
-// one leads and others stand by.
+// failOver restarts the leader with a delay of a second, waits until another member is leader, and
+// returns its name.
 func (cluster *Cluster) failOver() string {
 	cluster.t.Helper()
 	before := cluster.Leader()
@@ -23,9 +23,9 @@
 	return cluster.Leader()
 }
 
-// A leader ends while a machine hangs, and the next one three seconds after it took over,
-// in doubt of what is on that machine. The third one's doubt is no more than that, so that
-// what is owed a start begins when tasks elsewhere end.
+// A leader crashes while a machine hangs, and the next one three seconds after its failover, with
+// that machine's tasks unconfirmed. No more are for the third one, so that the next tasks of the job
+// start when tasks elsewhere end.
 func TestSecondLeaderCrash(t *testing.T) {
 	var durations []time.Duration
 	for i := range *secondFailoverRounds {
@@ -39,7 +39,7 @@
 			first := cluster.waitForNextStart(2 * time.Minute)
 			durations = append(durations, first.Round(100*time.Millisecond))
 			if replicaUsed, _ := failovers.last(); !replicaUsed {
-				t.Error("the third leader had no replica that it could use")
+				t.Error("the third leader used no replica")
 			}
 			if longest := 10*time.Second + options.TaskDuration - 15*time.Second; first > longest {
 				t.Errorf("the first start took %v", first)
@@ -48,12 +48,12 @@
 		})
 	}
 	slices.Sort(durations)
-	t.Logf("from the second death to the first start owed: %v", durations)
+	t.Logf("from the second crash to the first start: %v", durations)
 }
 
-// Five leaders end in a row, each before its doubt has: a machine hangs, can't be told
-// anything or can't tell, or is back in a new session in between. All use their replicas,
-// and are in doubt of no more than what runs.
+// Five leaders restart in a row, each while tasks are unconfirmed: a machine hangs, loses commands or
+// heartbeats, and is back in a new incarnation in the end. All use their replicas, and have no more
+// tasks unconfirmed than may run.
 func TestSuccessiveFailoversWithUnconfirmedTasks(t *testing.T) {
 	for _, fault := range []fake.MachineFault{fake.MachineHanging, fake.MachineCommandsLost, fake.MachineHeartbeatsLost} {
 		t.Run(fault.String(), func(t *testing.T) {
@@ -67,9 +67,9 @@
 					cluster.failOver()
 					time.Sleep(3 * time.Second)
 				}
-				// Eight run at a time, and of eight the end may not be durable yet.
+				// Eight tasks run at a time, and the ends of eight may not be durable yet.
 				cluster.checkReplicasUsed(failovers.records()[1:], 16)
-				time.Sleep(20 * time.Second) // its lease ends, and with it its session
+				time.Sleep(20 * time.Second) // the worker's lease expires, and its incarnation ends
 				cluster.Cloud.SetFault(faulty, fake.MachineHealthy)
 				cluster.failOver()
 				cluster.WaitForState(cluster.Leader(), "req-000001", wire.JobDone, 8*time.Minute)
@@ -78,19 +78,19 @@
 	}
 }
 
-// checkReplicasUsed checks that take-overs used their replicas, and how many tasks were in
-// doubt at most.
+// checkReplicasUsed checks that failovers used replicas, and that no more tasks than a bound were
+// unconfirmed after each.
 func (cluster *Cluster) checkReplicasUsed(failovers []failoverRecord, maxUnconfirmed int64) {
 	cluster.t.Helper()
 	for i, failover := range failovers {
 		if !failover.isReplicaUsed || failover.unconfirmed > maxUnconfirmed {
-			cluster.t.Errorf("take-over %d: %+v", i, failover)
+			cluster.t.Errorf("failover %d: %+v, with at most %d unconfirmed", i, failover, maxUnconfirmed)
 		}
 	}
 }
 
-// Leaders end one after another while jobs are cancelled, jobs wait for others, and copies
-// of reports from two leaders ago reach the newest one.
+// Leaders restart one after another while jobs are cancelled, jobs wait for dependencies, and copies
+// of heartbeats from two leaders ago reach the newest one.
 func TestSuccessiveFailoversWithStaleHeartbeats(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -121,8 +121,8 @@
 	})
 }
 
-// A controller that keeps no replicas leads in the middle of a chain: the one after it
-// begins with everything in doubt, and the chain goes on from there.
+// A member that keeps no replicas is leader in the middle of a series of failovers: the next one
+// begins with all tasks unconfirmed, and the one after that uses its replica again.
 func TestSuccessiveFailoversThroughLeaderWithoutReplica(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n2"}
@@ -135,12 +135,12 @@
 		cluster.Crash("n2")
 		cluster.WaitForLeader(time.Minute)
 		if used, _ := failovers.last(); used {
-			t.Error("a replica of before n2 led was used")
+			t.Error("a replica from before n2 was leader was used")
 		}
 		time.Sleep(3 * time.Second)
 		cluster.failOver()
 		if used, _ := failovers.last(); !used {
-			t.Error("the chain does not go on")
+			t.Error("the leader after that used no replica")
 		}
 		cluster.Start("n2")
 		cluster.WaitForState(cluster.Leader(), "req-000001", wire.JobDone, 8*time.Minute)
--- a/internal/sim/zone_partition_test.go
+++ b/internal/sim/zone_partition_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A zone with workers and a controller is cut off for longer than a lease, and jobs
-// that run there are cancelled meanwhile.
+// A zone with workers and a controller is partitioned for longer than a lease, and a job that runs
+// there is cancelled meanwhile.
 func TestZonePartitionLongerThanLease(t *testing.T) {
 	for _, zone := range []string{"x", "y"} {
 		t.Run(zone, func(t *testing.T) {
@@ -32,9 +32,9 @@
 	}
 }
 
-// A zone is cut off while the cloud's interface is down, so that machines whose leases
-// are taken for over can't be deleted: tasks start elsewhere only once nobody in the
-// zone can have renewed their leases for long enough.
+// A zone is partitioned while the cloud is down, so that machines whose leases are known to have
+// expired can't be deleted: tasks start elsewhere only once nobody in the zone can have renewed
+// those leases for long enough.
 func TestZonePartitionInCloudOutage(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		job := Array(1, 2, "a")
@@ -57,7 +57,7 @@
 	})
 }
 
-// Jobs bound to one zone lose machines, and the leader.
+// A single-zone job loses machines, and the leader restarts: its tasks run again each time.
 func TestOneZoneJobLosesMachines(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		job := Array(1, 6, "a")
@@ -71,8 +71,8 @@
 	})
 }
 
-// A controller that loses the others and the state service, but not its workers, does not
-// send them to a leader that is dead by then: they find the one that leads.
+// A controller that is partitioned from its peers and the store, but not from its workers, does not
+// redirect them to a leader that has crashed by then: they find the present one.
 func TestWorkersLeavePartitionedMember(t *testing.T) {
 	Run(t, Options{TaskDuration: 15 * time.Second, TaskDurationStep: 300 * time.Millisecond}, func(cluster *Cluster) {
 		cluster.runQuotaBoundJob(60)
