--- a/internal/e2e/deployment_test.go
+++ b/internal/e2e/deployment_test.go
@@ -3,15 +3,12 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
+	"slices"
 	"testing"
 	"time"
 
-	"firwood.dev/firwood/internal/client"
-	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/fake"
 	"firwood.dev/firwood/internal/http1"
@@ -19,63 +16,21 @@
 	"firwood.dev/firwood/wire"
 )
 
-const leaseTTL = 6 * time.Second
-
-type memberProcess struct {
-	name, serveAddress, peerAddress, platformFile string
-	settingsFile                                  string // the operators' file, if any
-	cmd                                           *exec.Cmd
-	logFile                                       *os.File // what it writes to standard error, over all its lives
-}
-
-func freePort(t *testing.T) string {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	return listener.Addr().String()
-}
-
-func (member *memberProcess) start(t *testing.T, program string) {
-	t.Helper()
-	member.cmd = exec.Command(program, "--config", member.platformFile)
-	if member.settingsFile != "" {
-		member.cmd.Args = append(member.cmd.Args, "--settings", member.settingsFile)
-	}
-	member.cmd.Stderr = member.logFile
-	if err := member.cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-}
-
-func (member *memberProcess) kill(t *testing.T) {
-	t.Helper()
-	if err := member.cmd.Process.Kill(); err != nil {
-		t.Fatal(err)
-	}
-	member.cmd.Wait() //nolint:errcheck // killed
-}
-
-func (member *memberProcess) logOutput(t *testing.T) string {
-	t.Helper()
-	b, err := os.ReadFile(member.logFile.Name())
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(b)
-}
+const (
+	// leaseTTL is the workers' lease.
+	leaseTTL = 6 * time.Second
+	// cancellationGrace is how long tasks may run on after the cancellation of their job was
+	// confirmed.
+	cancellationGrace = 15 * time.Second
+	// heartbeatInterval is the time between two heartbeats of a worker.
+	heartbeatInterval = 300 * time.Millisecond
+)
 
-func sendRequest(member *memberProcess, method, target string, body []byte) *http1.Message {
-	host := client.NewHost(client.DialTCP, member.serveAddress, 0, 1<<20)
-	message, err := host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: 3 * clock.Second})
-	if err != nil {
-		return &http1.Message{}
-	}
-	return message
-}
+// zones are the zones of the deployment; all controllers are in the first one.
+var zones = []string{"x", "y"}
 
-// waitFor waits for a condition; the bound only ends a test that is broken.
+// waitFor waits until a condition holds. The bound is far beyond what any condition takes; it ends
+// a test that fails.
 func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(90 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -83,47 +38,26 @@
 			return
 		}
 	}
-	t.Fatalf("never: %s", description)
+	t.Fatalf("not within 90 s: %s", description)
 }
 
-// cancellationGrace is how long tasks of a cancelled job may stay.
-const cancellationGrace = 15 * time.Second
-
-// testDeployment is three controllers and the outside; a checker sees what users and
-// workers see.
+// testDeployment is three controllers as processes, with a fake store and a fake cloud. A checker
+// sees what users and workers see.
 type testDeployment struct {
-	dir     string
-	names   []string
-	members map[string]*memberProcess
-	store   *fake.Store
-	cloud   *fake.Cloud
-	checker *protocoltest.Checker
-}
-
-// buildProgram builds the program; of a revision in the repository's history, if one is given.
-func buildProgram(t *testing.T, revision string) string {
+	t             *testing.T
+	dir           string // of settings and logs
+	names         []string
+	members       map[string]*memberProcess
+	store         *fake.Store
+	cloud         *fake.Cloud
+	checker       *protocoltest.Checker
+	lastJobNumber int
+}
+
+// deploy starts the store and the cloud, and writes the controllers' platform settings.
+func deploy(t *testing.T) *testDeployment {
 	t.Helper()
-	program := filepath.Join(t.TempDir(), "firwood")
-	command := exec.Command("go", "build", "-o", program, "firwood.dev/firwood/cmd/firwood")
-	if revision != "" {
-		sources := t.TempDir()
-		checkOut := exec.Command("sh", "-c", `git archive "$1" go.mod go.sum cmd internal wire | tar -x -C "$2"`, "sh", revision, sources)
-		checkOut.Dir = filepath.Join("..", "..")
-		if out, err := checkOut.CombinedOutput(); err != nil {
-			t.Fatalf("%v: %s", err, out)
-		}
-		command.Dir = sources
-	}
-	if out, err := command.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
-	}
-	return program
-}
-
-// deploy starts the outside and writes the controllers' settings.
-func deploy(t *testing.T, lease time.Duration) *testDeployment {
-	t.Helper()
-	deployment := &testDeployment{dir: t.TempDir(), names: []string{"n0", "n1", "n2"}, members: map[string]*memberProcess{}}
+	deployment := &testDeployment{t: t, dir: t.TempDir(), names: []string{"n0", "n1", "n2"}, members: map[string]*memberProcess{}}
 	var stop func()
 	deployment.store, stop = fake.NewStore()
 	t.Cleanup(stop)
@@ -135,17 +69,17 @@
 	deployment.checker = protocoltest.New(protocoltest.Config{CancellationGrace: cancellationGrace})
 	deployment.cloud, stop = fake.NewCloudWithConfig(fake.CloudConfig{
 		Network: fake.Loopback{}, ControllerNames: deployment.names, ControllerAddresses: addresses,
-		MachineTypes: []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, FetchGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5, BootSeconds: 1, Zones: []string{"x", "y"}}},
-		TaskDuration: deployment.taskDuration, LeaseTTL: lease, HeartbeatInterval: 300 * time.Millisecond, Observer: deployment.checker,
+		MachineTypes: []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, FetchGBPerSecond: 1, OnDemandPrice: 1, SpotPrice: 0.5, BootSeconds: 1, Zones: zones}},
+		TaskDuration: deployment.taskDuration, LeaseTTL: leaseTTL, HeartbeatInterval: heartbeatInterval, Observer: deployment.checker,
 	})
 	t.Cleanup(stop)
 	for _, name := range deployment.names {
-		deployment.configure(t, deployment.members[name], lease)
+		deployment.writePlatformFile(deployment.members[name])
 	}
 	return deployment
 }
 
-// taskDuration is how long a task runs: a service's until it is stopped.
+// taskDuration is how long a task runs; 0 for a service's, which runs until it is stopped.
 func (deployment *testDeployment) taskDuration(task string) time.Duration {
 	id, _, _ := wire.ParseTaskID(task)
 	if deployment.checker.IsService(id) {
@@ -154,32 +88,38 @@
 	return 500 * time.Millisecond
 }
 
-func (deployment *testDeployment) configure(t *testing.T, member *memberProcess, lease time.Duration) {
-	t.Helper()
-	platform := config.Platform{Member: member.name, Location: "x", ListenAddress: member.serveAddress, PeerListenAddress: member.peerAddress}
+// writePlatformFile writes the platform settings of a controller.
+func (deployment *testDeployment) writePlatformFile(member *memberProcess) {
+	deployment.t.Helper()
+	platform := config.Platform{Member: member.name, Location: zones[0], ListenAddress: member.serveAddress, PeerListenAddress: member.peerAddress}
 	for _, name := range deployment.names {
 		if name != member.name {
-			platform.Peers = append(platform.Peers, config.Peer{Member: name, Location: "x", Address: deployment.members[name].peerAddress})
+			platform.Peers = append(platform.Peers, config.Peer{Member: name, Location: zones[0], Address: deployment.members[name].peerAddress})
 		}
 	}
 	platform.External = config.ExternalServices{CloudAddress: deployment.cloud.Addr, StoreAddress: deployment.store.Addr}
 	platform.Deployment = config.Deployment{
-		ControllerCount: len(deployment.names), Zones: []string{"x", "y"}, Teams: []config.Team{{Name: "a"}},
-		Workers: config.WorkerTimings{HeartbeatIntervalSeconds: 0.3, LeaseSeconds: lease.Seconds(), GangStartTimeoutSeconds: 10, GangPeerTimeoutSeconds: 2, CancelTimeoutSeconds: cancellationGrace.Seconds()},
-		Store:   config.StoreLimits{RPS: 500, WriteRPS: 200, MaxValueKB: 8, MaxTransactionOps: 24}, Cloud: config.Cloud{RPS: 20, ListLagSeconds: 0.2},
+		ControllerCount: len(deployment.names), Zones: zones, Teams: []config.Team{{Name: "a"}},
+		Workers: config.WorkerTimings{
+			HeartbeatIntervalSeconds: heartbeatInterval.Seconds(), LeaseSeconds: leaseTTL.Seconds(),
+			GangStartTimeoutSeconds: 10, GangPeerTimeoutSeconds: 2, CancelTimeoutSeconds: cancellationGrace.Seconds(),
+		},
+		Store:         config.StoreLimits{RPS: 500, WriteRPS: 200, MaxValueKB: 8, MaxTransactionOps: 24},
+		Cloud:         config.Cloud{RPS: 20, ListLagSeconds: 0.2},
 		ProcessLimits: config.ProcessLimits{Cores: 1, MemoryMB: 200, MaxSockets: 500}, ClockErrorMillis: 5,
 	}
 	text, err := json.Marshal(platform)
 	if err != nil {
-		t.Fatal(err)
+		deployment.t.Fatal(err)
 	}
 	if err := os.WriteFile(member.platformFile, text, 0o600); err != nil {
-		t.Fatal(err)
+		deployment.t.Fatal(err)
 	}
 }
 
-// startAll starts every controller, and ends all at the end of the test.
-func (deployment *testDeployment) startAll(t *testing.T, program string) {
+// startAll starts every controller, and kills all at the end of the test.
+func (deployment *testDeployment) startAll(program string) {
+	t := deployment.t
 	t.Helper()
 	for _, name := range deployment.names {
 		member := deployment.members[name]
@@ -201,38 +141,52 @@
 	})
 }
 
-// restart ends a controller without a word and starts it again, as some version.
-func (deployment *testDeployment) restart(t *testing.T, name, program string) {
-	t.Helper()
-	deployment.members[name].kill(t)
-	deployment.members[name].start(t, program)
+// restart kills a controller and starts it again, as a program that may be of another version.
+func (deployment *testDeployment) restart(name, program string) {
+	deployment.t.Helper()
+	deployment.members[name].kill(deployment.t)
+	deployment.members[name].start(deployment.t, program)
 }
 
-// submitFunc submits jobs, until they are accepted.
-func (deployment *testDeployment) submitFunc(t *testing.T) func(member *memberProcess, id, kind string, tasks int, awaits ...string) {
-	return func(member *memberProcess, id, kind string, tasks int, awaits ...string) {
-		t.Helper()
-		job := &wire.Job{
-			ID: id, Class: "c", Team: "a", Kind: kind, Priority: "standard", TaskCount: tasks, CPUs: 2, MemoryGB: 1, Image: "img", ImageSizeGB: 0.1,
-			SpreadZones: kind == wire.KindService, EstimatedRunSeconds: 1, DependsOn: awaits,
-		}
-		body, err := job.MarshalJSON()
-		if err != nil {
-			t.Fatal(err)
-		}
-		deployment.checker.RecordSubmission(job)
-		waitFor(t, id+" accepted", func() bool {
-			sentAt := time.Now()
-			message := sendRequest(member, "POST", "/api/jobs", body)
-			if message.Status != 201 && message.Status != 200 {
-				return false
-			}
-			deployment.recordJobState(id, message, sentAt)
-			return true
-		})
+// otherNames are the names of the controllers but one, in their order.
+func (deployment *testDeployment) otherNames(name string) []string {
+	return slices.DeleteFunc(slices.Clone(deployment.names), func(other string) bool { return other == name })
+}
+
+// jobID is the ID of the job of a number.
+func jobID(number int) string { return fmt.Sprintf("req-%06d", number) }
+
+// nextJobID is an ID that no job of the deployment has yet.
+func (deployment *testDeployment) nextJobID() string {
+	deployment.lastJobNumber++
+	return jobID(deployment.lastJobNumber)
+}
+
+// submit submits a job of team a to a controller until it is accepted.
+func (deployment *testDeployment) submit(member *memberProcess, id, kind string, tasks int, dependencies ...string) {
+	deployment.t.Helper()
+	job := &wire.Job{
+		ID: id, Class: "c", Team: "a", Kind: kind, Priority: "standard", TaskCount: tasks, CPUs: 2, MemoryGB: 1, Image: "img", ImageSizeGB: 0.1,
+		SpreadZones: kind == wire.KindService, EstimatedRunSeconds: 1, DependsOn: dependencies,
+	}
+	body, err := job.MarshalJSON()
+	if err != nil {
+		deployment.t.Fatal(err)
 	}
+	deployment.checker.RecordSubmission(job)
+	waitFor(deployment.t, id+" is accepted by "+member.name, func() bool {
+		sentAt := time.Now()
+		message := member.sendRequest("POST", "/api/jobs", body)
+		if message.Status != 201 && message.Status != 200 {
+			return false
+		}
+		deployment.recordJobState(id, message, sentAt)
+		return true
+	})
 }
 
+// recordJobState hands the state in a response to the checker and returns it, empty if there is
+// none.
 func (deployment *testDeployment) recordJobState(id string, message *http1.Message, sentAt time.Time) string {
 	var status wire.JobStatus
 	if message.Status/100 != 2 || status.UnmarshalJSON(message.Body) != nil {
@@ -242,45 +196,50 @@
 	return status.State
 }
 
-// getStateFunc asks a controller about a job, once.
-func (deployment *testDeployment) getStateFunc(t *testing.T) func(member *memberProcess, id string) string {
-	return func(member *memberProcess, id string) string {
-		sentAt := time.Now()
-		message := sendRequest(member, "GET", "/api/jobs/"+id, nil)
-		if message.Status == 404 {
-			t.Errorf("%s is forgotten by %s", id, member.name)
-		}
-		return deployment.recordJobState(id, message, sentAt)
+// getState reads the state of an accepted job from a controller, once; empty if there is no answer.
+func (deployment *testDeployment) getState(member *memberProcess, id string) string {
+	deployment.t.Helper()
+	sentAt := time.Now()
+	message := member.sendRequest("GET", "/api/jobs/"+id, nil)
+	if message.Status == 404 {
+		deployment.t.Errorf("%s does not know %s, which was accepted", member.name, id)
 	}
+	return deployment.recordJobState(id, message, sentAt)
+}
+
+// waitForState waits until a controller shows a job in a state.
+func (deployment *testDeployment) waitForState(member *memberProcess, id, want string) {
+	deployment.t.Helper()
+	waitFor(deployment.t, fmt.Sprintf("%s is %s at %s", id, want, member.name), func() bool { return deployment.getState(member, id) == want })
 }
 
-// waitForStateFunc waits until a controller calls a job so.
-func (deployment *testDeployment) waitForStateFunc(t *testing.T) func(member *memberProcess, id, want string) {
-	getState := deployment.getStateFunc(t)
-	return func(member *memberProcess, id, want string) {
-		t.Helper()
-		waitFor(t, fmt.Sprintf("%s is %s at %s", id, want, member.name), func() bool { return getState(member, id) == want })
+// waitForStateEverywhere waits until every controller shows a job in a state.
+func (deployment *testDeployment) waitForStateEverywhere(id, want string) {
+	deployment.t.Helper()
+	for _, name := range deployment.names {
+		deployment.waitForState(deployment.members[name], id, want)
 	}
 }
 
-// cancel cancels a job.
-func (deployment *testDeployment) cancel(t *testing.T, member *memberProcess, id string) {
-	t.Helper()
+// cancel requests the cancellation of a job at a controller until it is confirmed.
+func (deployment *testDeployment) cancel(member *memberProcess, id string) {
+	deployment.t.Helper()
 	deployment.checker.RecordCancelRequest(id)
-	waitFor(t, id+" is cancelled", func() bool {
+	waitFor(deployment.t, id+" is cancelled at "+member.name, func() bool {
 		sentAt := time.Now()
-		return deployment.recordJobState(id, sendRequest(member, "POST", "/api/jobs/"+id+"/withdraw", nil), sentAt) == wire.JobCancelled
+		return deployment.recordJobState(id, member.sendRequest("POST", "/api/jobs/"+id+"/withdraw", nil), sentAt) == wire.JobCancelled
 	})
 }
 
-// checkRules fails the test if a rule was broken, or fewer tasks were started than expected.
-func (deployment *testDeployment) checkRules(t *testing.T, leastStarts int) {
-	t.Helper()
-	broken, starts := deployment.cloud.Violations(), deployment.cloud.StartCount()
-	if len(broken) > 0 || starts < leastStarts {
-		t.Errorf("%d starts, broken: %v", starts, broken)
+// checkRules fails the test if a rule of the protocol was violated, or fewer tasks were started
+// than expected.
+func (deployment *testDeployment) checkRules(leastStarts int) {
+	deployment.t.Helper()
+	violations, starts := deployment.cloud.Violations(), deployment.cloud.StartCount()
+	if len(violations) > 0 || starts < leastStarts {
+		deployment.t.Errorf("%d starts, at least %d expected; tasks that ran twice: %v", starts, leastStarts, violations)
 	}
 	for _, violation := range deployment.checker.Violations() {
-		t.Errorf("%s: %s", violation.Rule, violation.Detail)
+		deployment.t.Errorf("%s: %s", violation.Rule, violation.Detail)
 	}
 }
--- a/internal/e2e/leader_pause_test.go
+++ b/internal/e2e/leader_pause_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"flag"
-	"fmt"
 	"syscall"
 	"testing"
 	"time"
@@ -11,7 +10,7 @@
 )
 
 // leaderPauses is how many leaders TestPausedLeaders pauses.
-var leaderPauses = flag.Int("leader-pauses", 6, "how many leaders TestLeadersPause pauses")
+var leaderPauses = flag.Int("leader-pauses", 6, "how many leaders TestPausedLeaders pauses")
 
 // signal sends the controller's process a signal.
 func (member *memberProcess) signal(t *testing.T, signal syscall.Signal) {
@@ -21,34 +20,33 @@
 	}
 }
 
-// The leader stops in the middle of its work, for longer than its lock lasts, and goes on
-// when another one leads with the copy of its account: with starts half sent, answers of
-// followers and of workers that have come meanwhile, and requests of users. Nothing is
-// started twice or forgotten.
+// The leader's process is stopped in the middle of its work, for longer than its leader lease, and
+// resumed when another member is leader with its replica: with starts half sent, with replies of
+// followers and workers and requests of users that arrived meanwhile. No task runs twice, and no job
+// is lost.
 func TestPausedLeaders(t *testing.T) {
-	deployment := deploy(t, leaseTTL)
-	deployment.enableStandby(t)
-	deployment.startAll(t, buildProgram(t, ""))
-	submit, waitForState := deployment.submitFunc(t), deployment.waitForStateFunc(t)
-	waitFor(t, "both others stand by", deployment.isStandbyInSync)
+	deployment := deploy(t)
+	deployment.enableStandby()
+	deployment.startAll(buildProgram(t, ""))
+	waitFor(t, "both followers are in sync", deployment.isStandbyInSync)
 	var ids []string
 	for i := range *leaderPauses {
-		leader := deployment.waitForLeader(t)
+		leader := deployment.waitForLeader()
 		for range 4 {
-			id := fmt.Sprintf("req-%06d", len(ids))
+			id := jobID(len(ids))
 			ids = append(ids, id)
-			submit(leader, id, wire.KindArray, 8)
+			deployment.submit(leader, id, wire.KindArray, 8)
 		}
-		// At another point of the plans and messages that follow each time.
+		// Each time at another point of the plans and messages that follow.
 		time.Sleep(time.Duration(i) * 7 * time.Millisecond)
 		leader.signal(t, syscall.SIGSTOP)
-		waitFor(t, "another leads", func() bool { return deployment.leaderExcept(leader) != nil })
+		waitFor(t, "another controller is leader", func() bool { return deployment.leaderExcept(leader) != nil })
 		time.Sleep(time.Second)
 		leader.signal(t, syscall.SIGCONT)
-		waitFor(t, "both others stand by", deployment.isStandbyInSync)
+		waitFor(t, "both followers are in sync", deployment.isStandbyInSync)
 	}
 	for _, id := range ids {
-		waitForState(deployment.members["n0"], id, wire.JobDone)
+		deployment.waitForState(deployment.members["n0"], id, wire.JobDone)
 	}
-	deployment.checkRules(t, 8*len(ids))
+	deployment.checkRules(8 * len(ids))
 }
--- a/internal/e2e/three_controllers_test.go
+++ b/internal/e2e/three_controllers_test.go
@@ -1,8 +1,9 @@
-// Package e2e holds the end-to-end tests: three controllers as real processes
-// on loopback, against our own stand-ins of the outside.
+// Package e2e holds the end-to-end tests: three controllers as processes of the built program on
+// loopback, against the services of package fake.
 package e2e
 
 import (
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -10,96 +11,118 @@
 	"firwood.dev/firwood/wire"
 )
 
+// Three controllers work without faults, and then through the kill of the leader, the loss of a
+// machine, a store outage and the kill of all of them: no job is lost, no task runs twice, and every
+// controller shows the same in the end.
 func TestThreeControllersThroughFaults(t *testing.T) {
-	deployment := deploy(t, leaseTTL)
+	deployment := deploy(t)
 	program := buildProgram(t, "")
-	deployment.startAll(t, program)
-	names, members, cloud, store := deployment.names, deployment.members, deployment.cloud, deployment.store
-	submit, getState, waitForState := deployment.submitFunc(t), deployment.getStateFunc(t), deployment.waitForStateFunc(t)
+	deployment.startAll(program)
+	deployment.runJobsWithoutFaults()
+	other := deployment.killLeaderDuringJob(program)
+	// A machine is lost, and its tasks run elsewhere.
+	waitFor(t, "a machine with a task is deleted", deployment.cloud.KillBusyMachine)
+	deployment.waitForState(other, "req-000003", wire.JobRunning)
+	deployment.checkStoreOutage(other)
+	deployment.killAllInStoreOutage(other, program)
+	deployment.cancelService(other)
+	deployment.checkRules(31)
+}
 
-	// The usual way: an array, a gang, a service, asked for and shown by
-	// different nodes.
-	submit(members["n0"], "req-000001", wire.KindArray, 7)
-	submit(members["n1"], "req-000002", wire.KindGang, 3)
-	submit(members["n2"], "req-000003", wire.KindService, 2)
-	waitForState(members["n1"], "req-000001", wire.JobDone)
-	waitForState(members["n2"], "req-000002", wire.JobDone)
-	waitForState(members["n0"], "req-000003", wire.JobRunning)
-	if message := sendRequest(members["n0"], "GET", "/api/jobs/req-999999", nil); message.Status != 404 {
-		t.Errorf("a job that nobody submitted: %d", message.Status)
+// runJobsWithoutFaults submits an array, a gang and a service, and reads them from other controllers
+// than they were submitted to; requests that are not valid are rejected.
+func (deployment *testDeployment) runJobsWithoutFaults() {
+	t, members := deployment.t, deployment.members
+	t.Helper()
+	deployment.submit(members["n0"], "req-000001", wire.KindArray, 7)
+	deployment.submit(members["n1"], "req-000002", wire.KindGang, 3)
+	deployment.submit(members["n2"], "req-000003", wire.KindService, 2)
+	deployment.waitForState(members["n1"], "req-000001", wire.JobDone)
+	deployment.waitForState(members["n2"], "req-000002", wire.JobDone)
+	deployment.waitForState(members["n0"], "req-000003", wire.JobRunning)
+	if message := members["n0"].sendRequest("GET", "/api/jobs/req-999999", nil); message.Status != 404 {
+		t.Errorf("a job that nobody submitted gets %d", message.Status)
 	}
 	for _, request := range []struct {
 		body   string
 		status int
 	}{{"{", 400}, {`{"nameId":"req-000009"}`, 400}} {
-		if message := sendRequest(members["n0"], "POST", "/api/jobs", []byte(request.body)); message.Status != request.status {
-			t.Errorf("%s: %d", request.body, message.Status)
+		if message := members["n0"].sendRequest("POST", "/api/jobs", []byte(request.body)); message.Status != request.status {
+			t.Errorf("the submission %s gets %d", request.body, message.Status)
 		}
 	}
+}
 
-	// The leader is killed in the middle of a job, and comes back.
-	submit(members["n0"], "req-000004", wire.KindArray, 12)
+// killLeaderDuringJob kills the leader in the middle of a job and starts it again when the job is
+// done. It returns the member after it.
+func (deployment *testDeployment) killLeaderDuringJob(program string) (other *memberProcess) {
+	t, members := deployment.t, deployment.members
+	t.Helper()
+	deployment.submit(members["n0"], "req-000004", wire.KindArray, 12)
 	leader := ""
-	for _, name := range names {
+	for _, name := range deployment.names {
 		if strings.Contains(members[name].logOutput(t), "allocation table rebuilt") {
 			leader = name
 		}
 	}
 	if leader == "" {
-		t.Fatal("nobody leads")
+		t.Fatal("no controller is leader")
 	}
 	members[leader].kill(t)
-	other := members[names[(strings.Index("n0n1n2", leader)/2+1)%3]]
-	submit(other, "req-000005", wire.KindArray, 3)
-	waitForState(other, "req-000004", wire.JobDone)
-	waitForState(other, "req-000005", wire.JobDone)
+	other = members[deployment.names[(slices.Index(deployment.names, leader)+1)%len(deployment.names)]]
+	deployment.submit(other, "req-000005", wire.KindArray, 3)
+	deployment.waitForState(other, "req-000004", wire.JobDone)
+	deployment.waitForState(other, "req-000005", wire.JobDone)
 	members[leader].start(t, program)
-	waitForState(members[leader], "req-000004", wire.JobDone)
-
-	// A machine dies without a word, and its tasks run elsewhere.
-	waitFor(t, "a machine dies", cloud.KillBusyMachine)
-	waitForState(other, "req-000003", wire.JobRunning)
+	deployment.waitForState(members[leader], "req-000004", wire.JobDone)
+	return other
+}
 
-	// An outage of the state service: no false answer, and life after it.
-	store.SetDown(true)
-	if message := sendRequest(other, "GET", "/api/jobs/req-000003", nil); message.Status == 200 {
-		t.Error("an answer that may be old")
+// checkStoreOutage checks that in a store outage a controller shows final states and nothing that
+// may be out of date, and that jobs run when it is over.
+func (deployment *testDeployment) checkStoreOutage(member *memberProcess) {
+	t := deployment.t
+	t.Helper()
+	deployment.store.SetDown(true)
+	if message := member.sendRequest("GET", "/api/jobs/req-000003", nil); message.Status == 200 {
+		t.Error("a state that may be out of date is shown in a store outage")
 	}
-	if s := getState(other, "req-000001"); s != wire.JobDone {
-		t.Errorf("a final state is not told in an outage: %q", s)
+	if state := deployment.getState(member, "req-000001"); state != wire.JobDone {
+		t.Errorf("a final state is shown as %q in a store outage", state)
 	}
 	time.Sleep(500 * time.Millisecond)
-	store.SetDown(false)
-	submit(other, "req-000006", wire.KindArray, 4)
-	waitForState(other, "req-000006", wire.JobDone)
+	deployment.store.SetDown(false)
+	deployment.submit(member, "req-000006", wire.KindArray, 4)
+	deployment.waitForState(member, "req-000006", wire.JobDone)
+}
 
-	// All controllers crash together in an outage with work under way, and are back
-	// at once; when it ends, one falls again in the middle of the election. Every
-	// job that was accepted is known to every node, and comes to its end.
-	submit(other, "req-000007", wire.KindArray, 12)
-	store.SetDown(true)
-	for _, name := range names {
-		members[name].kill(t)
-		members[name].start(t, program)
+// killAllInStoreOutage restarts all controllers in a store outage with a job under way, and one again
+// during the election after it. Every accepted job is known to every controller, and is done, or runs
+// if it is a service.
+func (deployment *testDeployment) killAllInStoreOutage(submitTo *memberProcess, program string) {
+	deployment.t.Helper()
+	deployment.submit(submitTo, "req-000007", wire.KindArray, 12)
+	deployment.store.SetDown(true)
+	for _, name := range deployment.names {
+		deployment.restart(name, program)
 	}
 	time.Sleep(300 * time.Millisecond)
-	store.SetDown(false)
-	members["n1"].kill(t)
-	members["n1"].start(t, program)
-	submit(members["n2"], "req-000008", wire.KindArray, 3)
-	for _, name := range names {
+	deployment.store.SetDown(false)
+	deployment.restart("n1", program)
+	deployment.submit(deployment.members["n2"], "req-000008", wire.KindArray, 3)
+	for _, name := range deployment.names {
 		for _, id := range []string{"req-000001", "req-000002", "req-000004", "req-000005", "req-000006", "req-000007", "req-000008"} {
-			waitForState(members[name], id, wire.JobDone)
+			deployment.waitForState(deployment.members[name], id, wire.JobDone)
 		}
-		waitForState(members[name], "req-000003", wire.JobRunning)
+		deployment.waitForState(deployment.members[name], "req-000003", wire.JobRunning)
 	}
+}
 
-	// A withdrawal lasts, on every node.
-	deployment.cancel(t, other, "req-000003")
-	for _, name := range names {
-		waitForState(members[name], "req-000003", wire.JobCancelled)
-	}
-	// Once its tasks are gone nothing but the end is kept of it.
-	waitFor(t, "no progress keys are left", func() bool { return len(store.Keys("firwood/done/")) == 0 })
-	deployment.checkRules(t, 31)
+// cancelService cancels the service, at every controller's sight; once its tasks are gone nothing is
+// stored of any job's progress.
+func (deployment *testDeployment) cancelService(member *memberProcess) {
+	deployment.t.Helper()
+	deployment.cancel(member, "req-000003")
+	deployment.waitForStateEverywhere("req-000003", wire.JobCancelled)
+	waitFor(deployment.t, "no progress keys are left", func() bool { return len(deployment.store.Keys("firwood/done/")) == 0 })
 }
