--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Format, vet, linter, the build that deploy/service.toml names, and all tests.
+# Format, vet, linters, the build that deploy/service.toml names, and all tests.
 # Tests listed in KNOWN-RED.txt may fail; see internal/ci/knownred.
 set -euo pipefail
 cd "$(dirname "$0")"
@@ -10,10 +10,14 @@
 fi
 go vet ./...
 go tool staticcheck ./...
+# Names, doc comments, length and complexity; revive.toml has the bounds. Generated code is left out.
+go tool revive -config revive.toml -set_exit_status -exclude ./internal/peer/fb/... ./...
+# Errors are compared with errors.Is and errors.As, and wrapped with %w.
+go tool go-errorlint ./...
 build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)
 sh -c "$build"
 go run ./internal/ci/runtests -race -count=1 -timeout 10m ./...
-# Everything in simulated time once more, with copies of the leader's account.
+# Everything in simulated time once more, with replicas of the leader's allocation table.
 go run ./internal/ci/runtests -count=1 -timeout 10m ./internal/sim -standby
-# A large fleet with copies, as is the default. The race detector can't follow the goroutines of thousands of stand-in workers.
+# A large fleet with replicas, as is the default. The race detector can't follow the goroutines of thousands of fake workers.
 go run ./internal/ci/runtests -count=1 -timeout 10m ./internal/sim -run TestLargeFleet -fleet-sizes 4000 -standby
