--- a/internal/controller/adopted_tasks_test.go
+++ b/internal/controller/adopted_tasks_test.go
@@ -16,11 +16,11 @@
 // came out short.
 func TestAdoptedTasksDoNotUpdateRunTimes(t *testing.T) {
 	term := newTestTerm(t, "i-1")
-	term.controller.view.Jobs["req-000001"] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
+	term.environment.View.Jobs["req-000001"] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 		ID: "req-000001", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Team: "t", TaskCount: 2, CPUs: 1, EstimatedRunSeconds: 100,
 	}}}
-	term.controller.view.Progress["req-000001"] = map[int]storeview.ProgressPart{0: {}}
-	term = newLeaderTerm(term.controller, 10, clock.Now())
+	term.environment.View.Progress["req-000001"] = map[int]storeview.ProgressPart{0: {}}
+	term = controllerOf(term).newTerm(10, clock.Now())
 	job, machine := term.tracker.Jobs["req-000001"], term.tracker.Machines["i-1"]
 	now := term.liveness.startedAt + clock.Second
 	seq := uint64(0)
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -36,10 +36,10 @@
 
 // tick goes on with moving records into the archive, or back.
 func (archiver *archiver) tick(now clock.Micros) {
-	controller := archiver.term.controller
-	isWanted, hasArchive := controller.tuning.ArchiveFinishedAfterS > 0, controller.view.HasArchive
+	environment := archiver.term.environment
+	isWanted, hasArchive := environment.Tuning.ArchiveFinishedAfterS > 0, environment.View.HasArchive
 	switch {
-	case archiver.isBusy() || now < archiver.nextAt || controller.store.IsFailing(now):
+	case archiver.isBusy() || now < archiver.nextAt || environment.Store.IsFailing(now):
 	case isWanted && !hasArchive:
 		archiver.writeMarker(wire.Change{PutKey: records.ArchiveMarkerKey, Value: []byte("{}")})
 	case isWanted:
@@ -75,7 +75,7 @@
 	archiver.isReading = true
 	after := archiver.afterKey
 	term.background(func() func() {
-		page, err := term.controller.store.ReadPage(prefix, after, archivePageSize)
+		page, err := term.environment.Store.ReadPage(prefix, after, archivePageSize)
 		return func() {
 			archiver.isReading = false
 			archiver.nextAt = clock.Now() + archiveInterval
@@ -95,7 +95,7 @@
 
 // archiveExpired moves those records of a page to the archive whose jobs finished long ago.
 func (archiver *archiver) archiveExpired(page archivePage) {
-	finishedBefore := clock.WallTime() - clock.FromSeconds(archiver.term.controller.tuning.ArchiveFinishedAfterS)
+	finishedBefore := clock.WallTime() - clock.FromSeconds(archiver.term.environment.Tuning.ArchiveFinishedAfterS)
 	for _, item := range page.records {
 		id := strings.TrimPrefix(item.Key, records.JobPrefix)
 		if isExpired(item.Value, finishedBefore) && archiver.isRecordAllThatIsLeft(id) {
@@ -114,14 +114,14 @@
 // nor a place in the allocation table.
 func (archiver *archiver) isRecordAllThatIsLeft(id string) bool {
 	term := archiver.term
-	view := term.controller.view
+	view := term.environment.View
 	return view.Progress[id] == nil && view.Dependencies[id] == nil && term.tracker.Jobs[id] == nil && term.jobs[id] == nil
 }
 
 // restore moves a page of the archive back. Once the archive is empty, its marker is removed.
 func (archiver *archiver) restore(page archivePage) {
 	if len(page.records) == 0 && page.isAll {
-		archiver.term.controller.log.Info("archive emptied; a version without an archive may take over")
+		archiver.term.environment.Log.Info("archive emptied; a version without an archive may take over")
 		archiver.writeMarker(wire.Change{DeleteKey: records.ArchiveMarkerKey})
 		return
 	}
--- a/internal/controller/availability.go
+++ b/internal/controller/availability.go
@@ -27,7 +27,7 @@
 // isStoreReachableElsewhere tells whether another member says that it reaches the store.
 func (controller *Controller) isStoreReachableElsewhere(now clock.Micros) bool {
 	for _, received := range controller.members.heartbeats {
-		if now-received.receivedAt < recentHeartbeatWindow && received.heartbeat.IsStoreReachable {
+		if now-received.ReceivedAt < recentHeartbeatWindow && received.Heartbeat.IsStoreReachable {
 			return true
 		}
 	}
--- a/internal/controller/background.go
+++ b/internal/controller/background.go
@@ -16,7 +16,7 @@
 func (term *leaderTerm) background(work func() (resume func())) {
 	go func() {
 		resume := work()
-		term.controller.postResult(func() {
+		term.host.PostResult(func() {
 			if !term.isClosed {
 				resume()
 			}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -43,10 +43,10 @@
 // failOverFleet has a new leader rebuild the account and take every machine's report.
 func failOverFleet(b *testing.B, controller *Controller, heartbeats []*wire.Heartbeat) *leaderTerm {
 	b.Helper()
-	term := newLeaderTerm(controller, 10, clock.Now())
+	term := controller.newTerm(10, clock.Now())
 	term.entitlement.actDeadline.Store(1 << 62)
 	for _, heartbeat := range heartbeats {
-		term.handleHeartbeat(heartbeat, &server.Reply{})
+		term.HandleHeartbeat(heartbeat, &server.Reply{})
 	}
 	if !term.tracker.IsReconciled() {
 		b.Fatal("not accounted for")
@@ -64,7 +64,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
-				controller := newTestTerm(b).controller
+				controller := controllerOf(newTestTerm(b))
 				reports := addFleetRecords(controller, machines)
 				b.StartTimer()
 				term := failOverFleet(b, controller, reports)
@@ -80,7 +80,7 @@
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			before := heapInUse()
-			controller := newTestTerm(b).controller
+			controller := controllerOf(newTestTerm(b))
 			reports := addFleetRecords(controller, machines)
 			term := failOverFleet(b, controller, reports)
 			controller.term = term
@@ -90,7 +90,7 @@
 			for b.Loop() {
 				heartbeat := reports[handled%machines]
 				heartbeat.Sequence++
-				term.handleHeartbeat(heartbeat, &server.Reply{})
+				term.HandleHeartbeat(heartbeat, &server.Reply{})
 				handled++
 			}
 			perReport := (clock.Now() - startedAt).Seconds() * 1e6 / float64(handled)
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -21,10 +21,10 @@
 // that is not heard of may have been restarted since.
 func (controller *Controller) peerRevision(member string) uint64 {
 	received := controller.members.heartbeats[member]
-	if received == nil || clock.Now()-received.receivedAt > memberTimeout {
+	if received == nil || clock.Now()-received.ReceivedAt > memberTimeout {
 		return 0
 	}
-	return received.heartbeat.StoreRevision
+	return received.Heartbeat.StoreRevision
 }
 
 // sendCancellationNews sends new cancellations without waiting for the next regular
--- a/internal/controller/cancelled_jobs.go
+++ b/internal/controller/cancelled_jobs.go
@@ -19,7 +19,7 @@
 	if !term.tracker.IsVacated(job) {
 		return
 	}
-	record := *term.controller.view.Jobs[id]
+	record := *term.environment.View.Jobs[id]
 	record.Spec = nil
 	value, err := record.MarshalJSON()
 	if err != nil {
--- a/internal/controller/cleanup.go
+++ b/internal/controller/cleanup.go
@@ -79,18 +79,15 @@
 // lookUpEvicted fetches the records of jobs that have progress and that were evicted from the
 // view: a write that was executed late has put their progress back.
 func (cleaner *cleaner) lookUpEvicted() {
-	controller := cleaner.term.controller
-	for id := range controller.view.Progress {
-		if controller.mayBeEvicted(id) {
-			controller.lookUpUntilKnown(id)
-		}
+	for id := range cleaner.term.environment.View.Progress {
+		cleaner.term.host.LookUpIfEvicted(id)
 	}
 }
 
 // findJobsWithObsoleteKeys lists jobs that have ended and still have keys. It looks at the jobs
 // that have keys of their own, which are few, and not at all jobs.
 func (cleaner *cleaner) findJobsWithObsoleteKeys() []string {
-	view := cleaner.term.controller.view
+	view := cleaner.term.environment.View
 	found := map[string]bool{}
 	for id := range view.Dependencies {
 		found[id] = len(cleaner.obsoleteKeys(id)) > 0
@@ -105,26 +102,26 @@
 // obsoleteKeys are the keys of a job that are of no use any more. While tasks of a cancelled job
 // may be on machines, its progress stays: it tells the next leader to look for them.
 func (cleaner *cleaner) obsoleteKeys(id string) []string {
-	controller := cleaner.term.controller
-	record := controller.view.Jobs[id]
+	view := cleaner.term.environment.View
+	record := view.Jobs[id]
 	if record == nil || record.State == "" {
 		return nil
 	}
 	var keys []string
-	for _, part := range slices.Sorted(maps.Keys(controller.view.Dependencies[id])) {
+	for _, part := range slices.Sorted(maps.Keys(view.Dependencies[id])) {
 		keys = append(keys, records.DependenciesKey(id, part))
 	}
 	if record.Spec != nil {
 		return keys
 	}
-	for _, number := range controller.view.ProgressKeys(id) {
+	for _, number := range view.ProgressKeys(id) {
 		keys = append(keys, records.ProgressKey(id, number))
 	}
 	return keys
 }
 
 func (cleaner *cleaner) deleteObsoleteKeys(id string) {
-	record, keys := cleaner.term.controller.view.Jobs[id], cleaner.obsoleteKeys(id)
+	record, keys := cleaner.term.environment.View.Jobs[id], cleaner.obsoleteKeys(id)
 	if len(keys) == 0 {
 		return
 	}
@@ -140,7 +137,7 @@
 // depends on. Users get that state without it; it spares later readers the derivation.
 func (cleaner *cleaner) writeImpliedCancellation(id string) {
 	term := cleaner.term
-	record := term.controller.view.Jobs[id]
+	record := term.environment.View.Jobs[id]
 	if record == nil || record.State != "" {
 		return
 	}
--- a/internal/controller/cleanup_test.go
+++ b/internal/controller/cleanup_test.go
@@ -69,10 +69,10 @@
 	values[records.ProgressKey("req-000003", 0)] = records.Progress{}
 	values[records.ProgressKey("req-000004", 0)] = records.Progress{}
 	values[records.DependenciesKey("req-000003", 0)] = records.Dependencies{DependsOn: []string{"req-000002"}}
-	putAndSync(t, term.controller, values)
+	putAndSync(t, controllerOf(term), values)
 
 	now := clock.Now()
-	runUntil(t, term.controller, func() bool {
+	runUntil(t, controllerOf(term), func() bool {
 		now += 2 * sweepInterval
 		term.persistence.cleanup.tick(now)
 		return slices.Equal(dependencyAndProgressKeys(fakeStore), stays)
@@ -81,7 +81,7 @@
 		now += 2 * sweepInterval
 		term.persistence.cleanup.tick(now)
 		idle := 0
-		runUntil(t, term.controller, func() bool { idle++; return idle > 50 })
+		runUntil(t, controllerOf(term), func() bool { idle++; return idle > 50 })
 	}
 	if got := dependencyAndProgressKeys(fakeStore); !slices.Equal(got, stays) {
 		t.Errorf("left are %v", got)
@@ -98,11 +98,11 @@
 func TestStaleCleanupDeletesNothing(t *testing.T) {
 	fakeStore, term := newTermOnStore(t, cleanupLimits)
 	const id = "req-000001"
-	putAndSync(t, term.controller, map[string]any{
+	putAndSync(t, controllerOf(term), map[string]any{
 		records.JobKey(id): records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2}, records.ProgressKey(id, 1): records.Progress{},
 	})
 	before := len(fakeStore.Transactions())
-	runUntil(t, term.controller, func() bool {
+	runUntil(t, controllerOf(term), func() bool {
 		term.persistence.cleanup.tick(clock.Now() + 2*sweepInterval)
 		return len(dependencyAndProgressKeys(fakeStore)) == 0
 	})
@@ -110,8 +110,8 @@
 	if len(cleanUps) != 1 || len(cleanUps[0].Conditions) != 2 {
 		t.Fatalf("cleaned up by %+v", cleanUps)
 	}
-	startNewTerm(t, term.controller)
-	putAndSync(t, term.controller, map[string]any{records.ProgressKey(id, 1): records.Progress{}})
+	startNewTerm(t, controllerOf(term))
+	putAndSync(t, controllerOf(term), map[string]any{records.ProgressKey(id, 1): records.Progress{}})
 	fakeStore.ReapplyTransaction(cleanUps[0])
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a former leader's clean-up is carried out")
@@ -121,10 +121,10 @@
 	own.Conditions = slices.Clone(own.Conditions)
 	for i := range own.Conditions {
 		if own.Conditions[i].Key == records.LockKey {
-			own.Conditions[i].Version = term.controller.term.token
+			own.Conditions[i].Version = controllerOf(term).term.token
 		}
 	}
-	putAndSync(t, term.controller, map[string]any{records.JobKey(id): records.Job{SubmittedAt: 2, Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
+	putAndSync(t, controllerOf(term), map[string]any{records.JobKey(id): records.Job{SubmittedAt: 2, Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
 	fakeStore.ReapplyTransaction(own)
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a late clean-up removes what belongs to a record that came after it")
@@ -135,7 +135,7 @@
 // writes. Added after submissions were refused until all of them were written.
 func TestImpliedCancellationsLeaveRoomForSubmissions(t *testing.T) {
 	fakeStore, term := newTermOnStore(t, config.StoreLimits{RPS: 1000, WriteRPS: 400, MaxValueKB: 8, MaxTransactionOps: 24})
-	controller := term.controller
+	controller := controllerOf(term)
 	const jobs = 3000
 	root := newJobRecord("req-000000", wire.PriorityLow, clock.WallTime().Seconds(), 0)
 	controller.view.SetJob("req-000000", root)
@@ -180,7 +180,7 @@
 	before := records.Bitmap{}
 	before.Set(5)
 	before.Set(32000)
-	putAndSync(t, term.controller, map[string]any{
+	putAndSync(t, controllerOf(term), map[string]any{
 		records.JobKey(id):         records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
 		records.ProgressKey(id, 0): records.Progress{Bits: before.Encode()}, // by the version before
 	})
@@ -196,14 +196,14 @@
 	if term.tracker.RecordHeartbeat(machine, heartbeat, clock.Now()) != allocation.HeartbeatAccepted {
 		t.Fatal("report not taken")
 	}
-	runUntil(t, term.controller, func() bool {
+	runUntil(t, controllerOf(term), func() bool {
 		term.persistJobs(clock.Now() + clock.Second)
 		return len(job.UnpersistedCompletions()) == 0
 	})
 	if tooLarge := fakeStore.OversizedCount(); tooLarge != 0 {
 		t.Errorf("%d transactions are refused for their size", tooLarge)
 	}
-	term = startNewTerm(t, term.controller)
+	term = startNewTerm(t, controllerOf(term))
 	job = term.tracker.Jobs[id]
 	for _, i := range append(done, 5, 32000) {
 		if job.Tasks[i].State != allocation.TaskDone {
@@ -243,11 +243,11 @@
 	heartbeat.MachineID = "i-2"
 	term.tracker.RecordHeartbeat(machine, heartbeat, clock.Now())
 	sweepAt := clock.Now()
-	runUntil(t, term.controller, func() bool {
+	runUntil(t, controllerOf(term), func() bool {
 		term.persistJobs(clock.Now() + clock.Second)
 		sweepAt += sweepInterval
 		term.persistence.cleanup.tick(sweepAt)
-		return len(fakeStore.Keys(records.ProgressPrefix)) == 0 && term.controller.view.Jobs[id].State == wire.JobDone
+		return len(fakeStore.Keys(records.ProgressPrefix)) == 0 && term.environment.View.Jobs[id].State == wire.JobDone
 	})
 	if tooLarge := fakeStore.OversizedCount(); tooLarge != 0 {
 		t.Errorf("%d transactions are refused for their size", tooLarge)
--- a/internal/controller/command_requests.go
+++ b/internal/controller/command_requests.go
@@ -38,9 +38,9 @@
 // isCommandBlocked tells whether a machine's commands have to wait. In a zone with a renewal
 // constraint nothing is started: a later leader would assume its leases to have ended.
 func (term *leaderTerm) isCommandBlocked(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
-	isSuspected := now-machine.LastHeartbeatAt > term.controller.suspectTimeout()
+	isSuspected := now-machine.LastHeartbeatAt > term.environment.Timing.SuspectTimeout
 	return term.renewals.constraints.MayConstrainZone(machine.Zone) || now < machineInfo.commandsBlockedUntil || isSuspected ||
-		term.commandRequestsInFlight >= term.controller.workerRequests.maxInFlight
+		term.commandRequestsInFlight >= term.environment.WorkerRequests.MaxInFlight
 }
 
 // sendCommandRequest sends what is due to one machine.
@@ -101,7 +101,7 @@
 		machineInfo.commandsBlockedUntil = now + commandBlockTime
 	}
 	if heartbeat != nil && term.tracker.RecordCommandHeartbeat(machine, heartbeat, now) == allocation.HeartbeatFenced {
-		term.controller.handleFenced(term.token)
+		term.host.HandleFenced(term.token)
 		return
 	}
 	term.processTaskEvents(now)
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -70,18 +70,18 @@
 	write.FencingToken = term.token
 	write.Deadline = clock.Now() + writeTimeout
 	write.Done = func(outcome kvstore.Outcome, revision uint64) {
-		term.controller.postResult(func() {
+		term.host.PostResult(func() {
 			if term.isClosed {
 				return
 			}
 			if outcome == kvstore.Fenced {
-				term.controller.handleFenced(term.token)
+				term.host.HandleFenced(term.token)
 				return
 			}
 			done(outcome, revision)
 		})
 	}
-	if !term.controller.store.Commit(write) {
+	if !term.environment.Store.Commit(write) {
 		done(kvstore.NotExecuted, 0)
 	}
 }
@@ -92,7 +92,7 @@
 // brought up to date in time, but not once the term is closed.
 func (term *leaderTerm) afterSync(resume func()) func() {
 	return func() {
-		term.controller.view.RequestSync(func(error) {
+		term.environment.View.RequestSync(func(error) {
 			if !term.isClosed {
 				resume()
 			}
@@ -102,5 +102,5 @@
 
 // maxTransactionOps is how many changes one transaction takes.
 func (term *leaderTerm) maxTransactionOps() int {
-	return term.controller.cfg.Deployment.Store.Effective().MaxTransactionOps
+	return term.environment.Config.Deployment.Store.Effective().MaxTransactionOps
 }
--- a/internal/controller/commit_test.go
+++ b/internal/controller/commit_test.go
@@ -38,12 +38,12 @@
 func TestNothingResumesInClosedTerm(t *testing.T) {
 	for _, isClosed := range []bool{false, true} {
 		term := newTestTerm(t)
-		controller := term.controller
+		controller := controllerOf(term)
 		synced, ran := 0, 0
 		term.afterSync(func() { synced++ })()
 		term.background(func() func() { return func() { ran++ } })
 		if isClosed {
-			term.close()
+			term.Close()
 		}
 		posted := 0
 		for deadline := time.Now().Add(10 * time.Second); posted == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
--- a/internal/controller/constraints.go
+++ b/internal/controller/constraints.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
@@ -19,19 +20,19 @@
 func (controller *Controller) applyConstraints(constraints delegation.Constraints, version uint64) {
 	controller.delegation.unconfirmedConstraints = nil
 	if controller.term != nil {
-		controller.term.renewals.constraints.ObserveStored(constraints, version)
+		controller.term.ObserveConstraints(constraints, version)
 	}
 }
 
-// maxClockSkew bounds the difference between two members' times of day.
-func (controller *Controller) maxClockSkew() clock.Micros {
-	return 2 * clock.FromSeconds(controller.cfg.Deployment.ClockErrorMillis/1000)
+// MaxClockSkew bounds the difference between two members' times of day.
+func MaxClockSkew(cfg *config.Platform) clock.Micros {
+	return 2 * clock.FromSeconds(cfg.Deployment.ClockErrorMillis/1000)
 }
 
 // latestSteadyInstant converts a time of day noted by some member to this process's steady
 // clock, rounded up by the clock error.
-func (controller *Controller) latestSteadyInstant(now, wall clock.Micros) clock.Micros {
-	return now - (clock.WallTime() - wall) + controller.maxClockSkew()
+func (term *leaderTerm) latestSteadyInstant(now, wall clock.Micros) clock.Micros {
+	return now - (clock.WallTime() - wall) + MaxClockSkew(term.environment.Config)
 }
 
 // adoptConstraints bounds the machines' leases by the constraints of earlier leaders.
@@ -39,11 +40,11 @@
 	constraints := term.renewals.constraints.Confirmed()
 	for _, machine := range term.tracker.Machines {
 		if zone, ok := constraints.Zones[machine.Zone]; ok {
-			term.tracker.CapLeaseRenewal(machine, term.controller.latestSteadyInstant(now, zone.LastAnswerAt))
+			term.tracker.CapLeaseRenewal(machine, term.latestSteadyInstant(now, zone.LastAnswerAt))
 		}
 	}
 	for member, renewalsUntil := range constraints.MemberGrantUntil {
-		term.renewals.grants.RecordInherited(member, term.controller.latestSteadyInstant(now, renewalsUntil))
+		term.renewals.grants.RecordInherited(member, term.latestSteadyInstant(now, renewalsUntil))
 	}
 }
 
@@ -52,7 +53,7 @@
 	constraints := term.renewals.constraints.Confirmed()
 	renewalsUntil := map[string]clock.Micros{}
 	for zone, constraint := range constraints.Zones {
-		renewalsUntil[zone] = term.renewals.grants.LatestRenewalExcept(now, term.controller.cfg.Member, constraint.KnownBy)
+		renewalsUntil[zone] = term.renewals.grants.LatestRenewalExcept(now, term.environment.Config.Member, constraint.KnownBy)
 	}
 	term.tracker.SetDelegatedUntil(term.renewals.grants.LatestRenewal(now), renewalsUntil)
 }
@@ -79,7 +80,7 @@
 // being lifted, and new ones for zones without reachable machines. This member is among
 // those that know of each.
 func (term *leaderTerm) zoneConstraints(current delegation.Constraints, now clock.Micros) map[string]delegation.ZoneConstraint {
-	member := term.controller.cfg.Member
+	member := term.environment.Config.Member
 	constraints := map[string]delegation.ZoneConstraint{}
 	for zone, status := range term.zoneStatuses(now) {
 		constraint, isConstrained := current.Zones[zone]
@@ -103,11 +104,11 @@
 // renew leases with the grants it has.
 func (term *leaderTerm) memberConstraints(current delegation.Constraints, now clock.Micros) map[string]clock.Micros {
 	grantUntil := map[string]clock.Micros{}
-	if term.controller.delegation.times.GrantTTL == 0 {
+	if term.environment.Delegation.GrantTTL == 0 {
 		return grantUntil
 	}
-	for _, other := range term.controller.cfg.Peers {
-		if received := term.controller.members.heartbeats[other.Member]; received != nil && now-received.receivedAt < memberTimeout {
+	for _, other := range term.environment.Config.Peers {
+		if received := term.host.Heartbeats()[other.Member]; received != nil && now-received.ReceivedAt < memberTimeout {
 			continue
 		}
 		until, isConstrained := current.MemberGrantUntil[other.Member]
@@ -151,9 +152,9 @@
 // the new ones hold.
 func (term *leaderTerm) writeConstraints(constraints delegation.Constraints) {
 	value, err := records.Constraints{Constraints: constraints}.MarshalJSON()
-	limit := int(term.controller.cfg.Deployment.Store.Effective().MaxValueKB * 1024)
+	limit := int(term.environment.Config.Deployment.Store.Effective().MaxValueKB * 1024)
 	if err != nil || len(value) > limit {
-		term.controller.logDropped("renewal constraints exceed the store's value limit", "bytes", len(value), "limit_bytes", limit)
+		term.host.LogDropped("renewal constraints exceed the store's value limit", "bytes", len(value), "limit_bytes", limit)
 		return
 	}
 	version, ok := term.renewals.constraints.BeginWrite(constraints)
@@ -163,7 +164,7 @@
 	// By the next review the view has the version that is stored.
 	reread := func() {
 		term.retryDeferred()
-		term.controller.view.RequestSync(func(error) {}, clock.Now()+verifyTimeout)
+		term.environment.View.RequestSync(func(error) {}, clock.Now()+verifyTimeout)
 	}
 	refused := func() {
 		term.renewals.constraints.RecordRefusal()
@@ -188,8 +189,8 @@
 // are to be lifted.
 func (term *leaderTerm) handleConstraintsCommitted(constraints delegation.Constraints, revision uint64) {
 	term.renewals.constraints.RecordCommit(revision)
-	term.controller.view.SetConstraints(constraints, revision)
-	term.controller.log.Info("renewal constraints recorded", "zones", slices.Sorted(maps.Keys(constraints.Zones)), "members", slices.Sorted(maps.Keys(constraints.MemberGrantUntil)))
+	term.environment.View.SetConstraints(constraints, revision)
+	term.environment.Log.Info("renewal constraints recorded", "zones", slices.Sorted(maps.Keys(constraints.Zones)), "members", slices.Sorted(maps.Keys(constraints.MemberGrantUntil)))
 	term.retryDeferred()
 	if len(term.renewals.liftingZones) > 0 {
 		term.updateConstraints(clock.Now())
@@ -239,7 +240,7 @@
 	for _, waiting := range deferred {
 		switch {
 		case !term.renewals.constraints.MayConstrainZone(waiting.heartbeat.Zone) && term.entitlement.viewAge.MayRenewLeases(now):
-			term.handleHeartbeat(waiting.heartbeat, waiting.reply)
+			term.HandleHeartbeat(waiting.heartbeat, waiting.reply)
 		case now-waiting.receivedAt > maxDeferral:
 			replyUnavailable(waiting.reply, "the state service does not answer")
 		default:
@@ -257,7 +258,7 @@
 // leases in a zone. A member that has not may still act as delegate there, since a leader
 // that reaches no machine of a zone may itself be the one that is cut off from it.
 func (controller *Controller) mayConstrainZone(zone string) bool {
-	if controller.term != nil && controller.term.renewals.constraints.MayConstrainZone(zone) || controller.delegation.unconfirmedConstraints[zone] {
+	if controller.term != nil && controller.term.MayConstrainZone(zone) || controller.delegation.unconfirmedConstraints[zone] {
 		return true
 	}
 	return slices.Contains(controller.view.Constraints.Zones[zone].KnownBy, controller.cfg.Member)
--- a/internal/controller/constraints_test.go
+++ b/internal/controller/constraints_test.go
@@ -15,7 +15,7 @@
 // is lifted, and doesn't reply there as delegate after its term.
 func TestNewLeaderAdoptsZoneConstraint(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
-	controller := term.controller
+	controller := controllerOf(term)
 	plain := term.tracker.LeaseEndsAt(term.tracker.Machines["i-1"])
 	ago := 20 * clock.Second
 	controller.view.Constraints = delegation.Constraints{
@@ -23,13 +23,13 @@
 		MemberGrantUntil: map[string]clock.Micros{"b": clock.WallTime() - ago},
 	}
 	controller.view.ConstraintsVersion = 8
-	term = newLeaderTerm(controller, 10, clock.Now())
+	term = controller.newTerm(10, clock.Now())
 	term.entitlement.actDeadline.Store(1 << 62)
 	machine := term.tracker.Machines["i-1"]
 	if early := plain - term.tracker.LeaseEndsAt(machine); early < ago {
 		t.Fatalf("the lease ends only %d us sooner than without the constraint", early)
 	}
-	term.handleHeartbeat(&wire.Heartbeat{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 5, FencingToken: 10}, &server.Reply{})
+	term.HandleHeartbeat(&wire.Heartbeat{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 5, FencingToken: 10}, &server.Reply{})
 	if len(term.renewals.deferredHeartbeats) != 1 || machine.LastHeartbeatAt != 0 {
 		t.Fatal("a heartbeat from a constrained zone is not deferred")
 	}
@@ -49,7 +49,7 @@
 	}
 	// A constraint that this member knows of outlives its term.
 	term.renewals.constraints.ObserveStored(delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"y": {KnownBy: []string{"a", "b"}}, "z": {KnownBy: []string{"b"}}}}, 20)
-	term.close()
+	controller.delegation.unconfirmedConstraints = term.Close()
 	controller.term = nil
 	controller.view.IsLoaded = true
 	if !controller.mayConstrainZone("y") || controller.mayConstrainZone("x") {
@@ -72,7 +72,7 @@
 	}
 	bootingMachine := add("i-9", "y")
 	bootingMachine.CreatedAt = term.liveness.startedAt + clock.Second // requested in this term, boots
-	now := term.liveness.startedAt + term.controller.heartbeatWindow() + clock.Second
+	now := term.liveness.startedAt + term.environment.Timing.HeartbeatWindow + clock.Second
 	term.updateConstraints(now)
 	if !term.renewals.constraints.MayConstrainZone("x") || term.renewals.constraints.MayConstrainZone("y") {
 		t.Fatalf("constrained %v", term.renewals.constraints.ConstrainedZones())
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -120,7 +120,7 @@
 	}
 	controller.log.Info("process stalled", "gap_s", (now - lastTickAt).Seconds())
 	if controller.term != nil {
-		controller.term.recordResume(now)
+		controller.term.RecordResume(now)
 	}
 }
 
@@ -133,7 +133,7 @@
 		controller.endTerm(endLockLost)
 		return
 	}
-	controller.term.tick(now)
+	controller.term.Tick(now)
 }
 
 // dropLogInterval bounds how often dropped responses and messages are logged.
--- a/internal/controller/controller_setup.go
+++ b/internal/controller/controller_setup.go
@@ -46,10 +46,10 @@
 		elector:         election.New(election.Config{Member: cfg.Member, TTL: ttl, TimerSlack: electionTimerSlack}),
 		failover:        failoverState{processStartedAt: clock.Now()},
 		members: memberState{
-			heartbeats: map[string]*receivedHeartbeat{}, timestamps: map[string]delegation.Timestamp{},
+			heartbeats: map[string]*ReceivedHeartbeat{}, timestamps: map[string]delegation.Timestamp{},
 			cancellations: cancellation.NewLog(cancelTimeout, deployment.Store.WriteRPS),
 		},
-		workers:    workerContactState{contactAt: map[string]clock.Micros{}, reports: map[string]workerContact{}},
+		workers:    workerContactState{contactAt: map[string]clock.Micros{}, reports: map[string]WorkerContact{}},
 		delegation: newDelegationState(cfg, cancelTimeout, leaseTTL),
 		history:    newFinishedJobHistory(finishedJobCapacity(tuning.FinishedJobs, deployment.ProcessLimits.MemoryMB), deployment.Store.Effective().MaxTransactionOps),
 		users:      userRequestState{pendingSubmissions: map[string][]*server.Reply{}, progressCounts: hints.NewCounts(heartbeatInterval)},
--- a/internal/controller/controller_state.go
+++ b/internal/controller/controller_state.go
@@ -79,14 +79,14 @@
 	processStartedAt clock.Micros
 	// leaderHeartbeatAt is when another member's heartbeat as leader last came.
 	leaderHeartbeatAt clock.Micros
-	last              failoverTimes
+	last              FailoverTimes
 	tracer            *tracing.Tracer
 }
 
 // memberState is what is known of the other members, by name.
 type memberState struct {
 	links           []*peer.Link // in the order of the configuration's peers
-	heartbeats      map[string]*receivedHeartbeat
+	heartbeats      map[string]*ReceivedHeartbeat
 	timestamps      map[string]delegation.Timestamp // their newest ones
 	nextHeartbeatAt clock.Micros
 	// cancellations are recent ones that other members may not know yet.
@@ -97,7 +97,7 @@
 type workerContactState struct {
 	contactAt map[string]clock.Micros // when each worker last sent a heartbeat here
 	// reports are the other members' counts, as they wrote them to the key-value store.
-	reports      map[string]workerContact
+	reports      map[string]WorkerContact
 	nextReportAt clock.Micros
 }
 
--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -37,7 +37,7 @@
 		t.Fatalf("a right lasts %d us", controller.delegation.times.GrantTTL)
 	}
 	controller.view.IsLoaded = true
-	term := newLeaderTerm(controller, 9, clock.Now())
+	term := controller.newTerm(9, clock.Now())
 	controller.term = term // its lock is not held any more: nothing was ever renewed
 	if controller.isEntitled() {
 		t.Fatal("entitled without a lock")
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -31,7 +31,7 @@
 	controller.workers.contactAt[heartbeat.MachineID] = clock.Now()
 	switch {
 	case controller.term != nil && controller.isEntitled():
-		controller.term.handleHeartbeat(heartbeat, reply)
+		controller.term.HandleHeartbeat(heartbeat, reply)
 	case controller.replyAsDelegate(heartbeat, reply, clock.Now()):
 	default:
 		controller.replyRedirect(reply)
@@ -45,7 +45,7 @@
 // after its lease had ended.
 func (controller *Controller) replyAsDelegate(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if controller.term != nil {
-		controller.delegation.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.renewals.cancellationsKnownAt)
+		controller.delegation.delegate.EndTerm(controller.term.IssuedToken(), controller.term.CancellationsKnownAt())
 	}
 	if !controller.view.IsLoaded || controller.mayConstrainZone(heartbeat.Zone) {
 		return false
@@ -86,11 +86,8 @@
 func (controller *Controller) recordDelegatedReply(machineName string, until, now clock.Micros) {
 	controller.delegation.repliedAt[machineName] = now
 	controller.delegation.delegate.RecordAnswer(until)
-	if controller.term == nil {
-		return
-	}
-	if machine := controller.term.tracker.Machines[machineName]; machine != nil {
-		controller.term.tracker.RecordLeaseRenewal(machine, until)
+	if controller.term != nil {
+		controller.term.RecordDelegatedRenewal(machineName, until)
 	}
 }
 
@@ -113,7 +110,7 @@
 		return ""
 	}
 	received := controller.members.heartbeats[leader]
-	isReachable := received != nil && now-received.receivedAt < leaderAdviceWindow
+	isReachable := received != nil && now-received.ReceivedAt < leaderAdviceWindow
 	if !isReachable && now-controller.store.LastSuccessAt() >= lockAdviceWindow {
 		return ""
 	}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -57,9 +57,9 @@
 }
 
 // isBlocked tells whether a job that has not ended must not start yet.
-func (controller *Controller) isBlocked(id string, record *storeview.Job) bool {
-	_, isComplete := controller.view.DependenciesOf(id, record)
-	return !isComplete || controller.dependencyGraph.IsBlocked(id)
+func isBlocked(view *storeview.View, graph *dag.Graph, id string, record *storeview.Job) bool {
+	_, isComplete := view.DependenciesOf(id, record)
+	return !isComplete || graph.IsBlocked(id)
 }
 
 // applyGraphChange applies the effects of one job's change on the others.
@@ -70,11 +70,11 @@
 	}
 	for _, id := range change.Released {
 		if record := controller.view.Jobs[id]; record != nil && !record.HasEnded() {
-			controller.term.applyJobRecord(id, record)
+			controller.term.ApplyJobRecord(id, record)
 		}
 	}
 	for _, id := range change.MoreUrgent {
-		controller.term.updateUrgency(id)
+		controller.term.UpdateUrgency(id)
 	}
 }
 
@@ -86,19 +86,19 @@
 			record.IsCancelledByDependency = true
 			controller.users.progressCounts.Remove(id)
 			if controller.term != nil {
-				controller.term.persistence.cleanup.addImpliedCancellations(id)
+				controller.term.AddImpliedCancellations(id)
 			}
 		}
 	}
 }
 
-// updateUrgency gives a job the urgency that it has by itself and by the jobs that depend on it.
-func (term *leaderTerm) updateUrgency(id string) {
-	job, record := term.tracker.Jobs[id], term.controller.view.Jobs[id]
+// UpdateUrgency gives a job the urgency that it has by itself and by the jobs that depend on it.
+func (term *leaderTerm) UpdateUrgency(id string) {
+	job, record := term.tracker.Jobs[id], term.environment.View.Jobs[id]
 	if job == nil || record == nil || record.Spec == nil {
 		return
 	}
-	urgency := term.controller.dependencyGraph.UrgencyOf(id, urgencyOf(record))
+	urgency := term.environment.Graph.UrgencyOf(id, urgencyOf(record))
 	job.Priority, job.Deadline = urgency.Priority, urgency.Deadline
 	term.requestPlan()
 }
--- a/internal/controller/dependencies_bench_test.go
+++ b/internal/controller/dependencies_bench_test.go
@@ -62,7 +62,7 @@
 			var heldBytes float64
 			for b.Loop() {
 				before := heapInUse()
-				controller := newTestTerm(b).controller
+				controller := controllerOf(newTestTerm(b))
 				controller.view.IsLoaded = true
 				startedAt := clock.Now()
 				for key, value := range records {
@@ -70,7 +70,7 @@
 				}
 				read += clock.Now() - startedAt
 				startedAt = clock.Now()
-				term := newLeaderTerm(controller, 10, clock.Now())
+				term := controller.newTerm(10, clock.Now())
 				failover += clock.Now() - startedAt
 				term.entitlement.actDeadline.Store(1 << 62)
 				controller.term = term
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -22,7 +22,7 @@
 // cancelled at once, as are its dependents.
 func TestDependentJobsAreTrackedWhenReleased(t *testing.T) {
 	term := newTestTerm(t)
-	controller := term.controller
+	controller := controllerOf(term)
 	controller.term = term
 	wall := clock.WallTime().Seconds()
 	controller.view.SetJob("req-000002", newJobRecord("req-000002", wire.PriorityLow, wall, 0, "req-000001"))
@@ -64,13 +64,13 @@
 // whatever order its keys are read.
 func TestLongDependencyListsAreSplit(t *testing.T) {
 	term := newTestTerm(t)
-	controller := term.controller
+	controller := controllerOf(term)
 	controller.cfg.Deployment.Store.MaxValueKB = 1
 	record := newJobRecord("req-000500", wire.PriorityLow, 1, 0)
 	for i := range 300 {
 		record.Spec.DependsOn = append(record.Spec.DependsOn, fmt.Sprintf("req-%06d", i))
 	}
-	changes, err := records.SubmissionChanges(&record.Job, controller.storeLimits())
+	changes, err := records.SubmissionChanges(&record.Job, storeLimits(controller.cfg))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 		if !isComplete || len(dependencies) != 300 || dependencies[299] != "req-000299" {
 			t.Fatalf("%d of 300 are read, whole %v", len(dependencies), isComplete)
 		}
-		if !controller.isBlocked("req-000500", controller.view.Jobs["req-000500"]) {
+		if !isBlocked(controller.view, controller.dependencyGraph, "req-000500", controller.view.Jobs["req-000500"]) {
 			t.Fatal("it is not blocked")
 		}
 	}
--- a/internal/controller/entitlement.go
+++ b/internal/controller/entitlement.go
@@ -1,8 +1,6 @@
 package controller
 
-import (
-	"firwood.dev/firwood/internal/clock"
-)
+import "firwood.dev/firwood/internal/clock"
 
 // mayActUntil is the end of the leader's lease as known. It may be called on any goroutine,
 // right before something is sent.
@@ -10,9 +8,9 @@
 	return clock.Micros(term.entitlement.actDeadline.Load())
 }
 
-// recordResume restarts all silences: no heartbeats could arrive while the process was
+// RecordResume restarts all silences: no heartbeats could arrive while the process was
 // stalled, and none were replied to while it was not entitled to act.
-func (term *leaderTerm) recordResume(now clock.Micros) {
+func (term *leaderTerm) RecordResume(now clock.Micros) {
 	term.liveness.resumedAt, term.scheduler.ResumedAt = now, now
 }
 
@@ -25,7 +23,7 @@
 // updateDeadlines takes the end of the lock's lease from the election, and the bound that the
 // age of the view sets.
 func (term *leaderTerm) updateDeadlines() {
-	until := term.controller.elector.EntitledUntil()
+	until := term.host.EntitledUntil()
 	term.entitlement.actDeadline.Store(int64(until))
 	term.entitlement.startDeadline.Store(int64(min(until, term.entitlement.viewAge.StartTasksUntil())))
 }
@@ -39,7 +37,7 @@
 		return
 	}
 	term.entitlement.hasLapsed = false
-	term.recordResume(now)
+	term.RecordResume(now)
 	// Jobs may have been cancelled by other members while the store refused only this
 	// one. Added after a leader started tasks of such a job again.
 	term.entitlement.viewAge.RecordEntitlementRegained(now)
@@ -63,7 +61,7 @@
 		return
 	}
 	term.entitlement.isRefreshingView = true
-	term.controller.view.RequestSync(func(err error) {
+	term.environment.View.RequestSync(func(err error) {
 		term.entitlement.isRefreshingView = false
 		switch {
 		case term.isClosed:
--- /dev/null
+++ b/internal/controller/environment.go
@@ -0,0 +1,114 @@
+package controller
+
+import (
+	"log/slog"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/client"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/cloud"
+	"firwood.dev/firwood/internal/config"
+	"firwood.dev/firwood/internal/dag"
+	"firwood.dev/firwood/internal/delegation"
+	"firwood.dev/firwood/internal/health"
+	"firwood.dev/firwood/internal/hints"
+	"firwood.dev/firwood/internal/jobreport"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/peer"
+	"firwood.dev/firwood/internal/staleness"
+	"firwood.dev/firwood/internal/standby"
+	"firwood.dev/firwood/internal/storeview"
+	"firwood.dev/firwood/internal/tracing"
+	"firwood.dev/firwood/wire"
+)
+
+// Environment is what a term works with. It is shared with the controller and belongs to the
+// owner's goroutine, but for the clients, which may be used on any. A term changes nothing in it
+// but the view, the dependency graph's inputs through the view, and the failover's times.
+type Environment struct {
+	Config *config.Platform
+	Tuning *config.Tuning
+	Log    *slog.Logger
+	Settings
+
+	Store          *kvstore.Client
+	Cloud          *cloud.Client
+	WorkerRequests WorkerRequests
+
+	View  *storeview.View
+	Graph *dag.Graph // of the jobs' dependencies
+	Hints *hints.Hints
+
+	Delegate *delegation.Delegate // this member's grant from the leader before
+	Replica  *standby.Replica     // of the last leader's allocation table, nil if standby is off
+	Failover *FailoverTimes       // of the failover that this term came from
+	Tracer   *tracing.Tracer
+}
+
+// Settings are derived from the configuration once, at the start of the process.
+type Settings struct {
+	Teams       map[string]allocation.TeamQuota
+	TasksPerKey int // tasks in one progress key
+	Staleness   staleness.Bounds
+	Delegation  delegation.Config
+	Timing      health.Timing
+	LeaderTTL   clock.Micros
+}
+
+// WorkerRequests is for the requests that a leader sends to workers.
+type WorkerRequests struct {
+	Pool        *client.Pool
+	MaxInFlight int // command requests and probes under way at a time, of each
+}
+
+// Host is what a term needs of the controller that it belongs to: what the controller alone can
+// do, and what it alone knows. All methods but PostResult are for the owner's goroutine.
+type Host interface {
+	// PostResult queues a command for the owner's goroutine. It may be called on any goroutine.
+	PostResult(command func())
+
+	// IsEntitled tells whether this process may act as leader now; EntitledUntil is the end of
+	// the lock's lease as known.
+	IsEntitled() bool
+	EntitledUntil() clock.Micros
+	// HandleFenced reports that a write or a worker has proven a token to be outdated, which
+	// ends the term.
+	HandleFenced(token uint64)
+	// HandOver ends the term, and stays out of elections for a while.
+	HandOver(now, backoff clock.Micros)
+
+	// Heartbeats are the other members' last heartbeats, Timestamps their newest timestamps, and
+	// WorkerContacts what they wrote of workers that contact them; all by member.
+	Heartbeats() map[string]*ReceivedHeartbeat
+	Timestamps() map[string]delegation.Timestamp
+	WorkerContacts() map[string]WorkerContact
+	// SendHeartbeatNow has heartbeats sent to the other members with the next tick.
+	SendHeartbeatNow()
+	// SendStreamMessage sends a message of the standby stream to a member.
+	SendStreamMessage(member string, heartbeat *peer.Heartbeat)
+
+	// MachineTypes are what the cloud offers.
+	MachineTypes() []wire.MachineType
+	// LookUpIfEvicted fetches a job's record from the store if it may have been evicted from
+	// the view.
+	LookUpIfEvicted(id string)
+	// ProblemOf returns a job's line in the job report, and whether it belongs there; wall is
+	// the time of day.
+	ProblemOf(id string, record *storeview.Job, wall int64) (problem jobreport.Problem, isProblem bool)
+	// AdjustRateShare lets this member use what the others leave of the store's rate of changes.
+	AdjustRateShare(now clock.Micros)
+	// LogDropped logs, at a bounded rate, something that is malformed or exceeds a limit.
+	LogDropped(message string, args ...any)
+}
+
+// ReceivedHeartbeat is the last heartbeat of another member.
+type ReceivedHeartbeat struct {
+	Heartbeat  *peer.Heartbeat
+	ReceivedAt clock.Micros
+}
+
+// WorkerContact is how many workers contacted a member lately, and when it said so.
+type WorkerContact struct {
+	Workers    uint32
+	ReportedAt clock.Micros
+}
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -60,7 +60,7 @@
 	if record == nil || !record.IsFinished() || hasOtherKeys || controller.users.pendingSubmissions[id] != nil {
 		return false
 	}
-	isTracked := controller.term != nil && (controller.term.tracker.Jobs[id] != nil || controller.term.jobs[id] != nil)
+	isTracked := controller.term != nil && controller.term.IsTracking(id)
 	return !isTracked
 }
 
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -15,7 +15,7 @@
 // seconds after its take-over, what two in three of the fleet's tasks then waited for.
 func TestNewLeaderKeepsMachinesWhileTasksUnconfirmed(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
-	controller := term.controller
+	controller := controllerOf(term)
 	wall := int64(clock.WallTime())
 	for i, at := range []clock.Micros{90, 60, 30} {
 		id := []string{"req-000001", "req-000002", "req-000003"}[i]
@@ -25,7 +25,7 @@
 		controller.view.Progress[id] = map[int]storeview.ProgressPart{0: {}}
 	}
 	controller.cfg.Deployment.Objectives = append(controller.cfg.Deployment.Objectives, config.Objective{Kind: "wait", Class: "c", TargetSeconds: 2})
-	term = newLeaderTerm(controller, 10, clock.Now())
+	term = controller.newTerm(10, clock.Now())
 	machine := term.tracker.Machines["i-1"] // heard, and empty; the other one is not heard
 	term.tracker.RecordLeaseRenewal(machine, term.liveness.startedAt)
 	term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: 1, FencingToken: 10}, term.liveness.startedAt)
--- a/internal/controller/failover_times.go
+++ b/internal/controller/failover_times.go
@@ -8,25 +8,25 @@
 	"firwood.dev/firwood/internal/tracing"
 )
 
-// failoverTimes are the instants of this member's last failover, 0 for what hasn't happened.
-type failoverTimes struct {
-	leaderHeartbeatAt clock.Micros // the last heartbeat of the leader before
-	lockWonAt         clock.Micros
+// FailoverTimes are the instants of this member's last failover, 0 for what hasn't happened.
+type FailoverTimes struct {
+	LeaderHeartbeatAt clock.Micros // the last heartbeat of the leader before
+	LockWonAt         clock.Micros
 	rebuiltAt         clock.Micros // the allocation table was rebuilt
 	firstDecisionAt   clock.Micros // the first task was placed
-	token             uint64
+	Token             uint64
 	isReplicaUsed     bool // the allocation table was rebuilt from a replica
 	unconfirmed       int  // placements of which it was not known whether they were started
 }
 
-// status is the failover's part of the standby status, nil before one is complete.
-func (times *failoverTimes) status() *jobreport.FailoverStatus {
+// Status is the failover's part of the standby status, nil before one is complete.
+func (times *FailoverTimes) Status() *jobreport.FailoverStatus {
 	if times.rebuiltAt == 0 {
 		return nil
 	}
-	status := &jobreport.FailoverStatus{Token: times.token, IsReplicaUsed: times.isReplicaUsed, Unconfirmed: times.unconfirmed, RebuildMs: milliseconds(times.rebuiltAt - times.lockWonAt)}
-	if times.leaderHeartbeatAt != 0 {
-		status.LockMs = milliseconds(times.lockWonAt - times.leaderHeartbeatAt)
+	status := &jobreport.FailoverStatus{Token: times.Token, IsReplicaUsed: times.isReplicaUsed, Unconfirmed: times.unconfirmed, RebuildMs: milliseconds(times.rebuiltAt - times.LockWonAt)}
+	if times.LeaderHeartbeatAt != 0 {
+		status.LockMs = milliseconds(times.LockWonAt - times.LeaderHeartbeatAt)
 	}
 	if times.firstDecisionAt != 0 {
 		status.FirstDecisionMs = milliseconds(times.firstDecisionAt - times.rebuiltAt)
@@ -36,16 +36,16 @@
 
 // spans are the failover's parts for the tracer. Their names and attributes are in traces that are
 // kept, so they stay.
-func (times *failoverTimes) spans() []tracing.Span {
-	startedAt := times.leaderHeartbeatAt
+func (times *FailoverTimes) spans() []tracing.Span {
+	startedAt := times.LeaderHeartbeatAt
 	if startedAt == 0 {
-		startedAt = times.lockWonAt
+		startedAt = times.LockWonAt
 	}
 	attributes := map[string]string{"replica_used": fmt.Sprint(times.isReplicaUsed), "in_doubt": fmt.Sprint(times.unconfirmed)}
 	return []tracing.Span{
 		{Name: "take-over", StartedAt: startedAt, EndedAt: times.firstDecisionAt, Attributes: attributes},
-		{Name: "lock", StartedAt: startedAt, EndedAt: times.lockWonAt},
-		{Name: "rebuild", StartedAt: times.lockWonAt, EndedAt: times.rebuiltAt},
+		{Name: "lock", StartedAt: startedAt, EndedAt: times.LockWonAt},
+		{Name: "rebuild", StartedAt: times.LockWonAt, EndedAt: times.rebuiltAt},
 		{Name: "first decision", StartedAt: times.rebuiltAt, EndedAt: times.firstDecisionAt},
 	}
 }
@@ -54,15 +54,15 @@
 
 // recordFirstDecision notes when a new leader first places a task. The failover is complete then.
 func (term *leaderTerm) recordFirstDecision(now clock.Micros) {
-	times := &term.controller.failover.last
+	times := term.environment.Failover
 	if times.firstDecisionAt != 0 || !term.tracker.HasIssuedAttempt() {
 		return
 	}
 	times.firstDecisionAt = now
-	status := times.status()
-	term.controller.log.Info("first decision after failover", "token", times.token, "lock_ms", status.LockMs, "rebuild_ms", status.RebuildMs,
+	status := times.Status()
+	term.environment.Log.Info("first decision after failover", "token", times.Token, "lock_ms", status.LockMs, "rebuild_ms", status.RebuildMs,
 		"first_decision_ms", status.FirstDecisionMs, "replica_used", times.isReplicaUsed, "unconfirmed", times.unconfirmed)
-	term.controller.failover.tracer.RecordFailover(times.token, times.spans())
+	term.environment.Tracer.RecordFailover(times.Token, times.spans())
 }
 
 // traceObservedFailover traces what a follower saw of a failover: for how long there was no leader.
--- a/internal/controller/faulty_machines.go
+++ b/internal/controller/faulty_machines.go
@@ -17,9 +17,9 @@
 	case health.NoFaultAction:
 	case health.PauseMachine:
 		machine.BackoffUntil = pauseUntil
-		term.controller.log.Info("pausing machine: task failures are widespread", "machine", machine.Name, "pause_s", (pauseUntil - now).Seconds())
+		term.environment.Log.Info("pausing machine: task failures are widespread", "machine", machine.Name, "pause_s", (pauseUntil - now).Seconds())
 	case health.DrainMachine:
-		term.controller.log.Info("draining faulty machine", "machine", machine.Name, "retry_after_s", (machineInfo.faults.RetryAt() - now).Seconds())
+		term.environment.Log.Info("draining faulty machine", "machine", machine.Name, "retry_after_s", (machineInfo.faults.RetryAt() - now).Seconds())
 		term.drainMachine(machine)
 	}
 }
@@ -46,7 +46,7 @@
 	if !machineInfo.faults.TakeRetry(machine, now) {
 		return
 	}
-	term.controller.log.Info("retrying faulty machine", "machine", machine.Name)
+	term.environment.Log.Info("retrying faulty machine", "machine", machine.Name)
 	clear(machine.FailedJobs)
 	machine.Draining = false
 }
--- a/internal/controller/faulty_machines_test.go
+++ b/internal/controller/faulty_machines_test.go
@@ -20,11 +20,11 @@
 		names = append(names, fmt.Sprintf("i-%02d", i))
 	}
 	term := newTestTerm(t, names...)
-	term.controller.view.Jobs["req-000001"] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
+	term.environment.View.Jobs["req-000001"] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 		ID: "req-000001", Class: "c", Kind: wire.KindService, Team: "t", TaskCount: 1, CPUs: 1,
 	}}}
-	term.controller.view.Progress["req-000001"] = map[int]storeview.ProgressPart{0: {}}
-	term = newLeaderTerm(term.controller, 10, clock.Now())
+	term.environment.View.Progress["req-000001"] = map[int]storeview.ProgressPart{0: {}}
+	term = controllerOf(term).newTerm(10, clock.Now())
 	now := term.liveness.startedAt
 	for i, name := range names {
 		heartbeat := &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: 1, FencingToken: 10}
--- a/internal/controller/fleet_log.go
+++ b/internal/controller/fleet_log.go
@@ -56,9 +56,9 @@
 			waiting += job.WaitingCount()
 		}
 	}
-	onDemand.log(term.controller.log, "on_demand")
-	spot.log(term.controller.log, "spot")
-	term.controller.log.Debug("waiting tasks", "tasks", waiting)
+	onDemand.log(term.environment.Log, "on_demand")
+	spot.log(term.environment.Log, "spot")
+	term.environment.Log.Debug("waiting tasks", "tasks", waiting)
 }
 
 func (use *fleetUse) log(log *slog.Logger, kind string) {
--- a/internal/controller/grants.go
+++ b/internal/controller/grants.go
@@ -6,20 +6,20 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// acknowledgeTimestamps renews the other members' grants to renew leases as delegates: the
+// AcknowledgeTimestamps renews the other members' grants to renew leases as delegates: the
 // timestamps received so far are acknowledged once the view is known to be newer than
 // them, and only while no cancelled job is overdue to stop. So the tasks of a cancelled
 // job in a zone that is cut off end in time; see delegation.Config. Then is called in
 // any case.
-func (term *leaderTerm) acknowledgeTimestamps(now clock.Micros, then func()) {
-	timestamps := maps.Clone(term.controller.members.timestamps)
-	term.controller.view.RequestSync(func(err error) {
+func (term *leaderTerm) AcknowledgeTimestamps(now clock.Micros, then func()) {
+	timestamps := maps.Clone(term.host.Timestamps())
+	term.environment.View.RequestSync(func(err error) {
 		defer then()
 		if err != nil || term.isClosed {
 			return
 		}
 		term.recordViewRead(now)
-		if !term.controller.isEntitled() {
+		if !term.host.IsEntitled() {
 			return
 		}
 		if term.isCancellationOverdue() {
@@ -38,7 +38,7 @@
 // isCancellationOverdue tells whether tasks of some cancelled job are left after its grace.
 func (term *leaderTerm) isCancellationOverdue() bool {
 	for _, job := range term.tracker.Jobs {
-		if job.Cancelled && !term.tracker.IsVacated(job) && clock.Now()-job.CancelledAt > term.controller.delegation.times.CancellationGrace {
+		if job.Cancelled && !term.tracker.IsVacated(job) && clock.Now()-job.CancelledAt > term.environment.Delegation.CancellationGrace {
 			return true
 		}
 	}
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -21,9 +21,9 @@
 	if reason == health.KeepLeadership {
 		return false
 	}
-	term.controller.log.Info("handing over leadership", "reason", reason.String(), "machines", fleet.Up, "reachable", fleet.Reachable,
+	term.environment.Log.Info("handing over leadership", "reason", reason.String(), "machines", fleet.Up, "reachable", fleet.Reachable,
 		"contacted", reach.ContactingOther, "read_age_s", (now - term.entitlement.viewAge.LastReadSentAt()).Seconds())
-	term.handOver(now)
+	term.host.HandOver(now, handOverBackoff)
 	return true
 }
 
@@ -33,25 +33,19 @@
 		Fleet:            fleet,
 		HadMostReachable: term.liveness.hadMostReachable,
 		ReadAge:          now - max(term.entitlement.viewAge.LastReadSentAt(), term.liveness.resumedAt),
-		LeaderTTL:        term.controller.leaderTTL(),
-		HasSettled:       now-term.liveness.resumedAt >= term.controller.suspectTimeout(),
+		LeaderTTL:        term.environment.LeaderTTL,
+		HasSettled:       now-term.liveness.resumedAt >= term.environment.Timing.SuspectTimeout,
 	}
-	for _, received := range term.controller.members.heartbeats {
-		if now-received.receivedAt < candidateWindow && received.heartbeat.IsStoreReachable {
+	for _, received := range term.host.Heartbeats() {
+		if now-received.ReceivedAt < candidateWindow && received.Heartbeat.IsStoreReachable {
 			reach.HasCandidate = true
-			reach.ContactingOther = max(reach.ContactingOther, received.heartbeat.WorkerCount)
+			reach.ContactingOther = max(reach.ContactingOther, received.Heartbeat.WorkerCount)
 		}
 	}
-	for _, contact := range term.controller.workers.reports {
-		if now-contact.reportedAt < workerContactTTL {
-			reach.ContactingOther = max(reach.ContactingOther, contact.workers)
+	for _, contact := range term.host.WorkerContacts() {
+		if now-contact.ReportedAt < workerContactTTL {
+			reach.ContactingOther = max(reach.ContactingOther, contact.Workers)
 		}
 	}
 	return reach
 }
-
-// handOver ends the term, and stays out of elections for a while.
-func (term *leaderTerm) handOver(now clock.Micros) {
-	term.controller.executeActions(term.controller.elector.StepDown(now, handOverBackoff))
-	term.controller.endTerm(endHandedOver)
-}
--- a/internal/controller/hints.go
+++ b/internal/controller/hints.go
@@ -14,13 +14,13 @@
 
 // restoreHints has a new leader go on with what the last one sent.
 func (term *leaderTerm) restoreHints(now clock.Micros) {
-	term.controller.hints.Restore(term.tracker.Machines, term.scheduler, now)
+	term.environment.Hints.Restore(term.tracker.Machines, term.scheduler, now)
 }
 
 // addHints adds what the next leader would have to find out again to a heartbeat.
 func (term *leaderTerm) addHints(heartbeat *peer.Heartbeat) {
 	term.hints.images.AddImages(heartbeat, term.tracker.SortedMachines(), term.sentHintOf, clock.Now())
-	hints.AddForecasts(heartbeat, term.scheduler, term.controller.machineTypes.list)
+	hints.AddForecasts(heartbeat, term.scheduler, term.host.MachineTypes())
 }
 
 // sentHintOf returns the hint that was last sent of a machine, nil for a machine that this
--- a/internal/controller/hints_test.go
+++ b/internal/controller/hints_test.go
@@ -28,10 +28,10 @@
 	}
 	firstTerm.scheduler.RunTimeModel("c").Observe(100, 50, 0.2)
 	for range 40 {
-		firstTerm.scheduler.ObserveBoot(firstTerm.controller.machineTypes.list[0].Name, 20*clock.Second)
+		firstTerm.scheduler.ObserveBoot(firstTerm.host.MachineTypes()[0].Name, 20*clock.Second)
 	}
 
-	nextController := newTestTerm(t, names...).controller
+	nextController := controllerOf(newTestTerm(t, names...))
 	for range 3 {
 		heartbeat := &peer.Heartbeat{Member: "b", Leader: "b", Token: 9}
 		firstTerm.addHints(heartbeat)
@@ -68,13 +68,13 @@
 	if changed := sentMachines(3); !slices.Equal(changed, []string{"i-07"}) {
 		t.Errorf("changes are sent of %v", changed)
 	}
-	firstTerm.controller.term = firstTerm
-	firstTerm.controller.handlePeerHeartbeat(&peer.Heartbeat{Member: "b", Incarnation: 5, Timestamp: 1})
+	controllerOf(firstTerm).term = firstTerm
+	controllerOf(firstTerm).handlePeerHeartbeat(&peer.Heartbeat{Member: "b", Incarnation: 5, Timestamp: 1})
 	if all := sentMachines(3); len(all) != len(names) {
 		t.Errorf("a member that is back is sent hints of %d machines", len(all))
 	}
 
-	term := newLeaderTerm(nextController, 10, clock.Now())
+	term := nextController.newTerm(10, clock.Now())
 	for i, name := range names {
 		machine := term.tracker.Machines[name]
 		incarnation := uint64(3 + i%2) // every second one has lost all it had
@@ -83,7 +83,7 @@
 			t.Errorf("%s in incarnation %d: said to have its image cached %v", name, incarnation, hasImage)
 		}
 	}
-	if boot := term.scheduler.BootTime(term.controller.machineTypes.list[0].Name, 50); boot < 19*clock.Second || boot > 21*clock.Second {
+	if boot := term.scheduler.BootTime(term.host.MachineTypes()[0].Name, 50); boot < 19*clock.Second || boot > 21*clock.Second {
 		t.Errorf("machines are expected to boot in %.1f s, not as long as the last leader saw", boot.Seconds())
 	}
 	for class, want := range map[string]float64{"c": 50, "d": 100, "e": 100} {
--- a/internal/controller/job_end_writer.go
+++ b/internal/controller/job_end_writer.go
@@ -14,7 +14,7 @@
 
 func (writer *jobEndWriter) write(id string, job *allocation.Job, jobInfo *jobState) {
 	term := writer.term
-	record := term.controller.view.Jobs[id]
+	record := term.environment.View.Jobs[id]
 	if record == nil || record.HasEnded() {
 		return
 	}
@@ -29,7 +29,7 @@
 		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.Version}},
 		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
 	}
-	if term.controller.store.BacklogDuration() < backlogThreshold {
+	if term.environment.Store.BacklogDuration() < backlogThreshold {
 		term.appendProgressDeletes(write, id, jobInfo)
 	}
 	verify := term.afterSync(func() { writer.verify(id, job, jobInfo) })
@@ -49,7 +49,7 @@
 func (writer *jobEndWriter) endRecord(id string, record *storeview.Job, job *allocation.Job, jobInfo *jobState) *storeview.Job {
 	end := storeview.NewEndedJob(record, wire.JobDone, clock.WallTime())
 	end.FirstStartAt, end.Errors, end.Restarts = jobInfo.firstStartAt, job.FailureCount, job.RestartCount
-	releasedAt := writer.term.controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
+	releasedAt := writer.term.environment.Graph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
 	if int64(releasedAt) != record.SubmittedAt {
 		end.ReleasedAt = int64(releasedAt)
 	}
@@ -61,10 +61,10 @@
 	term := writer.term
 	jobInfo.isEndDurable = true
 	term.tracker.MarkDurable(job, job.UnpersistedCompletions())
-	if current := term.controller.view.Jobs[id]; current == nil || current.Version < revision {
+	if current := term.environment.View.Jobs[id]; current == nil || current.Version < revision {
 		// Dependent jobs need not wait for the watch.
 		end.Version = revision
-		term.controller.view.SetJob(id, end)
+		term.environment.View.SetJob(id, end)
 	}
 	term.logJobEnd(id, end)
 }
@@ -74,7 +74,7 @@
 func (writer *jobEndWriter) verify(id string, job *allocation.Job, jobInfo *jobState) {
 	term := writer.term
 	jobInfo.isWriting = false
-	if current := term.controller.view.Jobs[id]; current != nil && current.State == wire.JobDone {
+	if current := term.environment.View.Jobs[id]; current != nil && current.State == wire.JobDone {
 		jobInfo.isEndDurable = true
 		term.tracker.MarkDurable(job, job.UnpersistedCompletions())
 	}
--- a/internal/controller/job_persistence.go
+++ b/internal/controller/job_persistence.go
@@ -77,8 +77,8 @@
 	}
 	verify := term.afterSync(func() { // the key may exist by now
 		jobInfo.isRecordingStarts = false
-		job.StartsRecorded = term.controller.view.Progress[id] != nil
-		jobInfo.updateKeyVersions(term.controller.view.Progress[id])
+		job.StartsRecorded = term.environment.View.Progress[id] != nil
+		jobInfo.updateKeyVersions(term.environment.View.Progress[id])
 		term.requestPlan()
 	})
 	term.commitHandled(write, outcomeHandlers{
--- a/internal/controller/job_report.go
+++ b/internal/controller/job_report.go
@@ -77,7 +77,7 @@
 	if controller.term == nil {
 		return job
 	}
-	if tracked := controller.term.tracker.Jobs[id]; tracked != nil {
+	if tracked := controller.term.TrackedJob(id); tracked != nil {
 		job.Errors, job.Restarts = tracked.FailureCount, tracked.RestartCount
 		if tracked.FirstStartAt != 0 {
 			job.FirstStartAt = wall - (clock.Now() - tracked.FirstStartAt)
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -94,7 +94,7 @@
 // or those that the leader sent last.
 func (controller *Controller) taskCounts(id string) (done, running int) {
 	if controller.term != nil {
-		if job := controller.term.tracker.Jobs[id]; job != nil {
+		if job := controller.term.TrackedJob(id); job != nil {
 			return job.DoneCount(), job.StartedCount
 		}
 		return 0, 0
--- a/internal/controller/late_jobs.go
+++ b/internal/controller/late_jobs.go
@@ -7,24 +7,24 @@
 
 // logJobEnd logs the end of a job, as an error if batch work has missed its objective.
 func (term *leaderTerm) logJobEnd(id string, record *storeview.Job) {
-	if problem, ok := term.controller.problemOf(id, record, int64(clock.WallTime())); ok && problem.IsLate {
-		term.controller.log.Error("job finished late", "job", id, "class", problem.Class, "late_by_s", problem.LateByS, "took_s", problem.TookS, "why", problem.Reason)
+	if problem, ok := term.host.ProblemOf(id, record, int64(clock.WallTime())); ok && problem.IsLate {
+		term.environment.Log.Error("job finished late", "job", id, "class", problem.Class, "late_by_s", problem.LateByS, "took_s", problem.TookS, "why", problem.Reason)
 		return
 	}
-	term.controller.log.Debug("job completed", "job", id)
+	term.environment.Log.Debug("job completed", "job", id)
 }
 
 // warnLateJobs warns, once a job, of batch work that misses its objective while it runs.
 func (term *leaderTerm) warnLateJobs(now clock.Micros) {
 	wall := int64(clock.WallTime())
 	for id, jobInfo := range term.jobs {
-		record := term.controller.view.Jobs[id]
+		record := term.environment.View.Jobs[id]
 		if jobInfo.hasWarnedLate || jobInfo.isEndDurable || record == nil || record.HasEnded() {
 			continue
 		}
-		if problem, ok := term.controller.problemOf(id, record, wall); ok && problem.IsLate {
+		if problem, ok := term.host.ProblemOf(id, record, wall); ok && problem.IsLate {
 			jobInfo.hasWarnedLate = true
-			term.controller.log.Error("job is late", "job", id, "class", problem.Class, "why", problem.Reason)
+			term.environment.Log.Error("job is late", "job", id, "class", problem.Class, "why", problem.Reason)
 		}
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -40,7 +40,7 @@
 		return
 	}
 	controller.failover.isRebuilding = true
-	controller.failover.last = failoverTimes{leaderHeartbeatAt: controller.failover.leaderHeartbeatAt, lockWonAt: clock.Now(), token: controller.elector.Token()}
+	controller.failover.last = FailoverTimes{LeaderHeartbeatAt: controller.failover.leaderHeartbeatAt, LockWonAt: clock.Now(), Token: controller.elector.Token()}
 	controller.applyRateShares()
 	controller.log.Info("leadership acquired", "token", controller.elector.Token(), "lease", controller.elector.LeaseID())
 	controller.rebuildTerm()
@@ -58,7 +58,7 @@
 			controller.runAfter(rebuildRetryInterval, func() { controller.retryRebuild(token) })
 		default:
 			controller.failover.isRebuilding = false
-			controller.term = newLeaderTerm(controller, token, requestedAt)
+			controller.term = controller.newTerm(token, requestedAt)
 			controller.members.nextHeartbeatAt = 0
 		}
 	}, clock.Now()+rebuildSyncTimeout)
@@ -87,9 +87,9 @@
 	if controller.term == nil {
 		return
 	}
-	controller.log.Info("leadership term ended", "reason", string(reason), "token", controller.term.token)
-	controller.delegation.delegate.EndTerm(controller.term.tracker.IssuedToken(), controller.term.renewals.cancellationsKnownAt)
-	controller.term.close()
+	controller.log.Info("leadership term ended", "reason", string(reason), "token", controller.term.Token())
+	controller.delegation.delegate.EndTerm(controller.term.IssuedToken(), controller.term.CancellationsKnownAt())
+	controller.delegation.unconfirmedConstraints = controller.term.Close()
 	controller.term = nil
 	controller.failover.isRebuilding = false
 	controller.applyRateShares()
--- a/internal/controller/machine_deletion.go
+++ b/internal/controller/machine_deletion.go
@@ -34,7 +34,7 @@
 	deletions.pending = slices.Delete(deletions.pending, 0, count)
 	deletions.isInFlight = true
 	term.background(func() func() {
-		err := term.controller.cloud.DeleteMachines(batch, term.mayActUntil)
+		err := term.environment.Cloud.DeleteMachines(batch, term.mayActUntil)
 		return func() { term.handleDeleteResult(batch, err) }
 	})
 }
@@ -43,7 +43,7 @@
 	now := clock.Now()
 	term.deletions.isInFlight = false
 	if err != nil {
-		term.controller.log.Debug("machine deletion not answered", "machines", len(batch), "error", err)
+		term.environment.Log.Debug("machine deletion not answered", "machines", len(batch), "error", err)
 		term.deletions.pending = append(batch, term.deletions.pending...)
 		term.deletions.nextAt = now + deleteRetryInterval
 		return
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -39,7 +39,7 @@
 		}
 	}
 	judge := &health.Term{
-		StartedAt: term.liveness.startedAt, SuspectTimeout: term.controller.suspectTimeout(), Tracker: term.tracker, BootTimeout: term.scheduler.BootTimeout,
+		StartedAt: term.liveness.startedAt, SuspectTimeout: term.environment.Timing.SuspectTimeout, Tracker: term.tracker, BootTimeout: term.scheduler.BootTimeout,
 	}
 	for name, machine := range term.tracker.Machines {
 		machineInfo := term.machines[name]
@@ -74,7 +74,7 @@
 // isReachable tells whether a machine's last heartbeat, or the process's last stall, is
 // within the heartbeat window.
 func (term *leaderTerm) isReachable(machine *allocation.Machine, now clock.Micros) bool {
-	return now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.controller.heartbeatWindow()
+	return now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.environment.Timing.HeartbeatWindow
 }
 
 // silenceOf is how long a machine's heartbeats have been missing while they could arrive.
@@ -108,7 +108,7 @@
 // logDeletion logs why a machine is deleted that ought to work. Silence is how long nothing
 // has been received from it.
 func (term *leaderTerm) logDeletion(machine *allocation.Machine, reason string, silence clock.Micros) {
-	term.controller.log.Info("deleting machine", "machine", machine.Name, "zone", machine.Zone, "spot", machine.Spot, "reason", reason, "silent_s", silence.Seconds())
+	term.environment.Log.Info("deleting machine", "machine", machine.Name, "zone", machine.Zone, "spot", machine.Spot, "reason", reason, "silent_s", silence.Seconds())
 }
 
 // expireDeletedMachines forgets machines that were deleted long ago. Since it doesn't look
@@ -143,7 +143,7 @@
 		if now-since <= unknownMachineGrace || slices.Contains(term.deletions.pending, name) {
 			continue
 		}
-		term.controller.log.Info("deleting unknown machine", "machine", name)
+		term.environment.Log.Info("deleting unknown machine", "machine", name)
 		// An instant in the future, in a map of past ones: it delays the next attempt.
 		term.listing.unknownSince[name] = now + unknownMachineRetry
 		term.deletions.pending = append(term.deletions.pending, name)
--- a/internal/controller/machine_listing.go
+++ b/internal/controller/machine_listing.go
@@ -24,7 +24,7 @@
 	}
 	term.listing.isInFlight = true
 	term.background(func() func() {
-		listed, err := term.controller.cloud.ListMachines()
+		listed, err := term.environment.Cloud.ListMachines()
 		return func() { term.handleList(listed, err) }
 	})
 }
@@ -50,7 +50,7 @@
 // deleteUnlisted deletes machines of an earlier term that have sent no heartbeat and that the
 // cloud doesn't list, though a record names them: they don't exist any more.
 func (term *leaderTerm) deleteUnlisted(names map[string]bool, now clock.Micros) {
-	listLag := clock.FromSeconds(2*term.controller.cfg.Deployment.Cloud.ListLagSeconds) + clock.Second
+	listLag := clock.FromSeconds(2*term.environment.Config.Deployment.Cloud.ListLagSeconds) + clock.Second
 	for name, machine := range term.tracker.Machines {
 		wasNeverSeen := machine.FirstHeartbeatAt == 0 && machine.CreatedAt < term.liveness.startedAt && !names[name]
 		if wasNeverSeen && now-machine.CreatedAt > term.scheduler.BootTimeout(machine.Type)+listLag {
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -30,7 +30,7 @@
 			}
 			controller.setMachineTypes(types)
 			if controller.term != nil {
-				controller.term.saveMachineTypes()
+				controller.term.SaveMachineTypes()
 			}
 		})
 	}()
@@ -54,16 +54,16 @@
 func (controller *Controller) setMachineTypes(types []wire.MachineType) {
 	controller.machineTypes.list = types
 	if controller.term != nil {
-		controller.term.scheduler.SetMachineTypes(types)
+		controller.term.SetMachineTypes(types)
 	}
 }
 
-// saveMachineTypes keeps the machine types in the key-value store, for controllers that start
+// SaveMachineTypes keeps the machine types in the key-value store, for controllers that start
 // while the cloud's interface is down. If it fails they are written with the next fetch.
-func (term *leaderTerm) saveMachineTypes() {
-	value, err := wire.MachineTypeList{Types: term.controller.machineTypes.list}.MarshalJSON()
-	if err != nil || len(value) > int(term.controller.cfg.Deployment.Store.Effective().MaxValueKB*1024) {
-		term.controller.log.Info("machine types exceed the store's value limit; members get them from the cloud alone", "size_bytes", len(value))
+func (term *leaderTerm) SaveMachineTypes() {
+	value, err := wire.MachineTypeList{Types: term.host.MachineTypes()}.MarshalJSON()
+	if err != nil || len(value) > int(term.environment.Config.Deployment.Store.Effective().MaxValueKB*1024) {
+		term.environment.Log.Info("machine types exceed the store's value limit; members get them from the cloud alone", "size_bytes", len(value))
 		return
 	}
 	term.commitHandled(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.MachineTypesKey, Value: value}}}, outcomeHandlers{})
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -18,12 +18,6 @@
 	storeReachableWindow = 12 * clock.Second
 )
 
-// receivedHeartbeat is the last heartbeat of another member.
-type receivedHeartbeat struct {
-	heartbeat  *peer.Heartbeat
-	receivedAt clock.Micros
-}
-
 // HandlePeerHeartbeat takes a message of another member. It may be called on any goroutine.
 func (controller *Controller) HandlePeerHeartbeat(heartbeat *peer.Heartbeat) {
 	controller.commands.Post(commandqueue.Heartbeat, func() { controller.handlePeerHeartbeat(heartbeat) })
@@ -39,9 +33,9 @@
 	}
 	now := clock.Now()
 	if controller.term != nil && controller.hasComeBack(heartbeat, now) {
-		controller.term.hints.images.ResendAll(now)
+		controller.term.ResendHints(now)
 	}
-	controller.members.heartbeats[heartbeat.Member] = &receivedHeartbeat{heartbeat: heartbeat, receivedAt: now}
+	controller.members.heartbeats[heartbeat.Member] = &ReceivedHeartbeat{Heartbeat: heartbeat, ReceivedAt: now}
 	controller.applyCancellations(heartbeat.Member, heartbeat.Cancellations)
 	controller.recordTimestamp(heartbeat)
 	controller.recordDelegation(heartbeat, now)
@@ -52,7 +46,7 @@
 // last reachable.
 func (controller *Controller) hasComeBack(heartbeat *peer.Heartbeat, now clock.Micros) bool {
 	last := controller.members.heartbeats[heartbeat.Member]
-	return last == nil || last.heartbeat.Incarnation != heartbeat.Incarnation || now-last.receivedAt >= memberTimeout
+	return last == nil || last.Heartbeat.Incarnation != heartbeat.Incarnation || now-last.ReceivedAt >= memberTimeout
 }
 
 // recordTimestamp keeps a member's timestamp if it is the newest one: messages may arrive out
@@ -78,7 +72,7 @@
 		return
 	}
 	if controller.delegation.delegate.IsOwnStamp(acknowledgement) {
-		controller.term.renewals.grants.RecordReceipt(heartbeat.Member, now, acknowledgement.At, heartbeat.SilentFor)
+		controller.term.RecordReceipt(heartbeat.Member, now, acknowledgement.At, heartbeat.SilentFor)
 	}
 }
 
@@ -103,8 +97,8 @@
 func (controller *Controller) knownLeader() string {
 	holder, token := controller.elector.LockHolder()
 	for member, received := range controller.members.heartbeats {
-		if received.heartbeat.Leader == member && received.heartbeat.Token > token && clock.Now()-received.receivedAt < recentHeartbeatWindow {
-			holder, token = member, received.heartbeat.Token
+		if received.Heartbeat.Leader == member && received.Heartbeat.Token > token && clock.Now()-received.ReceivedAt < recentHeartbeatWindow {
+			holder, token = member, received.Heartbeat.Token
 		}
 	}
 	return holder
@@ -124,7 +118,7 @@
 	}
 	// Acknowledge before sending, so that this heartbeat carries the newest acknowledgements:
 	// the grants of members that are cut off then last a second longer.
-	controller.term.acknowledgeTimestamps(now, func() { controller.sendHeartbeats(clock.Now()) })
+	controller.term.AcknowledgeTimestamps(now, func() { controller.sendHeartbeats(clock.Now()) })
 }
 
 // logMalformedResponses logs that the store sent responses that could not be used, if it has
@@ -160,9 +154,7 @@
 	heartbeat.WorkerCount = uint32(len(controller.workers.contactAt))
 	controller.reportWorkerContact(now)
 	if controller.term != nil {
-		heartbeat.Leader, heartbeat.Token = controller.cfg.Member, controller.term.tracker.IssuedToken()
-		controller.term.hints.counts.Add(heartbeat, controller.term.tracker.Jobs)
-		controller.term.addHints(heartbeat)
+		controller.term.AddToHeartbeat(heartbeat)
 	}
 	timestamp := controller.delegation.delegate.Timestamp(now)
 	heartbeat.Incarnation, heartbeat.Timestamp, heartbeat.SilentFor = timestamp.Incarnation, timestamp.At, controller.delegation.delegate.SilentFor(now)
@@ -174,7 +166,7 @@
 // leader the one that extends its grant, else the newest one.
 func (controller *Controller) acknowledgementFor(member string) delegation.Timestamp {
 	if controller.term != nil {
-		return controller.term.renewals.acknowledgements[member]
+		return controller.term.AcknowledgementFor(member)
 	}
 	return controller.members.timestamps[member]
 }
--- a/internal/controller/probes.go
+++ b/internal/controller/probes.go
@@ -23,7 +23,7 @@
 func (term *leaderTerm) sendProbes(now clock.Micros) {
 	machines := term.tracker.SortedMachines()
 	for _, machine := range machines {
-		if term.probing.inFlight >= term.controller.workerRequests.maxInFlight {
+		if term.probing.inFlight >= term.environment.WorkerRequests.MaxInFlight {
 			return
 		}
 		if machineInfo := term.machines[machine.Name]; canProbe(machine, machineInfo) && term.needsProbe(machine, machineInfo, now) {
@@ -31,7 +31,7 @@
 		}
 	}
 	for range machines {
-		if term.probing.inFlight >= term.controller.workerRequests.maxInFlight {
+		if term.probing.inFlight >= term.environment.WorkerRequests.MaxInFlight {
 			return
 		}
 		term.probing.nextMachineIndex %= len(machines)
@@ -50,7 +50,7 @@
 
 // needsProbe tells whether a machine is probed out of turn.
 func (term *leaderTerm) needsProbe(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
-	return machineInfo.probes.NeedsProbe(machine.LastHeartbeatAt, term.liveness.resumedAt, now, term.controller.timing())
+	return machineInfo.probes.NeedsProbe(machine.LastHeartbeatAt, term.liveness.resumedAt, now, term.environment.Timing)
 }
 
 // hasRoundDue tells whether a machine has replicas and is probed in its turn.
@@ -101,7 +101,7 @@
 		term.renewals.liftingZones[machine.Zone] = true // its zone is reachable again
 	}
 	if term.tracker.RecordCommandHeartbeat(machine, heartbeat, now) == allocation.HeartbeatFenced {
-		term.controller.handleFenced(term.token)
+		term.host.HandleFenced(term.token)
 		return
 	}
 	term.processTaskEvents(now)
--- a/internal/controller/probes_test.go
+++ b/internal/controller/probes_test.go
@@ -18,7 +18,7 @@
 		names = append(names, fmt.Sprintf("i-%06d", i))
 	}
 	term := newTestTerm(t, names...)
-	term.controller.workerRequests.maxInFlight = 20
+	term.environment.WorkerRequests.MaxInFlight = 20
 	job := term.tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindService, TaskCount: fleet, CPUs: 1, Team: "t", Priority: wire.PriorityProduction}, 0, 1, true, nil)
 	now := term.liveness.startedAt
 	for i, name := range names {
@@ -41,7 +41,7 @@
 		}
 	}
 	now += health.ProbeInterval
-	for range fleet/term.controller.workerRequests.maxInFlight + 1 {
+	for range fleet/term.environment.WorkerRequests.MaxInFlight + 1 {
 		sendRound()
 		now += clock.Second / 2
 		for _, machine := range term.tracker.Machines {
--- a/internal/controller/progress_writer.go
+++ b/internal/controller/progress_writer.go
@@ -81,7 +81,7 @@
 	term := writer.term
 	verify := term.afterSync(func() {
 		jobInfo.isWriting = false
-		jobInfo.updateKeyVersions(term.controller.view.Progress[id])
+		jobInfo.updateKeyVersions(term.environment.View.Progress[id])
 		term.requestPlan()
 	})
 	term.commitHandled(write, outcomeHandlers{
--- a/internal/controller/repeated_writes_test.go
+++ b/internal/controller/repeated_writes_test.go
@@ -38,7 +38,7 @@
 	fakeStore, stop := fake.NewStore()
 	defer stop()
 	term := newTestTerm(t)
-	controller := term.controller
+	controller := controllerOf(term)
 	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: 1000, WriteRPS: 1000, MaxTransactionOps: 16}, records.LockKey)
 	var token uint64
 	controller.store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: records.LockKey}}, Changes: []wire.Change{{PutKey: records.LockKey, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, revision uint64) {
@@ -46,7 +46,7 @@
 	}})
 	runUntil(t, controller, func() bool { return token != 0 })
 	controller.view.ScaleOuts, controller.view.IsLoaded, controller.view.Revision = map[string]*storeview.ScaleOut{}, true, token
-	term = newLeaderTerm(controller, token, clock.Now())
+	term = controller.newTerm(token, clock.Now())
 	term.entitlement.actDeadline.Store(1 << 62)
 	controller.term = term
 	term.requestScaleOut(scheduler.ScaleOutRequest{Pool: scheduler.Pool{Type: "big", Zone: "x"}, Count: 2}, clock.Now())
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -29,7 +29,7 @@
 // maxScaleOutsInFlight bounds the requests under way: no more than the cloud answers in two
 // seconds, and than have both of their records written in half a second.
 func (term *leaderTerm) maxScaleOutsInFlight() int {
-	deployment := &term.controller.cfg.Deployment
+	deployment := &term.environment.Config.Deployment
 	return max(int(min(2*deployment.Cloud.RPS, deployment.Store.Effective().WriteRPS/4)), 2)
 }
 
@@ -38,7 +38,7 @@
 func (term *leaderTerm) requestScaleOut(wanted scheduler.ScaleOutRequest, now clock.Micros) {
 	for remaining := wanted.Count; remaining > 0; remaining -= wire.MaxScaleOutCount {
 		term.scaleOutSequence++
-		name := fmt.Sprintf("%s-%d-%d", term.controller.cfg.Member, term.token, term.scaleOutSequence)
+		name := fmt.Sprintf("%s-%d-%d", term.environment.Config.Member, term.token, term.scaleOutSequence)
 		request := scaleout.New(name, records.ScaleOut{
 			Type: wanted.Pool.Type, Zone: wanted.Pool.Zone, Spot: wanted.Pool.Spot,
 			Count: min(remaining, wire.MaxScaleOutCount), RequestedAt: int64(clock.WallTime()),
@@ -89,7 +89,7 @@
 // the view could be brought up to date, and then calls rewrite.
 func (term *leaderTerm) verifyScaleOutRecord(request *scaleout.Request, rewrite func()) {
 	term.runAfter(scaleOutVerifyDelay, func() {
-		term.controller.view.RequestSync(func(err error) {
+		term.environment.View.RequestSync(func(err error) {
 			switch {
 			case term.isClosed:
 				return
@@ -98,7 +98,7 @@
 				return
 			}
 			var version uint64
-			if record := term.controller.view.ScaleOuts[request.Name()]; record != nil {
+			if record := term.environment.View.ScaleOuts[request.Name()]; record != nil {
 				version = record.Version
 			}
 			request.RetryFrom(version)
@@ -129,7 +129,7 @@
 	term.runAfter(scaleOutShrinkDelay, func() {
 		request.BeginShrink()
 		priority := kvstore.Required
-		if term.controller.store.BacklogDuration() > backlogThreshold {
+		if term.environment.Store.BacklogDuration() > backlogThreshold {
 			priority = kvstore.Background
 		}
 		term.writeScaleOutRecord(request, priority)
@@ -138,13 +138,13 @@
 
 // sendScaleOut sends a request to the cloud, as soon as the leader is entitled to act.
 func (term *leaderTerm) sendScaleOut(request *scaleout.Request) {
-	if !term.controller.isEntitled() {
+	if !term.host.IsEntitled() {
 		term.runAfter(scaleOutEntitlementInterval, func() { term.sendScaleOut(request) })
 		return
 	}
 	cloudRequest := request.CloudRequest()
 	term.background(func() func() {
-		machines, err := term.controller.cloud.ScaleOut(cloudRequest, term.mayActUntil)
+		machines, err := term.environment.Cloud.ScaleOut(cloudRequest, term.mayActUntil)
 		return func() { term.handleScaleOutResult(request, machines, err) }
 	})
 }
@@ -158,17 +158,17 @@
 	switch {
 	case err == nil:
 		term.scheduler.ObserveFilled(pool, requested, len(machines), now)
-		term.controller.log.Debug("scale-out request granted", "request", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "requested", requested, "granted", len(machines))
+		term.environment.Log.Debug("scale-out request granted", "request", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "requested", requested, "granted", len(machines))
 		request.Grant(machines)
 		term.addGrantedMachines(request)
 		term.writeScaleOutRecord(request, kvstore.Required)
 	case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrInvalidRequest):
 		term.scheduler.ObserveEmptyPool(pool, now)
-		term.controller.log.Debug("scale-out request refused", "request", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "error", err)
+		term.environment.Log.Debug("scale-out request refused", "request", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "error", err)
 		request.Refuse()
 		term.writeScaleOutRecord(request, kvstore.Required)
 	default:
-		term.controller.log.Debug("scale-out request not answered", "request", request.Name(), "error", err)
+		term.environment.Log.Debug("scale-out request not answered", "request", request.Name(), "error", err)
 		term.runAfter(scaleOutRetryInterval, func() { term.sendScaleOut(request) })
 	}
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -29,7 +29,7 @@
 	}
 	term.requestScaleOuts(decision.ScaleOut, len(pending), now)
 	for _, machine := range decision.ScaleIn {
-		term.controller.log.Debug("deleting idle machine", "machine", machine.Name)
+		term.environment.Log.Debug("deleting idle machine", "machine", machine.Name)
 		term.deleteMachine(machine)
 	}
 	if decision.Drain != nil && now-term.pace.consolidatedAt > consolidationInterval {
@@ -62,7 +62,7 @@
 
 // consolidateReplicas moves the replicas of a machine elsewhere, so that it can be deleted.
 func (term *leaderTerm) consolidateReplicas(machine *allocation.Machine) {
-	term.controller.log.Debug("consolidating replicas", "machine", machine.Name)
+	term.environment.Log.Debug("consolidating replicas", "machine", machine.Name)
 	term.drainMachine(machine)
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
 		term.tracker.StopPlacement(placement, clock.FromSeconds(placement.Job.Spec.CheckpointSaveSeconds))
@@ -71,6 +71,6 @@
 
 // logSpares logs, at debug level, why warm spares are kept or not.
 func (term *leaderTerm) logSpares(kind string, report *scheduler.SpareReport) {
-	term.controller.log.Debug("warm spare screening", "kind", kind, "enabled", report.IsEnabled, "arrivals_reason", report.ArrivalScreen.RejectReason, "arrivals", report.ArrivalScreen.SampleCount,
+	term.environment.Log.Debug("warm spare screening", "kind", kind, "enabled", report.IsEnabled, "arrivals_reason", report.ArrivalScreen.RejectReason, "arrivals", report.ArrivalScreen.SampleCount,
 		"run_times_reason", report.RunTimeScreen.RejectReason, "target", report.Cost.Target, "expected_wait", report.Cost.ExpectedWait, "idle_s", report.Cost.IdleSeconds)
 }
--- a/internal/controller/small_limits_test.go
+++ b/internal/controller/small_limits_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	fakeStore, stop := fake.NewStore()
 	t.Cleanup(stop)
-	controller := newTestTerm(t).controller
+	controller := controllerOf(newTestTerm(t))
 	controller.cfg.Deployment.Store = limits
 	controller.tasksPerKey = records.TasksPerProgressKey(limits.MaxValueKB)
 	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, MaxTransactionOps: limits.Effective().MaxTransactionOps}, records.LockKey)
@@ -33,7 +33,7 @@
 func startNewTerm(t *testing.T, controller *Controller) *leaderTerm {
 	t.Helper()
 	if controller.term != nil {
-		controller.term.close()
+		controller.term.Close()
 		controller.term = nil
 	}
 	var token uint64
@@ -44,7 +44,7 @@
 	synced := false
 	controller.view.RequestSync(func(err error) { synced = err == nil }, clock.Now()+10*clock.Second)
 	runUntil(t, controller, func() bool { return synced })
-	controller.term = newLeaderTerm(controller, token, clock.Now())
+	controller.term = controller.newTerm(token, clock.Now())
 	controller.term.entitlement.actDeadline.Store(1 << 62)
 	return controller.term
 }
@@ -59,7 +59,7 @@
 		tasks   int
 	}{{4, 8, 60000}, {1, 1, 20000}} {
 		fakeStore, term := newTermOnStore(t, config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: test.valueKB, MaxTransactionOps: test.ops})
-		controller, token := term.controller, term.token
+		controller, token := controllerOf(term), term.token
 
 		const id = "req-000001"
 		record := &storeview.Job{Job: records.Job{Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: test.tasks, Priority: wire.PriorityNormal}, SubmittedAt: int64(clock.WallTime())}}
--- a/internal/controller/standby_record.go
+++ b/internal/controller/standby_record.go
@@ -18,8 +18,8 @@
 	if controller.failover.replica != nil {
 		controller.failover.replica.PruneEarlier(record.Token)
 	}
-	if controller.term != nil && controller.term.standby != nil {
-		controller.term.standby.inSync.ObserveRecord(record, version)
+	if controller.term != nil {
+		controller.term.ObserveStandbyRecord(record, version)
 	}
 }
 
@@ -48,7 +48,7 @@
 	term.commitHandled(write, outcomeHandlers{
 		committed: func(revision uint64) {
 			inSync.ConfirmWrite(revision)
-			term.controller.log.Debug("in-sync members recorded", "token", record.Token, "members", record.Members)
+			term.environment.Log.Debug("in-sync members recorded", "token", record.Token, "members", record.Members)
 		},
 		conflict:    reject,
 		notExecuted: reject,
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -16,12 +16,12 @@
 }
 
 func (controller *Controller) replyStandbyStatus(reply *server.Reply) {
-	status := jobreport.StandbyStatus{Member: controller.cfg.Member, Leader: controller.knownLeader(), Enabled: controller.failover.replica != nil, Failover: controller.failover.last.status()}
+	status := jobreport.StandbyStatus{Member: controller.cfg.Member, Leader: controller.knownLeader(), Enabled: controller.failover.replica != nil, Failover: controller.failover.last.Status()}
 	switch {
 	case controller.failover.replica == nil:
 	case controller.term != nil:
 		status.Leader = controller.cfg.Member
-		status.Followers = controller.term.followerStatuses(clock.Now())
+		status.Followers = controller.term.FollowerStatuses(clock.Now())
 	default:
 		status.Replica = controller.replicaStatus()
 	}
@@ -43,14 +43,14 @@
 	}
 }
 
-// followerStatuses is how far the other members are behind this leader.
-func (term *leaderTerm) followerStatuses(now clock.Micros) []jobreport.FollowerStatus {
+// FollowerStatuses is how far the other members are behind this leader.
+func (term *leaderTerm) FollowerStatuses(now clock.Micros) []jobreport.FollowerStatus {
 	var statuses []jobreport.FollowerStatus
 	isInSync := map[string]bool{}
 	for _, member := range term.standby.inSync.InSyncMembers() {
 		isInSync[member.Name] = true
 	}
-	for _, other := range term.controller.cfg.Peers {
+	for _, other := range term.environment.Config.Peers {
 		statuses = append(statuses, jobreport.FollowerStatus{
 			Member: other.Member, IsInSync: isInSync[other.Member],
 			LagDecisions: term.standby.publisher.LagCount(other.Member), LagMs: milliseconds(term.standby.publisher.LagDuration(other.Member, now)),
--- a/internal/controller/standby_stream.go
+++ b/internal/controller/standby_stream.go
@@ -18,27 +18,28 @@
 // setUpStandby prepares the stream of a new leader's decisions, and has its allocation table
 // begin with what this member's replica of the last leader's table proves.
 func (term *leaderTerm) setUpStandby(allocationConfig *allocation.Config) {
-	controller := term.controller
-	if controller.failover.replica == nil {
+	environment := term.environment
+	if environment.Replica == nil {
 		return
 	}
 	term.standby = newDecisionStream(term)
 	allocationConfig.Replicator = term.standby
-	if copied, ok := controller.trustedReplica(); ok && controller.view.Terms.LastToken() == term.token {
+	view := environment.View
+	if copied, ok := environment.Replica.TrustedTable(view.Standby, &view.Terms, environment.Config.Member); ok && view.Terms.LastToken() == term.token {
 		allocationConfig.MayHaveStarted = copied.MayBeRunning
 	}
 }
 
 func newDecisionStream(term *leaderTerm) *decisionStream {
-	controller := term.controller
+	view := term.environment.View
 	var others []string
-	for _, other := range controller.cfg.Peers {
+	for _, other := range term.environment.Config.Peers {
 		others = append(others, other.Member)
 	}
 	publisher := standby.NewPublisher(term.token, others)
 	return &decisionStream{
 		publisher: publisher,
-		inSync:    standby.NewInSyncSet(publisher, controller.view.Standby, controller.view.StandbyVersion, others, term.liveness.startedAt),
+		inSync:    standby.NewInSyncSet(publisher, view.Standby, view.StandbyVersion, others, term.liveness.startedAt),
 	}
 }
 
@@ -82,9 +83,8 @@
 func (controller *Controller) handleStandbyMessage(heartbeat *peer.Heartbeat) {
 	switch {
 	case controller.failover.replica == nil:
-	case heartbeat.StandbyPosition != nil && controller.term != nil && controller.term.standby != nil:
-		controller.term.standby.publisher.RecordPosition(heartbeat.Member, *heartbeat.StandbyPosition)
-		controller.term.tracker.RetryUnreplicatedStarts()
+	case heartbeat.StandbyPosition != nil && controller.term != nil:
+		controller.term.RecordReplicaPosition(heartbeat.Member, *heartbeat.StandbyPosition)
 	case heartbeat.StandbyMessage != nil && !controller.isLeading():
 		controller.applyStreamMessage(heartbeat.Member, heartbeat.StandbyMessage)
 	}
@@ -117,7 +117,7 @@
 // sendStreamMessage sends a message of a stream to a member that takes such messages.
 func (controller *Controller) sendStreamMessage(member string, heartbeat *peer.Heartbeat) {
 	received := controller.members.heartbeats[member]
-	if received == nil || received.heartbeat.StandbyProtocolVersion == 0 {
+	if received == nil || received.Heartbeat.StandbyProtocolVersion == 0 {
 		return
 	}
 	for i, other := range controller.cfg.Peers {
@@ -133,9 +133,9 @@
 	if term.standby == nil {
 		return
 	}
-	for _, other := range term.controller.cfg.Peers {
+	for _, other := range term.environment.Config.Peers {
 		if message, ok := term.standby.publisher.NextMessage(other.Member, now); ok {
-			term.controller.sendStreamMessage(other.Member, &peer.Heartbeat{Member: term.controller.cfg.Member, StandbyFrame: peer.StandbyFrame{StandbyMessage: message}})
+			term.host.SendStreamMessage(other.Member, &peer.Heartbeat{Member: term.environment.Config.Member, StandbyFrame: peer.StandbyFrame{StandbyMessage: message}})
 		}
 	}
 	term.writeStandbyRecord(now)
--- a/internal/controller/standby_trust.go
+++ b/internal/controller/standby_trust.go
@@ -46,7 +46,7 @@
 	if received == nil {
 		return now-controller.failover.processStartedAt < 2*heartbeatInterval
 	}
-	return received.heartbeat.Incarnation == member.Incarnation && now-received.receivedAt < 2*heartbeatInterval
+	return received.Heartbeat.Incarnation == member.Incarnation && now-received.ReceivedAt < 2*heartbeatInterval
 }
 
 // acquireLockInTurn tries for the lock, after yieldDelay if there is a better candidate.
--- a/internal/controller/store_limits.go
+++ b/internal/controller/store_limits.go
@@ -1,18 +1,19 @@
 package controller
 
 import (
+	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/storeview"
 )
 
 // storeLimits are the limits that what is written to the store keeps to: those in force, and those
 // that are announced.
-func (controller *Controller) storeLimits() records.Limits {
-	limits := controller.cfg.Deployment.Store.Effective()
+func storeLimits(cfg *config.Platform) records.Limits {
+	limits := cfg.Deployment.Store.Effective()
 	return records.Limits{MaxValueKB: limits.MaxValueKB, MaxTransactionOps: limits.MaxTransactionOps}
 }
 
 // progressLayoutOf is where an active job's progress is written under these limits.
-func (controller *Controller) progressLayoutOf(job *storeview.Job) records.ProgressLayout {
-	return records.NewProgressLayout(&job.Job, controller.tasksPerKey, controller.storeLimits())
+func (term *leaderTerm) progressLayoutOf(job *storeview.Job) records.ProgressLayout {
+	return records.NewProgressLayout(&job.Job, term.environment.TasksPerKey, storeLimits(term.environment.Config))
 }
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -180,7 +180,7 @@
 // neither, is the write's condition.
 func (controller *Controller) commitSubmission(job *wire.Job, reply *server.Reply) {
 	record := &storeview.Job{Job: records.Job{Spec: job, SubmittedAt: int64(clock.WallTime())}}
-	changes, err := records.SubmissionChanges(&record.Job, controller.storeLimits())
+	changes, err := records.SubmissionChanges(&record.Job, storeLimits(controller.cfg))
 	if err != nil {
 		controller.rejectAfterSync(job, reply, "the job's description is too large")
 		return
@@ -232,7 +232,7 @@
 // need not wait for that.
 func (controller *Controller) applySubmission(job *wire.Job, record *storeview.Job) {
 	if record.DependencyParts > 0 {
-		for part, ids := range records.SplitDependencies(job.DependsOn, controller.storeLimits()) {
+		for part, ids := range records.SplitDependencies(job.DependsOn, storeLimits(controller.cfg)) {
 			controller.view.SetDependencies(job.ID, part, ids)
 		}
 	}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -16,14 +16,13 @@
 // leaderTerm is the state of one leadership term: made at a failover, discarded when
 // the lock is lost. Results that arrive once it is closed are dropped.
 type leaderTerm struct {
-	controller *Controller
-	token      uint64 // the fencing token that the lock was won with
-	isClosed   bool
-	tracker    *allocation.Tracker
-	scheduler  *scheduler.Scheduler
-	scaleOuts  map[string]*scaleout.Request
-	machines   map[string]*machineState
-	jobs       map[string]*jobState
+	environment *Environment
+	host        Host
+	token       uint64 // the fencing token that the lock was won with
+	isClosed    bool
+	tracker     *allocation.Tracker
+	scheduler   *scheduler.Scheduler
+	tracked
 
 	entitlement entitlement
 	liveness    liveness
@@ -35,6 +34,14 @@
 	backgroundWork
 }
 
+// tracked is what the leader knows of requests, machines and jobs besides the allocation table,
+// by name.
+type tracked struct {
+	scaleOuts map[string]*scaleout.Request
+	machines  map[string]*machineState
+	jobs      map[string]*jobState
+}
+
 // entitlement is until when the leader may act.
 type entitlement struct {
 	// actDeadline is the end of the lock's lease as known, 0 once the term is closed;
@@ -136,51 +143,52 @@
 func (term *leaderTerm) requestPlan() { term.pace.needsPlan = true }
 
 // newLeaderTerm rebuilds a leader's state from a view that is as new as a read sent at readAt.
-func newLeaderTerm(controller *Controller, token uint64, readAt clock.Micros) *leaderTerm {
+func newLeaderTerm(environment *Environment, host Host, token uint64, readAt clock.Micros) *leaderTerm {
 	now := clock.Now()
 	term := &leaderTerm{
-		controller: controller, token: token,
-		scaleOuts: map[string]*scaleout.Request{}, machines: map[string]*machineState{}, jobs: map[string]*jobState{},
+		environment: environment, host: host, token: token,
+		tracked:  tracked{scaleOuts: map[string]*scaleout.Request{}, machines: map[string]*machineState{}, jobs: map[string]*jobState{}},
 		liveness: liveness{startedAt: now, resumedAt: now, zoneUnreachableAt: map[string]clock.Micros{}},
 	}
-	term.entitlement.viewAge = staleness.NewTracker(controller.stalenessBounds, readAt)
+	term.entitlement.viewAge = staleness.NewTracker(environment.Staleness, readAt)
 	term.deletions.deletedAt, term.listing.unknownSince = map[string]clock.Micros{}, map[string]clock.Micros{}
 	term.persistence = newPersistence(term)
-	allocationConfig := controller.allocationConfig(token)
+	allocationConfig := environment.allocationConfig(token)
 	term.setUpStandby(&allocationConfig)
 	term.tracker = allocation.New(allocationConfig)
-	term.scheduler = controller.newScheduler(now)
+	term.scheduler = environment.newScheduler(host.MachineTypes(), now)
 	term.pace.planInterval = minPlanInterval
 	term.listing.nextAt = now + firstListDelay
 	term.updateDeadlines()
-	term.renewals = controller.newLeaseRenewals(now)
+	term.renewals = environment.newLeaseRenewals(now)
 	term.restore(now, clock.WallTime())
 	term.requestPlan()
-	controller.failover.last.isReplicaUsed = allocationConfig.MayHaveStarted != nil
+	environment.Failover.isReplicaUsed = allocationConfig.MayHaveStarted != nil
 	term.recordRebuilt()
 	return term
 }
 
-// close ends the term: nothing is sent any more, and workers that wait for a reply are refused.
-func (term *leaderTerm) close() {
+// Close ends the term: nothing is sent any more, and workers that wait for a reply are refused.
+// It returns the zones that this leader has constrained, or may have.
+func (term *leaderTerm) Close() (constrainedZones map[string]bool) {
 	term.isClosed = true
 	term.entitlement.actDeadline.Store(0)
 	term.entitlement.startDeadline.Store(0)
-	term.controller.delegation.unconfirmedConstraints = term.renewals.constraints.ConstrainedZones()
 	for _, deferred := range term.renewals.deferredHeartbeats {
 		replyUnavailable(deferred.reply, "the lead is over")
 	}
 	term.renewals.deferredHeartbeats = nil
+	return term.renewals.constraints.ConstrainedZones()
 }
 
 // slowTickInterval is how often machines are reviewed, and planned though nothing has
 // been reported.
 const slowTickInterval = 500 * clock.Millisecond
 
-// tick does what is due, at every tick of the controller.
-func (term *leaderTerm) tick(now clock.Micros) {
+// Tick does what is due, at every tick of the controller.
+func (term *leaderTerm) Tick(now clock.Micros) {
 	term.updateDeadlines()
-	if !term.controller.isEntitled() {
+	if !term.host.IsEntitled() {
 		term.entitlement.hasLapsed = true
 		return // nothing may be sent; the lock may yet be renewed
 	}
@@ -214,7 +222,7 @@
 	term.listMachines(now)
 	term.sendProbes(now)
 	term.issueToken(now)
-	term.controller.adjustRateShare(now)
+	term.host.AdjustRateShare(now)
 	term.logFleet(now)
 	term.requestPlan()
 	return false
@@ -238,7 +246,7 @@
 // runAfter runs a command on the controller's goroutine after a delay, unless the term is over by then.
 func (term *leaderTerm) runAfter(delay clock.Micros, command func()) {
 	time.AfterFunc(delay.Duration(), func() {
-		term.controller.postResult(func() {
+		term.host.PostResult(func() {
 			if !term.isClosed {
 				command()
 			}
--- a/internal/controller/term_recovery.go
+++ b/internal/controller/term_recovery.go
@@ -8,6 +8,7 @@
 	"firwood.dev/firwood/internal/forecast"
 	"firwood.dev/firwood/internal/scaleout"
 	"firwood.dev/firwood/internal/scheduler"
+	"firwood.dev/firwood/wire"
 )
 
 // A new leader rebuilds its state from the records of the key-value store, the hints of
@@ -18,10 +19,10 @@
 const firstListDelay = 2 * clock.Second
 
 // allocationConfig is how a term with this fencing token counts tasks and leases.
-func (controller *Controller) allocationConfig(token uint64) allocation.Config {
-	workers := &controller.cfg.Deployment.Workers
+func (environment *Environment) allocationConfig(token uint64) allocation.Config {
+	workers := &environment.Config.Deployment.Workers
 	return allocation.Config{
-		FencingToken: token, LeaseTTL: clock.FromSeconds(workers.LeaseSeconds), Quotas: controller.teams,
+		FencingToken: token, LeaseTTL: clock.FromSeconds(workers.LeaseSeconds), Quotas: environment.Teams,
 		CancelFenceWindow: clock.FromSeconds(workers.CancelTimeoutSeconds) / 2,
 	}
 }
@@ -59,11 +60,11 @@
 }
 
 // newScheduler makes the scheduler of a term that starts now.
-func (controller *Controller) newScheduler(now clock.Micros) *scheduler.Scheduler {
-	deployment := &controller.cfg.Deployment
-	created := scheduler.New(schedulerSettings(&controller.tuning), controller.machineTypes.list, controller.teams, deployment.Zones)
-	created.HeartbeatWindow, created.TermStartedAt = controller.heartbeatWindow(), now
-	created.DelegatedZones = controller.delegatedZones()
+func (environment *Environment) newScheduler(machineTypes []wire.MachineType, now clock.Micros) *scheduler.Scheduler {
+	deployment := &environment.Config.Deployment
+	created := scheduler.New(schedulerSettings(environment.Tuning), machineTypes, environment.Teams, deployment.Zones)
+	created.HeartbeatWindow, created.TermStartedAt = environment.Timing.HeartbeatWindow, now
+	created.DelegatedZones = environment.delegatedZones()
 	created.WaitObjectives = strictestObjectives(deployment.Objectives, "wait")
 	created.CompletionObjectives = strictestObjectives(deployment.Objectives, "finished")
 	return created
@@ -71,12 +72,12 @@
 
 // delegatedZones are the zones in which some member may renew leases as delegate; nil if
 // delegation is turned off.
-func (controller *Controller) delegatedZones() map[string]bool {
-	if controller.delegation.times.GrantTTL <= 0 {
+func (environment *Environment) delegatedZones() map[string]bool {
+	if environment.Delegation.GrantTTL <= 0 {
 		return nil
 	}
-	zones := map[string]bool{controller.cfg.Location: true}
-	for _, other := range controller.cfg.Peers {
+	zones := map[string]bool{environment.Config.Location: true}
+	for _, other := range environment.Config.Peers {
 		zones[other.Location] = true
 	}
 	return zones
@@ -98,15 +99,15 @@
 
 // newLeaseRenewals bounds what others may have renewed, from what this member knows itself
 // and from the constraints in the store.
-func (controller *Controller) newLeaseRenewals(now clock.Micros) leaseRenewals {
+func (environment *Environment) newLeaseRenewals(now clock.Micros) leaseRenewals {
 	var others []string
-	for _, other := range controller.cfg.Peers {
+	for _, other := range environment.Config.Peers {
 		others = append(others, other.Member)
 	}
 	return leaseRenewals{
-		grants:           delegation.NewGrants(controller.delegation.times, now, controller.delegation.delegate.SilentFor(now), others),
+		grants:           delegation.NewGrants(environment.Delegation, now, environment.Delegate.SilentFor(now), others),
 		acknowledgements: map[string]delegation.Timestamp{},
-		constraints:      delegation.NewConstraintTracker(controller.view.Constraints, controller.view.ConstraintsVersion),
+		constraints:      delegation.NewConstraintTracker(environment.View.Constraints, environment.View.ConstraintsVersion),
 		liftingZones:     map[string]bool{},
 	}
 }
@@ -129,7 +130,7 @@
 // restoreScaleOuts adds the machines of all recorded scale-out requests, and sends again
 // those that have no recorded result.
 func (term *leaderTerm) restoreScaleOuts(now, wall clock.Micros) {
-	for name, record := range term.controller.view.ScaleOuts {
+	for name, record := range term.environment.View.ScaleOuts {
 		request := scaleout.Restore(name, record.ScaleOut, record.Version, now-max(wall-clock.Micros(record.RequestedAt), 0))
 		term.scaleOuts[name] = request
 		for _, machineName := range record.Machines {
@@ -147,14 +148,14 @@
 // and those that were cancelled but may have tasks left. It returns the jobs whose
 // cancellation follows from that of a dependency and is not yet in their own records.
 func (term *leaderTerm) restoreJobs(now clock.Micros) (impliedCancellations []string) {
-	controller := term.controller
-	for id, record := range controller.view.Jobs {
-		hasProgress := len(controller.view.Progress[id]) > 0
+	view, graph := term.environment.View, term.environment.Graph
+	for id, record := range view.Jobs {
+		hasProgress := len(view.Progress[id]) > 0
 		switch {
 		case record.IsCancelledByDependency:
 			impliedCancellations = append(impliedCancellations, id)
 		case !record.HasEnded():
-			if !controller.isBlocked(id, record) {
+			if !isBlocked(view, graph, id, record) {
 				term.addJob(id, record, hasProgress)
 			}
 		case record.Spec != nil: // cancelled, and its tasks may still run
@@ -167,8 +168,8 @@
 
 // recordRebuilt ends the failover's second phase.
 func (term *leaderTerm) recordRebuilt() {
-	failover := &term.controller.failover.last
+	failover := term.environment.Failover
 	failover.rebuiltAt, failover.unconfirmed = clock.Now(), term.unconfirmedCount()
-	term.controller.log.Info("allocation table rebuilt", "token", term.token, "jobs", len(term.tracker.Jobs), "machines", len(term.tracker.Machines), "reconciled", term.tracker.IsReconciled(),
+	term.environment.Log.Info("allocation table rebuilt", "token", term.token, "jobs", len(term.tracker.Jobs), "machines", len(term.tracker.Machines), "reconciled", term.tracker.IsReconciled(),
 		"unconfirmed", failover.unconfirmed, "replica_used", failover.isReplicaUsed)
 }
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -34,14 +34,17 @@
 	controller := New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	controller.machineTypes.list = []wire.MachineType{{Name: "big", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: deployment.Zones}}
 	controller.view.ScaleOuts["h"] = &storeview.ScaleOut{ScaleOut: records.ScaleOut{Type: "big", Zone: "x", Count: len(machines), RequestedAt: int64(clock.WallTime() - 300*clock.Second), IsResolved: true, Machines: machines}}
-	return newLeaderTerm(controller, 9, clock.Now())
+	return controller.newTerm(9, clock.Now())
 }
 
+// controllerOf is the controller that a term belongs to.
+func controllerOf(term *leaderTerm) *Controller { return term.host.(termHost).controller }
+
 // A new leader has no heartbeats yet of the machines that an earlier one requested. That
 // is no sign that they never came up; the cloud's list saying so is.
 func TestMissingHeartbeatIsNotBooting(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3")
-	later := term.liveness.startedAt + term.controller.suspectTimeout() + 2*clock.Second
+	later := term.liveness.startedAt + term.environment.Timing.SuspectTimeout + 2*clock.Second
 	term.reviewMachines(later)
 	if len(term.deletions.pending) != 0 {
 		t.Fatalf("deleted %v, of which nothing is known", term.deletions.pending)
@@ -67,7 +70,7 @@
 // reachable: a worker that reaches the leader is not kept from it.
 func TestDelegateRedirectsAfterEachReply(t *testing.T) {
 	term := newTestTerm(t)
-	controller := term.controller
+	controller := controllerOf(term)
 	controller.term, controller.view.IsLoaded = nil, true
 	now, back := 100*clock.Second, 5*clock.Second
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", FencingToken: 5}
@@ -95,7 +98,7 @@
 func TestProcessStallDoesNotSuspectMachines(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
 	term.entitlement.actDeadline.Store(1 << 62)
-	controller := term.controller
+	controller := controllerOf(term)
 	controller.term = term
 	now := term.liveness.startedAt
 	for _, machine := range term.tracker.Machines {
@@ -105,8 +108,8 @@
 	now += 20 * clock.Second // less than a lease
 	one := term.tracker.Machines["i-1"]
 	one.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
-	controller.members.heartbeats["b"] = &receivedHeartbeat{heartbeat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, receivedAt: now}
-	term.recordResume(now)
+	controller.members.heartbeats["b"] = &ReceivedHeartbeat{Heartbeat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, ReceivedAt: now}
+	term.RecordResume(now)
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 0 || len(term.renewals.constraints.ConstrainedZones()) != 0 || term.isClosed {
 		t.Fatalf("after a stall: deletes %v, constrains %v, term closed %v", term.deletions.pending, term.renewals.constraints.ConstrainedZones(), term.isClosed)
@@ -114,7 +117,7 @@
 	if term.scheduler.ResumedAt != now {
 		t.Fatal("the scheduler suspects machines")
 	}
-	now += term.controller.suspectTimeout() + clock.Second
+	now += term.environment.Timing.SuspectTimeout + clock.Second
 	one.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 2 {
@@ -179,7 +182,7 @@
 	for _, name := range names {
 		term.tracker.RecordHeartbeat(term.tracker.Machines[name], &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
 	}
-	for end := now + term.controller.suspectTimeout() + 3*clock.Second; now < end; now += clock.Second / 2 {
+	for end := now + term.environment.Timing.SuspectTimeout + 3*clock.Second; now < end; now += clock.Second / 2 {
 		term.reviewMachines(now)
 	}
 	recordHeartbeats := func(names ...string) {
@@ -197,7 +200,7 @@
 		t.Fatalf("deleted when the zone comes back: %v", term.deletions.pending)
 	}
 	recordHeartbeats("i-3", "i-4")
-	for end := now + term.controller.suspectTimeout() + 3*clock.Second; now < end; now += clock.Second / 2 {
+	for end := now + term.environment.Timing.SuspectTimeout + 3*clock.Second; now < end; now += clock.Second / 2 {
 		recordHeartbeats("i-1", "i-2", "i-3", "i-4")
 		term.reviewMachines(now)
 	}
--- a/internal/controller/token.go
+++ b/internal/controller/token.go
@@ -26,7 +26,7 @@
 			// The members learn it first, by two heartbeats: a delegate can't answer a worker that
 			// has seen a higher token than the delegate knows.
 			term.tokenIssue.raiseAt = term.tokenIssue.issuedAt + 2*heartbeatInterval
-			term.controller.members.nextHeartbeatAt = 0
+			term.host.SendHeartbeatNow()
 		},
 		afterwards: func() { term.tokenIssue.isInFlight = false },
 	})
@@ -37,6 +37,6 @@
 // issue one more often would be of no use.
 func (term *leaderTerm) mayIssueToken(now clock.Micros) bool {
 	issue := &term.tokenIssue
-	interval := clock.FromSeconds(term.controller.cfg.Deployment.Workers.LeaseSeconds) / 2
+	interval := clock.FromSeconds(term.environment.Config.Deployment.Workers.LeaseSeconds) / 2
 	return !issue.isInFlight && issue.raiseAt == 0 && now-max(issue.issuedAt, term.liveness.startedAt) >= interval
 }
--- a/internal/controller/tracked_jobs.go
+++ b/internal/controller/tracked_jobs.go
@@ -28,13 +28,13 @@
 
 // addJob has an active job tracked, with the completed tasks that its progress names.
 func (term *leaderTerm) addJob(id string, record *storeview.Job, startsRecorded bool) *allocation.Job {
-	completed := term.controller.view.CompletedTasks(id, record, term.controller.tasksPerKey)
-	released := term.controller.dependencyGraph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
+	completed := term.environment.View.CompletedTasks(id, record, term.environment.TasksPerKey)
+	released := term.environment.Graph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
 	job := term.tracker.AddJob(record.Spec, released, clock.Now(), startsRecorded, completed.IsSet)
-	urgency := term.controller.dependencyGraph.UrgencyOf(id, urgencyOf(record))
+	urgency := term.environment.Graph.UrgencyOf(id, urgencyOf(record))
 	job.Priority, job.Deadline = urgency.Priority, urgency.Deadline
-	jobInfo := &jobState{layout: term.controller.progressLayoutOf(record), firstStartAt: record.FirstStartAt}
-	jobInfo.updateKeyVersions(term.controller.view.Progress[id])
+	jobInfo := &jobState{layout: term.progressLayoutOf(record), firstStartAt: record.FirstStartAt}
+	jobInfo.updateKeyVersions(term.environment.View.Progress[id])
 	term.jobs[id] = jobInfo
 	return job
 }
@@ -51,15 +51,15 @@
 	return machine
 }
 
-// applyJobRecord applies a job's record that is new in the view.
-func (term *leaderTerm) applyJobRecord(id string, record *storeview.Job) {
+// ApplyJobRecord applies a job's record that is new in the view.
+func (term *leaderTerm) ApplyJobRecord(id string, record *storeview.Job) {
 	now := clock.Now()
 	job := term.tracker.Jobs[id]
 	term.requestPlan()
 	switch {
 	case record.IsCancelledByDependency:
 	case !record.HasEnded() && job == nil && term.jobs[id] == nil:
-		if term.controller.isBlocked(id, record) {
+		if isBlocked(term.environment.View, term.environment.Graph, id, record) {
 			return
 		}
 		term.scheduler.ObserveArrival(term.addJob(id, record, false), now)
--- a/internal/controller/view_observer.go
+++ b/internal/controller/view_observer.go
@@ -26,7 +26,7 @@
 	job.IsCancelledByDependency = job.State == "" && controller.dependencyGraph.IsCancelled(id)
 	controller.updateDependencyGraph(id, job)
 	if controller.term != nil {
-		controller.term.applyJobRecord(id, job)
+		controller.term.ApplyJobRecord(id, job)
 	}
 }
 
--- a/internal/controller/worker_client.go
+++ b/internal/controller/worker_client.go
@@ -12,7 +12,7 @@
 // workerHost is the connection to the worker on a machine, made at its first use.
 func (term *leaderTerm) workerHost(machine *allocation.Machine, machineInfo *machineState) *client.Host {
 	if machineInfo.host == nil {
-		machineInfo.host = term.controller.workerRequests.pool.NewHost(machine.Address, 1, maxWorkerResponseBytes)
+		machineInfo.host = term.environment.WorkerRequests.Pool.NewHost(machine.Address, 1, maxWorkerResponseBytes)
 	}
 	return machineInfo.host
 }
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -12,12 +12,6 @@
 // count to the store instead. Added after a leader that neither workers nor members reached
 // held its lock for 78 s, while all leases ran out.
 
-// workerContact is how many workers contacted a member lately, and when it said so.
-type workerContact struct {
-	workers    uint32
-	reportedAt clock.Micros
-}
-
 const (
 	// workerContactInterval is how often a member reports the count, workerContactTTL for how
 	// long a report counts.
@@ -70,13 +64,13 @@
 		return false
 	}
 	received := controller.members.heartbeats[leader]
-	return received == nil || now-received.receivedAt >= memberTimeout
+	return received == nil || now-received.ReceivedAt >= memberTimeout
 }
 
 // applyWorkerContact takes a member's report. It may be old: then it counts from when it was
 // written, as far as the members' clocks may differ.
 func (controller *Controller) applyWorkerContact(member string, record records.WorkerContact) {
 	now := clock.Now()
-	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-controller.maxClockSkew(), 0)
-	controller.workers.reports[member] = workerContact{record.Workers, now - age}
+	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-MaxClockSkew(controller.cfg), 0)
+	controller.workers.reports[member] = WorkerContact{record.Workers, now - age}
 }
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -33,8 +33,8 @@
 		{"they come here too", health.Reachability{Up: 20, Reachable: 15}, 12, clock.Second, false},
 	} {
 		term := newTestTerm(t)
-		term.controller.term = term
-		term.controller.view.ApplyPut(records.WorkerContactKey("b"), said(test.workers, test.ago), 10)
+		controllerOf(term).term = term
+		term.environment.View.ApplyPut(records.WorkerContactKey("b"), said(test.workers, test.ago), 10)
 		now := clock.Now()
 		term.liveness.resumedAt = now - 60*clock.Second
 		if got := term.handOverIfCutOff(test.h, now); got != test.over || term.isClosed != test.over {
@@ -57,7 +57,7 @@
 		{"hardly asked", 2, 0, false},
 	} {
 		term := newTestTerm(t)
-		controller := term.controller
+		controller := controllerOf(term)
 		controller.term = nil
 		now := 100 * clock.Second
 		controller.elector.ObserveLock(now, election.Lock{Exists: true, Holder: "b", LeaseID: 3, Version: 9})
@@ -65,7 +65,7 @@
 			controller.workers.contactAt[string(rune('a'+i))] = now
 		}
 		if test.age != 0 {
-			controller.members.heartbeats["b"] = &receivedHeartbeat{receivedAt: now - test.age}
+			controller.members.heartbeats["b"] = &ReceivedHeartbeat{ReceivedAt: now - test.age}
 		}
 		controller.reportWorkerContact(now)
 		if got := controller.workers.nextReportAt != 0; got != test.reports {
@@ -78,7 +78,7 @@
 // are missing for that time, nor hand over for it.
 func TestLapsedTermDoesNotSuspectMachines(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
-	controller := term.controller
+	controller := controllerOf(term)
 	controller.term = term
 	now := clock.Now()
 	controller.elector.ObserveLock(now, election.Lock{})
@@ -89,13 +89,13 @@
 		t.Fatal("not entitled")
 	}
 	term.liveness.resumedAt, term.entitlement.hasLapsed = now-75*clock.Second, true
-	controller.members.heartbeats["b"] = &receivedHeartbeat{receivedAt: now, heartbeat: &peer.Heartbeat{IsStoreReachable: true, WorkerCount: 4}}
-	term.tick(now)
+	controller.members.heartbeats["b"] = &ReceivedHeartbeat{ReceivedAt: now, Heartbeat: &peer.Heartbeat{IsStoreReachable: true, WorkerCount: 4}}
+	term.Tick(now)
 	if term.isClosed || term.liveness.resumedAt != now || term.entitlement.hasLapsed {
 		t.Fatalf("handed over %v, awake since %d at %d", term.isClosed, term.liveness.resumedAt, now)
 	}
 	later := now + controller.suspectTimeout()
-	controller.members.heartbeats["b"].receivedAt = later
+	controller.members.heartbeats["b"].ReceivedAt = later
 	if !term.handOverIfCutOff(health.Reachability{Up: 4, Reachable: 0}, later) {
 		t.Fatal("does not hand over when nobody comes back to it")
 	}
@@ -118,10 +118,10 @@
 		{"nobody else could", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, false, false},
 	} {
 		term := newTestTerm(t)
-		term.controller.term = term
+		controllerOf(term).term = term
 		now := 100 * clock.Second
 		term.liveness.resumedAt = now
-		term.controller.members.heartbeats["b"] = &receivedHeartbeat{receivedAt: now - test.peer, heartbeat: &peer.Heartbeat{IsStoreReachable: test.served}}
+		controllerOf(term).members.heartbeats["b"] = &ReceivedHeartbeat{ReceivedAt: now - test.peer, Heartbeat: &peer.Heartbeat{IsStoreReachable: test.served}}
 		if term.handOverIfCutOff(test.before, now) {
 			t.Fatalf("%s: hands over at first", test.name)
 		}
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -9,8 +9,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// handleHeartbeat takes a worker's heartbeat and replies to it, which renews its lease.
-func (term *leaderTerm) handleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
+// HandleHeartbeat takes a worker's heartbeat and replies to it, which renews its lease.
+func (term *leaderTerm) HandleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
 	now := clock.Now()
 	if term.deferIfConstrained(heartbeat, reply, now) {
 		return
@@ -21,9 +21,9 @@
 	} else {
 		result := term.recordHeartbeat(machine, heartbeat, now)
 		if result == allocation.HeartbeatFenced {
-			term.controller.log.Info("deposed: a worker reported a higher fencing token", "machine", heartbeat.MachineID, "token", heartbeat.FencingToken, "own_token", term.tracker.FencingToken())
+			term.environment.Log.Info("deposed: a worker reported a higher fencing token", "machine", heartbeat.MachineID, "token", heartbeat.FencingToken, "own_token", term.tracker.FencingToken())
 			replyUnavailable(reply, "deposed")
-			term.controller.handleFenced(term.token)
+			term.host.HandleFenced(term.token)
 			return
 		}
 		if due := term.commandsAfter(result, machine, now); due != nil {
@@ -97,7 +97,7 @@
 
 func (term *leaderTerm) handleTaskStart(placement *allocation.Placement, now clock.Micros) {
 	job := placement.Job
-	term.controller.log.Debug("task started", "job", job.Spec.ID, "task", placement.TaskIndex, "class", job.Spec.Class, "machine", placement.Machine.Name,
+	term.environment.Log.Debug("task started", "job", job.Spec.ID, "task", placement.TaskIndex, "class", job.Spec.Class, "machine", placement.Machine.Name,
 		"waited_s", (clock.WallTime() - job.ReleasedAt).Seconds(), "placed_s", (now - placement.CreatedAt).Seconds())
 	if job.FirstStartAt != 0 {
 		return
@@ -122,7 +122,7 @@
 func (term *leaderTerm) handleTaskExit(exit allocation.ExitEvent, now clock.Micros) {
 	placement, job := exit.Placement, exit.Placement.Job
 	if exit.Cause != wire.ExitDone && !job.Cancelled {
-		term.controller.log.Debug("task exited", "job", job.Spec.ID, "task", placement.TaskIndex, "class", job.Spec.Class, "machine", placement.Machine.Name, "reason", exit.Cause,
+		term.environment.Log.Debug("task exited", "job", job.Spec.ID, "task", placement.TaskIndex, "class", job.Spec.Class, "machine", placement.Machine.Name, "reason", exit.Cause,
 			"stop_requested", placement.IsStopping(), "saved", placement.ProgressSaved, "state", placement.ReportedState, "placed_s", (now - placement.CreatedAt).Seconds())
 	}
 	switch exit.Cause {
@@ -167,7 +167,7 @@
 			term.scheduler.ObserveJobRun(job, jobInfo.observedRunSeconds/float64(jobInfo.observedRuns), now)
 		}
 	}
-	term.controller.log.Debug("task done", "job", job.Spec.ID, "task", placement.TaskIndex, "machine", placement.Machine.Name, "run_s", runSeconds, "estimate_s", job.Spec.EstimatedRunSeconds)
+	term.environment.Log.Debug("task done", "job", job.Spec.ID, "task", placement.TaskIndex, "machine", placement.Machine.Name, "run_s", runSeconds, "estimate_s", job.Spec.EstimatedRunSeconds)
 }
 
 // handleTaskFailure delays the next attempt of a task that failed. A faulty machine fails
@@ -184,6 +184,6 @@
 		}
 	}
 	task.RetryAt = now + backoff
-	term.controller.log.Info("task failed", "job", job.Spec.ID, "task", placement.TaskIndex, "machine", placement.Machine.Name, "failures", task.FailureCount, "backoff_s", backoff.Seconds())
+	term.environment.Log.Info("task failed", "job", job.Spec.ID, "task", placement.TaskIndex, "machine", placement.Machine.Name, "failures", task.FailureCount, "backoff_s", backoff.Seconds())
 	term.recordTaskFailure(placement.Machine, now)
 }
