--- a/internal/ci/layout/layers.go
+++ b/internal/ci/layout/layers.go
@@ -51,6 +51,9 @@
 		"internal/cancellation",
 		"internal/hints",
 	}},
+	{"what a leader does, carried out by the controller's goroutine", []string{
+		"internal/leader",
+	}},
 	{"the controller, which owns all state", []string{
 		"internal/controller",
 	}},
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,3 @@
-// Package controller runs one member of the cluster's control plane. A single goroutine owns
-// all state and works through a queue of commands in batches; I/O runs on other goroutines,
-// whose results come back as commands. What the pure packages decide (election, allocation,
-// scheduler, delegation, staleness, ...) is carried out here.
 package controller
 
 import (
@@ -14,6 +10,7 @@
 	"firwood.dev/firwood/internal/dag"
 	"firwood.dev/firwood/internal/election"
 	"firwood.dev/firwood/internal/hints"
+	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/peer"
 	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/internal/tracing"
@@ -29,7 +26,7 @@
 	watches         watchState
 	dependencyGraph *dag.Graph
 	elector         *election.Elector
-	term            *leaderTerm // nil unless this member leads and the allocation table is rebuilt
+	term            *leader.Term // nil unless this member leads and the allocation table is rebuilt
 
 	machineTypes machineCatalog
 	failover     failoverState
@@ -149,3 +146,8 @@
 	controller.storeUse.nextDropLogAt = now + dropLogInterval
 	controller.log.Error(message, append(args, "dropped_so_far", controller.store.MalformedResponses.Load())...)
 }
+
+// runAfter runs a command on the owner's goroutine after a while.
+func (controller *Controller) runAfter(after clock.Micros, command func()) {
+	time.AfterFunc(after.Duration(), func() { controller.postResult(command) })
+}
--- a/internal/controller/controller_state.go
+++ b/internal/controller/controller_state.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"sync/atomic"
 
-	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/cancellation"
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
@@ -16,10 +15,10 @@
 	"firwood.dev/firwood/internal/hints"
 	"firwood.dev/firwood/internal/jobhistory"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/peer"
 	"firwood.dev/firwood/internal/rateshare"
 	"firwood.dev/firwood/internal/server"
-	"firwood.dev/firwood/internal/staleness"
 	"firwood.dev/firwood/internal/standby"
 	"firwood.dev/firwood/internal/tracing"
 	"firwood.dev/firwood/wire"
@@ -38,10 +37,8 @@
 	commands *commandqueue.Queue
 	stopped  chan struct{}
 
-	workerRequests  workerRequestLimits
-	teams           map[string]allocation.TeamQuota
-	tasksPerKey     int              // tasks in one progress key
-	stalenessBounds staleness.Bounds // what a leader may do on an old view
+	workerRequests workerRequestLimits
+	settings       leader.Settings
 }
 
 // workerRequestLimits bounds the requests that a leader sends to workers.
@@ -79,14 +76,14 @@
 	processStartedAt clock.Micros
 	// leaderHeartbeatAt is when another member's heartbeat as leader last came.
 	leaderHeartbeatAt clock.Micros
-	last              FailoverTimes
+	last              leader.FailoverTimes
 	tracer            *tracing.Tracer
 }
 
 // memberState is what is known of the other members, by name.
 type memberState struct {
 	links           []*peer.Link // in the order of the configuration's peers
-	heartbeats      map[string]*ReceivedHeartbeat
+	heartbeats      map[string]*leader.ReceivedHeartbeat
 	timestamps      map[string]delegation.Timestamp // their newest ones
 	nextHeartbeatAt clock.Micros
 	// cancellations are recent ones that other members may not know yet.
@@ -97,13 +94,12 @@
 type workerContactState struct {
 	contactAt map[string]clock.Micros // when each worker last sent a heartbeat here
 	// reports are the other members' counts, as they wrote them to the key-value store.
-	reports      map[string]WorkerContact
+	reports      map[string]leader.WorkerContact
 	nextReportAt clock.Micros
 }
 
 // delegationState is for renewing workers' leases while the leader is unreachable.
 type delegationState struct {
-	times    delegation.Config
 	delegate *delegation.Delegate // this member's grant
 	// repliedAt is when each worker was last answered under the grant.
 	repliedAt map[string]clock.Micros
--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -28,13 +28,13 @@
 		deployment.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 900}
 		return New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	}
-	if controller := with("x", "y"); controller.delegation.times.GrantTTL != 0 {
+	if controller := with("x", "y"); controller.settings.Delegation.GrantTTL != 0 {
 		t.Fatal("rights where a cut of a zone would put off the proof that a lease is over")
 	}
 	controller := with("x")
 	lease, cancel := 10*clock.Second, 35*clock.Second
-	if controller.delegation.times.GrantTTL < lease || controller.delegation.times.CancellationGrace+controller.delegation.times.GrantTTL+lease >= cancel {
-		t.Fatalf("a right lasts %d us", controller.delegation.times.GrantTTL)
+	if controller.settings.Delegation.GrantTTL < lease || controller.settings.Delegation.CancellationGrace+controller.settings.Delegation.GrantTTL+lease >= cancel {
+		t.Fatalf("a right lasts %d us", controller.settings.Delegation.GrantTTL)
 	}
 	controller.view.IsLoaded = true
 	term := controller.newTerm(9, clock.Now())
@@ -47,8 +47,15 @@
 	if repliesToEither(controller, heartbeat, now) {
 		t.Fatal("answers as delegate though it never knew of all withdrawals")
 	}
-	term.renewals.cancellationsKnownAt = now
-	end := now + controller.delegation.times.GrantTTL
+	makeEntitled(t, controller, 9)
+	term.AcknowledgeTimestamps(now, func() {})
+	batch, _ := controller.view.ClaimSyncs()
+	batch.Complete(nil)
+	controller.elector.StepDown(clock.Now(), clock.Second)
+	if controller.isEntitled() || term.CancellationsKnownAt() != now {
+		t.Fatalf("entitled %v, knows all withdrawals before %d, not %d", controller.isEntitled(), term.CancellationsKnownAt(), now)
+	}
+	end := now + controller.settings.Delegation.GrantTTL
 	var lastReplyAt, longestGap clock.Micros
 	// The worker reports, is sent on, and comes back after a round of the others.
 	for reportAt := now; reportAt < end+lease; {
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -2,16 +2,11 @@
 
 import (
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/commandqueue"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
 
 const (
-	// leaderAdviceWindow is for how long after its last heartbeat a leader is named to workers,
-	// lockAdviceWindow for how long after the store's last answer the lock's holder is.
-	leaderAdviceWindow = 3 * heartbeatInterval
-	lockAdviceWindow   = 12 * clock.Second
 	// delegatedReplyTimeout bounds how long a reply under a grant may take to go out.
 	delegatedReplyTimeout = clock.Second
 	// redirectMargin is how much longer than two of a worker's heartbeat intervals a grant must
@@ -19,25 +14,6 @@
 	redirectMargin = 4 * clock.Second
 )
 
-// HandleHeartbeat replies to a worker's heartbeat: with commands as leader, without any as
-// delegate, else with a redirect. It may be called on any goroutine.
-func (controller *Controller) HandleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
-	if !controller.commands.Post(commandqueue.Heartbeat, func() { controller.handleWorkerHeartbeat(heartbeat, reply) }) {
-		replyUnavailable(reply, reasonOverloaded)
-	}
-}
-
-func (controller *Controller) handleWorkerHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
-	controller.workers.contactAt[heartbeat.MachineID] = clock.Now()
-	switch {
-	case controller.term != nil && controller.isEntitled():
-		controller.term.HandleHeartbeat(heartbeat, reply)
-	case controller.replyAsDelegate(heartbeat, reply, clock.Now()):
-	default:
-		controller.replyRedirect(reply)
-	}
-}
-
 // replyAsDelegate renews the lease of a worker that cannot reach the leader, if this member may,
 // and tells whether it replied. Renewals and redirects alternate, so a worker that can reach
 // the leader is not kept from it. The renewal comes first: a worker that was redirected first
@@ -90,29 +66,3 @@
 		controller.term.RecordDelegatedRenewal(machineName, until)
 	}
 }
-
-// replyRedirect sends a worker to the leader, or to try the other members if none is named.
-func (controller *Controller) replyRedirect(reply *server.Reply) {
-	body, err := wire.Redirect{Member: controller.leaderForWorkers(clock.Now())}.MarshalJSON()
-	if err != nil {
-		body = []byte("{}")
-	}
-	reply.Send(421, body, 0)
-}
-
-// leaderForWorkers is the leader that workers are redirected to, "" if none is known well
-// enough. A member that reaches neither the leader nor the store names nobody. Added after one
-// sent its workers to a leader that was down, whose successor in their lists it was itself, and
-// they went back and forth between the two for minutes while another one led.
-func (controller *Controller) leaderForWorkers(now clock.Micros) string {
-	leader := controller.knownLeader()
-	if leader == controller.cfg.Member {
-		return ""
-	}
-	received := controller.members.heartbeats[leader]
-	isReachable := received != nil && now-received.ReceivedAt < leaderAdviceWindow
-	if !isReachable && now-controller.store.LastSuccessAt() >= lockAdviceWindow {
-		return ""
-	}
-	return leader
-}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -3,6 +3,7 @@
 import (
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/dag"
+	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
@@ -14,15 +15,6 @@
 // startOverhead is about how long a job takes beside its run, to get a machine and an image.
 const startOverhead = 5 * clock.Second
 
-// urgencyOf is the urgency that a job has by itself. A service has no deadline.
-func urgencyOf(record *storeview.Job) dag.Urgency {
-	urgency := dag.Urgency{Priority: wire.PriorityIndex(record.Spec.Priority)}
-	if record.Spec.DeadlineSeconds > 0 && record.Spec.Kind != wire.KindService {
-		urgency.Deadline = clock.Micros(record.SubmittedAt) + clock.FromSeconds(record.Spec.DeadlineSeconds)
-	}
-	return urgency
-}
-
 // updateDependencyGraph applies a job's record to the graph, and what follows for other jobs.
 func (controller *Controller) updateDependencyGraph(id string, record *storeview.Job) {
 	switch {
@@ -37,7 +29,7 @@
 		}
 		controller.lookUpEvictedDependencies(dependencies)
 		controller.applyGraphChange(controller.dependencyGraph.AddJob(dag.Job{
-			ID: id, DependsOn: dependencies, SubmittedAt: clock.Micros(record.SubmittedAt), Urgency: urgencyOf(record),
+			ID: id, DependsOn: dependencies, SubmittedAt: clock.Micros(record.SubmittedAt), Urgency: leader.UrgencyOf(record),
 			EstimatedRunTime: clock.FromSeconds(record.Spec.EstimatedRunSeconds) + startOverhead,
 		}))
 	}
@@ -56,12 +48,6 @@
 	}
 }
 
-// isBlocked tells whether a job that has not ended must not start yet.
-func isBlocked(view *storeview.View, graph *dag.Graph, id string, record *storeview.Job) bool {
-	_, isComplete := view.DependenciesOf(id, record)
-	return !isComplete || graph.IsBlocked(id)
-}
-
 // applyGraphChange applies the effects of one job's change on the others.
 func (controller *Controller) applyGraphChange(change dag.Effects) {
 	controller.applyImpliedCancellations(change.Cancelled)
@@ -91,14 +77,3 @@
 		}
 	}
 }
-
-// UpdateUrgency gives a job the urgency that it has by itself and by the jobs that depend on it.
-func (term *leaderTerm) UpdateUrgency(id string) {
-	job, record := term.tracker.Jobs[id], term.environment.View.Jobs[id]
-	if job == nil || record == nil || record.Spec == nil {
-		return
-	}
-	urgency := term.environment.Graph.UrgencyOf(id, urgencyOf(record))
-	job.Priority, job.Deadline = urgency.Priority, urgency.Deadline
-	term.requestPlan()
-}
--- a/internal/controller/dependencies_bench_test.go
+++ b/internal/controller/dependencies_bench_test.go
@@ -62,7 +62,7 @@
 			var heldBytes float64
 			for b.Loop() {
 				before := heapInUse()
-				controller := controllerOf(newTestTerm(b))
+				controller := newTestController(b)
 				controller.view.IsLoaded = true
 				startedAt := clock.Now()
 				for key, value := range records {
@@ -72,14 +72,13 @@
 				startedAt = clock.Now()
 				term := controller.newTerm(10, clock.Now())
 				failover += clock.Now() - startedAt
-				term.entitlement.actDeadline.Store(1 << 62)
 				controller.term = term
 				if heldBytes == 0 {
 					heldBytes = heapInUse() - before // of the first round, before which nothing is held
 				}
-				term.runScheduler(clock.Now())
+				term.Plan(clock.Now())
 				startedAt = clock.Now()
-				term.runScheduler(clock.Now())
+				term.Plan(clock.Now())
 				plan += clock.Now() - startedAt
 				startedAt = clock.Now()
 				last := fmt.Sprintf("req-%06d", size.jobs-1)
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -2,9 +2,15 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
+	"time"
 
+	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
@@ -21,16 +27,16 @@
 // of its dependents, and its waits count from then. A job that depends on a cancelled one is
 // cancelled at once, as are its dependents.
 func TestDependentJobsAreTrackedWhenReleased(t *testing.T) {
-	term := newTestTerm(t)
-	controller := controllerOf(term)
+	controller := newTestController(t)
+	term := controller.newTerm(9, clock.Now())
 	controller.term = term
 	wall := clock.WallTime().Seconds()
 	controller.view.SetJob("req-000002", newJobRecord("req-000002", wire.PriorityLow, wall, 0, "req-000001"))
-	if term.tracker.Jobs["req-000002"] != nil {
+	if term.TrackedJob("req-000002") != nil {
 		t.Fatal("a job is tracked whose dependency is not even known")
 	}
 	controller.view.SetJob("req-000001", newJobRecord("req-000001", wire.PriorityLow, wall, 0))
-	first := term.tracker.Jobs["req-000001"]
+	first := term.TrackedJob("req-000001")
 	if first == nil || first.Priority != wire.PriorityIndex(wire.PriorityLow) || first.Deadline != 0 {
 		t.Fatalf("the first is %+v", first)
 	}
@@ -41,11 +47,11 @@
 	}
 	end := clock.FromSeconds(wall + 50)
 	controller.view.SetJob("req-000001", &storeview.Job{Job: records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: int64(end)}, Version: 2})
-	second := term.tracker.Jobs["req-000002"]
+	second := term.TrackedJob("req-000002")
 	if second == nil || second.ReleasedAt != end || second.Priority != wire.PriorityIndex(wire.PriorityHigh) {
 		t.Fatalf("the second is %+v", second)
 	}
-	if term.tracker.Jobs["req-000003"] != nil {
+	if term.TrackedJob("req-000003") != nil {
 		t.Fatal("the third is tracked before the second is done")
 	}
 	over := storeview.NewEndedJob(controller.view.Jobs["req-000002"], wire.JobCancelled, clock.WallTime())
@@ -55,7 +61,7 @@
 		t.Fatal("the third is not cancelled with the second")
 	}
 	controller.view.SetJob("req-000004", newJobRecord("req-000004", wire.PriorityLow, wall, 0, "req-000003"))
-	if record := controller.view.Jobs["req-000004"]; record.EffectiveState() != wire.JobCancelled || term.tracker.Jobs["req-000004"] != nil {
+	if record := controller.view.Jobs["req-000004"]; record.EffectiveState() != wire.JobCancelled || term.TrackedJob("req-000004") != nil {
 		t.Fatal("a job that names a cancelled one goes on")
 	}
 }
@@ -63,14 +69,13 @@
 // A long list of dependencies is split so that every value fits, and is put together again in
 // whatever order its keys are read.
 func TestLongDependencyListsAreSplit(t *testing.T) {
-	term := newTestTerm(t)
-	controller := controllerOf(term)
+	controller := newTestController(t)
 	controller.cfg.Deployment.Store.MaxValueKB = 1
 	record := newJobRecord("req-000500", wire.PriorityLow, 1, 0)
 	for i := range 300 {
 		record.Spec.DependsOn = append(record.Spec.DependsOn, fmt.Sprintf("req-%06d", i))
 	}
-	changes, err := records.SubmissionChanges(&record.Job, storeLimits(controller.cfg))
+	changes, err := records.SubmissionChanges(&record.Job, leader.StoreLimits(controller.cfg))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,8 +98,60 @@
 		if !isComplete || len(dependencies) != 300 || dependencies[299] != "req-000299" {
 			t.Fatalf("%d of 300 are read, whole %v", len(dependencies), isComplete)
 		}
-		if !isBlocked(controller.view, controller.dependencyGraph, "req-000500", controller.view.Jobs["req-000500"]) {
+		if !leader.IsBlocked(controller.view, controller.dependencyGraph, "req-000500", controller.view.Jobs["req-000500"]) {
 			t.Fatal("it is not blocked")
 		}
 	}
 }
+
+// The end of a job that was cancelled with one that it depends on is written by the leader's term.
+func TestImpliedCancellationsAreWritten(t *testing.T) {
+	fakeStore, stop := fake.NewStore()
+	t.Cleanup(stop)
+	controller := newTestController(t)
+	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: 1000, WriteRPS: 1000, MaxTransactionOps: 16}, records.LockKey)
+	controller.store.SetRateShare(1)
+	var token uint64
+	controller.store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: records.LockKey, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, revision uint64) {
+		controller.postResult(func() { token = revision })
+	}})
+	runUntil(t, controller, func() bool { return token != 0 })
+	makeEntitled(t, controller, token)
+	controller.term = controller.newTerm(token, clock.Now())
+	root := newJobRecord("req-000000", wire.PriorityLow, clock.WallTime().Seconds(), 0)
+	controller.view.SetJob("req-000000", root)
+	dependents := []string{"req-000001", "req-000002", "req-000003"}
+	for i, id := range dependents {
+		record := newJobRecord(id, wire.PriorityLow, clock.WallTime().Seconds(), 0, fmt.Sprintf("req-%06d", i))
+		record.Version = 0 // as if its key were free
+		controller.view.SetJob(id, record)
+	}
+	end := storeview.NewEndedJob(root, wire.JobCancelled, clock.WallTime())
+	end.Version = 2
+	controller.view.SetJob("req-000000", end)
+	controller.term.Tick(clock.Now())
+	runUntil(t, controller, func() bool {
+		return !slices.ContainsFunc(dependents, func(id string) bool { return fakeStore.Value(records.JobKey(id)) == "" })
+	})
+	for _, id := range dependents {
+		var record records.Job
+		if err := record.UnmarshalJSON([]byte(fakeStore.Value(records.JobKey(id)))); err != nil || record.State != wire.JobCancelled {
+			t.Errorf("%s is stored as %+v, error %v", id, record, err)
+		}
+	}
+}
+
+// runUntil runs the commands that are posted to the controller until the condition holds.
+func runUntil(t *testing.T, controller *Controller, isDone func() bool) {
+	t.Helper()
+	for range 10000 {
+		for _, command := range controller.commands.TakeBatch() {
+			command()
+		}
+		if isDone() {
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+	t.Fatal("it does not come about")
+}
--- a/internal/controller/eviction_bench_test.go
+++ b/internal/controller/eviction_bench_test.go
@@ -37,7 +37,7 @@
 		for name, capacity := range map[string]int{"bounded": finishedJobCapacity(0, 125), "all": jobs} {
 			b.Run(fmt.Sprint(jobs, "/", name), func(b *testing.B) {
 				for b.Loop() {
-					controller := controllerOf(newTestTerm(b))
+					controller := newTestController(b)
 					controller.history.capacity = capacity
 					before, stored := heapInUse(), 0
 					filter := storeview.NewLoadFilter(capacity)
--- a/internal/controller/cancellations.go
+++ b/internal/controller/forwarded_cancellations.go
@@ -2,6 +2,7 @@
 
 import (
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/peer"
 	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
@@ -21,7 +22,7 @@
 // that is not heard of may have been restarted since.
 func (controller *Controller) peerRevision(member string) uint64 {
 	received := controller.members.heartbeats[member]
-	if received == nil || clock.Now()-received.ReceivedAt > memberTimeout {
+	if received == nil || clock.Now()-received.ReceivedAt > leader.MemberTimeout {
 		return 0
 	}
 	return received.Heartbeat.StoreRevision
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -5,6 +5,8 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/election"
+	"firwood.dev/firwood/internal/leader"
+	"firwood.dev/firwood/internal/tracing"
 )
 
 // endReason says why a leadership term has ended.
@@ -40,7 +42,7 @@
 		return
 	}
 	controller.failover.isRebuilding = true
-	controller.failover.last = FailoverTimes{LeaderHeartbeatAt: controller.failover.leaderHeartbeatAt, LockWonAt: clock.Now(), Token: controller.elector.Token()}
+	controller.failover.last = leader.FailoverTimes{LeaderHeartbeatAt: controller.failover.leaderHeartbeatAt, LockWonAt: clock.Now(), Token: controller.elector.Token()}
 	controller.applyRateShares()
 	controller.log.Info("leadership acquired", "token", controller.elector.Token(), "lease", controller.elector.LeaseID())
 	controller.rebuildTerm()
@@ -123,3 +125,11 @@
 	case <-time.After(releaseTimeout):
 	}
 }
+
+// traceObservedFailover traces what a follower saw of a failover: for how long there was no leader.
+func (controller *Controller) traceObservedFailover(token uint64) {
+	if controller.failover.leaderHeartbeatAt == 0 || controller.isLeading() || controller.elector.Token() == token {
+		return
+	}
+	controller.failover.tracer.RecordFailover(token, []tracing.Span{{Name: "no leader heard", StartedAt: controller.failover.leaderHeartbeatAt, EndedAt: clock.Now()}})
+}
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -8,15 +8,13 @@
 	"firwood.dev/firwood/internal/config"
 	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/election"
+	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/peer"
 )
 
-const (
-	heartbeatInterval = 1 * clock.Second
-	// storeReachableWindow is how long ago the store's last answer may be for this member to
-	// say that it reaches the store.
-	storeReachableWindow = 12 * clock.Second
-)
+// storeReachableWindow is how long ago the store's last answer may be for this member to say that
+// it reaches the store.
+const storeReachableWindow = 12 * clock.Second
 
 // HandlePeerHeartbeat takes a message of another member. It may be called on any goroutine.
 func (controller *Controller) HandlePeerHeartbeat(heartbeat *peer.Heartbeat) {
@@ -35,7 +33,7 @@
 	if controller.term != nil && controller.hasComeBack(heartbeat, now) {
 		controller.term.ResendHints(now)
 	}
-	controller.members.heartbeats[heartbeat.Member] = &ReceivedHeartbeat{Heartbeat: heartbeat, ReceivedAt: now}
+	controller.members.heartbeats[heartbeat.Member] = &leader.ReceivedHeartbeat{Heartbeat: heartbeat, ReceivedAt: now}
 	controller.applyCancellations(heartbeat.Member, heartbeat.Cancellations)
 	controller.recordTimestamp(heartbeat)
 	controller.recordDelegation(heartbeat, now)
@@ -46,7 +44,7 @@
 // last reachable.
 func (controller *Controller) hasComeBack(heartbeat *peer.Heartbeat, now clock.Micros) bool {
 	last := controller.members.heartbeats[heartbeat.Member]
-	return last == nil || last.Heartbeat.Incarnation != heartbeat.Incarnation || now-last.ReceivedAt >= memberTimeout
+	return last == nil || last.Heartbeat.Incarnation != heartbeat.Incarnation || now-last.ReceivedAt >= leader.MemberTimeout
 }
 
 // recordTimestamp keeps a member's timestamp if it is the newest one: messages may arrive out
@@ -109,7 +107,7 @@
 	if now < controller.members.nextHeartbeatAt {
 		return
 	}
-	controller.members.nextHeartbeatAt = now + heartbeatInterval
+	controller.members.nextHeartbeatAt = now + leader.HeartbeatInterval
 	controller.logMalformedResponses()
 	controller.updateAvailability(now)
 	if controller.term == nil || controller.store.IsFailing(now) {
@@ -170,3 +168,9 @@
 	}
 	return controller.members.timestamps[member]
 }
+
+// storeHints takes the hints of a leader's heartbeat, for the case that this member leads next.
+func (controller *Controller) storeHints(heartbeat *peer.Heartbeat, now clock.Micros) {
+	maxMachines := 2 * len(controller.view.ScaleOuts) * peer.MaxCachedImageMachines
+	controller.hints.Store(heartbeat, maxMachines, now)
+}
--- a/internal/controller/rate_shares.go
+++ b/internal/controller/rate_shares.go
@@ -6,9 +6,6 @@
 	"firwood.dev/firwood/internal/rateshare"
 )
 
-// backlogThreshold is how long the leader's waiting writes take from which it has a backlog.
-const backlogThreshold = rateshare.BacklogThreshold
-
 // applyRateShares sets this member's shares of the outside services' rates, as leader or not.
 func (controller *Controller) applyRateShares() {
 	shares := rateshare.OfFollower(len(controller.cfg.Peers))
--- /dev/null
+++ b/internal/controller/replica.go
@@ -0,0 +1,72 @@
+package controller
+
+import (
+	"firwood.dev/firwood/internal/peer"
+	"firwood.dev/firwood/internal/standby"
+)
+
+// standbyVersion is the version of the stream's messages that this member takes, 0 for none.
+func (controller *Controller) standbyVersion() uint8 {
+	if controller.failover.replica == nil {
+		return 0
+	}
+	return peer.StandbyProtocolVersion
+}
+
+// handleStandbyMessage takes a message of the leader's stream, or a replica's answer to one.
+func (controller *Controller) handleStandbyMessage(heartbeat *peer.Heartbeat) {
+	switch {
+	case controller.failover.replica == nil:
+	case heartbeat.StandbyPosition != nil && controller.term != nil:
+		controller.term.RecordReplicaPosition(heartbeat.Member, *heartbeat.StandbyPosition)
+	case heartbeat.StandbyMessage != nil && !controller.isLeading():
+		controller.applyStreamMessage(heartbeat.Member, heartbeat.StandbyMessage)
+	}
+}
+
+// isLeading tells whether this member holds the lock. Its replica doesn't take messages of the
+// leader before any more: it would acknowledge decisions that this member's rebuilt allocation
+// table doesn't have.
+func (controller *Controller) isLeading() bool {
+	return controller.term != nil || controller.failover.isRebuilding
+}
+
+// applyStreamMessage applies a message of the leader's stream to the replica, and answers with
+// the position that the replica has reached.
+func (controller *Controller) applyStreamMessage(from string, message *standby.Message) {
+	before := controller.failover.replica.DropCounts()
+	var position standby.Position
+	if controller.isForeignToken(message.Token) {
+		position = controller.failover.replica.RejectForeignMessage()
+	} else {
+		position = controller.failover.replica.ApplyMessage(message)
+	}
+	if after := controller.failover.replica.DropCounts(); after != before {
+		controller.logDropped("standby message rejected", "member", from, "token", message.Token,
+			"stale", after.Stale, "out_of_order", after.OutOfOrder, "malformed", after.Malformed, "foreign_token", after.ForeignToken, "digest_mismatch", after.DigestMismatch)
+	}
+	controller.sendStreamMessage(from, &peer.Heartbeat{Member: controller.cfg.Member, StandbyFrame: peer.StandbyFrame{StandbyPosition: &position}})
+}
+
+// sendStreamMessage sends a message of a stream to a member that takes such messages.
+func (controller *Controller) sendStreamMessage(member string, heartbeat *peer.Heartbeat) {
+	received := controller.members.heartbeats[member]
+	if received == nil || received.Heartbeat.StandbyProtocolVersion == 0 {
+		return
+	}
+	for i, other := range controller.cfg.Peers {
+		if other.Member == member {
+			controller.members.links[i].SendStandby(peer.Encode(heartbeat))
+		}
+	}
+}
+
+// applyStandbyRecord takes a newer record from the view.
+func (controller *Controller) applyStandbyRecord(record standby.InSyncRecord, version uint64) {
+	if controller.failover.replica != nil {
+		controller.failover.replica.PruneEarlier(record.Token)
+	}
+	if controller.term != nil {
+		controller.term.ObserveStandbyRecord(record, version)
+	}
+}
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -42,19 +42,3 @@
 		Digest: fmt.Sprintf("%016x", table.Digest()), Dropped: replica.DropCounts(),
 	}
 }
-
-// FollowerStatuses is how far the other members are behind this leader.
-func (term *leaderTerm) FollowerStatuses(now clock.Micros) []jobreport.FollowerStatus {
-	var statuses []jobreport.FollowerStatus
-	isInSync := map[string]bool{}
-	for _, member := range term.standby.inSync.InSyncMembers() {
-		isInSync[member.Name] = true
-	}
-	for _, other := range term.environment.Config.Peers {
-		statuses = append(statuses, jobreport.FollowerStatus{
-			Member: other.Member, IsInSync: isInSync[other.Member],
-			LagDecisions: term.standby.publisher.LagCount(other.Member), LagMs: milliseconds(term.standby.publisher.LagDuration(other.Member, now)),
-		})
-	}
-	return statuses
-}
--- a/internal/controller/standby_trust.go
+++ b/internal/controller/standby_trust.go
@@ -5,6 +5,7 @@
 
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/election"
+	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/standby"
 )
 
@@ -44,9 +45,9 @@
 func (controller *Controller) mayBeUp(member standby.Member, now clock.Micros) bool {
 	received := controller.members.heartbeats[member.Name]
 	if received == nil {
-		return now-controller.failover.processStartedAt < 2*heartbeatInterval
+		return now-controller.failover.processStartedAt < 2*leader.HeartbeatInterval
 	}
-	return received.Heartbeat.Incarnation == member.Incarnation && now-received.ReceivedAt < 2*heartbeatInterval
+	return received.Heartbeat.Incarnation == member.Incarnation && now-received.ReceivedAt < 2*leader.HeartbeatInterval
 }
 
 // acquireLockInTurn tries for the lock, after yieldDelay if there is a better candidate.
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -7,6 +7,7 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/jobhistory"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/internal/storeview"
@@ -96,7 +97,7 @@
 
 // rejectionReason says why a job can never run, if so.
 func (controller *Controller) rejectionReason(job *wire.Job) string {
-	team, ok := controller.teams[job.Team]
+	team, ok := controller.settings.Teams[job.Team]
 	if !ok {
 		return "unknown team"
 	}
@@ -180,7 +181,7 @@
 // neither, is the write's condition.
 func (controller *Controller) commitSubmission(job *wire.Job, reply *server.Reply) {
 	record := &storeview.Job{Job: records.Job{Spec: job, SubmittedAt: int64(clock.WallTime())}}
-	changes, err := records.SubmissionChanges(&record.Job, storeLimits(controller.cfg))
+	changes, err := records.SubmissionChanges(&record.Job, leader.StoreLimits(controller.cfg))
 	if err != nil {
 		controller.rejectAfterSync(job, reply, "the job's description is too large")
 		return
@@ -232,7 +233,7 @@
 // need not wait for that.
 func (controller *Controller) applySubmission(job *wire.Job, record *storeview.Job) {
 	if record.DependencyParts > 0 {
-		for part, ids := range records.SplitDependencies(job.DependsOn, storeLimits(controller.cfg)) {
+		for part, ids := range records.SplitDependencies(job.DependsOn, leader.StoreLimits(controller.cfg)) {
 			controller.view.SetDependencies(job.ID, part, ids)
 		}
 	}
--- a/internal/controller/term_host.go
+++ b/internal/controller/term_host.go
@@ -4,90 +4,87 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/jobreport"
+	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/peer"
 	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
 // newTerm begins the term of a token on a view that is as new as a read sent at readAt.
-func (controller *Controller) newTerm(token uint64, readAt clock.Micros) *leaderTerm {
-	return newLeaderTerm(&Environment{
-		Config: controller.cfg, Tuning: &controller.tuning, Log: controller.log,
-		Settings: Settings{
-			Teams: controller.teams, TasksPerKey: controller.tasksPerKey, Staleness: controller.stalenessBounds,
-			Delegation: controller.delegation.times, Timing: controller.timing(), LeaderTTL: controller.leaderTTL(),
-		},
+func (controller *Controller) newTerm(token uint64, readAt clock.Micros) *leader.Term {
+	return leader.New(&leader.Environment{
+		Config: controller.cfg, Tuning: &controller.tuning, Log: controller.log, Settings: controller.settings,
 		Store: controller.store, Cloud: controller.cloud,
-		WorkerRequests: WorkerRequests{Pool: controller.workerRequests.pool, MaxInFlight: controller.workerRequests.maxInFlight},
+		WorkerRequests: leader.WorkerRequests{Pool: controller.workerRequests.pool, MaxInFlight: controller.workerRequests.maxInFlight},
 		View:           controller.view, Graph: controller.dependencyGraph, Hints: controller.hints,
 		Delegate: controller.delegation.delegate, Replica: controller.failover.replica,
 		Failover: &controller.failover.last, Tracer: controller.failover.tracer,
 	}, termHost{controller}, token, readAt)
 }
 
-// termHost implements Host: it is what a term sees of its controller.
+// termHost implements leader.Host: it is what a term sees of its controller.
 type termHost struct{ controller *Controller }
 
-// PostResult implements Host.
+// PostResult implements leader.Host.
 func (host termHost) PostResult(command func()) { host.controller.postResult(command) }
 
-// IsEntitled implements Host.
+// IsEntitled implements leader.Host.
 func (host termHost) IsEntitled() bool { return host.controller.isEntitled() }
 
-// EntitledUntil implements Host.
+// EntitledUntil implements leader.Host.
 func (host termHost) EntitledUntil() clock.Micros { return host.controller.elector.EntitledUntil() }
 
-// HandleFenced implements Host.
+// HandleFenced implements leader.Host.
 func (host termHost) HandleFenced(token uint64) { host.controller.handleFenced(token) }
 
-// HandOver implements Host.
+// HandOver implements leader.Host.
 func (host termHost) HandOver(now, backoff clock.Micros) {
 	host.controller.executeActions(host.controller.elector.StepDown(now, backoff))
 	host.controller.endTerm(endHandedOver)
 }
 
-// Heartbeats implements Host.
-func (host termHost) Heartbeats() map[string]*ReceivedHeartbeat {
+// Heartbeats implements leader.Host.
+func (host termHost) Heartbeats() map[string]*leader.ReceivedHeartbeat {
 	return host.controller.members.heartbeats
 }
 
-// Timestamps implements Host.
+// Timestamps implements leader.Host.
 func (host termHost) Timestamps() map[string]delegation.Timestamp {
 	return host.controller.members.timestamps
 }
 
-// WorkerContacts implements Host.
-func (host termHost) WorkerContacts() map[string]WorkerContact {
+// WorkerContacts implements leader.Host.
+func (host termHost) WorkerContacts() map[string]leader.WorkerContact {
 	return host.controller.workers.reports
 }
 
-// SendHeartbeatNow implements Host.
+// SendHeartbeatNow implements leader.Host.
 func (host termHost) SendHeartbeatNow() { host.controller.members.nextHeartbeatAt = 0 }
 
-// SendStreamMessage implements Host.
+// SendStreamMessage implements leader.Host.
 func (host termHost) SendStreamMessage(member string, heartbeat *peer.Heartbeat) {
 	host.controller.sendStreamMessage(member, heartbeat)
 }
 
-// MachineTypes implements Host.
+// MachineTypes implements leader.Host.
 func (host termHost) MachineTypes() []wire.MachineType { return host.controller.machineTypes.list }
 
-// LookUpIfEvicted implements Host.
+// LookUpIfEvicted implements leader.Host.
 func (host termHost) LookUpIfEvicted(id string) {
 	if host.controller.mayBeEvicted(id) {
 		host.controller.lookUpUntilKnown(id)
 	}
 }
 
-// ProblemOf implements Host.
+// ProblemOf implements leader.Host.
 func (host termHost) ProblemOf(id string, record *storeview.Job, wall int64) (problem jobreport.Problem, isProblem bool) {
 	return host.controller.problemOf(id, record, wall)
 }
 
-// AdjustRateShare implements Host.
+// AdjustRateShare implements leader.Host.
 func (host termHost) AdjustRateShare(now clock.Micros) { host.controller.adjustRateShare(now) }
 
-// LogDropped implements Host.
+// LogDropped implements leader.Host.
 func (host termHost) LogDropped(message string, args ...any) {
 	host.controller.logDropped(message, args...)
 }
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -3,6 +3,7 @@
 import (
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/records"
 	"firwood.dev/firwood/wire"
 )
@@ -13,10 +14,8 @@
 // held its lock for 78 s, while all leases ran out.
 
 const (
-	// workerContactInterval is how often a member reports the count, workerContactTTL for how
-	// long a report counts.
+	// workerContactInterval is how often a member reports the count.
 	workerContactInterval = clock.Second
-	workerContactTTL      = 5 * clock.Second
 	// minWorkerContacts is the count from which a report is worth a write.
 	minWorkerContacts = 3
 )
@@ -24,7 +23,7 @@
 // expireWorkerContacts drops workers that have not contacted this member for a while.
 func (controller *Controller) expireWorkerContacts(now clock.Micros) {
 	for name, lastAt := range controller.workers.contactAt {
-		if now-lastAt > controller.suspectTimeout() {
+		if now-lastAt > controller.settings.Timing.SuspectTimeout {
 			delete(controller.workers.contactAt, name)
 		}
 	}
@@ -58,19 +57,19 @@
 // isWorkerContactReportDue tells whether another member leads, doesn't send heartbeats, and
 // workers contact this one.
 func (controller *Controller) isWorkerContactReportDue(now clock.Micros) bool {
-	leader, _ := controller.elector.LockHolder()
-	isOtherLeading := controller.term == nil && leader != "" && leader != controller.cfg.Member
+	holder, _ := controller.elector.LockHolder()
+	isOtherLeading := controller.term == nil && holder != "" && holder != controller.cfg.Member
 	if !isOtherLeading || len(controller.workers.contactAt) < minWorkerContacts || now < controller.workers.nextReportAt {
 		return false
 	}
-	received := controller.members.heartbeats[leader]
-	return received == nil || now-received.ReceivedAt >= memberTimeout
+	received := controller.members.heartbeats[holder]
+	return received == nil || now-received.ReceivedAt >= leader.MemberTimeout
 }
 
 // applyWorkerContact takes a member's report. It may be old: then it counts from when it was
 // written, as far as the members' clocks may differ.
 func (controller *Controller) applyWorkerContact(member string, record records.WorkerContact) {
 	now := clock.Now()
-	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-MaxClockSkew(controller.cfg), 0)
-	controller.workers.reports[member] = WorkerContact{record.Workers, now - age}
+	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-leader.MaxClockSkew(controller.cfg), 0)
+	controller.workers.reports[member] = leader.WorkerContact{Workers: record.Workers, ReportedAt: now - age}
 }
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -1,189 +1,61 @@
 package controller
 
 import (
-	"slices"
-
-	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/commandqueue"
+	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/server"
 	"firwood.dev/firwood/wire"
 )
 
-// HandleHeartbeat takes a worker's heartbeat and replies to it, which renews its lease.
-func (term *leaderTerm) HandleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
-	now := clock.Now()
-	if term.deferIfConstrained(heartbeat, reply, now) {
-		return
-	}
-	commands := []wire.Command{}
-	if machine := term.tracker.Machines[heartbeat.MachineID]; machine == nil {
-		term.noteUnknownMachine(heartbeat.MachineID, now)
-	} else {
-		result := term.recordHeartbeat(machine, heartbeat, now)
-		if result == allocation.HeartbeatFenced {
-			term.environment.Log.Info("deposed: a worker reported a higher fencing token", "machine", heartbeat.MachineID, "token", heartbeat.FencingToken, "own_token", term.tracker.FencingToken())
-			replyUnavailable(reply, "deposed")
-			term.host.HandleFenced(term.token)
-			return
-		}
-		if due := term.commandsAfter(result, machine, now); due != nil {
-			commands = due
-		}
-	}
-	body, err := wire.HeartbeatResponse{FencingToken: term.tracker.FencingToken(), Commands: commands}.MarshalJSON()
-	if err != nil {
-		replyUnavailable(reply, "cannot be encoded")
-		return
-	}
-	reply.SendBefore(200, body, 0, term.replyDeadline(commands))
-}
-
-// noteUnknownMachine records that a machine exists that no record names, unless this leader
-// has deleted it.
-func (term *leaderTerm) noteUnknownMachine(name string, now clock.Micros) {
-	if _, isDeleted := term.deletions.deletedAt[name]; isDeleted {
-		return
-	}
-	if _, isKnown := term.listing.unknownSince[name]; !isKnown {
-		term.listing.unknownSince[name] = now
-	}
-}
-
-// recordHeartbeat has the allocation table take a heartbeat, and the scheduler the time
-// that a machine of this term took to boot.
-func (term *leaderTerm) recordHeartbeat(machine *allocation.Machine, heartbeat *wire.Heartbeat, now clock.Micros) allocation.HeartbeatResult {
-	term.tracker.RecordLeaseRenewal(machine, now)
-	wasBooting := machine.FirstHeartbeatAt == 0
-	result := term.tracker.RecordHeartbeat(machine, heartbeat, now)
-	if result == allocation.HeartbeatAccepted && wasBooting && machine.CreatedAt > term.liveness.startedAt {
-		term.scheduler.ObserveBoot(machine.Type, now-machine.CreatedAt)
-	}
-	return result
-}
-
-// commandsAfter is what the reply to an accepted heartbeat commands; a repeated or older one
-// gets none.
-func (term *leaderTerm) commandsAfter(result allocation.HeartbeatResult, machine *allocation.Machine, now clock.Micros) []wire.Command {
-	if result != allocation.HeartbeatAccepted {
-		return nil
-	}
-	term.processTaskEvents(now)
-	commands := term.tracker.HeartbeatCommands(machine, now)
-	term.requestPlan()
-	return commands
-}
-
-// replyDeadline is the latest instant at which the reply to a heartbeat may be sent, since
-// it renews the worker's lease and may start tasks.
-func (term *leaderTerm) replyDeadline(commands []wire.Command) clock.Micros {
-	until := min(term.mayActUntil(), term.entitlement.viewAge.RenewLeasesUntil())
-	if slices.ContainsFunc(commands, func(command wire.Command) bool { return command.Action == wire.ActionStart }) {
-		until = min(until, term.mayStartUntil())
-	}
-	return until
-}
-
-// processTaskEvents takes the tasks that heartbeats have shown as started or exited.
-func (term *leaderTerm) processTaskEvents(now clock.Micros) {
-	for _, placement := range term.tracker.Started {
-		term.handleTaskStart(placement, now)
-	}
-	term.tracker.Started = term.tracker.Started[:0]
-	for _, exit := range term.tracker.Exited {
-		term.handleTaskExit(exit, now)
-	}
-	term.tracker.Exited = term.tracker.Exited[:0]
-}
-
-func (term *leaderTerm) handleTaskStart(placement *allocation.Placement, now clock.Micros) {
-	job := placement.Job
-	term.environment.Log.Debug("task started", "job", job.Spec.ID, "task", placement.TaskIndex, "class", job.Spec.Class, "machine", placement.Machine.Name,
-		"waited_s", (clock.WallTime() - job.ReleasedAt).Seconds(), "placed_s", (now - placement.CreatedAt).Seconds())
-	if job.FirstStartAt != 0 {
-		return
-	}
-	job.FirstStartAt = now
-	if jobInfo := term.jobs[job.Spec.ID]; jobInfo != nil && jobInfo.firstStartAt == 0 {
-		jobInfo.firstStartAt = int64(clock.WallTime())
-	}
-}
-
 const (
-	// maxFailureDoublings bounds the backoff of a task that fails: it is 1 s at first, twice
-	// as long after each failure, and at most 32 s.
-	maxFailureDoublings = 5
-	// minFailedMachines is on how many machines a job has to fail, with no task done, for
-	// the job to be at fault.
-	minFailedMachines = 3
-	// rejectedRetryDelay is how long a task waits that a worker would not start.
-	rejectedRetryDelay = clock.Second
+	// leaderAdviceWindow is for how long after its last heartbeat a leader is named to workers,
+	// lockAdviceWindow for how long after the store's last answer the lock's holder is.
+	leaderAdviceWindow = 3 * leader.HeartbeatInterval
+	lockAdviceWindow   = 12 * clock.Second
 )
 
-func (term *leaderTerm) handleTaskExit(exit allocation.ExitEvent, now clock.Micros) {
-	placement, job := exit.Placement, exit.Placement.Job
-	if exit.Cause != wire.ExitDone && !job.Cancelled {
-		term.environment.Log.Debug("task exited", "job", job.Spec.ID, "task", placement.TaskIndex, "class", job.Spec.Class, "machine", placement.Machine.Name, "reason", exit.Cause,
-			"stop_requested", placement.IsStopping(), "saved", placement.ProgressSaved, "state", placement.ReportedState, "placed_s", (now - placement.CreatedAt).Seconds())
-	}
-	switch exit.Cause {
-	case wire.ExitDone:
-		term.observeCompletedRun(placement, now)
-	case wire.ExitError:
-		term.handleTaskFailure(placement, now)
-	case allocation.CauseVanished:
-		if !job.Cancelled {
-			job.RestartCount++
-		}
-	case wire.ExitNoResources, wire.ExitAttemptConflict, wire.ExitUnknownTask:
-		job.Tasks[placement.TaskIndex].RetryAt = now + rejectedRetryDelay
+// HandleHeartbeat replies to a worker's heartbeat: with commands as leader, without any as
+// delegate, else with a redirect. It may be called on any goroutine.
+func (controller *Controller) HandleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
+	if !controller.commands.Post(commandqueue.Heartbeat, func() { controller.handleWorkerHeartbeat(heartbeat, reply) }) {
+		replyUnavailable(reply, reasonOverloaded)
 	}
-	term.requestPlan()
 }
 
-// hasFullRun tells whether this leader has seen the whole run of a task, from its beginning
-// and not from a checkpoint, so that its duration says something of the class.
-func hasFullRun(placement *allocation.Placement) bool {
-	job := placement.Job
-	wasSeen := placement.RunningAt != 0 && !placement.Adopted
-	isResumedTask := job.Tasks[placement.TaskIndex].CheckpointedSeconds != 0
-	isResumedGang := job.IsGang() && job.CheckpointedSeconds > 0
-	return wasSeen && !job.IsService() && !isResumedTask && !isResumedGang
+func (controller *Controller) handleWorkerHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
+	controller.workers.contactAt[heartbeat.MachineID] = clock.Now()
+	switch {
+	case controller.term != nil && controller.isEntitled():
+		controller.term.HandleHeartbeat(heartbeat, reply)
+	case controller.replyAsDelegate(heartbeat, reply, clock.Now()):
+	default:
+		controller.replyRedirect(reply)
+	}
 }
 
-// observeCompletedRun has the scheduler learn from the duration of a task's run, and of the
-// job's once all its tasks are done.
-func (term *leaderTerm) observeCompletedRun(placement *allocation.Placement, now clock.Micros) {
-	if !hasFullRun(placement) {
-		return
-	}
-	job := placement.Job
-	runSeconds := (now - placement.RunningAt).Seconds()
-	term.scheduler.ObserveTaskRun(job, runSeconds, now)
-	if jobInfo := term.jobs[job.Spec.ID]; jobInfo != nil {
-		jobInfo.observedRuns++
-		jobInfo.observedRunSeconds += runSeconds
-		if job.IsComplete() && !jobInfo.isJobRunObserved {
-			jobInfo.isJobRunObserved = true
-			term.scheduler.ObserveJobRun(job, jobInfo.observedRunSeconds/float64(jobInfo.observedRuns), now)
-		}
+// replyRedirect sends a worker to the leader, or to try the other members if none is named.
+func (controller *Controller) replyRedirect(reply *server.Reply) {
+	body, err := wire.Redirect{Member: controller.leaderForWorkers(clock.Now())}.MarshalJSON()
+	if err != nil {
+		body = []byte("{}")
 	}
-	term.environment.Log.Debug("task done", "job", job.Spec.ID, "task", placement.TaskIndex, "machine", placement.Machine.Name, "run_s", runSeconds, "estimate_s", job.Spec.EstimatedRunSeconds)
+	reply.Send(421, body, 0)
 }
 
-// handleTaskFailure delays the next attempt of a task that failed. A faulty machine fails
-// many jobs, a faulty job fails everywhere: a job that fails on several machines without
-// any task done is retried more slowly, and no machine is blamed for it.
-func (term *leaderTerm) handleTaskFailure(placement *allocation.Placement, now clock.Micros) {
-	job := placement.Job
-	task := &job.Tasks[placement.TaskIndex]
-	backoff := clock.Second << min(int(task.FailureCount), maxFailureDoublings)
-	if len(job.FailuresByMachine) >= minFailedMachines && job.DoneCount() == 0 {
-		backoff = 2 * backoff
-		for _, machine := range term.tracker.Machines {
-			delete(machine.FailedJobs, job.Spec.ID)
-		}
+// leaderForWorkers is the leader that workers are redirected to, "" if none is known well
+// enough. A member that reaches neither the leader nor the store names nobody. Added after one
+// sent its workers to a leader that was down, whose successor in their lists it was itself, and
+// they went back and forth between the two for minutes while another one led.
+func (controller *Controller) leaderForWorkers(now clock.Micros) string {
+	known := controller.knownLeader()
+	if known == controller.cfg.Member {
+		return ""
+	}
+	received := controller.members.heartbeats[known]
+	isReachable := received != nil && now-received.ReceivedAt < leaderAdviceWindow
+	if !isReachable && now-controller.store.LastSuccessAt() >= lockAdviceWindow {
+		return ""
 	}
-	task.RetryAt = now + backoff
-	term.environment.Log.Info("task failed", "job", job.Spec.ID, "task", placement.TaskIndex, "machine", placement.Machine.Name, "failures", task.FailureCount, "backoff_s", backoff.Seconds())
-	term.recordTaskFailure(placement.Machine, now)
+	return known
 }
--- a/internal/controller/adopted_tasks_test.go
+++ b/internal/leader/adopted_tasks_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"math"
@@ -20,7 +20,7 @@
 		ID: "req-000001", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Team: "t", TaskCount: 2, CPUs: 1, EstimatedRunSeconds: 100,
 	}}}
 	term.environment.View.Progress["req-000001"] = map[int]storeview.ProgressPart{0: {}}
-	term = controllerOf(term).newTerm(10, clock.Now())
+	term = ownerOf(term).newTerm(10, clock.Now())
 	job, machine := term.tracker.Jobs["req-000001"], term.tracker.Machines["i-1"]
 	now := term.liveness.startedAt + clock.Second
 	seq := uint64(0)
--- a/internal/controller/archive.go
+++ b/internal/leader/archive.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"strings"
@@ -25,7 +25,7 @@
 // knows no archive can take over. A record is moved in one transaction, so it is always in
 // exactly one of the two places, and a submission requires its absence from both.
 type archiver struct {
-	term          *leaderTerm
+	term          *Term
 	afterKey      string // the last key that was read in this pass
 	nextAt        clock.Micros
 	isReading     bool
--- a/internal/controller/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -1,7 +1,8 @@
-package controller
+package leader
 
 import (
 	"fmt"
+	"runtime"
 	"testing"
 
 	"firwood.dev/firwood/internal/clock"
@@ -14,9 +15,9 @@
 
 // addFleetRecords are the records of so many machines, each with eight tasks of arrays, in
 // a view, and the reports that the machines send.
-func addFleetRecords(controller *Controller, machines int) []*wire.Heartbeat {
+func addFleetRecords(owner *testOwner, machines int) []*wire.Heartbeat {
 	const tasks, jobTasks = 8, 96
-	scaleOut := controller.view.ScaleOuts["h"]
+	scaleOut := owner.View.ScaleOuts["h"]
 	var heartbeats []*wire.Heartbeat
 	for i := range machines {
 		name := fmt.Sprintf("i-%06d", i)
@@ -31,19 +32,19 @@
 	}
 	for i := range machines*tasks/jobTasks + 1 {
 		id := fmt.Sprintf("req-%06d", i)
-		controller.view.Jobs[id] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
+		owner.View.Jobs[id] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 			TaskCount: jobTasks, CPUs: 2, MemoryGB: 4, EstimatedRunSeconds: 40, Image: fmt.Sprint("image-", i%20),
 		}}}
-		controller.view.Progress[id] = map[int]storeview.ProgressPart{0: {}}
+		owner.View.Progress[id] = map[int]storeview.ProgressPart{0: {}}
 	}
 	return heartbeats
 }
 
 // failOverFleet has a new leader rebuild the account and take every machine's report.
-func failOverFleet(b *testing.B, controller *Controller, heartbeats []*wire.Heartbeat) *leaderTerm {
+func failOverFleet(b *testing.B, owner *testOwner, heartbeats []*wire.Heartbeat) *Term {
 	b.Helper()
-	term := controller.newTerm(10, clock.Now())
+	term := owner.newTerm(10, clock.Now())
 	term.entitlement.actDeadline.Store(1 << 62)
 	for _, heartbeat := range heartbeats {
 		term.HandleHeartbeat(heartbeat, &server.Reply{})
@@ -64,11 +65,11 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
-				controller := controllerOf(newTestTerm(b))
-				reports := addFleetRecords(controller, machines)
+				owner := ownerOf(newTestTerm(b))
+				reports := addFleetRecords(owner, machines)
 				b.StartTimer()
-				term := failOverFleet(b, controller, reports)
-				term.runScheduler(clock.Now())
+				term := failOverFleet(b, owner, reports)
+				term.Plan(clock.Now())
 			}
 		})
 	}
@@ -80,10 +81,9 @@
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			before := heapInUse()
-			controller := controllerOf(newTestTerm(b))
-			reports := addFleetRecords(controller, machines)
-			term := failOverFleet(b, controller, reports)
-			controller.term = term
+			owner := ownerOf(newTestTerm(b))
+			reports := addFleetRecords(owner, machines)
+			term := failOverFleet(b, owner, reports)
 			heldBytes := heapInUse() - before
 			startedAt := clock.Now()
 			handled := 0
@@ -110,3 +110,13 @@
 		})
 	}
 }
+
+// heapInUse is how many bytes are held once what nobody holds is gone.
+func heapInUse() float64 {
+	for range 3 {
+		runtime.GC() // the first ones leave what has a finalizer
+	}
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
+}
--- a/internal/controller/cancelled_jobs.go
+++ b/internal/leader/cancelled_jobs.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/allocation"
@@ -9,7 +9,7 @@
 
 // cancelledJobShrinker takes the submission out of the records of cancelled jobs. A record that
 // has it tells a new leader that tasks of the job may be on machines.
-type cancelledJobShrinker struct{ term *leaderTerm }
+type cancelledJobShrinker struct{ term *Term }
 
 // shrinkIfVacated shrinks the record of a cancelled job once none of its tasks can be on a
 // machine. Unlike other writes of a job's record this one depends on the lock alone, not on the
--- a/internal/controller/cleanup.go
+++ b/internal/leader/cleanup.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"maps"
@@ -32,7 +32,7 @@
 // spare. Every write is conditional on the lock and on the record of the ended job, so neither a
 // former leader nor a write that is executed late removes anything of a job that has not ended.
 type cleaner struct {
-	term        *leaderTerm
+	term        *Term
 	nextSweepAt clock.Micros
 	// impliedCancellations are jobs that were cancelled with another one, and whose own records
 	// don't say so yet.
--- a/internal/controller/cleanup_test.go
+++ b/internal/leader/cleanup_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"encoding/json"
@@ -19,7 +19,7 @@
 var cleanupLimits = config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4}
 
 // putAndSync writes keys as another member would, and waits until the view has them.
-func putAndSync(t *testing.T, controller *Controller, values map[string]any) {
+func putAndSync(t *testing.T, owner *testOwner, values map[string]any) {
 	t.Helper()
 	for key, value := range values {
 		encoded, err := json.Marshal(value)
@@ -27,17 +27,17 @@
 			t.Fatal(err)
 		}
 		done := false
-		controller.store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: key, Value: encoded}}, Done: func(outcome kvstore.Outcome, _ uint64) {
+		owner.Store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: key, Value: encoded}}, Done: func(outcome kvstore.Outcome, _ uint64) {
 			if outcome != kvstore.Committed {
 				t.Errorf("%s is not stored: %v", key, outcome)
 			}
-			controller.postResult(func() { done = true })
+			owner.PostResult(func() { done = true })
 		}})
-		runUntil(t, controller, func() bool { return done })
+		runUntil(t, owner, func() bool { return done })
 	}
 	synced := false
-	controller.view.RequestSync(func(error) { synced = true }, clock.Now()+10*clock.Second)
-	runUntil(t, controller, func() bool { return synced })
+	owner.View.RequestSync(func(error) { synced = true }, clock.Now()+10*clock.Second)
+	runUntil(t, owner, func() bool { return synced })
 }
 
 func dependencyAndProgressKeys(fakeStore *fake.Store) []string {
@@ -69,10 +69,10 @@
 	values[records.ProgressKey("req-000003", 0)] = records.Progress{}
 	values[records.ProgressKey("req-000004", 0)] = records.Progress{}
 	values[records.DependenciesKey("req-000003", 0)] = records.Dependencies{DependsOn: []string{"req-000002"}}
-	putAndSync(t, controllerOf(term), values)
+	putAndSync(t, ownerOf(term), values)
 
 	now := clock.Now()
-	runUntil(t, controllerOf(term), func() bool {
+	runUntil(t, ownerOf(term), func() bool {
 		now += 2 * sweepInterval
 		term.persistence.cleanup.tick(now)
 		return slices.Equal(dependencyAndProgressKeys(fakeStore), stays)
@@ -81,7 +81,7 @@
 		now += 2 * sweepInterval
 		term.persistence.cleanup.tick(now)
 		idle := 0
-		runUntil(t, controllerOf(term), func() bool { idle++; return idle > 50 })
+		runUntil(t, ownerOf(term), func() bool { idle++; return idle > 50 })
 	}
 	if got := dependencyAndProgressKeys(fakeStore); !slices.Equal(got, stays) {
 		t.Errorf("left are %v", got)
@@ -98,11 +98,11 @@
 func TestStaleCleanupDeletesNothing(t *testing.T) {
 	fakeStore, term := newTermOnStore(t, cleanupLimits)
 	const id = "req-000001"
-	putAndSync(t, controllerOf(term), map[string]any{
+	putAndSync(t, ownerOf(term), map[string]any{
 		records.JobKey(id): records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2}, records.ProgressKey(id, 1): records.Progress{},
 	})
 	before := len(fakeStore.Transactions())
-	runUntil(t, controllerOf(term), func() bool {
+	runUntil(t, ownerOf(term), func() bool {
 		term.persistence.cleanup.tick(clock.Now() + 2*sweepInterval)
 		return len(dependencyAndProgressKeys(fakeStore)) == 0
 	})
@@ -110,8 +110,8 @@
 	if len(cleanUps) != 1 || len(cleanUps[0].Conditions) != 2 {
 		t.Fatalf("cleaned up by %+v", cleanUps)
 	}
-	startNewTerm(t, controllerOf(term))
-	putAndSync(t, controllerOf(term), map[string]any{records.ProgressKey(id, 1): records.Progress{}})
+	startNewTerm(t, ownerOf(term))
+	putAndSync(t, ownerOf(term), map[string]any{records.ProgressKey(id, 1): records.Progress{}})
 	fakeStore.ReapplyTransaction(cleanUps[0])
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a former leader's clean-up is carried out")
@@ -121,10 +121,10 @@
 	own.Conditions = slices.Clone(own.Conditions)
 	for i := range own.Conditions {
 		if own.Conditions[i].Key == records.LockKey {
-			own.Conditions[i].Version = controllerOf(term).term.token
+			own.Conditions[i].Version = ownerOf(term).term.token
 		}
 	}
-	putAndSync(t, controllerOf(term), map[string]any{records.JobKey(id): records.Job{SubmittedAt: 2, Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
+	putAndSync(t, ownerOf(term), map[string]any{records.JobKey(id): records.Job{SubmittedAt: 2, Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
 	fakeStore.ReapplyTransaction(own)
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a late clean-up removes what belongs to a record that came after it")
@@ -135,17 +135,17 @@
 // writes. Added after submissions were refused until all of them were written.
 func TestImpliedCancellationsLeaveRoomForSubmissions(t *testing.T) {
 	fakeStore, term := newTermOnStore(t, config.StoreLimits{RPS: 1000, WriteRPS: 400, MaxValueKB: 8, MaxTransactionOps: 24})
-	controller := controllerOf(term)
+	owner := ownerOf(term)
 	const jobs = 3000
-	root := newJobRecord("req-000000", wire.PriorityLow, clock.WallTime().Seconds(), 0)
-	controller.view.SetJob("req-000000", root)
+	root := newJobRecord("req-000000")
+	owner.View.SetJob("req-000000", root)
 	for i := 1; i <= jobs; i++ {
 		id := fmt.Sprintf("req-%06d", i)
-		controller.view.SetJob(id, newJobRecord(id, wire.PriorityLow, clock.WallTime().Seconds(), 0, "req-000000"))
+		owner.View.SetJob(id, newJobRecord(id, "req-000000"))
 	}
 	end := storeview.NewEndedJob(root, wire.JobCancelled, clock.WallTime())
 	end.Version = 2
-	controller.view.SetJob("req-000000", end)
+	owner.View.SetJob("req-000000", end)
 	if got := len(term.persistence.cleanup.impliedCancellations); got != jobs {
 		t.Fatalf("%d of %d ends are to be written", got, jobs)
 	}
@@ -154,17 +154,17 @@
 		t.Fatalf("%d writes are under way", term.persistence.cleanup.inFlight)
 	}
 	accepted := false
-	ok := controller.store.Commit(&kvstore.Write{
+	ok := owner.Store.Commit(&kvstore.Write{
 		Conditions: []wire.Condition{{Key: records.JobKey("req-009999")}}, Changes: []wire.Change{{PutKey: records.JobKey("req-009999"), Value: []byte(`{"at":1}`)}},
-		Deadline: clock.Now() + submitTimeout,
+		Deadline: clock.Now() + 5*clock.Second/2,
 		Done: func(outcome kvstore.Outcome, _ uint64) {
-			controller.postResult(func() { accepted = outcome == kvstore.Committed })
+			owner.PostResult(func() { accepted = outcome == kvstore.Committed })
 		},
 	})
 	if !ok {
 		t.Fatal("a submission is refused")
 	}
-	runUntil(t, controller, func() bool { term.persistence.cleanup.tick(clock.Now()); return accepted })
+	runUntil(t, owner, func() bool { term.persistence.cleanup.tick(clock.Now()); return accepted })
 	if fakeStore.Value(records.JobKey("req-009999")) == "" {
 		t.Error("the submission is not stored")
 	}
@@ -180,7 +180,7 @@
 	before := records.Bitmap{}
 	before.Set(5)
 	before.Set(32000)
-	putAndSync(t, controllerOf(term), map[string]any{
+	putAndSync(t, ownerOf(term), map[string]any{
 		records.JobKey(id):         records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
 		records.ProgressKey(id, 0): records.Progress{Bits: before.Encode()}, // by the version before
 	})
@@ -196,14 +196,14 @@
 	if term.tracker.RecordHeartbeat(machine, heartbeat, clock.Now()) != allocation.HeartbeatAccepted {
 		t.Fatal("report not taken")
 	}
-	runUntil(t, controllerOf(term), func() bool {
+	runUntil(t, ownerOf(term), func() bool {
 		term.persistJobs(clock.Now() + clock.Second)
 		return len(job.UnpersistedCompletions()) == 0
 	})
 	if tooLarge := fakeStore.OversizedCount(); tooLarge != 0 {
 		t.Errorf("%d transactions are refused for their size", tooLarge)
 	}
-	term = startNewTerm(t, controllerOf(term))
+	term = startNewTerm(t, ownerOf(term))
 	job = term.tracker.Jobs[id]
 	for _, i := range append(done, 5, 32000) {
 		if job.Tasks[i].State != allocation.TaskDone {
@@ -243,7 +243,7 @@
 	heartbeat.MachineID = "i-2"
 	term.tracker.RecordHeartbeat(machine, heartbeat, clock.Now())
 	sweepAt := clock.Now()
-	runUntil(t, controllerOf(term), func() bool {
+	runUntil(t, ownerOf(term), func() bool {
 		term.persistJobs(clock.Now() + clock.Second)
 		sweepAt += sweepInterval
 		term.persistence.cleanup.tick(sweepAt)
@@ -258,3 +258,10 @@
 type productionProgress struct {
 	Bits string `json:"b"`
 }
+
+// newJobRecord makes the record of a job of one task that was submitted just now.
+func newJobRecord(id string, dependencies ...string) *storeview.Job {
+	return &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
+		ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1, Priority: wire.PriorityLow, EstimatedRunSeconds: 10, DependsOn: dependencies,
+	}}, Version: 1}
+}
--- a/internal/controller/command_requests.go
+++ b/internal/leader/command_requests.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"errors"
@@ -21,7 +21,7 @@
 
 // sendCommandRequests sends starts and stops straight to the workers, in place of waiting
 // for their next heartbeats.
-func (term *leaderTerm) sendCommandRequests(now clock.Micros) {
+func (term *Term) sendCommandRequests(now clock.Micros) {
 	term.tracker.ProcessDispatchQueue(func(machine *allocation.Machine) (isDeferred bool) {
 		machineInfo := term.machines[machine.Name]
 		if machineInfo == nil || machineInfo.isDeleting {
@@ -37,14 +37,14 @@
 
 // isCommandBlocked tells whether a machine's commands have to wait. In a zone with a renewal
 // constraint nothing is started: a later leader would assume its leases to have ended.
-func (term *leaderTerm) isCommandBlocked(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
+func (term *Term) isCommandBlocked(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
 	isSuspected := now-machine.LastHeartbeatAt > term.environment.Timing.SuspectTimeout
 	return term.renewals.constraints.MayConstrainZone(machine.Zone) || now < machineInfo.commandsBlockedUntil || isSuspected ||
 		term.commandRequestsInFlight >= term.environment.WorkerRequests.MaxInFlight
 }
 
 // sendCommandRequest sends what is due to one machine.
-func (term *leaderTerm) sendCommandRequest(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
+func (term *Term) sendCommandRequest(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
 	message, starts := term.tracker.BuildCommandRequest(machine, now)
 	if message == nil {
 		return
@@ -91,7 +91,7 @@
 }
 
 // handleCommandResponse takes what became of a command request.
-func (term *leaderTerm) handleCommandResponse(machine *allocation.Machine, machineInfo *machineState, starts []*allocation.Placement, result allocation.CommandResult, heartbeat *wire.Heartbeat) {
+func (term *Term) handleCommandResponse(machine *allocation.Machine, machineInfo *machineState, starts []*allocation.Placement, result allocation.CommandResult, heartbeat *wire.Heartbeat) {
 	now := clock.Now()
 	if term.tracker.Machines[machine.Name] != machine {
 		return
--- a/internal/controller/commit.go
+++ b/internal/leader/commit.go
@@ -1,8 +1,9 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/rateshare"
 )
 
 const (
@@ -54,19 +55,19 @@
 
 // commitHandled commits a write that is bound to the leader lock, and calls the handler of its
 // outcome.
-func (term *leaderTerm) commitHandled(write *kvstore.Write, handlers outcomeHandlers) {
+func (term *Term) commitHandled(write *kvstore.Write, handlers outcomeHandlers) {
 	term.commitWithRevision(write, handlers.handle)
 }
 
 // commit commits a write that is bound to the leader lock, and passes its outcome on.
-func (term *leaderTerm) commit(write *kvstore.Write, done func(kvstore.Outcome)) {
+func (term *Term) commit(write *kvstore.Write, done func(kvstore.Outcome)) {
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, _ uint64) { done(outcome) })
 }
 
 // commitWithRevision does what commit does, for callers that need the revision of the write.
 // done is called on the owner's goroutine, and not at all once the term is closed. It is called
 // before this method returns if the queue of writes is full.
-func (term *leaderTerm) commitWithRevision(write *kvstore.Write, done func(kvstore.Outcome, uint64)) {
+func (term *Term) commitWithRevision(write *kvstore.Write, done func(kvstore.Outcome, uint64)) {
 	write.FencingToken = term.token
 	write.Deadline = clock.Now() + writeTimeout
 	write.Done = func(outcome kvstore.Outcome, revision uint64) {
@@ -90,7 +91,7 @@
 // hold: it waits until the view is newer than the write's answer, and then calls resume, which
 // reads back from the view what is there. resume is also called when the view could not be
 // brought up to date in time, but not once the term is closed.
-func (term *leaderTerm) afterSync(resume func()) func() {
+func (term *Term) afterSync(resume func()) func() {
 	return func() {
 		term.environment.View.RequestSync(func(error) {
 			if !term.isClosed {
@@ -101,6 +102,9 @@
 }
 
 // maxTransactionOps is how many changes one transaction takes.
-func (term *leaderTerm) maxTransactionOps() int {
+func (term *Term) maxTransactionOps() int {
 	return term.environment.Config.Deployment.Store.Effective().MaxTransactionOps
 }
+
+// backlogThreshold is how long the leader's waiting writes take from which it has a backlog.
+const backlogThreshold = rateshare.BacklogThreshold
--- a/internal/controller/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"slices"
@@ -38,7 +38,7 @@
 func TestNothingResumesInClosedTerm(t *testing.T) {
 	for _, isClosed := range []bool{false, true} {
 		term := newTestTerm(t)
-		controller := controllerOf(term)
+		owner := ownerOf(term)
 		synced, ran := 0, 0
 		term.afterSync(func() { synced++ })()
 		term.background(func() func() { return func() { ran++ } })
@@ -47,7 +47,7 @@
 		}
 		posted := 0
 		for deadline := time.Now().Add(10 * time.Second); posted == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-			for _, command := range controller.commands.TakeBatch() {
+			for _, command := range owner.commands.TakeBatch() {
 				command()
 				posted++
 			}
@@ -55,7 +55,7 @@
 		if posted == 0 {
 			t.Fatal("the result of background work is not posted")
 		}
-		controller.view.ExpireWaiters(clock.Now() + 2*verifyTimeout)
+		owner.View.ExpireWaiters(clock.Now() + 2*verifyTimeout)
 		want := 1
 		if isClosed {
 			want = 0
--- a/internal/controller/constraints.go
+++ b/internal/leader/constraints.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"maps"
@@ -16,14 +16,6 @@
 // A leader records in the store in which zones it renews no leases, and which members get
 // no grants, so that its successor can bound the leases there. See delegation.Constraints.
 
-// applyConstraints takes newer renewal constraints from the view.
-func (controller *Controller) applyConstraints(constraints delegation.Constraints, version uint64) {
-	controller.delegation.unconfirmedConstraints = nil
-	if controller.term != nil {
-		controller.term.ObserveConstraints(constraints, version)
-	}
-}
-
 // MaxClockSkew bounds the difference between two members' times of day.
 func MaxClockSkew(cfg *config.Platform) clock.Micros {
 	return 2 * clock.FromSeconds(cfg.Deployment.ClockErrorMillis/1000)
@@ -31,12 +23,12 @@
 
 // latestSteadyInstant converts a time of day noted by some member to this process's steady
 // clock, rounded up by the clock error.
-func (term *leaderTerm) latestSteadyInstant(now, wall clock.Micros) clock.Micros {
+func (term *Term) latestSteadyInstant(now, wall clock.Micros) clock.Micros {
 	return now - (clock.WallTime() - wall) + MaxClockSkew(term.environment.Config)
 }
 
 // adoptConstraints bounds the machines' leases by the constraints of earlier leaders.
-func (term *leaderTerm) adoptConstraints(now clock.Micros) {
+func (term *Term) adoptConstraints(now clock.Micros) {
 	constraints := term.renewals.constraints.Confirmed()
 	for _, machine := range term.tracker.Machines {
 		if zone, ok := constraints.Zones[machine.Zone]; ok {
@@ -49,7 +41,7 @@
 }
 
 // updateRenewalBounds sets until when other members may have renewed leases as delegates.
-func (term *leaderTerm) updateRenewalBounds(now clock.Micros) {
+func (term *Term) updateRenewalBounds(now clock.Micros) {
 	constraints := term.renewals.constraints.Confirmed()
 	renewalsUntil := map[string]clock.Micros{}
 	for zone, constraint := range constraints.Zones {
@@ -58,14 +50,11 @@
 	term.tracker.SetDelegatedUntil(term.renewals.grants.LatestRenewal(now), renewalsUntil)
 }
 
-// memberTimeout is after how long without a heartbeat a member counts as unreachable.
-const memberTimeout = 3 * heartbeatInterval
-
 // updateConstraints constrains zones without reachable machines and unreachable members, and
 // lifts the constraints of those that are reachable again. From the write on a constrained
 // zone gets no replies and a constrained member no grants, so that a new leader, which has
 // reached neither, can bound the leases there.
-func (term *leaderTerm) updateConstraints(now clock.Micros) {
+func (term *Term) updateConstraints(now clock.Micros) {
 	current := term.renewals.constraints.Confirmed()
 	updated := delegation.Constraints{Zones: term.zoneConstraints(current, now), MemberGrantUntil: term.memberConstraints(current, now)}
 	if !updated.Equal(current) || !term.renewals.constraints.IsConfirmed() {
@@ -79,7 +68,7 @@
 // zoneConstraints are the constraints that zones should have: those they have, but for zones
 // being lifted, and new ones for zones without reachable machines. This member is among
 // those that know of each.
-func (term *leaderTerm) zoneConstraints(current delegation.Constraints, now clock.Micros) map[string]delegation.ZoneConstraint {
+func (term *Term) zoneConstraints(current delegation.Constraints, now clock.Micros) map[string]delegation.ZoneConstraint {
 	member := term.environment.Config.Member
 	constraints := map[string]delegation.ZoneConstraint{}
 	for zone, status := range term.zoneStatuses(now) {
@@ -102,18 +91,18 @@
 
 // memberConstraints is, for each unreachable member, until when (as a time of day) it may
 // renew leases with the grants it has.
-func (term *leaderTerm) memberConstraints(current delegation.Constraints, now clock.Micros) map[string]clock.Micros {
+func (term *Term) memberConstraints(current delegation.Constraints, now clock.Micros) map[string]clock.Micros {
 	grantUntil := map[string]clock.Micros{}
 	if term.environment.Delegation.GrantTTL == 0 {
 		return grantUntil
 	}
 	for _, other := range term.environment.Config.Peers {
-		if received := term.host.Heartbeats()[other.Member]; received != nil && now-received.ReceivedAt < memberTimeout {
+		if received := term.host.Heartbeats()[other.Member]; received != nil && now-received.ReceivedAt < MemberTimeout {
 			continue
 		}
 		until, isConstrained := current.MemberGrantUntil[other.Member]
 		if !isConstrained {
-			if now-term.liveness.resumedAt < memberTimeout {
+			if now-term.liveness.resumedAt < MemberTimeout {
 				continue // it may not have had the time to send a heartbeat
 			}
 			until = wallTimeAt(term.renewals.grants.GrantUntil(other.Member), now)
@@ -131,7 +120,7 @@
 
 // zoneStatuses looks at all machines. One of this term that still boots says nothing of its
 // zone; one of an earlier term may have been up for long.
-func (term *leaderTerm) zoneStatuses(now clock.Micros) map[string]*zoneStatus {
+func (term *Term) zoneStatuses(now clock.Micros) map[string]*zoneStatus {
 	statuses := map[string]*zoneStatus{}
 	for _, machine := range term.tracker.Machines {
 		status := statuses[machine.Zone]
@@ -150,7 +139,7 @@
 
 // writeConstraints makes constraints durable. Until the outcome is known, both the old and
 // the new ones hold.
-func (term *leaderTerm) writeConstraints(constraints delegation.Constraints) {
+func (term *Term) writeConstraints(constraints delegation.Constraints) {
 	value, err := records.Constraints{Constraints: constraints}.MarshalJSON()
 	limit := int(term.environment.Config.Deployment.Store.Effective().MaxValueKB * 1024)
 	if err != nil || len(value) > limit {
@@ -187,7 +176,7 @@
 
 // handleConstraintsCommitted takes constraints that are durable, and goes on with those that
 // are to be lifted.
-func (term *leaderTerm) handleConstraintsCommitted(constraints delegation.Constraints, revision uint64) {
+func (term *Term) handleConstraintsCommitted(constraints delegation.Constraints, revision uint64) {
 	term.renewals.constraints.RecordCommit(revision)
 	term.environment.View.SetConstraints(constraints, revision)
 	term.environment.Log.Info("renewal constraints recorded", "zones", slices.Sorted(maps.Keys(constraints.Zones)), "members", slices.Sorted(maps.Keys(constraints.MemberGrantUntil)))
@@ -209,7 +198,7 @@
 
 // deferIfConstrained tells whether a heartbeat's reply has to wait: for a newer view, or until
 // the constraint of its zone is lifted, which it starts.
-func (term *leaderTerm) deferIfConstrained(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
+func (term *Term) deferIfConstrained(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if !term.entitlement.viewAge.MayRenewLeases(now) {
 		// No reply may renew its lease before the view has been read again.
 		term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, deferredHeartbeat{heartbeat, reply, now})
@@ -233,7 +222,7 @@
 
 // retryDeferred handles the deferred heartbeats whose zones are not constrained any more, and
 // refuses those that have waited for too long.
-func (term *leaderTerm) retryDeferred() {
+func (term *Term) retryDeferred() {
 	now := clock.Now()
 	deferred := term.renewals.deferredHeartbeats
 	term.renewals.deferredHeartbeats = nil
@@ -253,13 +242,3 @@
 		}
 	}
 }
-
-// mayConstrainZone tells whether this member has, or may have, recorded that it renews no
-// leases in a zone. A member that has not may still act as delegate there, since a leader
-// that reaches no machine of a zone may itself be the one that is cut off from it.
-func (controller *Controller) mayConstrainZone(zone string) bool {
-	if controller.term != nil && controller.term.MayConstrainZone(zone) || controller.delegation.unconfirmedConstraints[zone] {
-		return true
-	}
-	return slices.Contains(controller.view.Constraints.Zones[zone].KnownBy, controller.cfg.Member)
-}
--- a/internal/controller/constraints_test.go
+++ b/internal/leader/constraints_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"testing"
@@ -12,18 +12,18 @@
 
 // A new leader that finds a constrained zone counts the leases there from the last reply
 // recorded, not from its own start; it replies to no heartbeat there before the constraint
-// is lifted, and doesn't reply there as delegate after its term.
+// is lifted, and tells at its end which zones it has constrained.
 func TestNewLeaderAdoptsZoneConstraint(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
-	controller := controllerOf(term)
+	owner := ownerOf(term)
 	plain := term.tracker.LeaseEndsAt(term.tracker.Machines["i-1"])
 	ago := 20 * clock.Second
-	controller.view.Constraints = delegation.Constraints{
+	owner.View.Constraints = delegation.Constraints{
 		Zones:            map[string]delegation.ZoneConstraint{"x": {LastAnswerAt: clock.WallTime() - ago, KnownBy: []string{"a"}}},
 		MemberGrantUntil: map[string]clock.Micros{"b": clock.WallTime() - ago},
 	}
-	controller.view.ConstraintsVersion = 8
-	term = controller.newTerm(10, clock.Now())
+	owner.View.ConstraintsVersion = 8
+	term = owner.newTerm(10, clock.Now())
 	term.entitlement.actDeadline.Store(1 << 62)
 	machine := term.tracker.Machines["i-1"]
 	if early := plain - term.tracker.LeaseEndsAt(machine); early < ago {
@@ -39,7 +39,7 @@
 		t.Fatal("the constraint is not being lifted, or counts as lifted already")
 	}
 	term.renewals.constraints.RecordCommit(9)
-	controller.view.Constraints, controller.view.ConstraintsVersion = delegation.Constraints{}, 9
+	owner.View.Constraints, owner.View.ConstraintsVersion = delegation.Constraints{}, 9
 	term.retryDeferred()
 	if len(term.renewals.deferredHeartbeats) != 0 || machine.LastHeartbeatAt == 0 {
 		t.Fatal("the deferred heartbeat is not handled")
@@ -49,17 +49,9 @@
 	}
 	// A constraint that this member knows of outlives its term.
 	term.renewals.constraints.ObserveStored(delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"y": {KnownBy: []string{"a", "b"}}, "z": {KnownBy: []string{"b"}}}}, 20)
-	controller.delegation.unconfirmedConstraints = term.Close()
-	controller.term = nil
-	controller.view.IsLoaded = true
-	if !controller.mayConstrainZone("y") || controller.mayConstrainZone("x") {
+	if zones := term.Close(); !zones["y"] || zones["x"] {
 		t.Fatal("the constraint is forgotten with the term, or holds for another zone")
 	}
-	// A member that knows nothing of a constraint may act as delegate.
-	controller.delegation.unconfirmedConstraints, controller.view.Constraints = nil, delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"z": {KnownBy: []string{"b"}}}}
-	if controller.mayConstrainZone("z") {
-		t.Fatal("bound by a constraint that only another member knows of")
-	}
 }
 
 // A zone without reachable machines is constrained, one with a reachable machine is not, nor
--- a/internal/controller/term_interface.go
+++ b/internal/leader/controller_calls.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/allocation"
@@ -12,83 +12,83 @@
 // What the controller asks of its term, and tells it, besides heartbeats, records and ticks.
 
 // Token is the fencing token that the lock was won with.
-func (term *leaderTerm) Token() uint64 { return term.token }
+func (term *Term) Token() uint64 { return term.token }
 
 // IssuedToken is the highest fencing token that this leader has issued.
-func (term *leaderTerm) IssuedToken() uint64 { return term.tracker.IssuedToken() }
+func (term *Term) IssuedToken() uint64 { return term.tracker.IssuedToken() }
 
 // CancellationsKnownAt is the last instant before which every cancellation is in the view.
-func (term *leaderTerm) CancellationsKnownAt() clock.Micros {
+func (term *Term) CancellationsKnownAt() clock.Micros {
 	return term.renewals.cancellationsKnownAt
 }
 
 // TrackedJob returns a job as the allocation table has it, nil for one that it doesn't have.
-func (term *leaderTerm) TrackedJob(id string) *allocation.Job { return term.tracker.Jobs[id] }
+func (term *Term) TrackedJob(id string) *allocation.Job { return term.tracker.Jobs[id] }
 
 // IsTracking tells whether this leader still has to do with a job.
-func (term *leaderTerm) IsTracking(id string) bool {
+func (term *Term) IsTracking(id string) bool {
 	return term.tracker.Jobs[id] != nil || term.jobs[id] != nil
 }
 
 // AddImpliedCancellations has the end of jobs written that were cancelled with another one.
-func (term *leaderTerm) AddImpliedCancellations(ids ...string) {
+func (term *Term) AddImpliedCancellations(ids ...string) {
 	term.persistence.cleanup.addImpliedCancellations(ids...)
 }
 
 // SetMachineTypes has the scheduler plan with these machine types.
-func (term *leaderTerm) SetMachineTypes(types []wire.MachineType) {
+func (term *Term) SetMachineTypes(types []wire.MachineType) {
 	term.scheduler.SetMachineTypes(types)
 }
 
 // MayConstrainZone tells whether this leader has, or may have, recorded that it renews no
 // leases in a zone.
-func (term *leaderTerm) MayConstrainZone(zone string) bool {
+func (term *Term) MayConstrainZone(zone string) bool {
 	return term.renewals.constraints.MayConstrainZone(zone)
 }
 
 // ObserveConstraints takes newer renewal constraints from the view.
-func (term *leaderTerm) ObserveConstraints(constraints delegation.Constraints, version uint64) {
+func (term *Term) ObserveConstraints(constraints delegation.Constraints, version uint64) {
 	term.renewals.constraints.ObserveStored(constraints, version)
 }
 
 // RecordDelegatedRenewal notes that this member, as a delegate, may renew the lease of a
 // machine's worker until an instant.
-func (term *leaderTerm) RecordDelegatedRenewal(machineName string, until clock.Micros) {
+func (term *Term) RecordDelegatedRenewal(machineName string, until clock.Micros) {
 	if machine := term.tracker.Machines[machineName]; machine != nil {
 		term.tracker.RecordLeaseRenewal(machine, until)
 	}
 }
 
 // AcknowledgementFor is the timestamp of a member that extends its grant.
-func (term *leaderTerm) AcknowledgementFor(member string) delegation.Timestamp {
+func (term *Term) AcknowledgementFor(member string) delegation.Timestamp {
 	return term.renewals.acknowledgements[member]
 }
 
 // RecordReceipt takes which of this leader's timestamps a member has received, and for how long
 // it has answered no worker; see delegation.Grants.
-func (term *leaderTerm) RecordReceipt(member string, now, stampedAt, silentFor clock.Micros) {
+func (term *Term) RecordReceipt(member string, now, stampedAt, silentFor clock.Micros) {
 	term.renewals.grants.RecordReceipt(member, now, stampedAt, silentFor)
 }
 
 // AddToHeartbeat adds what a leader tells the other members to a heartbeat.
-func (term *leaderTerm) AddToHeartbeat(heartbeat *peer.Heartbeat) {
+func (term *Term) AddToHeartbeat(heartbeat *peer.Heartbeat) {
 	heartbeat.Leader, heartbeat.Token = term.environment.Config.Member, term.tracker.IssuedToken()
 	term.hints.counts.Add(heartbeat, term.tracker.Jobs)
 	term.addHints(heartbeat)
 }
 
 // ResendHints has all hints sent again, for a member that may have missed some.
-func (term *leaderTerm) ResendHints(now clock.Micros) { term.hints.images.ResendAll(now) }
+func (term *Term) ResendHints(now clock.Micros) { term.hints.images.ResendAll(now) }
 
 // ObserveStandbyRecord takes a newer record of the members in step from the view.
-func (term *leaderTerm) ObserveStandbyRecord(record standby.InSyncRecord, version uint64) {
+func (term *Term) ObserveStandbyRecord(record standby.InSyncRecord, version uint64) {
 	if term.standby != nil {
 		term.standby.inSync.ObserveRecord(record, version)
 	}
 }
 
 // RecordReplicaPosition takes how far a member's replica has come.
-func (term *leaderTerm) RecordReplicaPosition(member string, position standby.Position) {
+func (term *Term) RecordReplicaPosition(member string, position standby.Position) {
 	if term.standby != nil {
 		term.standby.publisher.RecordPosition(member, position)
 		term.tracker.RetryUnreplicatedStarts()
--- a/internal/controller/entitlement.go
+++ b/internal/leader/entitlement.go
@@ -1,28 +1,28 @@
-package controller
+package leader
 
 import "firwood.dev/firwood/internal/clock"
 
 // mayActUntil is the end of the leader's lease as known. It may be called on any goroutine,
 // right before something is sent.
-func (term *leaderTerm) mayActUntil() clock.Micros {
+func (term *Term) mayActUntil() clock.Micros {
 	return clock.Micros(term.entitlement.actDeadline.Load())
 }
 
 // RecordResume restarts all silences: no heartbeats could arrive while the process was
 // stalled, and none were replied to while it was not entitled to act.
-func (term *leaderTerm) RecordResume(now clock.Micros) {
+func (term *Term) RecordResume(now clock.Micros) {
 	term.liveness.resumedAt, term.scheduler.ResumedAt = now, now
 }
 
 // mayStartUntil is the end of the time in which tasks may be started. It may be called on
 // any goroutine.
-func (term *leaderTerm) mayStartUntil() clock.Micros {
+func (term *Term) mayStartUntil() clock.Micros {
 	return clock.Micros(term.entitlement.startDeadline.Load())
 }
 
 // updateDeadlines takes the end of the lock's lease from the election, and the bound that the
 // age of the view sets.
-func (term *leaderTerm) updateDeadlines() {
+func (term *Term) updateDeadlines() {
 	until := term.host.EntitledUntil()
 	term.entitlement.actDeadline.Store(int64(until))
 	term.entitlement.startDeadline.Store(int64(min(until, term.entitlement.viewAge.StartTasksUntil())))
@@ -32,7 +32,7 @@
 // was not, it has replied to nobody, so machines and members without heartbeats since
 // then are not suspected. Added after a leader handed over for lack of heartbeats after
 // an outage of the key-value store of 75 s.
-func (term *leaderTerm) resumeAfterLapse(now clock.Micros) {
+func (term *Term) resumeAfterLapse(now clock.Micros) {
 	if !term.entitlement.hasLapsed {
 		return
 	}
@@ -46,7 +46,7 @@
 
 // pauseStartsIfStale pauses starts while the view is too old for them, and has it read
 // again; it tells whether tasks may be started.
-func (term *leaderTerm) pauseStartsIfStale(now clock.Micros) (mayStart bool) {
+func (term *Term) pauseStartsIfStale(now clock.Micros) (mayStart bool) {
 	mayStart = term.entitlement.viewAge.MayStartTasks(now)
 	term.tracker.SetStartsPaused(!mayStart)
 	if !mayStart {
@@ -56,7 +56,7 @@
 }
 
 // refreshView has the view read again; until then it is too old to start tasks on it.
-func (term *leaderTerm) refreshView(now clock.Micros) {
+func (term *Term) refreshView(now clock.Micros) {
 	if term.entitlement.isRefreshingView {
 		return
 	}
@@ -70,12 +70,12 @@
 		default:
 			term.recordViewRead(now)
 		}
-	}, now+heartbeatInterval)
+	}, now+HeartbeatInterval)
 }
 
 // recordViewRead records that the view is as new as a read sent at an instant, and does what
 // waited for that.
-func (term *leaderTerm) recordViewRead(sentAt clock.Micros) {
+func (term *Term) recordViewRead(sentAt clock.Micros) {
 	term.entitlement.viewAge.RecordRead(sentAt)
 	term.updateDeadlines()
 	term.tracker.SetStartsPaused(!term.entitlement.viewAge.MayStartTasks(clock.Now()))
--- a/internal/controller/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"testing"
@@ -15,17 +15,17 @@
 // seconds after its take-over, what two in three of the fleet's tasks then waited for.
 func TestNewLeaderKeepsMachinesWhileTasksUnconfirmed(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
-	controller := controllerOf(term)
+	owner := ownerOf(term)
 	wall := int64(clock.WallTime())
 	for i, at := range []clock.Micros{90, 60, 30} {
 		id := []string{"req-000001", "req-000002", "req-000003"}[i]
-		controller.view.Jobs[id] = &storeview.Job{Job: records.Job{SubmittedAt: wall - int64(at*clock.Second), Spec: &wire.Job{
+		owner.View.Jobs[id] = &storeview.Job{Job: records.Job{SubmittedAt: wall - int64(at*clock.Second), Spec: &wire.Job{
 			ID: id, Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Team: "t", TaskCount: 4, CPUs: 4, EstimatedRunSeconds: 60,
 		}}}
-		controller.view.Progress[id] = map[int]storeview.ProgressPart{0: {}}
+		owner.View.Progress[id] = map[int]storeview.ProgressPart{0: {}}
 	}
-	controller.cfg.Deployment.Objectives = append(controller.cfg.Deployment.Objectives, config.Objective{Kind: "wait", Class: "c", TargetSeconds: 2})
-	term = controller.newTerm(10, clock.Now())
+	owner.Config.Deployment.Objectives = append(owner.Config.Deployment.Objectives, config.Objective{Kind: "wait", Class: "c", TargetSeconds: 2})
+	term = owner.newTerm(10, clock.Now())
 	machine := term.tracker.Machines["i-1"] // heard, and empty; the other one is not heard
 	term.tracker.RecordLeaseRenewal(machine, term.liveness.startedAt)
 	term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: 1, FencingToken: 10}, term.liveness.startedAt)
--- a/internal/controller/failover_times.go
+++ b/internal/leader/failover_times.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"fmt"
@@ -53,7 +53,7 @@
 func milliseconds(duration clock.Micros) int64 { return int64(duration / (clock.Second / 1000)) }
 
 // recordFirstDecision notes when a new leader first places a task. The failover is complete then.
-func (term *leaderTerm) recordFirstDecision(now clock.Micros) {
+func (term *Term) recordFirstDecision(now clock.Micros) {
 	times := term.environment.Failover
 	if times.firstDecisionAt != 0 || !term.tracker.HasIssuedAttempt() {
 		return
@@ -64,11 +64,3 @@
 		"first_decision_ms", status.FirstDecisionMs, "replica_used", times.isReplicaUsed, "unconfirmed", times.unconfirmed)
 	term.environment.Tracer.RecordFailover(times.Token, times.spans())
 }
-
-// traceObservedFailover traces what a follower saw of a failover: for how long there was no leader.
-func (controller *Controller) traceObservedFailover(token uint64) {
-	if controller.failover.leaderHeartbeatAt == 0 || controller.isLeading() || controller.elector.Token() == token {
-		return
-	}
-	controller.failover.tracer.RecordFailover(token, []tracing.Span{{Name: "no leader heard", StartedAt: controller.failover.leaderHeartbeatAt, EndedAt: clock.Now()}})
-}
--- a/internal/controller/faulty_machines.go
+++ b/internal/leader/faulty_machines.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/allocation"
@@ -7,7 +7,7 @@
 )
 
 // recordTaskFailure counts a task that failed on a machine. See health.Faults.
-func (term *leaderTerm) recordTaskFailure(machine *allocation.Machine, now clock.Micros) {
+func (term *Term) recordTaskFailure(machine *allocation.Machine, now clock.Micros) {
 	machineInfo := term.machines[machine.Name]
 	if machineInfo == nil {
 		return
@@ -27,7 +27,7 @@
 // isFailureWidespread tells whether tasks failed lately on many of the other machines too.
 // Added after all machines of a small fleet were drained for failures of what had been
 // started on them within five seconds.
-func (term *leaderTerm) isFailureWidespread(machine *allocation.Machine, now clock.Micros) bool {
+func (term *Term) isFailureWidespread(machine *allocation.Machine, now clock.Micros) bool {
 	failing, others := 0, 0
 	for name, machineInfo := range term.machines {
 		if other := term.tracker.Machines[name]; other == nil || other == machine || other.FirstHeartbeatAt == 0 || machineInfo.isDeleting {
@@ -42,7 +42,7 @@
 }
 
 // retryFaultyMachine gives tasks to a faulty machine again that cannot be deleted yet.
-func (term *leaderTerm) retryFaultyMachine(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
+func (term *Term) retryFaultyMachine(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
 	if !machineInfo.faults.TakeRetry(machine, now) {
 		return
 	}
--- a/internal/controller/faulty_machines_test.go
+++ b/internal/leader/faulty_machines_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 		ID: "req-000001", Class: "c", Kind: wire.KindService, Team: "t", TaskCount: 1, CPUs: 1,
 	}}}
 	term.environment.View.Progress["req-000001"] = map[int]storeview.ProgressPart{0: {}}
-	term = controllerOf(term).newTerm(10, clock.Now())
+	term = ownerOf(term).newTerm(10, clock.Now())
 	now := term.liveness.startedAt
 	for i, name := range names {
 		heartbeat := &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: 1, FencingToken: 10}
--- a/internal/controller/fleet_log.go
+++ b/internal/leader/fleet_log.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"log/slog"
@@ -37,7 +37,7 @@
 }
 
 // logFleet sums up, at debug level, which machines there are and what they do.
-func (term *leaderTerm) logFleet(now clock.Micros) {
+func (term *Term) logFleet(now clock.Micros) {
 	if now < term.pace.nextFleetLogAt {
 		return
 	}
--- a/internal/controller/grants.go
+++ b/internal/leader/grants.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"maps"
@@ -11,7 +11,7 @@
 // them, and only while no cancelled job is overdue to stop. So the tasks of a cancelled
 // job in a zone that is cut off end in time; see delegation.Config. Then is called in
 // any case.
-func (term *leaderTerm) AcknowledgeTimestamps(now clock.Micros, then func()) {
+func (term *Term) AcknowledgeTimestamps(now clock.Micros, then func()) {
 	timestamps := maps.Clone(term.host.Timestamps())
 	term.environment.View.RequestSync(func(err error) {
 		defer then()
@@ -32,11 +32,11 @@
 				term.renewals.grants.RecordAck(member, now)
 			}
 		}
-	}, now+heartbeatInterval)
+	}, now+HeartbeatInterval)
 }
 
 // isCancellationOverdue tells whether tasks of some cancelled job are left after its grace.
-func (term *leaderTerm) isCancellationOverdue() bool {
+func (term *Term) isCancellationOverdue() bool {
 	for _, job := range term.tracker.Jobs {
 		if job.Cancelled && !term.tracker.IsVacated(job) && clock.Now()-job.CancelledAt > term.environment.Delegation.CancellationGrace {
 			return true
--- a/internal/controller/handover.go
+++ b/internal/leader/handover.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/clock"
@@ -12,9 +12,12 @@
 // as one that could lead.
 const candidateWindow = 2 * clock.Second
 
+// workerContactTTL is for how long another member's report of workers that contact it counts.
+const workerContactTTL = 5 * clock.Second
+
 // handOverIfCutOff gives up leadership for a member that the workers do reach, or that can
 // read the store; it tells whether it did. See health.LeaderReach for the reasons.
-func (term *leaderTerm) handOverIfCutOff(fleet health.Reachability, now clock.Micros) bool {
+func (term *Term) handOverIfCutOff(fleet health.Reachability, now clock.Micros) bool {
 	reach := term.reach(fleet, now)
 	reason := reach.HandOverReason()
 	term.liveness.hadMostReachable = term.liveness.hadMostReachable || fleet.IsMostlyReachable()
@@ -28,7 +31,7 @@
 }
 
 // reach collects what this leader knows of its way to the machines, the store and the others.
-func (term *leaderTerm) reach(fleet health.Reachability, now clock.Micros) health.LeaderReach {
+func (term *Term) reach(fleet health.Reachability, now clock.Micros) health.LeaderReach {
 	reach := health.LeaderReach{
 		Fleet:            fleet,
 		HadMostReachable: term.liveness.hadMostReachable,
--- a/internal/controller/environment.go
+++ b/internal/leader/host.go
@@ -1,70 +1,26 @@
-package controller
+package leader
 
 import (
-	"log/slog"
-
-	"firwood.dev/firwood/internal/allocation"
-	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/cloud"
-	"firwood.dev/firwood/internal/config"
-	"firwood.dev/firwood/internal/dag"
 	"firwood.dev/firwood/internal/delegation"
-	"firwood.dev/firwood/internal/health"
-	"firwood.dev/firwood/internal/hints"
 	"firwood.dev/firwood/internal/jobreport"
-	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/peer"
-	"firwood.dev/firwood/internal/staleness"
-	"firwood.dev/firwood/internal/standby"
 	"firwood.dev/firwood/internal/storeview"
-	"firwood.dev/firwood/internal/tracing"
 	"firwood.dev/firwood/wire"
 )
 
-// Environment is what a term works with. It is shared with the controller and belongs to the
-// owner's goroutine, but for the clients, which may be used on any. A term changes nothing in it
-// but the view, the dependency graph's inputs through the view, and the failover's times.
-type Environment struct {
-	Config *config.Platform
-	Tuning *config.Tuning
-	Log    *slog.Logger
-	Settings
-
-	Store          *kvstore.Client
-	Cloud          *cloud.Client
-	WorkerRequests WorkerRequests
-
-	View  *storeview.View
-	Graph *dag.Graph // of the jobs' dependencies
-	Hints *hints.Hints
-
-	Delegate *delegation.Delegate // this member's grant from the leader before
-	Replica  *standby.Replica     // of the last leader's allocation table, nil if standby is off
-	Failover *FailoverTimes       // of the failover that this term came from
-	Tracer   *tracing.Tracer
-}
-
-// Settings are derived from the configuration once, at the start of the process.
-type Settings struct {
-	Teams       map[string]allocation.TeamQuota
-	TasksPerKey int // tasks in one progress key
-	Staleness   staleness.Bounds
-	Delegation  delegation.Config
-	Timing      health.Timing
-	LeaderTTL   clock.Micros
-}
-
-// WorkerRequests is for the requests that a leader sends to workers.
-type WorkerRequests struct {
-	Pool        *client.Pool
-	MaxInFlight int // command requests and probes under way at a time, of each
-}
+const (
+	// HeartbeatInterval is the time between two heartbeats of a member to the others.
+	HeartbeatInterval = clock.Second
+	// MemberTimeout is after how long without a heartbeat a member counts as unreachable.
+	MemberTimeout = 3 * HeartbeatInterval
+)
 
 // Host is what a term needs of the controller that it belongs to: what the controller alone can
-// do, and what it alone knows. All methods but PostResult are for the owner's goroutine.
+// do, and what it alone knows. All methods but PostResult are for the
+// controller's goroutine.
 type Host interface {
-	// PostResult queues a command for the owner's goroutine. It may be called on any goroutine.
+	// PostResult queues a command for the controller's goroutine. It may be called on any goroutine.
 	PostResult(command func())
 
 	// IsEntitled tells whether this process may act as leader now; EntitledUntil is the end of
--- a/internal/controller/job_end_writer.go
+++ b/internal/leader/job_end_writer.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/allocation"
@@ -10,7 +10,7 @@
 )
 
 // jobEndWriter makes the end of complete jobs durable. Users get it in no reply before that.
-type jobEndWriter struct{ term *leaderTerm }
+type jobEndWriter struct{ term *Term }
 
 func (writer *jobEndWriter) write(id string, job *allocation.Job, jobInfo *jobState) {
 	term := writer.term
--- a/internal/controller/job_persistence.go
+++ b/internal/leader/job_persistence.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"maps"
@@ -21,7 +21,7 @@
 	archive   archiver
 }
 
-func newPersistence(term *leaderTerm) persistence {
+func newPersistence(term *Term) persistence {
 	return persistence{
 		progress: progressWriter{term: term}, jobEnds: jobEndWriter{term: term}, cancelled: cancelledJobShrinker{term: term},
 		cleanup: cleaner{term: term}, archive: archiver{term: term},
@@ -30,7 +30,7 @@
 
 // persistJobs writes which tasks of jobs have completed, and the end of jobs that are complete
 // or cancelled. At most one write of a job is under way at a time.
-func (term *leaderTerm) persistJobs(now clock.Micros) {
+func (term *Term) persistJobs(now clock.Micros) {
 	var due []string
 	for id, job := range term.tracker.Jobs {
 		jobInfo := term.jobs[id]
@@ -54,14 +54,14 @@
 }
 
 // removeJob ends the tracking of a job whose end is durable and that has no tasks left.
-func (term *leaderTerm) removeJob(id string, job *allocation.Job) {
+func (term *Term) removeJob(id string, job *allocation.Job) {
 	term.tracker.RemoveJob(job)
 	delete(term.jobs, id)
 }
 
 // recordStarts makes it durable that tasks of the job may have been started from now on. A later
 // leader looks on the machines for tasks of such jobs, and knows that no other job has any.
-func (term *leaderTerm) recordStarts(job *allocation.Job) {
+func (term *Term) recordStarts(job *allocation.Job) {
 	id := job.Spec.ID
 	jobInfo := term.jobs[id]
 	if jobInfo == nil || jobInfo.isRecordingStarts || job.StartsRecorded {
@@ -96,7 +96,7 @@
 
 // appendProgressDeletes adds the removal of a job's progress to the write of its end, as far as
 // one transaction takes it; the cleaner removes the rest later.
-func (term *leaderTerm) appendProgressDeletes(write *kvstore.Write, id string, jobInfo *jobState) {
+func (term *Term) appendProgressDeletes(write *kvstore.Write, id string, jobInfo *jobState) {
 	maxChanges := term.maxTransactionOps()
 	for _, number := range slices.Sorted(maps.Keys(jobInfo.keyVersions)) {
 		if len(write.Changes) >= maxChanges {
--- a/internal/controller/late_jobs.go
+++ b/internal/leader/late_jobs.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/clock"
@@ -6,7 +6,7 @@
 )
 
 // logJobEnd logs the end of a job, as an error if batch work has missed its objective.
-func (term *leaderTerm) logJobEnd(id string, record *storeview.Job) {
+func (term *Term) logJobEnd(id string, record *storeview.Job) {
 	if problem, ok := term.host.ProblemOf(id, record, int64(clock.WallTime())); ok && problem.IsLate {
 		term.environment.Log.Error("job finished late", "job", id, "class", problem.Class, "late_by_s", problem.LateByS, "took_s", problem.TookS, "why", problem.Reason)
 		return
@@ -15,7 +15,7 @@
 }
 
 // warnLateJobs warns, once a job, of batch work that misses its objective while it runs.
-func (term *leaderTerm) warnLateJobs(now clock.Micros) {
+func (term *Term) warnLateJobs(now clock.Micros) {
 	wall := int64(clock.WallTime())
 	for id, jobInfo := range term.jobs {
 		record := term.environment.View.Jobs[id]
--- a/internal/controller/machine_deletion.go
+++ b/internal/leader/machine_deletion.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"slices"
@@ -13,7 +13,7 @@
 const deleteRetryInterval = clock.Second
 
 // deleteMachine has a machine deleted in the cloud. It gets no tasks from now on.
-func (term *leaderTerm) deleteMachine(machine *allocation.Machine) {
+func (term *Term) deleteMachine(machine *allocation.Machine) {
 	machineInfo := term.machines[machine.Name]
 	if machineInfo == nil || machineInfo.isDeleting {
 		return
@@ -24,7 +24,7 @@
 }
 
 // sendDeletes sends the next request to delete machines, one at a time.
-func (term *leaderTerm) sendDeletes(now clock.Micros) {
+func (term *Term) sendDeletes(now clock.Micros) {
 	deletions := &term.deletions
 	if len(deletions.pending) == 0 || deletions.isInFlight || now < deletions.nextAt {
 		return
@@ -39,7 +39,7 @@
 	})
 }
 
-func (term *leaderTerm) handleDeleteResult(batch []string, err error) {
+func (term *Term) handleDeleteResult(batch []string, err error) {
 	now := clock.Now()
 	term.deletions.isInFlight = false
 	if err != nil {
@@ -63,7 +63,7 @@
 
 // removeDeletedMachine ends the tracking of a machine that the cloud has deleted. It returns the
 // request that the machine came from, if one is known.
-func (term *leaderTerm) removeDeletedMachine(name string, now clock.Micros) *scaleout.Request {
+func (term *Term) removeDeletedMachine(name string, now clock.Micros) *scaleout.Request {
 	term.deletions.deletedAt[name] = now
 	delete(term.listing.unknownSince, name)
 	if machine := term.tracker.Machines[name]; machine != nil {
--- a/internal/controller/machine_health.go
+++ b/internal/leader/machine_health.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"slices"
@@ -9,24 +9,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// timing is how old a machine's last heartbeat may be.
-func (controller *Controller) timing() health.Timing {
-	return health.NewTiming(controller.cfg.Deployment.Workers.HeartbeatIntervalSeconds)
-}
-
-// suspectTimeout is after how long without a heartbeat a machine is suspected.
-func (controller *Controller) suspectTimeout() clock.Micros {
-	return controller.timing().SuspectTimeout
-}
-
-// heartbeatWindow is how long ago the last heartbeat of a reachable machine may be.
-func (controller *Controller) heartbeatWindow() clock.Micros {
-	return controller.timing().HeartbeatWindow
-}
-
 // reviewMachines hands leadership over if this leader is cut off, and otherwise judges each
 // machine: see health.Verdict.
-func (term *leaderTerm) reviewMachines(now clock.Micros) {
+func (term *Term) reviewMachines(now clock.Micros) {
 	term.updateRenewalBounds(now)
 	fleet, zones := term.countReachable(now)
 	if term.handOverIfCutOff(fleet, now) {
@@ -56,7 +41,7 @@
 }
 
 // countReachable counts the machines that have booted, in all and by zone.
-func (term *leaderTerm) countReachable(now clock.Micros) (fleet health.Reachability, zones map[string]health.Reachability) {
+func (term *Term) countReachable(now clock.Micros) (fleet health.Reachability, zones map[string]health.Reachability) {
 	zones = map[string]health.Reachability{}
 	for _, machine := range term.tracker.Machines {
 		if machine.FirstHeartbeatAt == 0 {
@@ -73,7 +58,7 @@
 
 // isReachable tells whether a machine's last heartbeat, or the process's last stall, is
 // within the heartbeat window.
-func (term *leaderTerm) isReachable(machine *allocation.Machine, now clock.Micros) bool {
+func (term *Term) isReachable(machine *allocation.Machine, now clock.Micros) bool {
 	return now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.environment.Timing.HeartbeatWindow
 }
 
@@ -81,12 +66,12 @@
 // The machines of a zone that was cut off come back one by one, so it counts from when
 // most of the zone was reachable again. Added after two thirds of a zone were deleted
 // when the first third was reachable again.
-func (term *leaderTerm) silenceOf(machine *allocation.Machine, now clock.Micros) clock.Micros {
+func (term *Term) silenceOf(machine *allocation.Machine, now clock.Micros) clock.Micros {
 	return now - max(machine.LastHeartbeatAt, term.liveness.resumedAt, term.liveness.zoneUnreachableAt[machine.Zone])
 }
 
 // applyVerdict carries out what was decided about a machine.
-func (term *leaderTerm) applyVerdict(verdict health.Verdict, machine *allocation.Machine, evidence health.Evidence, now clock.Micros) {
+func (term *Term) applyVerdict(verdict health.Verdict, machine *allocation.Machine, evidence health.Evidence, now clock.Micros) {
 	switch verdict {
 	case health.Keep:
 	case health.LeaseExpired:
@@ -107,14 +92,14 @@
 
 // logDeletion logs why a machine is deleted that ought to work. Silence is how long nothing
 // has been received from it.
-func (term *leaderTerm) logDeletion(machine *allocation.Machine, reason string, silence clock.Micros) {
+func (term *Term) logDeletion(machine *allocation.Machine, reason string, silence clock.Micros) {
 	term.environment.Log.Info("deleting machine", "machine", machine.Name, "zone", machine.Zone, "spot", machine.Spot, "reason", reason, "silent_s", silence.Seconds())
 }
 
 // expireDeletedMachines forgets machines that were deleted long ago. Since it doesn't look
 // at the cloud's list, the rule in handleList, which keeps those that are still listed,
 // has no effect; which of the two should hold has yet to be decided.
-func (term *leaderTerm) expireDeletedMachines(now clock.Micros) {
+func (term *Term) expireDeletedMachines(now clock.Micros) {
 	for name, at := range term.deletions.deletedAt {
 		if now-at > deletedMachineTTL {
 			delete(term.deletions.deletedAt, name)
@@ -133,7 +118,7 @@
 // deleteUnknownMachines deletes machines that no record names. Such a machine comes from a
 // scale-out request that was carried out late. It has no tasks, and is deleted once no
 // request is open that it might belong to.
-func (term *leaderTerm) deleteUnknownMachines(now clock.Micros) {
+func (term *Term) deleteUnknownMachines(now clock.Micros) {
 	for _, request := range term.scaleOuts {
 		if !request.IsAnswered() {
 			return
@@ -156,7 +141,7 @@
 
 // evacuateReclaimed stops the tasks of a machine that the cloud reclaims, unless they will be
 // done in time, or are better left running.
-func (term *leaderTerm) evacuateReclaimed(machine *allocation.Machine, now clock.Micros) {
+func (term *Term) evacuateReclaimed(machine *allocation.Machine, now clock.Micros) {
 	remaining := machine.ReclaimAt - now
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
 		if placement.IsStopping() || term.scheduler.RemainingRun(placement, now) <= remaining || isBetterLeftRunning(placement, remaining) {
--- a/internal/controller/machine_listing.go
+++ b/internal/leader/machine_listing.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"maps"
@@ -18,7 +18,7 @@
 
 // listMachines reads the cloud's list periodically, for machines that failed and machines
 // that no record names.
-func (term *leaderTerm) listMachines(now clock.Micros) {
+func (term *Term) listMachines(now clock.Micros) {
 	if term.listing.isInFlight || now < term.listing.nextAt {
 		return
 	}
@@ -30,7 +30,7 @@
 }
 
 // handleList takes the cloud's list, or its failure.
-func (term *leaderTerm) handleList(listed []wire.ListedMachine, err error) {
+func (term *Term) handleList(listed []wire.ListedMachine, err error) {
 	now := clock.Now()
 	term.listing.isInFlight = false
 	if err != nil {
@@ -49,7 +49,7 @@
 
 // deleteUnlisted deletes machines of an earlier term that have sent no heartbeat and that the
 // cloud doesn't list, though a record names them: they don't exist any more.
-func (term *leaderTerm) deleteUnlisted(names map[string]bool, now clock.Micros) {
+func (term *Term) deleteUnlisted(names map[string]bool, now clock.Micros) {
 	listLag := clock.FromSeconds(2*term.environment.Config.Deployment.Cloud.ListLagSeconds) + clock.Second
 	for name, machine := range term.tracker.Machines {
 		wasNeverSeen := machine.FirstHeartbeatAt == 0 && machine.CreatedAt < term.liveness.startedAt && !names[name]
@@ -61,7 +61,7 @@
 }
 
 // applyListedMachine takes what the cloud says of one machine.
-func (term *leaderTerm) applyListedMachine(listed *wire.ListedMachine, now clock.Micros) {
+func (term *Term) applyListedMachine(listed *wire.ListedMachine, now clock.Micros) {
 	if _, ok := term.deletions.deletedAt[listed.ID]; ok {
 		return // the list lags
 	}
--- a/internal/controller/probes.go
+++ b/internal/leader/probes.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 // heartbeat is overdue, then those with replicas, in turn. The number of probes in flight
 // is bounded, so each round continues where the last one ended. Added after the first
 // machines by name had been probed again and again, and the last ones never.
-func (term *leaderTerm) sendProbes(now clock.Micros) {
+func (term *Term) sendProbes(now clock.Micros) {
 	machines := term.tracker.SortedMachines()
 	for _, machine := range machines {
 		if term.probing.inFlight >= term.environment.WorkerRequests.MaxInFlight {
@@ -49,7 +49,7 @@
 }
 
 // needsProbe tells whether a machine is probed out of turn.
-func (term *leaderTerm) needsProbe(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
+func (term *Term) needsProbe(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
 	return machineInfo.probes.NeedsProbe(machine.LastHeartbeatAt, term.liveness.resumedAt, now, term.environment.Timing)
 }
 
@@ -59,7 +59,7 @@
 }
 
 // probeMachine asks a machine for its state.
-func (term *leaderTerm) probeMachine(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
+func (term *Term) probeMachine(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
 	term.probing.inFlight++
 	machineInfo.probes.Begin(now)
 	host := term.workerHost(machine, machineInfo)
@@ -79,7 +79,7 @@
 
 // handleProbeResult takes the result of a probe that was sent at an instant: a heartbeat, or
 // none if the machine didn't answer.
-func (term *leaderTerm) handleProbeResult(machine *allocation.Machine, machineInfo *machineState, sentAt clock.Micros, heartbeat *wire.Heartbeat, err error) {
+func (term *Term) handleProbeResult(machine *allocation.Machine, machineInfo *machineState, sentAt clock.Micros, heartbeat *wire.Heartbeat, err error) {
 	now := clock.Now()
 	machineInfo.probes.IsInFlight = false
 	switch {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (term *leaderTerm) handleProbeAnswer(machine *allocation.Machine, machineInfo *machineState, heartbeat *wire.Heartbeat, now clock.Micros) {
+func (term *Term) handleProbeAnswer(machine *allocation.Machine, machineInfo *machineState, heartbeat *wire.Heartbeat, now clock.Micros) {
 	machineInfo.probes.RecordAnswer(now)
 	if term.renewals.constraints.MayConstrainZone(machine.Zone) {
 		term.renewals.liftingZones[machine.Zone] = true // its zone is reachable again
@@ -108,7 +108,7 @@
 	term.requestPlan()
 }
 
-func (term *leaderTerm) handleProbeMiss(machine *allocation.Machine, machineInfo *machineState, sentAt, now clock.Micros) {
+func (term *Term) handleProbeMiss(machine *allocation.Machine, machineInfo *machineState, sentAt, now clock.Micros) {
 	probes := &machineInfo.probes
 	probes.RecordMiss(sentAt, max(term.liveness.resumedAt, term.liveness.zoneUnreachableAt[machine.Zone]))
 	if probes.HasTooManyMisses() && term.isZoneAnswering(machine, probes.FirstMissSentAt()) {
@@ -119,7 +119,7 @@
 
 // isZoneAnswering tells whether the way to a machine's zone is open: most of the machines
 // there that were probed since an instant have answered.
-func (term *leaderTerm) isZoneAnswering(machine *allocation.Machine, since clock.Micros) bool {
+func (term *Term) isZoneAnswering(machine *allocation.Machine, since clock.Micros) bool {
 	var answers health.ZoneAnswers
 	for _, other := range term.tracker.Machines {
 		if machineInfo := term.machines[other.Name]; other.Zone == machine.Zone && machineInfo != nil {
--- a/internal/controller/probes_test.go
+++ b/internal/leader/probes_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"fmt"
--- a/internal/controller/progress_writer.go
+++ b/internal/leader/progress_writer.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"cmp"
@@ -21,7 +21,7 @@
 // progressWriter writes which tasks of jobs have completed, with what the rate of writes has to
 // spare.
 type progressWriter struct {
-	term     *leaderTerm
+	term     *Term
 	inFlight int
 }
 
--- a/internal/controller/term_recovery.go
+++ b/internal/leader/recovery.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/allocation"
@@ -116,7 +116,7 @@
 // constraints and hints of earlier leaders, and completes the allocation table. The
 // order matters: jobs are placed on machines that are known, arrivals are replayed
 // before anything is planned, and leases are bounded before the table is complete.
-func (term *leaderTerm) restore(now, wall clock.Micros) {
+func (term *Term) restore(now, wall clock.Micros) {
 	term.restoreScaleOuts(now, wall)
 	cancelled := term.restoreJobs(now)
 	term.replayArrivals(now, wall)
@@ -129,7 +129,7 @@
 
 // restoreScaleOuts adds the machines of all recorded scale-out requests, and sends again
 // those that have no recorded result.
-func (term *leaderTerm) restoreScaleOuts(now, wall clock.Micros) {
+func (term *Term) restoreScaleOuts(now, wall clock.Micros) {
 	for name, record := range term.environment.View.ScaleOuts {
 		request := scaleout.Restore(name, record.ScaleOut, record.Version, now-max(wall-clock.Micros(record.RequestedAt), 0))
 		term.scaleOuts[name] = request
@@ -147,7 +147,7 @@
 // restoreJobs adds the jobs that have not ended and whose dependencies allow them to run,
 // and those that were cancelled but may have tasks left. It returns the jobs whose
 // cancellation follows from that of a dependency and is not yet in their own records.
-func (term *leaderTerm) restoreJobs(now clock.Micros) (impliedCancellations []string) {
+func (term *Term) restoreJobs(now clock.Micros) (impliedCancellations []string) {
 	view, graph := term.environment.View, term.environment.Graph
 	for id, record := range view.Jobs {
 		hasProgress := len(view.Progress[id]) > 0
@@ -155,7 +155,7 @@
 		case record.IsCancelledByDependency:
 			impliedCancellations = append(impliedCancellations, id)
 		case !record.HasEnded():
-			if !isBlocked(view, graph, id, record) {
+			if !IsBlocked(view, graph, id, record) {
 				term.addJob(id, record, hasProgress)
 			}
 		case record.Spec != nil: // cancelled, and its tasks may still run
@@ -167,7 +167,7 @@
 }
 
 // recordRebuilt ends the failover's second phase.
-func (term *leaderTerm) recordRebuilt() {
+func (term *Term) recordRebuilt() {
 	failover := term.environment.Failover
 	failover.rebuiltAt, failover.unconfirmed = clock.Now(), term.unconfirmedCount()
 	term.environment.Log.Info("allocation table rebuilt", "token", term.token, "jobs", len(term.tracker.Jobs), "machines", len(term.tracker.Machines), "reconciled", term.tracker.IsReconciled(),
--- a/internal/controller/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"errors"
@@ -28,14 +28,14 @@
 
 // maxScaleOutsInFlight bounds the requests under way: no more than the cloud answers in two
 // seconds, and than have both of their records written in half a second.
-func (term *leaderTerm) maxScaleOutsInFlight() int {
+func (term *Term) maxScaleOutsInFlight() int {
 	deployment := &term.environment.Config.Deployment
 	return max(int(min(2*deployment.Cloud.RPS, deployment.Store.Effective().WriteRPS/4)), 2)
 }
 
 // requestScaleOut begins requests for machines: as many as it takes, since the cloud bounds the
 // machines of one. They are sent once their records are durable.
-func (term *leaderTerm) requestScaleOut(wanted scheduler.ScaleOutRequest, now clock.Micros) {
+func (term *Term) requestScaleOut(wanted scheduler.ScaleOutRequest, now clock.Micros) {
 	for remaining := wanted.Count; remaining > 0; remaining -= wire.MaxScaleOutCount {
 		term.scaleOutSequence++
 		name := fmt.Sprintf("%s-%d-%d", term.environment.Config.Member, term.token, term.scaleOutSequence)
@@ -56,7 +56,7 @@
 
 // writeScaleOutRecord writes a request's record until that is confirmed, and then goes on with what
 // is due. If a write of the record is under way, it is written again after that one.
-func (term *leaderTerm) writeScaleOutRecord(request *scaleout.Request, priority kvstore.Priority) {
+func (term *Term) writeScaleOutRecord(request *scaleout.Request, priority kvstore.Priority) {
 	write, ok := request.BeginWrite()
 	if !ok {
 		return
@@ -87,7 +87,7 @@
 
 // verifyScaleOutRecord reads back which version a request's record has, a little later and until
 // the view could be brought up to date, and then calls rewrite.
-func (term *leaderTerm) verifyScaleOutRecord(request *scaleout.Request, rewrite func()) {
+func (term *Term) verifyScaleOutRecord(request *scaleout.Request, rewrite func()) {
 	term.runAfter(scaleOutVerifyDelay, func() {
 		term.environment.View.RequestSync(func(err error) {
 			switch {
@@ -108,7 +108,7 @@
 }
 
 // admitMachines lets machines get tasks that their request's durable record names.
-func (term *leaderTerm) admitMachines(request *scaleout.Request) {
+func (term *Term) admitMachines(request *scaleout.Request) {
 	for _, name := range request.Machines() {
 		if machine := term.tracker.Machines[name]; machine != nil {
 			machine.RecordedInStore = true
@@ -122,7 +122,7 @@
 // soon, but not for each machine at once, and with a backlog only as far as the rate of writes has
 // it to spare. Added after these writes took half of the rate while a fleet of 4,000 machines was
 // scaled in.
-func (term *leaderTerm) scheduleScaleOutShrink(request *scaleout.Request) {
+func (term *Term) scheduleScaleOutShrink(request *scaleout.Request) {
 	if !request.ScheduleShrink() {
 		return
 	}
@@ -137,7 +137,7 @@
 }
 
 // sendScaleOut sends a request to the cloud, as soon as the leader is entitled to act.
-func (term *leaderTerm) sendScaleOut(request *scaleout.Request) {
+func (term *Term) sendScaleOut(request *scaleout.Request) {
 	if !term.host.IsEntitled() {
 		term.runAfter(scaleOutEntitlementInterval, func() { term.sendScaleOut(request) })
 		return
@@ -151,7 +151,7 @@
 
 // handleScaleOutResult takes the cloud's answer to a request. Without one the request is sent
 // again; the cloud carries it out once.
-func (term *leaderTerm) handleScaleOutResult(request *scaleout.Request, machines []string, err error) {
+func (term *Term) handleScaleOutResult(request *scaleout.Request, machines []string, err error) {
 	now := clock.Now()
 	pool, requested := poolOf(request), request.CloudRequest().Count
 	term.requestPlan()
@@ -175,7 +175,7 @@
 
 // addGrantedMachines has the machines tracked that the cloud gave, but for those that were
 // deleted as unknown before its answer came.
-func (term *leaderTerm) addGrantedMachines(request *scaleout.Request) {
+func (term *Term) addGrantedMachines(request *scaleout.Request) {
 	for _, name := range request.Machines() {
 		delete(term.listing.unknownSince, name)
 		if _, isDeleted := term.deletions.deletedAt[name]; !isDeleted {
--- a/internal/controller/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/allocation"
@@ -7,7 +7,7 @@
 )
 
 // drainMachine gives a machine no new tasks, and has it deleted once it is empty.
-func (term *leaderTerm) drainMachine(machine *allocation.Machine) { machine.Draining = true }
+func (term *Term) drainMachine(machine *allocation.Machine) { machine.Draining = true }
 
 const (
 	// The interval between two plans is planIntervalFactor times the duration of the last
@@ -19,8 +19,8 @@
 	consolidationInterval = 10 * clock.Second
 )
 
-// runScheduler plans once, and carries out what was decided.
-func (term *leaderTerm) runScheduler(now clock.Micros) {
+// Plan plans once, and carries out what was decided. Tick does that when it is due.
+func (term *Term) Plan(now clock.Micros) {
 	pending := term.pendingScaleOuts()
 	decision := term.scheduler.Plan(term.tracker, now, clock.WallTime(), pending)
 	term.processTaskEvents(now)
@@ -41,7 +41,7 @@
 }
 
 // pendingScaleOuts are the requests that the cloud has not answered yet.
-func (term *leaderTerm) pendingScaleOuts() []scheduler.PendingScaleOut {
+func (term *Term) pendingScaleOuts() []scheduler.PendingScaleOut {
 	var pending []scheduler.PendingScaleOut
 	for _, request := range term.scaleOuts {
 		if !request.IsAnswered() {
@@ -53,7 +53,7 @@
 
 // requestScaleOuts requests machines, a few requests at a time: the cloud takes few requests
 // a second, and the next ones should rest on the answers to these.
-func (term *leaderTerm) requestScaleOuts(requests []scheduler.ScaleOutRequest, pending int, now clock.Micros) {
+func (term *Term) requestScaleOuts(requests []scheduler.ScaleOutRequest, pending int, now clock.Micros) {
 	free := max(term.maxScaleOutsInFlight()-pending, 0)
 	for _, request := range requests[:min(free, len(requests))] {
 		term.requestScaleOut(request, now)
@@ -61,7 +61,7 @@
 }
 
 // consolidateReplicas moves the replicas of a machine elsewhere, so that it can be deleted.
-func (term *leaderTerm) consolidateReplicas(machine *allocation.Machine) {
+func (term *Term) consolidateReplicas(machine *allocation.Machine) {
 	term.environment.Log.Debug("consolidating replicas", "machine", machine.Name)
 	term.drainMachine(machine)
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
@@ -70,7 +70,7 @@
 }
 
 // logSpares logs, at debug level, why warm spares are kept or not.
-func (term *leaderTerm) logSpares(kind string, report *scheduler.SpareReport) {
+func (term *Term) logSpares(kind string, report *scheduler.SpareReport) {
 	term.environment.Log.Debug("warm spare screening", "kind", kind, "enabled", report.IsEnabled, "arrivals_reason", report.ArrivalScreen.RejectReason, "arrivals", report.ArrivalScreen.SampleCount,
 		"run_times_reason", report.RunTimeScreen.RejectReason, "target", report.Cost.Target, "expected_wait", report.Cost.ExpectedWait, "idle_s", report.Cost.IdleSeconds)
 }
--- a/internal/controller/small_limits_test.go
+++ b/internal/leader/small_limits_test.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"testing"
@@ -16,37 +16,37 @@
 
 // newTermOnStore makes the term of a leader that holds the lock of a fake store. Only the test runs
 // its commands.
-func newTermOnStore(t *testing.T, limits config.StoreLimits) (*fake.Store, *leaderTerm) {
+func newTermOnStore(t *testing.T, limits config.StoreLimits) (*fake.Store, *Term) {
 	t.Helper()
 	fakeStore, stop := fake.NewStore()
 	t.Cleanup(stop)
-	controller := controllerOf(newTestTerm(t))
-	controller.cfg.Deployment.Store = limits
-	controller.tasksPerKey = records.TasksPerProgressKey(limits.MaxValueKB)
-	controller.store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, MaxTransactionOps: limits.Effective().MaxTransactionOps}, records.LockKey)
-	controller.store.SetRateShare(1)
-	controller.view.ScaleOuts, controller.view.IsLoaded = map[string]*storeview.ScaleOut{}, true
-	return fakeStore, startNewTerm(t, controller)
+	owner := ownerOf(newTestTerm(t))
+	owner.Config.Deployment.Store = limits
+	owner.TasksPerKey = records.TasksPerProgressKey(limits.MaxValueKB)
+	owner.Store = kvstore.New(client.DialTCP, fakeStore.Addr, kvstore.Limits{RPS: limits.RPS, WriteRPS: limits.WriteRPS, MaxTransactionOps: limits.Effective().MaxTransactionOps}, records.LockKey)
+	owner.Store.SetRateShare(1)
+	owner.View.ScaleOuts, owner.View.IsLoaded = map[string]*storeview.ScaleOut{}, true
+	return fakeStore, startNewTerm(t, owner)
 }
 
 // startNewTerm takes the lock from whoever holds it and begins a term.
-func startNewTerm(t *testing.T, controller *Controller) *leaderTerm {
+func startNewTerm(t *testing.T, owner *testOwner) *Term {
 	t.Helper()
-	if controller.term != nil {
-		controller.term.Close()
-		controller.term = nil
+	if owner.term != nil {
+		owner.term.Close()
+		owner.term = nil
 	}
 	var token uint64
-	controller.store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: records.LockKey, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, revision uint64) {
-		controller.postResult(func() { token = revision })
+	owner.Store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: records.LockKey, Value: []byte(`{"m":"a"}`)}}, Done: func(_ kvstore.Outcome, revision uint64) {
+		owner.PostResult(func() { token = revision })
 	}})
-	runUntil(t, controller, func() bool { return token != 0 })
+	runUntil(t, owner, func() bool { return token != 0 })
 	synced := false
-	controller.view.RequestSync(func(err error) { synced = err == nil }, clock.Now()+10*clock.Second)
-	runUntil(t, controller, func() bool { return synced })
-	controller.term = controller.newTerm(token, clock.Now())
-	controller.term.entitlement.actDeadline.Store(1 << 62)
-	return controller.term
+	owner.View.RequestSync(func(err error) { synced = err == nil }, clock.Now()+10*clock.Second)
+	runUntil(t, owner, func() bool { return synced })
+	owner.term = owner.newTerm(token, clock.Now())
+	owner.term.entitlement.actDeadline.Store(1 << 62)
+	return owner.term
 }
 
 // A large job's records in a store with small values and transactions: every value and every
@@ -59,7 +59,7 @@
 		tasks   int
 	}{{4, 8, 60000}, {1, 1, 20000}} {
 		fakeStore, term := newTermOnStore(t, config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: test.valueKB, MaxTransactionOps: test.ops})
-		controller, token := controllerOf(term), term.token
+		owner, token := ownerOf(term), term.token
 
 		const id = "req-000001"
 		record := &storeview.Job{Job: records.Job{Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: test.tasks, Priority: wire.PriorityNormal}, SubmittedAt: int64(clock.WallTime())}}
@@ -67,12 +67,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		controller.store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: records.JobKey(id)}}, Changes: []wire.Change{{PutKey: records.JobKey(id), Value: value}}, Done: func(kvstore.Outcome, uint64) {}})
-		controller.view.RequestSync(func(error) {}, clock.Now()+10*clock.Second)
-		runUntil(t, controller, func() bool { return term.tracker.Jobs[id] != nil })
+		owner.Store.Commit(&kvstore.Write{Conditions: []wire.Condition{{Key: records.JobKey(id)}}, Changes: []wire.Change{{PutKey: records.JobKey(id), Value: value}}, Done: func(kvstore.Outcome, uint64) {}})
+		owner.View.RequestSync(func(error) {}, clock.Now()+10*clock.Second)
+		runUntil(t, owner, func() bool { return term.tracker.Jobs[id] != nil })
 		job := term.tracker.Jobs[id]
 		term.recordStarts(job)
-		runUntil(t, controller, func() bool { return job.StartsRecorded })
+		runUntil(t, owner, func() bool { return job.StartsRecorded })
 
 		complete := func(from, to int) {
 			for i := from; i < to; i++ {
@@ -92,24 +92,24 @@
 			}
 		}
 		complete(0, test.tasks-1)
-		runUntil(t, controller, func() bool {
+		runUntil(t, owner, func() bool {
 			term.persistJobs(clock.Now() + clock.Second)
 			return len(job.UnpersistedCompletions()) == 0
 		})
-		done := controller.view.Progress[id]
-		controller.view.RequestSync(func(error) { done = controller.view.Progress[id] }, clock.Now()+10*clock.Second)
-		runUntil(t, controller, func() bool {
-			done = controller.view.Progress[id]
-			return len(done) == (test.tasks-1)/controller.tasksPerKey+1
+		done := owner.View.Progress[id]
+		owner.View.RequestSync(func(error) { done = owner.View.Progress[id] }, clock.Now()+10*clock.Second)
+		runUntil(t, owner, func() bool {
+			done = owner.View.Progress[id]
+			return len(done) == (test.tasks-1)/owner.TasksPerKey+1
 		})
-		for _, i := range []int{0, controller.tasksPerKey - 1, controller.tasksPerKey, test.tasks - 2} {
-			if !done[i/controller.tasksPerKey].Bits.IsSet(i % controller.tasksPerKey) {
+		for _, i := range []int{0, owner.TasksPerKey - 1, owner.TasksPerKey, test.tasks - 2} {
+			if !done[i/owner.TasksPerKey].Bits.IsSet(i % owner.TasksPerKey) {
 				t.Errorf("%v KiB: task %d is done, and the record does not say so", test.valueKB, i)
 			}
 		}
 		complete(test.tasks-1, test.tasks)
 		sweepAt := clock.Now()
-		runUntil(t, controller, func() bool {
+		runUntil(t, owner, func() bool {
 			term.persistJobs(clock.Now() + clock.Second)
 			sweepAt += sweepInterval
 			term.persistence.cleanup.tick(sweepAt) // what the end's transaction could not take
--- a/internal/controller/standby_record.go
+++ b/internal/leader/standby_record.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"encoding/json"
@@ -6,25 +6,14 @@
 	"firwood.dev/firwood/internal/clock"
 	"firwood.dev/firwood/internal/kvstore"
 	"firwood.dev/firwood/internal/records"
-	"firwood.dev/firwood/internal/standby"
 	"firwood.dev/firwood/wire"
 )
 
 // The durable record of the members whose replicas are in step with a leader. A new leader trusts
 // only a replica that the record names.
 
-// applyStandbyRecord takes a newer record from the view.
-func (controller *Controller) applyStandbyRecord(record standby.InSyncRecord, version uint64) {
-	if controller.failover.replica != nil {
-		controller.failover.replica.PruneEarlier(record.Token)
-	}
-	if controller.term != nil {
-		controller.term.ObserveStandbyRecord(record, version)
-	}
-}
-
 // writeStandbyRecord writes the record when the members in step have changed.
-func (term *leaderTerm) writeStandbyRecord(now clock.Micros) {
+func (term *Term) writeStandbyRecord(now clock.Micros) {
 	inSync := term.standby.inSync
 	record, version, ok := inSync.BeginWrite(now)
 	if !ok {
--- a/internal/controller/standby_stream.go
+++ b/internal/leader/standby_stream.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/allocation"
@@ -17,7 +17,7 @@
 
 // setUpStandby prepares the stream of a new leader's decisions, and has its allocation table
 // begin with what this member's replica of the last leader's table proves.
-func (term *leaderTerm) setUpStandby(allocationConfig *allocation.Config) {
+func (term *Term) setUpStandby(allocationConfig *allocation.Config) {
 	environment := term.environment
 	if environment.Replica == nil {
 		return
@@ -30,7 +30,7 @@
 	}
 }
 
-func newDecisionStream(term *leaderTerm) *decisionStream {
+func newDecisionStream(term *Term) *decisionStream {
 	view := term.environment.View
 	var others []string
 	for _, other := range term.environment.Config.Peers {
@@ -71,65 +71,9 @@
 	return decisions.inSync.MaySendStart(number)
 }
 
-// standbyVersion is the version of the stream's messages that this member takes, 0 for none.
-func (controller *Controller) standbyVersion() uint8 {
-	if controller.failover.replica == nil {
-		return 0
-	}
-	return peer.StandbyProtocolVersion
-}
-
-// handleStandbyMessage takes a message of the leader's stream, or a replica's answer to one.
-func (controller *Controller) handleStandbyMessage(heartbeat *peer.Heartbeat) {
-	switch {
-	case controller.failover.replica == nil:
-	case heartbeat.StandbyPosition != nil && controller.term != nil:
-		controller.term.RecordReplicaPosition(heartbeat.Member, *heartbeat.StandbyPosition)
-	case heartbeat.StandbyMessage != nil && !controller.isLeading():
-		controller.applyStreamMessage(heartbeat.Member, heartbeat.StandbyMessage)
-	}
-}
-
-// isLeading tells whether this member holds the lock. Its replica doesn't take messages of the
-// leader before any more: it would acknowledge decisions that this member's rebuilt allocation
-// table doesn't have.
-func (controller *Controller) isLeading() bool {
-	return controller.term != nil || controller.failover.isRebuilding
-}
-
-// applyStreamMessage applies a message of the leader's stream to the replica, and answers with
-// the position that the replica has reached.
-func (controller *Controller) applyStreamMessage(from string, message *standby.Message) {
-	before := controller.failover.replica.DropCounts()
-	var position standby.Position
-	if controller.isForeignToken(message.Token) {
-		position = controller.failover.replica.RejectForeignMessage()
-	} else {
-		position = controller.failover.replica.ApplyMessage(message)
-	}
-	if after := controller.failover.replica.DropCounts(); after != before {
-		controller.logDropped("standby message rejected", "member", from, "token", message.Token,
-			"stale", after.Stale, "out_of_order", after.OutOfOrder, "malformed", after.Malformed, "foreign_token", after.ForeignToken, "digest_mismatch", after.DigestMismatch)
-	}
-	controller.sendStreamMessage(from, &peer.Heartbeat{Member: controller.cfg.Member, StandbyFrame: peer.StandbyFrame{StandbyPosition: &position}})
-}
-
-// sendStreamMessage sends a message of a stream to a member that takes such messages.
-func (controller *Controller) sendStreamMessage(member string, heartbeat *peer.Heartbeat) {
-	received := controller.members.heartbeats[member]
-	if received == nil || received.Heartbeat.StandbyProtocolVersion == 0 {
-		return
-	}
-	for i, other := range controller.cfg.Peers {
-		if other.Member == member {
-			controller.members.links[i].SendStandby(peer.Encode(heartbeat))
-		}
-	}
-}
-
 // streamDecisions sends the replicas the decisions that they lack, and writes the record of those
 // in step when it has changed.
-func (term *leaderTerm) streamDecisions(now clock.Micros) {
+func (term *Term) streamDecisions(now clock.Micros) {
 	if term.standby == nil {
 		return
 	}
--- a/internal/controller/store_limits.go
+++ b/internal/leader/store_limits.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/config"
@@ -6,14 +6,14 @@
 	"firwood.dev/firwood/internal/storeview"
 )
 
-// storeLimits are the limits that what is written to the store keeps to: those in force, and those
+// StoreLimits are the limits that what is written to the store keeps to: those in force, and those
 // that are announced.
-func storeLimits(cfg *config.Platform) records.Limits {
+func StoreLimits(cfg *config.Platform) records.Limits {
 	limits := cfg.Deployment.Store.Effective()
 	return records.Limits{MaxValueKB: limits.MaxValueKB, MaxTransactionOps: limits.MaxTransactionOps}
 }
 
 // progressLayoutOf is where an active job's progress is written under these limits.
-func (term *leaderTerm) progressLayoutOf(job *storeview.Job) records.ProgressLayout {
-	return records.NewProgressLayout(&job.Job, term.environment.TasksPerKey, storeLimits(term.environment.Config))
+func (term *Term) progressLayoutOf(job *storeview.Job) records.ProgressLayout {
+	return records.NewProgressLayout(&job.Job, term.environment.TasksPerKey, StoreLimits(term.environment.Config))
 }
--- a/internal/controller/term.go
+++ b/internal/leader/term.go
@@ -1,8 +1,7 @@
-package controller
+package leader
 
 import (
 	"sync/atomic"
-	"time"
 
 	"firwood.dev/firwood/internal/allocation"
 	"firwood.dev/firwood/internal/clock"
@@ -13,9 +12,9 @@
 	"firwood.dev/firwood/internal/staleness"
 )
 
-// leaderTerm is the state of one leadership term: made at a failover, discarded when
+// Term is the state of one leadership term: made at a failover, discarded when
 // the lock is lost. Results that arrive once it is closed are dropped.
-type leaderTerm struct {
+type Term struct {
 	environment *Environment
 	host        Host
 	token       uint64 // the fencing token that the lock was won with
@@ -34,14 +33,6 @@
 	backgroundWork
 }
 
-// tracked is what the leader knows of requests, machines and jobs besides the allocation table,
-// by name.
-type tracked struct {
-	scaleOuts map[string]*scaleout.Request
-	machines  map[string]*machineState
-	jobs      map[string]*jobState
-}
-
 // entitlement is until when the leader may act.
 type entitlement struct {
 	// actDeadline is the end of the lock's lease as known, 0 once the term is closed;
@@ -140,12 +131,12 @@
 }
 
 // requestPlan has the next tick plan, as soon as its pace allows.
-func (term *leaderTerm) requestPlan() { term.pace.needsPlan = true }
+func (term *Term) requestPlan() { term.pace.needsPlan = true }
 
-// newLeaderTerm rebuilds a leader's state from a view that is as new as a read sent at readAt.
-func newLeaderTerm(environment *Environment, host Host, token uint64, readAt clock.Micros) *leaderTerm {
+// New rebuilds a leader's state from a view that is as new as a read sent at readAt.
+func New(environment *Environment, host Host, token uint64, readAt clock.Micros) *Term {
 	now := clock.Now()
-	term := &leaderTerm{
+	term := &Term{
 		environment: environment, host: host, token: token,
 		tracked:  tracked{scaleOuts: map[string]*scaleout.Request{}, machines: map[string]*machineState{}, jobs: map[string]*jobState{}},
 		liveness: liveness{startedAt: now, resumedAt: now, zoneUnreachableAt: map[string]clock.Micros{}},
@@ -170,7 +161,7 @@
 
 // Close ends the term: nothing is sent any more, and workers that wait for a reply are refused.
 // It returns the zones that this leader has constrained, or may have.
-func (term *leaderTerm) Close() (constrainedZones map[string]bool) {
+func (term *Term) Close() (constrainedZones map[string]bool) {
 	term.isClosed = true
 	term.entitlement.actDeadline.Store(0)
 	term.entitlement.startDeadline.Store(0)
@@ -186,7 +177,7 @@
 const slowTickInterval = 500 * clock.Millisecond
 
 // Tick does what is due, at every tick of the controller.
-func (term *leaderTerm) Tick(now clock.Micros) {
+func (term *Term) Tick(now clock.Micros) {
 	term.updateDeadlines()
 	if !term.host.IsEntitled() {
 		term.entitlement.hasLapsed = true
@@ -212,7 +203,7 @@
 
 // slowTick does the steps that need not be done at every tick; it tells whether they ended
 // the term.
-func (term *leaderTerm) slowTick(now clock.Micros) (isOver bool) {
+func (term *Term) slowTick(now clock.Micros) (isOver bool) {
 	term.pace.nextSlowTickAt = now + slowTickInterval
 	term.reviewMachines(now)
 	if term.isClosed {
@@ -231,25 +222,14 @@
 // planIfDue plans if something has changed and the last plan is long enough ago. The
 // duration of a plan grows with the waiting tasks and the machines with free capacity;
 // the interval grows with it, so that heartbeats and users get their share of the processor.
-func (term *leaderTerm) planIfDue(now clock.Micros) {
+func (term *Term) planIfDue(now clock.Micros) {
 	if !term.pace.needsPlan || now < term.pace.nextPlanAt {
 		return
 	}
 	term.pace.needsPlan = false
-	term.runScheduler(now)
+	term.Plan(now)
 	term.persistJobs(now)
 	took := clock.Now() - now
 	term.pace.planInterval = min(max(planIntervalFactor*took, minPlanInterval), maxPlanInterval)
 	term.pace.nextPlanAt = now + took + term.pace.planInterval
 }
-
-// runAfter runs a command on the controller's goroutine after a delay, unless the term is over by then.
-func (term *leaderTerm) runAfter(delay clock.Micros, command func()) {
-	time.AfterFunc(delay.Duration(), func() {
-		term.host.PostResult(func() {
-			if !term.isClosed {
-				command()
-			}
-		})
-	})
-}
--- a/internal/controller/term_test.go
+++ b/internal/leader/term_test.go
@@ -1,45 +1,17 @@
-package controller
+package leader
 
 import (
 	"errors"
-	"log/slog"
 	"slices"
 	"testing"
 
 	"firwood.dev/firwood/internal/client"
 	"firwood.dev/firwood/internal/clock"
-	"firwood.dev/firwood/internal/config"
-	"firwood.dev/firwood/internal/delegation"
 	"firwood.dev/firwood/internal/health"
 	"firwood.dev/firwood/internal/peer"
-	"firwood.dev/firwood/internal/records"
-	"firwood.dev/firwood/internal/server"
-	"firwood.dev/firwood/internal/storeview"
 	"firwood.dev/firwood/wire"
 )
 
-// newTestTerm makes a leader of token 9 that has found these machines recorded,
-// requested long ago. What it sends goes nowhere.
-func newTestTerm(t testing.TB, machines ...string) *leaderTerm {
-	t.Helper()
-	cfg := &config.Platform{Member: "a", Location: "x", Peers: []config.Peer{{Member: "b", Location: "y", Address: "127.0.0.1:1"}}}
-	cfg.External.StoreAddress, cfg.External.CloudAddress = "127.0.0.1:1", "127.0.0.1:1"
-	deployment := &cfg.Deployment
-	deployment.Zones = []string{"x", "y"}
-	deployment.Teams = []config.Team{{Name: "t"}}
-	deployment.Workers = config.WorkerTimings{HeartbeatIntervalSeconds: 2, LeaseSeconds: 24, GangStartTimeoutSeconds: 30, GangPeerTimeoutSeconds: 5, CancelTimeoutSeconds: 60}
-	deployment.Store = config.StoreLimits{RPS: 100, WriteRPS: 100, MaxValueKB: 16, MaxTransactionOps: 16}
-	deployment.Cloud = config.Cloud{RPS: 10, ListLagSeconds: 1}
-	deployment.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 1000}
-	controller := New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
-	controller.machineTypes.list = []wire.MachineType{{Name: "big", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: deployment.Zones}}
-	controller.view.ScaleOuts["h"] = &storeview.ScaleOut{ScaleOut: records.ScaleOut{Type: "big", Zone: "x", Count: len(machines), RequestedAt: int64(clock.WallTime() - 300*clock.Second), IsResolved: true, Machines: machines}}
-	return controller.newTerm(9, clock.Now())
-}
-
-// controllerOf is the controller that a term belongs to.
-func controllerOf(term *leaderTerm) *Controller { return term.host.(termHost).controller }
-
 // A new leader has no heartbeats yet of the machines that an earlier one requested. That
 // is no sign that they never came up; the cloud's list saying so is.
 func TestMissingHeartbeatIsNotBooting(t *testing.T) {
@@ -57,58 +29,21 @@
 	}
 }
 
-// repliesToEither tells whether the member answers one of two reports in a row: a
-// worker is sent on after each answer, so one report alone would not show it.
-func repliesToEither(controller *Controller, heartbeat *wire.Heartbeat, now clock.Micros) bool {
-	first := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
-	second := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
-	return first || second
-}
-
-// A follower that hears neither leader nor state service keeps a worker's lease
-// alive at once, and sends it on after each answer; not at all while the leader is
-// reachable: a worker that reaches the leader is not kept from it.
-func TestDelegateRedirectsAfterEachReply(t *testing.T) {
-	term := newTestTerm(t)
-	controller := controllerOf(term)
-	controller.term, controller.view.IsLoaded = nil, true
-	now, back := 100*clock.Second, 5*clock.Second
-	heartbeat := &wire.Heartbeat{MachineID: "i-1", FencingToken: 5}
-	controller.delegation.delegate = delegation.NewDelegate(controller.delegation.times, 1, now-60*clock.Second)
-	if repliesToEither(controller, heartbeat, now) {
-		t.Fatal("answers as delegate without a right")
-	}
-	controller.delegation.delegate.RecordLeaderHeartbeat(now-back, 5, controller.delegation.delegate.Timestamp(now-back))
-	for i, want := range []bool{true, false, true, false} {
-		if got := controller.replyAsDelegate(heartbeat, &server.Reply{}, now); got != want {
-			t.Fatalf("report %d: answered as delegate %v", i, got)
-		}
-	}
-	if controller.replyAsDelegate(&wire.Heartbeat{MachineID: "i-1", FencingToken: 6}, &server.Reply{}, now) {
-		t.Fatal("answers as delegate against a newer leader")
-	}
-	controller.delegation.delegate.RecordLeaderHeartbeat(now, 5, controller.delegation.delegate.Timestamp(now))
-	if repliesToEither(controller, heartbeat, now) {
-		t.Fatal("replies as delegate while the leader is reachable")
-	}
-}
-
 // Machines without heartbeats while this process was stalled are not suspected: none is
 // deleted, no zone is constrained and leadership is not handed over for it.
 func TestProcessStallDoesNotSuspectMachines(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
 	term.entitlement.actDeadline.Store(1 << 62)
-	controller := controllerOf(term)
-	controller.term = term
+	owner := ownerOf(term)
+	owner.term = term
 	now := term.liveness.startedAt
 	for _, machine := range term.tracker.Machines {
 		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Address: "127.0.0.1:1", Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
 	}
-	controller.process.tickedAt = now
 	now += 20 * clock.Second // less than a lease
 	one := term.tracker.Machines["i-1"]
 	one.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
-	controller.members.heartbeats["b"] = &ReceivedHeartbeat{Heartbeat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, ReceivedAt: now}
+	owner.heartbeats["b"] = &ReceivedHeartbeat{Heartbeat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, ReceivedAt: now}
 	term.RecordResume(now)
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 0 || len(term.renewals.constraints.ConstrainedZones()) != 0 || term.isClosed {
--- a/internal/controller/token.go
+++ b/internal/leader/token.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/clock"
@@ -9,7 +9,7 @@
 
 // issueToken issues a higher fencing token when the tracker asks for one, so that it can forget
 // attempts; see package allocation. The token takes effect later; see raiseAt.
-func (term *leaderTerm) issueToken(now clock.Micros) {
+func (term *Term) issueToken(now clock.Micros) {
 	if term.tokenIssue.raiseAt != 0 && now >= term.tokenIssue.raiseAt {
 		term.tokenIssue.raiseAt = 0
 		term.tracker.RaiseToken()
@@ -25,7 +25,7 @@
 			term.tracker.IssueToken(revision)
 			// The members learn it first, by two heartbeats: a delegate can't answer a worker that
 			// has seen a higher token than the delegate knows.
-			term.tokenIssue.raiseAt = term.tokenIssue.issuedAt + 2*heartbeatInterval
+			term.tokenIssue.raiseAt = term.tokenIssue.issuedAt + 2*HeartbeatInterval
 			term.host.SendHeartbeatNow()
 		},
 		afterwards: func() { term.tokenIssue.isInFlight = false },
@@ -35,7 +35,7 @@
 // mayIssueToken tells whether the last token has taken effect, and is half a lease old: a worker
 // reports a higher token at once no more often than that (PROTOCOL, "Workers -> controller nodes"), so to
 // issue one more often would be of no use.
-func (term *leaderTerm) mayIssueToken(now clock.Micros) bool {
+func (term *Term) mayIssueToken(now clock.Micros) bool {
 	issue := &term.tokenIssue
 	interval := clock.FromSeconds(term.environment.Config.Deployment.Workers.LeaseSeconds) / 2
 	return !issue.isInFlight && issue.raiseAt == 0 && now-max(issue.issuedAt, term.liveness.startedAt) >= interval
--- a/internal/controller/tracked_jobs.go
+++ b/internal/leader/tracked_jobs.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"cmp"
@@ -16,7 +16,7 @@
 // forecasts. Added after new leaders, whose forecasts knew of no arrivals, scaled in every idle
 // machine within seconds of a failover, although the classes of waiting jobs were about to need
 // them.
-func (term *leaderTerm) replayArrivals(now, wall clock.Micros) {
+func (term *Term) replayArrivals(now, wall clock.Micros) {
 	jobs := slices.Collect(maps.Values(term.tracker.Jobs))
 	slices.SortFunc(jobs, func(a, b *allocation.Job) int {
 		return cmp.Or(cmp.Compare(a.ReleasedAt, b.ReleasedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
@@ -27,11 +27,11 @@
 }
 
 // addJob has an active job tracked, with the completed tasks that its progress names.
-func (term *leaderTerm) addJob(id string, record *storeview.Job, startsRecorded bool) *allocation.Job {
+func (term *Term) addJob(id string, record *storeview.Job, startsRecorded bool) *allocation.Job {
 	completed := term.environment.View.CompletedTasks(id, record, term.environment.TasksPerKey)
 	released := term.environment.Graph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
 	job := term.tracker.AddJob(record.Spec, released, clock.Now(), startsRecorded, completed.IsSet)
-	urgency := term.environment.Graph.UrgencyOf(id, urgencyOf(record))
+	urgency := term.environment.Graph.UrgencyOf(id, UrgencyOf(record))
 	job.Priority, job.Deadline = urgency.Priority, urgency.Deadline
 	jobInfo := &jobState{layout: term.progressLayoutOf(record), firstStartAt: record.FirstStartAt}
 	jobInfo.updateKeyVersions(term.environment.View.Progress[id])
@@ -40,7 +40,7 @@
 }
 
 // addMachine has a machine tracked that a scale-out request was granted.
-func (term *leaderTerm) addMachine(request *scaleout.Request, name string) *allocation.Machine {
+func (term *Term) addMachine(request *scaleout.Request, name string) *allocation.Machine {
 	now := clock.Now()
 	pool := poolOf(request)
 	machine := term.tracker.AddMachine(name, pool.Type, pool.Zone, pool.Spot, term.scheduler.MachineCapacity(pool.Type), now)
@@ -52,14 +52,14 @@
 }
 
 // ApplyJobRecord applies a job's record that is new in the view.
-func (term *leaderTerm) ApplyJobRecord(id string, record *storeview.Job) {
+func (term *Term) ApplyJobRecord(id string, record *storeview.Job) {
 	now := clock.Now()
 	job := term.tracker.Jobs[id]
 	term.requestPlan()
 	switch {
 	case record.IsCancelledByDependency:
 	case !record.HasEnded() && job == nil && term.jobs[id] == nil:
-		if isBlocked(term.environment.View, term.environment.Graph, id, record) {
+		if IsBlocked(term.environment.View, term.environment.Graph, id, record) {
 			return
 		}
 		term.scheduler.ObserveArrival(term.addJob(id, record, false), now)
@@ -73,7 +73,7 @@
 // cancelJob applies a durable cancellation. The tasks' grace period runs from the end that the
 // record has, which this leader may have read late, for instance while the key-value store refused
 // its requests.
-func (term *leaderTerm) cancelJob(job *allocation.Job, record *storeview.Job, now clock.Micros) {
+func (term *Term) cancelJob(job *allocation.Job, record *storeview.Job, now clock.Micros) {
 	term.tracker.Cancel(job, now)
 	job.CancelledAt = now - max(clock.WallTime()-clock.Micros(record.EndedAt), 0)
 	term.jobs[job.Spec.ID].isEndDurable = true
@@ -81,7 +81,7 @@
 
 // unconfirmedCount counts the tasks that may run on any machine since an earlier leader may have
 // started them.
-func (term *leaderTerm) unconfirmedCount() int {
+func (term *Term) unconfirmedCount() int {
 	count := 0
 	for _, job := range term.tracker.Jobs {
 		count += job.UnconfirmedCount()
--- a/internal/controller/machine_state.go
+++ b/internal/leader/tracked_state.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/client"
@@ -10,7 +10,15 @@
 	"firwood.dev/firwood/internal/storeview"
 )
 
-// machineState is what the controller knows of a machine besides the allocation table.
+// tracked is what the leader knows of requests, machines and jobs besides the allocation table,
+// by name.
+type tracked struct {
+	scaleOuts map[string]*scaleout.Request
+	machines  map[string]*machineState
+	jobs      map[string]*jobState
+}
+
+// machineState is what the leader knows of a machine besides the allocation table.
 type machineState struct {
 	scaleOut             *scaleout.Request
 	host                 *client.Host
@@ -24,7 +32,7 @@
 	isListedBooting bool
 }
 
-// jobState is what the controller knows of a job besides the allocation table.
+// jobState is what the leader knows of a job besides the allocation table.
 type jobState struct {
 	isRecordingStarts  bool
 	isWriting          bool
--- a/internal/controller/worker_client.go
+++ b/internal/leader/worker_client.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"firwood.dev/firwood/internal/allocation"
@@ -10,7 +10,7 @@
 const maxWorkerResponseBytes = 4 * wire.MaxBodyBytes
 
 // workerHost is the connection to the worker on a machine, made at its first use.
-func (term *leaderTerm) workerHost(machine *allocation.Machine, machineInfo *machineState) *client.Host {
+func (term *Term) workerHost(machine *allocation.Machine, machineInfo *machineState) *client.Host {
 	if machineInfo.host == nil {
 		machineInfo.host = term.environment.WorkerRequests.Pool.NewHost(machine.Address, 1, maxWorkerResponseBytes)
 	}
