--- a/internal/ci/layout/layout.go
+++ b/internal/ci/layout/layout.go
@@ -1,5 +1,5 @@
-// Package layout holds the repository's packages to the table of them in README, and their
-// imports to the project's layers.
+// Package layout holds the repository's packages to the table of them in README, their imports to
+// the project's layers, and the pages that lead to the code to its files, names and log messages.
 package layout
 
 import (
