--- a/internal/leader/cancelled_jobs.go
+++ b/internal/leader/cancelled_jobs.go
@@ -12,8 +12,8 @@
 type cancelledJobShrinker struct{ term *Term }
 
 // shrinkIfVacated shrinks the record of a cancelled job once none of its tasks can be on a
-// machine. Unlike other writes of a job's record this one depends on the lock alone, not on the
-// record's version: no other member changes the record of a cancelled job.
+// machine. The write is conditional on the record's version: a copy of it that is executed late,
+// after the record was moved to the archive, must not bring the record back.
 func (shrinker *cancelledJobShrinker) shrinkIfVacated(id string, job *allocation.Job, jobInfo *jobState) {
 	term := shrinker.term
 	if !term.tracker.IsVacated(job) {
@@ -26,14 +26,24 @@
 		return
 	}
 	jobInfo.isWriting = true
-	write := &kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.JobKey(id), Value: value}}}
+	write := &kvstore.Write{
+		Priority:   kvstore.Required,
+		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.Version}},
+		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
+	}
 	term.appendProgressDeletes(write, id, jobInfo)
-	// After any other outcome the job is still tracked, so a later call writes the same again.
+	// The job is still tracked after any outcome but a commit, so a later call writes again: with
+	// the version that the view has by then, if the record may be another one.
+	allowNext := func() {
+		jobInfo.isWriting = false
+		term.requestPlan()
+	}
+	verify := term.afterSync(allowNext)
 	term.commitHandled(write, outcomeHandlers{
-		committed: func(uint64) { term.removeJob(id, job) },
-		afterwards: func() {
-			jobInfo.isWriting = false
-			term.requestPlan()
-		},
+		committed:   func(uint64) { term.removeJob(id, job) },
+		conflict:    verify,
+		notExecuted: func() { jobInfo.isWriting = false },
+		unknown:     verify,
+		afterwards:  term.requestPlan,
 	})
 }
--- /dev/null
+++ b/internal/leader/cancelled_jobs_test.go
@@ -0,0 +1,106 @@
+package leader
+
+import (
+	"slices"
+	"testing"
+
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/fake"
+	"firwood.dev/firwood/internal/kvstore"
+	"firwood.dev/firwood/internal/records"
+	"firwood.dev/firwood/wire"
+)
+
+const cancelledJobID = "req-000001"
+
+// newTermOfCancelledJob makes a term that tracks a cancelled job of which no task is on a machine
+// and whose record still has the submission.
+func newTermOfCancelledJob(t *testing.T) (*fake.Store, *Term) {
+	t.Helper()
+	fakeStore, term := newTermOnStore(t, cleanupLimits)
+	record := records.Job{SubmittedAt: 1, Spec: &wire.Job{ID: cancelledJobID, Kind: wire.KindArray, Team: "t", TaskCount: 3, CPUs: 1, Priority: wire.PriorityNormal}}
+	putAndSync(t, ownerOf(term), map[string]any{records.JobKey(cancelledJobID): record})
+	putAndSync(t, ownerOf(term), map[string]any{records.JobKey(cancelledJobID): cancelledRecord(record)})
+	if job := term.tracker.Jobs[cancelledJobID]; job == nil || !job.Cancelled {
+		t.Fatalf("tracked is %+v", job)
+	}
+	return fakeStore, term
+}
+
+func cancelledRecord(record records.Job) records.Job {
+	record.State, record.EndedAt = wire.JobCancelled, int64(clock.WallTime())
+	return record
+}
+
+// persistUntilUntracked runs what writes the ends of jobs until the cancelled one is tracked no more.
+func persistUntilUntracked(t *testing.T, term *Term) {
+	t.Helper()
+	runUntil(t, ownerOf(term), func() bool {
+		term.persistJobs(clock.Now())
+		return term.tracker.Jobs[cancelledJobID] == nil
+	})
+}
+
+// A copy of the write that shrinks a cancelled job's record, carried out after the record was moved
+// to the archive, does not bring the record back beside the archived one.
+func TestLateShrinkDoesNotRestoreAnArchivedRecord(t *testing.T) {
+	fakeStore, term := newTermOfCancelledJob(t)
+	owner := ownerOf(term)
+	before := len(fakeStore.Transactions())
+	persistUntilUntracked(t, term)
+	shrinks := fakeStore.Transactions()[before:]
+	if len(shrinks) != 1 {
+		t.Fatalf("shrunk by %+v", shrinks)
+	}
+	shrunk := fakeStore.Value(records.JobKey(cancelledJobID))
+	page, err := owner.Store.ReadPage(records.JobPrefix, "", archivePageSize)
+	if err != nil || len(page.KeyValues) != 1 {
+		t.Fatalf("read are %+v, %v", page, err)
+	}
+	archiver := &term.persistence.archive
+	archiver.move(page.KeyValues[0], records.ArchiveKey(cancelledJobID))
+	runUntil(t, owner, func() bool { return !archiver.isBusy() })
+	fakeStore.ReapplyTransaction(shrinks[0])
+	if keys := fakeStore.Keys(records.JobPrefix); len(keys) != 0 {
+		t.Errorf("a late copy has written %v", keys)
+	}
+	if archived := fakeStore.Value(records.ArchiveKey(cancelledJobID)); archived != shrunk {
+		t.Errorf("archived is %q, want %q", archived, shrunk)
+	}
+}
+
+// A record that is newer than the view's is not overwritten; it is shrunk once the view has it.
+func TestShrinkAfterConflictKeepsTheNewerRecord(t *testing.T) {
+	fakeStore, term := newTermOfCancelledJob(t)
+	owner := ownerOf(term)
+	before := len(fakeStore.Transactions())
+	newer := *owner.View.Jobs[cancelledJobID]
+	newer.EndedAt++
+	value, err := newer.MarshalJSON()
+	if err != nil {
+		t.Fatal(err)
+	}
+	isWritten := make(chan kvstore.Outcome, 1)
+	owner.Store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: records.JobKey(cancelledJobID), Value: value}}, Done: func(outcome kvstore.Outcome, _ uint64) { isWritten <- outcome }})
+	if outcome := <-isWritten; outcome != kvstore.Committed {
+		t.Fatalf("the newer record is not stored: %v", outcome)
+	}
+	term.persistJobs(clock.Now()) // before the view has the newer record
+	persistUntilUntracked(t, term)
+	var record records.Job
+	if err := record.UnmarshalJSON([]byte(fakeStore.Value(records.JobKey(cancelledJobID)))); err != nil {
+		t.Fatal(err)
+	}
+	if record.EndedAt != newer.EndedAt || !record.IsFinished() {
+		t.Errorf("stored is %+v, want a shrunk record that ended at %d", record, newer.EndedAt)
+	}
+	writes := fakeStore.Transactions()[before:]
+	isOfOldVersion := func(transaction wire.Transaction) bool {
+		return slices.ContainsFunc(transaction.Conditions, func(condition wire.Condition) bool {
+			return condition.Key == records.JobKey(cancelledJobID) && condition.Version == newer.Version
+		})
+	}
+	if len(writes) != 2 || slices.ContainsFunc(writes, isOfOldVersion) {
+		t.Errorf("written are %+v", writes)
+	}
+}
