--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -25,6 +25,7 @@
 	address string
 	wake    chan struct{} // holds one token while frames may be waiting
 	done    chan struct{}
+	close   sync.Once // closes done
 
 	mu               sync.Mutex
 	pendingHeartbeat []byte
@@ -39,8 +40,8 @@
 	return link
 }
 
-// Close ends the link. It must be called once; nothing may be sent after it.
-func (link *Link) Close() { close(link.done) }
+// Close ends the link. Nothing may be sent after it; closing it again does nothing.
+func (link *Link) Close() { link.close.Do(func() { close(link.done) }) }
 
 // SendHeartbeat replaces the heartbeat that waits to be sent.
 func (link *Link) SendHeartbeat(frame []byte) { link.replacePending(&link.pendingHeartbeat, frame) }
@@ -66,6 +67,11 @@
 	link.mu.Lock()
 	*pending = frame
 	link.mu.Unlock()
+	link.requestSend()
+}
+
+// requestSend wakes the link's goroutine, unless a wake waits for it by then.
+func (link *Link) requestSend() {
 	select {
 	case link.wake <- struct{}{}:
 	default:
@@ -73,7 +79,7 @@
 }
 
 // run owns the connection. It dials when there is something to send, and again after a failed
-// write. After a failed dial the frames wait until a newer one is to be sent.
+// write. After a failed dial the frames wait for the redial, or for newer ones that replace them.
 func (link *Link) run() {
 	var connection net.Conn
 	defer func() {
@@ -91,7 +97,10 @@
 			var err error
 			if connection, err = link.dial(link.address, dialTimeout.Duration()); err != nil {
 				connection = nil
-				time.Sleep(redialBackoff.Duration())
+				if !link.waitForRedial() {
+					return
+				}
+				link.requestSend() // the failed dial took the wake, and its frames still wait
 				continue
 			}
 		}
@@ -102,6 +111,18 @@
 	}
 }
 
+// waitForRedial waits until the link may dial again; false means that it was closed.
+func (link *Link) waitForRedial() bool {
+	timer := time.NewTimer(redialBackoff.Duration())
+	defer timer.Stop()
+	select {
+	case <-link.done:
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
 func writeFrames(connection net.Conn, frames [][]byte) error {
 	for _, frame := range frames {
 		if err := connection.SetWriteDeadline(time.Now().Add(writeTimeout.Duration())); err != nil {
