--- a/internal/ci/knownred/knownred.go
+++ b/internal/ci/knownred/knownred.go
@@ -134,7 +134,8 @@
 }
 
 // Judge reads the events of a run and compares them with the list. The output of
-// packages and of failed tests is copied to out.
+// packages and of failed tests is copied to out. The events are read to their end also where they
+// cannot be decoded, so that whoever writes them into a pipe isn't blocked.
 func Judge(events io.Reader, entries []Entry, out io.Writer) (*Result, error) {
 	collector := &resultCollector{
 		out: out, outputs: map[string][]string{}, failedTests: map[string]bool{},
@@ -146,6 +147,7 @@
 		if err := decoder.Decode(&event); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
+			_, _ = io.Copy(io.Discard, events) // the run fails by the first error
 			return nil, fmt.Errorf("the test events cannot be read: %w", err)
 		}
 		collector.recordEvent(&event)
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -80,3 +80,16 @@
 		t.Error("events that cannot be read pass")
 	}
 }
+
+// Events that cannot be decoded are an error, and are read to their end: a writer that is not read
+// from would block once a pipe is full, and never end.
+func TestJudgeReadsUndecodableEventsToTheEnd(t *testing.T) {
+	const moreThanAPipeHolds = 1 << 20
+	events := strings.NewReader("no event\n" + strings.Repeat(" ", moreThanAPipeHolds))
+	if _, err := Judge(events, nil, io.Discard); err == nil {
+		t.Error("events that cannot be read pass")
+	}
+	if left := events.Len(); left != 0 {
+		t.Errorf("%d bytes are not read", left)
+	}
+}
