--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -37,6 +37,8 @@
 	users        userRequestState
 	hints        *hints.Hints
 	storeUse     storeUsage
+
+	nextDropLogAt map[string]clock.Micros // when logDropped may log a message again
 }
 
 // SetTracer has failovers written to a tracer. It is called before Run.
@@ -133,18 +135,18 @@
 	controller.term.Tick(now)
 }
 
-// dropLogInterval bounds how often dropped responses and messages are logged.
+// dropLogInterval bounds how often dropped responses and messages of one kind are logged.
 const dropLogInterval = 5 * clock.Second
 
-// logDropped logs a response, record or message that is malformed or unexpected, at a bounded
-// rate. It adds how many malformed responses of the store there were so far.
+// logDropped logs what is malformed, unexpected or exceeds a limit. Each message has a bound of its
+// own on its rate, so that none hides another.
 func (controller *Controller) logDropped(message string, args ...any) {
 	now := clock.Now()
-	if now < controller.storeUse.nextDropLogAt {
+	if now < controller.nextDropLogAt[message] {
 		return
 	}
-	controller.storeUse.nextDropLogAt = now + dropLogInterval
-	controller.log.Error(message, append(args, "dropped_so_far", controller.store.MalformedResponses.Load())...)
+	controller.nextDropLogAt[message] = now + dropLogInterval
+	controller.log.Error(message, args...)
 }
 
 // runAfter runs a command on the owner's goroutine after a while.
--- a/internal/controller/controller_state.go
+++ b/internal/controller/controller_state.go
@@ -124,10 +124,9 @@
 	progressCounts     *hints.Counts
 }
 
-// storeUsage is how the members share the store's rates, and what was logged of its
-// malformed responses.
+// storeUsage is how the members share the store's rates, and what was reported of
+// its malformed responses and records.
 type storeUsage struct {
 	shares        rateshare.Adjuster
-	nextDropLogAt clock.Micros
-	reportedDrops int64 // malformed responses that were logged
+	reportedDrops int64 // malformed responses and records that were reported
 }
--- /dev/null
+++ b/internal/controller/drop_log_test.go
@@ -0,0 +1,48 @@
+package controller
+
+import (
+	"errors"
+	"log/slog"
+	"strings"
+	"testing"
+
+	"firwood.dev/firwood/internal/records"
+)
+
+// captureLog has a controller log to the string that is returned.
+func captureLog(controller *Controller) *strings.Builder {
+	var log strings.Builder
+	controller.log = slog.New(slog.NewTextHandler(&log, nil))
+	return &log
+}
+
+// Each kind of what is dropped has a bound of its own, and only the lines about the store have the
+// count of what the store has sent malformed.
+func TestDropsOfOneKindHideNoOther(t *testing.T) {
+	controller := newTestController(t)
+	log := captureLog(controller)
+	observer, host := viewObserver{controller}, termHost{controller}
+	for range 3 {
+		observer.RecordRejected(records.JobKey("req-000001"), errors.New("no record"))
+		controller.logMalformedResponses()
+		host.LogDropped("renewal constraints exceed the store's value limit", "bytes", 9, "limit_bytes", 8)
+		controller.logDropped("standby message rejected", "member", "b")
+	}
+	controller.store.MalformedResponses.Add(1)
+	controller.logMalformedResponses()
+	lines := strings.Split(strings.TrimSpace(log.String()), "\n")
+	want := []string{
+		`msg="malformed record in the store" key=firwood/job/req-000001 error="no record" dropped_so_far=1`,
+		`msg="renewal constraints exceed the store's value limit" bytes=9 limit_bytes=8`,
+		`msg="standby message rejected" member=b`,
+		`msg="malformed or unexpected store responses" dropped_so_far=4`,
+	}
+	if len(lines) != len(want) {
+		t.Fatalf("logged are\n%s", log)
+	}
+	for i, line := range lines {
+		if !strings.HasSuffix(line, want[i]) {
+			t.Errorf("logged is %q, want %q", line, want[i])
+		}
+	}
+}
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -123,7 +123,7 @@
 // sent more of them since.
 func (controller *Controller) logMalformedResponses() {
 	if drops := controller.store.MalformedResponses.Load(); drops > controller.storeUse.reportedDrops {
-		controller.logDropped("malformed or unexpected store responses")
+		controller.logDropped("malformed or unexpected store responses", "dropped_so_far", drops)
 		controller.storeUse.reportedDrops = drops
 	}
 }
--- a/internal/controller/view_observer.go
+++ b/internal/controller/view_observer.go
@@ -64,6 +64,8 @@
 
 // RecordRejected implements storeview.Observer.
 func (observer viewObserver) RecordRejected(key string, err error) {
-	observer.controller.store.MalformedResponses.Add(1)
-	observer.controller.logDropped("malformed record in the store", "key", key, "error", err)
+	controller := observer.controller
+	malformed := controller.store.MalformedResponses.Add(1)
+	controller.storeUse.reportedDrops++ // not to be reported as a response as well
+	controller.logDropped("malformed record in the store", "key", key, "error", err, "dropped_so_far", malformed)
 }
--- a/internal/leader/host.go
+++ b/internal/leader/host.go
@@ -53,7 +53,8 @@
 	ProblemOf(id string, record *storeview.Job, wall int64) (problem jobreport.Problem, isProblem bool)
 	// AdjustRateShare lets this member use what the others leave of the store's rate of changes.
 	AdjustRateShare(now clock.Micros)
-	// LogDropped logs, at a bounded rate, something that is malformed or exceeds a limit.
+	// LogDropped logs, at a rate that is bounded for each message, something that is malformed or
+	// exceeds a limit.
 	LogDropped(message string, args ...any)
 }
 
