--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -15,6 +15,7 @@
 const (
 	endLockLost    endReason = "the lock is lost"
 	endWriteFenced endReason = "a write was fenced"
+	endHigherToken endReason = "a worker reported a higher token"
 	endHandedOver  endReason = "handed over"
 )
 
@@ -98,11 +99,12 @@
 	controller.members.nextHeartbeatAt = 0
 }
 
-// handleFenced ends the term of a token that a write or a worker has proven to be outdated.
-func (controller *Controller) handleFenced(token uint64) {
+// handleFenced ends the term of a token that a write or a worker, by the reason, has proven to be
+// outdated.
+func (controller *Controller) handleFenced(token uint64, reason endReason) {
 	controller.executeActions(controller.elector.HandleFencedWrite(clock.Now(), token))
 	if controller.elector.Phase() != election.Leader {
-		controller.endTerm(endWriteFenced)
+		controller.endTerm(reason)
 	}
 }
 
--- a/internal/controller/term_host.go
+++ b/internal/controller/term_host.go
@@ -35,7 +35,12 @@
 func (host termHost) EntitledUntil() clock.Micros { return host.controller.elector.EntitledUntil() }
 
 // HandleFenced implements leader.Host.
-func (host termHost) HandleFenced(token uint64) { host.controller.handleFenced(token) }
+func (host termHost) HandleFenced(token uint64) { host.controller.handleFenced(token, endWriteFenced) }
+
+// HandleHigherToken implements leader.Host.
+func (host termHost) HandleHigherToken(token uint64) {
+	host.controller.handleFenced(token, endHigherToken)
+}
 
 // HandOver implements leader.Host.
 func (host termHost) HandOver(now, backoff clock.Micros) {
--- a/internal/leader/command_requests.go
+++ b/internal/leader/command_requests.go
@@ -101,7 +101,7 @@
 		machineInfo.commandsBlockedUntil = now + commandBlockTime
 	}
 	if heartbeat != nil && term.tracker.RecordCommandHeartbeat(machine, heartbeat, now) == allocation.HeartbeatFenced {
-		term.host.HandleFenced(term.token)
+		term.host.HandleHigherToken(term.token)
 		return
 	}
 	term.processTaskEvents(now)
--- a/internal/leader/host.go
+++ b/internal/leader/host.go
@@ -27,9 +27,10 @@
 	// the lock's lease as known.
 	IsEntitled() bool
 	EntitledUntil() clock.Micros
-	// HandleFenced reports that a write or a worker has proven a token to be outdated, which
-	// ends the term.
+	// HandleFenced reports that a write has proven the term's token to be outdated, which ends
+	// the term; HandleHigherToken reports the same of a worker, which has shown a higher one.
 	HandleFenced(token uint64)
+	HandleHigherToken(token uint64)
 	// HandOver ends the term, and stays out of elections for a while.
 	HandOver(now, backoff clock.Micros)
 
--- a/internal/leader/owner_test.go
+++ b/internal/leader/owner_test.go
@@ -31,6 +31,8 @@
 	term     *Term // what the view's changes are told to, nil for none
 	commands *commandqueue.Queue
 
+	hasReportedHigherToken bool
+
 	isEntitled    bool
 	entitledUntil clock.Micros
 
@@ -142,7 +144,11 @@
 func (owner *testOwner) IsEntitled() bool            { return owner.isEntitled }
 func (owner *testOwner) EntitledUntil() clock.Micros { return owner.entitledUntil }
 func (owner *testOwner) HandleFenced(uint64)         { owner.endTerm() }
-func (owner *testOwner) HandOver(_, _ clock.Micros)  { owner.endTerm() }
+func (owner *testOwner) HandleHigherToken(uint64) {
+	owner.hasReportedHigherToken = true
+	owner.endTerm()
+}
+func (owner *testOwner) HandOver(_, _ clock.Micros) { owner.endTerm() }
 
 func (owner *testOwner) Heartbeats() map[string]*ReceivedHeartbeat   { return owner.heartbeats }
 func (owner *testOwner) Timestamps() map[string]delegation.Timestamp { return nil }
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -101,7 +101,7 @@
 		term.renewals.liftingZones[machine.Zone] = true // its zone is reachable again
 	}
 	if term.tracker.RecordCommandHeartbeat(machine, heartbeat, now) == allocation.HeartbeatFenced {
-		term.host.HandleFenced(term.token)
+		term.host.HandleHigherToken(term.token)
 		return
 	}
 	term.processTaskEvents(now)
--- a/internal/leader/worker_heartbeats.go
+++ b/internal/leader/worker_heartbeats.go
@@ -23,7 +23,7 @@
 		if result == allocation.HeartbeatFenced {
 			term.environment.Log.Info("deposed: a worker reported a higher fencing token", "machine", heartbeat.MachineID, "token", heartbeat.FencingToken, "own_token", term.tracker.FencingToken())
 			replyUnavailable(reply, "deposed")
-			term.host.HandleFenced(term.token)
+			term.host.HandleHigherToken(term.token)
 			return
 		}
 		if due := term.commandsAfter(result, machine, now); due != nil {
--- /dev/null
+++ b/internal/leader/worker_heartbeats_test.go
@@ -0,0 +1,34 @@
+package leader
+
+import (
+	"testing"
+
+	"firwood.dev/firwood/internal/allocation"
+	"firwood.dev/firwood/internal/clock"
+	"firwood.dev/firwood/internal/server"
+	"firwood.dev/firwood/wire"
+)
+
+// A higher token is reported as such wherever a worker shows it, and ends the term.
+func TestHigherTokenOfAWorkerIsReported(t *testing.T) {
+	heartbeat := &wire.Heartbeat{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 10}
+	for name, show := range map[string]func(*Term, *allocation.Machine, *machineState){
+		"heartbeat": func(term *Term, _ *allocation.Machine, _ *machineState) {
+			term.HandleHeartbeat(heartbeat, server.NewReply(func(int, []byte, int) {}))
+		},
+		"command response": func(term *Term, machine *allocation.Machine, machineInfo *machineState) {
+			term.handleCommandResponse(machine, machineInfo, nil, allocation.CommandRejected, heartbeat)
+		},
+		"probe": func(term *Term, machine *allocation.Machine, machineInfo *machineState) {
+			term.handleProbeAnswer(machine, machineInfo, heartbeat, clock.Now())
+		},
+	} {
+		term := newTestTerm(t, "i-1")
+		owner := ownerOf(term)
+		owner.term = term
+		show(term, term.tracker.Machines["i-1"], term.machines["i-1"])
+		if !owner.hasReportedHigherToken || owner.term != nil {
+			t.Errorf("%s: reported is %v, the term goes on: %v", name, owner.hasReportedHigherToken, owner.term != nil)
+		}
+	}
+}
