--- a/internal/leader/cleanup_test.go
+++ b/internal/leader/cleanup_test.go
@@ -153,9 +153,13 @@
 	if term.persistence.cleanup.inFlight > maxCleanupsInFlight {
 		t.Fatalf("%d writes are under way", term.persistence.cleanup.inFlight)
 	}
+	submission, err := newJobRecord("req-009999").MarshalJSON()
+	if err != nil {
+		t.Fatal(err)
+	}
 	accepted := false
 	ok := owner.Store.Commit(&kvstore.Write{
-		Conditions: []wire.Condition{{Key: records.JobKey("req-009999")}}, Changes: []wire.Change{{PutKey: records.JobKey("req-009999"), Value: []byte(`{"at":1}`)}},
+		Conditions: []wire.Condition{{Key: records.JobKey("req-009999")}}, Changes: []wire.Change{{PutKey: records.JobKey("req-009999"), Value: submission}},
 		Deadline: clock.Now() + 5*clock.Second/2,
 		Done: func(outcome kvstore.Outcome, _ uint64) {
 			owner.PostResult(func() { accepted = outcome == kvstore.Committed })
