--- a/internal/leader/job_persistence.go
+++ b/internal/leader/job_persistence.go
@@ -46,7 +46,7 @@
 			}
 		case job.IsComplete():
 			term.persistence.jobEnds.write(id, job, jobInfo)
-		case now-jobInfo.writtenAt >= progressInterval:
+		case now-jobInfo.lastProgressWriteAt >= progressInterval:
 			due = append(due, id)
 		}
 	}
--- a/internal/leader/machine_deletion.go
+++ b/internal/leader/machine_deletion.go
@@ -73,8 +73,8 @@
 	if machineInfo == nil {
 		return nil
 	}
-	if machineInfo.host != nil {
-		machineInfo.host.Close()
+	if machineInfo.workerHost != nil {
+		machineInfo.workerHost.Close()
 	}
 	if machineInfo.scaleOut != nil {
 		machineInfo.scaleOut.RemoveMachine(name)
--- a/internal/leader/progress_writer.go
+++ b/internal/leader/progress_writer.go
@@ -33,7 +33,7 @@
 	}
 	term := writer.term
 	slices.SortFunc(due, func(a, b string) int {
-		return cmp.Or(cmp.Compare(term.jobs[a].writtenAt, term.jobs[b].writtenAt), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(term.jobs[a].lastProgressWriteAt, term.jobs[b].lastProgressWriteAt), cmp.Compare(a, b))
 	})
 	for _, id := range due[:min(len(due), maxProgressWrites-writer.inFlight)] {
 		writer.write(id, term.tracker.Jobs[id], term.jobs[id], now)
@@ -41,7 +41,7 @@
 }
 
 func (writer *progressWriter) write(id string, job *allocation.Job, jobInfo *jobState, now clock.Micros) {
-	jobInfo.isWriting, jobInfo.writtenAt = true, now
+	jobInfo.isWriting, jobInfo.lastProgressWriteAt = true, now
 	tasks, keys := selectProgressKeys(job.UnpersistedCompletions(), &jobInfo.layout, writer.term.maxTransactionOps())
 	write := newProgressWrite(id, job, jobInfo, keys)
 	writer.inFlight++
--- a/internal/leader/tracked_state.go
+++ b/internal/leader/tracked_state.go
@@ -21,7 +21,7 @@
 // machineState is what the leader knows of a machine besides the allocation table.
 type machineState struct {
 	scaleOut             *scaleout.Request
-	host                 *client.Host
+	workerHost           *client.Host
 	commandsBlockedUntil clock.Micros // no command requests before this instant
 	isDeleting           bool
 	probes               health.Probes
@@ -34,17 +34,17 @@
 
 // jobState is what the leader knows of a job besides the allocation table.
 type jobState struct {
-	isRecordingStarts  bool
-	isWriting          bool
-	writtenAt          clock.Micros
-	layout             records.ProgressLayout
-	keyVersions        map[int]uint64 // of progress keys as last known, by number
-	hasWarnedLate      bool
-	isEndDurable       bool    // its end is durable
-	observedRuns       int     // tasks whose whole run this leader has seen
-	observedRunSeconds float64 // of these runs in all
-	isJobRunObserved   bool    // the scheduler has them as one run
-	firstStartAt       int64
+	isRecordingStarts   bool
+	isWriting           bool
+	lastProgressWriteAt clock.Micros
+	layout              records.ProgressLayout
+	keyVersions         map[int]uint64 // of progress keys as last known, by number
+	hasWarnedLate       bool
+	isEndDurable        bool    // its end is durable
+	observedRuns        int     // tasks whose whole run this leader has seen
+	observedRunSeconds  float64 // of these runs in all
+	isJobRunObserved    bool    // the scheduler has them as one run
+	firstStartAt        int64
 }
 
 // setKeyVersion records the version of a progress key, if it is newer than the one known.
--- a/internal/leader/worker_client.go
+++ b/internal/leader/worker_client.go
@@ -11,10 +11,10 @@
 
 // workerHost is the connection to the worker on a machine, made at its first use.
 func (term *Term) workerHost(machine *allocation.Machine, machineInfo *machineState) *client.Host {
-	if machineInfo.host == nil {
-		machineInfo.host = term.environment.WorkerRequests.Pool.NewHost(machine.Address, 1, maxWorkerResponseBytes)
+	if machineInfo.workerHost == nil {
+		machineInfo.workerHost = term.environment.WorkerRequests.Pool.NewHost(machine.Address, 1, maxWorkerResponseBytes)
 	}
-	return machineInfo.host
+	return machineInfo.workerHost
 }
 
 // decodeHeartbeatOf reads the heartbeat in a response of a machine's worker; nil if there is
