--- a/internal/leader/adopted_tasks_test.go
+++ b/internal/leader/adopted_tasks_test.go
@@ -11,9 +11,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A new leader does not know when the tasks that it finds running began. What is left
-// of their runs was once learnt as run times, so after each change of the lead forecasts
-// came out short.
+// A new leader doesn't know when the tasks that it finds running began, so their runs are not
+// taken as run times. Added after the rests of such runs were, and forecasts were too short after
+// each failover.
 func TestAdoptedTasksDoNotUpdateRunTimes(t *testing.T) {
 	term := newTestTerm(t, "i-1")
 	term.environment.View.Jobs["req-000001"] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -14,7 +14,7 @@
 )
 
 // addFleetRecords are the records of so many machines, each with eight tasks of arrays, in
-// a view, and the reports that the machines send.
+// a view, and the heartbeats that the machines send.
 func addFleetRecords(owner *testOwner, machines int) []*wire.Heartbeat {
 	const tasks, jobTasks = 8, 96
 	scaleOut := owner.View.ScaleOuts["h"]
@@ -41,7 +41,7 @@
 	return heartbeats
 }
 
-// failOverFleet has a new leader rebuild the account and take every machine's report.
+// failOverFleet has a new leader rebuild the allocation table and take every machine's heartbeat.
 func failOverFleet(b *testing.B, owner *testOwner, heartbeats []*wire.Heartbeat) *Term {
 	b.Helper()
 	term := owner.newTerm(10, clock.Now())
@@ -57,8 +57,8 @@
 
 var fleetSizes = []int{500, 1500, 4000, 6000}
 
-// A take-over at several sizes: the account is made from the records, every
-// machine reports its eight tasks, then the first plan is made.
+// A failover at several sizes of the fleet: the allocation table is rebuilt from the records, every
+// machine's heartbeat shows its eight tasks, then the first plan is made.
 func BenchmarkTakeOver(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -75,8 +75,8 @@
 	}
 }
 
-// What a fleet costs its leader once it is led: a report in which nothing has changed,
-// the memory of a machine, and the bytes that another controller is told in a second.
+// What a fleet costs its leader after the failover: a heartbeat in which nothing has changed, the
+// memory for a machine, and the bytes sent to another member in a second.
 func BenchmarkLeading(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// heapInUse is how many bytes are held once what nobody holds is gone.
+// heapInUse is how many bytes of the heap are in use after a garbage collection.
 func heapInUse() float64 {
 	for range 3 {
 		runtime.GC() // the first ones leave what has a finalizer
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -54,12 +54,12 @@
 	owner.heartbeats["b"] = &ReceivedHeartbeat{ReceivedAt: now, Heartbeat: &peer.Heartbeat{IsStoreReachable: true, WorkerCount: 4}}
 	term.Tick(now)
 	if term.isClosed || term.liveness.resumedAt != now || term.entitlement.hasLapsed {
-		t.Fatalf("handed over %v, awake since %d at %d", term.isClosed, term.liveness.resumedAt, now)
+		t.Fatalf("handed over %v, resumed at %d, now is %d", term.isClosed, term.liveness.resumedAt, now)
 	}
 	later := now + term.environment.Timing.SuspectTimeout
 	owner.heartbeats["b"].ReceivedAt = later
 	if !term.handOverIfCutOff(health.Reachability{Up: 4, Reachable: 0}, later) {
-		t.Fatal("does not hand over when nobody comes back to it")
+		t.Fatal("does not hand over though no machine becomes reachable again")
 	}
 }
 
@@ -69,7 +69,7 @@
 	for _, test := range []struct {
 		name         string
 		before, then health.Reachability
-		peer         clock.Micros // how long ago it was heard
+		peer         clock.Micros // age of its last heartbeat
 		served, over bool
 	}{
 		{"all at once", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, true, true},
--- a/internal/leader/owner_test.go
+++ b/internal/leader/owner_test.go
@@ -106,7 +106,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("it does not come about")
+	t.Fatal("the condition does not become true in time")
 }
 
 // watchInterval is the time between two reads of the store's changes.
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// A machine that answers no probe is deleted while the others of its zone answer,
-// and only then: in a cut none does, and a process that was late itself, or had no
-// connection free, has learnt nothing.
+// A machine that answers no probe is deleted while the others of its zone answer, and only then:
+// if the zone is cut off none does, and a process that was late itself, or had no connection free,
+// can't conclude anything.
 func TestProbeMisses(t *testing.T) {
 	fail := errors.New("no answer")
 	for _, test := range []struct {
