--- a/internal/leader/background.go
+++ b/internal/leader/background.go
@@ -7,7 +7,7 @@
 )
 
 // background runs work, which may block, on a goroutine of its own, and what work returns on
-// the owner's goroutine, unless the term is closed by then.
+// the controller's goroutine, unless the term is closed by then.
 func (term *Term) background(work func() (resume func())) {
 	go func() {
 		resume := work()
@@ -19,7 +19,8 @@
 	}()
 }
 
-// runAfter runs a command on the owner's goroutine after a delay, unless the term is over by then.
+// runAfter runs a command on the controller's goroutine after a delay, unless the term is closed
+// by then.
 func (term *Term) runAfter(delay clock.Micros, command func()) {
 	time.AfterFunc(delay.Duration(), func() {
 		term.host.PostResult(func() {
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -65,8 +65,8 @@
 }
 
 // commitWithRevision does what commit does, for callers that need the revision of the write.
-// done is called on the owner's goroutine, and not at all once the term is closed. It is called
-// before this method returns if the queue of writes is full.
+// done is called on the controller's goroutine, and not at all once the term is closed, or if the
+// write is fenced. It is called before this method returns if the queue of writes is full.
 func (term *Term) commitWithRevision(write *kvstore.Write, done func(kvstore.Outcome, uint64)) {
 	write.FencingToken = term.token
 	write.Deadline = clock.Now() + writeTimeout
--- a/internal/leader/constraints.go
+++ b/internal/leader/constraints.go
@@ -193,11 +193,13 @@
 	receivedAt clock.Micros
 }
 
-// maxDeferral is how long a heartbeat is deferred at most.
+// maxDeferral is how old a deferred heartbeat may become: retryDeferred, which runs after each
+// read of the view and each write of constraints, refuses older ones.
 const maxDeferral = clock.Second
 
-// deferIfConstrained tells whether a heartbeat's reply has to wait: for a newer view, or until
-// the constraint of its zone is lifted, which it starts.
+// deferIfConstrained tells whether a heartbeat must not be handled now. It waits then for a newer
+// view, or until the constraint of its zone is lifted, which it starts; a late copy of an earlier
+// heartbeat is refused, since it doesn't show that the zone is reachable.
 func (term *Term) deferIfConstrained(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if !term.entitlement.viewAge.MayRenewLeases(now) {
 		// No reply may renew its lease before the view has been read again.
--- a/internal/leader/entitlement.go
+++ b/internal/leader/entitlement.go
@@ -8,8 +8,9 @@
 	return clock.Micros(term.entitlement.actDeadline.Load())
 }
 
-// RecordResume restarts all silences: no heartbeats could arrive while the process was
-// stalled, and none were replied to while it was not entitled to act.
+// RecordResume has machines and members count as silent from now on at the earliest: no
+// heartbeats could arrive while the process was stalled, and none were replied to while it was
+// not entitled to act.
 func (term *Term) RecordResume(now clock.Micros) {
 	term.liveness.resumedAt, term.scheduler.ResumedAt = now, now
 }
@@ -55,7 +56,8 @@
 	return mayStart
 }
 
-// refreshView has the view read again; until then it is too old to start tasks on it.
+// refreshView has the view read again, which is too old to start tasks on it, or even to renew
+// leases. One read is under way at a time.
 func (term *Term) refreshView(now clock.Micros) {
 	if term.entitlement.isRefreshingView {
 		return
--- a/internal/leader/failover_times.go
+++ b/internal/leader/failover_times.go
@@ -16,10 +16,11 @@
 	firstDecisionAt   clock.Micros // the first task was placed
 	Token             uint64
 	isReplicaUsed     bool // the allocation table was rebuilt from a replica
-	unconfirmed       int  // placements of which it was not known whether they were started
+	unconfirmed       int  // tasks that an earlier leader may have started on any machine
 }
 
-// Status is the failover's part of the standby status, nil before one is complete.
+// Status is the failover's part of the standby status, nil before the allocation table has been
+// rebuilt. FirstDecisionMs is 0 until the failover is complete.
 func (times *FailoverTimes) Status() *jobreport.FailoverStatus {
 	if times.rebuiltAt == 0 {
 		return nil
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -9,8 +9,8 @@
 // AcknowledgeTimestamps renews the other members' grants to renew leases as delegates: the
 // timestamps received so far are acknowledged once the view is known to be newer than
 // them, and only while no cancelled job is overdue to stop. So the tasks of a cancelled
-// job in a zone that is cut off end in time; see delegation.Config. Then is called in
-// any case.
+// job in a zone that is cut off end in time; see delegation.Config. `then` is called
+// in any case, also after a failed read and once the term is closed.
 func (term *Term) AcknowledgeTimestamps(now clock.Micros, then func()) {
 	timestamps := maps.Clone(term.host.Timestamps())
 	term.environment.View.RequestSync(func(err error) {
--- a/internal/leader/host.go
+++ b/internal/leader/host.go
@@ -17,8 +17,7 @@
 )
 
 // Host is what a term needs of the controller that it belongs to: what the controller alone can
-// do, and what it alone knows. All methods but PostResult are for the
-// controller's goroutine.
+// do, and what it alone knows. All methods but PostResult are for the controller's goroutine.
 type Host interface {
 	// PostResult queues a command for the controller's goroutine. It may be called on any goroutine.
 	PostResult(command func())
--- a/internal/leader/job_end_writer.go
+++ b/internal/leader/job_end_writer.go
@@ -29,7 +29,7 @@
 		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.Version}},
 		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
 	}
-	if term.environment.Store.BacklogDuration() < backlogThreshold {
+	if term.environment.Store.BacklogDuration() < backlogThreshold { // else the cleaner removes it later
 		term.appendProgressDeletes(write, id, jobInfo)
 	}
 	verify := term.afterSync(func() { writer.verify(id, job, jobInfo) })
--- a/internal/leader/machine_health.go
+++ b/internal/leader/machine_health.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// checkpointMargin is the time that two saves of a checkpoint must leave before a reclaim for
-// a task to run on.
+// checkpointMargin is by how much the time until a reclaim must exceed that of two saves of a
+// checkpoint for a task to run on.
 const checkpointMargin = 3 * clock.Second
 
 // evacuateReclaimed stops the tasks of a machine that the cloud reclaims, unless they will be
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -98,7 +98,7 @@
 func (term *Term) handleProbeAnswer(machine *allocation.Machine, machineInfo *machineState, heartbeat *wire.Heartbeat, now clock.Micros) {
 	machineInfo.probes.RecordAnswer(now)
 	if term.renewals.constraints.MayConstrainZone(machine.Zone) {
-		term.renewals.liftingZones[machine.Zone] = true // its zone is reachable again
+		term.renewals.liftingZones[machine.Zone] = true // it is reachable again; the next review writes that
 	}
 	if term.tracker.RecordCommandHeartbeat(machine, heartbeat, now) == allocation.HeartbeatFenced {
 		term.host.HandleHigherToken(term.token)
@@ -117,8 +117,9 @@
 	}
 }
 
-// isZoneAnswering tells whether the way to a machine's zone is open: most of the machines
-// there that were probed since an instant have answered.
+// isZoneAnswering tells whether the way to a machine's zone is open: of the machines there that
+// were heard since an instant (and half a probe's timeout), or else have missed a probe, at least
+// two in three were heard.
 func (term *Term) isZoneAnswering(machine *allocation.Machine, since clock.Micros) bool {
 	var answers health.ZoneAnswers
 	for _, other := range term.tracker.Machines {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -113,9 +113,10 @@
 }
 
 // restore takes over what the view tells of scale-out requests and jobs, adopts the
-// constraints and hints of earlier leaders, and completes the allocation table. The
-// order matters: jobs are placed on machines that are known, arrivals are replayed
-// before anything is planned, and leases are bounded before the table is complete.
+// constraints and hints of earlier leaders, and completes the allocation table. The order
+// matters: arrivals, constraints and hints are those of the jobs and machines that were
+// restored before. Everything that earlier leaders may have started tasks of, or on, has to
+// be there before FinishRecovery: what is added after it counts as new.
 func (term *Term) restore(now, wall clock.Micros) {
 	term.restoreScaleOuts(now, wall)
 	cancelled := term.restoreJobs(now)
@@ -166,7 +167,8 @@
 	return impliedCancellations
 }
 
-// recordRebuilt ends the failover's second phase.
+// recordRebuilt notes and logs that the allocation table is rebuilt. That ends the failover's
+// second phase, after the wait for the lock; recordFirstDecision ends the third.
 func (term *Term) recordRebuilt() {
 	failover := term.environment.Failover
 	failover.rebuiltAt, failover.unconfirmed = clock.Now(), term.unconfirmedCount()
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -27,14 +27,16 @@
 )
 
 // maxScaleOutsInFlight bounds the requests under way: no more than the cloud answers in two
-// seconds, and than have both of their records written in half a second.
+// seconds, and no more than half a second of the store's rate of writes takes, at two records a
+// request; but two in any case.
 func (term *Term) maxScaleOutsInFlight() int {
 	deployment := &term.environment.Config.Deployment
 	return max(int(min(2*deployment.Cloud.RPS, deployment.Store.Effective().WriteRPS/4)), 2)
 }
 
 // requestScaleOut begins requests for machines: as many as it takes, since the cloud bounds the
-// machines of one. They are sent once their records are durable.
+// machines of one. They are sent once their records are durable, so that a later leader knows which
+// machines may exist.
 func (term *Term) requestScaleOut(wanted scheduler.ScaleOutRequest, now clock.Micros) {
 	for remaining := wanted.Count; remaining > 0; remaining -= wire.MaxScaleOutCount {
 		term.scaleOutSequence++
@@ -55,7 +57,9 @@
 }
 
 // writeScaleOutRecord writes a request's record until that is confirmed, and then goes on with what
-// is due. If a write of the record is under way, it is written again after that one.
+// is due. If a write of the record is under way, it is written again after that one. Each write is
+// conditional on the record's version: one that is executed late, or twice, must not undo the
+// names of machines that may have tasks by then.
 func (term *Term) writeScaleOutRecord(request *scaleout.Request, priority kvstore.Priority) {
 	write, ok := request.BeginWrite()
 	if !ok {
--- a/internal/leader/token.go
+++ b/internal/leader/token.go
@@ -32,7 +32,8 @@
 	})
 }
 
-// mayIssueToken tells whether the last token has taken effect, and is half a lease old: a worker
+// mayIssueToken tells whether the last token, or the term's own, has taken effect and is half a
+// lease old: a worker
 // reports a higher token at once no more often than that (PROTOCOL, "Workers -> controller nodes"), so to
 // issue one more often would be of no use.
 func (term *Term) mayIssueToken(now clock.Micros) bool {
--- a/internal/leader/tracked_state.go
+++ b/internal/leader/tracked_state.go
@@ -34,17 +34,17 @@
 
 // jobState is what the leader knows of a job besides the allocation table.
 type jobState struct {
-	isRecordingStarts   bool
-	isWriting           bool
-	lastProgressWriteAt clock.Micros
+	isRecordingStarts   bool         // see recordStarts
+	isWriting           bool         // a write of its progress or its end is under way
+	lastProgressWriteAt clock.Micros // when the last write of its progress was begun
 	layout              records.ProgressLayout
 	keyVersions         map[int]uint64 // of progress keys as last known, by number
 	hasWarnedLate       bool
 	isEndDurable        bool    // its end is durable
 	observedRuns        int     // tasks whose whole run this leader has seen
 	observedRunSeconds  float64 // of these runs in all
-	isJobRunObserved    bool    // the scheduler has them as one run
-	firstStartAt        int64
+	isJobRunObserved    bool    // the scheduler has their mean as a run of the job
+	firstStartAt        int64   // time of day in microseconds, 0: no task has started
 }
 
 // setKeyVersion records the version of a progress key, if it is newer than the one known.
--- a/internal/leader/worker_heartbeats.go
+++ b/internal/leader/worker_heartbeats.go
@@ -114,11 +114,12 @@
 }
 
 const (
-	// maxFailureDoublings bounds the backoff of a task that fails: it is 1 s at first, twice
-	// as long after each failure, and at most 32 s.
+	// maxFailureDoublings bounds the backoff of a task that fails: 2 s after its first failure, twice
+	// as long after each further one, at most 32 s. Twice that applies while the job is taken to be
+	// at fault.
 	maxFailureDoublings = 5
-	// minFailedMachines is on how many machines a job has to fail, with no task done, for
-	// the job to be at fault.
+	// minFailedMachines is on how many machines a job has to fail, with no task done, to be
+	// taken to be at fault itself.
 	minFailedMachines = 3
 	// rejectedRetryDelay is how long a task waits that a worker would not start.
 	rejectedRetryDelay = clock.Second
@@ -177,7 +178,7 @@
 
 // handleTaskFailure delays the next attempt of a task that failed. A faulty machine fails
 // many jobs, a faulty job fails everywhere: a job that fails on several machines without
-// any task done is retried more slowly, and no machine is blamed for it.
+// any task done is retried half as often, and no machine is blamed for it.
 func (term *Term) handleTaskFailure(placement *allocation.Placement, now clock.Micros) {
 	job := placement.Job
 	task := &job.Tasks[placement.TaskIndex]
