--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -12,7 +12,7 @@
 // A leader that neither workers nor members reach hands over on the members' reports in the
 // store: not on old ones, nor on a few workers, nor while the workers reach it too.
 func TestHandOverOnWorkerContactRecords(t *testing.T) {
-	said := func(workers uint32, ago clock.Micros) []byte {
+	encodeContact := func(workers uint32, ago clock.Micros) []byte {
 		value, err := records.WorkerContact{Workers: workers, ReportedAt: int64(clock.WallTime() - ago)}.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
@@ -20,23 +20,23 @@
 		return value
 	}
 	for _, test := range []struct {
-		name    string
-		h       health.Reachability
-		workers uint32
-		ago     clock.Micros
-		over    bool
+		name      string
+		fleet     health.Reachability
+		workers   uint32
+		reportAge clock.Micros
+		handsOver bool
 	}{
-		{"many ask another", health.Reachability{Up: 20, Reachable: 0}, 12, clock.Second, true},
-		{"a few do", health.Reachability{Up: 20, Reachable: 0}, 3, clock.Second, false},
-		{"many did", health.Reachability{Up: 20, Reachable: 0}, 12, 8 * clock.Second, false},
-		{"they come here too", health.Reachability{Up: 20, Reachable: 15}, 12, clock.Second, false},
+		{"many workers contact another member", health.Reachability{Up: 20, Reachable: 0}, 12, clock.Second, true},
+		{"a few workers contact another member", health.Reachability{Up: 20, Reachable: 0}, 3, clock.Second, false},
+		{"many workers contacted another member, long ago", health.Reachability{Up: 20, Reachable: 0}, 12, 8 * clock.Second, false},
+		{"most machines reach the leader too", health.Reachability{Up: 20, Reachable: 15}, 12, clock.Second, false},
 	} {
 		term := newTestTerm(t)
 		ownerOf(term).term = term
-		term.environment.View.ApplyPut(records.WorkerContactKey("b"), said(test.workers, test.ago), 10)
+		term.environment.View.ApplyPut(records.WorkerContactKey("b"), encodeContact(test.workers, test.reportAge), 10)
 		now := clock.Now()
 		term.liveness.resumedAt = now - 60*clock.Second
-		if got := term.handOverIfCutOff(test.h, now); got != test.over || term.isClosed != test.over {
+		if got := term.handOverIfCutOff(test.fleet, now); got != test.handsOver || term.isClosed != test.handsOver {
 			t.Errorf("%s: hands over %v, the term is closed %v", test.name, got, term.isClosed)
 		}
 	}
@@ -67,27 +67,28 @@
 // lead. The next one, which no machine has reached yet, does not hand over in turn.
 func TestHandOverWhenNoMachineIsReachable(t *testing.T) {
 	for _, test := range []struct {
-		name         string
-		before, then health.Reachability
-		peer         clock.Micros // age of its last heartbeat
-		served, over bool
+		name                 string
+		before, then         health.Reachability
+		peerHeartbeatAge     clock.Micros
+		isPeerStoreReachable bool
+		handsOver            bool
 	}{
 		{"all at once", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, true, true},
-		{"a third is left", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 7}, clock.Second, true, false},
-		{"never heard", health.Reachability{Up: 20, Reachable: 0}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, true, false},
+		{"a third stays reachable", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 7}, clock.Second, true, false},
+		{"never reachable", health.Reachability{Up: 20, Reachable: 0}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, true, false},
 		{"too few to tell", health.Reachability{Up: 2, Reachable: 2}, health.Reachability{Up: 2, Reachable: 0}, clock.Second, true, false},
-		{"nobody else is there", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, 9 * clock.Second, true, false},
-		{"nobody else could", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, false, false},
+		{"no other member is up", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, 9 * clock.Second, true, false},
+		{"the other member can't reach the store", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, false, false},
 	} {
 		term := newTestTerm(t)
 		ownerOf(term).term = term
 		now := 100 * clock.Second
 		term.liveness.resumedAt = now
-		ownerOf(term).heartbeats["b"] = &ReceivedHeartbeat{ReceivedAt: now - test.peer, Heartbeat: &peer.Heartbeat{IsStoreReachable: test.served}}
+		ownerOf(term).heartbeats["b"] = &ReceivedHeartbeat{ReceivedAt: now - test.peerHeartbeatAge, Heartbeat: &peer.Heartbeat{IsStoreReachable: test.isPeerStoreReachable}}
 		if term.handOverIfCutOff(test.before, now) {
 			t.Fatalf("%s: hands over at first", test.name)
 		}
-		if got := term.handOverIfCutOff(test.then, now); got != test.over {
+		if got := term.handOverIfCutOff(test.then, now); got != test.handsOver {
 			t.Errorf("%s: hands over %v", test.name, got)
 		}
 	}
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -66,17 +66,18 @@
 func TestProbeMisses(t *testing.T) {
 	fail := errors.New("no answer")
 	for _, test := range []struct {
-		name            string
-		answer          int // machines that answer, of four
-		err             error
-		late            clock.Micros
-		deleted, unsure bool
+		name           string
+		answering      int // machines that answer, of four
+		err            error
+		delay          clock.Micros // from the probe's timeout to the handling of its result
+		isDeleted      bool
+		isInconclusive bool // it must not count as a miss
 	}{
 		{"one hangs", 3, fail, 0, true, false},
-		{"a cut", 0, fail, 0, false, false},
-		{"half are gone", 2, fail, 0, false, false},
-		{"none is free", 3, client.ErrPoolExhausted, 0, false, true},
-		{"late", 3, fail, 5 * clock.Second, false, true},
+		{"zone cut off", 0, fail, 0, false, false},
+		{"half hang", 2, fail, 0, false, false},
+		{"no connection free", 3, client.ErrPoolExhausted, 0, false, true},
+		{"result handled late", 3, fail, 5 * clock.Second, false, true},
 	} {
 		term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
 		term.entitlement.actDeadline.Store(1 << 62)
@@ -88,20 +89,20 @@
 		term.liveness.resumedAt -= 60 * clock.Second
 		term.liveness.zoneUnreachableAt["x"] = term.liveness.resumedAt // the clock may be younger than a probe
 		for round := uint64(0); round < 2; round++ {
-			sent := clock.Now() - health.ProbeTimeout - test.late
+			sent := clock.Now() - health.ProbeTimeout - test.delay
 			for i, name := range names {
 				machine := term.tracker.Machines[name]
-				if i < test.answer {
+				if i < test.answering {
 					term.handleProbeResult(machine, term.machines[name], sent, &wire.Heartbeat{MachineID: name, Incarnation: 1, Sequence: 2 + round, FencingToken: 9}, nil)
 				} else {
 					term.handleProbeResult(machine, term.machines[name], sent, nil, test.err)
 				}
 			}
 		}
-		if got := len(term.deletions.pending) > 0; got != test.deleted {
+		if got := len(term.deletions.pending) > 0; got != test.isDeleted {
 			t.Errorf("%s: deleted %v", test.name, term.deletions.pending)
 		}
-		if test.unsure && term.machines["i-4"].probes.Misses != 0 {
+		if test.isInconclusive && term.machines["i-4"].probes.Misses != 0 {
 			t.Errorf("%s: counted as a miss", test.name)
 		}
 	}
