--- a/internal/leader/constraints.go
+++ b/internal/leader/constraints.go
@@ -27,7 +27,8 @@
 	return now - (clock.WallTime() - wall) + MaxClockSkew(term.environment.Config)
 }
 
-// adoptConstraints bounds the machines' leases by the constraints of earlier leaders.
+// adoptConstraints bounds the machines' leases, and the members' grants, by the constraints of
+// earlier leaders.
 func (term *Term) adoptConstraints(now clock.Micros) {
 	constraints := term.renewals.constraints.Confirmed()
 	for _, machine := range term.tracker.Machines {
@@ -112,7 +113,7 @@
 	return grantUntil
 }
 
-// zoneStatus is whether a zone's machines are reachable.
+// zoneStatus is whether a zone has machines that are up, and whether any of them is reachable.
 type zoneStatus struct {
 	hasMachinesUp, isReachable bool
 	lastReplyAt                clock.Micros // the last reply that may have renewed a lease
