--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -170,11 +170,11 @@
 	}
 	var failed []string
 	for _, condition := range transaction.Conditions {
-		var value uint64
+		var version uint64 // 0: there is no such key
 		if stored := store.keys[condition.Key]; stored != nil {
-			value = stored.version
+			version = stored.version
 		}
-		if value != condition.Version {
+		if version != condition.Version {
 			failed = append(failed, condition.Key)
 		}
 	}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -17,8 +17,9 @@
 	answerTimeout = 4 * time.Second
 	// controllerRetryInterval is how long a worker waits before it tries another controller.
 	controllerRetryInterval = 200 * time.Millisecond
-	// minHeartbeatInterval is how long a worker waits at least before it reports a new token.
-	minHeartbeatInterval = 500 * time.Millisecond
+	// tokenReportDelay is how long after a reply with a higher token the next heartbeat is due, if
+	// it is not due earlier.
+	tokenReportDelay = 500 * time.Millisecond
 	// changeDelay is how long after a change a worker reports it.
 	changeDelay = 20 * time.Millisecond
 )
@@ -136,7 +137,7 @@
 	next := worker.cloud.cfg.HeartbeatInterval
 	if now := time.Now(); reply.FencingToken > worker.heartbeat.FencingToken && now.Sub(worker.tokenReportedAt) > worker.cloud.cfg.LeaseTTL/2 {
 		worker.tokenReportedAt = now
-		next = min(next, minHeartbeatInterval)
+		next = min(next, tokenReportDelay)
 	}
 	worker.heartbeat.FencingToken = reply.FencingToken
 	worker.executeCommands(reply.Commands)
@@ -174,7 +175,7 @@
 }
 
 // advance ends a lease that has expired, with its tasks and incarnation, and tasks whose time
-// is over; a hanging machine's tasks don't get on. The lock is held.
+// is over; a hanging machine's tasks don't finish. The lock is held.
 func (worker *workerProcess) advance() {
 	now := time.Now()
 	if now.Sub(worker.lastAckedHeartbeatAt) > worker.cloud.cfg.LeaseTTL {
