--- a/internal/fake/machine_fault.go
+++ b/internal/fake/machine_fault.go
@@ -9,8 +9,8 @@
 const (
 	// MachineHealthy is the absence of a fault.
 	MachineHealthy MachineFault = iota
-	// MachineHanging machines run and answer nothing; requests sent to them are carried out
-	// when the fault ends, if the worker still accepts them.
+	// MachineHanging machines neither finish tasks nor answer; their lease runs out all the same.
+	// Requests sent to them are carried out when the fault ends, if the worker still accepts them.
 	MachineHanging
 	// MachineCommandsLost machines send heartbeats that arrive, but replies and command
 	// requests to them are lost: controllers find them unreachable.
--- a/internal/protocoltest/checks.go
+++ b/internal/protocoltest/checks.go
@@ -25,7 +25,8 @@
 	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, machine.MachineType)
 }
 
-// allowsZone reports whether one more task of a job may be in a zone, given where the others are.
+// allowsZone reports whether one more task of a job may be in a zone, given where the others are:
+// with SingleZone all in one, with SpreadZones at most half of the job's tasks, rounded up, in each.
 func allowsZone(job *jobRecord, zone string) bool {
 	inZone := 1
 	for _, other := range job.machineByTask {
@@ -38,7 +39,8 @@
 	return !job.spec.SpreadZones || inZone <= (job.spec.TaskCount+1)/2
 }
 
-// checkDependencies checks that all tasks are done of the jobs that a starting task's job names.
+// checkDependencies checks that each job that the starting task's job names as a dependency has all
+// its tasks done.
 func (checker *Checker) checkDependencies(job *jobRecord, task string) {
 	for _, id := range job.spec.DependsOn {
 		if dependency := checker.jobs[id]; dependency == nil || len(dependency.doneTasks) < dependency.spec.TaskCount {
@@ -75,8 +77,9 @@
 	}
 }
 
-// checkOverdueCancellations finds tasks on machines whose jobs' cancellations were confirmed
-// longer ago than the grace; each job's once.
+// checkOverdueCancellations finds tasks that are on machines although the cancellation of their job
+// was confirmed longer ago than the grace. Each job is checked once, the first time after its
+// grace; tasks that start later are found by checkLateStart.
 func (checker *Checker) checkOverdueCancellations() {
 	for id, job := range checker.jobs {
 		if job.overdueReported || job.finalState != wire.JobCancelled || time.Since(job.finalStateAt) <= checker.cfg.CancellationGrace {
@@ -89,8 +92,8 @@
 	}
 }
 
-// anyDependency reports whether a job matches that a job depends on, directly or through others.
-// It stops at the first one.
+// anyDependency reports whether any dependency of a job, direct or through other jobs, matches. It
+// stops at the first one.
 func (checker *Checker) anyDependency(job *jobRecord, matches func(*jobRecord) bool) bool {
 	seen := map[*jobRecord]bool{job: true}
 	queue := []*jobRecord{job}
@@ -118,8 +121,8 @@
 	return job.cancelRequested || checker.anyDependency(job, func(dependency *jobRecord) bool { return dependency.cancelRequested })
 }
 
-// dependencyCancelledAt returns when the cancellation of a job was confirmed that a job depends
-// on, and whether there is one.
+// dependencyCancelledAt returns whether the cancellation of a dependency of a job, direct or through
+// other jobs, was confirmed, and when.
 func (checker *Checker) dependencyCancelledAt(job *jobRecord) (at time.Time, cancelled bool) {
 	cancelled = checker.anyDependency(job, func(dependency *jobRecord) bool {
 		at = dependency.finalStateAt
--- a/internal/protocoltest/rules.go
+++ b/internal/protocoltest/rules.go
@@ -25,11 +25,12 @@
 	// StateRegressed is the violation by a final state that is followed by another one, and by a
 	// cancellation that no user requested.
 	StateRegressed Rule = "went_back"
-	// DependencyNotDone is the violation by a task that starts before the jobs are done that its job
-	// depends on.
+	// DependencyNotDone is the violation by a task that starts before all dependencies of its job
+	// are done.
 	DependencyNotDone Rule = "too_early"
-	// DependentNotCancelled is the violation by a job that is not called cancelled later than
-	// Config.CancellationGrace after the cancellation of a job was confirmed that it depends on.
+	// DependentNotCancelled is the violation by a job that is still called pending or running when
+	// the cancellation of one of its dependencies was confirmed more than Config.CancellationGrace
+	// before the request.
 	DependentNotCancelled Rule = "orphaned"
 )
 
