--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -11,10 +11,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Where all machines and controllers are in one zone, leases that are too short to
-// bridge a cut are kept alive in an outage: the leader whose lock cannot be renewed
-// answers the workers, without commands, and sends them on in turn, as long as its
-// right lasts, and no longer.
+// With one zone there are grants even where leases are too short to outlast a zone's partition: in
+// a store outage the leader whose lock cannot be renewed answers the workers, without commands, and
+// redirects them in turn, as long as its grant lasts, and no longer.
 func TestDelegationBridgesStoreOutage(t *testing.T) {
 	with := func(zones ...string) *Controller {
 		cfg := &config.Platform{Member: "a", Location: zones[0], Peers: []config.Peer{
@@ -29,23 +28,23 @@
 		return New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	}
 	if controller := with("x", "y"); controller.settings.Delegation.GrantTTL != 0 {
-		t.Fatal("rights where a cut of a zone would put off the proof that a lease is over")
+		t.Fatal("grants where a zone's partition would put off the proof that a lease is over")
 	}
 	controller := with("x")
 	lease, cancel := 10*clock.Second, 35*clock.Second
 	if controller.settings.Delegation.GrantTTL < lease || controller.settings.Delegation.CancellationGrace+controller.settings.Delegation.GrantTTL+lease >= cancel {
-		t.Fatalf("a right lasts %d us", controller.settings.Delegation.GrantTTL)
+		t.Fatalf("a grant lasts %d us", controller.settings.Delegation.GrantTTL)
 	}
 	controller.view.IsLoaded = true
 	term := controller.newTerm(9, clock.Now())
-	controller.term = term // its lock is not held any more: nothing was ever renewed
+	controller.term = term // it does not hold the lock: nothing was ever renewed
 	if controller.isEntitled() {
 		t.Fatal("entitled without a lock")
 	}
 	now := 100 * clock.Second
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", Zone: "x", FencingToken: 9}
 	if repliesToEither(controller, heartbeat, now) {
-		t.Fatal("answers as delegate though it never knew of all withdrawals")
+		t.Fatal("answers as delegate though it never knew of all cancellations")
 	}
 	makeEntitled(t, controller, 9)
 	term.AcknowledgeTimestamps(now, func() {})
@@ -53,15 +52,15 @@
 	batch.Complete(nil)
 	controller.elector.StepDown(clock.Now(), clock.Second)
 	if controller.isEntitled() || term.CancellationsKnownAt() != now {
-		t.Fatalf("entitled %v, knows all withdrawals before %d, not %d", controller.isEntitled(), term.CancellationsKnownAt(), now)
+		t.Fatalf("entitled %v, knows all cancellations before %d, not %d", controller.isEntitled(), term.CancellationsKnownAt(), now)
 	}
 	end := now + controller.settings.Delegation.GrantTTL
 	var lastReplyAt, longestGap clock.Micros
-	// The worker reports, is sent on, and comes back after a round of the others.
+	// The worker sends a heartbeat, is redirected, and comes back after it has tried the others.
 	for reportAt := now; reportAt < end+lease; {
 		if controller.replyAsDelegate(heartbeat, &server.Reply{}, reportAt) {
 			if reportAt >= end {
-				t.Fatalf("answers as delegate %d us after its right has ended", reportAt-end)
+				t.Fatalf("answers as delegate %d us after its grant has ended", reportAt-end)
 			}
 			if lastReplyAt != 0 {
 				longestGap = max(longestGap, reportAt-lastReplyAt)
@@ -80,6 +79,6 @@
 	}
 	controller.delegation.delegate.RecordLeaderHeartbeat(now, 10, controller.delegation.delegate.Timestamp(now)) // a newer leader is there
 	if repliesToEither(controller, heartbeat, now) {
-		t.Fatal("answers as delegate while a newer leader is heard")
+		t.Fatal("answers as delegate while a newer leader sends heartbeats")
 	}
 }
--- a/internal/controller/delegate_replies_test.go
+++ b/internal/controller/delegate_replies_test.go
@@ -9,17 +9,17 @@
 	"firwood.dev/firwood/wire"
 )
 
-// repliesToEither tells whether the member answers one of two reports in a row: a
-// worker is sent on after each answer, so one report alone would not show it.
+// repliesToEither tells whether the member answers one of two heartbeats in a row: a worker is
+// redirected after each answer, so one heartbeat alone would not show it.
 func repliesToEither(controller *Controller, heartbeat *wire.Heartbeat, now clock.Micros) bool {
 	first := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
 	second := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
 	return first || second
 }
 
-// A follower that hears neither leader nor state service keeps a worker's lease
-// alive at once, and sends it on after each answer; not at all while the leader is
-// reachable: a worker that reaches the leader is not kept from it.
+// A follower that reaches neither the leader nor the store renews a worker's lease at once, and
+// redirects the worker after each answer. While the leader is reachable it renews nothing, so that
+// it keeps no worker from the leader.
 func TestDelegateRedirectsAfterEachReply(t *testing.T) {
 	controller := newTestController(t)
 	controller.view.IsLoaded = true
@@ -27,12 +27,12 @@
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", FencingToken: 5}
 	controller.delegation.delegate = delegation.NewDelegate(controller.settings.Delegation, 1, now-60*clock.Second)
 	if repliesToEither(controller, heartbeat, now) {
-		t.Fatal("answers as delegate without a right")
+		t.Fatal("answers as delegate without a grant")
 	}
 	controller.delegation.delegate.RecordLeaderHeartbeat(now-back, 5, controller.delegation.delegate.Timestamp(now-back))
 	for i, want := range []bool{true, false, true, false} {
 		if got := controller.replyAsDelegate(heartbeat, &server.Reply{}, now); got != want {
-			t.Fatalf("report %d: answered as delegate %v", i, got)
+			t.Fatalf("heartbeat %d: answered as delegate %v", i, got)
 		}
 	}
 	if controller.replyAsDelegate(&wire.Heartbeat{MachineID: "i-1", FencingToken: 6}, &server.Reply{}, now) {
--- a/internal/controller/dependencies_bench_test.go
+++ b/internal/controller/dependencies_bench_test.go
@@ -52,7 +52,7 @@
 	return float64(stats.HeapAlloc)
 }
 
-// What thousands of dependent jobs cost: to read their records, to take the lead, a
+// What thousands of dependent jobs cost: to read their records, to begin a term, a
 // submission that names one, a plan while they wait, and the memory that they hold.
 func BenchmarkDependentJobs(b *testing.B) {
 	for _, size := range []struct{ jobs, length int }{{1000, 5}, {10000, 5}, {10000, 10000}, {50000, 5}} {
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -62,7 +62,7 @@
 	}
 	controller.view.SetJob("req-000004", newJobRecord("req-000004", wire.PriorityLow, wall, 0, "req-000003"))
 	if record := controller.view.Jobs["req-000004"]; record.EffectiveState() != wire.JobCancelled || term.TrackedJob("req-000004") != nil {
-		t.Fatal("a job that names a cancelled one goes on")
+		t.Fatal("a job that depends on a cancelled one is not cancelled, or is tracked")
 	}
 }
 
@@ -96,7 +96,7 @@
 		}
 		dependencies, isComplete := controller.view.DependenciesOf("req-000500", controller.view.Jobs["req-000500"])
 		if !isComplete || len(dependencies) != 300 || dependencies[299] != "req-000299" {
-			t.Fatalf("%d of 300 are read, whole %v", len(dependencies), isComplete)
+			t.Fatalf("%d of 300 are read, complete %v", len(dependencies), isComplete)
 		}
 		if !leader.IsBlocked(controller.view, controller.dependencyGraph, "req-000500", controller.view.Jobs["req-000500"]) {
 			t.Fatal("it is not blocked")
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -17,10 +17,10 @@
 		age     clock.Micros // of the leader's last heartbeat, 0: there is none
 		reports bool
 	}{
-		{"the leader is not heard", 6, 0, true},
-		{"no more", 6, 10 * clock.Second, true},
-		{"it is heard", 6, clock.Second, false},
-		{"hardly asked", 2, 0, false},
+		{"no heartbeat of the leader came", 6, 0, true},
+		{"its last heartbeat is too old", 6, 10 * clock.Second, true},
+		{"its last heartbeat is recent", 6, clock.Second, false},
+		{"too few workers contact this member", 2, 0, false},
 	} {
 		controller := newTestController(t)
 		now := 100 * clock.Second
@@ -43,7 +43,7 @@
 	controller := newTestController(t)
 	for _, test := range []struct {
 		name             string
-		ago, skew, wantS clock.Micros
+		ago, skew, wantS clock.Micros // in seconds
 	}{
 		{"new", 0, 0, 0}, {"old", 8, 0, 8}, {"old, by clocks that may differ", 8, 2, 6}, {"from a clock that is ahead", -3, 0, 0},
 	} {
