--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -110,7 +110,8 @@
 	controller.tickHeartbeat(now)
 }
 
-// detectStall notes that the process was stalled: heartbeats could not arrive meanwhile.
+// detectStall tells the term if the process was stalled: heartbeats that were sent meanwhile could
+// not be read, so their absence means nothing.
 func (controller *Controller) detectStall(now clock.Micros) {
 	lastTickAt := controller.process.tickedAt
 	controller.process.tickedAt = now
--- a/internal/controller/controller_setup.go
+++ b/internal/controller/controller_setup.go
@@ -74,8 +74,8 @@
 	return delegationState{delegate: delegation.NewDelegate(times, uint64(clock.WallTime()), clock.Now()), repliedAt: map[string]clock.Micros{}}
 }
 
-// newFinishedJobHistory makes a history of so many jobs for a store with a limit on
-// transactions: a look-up reads a few transactions' worth of keys.
+// newFinishedJobHistory makes a history of so many jobs. A look-up asks for its keys as conditions
+// of one transaction, and the store takes four times as many conditions as changes.
 func newFinishedJobHistory(capacity, maxTransactionOps int) finishedJobHistory {
 	return finishedJobHistory{
 		capacity: capacity, finished: jobhistory.NewCache(capacity),
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -45,9 +45,9 @@
 	return true
 }
 
-// isRedirectDue tells whether a worker was answered under the grant last time, and can be back
-// before the grant ends. While it is on its way its lease is not renewed, so shortly before that
-// end it is kept here.
+// isRedirectDue tells whether a worker was answered under the grant last time, within its lease,
+// and can be back before the grant ends. A worker's lease is not renewed while it tries an
+// unreachable leader, so shortly before the grant ends the worker is answered each time.
 func (controller *Controller) isRedirectDue(machine string, grantUntil, now clock.Micros) bool {
 	workers := &controller.cfg.Deployment.Workers
 	repliedAt, wasAnswered := controller.delegation.repliedAt[machine]
@@ -57,8 +57,9 @@
 	return grantUntil-now > clock.FromSeconds(2*workers.HeartbeatIntervalSeconds)+redirectMargin
 }
 
-// recordDelegatedReply notes a renewal under the grant. A leader without the lock may yet renew
-// it and go on, and must then count with its own renewals.
+// recordDelegatedReply notes a renewal under the grant. A leader whose entitlement has run out
+// answers as delegate too. It may renew the lock yet and continue its term, which must then know
+// of the leases that it renewed meanwhile.
 func (controller *Controller) recordDelegatedReply(machineName string, until, now clock.Micros) {
 	controller.delegation.repliedAt[machineName] = now
 	controller.delegation.delegate.RecordAnswer(until)
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -10,8 +10,8 @@
 // or were requested last, and fetches others on demand; see package jobhistory.
 
 const (
-	// finishedMemoryDivisor: finished jobs may take this part of the memory. finishedJobBytes is
-	// about what one takes.
+	// finishedMemoryDivisor: finished jobs may take one part in so many of the process's memory.
+	// finishedJobBytes is about what one of them takes.
 	finishedMemoryDivisor, finishedJobBytes = 16, 512
 	// minFinishedJobs is how many are kept however little memory there is.
 	minFinishedJobs = 1000
@@ -30,8 +30,10 @@
 
 // evictedJobs summarizes finished jobs that are not in the view any more.
 type evictedJobs struct {
-	// hasEvicted: a job that is not in the view may have a record. It is never reset, since the
-	// counts are for display and may lag. evictions counts how often that was noted.
+	// hasEvicted: a job that is not in the view may have a record in the store. It is never reset:
+	// counts that are 0 don't prove that no job is evicted, as they are for display and may lag.
+	// evictions counts how often a job may have left the view, so that a request that waited can
+	// tell whether one did meanwhile.
 	hasEvicted bool
 	evictions  int
 	counts     storeview.FinishedCounts
@@ -76,8 +78,8 @@
 	return controller.view.Jobs[id] == nil && controller.history.evicted.hasEvicted
 }
 
-// recountEvicted counts evicted jobs after all records were read: read are the finished ones of
-// these, dropped is how many of them were not taken into the view.
+// recountEvicted counts evicted jobs after all records were read: read counts the finished jobs
+// among the records, dropped those of them that were not taken into the view.
 func (controller *Controller) recountEvicted(read storeview.FinishedCounts, dropped int) {
 	if dropped > 0 {
 		controller.recordEviction()
--- a/internal/controller/forwarded_cancellations.go
+++ b/internal/controller/forwarded_cancellations.go
@@ -18,8 +18,8 @@
 	controller.members.cancellations.Add(cancellation, clock.Now(), clock.WallTime())
 }
 
-// peerRevision is the revision of a member's view, as far as it has sent one lately. A member
-// that is not heard of may have been restarted since.
+// peerRevision is the revision of a member's view by its last heartbeat, 0 if that is older than
+// MemberTimeout: the member may have been restarted since, with a view that it has yet to load.
 func (controller *Controller) peerRevision(member string) uint64 {
 	received := controller.members.heartbeats[member]
 	if received == nil || clock.Now()-received.ReceivedAt > leader.MemberTimeout {
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -13,8 +13,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Jobs that may have been evicted are looked up in the store, many with one request for which of
-// their keys exist, and then a few at a time.
+// Jobs that may have been evicted are looked up in the store in batches: one request asks which of
+// the keys of many jobs exist, then the records of a few of those are read. The jobs whose records
+// were not read yet are in a later batch.
 
 const (
 	// maxPendingLookups bounds the look-ups that wait.
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -99,8 +99,8 @@
 	controller.members.nextHeartbeatAt = 0
 }
 
-// handleFenced ends the term of a token that a write or a worker, by the reason, has proven to be
-// outdated.
+// handleFenced ends the term of a token that has proven to be outdated: by a write that was fenced
+// or by a worker that knows a higher one, which the reason tells.
 func (controller *Controller) handleFenced(token uint64, reason endReason) {
 	controller.executeActions(controller.elector.HandleFencedWrite(clock.Now(), token))
 	if controller.elector.Phase() != election.Leader {
@@ -109,7 +109,8 @@
 }
 
 // ReleaseLeadership revokes the lease, so that another member can be elected at once. It waits
-// at most two seconds, and may be called on any goroutine while Run runs.
+// at most releaseTimeout, and may be called on any goroutine while Run runs. The request blocks
+// Run's goroutine, unlike any other: the process is about to exit.
 func (controller *Controller) ReleaseLeadership() {
 	done := make(chan struct{})
 	controller.postResult(func() {
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -16,7 +16,8 @@
 // it reaches the store.
 const storeReachableWindow = 12 * clock.Second
 
-// HandlePeerHeartbeat takes a message of another member. It may be called on any goroutine.
+// HandlePeerHeartbeat takes a message of another member. One that finds the queue full is dropped,
+// as if it was lost on its way. It may be called on any goroutine.
 func (controller *Controller) HandlePeerHeartbeat(heartbeat *peer.Heartbeat) {
 	controller.commands.Post(commandqueue.Heartbeat, func() { controller.handlePeerHeartbeat(heartbeat) })
 }
@@ -57,8 +58,9 @@
 	}
 }
 
-// recordDelegation takes what a heartbeat means for delegation: a leader's one extends this
-// member's grant, and a member's one tells the leader until when that one may have acted.
+// recordDelegation takes what a heartbeat means for delegation. To a follower, the leader's
+// heartbeat extends this member's grant. To the leader, a follower's heartbeat tells which of the
+// leader's timestamps has arrived there, and for how long the follower has not acted as delegate.
 func (controller *Controller) recordDelegation(heartbeat *peer.Heartbeat, now clock.Micros) {
 	acknowledgement := delegation.Timestamp{Incarnation: heartbeat.AckIncarnation, At: heartbeat.AckTimestamp}
 	if controller.term == nil {
@@ -140,7 +142,8 @@
 	}
 }
 
-// newHeartbeat is what all members are sent alike.
+// newHeartbeat makes what all members are sent alike. On the way it expires worker contacts, so
+// that their count is current, and writes that count to the store if that is due.
 func (controller *Controller) newHeartbeat(now clock.Micros) *peer.Heartbeat {
 	heartbeat := &peer.Heartbeat{
 		Member:                 controller.cfg.Member,
--- a/internal/controller/standby_trust.go
+++ b/internal/controller/standby_trust.go
@@ -12,7 +12,7 @@
 // Whether a member's replica may be used in a failover, and who should run for election first.
 
 // trustedReplica is this member's copy of the allocation table of the last leader that sent
-// starts, if the record of members in step names it.
+// starts, if the in-sync record and the term history prove it complete.
 func (controller *Controller) trustedReplica() (*standby.Table, bool) {
 	return controller.failover.replica.TrustedTable(controller.view.Standby, &controller.view.Terms, controller.cfg.Member)
 }
@@ -39,9 +39,10 @@
 	return slices.ContainsFunc(controller.view.Standby.Members, func(member standby.Member) bool { return controller.mayBeUp(member, now) })
 }
 
-// mayBeUp tells whether a member's process that was in step has sent a heartbeat lately. A process
-// that has just started can't know yet, and takes the other for up. Added after a member, a moment
-// after its own crash, won the lock before the one with the trusted replica.
+// mayBeUp tells whether an in-sync member's process, in the incarnation that was in sync, has sent
+// a heartbeat lately. A process that has just started can't know yet, and takes the other for up.
+// Added after a member that had just restarted from a crash won the lock before the one with the
+// trusted replica.
 func (controller *Controller) mayBeUp(member standby.Member, now clock.Micros) bool {
 	received := controller.members.heartbeats[member.Name]
 	if received == nil {
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -129,7 +129,7 @@
 // on the controller's.
 func (controller *Controller) watch(block clock.Micros, done func(error)) {
 	revisions := make(chan uint64, 1)
-	// The revision is read by the controller's goroutine as late as possible.
+	// The view's revision belongs to the controller's goroutine, and is read as late as possible.
 	controller.postResult(func() { revisions <- controller.view.Revision })
 	var from uint64
 	select {
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -66,8 +66,9 @@
 	return received == nil || now-received.ReceivedAt >= leader.MemberTimeout
 }
 
-// applyWorkerContact takes a member's report. It may be old: then it counts from when it was
-// written, as far as the members' clocks may differ.
+// applyWorkerContact takes a member's report. It may be read long after it was written, so its age
+// is taken from the writer's time of day, less what the two clocks may differ by: a report is never
+// taken for older than it is.
 func (controller *Controller) applyWorkerContact(member string, record records.WorkerContact) {
 	now := clock.Now()
 	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-leader.MaxClockSkew(controller.cfg), 0)
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -44,9 +44,9 @@
 }
 
 // leaderForWorkers is the leader that workers are redirected to, "" if none is known well
-// enough. A member that reaches neither the leader nor the store names nobody. Added after one
-// sent its workers to a leader that was down, whose successor in their lists it was itself, and
-// they went back and forth between the two for minutes while another one led.
+// enough. A member that reaches neither the leader nor the store names nobody. Added after a member
+// redirected workers to a leader that was down. It was itself the next one in the workers' lists,
+// so they went back and forth between the two for minutes, while a third member led.
 func (controller *Controller) leaderForWorkers(now clock.Micros) string {
 	known := controller.knownLeader()
 	if known == controller.cfg.Member {
