--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -75,7 +75,7 @@
 	}
 	for _, key := range existing[:min(len(existing), maxReadsPerLookup)] {
 		if !slices.Contains(keys, key) {
-			continue
+			continue // the response names a key that was not asked for
 		}
 		item, err := controller.store.Get(key)
 		if errors.Is(err, kvstore.ErrNotFound) {
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -121,8 +121,9 @@
 	controller.term.AcknowledgeTimestamps(now, func() { controller.sendHeartbeats(clock.Now()) })
 }
 
-// logMalformedResponses logs that the store sent responses that could not be used, if it has
-// sent more of them since.
+// logMalformedResponses logs how many of the store's responses could not be used, if there are more
+// of them than at the last call. Those that come while logDropped lets no line through are in the
+// count of the next line.
 func (controller *Controller) logMalformedResponses() {
 	if drops := controller.store.MalformedResponses.Load(); drops > controller.storeUse.reportedDrops {
 		controller.logDropped("malformed or unexpected store responses", "dropped_so_far", drops)
--- a/internal/sim/finished_jobs_test.go
+++ b/internal/sim/finished_jobs_test.go
@@ -42,8 +42,8 @@
 }
 
 // Controllers that have evicted most finished jobs from their caches show them as before, also to
-// many concurrent reads, to repeated submissions and to cancellations; 404 is for jobs that nobody
-// submitted alone. So do controllers that have restarted.
+// many concurrent reads, to repeated submissions and to cancellations; only jobs that nobody
+// submitted get 404. So do controllers that have restarted.
 func TestEvictedJobsAreKnown(t *testing.T) {
 	Run(t, smallCacheOptions(), func(cluster *Cluster) {
 		cluster.finishJobs()
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -116,8 +116,8 @@
 }
 
 // The leader crashes while a machine hangs, so that its tasks can't be confirmed before its lease
-// expires. Without a replica no task of the job starts until then; with one, the tasks start within
-// ten seconds that are on no machine according to the replica.
+// expires. Without a replica no task of the job starts until then; with one, those tasks that the
+// replica shows on no machine start within ten seconds.
 func TestReplicaConfirmsTasks(t *testing.T) {
 	for i := range *failoverRounds {
 		t.Run(strconv.Itoa(i), func(t *testing.T) { compareFailover(t, time.Duration(i)*700*time.Millisecond) })
@@ -179,8 +179,8 @@
 	})
 }
 
-// A start waits for a follower in sync that is unresponsive for half a second and a write, and not
-// for ever.
+// A start waits for an in-sync follower that is unresponsive, but no longer than half a second and
+// the write that records it as out of sync.
 func TestUnresponsiveFollowerDelaysStartsBriefly(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
