--- a/internal/leader/constraints.go
+++ b/internal/leader/constraints.go
@@ -224,13 +224,16 @@
 }
 
 // retryDeferred handles the deferred heartbeats whose zones are not constrained any more, and
-// refuses those that have waited for too long.
+// refuses those that have waited for too long. One of them may show a higher token, which ends the
+// term: those after it are refused, since a reply would renew a lease in a term that is over.
 func (term *Term) retryDeferred() {
 	now := clock.Now()
 	deferred := term.renewals.deferredHeartbeats
 	term.renewals.deferredHeartbeats = nil
 	for _, waiting := range deferred {
 		switch {
+		case term.isClosed:
+			replyUnavailable(waiting.reply, termOverReply)
 		case !term.renewals.constraints.MayConstrainZone(waiting.heartbeat.Zone) && term.entitlement.viewAge.MayRenewLeases(now):
 			term.HandleHeartbeat(waiting.heartbeat, waiting.reply)
 		case now-waiting.receivedAt > maxDeferral:
--- a/internal/leader/constraints_test.go
+++ b/internal/leader/constraints_test.go
@@ -76,3 +76,27 @@
 		t.Fatal("a reachable zone is constrained")
 	}
 }
+
+// A deferred heartbeat with a higher token ends the term; the heartbeats after it are refused, and
+// renew no lease. A closed term once replied 200 to them: its deadline of 0 counted as none.
+func TestDeferredHeartbeatsAreRefusedOnceTermIsOver(t *testing.T) {
+	term := newTestTerm(t, "i-1", "i-2")
+	owner := ownerOf(term)
+	owner.term = term
+	term.entitlement.actDeadline.Store(1 << 62)
+	statuses := map[string]int{}
+	for _, heartbeat := range []*wire.Heartbeat{
+		{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 10},
+		{MachineID: "i-2", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 9},
+	} {
+		reply := server.NewReply(func(status int, _ []byte, _ int) { statuses[heartbeat.MachineID] = status })
+		term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, deferredHeartbeat{heartbeat: heartbeat, reply: reply, receivedAt: clock.Now()})
+	}
+	term.retryDeferred()
+	if !term.isClosed || statuses["i-1"] != 503 || statuses["i-2"] != 503 {
+		t.Fatalf("the term is closed: %v, the replies are %v", term.isClosed, statuses)
+	}
+	if term.replyDeadline(nil) == 0 {
+		t.Error("a closed term's replies have no deadline")
+	}
+}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -159,6 +159,9 @@
 	return term
 }
 
+// termOverReply is the body's text in replies to workers whose heartbeats outlived the term.
+const termOverReply = "the lead is over"
+
 // Close ends the term: nothing is sent any more, and workers that wait for a reply are refused.
 // It returns the zones that this leader has constrained, or may have.
 func (term *Term) Close() (constrainedZones map[string]bool) {
@@ -166,7 +169,7 @@
 	term.entitlement.actDeadline.Store(0)
 	term.entitlement.startDeadline.Store(0)
 	for _, deferred := range term.renewals.deferredHeartbeats {
-		replyUnavailable(deferred.reply, "the lead is over")
+		replyUnavailable(deferred.reply, termOverReply)
 	}
 	term.renewals.deferredHeartbeats = nil
 	return term.renewals.constraints.ConstrainedZones()
--- a/internal/leader/worker_heartbeats.go
+++ b/internal/leader/worker_heartbeats.go
@@ -79,13 +79,14 @@
 }
 
 // replyDeadline is the latest instant at which the reply to a heartbeat may be sent, since
-// it renews the worker's lease and may start tasks.
+// it renews the worker's lease and may start tasks. It is never 0, which would be no deadline: a
+// closed term's deadlines are 0.
 func (term *Term) replyDeadline(commands []wire.Command) clock.Micros {
 	until := min(term.mayActUntil(), term.entitlement.viewAge.RenewLeasesUntil())
 	if slices.ContainsFunc(commands, func(command wire.Command) bool { return command.Action == wire.ActionStart }) {
 		until = min(until, term.mayStartUntil())
 	}
-	return until
+	return max(until, 1)
 }
 
 // processTaskEvents takes the tasks that heartbeats have shown as started or exited.
