--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -37,8 +37,6 @@
 	users        userRequestState
 	hints        *hints.Hints
 	storeUse     storeUsage
-
-	nextDropLogAt map[string]clock.Micros // when logDropped may log a message again
 }
 
 // SetTracer has failovers written to a tracer. It is called before Run.
@@ -143,10 +141,10 @@
 // own on its rate, so that none hides another.
 func (controller *Controller) logDropped(message string, args ...any) {
 	now := clock.Now()
-	if now < controller.nextDropLogAt[message] {
+	if now < controller.process.nextDropLogAt[message] {
 		return
 	}
-	controller.nextDropLogAt[message] = now + dropLogInterval
+	controller.process.nextDropLogAt[message] = now + dropLogInterval
 	controller.log.Error(message, args...)
 }
 
--- a/internal/controller/controller_setup.go
+++ b/internal/controller/controller_setup.go
@@ -49,9 +49,8 @@
 		history:    newFinishedJobHistory(finishedJobCapacity(tuning.FinishedJobs, deployment.ProcessLimits.MemoryMB), deployment.Store.Effective().MaxTransactionOps),
 		users:      userRequestState{pendingSubmissions: map[string][]*server.Reply{}, progressCounts: hints.NewCounts(leader.HeartbeatInterval)},
 		hints:      hints.New(),
-
-		nextDropLogAt: map[string]clock.Micros{},
 	}
+	controller.process.nextDropLogAt = map[string]clock.Micros{}
 	if tuning.Standby.Enabled {
 		controller.failover.replica = standby.NewReplica(controller.delegation.delegate.Timestamp(clock.Now()).Incarnation)
 	}
--- a/internal/controller/controller_state.go
+++ b/internal/controller/controller_state.go
@@ -57,6 +57,7 @@
 	// isActiveLeader: this process may answer workers as leader. The goroutine of Run writes
 	// it with each tick, any goroutine may read it.
 	isActiveLeader atomic.Bool
+	nextDropLogAt  map[string]clock.Micros // when logDropped may log a message again
 }
 
 // machineCatalog is what the cloud offers.
