--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -9,7 +9,6 @@
 	"firwood.dev/firwood/internal/connlimit"
 	"firwood.dev/firwood/internal/dag"
 	"firwood.dev/firwood/internal/election"
-	"firwood.dev/firwood/internal/hints"
 	"firwood.dev/firwood/internal/leader"
 	"firwood.dev/firwood/internal/peer"
 	"firwood.dev/firwood/internal/storeview"
@@ -35,7 +34,6 @@
 	delegation   delegationState
 	history      finishedJobHistory
 	users        userRequestState
-	hints        *hints.Hints
 	storeUse     storeUsage
 }
 
--- a/internal/controller/controller_setup.go
+++ b/internal/controller/controller_setup.go
@@ -39,7 +39,7 @@
 		},
 		dependencyGraph: dag.New(),
 		elector:         election.New(election.Config{Member: cfg.Member, TTL: settings.LeaderTTL, TimerSlack: electionTimerSlack}),
-		failover:        failoverState{processStartedAt: clock.Now()},
+		failover:        failoverState{processStartedAt: clock.Now(), hints: hints.New()},
 		members: memberState{
 			heartbeats: map[string]*leader.ReceivedHeartbeat{}, timestamps: map[string]delegation.Timestamp{},
 			cancellations: cancellation.NewLog(clock.FromSeconds(deployment.Workers.CancelTimeoutSeconds), deployment.Store.WriteRPS),
@@ -48,7 +48,6 @@
 		delegation: newDelegationState(settings.Delegation),
 		history:    newFinishedJobHistory(finishedJobCapacity(tuning.FinishedJobs, deployment.ProcessLimits.MemoryMB), deployment.Store.Effective().MaxTransactionOps),
 		users:      userRequestState{pendingSubmissions: map[string][]*server.Reply{}, progressCounts: hints.NewCounts(leader.HeartbeatInterval)},
-		hints:      hints.New(),
 	}
 	controller.process.nextDropLogAt = map[string]clock.Micros{}
 	if tuning.Standby.Enabled {
--- a/internal/controller/controller_state.go
+++ b/internal/controller/controller_state.go
@@ -69,6 +69,7 @@
 
 // failoverState is what a failover needs, and how the last one went.
 type failoverState struct {
+	hints *hints.Hints // what the leader tells for the next one
 	// isRebuilding is true from winning the lock until the allocation table is rebuilt from a
 	// view at least as new as the fencing token.
 	isRebuilding bool
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -176,5 +176,5 @@
 // storeHints takes the hints of a leader's heartbeat, for the case that this member leads next.
 func (controller *Controller) storeHints(heartbeat *peer.Heartbeat, now clock.Micros) {
 	maxMachines := 2 * len(controller.view.ScaleOuts) * peer.MaxCachedImageMachines
-	controller.hints.Store(heartbeat, maxMachines, now)
+	controller.failover.hints.Store(heartbeat, maxMachines, now)
 }
--- a/internal/controller/term_host.go
+++ b/internal/controller/term_host.go
@@ -16,7 +16,7 @@
 		Config: controller.cfg, Tuning: &controller.tuning, Log: controller.log, Settings: controller.settings,
 		Store: controller.store, Cloud: controller.cloud,
 		WorkerRequests: leader.WorkerRequests{Pool: controller.workerRequests.pool, MaxInFlight: controller.workerRequests.maxInFlight},
-		View:           controller.view, Graph: controller.dependencyGraph, Hints: controller.hints,
+		View:           controller.view, Graph: controller.dependencyGraph, Hints: controller.failover.hints,
 		Delegate: controller.delegation.delegate, Replica: controller.failover.replica,
 		Failover: &controller.failover.last, Tracer: controller.failover.tracer,
 	}, termHost{controller}, token, readAt)
