--- a/internal/allocation/actions_test.go
+++ b/internal/allocation/actions_test.go
@@ -14,7 +14,7 @@
 }
 
 func (sim *simulation) exchangeSomeHeartbeat() {
-	sim.exchangeHeartbeat(sim.pickWorker(), sim.rng.IntN(fateCount))
+	sim.exchangeHeartbeat(sim.pickWorker(), sim.rng.IntN(heartbeatOutcomeCount))
 }
 
 // place tries to place the tasks of a job.
@@ -148,7 +148,7 @@
 	sim.deliverCommand(command)
 }
 
-// finishTask completes a worker's first running task of an array.
+// updateTaskAfterPlacement completes a worker's first running task of an array.
 func (sim *simulation) finishTask() {
 	worker := sim.pickWorker()
 	ids := make([]string, 0, len(worker.tasks))
@@ -211,8 +211,8 @@
 			sim.deliverLateCopy()
 		}
 		worker := sim.pickWorker()
-		sim.exchangeHeartbeat(worker, replyArrives)
-		sim.exchangeHeartbeat(worker, replyArrives)
+		sim.exchangeHeartbeat(worker, replyArrivesAtOnce)
+		sim.exchangeHeartbeat(worker, replyArrivesAtOnce)
 		sim.place()
 	}
 }
--- a/internal/allocation/commands.go
+++ b/internal/allocation/commands.go
@@ -24,12 +24,12 @@
 // that must not be reaped yet stays listed in its heartbeats.
 func (tracker *Tracker) exitCleanupCommands(machine *Machine) []wire.Command {
 	var commands []wire.Command
-	for i := range machine.exitedAttempts {
-		exited := &machine.exitedAttempts[i]
+	for i := range machine.unplacedAttempts {
+		exited := &machine.unplacedAttempts[i]
 		switch {
 		case exited.isRunning:
 			commands = append(commands, stopCommand(exited.taskID, exited.attempt, 0))
-		case exited.hasPendingResult(): // invariant 5
+		case exited.needsDurableCompletion(): // invariant 5
 		case machine.lateStarts[exited.key()]: // invariant 2
 		case machine.startTokens[exited.key()] != 0: // invariant 2, a copy of the start may arrive
 			tracker.needsHigherToken = true
--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -89,7 +89,7 @@
 	if listedCount != len(machine.placements) {
 		tracker.handleMissingPlacements(machine, now, source)
 	}
-	tracker.reconcile(machine)
+	tracker.markReconciled(machine)
 	return HeartbeatAccepted
 }
 
@@ -125,7 +125,7 @@
 // applyTaskReports applies a heartbeat's list of tasks, and returns how many of the machine's
 // placements it lists.
 func (tracker *Tracker) applyTaskReports(machine *Machine, taskReports []wire.TaskStatus, now clock.Micros, tokenConfirmed bool) int {
-	machine.exitedAttempts = machine.exitedAttempts[:0]
+	machine.unplacedAttempts = machine.unplacedAttempts[:0]
 	tracker.heartbeatCount++
 	listedCount := 0
 	for i := range taskReports {
--- a/internal/allocation/job_tracking.go
+++ b/internal/allocation/job_tracking.go
@@ -56,7 +56,7 @@
 // RemoveJob removes a job that is over, if it is vacated.
 func (tracker *Tracker) RemoveJob(job *Job) {
 	if tracker.IsVacated(job) {
-		tracker.publishHeldBackEnds(job, publishAll)
+		tracker.publishDeferred(job, publishAll)
 		delete(tracker.Jobs, job.Spec.ID)
 	}
 }
@@ -115,5 +115,5 @@
 			job.durableCount++
 		}
 	}
-	tracker.publishHeldBackEnds(job, publishDurable)
+	tracker.publishDeferred(job, publishDurable)
 }
--- a/internal/allocation/lease.go
+++ b/internal/allocation/lease.go
@@ -47,7 +47,7 @@
 	}
 	clear(machine.lateStarts)
 	clear(machine.startTokens)
-	tracker.reconcile(machine)
+	tracker.markReconciled(machine)
 	return true
 }
 
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -2,9 +2,9 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// exitedAttempt is an attempt without a placement that the worker lists, mostly an exited one. It is
+// unplacedAttempt is an attempt without a placement that the worker lists, mostly an exited one. It is
 // listed until the worker is told to forget (reap) it.
-type exitedAttempt struct {
+type unplacedAttempt struct {
 	taskID      string
 	attempt     uint64
 	job         *Job // nil if the tracker has no such job
@@ -13,8 +13,8 @@
 	isRunning   bool // it has not exited and its job is nil
 }
 
-// hasPendingResult tells whether it is the completion of a task that is not durable yet.
-func (exited *exitedAttempt) hasPendingResult() bool {
+// needsDurableCompletion tells whether it is the completion of a task that is not durable yet.
+func (exited *unplacedAttempt) needsDurableCompletion() bool {
 	return exited.isCompleted && !exited.job.IsService() && !exited.job.Tasks[exited.taskIndex].CompletionDurable
 }
 
@@ -24,7 +24,7 @@
 	attempt uint64
 }
 
-func (exited *exitedAttempt) key() attemptKey { return attemptKey{exited.taskID, exited.attempt} }
+func (exited *unplacedAttempt) key() attemptKey { return attemptKey{exited.taskID, exited.attempt} }
 
 // Machine is a machine that exists, or may exist. Its fields are grouped by concern.
 type Machine struct {
@@ -112,8 +112,8 @@
 
 // attemptRecords decide when the worker may be told to forget (reap) an attempt (invariant 2).
 type attemptRecords struct {
-	exitedAttempts []exitedAttempt     // from the last accepted heartbeat
-	lateStarts     map[attemptKey]bool // ended attempts of which a start may still arrive
+	unplacedAttempts []unplacedAttempt   // from the last accepted heartbeat
+	lateStarts       map[attemptKey]bool // ended attempts of which a start may still arrive
 	// startTokens holds the tokens of starts in command requests, of which copies may arrive until
 	// the worker has seen a higher token.
 	startTokens map[attemptKey]uint64
@@ -165,8 +165,8 @@
 	if _, ok := machine.placements[taskID]; ok {
 		return true
 	}
-	for i := range machine.exitedAttempts {
-		if machine.exitedAttempts[i].taskID == taskID {
+	for i := range machine.unplacedAttempts {
+		if machine.unplacedAttempts[i].taskID == taskID {
 			return true
 		}
 	}
--- a/internal/allocation/machine_tracking.go
+++ b/internal/allocation/machine_tracking.go
@@ -29,17 +29,17 @@
 }
 
 // reconcile records that nothing which an earlier leader started can be on the machine unseen.
-func (tracker *Tracker) reconcile(machine *Machine) {
+func (tracker *Tracker) markReconciled(machine *Machine) {
 	if !machine.Reconciled {
 		machine.Reconciled = true
 		tracker.unreconciledCount--
-		tracker.finishReconciliation()
+		tracker.confirmTasksIfReconciled()
 	}
 }
 
-// finishReconciliation ends the unconfirmed state of all tasks once every machine is reconciled: a
+// confirmTasksIfReconciled ends the unconfirmed state of all tasks once every machine is reconciled: a
 // task that no machine has listed is nowhere.
-func (tracker *Tracker) finishReconciliation() {
+func (tracker *Tracker) confirmTasksIfReconciled() {
 	if !tracker.IsReconciled() {
 		return
 	}
@@ -58,7 +58,7 @@
 	for _, placement := range machine.placements {
 		tracker.endPlacement(placement, CauseVanished, now)
 	}
-	tracker.reconcile(machine)
+	tracker.markReconciled(machine)
 	delete(tracker.Machines, machine.Name)
 	tracker.sortedMachines = nil
 }
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -163,7 +163,7 @@
 	job, machine := placement.Job, placement.Machine
 	tracker.publishStarted(placement)
 	machine.placements[placement.taskID] = placement
-	tracker.bookUsage(placement, 1)
+	tracker.adjustUsage(placement, 1)
 	machine.adjustFetchCount(job.Spec.Image, 1)
 	tracker.queueDispatch(machine)
 	if !placement.Orphaned {
@@ -171,8 +171,8 @@
 	}
 }
 
-// bookUsage adds a placement to the sums of its machine, team and job, or subtracts it if sign is -1.
-func (tracker *Tracker) bookUsage(placement *Placement, sign int) {
+// adjustUsage adds a placement to the sums of its machine, team and job, or subtracts it if sign is -1.
+func (tracker *Tracker) adjustUsage(placement *Placement, sign int) {
 	job, machine := placement.Job, placement.Machine
 	request := job.Request.Times(sign)
 	machine.used = machine.used.Add(request)
@@ -216,13 +216,13 @@
 	}
 	delete(machine.placements, placement.taskID)
 	delete(tracker.listedCancelled, placement)
-	tracker.bookUsage(placement, -1)
-	tracker.releaseMachine(placement, now)
+	tracker.adjustUsage(placement, -1)
+	tracker.updateMachineAfterPlacement(placement, now)
 	if cause != wire.ExitDone {
-		placement.creditCheckpoint(now)
+		placement.addCheckpointedProgress(now)
 	}
 	if job.Tasks[placement.TaskIndex].Placement == placement {
-		tracker.finishTask(placement, cause)
+		tracker.updateTaskAfterPlacement(placement, cause)
 	}
 	if job.IsGang() && job.activeCount == 0 {
 		job.GangState = GangState{}
@@ -231,10 +231,10 @@
 	tracker.Exited = append(tracker.Exited, ExitEvent{placement, cause})
 }
 
-// releaseMachine records what the end of a placement means for its machine: when the image was last
+// updateMachineAfterPlacement records what the end of a placement means for its machine: when the image was last
 // used or that nothing waits for it, whether the machine is idle, and whether a start of the ended
 // attempt may still arrive (invariant 2).
-func (tracker *Tracker) releaseMachine(placement *Placement, now clock.Micros) {
+func (tracker *Tracker) updateMachineAfterPlacement(placement *Placement, now clock.Micros) {
 	job, machine := placement.Job, placement.Machine
 	if placement.StartedAt != 0 {
 		job.StartedCount--
@@ -250,10 +250,10 @@
 	}
 }
 
-// creditCheckpoint adds the progress that a run has saved to its task's: all of it, or without a save
+// addCheckpointedProgress adds the progress that a run has saved to its task's: all of it, or without a save
 // at the end, what its last checkpoint covers. Checkpoints are at multiples of the job's interval
 // (PROTOCOL, gangs: failure).
-func (placement *Placement) creditCheckpoint(now clock.Micros) {
+func (placement *Placement) addCheckpointedProgress(now clock.Micros) {
 	job := placement.Job
 	interval := job.Spec.CheckpointIntervalSeconds
 	if placement.RunningAt == 0 || interval <= 0 {
@@ -267,9 +267,9 @@
 	job.CheckpointedSeconds = max(job.CheckpointedSeconds, task.CheckpointedSeconds)
 }
 
-// finishTask removes an ended placement from its task, which is done or waits again. A gang whose
+// updateTaskAfterPlacement removes an ended placement from its task, which is done or waits again. A gang whose
 // attempt can't go on without the task is aborted.
-func (tracker *Tracker) finishTask(placement *Placement, cause string) {
+func (tracker *Tracker) updateTaskAfterPlacement(placement *Placement, cause string) {
 	job := placement.Job
 	task := &job.Tasks[placement.TaskIndex]
 	tracker.clearPlacement(job, task)
--- a/internal/allocation/renewal_stops.go
+++ b/internal/allocation/renewal_stops.go
@@ -11,8 +11,8 @@
 // the stops to its second reply (docs/incidents/renewed-without-stops.md).
 func (tracker *Tracker) RenewalStops(machine *Machine) []wire.Command {
 	var commands []wire.Command
-	for i := range machine.exitedAttempts {
-		if exited := &machine.exitedAttempts[i]; exited.isRunning && !tracker.mayBeActive(exited.taskID) {
+	for i := range machine.unplacedAttempts {
+		if exited := &machine.unplacedAttempts[i]; exited.isRunning && !tracker.mayBeActive(exited.taskID) {
 			commands = append(commands, stopCommand(exited.taskID, exited.attempt, 0))
 		}
 	}
--- a/internal/allocation/replication.go
+++ b/internal/allocation/replication.go
@@ -68,7 +68,7 @@
 	task := &job.Tasks[taskIndex]
 	switch {
 	case job.isWhollyUnconfirmed:
-		tracker.narrowUnconfirmed(job, publishDurable)
+		tracker.splitWholeJobEntry(job, publishDurable)
 	case task.State == TaskDone && !task.CompletionDurable:
 		job.unpublishedResolved = append(job.unpublishedResolved, taskIndex)
 	default:
@@ -76,11 +76,11 @@
 	}
 }
 
-// narrowUnconfirmed replaces the entry of a whole job by entries of its unconfirmed tasks, once they
+// splitWholeJobEntry replaces the entry of a whole job by entries of its unconfirmed tasks, once they
 // are few and all completions are durable. When the job is over, no task is left.
-func (tracker *Tracker) narrowUnconfirmed(job *Job, scope publishScope) {
-	isNarrow := job.unconfirmedCount <= maxUnconfirmedTasksPublished && job.durableCount == job.doneCount
-	if !job.isWhollyUnconfirmed || scope == publishDurable && !isNarrow {
+func (tracker *Tracker) splitWholeJobEntry(job *Job, scope publishScope) {
+	canSplit := job.unconfirmedCount <= maxUnconfirmedTasksPublished && job.durableCount == job.doneCount
+	if !job.isWhollyUnconfirmed || scope == publishDurable && !canSplit {
 		return
 	}
 	job.isWhollyUnconfirmed = false
@@ -108,13 +108,13 @@
 	tracker.cfg.Replicator.RecordEnded(placement.taskID, placement.Attempt, placement.Machine.Name)
 }
 
-// publishHeldBackEnds publishes what waited for completions to be durable.
-func (tracker *Tracker) publishHeldBackEnds(job *Job, scope publishScope) {
+// publishDeferred publishes what waited for completions to be durable.
+func (tracker *Tracker) publishDeferred(job *Job, scope publishScope) {
 	if tracker.cfg.Replicator == nil {
 		return
 	}
-	tracker.narrowUnconfirmed(job, scope)
-	tracker.publishHeldBackResolved(job, scope)
+	tracker.splitWholeJobEntry(job, scope)
+	tracker.publishDeferredResolved(job, scope)
 	remaining := job.unpublishedEnds[:0]
 	for _, placement := range job.unpublishedEnds {
 		if scope == publishAll || job.Tasks[placement.TaskIndex].CompletionDurable {
@@ -127,8 +127,8 @@
 	job.unpublishedEnds = remaining
 }
 
-// publishHeldBackResolved publishes the resolved tasks that waited for durable completions.
-func (tracker *Tracker) publishHeldBackResolved(job *Job, scope publishScope) {
+// publishDeferredResolved publishes the resolved tasks that waited for durable completions.
+func (tracker *Tracker) publishDeferredResolved(job *Job, scope publishScope) {
 	remaining := job.unpublishedResolved[:0]
 	for _, i := range job.unpublishedResolved {
 		if scope == publishAll || job.Tasks[i].CompletionDurable {
@@ -149,9 +149,9 @@
 	if !job.IsGang() {
 		return mayTaskHaveStarted
 	}
-	hasAnyStarted := false
+	mayAnyHaveStarted := false
 	for i := range job.Tasks {
-		hasAnyStarted = hasAnyStarted || mayTaskHaveStarted(i)
+		mayAnyHaveStarted = mayAnyHaveStarted || mayTaskHaveStarted(i)
 	}
-	return func(int) bool { return hasAnyStarted }
+	return func(int) bool { return mayAnyHaveStarted }
 }
--- a/internal/allocation/replication_test.go
+++ b/internal/allocation/replication_test.go
@@ -12,7 +12,7 @@
 // recordingReplicator keeps what a standby that follows a tracker would know.
 type recordingReplicator struct {
 	t              *testing.T
-	covered        string   // a task or job that has to be covered after each decision, if set
+	requiredID     string   // a task or job that has to be covered after each decision, if set
 	active         []string // tasks that may be running, and unconfirmed tasks and jobs
 	sequence       uint64
 	replicatedUpTo uint64 // the last decision that all standbys have
@@ -28,8 +28,8 @@
 	if i := slices.Index(replicator.active, task); i >= 0 {
 		replicator.active = slices.Delete(replicator.active, i, i+1)
 	}
-	if job, _, _ := strings.Cut(replicator.covered, "/"); job != "" && !slices.Contains(replicator.active, replicator.covered) && !slices.Contains(replicator.active, job) {
-		replicator.t.Errorf("%s has no entry for a moment", replicator.covered)
+	if job, _, _ := strings.Cut(replicator.requiredID, "/"); job != "" && !slices.Contains(replicator.active, replicator.requiredID) && !slices.Contains(replicator.active, job) {
+		replicator.t.Errorf("%s has no entry for a moment", replicator.requiredID)
 	}
 }
 
@@ -72,10 +72,10 @@
 	tracker.ProcessDispatchQueue(func(*Machine) bool { return false })
 	replicator.replicatedUpTo = 1
 	tracker.RetryUnreplicatedStarts()
-	due := 0
-	tracker.ProcessDispatchQueue(func(*Machine) bool { due++; return false })
-	if request, _ := tracker.BuildCommandRequest(machine, 3); due != 1 || request == nil || len(request.Commands) != 1 {
-		t.Fatalf("%d machines due, then sent %+v", due, request)
+	dispatchCount := 0
+	tracker.ProcessDispatchQueue(func(*Machine) bool { dispatchCount++; return false })
+	if request, _ := tracker.BuildCommandRequest(machine, 3); dispatchCount != 1 || request == nil || len(request.Commands) != 1 {
+		t.Fatalf("%d machines due, then sent %+v", dispatchCount, request)
 	}
 }
 
@@ -130,7 +130,7 @@
 	if !slices.Equal(replicator.active, []string{task}) {
 		t.Fatalf("published %v", replicator.active)
 	}
-	replicator.covered = task
+	replicator.requiredID = task
 	tracker.RecordHeartbeat(machine, heartbeatListing("i-0", 1, 9, 3, 1), 1)
 	if job.UnconfirmedCount() != 0 || !slices.Equal(replicator.active, []string{task}) {
 		t.Errorf("%d unconfirmed, published %v", job.UnconfirmedCount(), replicator.active)
@@ -141,15 +141,15 @@
 func TestTaskStaysUnconfirmedUntilCompletionIsDurable(t *testing.T) {
 	for name, tasks := range map[string]int{"few": 3, "many": maxUnconfirmedTasksPublished + 1} {
 		tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, tasks, nil)
-		replicator.covered = wire.TaskID("req-000001", 0)
+		replicator.requiredID = wire.TaskID("req-000001", 0)
 		done := heartbeatListing("i-0", 1, 9, 3)
-		done.Tasks = []wire.TaskStatus{{TaskID: replicator.covered, Attempt: 3, State: wire.TaskExited, ExitCause: wire.ExitDone}}
+		done.Tasks = []wire.TaskStatus{{TaskID: replicator.requiredID, Attempt: 3, State: wire.TaskExited, ExitCause: wire.ExitDone}}
 		tracker.RecordHeartbeat(machine, done, 1)
 		tracker.RemoveMachine(tracker.Machines["i-1"], 2)
 		if job.DoneCount() != 1 || job.UnconfirmedCount() != 0 {
 			t.Fatalf("%s: %d done, %d unconfirmed", name, job.DoneCount(), job.UnconfirmedCount())
 		}
-		replicator.covered = ""
+		replicator.requiredID = ""
 		tracker.MarkDurable(job, []int{0})
 		if len(replicator.active) != 0 {
 			t.Errorf("%s: still published %v", name, replicator.active)
@@ -177,7 +177,7 @@
 	if job.UnconfirmedCount() != tasks-3 || !slices.Contains(replicator.active, "req-000001") || len(replicator.active) != 4 {
 		t.Fatalf("%d unconfirmed, published %v", job.UnconfirmedCount(), replicator.active)
 	}
-	replicator.covered = wire.TaskID("req-000001", tasks-1)
+	replicator.requiredID = wire.TaskID("req-000001", tasks-1)
 	tracker.recordCompletion(job, 3)
 	tracker.MarkDurable(job, []int{3})
 	if job.UnconfirmedCount() != maxUnconfirmedTasksPublished || slices.Contains(replicator.active, "req-000001") || len(replicator.active) != maxUnconfirmedTasksPublished+3 {
--- a/internal/allocation/simulation_test.go
+++ b/internal/allocation/simulation_test.go
@@ -165,17 +165,17 @@
 	}
 }
 
-// Fates of a heartbeat and its reply, below fateCount. Between replyIsLost and replyArrives the reply
-// is on its way, and may arrive later; from replyArrives on it arrives at once.
+// Fates of a heartbeat and its reply, below heartbeatOutcomeCount. Between replyIsLost and replyArrivesAtOnce the reply
+// is on its way, and may arrive later; from replyArrivesAtOnce on it arrives at once.
 const (
-	heartbeatIsLost = 0
-	replyIsLost     = 1
-	replyArrives    = 4
-	fateCount       = 6
+	heartbeatIsLost       = 0
+	replyIsLost           = 1
+	replyArrivesAtOnce    = 4
+	heartbeatOutcomeCount = 6
 )
 
 // exchangeHeartbeat sends a worker's heartbeat, and a reply.
-func (sim *simulation) exchangeHeartbeat(worker *fakeWorker, fate int) {
+func (sim *simulation) exchangeHeartbeat(worker *fakeWorker, outcome int) {
 	if worker.deleted || worker.hung {
 		return
 	}
@@ -183,7 +183,7 @@
 	worker.hasPendingReply = false // the worker drops the reply to its last heartbeat
 	heartbeat := sim.heartbeat(worker)
 	machine := sim.machine(worker)
-	if fate == heartbeatIsLost || machine == nil {
+	if outcome == heartbeatIsLost || machine == nil {
 		return
 	}
 	if sim.rng.IntN(4) == 0 {
@@ -196,11 +196,11 @@
 	sim.persistCompletions()
 	commands := sim.tracker.HeartbeatCommands(machine, sim.now)
 	sim.checkStops(heartbeat, commands)
-	if fate == replyIsLost {
+	if outcome == replyIsLost {
 		return
 	}
 	worker.replyCommands, worker.replyToken, worker.heartbeatSentAt, worker.hasPendingReply = commands, sim.tracker.FencingToken(), sim.now, true
-	if fate >= replyArrives {
+	if outcome >= replyArrivesAtOnce {
 		sim.deliverReply(worker)
 	}
 }
--- a/internal/allocation/start_check_test.go
+++ b/internal/allocation/start_check_test.go
@@ -19,13 +19,13 @@
 		f.tracker.RecordHeartbeat(f.second, newHeartbeat(f.second, 1, 1, 7, wire.TaskStatus{TaskID: "req-000001/1", Attempt: 3, State: wire.TaskRunning}), 3)
 	}
 	for _, c := range []struct {
-		name   string
-		spec   wire.Job
-		change func(f fixture)
-		starts int
+		name       string
+		spec       wire.Job
+		change     func(f fixture)
+		wantStarts int
 	}{
-		{name: "nothing changes", change: func(fixture) {}, starts: 1},
-		{name: "another task elsewhere is allowed", change: adoptSecondTask, starts: 1},
+		{name: "nothing changes", change: func(fixture) {}, wantStarts: 1},
+		{name: "another task elsewhere is allowed", change: adoptSecondTask, wantStarts: 1},
 		{name: "the quota is used up", spec: wire.Job{Team: "limited"}, change: adoptSecondTask},
 		{name: "another zone", spec: wire.Job{SingleZone: true}, change: adoptSecondTask},
 		{name: "the machine is not recorded", change: func(f fixture) { f.machine.RecordedInStore = false }},
@@ -53,10 +53,10 @@
 				} else if request, _ := tracker.BuildCommandRequest(f.machine, 4); request != nil {
 					commands = request.Commands
 				}
-				if len(commands) != c.starts {
-					t.Fatalf("%s: %d commands, want %d: %+v", channelName, len(commands), c.starts, commands)
+				if len(commands) != c.wantStarts {
+					t.Fatalf("%s: %d commands, want %d: %+v", channelName, len(commands), c.wantStarts, commands)
 				}
-				if isPlaced := f.job.Tasks[0].Placement != nil; isPlaced != (c.starts == 1) {
+				if isPlaced := f.job.Tasks[0].Placement != nil; isPlaced != (c.wantStarts == 1) {
 					t.Errorf("%s: the task is placed: %v", channelName, isPlaced)
 				}
 			}
--- a/internal/allocation/task_report.go
+++ b/internal/allocation/task_report.go
@@ -10,14 +10,14 @@
 func (tracker *Tracker) applyTaskReport(machine *Machine, taskReport *wire.TaskStatus, now clock.Micros, tokenConfirmed bool) bool {
 	placement := machine.placements[taskReport.TaskID]
 	if placement != nil && tracker.isUnchanged(placement, taskReport) {
-		return tracker.recordSeen(placement)
+		return tracker.markListed(placement)
 	}
 	jobID, taskIndex, ok := wire.ParseTaskID(taskReport.TaskID)
 	job := tracker.Jobs[jobID]
 	if !ok || job == nil || taskIndex >= len(job.Tasks) {
 		// The job is over or unknown: the task can only be stopped and reaped.
 		isRunning := taskReport.State != wire.TaskExited
-		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, isRunning: isRunning})
+		machine.unplacedAttempts = append(machine.unplacedAttempts, unplacedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, isRunning: isRunning})
 		if isRunning {
 			tracker.ListedUnknown = append(tracker.ListedUnknown, taskReport.TaskID)
 		}
@@ -25,13 +25,13 @@
 	}
 	if placement != nil && placement.Attempt != taskReport.Attempt {
 		if taskReport.State == wire.TaskExited {
-			machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex})
+			machine.unplacedAttempts = append(machine.unplacedAttempts, unplacedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex})
 			return false
 		}
 		if placement.Phase == PhaseReported && taskReport.Attempt < placement.Attempt {
-			return tracker.recordSeen(placement) // the worker has one attempt of a task, so this is out of date
+			return tracker.markListed(placement) // the worker has one attempt of a task, so this is out of date
 		}
-		tracker.dropOtherAttempt(placement, &job.Tasks[taskIndex], now)
+		tracker.endReplacedPlacement(placement, &job.Tasks[taskIndex], now)
 		placement = nil
 	}
 	if taskReport.State == wire.TaskExited {
@@ -42,7 +42,7 @@
 		placement = tracker.adoptPlacement(machine, job, taskIndex, taskReport, now, tokenConfirmed)
 	}
 	tracker.applyProgress(placement, job, taskReport, now)
-	return tracker.recordSeen(placement)
+	return tracker.markListed(placement)
 }
 
 // isUnchanged tells whether a report says nothing new about a placement, as most reports do.
@@ -51,9 +51,9 @@
 		placement.ReportedState == taskReport.State && tracker.Jobs[placement.Job.Spec.ID] == placement.Job
 }
 
-// dropOtherAttempt ends a placement when the worker lists another attempt of the task. The worker
+// endReplacedPlacement ends a placement when the worker lists another attempt of the task. The worker
 // refuses the placement's start, or the placement came from a late copy: what the worker lists counts.
-func (tracker *Tracker) dropOtherAttempt(placement *Placement, task *Task, now clock.Micros) {
+func (tracker *Tracker) endReplacedPlacement(placement *Placement, task *Task, now clock.Micros) {
 	if task.Placement == placement && task.Unconfirmed {
 		tracker.orphanPlacement(placement)
 	}
@@ -68,7 +68,7 @@
 	} else if taskReport.ExitCause == wire.ExitDone && !job.IsService() {
 		tracker.recordCompletion(job, taskIndex)
 	}
-	machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex, isCompleted: taskReport.ExitCause == wire.ExitDone})
+	machine.unplacedAttempts = append(machine.unplacedAttempts, unplacedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, job: job, taskIndex: taskIndex, isCompleted: taskReport.ExitCause == wire.ExitDone})
 }
 
 // applyProgress records the state of a task that hasn't exited.
@@ -97,13 +97,13 @@
 	}
 }
 
-// recordSeen records that the current heartbeat lists the placement, and returns whether it is the
+// markListed records that the current heartbeat lists the placement, and returns whether it is the
 // first time that it does.
-func (tracker *Tracker) recordSeen(placement *Placement) bool {
+func (tracker *Tracker) markListed(placement *Placement) bool {
 	tracker.noteIfCancelled(placement)
-	first := placement.lastSeenHeartbeat != tracker.heartbeatCount
+	isFirstTime := placement.lastSeenHeartbeat != tracker.heartbeatCount
 	placement.lastSeenHeartbeat = tracker.heartbeatCount
-	return first
+	return isFirstTime
 }
 
 // recordExit ends a placement that the worker lists as exited, and counts a failure.
--- a/internal/allocation/tracker.go
+++ b/internal/allocation/tracker.go
@@ -116,7 +116,7 @@
 // now on are new, so earlier leaders started nothing on or of them.
 func (tracker *Tracker) FinishRecovery() {
 	tracker.isRecovered = true
-	tracker.finishReconciliation()
+	tracker.confirmTasksIfReconciled()
 }
 
 // IsReconciled tells whether every machine that an earlier leader may have used is reconciled, so
--- a/internal/allocation/tracker_test.go
+++ b/internal/allocation/tracker_test.go
@@ -26,7 +26,7 @@
 
 // A start in a command request without an answer may arrive after the worker was told to forget the
 // attempt: it would run again.
-func TestAttemptIsKeptWhileStartMayArrive(t *testing.T) {
+func TestAttemptIsNotReapedWhileStartMayArrive(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 2); err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 
 // A cancelled job's start that may still arrive is fenced by a start and a stop in one message, so that
 // the late one finds its attempt listed as exited.
-func TestFenceStartOfCancelledJob(t *testing.T) {
+func TestPendingStartOfCancelledJobIsFenced(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 2); err != nil {
 		t.Fatal(err)
@@ -108,8 +108,8 @@
 	if !tracker.ExpireLease(machine, tracker.LeaseEndsAt(machine)) || job.ActiveCount() != 0 {
 		t.Fatal("not expired")
 	}
-	late := newHeartbeat(machine, 1, 9, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: 1, State: wire.TaskRunning})
-	if tracker.RecordHeartbeat(machine, late, tracker.LeaseEndsAt(machine)) != HeartbeatStale {
+	lateHeartbeat := newHeartbeat(machine, 1, 9, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: 1, State: wire.TaskRunning})
+	if tracker.RecordHeartbeat(machine, lateHeartbeat, tracker.LeaseEndsAt(machine)) != HeartbeatStale {
 		t.Fatal("a heartbeat of the expired incarnation was accepted")
 	}
 }
--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -13,8 +13,8 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// NewsInterval bounds how often news is sent outside of the regular heartbeats.
-const NewsInterval = 100 * clock.Millisecond
+// MinEarlySendInterval bounds how often news is sent outside of the regular heartbeats.
+const MinEarlySendInterval = 100 * clock.Millisecond
 
 // Log holds recent durable cancellations, in the order in which this member learned of them.
 type Log struct {
@@ -23,9 +23,9 @@
 	maxEntries int // beyond them the older half is dropped
 	// nextIndex is where the next message begins, if not all entries fit into one.
 	nextIndex int
-	// hasNews: an entry has come that was not sent yet.
-	hasNews    bool
-	newsSentAt clock.Micros
+	// hasUnsentEntry: an entry has come that was not sent yet.
+	hasUnsentEntry bool
+	earlySendAt    clock.Micros
 }
 
 type entry struct {
@@ -43,24 +43,24 @@
 
 // Add adds a durable cancellation, unless it is so old that the job's tasks are gone. now is an
 // instant of the steady clock; wall is the time of day, which CancelledAt is compared with.
-func (log *Log) Add(cancellation peer.Cancellation, now, wall clock.Micros) {
-	if wall-cancellation.CancelledAt > log.retention {
+func (log *Log) Add(cancellation peer.Cancellation, now, wallTime clock.Micros) {
+	if wallTime-cancellation.CancelledAt > log.retention {
 		return
 	}
 	if len(log.entries) >= log.maxEntries {
 		log.entries = append(log.entries[:0], log.entries[len(log.entries)/2:]...)
 	}
 	log.entries = append(log.entries, entry{Cancellation: cancellation, receivedAt: now})
-	log.hasNews = true
+	log.hasUnsentEntry = true
 }
 
-// TakeNews reports whether there are entries to be sent without waiting for the next regular
-// heartbeat, at most once per NewsInterval. If so, they count as sent from now on.
-func (log *Log) TakeNews(now clock.Micros) bool {
-	if !log.hasNews || now-log.newsSentAt < NewsInterval {
+// TakeEarlySendRequest reports whether there are entries to be sent without waiting for the next regular
+// heartbeat, at most once per MinEarlySendInterval. If so, they count as sent from now on.
+func (log *Log) TakeEarlySendRequest(now clock.Micros) bool {
+	if !log.hasUnsentEntry || now-log.earlySendAt < MinEarlySendInterval {
 		return false
 	}
-	log.hasNews, log.newsSentAt = false, now
+	log.hasUnsentEntry, log.earlySendAt = false, now
 	return true
 }
 
--- a/internal/controller/forwarded_cancellations.go
+++ b/internal/controller/forwarded_cancellations.go
@@ -31,7 +31,7 @@
 // sendCancellationNews sends new cancellations without waiting for the next regular
 // heartbeat, if some other member may lack one. The leader need not: it acts on them itself.
 func (controller *Controller) sendCancellationNews(now clock.Micros) {
-	if controller.term != nil || !controller.members.cancellations.TakeNews(now) {
+	if controller.term != nil || !controller.members.cancellations.TakeEarlySendRequest(now) {
 		return
 	}
 	for _, other := range controller.cfg.Peers {
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -32,8 +32,8 @@
 // However reads fail, and however often the entitlement ends and comes back: no worker that the
 // leader answers keeps a task of a job whose cancellation the leader doesn't know beyond the
 // cancellation timeout, and none is started after it.
-func TestNothingOutlivesUnknownCancellation(t *testing.T) {
-	unknownCount := 0
+func TestUnknownCancellationIsBoundedByTimeout(t *testing.T) {
+	unknownCancellationSteps := 0
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t)
 		now := 10 * clock.Second
@@ -63,7 +63,7 @@
 			if isKnown || now < history.confirmedAt {
 				continue
 			}
-			unknownCount++
+			unknownCancellationSteps++
 			// A worker's lease runs from its heartbeat, which is older than the answer.
 			if tracker.MayRenewLeases(now) && now+history.leaseTTL >= cancellationDeadline {
 				t.Fatalf("at %d a lease is renewed up to %d, the tasks have to be gone at %d", now, now+history.leaseTTL, cancellationDeadline)
@@ -73,8 +73,8 @@
 			}
 		}
 	})
-	if unknownCount < 100 {
-		t.Fatalf("%d instants with an unknown cancellation: too few cases covered", unknownCount)
+	if unknownCancellationSteps < 100 {
+		t.Fatalf("%d instants with an unknown cancellation: too few cases covered", unknownCancellationSteps)
 	}
 }
 
