--- a/internal/allocation/actions_test.go
+++ b/internal/allocation/actions_test.go
@@ -148,7 +148,7 @@
 	sim.deliverCommand(command)
 }
 
-// updateTaskAfterPlacement completes a worker's first running task of an array.
+// finishTask completes a worker's first running task of an array.
 func (sim *simulation) finishTask() {
 	worker := sim.pickWorker()
 	ids := make([]string, 0, len(worker.tasks))
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -2,18 +2,19 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// unplacedAttempt is an attempt without a placement that the worker lists, mostly an exited one. It is
-// listed until the worker is told to forget (reap) it.
+// unplacedAttempt is an attempt that the worker lists and that has no placement. Most of them have
+// exited. The worker lists an attempt until it is told to forget (reap) it.
 type unplacedAttempt struct {
 	taskID      string
 	attempt     uint64
 	job         *Job // nil if the tracker has no such job
 	taskIndex   int
-	isCompleted bool // it exited as done, so its task's completion has to be durable first
-	isRunning   bool // it has not exited and its job is nil
+	isCompleted bool // it exited as done, so its task's completion must be durable before it is reaped
+	isRunning   bool // it has not exited, and the tracker has no such job
 }
 
-// needsDurableCompletion tells whether it is the completion of a task that is not durable yet.
+// needsDurableCompletion reports whether the attempt completed its task and the completion is not
+// durable yet.
 func (exited *unplacedAttempt) needsDurableCompletion() bool {
 	return exited.isCompleted && !exited.job.IsService() && !exited.job.Tasks[exited.taskIndex].CompletionDurable
 }
@@ -26,7 +27,7 @@
 
 func (exited *unplacedAttempt) key() attemptKey { return attemptKey{exited.taskID, exited.attempt} }
 
-// Machine is a machine that exists, or may exist. Its fields are grouped by concern.
+// Machine is a machine that exists or may exist. Its fields are grouped by concern.
 type Machine struct {
 	MachineSpec
 	HeartbeatState
@@ -37,130 +38,133 @@
 	attemptRecords
 	leaseState
 
-	// RecordedInStore tells whether the key-value store has it. Only then may it get tasks.
+	// RecordedInStore is whether the key-value store has a record of the machine. The machine gets no
+	// tasks before.
 	RecordedInStore bool
-	// CreatedAt is when this leader first knew of it; the controller replaces it by the time of
-	// the scale-out request.
-	CreatedAt    clock.Micros
-	BecameIdleAt clock.Micros // since when it has had no placement
-	// SortIndex is its index in SortedMachines, as of the last call of that.
+	// CreatedAt is when this leader first learned of the machine. The controller replaces it with the
+	// time of the scale-out request.
+	CreatedAt clock.Micros
+	// BecameIdleAt is when the machine last became free of placements.
+	BecameIdleAt clock.Micros
+	// SortIndex is the machine's index in the result of the last call of SortedMachines.
 	SortIndex int
 }
 
-// MachineSpec is what doesn't change while a machine exists.
+// MachineSpec holds the properties that don't change while a machine exists.
 type MachineSpec struct {
 	Name, Type, Zone string
-	Spot             bool // the cloud may reclaim it
+	Spot             bool // whether the cloud may reclaim the machine
 	Capacity         Resources
 }
 
-// HeartbeatState is what is known from the worker's heartbeats. Instants are of this leader's steady
+// HeartbeatState holds what the worker's heartbeats have shown. Times are of this leader's monotonic
 // clock.
 type HeartbeatState struct {
-	Address           string // HOST:PORT for command requests, "" if unknown
+	Address           string // HOST:PORT to which command requests are sent, "" if unknown
 	Incarnation       uint64 // of the last accepted heartbeat
 	HeartbeatSequence uint64 // of the last accepted heartbeat
 	LastHeartbeatAt   clock.Micros
-	FirstHeartbeatAt  clock.Micros // 0 before the first
-	// TokenConfirmed tells whether a heartbeat was made under this leader's token, and the lease has
-	// not run out since.
+	FirstHeartbeatAt  clock.Micros // 0 before the first heartbeat
+	// TokenConfirmed is whether the worker has sent a heartbeat under this leader's token, and its lease
+	// has not run out since.
 	TokenConfirmed bool
-	// Reconciled tells whether nothing that an earlier leader started can be on it unseen.
+	// Reconciled is whether this leader knows everything that earlier leaders started on the machine.
 	Reconciled bool
 }
 
-// MachineRestrictions are reasons to give a machine nothing new.
+// MachineRestrictions holds reasons not to place new tasks on a machine.
 type MachineRestrictions struct {
-	// ReclaimAt is when the cloud reclaims a spot machine, 0 if it isn't announced.
+	// ReclaimAt is when the cloud reclaims a spot machine, or 0 if no reclaim is announced.
 	ReclaimAt clock.Micros
-	// UnreachableUntil is set after a command request without an answer: until then commands may
-	// not reach the worker, even if its heartbeats arrive.
+	// UnreachableUntil is set after a command request without an answer. Until then commands may not
+	// reach the worker, even if its heartbeats arrive.
 	UnreachableUntil clock.Micros
-	// BackoffUntil is set while tasks fail on it for a cause that isn't the machine's own.
+	// BackoffUntil is set while tasks fail on the machine for a cause other than the machine itself.
 	BackoffUntil clock.Micros
-	// FailedJobs is the set of jobs of which a task failed on it. The controller pauses or drains
+	// FailedJobs is the set of jobs that had a task fail on the machine. The controller pauses or drains
 	// the machine when there are several.
 	FailedJobs map[string]bool
-	// Draining is set while the controller places nothing new on it, mostly to delete it.
+	// Draining is set while the controller places nothing new on the machine, mostly in order to delete it.
 	Draining bool
 }
 
-// MachineImages are the images that a machine has, or fetches.
+// MachineImages holds the images that a machine has or is fetching.
 type MachineImages struct {
-	// ImageUsedAt holds, by image that the machine has fetched, when it was last used.
+	// ImageUsedAt holds, for each image that the machine has fetched, when it was last used.
 	ImageUsedAt map[string]clock.Micros
-	// hintedImages are images that it is expected to have in hintedIncarnation, see SetCachedImages.
+	// hintedImages are the images that the machine is expected to have in hintedIncarnation, see
+	// SetCachedImages.
 	hintedImages      []string
 	hintedIncarnation uint64
-	fetchesByImage    map[string]int // number of placements that wait for an image
+	fetchesByImage    map[string]int // number of placements that wait for each image
 }
 
-// machineLoad is what is placed on a machine.
+// machineLoad holds what is placed on a machine.
 type machineLoad struct {
 	used         Resources             // sum of the placements' requests
 	placements   map[string]*Placement // by task ID
-	replicaCount int                   // placements of services
+	replicaCount int                   // number of placements of services
 }
 
 // dispatchState is the state of a machine's command requests.
 type dispatchState struct {
-	isQueued              bool // it is in dispatchQueue
-	isAwaitingReplication bool // it is in awaitingReplication
-	hasCommandInFlight    bool // a command request has no outcome yet
-	isConfirmationRequest bool // that request is from BuildConfirmationRequest
+	isQueued              bool // the machine is in dispatchQueue
+	isAwaitingReplication bool // the machine is in awaitingReplication
+	hasCommandInFlight    bool // a command request was sent and has no outcome yet
+	isConfirmationRequest bool // the request in flight is from BuildConfirmationRequest
 }
 
-// attemptRecords decide when the worker may be told to forget (reap) an attempt (invariant 2).
+// attemptRecords holds what decides when the worker may be told to forget (reap) an attempt (invariant 2).
 type attemptRecords struct {
 	unplacedAttempts []unplacedAttempt   // from the last accepted heartbeat
-	lateStarts       map[attemptKey]bool // ended attempts of which a start may still arrive
-	// startTokens holds the tokens of starts in command requests, of which copies may arrive until
-	// the worker has seen a higher token.
+	lateStarts       map[attemptKey]bool // ended attempts whose start may still arrive
+	// startTokens holds, for each start that a command request carried, the token of that request. Copies
+	// of the request may arrive until the worker has seen a higher token.
 	startTokens map[attemptKey]uint64
 	seenToken   uint64 // the highest token in an accepted heartbeat
 }
 
-// leaseState bounds the worker's lease.
+// leaseState holds the bounds of the worker's lease.
 type leaseState struct {
-	leaseRenewedAt clock.Micros // the last instant at which the lease may have been renewed
-	minIncarnation uint64       // heartbeats of lower incarnations are stale: their lease is over
+	leaseRenewedAt clock.Micros // the latest time at which the lease may have been renewed
+	minIncarnation uint64       // heartbeats of lower incarnations are stale: their lease has ended
 }
 
-// Used returns what its placements take.
+// Used returns the resources that the machine's placements take.
 func (machine *Machine) Used() Resources { return machine.used }
 
-// Free returns what is left for new tasks.
+// Free returns the resources that are left for new tasks.
 func (machine *Machine) Free() Resources { return machine.Capacity.Sub(machine.used) }
 
-// ReplicaCount returns how many tasks of services are, or may be, on it.
+// ReplicaCount returns how many tasks of services are, or may be, on the machine.
 func (machine *Machine) ReplicaCount() int { return machine.replicaCount }
 
-// IsFetching tells whether a task that has not run yet waits for the image.
+// IsFetching reports whether a task on the machine that has not started yet waits for the image.
 func (machine *Machine) IsFetching(image string) bool { return machine.fetchesByImage[image] > 0 }
 
-// FetchCount returns how many images its tasks wait for; the fetches share its bandwidth.
+// FetchCount returns how many images the machine's tasks wait for. The fetches share its bandwidth.
 func (machine *Machine) FetchCount() int { return len(machine.fetchesByImage) }
 
-// PlacementCount returns how many placements are on it.
+// PlacementCount returns how many placements are on the machine.
 func (machine *Machine) PlacementCount() int { return len(machine.placements) }
 
-// IsIdle tells whether no task is, or may be, on it.
+// IsIdle reports whether no task is, or may be, on the machine.
 func (machine *Machine) IsIdle() bool { return len(machine.placements) == 0 }
 
-// IsSchedulable tells whether PlaceTask accepts it. The scheduler also leaves out machines that are
-// suspected, unreachable or backing off.
+// IsSchedulable reports whether PlaceTask accepts the machine. The scheduler also leaves out machines
+// that are suspected, unreachable or backing off.
 func (machine *Machine) IsSchedulable() bool {
 	return machine.RecordedInStore && machine.TokenConfirmed && !machine.Draining && machine.ReclaimAt == 0
 }
 
-// ForEachPlacement calls visit for every placement on it, in no order.
+// ForEachPlacement calls visit for every placement on the machine, in no particular order.
 func (machine *Machine) ForEachPlacement(visit func(*Placement)) {
 	for _, placement := range machine.placements {
 		visit(placement)
 	}
 }
 
-// HasTask tells whether an attempt of the task is placed on it, or still listed by its worker.
+// HasTask reports whether an attempt of the task is placed on the machine or still listed by its worker.
 func (machine *Machine) HasTask(taskID string) bool {
 	if _, ok := machine.placements[taskID]; ok {
 		return true
@@ -173,7 +177,7 @@
 	return false
 }
 
-// hasPlacement tells whether an attempt is one of the machine's placements.
+// hasPlacement reports whether an attempt is one of the machine's placements.
 func (machine *Machine) hasPlacement(key attemptKey) bool {
 	placement := machine.placements[key.taskID]
 	return placement != nil && placement.Attempt == key.attempt
--- a/internal/allocation/machine_tracking.go
+++ b/internal/allocation/machine_tracking.go
@@ -2,8 +2,8 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// AddMachine adds a machine, or returns the one that has the name. One that is added before
-// FinishRecovery has to be reconciled.
+// AddMachine adds a machine and returns it. If a machine of that name exists, AddMachine returns that
+// one unchanged. A machine that is added before FinishRecovery has to be reconciled.
 func (tracker *Tracker) AddMachine(name, machineType, zone string, spot bool, capacity Resources, now clock.Micros) *Machine {
 	if machine := tracker.Machines[name]; machine != nil {
 		return machine
@@ -28,7 +28,7 @@
 	return machine
 }
 
-// reconcile records that nothing which an earlier leader started can be on the machine unseen.
+// markReconciled records that this leader knows everything that earlier leaders started on the machine.
 func (tracker *Tracker) markReconciled(machine *Machine) {
 	if !machine.Reconciled {
 		machine.Reconciled = true
@@ -37,8 +37,8 @@
 	}
 }
 
-// confirmTasksIfReconciled ends the unconfirmed state of all tasks once every machine is reconciled: a
-// task that no machine has listed is nowhere.
+// confirmTasksIfReconciled ends the unconfirmed state of all tasks once every machine is reconciled:
+// a task that no machine has listed by then runs nowhere.
 func (tracker *Tracker) confirmTasksIfReconciled() {
 	if !tracker.IsReconciled() {
 		return
@@ -53,7 +53,7 @@
 	}
 }
 
-// RemoveMachine records that the cloud has confirmed a machine's deletion: its tasks are over.
+// RemoveMachine removes a machine whose deletion the cloud has confirmed, and ends its placements.
 func (tracker *Tracker) RemoveMachine(machine *Machine, now clock.Micros) {
 	for _, placement := range machine.placements {
 		tracker.endPlacement(placement, CauseVanished, now)
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -9,20 +9,20 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Phase is how far the start of a placement is known to have got.
+// Phase is how far the start of a placement is known to have progressed.
 type Phase uint8
 
 // Phases of a placement.
 const (
-	// PhaseAssigned means that the start was not sent, or certainly did not arrive.
+	// PhaseAssigned means that the start was not sent, or certainly did not reach the worker.
 	PhaseAssigned Phase = iota
-	// PhaseSent means that the start may or may not have arrived.
+	// PhaseSent means that the start was sent and may have reached the worker.
 	PhaseSent
 	// PhaseReported means that the worker has listed the attempt.
 	PhaseReported
 )
 
-// String returns the name that log lines and test messages use.
+// String returns the phase's name for log lines and test messages.
 func (phase Phase) String() string {
 	switch phase {
 	case PhaseAssigned:
@@ -43,12 +43,12 @@
 	Machine   *Machine
 	taskID    string
 	Phase     Phase
-	// Adopted tells whether it came from a heartbeat, not from PlaceTask: an earlier leader started
-	// it, and when it started is unknown.
+	// Adopted is whether the placement came from a heartbeat and not from PlaceTask: an earlier leader
+	// started the task, at an unknown time.
 	Adopted bool
-	// ProgressSaved tells whether it has exited with its progress saved.
+	// ProgressSaved is whether the task exited with its progress saved.
 	ProgressSaved bool
-	// Orphaned tells whether it isn't its task's placement, and is to be stopped.
+	// Orphaned is whether the task has another placement or needs none, so that this one must be stopped.
 	Orphaned      bool
 	ReportedState string // one of wire's task states, "" before PhaseReported
 	PlacementTimes
@@ -56,14 +56,15 @@
 	startDelivery
 	stopRequest
 
-	lastSeenHeartbeat uint64 // heartbeatCount of the last heartbeat that listed it
+	lastSeenHeartbeat uint64 // heartbeatCount of the last heartbeat that listed the placement
 }
 
-// PlacementTimes are instants of the steady clock, 0 before.
+// PlacementTimes are times of the monotonic clock, 0 until the event has happened.
 type PlacementTimes struct {
-	CreatedAt clock.Micros // when it was decided or adopted
-	StartedAt clock.Micros // when it was first listed with its image
-	// RunningAt is when it was first listed as running. A gang's task waits for the others first.
+	CreatedAt clock.Micros // when the placement was decided or adopted
+	StartedAt clock.Micros // when a heartbeat first listed the task as having its image
+	// RunningAt is when a heartbeat first listed the task as running. A gang's task first waits for the
+	// other tasks of its gang.
 	RunningAt clock.Micros
 }
 
@@ -75,52 +76,52 @@
 
 // startDelivery records how the start of a placement was sent to the worker.
 type startDelivery struct {
-	decisionNumber uint64 // from Replicator.RecordStarted, for MaySendStart
-	sentInSequence uint64 // sequence of the heartbeat whose reply carried the start, 0 if none
-	startsInFlight int    // starts in command requests without an outcome
-	mayArriveLate  bool   // a command request with its start had an unknown outcome
+	decisionNumber uint64 // number from Replicator.RecordStarted, which MaySendStart takes
+	sentInSequence uint64 // sequence of the heartbeat whose reply carried the start, 0 if none did
+	startsInFlight int    // number of command requests that carry the start and have no outcome yet
+	mayArriveLate  bool   // a command request that carried the start has an unknown outcome
 }
 
-// stopRequest is a requested stop.
+// stopRequest holds whether a stop of the placement was requested, and how.
 type stopRequest struct {
 	isStopping bool
-	stopGrace  clock.Micros // time to save progress
-	stopSentAt clock.Micros // 0 if it has to be sent, perhaps again
+	stopGrace  clock.Micros // time that the task gets to save its progress
+	stopSentAt clock.Micros // when the stop was last sent, 0 if it has to be sent or sent again
 }
 
-// IsStopping tells whether the placement is to end.
+// IsStopping reports whether a stop of the placement was requested.
 func (placement *Placement) IsStopping() bool { return placement.isStopping }
 
-// IsStopSent tells whether a command request needn't carry its stop again.
+// IsStopSent reports whether the stop was sent, so that a command request need not carry it again.
 func (placement *Placement) IsStopSent() bool { return placement.stopSentAt != 0 }
 
-// TaskID returns the ID of its task.
+// TaskID returns the ID of the placement's task.
 func (placement *Placement) TaskID() string { return placement.taskID }
 
 // key returns the key of the placement in the machine's attemptRecords.
 func (placement *Placement) key() attemptKey { return attemptKey{placement.taskID, placement.Attempt} }
 
-// mayStartArrive tells whether a start sent in a command request may still arrive, as its outcome is
-// unknown (invariant 2).
+// mayStartArrive reports whether the placement's start may still arrive in a command request, because
+// the request is in flight or its outcome is unknown (invariant 2).
 func (placement *Placement) mayStartArrive() bool {
 	return placement.startsInFlight > 0 || placement.mayArriveLate
 }
 
-// Errors of PlaceTask.
+// Errors that PlaceTask returns.
 var (
-	// ErrNotPlaceable means that the task isn't waiting, its job may not be started, the machine may
-	// not get tasks or lists the task already, or the gang has another attempt.
+	// ErrNotPlaceable means that the task isn't waiting, its job may not be started, the machine may not
+	// get tasks or already lists the task, or the task's gang runs under another attempt.
 	ErrNotPlaceable = errors.New("allocation: task or machine is not placeable")
-	// ErrNotEligible means that the job's spec doesn't allow the machine, see IsEligible.
+	// ErrNotEligible means that the job's spec doesn't allow the machine. See IsEligible.
 	ErrNotEligible = errors.New("allocation: job does not allow the machine")
-	// ErrQuotaExceeded means that the team's limit doesn't allow the task.
+	// ErrQuotaExceeded means that the task would exceed the team's limit.
 	ErrQuotaExceeded = errors.New("allocation: quota of the team is exceeded")
-	// ErrInsufficientResources means that the task doesn't fit on the machine.
+	// ErrInsufficientResources means that the task needs more than the machine's free resources.
 	ErrInsufficientResources = errors.New("allocation: machine has too few free resources")
 )
 
-// PlaceTask places a waiting task on a machine, with an attempt from NextAttempt. The start is sent
-// with the next message to the worker.
+// PlaceTask places a waiting task on a machine, with an attempt number from NextAttempt. The next
+// message to the worker carries the start.
 func (tracker *Tracker) PlaceTask(job *Job, taskIndex int, machine *Machine, attempt uint64, now clock.Micros) error {
 	if !job.isPlaceable(taskIndex) || !machine.IsSchedulable() || !job.canUseAttempt(attempt) {
 		return ErrNotPlaceable
@@ -145,20 +146,20 @@
 	return nil
 }
 
-// isPlaceable tells whether a task waits and can't be running anywhere, and its job may be started.
+// isPlaceable reports whether a task waits, can't be running anywhere, and its job may be started.
 func (job *Job) isPlaceable(taskIndex int) bool {
 	task := &job.Tasks[taskIndex]
 	return task.State == TaskWaiting && !task.Unconfirmed && task.Placement == nil && !job.Cancelled && job.StartsRecorded
 }
 
-// canUseAttempt tells whether a task may be placed with an attempt. All tasks of a gang share one,
-// and only a gang that may replace lost tasks gets more tasks in an attempt that has begun.
+// canUseAttempt reports whether a task may be placed under an attempt. All tasks of a gang share one
+// attempt. After an attempt has begun, only a gang that may replace lost tasks gets more tasks in it.
 func (job *Job) canUseAttempt(attempt uint64) bool {
 	return !job.IsGang() || job.GangAttempt == 0 || job.GangAttempt == attempt && job.CanReplaceLostTasks()
 }
 
-// addPlacement adds a placement to its machine, job and team, and unless it is an orphan, to its
-// task. Standbys are told first.
+// addPlacement adds a placement to its machine, job and team and, unless it is an orphan, to its task.
+// The placement is first published to the standbys.
 func (tracker *Tracker) addPlacement(placement *Placement) {
 	job, machine := placement.Job, placement.Machine
 	tracker.publishStarted(placement)
@@ -171,7 +172,8 @@
 	}
 }
 
-// adjustUsage adds a placement to the sums of its machine, team and job, or subtracts it if sign is -1.
+// adjustUsage adds a placement to the sums of its machine, team and job if sign is 1, or subtracts it
+// from them if sign is -1.
 func (tracker *Tracker) adjustUsage(placement *Placement, sign int) {
 	job, machine := placement.Job, placement.Machine
 	request := job.Request.Times(sign)
@@ -184,7 +186,7 @@
 	}
 }
 
-// assignPlacement makes a placement its task's.
+// assignPlacement makes a placement the current one of its task.
 func (tracker *Tracker) assignPlacement(placement *Placement) {
 	job := placement.Job
 	task := &job.Tasks[placement.TaskIndex]
@@ -198,7 +200,7 @@
 	}
 }
 
-// adjustFetchCount changes how many placements wait for an image.
+// adjustFetchCount adds delta to the number of placements that wait for an image.
 func (machine *Machine) adjustFetchCount(image string, delta int) {
 	if machine.fetchesByImage == nil {
 		machine.fetchesByImage = map[string]int{}
@@ -208,7 +210,8 @@
 	}
 }
 
-// endPlacement removes a placement, once. The caller has the proof that it is over (invariant 1).
+// endPlacement removes a placement, and does nothing if it is removed already. The caller must have
+// proof that the placement is over (invariant 1).
 func (tracker *Tracker) endPlacement(placement *Placement, cause string, now clock.Micros) {
 	job, machine := placement.Job, placement.Machine
 	if machine.placements[placement.taskID] != placement {
@@ -231,9 +234,9 @@
 	tracker.Exited = append(tracker.Exited, ExitEvent{placement, cause})
 }
 
-// updateMachineAfterPlacement records what the end of a placement means for its machine: when the image was last
-// used or that nothing waits for it, whether the machine is idle, and whether a start of the ended
-// attempt may still arrive (invariant 2).
+// updateMachineAfterPlacement updates the machine of an ended placement: when the image was last used,
+// or that the task doesn't wait for it any more; whether the machine is idle; and whether a start of
+// the ended attempt may still arrive (invariant 2).
 func (tracker *Tracker) updateMachineAfterPlacement(placement *Placement, now clock.Micros) {
 	job, machine := placement.Job, placement.Machine
 	if placement.StartedAt != 0 {
@@ -250,9 +253,9 @@
 	}
 }
 
-// addCheckpointedProgress adds the progress that a run has saved to its task's: all of it, or without a save
-// at the end, what its last checkpoint covers. Checkpoints are at multiples of the job's interval
-// (PROTOCOL, gangs: failure).
+// addCheckpointedProgress adds the progress that a run has saved to its task's CheckpointedSeconds: the
+// whole run if it was saved at the end, otherwise the part that the last checkpoint covers. Checkpoints
+// are taken at multiples of the job's interval (PROTOCOL, gangs: failure).
 func (placement *Placement) addCheckpointedProgress(now clock.Micros) {
 	job := placement.Job
 	interval := job.Spec.CheckpointIntervalSeconds
@@ -267,8 +270,8 @@
 	job.CheckpointedSeconds = max(job.CheckpointedSeconds, task.CheckpointedSeconds)
 }
 
-// updateTaskAfterPlacement removes an ended placement from its task, which is done or waits again. A gang whose
-// attempt can't go on without the task is aborted.
+// updateTaskAfterPlacement removes an ended placement from its task, which then is done or waits again.
+// If the task's gang can't continue its attempt without the task, the attempt is aborted.
 func (tracker *Tracker) updateTaskAfterPlacement(placement *Placement, cause string) {
 	job := placement.Job
 	task := &job.Tasks[placement.TaskIndex]
@@ -283,7 +286,7 @@
 	}
 }
 
-// clearPlacement removes a task's placement from it.
+// clearPlacement removes the placement from a task. A task that is not done waits again.
 func (tracker *Tracker) clearPlacement(job *Job, task *Task) {
 	task.Placement = nil
 	if task.Unconfirmed {
--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -24,8 +24,8 @@
 	// nextIndex is where the next message begins, if not all entries fit into one.
 	nextIndex int
 	// hasUnsentEntry: an entry has come that was not sent yet.
-	hasUnsentEntry bool
-	earlySendAt    clock.Micros
+	hasUnsentEntry  bool
+	lastEarlySendAt clock.Micros
 }
 
 type entry struct {
@@ -57,10 +57,10 @@
 // TakeEarlySendRequest reports whether there are entries to be sent without waiting for the next regular
 // heartbeat, at most once per MinEarlySendInterval. If so, they count as sent from now on.
 func (log *Log) TakeEarlySendRequest(now clock.Micros) bool {
-	if !log.hasUnsentEntry || now-log.earlySendAt < MinEarlySendInterval {
+	if !log.hasUnsentEntry || now-log.lastEarlySendAt < MinEarlySendInterval {
 		return false
 	}
-	log.hasUnsentEntry, log.earlySendAt = false, now
+	log.hasUnsentEntry, log.lastEarlySendAt = false, now
 	return true
 }
 
