--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -10,7 +10,7 @@
 	job         *Job // nil if the tracker has no such job
 	taskIndex   int
 	isCompleted bool // it exited as done, so its task's completion must be durable before it is reaped
-	isRunning   bool // it has not exited, and the tracker has no such job
+	isRunning   bool // it has not exited, and the tracker does not have its job or task
 }
 
 // needsDurableCompletion reports whether the attempt completed its task and the completion is not
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -48,7 +48,7 @@
 	Adopted bool
 	// ProgressSaved is whether the task exited with its progress saved.
 	ProgressSaved bool
-	// Orphaned is whether the task has another placement or needs none, so that this one must be stopped.
+	// Orphaned is whether the placement is not the current one of its task. An orphan has to be stopped.
 	Orphaned      bool
 	ReportedState string // one of wire's task states, "" before PhaseReported
 	PlacementTimes
--- a/internal/allocation/renewal_stops.go
+++ b/internal/allocation/renewal_stops.go
@@ -2,13 +2,14 @@
 
 import "firwood.dev/firwood/wire"
 
-// RenewalStops returns the stops that a reply has to carry which renews the machine's lease and gives
-// no other commands (invariant 7): of every task that the worker lists and that has to end. They are
-// right under any token, and in the reply to a late copy: a stop names one attempt, and attempts are
-// never used again.
+// RenewalStops returns the stops for a reply that renews the machine's lease and carries no other
+// commands (invariant 7). There is a stop for every task that the worker lists and that has to end. The
+// stops are right under any token, and in the reply to a late copy of a heartbeat, because a stop names
+// one attempt and attempt numbers are never used again.
 //
-// Added after leaders that ended within one heartbeat interval renewed a lease in turn, and each left
-// the stops to its second reply (docs/incidents/renewed-without-stops.md).
+// It was added after several leaders in turn renewed the lease of one machine without sending stops. Each
+// of them ended within one heartbeat interval, and had left the stops to its second reply
+// (docs/incidents/renewed-without-stops.md).
 func (tracker *Tracker) RenewalStops(machine *Machine) []wire.Command {
 	var commands []wire.Command
 	for i := range machine.unplacedAttempts {
@@ -18,27 +19,28 @@
 	}
 	for _, placement := range machine.placements {
 		if placement.NeedsStop() {
-			// It doesn't count as sent: a late copy's reply reaches nobody.
+			// stopSentAt is not set: if the heartbeat is a late copy, the reply reaches no worker.
 			commands = append(commands, stopCommand(placement.taskID, placement.Attempt, placement.stopGrace))
 		}
 	}
 	return commands
 }
 
-// mayBeActive tells whether the job of a task, which the tracker lacks, may be active all the same.
+// mayBeActive reports whether the job of a task may be active although the tracker does not have it.
 func (tracker *Tracker) mayBeActive(taskID string) bool {
 	jobID, _, ok := wire.ParseTaskID(taskID)
 	return ok && tracker.cfg.MayBeActive != nil && tracker.cfg.MayBeActive(jobID)
 }
 
-// NeedsStop tells whether the worker lists the task, which has to end, and doesn't save it at present.
+// NeedsStop reports whether the worker lists the task, a stop of it was requested, and it is not saving
+// its progress within the grace of a stop.
 func (placement *Placement) NeedsStop() bool {
 	isSaving := placement.ReportedState == wire.TaskCheckpointing && placement.stopGrace != 0
 	return placement.Phase == PhaseReported && placement.isStopping && !isSaving
 }
 
-// StopsOfListedTasks returns the stops for the reply to a heartbeat of a machine that no tracker
-// knows: without grace, of the listed tasks whose job has to be gone (invariant 7).
+// StopsOfListedTasks returns the stops for the reply to a heartbeat of a machine that no tracker knows.
+// They have no grace, and are for the listed tasks whose jobs have to end (invariant 7).
 func StopsOfListedTasks(heartbeat *wire.Heartbeat, mustEnd func(jobID string) bool) []wire.Command {
 	var commands []wire.Command
 	for i := range heartbeat.Tasks {
--- a/internal/allocation/replication.go
+++ b/internal/allocation/replication.go
@@ -2,41 +2,44 @@
 
 import "firwood.dev/firwood/wire"
 
-// Replicator is told of each placement whose start may be sent and of each that is proved to be over,
-// so that standbys can follow the allocation table (docs/standby.md).
+// Replicator is told of each placement whose start may be sent and of each placement that is proved to
+// be over, so that standbys can follow the allocation table (docs/standby.md).
 type Replicator interface {
-	// RecordStarted records a placement whose start may be sent from now on. It returns the number of
-	// this decision.
+	// RecordStarted records a placement whose start may be sent from now on. It returns the decision
+	// number of the record, which MaySendStart takes.
 	RecordStarted(task string, attempt uint64, machine string) uint64
-	// RecordEnded records that a placement is over, and that its completion, if any, is durable.
+	// RecordEnded records that a placement is over. If the task completed, its completion is durable.
 	RecordEnded(task string, attempt uint64, machine string)
-	// RecordUnconfirmed records an unconfirmed task, or a job that is unconfirmed as a whole.
+	// RecordUnconfirmed records an unconfirmed task, or a job all of whose unfinished tasks are
+	// unconfirmed.
 	RecordUnconfirmed(id string)
-	// RecordResolved records that a task or job isn't unconfirmed any more: what it stood for was
-	// recorded as started, is nowhere, or is durably done.
+	// RecordResolved records that a task or job is not unconfirmed any more: its tasks are recorded as
+	// started, are on no machine, or are durably done.
 	RecordResolved(id string)
-	// MaySendStart tells whether the start with a decision's number may be sent.
+	// MaySendStart reports whether the start with this decision number may be sent.
 	MaySendStart(number uint64) bool
 }
 
-// HasIssuedAttempt tells whether NextAttempt was called: a task was placed, or is about to be.
+// HasIssuedAttempt reports whether NextAttempt was called, which means that a task was placed or is about
+// to be.
 func (tracker *Tracker) HasIssuedAttempt() bool { return tracker.attemptCounter > 0 }
 
-// maxUnconfirmedTasksPublished is how many unconfirmed tasks of a job are published one by one. If
-// there are more, and they are all that is left of the job, one entry for the job is published.
+// maxUnconfirmedTasksPublished is the largest number of unconfirmed tasks of a job that are always
+// published one by one. If there are more, and every unfinished task of the job is unconfirmed, one entry
+// for the whole job is published instead.
 const maxUnconfirmedTasksPublished = 16
 
-// publishScope selects which of a job's held back entries are published.
+// publishScope selects which of a job's deferred entries are published.
 type publishScope uint8
 
 const (
-	// publishDurable: those whose completion is durable by now.
+	// publishDurable selects the entries of tasks whose completion is durable by now.
 	publishDurable publishScope = iota
-	// publishAll: all, as the job is over.
+	// publishAll selects all entries, because the job is over.
 	publishAll
 )
 
-// publishUnconfirmed publishes what is unconfirmed of a job that is added.
+// publishUnconfirmed publishes the unconfirmed tasks of a job that is being added to the tracker.
 func (tracker *Tracker) publishUnconfirmed(job *Job) {
 	if tracker.cfg.Replicator == nil || job.unconfirmedCount == 0 {
 		return
@@ -58,9 +61,9 @@
 	}
 }
 
-// publishResolved publishes that a task isn't unconfirmed any more. Its placement has to be published
-// before, and if it is done, its completion has to be durable. Otherwise a standby would, in between,
-// take it for a task that is nowhere and has yet to run.
+// publishResolved publishes that a task is not unconfirmed any more. The task's placement has to be
+// published before that and, if the task is done, its completion has to be durable. Otherwise a standby
+// would meanwhile take the task for one that is on no machine and has yet to run.
 func (tracker *Tracker) publishResolved(job *Job, taskIndex int) {
 	if tracker.cfg.Replicator == nil {
 		return
@@ -76,8 +79,9 @@
 	}
 }
 
-// splitWholeJobEntry replaces the entry of a whole job by entries of its unconfirmed tasks, once they
-// are few and all completions are durable. When the job is over, no task is left.
+// splitWholeJobEntry replaces the entry for a whole job by entries for its unconfirmed tasks. With
+// publishDurable it does so only when at most maxUnconfirmedTasksPublished tasks are unconfirmed and all
+// completions are durable. With publishAll the job is over and has no unconfirmed task left.
 func (tracker *Tracker) splitWholeJobEntry(job *Job, scope publishScope) {
 	canSplit := job.unconfirmedCount <= maxUnconfirmedTasksPublished && job.durableCount == job.doneCount
 	if !job.isWhollyUnconfirmed || scope == publishDurable && !canSplit {
@@ -95,8 +99,8 @@
 	}
 }
 
-// publishEnded publishes the end of a placement. If its task is done, it waits until the completion is
-// durable: a standby would take the task for one that has yet to run.
+// publishEnded publishes the end of a placement. If the task is done, the end is deferred until the
+// completion is durable: before that, a standby would take the task for one that has yet to run.
 func (tracker *Tracker) publishEnded(placement *Placement) {
 	if tracker.cfg.Replicator == nil {
 		return
@@ -108,7 +112,7 @@
 	tracker.cfg.Replicator.RecordEnded(placement.taskID, placement.Attempt, placement.Machine.Name)
 }
 
-// publishDeferred publishes what waited for completions to be durable.
+// publishDeferred publishes the entries that were deferred until completions are durable.
 func (tracker *Tracker) publishDeferred(job *Job, scope publishScope) {
 	if tracker.cfg.Replicator == nil {
 		return
@@ -127,7 +131,8 @@
 	job.unpublishedEnds = remaining
 }
 
-// publishDeferredResolved publishes the resolved tasks that waited for durable completions.
+// publishDeferredResolved publishes the resolved tasks whose entries were deferred until their
+// completions are durable.
 func (tracker *Tracker) publishDeferredResolved(job *Job, scope publishScope) {
 	remaining := job.unpublishedResolved[:0]
 	for _, i := range job.unpublishedResolved {
@@ -140,8 +145,8 @@
 	job.unpublishedResolved = remaining
 }
 
-// unconfirmedFilter returns whether an earlier leader may have started a task, by index. If it may
-// have started any task of a gang, all tasks of the gang are unconfirmed.
+// unconfirmedFilter returns a function that reports whether the task with an index may have been started
+// by an earlier leader. If any task of a gang may have been started, all tasks of the gang count as such.
 func (tracker *Tracker) unconfirmedFilter(job *Job, mayTaskHaveStarted func(i int) bool) func(i int) bool {
 	if tracker.cfg.MayHaveStarted == nil {
 		return func(int) bool { return true }
--- a/internal/allocation/resources.go
+++ b/internal/allocation/resources.go
@@ -27,12 +27,12 @@
 	return Resources{a.MilliCPU * int64(n), a.MilliGPU * int64(n), a.MemoryMB * int64(n)}
 }
 
-// IsWithin tells whether each amount of a is at most that of b.
+// IsWithin reports whether each amount of a is at most that of b.
 func (a Resources) IsWithin(b Resources) bool {
 	return a.MilliCPU <= b.MilliCPU && a.MilliGPU <= b.MilliGPU && a.MemoryMB <= b.MemoryMB
 }
 
-// TeamQuota is a team's guarantee and limit, in thousandths. A limit of 0 means that there is none.
+// TeamQuota is a team's guarantee and limit, in thousandths. A maximum of 0 means that there is no limit.
 type TeamQuota struct {
 	GuaranteedMilliCPU, GuaranteedMilliGPU int64
 	MaxMilliCPU, MaxMilliGPU               int64
--- a/internal/allocation/stop.go
+++ b/internal/allocation/stop.go
@@ -5,7 +5,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// abortGang stops the rest of a gang's attempt that has lost a task.
+// abortGang stops the remaining tasks of a gang's attempt after the attempt has lost a task.
 func (tracker *Tracker) abortGang(job *Job) {
 	if job.GangAborting || job.activeCount == 0 {
 		return
@@ -14,11 +14,12 @@
 	tracker.stopPlacements(job, 0)
 }
 
-// StopPlacement ends a placement at once if no start of it was sent. Else it requests a stop, with
-// the grace as time to save progress. A shorter grace replaces a longer one, never the reverse.
+// StopPlacement ends a placement at once if no start of it has reached, or may still reach, the worker.
+// Otherwise it requests a stop that gives the task the grace as time to save its progress. A later request
+// may shorten the grace but not extend it.
 func (tracker *Tracker) StopPlacement(placement *Placement, grace clock.Micros) {
 	if placement.Phase == PhaseAssigned && !placement.mayStartArrive() {
-		// Nothing ran, so the machine counts as idle from when the task was placed, not from now.
+		// Nothing ran, so the machine has been idle since the task was placed, not only from now on.
 		tracker.endPlacement(placement, wire.ExitStopped, placement.CreatedAt)
 		return
 	}
@@ -29,7 +30,7 @@
 	tracker.queueDispatch(placement.Machine)
 }
 
-// StopJob stops every task of a job. A gang's attempt is aborted, so that no task joins it.
+// StopJob stops every task of a job. A gang's attempt is aborted, so that no further task joins it.
 func (tracker *Tracker) StopJob(job *Job, grace clock.Micros) {
 	tracker.stopPlacements(job, grace)
 	if job.IsGang() && job.activeCount > 0 {
@@ -37,7 +38,7 @@
 	}
 }
 
-// stopPlacements stops the placement of each of the job's tasks. Orphans are stopping already.
+// stopPlacements stops the placement of each of the job's tasks. Orphans are being stopped already.
 func (tracker *Tracker) stopPlacements(job *Job, grace clock.Micros) {
 	for i := range job.Tasks {
 		if placement := job.Tasks[i].Placement; placement != nil {
--- a/internal/allocation/task_report.go
+++ b/internal/allocation/task_report.go
@@ -5,8 +5,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// applyTaskReport applies one task of a heartbeat's list. It returns true if the task is a placement
-// that the list didn't name before.
+// applyTaskReport applies one entry of a heartbeat's list of tasks. It reports whether the entry is the
+// first in the list that is for one of the tracker's placements on this machine.
 func (tracker *Tracker) applyTaskReport(machine *Machine, taskReport *wire.TaskStatus, now clock.Micros, tokenConfirmed bool) bool {
 	placement := machine.placements[taskReport.TaskID]
 	if placement != nil && tracker.isUnchanged(placement, taskReport) {
@@ -15,7 +15,7 @@
 	jobID, taskIndex, ok := wire.ParseTaskID(taskReport.TaskID)
 	job := tracker.Jobs[jobID]
 	if !ok || job == nil || taskIndex >= len(job.Tasks) {
-		// The job is over or unknown: the task can only be stopped and reaped.
+		// The job is over or unknown, so the task can only be stopped and reaped.
 		isRunning := taskReport.State != wire.TaskExited
 		machine.unplacedAttempts = append(machine.unplacedAttempts, unplacedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, isRunning: isRunning})
 		if isRunning {
@@ -29,7 +29,7 @@
 			return false
 		}
 		if placement.Phase == PhaseReported && taskReport.Attempt < placement.Attempt {
-			return tracker.markListed(placement) // the worker has one attempt of a task, so this is out of date
+			return tracker.markListed(placement) // a worker has one attempt of a task, so the lower one is outdated
 		}
 		tracker.endReplacedPlacement(placement, &job.Tasks[taskIndex], now)
 		placement = nil
@@ -45,14 +45,15 @@
 	return tracker.markListed(placement)
 }
 
-// isUnchanged tells whether a report says nothing new about a placement, as most reports do.
+// isUnchanged reports whether a task report has nothing new about a placement, as most reports don't.
 func (tracker *Tracker) isUnchanged(placement *Placement, taskReport *wire.TaskStatus) bool {
 	return placement.Attempt == taskReport.Attempt && placement.Phase == PhaseReported &&
 		placement.ReportedState == taskReport.State && tracker.Jobs[placement.Job.Spec.ID] == placement.Job
 }
 
-// endReplacedPlacement ends a placement when the worker lists another attempt of the task. The worker
-// refuses the placement's start, or the placement came from a late copy: what the worker lists counts.
+// endReplacedPlacement ends a placement whose worker lists another attempt of the task. Either the worker
+// refuses the placement's start, or the placement came from a late copy of a heartbeat. In both cases the
+// worker's list is right.
 func (tracker *Tracker) endReplacedPlacement(placement *Placement, task *Task, now clock.Micros) {
 	if task.Placement == placement && task.Unconfirmed {
 		tracker.orphanPlacement(placement)
@@ -60,7 +61,7 @@
 	tracker.endPlacement(placement, CauseVanished, now)
 }
 
-// applyExit records that an attempt has exited; placement is nil if it has none.
+// applyExit records that an attempt has exited. The placement is nil if the attempt has none.
 func (tracker *Tracker) applyExit(machine *Machine, job *Job, taskIndex int, placement *Placement, taskReport *wire.TaskStatus, now clock.Micros) {
 	if placement != nil {
 		placement.ProgressSaved = taskReport.Saved
@@ -78,7 +79,7 @@
 		tracker.queueDispatch(machine)
 	}
 	if placement.Phase == PhaseSent && !placement.mayStartArrive() {
-		machine.UnreachableUntil = 0 // the start was in a heartbeat's reply, which has reached it
+		machine.UnreachableUntil = 0 // the worker has received the heartbeat reply that carried the start
 	}
 	placement.Phase = PhaseReported
 	placement.ReportedState = taskReport.State
@@ -97,8 +98,8 @@
 	}
 }
 
-// markListed records that the current heartbeat lists the placement, and returns whether it is the
-// first time that it does.
+// markListed records that the current heartbeat lists the placement. It reports whether the heartbeat's
+// list names the placement for the first time.
 func (tracker *Tracker) markListed(placement *Placement) bool {
 	tracker.noteIfCancelled(placement)
 	isFirstTime := placement.lastSeenHeartbeat != tracker.heartbeatCount
@@ -106,12 +107,13 @@
 	return isFirstTime
 }
 
-// recordExit ends a placement that the worker lists as exited, and counts a failure.
+// recordExit ends a placement that the worker lists as exited, and counts an exit with an error as a
+// failure unless a stop was requested.
 func (tracker *Tracker) recordExit(placement *Placement, cause string, now clock.Micros) {
 	job, machine := placement.Job, placement.Machine
 	task := &job.Tasks[placement.TaskIndex]
 	if cause == wire.ExitDone && job.IsService() {
-		cause = wire.ExitStopped // a replica never completes
+		cause = wire.ExitStopped // a service's replica never completes
 	}
 	if cause == wire.ExitError && !placement.isStopping {
 		job.FailureCount++
--- a/internal/allocation/token.go
+++ b/internal/allocation/token.go
@@ -2,20 +2,20 @@
 
 // FencingToken returns the token that messages to workers carry.
 //
-// It is the revision of the leader's lock, and rises during a term: a command request that was
-// answered may arrive again, as a copy that the network kept. While its attempt is listed the copy
-// has no effect; after the attempt is reaped it would run the task again, under a token and an
-// incarnation that haven't changed. So the token is raised to the revision of a later transaction
-// that was conditional on the lock, which is higher than the lock's own and lower than that of any
-// later lock. A worker that has seen it refuses every copy of earlier requests, and the attempts
-// that they started can be reaped (invariant 2).
+// At first this is the revision of the leader's lock. It rises during a term, because the network may
+// deliver a copy of a command request that was answered already. While the worker lists the request's
+// attempt, the copy has no effect. After the attempt is reaped, the copy would run the task again if the
+// token and the incarnation were unchanged. So the token is raised to the revision of a later transaction
+// that was conditional on the lock. That revision is higher than the lock's own and lower than that of
+// any later lock. A worker that has seen it refuses every copy of earlier requests, so the attempts that
+// these requests started can be reaped (invariant 2).
 func (tracker *Tracker) FencingToken() uint64 { return tracker.currentToken }
 
-// IssuedToken returns the highest token that a worker may have seen from this leader.
+// IssuedToken returns the highest token of this leader that a worker may have seen.
 func (tracker *Tracker) IssuedToken() uint64 { return tracker.issuedToken }
 
-// IssueToken sets a higher token, which workers may see from now on. The caller tells the delegates
-// of it and then calls RaiseToken.
+// IssueToken sets a higher token, which workers may see from now on. The caller has to announce the token
+// to the delegates and then call RaiseToken.
 func (tracker *Tracker) IssueToken(token uint64) {
 	tracker.issuedToken = max(tracker.issuedToken, token)
 }
@@ -23,8 +23,8 @@
 // RaiseToken makes messages carry the highest token that was issued.
 func (tracker *Tracker) RaiseToken() { tracker.currentToken = tracker.issuedToken }
 
-// TakeTokenRaiseRequest tells whether an exit could not be reaped before the token rises, or the
-// token has few attempts left, and resets the request.
+// TakeTokenRaiseRequest reports whether a higher token is needed, and resets the request. A higher token
+// is needed if an exit can't be reaped under the current one, or if it has few attempt numbers left.
 func (tracker *Tracker) TakeTokenRaiseRequest() bool {
 	needed := tracker.needsHigherToken
 	tracker.needsHigherToken = false
--- a/internal/allocation/tracker.go
+++ b/internal/allocation/tracker.go
@@ -10,33 +10,33 @@
 // Config holds what a Tracker needs to know about its leader and the cluster.
 type Config struct {
 	FencingToken uint64               // the token of the leader's lock
-	LeaseTTL     clock.Micros         // of the workers' leases (PROTOCOL, lease_s)
+	LeaseTTL     clock.Micros         // TTL of the workers' leases (PROTOCOL, lease_s)
 	Quotas       map[string]TeamQuota // by team
-	// CancelFenceWindow is how long after a job's cancellation a start that may still arrive may be
-	// fenced by a start and a stop in one message, see appendStartFence.
+	// CancelFenceWindow is for how long after a job's cancellation a start that may still arrive may be
+	// fenced by sending a start and a stop in one message. See appendStartFence.
 	CancelFenceWindow clock.Micros
 	// Replicator, if not nil, is told of each placement, so that standbys can follow.
 	Replicator Replicator
-	// MayHaveStarted, if not nil, tells whether an earlier leader may have started a task. If nil,
+	// MayHaveStarted, if not nil, reports whether an earlier leader may have started a task. If it is nil,
 	// any task of a job with recorded starts may have been started.
 	MayHaveStarted func(task string) bool
-	// MayBeActive, if not nil, tells whether a job that the tracker lacks may be active all the same:
-	// its dependencies aren't all known yet.
+	// MayBeActive, if not nil, reports whether a job that the tracker does not have may be active all the
+	// same, because not all of its dependencies are known yet.
 	MayBeActive func(jobID string) bool
 }
 
-// ExitEvent tells how a placement ended.
+// ExitEvent describes how a placement ended.
 type ExitEvent struct {
 	Placement *Placement
-	// Cause is one of wire's Exit... causes, or CauseVanished.
+	// Cause is one of the Exit... causes of package wire, or CauseVanished.
 	Cause string
 }
 
-// CauseVanished is the cause of a placement that was on a machine, or may have been, and is proved
-// not to be there any more (invariant 1), without a report of its exit.
+// CauseVanished is the cause for a placement that is proved not to be on its machine any more
+// (invariant 1), without a report of its exit. It was on the machine, or may have been.
 const CauseVanished = "vanished"
 
-// Tracker is the allocation table of one leadership term. Each failover makes a new one, from the
+// Tracker is the allocation table of one leadership term. Each failover builds a new Tracker from the
 // key-value store, a standby's table and the workers' heartbeats.
 type Tracker struct {
 	cfg      Config
@@ -49,57 +49,58 @@
 	dispatchQueues
 	attemptState
 	cancelledTasks
-	heartbeatCount uint64     // accepted heartbeats; placements record it when they are listed
-	sortedMachines []*Machine // nil after machines were added or removed
+	heartbeatCount uint64     // number of accepted heartbeats; placements record it when they are listed
+	sortedMachines []*Machine // nil until it is rebuilt after machines were added or removed
 
-	// Exited collects how placements ended. The caller takes the events and sets it to nil.
+	// Exited collects how placements ended. The caller takes the events and sets Exited to nil.
 	Exited []ExitEvent
-	// Started collects placements that were first seen with their image. The caller takes them and
-	// sets it to nil.
+	// Started collects the placements whose tasks were listed as having their image for the first time.
+	// The caller takes them and sets Started to nil.
 	Started []*Placement
 }
 
-// recoveryState is how much this leader knows about what earlier leaders started (invariant 4).
+// recoveryState holds how much this leader knows about what earlier leaders started (invariant 4).
 type recoveryState struct {
-	unreconciledCount int  // machines that are not Reconciled
+	unreconciledCount int  // number of machines that are not Reconciled
 	isRecovered       bool // FinishRecovery was called
 }
 
-// attemptState is from what NextAttempt makes attempt numbers.
+// attemptState holds what NextAttempt derives attempt numbers from.
 type attemptState struct {
-	attemptToken   uint64 // the token that the counter belongs to
-	attemptCounter uint64 // attempts under that token
+	attemptToken   uint64 // the token that attemptCounter belongs to
+	attemptCounter uint64 // number of attempts issued under attemptToken
 }
 
 // tokenState holds the fencing tokens of this leader.
 type tokenState struct {
-	// currentToken is sent with messages. issuedToken is the highest that a worker may have seen;
-	// delegates learn it before it is used. Both start as the lock's.
+	// currentToken is the token that messages carry. issuedToken is the highest token that a worker may
+	// have seen; delegates learn it before it is used. Both are the token of the lock at first.
 	currentToken, issuedToken uint64
-	// needsHigherToken: an exit could not be reaped before the token rises (invariant 2), or the
-	// token has few attempts left (invariant 3).
+	// needsHigherToken is set if an exit can't be reaped before the token rises (invariant 2), or if the
+	// token has few attempt numbers left (invariant 3).
 	needsHigherToken bool
 }
 
-// delegationState is until when other controllers may have renewed workers' leases, see
+// delegationState holds until when other controllers may have renewed workers' leases. See
 // SetDelegatedUntil.
 type delegationState struct {
 	delegatedUntil clock.Micros
-	// delegatedUntilByZone takes the place of delegatedUntil in the zones that it lists.
+	// delegatedUntilByZone replaces delegatedUntil for the zones that it contains.
 	delegatedUntilByZone map[string]clock.Micros
 }
 
-// teamUsage sums up requests by team: of placements, and of unconfirmed tasks without a placement.
+// teamUsage holds sums of resource requests by team: of placements, and of unconfirmed tasks that have
+// no placement.
 type teamUsage struct {
 	placedUsage      map[string]*Resources
 	unconfirmedUsage map[string]*Resources
 }
 
-// dispatchQueues list the machines that a command request may be due to.
+// dispatchQueues holds the machines to which a command request may be due.
 type dispatchQueues struct {
 	startsPaused        bool       // see SetStartsPaused
 	dispatchQueue       []*Machine // see ProcessDispatchQueue
-	awaitingReplication []*Machine // their starts wait for standbys, see mayDispatch
+	awaitingReplication []*Machine // machines whose starts wait for standbys, see mayDispatch
 }
 
 // New returns an empty Tracker. The caller adds the machines and jobs that existed at the failover
@@ -112,21 +113,21 @@
 	}
 }
 
-// FinishRecovery ends the recovery from the key-value store: machines and jobs that are added from
-// now on are new, so earlier leaders started nothing on or of them.
+// FinishRecovery ends the recovery from the key-value store. Machines and jobs that are added later are
+// new, so earlier leaders have started nothing on the machines and no task of the jobs.
 func (tracker *Tracker) FinishRecovery() {
 	tracker.isRecovered = true
 	tracker.confirmTasksIfReconciled()
 }
 
-// IsReconciled tells whether every machine that an earlier leader may have used is reconciled, so
-// that no task is unconfirmed.
+// IsReconciled reports whether every machine that an earlier leader may have used is reconciled, so that
+// no task is unconfirmed.
 func (tracker *Tracker) IsReconciled() bool {
 	return tracker.isRecovered && tracker.unreconciledCount == 0
 }
 
-// SortedMachines returns the machines sorted by name, and sets their SortIndex. The list is cached
-// and rebuilt after machines are added or removed; callers must not change it.
+// SortedMachines returns the machines sorted by name, and sets the SortIndex of each. The list is cached
+// and is rebuilt after machines are added or removed. Callers must not change it.
 func (tracker *Tracker) SortedMachines() []*Machine {
 	if tracker.sortedMachines == nil {
 		tracker.sortedMachines = make([]*Machine, 0, len(tracker.Machines))
--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -1,11 +1,11 @@
-// Package cancellation has the log of recent durable cancellations, which members send each
-// other in heartbeats.
+// Package cancellation keeps a log of recent durable cancellations, which members send each other in
+// heartbeats.
 //
-// The leader learns of cancellations from the key-value store. If only the leader is refused
-// there, other members go on confirming cancellations, and an outage for all may follow
-// before another leader is elected. So every member forwards the cancellations that it knows
-// to be durable until the others' views are as new, and the leader stops those tasks while
-// it may still act.
+// The leader learns of cancellations from the key-value store. If the store refuses only the leader,
+// other members continue to confirm cancellations, and the store may then become unavailable to all
+// members before another leader is elected. So every member forwards the cancellations that it knows to
+// be durable until the other members' views are as recent, and the leader stops the tasks concerned
+// while it may still act.
 package cancellation
 
 import (
@@ -13,17 +13,18 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// MinEarlySendInterval bounds how often news is sent outside of the regular heartbeats.
+// MinEarlySendInterval is the minimum interval between two requests to send new entries ahead of the
+// regular heartbeats.
 const MinEarlySendInterval = 100 * clock.Millisecond
 
 // Log holds recent durable cancellations, in the order in which this member learned of them.
 type Log struct {
 	entries    []entry
-	retention  clock.Micros
-	maxEntries int // beyond them the older half is dropped
-	// nextIndex is where the next message begins, if not all entries fit into one.
+	retention  clock.Micros // for how long an entry is kept
+	maxEntries int          // when the log holds this many, the next Add first drops the older half
+	// nextIndex is the index of the first entry of the next message when not all entries fit into one.
 	nextIndex int
-	// hasUnsentEntry: an entry has come that was not sent yet.
+	// hasUnsentEntry is whether an entry was added since the last early send.
 	hasUnsentEntry  bool
 	lastEarlySendAt clock.Micros
 }
@@ -33,16 +34,16 @@
 	receivedAt clock.Micros
 }
 
-// NewLog makes a log that keeps entries for the cancellation timeout: after that no task of a
-// cancelled job is left (PROTOCOL, "Rules"). changesPerSecond is the store's limit; each
-// cancellation is a change, so no more can become durable within the timeout. The log has room for
-// twice as many, since reading all keys again brings those of the last timeout at once.
+// NewLog returns a log that keeps entries for the cancellation timeout, after which no task of a
+// cancelled job is left (PROTOCOL, "Rules"). changesPerSecond is the store's limit. Each cancellation is
+// a change, so the limit bounds how many can become durable within the timeout. The log has room for
+// twice as many, because reading all keys again brings the cancellations of the last timeout at once.
 func NewLog(cancelTimeout clock.Micros, changesPerSecond float64) Log {
 	return Log{retention: cancelTimeout, maxEntries: 2 * (int(changesPerSecond*cancelTimeout.Seconds()) + 1)}
 }
 
-// Add adds a durable cancellation, unless it is so old that the job's tasks are gone. now is an
-// instant of the steady clock; wall is the time of day, which CancelledAt is compared with.
+// Add adds a durable cancellation, unless it is so old that the job's tasks are gone. now is a time of
+// the monotonic clock. wallTime is the wall-clock time, which is compared with CancelledAt.
 func (log *Log) Add(cancellation peer.Cancellation, now, wallTime clock.Micros) {
 	if wallTime-cancellation.CancelledAt > log.retention {
 		return
@@ -54,8 +55,8 @@
 	log.hasUnsentEntry = true
 }
 
-// TakeEarlySendRequest reports whether there are entries to be sent without waiting for the next regular
-// heartbeat, at most once per MinEarlySendInterval. If so, they count as sent from now on.
+// TakeEarlySendRequest reports whether there are entries to send without waiting for the next regular
+// heartbeat. It returns true at most once per MinEarlySendInterval, and the entries then count as sent.
 func (log *Log) TakeEarlySendRequest(now clock.Micros) bool {
 	if !log.hasUnsentEntry || now-log.lastEarlySendAt < MinEarlySendInterval {
 		return false
@@ -64,8 +65,8 @@
 	return true
 }
 
-// UnknownTo lists the entries that a view of a revision may lack. When they are more than a
-// message takes, the next call goes on where this one ended.
+// UnknownTo returns the entries that a view of the given revision may lack. If they don't fit into one
+// message, it returns as many as fit, and the next call continues with those that follow.
 func (log *Log) UnknownTo(revision uint64, now clock.Micros) []peer.Cancellation {
 	log.expire(now)
 	var unknown []peer.Cancellation
@@ -83,7 +84,7 @@
 	return rotated[:peer.MaxCancellations]
 }
 
-// expire drops entries that were added longer ago than the retention.
+// expire drops the entries that were added longer ago than the retention.
 func (log *Log) expire(now clock.Micros) {
 	expiredCount := 0
 	for expiredCount < len(log.entries) && now-log.entries[expiredCount].receivedAt > log.retention {
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -11,8 +11,9 @@
 
 func TestMain(m *testing.M) { seed.Main(m) }
 
-// cancellationHistory is a generated course of reads, lapses of the entitlement and heartbeats of
-// workers at a leader, with a cancellation that another controller confirms somewhere in between.
+// cancellationHistory holds the settings of a generated history and the time at which another controller
+// confirms a cancellation. The test draws the leader's reads, its lapses of entitlement and the workers'
+// heartbeats before and after that time.
 type cancellationHistory struct {
 	cancellationTimeout, leaseTTL, lockTTL clock.Micros
 	confirmedAt                            clock.Micros
@@ -29,9 +30,10 @@
 	}
 }
 
-// However reads fail, and however often the entitlement ends and comes back: no worker that the
-// leader answers keeps a task of a job whose cancellation the leader doesn't know beyond the
-// cancellation timeout, and none is started after it.
+// A leader may not know of a cancellation that another controller confirmed, because its reads fail or
+// its entitlement lapses and is regained. However often that happens, no worker that the leader replies
+// to keeps a task of the cancelled job beyond the cancellation timeout, and no task of the job is started
+// later than the lock's TTL after the confirmation.
 func TestUnknownCancellationIsBoundedByTimeout(t *testing.T) {
 	unknownCancellationSteps := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -56,7 +58,7 @@
 				tracker.RecordEntitlementRegained(now)
 				hasLapsed = false
 				if tracker.MayStartTasks(now) {
-					t.Fatalf("starts at %d before a read after the entitlement came back", now)
+					t.Fatalf("MayStartTasks(%d) = true before a read that was sent after the entitlement was regained, want false", now)
 				}
 			}
 			isKnown := tracker.LastReadSentAt() >= history.confirmedAt
@@ -64,35 +66,35 @@
 				continue
 			}
 			unknownCancellationSteps++
-			// A worker's lease runs from its heartbeat, which is older than the answer.
+			// A worker's lease runs from the time of its heartbeat, which is earlier than the reply.
 			if tracker.MayRenewLeases(now) && now+history.leaseTTL >= cancellationDeadline {
-				t.Fatalf("at %d a lease is renewed up to %d, the tasks have to be gone at %d", now, now+history.leaseTTL, cancellationDeadline)
+				t.Fatalf("at %d a lease may be renewed until %d, want an end before the cancellation deadline %d", now, now+history.leaseTTL, cancellationDeadline)
 			}
 			if tracker.MayStartTasks(now) && now >= history.confirmedAt+history.lockTTL {
-				t.Fatalf("at %d a task may start, cancelled at %d", now, history.confirmedAt)
+				t.Fatalf("at %d a task may start, want no start beyond the lock's TTL after the unknown cancellation at %d", now, history.confirmedAt)
 			}
 		}
 	})
 	if unknownCancellationSteps < 100 {
-		t.Fatalf("%d instants with an unknown cancellation: too few cases covered", unknownCancellationSteps)
+		t.Fatalf("got %d steps with an unknown cancellation, want at least 100", unknownCancellationSteps)
 	}
 }
 
-// A leader that reads every second is never blocked.
+// A leader that reads every second may always renew leases and start tasks.
 func TestRegularReadsNeverBlockLeader(t *testing.T) {
 	tracker := NewTracker(NewBounds(44*clock.Second, 14*clock.Second, 3*clock.Second), clock.Second)
 	for now := clock.Second; now < 60*clock.Second; now += clock.Second {
 		tracker.RecordRead(now)
 		if later := now + 2*clock.Second; !tracker.MayRenewLeases(later) || !tracker.MayStartTasks(later) {
-			t.Fatalf("blocked at %d", later)
+			t.Fatalf("at %d, 2 s after a read, the leader may not both renew leases and start tasks", later)
 		}
 	}
 }
 
-// Settings that leave no time between a lease and a cancellation fall back to the lock's TTL.
+// Settings that leave no time between a lease and the cancellation timeout fall back to the lock's TTL.
 func TestBoundsFallBackToLockTTL(t *testing.T) {
 	bounds := NewBounds(10*clock.Second, 36*clock.Second, 6*clock.Second)
 	if bounds.RenewalWindow != 6*clock.Second || bounds.StartWindow != 6*clock.Second {
-		t.Fatalf("%+v", bounds)
+		t.Fatalf("NewBounds(10 s, 36 s, 6 s) = %+v, want both windows of 6 s", bounds)
 	}
 }
