--- a/internal/allocation/replication_test.go
+++ b/internal/allocation/replication_test.go
@@ -9,13 +9,13 @@
 	"firwood.dev/firwood/wire"
 )
 
-// recordingReplicator keeps what a standby that follows a tracker would know.
+// recordingReplicator records what a standby that follows a tracker knows.
 type recordingReplicator struct {
 	t              *testing.T
-	requiredID     string   // a task or job that has to be covered after each decision, if set
+	requiredID     string   // if set, this task or its job must be in active after each decision
 	active         []string // tasks that may be running, and unconfirmed tasks and jobs
-	sequence       uint64
-	replicatedUpTo uint64 // the last decision that all standbys have
+	sequence       uint64   // number of the last decision
+	replicatedUpTo uint64   // number of the last decision that all standbys have
 }
 
 func (replicator *recordingReplicator) RecordStarted(task string, _ uint64, _ string) uint64 {
@@ -29,7 +29,7 @@
 		replicator.active = slices.Delete(replicator.active, i, i+1)
 	}
 	if job, _, _ := strings.Cut(replicator.requiredID, "/"); job != "" && !slices.Contains(replicator.active, replicator.requiredID) && !slices.Contains(replicator.active, job) {
-		replicator.t.Errorf("%s has no entry for a moment", replicator.requiredID)
+		replicator.t.Errorf("neither %s nor its job is published after a decision, want one of them", replicator.requiredID)
 	}
 }
 
@@ -59,15 +59,15 @@
 	return tracker, machine, job, replicator
 }
 
-// No start is sent, through either channel, before all standbys have its placement; then it is.
+// A start is sent through neither channel before all standbys have its placement, and is sent after that.
 func TestStartWaitsForReplication(t *testing.T) {
 	tracker, machine, _, replicator := newReplicatedTracker(t)
 	replicator.replicatedUpTo = 0
 	if commands := tracker.HeartbeatCommands(machine, 2); len(commands) != 0 {
-		t.Fatalf("answered %+v", commands)
+		t.Fatalf("heartbeat reply before replication: got commands %+v, want none", commands)
 	}
 	if request, _ := tracker.BuildCommandRequest(machine, 2); request != nil {
-		t.Fatalf("sent %+v", request)
+		t.Fatalf("before replication: got command request %+v, want none", request)
 	}
 	tracker.ProcessDispatchQueue(func(*Machine) bool { return false })
 	replicator.replicatedUpTo = 1
@@ -75,12 +75,12 @@
 	dispatchCount := 0
 	tracker.ProcessDispatchQueue(func(*Machine) bool { dispatchCount++; return false })
 	if request, _ := tracker.BuildCommandRequest(machine, 3); dispatchCount != 1 || request == nil || len(request.Commands) != 1 {
-		t.Fatalf("%d machines due, then sent %+v", dispatchCount, request)
+		t.Fatalf("after replication: got %d machines to dispatch and request %+v, want 1 machine and 1 command", dispatchCount, request)
 	}
 }
 
-// Standbys are told of the end of a completed task only once its completion is durable, or its job is
-// over. Otherwise the next leader would run it again.
+// Standbys are told that a completed task's placement has ended only once the completion is durable or the
+// job is over. If they were told earlier, the next leader would run the task again.
 func TestCompletionIsDurableBeforeEndIsPublished(t *testing.T) {
 	tracker, machine, job, replicator := newReplicatedTracker(t)
 	tracker.HeartbeatCommands(machine, 2)
@@ -89,27 +89,27 @@
 	done.Tasks = []wire.TaskStatus{{TaskID: wire.TaskID("req-000001", 0), Attempt: attempt, State: wire.TaskExited, ExitCause: wire.ExitDone}}
 	tracker.RecordHeartbeat(machine, done, 3*clock.Second)
 	if job.DoneCount() != 1 || len(replicator.active) != 1 {
-		t.Fatalf("%d done, published as active: %v", job.DoneCount(), replicator.active)
+		t.Fatalf("before the completion is durable: got %d done and %v published as active, want 1 and 1 entry", job.DoneCount(), replicator.active)
 	}
 	tracker.MarkDurable(job, []int{0})
 	if len(replicator.active) != 0 {
-		t.Fatalf("still published as active: %v", replicator.active)
+		t.Fatalf("after the completion is durable: got %v published as active, want none", replicator.active)
 	}
 }
 
-// Only tasks that an earlier leader may have started are unconfirmed; of a gang, all or none.
+// Only tasks that an earlier leader may have started are unconfirmed. Of a gang, all tasks are or none.
 func TestOnlyPossiblyStartedTasksAreUnconfirmed(t *testing.T) {
 	for kind, want := range map[string]int{wire.KindArray: 1, wire.KindGang: 3} {
 		tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL, MayHaveStarted: func(task string) bool { return task == wire.TaskID("req-000001", 1) }})
 		job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: kind, TaskCount: 3, CPUs: 1, Team: "a"}, 0, 0, true, nil)
 		if job.UnconfirmedCount() != want || tracker.TeamUsage("a").MilliCPU != int64(want)*1000 {
-			t.Errorf("%s: %d unconfirmed, the team may use %d", kind, job.UnconfirmedCount(), tracker.TeamUsage("a").MilliCPU)
+			t.Errorf("%s: got %d unconfirmed tasks and team usage of %d milli-CPUs, want 1 task for an array and 3 for a gang, of 1000 each", kind, job.UnconfirmedCount(), tracker.TeamUsage("a").MilliCPU)
 		}
 	}
 }
 
-// newTrackerWithUnconfirmed returns the tracker of a new leader with a job whose tasks may be running,
-// and a machine. Another machine sends no heartbeats.
+// newTrackerWithUnconfirmed returns the tracker of a new leader, the first of its two machines, and a job
+// whose tasks may be running. The other machine sends no heartbeats.
 func newTrackerWithUnconfirmed(t *testing.T, tasks int, mayHaveStarted func(string) bool) (*Tracker, *Machine, *Job, *recordingReplicator) {
 	t.Helper()
 	replicator := &recordingReplicator{t: t, replicatedUpTo: 100}
@@ -122,22 +122,22 @@
 	return tracker, tracker.Machines["i-0"], job, replicator
 }
 
-// The placement of an unconfirmed task is published before the task is published as resolved. In
-// between, a standby would take it for one that is nowhere.
+// The placement of an unconfirmed task is published before the task is published as resolved. Otherwise a
+// standby would meanwhile take the task for one that is on no machine.
 func TestPlacementIsPublishedBeforeResolution(t *testing.T) {
 	task := wire.TaskID("req-000001", 1)
 	tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, 3, func(other string) bool { return other == task })
 	if !slices.Equal(replicator.active, []string{task}) {
-		t.Fatalf("published %v", replicator.active)
+		t.Fatalf("after recovery: published %v, want task 1 alone", replicator.active)
 	}
 	replicator.requiredID = task
 	tracker.RecordHeartbeat(machine, heartbeatListing("i-0", 1, 9, 3, 1), 1)
 	if job.UnconfirmedCount() != 0 || !slices.Equal(replicator.active, []string{task}) {
-		t.Errorf("%d unconfirmed, published %v", job.UnconfirmedCount(), replicator.active)
+		t.Errorf("after task 1 is listed: got %d unconfirmed and %v published, want 0 and task 1 alone", job.UnconfirmedCount(), replicator.active)
 	}
 }
 
-// An unconfirmed task that turns out to be done keeps its entry until its completion is durable.
+// An unconfirmed task that turns out to be done stays published until its completion is durable.
 func TestTaskStaysUnconfirmedUntilCompletionIsDurable(t *testing.T) {
 	for name, tasks := range map[string]int{"few": 3, "many": maxUnconfirmedTasksPublished + 1} {
 		tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, tasks, nil)
@@ -147,40 +147,41 @@
 		tracker.RecordHeartbeat(machine, done, 1)
 		tracker.RemoveMachine(tracker.Machines["i-1"], 2)
 		if job.DoneCount() != 1 || job.UnconfirmedCount() != 0 {
-			t.Fatalf("%s: %d done, %d unconfirmed", name, job.DoneCount(), job.UnconfirmedCount())
+			t.Fatalf("%s: got %d done and %d unconfirmed, want 1 and 0", name, job.DoneCount(), job.UnconfirmedCount())
 		}
 		replicator.requiredID = ""
 		tracker.MarkDurable(job, []int{0})
 		if len(replicator.active) != 0 {
-			t.Errorf("%s: still published %v", name, replicator.active)
+			t.Errorf("%s: after the completion is durable: got %v published, want none", name, replicator.active)
 		}
 	}
 }
 
-// Many unconfirmed tasks of a job are published one by one if other tasks of it may start.
+// Many unconfirmed tasks of a job are published one by one if other tasks of the job may be started.
 func TestUnconfirmedTasksOfPartlyConfirmedJobArePublishedSingly(t *testing.T) {
 	const tasks = 2 * maxUnconfirmedTasksPublished
 	_, _, job, replicator := newTrackerWithUnconfirmed(t, tasks, func(task string) bool { return task != wire.TaskID("req-000001", 0) })
 	if job.UnconfirmedCount() != tasks-1 || len(replicator.active) != tasks-1 {
-		t.Errorf("%d unconfirmed, published %v", job.UnconfirmedCount(), replicator.active)
+		t.Errorf("got %d unconfirmed and %v published, want all tasks but task 0 in both", job.UnconfirmedCount(), replicator.active)
 	}
 }
 
-// A job that is unconfirmed as a whole is published as one entry, its last tasks one by one.
+// A job whose tasks are all unconfirmed is published as one entry. Once few of its tasks are unconfirmed,
+// these are published one by one.
 func TestWhollyUnconfirmedJobIsPublishedAsOne(t *testing.T) {
 	const tasks = maxUnconfirmedTasksPublished + 4
 	tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, tasks, nil)
 	if !slices.Equal(replicator.active, []string{"req-000001"}) {
-		t.Fatalf("published %v", replicator.active)
+		t.Fatalf("after recovery: published %v, want the job alone", replicator.active)
 	}
 	tracker.RecordHeartbeat(machine, heartbeatListing("i-0", 1, 9, 3, 0, 1, 2), 1)
 	if job.UnconfirmedCount() != tasks-3 || !slices.Contains(replicator.active, "req-000001") || len(replicator.active) != 4 {
-		t.Fatalf("%d unconfirmed, published %v", job.UnconfirmedCount(), replicator.active)
+		t.Fatalf("after 3 tasks are listed: got %d unconfirmed and %v published, want 17 and the job with 3 tasks", job.UnconfirmedCount(), replicator.active)
 	}
 	replicator.requiredID = wire.TaskID("req-000001", tasks-1)
 	tracker.recordCompletion(job, 3)
 	tracker.MarkDurable(job, []int{3})
 	if job.UnconfirmedCount() != maxUnconfirmedTasksPublished || slices.Contains(replicator.active, "req-000001") || len(replicator.active) != maxUnconfirmedTasksPublished+3 {
-		t.Errorf("%d unconfirmed, published %v", job.UnconfirmedCount(), replicator.active)
+		t.Errorf("after another task is durably done: got %d unconfirmed and %v published, want 16 and 19 single tasks", job.UnconfirmedCount(), replicator.active)
 	}
 }
--- a/internal/allocation/simulation_test.go
+++ b/internal/allocation/simulation_test.go
@@ -11,17 +11,18 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The simulation runs workers, as PROTOCOL describes them, against the trackers of successive leaders:
-// messages are lost, delayed and delivered late, machines are deleted, leaders change. What a worker
-// does is checked against the rules of PROTOCOL, not against the tracker.
+// The simulation runs workers that behave as PROTOCOL describes against the trackers of successive leaders.
+// Messages are lost, delayed and delivered again, machines are deleted, and leaders change. The workers'
+// behaviour is checked against the rules of PROTOCOL and not against the tracker.
 
 const testLeaseTTL = 30 * clock.Second
 
+// delayedCommand is a command request that may still reach its worker.
 type delayedCommand struct {
 	worker  *fakeWorker
 	request *wire.CommandRequest
-	tracker *Tracker // that sent it; machine is nil if it has given up waiting
-	machine *Machine
+	tracker *Tracker // the tracker that built the request
+	machine *Machine // nil if the leader doesn't wait for the answer any more
 	starts  []*Placement
 }
 
@@ -32,17 +33,17 @@
 	now     clock.Micros
 	workers []*fakeWorker
 	token   uint64
-	tracker *Tracker // of the present leader
+	tracker *Tracker // of the current leader
 	// delegatedUntil is until when other controllers may answer workers.
 	delegatedUntil clock.Micros
-	follower       *follower // of the present leader
-	cpuLimit       int64     // of each team, in thousandths
+	follower       *follower // the standby that follows the current leader
+	cpuLimit       int64     // CPU limit of each team, in thousandths
 	simulatedJobs
 	delayedMessages
 	simulationCounts
 }
 
-// simulatedJobs is what the key-value store has of jobs, by job ID.
+// simulatedJobs is what the key-value store holds about jobs, by job ID.
 type simulatedJobs struct {
 	jobIDs         []string
 	specs          map[string]*wire.Job
@@ -51,22 +52,22 @@
 	cancelled      map[string]bool
 }
 
-// delayedMessages may arrive late, or again.
+// delayedMessages are messages that may arrive late or more than once.
 type delayedMessages struct {
 	delayed         []delayedCommand
-	executed        []delayedCommand // executed before; copies of them may arrive
+	executed        []delayedCommand // already executed; copies of them may arrive
 	heartbeatCopies []*wire.Heartbeat
 }
 
-// simulationCounts tell whether the histories show enough.
+// simulationCounts show whether the histories cover enough cases.
 type simulationCounts struct {
-	startCount           int
-	completeGangCount    int // gangs whose tasks all started
-	replicaFailoverCount int // failovers that began with a follower's table
-	stopCount            int // tasks of cancelled jobs that heartbeats listed
+	startCount           int // number of task starts
+	completeGangCount    int // number of gangs whose tasks have all started
+	replicaFailoverCount int // number of failovers that used a follower's table
+	stopCount            int // number of tasks of cancelled jobs that heartbeats listed
 }
 
-// follower is the allocation table of a standby that is told of each decision at once.
+// follower is the allocation table of a standby that learns each decision at once.
 type follower struct{ table *standby.Table }
 
 func (f *follower) apply(kind standby.DecisionKind, p standby.Placement) {
@@ -92,12 +93,12 @@
 
 func (f *follower) MaySendStart(uint64) bool { return true }
 
-// checkFollower checks that the follower knows of each task that is on a machine.
+// checkFollower checks that the follower's table has each task that is on a machine.
 func (sim *simulation) checkFollower() {
 	for _, worker := range sim.workers {
 		for id, task := range worker.tasks {
 			if !worker.deleted && task.state != wire.TaskExited && !sim.follower.table.MayBeRunning(id) {
-				sim.fatal("a follower would start %s, which is on %s", id, worker.name)
+				sim.fatal("%s is on %s, but the follower's table does not have it and would allow another start", id, worker.name)
 			}
 		}
 	}
@@ -165,8 +166,8 @@
 	}
 }
 
-// Fates of a heartbeat and its reply, below heartbeatOutcomeCount. Between replyIsLost and replyArrivesAtOnce the reply
-// is on its way, and may arrive later; from replyArrivesAtOnce on it arrives at once.
+// Outcomes of a heartbeat and its reply, as numbers below heartbeatOutcomeCount. From replyArrivesAtOnce on,
+// the reply arrives at once. Between replyIsLost and replyArrivesAtOnce it is in flight and may arrive later.
 const (
 	heartbeatIsLost       = 0
 	replyIsLost           = 1
@@ -174,13 +175,13 @@
 	heartbeatOutcomeCount = 6
 )
 
-// exchangeHeartbeat sends a worker's heartbeat, and a reply.
+// exchangeHeartbeat sends a worker's heartbeat and the leader's reply, as far as the outcome lets them arrive.
 func (sim *simulation) exchangeHeartbeat(worker *fakeWorker, outcome int) {
 	if worker.deleted || worker.hung {
 		return
 	}
 	sim.expireLease(worker)
-	worker.hasPendingReply = false // the worker drops the reply to its last heartbeat
+	worker.hasPendingReply = false // the worker ignores the reply to its previous heartbeat
 	heartbeat := sim.heartbeat(worker)
 	machine := sim.machine(worker)
 	if outcome == heartbeatIsLost || machine == nil {
@@ -191,7 +192,7 @@
 	}
 	sim.tracker.RecordLeaseRenewal(machine, sim.now)
 	if result := sim.tracker.RecordHeartbeat(machine, heartbeat, sim.now); result == HeartbeatFenced {
-		sim.fatal("fenced by token %d under %d", heartbeat.FencingToken, sim.token)
+		sim.fatal("a heartbeat under token %d is fenced at the leader with token %d, want it not fenced", heartbeat.FencingToken, sim.token)
 	}
 	sim.persistCompletions()
 	commands := sim.tracker.HeartbeatCommands(machine, sim.now)
@@ -205,7 +206,8 @@
 	}
 }
 
-// checkStops checks that the reply to a heartbeat stops each listed task of a cancelled job.
+// checkStops checks that the reply to a heartbeat stops each listed task of a cancelled job that is not
+// exited.
 func (sim *simulation) checkStops(heartbeat *wire.Heartbeat, commands []wire.Command) {
 	for i := range heartbeat.Tasks {
 		task := &heartbeat.Tasks[i]
@@ -218,12 +220,12 @@
 			return command.Action == wire.ActionStop && command.TaskID == task.TaskID && command.Attempt == task.Attempt
 		})
 		if !isStopped {
-			sim.fatal("a lease is renewed with %s on %s, which is cancelled, and no stop", task.TaskID, heartbeat.MachineID)
+			sim.fatal("the reply renews a lease with the cancelled task %s on %s, got no stop of it, want one", task.TaskID, heartbeat.MachineID)
 		}
 	}
 }
 
-// deliverReply delivers the reply to a worker's last heartbeat, unless it is too late.
+// deliverReply delivers the reply to a worker's last heartbeat, unless the worker doesn't accept it any more.
 func (sim *simulation) deliverReply(worker *fakeWorker) {
 	incarnation := worker.incarnation
 	sim.expireLease(worker)
@@ -244,7 +246,7 @@
 		Quotas: map[string]TeamQuota{"a": {MaxMilliCPU: sim.cpuLimit}, "b": {MaxMilliCPU: sim.cpuLimit}},
 	}
 	if sim.follower != nil && sim.rng.IntN(4) > 0 {
-		// The last leader's follower takes over, whose own table may have come from a follower.
+		// The follower of the last leader takes over. That leader may itself have begun with a follower's table.
 		cfg.MayHaveStarted = sim.follower.table.MayBeRunning
 		sim.replicaFailoverCount++
 	}
@@ -267,7 +269,7 @@
 			sim.tracker.Cancel(job, sim.now)
 		}
 	}
-	// A delegate may still have a grant of the leader before.
+	// A delegate may still hold a grant from the previous leader.
 	sim.delegatedUntil = sim.now + 20*clock.Second
 	sim.tracker.SetDelegatedUntil(sim.delegatedUntil, nil)
 	sim.tracker.FinishRecovery()
@@ -275,7 +277,8 @@
 
 func (sim *simulation) machine(worker *fakeWorker) *Machine { return sim.tracker.Machines[worker.name] }
 
-// persistCompletions makes completions durable, at times, as the controller does.
+// persistCompletions makes all completions durable in about a third of its calls, as the controller does
+// from time to time.
 func (sim *simulation) persistCompletions() {
 	if sim.rng.IntN(3) > 0 {
 		return
@@ -294,8 +297,8 @@
 	sim.tracker.Exited, sim.tracker.Started = nil, nil
 }
 
-// hasCommandDue tells whether a command request would be sent now. It looks at all placements of the
-// machine, which the dispatch queue avoids.
+// hasCommandDue reports whether a command request to the machine is due. It looks at all placements of
+// the machine, which the dispatch queue avoids.
 func hasCommandDue(machine *Machine) bool {
 	if machine.hasCommandInFlight || !machine.TokenConfirmed {
 		return false
--- a/internal/allocation/start_check_test.go
+++ b/internal/allocation/start_check_test.go
@@ -7,8 +7,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Between the decision and the message, a task of the job may turn up elsewhere, or the machine or
-// the job may change. A start that is not allowed any more is not sent, and its task waits again.
+// Between the decision to start a task and the message with the start, another task of the job may be
+// found elsewhere, or the machine or the job may change. A start that is not allowed any more is not
+// sent, and its task waits again.
 func TestStartIsCheckedAgainWhenSent(t *testing.T) {
 	type fixture struct {
 		tracker         *Tracker
@@ -57,7 +58,7 @@
 					t.Fatalf("%s: %d commands, want %d: %+v", channelName, len(commands), c.wantStarts, commands)
 				}
 				if isPlaced := f.job.Tasks[0].Placement != nil; isPlaced != (c.wantStarts == 1) {
-					t.Errorf("%s: the task is placed: %v", channelName, isPlaced)
+					t.Errorf("%s: the task has a placement = %v, want true exactly if a start is expected", channelName, isPlaced)
 				}
 			}
 		})
--- a/internal/allocation/tracker_test.go
+++ b/internal/allocation/tracker_test.go
@@ -11,6 +11,7 @@
 	return &wire.Heartbeat{MachineID: machine.Name, Address: "127.0.0.1:1", Zone: machine.Zone, Incarnation: incarnation, Sequence: sequence, FencingToken: token, Tasks: tasks}
 }
 
+// newSmallTracker returns a tracker with one job and with one machine that has confirmed the token.
 func newSmallTracker(t *testing.T, kind string, tasks int) (*Tracker, *Job, *Machine) {
 	t.Helper()
 	tracker := New(Config{FencingToken: 7, LeaseTTL: testLeaseTTL, CancelFenceWindow: 20 * clock.Second})
@@ -24,8 +25,8 @@
 	return tracker, job, machine
 }
 
-// A start in a command request without an answer may arrive after the worker was told to forget the
-// attempt: it would run again.
+// A start in a command request that got no answer may arrive late. If the worker had been told to forget
+// the attempt before, the late start would run the task again.
 func TestAttemptIsNotReapedWhileStartMayArrive(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 2); err != nil {
@@ -33,7 +34,7 @@
 	}
 	request, starts := tracker.BuildCommandRequest(machine, 2)
 	if request == nil || len(starts) != 1 {
-		t.Fatal("no start in a command request")
+		t.Fatal("BuildCommandRequest after a placement: want a request with one start")
 	}
 	tracker.FinishCommandRequest(machine, starts, CommandOutcomeUnknown, 2)
 	attempt := request.Commands[0].Attempt
@@ -43,36 +44,36 @@
 			t.Fatal("reaped an attempt whose start may still arrive")
 		}
 	}
-	// In a new incarnation the worker refuses commands for the old one.
+	// Under a new incarnation the worker refuses commands for the old one.
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 2, 3, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: attempt, State: wire.TaskExited, ExitCause: wire.ExitError}), 4)
 	if commands := tracker.HeartbeatCommands(machine, 4); len(commands) != 1 || commands[0].Action != wire.ActionReap {
-		t.Fatalf("not reaped in the new incarnation: %v", commands)
+		t.Fatalf("commands under the new incarnation: got %v, want one reap", commands)
 	}
 }
 
-// A start in a heartbeat's reply may still be on its way when the worker answers a command request.
-// That answer lacks the task and proves nothing; only the worker's next own heartbeat does.
+// A start in a heartbeat's reply may still be in flight when the worker answers a command request. That
+// the answer doesn't list the task proves nothing; only the worker's next own heartbeat does.
 func TestCommandResponseDoesNotDisproveHeartbeatReply(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 2); err != nil {
 		t.Fatal(err)
 	}
 	if commands := tracker.HeartbeatCommands(machine, 2); len(commands) != 1 {
-		t.Fatalf("commands %v", commands)
+		t.Fatalf("commands in the heartbeat reply: got %v, want one start", commands)
 	}
 	tracker.RecordCommandHeartbeat(machine, newHeartbeat(machine, 1, 2, 7), 3)
 	tracker.StopPlacement(job.Tasks[0].Placement, 0)
 	if tracker.IsVacated(job) || job.WaitingCount() != 0 {
-		t.Fatal("a task whose start is on its way is free to start elsewhere")
+		t.Fatal("a task whose start is in flight counts as vacated or waiting, want neither")
 	}
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 3, 7), 4)
 	if !tracker.IsVacated(job) {
-		t.Fatal("the worker's next heartbeat proves that the start did not arrive")
+		t.Fatal("IsVacated after the worker's next own heartbeat = false, want true: it proves that the start did not arrive")
 	}
 }
 
-// A cancelled job's start that may still arrive is fenced by a start and a stop in one message, so that
-// the late one finds its attempt listed as exited.
+// A start of a cancelled job that may still arrive is fenced by sending a start and a stop in one message,
+// so that the late start finds its attempt listed as exited.
 func TestPendingStartOfCancelledJobIsFenced(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 2); err != nil {
@@ -84,21 +85,21 @@
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 2, 7), 4)
 	commands := tracker.HeartbeatCommands(machine, 4)
 	if len(commands) != 2 || commands[0].Action != wire.ActionStart || commands[1].Action != wire.ActionStop {
-		t.Fatalf("not fenced: %v", commands)
+		t.Fatalf("commands after the cancellation: got %v, want a start and a stop", commands)
 	}
 	if tracker.IsVacated(job) {
-		t.Fatal("a job with a task that may start is vacated")
+		t.Fatal("IsVacated of a job whose task may still start = true, want false")
 	}
 	if commands = tracker.HeartbeatCommands(machine, 4+30*clock.Second); len(commands) != 0 {
-		t.Fatalf("fenced too long after the cancellation: %v", commands)
+		t.Fatalf("commands 30 s after the cancellation, with a fence window of 20 s: got %v, want none", commands)
 	}
 	if !tracker.IsCordoned(machine, 4+30*clock.Second) {
-		t.Fatal("the machine is not cordoned")
+		t.Fatal("IsCordoned 30 s after the cancellation, with a fence window of 20 s = false, want true")
 	}
 }
 
-// A heartbeat of an incarnation whose lease has run out may arrive late. It must not bring the tasks
-// back.
+// A heartbeat of an incarnation whose lease has run out may arrive late. It must not bring the
+// incarnation's tasks back.
 func TestHeartbeatOfExpiredIncarnationIsStale(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 2); err != nil {
@@ -106,16 +107,16 @@
 	}
 	tracker.HeartbeatCommands(machine, 2)
 	if !tracker.ExpireLease(machine, tracker.LeaseEndsAt(machine)) || job.ActiveCount() != 0 {
-		t.Fatal("not expired")
+		t.Fatal("after the end of the lease: want ExpireLease to return true and end all placements")
 	}
 	lateHeartbeat := newHeartbeat(machine, 1, 9, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: 1, State: wire.TaskRunning})
 	if tracker.RecordHeartbeat(machine, lateHeartbeat, tracker.LeaseEndsAt(machine)) != HeartbeatStale {
-		t.Fatal("a heartbeat of the expired incarnation was accepted")
+		t.Fatal("a heartbeat of the expired incarnation is not stale, want HeartbeatStale")
 	}
 }
 
-// One lost task ends a gang's attempt, and the next attempt waits until every task of the old one has
-// ended.
+// The loss of one task ends a gang's attempt. The next attempt starts only after every task of the old one
+// has ended.
 func TestGangRestartsTogether(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindGang, 2)
 	firstAttempt := tracker.NextAttempt()
@@ -131,7 +132,7 @@
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 2, 7, reportTask(0, wire.TaskRunning, ""), reportTask(1, wire.TaskRunning, "")), 3)
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 3, 7, reportTask(0, wire.TaskExited, wire.ExitError), reportTask(1, wire.TaskRunning, "")), 4)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 5); err == nil {
-		t.Fatal("a new attempt is placed beside the old one")
+		t.Fatal("PlaceTask under a new attempt while the old one has a running task = nil, want an error")
 	}
 	stops := 0
 	for _, command := range tracker.HeartbeatCommands(machine, 5) {
@@ -140,11 +141,11 @@
 		}
 	}
 	if stops != 1 {
-		t.Fatalf("%d stops for the rest of the gang", stops)
+		t.Fatalf("got %d stops for the gang's remaining task, want 1", stops)
 	}
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 4, 7, reportTask(1, wire.TaskExited, wire.ExitPeerLost)), 6)
 	if job.GangAttempt != 0 || job.GangAborting {
-		t.Fatal("the old attempt is not over")
+		t.Fatal("the gang's attempt is not over after its last task has exited")
 	}
 	tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, 5, 7), 7)
 	secondAttempt := tracker.NextAttempt()
@@ -155,9 +156,9 @@
 	}
 }
 
-// A worker whose lease ran out begins a new incarnation, with its own lease that begins without a
-// reply. If the incarnation is first seen in the answer to a probe and tasks are started in it, the
-// lease of the old one proves nothing about them (docs/incidents/session-seen-by-probe.md).
+// A worker whose lease has run out begins a new incarnation, whose own lease begins without a reply. If the
+// incarnation is first seen in the answer to a probe and tasks are started under it, the end of the old
+// incarnation's lease proves nothing about these tasks (docs/incidents/session-seen-by-probe.md).
 func TestNewIncarnationHasOwnLease(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	tracker.RecordLeaseRenewal(machine, 1)
@@ -169,9 +170,9 @@
 		t.Fatal(err)
 	}
 	if request, _ := tracker.BuildCommandRequest(machine, now); request == nil || request.Incarnation != 2 {
-		t.Fatal("no start in the new incarnation")
+		t.Fatal("BuildCommandRequest under the new incarnation: want a request with incarnation 2")
 	}
 	if tracker.ExpireLease(machine, now+3*clock.Second) || job.Tasks[0].Placement == nil {
-		t.Fatal("the task of the new incarnation is ended with the old lease")
+		t.Fatal("the end of the old lease has ended the task of the new incarnation")
 	}
 }
