--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -38,8 +38,8 @@
 	attemptRecords
 	leaseState
 
-	// RecordedInStore is whether the key-value store has a record of the machine. The machine gets no
-	// tasks before.
+	// RecordedInStore reports whether the key-value store has a record of the machine. Only
+	// then may the machine get tasks.
 	RecordedInStore bool
 	// CreatedAt is when this leader first learned of the machine. The controller replaces it with the
 	// time of the scale-out request.
@@ -65,10 +65,10 @@
 	HeartbeatSequence uint64 // of the last accepted heartbeat
 	LastHeartbeatAt   clock.Micros
 	FirstHeartbeatAt  clock.Micros // 0 before the first heartbeat
-	// TokenConfirmed is whether the worker has sent a heartbeat under this leader's token, and its lease
+	// TokenConfirmed reports whether the worker has sent a heartbeat under this leader's token, and its lease
 	// has not run out since.
 	TokenConfirmed bool
-	// Reconciled is whether this leader knows everything that earlier leaders started on the machine.
+	// Reconciled reports whether this leader knows everything that earlier leaders started on the machine.
 	Reconciled bool
 }
 
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -43,12 +43,12 @@
 	Machine   *Machine
 	taskID    string
 	Phase     Phase
-	// Adopted is whether the placement came from a heartbeat and not from PlaceTask: an earlier leader
+	// Adopted reports whether the placement came from a heartbeat and not from PlaceTask: an earlier leader
 	// started the task, at an unknown time.
 	Adopted bool
-	// ProgressSaved is whether the task exited with its progress saved.
+	// ProgressSaved reports whether the task exited with its progress saved.
 	ProgressSaved bool
-	// Orphaned is whether the placement is not the current one of its task. An orphan has to be stopped.
+	// Orphaned reports whether the placement is not the current one of its task. An orphan has to be stopped.
 	Orphaned      bool
 	ReportedState string // one of wire's task states, "" before PhaseReported
 	PlacementTimes
@@ -82,14 +82,14 @@
 	mayArriveLate  bool   // a command request that carried the start has an unknown outcome
 }
 
-// stopRequest holds whether a stop of the placement was requested, and how.
+// stopRequest holds whether the placement has to be stopped, and how.
 type stopRequest struct {
 	isStopping bool
 	stopGrace  clock.Micros // time that the task gets to save its progress
 	stopSentAt clock.Micros // when the stop was last sent, 0 if it has to be sent or sent again
 }
 
-// IsStopping reports whether a stop of the placement was requested.
+// IsStopping reports whether the placement has to be stopped.
 func (placement *Placement) IsStopping() bool { return placement.isStopping }
 
 // IsStopSent reports whether the stop was sent, so that a command request need not carry it again.
--- a/internal/allocation/renewal_stops.go
+++ b/internal/allocation/renewal_stops.go
@@ -32,7 +32,7 @@
 	return ok && tracker.cfg.MayBeActive != nil && tracker.cfg.MayBeActive(jobID)
 }
 
-// NeedsStop reports whether the worker lists the task, a stop of it was requested, and it is not saving
+// NeedsStop reports whether the worker lists the task, the task has to be stopped, and it is not saving
 // its progress within the grace of a stop.
 func (placement *Placement) NeedsStop() bool {
 	isSaving := placement.ReportedState == wire.TaskCheckpointing && placement.stopGrace != 0
--- a/internal/allocation/replication_test.go
+++ b/internal/allocation/replication_test.go
@@ -162,7 +162,7 @@
 	const tasks = 2 * maxUnconfirmedTasksPublished
 	_, _, job, replicator := newTrackerWithUnconfirmed(t, tasks, func(task string) bool { return task != wire.TaskID("req-000001", 0) })
 	if job.UnconfirmedCount() != tasks-1 || len(replicator.active) != tasks-1 {
-		t.Errorf("got %d unconfirmed and %v published, want all tasks but task 0 in both", job.UnconfirmedCount(), replicator.active)
+		t.Errorf("got %d unconfirmed and %v published, want all tasks except task 0", job.UnconfirmedCount(), replicator.active)
 	}
 }
 
--- a/internal/allocation/resources.go
+++ b/internal/allocation/resources.go
@@ -5,8 +5,8 @@
 // Resources are amounts of CPUs and GPUs in thousandths, and of memory in MB (thousandths of a GB).
 type Resources struct{ MilliCPU, MilliGPU, MemoryMB int64 }
 
-// NewResources converts the decimal amounts of PROTOCOL (cores, gpus, ramGb), rounded to whole
-// thousandths.
+// NewResources converts the decimal amounts that PROTOCOL uses (cores, gpus, ramGb) and rounds them to
+// whole thousandths.
 func NewResources(cpus, gpus, memoryGB float64) Resources {
 	toMilli := func(amount float64) int64 { return int64(math.Round(amount * 1000)) }
 	return Resources{toMilli(cpus), toMilli(gpus), toMilli(memoryGB)}
--- a/internal/allocation/task_report.go
+++ b/internal/allocation/task_report.go
@@ -45,7 +45,7 @@
 	return tracker.markListed(placement)
 }
 
-// isUnchanged reports whether a task report has nothing new about a placement, as most reports don't.
+// isUnchanged reports whether a task report has nothing new about a placement. Most reports have nothing new.
 func (tracker *Tracker) isUnchanged(placement *Placement, taskReport *wire.TaskStatus) bool {
 	return placement.Attempt == taskReport.Attempt && placement.Phase == PhaseReported &&
 		placement.ReportedState == taskReport.State && tracker.Jobs[placement.Job.Spec.ID] == placement.Job
@@ -108,7 +108,7 @@
 }
 
 // recordExit ends a placement that the worker lists as exited, and counts an exit with an error as a
-// failure unless a stop was requested.
+// failure unless the placement was being stopped.
 func (tracker *Tracker) recordExit(placement *Placement, cause string, now clock.Micros) {
 	job, machine := placement.Job, placement.Machine
 	task := &job.Tasks[placement.TaskIndex]
--- a/internal/allocation/tracker_test.go
+++ b/internal/allocation/tracker_test.go
@@ -156,9 +156,10 @@
 	}
 }
 
-// A worker whose lease has run out begins a new incarnation, whose own lease begins without a reply. If the
-// incarnation is first seen in the answer to a probe and tasks are started under it, the end of the old
-// incarnation's lease proves nothing about these tasks (docs/incidents/session-seen-by-probe.md).
+// A worker whose lease has run out begins a new incarnation, whose own lease begins without any reply from
+// a leader. If the leader first sees the incarnation in the answer to a probe and starts tasks under it, the
+// end of the old incarnation's lease proves nothing about these tasks
+// (docs/incidents/session-seen-by-probe.md).
 func TestNewIncarnationHasOwnLease(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	tracker.RecordLeaseRenewal(machine, 1)
