--- a/internal/allocation/actions_test.go
+++ b/internal/allocation/actions_test.go
@@ -18,7 +18,7 @@
 }
 
 // place tries to place the tasks of a job.
-func (sim *simulation) place() {
+func (sim *simulation) placeSomeJob() {
 	job := sim.tracker.Jobs[sim.pickJobID()]
 	machine := sim.machine(sim.pickWorker())
 	if job == nil || machine == nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// deliverLateCopy delivers a copy of a heartbeat, perhaps to a later leader.
-func (sim *simulation) deliverLateCopy() {
+// deliverHeartbeatCopy delivers a copy of a heartbeat, perhaps to a later leader.
+func (sim *simulation) deliverHeartbeatCopy() {
 	if len(sim.heartbeatCopies) == 0 {
 		return
 	}
@@ -76,7 +76,7 @@
 		return
 	}
 	// As the controller does: the machine leaves the queue while a request is in flight.
-	sim.tracker.ProcessDispatchQueue(func(o *Machine) bool { return o != machine })
+	sim.tracker.ProcessDispatchQueue(func(queued *Machine) bool { return queued != machine })
 	command := delayedCommand{worker, request, sim.tracker, machine, starts}
 	switch sim.rng.IntN(4) {
 	case 0: // never leaves
@@ -91,8 +91,8 @@
 	sim.persistCompletions()
 }
 
-// answerAsDelegate has another controller renew a worker's lease, for this leader or an earlier one.
-func (sim *simulation) answerAsDelegate() {
+// renewLeaseAsDelegate has another controller renew a worker's lease, for this leader or an earlier one.
+func (sim *simulation) renewLeaseAsDelegate() {
 	if sim.rng.IntN(4) == 0 {
 		sim.delegatedUntil = sim.now + 20*clock.Second
 		sim.tracker.SetDelegatedUntil(sim.delegatedUntil, nil)
@@ -106,7 +106,7 @@
 }
 
 // probe delivers a worker's heartbeat in the answer to a command request without commands.
-func (sim *simulation) probe() {
+func (sim *simulation) probeSomeWorker() {
 	worker := sim.pickWorker()
 	if machine := sim.machine(worker); machine != nil && !worker.deleted && !worker.hung {
 		sim.expireLease(worker)
@@ -119,8 +119,8 @@
 	sim.tracker.ProcessDispatchQueue(func(machine *Machine) bool { return sim.rng.IntN(2) == 0 || hasCommandDue(machine) })
 }
 
-// repeatCommandRequest delivers a copy of a command request that was executed.
-func (sim *simulation) repeatCommandRequest() {
+// deliverCommandRequestCopy delivers a copy of a command request that was executed.
+func (sim *simulation) deliverCommandRequestCopy() {
 	if len(sim.executed) > 0 {
 		i := len(sim.executed) - 1 - sim.rng.IntN(min(len(sim.executed), 8))
 		sim.deliverCommand(delayedCommand{worker: sim.executed[i].worker, request: sim.executed[i].request})
@@ -148,8 +148,8 @@
 	sim.deliverCommand(command)
 }
 
-// finishTask completes a worker's first running task of an array.
-func (sim *simulation) finishTask() {
+// completeSomeTask completes a worker's first running task of an array.
+func (sim *simulation) completeSomeTask() {
 	worker := sim.pickWorker()
 	ids := make([]string, 0, len(worker.tasks))
 	for id := range worker.tasks {
@@ -165,8 +165,8 @@
 	}
 }
 
-// passTime moves the clock on, at times past the end of leases.
-func (sim *simulation) passTime() {
+// advanceClock moves the clock on, at times past the end of leases.
+func (sim *simulation) advanceClock() {
 	sim.now += clock.Micros(1+sim.rng.IntN(2000)) * clock.Millisecond
 	if sim.rng.IntN(25) == 0 {
 		sim.now += clock.Micros(10+sim.rng.IntN(26)) * clock.Second
@@ -186,8 +186,8 @@
 	worker.hung = !worker.hung && sim.rng.IntN(8) == 0
 }
 
-// deleteMachine replaces a worker's machine by a new one.
-func (sim *simulation) deleteMachine() {
+// replaceSomeMachine replaces a worker's machine by a new one.
+func (sim *simulation) replaceSomeMachine() {
 	if sim.rng.IntN(20) > 0 {
 		return
 	}
@@ -208,12 +208,12 @@
 		sim.failOver()
 		// The first heartbeat that a new leader gets may be a late copy, the next a current one.
 		for range sim.rng.IntN(4) {
-			sim.deliverLateCopy()
+			sim.deliverHeartbeatCopy()
 		}
 		worker := sim.pickWorker()
 		sim.exchangeHeartbeat(worker, replyArrives)
 		sim.exchangeHeartbeat(worker, replyArrives)
-		sim.place()
+		sim.placeSomeJob()
 	}
 }
 
--- a/internal/allocation/attempt_test.go
+++ b/internal/allocation/attempt_test.go
@@ -5,7 +5,7 @@
 // Attempts grow within a term however many there are, as long as the token is raised when the
 // tracker asks for it. Without a counter of its own for each token the millionth attempt was lower
 // than the one before.
-func TestAttemptsGrowBeyondTheCounter(t *testing.T) {
+func TestAttemptsIncreaseBeyondCounterRange(t *testing.T) {
 	tracker := New(Config{FencingToken: 7})
 	raiseCount := 0
 	for last, i := uint64(0), 0; i < 2*maxAttemptsPerToken; i++ {
--- a/internal/allocation/bench_test.go
+++ b/internal/allocation/bench_test.go
@@ -56,15 +56,15 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				heartbeat.Sequence++
-				in, err := heartbeat.MarshalJSON()
+				encoded, err := heartbeat.MarshalJSON()
 				if err != nil {
 					b.Fatal(err)
 				}
-				var got wire.Heartbeat
-				if err := got.UnmarshalJSON(in); err != nil {
+				var decoded wire.Heartbeat
+				if err := decoded.UnmarshalJSON(encoded); err != nil {
 					b.Fatal(err)
 				}
-				tracker.RecordHeartbeat(machine, &got, 3)
+				tracker.RecordHeartbeat(machine, &decoded, 3)
 				if _, err := (wire.HeartbeatResponse{FencingToken: 7, Commands: tracker.HeartbeatCommands(machine, 3)}).MarshalJSON(); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/allocation/cancelled_tasks.go
+++ b/internal/allocation/cancelled_tasks.go
@@ -6,27 +6,27 @@
 type cancelledTasks struct {
 	// listedCancelled are the placements of cancelled jobs among them.
 	listedCancelled map[*Placement]struct{}
-	// ListedCancelled collects placements of cancelled jobs that a heartbeat lists for the first
+	// NewlyListedCancelled collects placements of cancelled jobs that a heartbeat lists for the first
 	// time since the job is cancelled. The caller takes them and sets it to nil.
-	ListedCancelled []*Placement
-	// ListedUnknown collects tasks without a job in the tracker, each time that they are listed. The
+	NewlyListedCancelled []*Placement
+	// TasksOfUnknownJobs collects tasks without a job in the tracker, each time that they are listed. The
 	// caller takes them and sets it to nil.
-	ListedUnknown []string
+	TasksOfUnknownJobs []string
 }
 
-// noteIfCancelled records that a heartbeat lists a placement, if its job is cancelled.
-func (tracker *Tracker) noteIfCancelled(placement *Placement) {
+// recordListedIfCancelled records that a heartbeat lists a placement, if its job is cancelled.
+func (tracker *Tracker) recordListedIfCancelled(placement *Placement) {
 	if !placement.Job.Cancelled {
 		return
 	}
-	if _, isKnown := tracker.listedCancelled[placement]; isKnown {
+	if _, isRecorded := tracker.listedCancelled[placement]; isRecorded {
 		return
 	}
 	if tracker.listedCancelled == nil {
 		tracker.listedCancelled = map[*Placement]struct{}{}
 	}
 	tracker.listedCancelled[placement] = struct{}{}
-	tracker.ListedCancelled = append(tracker.ListedCancelled, placement)
+	tracker.NewlyListedCancelled = append(tracker.NewlyListedCancelled, placement)
 }
 
 // ListedCancelledTasks returns how many tasks of cancelled jobs workers still list as not exited, and
@@ -41,9 +41,9 @@
 	return count, earliest
 }
 
-// UnconfirmedMachines returns how many machines' workers have not shown this leader's token. Machines
+// UnconfirmedMachineCount returns how many machines' workers have not shown this leader's token. Machines
 // of this leader that have yet to send their first heartbeat aren't among them.
-func (tracker *Tracker) UnconfirmedMachines() int {
+func (tracker *Tracker) UnconfirmedMachineCount() int {
 	count := 0
 	for _, machine := range tracker.SortedMachines() {
 		isBooting := machine.FirstHeartbeatAt == 0 && machine.Reconciled
@@ -54,5 +54,5 @@
 	return count
 }
 
-// UnreconciledCount returns how many machines may have tasks of an earlier leader unseen.
-func (tracker *Tracker) UnreconciledCount() int { return tracker.unreconciledCount }
+// UnreconciledMachineCount returns how many machines may have tasks of an earlier leader unseen.
+func (tracker *Tracker) UnreconciledMachineCount() int { return tracker.unreconciledCount }
--- a/internal/allocation/command_request.go
+++ b/internal/allocation/command_request.go
@@ -21,9 +21,9 @@
 		if placement.Phase == PhaseReported && !placement.isStopping {
 			continue
 		}
-		before := len(commands)
-		commands = tracker.appendCommands(commands, placement, now, commandRequest)
-		if len(commands) > before && commands[before].Action == wire.ActionStart {
+		countBefore := len(commands)
+		commands = tracker.appendCommands(commands, placement, now, channelCommandRequest)
+		if len(commands) > countBefore && commands[countBefore].Action == wire.ActionStart {
 			starts = append(starts, placement)
 		}
 	}
@@ -99,7 +99,7 @@
 	}
 	tracker.queueDispatch(machine)
 	for _, placement := range starts {
-		finishStart(machine, placement, result)
+		recordStartOutcome(machine, placement, result)
 	}
 	if result != CommandExecuted {
 		for _, placement := range machine.placements {
@@ -108,8 +108,8 @@
 	}
 }
 
-// finishStart records what the outcome of a command request means for a start in it.
-func finishStart(machine *Machine, placement *Placement, result CommandResult) {
+// recordStartOutcome records what the outcome of a command request means for a start in it.
+func recordStartOutcome(machine *Machine, placement *Placement, result CommandResult) {
 	if result == CommandNotSent && !placement.mayArriveLate {
 		delete(machine.startTokens, placement.key())
 	}
@@ -133,7 +133,7 @@
 		}
 	case CommandExecuted:
 		// The heartbeat in the answer lists the task. The start is done with: if a later heartbeat of
-		// the worker's own lacks it, handleMissing takes it for lost.
+		// the worker's own lacks it, handleMissingPlacement takes it for lost.
 		if placement.Phase == PhaseSent {
 			placement.sentInSequence = machine.HeartbeatSequence
 		}
--- a/internal/allocation/commands.go
+++ b/internal/allocation/commands.go
@@ -14,7 +14,7 @@
 	commands := tracker.exitCleanupCommands(machine)
 	for _, placement := range machine.placements {
 		if placement.Phase != PhaseReported || placement.isStopping {
-			commands = tracker.appendCommands(commands, placement, now, heartbeatReply)
+			commands = tracker.appendCommands(commands, placement, now, channelHeartbeatReply)
 		}
 	}
 	return commands
@@ -58,10 +58,10 @@
 type commandChannel uint8
 
 const (
-	// heartbeatReply: in the reply to the worker's heartbeat.
-	heartbeatReply commandChannel = iota
-	// commandRequest: in a request that the leader makes to the worker.
-	commandRequest
+	// channelHeartbeatReply: in the reply to the worker's heartbeat.
+	channelHeartbeatReply commandChannel = iota
+	// channelCommandRequest: in a request that the leader makes to the worker.
+	channelCommandRequest
 )
 
 // appendCommands appends the commands that a placement needs. It also ends a placement in
@@ -72,14 +72,14 @@
 		return appendStop(commands, placement, now, channel)
 	case placement.Phase == PhaseReported:
 		return commands
-	case placement.isStopping && placement.mayArriveLate && channel == heartbeatReply:
+	case placement.isStopping && placement.mayArriveLate && channel == channelHeartbeatReply:
 		return tracker.appendStartFence(commands, placement, now)
 	case placement.isStopping, tracker.startsPaused:
 		return commands
 	case placement.Phase == PhaseAssigned && !tracker.canStart(placement):
 		tracker.endPlacement(placement, wire.ExitStopped, now)
 		return commands
-	case placement.Phase == PhaseAssigned, placement.mayStartArrive() && channel == heartbeatReply:
+	case placement.Phase == PhaseAssigned, placement.mayStartArrive() && channel == channelHeartbeatReply:
 		// A start whose command request has no answer is sent again in the reply: the worker ignores
 		// the second copy of an attempt.
 		return tracker.appendStart(commands, placement, channel)
@@ -90,7 +90,7 @@
 // appendStop appends the stop of a task that the worker has reported. A task that saves its
 // progress is left to it, unless it has no time left; a command request repeats no stop.
 func appendStop(commands []wire.Command, placement *Placement, now clock.Micros, channel commandChannel) []wire.Command {
-	isRepeated := channel == commandRequest && placement.stopSentAt != 0
+	isRepeated := channel == channelCommandRequest && placement.stopSentAt != 0
 	if !placement.NeedsStop() || isRepeated {
 		return commands
 	}
@@ -120,18 +120,18 @@
 	}
 	placement.Phase = PhaseSent
 	switch channel {
-	case commandRequest:
+	case channelCommandRequest:
 		placement.startsInFlight++
 		placement.Machine.startTokens[placement.key()] = tracker.currentToken
-	case heartbeatReply:
+	case channelHeartbeatReply:
 		placement.sentInSequence = placement.Machine.HeartbeatSequence
 	}
 	return append(commands, startCommand(placement))
 }
 
-// IsCordoned tells whether a start of a cancelled job may still arrive at the machine and can't be
+// HasUnfenceableStart tells whether a start of a cancelled job may still arrive at the machine and can't be
 // fenced any more, so that only deleting the machine resolves it.
-func (tracker *Tracker) IsCordoned(machine *Machine, now clock.Micros) bool {
+func (tracker *Tracker) HasUnfenceableStart(machine *Machine, now clock.Micros) bool {
 	for _, placement := range machine.placements {
 		isUnfencedStart := placement.isStopping && placement.mayArriveLate && placement.Phase == PhaseSent
 		if isUnfencedStart && tracker.isPastFenceWindow(placement.Job, now) {
--- a/internal/allocation/eligibility.go
+++ b/internal/allocation/eligibility.go
@@ -55,7 +55,7 @@
 		return false
 	}
 	spec := job.Spec
-	if spec.SingleZone && (job.unconfirmedCount > 0 || job.placementsByZone[machine.Zone] != job.activeCount) {
+	if spec.SingleZone && (job.unconfirmedCount > 0 || job.placementCountByZone[machine.Zone] != job.activeCount) {
 		return false
 	}
 	if spec.SpreadZones && job.CountInZone(machine.Zone) > job.MaxTasksPerZone() {
--- a/internal/allocation/fake_worker_test.go
+++ b/internal/allocation/fake_worker_test.go
@@ -38,21 +38,21 @@
 }
 
 // gangTasks lists the tasks of a gang that are on machines.
-func (sim *simulation) gangTasks(job string) (out []*fakeTask) {
-	for n := range sim.specs[job].TaskCount {
-		id := wire.TaskID(job, n)
+func (sim *simulation) gangTasks(jobID string) (tasks []*fakeTask) {
+	for n := range sim.specs[jobID].TaskCount {
+		id := wire.TaskID(jobID, n)
 		if worker := sim.workerRunning(id); worker != nil {
-			out = append(out, worker.tasks[id])
+			tasks = append(tasks, worker.tasks[id])
 		}
 	}
-	return out
+	return tasks
 }
 
 // stepGang has a gang's tasks do what workers do (PROTOCOL, gangs): start together, notice that one is
 // missing, give up waiting, or complete together.
-func (sim *simulation) stepGang(job string) {
-	spec := sim.specs[job]
-	tasks := sim.gangTasks(job)
+func (sim *simulation) stepGang(jobID string) {
+	spec := sim.specs[jobID]
+	tasks := sim.gangTasks(jobID)
 	if spec.Kind != wire.KindGang || len(tasks) == 0 {
 		return
 	}
@@ -94,7 +94,7 @@
 // execute carries out commands as a worker does, and fails the test if one breaks a rule.
 func (sim *simulation) execute(worker *fakeWorker, commands []wire.Command) {
 	for _, command := range commands {
-		job, i, ok := wire.ParseTaskID(command.TaskID)
+		jobID, taskIndex, ok := wire.ParseTaskID(command.TaskID)
 		if !ok {
 			sim.fatal("bad task id %q", command.TaskID)
 		}
@@ -104,7 +104,7 @@
 		case wire.ActionStart:
 			switch {
 			case task == nil:
-				sim.startTask(worker, command, job, i)
+				sim.startTask(worker, command, jobID, taskIndex)
 			case isListed:
 			case task.state == wire.TaskExited:
 				sim.fatal("started beside a listed attempt of the task: %s", command.TaskID)
@@ -115,7 +115,7 @@
 			}
 		case wire.ActionReap:
 			if isListed && task.state == wire.TaskExited {
-				if task.cause == wire.ExitDone && !sim.doneTasks[job][i] && !sim.cancelled[job] {
+				if task.cause == wire.ExitDone && !sim.doneTasks[jobID][taskIndex] && !sim.cancelled[jobID] {
 					sim.fatal("reaped a completion that is not durable: %s", command.TaskID)
 				}
 				delete(worker.tasks, command.TaskID)
@@ -125,22 +125,22 @@
 }
 
 // startTask starts a task that the worker does not list.
-func (sim *simulation) startTask(worker *fakeWorker, command wire.Command, job string, i int) {
+func (sim *simulation) startTask(worker *fakeWorker, command wire.Command, jobID string, taskIndex int) {
 	if other := sim.workerRunning(command.TaskID); other != nil {
 		sim.fatal("ran twice: %s starts on %s while on %s", command.TaskID, worker.name, other.name)
 	}
-	sim.checkZones(worker, command.TaskID, job)
+	sim.checkZones(worker, command.TaskID, jobID)
 	task := &fakeTask{attempt: command.Attempt, state: wire.TaskRunning}
 	worker.tasks[command.TaskID] = task
-	if sim.specs[job].Kind == wire.KindGang {
+	if sim.specs[jobID].Kind == wire.KindGang {
 		task.state = wire.TaskWaitingForGang
-		for _, other := range sim.gangTasks(job) {
+		for _, other := range sim.gangTasks(jobID) {
 			if other.attempt != command.Attempt {
 				sim.fatal("two attempts of a gang: %s starts as %d beside %d", command.TaskID, command.Attempt, other.attempt)
 			}
 		}
 	}
-	if sim.doneTasks[job][i] {
+	if sim.doneTasks[jobID][taskIndex] {
 		task.state, task.cause = wire.TaskExited, wire.ExitDone
 	}
 	sim.startCount++
@@ -148,14 +148,14 @@
 }
 
 // checkZones checks the zone rules of a job before a task of it starts on a worker.
-func (sim *simulation) checkZones(worker *fakeWorker, taskID, job string) {
-	spec := sim.specs[job]
+func (sim *simulation) checkZones(worker *fakeWorker, taskID, jobID string) {
+	spec := sim.specs[jobID]
 	if spec.Zone != "" && spec.Zone != worker.zone {
 		sim.fatal("zone: %s in %s", taskID, worker.zone)
 	}
 	inZone, elsewhere := 0, 0
 	for n := 0; n < spec.TaskCount; n++ {
-		if host := sim.workerRunning(wire.TaskID(job, n)); host != nil {
+		if host := sim.workerRunning(wire.TaskID(jobID, n)); host != nil {
 			if host.zone == worker.zone {
 				inZone++
 			} else {
@@ -172,20 +172,20 @@
 }
 
 func (sim *simulation) checkQuotas() {
-	use := map[string]int64{}
+	usageByTeam := map[string]int64{}
 	for _, worker := range sim.workers {
 		if worker.deleted {
 			continue
 		}
 		for id, task := range worker.tasks {
 			if task.state != wire.TaskExited {
-				job, _, _ := wire.ParseTaskID(id)
-				spec := sim.specs[job]
-				use[spec.Team] += NewResources(spec.CPUs, 0, 0).MilliCPU
+				jobID, _, _ := wire.ParseTaskID(id)
+				spec := sim.specs[jobID]
+				usageByTeam[spec.Team] += NewResources(spec.CPUs, 0, 0).MilliCPU
 			}
 		}
 	}
-	for team, used := range use {
+	for team, used := range usageByTeam {
 		if used > sim.cpuLimit {
 			sim.fatal("quota: %s uses %d of %d", team, used, sim.cpuLimit)
 		}
--- a/internal/allocation/gang_stop_test.go
+++ b/internal/allocation/gang_stop_test.go
@@ -10,7 +10,7 @@
 // A stop with grace goes to all machines of a gang at once. If one of them can't be reached, the save
 // fails and the run since the last checkpoint is lost. No task of a new attempt is placed before the
 // unreachable machine's lease is over.
-func TestGangStopWithUnreachableMachine(t *testing.T) {
+func TestStoppedGangWaitsForUnreachableMachine(t *testing.T) {
 	tracker := New(Config{FencingToken: 7, LeaseTTL: testLeaseTTL, CancelFenceWindow: 20 * clock.Second})
 	tracker.FinishRecovery()
 	var machines []*Machine
@@ -24,8 +24,8 @@
 	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindGang, Priority: wire.PriorityNormal, TaskCount: 2, CPUs: 1, Team: "a",
 		SingleZone: true, CheckpointIntervalSeconds: 20, CheckpointSaveSeconds: 5}, 0, 1, true, nil)
 	attempt := tracker.NextAttempt()
-	running := func(machine *Machine, i int, seq uint64, at clock.Micros) {
-		tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, seq, 7, wire.TaskStatus{TaskID: wire.TaskID("req-000001", i), Attempt: attempt, State: wire.TaskRunning}), at)
+	reportRunning := func(machine *Machine, taskIndex int, sequence uint64, at clock.Micros) {
+		tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, sequence, 7, wire.TaskStatus{TaskID: wire.TaskID("req-000001", taskIndex), Attempt: attempt, State: wire.TaskRunning}), at)
 	}
 	start := clock.Second
 	for i := range 2 {
@@ -35,7 +35,7 @@
 		tracker.HeartbeatCommands(machines[i], start)
 	}
 	for i := range 2 {
-		running(machines[i], i, 2, start)
+		reportRunning(machines[i], i, 2, start)
 	}
 	if !job.GangStarted {
 		t.Fatal("the gang runs, but is not recorded as started")
@@ -43,7 +43,7 @@
 	now := start + 50*clock.Second
 	for i := range 2 {
 		tracker.RecordLeaseRenewal(machines[i], now)
-		running(machines[i], i, 3, now)
+		reportRunning(machines[i], i, 3, now)
 	}
 	tracker.StopJob(job, 5*clock.Second)
 	for i := range 2 {
--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -39,10 +39,10 @@
 type heartbeatSource uint8
 
 const (
-	// ownHeartbeat: the worker sent it, so it drops any reply to its earlier ones.
-	ownHeartbeat heartbeatSource = iota
-	// commandResponse: it was in the answer to a command request.
-	commandResponse
+	// sourceHeartbeatRequest: the worker sent it, so it drops any reply to its earlier ones.
+	sourceHeartbeatRequest heartbeatSource = iota
+	// sourceCommandResponse: it was in the answer to a command request.
+	sourceCommandResponse
 )
 
 // RecordLeaseRenewal records that the reply to a heartbeat that arrived now may renew the worker's
@@ -54,13 +54,13 @@
 // RecordHeartbeat applies a heartbeat that the worker sent. By sending it, the worker has given up
 // waiting for the reply to its last one.
 func (tracker *Tracker) RecordHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros) HeartbeatResult {
-	return tracker.applyHeartbeat(machine, heartbeat, now, ownHeartbeat)
+	return tracker.applyHeartbeat(machine, heartbeat, now, sourceHeartbeatRequest)
 }
 
 // RecordCommandHeartbeat applies a heartbeat from the answer to a command request. The reply to the
 // worker's last own heartbeat may still be on its way to it.
 func (tracker *Tracker) RecordCommandHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros) HeartbeatResult {
-	return tracker.applyHeartbeat(machine, heartbeat, now, commandResponse)
+	return tracker.applyHeartbeat(machine, heartbeat, now, sourceCommandResponse)
 }
 
 // applyHeartbeat applies a heartbeat from either source.
@@ -78,7 +78,7 @@
 		tracker.beginIncarnation(machine, now)
 		machine.applyImageHints(heartbeat.Incarnation, now)
 	}
-	machine.recordHeartbeatFacts(heartbeat, now)
+	machine.recordMachineState(heartbeat, now)
 	machine.recordSeenToken(heartbeat.FencingToken)
 	tokenConfirmed := heartbeat.FencingToken >= tracker.cfg.FencingToken
 	listedCount := tracker.applyTaskReports(machine, heartbeat.Tasks, now, tokenConfirmed)
@@ -99,8 +99,8 @@
 	return heartbeat.IsNewerThan(machine.Incarnation, machine.HeartbeatSequence) && heartbeat.Incarnation >= machine.minIncarnation
 }
 
-// recordHeartbeatFacts records what a heartbeat says about the machine itself.
-func (machine *Machine) recordHeartbeatFacts(heartbeat *wire.Heartbeat, now clock.Micros) {
+// recordMachineState records what a heartbeat says about the machine itself.
+func (machine *Machine) recordMachineState(heartbeat *wire.Heartbeat, now clock.Micros) {
 	machine.Incarnation, machine.HeartbeatSequence, machine.LastHeartbeatAt = heartbeat.Incarnation, heartbeat.Sequence, now
 	if machine.FirstHeartbeatAt == 0 {
 		machine.FirstHeartbeatAt = now
@@ -155,7 +155,7 @@
 func (tracker *Tracker) handleMissingPlacements(machine *Machine, now clock.Micros, source heartbeatSource) {
 	for _, placement := range machine.placements {
 		if placement.lastSeenHeartbeat != tracker.heartbeatCount {
-			tracker.handleMissing(placement, now, source)
+			tracker.handleMissingPlacement(placement, now, source)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	machine.leaseRenewedAt = max(machine.leaseRenewedAt, now)
 	for _, placement := range machine.placements {
 		if placement.Phase != PhaseAssigned || placement.mayStartArrive() {
-			tracker.endWithLease(placement, now)
+			tracker.endAfterLeaseExpiry(placement, now)
 		}
 	}
 	clear(machine.lateStarts)
@@ -199,8 +199,8 @@
 	clear(machine.ImageUsedAt)
 }
 
-// handleMissing handles a placement that a heartbeat under our token doesn't list.
-func (tracker *Tracker) handleMissing(placement *Placement, now clock.Micros, source heartbeatSource) {
+// handleMissingPlacement handles a placement that a heartbeat under our token doesn't list.
+func (tracker *Tracker) handleMissingPlacement(placement *Placement, now clock.Micros, source heartbeatSource) {
 	switch placement.Phase {
 	case PhaseReported:
 		tracker.endPlacement(placement, CauseVanished, now)
@@ -208,7 +208,7 @@
 		if placement.mayStartArrive() {
 			return // invariant 2
 		}
-		if source == ownHeartbeat && placement.sentInSequence < placement.Machine.HeartbeatSequence {
+		if source == sourceHeartbeatRequest && placement.sentInSequence < placement.Machine.HeartbeatSequence {
 			// The reply that carried it was lost, or dropped by the worker.
 			if placement.isStopping {
 				tracker.endPlacement(placement, wire.ExitStopped, now)
--- a/internal/allocation/history_test.go
+++ b/internal/allocation/history_test.go
@@ -11,7 +11,7 @@
 // Random histories of messages, failures and failovers keep the rules of the protocol, and the
 // tracker's sums agree with its placements after each step.
 func TestRandomHistories(t *testing.T) {
-	total, gangs, replicaFailovers, stops := 0, 0, 0, 0
+	starts, completeGangs, replicaFailovers, listedTasks := 0, 0, 0, 0
 	for seed := uint64(1); seed <= 4000; seed++ {
 		sim := newSimulation(t, seed)
 		actions := sim.actions()
@@ -21,13 +21,13 @@
 			sim.checkMachines()
 			sim.checkJobs()
 		}
-		total += sim.startCount
-		gangs += sim.completeGangCount
+		starts += sim.startCount
+		completeGangs += sim.completeGangCount
 		replicaFailovers += sim.replicaFailoverCount
-		stops += sim.stopCount
+		listedTasks += sim.stopCount
 	}
-	t.Logf("%d starts, %d gangs complete, %d failovers with a follower's table, %d cancelled tasks listed", total, gangs, replicaFailovers, stops)
-	if total == 0 || gangs < 200 || replicaFailovers < 1000 || stops < 500 {
+	t.Logf("%d starts, %d gangs complete, %d failovers with a follower's table, %d cancelled tasks listed", starts, completeGangs, replicaFailovers, listedTasks)
+	if starts == 0 || completeGangs < 200 || replicaFailovers < 1000 || listedTasks < 500 {
 		t.Fatal("the histories show too little")
 	}
 }
@@ -52,24 +52,24 @@
 // of what a seed means.
 func (sim *simulation) actions() []func() {
 	return []func(){
-		sim.repeatCommandRequest,
+		sim.deliverCommandRequestCopy,
 		func() { sim.deliverReply(sim.pickWorker()) },
-		sim.deliverLateCopy,
-		sim.answerAsDelegate,
-		sim.deleteMachine,
+		sim.deliverHeartbeatCopy,
+		sim.renewLeaseAsDelegate,
+		sim.replaceSomeMachine,
 		sim.sendCommandRequest,
-		sim.finishTask,
+		sim.completeSomeTask,
 		sim.stepSomeGang, sim.stepSomeGang,
 		sim.toggleHang,
 		sim.raiseToken,
 		sim.deliverDelayedCommand,
 		sim.processDispatchQueue,
-		sim.place, sim.place,
-		sim.probe,
+		sim.placeSomeJob, sim.placeSomeJob,
+		sim.probeSomeWorker,
 		sim.exchangeSomeHeartbeat, sim.exchangeSomeHeartbeat, sim.exchangeSomeHeartbeat,
 		sim.stopSomeTask,
 		sim.maybeFailOver,
-		sim.passTime,
+		sim.advanceClock,
 		sim.cancelSomeJob,
 	}
 }
--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -113,21 +113,21 @@
 
 // taskCounts sum up the states of a job's tasks.
 type taskCounts struct {
-	unconfirmedCount int
-	doneCount        int
-	durableCount     int            // done, and the completion is durable
-	activeCount      int            // placements, orphans included
-	waitingCount     int            // neither placed nor done
-	placementsByZone map[string]int // orphans included
+	unconfirmedCount     int
+	doneCount            int
+	durableCount         int            // done, and the completion is durable
+	activeCount          int            // placements, orphans included
+	waitingCount         int            // neither placed nor done
+	placementCountByZone map[string]int // orphans included
 }
 
 // unpublishedState is what standbys still have to be told of a job, see Replicator.
 type unpublishedState struct {
 	// unpublishedEnds are ended placements whose completion isn't durable yet.
 	unpublishedEnds []*Placement
-	// isWhollyUnconfirmed tells whether one entry for the whole job was published, instead of one
+	// hasWholeJobEntry tells whether one entry for the whole job was published, instead of one
 	// for each unconfirmed task.
-	isWhollyUnconfirmed bool
+	hasWholeJobEntry bool
 	// unpublishedResolved are tasks that aren't unconfirmed any more, but whose completion isn't
 	// durable yet.
 	unpublishedResolved []int
@@ -165,13 +165,13 @@
 
 // CountInZone returns how many of the job's tasks are, or may be, in a zone.
 func (job *Job) CountInZone(zone string) int {
-	return job.placementsByZone[zone] + job.unconfirmedCount
+	return job.placementCountByZone[zone] + job.unconfirmedCount
 }
 
 // OccupiedZone returns a zone that has a placement of the job, if there is one. Of several zones it
 // may return any; unconfirmed tasks without a placement aren't considered.
 func (job *Job) OccupiedZone() (string, bool) {
-	for zone, placementCount := range job.placementsByZone {
+	for zone, placementCount := range job.placementCountByZone {
 		if placementCount > 0 {
 			return zone, true
 		}
--- a/internal/allocation/job_tracking.go
+++ b/internal/allocation/job_tracking.go
@@ -16,7 +16,7 @@
 		Tasks:      make([]Task, spec.TaskCount),
 		JobTimes:   JobTimes{ReleasedAt: releasedAt, AddedAt: now},
 		jobKind:    jobKind{isGang: spec.Kind == wire.KindGang, isService: spec.Kind == wire.KindService},
-		taskCounts: taskCounts{waitingCount: spec.TaskCount, placementsByZone: map[string]int{}},
+		taskCounts: taskCounts{waitingCount: spec.TaskCount, placementCountByZone: map[string]int{}},
 	}
 	tracker.Jobs[spec.ID] = job
 	mayHaveStarted := tracker.unconfirmedFilter(job, func(i int) bool { return tracker.cfg.MayHaveStarted(wire.TaskID(spec.ID, i)) })
@@ -107,8 +107,8 @@
 	tracker.clearUnconfirmed(job, taskIndex)
 }
 
-// MarkDurable records that the completions of tasks are in the key-value store.
-func (tracker *Tracker) MarkDurable(job *Job, taskIndices []int) {
+// MarkCompletionsDurable records that the completions of tasks are in the key-value store.
+func (tracker *Tracker) MarkCompletionsDurable(job *Job, taskIndices []int) {
 	for _, i := range taskIndices {
 		if task := &job.Tasks[i]; task.State == TaskDone && !task.CompletionDurable {
 			task.CompletionDurable = true
--- a/internal/allocation/late_copy_test.go
+++ b/internal/allocation/late_copy_test.go
@@ -24,8 +24,8 @@
 }
 
 // heartbeatListing returns a heartbeat of incarnation 1 that lists tasks as running.
-func heartbeatListing(machineName string, seq, token, attempt uint64, tasks ...int) *wire.Heartbeat {
-	heartbeat := &wire.Heartbeat{MachineID: machineName, Incarnation: 1, Sequence: seq, FencingToken: token}
+func heartbeatListing(machineName string, sequence, token, attempt uint64, tasks ...int) *wire.Heartbeat {
+	heartbeat := &wire.Heartbeat{MachineID: machineName, Incarnation: 1, Sequence: sequence, FencingToken: token}
 	for _, i := range tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID("req-000001", i), Attempt: attempt, State: wire.TaskRunning})
 	}
@@ -65,20 +65,20 @@
 
 // A late copy and the current heartbeat may arrive in either order, of arrays and of gangs: the later
 // attempt is where the task is, and it goes on.
-func TestLaterAttemptWins(t *testing.T) {
+func TestLaterAttemptReplacesEarlier(t *testing.T) {
 	for _, kind := range []string{wire.KindArray, wire.KindGang} {
 		for _, copyFirst := range []bool{true, false} {
 			tracker, machines, job := newSuccessorTracker(kind)
 			now := clock.Second
-			both := []func(){
+			deliveries := []func(){
 				func() { tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 5, 4, 40, 0, 1), now) },
 				func() { tracker.RecordHeartbeat(machines[1], heartbeatListing("i-1", 7, 4, 41, 0, 1), now) },
 			}
 			if !copyFirst {
-				both[0], both[1] = both[1], both[0]
+				deliveries[0], deliveries[1] = deliveries[1], deliveries[0]
 			}
-			both[0]()
-			both[1]()
+			deliveries[0]()
+			deliveries[1]()
 			for i := range job.Tasks {
 				if placement := job.Tasks[i].Placement; placement == nil || placement.Machine != machines[1] || placement.IsStopping() {
 					t.Fatalf("%s, copy first %v: task %d has the placement %+v", kind, copyFirst, i, placement)
@@ -97,49 +97,49 @@
 // Tasks have moved between machines under an earlier leader. Its successor gets late copies of
 // heartbeats, then current ones, in any order. It starts no task that runs, and knows where each task
 // is once all machines have sent a heartbeat under its token.
-func TestFailoverWithLateCopies(t *testing.T) {
-	refused := 0
+func TestFailoverWithLateCopiesStartsNoTaskTwice(t *testing.T) {
+	refusedCount := 0
 	for seed := uint64(1); seed <= 3000; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 6))
 		kind := []string{wire.KindArray, wire.KindGang}[seed%2]
 		tracker, machines, job := newSuccessorTracker(kind)
 		// past holds the heartbeats of all machines at each of several times.
-		var past [][]*wire.Heartbeat
-		machineOf := make([]int, len(job.Tasks)) // where each task is, -1: nowhere
+		var heartbeatsByStep [][]*wire.Heartbeat
+		machineIndexByTask := make([]int, len(job.Tasks)) // where each task is, -1: nowhere
 		attempts := make([]uint64, len(job.Tasks))
 		for step := uint64(1); step <= 5; step++ {
-			for i := range machineOf {
+			for i := range machineIndexByTask {
 				if kind == wire.KindGang || step == 1 || rng.IntN(2) == 0 {
-					machineOf[i], attempts[i] = rng.IntN(len(machines)+1)-1, 40+step
+					machineIndexByTask[i], attempts[i] = rng.IntN(len(machines)+1)-1, 40+step
 				}
-				if kind == wire.KindGang && i > 0 && machineOf[0] < 0 {
-					machineOf[i] = -1 // whole or not at all
-				} else if kind == wire.KindGang && i > 0 && machineOf[i] < 0 {
-					machineOf[i] = machineOf[0]
+				if kind == wire.KindGang && i > 0 && machineIndexByTask[0] < 0 {
+					machineIndexByTask[i] = -1 // whole or not at all
+				} else if kind == wire.KindGang && i > 0 && machineIndexByTask[i] < 0 {
+					machineIndexByTask[i] = machineIndexByTask[0]
 				}
 			}
 			var heartbeats []*wire.Heartbeat
 			for machineIndex, machine := range machines {
 				heartbeat := &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: step, FencingToken: 4}
-				for i := range machineOf {
-					if machineOf[i] == machineIndex {
+				for i := range machineIndexByTask {
+					if machineIndexByTask[i] == machineIndex {
 						heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(job.Spec.ID, i), Attempt: attempts[i], State: wire.TaskRunning})
 					}
 				}
 				heartbeats = append(heartbeats, heartbeat)
 			}
-			past = append(past, heartbeats)
+			heartbeatsByStep = append(heartbeatsByStep, heartbeats)
 		}
-		last := past[len(past)-1]
+		currentHeartbeats := heartbeatsByStep[len(heartbeatsByStep)-1]
 		now := clock.Second
 		hasConfirmedToken := make([]bool, len(machines))
 		for round := 0; round < 40 || !tracker.IsReconciled(); round++ {
 			now += clock.Second / 10
 			machineIndex := rng.IntN(len(machines))
-			heartbeat := *last[machineIndex]
+			heartbeat := *currentHeartbeats[machineIndex]
 			switch rng.IntN(4) {
 			case 0:
-				if old := past[rng.IntN(len(past))][machineIndex]; !hasConfirmedToken[machineIndex] {
+				if old := heartbeatsByStep[rng.IntN(len(heartbeatsByStep))][machineIndex]; !hasConfirmedToken[machineIndex] {
 					tracker.RecordHeartbeat(machines[machineIndex], old, now)
 				}
 			case 1:
@@ -152,31 +152,31 @@
 					tracker.RecordHeartbeat(machines[machineIndex], &heartbeat, now)
 				}
 			default:
-				i := rng.IntN(len(machineOf))
-				if machineOf[i] < 0 {
+				i := rng.IntN(len(machineIndexByTask))
+				if machineIndexByTask[i] < 0 {
 					continue
 				}
 				if tracker.PlaceTask(job, i, machines[machineIndex], tracker.NextAttempt(), now) == nil {
-					t.Fatalf("history %d: task %d is started on %d while on %d", seed, i, machineIndex, machineOf[i])
+					t.Fatalf("history %d: task %d is started on %d while on %d", seed, i, machineIndex, machineIndexByTask[i])
 				}
-				refused++
+				refusedCount++
 			}
 		}
-		for i := range machineOf {
+		for i := range machineIndexByTask {
 			placement := job.Tasks[i].Placement
 			switch {
-			case job.Tasks[i].Unconfirmed || (placement != nil) != (machineOf[i] >= 0):
-				t.Fatalf("history %d: task %d on %d: unconfirmed %v, placement %+v", seed, i, machineOf[i], job.Tasks[i].Unconfirmed, placement)
-			case placement != nil && (placement.Machine != machines[machineOf[i]] || placement.Attempt != attempts[i] || placement.IsStopping()):
+			case job.Tasks[i].Unconfirmed || (placement != nil) != (machineIndexByTask[i] >= 0):
+				t.Fatalf("history %d: task %d on %d: unconfirmed %v, placement %+v", seed, i, machineIndexByTask[i], job.Tasks[i].Unconfirmed, placement)
+			case placement != nil && (placement.Machine != machines[machineIndexByTask[i]] || placement.Attempt != attempts[i] || placement.IsStopping()):
 				t.Fatalf("history %d, %s: task %d on %d as attempt %d is placed on %s as attempt %d, stopping %v",
-					seed, kind, i, machineOf[i], attempts[i], placement.Machine.Name, placement.Attempt, placement.IsStopping())
+					seed, kind, i, machineIndexByTask[i], attempts[i], placement.Machine.Name, placement.Attempt, placement.IsStopping())
 			}
 		}
 		if job.GangAborting || job.UnconfirmedCount() != 0 {
 			t.Fatalf("history %d: aborting %v, %d unconfirmed", seed, job.GangAborting, job.UnconfirmedCount())
 		}
 	}
-	if refused < 1000 {
-		t.Fatalf("only %d starts were tried", refused)
+	if refusedCount < 1000 {
+		t.Fatalf("only %d starts were tried", refusedCount)
 	}
 }
--- a/internal/allocation/lease.go
+++ b/internal/allocation/lease.go
@@ -11,8 +11,8 @@
 
 // CapLeaseRenewal records an earlier leader's renewal constraint: it answered no heartbeat of the
 // machine after the instant. The cap holds until this leader answers one.
-func (tracker *Tracker) CapLeaseRenewal(machine *Machine, at clock.Micros) {
-	machine.leaseRenewedAt = min(machine.leaseRenewedAt, at)
+func (tracker *Tracker) CapLeaseRenewal(machine *Machine, latestRenewalAt clock.Micros) {
+	machine.leaseRenewedAt = min(machine.leaseRenewedAt, latestRenewalAt)
 }
 
 // LastRenewalAt returns the last instant at which a leader may have renewed the machine's lease.
@@ -43,7 +43,7 @@
 	// A heartbeat of the incarnation that is over may still arrive late.
 	machine.minIncarnation = machine.Incarnation + 1
 	for _, placement := range machine.placements {
-		tracker.endWithLease(placement, now)
+		tracker.endAfterLeaseExpiry(placement, now)
 	}
 	clear(machine.lateStarts)
 	clear(machine.startTokens)
@@ -51,9 +51,9 @@
 	return true
 }
 
-// endWithLease ends a placement whose machine's lease has ended: the worker has killed the task and
+// endAfterLeaseExpiry ends a placement whose machine's lease has ended: the worker has killed the task and
 // refuses commands for the incarnation, so no start of it can have an effect any more.
-func (tracker *Tracker) endWithLease(placement *Placement, now clock.Micros) {
+func (tracker *Tracker) endAfterLeaseExpiry(placement *Placement, now clock.Micros) {
 	placement.mayArriveLate, placement.startsInFlight = false, 0
 	tracker.endPlacement(placement, CauseVanished, now)
 }
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -177,7 +177,7 @@
 	request := job.Request.Times(sign)
 	machine.used = machine.used.Add(request)
 	addUsage(tracker.placedUsage, job.Spec.Team, request)
-	job.placementsByZone[machine.Zone] += sign
+	job.placementCountByZone[machine.Zone] += sign
 	job.activeCount += sign
 	if job.IsService() {
 		machine.replicaCount += sign
@@ -267,7 +267,7 @@
 	job.CheckpointedSeconds = max(job.CheckpointedSeconds, task.CheckpointedSeconds)
 }
 
-// finishTask removes an ended placement from its task, which is done or waits again. A gang whose
+// completeSomeTask removes an ended placement from its task, which is done or waits again. A gang whose
 // attempt can't go on without the task is aborted.
 func (tracker *Tracker) finishTask(placement *Placement, cause string) {
 	job := placement.Job
--- a/internal/allocation/replication.go
+++ b/internal/allocation/replication.go
@@ -42,7 +42,7 @@
 		return
 	}
 	if job.unconfirmedCount > maxUnconfirmedTasksPublished && job.unconfirmedCount == len(job.Tasks)-job.doneCount {
-		job.isWhollyUnconfirmed = true
+		job.hasWholeJobEntry = true
 		tracker.cfg.Replicator.RecordUnconfirmed(job.Spec.ID)
 		return
 	}
@@ -67,7 +67,7 @@
 	}
 	task := &job.Tasks[taskIndex]
 	switch {
-	case job.isWhollyUnconfirmed:
+	case job.hasWholeJobEntry:
 		tracker.narrowUnconfirmed(job, publishDurable)
 	case task.State == TaskDone && !task.CompletionDurable:
 		job.unpublishedResolved = append(job.unpublishedResolved, taskIndex)
@@ -80,10 +80,10 @@
 // are few and all completions are durable. When the job is over, no task is left.
 func (tracker *Tracker) narrowUnconfirmed(job *Job, scope publishScope) {
 	isNarrow := job.unconfirmedCount <= maxUnconfirmedTasksPublished && job.durableCount == job.doneCount
-	if !job.isWhollyUnconfirmed || scope == publishDurable && !isNarrow {
+	if !job.hasWholeJobEntry || scope == publishDurable && !isNarrow {
 		return
 	}
-	job.isWhollyUnconfirmed = false
+	job.hasWholeJobEntry = false
 	tracker.publishEachUnconfirmed(job)
 	tracker.cfg.Replicator.RecordResolved(job.Spec.ID)
 }
--- a/internal/allocation/replication_test.go
+++ b/internal/allocation/replication_test.go
@@ -91,7 +91,7 @@
 	if job.DoneCount() != 1 || len(replicator.active) != 1 {
 		t.Fatalf("%d done, published as active: %v", job.DoneCount(), replicator.active)
 	}
-	tracker.MarkDurable(job, []int{0})
+	tracker.MarkCompletionsDurable(job, []int{0})
 	if len(replicator.active) != 0 {
 		t.Fatalf("still published as active: %v", replicator.active)
 	}
@@ -150,7 +150,7 @@
 			t.Fatalf("%s: %d done, %d unconfirmed", name, job.DoneCount(), job.UnconfirmedCount())
 		}
 		replicator.covered = ""
-		tracker.MarkDurable(job, []int{0})
+		tracker.MarkCompletionsDurable(job, []int{0})
 		if len(replicator.active) != 0 {
 			t.Errorf("%s: still published %v", name, replicator.active)
 		}
@@ -179,7 +179,7 @@
 	}
 	replicator.covered = wire.TaskID("req-000001", tasks-1)
 	tracker.recordCompletion(job, 3)
-	tracker.MarkDurable(job, []int{3})
+	tracker.MarkCompletionsDurable(job, []int{3})
 	if job.UnconfirmedCount() != maxUnconfirmedTasksPublished || slices.Contains(replicator.active, "req-000001") || len(replicator.active) != maxUnconfirmedTasksPublished+3 {
 		t.Errorf("%d unconfirmed, published %v", job.UnconfirmedCount(), replicator.active)
 	}
--- a/internal/allocation/simulation_test.go
+++ b/internal/allocation/simulation_test.go
@@ -289,7 +289,7 @@
 		for _, i := range unpersisted {
 			sim.doneTasks[id][i] = true
 		}
-		sim.tracker.MarkDurable(job, unpersisted)
+		sim.tracker.MarkCompletionsDurable(job, unpersisted)
 	}
 	sim.tracker.Exited, sim.tracker.Started = nil, nil
 }
--- a/internal/allocation/start_check_test.go
+++ b/internal/allocation/start_check_test.go
@@ -32,8 +32,8 @@
 		{name: "starts of the job are not recorded", change: func(f fixture) { f.job.StartsRecorded = false }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for _, channel := range []commandChannel{heartbeatReply, commandRequest} {
-				channelName := map[commandChannel]string{heartbeatReply: "heartbeat reply", commandRequest: "command request"}[channel]
+			for _, channel := range []commandChannel{channelHeartbeatReply, channelCommandRequest} {
+				channelName := map[commandChannel]string{channelHeartbeatReply: "heartbeat reply", channelCommandRequest: "command request"}[channel]
 				tracker := New(Config{FencingToken: 7, LeaseTTL: testLeaseTTL, CancelFenceWindow: 20 * clock.Second, Quotas: map[string]TeamQuota{"limited": {MaxMilliCPU: 1000}}})
 				tracker.FinishRecovery()
 				spec := c.spec
@@ -48,7 +48,7 @@
 				}
 				c.change(f)
 				var commands []wire.Command
-				if channel == heartbeatReply {
+				if channel == channelHeartbeatReply {
 					commands = tracker.HeartbeatCommands(f.machine, 4)
 				} else if request, _ := tracker.BuildCommandRequest(f.machine, 4); request != nil {
 					commands = request.Commands
--- a/internal/allocation/task_report.go
+++ b/internal/allocation/task_report.go
@@ -19,7 +19,7 @@
 		isRunning := taskReport.State != wire.TaskExited
 		machine.exitedAttempts = append(machine.exitedAttempts, exitedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, isRunning: isRunning})
 		if isRunning {
-			tracker.ListedUnknown = append(tracker.ListedUnknown, taskReport.TaskID)
+			tracker.TasksOfUnknownJobs = append(tracker.TasksOfUnknownJobs, taskReport.TaskID)
 		}
 		return false
 	}
@@ -100,7 +100,7 @@
 // recordSeen records that the current heartbeat lists the placement, and returns whether it is the
 // first time that it does.
 func (tracker *Tracker) recordSeen(placement *Placement) bool {
-	tracker.noteIfCancelled(placement)
+	tracker.recordListedIfCancelled(placement)
 	first := placement.lastSeenHeartbeat != tracker.heartbeatCount
 	placement.lastSeenHeartbeat = tracker.heartbeatCount
 	return first
--- a/internal/allocation/tracker_test.go
+++ b/internal/allocation/tracker_test.go
@@ -92,7 +92,7 @@
 	if commands = tracker.HeartbeatCommands(machine, 4+30*clock.Second); len(commands) != 0 {
 		t.Fatalf("fenced too long after the cancellation: %v", commands)
 	}
-	if !tracker.IsCordoned(machine, 4+30*clock.Second) {
+	if !tracker.HasUnfenceableStart(machine, 4+30*clock.Second) {
 		t.Fatal("the machine is not cordoned")
 	}
 }
--- a/internal/health/verdict.go
+++ b/internal/health/verdict.go
@@ -85,7 +85,7 @@
 		// whole zone is silent, a network partition is more likely, and its machines come
 		// back. Zone was added after a leader that was cut off had deleted half of its fleet.
 		return Suspected
-	case machine.Draining && machine.IsIdle(), term.Tracker.IsCordoned(machine, now):
+	case machine.Draining && machine.IsIdle(), term.Tracker.HasUnfenceableStart(machine, now):
 		return Drained
 	case machine.ReclaimAt != 0 && machine.IsIdle():
 		return ReclaimedIdle
--- a/internal/leader/cancelled_task_log.go
+++ b/internal/leader/cancelled_task_log.go
@@ -21,19 +21,19 @@
 // logListedCancelled logs the tasks of cancelled and unknown jobs that a worker's message lists. Those
 // of cancelled jobs are logged once in a term, and all lines are bounded.
 func (term *Term) logListedCancelled(machine *allocation.Machine, heartbeat *wire.Heartbeat, isReply bool, now clock.Micros) {
-	for _, placement := range term.tracker.ListedCancelled {
+	for _, placement := range term.tracker.NewlyListedCancelled {
 		since := now - placement.Job.CancelledAt
 		channel := term.stopChannel(machine, placement, isReply, now)
 		term.logListed(heartbeat, "worker lists a cancelled task", now, "task", placement.TaskID(), "cancelled_s", since.Seconds(), "stop_channel", channel)
 	}
-	for _, task := range term.tracker.ListedUnknown {
+	for _, task := range term.tracker.TasksOfUnknownJobs {
 		channel := stopNeedsReply
 		if isReply {
 			channel = stopInReply
 		}
 		term.logListed(heartbeat, "worker lists a task of an unknown job", now, "task", task, "stop_channel", channel)
 	}
-	term.tracker.ListedCancelled, term.tracker.ListedUnknown = nil, nil
+	term.tracker.NewlyListedCancelled, term.tracker.TasksOfUnknownJobs = nil, nil
 }
 
 // logListed logs a line about a task that a heartbeat lists, unless there were too many.
--- a/internal/leader/cancelled_task_log_test.go
+++ b/internal/leader/cancelled_task_log_test.go
@@ -57,13 +57,13 @@
 	heartbeat := &wire.Heartbeat{MachineID: "i-1"}
 	now := clock.Now()
 	for i := range 1000 {
-		term.tracker.ListedUnknown = append(term.tracker.ListedUnknown, wire.TaskID("req-000002", i))
+		term.tracker.TasksOfUnknownJobs = append(term.tracker.TasksOfUnknownJobs, wire.TaskID("req-000002", i))
 	}
 	term.logListedCancelled(term.tracker.Machines["i-1"], heartbeat, true, now)
 	if got := strings.Count(lines.String(), "\n"); got != logLimitLines {
 		t.Fatalf("%d lines", got)
 	}
-	term.tracker.ListedUnknown = []string{"req-000002/0"}
+	term.tracker.TasksOfUnknownJobs = []string{"req-000002/0"}
 	term.logListedCancelled(term.tracker.Machines["i-1"], heartbeat, true, now+logLimitWindow)
 	if want := fmt.Sprintf("suppressed=%d", 1000-logLimitLines); !strings.Contains(lines.String(), want) {
 		t.Fatalf("no %s in:\n%s", want, lines)
--- a/internal/leader/job_end_writer.go
+++ b/internal/leader/job_end_writer.go
@@ -60,7 +60,7 @@
 func (writer *jobEndWriter) recordCommit(id string, end *storeview.Job, revision uint64, job *allocation.Job, jobInfo *jobState) {
 	term := writer.term
 	jobInfo.isEndDurable = true
-	term.tracker.MarkDurable(job, job.UnpersistedCompletions())
+	term.tracker.MarkCompletionsDurable(job, job.UnpersistedCompletions())
 	if current := term.environment.View.Jobs[id]; current == nil || current.Version < revision {
 		// Dependent jobs need not wait for the watch.
 		end.Version = revision
@@ -76,7 +76,7 @@
 	jobInfo.isWriting = false
 	if current := term.environment.View.Jobs[id]; current != nil && current.State == wire.JobDone {
 		jobInfo.isEndDurable = true
-		term.tracker.MarkDurable(job, job.UnpersistedCompletions())
+		term.tracker.MarkCompletionsDurable(job, job.UnpersistedCompletions())
 	}
 	term.requestPlan()
 }
--- a/internal/leader/progress_writer.go
+++ b/internal/leader/progress_writer.go
@@ -89,7 +89,7 @@
 			for key := range keys {
 				jobInfo.setKeyVersion(key, revision)
 			}
-			term.tracker.MarkDurable(job, tasks)
+			term.tracker.MarkCompletionsDurable(job, tasks)
 			jobInfo.isWriting = false
 		},
 		conflict:    verify,
--- a/internal/leader/reconciliation_times.go
+++ b/internal/leader/reconciliation_times.go
@@ -24,7 +24,7 @@
 	if times.isLogged || times.machines == 0 {
 		return
 	}
-	reconciled := times.machines - term.tracker.UnreconciledCount()
+	reconciled := times.machines - term.tracker.UnreconciledMachineCount()
 	for i, percent := range reconciledPercents {
 		if times.reached[i] == 0 && reconciled*100 >= times.machines*percent {
 			times.reached[i] = now - term.liveness.startedAt
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -153,7 +153,7 @@
 	fixture.tracker.Exited, fixture.tracker.Started = nil, nil
 	for _, job := range fixture.tracker.Jobs {
 		if job.IsComplete() {
-			fixture.tracker.MarkDurable(job, job.UnpersistedCompletions())
+			fixture.tracker.MarkCompletionsDurable(job, job.UnpersistedCompletions())
 			fixture.tracker.RemoveJob(job)
 		}
 	}
