--- a/internal/allocation/cancelled_tasks.go
+++ b/internal/allocation/cancelled_tasks.go
@@ -41,9 +41,9 @@
 	return count, earliest
 }
 
-// UnconfirmedMachineCount returns how many machines' workers have not shown this leader's token. Machines
+// UnconfirmedMachines returns how many machines' workers have not shown this leader's token. Machines
 // of this leader that have yet to send their first heartbeat aren't among them.
-func (tracker *Tracker) UnconfirmedMachineCount() int {
+func (tracker *Tracker) UnconfirmedMachines() int {
 	count := 0
 	for _, machine := range tracker.SortedMachines() {
 		isBooting := machine.FirstHeartbeatAt == 0 && machine.Reconciled
--- a/internal/allocation/fake_worker_test.go
+++ b/internal/allocation/fake_worker_test.go
@@ -38,14 +38,14 @@
 }
 
 // gangTasks lists the tasks of a gang that are on machines.
-func (sim *simulation) gangTasks(jobID string) (tasks []*fakeTask) {
+func (sim *simulation) gangTasks(jobID string) (found []*fakeTask) {
 	for n := range sim.specs[jobID].TaskCount {
 		id := wire.TaskID(jobID, n)
 		if worker := sim.workerRunning(id); worker != nil {
-			tasks = append(tasks, worker.tasks[id])
+			found = append(found, worker.tasks[id])
 		}
 	}
-	return tasks
+	return found
 }
 
 // stepGang has a gang's tasks do what workers do (PROTOCOL, gangs): start together, notice that one is
--- a/internal/allocation/gang_stop_test.go
+++ b/internal/allocation/gang_stop_test.go
@@ -24,8 +24,8 @@
 	job := tracker.AddJob(&wire.Job{ID: "req-000001", Kind: wire.KindGang, Priority: wire.PriorityNormal, TaskCount: 2, CPUs: 1, Team: "a",
 		SingleZone: true, CheckpointIntervalSeconds: 20, CheckpointSaveSeconds: 5}, 0, 1, true, nil)
 	attempt := tracker.NextAttempt()
-	reportRunning := func(machine *Machine, taskIndex int, sequence uint64, at clock.Micros) {
-		tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, sequence, 7, wire.TaskStatus{TaskID: wire.TaskID("req-000001", taskIndex), Attempt: attempt, State: wire.TaskRunning}), at)
+	reportRunning := func(machine *Machine, i int, sequence uint64, at clock.Micros) {
+		tracker.RecordHeartbeat(machine, newHeartbeat(machine, 1, sequence, 7, wire.TaskStatus{TaskID: wire.TaskID("req-000001", i), Attempt: attempt, State: wire.TaskRunning}), at)
 	}
 	start := clock.Second
 	for i := range 2 {
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -267,7 +267,7 @@
 	job.CheckpointedSeconds = max(job.CheckpointedSeconds, task.CheckpointedSeconds)
 }
 
-// completeSomeTask removes an ended placement from its task, which is done or waits again. A gang whose
+// finishTask removes an ended placement from its task, which is done or waits again. A gang whose
 // attempt can't go on without the task is aborted.
 func (tracker *Tracker) finishTask(placement *Placement, cause string) {
 	job := placement.Job
--- a/internal/leader/metrics.go
+++ b/internal/leader/metrics.go
@@ -9,7 +9,7 @@
 // they are of cancelled jobs and listed.
 func (term *Term) MetricsStatus(now clock.Micros) metrics.LeaderStatus {
 	count, earliest := term.tracker.ListedCancelledTasks()
-	status := metrics.LeaderStatus{Machines: len(term.tracker.Machines), UnconfirmedMachines: term.tracker.UnconfirmedMachineCount(), ListedCancelledTasks: count}
+	status := metrics.LeaderStatus{Machines: len(term.tracker.Machines), UnconfirmedMachines: term.tracker.UnconfirmedMachines(), ListedCancelledTasks: count}
 	if count > 0 {
 		status.OldestCancellation = max(now-earliest, 0)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -40,7 +40,7 @@
 // LeaderStatus is the part of a Status that only a leader has.
 type LeaderStatus struct {
 	Machines int
-	// UnconfirmedMachineCount are those whose worker has not shown the leader's token: they may only be
+	// UnconfirmedMachines are those whose worker has not shown the leader's token: they may only be
 	// told to stop tasks.
 	UnconfirmedMachines int
 	// ListedCancelledTasks are tasks of cancelled jobs that workers still list as not exited, and
