--- a/internal/allocation/actions_test.go
+++ b/internal/allocation/actions_test.go
@@ -17,7 +17,7 @@
 	sim.exchangeHeartbeat(sim.pickWorker(), sim.rng.IntN(fateCount))
 }
 
-// place tries to place the tasks of a job.
+// placeSomeJob tries to place the tasks of a job, mostly on different machines for a gang.
 func (sim *simulation) placeSomeJob() {
 	job := sim.tracker.Jobs[sim.pickJobID()]
 	machine := sim.machine(sim.pickWorker())
@@ -31,14 +31,14 @@
 		if !job.IsGang() || attempt == 0 || sim.rng.IntN(20) == 0 {
 			attempt = sim.tracker.NextAttempt()
 		}
-		_ = sim.tracker.PlaceTask(job, i, machine, attempt, sim.now) // many are refused
+		_ = sim.tracker.PlaceTask(job, i, machine, attempt, sim.now) // often returns an error
 		if other := sim.machine(sim.pickWorker()); job.IsGang() && other != nil {
 			machine, attempt = other, max(job.GangAttempt, attempt)
 		}
 	}
 }
 
-// deliverHeartbeatCopy delivers a copy of a heartbeat, perhaps to a later leader.
+// deliverHeartbeatCopy delivers a late copy of a heartbeat, perhaps to a later leader.
 func (sim *simulation) deliverHeartbeatCopy() {
 	if len(sim.heartbeatCopies) == 0 {
 		return
@@ -61,7 +61,7 @@
 	}
 }
 
-// sendCommandRequest sends what is due to a worker: it is lost, delayed or delivered.
+// sendCommandRequest builds the command request due to a worker, which is lost, delayed or delivered.
 func (sim *simulation) sendCommandRequest() {
 	worker := sim.pickWorker()
 	machine := sim.machine(worker)
@@ -79,9 +79,9 @@
 	sim.tracker.ProcessDispatchQueue(func(queued *Machine) bool { return queued != machine })
 	command := delayedCommand{worker, request, sim.tracker, machine, starts}
 	switch sim.rng.IntN(4) {
-	case 0: // never leaves
+	case 0: // the request is not sent
 		sim.tracker.FinishCommandRequest(machine, starts, CommandNotSent, sim.now)
-	case 1: // delayed: the leader gives up waiting, and it may arrive later
+	case 1: // the leader gives up waiting for the response, and the request may arrive later
 		sim.tracker.FinishCommandRequest(machine, starts, CommandOutcomeUnknown, sim.now)
 		command.machine = nil
 		sim.delayed = append(sim.delayed, command)
@@ -91,7 +91,7 @@
 	sim.persistCompletions()
 }
 
-// renewLeaseAsDelegate has another controller renew a worker's lease, for this leader or an earlier one.
+// renewLeaseAsDelegate has another controller renew a worker's lease, for this or an earlier leader.
 func (sim *simulation) renewLeaseAsDelegate() {
 	if sim.rng.IntN(4) == 0 {
 		sim.delegatedUntil = sim.now + 20*clock.Second
@@ -105,7 +105,7 @@
 	}
 }
 
-// probe delivers a worker's heartbeat in the answer to a command request without commands.
+// probeSomeWorker delivers a worker's heartbeat in the response to a request without commands.
 func (sim *simulation) probeSomeWorker() {
 	worker := sim.pickWorker()
 	if machine := sim.machine(worker); machine != nil && !worker.deleted && !worker.hung {
@@ -114,12 +114,13 @@
 	}
 }
 
-// processDispatchQueue drops machines without anything due from the queue; they must come back.
+// processDispatchQueue removes some machines without due commands from the queue. They have to be
+// queued again once a command is due.
 func (sim *simulation) processDispatchQueue() {
 	sim.tracker.ProcessDispatchQueue(func(machine *Machine) bool { return sim.rng.IntN(2) == 0 || hasCommandDue(machine) })
 }
 
-// deliverCommandRequestCopy delivers a copy of a command request that was executed.
+// deliverCommandRequestCopy delivers a copy of a command request that was already executed.
 func (sim *simulation) deliverCommandRequestCopy() {
 	if len(sim.executed) > 0 {
 		i := len(sim.executed) - 1 - sim.rng.IntN(min(len(sim.executed), 8))
@@ -127,7 +128,7 @@
 	}
 }
 
-// raiseToken issues a higher token, or uses one that was issued.
+// raiseToken issues a higher token, or uses the highest issued token.
 func (sim *simulation) raiseToken() {
 	if sim.rng.IntN(4) == 0 {
 		sim.token++
@@ -148,7 +149,7 @@
 	sim.deliverCommand(command)
 }
 
-// completeSomeTask completes a worker's first running task of an array.
+// completeSomeTask completes a worker's first running task that belongs to an array job.
 func (sim *simulation) completeSomeTask() {
 	worker := sim.pickWorker()
 	ids := make([]string, 0, len(worker.tasks))
@@ -165,7 +166,7 @@
 	}
 }
 
-// advanceClock moves the clock on, at times past the end of leases.
+// advanceClock advances the simulated time, sometimes beyond the end of leases.
 func (sim *simulation) advanceClock() {
 	sim.now += clock.Micros(1+sim.rng.IntN(2000)) * clock.Millisecond
 	if sim.rng.IntN(25) == 0 {
@@ -180,13 +181,13 @@
 	sim.persistCompletions()
 }
 
-// toggleHang ends a worker's hang, or at times begins one.
+// toggleHang ends a worker's hang, or sometimes begins one.
 func (sim *simulation) toggleHang() {
 	worker := sim.pickWorker()
 	worker.hung = !worker.hung && sim.rng.IntN(8) == 0
 }
 
-// replaceSomeMachine replaces a worker's machine by a new one.
+// replaceSomeMachine sometimes deletes a worker's machine and adds a new one in its place.
 func (sim *simulation) replaceSomeMachine() {
 	if sim.rng.IntN(20) > 0 {
 		return
@@ -202,11 +203,11 @@
 
 func (sim *simulation) stepSomeGang() { sim.stepGang(sim.pickJobID()) }
 
-// maybeFailOver makes a new leader, at times, and has it decide at once.
+// maybeFailOver sometimes starts a new leader, and has it place tasks at once.
 func (sim *simulation) maybeFailOver() {
 	if sim.rng.IntN(12) == 0 {
 		sim.failOver()
-		// The first heartbeat that a new leader gets may be a late copy, the next a current one.
+		// The first heartbeats that a new leader gets may be late copies, the next ones are current.
 		for range sim.rng.IntN(4) {
 			sim.deliverHeartbeatCopy()
 		}
@@ -217,7 +218,7 @@
 	}
 }
 
-// cancelSomeJob cancels a job, mostly a complete one, and adds another.
+// cancelSomeJob cancels a job, usually only if it is complete, and adds a new job.
 func (sim *simulation) cancelSomeJob() {
 	id := sim.pickJobID()
 	job := sim.tracker.Jobs[id]
--- a/internal/allocation/adoption.go
+++ b/internal/allocation/adoption.go
@@ -5,15 +5,15 @@
 	"firwood.dev/firwood/wire"
 )
 
-// adoptPlacement adds a placement for a task that a worker lists and the tracker didn't expect
-// there: after a failover, or as an orphan that has to be stopped.
+// adoptPlacement adds a placement for a task that a worker lists and that the tracker didn't expect
+// on the machine, either after a failover or as an orphan that has to be stopped.
 //
-// A heartbeat made before the worker saw our token may be a late copy, and the task elsewhere by
-// now. So it leaves the task unconfirmed (invariant 4). Of two places, the one with the later
-// attempt is the right one: attempts only grow, and a new one begins when the last is over.
+// A heartbeat made before the worker saw this leader's token may be a late copy, and the task may
+// have moved since. Such a heartbeat leaves the task unconfirmed (invariant 4): when it cleared the
+// unconfirmed state, a task was started again while it ran on another machine.
 //
-// Added after a late copy cleared the unconfirmed state of a task, which was started again while it
-// ran elsewhere.
+// If two machines list a task, the one with the later attempt is right: attempts only increase, and
+// a new attempt begins only when the previous one is over.
 func (tracker *Tracker) adoptPlacement(machine *Machine, job *Job, taskIndex int, taskReport *wire.TaskStatus, now clock.Micros, tokenConfirmed bool) *Placement {
 	task := &job.Tasks[taskIndex]
 	placement := &Placement{Job: job, TaskIndex: taskIndex, Attempt: taskReport.Attempt, Machine: machine, Adopted: true, taskID: taskReport.TaskID, PlacementTimes: PlacementTimes{CreatedAt: now}}
@@ -27,7 +27,7 @@
 	placement.Orphaned = placement.Orphaned || task.Placement != nil || task.State == TaskDone
 	tracker.addPlacement(placement)
 	if tokenConfirmed {
-		tracker.clearUnconfirmed(job, taskIndex) // after addPlacement has published it, see publishResolved
+		tracker.clearUnconfirmed(job, taskIndex) // after addPlacement has published the placement, see publishResolved
 	}
 	if job.IsGang() && !placement.Orphaned {
 		if hasConflict || job.GangAttempt != 0 && job.GangAttempt != taskReport.Attempt {
@@ -42,8 +42,9 @@
 	return placement
 }
 
-// supersedeGang orphans the placements of a gang's earlier attempt when a later attempt is listed:
-// the earlier ones came from late copies. There is a conflict if one of them is confirmed.
+// supersedeGang orphans the placements of a gang's earlier attempt when a worker lists a later one:
+// the earlier placements came from late copies. It reports a conflict, and orphans nothing, if one of
+// them is confirmed.
 func (tracker *Tracker) supersedeGang(job *Job, attempt uint64) (hasConflict bool) {
 	if job.GangAttempt == 0 || attempt <= job.GangAttempt {
 		return false
@@ -62,7 +63,7 @@
 	return false
 }
 
-// orphanPlacement takes from its task a placement that came from a late copy, and stops it.
+// orphanPlacement detaches from its task a placement that came from a late copy, and stops it.
 func (tracker *Tracker) orphanPlacement(placement *Placement) {
 	tracker.clearPlacement(placement.Job, &placement.Job.Tasks[placement.TaskIndex])
 	placement.Orphaned = true
--- a/internal/allocation/attempt_test.go
+++ b/internal/allocation/attempt_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// Attempts grow within a term however many there are, as long as the token is raised when the
-// tracker asks for it. Without a counter of its own for each token the millionth attempt was lower
-// than the one before.
+// Attempts increase within a term however many there are, as long as the token is raised when the
+// tracker asks for it. If the counter doesn't restart with each token, it wraps, and attempts about
+// one million apart are out of order.
 func TestAttemptsIncreaseBeyondCounterRange(t *testing.T) {
 	tracker := New(Config{FencingToken: 7})
 	raiseCount := 0
 	for last, i := uint64(0), 0; i < 2*maxAttemptsPerToken; i++ {
 		attempt := tracker.NextAttempt()
 		if attempt <= last {
-			t.Fatalf("attempt %d is %d, after %d", i, attempt, last)
+			t.Fatalf("call %d: got attempt %d, want one above %d", i, attempt, last)
 		}
 		last = attempt
 		if tracker.TakeTokenRaiseRequest() {
@@ -21,9 +21,9 @@
 		}
 	}
 	if raiseCount != 4 {
-		t.Errorf("the token was raised %d times, want once in each half of the counter", raiseCount)
+		t.Errorf("the token was raised %d times, want 4: once for each half of the counter's range", raiseCount)
 	}
 	if !tracker.HasIssuedAttempt() {
-		t.Error("no attempt counts as issued")
+		t.Error("HasIssuedAttempt() = false after calls of NextAttempt, want true")
 	}
 }
--- a/internal/allocation/bench_test.go
+++ b/internal/allocation/bench_test.go
@@ -8,7 +8,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// newBusyTracker returns a tracker with a machine of running tasks, and the heartbeat that lists them.
+// newBusyTracker returns a tracker with a machine of running tasks, and a heartbeat that lists them.
 func newBusyTracker(tb testing.TB, taskCount int) (*Tracker, *Machine, *wire.Heartbeat) {
 	tb.Helper()
 	tracker := New(Config{FencingToken: 7, LeaseTTL: testLeaseTTL, CancelFenceWindow: 20 * clock.Second})
@@ -30,25 +30,26 @@
 	return tracker, machine, heartbeat
 }
 
-// A heartbeat in which nothing has changed allocates nothing, however many tasks it lists.
+// Applying and answering a heartbeat in which nothing has changed makes no memory allocations,
+// however many tasks the heartbeat lists.
 func TestUnchangedHeartbeatDoesNotAllocate(t *testing.T) {
 	for _, taskCount := range []int{1, 32, 200} {
 		tracker, machine, heartbeat := newBusyTracker(t, taskCount)
 		if got := testing.AllocsPerRun(50, func() {
 			heartbeat.Sequence++
 			if tracker.RecordHeartbeat(machine, heartbeat, 3) != HeartbeatAccepted || len(tracker.HeartbeatCommands(machine, 3)) != 0 {
-				t.Fatal("not accepted, or answered with commands")
+				t.Fatal("the unchanged heartbeat was not accepted, or was answered with commands")
 			}
 		}); got > 0 {
-			t.Errorf("%d tasks: %v allocations", taskCount, got)
+			t.Errorf("%d tasks: got %v memory allocations for each heartbeat, want 0", taskCount, got)
 		}
 		if tracker.Jobs["req-000001"].StartedCount != taskCount {
-			t.Fatal("tasks were lost")
+			t.Fatal("the job's StartedCount differs from the number of tasks that the heartbeats list")
 		}
 	}
 }
 
-// BenchmarkHeartbeat measures from the bytes of a heartbeat to the bytes of its reply.
+// BenchmarkHeartbeat measures the time from a heartbeat's encoding to the encoding of its reply.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, taskCount := range []int{0, 4, 8, 32} {
 		b.Run(fmt.Sprint(taskCount), func(b *testing.B) {
--- a/internal/allocation/cancelled_tasks.go
+++ b/internal/allocation/cancelled_tasks.go
@@ -2,19 +2,20 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// cancelledTasks are the tasks that workers list as not exited though their job is over.
+// cancelledTasks holds the tasks that workers list as not exited although their job is over.
 type cancelledTasks struct {
-	// listedCancelled are the placements of cancelled jobs among them.
+	// listedCancelled is the set of placements of cancelled jobs that workers list.
 	listedCancelled map[*Placement]struct{}
 	// NewlyListedCancelled collects placements of cancelled jobs that a heartbeat lists for the first
-	// time since the job is cancelled. The caller takes them and sets it to nil.
+	// time since the job was cancelled. The caller takes them and sets it to nil.
 	NewlyListedCancelled []*Placement
-	// TasksOfUnknownJobs collects tasks without a job in the tracker, each time that they are listed. The
-	// caller takes them and sets it to nil.
+	// TasksOfUnknownJobs collects the IDs of listed tasks whose job isn't in the tracker, once for each
+	// time that a heartbeat lists them. The caller takes them and sets it to nil.
 	TasksOfUnknownJobs []string
 }
 
-// recordListedIfCancelled records that a heartbeat lists a placement, if its job is cancelled.
+// recordListedIfCancelled records that a heartbeat lists a placement if the placement's job is
+// cancelled.
 func (tracker *Tracker) recordListedIfCancelled(placement *Placement) {
 	if !placement.Job.Cancelled {
 		return
@@ -29,8 +30,8 @@
 	tracker.NewlyListedCancelled = append(tracker.NewlyListedCancelled, placement)
 }
 
-// ListedCancelledTasks returns how many tasks of cancelled jobs workers still list as not exited, and
-// the instant of the earliest of their cancellations.
+// ListedCancelledTasks returns the number of tasks of cancelled jobs that workers still list as not
+// exited, and the instant of the earliest cancellation among those jobs.
 func (tracker *Tracker) ListedCancelledTasks() (count int, earliest clock.Micros) {
 	for placement := range tracker.listedCancelled {
 		if cancelledAt := placement.Job.CancelledAt; count == 0 || cancelledAt < earliest {
@@ -41,8 +42,8 @@
 	return count, earliest
 }
 
-// UnconfirmedMachines returns how many machines' workers have not shown this leader's token. Machines
-// of this leader that have yet to send their first heartbeat aren't among them.
+// UnconfirmedMachines returns the number of machines whose worker has not shown this leader's token.
+// It leaves out machines that were added by this leader and have not sent their first heartbeat yet.
 func (tracker *Tracker) UnconfirmedMachines() int {
 	count := 0
 	for _, machine := range tracker.SortedMachines() {
@@ -54,5 +55,6 @@
 	return count
 }
 
-// UnreconciledMachineCount returns how many machines may have tasks of an earlier leader unseen.
+// UnreconciledMachineCount returns the number of machines that may run tasks that an earlier leader
+// started and this leader doesn't know of.
 func (tracker *Tracker) UnreconciledMachineCount() int { return tracker.unreconciledCount }
