--- a/internal/allocation/actions_test.go
+++ b/internal/allocation/actions_test.go
@@ -17,7 +17,7 @@
 	sim.exchangeHeartbeat(sim.pickWorker(), sim.rng.IntN(fateCount))
 }
 
-// placeSomeJob tries to place the tasks of a job, mostly on different machines for a gang.
+// placeSomeJob tries to place the tasks of a job.
 func (sim *simulation) placeSomeJob() {
 	job := sim.tracker.Jobs[sim.pickJobID()]
 	machine := sim.machine(sim.pickWorker())
--- a/internal/allocation/attempt_test.go
+++ b/internal/allocation/attempt_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // Attempts increase within a term however many there are, as long as the token is raised when the
-// tracker asks for it. If the counter doesn't restart with each token, it wraps, and attempts about
-// one million apart are out of order.
+// tracker asks for it. Without a counter that restarts with each token, the counter wraps, and about
+// the millionth attempt is lower than the one before it.
 func TestAttemptsIncreaseBeyondCounterRange(t *testing.T) {
 	tracker := New(Config{FencingToken: 7})
 	raiseCount := 0
--- a/internal/allocation/command_request.go
+++ b/internal/allocation/command_request.go
@@ -7,10 +7,12 @@
 	"firwood.dev/firwood/wire"
 )
 
-// BuildCommandRequest builds a request to the worker (POST /commands) of starts that were not sent
-// yet and of stops, and returns it with the placements that it starts. It returns nil if there is
-// nothing to send, if the worker's address is unknown or it hasn't confirmed the token, and if a
-// request to it is in flight: there is one at a time.
+// BuildCommandRequest returns a request to the worker (POST /commands) with the starts that were not
+// sent yet and the stops that are due, and the placements that it starts. A request without commands
+// probes a worker that may be unreachable.
+//
+// It returns nil if there is nothing to send, if the worker's address is unknown, if the worker hasn't
+// confirmed the token, or if another request to the worker is in flight.
 func (tracker *Tracker) BuildCommandRequest(machine *Machine, now clock.Micros) (*wire.CommandRequest, []*Placement) {
 	if machine.hasCommandInFlight || !machine.TokenConfirmed || machine.Address == "" {
 		return nil, nil
@@ -30,14 +32,17 @@
 	if len(commands) == 0 && now >= machine.UnreachableUntil {
 		return nil, nil
 	}
-	// Without commands it probes whether a worker that may be unreachable can be reached again.
+	// The worker may be unreachable: a request without commands probes whether it is reachable again.
 	machine.hasCommandInFlight = true
 	return &wire.CommandRequest{FencingToken: tracker.currentToken, Incarnation: machine.Incarnation, Commands: commands}, starts
 }
 
-// BuildConfirmationRequest builds a request to a worker that has not confirmed the token: its answer
-// does. It has the stops that RenewalStops returns and nothing else. It returns nil if the token is
-// confirmed, if no heartbeat has told the worker's address, and if a request to it is in flight.
+// BuildConfirmationRequest returns a request to a worker that has not confirmed the token; the
+// worker's response confirms it. The request carries the stops that RenewalStops returns and no other
+// commands.
+//
+// It returns nil if the token is confirmed, if no heartbeat has named the worker's address, or if
+// another request to the worker is in flight.
 func (tracker *Tracker) BuildConfirmationRequest(machine *Machine, now clock.Micros) *wire.CommandRequest {
 	if machine.hasCommandInFlight || machine.TokenConfirmed || machine.Address == "" {
 		return nil
@@ -55,13 +60,13 @@
 type CommandResult uint8
 
 const (
-	// CommandNotSent means that the request certainly has not arrived and will not.
+	// CommandNotSent means that the request certainly has not arrived and will not arrive.
 	CommandNotSent CommandResult = iota
 	// CommandExecuted means that the worker has executed the commands.
 	CommandExecuted
-	// CommandRejected means that the worker has refused the whole request.
+	// CommandRejected means that the worker has rejected the whole request.
 	CommandRejected
-	// CommandOutcomeUnknown means that there was no answer; the request may arrive at any time.
+	// CommandOutcomeUnknown means that the request got no response. It may arrive at any time.
 	CommandOutcomeUnknown
 )
 
@@ -80,8 +85,8 @@
 	return fmt.Sprintf("CommandResult(%d)", uint8(result))
 }
 
-// FinishCommandRequest records the outcome of a command request. A heartbeat in the answer has to be
-// given to RecordCommandHeartbeat afterwards.
+// FinishCommandRequest records the outcome of a command request. If the response has a heartbeat, the
+// caller passes that to RecordCommandHeartbeat afterwards.
 func (tracker *Tracker) FinishCommandRequest(machine *Machine, starts []*Placement, result CommandResult, now clock.Micros) {
 	isConfirmation := machine.isConfirmationRequest
 	machine.hasCommandInFlight, machine.isConfirmationRequest = false, false
@@ -90,11 +95,12 @@
 		machine.UnreachableUntil = 0
 	case CommandOutcomeUnknown:
 		if isConfirmation {
-			// It gets no tasks before it confirms the token. Added after machines that lost answers for a
-			// minute as the leader changed were left without tasks for a while after they were back.
+			// The worker gets no tasks before it confirms the token, so the machine need not be marked
+			// unreachable. Marking it left machines that had lost responses for a minute during a
+			// leader change without tasks for a while after they were reachable again.
 			break
 		}
-		// If nothing at all reaches the worker, its lease and its incarnation end by then.
+		// If no message reaches the worker, its lease and its incarnation have ended by this time.
 		machine.UnreachableUntil = now + tracker.cfg.LeaseTTL
 	}
 	tracker.queueDispatch(machine)
@@ -103,19 +109,19 @@
 	}
 	if result != CommandExecuted {
 		for _, placement := range machine.placements {
-			placement.stopSentAt = 0 // stops may be lost too, so they are sent again
+			placement.stopSentAt = 0 // the stops may be lost too, so they have to be sent again
 		}
 	}
 }
 
-// recordStartOutcome records what the outcome of a command request means for a start in it.
+// recordStartOutcome records what the outcome of a command request means for one of its starts.
 func recordStartOutcome(machine *Machine, placement *Placement, result CommandResult) {
 	if result == CommandNotSent && !placement.mayArriveLate {
 		delete(machine.startTokens, placement.key())
 	}
 	if machine.placements[placement.taskID] != placement {
-		// The placement has ended meanwhile, for example by an exit in a heartbeat. While the
-		// request was in flight, lateStarts kept the attempt from being reaped.
+		// The placement has ended meanwhile, for example by an exit in a heartbeat. Its entry in
+		// lateStarts kept the attempt from being reaped while the request was in flight.
 		if result != CommandOutcomeUnknown && !placement.mayArriveLate {
 			delete(machine.lateStarts, placement.key())
 		}
@@ -126,14 +132,14 @@
 	case CommandOutcomeUnknown:
 		placement.mayArriveLate = true
 	case CommandNotSent, CommandRejected:
-		// This start has no effect. Unless a heartbeat's reply (sentInSequence) or an earlier request
-		// (mayArriveLate) has carried another, the task isn't on the machine.
+		// This start has no effect. The task isn't on the machine, unless another start of it was sent
+		// in a heartbeat's reply (sentInSequence) or in an earlier request (mayArriveLate).
 		if placement.Phase == PhaseSent && placement.sentInSequence == 0 && !placement.mayArriveLate {
 			placement.Phase = PhaseAssigned
 		}
 	case CommandExecuted:
-		// The heartbeat in the answer lists the task. The start is done with: if a later heartbeat of
-		// the worker's own lacks it, handleMissingPlacement takes it for lost.
+		// The heartbeat in the response lists the task, and this start can't arrive again later. If a
+		// later heartbeat that the worker sends lacks the task, handleMissingPlacement treats it as lost.
 		if placement.Phase == PhaseSent {
 			placement.sentInSequence = machine.HeartbeatSequence
 		}
--- a/internal/allocation/commands.go
+++ b/internal/allocation/commands.go
@@ -5,8 +5,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// HeartbeatCommands returns the commands for the reply to the machine's newest heartbeat. Before the
-// worker has confirmed the token, a heartbeat may be a late copy, so nothing is started or reaped.
+// HeartbeatCommands returns the commands for the reply to the machine's latest heartbeat. Until the
+// worker has confirmed the token, its heartbeats may be late copies, so nothing is started or reaped.
 func (tracker *Tracker) HeartbeatCommands(machine *Machine, now clock.Micros) []wire.Command {
 	if !machine.TokenConfirmed {
 		return tracker.RenewalStops(machine)
@@ -20,8 +20,9 @@
 	return commands
 }
 
-// exitCleanupCommands makes the worker forget (reap) exits, and stop tasks without a job. An exit
-// that must not be reaped yet stays listed in its heartbeats.
+// exitCleanupCommands returns the commands that make the worker forget (reap) exited attempts, and
+// stop tasks whose job isn't in the tracker. The worker keeps listing an exited attempt that must not
+// be reaped yet.
 func (tracker *Tracker) exitCleanupCommands(machine *Machine) []wire.Command {
 	var commands []wire.Command
 	for i := range machine.exitedAttempts {
@@ -31,7 +32,7 @@
 			commands = append(commands, stopCommand(exited.taskID, exited.attempt, 0))
 		case exited.hasPendingResult(): // invariant 5
 		case machine.lateStarts[exited.key()]: // invariant 2
-		case machine.startTokens[exited.key()] != 0: // invariant 2, a copy of the start may arrive
+		case machine.startTokens[exited.key()] != 0: // invariant 2: a copy of the start may arrive
 			tracker.needsHigherToken = true
 		case machine.hasPlacement(exited.key()):
 		default:
@@ -50,22 +51,22 @@
 	return wire.Command{Action: wire.ActionStop, TaskID: taskID, Attempt: attempt, GracePeriodSeconds: &seconds}
 }
 
-// SetStartsPaused stops or resumes the sending of starts. They are paused while there may be
-// cancellations that the leader doesn't know of; stops still go out.
+// SetStartsPaused pauses or resumes the sending of starts. The leader pauses them while there may be
+// cancellations that it doesn't know of; stops are still sent.
 func (tracker *Tracker) SetStartsPaused(paused bool) { tracker.startsPaused = paused }
 
-// commandChannel is the way that commands go to a worker.
+// commandChannel is the kind of message that carries commands to a worker.
 type commandChannel uint8
 
 const (
-	// channelHeartbeatReply: in the reply to the worker's heartbeat.
+	// channelHeartbeatReply is the reply to a heartbeat that the worker has sent.
 	channelHeartbeatReply commandChannel = iota
-	// channelCommandRequest: in a request that the leader makes to the worker.
+	// channelCommandRequest is a request that the leader sends to the worker.
 	channelCommandRequest
 )
 
-// appendCommands appends the commands that a placement needs. It also ends a placement in
-// PhaseAssigned whose start isn't allowed any more.
+// appendCommands appends the commands that a placement needs. It ends a placement in PhaseAssigned
+// whose start isn't allowed any more.
 func (tracker *Tracker) appendCommands(commands []wire.Command, placement *Placement, now clock.Micros, channel commandChannel) []wire.Command {
 	switch {
 	case placement.Phase == PhaseReported && placement.isStopping:
@@ -80,15 +81,16 @@
 		tracker.endPlacement(placement, wire.ExitStopped, now)
 		return commands
 	case placement.Phase == PhaseAssigned, placement.mayStartArrive() && channel == channelHeartbeatReply:
-		// A start whose command request has no answer is sent again in the reply: the worker ignores
-		// the second copy of an attempt.
+		// A start whose command request got no response is sent again in the reply: the worker ignores
+		// a second start of an attempt that it lists.
 		return tracker.appendStart(commands, placement, channel)
 	}
 	return commands
 }
 
-// appendStop appends the stop of a task that the worker has reported. A task that saves its
-// progress is left to it, unless it has no time left; a command request repeats no stop.
+// appendStop appends the stop of a task that the worker has reported. It appends none while the task
+// saves its progress, unless the stop's grace is 0, and a command request doesn't repeat a stop that
+// counts as sent.
 func appendStop(commands []wire.Command, placement *Placement, now clock.Micros, channel commandChannel) []wire.Command {
 	isRepeated := channel == channelCommandRequest && placement.stopSentAt != 0
 	if !placement.NeedsStop() || isRepeated {
@@ -98,8 +100,8 @@
 	return append(commands, stopCommand(placement.taskID, placement.Attempt, placement.stopGrace))
 }
 
-// appendStartFence meets a start that may still arrive by a start and a stop in one message: the
-// worker then lists the attempt as exited, and the late start has no effect.
+// appendStartFence fences a start that may still arrive by sending a start and a stop in one message:
+// the worker then lists the attempt as exited, and the late start has no effect.
 func (tracker *Tracker) appendStartFence(commands []wire.Command, placement *Placement, now clock.Micros) []wire.Command {
 	if tracker.startsPaused || tracker.isPastFenceWindow(placement.Job, now) {
 		return commands
@@ -107,13 +109,13 @@
 	return append(commands, startCommand(placement), stopCommand(placement.taskID, placement.Attempt, 0))
 }
 
-// isPastFenceWindow tells whether a job was cancelled so long ago that a start of it, even one that
-// is stopped in the same message, would count as a start after the cancellation.
+// isPastFenceWindow reports whether a job was cancelled so long ago that a start of one of its tasks,
+// even one that is stopped in the same message, would count as a start after the cancellation.
 func (tracker *Tracker) isPastFenceWindow(job *Job, now clock.Micros) bool {
 	return job.Cancelled && now-job.CancelledAt > tracker.cfg.CancelFenceWindow
 }
 
-// appendStart appends the start of a placement, and records how it is sent.
+// appendStart appends the start of a placement if it is allowed, and records how it is sent.
 func (tracker *Tracker) appendStart(commands []wire.Command, placement *Placement, channel commandChannel) []wire.Command {
 	if !tracker.canStart(placement) || !tracker.mayDispatch(placement) {
 		return commands
@@ -129,8 +131,8 @@
 	return append(commands, startCommand(placement))
 }
 
-// HasUnfenceableStart tells whether a start of a cancelled job may still arrive at the machine and can't be
-// fenced any more, so that only deleting the machine resolves it.
+// HasUnfenceableStart reports whether a start of a cancelled job may still arrive at the machine and
+// it is too late to fence it, so that only deleting the machine rules the start out.
 func (tracker *Tracker) HasUnfenceableStart(machine *Machine, now clock.Micros) bool {
 	for _, placement := range machine.placements {
 		isUnfencedStart := placement.isStopping && placement.mayArriveLate && placement.Phase == PhaseSent
--- a/internal/allocation/dispatch.go
+++ b/internal/allocation/dispatch.go
@@ -1,7 +1,7 @@
 package allocation
 
-// queueDispatch queues a machine that a command request may be due to. So the cost of dispatching
-// depends on the number of changes, not of machines.
+// queueDispatch queues a machine that may need a command request. With the queue, the cost of
+// dispatching depends on the number of changes, not on the number of machines.
 func (tracker *Tracker) queueDispatch(machine *Machine) {
 	if !machine.isQueued {
 		machine.isQueued = true
@@ -9,8 +9,8 @@
 	}
 }
 
-// ProcessDispatchQueue calls dispatch for each machine that a command request may be due to. The
-// machine is queued again if dispatch returns true.
+// ProcessDispatchQueue calls dispatch for each machine that may need a command request. It queues the
+// machine again if dispatch returns true.
 func (tracker *Tracker) ProcessDispatchQueue(dispatch func(*Machine) bool) {
 	due := tracker.dispatchQueue
 	tracker.dispatchQueue = nil
@@ -22,8 +22,8 @@
 	}
 }
 
-// mayDispatch tells whether enough standbys know of a placement for its start to be sent. If not, its
-// machine waits for RetryUnreplicatedStarts.
+// mayDispatch reports whether enough standbys know of a placement for its start to be sent. If not,
+// it records that the machine waits for RetryUnreplicatedStarts.
 func (tracker *Tracker) mayDispatch(placement *Placement) bool {
 	if tracker.cfg.Replicator == nil || tracker.cfg.Replicator.MaySendStart(placement.decisionNumber) {
 		return true
@@ -35,7 +35,7 @@
 	return false
 }
 
-// RetryUnreplicatedStarts queues the machines whose starts waited for standbys.
+// RetryUnreplicatedStarts queues the machines with starts that had to wait for standbys.
 func (tracker *Tracker) RetryUnreplicatedStarts() {
 	waiting := tracker.awaitingReplication
 	tracker.awaitingReplication = nil
--- a/internal/allocation/eligibility.go
+++ b/internal/allocation/eligibility.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// isWithinQuota tells whether the team's limit allows additional resources.
+// isWithinQuota reports whether the team's limit allows additional resources.
 func (tracker *Tracker) isWithinQuota(team string, additional Resources) bool {
 	quota := tracker.cfg.Quotas[team]
 	usage := tracker.TeamUsage(team).Add(additional)
 	return (quota.MaxMilliCPU == 0 || usage.MilliCPU <= quota.MaxMilliCPU) && (quota.MaxMilliGPU == 0 || usage.MilliGPU <= quota.MaxMilliGPU)
 }
 
-// IsEligible tells whether the job's spec allows one more of its tasks on the machine: by zone,
-// type and spot, and by the places of its other tasks.
+// IsEligible reports whether the job's spec allows one more of its tasks on the machine, by the
+// machine's zone and type, by whether it is a spot machine, and by the places of the job's other tasks.
 func IsEligible(job *Job, machine *Machine) bool {
 	if !isStaticallyEligible(job, machine) {
 		return false
@@ -27,8 +27,8 @@
 	return !spec.SpreadZones || job.CountInZone(machine.Zone)+1 <= job.MaxTasksPerZone()
 }
 
-// isStaticallyEligible tells whether the job's spec allows the machine's spot, zone and type. It
-// doesn't depend on where the job's other tasks are.
+// isStaticallyEligible reports whether the job's spec allows the machine's zone and type, and a spot
+// machine if it is one. It doesn't depend on where the job's other tasks are.
 func isStaticallyEligible(job *Job, machine *Machine) bool {
 	spec := job.Spec
 	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone {
@@ -37,15 +37,15 @@
 	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, machine.Type)
 }
 
-// CanReplaceLostTasks tells whether a gang that has not started may get replacements for tasks that
-// it has lost. They take the same attempt and complete the gang (PROTOCOL, gangs); stopping its
-// other tasks instead would throw away the images that they have fetched.
+// CanReplaceLostTasks reports whether a gang that has not started may get replacements for tasks that
+// it has lost. The replacements have the same attempt and complete the gang (PROTOCOL, gangs); stopping
+// its other tasks instead would discard the images that they have fetched.
 func (job *Job) CanReplaceLostTasks() bool {
 	return job.IsGang() && job.GangAttempt != 0 && !job.GangAborting && !job.GangStarted && !job.Cancelled && job.unconfirmedCount == 0
 }
 
-// canStart re-checks invariant 6 when a start is about to be sent. The placement itself is already
-// counted, unlike in IsEligible.
+// canStart checks invariant 6 again when a start is about to be sent. Unlike in IsEligible, the
+// placement itself is already included in the counts.
 func (tracker *Tracker) canStart(placement *Placement) bool {
 	job, machine := placement.Job, placement.Machine
 	if job.Cancelled || job.GangAborting || placement.isStopping || !job.StartsRecorded || !machine.RecordedInStore {
--- a/internal/allocation/enum_test.go
+++ b/internal/allocation/enum_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Log lines and test messages show enums by name, and a value without one by its number.
+// Log lines and test messages show the value of an enum by its name, and a value that has none by
+// its number.
 func TestEnumsAreShownByName(t *testing.T) {
 	for _, c := range []struct {
 		value fmt.Stringer
@@ -18,7 +19,7 @@
 		{CommandOutcomeUnknown, "outcome unknown"}, {CommandResult(4), "CommandResult(4)"},
 	} {
 		if got := c.value.String(); got != c.want {
-			t.Errorf("%d is shown as %q, want %q", c.value, got, c.want)
+			t.Errorf("String() of value %d: got %q, want %q", c.value, got, c.want)
 		}
 	}
 }
--- a/internal/allocation/fake_worker_test.go
+++ b/internal/allocation/fake_worker_test.go
@@ -22,9 +22,9 @@
 	tasks           map[string]*fakeTask
 	deleted         bool
 	hung            bool
-	replyCommands   []wire.Command // in the reply on its way to the worker
+	replyCommands   []wire.Command // commands in the reply that is in flight to the worker
 	replyToken      uint64
-	heartbeatSentAt clock.Micros // of the heartbeat that the reply answers
+	heartbeatSentAt clock.Micros // when the heartbeat that the reply answers was sent
 	hasPendingReply bool
 }
 
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// gangTasks lists the tasks of a gang that are on machines.
+// gangTasks returns the tasks of a gang that are on machines and have not exited.
 func (sim *simulation) gangTasks(jobID string) (found []*fakeTask) {
 	for n := range sim.specs[jobID].TaskCount {
 		id := wire.TaskID(jobID, n)
@@ -48,8 +48,8 @@
 	return found
 }
 
-// stepGang has a gang's tasks do what workers do (PROTOCOL, gangs): start together, notice that one is
-// missing, give up waiting, or complete together.
+// stepGang has a gang's tasks do what workers do (PROTOCOL, gangs): start together, exit because
+// another task is missing, give up waiting for the gang, or complete together.
 func (sim *simulation) stepGang(jobID string) {
 	spec := sim.specs[jobID]
 	tasks := sim.gangTasks(jobID)
@@ -87,16 +87,16 @@
 		worker.incarnation++
 		worker.leaseRenewedAt = sim.now
 		worker.tasks = map[string]*fakeTask{}
-		worker.hasPendingReply = false // replies to heartbeats of an earlier incarnation are dropped
+		worker.hasPendingReply = false // the worker ignores replies to an earlier incarnation's heartbeats
 	}
 }
 
-// execute carries out commands as a worker does, and fails the test if one breaks a rule.
+// execute executes commands as a worker does, and fails the test if a command violates an invariant.
 func (sim *simulation) execute(worker *fakeWorker, commands []wire.Command) {
 	for _, command := range commands {
 		jobID, taskIndex, ok := wire.ParseTaskID(command.TaskID)
 		if !ok {
-			sim.fatal("bad task id %q", command.TaskID)
+			sim.fatal("command has a malformed task ID %q", command.TaskID)
 		}
 		task := worker.tasks[command.TaskID]
 		isListed := task != nil && task.attempt == command.Attempt
@@ -107,7 +107,7 @@
 				sim.startTask(worker, command, jobID, taskIndex)
 			case isListed:
 			case task.state == wire.TaskExited:
-				sim.fatal("started beside a listed attempt of the task: %s", command.TaskID)
+				sim.fatal("%s is started while the worker lists another, exited attempt of it", command.TaskID)
 			}
 		case wire.ActionStop:
 			if isListed && task.state != wire.TaskExited {
@@ -116,7 +116,7 @@
 		case wire.ActionReap:
 			if isListed && task.state == wire.TaskExited {
 				if task.cause == wire.ExitDone && !sim.doneTasks[jobID][taskIndex] && !sim.cancelled[jobID] {
-					sim.fatal("reaped a completion that is not durable: %s", command.TaskID)
+					sim.fatal("completion of %s is reaped before it is durable", command.TaskID)
 				}
 				delete(worker.tasks, command.TaskID)
 			}
@@ -124,10 +124,10 @@
 	}
 }
 
-// startTask starts a task that the worker does not list.
+// startTask starts a task that the worker doesn't list, and checks that the start is allowed.
 func (sim *simulation) startTask(worker *fakeWorker, command wire.Command, jobID string, taskIndex int) {
 	if other := sim.workerRunning(command.TaskID); other != nil {
-		sim.fatal("ran twice: %s starts on %s while on %s", command.TaskID, worker.name, other.name)
+		sim.fatal("%s is started on %s while it runs on %s", command.TaskID, worker.name, other.name)
 	}
 	sim.checkZones(worker, command.TaskID, jobID)
 	task := &fakeTask{attempt: command.Attempt, state: wire.TaskRunning}
@@ -136,7 +136,7 @@
 		task.state = wire.TaskWaitingForGang
 		for _, other := range sim.gangTasks(jobID) {
 			if other.attempt != command.Attempt {
-				sim.fatal("two attempts of a gang: %s starts as %d beside %d", command.TaskID, command.Attempt, other.attempt)
+				sim.fatal("%s is started with attempt %d, but a task of its gang has attempt %d", command.TaskID, command.Attempt, other.attempt)
 			}
 		}
 	}
@@ -147,11 +147,11 @@
 	sim.checkQuotas()
 }
 
-// checkZones checks the zone rules of a job before a task of it starts on a worker.
+// checkZones checks the zone constraints of a job before one of its tasks starts on a worker.
 func (sim *simulation) checkZones(worker *fakeWorker, taskID, jobID string) {
 	spec := sim.specs[jobID]
 	if spec.Zone != "" && spec.Zone != worker.zone {
-		sim.fatal("zone: %s in %s", taskID, worker.zone)
+		sim.fatal("%s is started in zone %s, which its job does not allow", taskID, worker.zone)
 	}
 	inZone, elsewhere := 0, 0
 	for n := 0; n < spec.TaskCount; n++ {
@@ -164,10 +164,10 @@
 		}
 	}
 	if spec.SingleZone && elsewhere > 0 {
-		sim.fatal("single zone: %s", taskID)
+		sim.fatal("%s is started in a second zone, want all tasks of its job in one zone", taskID)
 	}
 	if spec.SpreadZones && inZone+1 > (spec.TaskCount+1)/2 {
-		sim.fatal("spread over zones: %s", taskID)
+		sim.fatal("%s is started in a zone that has half of its job's tasks already", taskID)
 	}
 }
 
@@ -187,7 +187,7 @@
 	}
 	for team, used := range usageByTeam {
 		if used > sim.cpuLimit {
-			sim.fatal("quota: %s uses %d of %d", team, used, sim.cpuLimit)
+			sim.fatal("team %s uses %d thousandths of a CPU, want at most %d", team, used, sim.cpuLimit)
 		}
 	}
 }
