--- a/internal/allocation/gang_stop_test.go
+++ b/internal/allocation/gang_stop_test.go
@@ -7,9 +7,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A stop with grace goes to all machines of a gang at once. If one of them can't be reached, the save
-// fails and the run since the last checkpoint is lost. No task of a new attempt is placed before the
-// unreachable machine's lease is over.
+// A stop with grace goes to all machines of a gang at once. If one machine can't be reached, the gang
+// can't save its progress, and the run since the last checkpoint is lost. The old attempt may go on
+// running on that machine, so no task of a new attempt may be placed before the machine's lease ends.
 func TestStoppedGangWaitsForUnreachableMachine(t *testing.T) {
 	tracker := New(Config{FencingToken: 7, LeaseTTL: testLeaseTTL, CancelFenceWindow: 20 * clock.Second})
 	tracker.FinishRecovery()
@@ -38,7 +38,7 @@
 		reportRunning(machines[i], i, 2, start)
 	}
 	if !job.GangStarted {
-		t.Fatal("the gang runs, but is not recorded as started")
+		t.Fatal("GangStarted = false after heartbeats listed all tasks as running, want true")
 	}
 	now := start + 50*clock.Second
 	for i := range 2 {
@@ -49,7 +49,7 @@
 	for i := range 2 {
 		request, starts := tracker.BuildCommandRequest(machines[i], now)
 		if request == nil || len(request.Commands) != 1 || request.Commands[0].Action != wire.ActionStop || *request.Commands[0].GracePeriodSeconds < 5 {
-			t.Fatalf("machine %d is sent %+v", i, request)
+			t.Fatalf("machine %d: got command request %+v, want one stop with a grace of at least 5 s", i, request)
 		}
 		if i == 0 {
 			tracker.FinishCommandRequest(machines[0], starts, CommandExecuted, now)
@@ -61,19 +61,19 @@
 	tracker.RecordHeartbeat(machines[0], newHeartbeat(machines[0], 1, 4, 7, wire.TaskStatus{TaskID: "req-000001/0", Attempt: attempt, State: wire.TaskExited, ExitCause: wire.ExitPeerLost}), now)
 	for _, candidate := range []uint64{attempt, tracker.NextAttempt()} {
 		if tracker.PlaceTask(job, 0, machines[2], candidate, now) == nil {
-			t.Fatal("a task is placed beside one of the old attempt")
+			t.Fatal("a task was placed while a task of the old attempt may be running")
 		}
 	}
 	if job.CheckpointedSeconds != 40 {
-		t.Errorf("%v s are checkpointed after 56 s of run, want 40 at an interval of 20 s", job.CheckpointedSeconds)
+		t.Errorf("got %v s checkpointed after 56 s of run, want 40 s at an interval of 20 s", job.CheckpointedSeconds)
 	}
 	now = tracker.LeaseEndsAt(machines[1]) + 1
 	if !tracker.ExpireLease(machines[1], now) {
-		t.Fatal("the lease does not end")
+		t.Fatal("ExpireLease() = false after LeaseEndsAt, want true")
 	}
 	tracker.RecordHeartbeat(machines[2], newHeartbeat(machines[2], 1, 2, 7), now)
 	nextAttempt := tracker.NextAttempt()
 	if err := tracker.PlaceTask(job, 0, machines[2], nextAttempt, now); err != nil || nextAttempt <= attempt {
-		t.Fatalf("after the lease has run out: %v, attempt %d after %d", err, nextAttempt, attempt)
+		t.Fatalf("PlaceTask after the lease has run out: got error %v and attempt %d, want no error and an attempt above %d", err, nextAttempt, attempt)
 	}
 }
--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -12,13 +12,13 @@
 type HeartbeatResult uint8
 
 const (
-	// HeartbeatStale means that it is not newer than one that was accepted, or that its
-	// incarnation's lease is over. It was ignored.
+	// HeartbeatStale means that the heartbeat was ignored: it is not newer than the last accepted one,
+	// or the lease of its incarnation is over.
 	HeartbeatStale HeartbeatResult = iota
-	// HeartbeatAccepted means that it was applied.
+	// HeartbeatAccepted means that the heartbeat was applied.
 	HeartbeatAccepted
-	// HeartbeatFenced means that the worker has seen a higher token than any of ours: there is a
-	// later leader.
+	// HeartbeatFenced means that the worker has seen a higher token than any that this leader issued,
+	// so there is a later leader.
 	HeartbeatFenced
 )
 
@@ -35,30 +35,30 @@
 	return fmt.Sprintf("HeartbeatResult(%d)", uint8(result))
 }
 
-// heartbeatSource is how a heartbeat arrived.
+// heartbeatSource is the kind of message in which a heartbeat arrived.
 type heartbeatSource uint8
 
 const (
-	// sourceHeartbeatRequest: the worker sent it, so it drops any reply to its earlier ones.
+	// sourceHeartbeatRequest is a request of the worker's own; it then ignores replies to its earlier ones.
 	sourceHeartbeatRequest heartbeatSource = iota
-	// sourceCommandResponse: it was in the answer to a command request.
+	// sourceCommandResponse is the response to a command request.
 	sourceCommandResponse
 )
 
-// RecordLeaseRenewal records that the reply to a heartbeat that arrived now may renew the worker's
-// lease. It has to be called before a heartbeat is answered.
+// RecordLeaseRenewal records that the reply to a heartbeat that has just arrived may renew the
+// worker's lease. The caller has to call it before it answers the heartbeat.
 func (tracker *Tracker) RecordLeaseRenewal(machine *Machine, now clock.Micros) {
 	machine.leaseRenewedAt = max(machine.leaseRenewedAt, now)
 }
 
-// RecordHeartbeat applies a heartbeat that the worker sent. By sending it, the worker has given up
-// waiting for the reply to its last one.
+// RecordHeartbeat applies a heartbeat that the worker sent on its own. By sending it, the worker has
+// given up waiting for the reply to its previous one.
 func (tracker *Tracker) RecordHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros) HeartbeatResult {
 	return tracker.applyHeartbeat(machine, heartbeat, now, sourceHeartbeatRequest)
 }
 
-// RecordCommandHeartbeat applies a heartbeat from the answer to a command request. The reply to the
-// worker's last own heartbeat may still be on its way to it.
+// RecordCommandHeartbeat applies a heartbeat from the response to a command request. The reply to the
+// last heartbeat that the worker sent on its own may still be in flight.
 func (tracker *Tracker) RecordCommandHeartbeat(machine *Machine, heartbeat *wire.Heartbeat, now clock.Micros) HeartbeatResult {
 	return tracker.applyHeartbeat(machine, heartbeat, now, sourceCommandResponse)
 }
@@ -69,7 +69,7 @@
 		return HeartbeatFenced
 	}
 	if heartbeat.FencingToken > tracker.currentToken {
-		tracker.currentToken = heartbeat.FencingToken // a delegate has sent the issued token before us
+		tracker.currentToken = heartbeat.FencingToken // a delegate has used the issued token before this leader
 	}
 	if !machine.isNewHeartbeat(heartbeat) {
 		return HeartbeatStale
@@ -83,7 +83,7 @@
 	tokenConfirmed := heartbeat.FencingToken >= tracker.cfg.FencingToken
 	listedCount := tracker.applyTaskReports(machine, heartbeat.Tasks, now, tokenConfirmed)
 	if !tokenConfirmed {
-		return HeartbeatAccepted // it may be a late copy, so what it lacks proves nothing
+		return HeartbeatAccepted // the heartbeat may be a late copy, so the absence of a task proves nothing
 	}
 	tracker.confirmToken(machine)
 	if listedCount != len(machine.placements) {
@@ -93,8 +93,8 @@
 	return HeartbeatAccepted
 }
 
-// isNewHeartbeat tells whether a heartbeat was made after the last one that was accepted, and its
-// incarnation isn't known to be over.
+// isNewHeartbeat reports whether a heartbeat was made after the last accepted one, and its incarnation
+// isn't known to be over.
 func (machine *Machine) isNewHeartbeat(heartbeat *wire.Heartbeat) bool {
 	return heartbeat.IsNewerThan(machine.Incarnation, machine.HeartbeatSequence) && heartbeat.Incarnation >= machine.minIncarnation
 }
@@ -113,8 +113,8 @@
 	}
 }
 
-// recordSeenToken records the token that the worker has seen. It refuses copies of starts that were
-// sent under lower tokens, so their records are dropped (invariant 2).
+// recordSeenToken records the token that the worker has seen. The worker refuses copies of starts that
+// were sent under lower tokens, so the records of these starts are dropped (invariant 2).
 func (machine *Machine) recordSeenToken(token uint64) {
 	if token > machine.seenToken {
 		machine.seenToken = token
@@ -136,8 +136,8 @@
 	return listedCount
 }
 
-// confirmToken records that the worker has sent a heartbeat under this leader's token. The placements
-// that this heartbeat lists are confirmed (invariant 4).
+// confirmToken records that the worker has sent a heartbeat under this leader's token. Tasks whose
+// placements this heartbeat lists are no longer unconfirmed (invariant 4).
 func (tracker *Tracker) confirmToken(machine *Machine) {
 	if machine.TokenConfirmed {
 		return
@@ -160,8 +160,8 @@
 	}
 }
 
-// SetCachedImages sets an earlier leader's hint of the images that the machine has in an incarnation.
-// It is applied once a heartbeat of that incarnation is accepted.
+// SetCachedImages sets the hint, from an earlier leader, of the images that the machine has in an
+// incarnation. The tracker applies it once it has accepted a heartbeat of that incarnation.
 func (machine *Machine) SetCachedImages(incarnation uint64, images []string, now clock.Micros) {
 	machine.hintedImages, machine.hintedIncarnation = images, incarnation
 	if machine.Incarnation == incarnation {
@@ -169,7 +169,7 @@
 	}
 }
 
-// applyImageHints uses or drops the hint when an incarnation is first seen.
+// applyImageHints applies the hint if it is for the given incarnation, and discards it.
 func (machine *Machine) applyImageHints(incarnation uint64, now clock.Micros) {
 	if machine.hintedIncarnation == incarnation {
 		for _, image := range machine.hintedImages {
@@ -181,12 +181,13 @@
 	machine.hintedImages = nil
 }
 
-// beginIncarnation ends what was sent to the worker before: its lease ran out, it has killed all its
-// tasks, and it refuses commands for the earlier incarnation.
+// beginIncarnation ends the placements whose starts were sent to the worker's earlier incarnation: its
+// lease ran out, it has killed all its tasks, and it refuses commands for that incarnation.
 //
-// The new incarnation has its own lease, which begins without any reply. Added after an incarnation
-// that was first seen in the answer to a probe got tasks, and they were taken to be over when the
-// lease of the incarnation before ran out: the tasks ran twice (docs/incidents/session-seen-by-probe.md).
+// The new incarnation has a lease of its own, which begins without any reply. When the tracker didn't
+// record that, an incarnation first seen in the response to a probe got tasks, and the tracker ended
+// them when the earlier incarnation's lease ran out: they ran twice
+// (docs/incidents/session-seen-by-probe.md).
 func (tracker *Tracker) beginIncarnation(machine *Machine, now clock.Micros) {
 	machine.leaseRenewedAt = max(machine.leaseRenewedAt, now)
 	for _, placement := range machine.placements {
@@ -199,7 +200,7 @@
 	clear(machine.ImageUsedAt)
 }
 
-// handleMissingPlacement handles a placement that a heartbeat under our token doesn't list.
+// handleMissingPlacement handles a placement that a heartbeat under this leader's token doesn't list.
 func (tracker *Tracker) handleMissingPlacement(placement *Placement, now clock.Micros, source heartbeatSource) {
 	switch placement.Phase {
 	case PhaseReported:
@@ -209,7 +210,7 @@
 			return // invariant 2
 		}
 		if source == sourceHeartbeatRequest && placement.sentInSequence < placement.Machine.HeartbeatSequence {
-			// The reply that carried it was lost, or dropped by the worker.
+			// The reply with the start was lost, or the worker ignored it.
 			if placement.isStopping {
 				tracker.endPlacement(placement, wire.ExitStopped, now)
 			} else {
--- a/internal/allocation/history_test.go
+++ b/internal/allocation/history_test.go
@@ -8,8 +8,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Random histories of messages, failures and failovers keep the rules of the protocol, and the
-// tracker's sums agree with its placements after each step.
+// Random histories of messages, failures and failovers keep the invariants of the protocol, and the
+// tracker's counts and sums agree with its placements after each step.
 func TestRandomHistories(t *testing.T) {
 	starts, completeGangs, replicaFailovers, listedTasks := 0, 0, 0, 0
 	for seed := uint64(1); seed <= 4000; seed++ {
@@ -26,9 +26,9 @@
 		replicaFailovers += sim.replicaFailoverCount
 		listedTasks += sim.stopCount
 	}
-	t.Logf("%d starts, %d gangs complete, %d failovers with a follower's table, %d cancelled tasks listed", starts, completeGangs, replicaFailovers, listedTasks)
+	t.Logf("%d starts, %d complete gangs, %d failovers with a follower's table, %d listings of cancelled tasks", starts, completeGangs, replicaFailovers, listedTasks)
 	if starts == 0 || completeGangs < 200 || replicaFailovers < 1000 || listedTasks < 500 {
-		t.Fatal("the histories show too little")
+		t.Fatal("the histories cover too little, want at least 1 start, 200 complete gangs, 1000 failovers with a follower's table and 500 listings of cancelled tasks")
 	}
 }
 
@@ -48,8 +48,8 @@
 	return sim
 }
 
-// actions are drawn from with equal chance, so some are listed more than once. Their order is part
-// of what a seed means.
+// actions returns the actions that each step draws from with equal chance; some are listed more than
+// once. Their order must not change, since the history that a seed produces depends on it.
 func (sim *simulation) actions() []func() {
 	return []func(){
 		sim.deliverCommandRequestCopy,
@@ -74,24 +74,24 @@
 	}
 }
 
-// checkMachines checks that machines with commands due are queued, and that their sums agree with
-// their placements.
+// checkMachines checks that machines with a command due are in the dispatch queue, and that the used
+// resources of each machine agree with its placements.
 func (sim *simulation) checkMachines() {
 	for _, machine := range sim.tracker.Machines {
 		if hasCommandDue(machine) && !machine.isQueued {
-			sim.fatal("%s has a command due and is not in the dispatch queue", machine.Name)
+			sim.fatal("machine %s has a command due and is not in the dispatch queue", machine.Name)
 		}
 		var sum Resources
 		machine.ForEachPlacement(func(placement *Placement) { sum = sum.Add(placement.Job.Request) })
 		if sum != machine.Used() {
-			sim.fatal("usage of %s: %v, placements %v", machine.Name, machine.Used(), sum)
+			sim.fatal("machine %s: got used resources %v, want the sum of its placements, %v", machine.Name, machine.Used(), sum)
 		}
 	}
 }
 
-// checkJobs checks the counts of jobs and the teams' unconfirmed usage.
+// checkJobs checks the task counts of jobs and the unconfirmed usage of teams.
 func (sim *simulation) checkJobs() {
-	unconfirmedByTeam := map[string]int64{} // what unconfirmed tasks without a placement may use
+	unconfirmedByTeam := map[string]int64{} // thousandths of a CPU that unconfirmed, unplaced tasks may use
 	for id, job := range sim.tracker.Jobs {
 		waiting, unconfirmed := 0, 0
 		for i := range job.Tasks {
@@ -106,12 +106,12 @@
 			}
 		}
 		if waiting != job.WaitingCount() || unconfirmed != job.UnconfirmedCount() {
-			sim.fatal("counts of %s: %d waiting of %d, %d unconfirmed of %d", id, job.WaitingCount(), waiting, job.UnconfirmedCount(), unconfirmed)
+			sim.fatal("job %s: got %d waiting tasks, want %d; got %d unconfirmed tasks, want %d", id, job.WaitingCount(), waiting, job.UnconfirmedCount(), unconfirmed)
 		}
 	}
 	for team, usage := range sim.tracker.unconfirmedUsage {
 		if usage.MilliCPU != unconfirmedByTeam[team] {
-			sim.fatal("usage of team %s: %d unconfirmed of %d", team, usage.MilliCPU, unconfirmedByTeam[team])
+			sim.fatal("team %s: got unconfirmed usage of %d thousandths of a CPU, want %d", team, usage.MilliCPU, unconfirmedByTeam[team])
 		}
 	}
 }
--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -13,8 +13,8 @@
 // States of a task.
 const (
 	TaskWaiting TaskState = iota // neither placed nor done
-	TaskPlaced                   // it has a placement
-	TaskDone                     // it has completed
+	TaskPlaced                   // has a placement and isn't done
+	TaskDone                     // has completed
 )
 
 // String returns the name that log lines and test messages use.
@@ -33,26 +33,27 @@
 // Task is one task of a job.
 type Task struct {
 	State TaskState
-	// Unconfirmed tells whether an earlier leader may have started it somewhere (invariant 4). It
-	// may have a placement all the same, from a heartbeat that may be a late copy.
+	// Unconfirmed reports whether an earlier leader may have started the task somewhere (invariant 4).
+	// An unconfirmed task may have a placement, from a heartbeat that may be a late copy.
 	Unconfirmed bool
-	// CompletionDurable tells whether its completion is in the key-value store.
+	// CompletionDurable reports whether the task's completion is in the key-value store.
 	CompletionDurable bool
-	FailureCount      uint8      // exits with an error, at most 255
-	Placement         *Placement // nil if there is none; orphans aren't set here
-	// RetryAt is when the backoff of a failed task ends, 0 if it has none. The scheduler places it
-	// no sooner; PlaceTask doesn't check it.
+	FailureCount      uint8      // number of exits with an error, at most 255
+	Placement         *Placement // the task's placement, or nil; never an orphan
+	// RetryAt is when the backoff after a failure ends, or 0 if there is no backoff. The scheduler
+	// doesn't place the task before; PlaceTask doesn't check it.
 	RetryAt clock.Micros
-	// CheckpointedSeconds is how many seconds of its run are safe in a checkpoint, as far as
-	// this leader has seen. Only forecasts use it.
+	// CheckpointedSeconds is how many seconds of the task's run its checkpoints cover, as far as this
+	// leader has seen. Only forecasts use it.
 	CheckpointedSeconds float64
 }
 
-// Job is an accepted job that isn't over, or isn't vacated. Its fields are grouped by concern.
+// Job is an accepted job that isn't over, or that may still have tasks on machines. Its fields are
+// grouped by concern.
 type Job struct {
 	Spec     *wire.Job
 	Request  Resources // of one task
-	Priority int       // see wire.PriorityIndex; its own or a dependent's
+	Priority int       // index from wire.PriorityIndex, of the job's own priority or a dependent's
 	Tasks    []Task
 	JobTimes
 	JobCancellation
@@ -62,81 +63,84 @@
 	taskCounts
 	unpublishedState
 
-	// StartsRecorded tells whether the key-value store records that tasks of it may have been
-	// started. None is placed before.
+	// StartsRecorded reports whether the key-value store records that tasks of the job may have been
+	// started. No task is placed before that.
 	StartsRecorded bool
-	// StartedByAging tells whether it was started because it had waited too long.
+	// StartedByAging reports whether the job was started because it had waited too long.
 	StartedByAging bool
-	// StartedCount is the number of present placements that were seen with their image.
+	// StartedCount is the number of current placements whose task a worker has listed with its image
+	// fetched.
 	StartedCount int
-	// CheckpointedSeconds is the largest of its tasks' CheckpointedSeconds; a gang's tasks share it.
+	// CheckpointedSeconds is the largest CheckpointedSeconds of the job's tasks. The tasks of a gang
+	// share it.
 	CheckpointedSeconds float64
 }
 
-// JobTimes are the instants that a job's waits and its lateness are measured from.
+// JobTimes holds the times from which a job's waits and its lateness are measured.
 type JobTimes struct {
-	// ReleasedAt is the time of day from which its wait counts: its submission, or the end of the
-	// last of its dependencies.
+	// ReleasedAt is the wall-clock time from which the job's wait counts: its submission, or the end of
+	// the last of its dependencies.
 	ReleasedAt clock.Micros
-	// Deadline is the time of day by which it should be done, for its own or its dependents'
-	// deadline. 0 means that there is none.
+	// Deadline is the wall-clock time by which the job should be done, for its own deadline or for that
+	// of a dependent. It is 0 if there is no deadline.
 	Deadline     clock.Micros
-	AddedAt      clock.Micros // steady clock, when this leader first knew of it
-	FirstStartAt clock.Micros // steady clock, 0 before
+	AddedAt      clock.Micros // when this leader first knew of the job, on the monotonic clock
+	FirstStartAt clock.Micros // when the first task started, on the monotonic clock; 0 before
 }
 
-// JobCancellation tells whether a job is cancelled, and since when.
+// JobCancellation holds whether a job is cancelled, and since when.
 type JobCancellation struct {
 	Cancelled bool
-	// CancelledAt is an instant of the steady clock. Cancel sets it to its own time; the controller
-	// then moves it back to the end in the job's record, which this leader may have read late. The
-	// time that the job's tasks have to end runs from there (PROTOCOL, cancel_s).
+	// CancelledAt is the time of the cancellation on the monotonic clock. Cancel sets it to its current
+	// time; the controller then moves it back to the end time in the job's record, which this leader may
+	// have read late. The time that the job's tasks have to end counts from CancelledAt (PROTOCOL,
+	// cancel_s).
 	CancelledAt clock.Micros
 }
 
 // GangState is the state of a gang's attempt. It is zero between attempts, and for other jobs.
 type GangState struct {
-	GangAttempt  uint64 // 0 if the gang has no placement, orphans included
-	GangAborting bool   // all its tasks are being stopped
-	GangStarted  bool   // a task was seen running, so all have started together
+	GangAttempt  uint64 // attempt of the gang, or 0 if it has no placement, not even an orphan
+	GangAborting bool   // all tasks of the attempt are being stopped
+	GangStarted  bool   // a worker listed a task as running, so all tasks have started together
 }
 
-// JobFailures counts exits with an error, and restarts.
+// JobFailures counts a job's exits with an error and its restarts.
 type JobFailures struct {
-	FailuresByMachine map[string]int // by machine name; nil before the first
-	FailureCount      int
-	RestartCount      int // kept by the controller
+	FailuresByMachine map[string]int // exits with an error by machine name; nil before the first
+	FailureCount      int            // exits with an error
+	RestartCount      int            // restarts, counted by the controller
 }
 
-// jobKind caches comparisons of the spec's kind.
+// jobKind caches whether the spec's kind is a gang or a service.
 type jobKind struct{ isGang, isService bool }
 
-// taskCounts sum up the states of a job's tasks.
+// taskCounts holds the numbers of a job's tasks and placements by state.
 type taskCounts struct {
-	unconfirmedCount     int
-	doneCount            int
-	durableCount         int            // done, and the completion is durable
+	unconfirmedCount     int            // tasks that are unconfirmed
+	doneCount            int            // tasks that are done
+	durableCount         int            // tasks that are done and whose completion is durable
 	activeCount          int            // placements, orphans included
-	waitingCount         int            // neither placed nor done
-	placementCountByZone map[string]int // orphans included
+	waitingCount         int            // tasks that are neither placed nor done
+	placementCountByZone map[string]int // placements by zone, orphans included
 }
 
-// unpublishedState is what standbys still have to be told of a job, see Replicator.
+// unpublishedState holds what standbys still have to be told of a job, see Replicator.
 type unpublishedState struct {
-	// unpublishedEnds are ended placements whose completion isn't durable yet.
+	// unpublishedEnds are the ended placements whose completion isn't durable yet.
 	unpublishedEnds []*Placement
-	// hasWholeJobEntry tells whether one entry for the whole job was published, instead of one
-	// for each unconfirmed task.
+	// hasWholeJobEntry reports whether one entry for the whole job was published instead of one for
+	// each unconfirmed task.
 	hasWholeJobEntry bool
-	// unpublishedResolved are tasks that aren't unconfirmed any more, but whose completion isn't
-	// durable yet.
+	// unpublishedResolved are the indices of tasks that are no longer unconfirmed, but whose completion
+	// isn't durable yet.
 	unpublishedResolved []int
 }
 
-// IsGang tells whether the job's tasks run together.
+// IsGang reports whether the job's tasks run together.
 func (job *Job) IsGang() bool { return job.isGang }
 
-// IsService tells whether the job runs until it is cancelled.
+// IsService reports whether the job runs until it is cancelled.
 func (job *Job) IsService() bool { return job.isService }
 
 // DoneCount returns the number of completed tasks.
@@ -145,13 +149,14 @@
 // WaitingCount returns the number of tasks that are neither placed nor done.
 func (job *Job) WaitingCount() int { return job.waitingCount }
 
-// ActiveCount returns the number of placements. Unconfirmed tasks without one aren't included.
+// ActiveCount returns the number of placements, orphans included. It leaves out unconfirmed tasks
+// without a placement.
 func (job *Job) ActiveCount() int { return job.activeCount }
 
 // UnconfirmedCount returns the number of unconfirmed tasks.
 func (job *Job) UnconfirmedCount() int { return job.unconfirmedCount }
 
-// ForEachPlacement calls visit for every task's placement, orphans left out.
+// ForEachPlacement calls visit for the placement of each task that has one. It leaves out orphans.
 func (job *Job) ForEachPlacement(visit func(*Placement)) {
 	for i := range job.Tasks {
 		if placement := job.Tasks[i].Placement; placement != nil {
@@ -160,16 +165,17 @@
 	}
 }
 
-// IsComplete tells whether every task is done.
+// IsComplete reports whether every task is done.
 func (job *Job) IsComplete() bool { return job.doneCount == len(job.Tasks) }
 
-// CountInZone returns how many of the job's tasks are, or may be, in a zone.
+// CountInZone returns how many of the job's tasks are, or may be, in a zone. Unconfirmed tasks count
+// in every zone.
 func (job *Job) CountInZone(zone string) int {
 	return job.placementCountByZone[zone] + job.unconfirmedCount
 }
 
-// OccupiedZone returns a zone that has a placement of the job, if there is one. Of several zones it
-// may return any; unconfirmed tasks without a placement aren't considered.
+// OccupiedZone returns a zone with a placement of the job, and whether there is one. If several zones
+// have placements, it returns any of them. It ignores unconfirmed tasks without a placement.
 func (job *Job) OccupiedZone() (string, bool) {
 	for zone, placementCount := range job.placementCountByZone {
 		if placementCount > 0 {
@@ -179,10 +185,10 @@
 	return "", false
 }
 
-// MaxTasksPerZone returns how many tasks of a job that spreads over zones may be in one zone.
+// MaxTasksPerZone returns how many tasks may be in one zone if the job spreads over zones.
 func (job *Job) MaxTasksPerZone() int { return (len(job.Tasks) + 1) / 2 }
 
-// NeedsPersisting tells whether the job has something to write or to clean up: a completion is not
+// NeedsPersisting reports whether the job has something to write or to clean up: a completion is not
 // in the key-value store yet, or all tasks are done.
 func (job *Job) NeedsPersisting() bool {
 	return job.durableCount != job.doneCount || job.doneCount == len(job.Tasks)
--- a/internal/allocation/job_tracking.go
+++ b/internal/allocation/job_tracking.go
@@ -8,7 +8,8 @@
 // AddJob adds an accepted job. Tasks whose completion is durable are done. Before FinishRecovery,
 // the other tasks of a job with recorded starts are unconfirmed if they may have been started.
 //
-// releasedAt is a time of day, now is the steady clock. isDurable may be nil: no task is done.
+// releasedAt is a wall-clock time; now is a time of the monotonic clock. If isDurable is nil, no task
+// is done.
 func (tracker *Tracker) AddJob(spec *wire.Job, releasedAt, now clock.Micros, startsRecorded bool, isDurable func(int) bool) *Job {
 	job := &Job{
 		Spec: spec, Request: NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB),
@@ -37,8 +38,8 @@
 	return job
 }
 
-// Cancel records the durable cancellation of a job, and stops its tasks without grace. If it was
-// confirmed before now, the caller corrects CancelledAt afterwards.
+// Cancel records the durable cancellation of a job, and stops its tasks without grace. If the
+// cancellation was confirmed before now, the caller corrects CancelledAt afterwards.
 func (tracker *Tracker) Cancel(job *Job, now clock.Micros) {
 	if job.Cancelled {
 		return
@@ -48,12 +49,12 @@
 	tracker.stopPlacements(job, 0)
 }
 
-// IsVacated tells whether no task of the job is, or may be, on any machine.
+// IsVacated reports whether none of the job's tasks is, or may be, on any machine.
 func (tracker *Tracker) IsVacated(job *Job) bool {
 	return job.activeCount == 0 && job.unconfirmedCount == 0
 }
 
-// RemoveJob removes a job that is over, if it is vacated.
+// RemoveJob removes a job that is over, if none of its tasks is, or may be, on any machine.
 func (tracker *Tracker) RemoveJob(job *Job) {
 	if tracker.IsVacated(job) {
 		tracker.publishHeldBackEnds(job, publishAll)
@@ -61,8 +62,8 @@
 	}
 }
 
-// clearUnconfirmed records that it is known whether, and where, an earlier leader's start of a task
-// is.
+// clearUnconfirmed records that this leader now knows whether an earlier leader's start of a task is
+// on some machine, and on which.
 func (tracker *Tracker) clearUnconfirmed(job *Job, taskIndex int) {
 	task := &job.Tasks[taskIndex]
 	if !task.Unconfirmed {
@@ -76,14 +77,15 @@
 	tracker.publishResolved(job, taskIndex)
 }
 
-// addUnconfirmedUsage adds unconfirmed tasks to what a job's team may use, or subtracts them. An
-// unconfirmed task with a placement is counted by the placement only.
+// addUnconfirmedUsage adds unconfirmed tasks to the usage of a job's team, or subtracts them if
+// taskCount is negative. It applies to tasks without a placement: if an unconfirmed task has one, its
+// usage is counted with the placement only.
 func (tracker *Tracker) addUnconfirmedUsage(job *Job, taskCount int) {
 	addUsage(tracker.unconfirmedUsage, job.Spec.Team, job.Request.Times(taskCount))
 }
 
-// recordCompletion records that a task has completed. A gang's tasks complete together: if one is
-// done, all are (PROTOCOL, gangs).
+// recordCompletion records that a task has completed. The tasks of a gang complete together: if one
+// is done, all are (PROTOCOL, gangs).
 func (tracker *Tracker) recordCompletion(job *Job, taskIndex int) {
 	if job.IsGang() {
 		for index := range job.Tasks {
@@ -94,7 +96,7 @@
 	tracker.completeTask(job, taskIndex)
 }
 
-// completeTask records the completion of one task, once.
+// completeTask records the completion of one task, unless it is recorded already.
 func (tracker *Tracker) completeTask(job *Job, taskIndex int) {
 	task := &job.Tasks[taskIndex]
 	if task.State != TaskDone {
--- a/internal/allocation/late_copy_test.go
+++ b/internal/allocation/late_copy_test.go
@@ -8,8 +8,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// newSuccessorTracker returns the tracker of a new leader with token 9, three machines and a job with
-// recorded starts, whose tasks are unconfirmed.
+// newSuccessorTracker returns the tracker of a new leader with token 9, its three machines, and a job
+// with recorded starts, whose tasks are unconfirmed.
 func newSuccessorTracker(kind string) (*Tracker, []*Machine, *Job) {
 	tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL})
 	var machines []*Machine
@@ -32,39 +32,39 @@
 	return heartbeat
 }
 
-// The first heartbeat that a new leader gets from a machine may be a late copy, from before its task
-// went elsewhere. The task stays unconfirmed until a heartbeat made under the new token lists it, or
-// all machines are reconciled. Added after such a task was started a second time.
+// The first heartbeat that a new leader gets from a machine may be a late copy, made before its task
+// moved to another machine. The task stays unconfirmed until a heartbeat made under the new token
+// lists it, or all machines are reconciled. Otherwise the leader starts the task a second time.
 func TestLateCopyKeepsTaskUnconfirmed(t *testing.T) {
 	tracker, machines, job := newSuccessorTracker(wire.KindArray)
 	now := clock.Second
-	tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 5, 4, 40, 0), now) // a copy; the task is on i-1 by now
+	tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 5, 4, 40, 0), now) // a late copy: the task now runs on i-1
 	if usage := tracker.TeamUsage(""); job.ActiveCount() != 1 || job.UnconfirmedCount() != 2 || usage.MilliCPU != 2000 {
-		t.Fatalf("%d placed, %d unconfirmed, the team may use %d", job.ActiveCount(), job.UnconfirmedCount(), usage.MilliCPU)
+		t.Fatalf("after the late copy: got %d placements, %d unconfirmed tasks and a team usage of %d, want 1, 2 and 2000", job.ActiveCount(), job.UnconfirmedCount(), usage.MilliCPU)
 	}
-	tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 9, 9, 0), now) // i-0 itself, under the new token
+	tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 9, 9, 0), now) // i-0's current heartbeat, under the new token
 	tracker.RecordHeartbeat(machines[2], heartbeatListing("i-2", 9, 9, 0), now)
 	if err := tracker.PlaceTask(job, 0, machines[2], tracker.NextAttempt(), now); err == nil {
-		t.Fatal("a task is started again that may be on a machine without a heartbeat yet")
+		t.Fatal("task 0 was placed on i-2, although it may be on i-1, which has sent no heartbeat")
 	}
 	tracker.RecordHeartbeat(machines[1], heartbeatListing("i-1", 7, 4, 41, 0), now)
 	if placement := job.Tasks[0].Placement; placement == nil || placement.Machine != machines[1] || placement.IsStopping() {
-		t.Fatal("the task is not placed where it runs")
+		t.Fatal("task 0: want a placement on i-1, which lists it, that is not being stopped")
 	}
 	tracker.RecordHeartbeat(machines[1], heartbeatListing("i-1", 8, 9, 41, 0), now)
 	if job.UnconfirmedCount() != 0 || !tracker.IsReconciled() || job.Tasks[0].Placement.IsStopping() {
-		t.Fatalf("%d unconfirmed when all machines are reconciled", job.UnconfirmedCount())
+		t.Fatalf("after all machines confirmed the token: got %d unconfirmed tasks, want 0, a reconciled tracker and no stop of task 0", job.UnconfirmedCount())
 	}
 	if err := tracker.PlaceTask(job, 1, machines[2], tracker.NextAttempt(), now); err != nil {
-		t.Fatalf("the other task: %v", err)
+		t.Fatalf("place task 1 after reconciliation: %v", err)
 	}
 	if usage := tracker.TeamUsage(""); usage.MilliCPU != 2000 {
-		t.Fatalf("the team uses %d", usage.MilliCPU)
+		t.Fatalf("after task 1 was placed: got a team usage of %d, want 2000", usage.MilliCPU)
 	}
 }
 
-// A late copy and the current heartbeat may arrive in either order, of arrays and of gangs: the later
-// attempt is where the task is, and it goes on.
+// A late copy and a current heartbeat that list the same tasks may arrive in either order, for arrays
+// and for gangs. In both orders the tasks are where the later attempt is listed, and they go on.
 func TestLaterAttemptReplacesEarlier(t *testing.T) {
 	for _, kind := range []string{wire.KindArray, wire.KindGang} {
 		for _, copyFirst := range []bool{true, false} {
@@ -81,31 +81,31 @@
 			deliveries[1]()
 			for i := range job.Tasks {
 				if placement := job.Tasks[i].Placement; placement == nil || placement.Machine != machines[1] || placement.IsStopping() {
-					t.Fatalf("%s, copy first %v: task %d has the placement %+v", kind, copyFirst, i, placement)
+					t.Fatalf("%s, copy first %v, task %d: got placement %+v, want one on i-1 that is not being stopped", kind, copyFirst, i, placement)
 				}
 			}
 			tracker.RecordHeartbeat(machines[0], heartbeatListing("i-0", 9, 9, 0), now)
 			tracker.RecordHeartbeat(machines[1], heartbeatListing("i-1", 9, 9, 41, 0, 1), now)
 			tracker.RecordHeartbeat(machines[2], heartbeatListing("i-2", 9, 9, 0), now)
 			if job.UnconfirmedCount() != 0 || job.ActiveCount() != 2 || job.GangAborting || job.Tasks[0].Placement.IsStopping() || job.CountInZone("x") != 2 {
-				t.Fatalf("%s, copy first %v: %d unconfirmed, %d active, aborting %v", kind, copyFirst, job.UnconfirmedCount(), job.ActiveCount(), job.GangAborting)
+				t.Fatalf("%s, copy first %v: got %d unconfirmed tasks, %d placements and GangAborting %v, want 0, 2 and false, with task 0 not being stopped and two tasks in the zone", kind, copyFirst, job.UnconfirmedCount(), job.ActiveCount(), job.GangAborting)
 			}
 		}
 	}
 }
 
 // Tasks have moved between machines under an earlier leader. Its successor gets late copies of
-// heartbeats, then current ones, in any order. It starts no task that runs, and knows where each task
-// is once all machines have sent a heartbeat under its token.
+// heartbeats and current ones in any order. It must not start a task that is running, and it knows
+// where each task is once all machines have sent a heartbeat under its token.
 func TestFailoverWithLateCopiesStartsNoTaskTwice(t *testing.T) {
 	refusedCount := 0
 	for seed := uint64(1); seed <= 3000; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 6))
 		kind := []string{wire.KindArray, wire.KindGang}[seed%2]
 		tracker, machines, job := newSuccessorTracker(kind)
-		// past holds the heartbeats of all machines at each of several times.
+		// heartbeatsByStep holds the heartbeats of all machines at each of several steps.
 		var heartbeatsByStep [][]*wire.Heartbeat
-		machineIndexByTask := make([]int, len(job.Tasks)) // where each task is, -1: nowhere
+		machineIndexByTask := make([]int, len(job.Tasks)) // index of each task's machine, or -1 if it has none
 		attempts := make([]uint64, len(job.Tasks))
 		for step := uint64(1); step <= 5; step++ {
 			for i := range machineIndexByTask {
@@ -113,7 +113,7 @@
 					machineIndexByTask[i], attempts[i] = rng.IntN(len(machines)+1)-1, 40+step
 				}
 				if kind == wire.KindGang && i > 0 && machineIndexByTask[0] < 0 {
-					machineIndexByTask[i] = -1 // whole or not at all
+					machineIndexByTask[i] = -1 // a gang is placed as a whole or not at all
 				} else if kind == wire.KindGang && i > 0 && machineIndexByTask[i] < 0 {
 					machineIndexByTask[i] = machineIndexByTask[0]
 				}
@@ -157,7 +157,7 @@
 					continue
 				}
 				if tracker.PlaceTask(job, i, machines[machineIndex], tracker.NextAttempt(), now) == nil {
-					t.Fatalf("history %d: task %d is started on %d while on %d", seed, i, machineIndex, machineIndexByTask[i])
+					t.Fatalf("history %d: task %d was placed on machine %d while it runs on machine %d", seed, i, machineIndex, machineIndexByTask[i])
 				}
 				refusedCount++
 			}
@@ -166,17 +166,17 @@
 			placement := job.Tasks[i].Placement
 			switch {
 			case job.Tasks[i].Unconfirmed || (placement != nil) != (machineIndexByTask[i] >= 0):
-				t.Fatalf("history %d: task %d on %d: unconfirmed %v, placement %+v", seed, i, machineIndexByTask[i], job.Tasks[i].Unconfirmed, placement)
+				t.Fatalf("history %d: task %d runs on machine %d (-1 is none): got unconfirmed %v and placement %+v", seed, i, machineIndexByTask[i], job.Tasks[i].Unconfirmed, placement)
 			case placement != nil && (placement.Machine != machines[machineIndexByTask[i]] || placement.Attempt != attempts[i] || placement.IsStopping()):
-				t.Fatalf("history %d, %s: task %d on %d as attempt %d is placed on %s as attempt %d, stopping %v",
+				t.Fatalf("history %d, %s: task %d runs on machine %d with attempt %d, but is placed on %s with attempt %d, stopping %v",
 					seed, kind, i, machineIndexByTask[i], attempts[i], placement.Machine.Name, placement.Attempt, placement.IsStopping())
 			}
 		}
 		if job.GangAborting || job.UnconfirmedCount() != 0 {
-			t.Fatalf("history %d: aborting %v, %d unconfirmed", seed, job.GangAborting, job.UnconfirmedCount())
+			t.Fatalf("history %d: got GangAborting %v and %d unconfirmed tasks, want false and 0", seed, job.GangAborting, job.UnconfirmedCount())
 		}
 	}
 	if refusedCount < 1000 {
-		t.Fatalf("only %d starts were tried", refusedCount)
+		t.Fatalf("the histories tried to start a running task %d times, want at least 1000", refusedCount)
 	}
 }
--- a/internal/allocation/lease.go
+++ b/internal/allocation/lease.go
@@ -2,29 +2,29 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// SetDelegatedUntil sets until when other controllers may have answered workers' heartbeats for this
-// leader or an earlier one, and the zones where another instant is known. A lease is taken to have
-// been renewed then.
+// SetDelegatedUntil sets the instant until which other controllers may have renewed workers' leases as
+// delegates of this leader or an earlier one. untilByZone replaces that instant for the zones that it
+// lists. The tracker assumes that every lease was renewed at that instant.
 func (tracker *Tracker) SetDelegatedUntil(until clock.Micros, untilByZone map[string]clock.Micros) {
 	tracker.delegatedUntil, tracker.delegatedUntilByZone = until, untilByZone
 }
 
-// CapLeaseRenewal records an earlier leader's renewal constraint: it answered no heartbeat of the
-// machine after the instant. The cap holds until this leader answers one.
+// CapLeaseRenewal records an earlier leader's renewal constraint: that leader answered no heartbeat of
+// the machine after latestRenewalAt. The cap holds until this leader answers a heartbeat of the machine.
 func (tracker *Tracker) CapLeaseRenewal(machine *Machine, latestRenewalAt clock.Micros) {
 	machine.leaseRenewedAt = min(machine.leaseRenewedAt, latestRenewalAt)
 }
 
-// LastRenewalAt returns the last instant at which a leader may have renewed the machine's lease.
-// Renewals by delegates aren't included.
+// LastRenewalAt returns the last instant at which a leader may have renewed the machine's lease. It
+// doesn't include renewals by delegates.
 func (machine *Machine) LastRenewalAt() clock.Micros { return machine.leaseRenewedAt }
 
 // leaseSlack is the margin that LeaseEndsAt adds to the drift of both clocks, for rounding and for a
 // worker that kills its tasks somewhat after the end of its lease.
 const leaseSlack = clock.Second
 
-// LeaseEndsAt returns the instant of the steady clock from which the machine's lease has certainly
-// run out, if none of its heartbeats is answered any more.
+// LeaseEndsAt returns the instant of the monotonic clock from which the machine's lease has certainly
+// run out, if no further heartbeat of the machine is answered.
 func (tracker *Tracker) LeaseEndsAt(machine *Machine) clock.Micros {
 	delegatedUntil, ok := tracker.delegatedUntilByZone[machine.Zone]
 	if !ok {
@@ -33,14 +33,14 @@
 	return max(machine.leaseRenewedAt, delegatedUntil) + tracker.cfg.LeaseTTL + clock.MutualDrift(tracker.cfg.LeaseTTL) + leaseSlack
 }
 
-// ExpireLease ends the placements of a machine whose lease has certainly run out, and tells whether
+// ExpireLease ends the placements of a machine if its lease has certainly run out, and reports whether
 // it has. The machine gets no task before it sends a heartbeat of a new incarnation.
 func (tracker *Tracker) ExpireLease(machine *Machine, now clock.Micros) bool {
 	if now < tracker.LeaseEndsAt(machine) {
 		return false
 	}
 	machine.TokenConfirmed = false
-	// A heartbeat of the incarnation that is over may still arrive late.
+	// A heartbeat of the ended incarnation may still arrive late.
 	machine.minIncarnation = machine.Incarnation + 1
 	for _, placement := range machine.placements {
 		tracker.endAfterLeaseExpiry(placement, now)
