--- a/internal/allocation/actions_test.go
+++ b/internal/allocation/actions_test.go
@@ -75,7 +75,7 @@
 	if request == nil {
 		return
 	}
-	// As the controller does: the machine leaves the queue while a request is in flight.
+	// The controller removes a machine from the queue while a request to it is in flight.
 	sim.tracker.ProcessDispatchQueue(func(queued *Machine) bool { return queued != machine })
 	command := delayedCommand{worker, request, sim.tracker, machine, starts}
 	switch sim.rng.IntN(4) {
--- a/internal/allocation/command_request.go
+++ b/internal/allocation/command_request.go
@@ -138,8 +138,8 @@
 			placement.Phase = PhaseAssigned
 		}
 	case CommandExecuted:
-		// The heartbeat in the response lists the task, and this start can't arrive again later. If a
-		// later heartbeat that the worker sends lacks the task, handleMissingPlacement treats it as lost.
+		// The heartbeat in the response lists the task, so the start has arrived. If a later heartbeat that
+		// the worker sends on its own lacks the task, handleMissingPlacement treats the start as lost.
 		if placement.Phase == PhaseSent {
 			placement.sentInSequence = machine.HeartbeatSequence
 		}
--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -91,8 +91,8 @@
 // JobCancellation holds whether a job is cancelled, and since when.
 type JobCancellation struct {
 	Cancelled bool
-	// CancelledAt is the time of the cancellation on the monotonic clock. Cancel sets it to its current
-	// time; the controller then moves it back to the end time in the job's record, which this leader may
+	// CancelledAt is the time of the cancellation on the monotonic clock. Cancel sets it to the time of
+	// its call; the controller then moves it back to the end time in the job's record, which this leader may
 	// have read late. The time that the job's tasks have to end counts from CancelledAt (PROTOCOL,
 	// cancel_s).
 	CancelledAt clock.Micros
