--- a/internal/allocation/doc.go
+++ b/internal/allocation/doc.go
@@ -36,6 +36,6 @@
 //     when a start is put into a message.
 //  7. A reply that renews a worker's lease carries the stop of every task that the heartbeat lists
 //     and that has to end, whatever token the worker has seen. So only controllers that don't know
-//     yet that such a task has to end can renew its lease, however many leaders there are; package
-//     staleness bounds for how long they may not know.
+//     yet that a task has to end can leave it running and renew the lease of its worker, however many
+//     leaders there are; package staleness bounds how long a controller may not know.
 package allocation
--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -39,7 +39,8 @@
 type heartbeatSource uint8
 
 const (
-	// sourceHeartbeatRequest is a request of the worker's own; it then ignores replies to its earlier ones.
+	// sourceHeartbeatRequest is a request that the worker sent on its own. The worker then ignores
+	// replies to its earlier ones.
 	sourceHeartbeatRequest heartbeatSource = iota
 	// sourceCommandResponse is the response to a command request.
 	sourceCommandResponse
