--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -179,7 +179,7 @@
 	request := job.Request.Times(sign)
 	machine.used = machine.used.Add(request)
 	addUsage(tracker.placedUsage, job.Spec.Team, request)
-	job.placementsByZone[machine.Zone] += sign
+	job.placementCountByZone[machine.Zone] += sign
 	job.activeCount += sign
 	if job.IsService() {
 		machine.replicaCount += sign
--- a/internal/allocation/replication.go
+++ b/internal/allocation/replication.go
@@ -45,7 +45,7 @@
 		return
 	}
 	if job.unconfirmedCount > maxUnconfirmedTasksPublished && job.unconfirmedCount == len(job.Tasks)-job.doneCount {
-		job.isWhollyUnconfirmed = true
+		job.hasWholeJobEntry = true
 		tracker.cfg.Replicator.RecordUnconfirmed(job.Spec.ID)
 		return
 	}
@@ -70,7 +70,7 @@
 	}
 	task := &job.Tasks[taskIndex]
 	switch {
-	case job.isWhollyUnconfirmed:
+	case job.hasWholeJobEntry:
 		tracker.splitWholeJobEntry(job, publishDurable)
 	case task.State == TaskDone && !task.CompletionDurable:
 		job.unpublishedResolved = append(job.unpublishedResolved, taskIndex)
@@ -84,10 +84,10 @@
 // completions are durable. With publishAll the job is over and has no unconfirmed task left.
 func (tracker *Tracker) splitWholeJobEntry(job *Job, scope publishScope) {
 	canSplit := job.unconfirmedCount <= maxUnconfirmedTasksPublished && job.durableCount == job.doneCount
-	if !job.isWhollyUnconfirmed || scope == publishDurable && !canSplit {
+	if !job.hasWholeJobEntry || scope == publishDurable && !canSplit {
 		return
 	}
-	job.isWhollyUnconfirmed = false
+	job.hasWholeJobEntry = false
 	tracker.publishEachUnconfirmed(job)
 	tracker.cfg.Replicator.RecordResolved(job.Spec.ID)
 }
--- a/internal/allocation/replication_test.go
+++ b/internal/allocation/replication_test.go
@@ -91,7 +91,7 @@
 	if job.DoneCount() != 1 || len(replicator.active) != 1 {
 		t.Fatalf("before the completion is durable: got %d done and %v published as active, want 1 and 1 entry", job.DoneCount(), replicator.active)
 	}
-	tracker.MarkDurable(job, []int{0})
+	tracker.MarkCompletionsDurable(job, []int{0})
 	if len(replicator.active) != 0 {
 		t.Fatalf("after the completion is durable: got %v published as active, want none", replicator.active)
 	}
@@ -150,7 +150,7 @@
 			t.Fatalf("%s: got %d done and %d unconfirmed, want 1 and 0", name, job.DoneCount(), job.UnconfirmedCount())
 		}
 		replicator.requiredID = ""
-		tracker.MarkDurable(job, []int{0})
+		tracker.MarkCompletionsDurable(job, []int{0})
 		if len(replicator.active) != 0 {
 			t.Errorf("%s: after the completion is durable: got %v published, want none", name, replicator.active)
 		}
@@ -180,7 +180,7 @@
 	}
 	replicator.requiredID = wire.TaskID("req-000001", tasks-1)
 	tracker.recordCompletion(job, 3)
-	tracker.MarkDurable(job, []int{3})
+	tracker.MarkCompletionsDurable(job, []int{3})
 	if job.UnconfirmedCount() != maxUnconfirmedTasksPublished || slices.Contains(replicator.active, "req-000001") || len(replicator.active) != maxUnconfirmedTasksPublished+3 {
 		t.Errorf("after another task is durably done: got %d unconfirmed and %v published, want 16 and 19 single tasks", job.UnconfirmedCount(), replicator.active)
 	}
--- a/internal/allocation/task_report.go
+++ b/internal/allocation/task_report.go
@@ -19,7 +19,7 @@
 		isRunning := taskReport.State != wire.TaskExited
 		machine.unplacedAttempts = append(machine.unplacedAttempts, unplacedAttempt{taskID: taskReport.TaskID, attempt: taskReport.Attempt, isRunning: isRunning})
 		if isRunning {
-			tracker.ListedUnknown = append(tracker.ListedUnknown, taskReport.TaskID)
+			tracker.TasksOfUnknownJobs = append(tracker.TasksOfUnknownJobs, taskReport.TaskID)
 		}
 		return false
 	}
@@ -101,7 +101,7 @@
 // markListed records that the current heartbeat lists the placement. It reports whether the heartbeat's
 // list names the placement for the first time.
 func (tracker *Tracker) markListed(placement *Placement) bool {
-	tracker.noteIfCancelled(placement)
+	tracker.recordListedIfCancelled(placement)
 	isFirstTime := placement.lastSeenHeartbeat != tracker.heartbeatCount
 	placement.lastSeenHeartbeat = tracker.heartbeatCount
 	return isFirstTime
--- a/internal/allocation/tracker_test.go
+++ b/internal/allocation/tracker_test.go
@@ -93,7 +93,7 @@
 	if commands = tracker.HeartbeatCommands(machine, 4+30*clock.Second); len(commands) != 0 {
 		t.Fatalf("commands 30 s after the cancellation, with a fence window of 20 s: got %v, want none", commands)
 	}
-	if !tracker.IsCordoned(machine, 4+30*clock.Second) {
+	if !tracker.HasUnfenceableStart(machine, 4+30*clock.Second) {
 		t.Fatal("IsCordoned 30 s after the cancellation, with a fence window of 20 s = false, want true")
 	}
 }
