--- a/internal/leader/adopted_tasks_test.go
+++ b/internal/leader/adopted_tasks_test.go
@@ -23,16 +23,16 @@
 	term = ownerOf(term).newTerm(10, clock.Now())
 	job, machine := term.tracker.Jobs["req-000001"], term.tracker.Machines["i-1"]
 	now := term.liveness.startedAt + clock.Second
-	seq := uint64(0)
-	report := func(task string, attempt uint64, state, why string) {
-		seq++
+	sequence := uint64(0)
+	reportTask := func(task string, attempt uint64, state, exitCause string) {
+		sequence++
 		term.tracker.RecordLeaseRenewal(machine, now)
-		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: seq, FencingToken: 10, Tasks: []wire.TaskStatus{{TaskID: task, Attempt: attempt, State: state, ExitCause: why}}}, now)
+		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: sequence, FencingToken: 10, Tasks: []wire.TaskStatus{{TaskID: task, Attempt: attempt, State: state, ExitCause: exitCause}}}, now)
 		term.processTaskEvents(now)
 	}
-	report("req-000001/0", 3, wire.TaskRunning, "") // begun long ago
+	reportTask("req-000001/0", 3, wire.TaskRunning, "") // begun long ago
 	now += 5 * clock.Second
-	report("req-000001/0", 3, wire.TaskExited, wire.ExitDone)
+	reportTask("req-000001/0", 3, wire.TaskExited, wire.ExitDone)
 	if got := term.scheduler.RunTimeModel("c").PredictedSeconds(100); math.Abs(got-100) > 1e-9 {
 		t.Fatalf("a task of 100 s is predicted to run %.1f s", got)
 	}
@@ -42,9 +42,9 @@
 	var attempt uint64
 	machine.ForEachPlacement(func(placement *allocation.Placement) { attempt = placement.Attempt })
 	term.tracker.HeartbeatCommands(machine, now)
-	report("req-000001/1", attempt, wire.TaskRunning, "")
+	reportTask("req-000001/1", attempt, wire.TaskRunning, "")
 	now += 50 * clock.Second
-	report("req-000001/1", attempt, wire.TaskExited, wire.ExitDone)
+	reportTask("req-000001/1", attempt, wire.TaskExited, wire.ExitDone)
 	if got := term.scheduler.RunTimeModel("c").PredictedSeconds(100); math.Abs(got-50) > 1e-6 {
 		t.Fatalf("after a run of 50 s, a task estimated at 100 s is predicted to run %.1f s", got)
 	}
--- a/internal/leader/archive.go
+++ b/internal/leader/archive.go
@@ -37,12 +37,12 @@
 // tick goes on with moving records into the archive, or back.
 func (archiver *archiver) tick(now clock.Micros) {
 	environment := archiver.term.environment
-	isWanted, hasArchive := environment.Tuning.ArchiveFinishedAfterS > 0, environment.View.HasArchive
+	isEnabled, hasArchive := environment.Tuning.ArchiveFinishedAfterS > 0, environment.View.HasArchive
 	switch {
 	case archiver.isBusy() || now < archiver.nextAt || environment.Store.IsFailing(now):
-	case isWanted && !hasArchive:
+	case isEnabled && !hasArchive:
 		archiver.writeMarker(wire.Change{PutKey: records.ArchiveMarkerKey, Value: []byte("{}")})
-	case isWanted:
+	case isEnabled:
 		archiver.readPage(records.JobPrefix, archiver.archiveExpired)
 	case hasArchive:
 		archiver.readPage(records.ArchivePrefix, archiver.restore)
@@ -65,8 +65,8 @@
 
 // archivePage is a page of records below a prefix.
 type archivePage struct {
-	records []wire.KeyValue
-	isAll   bool // there are no other records below the prefix
+	records    []wire.KeyValue
+	isOnlyPage bool // there are no other records below the prefix
 }
 
 // readPage reads the next page of records below a prefix.
@@ -88,7 +88,7 @@
 			} else {
 				archiver.nextAt = clock.Now() + archivePassInterval
 			}
-			handlePage(archivePage{records: page.KeyValues, isAll: after == "" && !page.HasMore})
+			handlePage(archivePage{records: page.KeyValues, isOnlyPage: after == "" && !page.HasMore})
 		}
 	})
 }
@@ -98,7 +98,7 @@
 	finishedBefore := clock.WallTime() - clock.FromSeconds(archiver.term.environment.Tuning.ArchiveFinishedAfterS)
 	for _, item := range page.records {
 		id := strings.TrimPrefix(item.Key, records.JobPrefix)
-		if isExpired(item.Value, finishedBefore) && archiver.isRecordAllThatIsLeft(id) {
+		if isExpired(item.Value, finishedBefore) && archiver.hasOnlyRecord(id) {
 			archiver.move(item, records.ArchiveKey(id))
 		}
 	}
@@ -110,9 +110,9 @@
 	return record.UnmarshalJSON(value) == nil && record.IsFinished() && clock.Micros(record.EndedAt) <= finishedBefore
 }
 
-// isRecordAllThatIsLeft tells whether nothing is left of a job but its record: neither other keys
+// hasOnlyRecord tells whether nothing is left of a job but its record: neither other keys
 // nor a place in the allocation table.
-func (archiver *archiver) isRecordAllThatIsLeft(id string) bool {
+func (archiver *archiver) hasOnlyRecord(id string) bool {
 	term := archiver.term
 	view := term.environment.View
 	return view.Progress[id] == nil && view.Dependencies[id] == nil && term.tracker.Jobs[id] == nil && term.jobs[id] == nil
@@ -120,7 +120,7 @@
 
 // restore moves a page of the archive back. Once the archive is empty, its marker is removed.
 func (archiver *archiver) restore(page archivePage) {
-	if len(page.records) == 0 && page.isAll {
+	if len(page.records) == 0 && page.isOnlyPage {
 		archiver.term.environment.Log.Info("archive emptied; a version without an archive may take over")
 		archiver.writeMarker(wire.Change{DeleteKey: records.ArchiveMarkerKey})
 		return
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -60,16 +60,16 @@
 
 // A failover at several sizes of the fleet: the allocation table is rebuilt from the records, every
 // machine's heartbeat shows its eight tasks, then the first plan is made.
-func BenchmarkTakeOver(b *testing.B) {
+func BenchmarkFailover(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
 				owner := ownerOf(newTestTerm(b))
-				reports := addFleetRecords(owner, machines)
+				heartbeats := addFleetRecords(owner, machines)
 				b.StartTimer()
-				term := failOverFleet(b, owner, reports)
+				term := failOverFleet(b, owner, heartbeats)
 				term.Plan(clock.Now())
 			}
 		})
@@ -78,28 +78,28 @@
 
 // What a fleet costs its leader after the failover: a heartbeat in which nothing has changed, the
 // memory for a machine, and the bytes sent to another member in a second.
-func BenchmarkLeading(b *testing.B) {
+func BenchmarkLeaderAfterFailover(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			before := heapInUse()
 			owner := ownerOf(newTestTerm(b))
-			reports := addFleetRecords(owner, machines)
-			term := failOverFleet(b, owner, reports)
-			heldBytes := heapInUse() - before
+			heartbeats := addFleetRecords(owner, machines)
+			term := failOverFleet(b, owner, heartbeats)
+			heapBytes := heapInUse() - before
 			startedAt := clock.Now()
 			handled := 0
 			for b.Loop() {
-				heartbeat := reports[handled%machines]
+				heartbeat := heartbeats[handled%machines]
 				heartbeat.Sequence++
 				term.HandleHeartbeat(heartbeat, &server.Reply{})
 				handled++
 			}
-			perReport := (clock.Now() - startedAt).Seconds() * 1e6 / float64(handled)
-			b.ReportMetric(perReport, "us/report")
-			b.ReportMetric(heldBytes/float64(machines), "B/machine")
-			const beats = 60
+			microsPerHeartbeat := (clock.Now() - startedAt).Seconds() * 1e6 / float64(handled)
+			b.ReportMetric(microsPerHeartbeat, "us/report")
+			b.ReportMetric(heapBytes/float64(machines), "B/machine")
+			const sentHeartbeats = 60
 			bytes := 0
-			for range beats {
+			for range sentHeartbeats {
 				heartbeat := &peer.Heartbeat{Member: "a", Leader: "a", Token: 10}
 				for id, job := range term.tracker.Jobs {
 					heartbeat.JobProgress = append(heartbeat.JobProgress, peer.JobProgress{Job: id, Done: uint32(job.DoneCount()), Running: uint32(job.StartedCount)})
@@ -107,7 +107,7 @@
 				term.addHints(heartbeat)
 				bytes += len(peer.Encode(heartbeat))
 			}
-			b.ReportMetric(float64(bytes)/beats, "B/s-told")
+			b.ReportMetric(float64(bytes)/sentHeartbeats, "B/s-told")
 		})
 	}
 }
@@ -133,7 +133,7 @@
 				term.tracker.Cancel(term.tracker.Jobs[fmt.Sprintf("req-%06d", i)], clock.Now())
 			}
 			for _, machine := range term.tracker.SortedMachines() {
-				term.HandleHeartbeat(heartbeatAgain(machine), &server.Reply{})
+				term.HandleHeartbeat(nextHeartbeat(machine), &server.Reply{})
 			}
 			for b.Loop() {
 				if status := term.MetricsStatus(clock.Now()); status.ListedCancelledTasks < machines/2 {
@@ -144,8 +144,8 @@
 	}
 }
 
-// heartbeatAgain is a machine's next heartbeat, with the tasks that it had.
-func heartbeatAgain(machine *allocation.Machine) *wire.Heartbeat {
+// nextHeartbeat is a machine's next heartbeat, with the tasks that it had.
+func nextHeartbeat(machine *allocation.Machine) *wire.Heartbeat {
 	heartbeat := &wire.Heartbeat{MachineID: machine.Name, Address: machine.Address, Incarnation: machine.Incarnation, Sequence: machine.HeartbeatSequence + 1, FencingToken: 10}
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: placement.TaskID(), Attempt: placement.Attempt, State: wire.TaskRunning})
--- a/internal/leader/cancelled_jobs.go
+++ b/internal/leader/cancelled_jobs.go
@@ -34,16 +34,16 @@
 	term.appendProgressDeletes(write, id, jobInfo)
 	// The job is still tracked after any outcome but a commit, so a later call writes again: with
 	// the version that the view has by then, if the record may be another one.
-	allowNext := func() {
+	allowNextWrite := func() {
 		jobInfo.isWriting = false
 		term.requestPlan()
 	}
-	verify := term.afterSync(allowNext)
-	term.commitHandled(write, outcomeHandlers{
+	allowNextWriteAfterSync := term.afterSync(allowNextWrite)
+	term.commitWithHandlers(write, outcomeHandlers{
 		committed:   func(uint64) { term.removeJob(id, job) },
-		conflict:    verify,
+		conflict:    allowNextWriteAfterSync,
 		notExecuted: func() { jobInfo.isWriting = false },
-		unknown:     verify,
+		unknown:     allowNextWriteAfterSync,
 		afterwards:  term.requestPlan,
 	})
 }
--- a/internal/leader/cancelled_jobs_test.go
+++ b/internal/leader/cancelled_jobs_test.go
@@ -13,9 +13,9 @@
 
 const cancelledJobID = "req-000001"
 
-// newTermOfCancelledJob makes a term that tracks a cancelled job of which no task is on a machine
+// newTermWithVacatedJob makes a term that tracks a cancelled job of which no task is on a machine
 // and whose record still has the submission.
-func newTermOfCancelledJob(t *testing.T) (*fake.Store, *Term) {
+func newTermWithVacatedJob(t *testing.T) (*fake.Store, *Term) {
 	t.Helper()
 	fakeStore, term := newTermOnStore(t, cleanupLimits)
 	record := records.Job{SubmittedAt: 1, Spec: &wire.Job{ID: cancelledJobID, Kind: wire.KindArray, Team: "t", TaskCount: 3, CPUs: 1, Priority: wire.PriorityNormal}}
@@ -44,7 +44,7 @@
 // A copy of the write that shrinks a cancelled job's record, carried out after the record was moved
 // to the archive, does not bring the record back beside the archived one.
 func TestLateShrinkDoesNotRestoreAnArchivedRecord(t *testing.T) {
-	fakeStore, term := newTermOfCancelledJob(t)
+	fakeStore, term := newTermWithVacatedJob(t)
 	owner := ownerOf(term)
 	before := len(fakeStore.Transactions())
 	persistUntilUntracked(t, term)
@@ -71,7 +71,7 @@
 
 // A record that is newer than the view's is not overwritten; it is shrunk once the view has it.
 func TestShrinkAfterConflictKeepsTheNewerRecord(t *testing.T) {
-	fakeStore, term := newTermOfCancelledJob(t)
+	fakeStore, term := newTermWithVacatedJob(t)
 	owner := ownerOf(term)
 	before := len(fakeStore.Transactions())
 	newer := *owner.View.Jobs[cancelledJobID]
@@ -80,9 +80,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	isWritten := make(chan kvstore.Outcome, 1)
-	owner.Store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: records.JobKey(cancelledJobID), Value: value}}, Done: func(outcome kvstore.Outcome, _ uint64) { isWritten <- outcome }})
-	if outcome := <-isWritten; outcome != kvstore.Committed {
+	outcomes := make(chan kvstore.Outcome, 1)
+	owner.Store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: records.JobKey(cancelledJobID), Value: value}}, Done: func(outcome kvstore.Outcome, _ uint64) { outcomes <- outcome }})
+	if outcome := <-outcomes; outcome != kvstore.Committed {
 		t.Fatalf("the newer record is not stored: %v", outcome)
 	}
 	term.persistJobs(clock.Now()) // before the view has the newer record
@@ -95,12 +95,12 @@
 		t.Errorf("stored is %+v, want a shrunk record that ended at %d", record, newer.EndedAt)
 	}
 	writes := fakeStore.Transactions()[before:]
-	isOfOldVersion := func(transaction wire.Transaction) bool {
+	requiresOldVersion := func(transaction wire.Transaction) bool {
 		return slices.ContainsFunc(transaction.Conditions, func(condition wire.Condition) bool {
 			return condition.Key == records.JobKey(cancelledJobID) && condition.Version == newer.Version
 		})
 	}
-	if len(writes) != 2 || slices.ContainsFunc(writes, isOfOldVersion) {
+	if len(writes) != 2 || slices.ContainsFunc(writes, requiresOldVersion) {
 		t.Errorf("written are %+v", writes)
 	}
 }
--- a/internal/leader/cancelled_task_log.go
+++ b/internal/leader/cancelled_task_log.go
@@ -8,36 +8,36 @@
 
 // Ways in which the stop of a listed task goes to its worker, as the log names them.
 const (
-	stopInReply       = "heartbeat reply"
-	stopInRequest     = "command request"
-	stopNeedsAddress  = "none: the worker's address is unknown"
-	stopNeedsToken    = "none before the worker confirms the token"
-	stopNeedsRequest  = "none before the worker's next heartbeat: command requests are held back"
-	stopNeedsReply    = "none before the worker's next heartbeat"
-	stopTaskIsSaving  = "none: the task saves its progress"
-	stopIsSentAlready = "command request, sent already"
+	stopInReply         = "heartbeat reply"
+	stopInRequest       = "command request"
+	stopNeedsAddress    = "none: the worker's address is unknown"
+	stopNeedsToken      = "none before the worker confirms the token"
+	stopRequestsBlocked = "none before the worker's next heartbeat: command requests are held back"
+	stopNeedsHeartbeat  = "none before the worker's next heartbeat"
+	stopTaskIsSaving    = "none: the task saves its progress"
+	stopAlreadySent     = "command request, sent already"
 )
 
-// logListedCancelled logs the tasks of cancelled and unknown jobs that a worker's message lists. Those
+// logUnexpectedTasks logs the tasks of cancelled and unknown jobs that a worker's message lists. Those
 // of cancelled jobs are logged once in a term, and all lines are bounded.
-func (term *Term) logListedCancelled(machine *allocation.Machine, heartbeat *wire.Heartbeat, isReply bool, now clock.Micros) {
+func (term *Term) logUnexpectedTasks(machine *allocation.Machine, heartbeat *wire.Heartbeat, canReply bool, now clock.Micros) {
 	for _, placement := range term.tracker.ListedCancelled {
-		since := now - placement.Job.CancelledAt
-		channel := term.stopChannel(machine, placement, isReply, now)
-		term.logListed(heartbeat, "worker lists a cancelled task", now, "task", placement.TaskID(), "cancelled_s", since.Seconds(), "stop_channel", channel)
+		cancelledFor := now - placement.Job.CancelledAt
+		channel := term.stopChannel(machine, placement, canReply, now)
+		term.logUnexpectedTask(heartbeat, "worker lists a cancelled task", now, "task", placement.TaskID(), "cancelled_s", cancelledFor.Seconds(), "stop_channel", channel)
 	}
 	for _, task := range term.tracker.ListedUnknown {
-		channel := stopNeedsReply
-		if isReply {
+		channel := stopNeedsHeartbeat
+		if canReply {
 			channel = stopInReply
 		}
-		term.logListed(heartbeat, "worker lists a task of an unknown job", now, "task", task, "stop_channel", channel)
+		term.logUnexpectedTask(heartbeat, "worker lists a task of an unknown job", now, "task", task, "stop_channel", channel)
 	}
 	term.tracker.ListedCancelled, term.tracker.ListedUnknown = nil, nil
 }
 
-// logListed logs a line about a task that a heartbeat lists, unless there were too many.
-func (term *Term) logListed(heartbeat *wire.Heartbeat, message string, now clock.Micros, args ...any) {
+// logUnexpectedTask logs a line about a task that a heartbeat lists, unless there were too many.
+func (term *Term) logUnexpectedTask(heartbeat *wire.Heartbeat, message string, now clock.Micros, args ...any) {
 	suppressed, isAllowed := term.logs.listedTasks.allow(now)
 	if !isAllowed {
 		return
@@ -47,21 +47,21 @@
 }
 
 // stopChannel is the way in which the stop of a listed task goes to its worker next, or why none does.
-func (term *Term) stopChannel(machine *allocation.Machine, placement *allocation.Placement, isReply bool, now clock.Micros) string {
+func (term *Term) stopChannel(machine *allocation.Machine, placement *allocation.Placement, canReply bool, now clock.Micros) string {
 	machineInfo := term.machines[machine.Name]
 	switch {
 	case !placement.NeedsStop():
 		return stopTaskIsSaving
-	case isReply:
+	case canReply:
 		return stopInReply
 	case placement.IsStopSent():
-		return stopIsSentAlready
+		return stopAlreadySent
 	case !machine.TokenConfirmed:
 		return stopNeedsToken
 	case machine.Address == "":
 		return stopNeedsAddress
 	case machineInfo == nil, machineInfo.isDeleting, term.isCommandBlocked(machine, machineInfo, now):
-		return stopNeedsRequest
+		return stopRequestsBlocked
 	}
 	return stopInRequest
 }
--- a/internal/leader/cancelled_task_log_test.go
+++ b/internal/leader/cancelled_task_log_test.go
@@ -59,12 +59,12 @@
 	for i := range 1000 {
 		term.tracker.ListedUnknown = append(term.tracker.ListedUnknown, wire.TaskID("req-000002", i))
 	}
-	term.logListedCancelled(term.tracker.Machines["i-1"], heartbeat, true, now)
+	term.logUnexpectedTasks(term.tracker.Machines["i-1"], heartbeat, true, now)
 	if got := strings.Count(lines.String(), "\n"); got != logLimitLines {
 		t.Fatalf("%d lines", got)
 	}
 	term.tracker.ListedUnknown = []string{"req-000002/0"}
-	term.logListedCancelled(term.tracker.Machines["i-1"], heartbeat, true, now+logLimitWindow)
+	term.logUnexpectedTasks(term.tracker.Machines["i-1"], heartbeat, true, now+logLimitWindow)
 	if want := fmt.Sprintf("suppressed=%d", 1000-logLimitLines); !strings.Contains(lines.String(), want) {
 		t.Fatalf("no %s in:\n%s", want, lines)
 	}
@@ -72,12 +72,12 @@
 
 // Starts that are paused for the age of the view, and resumed, are logged once each, and a heartbeat
 // that has to wait with the reason.
-func TestWhatIsHeldBackIsLogged(t *testing.T) {
+func TestPausedStartsAndDeferredHeartbeatsAreLogged(t *testing.T) {
 	term := newTestTerm(t, "i-1")
 	lines := captureLog(term)
-	old := term.entitlement.viewAge.LastReadSentAt() + term.environment.Staleness.RenewalWindow + clock.Second
+	staleAt := term.entitlement.viewAge.LastReadSentAt() + term.environment.Staleness.RenewalWindow + clock.Second
 	for range 3 {
-		term.pauseStartsIfStale(old)
+		term.pauseStartsIfStale(staleAt)
 	}
 	term.recordViewRead(clock.Now())
 	text := lines.String()
--- a/internal/leader/cleanup.go
+++ b/internal/leader/cleanup.go
@@ -52,7 +52,7 @@
 func (cleaner *cleaner) tick(now clock.Micros) {
 	if now >= cleaner.nextSweepAt {
 		cleaner.nextSweepAt = now + sweepInterval
-		cleaner.lookUpEvicted()
+		cleaner.lookUpEvictedJobs()
 		cleaner.jobsWithObsoleteKeys = cleaner.findJobsWithObsoleteKeys()
 	}
 	for cleaner.inFlight < maxCleanupsInFlight && cleaner.startNext() {
@@ -76,9 +76,9 @@
 	return true
 }
 
-// lookUpEvicted fetches the records of jobs that have progress and that were evicted from the
+// lookUpEvictedJobs fetches the records of jobs that have progress and that were evicted from the
 // view: a write that was executed late has put their progress back.
-func (cleaner *cleaner) lookUpEvicted() {
+func (cleaner *cleaner) lookUpEvictedJobs() {
 	for id := range cleaner.term.environment.View.Progress {
 		cleaner.term.host.LookUpIfEvicted(id)
 	}
--- a/internal/leader/cleanup_test.go
+++ b/internal/leader/cleanup_test.go
@@ -61,7 +61,7 @@
 		values[records.DependenciesKey("req-000001", part)] = records.Dependencies{DependsOn: []string{"req-000002"}}
 		values[records.ProgressKey("req-000002", part)] = records.Progress{}
 	}
-	stays := []string{
+	wantKeys := []string{
 		records.DependenciesKey("req-000004", 0), records.DependenciesKey("req-000004", 1), records.ProgressKey("req-000003", 0), records.ProgressKey("req-000004", 0),
 	}
 	values[records.DependenciesKey("req-000004", 0)] = records.Dependencies{DependsOn: []string{"req-000001"}}
@@ -75,7 +75,7 @@
 	runUntil(t, ownerOf(term), func() bool {
 		now += 2 * sweepInterval
 		term.persistence.cleanup.tick(now)
-		return slices.Equal(dependencyAndProgressKeys(fakeStore), stays)
+		return slices.Equal(dependencyAndProgressKeys(fakeStore), wantKeys)
 	})
 	for range 3 { // and no more than that
 		now += 2 * sweepInterval
@@ -83,7 +83,7 @@
 		idle := 0
 		runUntil(t, ownerOf(term), func() bool { idle++; return idle > 50 })
 	}
-	if got := dependencyAndProgressKeys(fakeStore); !slices.Equal(got, stays) {
+	if got := dependencyAndProgressKeys(fakeStore); !slices.Equal(got, wantKeys) {
 		t.Errorf("left are %v", got)
 	}
 	for _, transaction := range fakeStore.Transactions() {
@@ -106,26 +106,26 @@
 		term.persistence.cleanup.tick(clock.Now() + 2*sweepInterval)
 		return len(dependencyAndProgressKeys(fakeStore)) == 0
 	})
-	cleanUps := fakeStore.Transactions()[before:]
-	if len(cleanUps) != 1 || len(cleanUps[0].Conditions) != 2 {
-		t.Fatalf("cleaned up by %+v", cleanUps)
+	cleanups := fakeStore.Transactions()[before:]
+	if len(cleanups) != 1 || len(cleanups[0].Conditions) != 2 {
+		t.Fatalf("cleaned up by %+v", cleanups)
 	}
 	startNewTerm(t, ownerOf(term))
 	putAndSync(t, ownerOf(term), map[string]any{records.ProgressKey(id, 1): records.Progress{}})
-	fakeStore.ReapplyTransaction(cleanUps[0])
+	fakeStore.ReapplyTransaction(cleanups[0])
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a former leader's clean-up is carried out")
 	}
 	// The same leader's own is refused once the job has another record.
-	own := cleanUps[0]
-	own.Conditions = slices.Clone(own.Conditions)
-	for i := range own.Conditions {
-		if own.Conditions[i].Key == records.LockKey {
-			own.Conditions[i].Version = ownerOf(term).term.token
+	currentLeaderCleanup := cleanups[0]
+	currentLeaderCleanup.Conditions = slices.Clone(currentLeaderCleanup.Conditions)
+	for i := range currentLeaderCleanup.Conditions {
+		if currentLeaderCleanup.Conditions[i].Key == records.LockKey {
+			currentLeaderCleanup.Conditions[i].Version = ownerOf(term).term.token
 		}
 	}
 	putAndSync(t, ownerOf(term), map[string]any{records.JobKey(id): records.Job{SubmittedAt: 2, Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
-	fakeStore.ReapplyTransaction(own)
+	fakeStore.ReapplyTransaction(currentLeaderCleanup)
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
 		t.Error("a late clean-up removes what belongs to a record that came after it")
 	}
@@ -181,12 +181,12 @@
 	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4, Upcoming: &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 3}}
 	fakeStore, term := newTermOnStore(t, limits)
 	const id, tasks = "req-000001", 40000
-	before := records.Bitmap{}
-	before.Set(5)
-	before.Set(32000)
+	completedBefore := records.Bitmap{}
+	completedBefore.Set(5)
+	completedBefore.Set(32000)
 	putAndSync(t, ownerOf(term), map[string]any{
 		records.JobKey(id):         records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
-		records.ProgressKey(id, 0): records.Progress{Bits: before.Encode()}, // by the version before
+		records.ProgressKey(id, 0): records.Progress{Bits: completedBefore.Encode()}, // by the version before
 	})
 	fakeStore.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 3})
 	job := term.tracker.Jobs[id]
--- a/internal/leader/command_requests.go
+++ b/internal/leader/command_requests.go
@@ -124,7 +124,7 @@
 		return
 	}
 	if heartbeat != nil {
-		term.logListedCancelled(machine, heartbeat, false, now)
+		term.logUnexpectedTasks(machine, heartbeat, false, now)
 	}
 	term.processTaskEvents(now)
 	term.requestPlan()
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// commitHandled commits a write that is bound to the leader lock, and calls the handler of its
+// commitWithHandlers commits a write that is bound to the leader lock, and calls the handler of its
 // outcome.
-func (term *Term) commitHandled(write *kvstore.Write, handlers outcomeHandlers) {
+func (term *Term) commitWithHandlers(write *kvstore.Write, handlers outcomeHandlers) {
 	term.commitWithRevision(write, handlers.handle)
 }
 
--- a/internal/leader/constraints.go
+++ b/internal/leader/constraints.go
@@ -161,7 +161,7 @@
 		term.renewals.constraints.RecordRefusal()
 		reread()
 	}
-	term.commitHandled(&kvstore.Write{
+	term.commitWithHandlers(&kvstore.Write{
 		Priority:   kvstore.Critical,
 		Conditions: []wire.Condition{{Key: records.ConstraintsKey, Version: version}},
 		Changes:    []wire.Change{{PutKey: records.ConstraintsKey, Value: value}},
--- a/internal/leader/job_end_writer.go
+++ b/internal/leader/job_end_writer.go
@@ -33,7 +33,7 @@
 		term.appendProgressDeletes(write, id, jobInfo)
 	}
 	verify := term.afterSync(func() { writer.verify(id, job, jobInfo) })
-	term.commitHandled(write, outcomeHandlers{
+	term.commitWithHandlers(write, outcomeHandlers{
 		committed: func(revision uint64) {
 			jobInfo.isWriting = false
 			writer.recordCommit(id, end, revision, job, jobInfo)
--- a/internal/leader/job_persistence.go
+++ b/internal/leader/job_persistence.go
@@ -81,7 +81,7 @@
 		jobInfo.updateKeyVersions(term.environment.View.Progress[id])
 		term.requestPlan()
 	})
-	term.commitHandled(write, outcomeHandlers{
+	term.commitWithHandlers(write, outcomeHandlers{
 		committed: func(revision uint64) {
 			jobInfo.isRecordingStarts = false
 			job.StartsRecorded = true
--- a/internal/leader/machine_types.go
+++ b/internal/leader/machine_types.go
@@ -14,5 +14,5 @@
 		term.environment.Log.Info("machine types exceed the store's value limit; members get them from the cloud alone", "size_bytes", len(value))
 		return
 	}
-	term.commitHandled(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.MachineTypesKey, Value: value}}}, outcomeHandlers{})
+	term.commitWithHandlers(&kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.MachineTypesKey, Value: value}}}, outcomeHandlers{})
 }
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -104,7 +104,7 @@
 		term.host.HandleHigherToken(term.token)
 		return
 	}
-	term.logListedCancelled(machine, heartbeat, false, now)
+	term.logUnexpectedTasks(machine, heartbeat, false, now)
 	term.processTaskEvents(now)
 	term.requestPlan()
 }
--- a/internal/leader/progress_writer.go
+++ b/internal/leader/progress_writer.go
@@ -84,7 +84,7 @@
 		jobInfo.updateKeyVersions(term.environment.View.Progress[id])
 		term.requestPlan()
 	})
-	term.commitHandled(write, outcomeHandlers{
+	term.commitWithHandlers(write, outcomeHandlers{
 		committed: func(revision uint64) {
 			for key := range keys {
 				jobInfo.setKeyVersion(key, revision)
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -67,7 +67,7 @@
 	}
 	rewrite := func() { term.writeScaleOutRecord(request, priority) }
 	verify := func() { term.verifyScaleOutRecord(request, rewrite) }
-	term.commitHandled(&kvstore.Write{
+	term.commitWithHandlers(&kvstore.Write{
 		Priority: priority, Conditions: []wire.Condition{write.Condition}, Changes: []wire.Change{write.Change},
 	}, outcomeHandlers{
 		committed: func(revision uint64) {
--- a/internal/leader/standby_record.go
+++ b/internal/leader/standby_record.go
@@ -34,7 +34,7 @@
 		inSync.RejectWrite()
 		syncView()
 	}
-	term.commitHandled(write, outcomeHandlers{
+	term.commitWithHandlers(write, outcomeHandlers{
 		committed: func(revision uint64) {
 			inSync.ConfirmWrite(revision)
 			term.environment.Log.Debug("in-sync members recorded", "token", record.Token, "members", record.Members)
--- a/internal/leader/token.go
+++ b/internal/leader/token.go
@@ -19,7 +19,7 @@
 	}
 	term.tokenIssue.isInFlight = true
 	write := &kvstore.Write{Priority: kvstore.Required, Changes: []wire.Change{{PutKey: records.TokenKey, Value: []byte(`{}`)}}}
-	term.commitHandled(write, outcomeHandlers{
+	term.commitWithHandlers(write, outcomeHandlers{
 		committed: func(revision uint64) {
 			term.tokenIssue.issuedAt = clock.Now()
 			term.tracker.IssueToken(revision)
--- a/internal/leader/worker_heartbeats.go
+++ b/internal/leader/worker_heartbeats.go
@@ -31,7 +31,7 @@
 		return
 	}
 	commands := term.commandsAfter(result, machine, now)
-	term.logListedCancelled(machine, heartbeat, true, now)
+	term.logUnexpectedTasks(machine, heartbeat, true, now)
 	if len(commands) > 0 {
 		term.renewLease(reply, commands, metrics.ReplyRenewedWithCommands)
 	} else {
