--- a/internal/leader/adopted_tasks_test.go
+++ b/internal/leader/adopted_tasks_test.go
@@ -11,9 +11,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A new leader doesn't know when the tasks that it finds running began, so their runs are not
-// taken as run times. Added after the rests of such runs were, and forecasts were too short after
-// each failover.
+// A new leader doesn't know when the tasks that it finds running were started, so it must not use the
+// time from its election to their end as their run time. When it did, run-time predictions were too
+// short after each failover.
 func TestAdoptedTasksDoNotUpdateRunTimes(t *testing.T) {
 	term := newTestTerm(t, "i-1")
 	term.environment.View.Jobs["req-000001"] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
@@ -30,11 +30,11 @@
 		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: sequence, FencingToken: 10, Tasks: []wire.TaskStatus{{TaskID: task, Attempt: attempt, State: state, ExitCause: exitCause}}}, now)
 		term.processTaskEvents(now)
 	}
-	reportTask("req-000001/0", 3, wire.TaskRunning, "") // begun long ago
+	reportTask("req-000001/0", 3, wire.TaskRunning, "") // started by an earlier leader
 	now += 5 * clock.Second
 	reportTask("req-000001/0", 3, wire.TaskExited, wire.ExitDone)
 	if got := term.scheduler.RunTimeModel("c").PredictedSeconds(100); math.Abs(got-100) > 1e-9 {
-		t.Fatalf("a task of 100 s is predicted to run %.1f s", got)
+		t.Fatalf("after the end of an adopted task, predicted run time of an estimated 100 s is %.1f s, want 100 s", got)
 	}
 	if err := term.tracker.PlaceTask(job, 1, machine, term.tracker.NextAttempt(), now); err != nil {
 		t.Fatal(err)
@@ -46,6 +46,6 @@
 	now += 50 * clock.Second
 	reportTask("req-000001/1", attempt, wire.TaskExited, wire.ExitDone)
 	if got := term.scheduler.RunTimeModel("c").PredictedSeconds(100); math.Abs(got-50) > 1e-6 {
-		t.Fatalf("after a run of 50 s, a task estimated at 100 s is predicted to run %.1f s", got)
+		t.Fatalf("after a run of 50 s, predicted run time of an estimated 100 s is %.1f s, want 50 s", got)
 	}
 }
--- a/internal/leader/archive.go
+++ b/internal/leader/archive.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// archivePageSize is how many records are read in one request.
+	// archivePageSize is the maximum number of records that one request reads.
 	archivePageSize = 200
-	// archiveInterval is the time between two requests, archivePassInterval that between two
-	// passes through all records.
+	// archiveInterval is the time between two requests, and archivePassInterval the time between
+	// two passes over all records.
 	archiveInterval, archivePassInterval = clock.Second, 60 * clock.Second
-	// maxMovesInFlight bounds the records that are being moved.
+	// maxMovesInFlight bounds how many records are being moved at a time.
 	maxMovesInFlight = 64
 )
 
-// archiver moves records of jobs that finished long ago to the archive: keys below a prefix that
-// is neither loaded at the start nor watched. It does so with `archive_finished_after_s` set, a
-// page at a time. With the setting at 0 it moves archived records back, so that a version that
-// knows no archive can take over. A record is moved in one transaction, so it is always in
-// exactly one of the two places, and a submission requires its absence from both.
+// archiver moves the records of jobs that finished long ago to the archive, a page at a time, if
+// `archive_finished_after_s` is above 0. The archive is a set of keys below a prefix of its own, which
+// members neither load at startup nor watch. If the setting is 0, archiver moves archived records back,
+// so that a version that doesn't know the archive can take over. A record is moved in one transaction,
+// so it is always in exactly one of the two places, and a submission requires its absence from both.
 type archiver struct {
 	term          *Term
-	afterKey      string // the last key that was read in this pass
+	afterKey      string // the last key that was read in this pass, or empty at the start of a pass
 	nextAt        clock.Micros
 	isReading     bool
 	movesInFlight int
-	// isWritingMarker: the key that says whether there may be an archive is being written.
+	// isWritingMarker is true from the start of a write of the archive marker, the key that says that
+	// the archive may hold records, until archiveInterval after the outcome of that write.
 	isWritingMarker bool
 }
 
-// tick goes on with moving records into the archive, or back.
+// tick starts the next step of moving records to the archive or back, if one is due.
 func (archiver *archiver) tick(now clock.Micros) {
 	environment := archiver.term.environment
 	isEnabled, hasArchive := environment.Tuning.ArchiveFinishedAfterS > 0, environment.View.HasArchive
@@ -53,8 +54,9 @@
 	return archiver.isReading || archiver.movesInFlight > 0 || archiver.isWritingMarker
 }
 
-// writeMarker makes it durable that there may be an archive, before the first record is moved
-// there, or that there is none any more. The view shows whether it was executed.
+// writeMarker writes the archive marker before the first record is moved to the archive, or deletes
+// the marker once the archive is empty. It ignores the write's outcome: the view shows whether the
+// marker exists.
 func (archiver *archiver) writeMarker(change wire.Change) {
 	term := archiver.term
 	archiver.isWritingMarker = true
@@ -66,10 +68,10 @@
 // archivePage is a page of records below a prefix.
 type archivePage struct {
 	records    []wire.KeyValue
-	isOnlyPage bool // there are no other records below the prefix
+	isOnlyPage bool // whether the prefix has no other records
 }
 
-// readPage reads the next page of records below a prefix.
+// readPage reads the next page of records below a prefix and passes it to handlePage.
 func (archiver *archiver) readPage(prefix string, handlePage func(archivePage)) {
 	term := archiver.term
 	archiver.isReading = true
@@ -93,7 +95,7 @@
 	})
 }
 
-// archiveExpired moves those records of a page to the archive whose jobs finished long ago.
+// archiveExpired moves those records of a page to the archive whose jobs finished long enough ago.
 func (archiver *archiver) archiveExpired(page archivePage) {
 	finishedBefore := clock.WallTime() - clock.FromSeconds(archiver.term.environment.Tuning.ArchiveFinishedAfterS)
 	for _, item := range page.records {
@@ -104,21 +106,22 @@
 	}
 }
 
-// isExpired tells whether a stored record is that of a job that finished before a time of day.
+// isExpired reports whether a stored record is that of a job that finished no later than
+// finishedBefore, a wall-clock time.
 func isExpired(value []byte, finishedBefore clock.Micros) bool {
 	var record records.Job
 	return record.UnmarshalJSON(value) == nil && record.IsFinished() && clock.Micros(record.EndedAt) <= finishedBefore
 }
 
-// hasOnlyRecord tells whether nothing is left of a job but its record: neither other keys
-// nor a place in the allocation table.
+// hasOnlyRecord reports whether nothing but its record is left of a job: it has no other keys, and the
+// leader doesn't track it.
 func (archiver *archiver) hasOnlyRecord(id string) bool {
 	term := archiver.term
 	view := term.environment.View
 	return view.Progress[id] == nil && view.Dependencies[id] == nil && term.tracker.Jobs[id] == nil && term.jobs[id] == nil
 }
 
-// restore moves a page of the archive back. Once the archive is empty, its marker is removed.
+// restore moves a page of archived records back. If the archive is empty, restore deletes the marker.
 func (archiver *archiver) restore(page archivePage) {
 	if len(page.records) == 0 && page.isOnlyPage {
 		archiver.term.environment.Log.Info("archive emptied; a version without an archive may take over")
@@ -131,8 +134,8 @@
 	}
 }
 
-// move moves a record to another key, if it is still as it was read. What is over the bound on
-// moves under way is moved in the next pass.
+// move moves a record to another key, provided that it is unchanged since it was read. If
+// maxMovesInFlight moves are in flight, move does nothing, and a later pass moves the record.
 func (archiver *archiver) move(item wire.KeyValue, newKey string) {
 	if archiver.movesInFlight >= maxMovesInFlight {
 		return
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -14,8 +14,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// addFleetRecords are the records of so many machines, each with eight tasks of arrays, in
-// a view, and the heartbeats that the machines send.
+// addFleetRecords adds the records of a number of machines to the owner's view, with array jobs that
+// have eight tasks for each machine. It returns the heartbeats in which the machines report these tasks.
 func addFleetRecords(owner *testOwner, machines int) []*wire.Heartbeat {
 	const tasks, jobTasks = 8, 96
 	scaleOut := owner.View.ScaleOuts["h"]
@@ -42,7 +42,8 @@
 	return heartbeats
 }
 
-// failOverFleet has a new leader rebuild the allocation table and take every machine's heartbeat.
+// failOverFleet makes a new leader that rebuilds the allocation table and handles every machine's
+// heartbeat.
 func failOverFleet(b *testing.B, owner *testOwner, heartbeats []*wire.Heartbeat) *Term {
 	b.Helper()
 	term := owner.newTerm(10, clock.Now())
@@ -51,15 +52,15 @@
 		term.HandleHeartbeat(heartbeat, &server.Reply{})
 	}
 	if !term.tracker.IsReconciled() {
-		b.Fatal("not accounted for")
+		b.Fatal("not every machine is reconciled after its heartbeat")
 	}
 	return term
 }
 
 var fleetSizes = []int{500, 1500, 4000, 6000}
 
-// A failover at several sizes of the fleet: the allocation table is rebuilt from the records, every
-// machine's heartbeat shows its eight tasks, then the first plan is made.
+// Measures a failover at several fleet sizes: the leader rebuilds the allocation table from the
+// records, handles a heartbeat with eight tasks of every machine, and makes its first plan.
 func BenchmarkFailover(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -76,8 +77,8 @@
 	}
 }
 
-// What a fleet costs its leader after the failover: a heartbeat in which nothing has changed, the
-// memory for a machine, and the bytes sent to another member in a second.
+// Measures what a fleet costs its leader after the failover: the time to handle a heartbeat in which
+// nothing has changed, the memory for each machine, and the bytes sent to another member in a second.
 func BenchmarkLeaderAfterFailover(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -112,18 +113,18 @@
 	}
 }
 
-// heapInUse is how many bytes of the heap are in use after a garbage collection.
+// heapInUse returns how many bytes of the heap are in use after garbage collections.
 func heapInUse() float64 {
 	for range 3 {
-		runtime.GC() // the first ones leave what has a finalizer
+		runtime.GC() // objects with finalizers are freed by a later collection than the first
 	}
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc)
 }
 
-// Reading the metrics of a large fleet: a tenth of its tasks belong to cancelled jobs and are listed
-// still. The controller's goroutine is held up for this long.
+// Measures how long reading the metrics of a large fleet blocks the controller's goroutine. A tenth of
+// the fleet's jobs are cancelled, and workers still list their tasks.
 func BenchmarkMetricsStatus(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -144,7 +145,7 @@
 	}
 }
 
-// nextHeartbeat is a machine's next heartbeat, with the tasks that it had.
+// nextHeartbeat returns a machine's next heartbeat, which lists the same tasks as its last one.
 func nextHeartbeat(machine *allocation.Machine) *wire.Heartbeat {
 	heartbeat := &wire.Heartbeat{MachineID: machine.Name, Address: machine.Address, Incarnation: machine.Incarnation, Sequence: machine.HeartbeatSequence + 1, FencingToken: 10}
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
--- a/internal/leader/cancelled_jobs.go
+++ b/internal/leader/cancelled_jobs.go
@@ -7,13 +7,13 @@
 	"firwood.dev/firwood/wire"
 )
 
-// cancelledJobShrinker takes the submission out of the records of cancelled jobs. A record that
-// has it tells a new leader that tasks of the job may be on machines.
+// cancelledJobShrinker removes the submission from the records of cancelled jobs. While a record has
+// its submission, it tells a new leader that tasks of the job may be on machines.
 type cancelledJobShrinker struct{ term *Term }
 
-// shrinkIfVacated shrinks the record of a cancelled job once none of its tasks can be on a
-// machine. The write is conditional on the record's version: a copy of it that is executed late,
-// after the record was moved to the archive, must not bring the record back.
+// shrinkIfVacated removes the submission from the record of a cancelled job once none of its tasks can
+// be on a machine. The write is conditional on the record's version: if a copy of the write is executed
+// late, after the record was moved to the archive, it must not restore the record.
 func (shrinker *cancelledJobShrinker) shrinkIfVacated(id string, job *allocation.Job, jobInfo *jobState) {
 	term := shrinker.term
 	if !term.tracker.IsVacated(job) {
@@ -32,8 +32,8 @@
 		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
 	}
 	term.appendProgressDeletes(write, id, jobInfo)
-	// The job is still tracked after any outcome but a commit, so a later call writes again: with
-	// the version that the view has by then, if the record may be another one.
+	// Unless the write is committed, the job stays tracked, so a later call writes again. After a
+	// conflict or an unknown outcome, it has to use the record's version from a newer view.
 	allowNextWrite := func() {
 		jobInfo.isWriting = false
 		term.requestPlan()
--- a/internal/leader/cancelled_task_log.go
+++ b/internal/leader/cancelled_task_log.go
@@ -6,7 +6,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Ways in which the stop of a listed task goes to its worker, as the log names them.
+// Values of the log field stop_channel: how the stop of a listed task reaches its worker next, or why no
+// stop is sent.
 const (
 	stopInReply         = "heartbeat reply"
 	stopInRequest       = "command request"
@@ -18,8 +19,9 @@
 	stopAlreadySent     = "command request, sent already"
 )
 
-// logUnexpectedTasks logs the tasks of cancelled and unknown jobs that a worker's message lists. Those
-// of cancelled jobs are logged once in a term, and all lines are bounded.
+// logUnexpectedTasks logs the tasks of cancelled and unknown jobs that a worker's message lists.
+// canReply says whether the message gets a reply that carries stops. A task of a cancelled job is logged
+// once in a term. The number of lines is bounded for both kinds together.
 func (term *Term) logUnexpectedTasks(machine *allocation.Machine, heartbeat *wire.Heartbeat, canReply bool, now clock.Micros) {
 	for _, placement := range term.tracker.ListedCancelled {
 		cancelledFor := now - placement.Job.CancelledAt
@@ -36,7 +38,8 @@
 	term.tracker.ListedCancelled, term.tracker.ListedUnknown = nil, nil
 }
 
-// logUnexpectedTask logs a line about a task that a heartbeat lists, unless there were too many.
+// logUnexpectedTask logs a line about a task that a heartbeat lists, unless the limit of such lines is
+// reached.
 func (term *Term) logUnexpectedTask(heartbeat *wire.Heartbeat, message string, now clock.Micros, args ...any) {
 	suppressed, isAllowed := term.logs.listedTasks.allow(now)
 	if !isAllowed {
@@ -46,7 +49,7 @@
 	term.environment.Log.Info(message, args...)
 }
 
-// stopChannel is the way in which the stop of a listed task goes to its worker next, or why none does.
+// stopChannel returns how the stop of a listed task is sent to its worker next, or why none is sent.
 func (term *Term) stopChannel(machine *allocation.Machine, placement *allocation.Placement, canReply bool, now clock.Micros) string {
 	machineInfo := term.machines[machine.Name]
 	switch {
--- a/internal/leader/cancelled_task_log_test.go
+++ b/internal/leader/cancelled_task_log_test.go
@@ -11,15 +11,15 @@
 	"firwood.dev/firwood/wire"
 )
 
-// captureLog has a term's lines written to a buffer.
+// captureLog redirects a term's log to a buffer.
 func captureLog(term *Term) *bytes.Buffer {
 	var lines bytes.Buffer
 	term.environment.Log = slog.New(slog.NewTextHandler(&lines, nil))
 	return &lines
 }
 
-// The log tells once in a term of each task of a cancelled job that a worker lists, and by which
-// channel its stop goes; a probe's answer has none before the token is confirmed.
+// The log shows once in a term each task of a cancelled job that a worker lists, with the channel that
+// its stop is sent through. For the answer to a probe, there is no channel before the token is confirmed.
 func TestListedCancelledTaskIsLoggedOnce(t *testing.T) {
 	for _, test := range []struct {
 		name, channel string
@@ -43,14 +43,14 @@
 			}
 			want := fmt.Sprintf(`stop_channel=%q machine=i-1 worker_token=%d token=9 suppressed=0`, test.channel, test.workerToken)
 			if text := lines.String(); strings.Count(text, "worker lists a cancelled task") != 1 || !strings.Contains(text, want) {
-				t.Fatalf("log, want %s:\n%s", want, text)
+				t.Fatalf("log doesn't have the line once with %s:\n%s", want, text)
 			}
 		})
 	}
 }
 
-// Thousands of listed tasks cause no more than a bounded number of lines, and the next line tells how
-// many there were besides.
+// If workers list thousands of tasks of unknown jobs, the number of log lines is bounded, and the next
+// line says how many were suppressed.
 func TestListedTaskLinesAreBounded(t *testing.T) {
 	term := newTermWithCancelledJob(t)
 	lines := captureLog(term)
@@ -61,17 +61,17 @@
 	}
 	term.logUnexpectedTasks(term.tracker.Machines["i-1"], heartbeat, true, now)
 	if got := strings.Count(lines.String(), "\n"); got != logLimitLines {
-		t.Fatalf("%d lines", got)
+		t.Fatalf("logged %d lines, want logLimitLines", got)
 	}
 	term.tracker.ListedUnknown = []string{"req-000002/0"}
 	term.logUnexpectedTasks(term.tracker.Machines["i-1"], heartbeat, true, now+logLimitWindow)
 	if want := fmt.Sprintf("suppressed=%d", 1000-logLimitLines); !strings.Contains(lines.String(), want) {
-		t.Fatalf("no %s in:\n%s", want, lines)
+		t.Fatalf("log doesn't have %s:\n%s", want, lines)
 	}
 }
 
-// Starts that are paused for the age of the view, and resumed, are logged once each, and a heartbeat
-// that has to wait with the reason.
+// Pausing starts because the view is too old, and resuming them, is logged once each. A deferred
+// heartbeat is logged with the reason.
 func TestPausedStartsAndDeferredHeartbeatsAreLogged(t *testing.T) {
 	term := newTestTerm(t, "i-1")
 	lines := captureLog(term)
@@ -82,10 +82,10 @@
 	term.recordViewRead(clock.Now())
 	text := lines.String()
 	if strings.Count(text, "starts paused: the view is too old") != 1 || strings.Count(text, "starts resumed") != 1 {
-		t.Fatalf("log:\n%s", text)
+		t.Fatalf("log doesn't have one pause and one resumption of starts:\n%s", text)
 	}
 	term.deferHeartbeat(deferredHeartbeat{heartbeat: heartbeatWith("i-1", cancelledTask, 5, 4), receivedAt: clock.Now()}, "the view is too old")
 	if !strings.Contains(lines.String(), `msg="heartbeat held back" reason="the view is too old" machine=i-1 zone=x`) {
-		t.Fatalf("log:\n%s", lines)
+		t.Fatalf("log doesn't have the deferred heartbeat:\n%s", lines)
 	}
 }
