--- a/internal/leader/cleanup.go
+++ b/internal/leader/cleanup.go
@@ -12,43 +12,45 @@
 )
 
 const (
-	// sweepInterval is how often the leader looks for obsolete keys.
+	// sweepInterval is the time between two searches for obsolete keys.
 	sweepInterval = 5 * clock.Second
-	// maxCleanupsInFlight bounds the writes of the cleaner under way, so that they never fill the
-	// queue in which users' writes wait. Added after submissions were refused while thousands of
-	// implied cancellations were written.
+	// maxCleanupsInFlight bounds the cleaner's writes in flight, so that they never fill the queue in
+	// which users' writes wait. Without this bound, submissions were refused while thousands of
+	// implied cancellations were being written.
 	maxCleanupsInFlight = 4
-	// cleanupRetryDelay is the time until a failed write is tried again.
+	// cleanupRetryDelay is the delay before the retry of an implied cancellation whose write failed.
 	cleanupRetryDelay = 2 * clock.Second
 )
 
-// cleaner removes from the key-value store what is of no use any more and that nobody waits for:
+// cleaner deletes keys from the key-value store that are no longer of use, and that nobody waits for:
 //   - the dependencies of jobs that have ended;
-//   - progress of jobs that have ended, which the write of their end left because it didn't fit
-//     into its transaction, or which a write that was executed late has put back;
+//   - the progress of jobs that have ended. Such a key remains if the write of the job's end had no
+//     room for its deletion in its transaction, and returns if an earlier write is executed late.
 //
-// and it writes the ends of jobs that were cancelled with one that they depend on, which follow
-// so far from that job's record. It does a little at a time, with what the rate of writes has to
-// spare. Every write is conditional on the lock and on the record of the ended job, so neither a
-// former leader nor a write that is executed late removes anything of a job that has not ended.
+// It also writes the ends of jobs that were cancelled because a job that they depend on was cancelled.
+// Until then, such an end is derived from the record of that other job. The cleaner has few writes in
+// flight and sends them from spare write rate only. Every write is conditional on the leader lock and on
+// the job's record, so neither a former leader nor a write that is executed late removes anything of a
+// job that has not ended.
 type cleaner struct {
 	term        *Term
 	nextSweepAt clock.Micros
-	// impliedCancellations are jobs that were cancelled with another one, and whose own records
-	// don't say so yet.
+	// impliedCancellations are the IDs of jobs that were cancelled because a job that they depend on
+	// was cancelled, and whose own records don't say so yet.
 	impliedCancellations []string
-	// jobsWithObsoleteKeys are jobs that have ended and still have keys, as of the last sweep.
+	// jobsWithObsoleteKeys are the IDs of jobs that had ended and still had keys at the last sweep.
 	jobsWithObsoleteKeys []string
 	inFlight             int
 }
 
-// addImpliedCancellations has the end of jobs written that were cancelled with another one.
+// addImpliedCancellations queues jobs that were cancelled because of another job's cancellation, so that
+// their ends are written.
 func (cleaner *cleaner) addImpliedCancellations(ids ...string) {
 	cleaner.impliedCancellations = append(cleaner.impliedCancellations, ids...)
 }
 
-// tick looks for obsolete keys when that is due, and starts writes up to the bound on those under
-// way.
+// tick looks for obsolete keys if a sweep is due, and starts writes until maxCleanupsInFlight are in
+// flight.
 func (cleaner *cleaner) tick(now clock.Micros) {
 	if now >= cleaner.nextSweepAt {
 		cleaner.nextSweepAt = now + sweepInterval
@@ -59,7 +61,7 @@
 	}
 }
 
-// startNext takes the next job to clean up after; false means that there is none.
+// startNext cleans up after the next job. It returns false if no job is left.
 func (cleaner *cleaner) startNext() bool {
 	switch {
 	case len(cleaner.impliedCancellations) > 0:
@@ -76,16 +78,16 @@
 	return true
 }
 
-// lookUpEvictedJobs fetches the records of jobs that have progress and that were evicted from the
-// view: a write that was executed late has put their progress back.
+// lookUpEvictedJobs fetches the records of jobs that have progress and may have been evicted from the
+// view. Such a job has progress because a write that was executed late put it back.
 func (cleaner *cleaner) lookUpEvictedJobs() {
 	for id := range cleaner.term.environment.View.Progress {
 		cleaner.term.host.LookUpIfEvicted(id)
 	}
 }
 
-// findJobsWithObsoleteKeys lists jobs that have ended and still have keys. It looks at the jobs
-// that have keys of their own, which are few, and not at all jobs.
+// findJobsWithObsoleteKeys returns the IDs of jobs that have ended and still have keys. It examines only
+// the jobs that have dependencies or progress in the view, which are few, rather than all jobs.
 func (cleaner *cleaner) findJobsWithObsoleteKeys() []string {
 	view := cleaner.term.environment.View
 	found := map[string]bool{}
@@ -99,8 +101,8 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// obsoleteKeys are the keys of a job that are of no use any more. While tasks of a cancelled job
-// may be on machines, its progress stays: it tells the next leader to look for them.
+// obsoleteKeys returns the keys of a job that are no longer of use. While tasks of a cancelled job may
+// be on machines, its progress is kept: it tells the next leader to look for these tasks.
 func (cleaner *cleaner) obsoleteKeys(id string) []string {
 	view := cleaner.term.environment.View
 	record := view.Jobs[id]
@@ -133,8 +135,8 @@
 	cleaner.commit(write, func(kvstore.Outcome) {})
 }
 
-// writeImpliedCancellation makes the end of a job durable that was cancelled with one that it
-// depends on. Users get that state without it; it spares later readers the derivation.
+// writeImpliedCancellation writes the end of a job that was cancelled because a job that it depends on
+// was cancelled. Users are shown that end without this write, which saves later readers deriving it.
 func (cleaner *cleaner) writeImpliedCancellation(id string) {
 	term := cleaner.term
 	record := term.environment.View.Jobs[id]
@@ -142,7 +144,7 @@
 		return
 	}
 	end := storeview.NewEndedJob(record, wire.JobCancelled, clock.WallTime())
-	end.Spec = nil // it never started
+	end.Spec = nil // the job never started, so a new leader need not look for its tasks
 	value, err := end.MarshalJSON()
 	if err != nil {
 		return
--- a/internal/leader/cleanup_test.go
+++ b/internal/leader/cleanup_test.go
@@ -18,7 +18,7 @@
 
 var cleanupLimits = config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4}
 
-// putAndSync writes keys as another member would, and waits until the view has them.
+// putAndSync writes keys as another member would, and waits until the view shows them.
 func putAndSync(t *testing.T, owner *testOwner, values map[string]any) {
 	t.Helper()
 	for key, value := range values {
@@ -29,7 +29,7 @@
 		done := false
 		owner.Store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: key, Value: encoded}}, Done: func(outcome kvstore.Outcome, _ uint64) {
 			if outcome != kvstore.Committed {
-				t.Errorf("%s is not stored: %v", key, outcome)
+				t.Errorf("writing %s: got outcome %v, want committed", key, outcome)
 			}
 			owner.PostResult(func() { done = true })
 		}})
@@ -44,8 +44,8 @@
 	return append(fakeStore.Keys(records.DependenciesPrefix), fakeStore.Keys(records.ProgressPrefix)...)
 }
 
-// Keys of ended jobs are deleted; those of an active job stay, and so does the progress of a
-// cancelled one while its tasks may be on machines.
+// The cleaner deletes the keys of ended jobs. It keeps those of active jobs, and the progress of a
+// cancelled job while tasks of that job may be on machines.
 func TestObsoleteKeysAreDeleted(t *testing.T) {
 	fakeStore, term := newTermOnStore(t, cleanupLimits)
 	job := func(id string) *wire.Job {
@@ -57,7 +57,7 @@
 		records.JobKey("req-000003"): records.Job{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: int64(clock.WallTime()), Spec: job("req-000003")},
 		records.JobKey("req-000004"): records.Job{SubmittedAt: 1, Spec: job("req-000004"), DependencyParts: 2},
 	}
-	for part := range 9 { // more than a transaction takes
+	for part := range 9 { // more keys than one transaction may change
 		values[records.DependenciesKey("req-000001", part)] = records.Dependencies{DependsOn: []string{"req-000002"}}
 		values[records.ProgressKey("req-000002", part)] = records.Progress{}
 	}
@@ -77,24 +77,25 @@
 		term.persistence.cleanup.tick(now)
 		return slices.Equal(dependencyAndProgressKeys(fakeStore), wantKeys)
 	})
-	for range 3 { // and no more than that
+	for range 3 { // further sweeps must not delete anything else
 		now += 2 * sweepInterval
 		term.persistence.cleanup.tick(now)
 		idle := 0
 		runUntil(t, ownerOf(term), func() bool { idle++; return idle > 50 })
 	}
 	if got := dependencyAndProgressKeys(fakeStore); !slices.Equal(got, wantKeys) {
-		t.Errorf("left are %v", got)
+		t.Errorf("keys after the cleanup are %v, want those in wantKeys", got)
 	}
 	for _, transaction := range fakeStore.Transactions() {
 		if len(transaction.Changes) > cleanupLimits.MaxTransactionOps {
-			t.Errorf("%d changes in a transaction", len(transaction.Changes))
+			t.Errorf("a transaction has %d changes, want at most cleanupLimits.MaxTransactionOps", len(transaction.Changes))
 		}
 	}
 }
 
-// A cleanup that is executed late, after another leader was elected, deletes nothing, even of a job
-// that has ended.
+// A cleanup write that is executed late, after another leader was elected, must not delete anything, not
+// even keys of a job that has ended. Nor may a write of the current leader, once the job has a newer
+// record.
 func TestStaleCleanupDeletesNothing(t *testing.T) {
 	fakeStore, term := newTermOnStore(t, cleanupLimits)
 	const id = "req-000001"
@@ -108,15 +109,15 @@
 	})
 	cleanups := fakeStore.Transactions()[before:]
 	if len(cleanups) != 1 || len(cleanups[0].Conditions) != 2 {
-		t.Fatalf("cleaned up by %+v", cleanups)
+		t.Fatalf("cleanup transactions are %+v, want one with two conditions", cleanups)
 	}
 	startNewTerm(t, ownerOf(term))
 	putAndSync(t, ownerOf(term), map[string]any{records.ProgressKey(id, 1): records.Progress{}})
 	fakeStore.ReapplyTransaction(cleanups[0])
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
-		t.Error("a former leader's clean-up is carried out")
+		t.Error("a former leader's cleanup write was executed")
 	}
-	// The same leader's own is refused once the job has another record.
+	// With the current leader's token, the write must fail because the job has a newer record.
 	currentLeaderCleanup := cleanups[0]
 	currentLeaderCleanup.Conditions = slices.Clone(currentLeaderCleanup.Conditions)
 	for i := range currentLeaderCleanup.Conditions {
@@ -127,12 +128,12 @@
 	putAndSync(t, ownerOf(term), map[string]any{records.JobKey(id): records.Job{SubmittedAt: 2, Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1}}})
 	fakeStore.ReapplyTransaction(currentLeaderCleanup)
 	if keys := dependencyAndProgressKeys(fakeStore); len(keys) != 1 {
-		t.Error("a late clean-up removes what belongs to a record that came after it")
+		t.Error("a late cleanup write deleted progress of a job whose record is newer")
 	}
 }
 
-// When thousands of jobs are cancelled with one, writing their ends never fills the queue of
-// writes. Added after submissions were refused until all of them were written.
+// When thousands of jobs are cancelled because of one job, the writes of their ends must not fill the
+// write queue. When they did, submissions were refused until all of these ends were written.
 func TestImpliedCancellationsLeaveRoomForSubmissions(t *testing.T) {
 	fakeStore, term := newTermOnStore(t, config.StoreLimits{RPS: 1000, WriteRPS: 400, MaxValueKB: 8, MaxTransactionOps: 24})
 	owner := ownerOf(term)
@@ -147,11 +148,11 @@
 	end.Version = 2
 	owner.View.SetJob("req-000000", end)
 	if got := len(term.persistence.cleanup.impliedCancellations); got != jobs {
-		t.Fatalf("%d of %d ends are to be written", got, jobs)
+		t.Fatalf("%d implied cancellations are queued, want %d", got, jobs)
 	}
 	term.persistence.cleanup.tick(clock.Now())
 	if term.persistence.cleanup.inFlight > maxCleanupsInFlight {
-		t.Fatalf("%d writes are under way", term.persistence.cleanup.inFlight)
+		t.Fatalf("%d cleanup writes are in flight, want at most maxCleanupsInFlight", term.persistence.cleanup.inFlight)
 	}
 	submission, err := newJobRecord("req-009999").MarshalJSON()
 	if err != nil {
@@ -166,17 +167,17 @@
 		},
 	})
 	if !ok {
-		t.Fatal("a submission is refused")
+		t.Fatal("the store client refused a submission while implied cancellations are queued")
 	}
 	runUntil(t, owner, func() bool { term.persistence.cleanup.tick(clock.Now()); return accepted })
 	if fakeStore.Value(records.JobKey("req-009999")) == "" {
-		t.Error("the submission is not stored")
+		t.Error("the submission is not in the store")
 	}
 }
 
-// A large job that was accepted under higher limits keeps its progress when they are lowered: it
-// is written to further keys whose values fit, a version that doesn't know those keys concludes
-// nothing wrong, and the next leader has all of it.
+// A large job that was accepted under higher store limits keeps its progress when the limits are
+// lowered. New progress goes to additional keys whose values fit the new limits. A version that doesn't
+// know these keys must not take any task for done that isn't, and the next leader must read all progress.
 func TestProgressSurvivesLoweredLimits(t *testing.T) {
 	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 8, MaxTransactionOps: 4, Upcoming: &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 3}}
 	fakeStore, term := newTermOnStore(t, limits)
@@ -186,7 +187,7 @@
 	completedBefore.Set(32000)
 	putAndSync(t, ownerOf(term), map[string]any{
 		records.JobKey(id):         records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
-		records.ProgressKey(id, 0): records.Progress{Bits: completedBefore.Encode()}, // by the version before
+		records.ProgressKey(id, 0): records.Progress{Bits: completedBefore.Encode()}, // written before the limits changed
 	})
 	fakeStore.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 3})
 	job := term.tracker.Jobs[id]
@@ -198,26 +199,27 @@
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitDone})
 	}
 	if term.tracker.RecordHeartbeat(machine, heartbeat, clock.Now()) != allocation.HeartbeatAccepted {
-		t.Fatal("report not taken")
+		t.Fatal("the heartbeat with completed tasks was not accepted")
 	}
 	runUntil(t, ownerOf(term), func() bool {
 		term.persistJobs(clock.Now() + clock.Second)
 		return len(job.UnpersistedCompletions()) == 0
 	})
 	if tooLarge := fakeStore.OversizedCount(); tooLarge != 0 {
-		t.Errorf("%d transactions are refused for their size", tooLarge)
+		t.Errorf("the store refused %d transactions for their size, want 0", tooLarge)
 	}
 	term = startNewTerm(t, ownerOf(term))
 	job = term.tracker.Jobs[id]
 	for _, i := range append(done, 5, 32000) {
 		if job.Tasks[i].State != allocation.TaskDone {
-			t.Errorf("task %d was done, and the next leader doesn't know", i)
+			t.Errorf("the next leader doesn't have task %d as done", i)
 		}
 	}
 	if got := job.DoneCount(); got != len(done)+2 {
-		t.Errorf("%d tasks are done", got)
+		t.Errorf("the next leader has %d tasks as done, want two more than the heartbeat listed", got)
 	}
-	// What the version in production concludes: a key's number says where it begins.
+	// The version in production takes a key's number for the position of its first task, so it must not
+	// take any task for done that isn't.
 	for _, key := range fakeStore.Keys(records.ProgressPrefix) {
 		var record productionProgress
 		if err := json.Unmarshal([]byte(fakeStore.Value(key)), &record); err != nil {
@@ -231,11 +233,11 @@
 		for i := range 8 * len(bits) {
 			task := number*records.TasksPerProgressKey(limits.MaxValueKB) + i
 			if bits.IsSet(i) && task < tasks && job.Tasks[task].State != allocation.TaskDone {
-				t.Errorf("the other version takes task %d for done", task)
+				t.Errorf("the version in production takes task %d for done, which it is not", task)
 			}
 		}
 	}
-	// The end leaves nothing behind.
+	// Once the job has ended, all of its progress keys are deleted.
 	heartbeat.Sequence++
 	heartbeat.FencingToken = term.token
 	heartbeat.Tasks = nil
@@ -254,16 +256,16 @@
 		return len(fakeStore.Keys(records.ProgressPrefix)) == 0 && term.environment.View.Jobs[id].State == wire.JobDone
 	})
 	if tooLarge := fakeStore.OversizedCount(); tooLarge != 0 {
-		t.Errorf("%d transactions are refused for their size", tooLarge)
+		t.Errorf("the store refused %d transactions for their size, want 0", tooLarge)
 	}
 }
 
-// productionProgress is what the version in production knows of a progress value.
+// productionProgress has the fields of a progress value that the version in production reads.
 type productionProgress struct {
 	Bits string `json:"b"`
 }
 
-// newJobRecord makes the record of a job of one task that was submitted just now.
+// newJobRecord makes the record of a job that has one task and is submitted now.
 func newJobRecord(id string, dependencies ...string) *storeview.Job {
 	return &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 		ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1, Priority: wire.PriorityLow, EstimatedRunSeconds: 10, DependsOn: dependencies,
--- a/internal/leader/command_requests.go
+++ b/internal/leader/command_requests.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// commandRequestTimeout bounds a command request. After a timeout the start may or may
-	// not have happened.
+	// commandRequestTimeout bounds a command request. After a timeout it is unknown whether the
+	// worker executed the commands, so a task may or may not have been started.
 	commandRequestTimeout = 2 * clock.Second
-	// commandBlockTime is how long a worker gets no command requests after one that failed;
-	// the replies to its heartbeats carry its commands meanwhile.
+	// commandBlockTime is how long a worker gets no command requests after one that wasn't executed.
+	// Meanwhile its commands are sent in the replies to its heartbeats.
 	commandBlockTime = 2 * clock.Second
 )
 
-// sendCommandRequests sends starts and stops straight to the workers, in place of waiting
-// for their next heartbeats.
+// sendCommandRequests sends the starts and stops that are due directly to the workers, rather than
+// waiting for their next heartbeats.
 func (term *Term) sendCommandRequests(now clock.Micros) {
 	term.tracker.ProcessDispatchQueue(func(machine *allocation.Machine) (isDeferred bool) {
 		machineInfo := term.machines[machine.Name]
@@ -36,22 +36,24 @@
 	})
 }
 
-// isCommandBlocked tells whether a machine's commands have to wait. In a zone with a renewal
-// constraint nothing is started: a later leader would assume its leases to have ended.
+// isCommandBlocked reports whether a machine's command requests have to wait: because one to it failed
+// lately, because the machine is suspected, because too many requests are in flight, or because its zone
+// may have a renewal constraint. Nothing is started in such a zone, since a later leader would assume
+// that the leases there have ended.
 func (term *Term) isCommandBlocked(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
 	isSuspected := now-machine.LastHeartbeatAt > term.environment.Timing.SuspectTimeout
 	return term.renewals.constraints.MayConstrainZone(machine.Zone) || now < machineInfo.commandsBlockedUntil || isSuspected ||
 		term.commandRequestsInFlight >= term.environment.WorkerRequests.MaxInFlight
 }
 
-// sendCommandRequest sends what is due to one machine.
+// sendCommandRequest sends the commands that are due to one machine, if any.
 func (term *Term) sendCommandRequest(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
 	if message, starts := term.tracker.BuildCommandRequest(machine, now); message != nil {
 		term.postCommandRequest(machine, machineInfo, message, starts)
 	}
 }
 
-// postCommandRequest sends a request that the tracker has built, and takes what becomes of it.
+// postCommandRequest sends a request that the tracker has built, and handles the outcome.
 func (term *Term) postCommandRequest(machine *allocation.Machine, machineInfo *machineState, message *wire.CommandRequest, starts []*allocation.Placement) {
 	body, err := message.MarshalJSON()
 	if err != nil {
@@ -78,7 +80,7 @@
 	})
 }
 
-// classifyCommandResponse tells what became of the commands.
+// classifyCommandResponse returns what is known of the execution of the commands.
 func classifyCommandResponse(response *http1.Message, err error) allocation.CommandResult {
 	var notSent *client.NotSentError
 	switch {
@@ -95,7 +97,7 @@
 	}
 }
 
-// commandOutcome is the outcome that metrics count.
+// commandOutcome returns the outcome under which metrics count a result.
 func commandOutcome(result allocation.CommandResult) metrics.CommandOutcome {
 	switch result {
 	case allocation.CommandNotSent:
@@ -109,7 +111,8 @@
 	return metrics.OutcomeUnknown
 }
 
-// handleCommandResponse takes what became of a command request.
+// handleCommandResponse records the result of a command request, and the heartbeat that the worker's
+// response carried, or nil if there was none.
 func (term *Term) handleCommandResponse(machine *allocation.Machine, machineInfo *machineState, starts []*allocation.Placement, result allocation.CommandResult, heartbeat *wire.Heartbeat) {
 	now := clock.Now()
 	if term.tracker.Machines[machine.Name] != machine {
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// writeTimeout bounds how long a write of the leader waits to be sent.
+	// writeTimeout bounds how long a write of the leader waits in the queue to be sent.
 	writeTimeout = 3 * clock.Second
-	// verifyTimeout bounds how long the leader waits for the view to show what became of a
-	// write whose outcome it doesn't know.
+	// verifyTimeout bounds how long the leader waits for a view that shows the effect of a write with
+	// an unknown outcome or a conflict.
 	verifyTimeout = 2 * clock.Second
 )
 
-// outcomeHandlers say what follows each outcome of a write that is bound to the leader lock.
-// One that is nil means that nothing follows. There is none for kvstore.Fenced: the lock is
-// lost then, which ends the term.
+// outcomeHandlers are the functions to call after a write that is conditional on the leader lock,
+// by outcome. A nil handler does nothing. There is no handler for kvstore.Fenced, which ends the
+// term because the lock is lost.
 type outcomeHandlers struct {
-	// committed gets the revision of the write.
+	// committed is called with the revision of the write.
 	committed func(revision uint64)
-	// conflict: one of the write's conditions doesn't hold.
+	// conflict is called if one of the write's own conditions didn't hold.
 	conflict func()
-	// notExecuted: the write was certainly not executed; it may be tried again as it is.
+	// notExecuted is called if the write was certainly not executed. It can be retried unchanged.
 	notExecuted func()
-	// unknown: the write may have been executed, or may still be.
+	// unknown is called if the write may have been executed or may still be executed.
 	unknown func()
-	// afterwards runs last, whatever the outcome.
+	// afterwards is called last, after each of these outcomes.
 	afterwards func()
 }
 
@@ -42,7 +42,7 @@
 		runIfSet(handlers.notExecuted)
 	case kvstore.Unknown:
 		runIfSet(handlers.unknown)
-	case kvstore.Fenced: // see commitWithRevision
+	case kvstore.Fenced: // commitWithRevision handles it
 	}
 	runIfSet(handlers.afterwards)
 }
@@ -53,20 +53,21 @@
 	}
 }
 
-// commitWithHandlers commits a write that is bound to the leader lock, and calls the handler of its
-// outcome.
+// commitWithHandlers commits a write on condition that this leader holds the lock, and calls the
+// handler of its outcome.
 func (term *Term) commitWithHandlers(write *kvstore.Write, handlers outcomeHandlers) {
 	term.commitWithRevision(write, handlers.handle)
 }
 
-// commit commits a write that is bound to the leader lock, and passes its outcome on.
+// commit commits a write on condition that this leader holds the lock, and calls done with its outcome.
 func (term *Term) commit(write *kvstore.Write, done func(kvstore.Outcome)) {
 	term.commitWithRevision(write, func(outcome kvstore.Outcome, _ uint64) { done(outcome) })
 }
 
-// commitWithRevision does what commit does, for callers that need the revision of the write.
-// done is called on the controller's goroutine, and not at all once the term is closed, or if the
-// write is fenced. It is called before this method returns if the queue of writes is full.
+// commitWithRevision is like commit, and also passes the revision of the write to done. It calls done on
+// the controller's goroutine, but not if the term is closed by then or if the write is fenced. If the
+// store client doesn't accept the write because its queue is full, done is called before
+// commitWithRevision returns.
 func (term *Term) commitWithRevision(write *kvstore.Write, done func(kvstore.Outcome, uint64)) {
 	write.FencingToken = term.token
 	write.Deadline = clock.Now() + writeTimeout
@@ -87,10 +88,10 @@
 	}
 }
 
-// afterSync makes a handler for a write whose outcome is not known, or whose conditions did not
-// hold: it waits until the view is newer than the write's answer, and then calls resume, which
-// reads back from the view what is there. resume is also called when the view could not be
-// brought up to date in time, but not once the term is closed.
+// afterSync returns a handler for a write whose outcome is unknown or whose conditions didn't hold. The
+// handler waits until the view is newer than the response to the write, and then calls resume, which
+// reads the effect of the write from the view. If the view isn't updated within verifyTimeout or the
+// update fails, resume is called all the same. It is not called once the term is closed.
 func (term *Term) afterSync(resume func()) func() {
 	return func() {
 		term.environment.View.RequestSync(func(error) {
@@ -101,10 +102,10 @@
 	}
 }
 
-// maxTransactionOps is how many changes one transaction takes.
+// maxTransactionOps is how many changes one transaction may have.
 func (term *Term) maxTransactionOps() int {
 	return term.environment.Config.Deployment.Store.Effective().MaxTransactionOps
 }
 
-// backlogThreshold is how long the leader's waiting writes take from which it has a backlog.
+// backlogThreshold is the time to send all waiting writes above which the leader has a backlog.
 const backlogThreshold = rateshare.BacklogThreshold
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -9,8 +9,7 @@
 	"firwood.dev/firwood/internal/kvstore"
 )
 
-// Each outcome has the handler of its name, then the one that always runs; a handler that is not
-// set means nothing.
+// Each outcome calls the handler of its name, and then afterwards. A handler that is nil is skipped.
 func TestOutcomeHandlers(t *testing.T) {
 	for outcome, want := range map[kvstore.Outcome]string{
 		kvstore.Committed: "committed", kvstore.Conflict: "conflict", kvstore.NotExecuted: "notExecuted", kvstore.Unknown: "unknown",
@@ -28,13 +27,13 @@
 		}
 		handlers.handle(outcome, 7)
 		if !slices.Equal(called, []string{want, "afterwards"}) {
-			t.Errorf("outcome %d calls %v, want %s, then afterwards", outcome, called, want)
+			t.Errorf("outcome %d calls %v, want %s and then afterwards", outcome, called, want)
 		}
 		(&outcomeHandlers{}).handle(outcome, 7)
 	}
 }
 
-// What comes back to the owner after the term was closed is dropped.
+// Callbacks of syncs and of background work that arrive after the term was closed are dropped.
 func TestNothingResumesInClosedTerm(t *testing.T) {
 	for _, isClosed := range []bool{false, true} {
 		term := newTestTerm(t)
@@ -53,7 +52,7 @@
 			}
 		}
 		if posted == 0 {
-			t.Fatal("the result of background work is not posted")
+			t.Fatal("the result of background work was not posted within 10 s")
 		}
 		owner.View.ExpireWaiters(clock.Now() + 2*verifyTimeout)
 		want := 1
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -7,7 +7,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// UrgencyOf is the urgency that a job has by itself. A service has no deadline.
+// UrgencyOf returns the urgency of a job itself, without that of its dependents. A service has no
+// deadline.
 func UrgencyOf(record *storeview.Job) dag.Urgency {
 	urgency := dag.Urgency{Priority: wire.PriorityIndex(record.Spec.Priority)}
 	if record.Spec.DeadlineSeconds > 0 && record.Spec.Kind != wire.KindService {
@@ -16,13 +17,14 @@
 	return urgency
 }
 
-// IsBlocked tells whether a job that has not ended must not start yet.
+// IsBlocked reports whether a job that has not ended must wait for jobs that it depends on. That is
+// also so while the view doesn't have all parts of the job's dependencies.
 func IsBlocked(view *storeview.View, graph *dag.Graph, id string, record *storeview.Job) bool {
 	_, isComplete := view.DependenciesOf(id, record)
 	return !isComplete || graph.IsBlocked(id)
 }
 
-// UpdateUrgency gives a job the urgency that it has by itself and by the jobs that depend on it.
+// UpdateUrgency sets the urgency of a tracked job from its record and from the jobs that depend on it.
 func (term *Term) UpdateUrgency(id string) {
 	job, record := term.tracker.Jobs[id], term.environment.View.Jobs[id]
 	if job == nil || record == nil || record.Spec == nil {
--- a/internal/leader/doc.go
+++ b/internal/leader/doc.go
@@ -1,24 +1,27 @@
-// Package leader does what one leadership term is for: it has tasks run on machines, machines
-// requested and deleted, workers' leases renewed, and what has happened made durable. A Term is
-// made when the lock is won and closed when it is lost. All of it runs on the goroutine of the
-// controller, which ticks it and passes on heartbeats and records; calls outside run on goroutines
-// of their own (background.go). Of the controller it knows Host alone, and what Environment has.
+// Package leader does the work of one leadership term: it places tasks on machines, requests and deletes
+// machines, renews workers' leases, and makes the results durable. A Term is created when the leader lock
+// is acquired and closed when it is lost. All of its code runs on the controller's goroutine, which ticks
+// it and passes heartbeats and records to it, except for requests to other services, which run on
+// goroutines of their own (background.go). The package knows the controller only through Host and the
+// objects in Environment.
 //
-// Read term.go first (Tick is the list of what a leader does), then environment.go and host.go
-// (what it works with), recovery.go (how a term begins) and controller_calls.go (what it is asked).
+// Read term.go first (Tick lists what a leader does), then environment.go and host.go (the objects and
+// the controller's functions that a term uses), recovery.go (how a term begins) and controller_calls.go
+// (what the controller calls).
 //
-//   - A job: the view has its record, ApplyJobRecord tracks it (tracked_jobs.go), Plan places its
-//     tasks (scheduling.go) and has it recorded first that they may start (job_persistence.go);
-//     what is missing of machines is requested (scale_out.go). Starts go out by command_requests.go
-//     or in replies to heartbeats. Its progress and end are written by progress_writer.go and
-//     job_end_writer.go, and cleanup.go and archive.go tidy up later.
-//   - A cancellation: ApplyJobRecord has the tasks stopped; once none can be on a machine,
-//     cancelled_jobs.go shrinks the record.
-//   - A worker's heartbeat: HandleHeartbeat (worker_heartbeats.go) updates the allocation table,
-//     takes the tasks that ended, and replies with commands, which renews the worker's lease.
-//     constraints.go holds it back in a zone whose leases were recorded as not renewed any more.
+//   - A job: the view has its record, and ApplyJobRecord tracks it (tracked_jobs.go). Plan places its
+//     tasks (scheduling.go), but first has it recorded that they may start (job_persistence.go), and
+//     requests machines if there are too few (scale_out.go). Starts are sent in command requests
+//     (command_requests.go) or in replies to heartbeats. progress_writer.go writes the job's progress
+//     and job_end_writer.go its end. Later, cleanup.go deletes obsolete keys and archive.go moves the
+//     record to the archive.
+//   - A cancellation: ApplyJobRecord has the job's tasks stopped. Once no task of it can be on a machine,
+//     cancelled_jobs.go removes the submission from its record.
+//   - A worker's heartbeat: HandleHeartbeat (worker_heartbeats.go) updates the allocation table, records
+//     the tasks that ended, and replies with commands, which renews the worker's lease. constraints.go
+//     defers a heartbeat from a zone for which it is recorded that leases are no longer renewed.
 //   - A machine without heartbeats: machine_health.go, probes.go, faulty_machines.go and
-//     machine_listing.go judge it, machine_deletion.go has it deleted; handover.go gives up
-//     leadership instead if this member is the one that is cut off.
+//     machine_listing.go decide on its state, and machine_deletion.go has it deleted. If it is this
+//     member that is cut off, handover.go gives up leadership instead.
 //   - Replicas of the allocation table: standby_stream.go and standby_record.go.
 package leader
