--- a/internal/leader/background.go
+++ b/internal/leader/background.go
@@ -6,8 +6,8 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// background runs work, which may block, on a goroutine of its own. It then runs the function that
-// work returned on the controller's goroutine, unless the term is closed by then.
+// background runs work, which may block, on a goroutine of its own. The function that work returns is
+// then run on the controller's goroutine, unless the term is closed by then.
 func (term *Term) background(work func() (resume func())) {
 	go func() {
 		resume := work()
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -138,7 +138,7 @@
 			}
 			for b.Loop() {
 				if status := term.MetricsStatus(clock.Now()); status.ListedCancelledTasks < machines/2 {
-					b.Fatalf("%+v", status)
+					b.Fatalf("got status %+v, want at least half as many listed cancelled tasks as machines", status)
 				}
 			}
 		})
--- a/internal/leader/cleanup.go
+++ b/internal/leader/cleanup.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// startNext cleans up after the next job. It returns false if no job is left.
+// startNext cleans up after the next job. It returns false if there is none to clean up after.
 func (cleaner *cleaner) startNext() bool {
 	switch {
 	case len(cleaner.impliedCancellations) > 0:
--- a/internal/leader/cleanup_test.go
+++ b/internal/leader/cleanup_test.go
@@ -187,7 +187,7 @@
 	completedBefore.Set(32000)
 	putAndSync(t, ownerOf(term), map[string]any{
 		records.JobKey(id):         records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
-		records.ProgressKey(id, 0): records.Progress{Bits: completedBefore.Encode()}, // written before the limits changed
+		records.ProgressKey(id, 0): records.Progress{Bits: completedBefore.Encode()}, // as the previous version writes it
 	})
 	fakeStore.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 3})
 	job := term.tracker.Jobs[id]
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -66,8 +66,8 @@
 
 // commitWithRevision is like commit, and also passes the revision of the write to done. It calls done on
 // the controller's goroutine, but not if the term is closed by then or if the write is fenced. If the
-// store client doesn't accept the write because its queue is full, done is called before
-// commitWithRevision returns.
+// store client refuses the write, because its queue is full or because an interactive write can't be
+// sent in time, done is called before commitWithRevision returns.
 func (term *Term) commitWithRevision(write *kvstore.Write, done func(kvstore.Outcome, uint64)) {
 	write.FencingToken = term.token
 	write.Deadline = clock.Now() + writeTimeout
--- a/internal/leader/doc.go
+++ b/internal/leader/doc.go
@@ -1,16 +1,15 @@
 // Package leader does the work of one leadership term: it places tasks on machines, requests and deletes
 // machines, renews workers' leases, and makes the results durable. A Term is created when the leader lock
-// is acquired and closed when it is lost. All of its code runs on the controller's goroutine, which ticks
-// it and passes heartbeats and records to it, except for requests to other services, which run on
-// goroutines of their own (background.go). The package knows the controller only through Host and the
-// objects in Environment.
+// is acquired and closed when it is lost. It runs on the controller's goroutine, which ticks it and passes
+// heartbeats and records to it. Calls over the network run on goroutines of their own (background.go).
+// The package knows the controller only through Host and the objects in Environment.
 //
 // Read term.go first (Tick lists what a leader does), then environment.go and host.go (the objects and
 // the controller's functions that a term uses), recovery.go (how a term begins) and controller_calls.go
 // (what the controller calls).
 //
-//   - A job: the view has its record, and ApplyJobRecord tracks it (tracked_jobs.go). Plan places its
-//     tasks (scheduling.go), but first has it recorded that they may start (job_persistence.go), and
+//   - A job: the view has its record, and ApplyJobRecord tracks it (tracked_jobs.go). Before Plan
+//     places its tasks (scheduling.go), it is recorded that they may start (job_persistence.go). Plan
 //     requests machines if there are too few (scale_out.go). Starts are sent in command requests
 //     (command_requests.go) or in replies to heartbeats. progress_writer.go writes the job's progress
 //     and job_end_writer.go its end. Later, cleanup.go deletes obsolete keys and archive.go moves the
