--- a/internal/leader/cleanup_test.go
+++ b/internal/leader/cleanup_test.go
@@ -26,18 +26,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		done := false
+		hasOutcome := false
 		owner.Store.Commit(&kvstore.Write{Changes: []wire.Change{{PutKey: key, Value: encoded}}, Done: func(outcome kvstore.Outcome, _ uint64) {
 			if outcome != kvstore.Committed {
 				t.Errorf("writing %s: got outcome %v, want committed", key, outcome)
 			}
-			owner.PostResult(func() { done = true })
+			owner.PostResult(func() { hasOutcome = true })
 		}})
-		runUntil(t, owner, func() bool { return done })
+		runUntil(t, owner, func() bool { return hasOutcome })
 	}
-	synced := false
-	owner.View.RequestSync(func(error) { synced = true }, clock.Now()+10*clock.Second)
-	runUntil(t, owner, func() bool { return synced })
+	isSynced := false
+	owner.View.RequestSync(func(error) { isSynced = true }, clock.Now()+10*clock.Second)
+	runUntil(t, owner, func() bool { return isSynced })
 }
 
 func dependencyAndProgressKeys(fakeStore *fake.Store) []string {
@@ -48,14 +48,14 @@
 // cancelled job while tasks of that job may be on machines.
 func TestObsoleteKeysAreDeleted(t *testing.T) {
 	fakeStore, term := newTermOnStore(t, cleanupLimits)
-	job := func(id string) *wire.Job {
+	newJob := func(id string) *wire.Job {
 		return &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 3, CPUs: 1, Priority: wire.PriorityNormal}
 	}
 	values := map[string]any{
 		records.JobKey("req-000001"): records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: 2},
 		records.JobKey("req-000002"): records.Job{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: 2},
-		records.JobKey("req-000003"): records.Job{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: int64(clock.WallTime()), Spec: job("req-000003")},
-		records.JobKey("req-000004"): records.Job{SubmittedAt: 1, Spec: job("req-000004"), DependencyParts: 2},
+		records.JobKey("req-000003"): records.Job{SubmittedAt: 1, State: wire.JobCancelled, EndedAt: int64(clock.WallTime()), Spec: newJob("req-000003")},
+		records.JobKey("req-000004"): records.Job{SubmittedAt: 1, Spec: newJob("req-000004"), DependencyParts: 2},
 	}
 	for part := range 9 { // more keys than one transaction may change
 		values[records.DependenciesKey("req-000001", part)] = records.Dependencies{DependsOn: []string{"req-000002"}}
@@ -158,18 +158,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	accepted := false
-	ok := owner.Store.Commit(&kvstore.Write{
+	isAccepted := false
+	isQueued := owner.Store.Commit(&kvstore.Write{
 		Conditions: []wire.Condition{{Key: records.JobKey("req-009999")}}, Changes: []wire.Change{{PutKey: records.JobKey("req-009999"), Value: submission}},
 		Deadline: clock.Now() + 5*clock.Second/2,
 		Done: func(outcome kvstore.Outcome, _ uint64) {
-			owner.PostResult(func() { accepted = outcome == kvstore.Committed })
+			owner.PostResult(func() { isAccepted = outcome == kvstore.Committed })
 		},
 	})
-	if !ok {
+	if !isQueued {
 		t.Fatal("the store client refused a submission while implied cancellations are queued")
 	}
-	runUntil(t, owner, func() bool { term.persistence.cleanup.tick(clock.Now()); return accepted })
+	runUntil(t, owner, func() bool { term.persistence.cleanup.tick(clock.Now()); return isAccepted })
 	if fakeStore.Value(records.JobKey("req-009999")) == "" {
 		t.Error("the submission is not in the store")
 	}
@@ -191,11 +191,11 @@
 	})
 	fakeStore.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 3})
 	job := term.tracker.Jobs[id]
-	done := []int{0, 7, 6000, 12345, 33000, tasks - 1}
+	completedTasks := []int{0, 7, 6000, 12345, 33000, tasks - 1}
 	machine := term.tracker.AddMachine("i-1", "big", "x", false, term.scheduler.MachineCapacity("big"), clock.Now())
 	machine.RecordedInStore = true
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: 1, FencingToken: term.token}
-	for _, i := range done {
+	for _, i := range completedTasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitDone})
 	}
 	if term.tracker.RecordHeartbeat(machine, heartbeat, clock.Now()) != allocation.HeartbeatAccepted {
@@ -210,12 +210,12 @@
 	}
 	term = startNewTerm(t, ownerOf(term))
 	job = term.tracker.Jobs[id]
-	for _, i := range append(done, 5, 32000) {
+	for _, i := range append(completedTasks, 5, 32000) {
 		if job.Tasks[i].State != allocation.TaskDone {
 			t.Errorf("the next leader doesn't have task %d as done", i)
 		}
 	}
-	if got := job.DoneCount(); got != len(done)+2 {
+	if got := job.DoneCount(); got != len(completedTasks)+2 {
 		t.Errorf("the next leader has %d tasks as done, want two more than the heartbeat listed", got)
 	}
 	// The version in production takes a key's number for the position of its first task, so it must not
