--- a/internal/leader/command_requests.go
+++ b/internal/leader/command_requests.go
@@ -58,9 +58,9 @@
 		term.tracker.FinishCommandRequest(machine, starts, allocation.CommandNotSent, clock.Now())
 		return
 	}
-	name, host, deadline := machine.Name, term.workerHost(machine, machineInfo), term.mayActUntil
+	name, host, deadline := machine.Name, term.workerHost(machine, machineInfo), term.actDeadline
 	if len(starts) > 0 {
-		deadline = term.mayStartUntil
+		deadline = term.startDeadline
 	}
 	term.commandRequestsInFlight++
 	term.background(func() func() {
--- a/internal/leader/constraints.go
+++ b/internal/leader/constraints.go
@@ -22,9 +22,9 @@
 	return 2 * clock.FromSeconds(cfg.Deployment.ClockErrorMillis/1000)
 }
 
-// latestSteadyInstant converts a time of day noted by some member to this process's steady
+// latestMonotonicTime converts a time of day noted by some member to this process's steady
 // clock, rounded up by the clock error.
-func (term *Term) latestSteadyInstant(now, wall clock.Micros) clock.Micros {
+func (term *Term) latestMonotonicTime(now, wall clock.Micros) clock.Micros {
 	return now - (clock.WallTime() - wall) + MaxClockSkew(term.environment.Config)
 }
 
@@ -34,11 +34,11 @@
 	constraints := term.renewals.constraints.Confirmed()
 	for _, machine := range term.tracker.Machines {
 		if zone, ok := constraints.Zones[machine.Zone]; ok {
-			term.tracker.CapLeaseRenewal(machine, term.latestSteadyInstant(now, zone.LastAnswerAt))
+			term.tracker.CapLeaseRenewal(machine, term.latestMonotonicTime(now, zone.LastAnswerAt))
 		}
 	}
 	for member, renewalsUntil := range constraints.MemberGrantUntil {
-		term.renewals.grants.RecordInherited(member, term.latestSteadyInstant(now, renewalsUntil))
+		term.renewals.grants.RecordInherited(member, term.latestMonotonicTime(now, renewalsUntil))
 	}
 }
 
@@ -153,13 +153,13 @@
 		return
 	}
 	// By the next review the view has the version that is stored.
-	reread := func() {
-		term.retryDeferred()
+	retryDeferredAndSyncView := func() {
+		term.retryDeferredHeartbeats()
 		term.environment.View.RequestSync(func(error) {}, clock.Now()+verifyTimeout)
 	}
-	refused := func() {
+	handleRefusal := func() {
 		term.renewals.constraints.RecordRefusal()
-		reread()
+		retryDeferredAndSyncView()
 	}
 	term.commitHandled(&kvstore.Write{
 		Priority:   kvstore.Critical,
@@ -167,11 +167,11 @@
 		Changes:    []wire.Change{{PutKey: records.ConstraintsKey, Value: value}},
 	}, outcomeHandlers{
 		committed:   func(revision uint64) { term.handleConstraintsCommitted(constraints, revision) },
-		conflict:    refused,
-		notExecuted: refused,
+		conflict:    handleRefusal,
+		notExecuted: handleRefusal,
 		unknown: func() {
 			term.renewals.constraints.RecordUnknownOutcome()
-			reread()
+			retryDeferredAndSyncView()
 		},
 	})
 }
@@ -182,7 +182,7 @@
 	term.renewals.constraints.RecordCommit(revision)
 	term.environment.View.SetConstraints(constraints, revision)
 	term.environment.Log.Info("renewal constraints recorded", "zones", slices.Sorted(maps.Keys(constraints.Zones)), "members", slices.Sorted(maps.Keys(constraints.MemberGrantUntil)))
-	term.retryDeferred()
+	term.retryDeferredHeartbeats()
 	if len(term.renewals.liftingZones) > 0 {
 		term.updateConstraints(clock.Now())
 	}
@@ -195,14 +195,14 @@
 	receivedAt clock.Micros
 }
 
-// maxDeferral is how old a deferred heartbeat may become: retryDeferred, which runs after each
+// maxDeferral is how old a deferred heartbeat may become: retryDeferredHeartbeats, which runs after each
 // read of the view and each write of constraints, refuses older ones.
 const maxDeferral = clock.Second
 
-// deferIfConstrained tells whether a heartbeat must not be handled now. It waits then for a newer
+// deferIfRenewalBlocked tells whether a heartbeat must not be handled now. It waits then for a newer
 // view, or until the constraint of its zone is lifted, which it starts; a late copy of an earlier
 // heartbeat is refused, since it doesn't show that the zone is reachable.
-func (term *Term) deferIfConstrained(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
+func (term *Term) deferIfRenewalBlocked(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if !term.entitlement.viewAge.MayRenewLeases(now) {
 		// No reply may renew its lease before the view has been read again.
 		term.deferHeartbeat(deferredHeartbeat{heartbeat, reply, now}, "the view is too old")
@@ -235,27 +235,27 @@
 	}
 }
 
-// refuseDeferred has a worker whose heartbeat was kept try again.
-func (term *Term) refuseDeferred(deferred deferredHeartbeat, reason string) {
+// refuseDeferredHeartbeat has a worker whose heartbeat was kept try again.
+func (term *Term) refuseDeferredHeartbeat(deferred deferredHeartbeat, reason string) {
 	term.environment.Metrics.CountReply(metrics.ReplyRefused)
 	replyUnavailable(deferred.reply, reason)
 }
 
-// retryDeferred handles the deferred heartbeats whose zones are not constrained any more, and
+// retryDeferredHeartbeats handles the deferred heartbeats whose zones are not constrained any more, and
 // refuses those that have waited for too long. One of them may show a higher token, which ends the
 // term: those after it are refused, since a reply would renew a lease in a term that is over.
-func (term *Term) retryDeferred() {
+func (term *Term) retryDeferredHeartbeats() {
 	now := clock.Now()
 	deferred := term.renewals.deferredHeartbeats
 	term.renewals.deferredHeartbeats = nil
 	for _, waiting := range deferred {
 		switch {
 		case term.isClosed:
-			term.refuseDeferred(waiting, termOverReply)
+			term.refuseDeferredHeartbeat(waiting, termOverReply)
 		case !term.renewals.constraints.MayConstrainZone(waiting.heartbeat.Zone) && term.entitlement.viewAge.MayRenewLeases(now):
 			term.HandleHeartbeat(waiting.heartbeat, waiting.reply)
 		case now-waiting.receivedAt > maxDeferral:
-			term.refuseDeferred(waiting, "the state service does not answer")
+			term.refuseDeferredHeartbeat(waiting, "the state service does not answer")
 		default:
 			term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, waiting)
 		}
--- a/internal/leader/constraints_test.go
+++ b/internal/leader/constraints_test.go
@@ -16,17 +16,17 @@
 func TestNewLeaderAdoptsZoneConstraint(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
 	owner := ownerOf(term)
-	plain := term.tracker.LeaseEndsAt(term.tracker.Machines["i-1"])
-	ago := 20 * clock.Second
+	leaseEndWithoutConstraint := term.tracker.LeaseEndsAt(term.tracker.Machines["i-1"])
+	lastAnswerAge := 20 * clock.Second
 	owner.View.Constraints = delegation.Constraints{
-		Zones:            map[string]delegation.ZoneConstraint{"x": {LastAnswerAt: clock.WallTime() - ago, KnownBy: []string{"a"}}},
-		MemberGrantUntil: map[string]clock.Micros{"b": clock.WallTime() - ago},
+		Zones:            map[string]delegation.ZoneConstraint{"x": {LastAnswerAt: clock.WallTime() - lastAnswerAge, KnownBy: []string{"a"}}},
+		MemberGrantUntil: map[string]clock.Micros{"b": clock.WallTime() - lastAnswerAge},
 	}
 	owner.View.ConstraintsVersion = 8
 	term = owner.newTerm(10, clock.Now())
 	term.entitlement.actDeadline.Store(1 << 62)
 	machine := term.tracker.Machines["i-1"]
-	if early := plain - term.tracker.LeaseEndsAt(machine); early < ago {
+	if early := leaseEndWithoutConstraint - term.tracker.LeaseEndsAt(machine); early < lastAnswerAge {
 		t.Fatalf("the lease ends only %d us sooner than without the constraint", early)
 	}
 	term.HandleHeartbeat(&wire.Heartbeat{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 5, FencingToken: 10}, &server.Reply{})
@@ -40,7 +40,7 @@
 	}
 	term.renewals.constraints.RecordCommit(9)
 	owner.View.Constraints, owner.View.ConstraintsVersion = delegation.Constraints{}, 9
-	term.retryDeferred()
+	term.retryDeferredHeartbeats()
 	if len(term.renewals.deferredHeartbeats) != 0 || machine.LastHeartbeatAt == 0 {
 		t.Fatal("the deferred heartbeat is not handled")
 	}
@@ -56,7 +56,7 @@
 
 // A zone without reachable machines is constrained, one with a reachable machine is not, nor
 // one in which machines of this term boot and nothing else is.
-func TestSilentZonesAreConstrained(t *testing.T) {
+func TestUnreachableZonesAreConstrained(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
 	term.entitlement.actDeadline.Store(1 << 62)
 	add := func(name, zone string) *allocation.Machine {
@@ -92,7 +92,7 @@
 		reply := server.NewReply(func(status int, _ []byte, _ int) { statuses[heartbeat.MachineID] = status })
 		term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, deferredHeartbeat{heartbeat: heartbeat, reply: reply, receivedAt: clock.Now()})
 	}
-	term.retryDeferred()
+	term.retryDeferredHeartbeats()
 	if !term.isClosed || statuses["i-1"] != 503 || statuses["i-2"] != 503 {
 		t.Fatalf("the term is closed: %v, the replies are %v", term.isClosed, statuses)
 	}
--- a/internal/leader/entitlement.go
+++ b/internal/leader/entitlement.go
@@ -2,9 +2,9 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// mayActUntil is the end of the leader's lease as known. It may be called on any goroutine,
+// actDeadline is the end of the leader's lease as known. It may be called on any goroutine,
 // right before something is sent.
-func (term *Term) mayActUntil() clock.Micros {
+func (term *Term) actDeadline() clock.Micros {
 	return clock.Micros(term.entitlement.actDeadline.Load())
 }
 
@@ -15,9 +15,9 @@
 	term.liveness.resumedAt, term.scheduler.ResumedAt = now, now
 }
 
-// mayStartUntil is the end of the time in which tasks may be started. It may be called on
+// startDeadline is the end of the time in which tasks may be started. It may be called on
 // any goroutine.
-func (term *Term) mayStartUntil() clock.Micros {
+func (term *Term) startDeadline() clock.Micros {
 	return clock.Micros(term.entitlement.startDeadline.Load())
 }
 
@@ -87,7 +87,7 @@
 		switch {
 		case term.isClosed:
 		case err != nil:
-			term.retryDeferred() // refuses those that have waited for too long
+			term.retryDeferredHeartbeats() // refuses those that have waited for too long
 		default:
 			term.recordViewRead(now)
 		}
@@ -102,5 +102,5 @@
 	now := clock.Now()
 	term.setStartsPaused(!term.entitlement.viewAge.MayStartTasks(now), now)
 	term.requestPlan()
-	term.retryDeferred()
+	term.retryDeferredHeartbeats()
 }
--- a/internal/leader/failover_times.go
+++ b/internal/leader/failover_times.go
@@ -17,7 +17,7 @@
 	firstDecisionAt   clock.Micros // the first task was placed
 	Token             uint64
 	isReplicaUsed     bool // the allocation table was rebuilt from a replica
-	unconfirmed       int  // tasks that an earlier leader may have started on any machine
+	unconfirmedTasks  int  // tasks that an earlier leader may have started on any machine
 }
 
 // Status is the failover's part of the standby status, nil before the allocation table has been
@@ -26,7 +26,7 @@
 	if times.rebuiltAt == 0 {
 		return nil
 	}
-	status := &jobreport.FailoverStatus{Token: times.Token, IsReplicaUsed: times.isReplicaUsed, Unconfirmed: times.unconfirmed, RebuildMs: milliseconds(times.rebuiltAt - times.LockWonAt)}
+	status := &jobreport.FailoverStatus{Token: times.Token, IsReplicaUsed: times.isReplicaUsed, Unconfirmed: times.unconfirmedTasks, RebuildMs: milliseconds(times.rebuiltAt - times.LockWonAt)}
 	if times.LeaderHeartbeatAt != 0 {
 		status.LockMs = milliseconds(times.LockWonAt - times.LeaderHeartbeatAt)
 	}
@@ -43,7 +43,7 @@
 	if startedAt == 0 {
 		startedAt = times.LockWonAt
 	}
-	attributes := map[string]string{"replica_used": fmt.Sprint(times.isReplicaUsed), "in_doubt": fmt.Sprint(times.unconfirmed)}
+	attributes := map[string]string{"replica_used": fmt.Sprint(times.isReplicaUsed), "in_doubt": fmt.Sprint(times.unconfirmedTasks)}
 	return []tracing.Span{
 		{Name: "take-over", StartedAt: startedAt, EndedAt: times.firstDecisionAt, Attributes: attributes},
 		{Name: "lock", StartedAt: startedAt, EndedAt: times.LockWonAt},
@@ -64,6 +64,6 @@
 	term.environment.Metrics.ObserveFailover(metrics.FailoverFirstDecision, now-times.rebuiltAt)
 	status := times.Status()
 	term.environment.Log.Info("first decision after failover", "token", times.Token, "lock_ms", status.LockMs, "rebuild_ms", status.RebuildMs,
-		"first_decision_ms", status.FirstDecisionMs, "replica_used", times.isReplicaUsed, "unconfirmed", times.unconfirmed)
+		"first_decision_ms", status.FirstDecisionMs, "replica_used", times.isReplicaUsed, "unconfirmed", times.unconfirmedTasks)
 	term.environment.Tracer.RecordFailover(times.Token, times.spans())
 }
--- a/internal/leader/faulty_machines_test.go
+++ b/internal/leader/faulty_machines_test.go
@@ -14,7 +14,7 @@
 // One machine that fails jobs is drained, and stays so if it is empty, until it is deleted;
 // one that cannot be deleted, since a replica runs on it, is retried, at longer and longer
 // intervals. While many fail, none is drained: all pause.
-func TestFaultyMachines(t *testing.T) {
+func TestFaultyMachineIsDrainedAndRetried(t *testing.T) {
 	var names []string
 	for i := range 12 {
 		names = append(names, fmt.Sprintf("i-%02d", i))
--- a/internal/leader/fleet_log.go
+++ b/internal/leader/fleet_log.go
@@ -12,8 +12,8 @@
 
 // fleetUse sums up machines of one kind, and what runs on them, in whole CPUs.
 type fleetUse struct {
-	machines, booting, idle            int
-	cpus, cpusOfReplicas, cpusOfOthers int64
+	machines, booting, idle     int
+	cpus, replicaCPUs, taskCPUs int64
 }
 
 func (use *fleetUse) add(machine *allocation.Machine) {
@@ -29,9 +29,9 @@
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
 		cpus := placement.Job.Request.MilliCPU / 1000
 		if placement.Job.IsService() {
-			use.cpusOfReplicas += cpus
+			use.replicaCPUs += cpus
 		} else {
-			use.cpusOfOthers += cpus
+			use.taskCPUs += cpus
 		}
 	})
 }
@@ -62,5 +62,5 @@
 }
 
 func (use *fleetUse) log(log *slog.Logger, kind string) {
-	log.Debug("fleet", "kind", kind, "machines", use.machines, "booting", use.booting, "idle", use.idle, "cpus", use.cpus, "replica_cpus", use.cpusOfReplicas, "task_cpus", use.cpusOfOthers)
+	log.Debug("fleet", "kind", kind, "machines", use.machines, "booting", use.booting, "idle", use.idle, "cpus", use.cpus, "replica_cpus", use.replicaCPUs, "task_cpus", use.taskCPUs)
 }
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -11,10 +11,10 @@
 // them, and only while no cancelled job is overdue to stop. So the tasks of a cancelled
 // job in a zone that is cut off end in time; see delegation.Config. `then` is called
 // in any case, also after a failed read and once the term is closed.
-func (term *Term) AcknowledgeTimestamps(now clock.Micros, then func()) {
+func (term *Term) AcknowledgeTimestamps(now clock.Micros, done func()) {
 	timestamps := maps.Clone(term.host.Timestamps())
 	term.environment.View.RequestSync(func(err error) {
-		defer then()
+		defer done()
 		if err != nil || term.isClosed {
 			return
 		}
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -20,11 +20,11 @@
 		return value
 	}
 	for _, test := range []struct {
-		name      string
-		fleet     health.Reachability
-		workers   uint32
-		reportAge clock.Micros
-		handsOver bool
+		name         string
+		fleet        health.Reachability
+		workers      uint32
+		reportAge    clock.Micros
+		wantHandOver bool
 	}{
 		{"many workers contact another member", health.Reachability{Up: 20, Reachable: 0}, 12, clock.Second, true},
 		{"a few workers contact another member", health.Reachability{Up: 20, Reachable: 0}, 3, clock.Second, false},
@@ -36,7 +36,7 @@
 		term.environment.View.ApplyPut(records.WorkerContactKey("b"), encodeContact(test.workers, test.reportAge), 10)
 		now := clock.Now()
 		term.liveness.resumedAt = now - 60*clock.Second
-		if got := term.handOverIfCutOff(test.fleet, now); got != test.handsOver || term.isClosed != test.handsOver {
+		if got := term.handOverIfCutOff(test.fleet, now); got != test.wantHandOver || term.isClosed != test.wantHandOver {
 			t.Errorf("%s: hands over %v, the term is closed %v", test.name, got, term.isClosed)
 		}
 	}
@@ -68,10 +68,10 @@
 func TestHandOverWhenNoMachineIsReachable(t *testing.T) {
 	for _, test := range []struct {
 		name                 string
-		before, then         health.Reachability
+		before, after        health.Reachability
 		peerHeartbeatAge     clock.Micros
 		isPeerStoreReachable bool
-		handsOver            bool
+		wantHandOver         bool
 	}{
 		{"all at once", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, true, true},
 		{"a third stays reachable", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 7}, clock.Second, true, false},
@@ -88,7 +88,7 @@
 		if term.handOverIfCutOff(test.before, now) {
 			t.Fatalf("%s: hands over at first", test.name)
 		}
-		if got := term.handOverIfCutOff(test.then, now); got != test.handsOver {
+		if got := term.handOverIfCutOff(test.after, now); got != test.wantHandOver {
 			t.Errorf("%s: hands over %v", test.name, got)
 		}
 	}
--- a/internal/leader/machine_deletion.go
+++ b/internal/leader/machine_deletion.go
@@ -34,7 +34,7 @@
 	deletions.pending = slices.Delete(deletions.pending, 0, count)
 	deletions.isInFlight = true
 	term.background(func() func() {
-		err := term.environment.Cloud.DeleteMachines(batch, term.mayActUntil)
+		err := term.environment.Cloud.DeleteMachines(batch, term.actDeadline)
 		return func() { term.handleDeleteResult(batch, err) }
 	})
 }
--- a/internal/leader/machine_health.go
+++ b/internal/leader/machine_health.go
@@ -165,7 +165,7 @@
 	if spec.CheckpointIntervalSeconds <= 0 || saveTime <= 0 {
 		return false
 	}
-	canRunOn := remaining > 2*saveTime+checkpointMargin
+	canKeepRunning := remaining > 2*saveTime+checkpointMargin
 	isTooLateToSave := remaining <= saveTime && placement.ReportedState == wire.TaskRunning
-	return canRunOn || isTooLateToSave
+	return canKeepRunning || isTooLateToSave
 }
--- a/internal/leader/machine_listing.go
+++ b/internal/leader/machine_listing.go
@@ -52,8 +52,8 @@
 func (term *Term) deleteUnlisted(names map[string]bool, now clock.Micros) {
 	listLag := clock.FromSeconds(2*term.environment.Config.Deployment.Cloud.ListLagSeconds) + clock.Second
 	for name, machine := range term.tracker.Machines {
-		wasNeverSeen := machine.FirstHeartbeatAt == 0 && machine.CreatedAt < term.liveness.startedAt && !names[name]
-		if wasNeverSeen && now-machine.CreatedAt > term.scheduler.BootTimeout(machine.Type)+listLag {
+		isMissing := machine.FirstHeartbeatAt == 0 && machine.CreatedAt < term.liveness.startedAt && !names[name]
+		if isMissing && now-machine.CreatedAt > term.scheduler.BootTimeout(machine.Type)+listLag {
 			term.logDeletion(machine, "not in the cloud's list", term.silenceOf(machine, now))
 			term.deleteMachine(machine)
 		}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -181,9 +181,9 @@
 // second phase, after the wait for the lock; recordFirstDecision ends the third.
 func (term *Term) recordRebuilt() {
 	failover := term.environment.Failover
-	failover.rebuiltAt, failover.unconfirmed = clock.Now(), term.unconfirmedCount()
+	failover.rebuiltAt, failover.unconfirmedTasks = clock.Now(), term.unconfirmedCount()
 	term.environment.Log.Info("allocation table rebuilt", "token", term.token, "jobs", len(term.tracker.Jobs), "machines", len(term.tracker.Machines), "reconciled", term.tracker.IsReconciled(),
-		"unconfirmed", failover.unconfirmed, "replica_used", failover.isReplicaUsed,
+		"unconfirmed", failover.unconfirmedTasks, "replica_used", failover.isReplicaUsed,
 		"read_revision", term.environment.View.Revision, "read_age_s", term.viewAge(failover.rebuiltAt).Seconds(), "may_act_s", (term.host.EntitledUntil() - failover.rebuiltAt).Seconds())
 	term.environment.Metrics.CountFailover()
 	if failover.LeaderHeartbeatAt != 0 {
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -148,7 +148,7 @@
 	}
 	cloudRequest := request.CloudRequest()
 	term.background(func() func() {
-		machines, err := term.environment.Cloud.ScaleOut(cloudRequest, term.mayActUntil)
+		machines, err := term.environment.Cloud.ScaleOut(cloudRequest, term.actDeadline)
 		return func() { term.handleScaleOutResult(request, machines, err) }
 	})
 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -180,7 +180,7 @@
 	term.entitlement.actDeadline.Store(0)
 	term.entitlement.startDeadline.Store(0)
 	for _, deferred := range term.renewals.deferredHeartbeats {
-		term.refuseDeferred(deferred, termOverReply)
+		term.refuseDeferredHeartbeat(deferred, termOverReply)
 	}
 	term.renewals.deferredHeartbeats = nil
 	return term.renewals.constraints.ConstrainedZones()
--- a/internal/leader/worker_heartbeats.go
+++ b/internal/leader/worker_heartbeats.go
@@ -13,7 +13,7 @@
 // HandleHeartbeat takes a worker's heartbeat and replies to it, which renews its lease.
 func (term *Term) HandleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
 	now := clock.Now()
-	if term.deferIfConstrained(heartbeat, reply, now) {
+	if term.deferIfRenewalBlocked(heartbeat, reply, now) {
 		return
 	}
 	machine := term.tracker.Machines[heartbeat.MachineID]
@@ -108,9 +108,9 @@
 // it renews the worker's lease and may start tasks. It is never 0, which would be no deadline: a
 // closed term's deadlines are 0.
 func (term *Term) replyDeadline(commands []wire.Command) clock.Micros {
-	until := min(term.mayActUntil(), term.entitlement.viewAge.RenewLeasesUntil())
+	until := min(term.actDeadline(), term.entitlement.viewAge.RenewLeasesUntil())
 	if slices.ContainsFunc(commands, func(command wire.Command) bool { return command.Action == wire.ActionStart }) {
-		until = min(until, term.mayStartUntil())
+		until = min(until, term.startDeadline())
 	}
 	return max(until, 1)
 }
