--- a/internal/leader/command_requests.go
+++ b/internal/leader/command_requests.go
@@ -58,9 +58,9 @@
 		term.tracker.FinishCommandRequest(machine, starts, allocation.CommandNotSent, clock.Now())
 		return
 	}
-	name, host, deadline := machine.Name, term.workerHost(machine, machineInfo), term.actDeadline
+	name, host, deadline := machine.Name, term.workerHost(machine, machineInfo), term.sendDeadline
 	if len(starts) > 0 {
-		deadline = term.startDeadline
+		deadline = term.taskStartDeadline
 	}
 	term.commandRequestsInFlight++
 	term.background(func() func() {
--- a/internal/leader/constraints.go
+++ b/internal/leader/constraints.go
@@ -14,22 +14,22 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A leader records in the store in which zones it renews no leases, and which members get
-// no grants, so that its successor can bound the leases there. See delegation.Constraints.
+// A leader records in the store the zones in which it renews no leases and the members to which it
+// gives no grants, so that its successor can bound the leases there. See delegation.Constraints.
 
-// MaxClockSkew bounds the difference between two members' times of day.
+// MaxClockSkew returns the maximum difference between two members' wall clocks.
 func MaxClockSkew(cfg *config.Platform) clock.Micros {
 	return 2 * clock.FromSeconds(cfg.Deployment.ClockErrorMillis/1000)
 }
 
-// latestMonotonicTime converts a time of day noted by some member to this process's steady
-// clock, rounded up by the clock error.
+// latestMonotonicTime converts a wall-clock time noted by any member to an instant of this process's
+// monotonic clock, rounded up by the maximum clock skew.
 func (term *Term) latestMonotonicTime(now, wall clock.Micros) clock.Micros {
 	return now - (clock.WallTime() - wall) + MaxClockSkew(term.environment.Config)
 }
 
-// adoptConstraints bounds the machines' leases, and the members' grants, by the constraints of
-// earlier leaders.
+// adoptConstraints applies the constraints recorded by earlier leaders as upper bounds on the ends of
+// machines' leases and of members' grants.
 func (term *Term) adoptConstraints(now clock.Micros) {
 	constraints := term.renewals.constraints.Confirmed()
 	for _, machine := range term.tracker.Machines {
@@ -42,7 +42,7 @@
 	}
 }
 
-// updateRenewalBounds sets until when other members may have renewed leases as delegates.
+// updateRenewalBounds tells the tracker until when other members may have renewed leases as delegates.
 func (term *Term) updateRenewalBounds(now clock.Micros) {
 	constraints := term.renewals.constraints.Confirmed()
 	renewalsUntil := map[string]clock.Micros{}
@@ -52,10 +52,10 @@
 	term.tracker.SetDelegatedUntil(term.renewals.grants.LatestRenewal(now), renewalsUntil)
 }
 
-// updateConstraints constrains zones without reachable machines and unreachable members, and
-// lifts the constraints of those that are reachable again. From the write on a constrained
-// zone gets no replies and a constrained member no grants, so that a new leader, which has
-// reached neither, can bound the leases there.
+// updateConstraints constrains zones that have no reachable machine and members that are unreachable,
+// and lifts the constraints of those that are reachable again. From the write on, heartbeats from a
+// constrained zone get no replies and a constrained member gets no grants. A new leader that has
+// reached neither can therefore bound the leases there.
 func (term *Term) updateConstraints(now clock.Micros) {
 	current := term.renewals.constraints.Confirmed()
 	updated := delegation.Constraints{Zones: term.zoneConstraints(current, now), MemberGrantUntil: term.memberConstraints(current, now)}
@@ -64,12 +64,12 @@
 	}
 }
 
-// wallTimeAt converts an instant of the steady clock to a time of day.
+// wallTimeAt converts an instant of the monotonic clock to wall-clock time.
 func wallTimeAt(at, now clock.Micros) clock.Micros { return clock.WallTime() - (now - at) }
 
-// zoneConstraints are the constraints that zones should have: those they have, but for zones
-// being lifted, and new ones for zones without reachable machines. This member is among
-// those that know of each.
+// zoneConstraints returns the constraints that zones should have: the current ones, except for zones
+// whose constraint is being lifted, and new ones for zones without reachable machines. Each of them
+// names this member among those that know of it.
 func (term *Term) zoneConstraints(current delegation.Constraints, now clock.Micros) map[string]delegation.ZoneConstraint {
 	member := term.environment.Config.Member
 	constraints := map[string]delegation.ZoneConstraint{}
@@ -91,8 +91,8 @@
 	return constraints
 }
 
-// memberConstraints is, for each unreachable member, until when (as a time of day) it may
-// renew leases with the grants it has.
+// memberConstraints returns, for each unreachable member, the wall-clock time until which it may renew
+// leases with the grants that it has.
 func (term *Term) memberConstraints(current delegation.Constraints, now clock.Micros) map[string]clock.Micros {
 	grantUntil := map[string]clock.Micros{}
 	if term.environment.Delegation.GrantTTL == 0 {
@@ -105,7 +105,7 @@
 		until, isConstrained := current.MemberGrantUntil[other.Member]
 		if !isConstrained {
 			if now-term.liveness.resumedAt < MemberTimeout {
-				continue // it may not have had the time to send a heartbeat
+				continue // the member may not have had the time to send a heartbeat
 			}
 			until = wallTimeAt(term.renewals.grants.GrantUntil(other.Member), now)
 		}
@@ -114,14 +114,15 @@
 	return grantUntil
 }
 
-// zoneStatus is whether a zone has machines that are up, and whether any of them is reachable.
+// zoneStatus tells whether a zone has machines that are up, and whether any of them is reachable.
 type zoneStatus struct {
 	hasMachinesUp, isReachable bool
-	lastReplyAt                clock.Micros // the last reply that may have renewed a lease
+	lastReplyAt                clock.Micros // when the last reply that may have renewed a lease was sent
 }
 
-// zoneStatuses looks at all machines. One of this term that still boots says nothing of its
-// zone; one of an earlier term may have been up for long.
+// zoneStatuses returns the status of each zone that has machines. A machine of this term that is still
+// booting does not count as up, whereas one of an earlier term does, since it may have been up for
+// long.
 func (term *Term) zoneStatuses(now clock.Micros) map[string]*zoneStatus {
 	statuses := map[string]*zoneStatus{}
 	for _, machine := range term.tracker.Machines {
@@ -139,8 +140,8 @@
 	return statuses
 }
 
-// writeConstraints makes constraints durable. Until the outcome is known, both the old and
-// the new ones hold.
+// writeConstraints makes constraints durable. Until the outcome of the write is known, the old
+// constraints and the new ones are both in force.
 func (term *Term) writeConstraints(constraints delegation.Constraints) {
 	value, err := records.Constraints{Constraints: constraints}.MarshalJSON()
 	limit := int(term.environment.Config.Deployment.Store.Effective().MaxValueKB * 1024)
@@ -152,7 +153,7 @@
 	if !ok {
 		return
 	}
-	// By the next review the view has the version that is stored.
+	// The sync brings the stored version into the view before the next review of the machines.
 	retryDeferredAndSyncView := func() {
 		term.retryDeferredHeartbeats()
 		term.environment.View.RequestSync(func(error) {}, clock.Now()+verifyTimeout)
@@ -176,8 +177,8 @@
 	})
 }
 
-// handleConstraintsCommitted takes constraints that are durable, and goes on with those that
-// are to be lifted.
+// handleConstraintsCommitted applies constraints that have become durable, and starts the next write if
+// more zones are to be lifted.
 func (term *Term) handleConstraintsCommitted(constraints delegation.Constraints, revision uint64) {
 	term.renewals.constraints.RecordCommit(revision)
 	term.environment.View.SetConstraints(constraints, revision)
@@ -188,23 +189,25 @@
 	}
 }
 
-// deferredHeartbeat is a worker's heartbeat that can't be replied to yet.
+// deferredHeartbeat is a worker's heartbeat that cannot be answered yet.
 type deferredHeartbeat struct {
 	heartbeat  *wire.Heartbeat
 	reply      *server.Reply
 	receivedAt clock.Micros
 }
 
-// maxDeferral is how old a deferred heartbeat may become: retryDeferredHeartbeats, which runs after each
-// read of the view and each write of constraints, refuses older ones.
+// maxDeferral is the age above which a deferred heartbeat is refused. retryDeferredHeartbeats checks it
+// after each read of the view and after each write of constraints.
 const maxDeferral = clock.Second
 
-// deferIfRenewalBlocked tells whether a heartbeat must not be handled now. It waits then for a newer
-// view, or until the constraint of its zone is lifted, which it starts; a late copy of an earlier
-// heartbeat is refused, since it doesn't show that the zone is reachable.
+// deferIfRenewalBlocked reports whether a heartbeat must not be handled now, since its reply would renew
+// a lease. A heartbeat that arrives while the view is too old is deferred until a newer view has been
+// read. One from a constrained zone is deferred until the constraint is lifted, which this method
+// initiates. A late copy of an earlier heartbeat is refused instead, since it does not show that the
+// zone is reachable.
 func (term *Term) deferIfRenewalBlocked(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if !term.entitlement.viewAge.MayRenewLeases(now) {
-		// No reply may renew its lease before the view has been read again.
+		// No reply may renew a lease before the view has been read again.
 		term.deferHeartbeat(deferredHeartbeat{heartbeat, reply, now}, "the view is too old")
 		term.refreshView(now)
 		return true
@@ -225,7 +228,7 @@
 	return true
 }
 
-// deferHeartbeat keeps a heartbeat until it may be replied to, and logs why it has to wait.
+// deferHeartbeat keeps a heartbeat until it may be answered, and logs why it has to wait.
 func (term *Term) deferHeartbeat(deferred deferredHeartbeat, reason string) {
 	term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, deferred)
 	term.environment.Metrics.CountReply(metrics.ReplyDeferred)
@@ -235,15 +238,16 @@
 	}
 }
 
-// refuseDeferredHeartbeat has a worker whose heartbeat was kept try again.
+// refuseDeferredHeartbeat replies 503 to a deferred heartbeat, so that the worker retries.
 func (term *Term) refuseDeferredHeartbeat(deferred deferredHeartbeat, reason string) {
 	term.environment.Metrics.CountReply(metrics.ReplyRefused)
 	replyUnavailable(deferred.reply, reason)
 }
 
-// retryDeferredHeartbeats handles the deferred heartbeats whose zones are not constrained any more, and
-// refuses those that have waited for too long. One of them may show a higher token, which ends the
-// term: those after it are refused, since a reply would renew a lease in a term that is over.
+// retryDeferredHeartbeats handles the deferred heartbeats whose zones are no longer constrained, and
+// refuses those that have waited longer than maxDeferral. A heartbeat may show a higher token, which ends
+// the term. The heartbeats after it are then refused, since a reply would renew a lease in a term that is
+// over.
 func (term *Term) retryDeferredHeartbeats() {
 	now := clock.Now()
 	deferred := term.renewals.deferredHeartbeats
--- a/internal/leader/constraints_test.go
+++ b/internal/leader/constraints_test.go
@@ -10,9 +10,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A new leader that finds a constrained zone counts the leases there from the last reply
-// recorded, not from its own start; it replies to no heartbeat there before the constraint
-// is lifted, and tells at its end which zones it has constrained.
+// A new leader that finds a constrained zone bounds the leases there by the last reply recorded, and not
+// by the start of its own term. It answers no heartbeat from the zone until the constraint has been
+// lifted. When its term ends, it returns the zones that it has constrained.
 func TestNewLeaderAdoptsZoneConstraint(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
 	owner := ownerOf(term)
@@ -27,35 +27,35 @@
 	term.entitlement.actDeadline.Store(1 << 62)
 	machine := term.tracker.Machines["i-1"]
 	if early := leaseEndWithoutConstraint - term.tracker.LeaseEndsAt(machine); early < lastAnswerAge {
-		t.Fatalf("the lease ends only %d us sooner than without the constraint", early)
+		t.Fatalf("the lease ends %d us earlier than without the constraint, want at least 20 s earlier", early)
 	}
 	term.HandleHeartbeat(&wire.Heartbeat{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 5, FencingToken: 10}, &server.Reply{})
 	if len(term.renewals.deferredHeartbeats) != 1 || machine.LastHeartbeatAt != 0 {
-		t.Fatal("a heartbeat from a constrained zone is not deferred")
+		t.Fatal("a heartbeat from a constrained zone was not deferred")
 	}
-	// The constraint is being lifted; nothing is sent before that is durable.
+	// The constraint is being lifted. No reply is sent until the lifting is durable.
 	constraints := term.renewals.constraints.Confirmed()
 	if !term.renewals.constraints.MayConstrainZone("x") || term.renewals.constraints.IsConfirmed() || len(constraints.Zones) != 1 {
-		t.Fatal("the constraint is not being lifted, or counts as lifted already")
+		t.Fatal("the constraint is not being lifted, or counts as lifted before the write is committed")
 	}
 	term.renewals.constraints.RecordCommit(9)
 	owner.View.Constraints, owner.View.ConstraintsVersion = delegation.Constraints{}, 9
 	term.retryDeferredHeartbeats()
 	if len(term.renewals.deferredHeartbeats) != 0 || machine.LastHeartbeatAt == 0 {
-		t.Fatal("the deferred heartbeat is not handled")
+		t.Fatal("the deferred heartbeat was not handled after the constraint had been lifted")
 	}
 	if term.tracker.LeaseEndsAt(machine) < machine.LastHeartbeatAt+24*clock.Second {
-		t.Fatal("the lease of a machine that got a reply is counted from before it")
+		t.Fatal("the lease of a machine that got a reply ends earlier than a lease TTL after its heartbeat")
 	}
-	// A constraint that this member knows of outlives its term.
+	// A constraint that names this member in KnownBy stays in force after its term.
 	term.renewals.constraints.ObserveStored(delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"y": {KnownBy: []string{"a", "b"}}, "z": {KnownBy: []string{"b"}}}}, 20)
 	if zones := term.Close(); !zones["y"] || zones["x"] {
-		t.Fatal("the constraint is forgotten with the term, or holds for another zone")
+		t.Fatal("after the term, zone y does not count as constrained, or zone x still does")
 	}
 }
 
-// A zone without reachable machines is constrained, one with a reachable machine is not, nor
-// one in which machines of this term boot and nothing else is.
+// A zone without reachable machines is constrained. A zone with a reachable machine is not, and neither
+// is a zone whose only machines were requested in this term and are still booting.
 func TestUnreachableZonesAreConstrained(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
 	term.entitlement.actDeadline.Store(1 << 62)
@@ -67,18 +67,19 @@
 	now := term.liveness.startedAt + term.environment.Timing.HeartbeatWindow + clock.Second
 	term.updateConstraints(now)
 	if !term.renewals.constraints.MayConstrainZone("x") || term.renewals.constraints.MayConstrainZone("y") {
-		t.Fatalf("constrained %v", term.renewals.constraints.ConstrainedZones())
+		t.Fatalf("constrained zones: %v, want x alone", term.renewals.constraints.ConstrainedZones())
 	}
 	term.renewals.constraints.RecordRefusal()
 	term.tracker.Machines["i-2"].LastHeartbeatAt = now
 	term.updateConstraints(now)
 	if term.renewals.constraints.MayConstrainZone("x") {
-		t.Fatal("a reachable zone is constrained")
+		t.Fatal("a zone with a reachable machine is constrained")
 	}
 }
 
-// A deferred heartbeat with a higher token ends the term; the heartbeats after it are refused, and
-// renew no lease. A closed term once replied 200 to them: its deadline of 0 counted as none.
+// A deferred heartbeat with a higher token ends the term. The heartbeats deferred after it are refused
+// with status 503 and renew no lease. This guards against replies with status 200 from a closed term,
+// whose send deadline of 0 counts as no deadline.
 func TestDeferredHeartbeatsAreRefusedOnceTermIsOver(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
 	owner := ownerOf(term)
@@ -94,9 +95,9 @@
 	}
 	term.retryDeferredHeartbeats()
 	if !term.isClosed || statuses["i-1"] != 503 || statuses["i-2"] != 503 {
-		t.Fatalf("the term is closed: %v, the replies are %v", term.isClosed, statuses)
+		t.Fatalf("term closed: %v, reply statuses: %v; want true and 503 for both machines", term.isClosed, statuses)
 	}
 	if term.replyDeadline(nil) == 0 {
-		t.Error("a closed term's replies have no deadline")
+		t.Error("a reply of a closed term has no send deadline")
 	}
 }
--- a/internal/leader/entitlement.go
+++ b/internal/leader/entitlement.go
@@ -2,9 +2,9 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// actDeadline is the end of the leader's lease as known. It may be called on any goroutine,
+// sendDeadline is the end of the leader's lease as known. It may be called on any goroutine,
 // right before something is sent.
-func (term *Term) actDeadline() clock.Micros {
+func (term *Term) sendDeadline() clock.Micros {
 	return clock.Micros(term.entitlement.actDeadline.Load())
 }
 
@@ -15,9 +15,9 @@
 	term.liveness.resumedAt, term.scheduler.ResumedAt = now, now
 }
 
-// startDeadline is the end of the time in which tasks may be started. It may be called on
+// taskStartDeadline is the end of the time in which tasks may be started. It may be called on
 // any goroutine.
-func (term *Term) startDeadline() clock.Micros {
+func (term *Term) taskStartDeadline() clock.Micros {
 	return clock.Micros(term.entitlement.startDeadline.Load())
 }
 
--- a/internal/leader/machine_deletion.go
+++ b/internal/leader/machine_deletion.go
@@ -34,7 +34,7 @@
 	deletions.pending = slices.Delete(deletions.pending, 0, count)
 	deletions.isInFlight = true
 	term.background(func() func() {
-		err := term.environment.Cloud.DeleteMachines(batch, term.actDeadline)
+		err := term.environment.Cloud.DeleteMachines(batch, term.sendDeadline)
 		return func() { term.handleDeleteResult(batch, err) }
 	})
 }
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -65,7 +65,7 @@
 	host := term.workerHost(machine, machineInfo)
 	name := machine.Name
 	term.background(func() func() {
-		response, err := host.Do(client.Request{Method: "GET", Target: "/status", Timeout: health.ProbeTimeout, SendDeadline: term.actDeadline})
+		response, err := host.Do(client.Request{Method: "GET", Target: "/status", Timeout: health.ProbeTimeout, SendDeadline: term.sendDeadline})
 		var heartbeat *wire.Heartbeat
 		if err == nil && response.Status == 200 {
 			heartbeat = decodeHeartbeatOf(name, response.Body)
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -148,7 +148,7 @@
 	}
 	cloudRequest := request.CloudRequest()
 	term.background(func() func() {
-		machines, err := term.environment.Cloud.ScaleOut(cloudRequest, term.actDeadline)
+		machines, err := term.environment.Cloud.ScaleOut(cloudRequest, term.sendDeadline)
 		return func() { term.handleScaleOutResult(request, machines, err) }
 	})
 }
--- a/internal/leader/worker_heartbeats.go
+++ b/internal/leader/worker_heartbeats.go
@@ -108,9 +108,9 @@
 // it renews the worker's lease and may start tasks. It is never 0, which would be no deadline: a
 // closed term's deadlines are 0.
 func (term *Term) replyDeadline(commands []wire.Command) clock.Micros {
-	until := min(term.actDeadline(), term.entitlement.viewAge.RenewLeasesUntil())
+	until := min(term.sendDeadline(), term.entitlement.viewAge.RenewLeasesUntil())
 	if slices.ContainsFunc(commands, func(command wire.Command) bool { return command.Action == wire.ActionStart }) {
-		until = min(until, term.startDeadline())
+		until = min(until, term.taskStartDeadline())
 	}
 	return max(until, 1)
 }
