--- a/internal/leader/entitlement.go
+++ b/internal/leader/entitlement.go
@@ -2,51 +2,51 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// sendDeadline is the end of the leader's lease as known. It may be called on any goroutine,
-// right before something is sent.
+// sendDeadline returns the end of the leader's lease as known: nothing may be sent from then on. It may
+// be called on any goroutine, right before a message is sent.
 func (term *Term) sendDeadline() clock.Micros {
 	return clock.Micros(term.entitlement.actDeadline.Load())
 }
 
-// RecordResume has machines and members count as silent from now on at the earliest: no
-// heartbeats could arrive while the process was stalled, and none were replied to while it was
-// not entitled to act.
+// RecordResume makes the silence of machines and members count from now at the earliest. No heartbeat
+// could arrive while the process was stalled, and none was answered while the leader was not entitled
+// to act.
 func (term *Term) RecordResume(now clock.Micros) {
 	term.liveness.resumedAt, term.scheduler.ResumedAt = now, now
 }
 
-// taskStartDeadline is the end of the time in which tasks may be started. It may be called on
-// any goroutine.
+// taskStartDeadline returns the end of the time in which tasks may be started. It may be called on any
+// goroutine.
 func (term *Term) taskStartDeadline() clock.Micros {
 	return clock.Micros(term.entitlement.startDeadline.Load())
 }
 
-// updateDeadlines takes the end of the lock's lease from the election, and the bound that the
-// age of the view sets.
+// updateDeadlines updates the deadlines from the end of the lock's lease, which the election knows, and
+// from the bound set by the age of the view.
 func (term *Term) updateDeadlines() {
 	until := term.host.EntitledUntil()
 	term.entitlement.actDeadline.Store(int64(until))
 	term.entitlement.startDeadline.Store(int64(min(until, term.entitlement.viewAge.StartTasksUntil())))
 }
 
-// resumeAfterLapse is called while the leader is entitled to act. After a time in which it
-// was not, it has replied to nobody, so machines and members without heartbeats since
-// then are not suspected. Added after a leader handed over for lack of heartbeats after
-// an outage of the key-value store of 75 s.
+// resumeAfterLapse is called while the leader is entitled to act. If it was not entitled before, it has
+// answered nobody in that time, so machines and members without heartbeats since then must not be
+// suspected. Without this, a leader handed over for lack of heartbeats after the key-value store had
+// been unavailable for 75 s.
 func (term *Term) resumeAfterLapse(now clock.Micros) {
 	if !term.entitlement.hasLapsed {
 		return
 	}
 	term.entitlement.hasLapsed = false
 	term.RecordResume(now)
-	// Jobs may have been cancelled by other members while the store refused only this
-	// one. Added after a leader started tasks of such a job again.
+	// Other members may have recorded cancellations while the store refused only this member. Without
+	// this, a leader started tasks of a job cancelled in that time again.
 	term.entitlement.viewAge.RecordEntitlementRegained(now)
 	term.updateDeadlines()
 }
 
-// pauseStartsIfStale pauses starts while the view is too old for them, and has it read
-// again; it tells whether tasks may be started.
+// pauseStartsIfStale pauses starts while the view is too old for them, and requests a read of the view.
+// It reports whether tasks may be started.
 func (term *Term) pauseStartsIfStale(now clock.Micros) (mayStart bool) {
 	mayStart = term.entitlement.viewAge.MayStartTasks(now)
 	term.setStartsPaused(!mayStart, now)
@@ -56,7 +56,7 @@
 	return mayStart
 }
 
-// setStartsPaused pauses or resumes starts, and logs a change.
+// setStartsPaused pauses or resumes starts, and logs each change.
 func (term *Term) setStartsPaused(isPaused bool, now clock.Micros) {
 	term.tracker.SetStartsPaused(isPaused)
 	if isPaused == term.logs.areStartsPaused {
@@ -70,13 +70,13 @@
 	term.environment.Log.Info(message, "token", term.token, "read_revision", term.environment.View.Revision, "read_age_s", term.viewAge(now).Seconds())
 }
 
-// viewAge is the time since the newest completed read of the store was sent.
+// viewAge returns the time since the newest completed read of the store was sent.
 func (term *Term) viewAge(now clock.Micros) clock.Micros {
 	return max(now-term.entitlement.viewAge.LastReadSentAt(), 0)
 }
 
-// refreshView has the view read again, which is too old to start tasks on it, or even to renew
-// leases. One read is under way at a time.
+// refreshView requests a read of the view when it is too old to start tasks, or even to renew leases. At
+// most one such read is in flight.
 func (term *Term) refreshView(now clock.Micros) {
 	if term.entitlement.isRefreshingView {
 		return
@@ -94,8 +94,8 @@
 	}, now+HeartbeatInterval)
 }
 
-// recordViewRead records that the view is as new as a read sent at an instant, and does what
-// waited for that.
+// recordViewRead records that the view is as new as a read sent at sentAt, and resumes what had to wait
+// for such a read.
 func (term *Term) recordViewRead(sentAt clock.Micros) {
 	term.entitlement.viewAge.RecordRead(sentAt)
 	term.updateDeadlines()
--- a/internal/leader/environment.go
+++ b/internal/leader/environment.go
@@ -16,9 +16,10 @@
 	"firwood.dev/firwood/internal/tracing"
 )
 
-// Environment is what a term works with. The controller has the same objects, and it sets them once
-// for a term. They belong to the controller's goroutine, but for the clients, which may be used on
-// any. A term changes the view, with what it has made durable, and the failover's times.
+// Environment holds the objects that a term works with. The controller shares them, and sets them once
+// for each term. They belong to the controller's goroutine, except for the clients, which may be used on
+// any goroutine. A term changes only two of them: it adds what it has made durable to the view, and it
+// records the times of the failover.
 type Environment struct {
 	Config *config.Platform
 	Tuning *config.Tuning
@@ -30,18 +31,18 @@
 	WorkerRequests WorkerRequests
 
 	View  *storeview.View
-	Graph *dag.Graph // of the jobs' dependencies
+	Graph *dag.Graph // the dependencies between jobs
 	Hints *hints.Hints
 
-	Delegate *delegation.Delegate // this member's grant from the leader before
-	Replica  *standby.Replica     // of the last leader's allocation table, nil if standby is off
-	Failover *FailoverTimes       // of the failover that this term came from
+	Delegate *delegation.Delegate // this member's grant from the previous leader
+	Replica  *standby.Replica     // the replica of the last leader's allocation table, nil if standby is off
+	Failover *FailoverTimes       // the times of the failover that began this term
 	Tracer   *tracing.Tracer
 	Metrics  *metrics.Metrics
 }
 
-// WorkerRequests is for the requests that a leader sends to workers.
+// WorkerRequests holds what a leader needs to send requests to workers.
 type WorkerRequests struct {
 	Pool        *client.Pool
-	MaxInFlight int // command requests and probes under way at a time, of each
+	MaxInFlight int // the maximum number of command requests in flight, and of probes in flight
 }
--- a/internal/leader/failover_times.go
+++ b/internal/leader/failover_times.go
@@ -9,18 +9,19 @@
 	"firwood.dev/firwood/internal/tracing"
 )
 
-// FailoverTimes are the instants of this member's last failover, 0 for what hasn't happened.
+// FailoverTimes holds the instants of this member's last failover. An instant is 0 if its event has not
+// happened.
 type FailoverTimes struct {
-	LeaderHeartbeatAt clock.Micros // the last heartbeat of the leader before
+	LeaderHeartbeatAt clock.Micros // when the previous leader's last heartbeat was received
 	LockWonAt         clock.Micros
-	rebuiltAt         clock.Micros // the allocation table was rebuilt
-	firstDecisionAt   clock.Micros // the first task was placed
+	rebuiltAt         clock.Micros // when the allocation table was rebuilt
+	firstDecisionAt   clock.Micros // when the first task was placed
 	Token             uint64
-	isReplicaUsed     bool // the allocation table was rebuilt from a replica
-	unconfirmedTasks  int  // tasks that an earlier leader may have started on any machine
+	isReplicaUsed     bool // whether the allocation table was rebuilt from a replica
+	unconfirmedTasks  int  // the number of tasks that an earlier leader may have started, on an unknown machine
 }
 
-// Status is the failover's part of the standby status, nil before the allocation table has been
+// Status returns the failover's part of the standby status, or nil before the allocation table has been
 // rebuilt. FirstDecisionMs is 0 until the failover is complete.
 func (times *FailoverTimes) Status() *jobreport.FailoverStatus {
 	if times.rebuiltAt == 0 {
@@ -36,8 +37,8 @@
 	return status
 }
 
-// spans are the failover's parts for the tracer. Their names and attributes are in traces that are
-// kept, so they stay.
+// spans returns the phases of the failover for the tracer. Their names and attributes have to stay, since
+// existing traces contain them.
 func (times *FailoverTimes) spans() []tracing.Span {
 	startedAt := times.LeaderHeartbeatAt
 	if startedAt == 0 {
@@ -54,7 +55,7 @@
 
 func milliseconds(duration clock.Micros) int64 { return int64(duration / (clock.Second / 1000)) }
 
-// recordFirstDecision notes when a new leader first places a task. The failover is complete then.
+// recordFirstDecision records when a new leader first places a task, which completes the failover.
 func (term *Term) recordFirstDecision(now clock.Micros) {
 	times := term.environment.Failover
 	if times.firstDecisionAt != 0 || !term.tracker.HasIssuedAttempt() {
--- a/internal/leader/faulty_machines.go
+++ b/internal/leader/faulty_machines.go
@@ -6,7 +6,8 @@
 	"firwood.dev/firwood/internal/health"
 )
 
-// recordTaskFailure counts a task that failed on a machine. See health.Faults.
+// recordTaskFailure records that a task has failed on a machine, and pauses or drains the machine if
+// health.Faults decides so.
 func (term *Term) recordTaskFailure(machine *allocation.Machine, now clock.Micros) {
 	machineInfo := term.machines[machine.Name]
 	if machineInfo == nil {
@@ -24,9 +25,9 @@
 	}
 }
 
-// isFailureWidespread tells whether tasks failed lately on many of the other machines too.
-// Added after all machines of a small fleet were drained for failures of what had been
-// started on them within five seconds.
+// isFailureWidespread reports whether tasks have also failed recently on many of the other machines.
+// Without this check, all machines of a small fleet were once drained because the tasks failed that had
+// been started on them within five seconds.
 func (term *Term) isFailureWidespread(machine *allocation.Machine, now clock.Micros) bool {
 	failing, others := 0, 0
 	for name, machineInfo := range term.machines {
@@ -41,7 +42,8 @@
 	return health.IsWidespread(failing, others)
 }
 
-// retryFaultyMachine gives tasks to a faulty machine again that cannot be deleted yet.
+// retryFaultyMachine lets a drained faulty machine get tasks again once its retry is due, if the machine
+// cannot be deleted yet since it still has tasks.
 func (term *Term) retryFaultyMachine(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
 	if !machineInfo.faults.TakeRetry(machine, now) {
 		return
--- a/internal/leader/faulty_machines_test.go
+++ b/internal/leader/faulty_machines_test.go
@@ -11,9 +11,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// One machine that fails jobs is drained, and stays so if it is empty, until it is deleted;
-// one that cannot be deleted, since a replica runs on it, is retried, at longer and longer
-// intervals. While many fail, none is drained: all pause.
+// A machine on which several jobs fail is drained, and stays drained until it is deleted if it is empty.
+// If a replica runs on it, so that it cannot be deleted, it is retried at increasing intervals. While
+// failures are widespread, the machines are paused and none is drained.
 func TestFaultyMachineIsDrainedAndRetried(t *testing.T) {
 	var names []string
 	for i := range 12 {
@@ -37,7 +37,7 @@
 	}
 	machine := term.tracker.Machines["i-00"]
 	if machine.IsIdle() {
-		t.Fatal("the replica is not known")
+		t.Fatal("the machine is idle, want the replica from its heartbeat to be known")
 	}
 	fail := func(name string, job string) {
 		term.tracker.Machines[name].FailedJobs[job] = true
@@ -45,24 +45,24 @@
 	}
 	fail("i-00", "req-000002")
 	if machine.Draining {
-		t.Fatal("drained for one job")
+		t.Fatal("the machine is drained after one job has failed, want two")
 	}
 	backoff := health.RetryBackoff
 	for round := range 3 {
 		fail("i-00", "req-000003")
 		fail("i-00", "req-000004")
 		if !machine.Draining {
-			t.Fatalf("round %d: not drained for two jobs", round)
+			t.Fatalf("round %d: the machine is not drained after two jobs have failed", round)
 		}
 		now += backoff - 1
 		term.retryFaultyMachine(machine, term.machines["i-00"], now)
 		if !machine.Draining {
-			t.Fatalf("round %d: retried too soon", round)
+			t.Fatalf("round %d: the machine is retried before the backoff has passed", round)
 		}
 		now++
 		term.retryFaultyMachine(machine, term.machines["i-00"], now)
 		if machine.Draining {
-			t.Fatalf("round %d: not retried", round)
+			t.Fatalf("round %d: the machine is not retried after the backoff", round)
 		}
 		backoff *= 2
 	}
@@ -73,7 +73,7 @@
 	now += 2 * health.RetryBackoff
 	term.retryFaultyMachine(idle, term.machines["i-01"], now)
 	if !idle.Draining {
-		t.Fatal("an empty faulty machine is retried in place of being deleted")
+		t.Fatal("an empty faulty machine is retried, want it to stay drained until it is deleted")
 	}
 
 	now += 2 * health.SharedFaultWindow
@@ -84,13 +84,13 @@
 		fail(name, "req-000003")
 		machine := term.tracker.Machines[name]
 		if machine.Draining || machine.BackoffUntil <= now {
-			t.Fatalf("%s: draining %v, paused until %d at %d, while all fail", name, machine.Draining, machine.BackoffUntil, now)
+			t.Fatalf("%s: draining %v, paused until %d at %d; want paused but not draining while failures are widespread", name, machine.Draining, machine.BackoffUntil, now)
 		}
 	}
-	// If it still fails after the window, the machine is faulty after all.
+	// A machine on which tasks still fail after the window is taken to be faulty itself.
 	now += health.SharedFaultWindow
 	fail("i-05", "req-000003")
 	if !term.tracker.Machines["i-05"].Draining {
-		t.Fatal("a machine that fails for a minute is not drained")
+		t.Fatal("a machine on which tasks fail for longer than the window is not drained")
 	}
 }
--- a/internal/leader/fleet_log.go
+++ b/internal/leader/fleet_log.go
@@ -7,10 +7,10 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// fleetLogInterval is between two logs of the fleet.
+// fleetLogInterval is the time between two logs of the fleet.
 const fleetLogInterval = 5 * clock.Second
 
-// fleetUse sums up machines of one kind, and what runs on them, in whole CPUs.
+// fleetUse counts the machines of one kind and sums up the use of their CPUs, in whole CPUs.
 type fleetUse struct {
 	machines, booting, idle     int
 	cpus, replicaCPUs, taskCPUs int64
@@ -36,7 +36,8 @@
 	})
 }
 
-// logFleet sums up, at debug level, which machines there are and what they do.
+// logFleet logs, at debug level, the number of machines and how they are used, and the number of waiting
+// tasks.
 func (term *Term) logFleet(now clock.Micros) {
 	if now < term.pace.nextFleetLogAt {
 		return
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -6,11 +6,11 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// AcknowledgeTimestamps renews the other members' grants to renew leases as delegates: the
-// timestamps received so far are acknowledged once the view is known to be newer than
-// them, and only while no cancelled job is overdue to stop. So the tasks of a cancelled
-// job in a zone that is cut off end in time; see delegation.Config. `then` is called
-// in any case, also after a failed read and once the term is closed.
+// AcknowledgeTimestamps renews the other members' grants to renew leases as delegates. It acknowledges
+// the timestamps received so far once the view is known to be newer than they are, and only while no
+// task of a cancelled job is overdue to stop. The tasks of a cancelled job in a zone that is cut off
+// therefore end in time; see delegation.Config. done is called in any case, also after a failed read and
+// once the term is closed.
 func (term *Term) AcknowledgeTimestamps(now clock.Micros, done func()) {
 	timestamps := maps.Clone(term.host.Timestamps())
 	term.environment.View.RequestSync(func(err error) {
@@ -35,7 +35,7 @@
 	}, now+HeartbeatInterval)
 }
 
-// isCancellationOverdue tells whether tasks of some cancelled job are left after its grace.
+// isCancellationOverdue reports whether any cancelled job still has tasks after CancellationGrace.
 func (term *Term) isCancellationOverdue() bool {
 	for _, job := range term.tracker.Jobs {
 		if job.Cancelled && !term.tracker.IsVacated(job) && clock.Now()-job.CancelledAt > term.environment.Delegation.CancellationGrace {
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -5,18 +5,18 @@
 	"firwood.dev/firwood/internal/health"
 )
 
-// handOverBackoff is how long a leader that handed over doesn't run for election.
+// handOverBackoff is how long a leader that has handed over does not run for election.
 const handOverBackoff = 30 * clock.Second
 
-// candidateWindow is how long ago another member's last heartbeat may be for it to count
-// as one that could lead.
+// candidateWindow is the age of its last heartbeat up to which another member counts as able to lead.
 const candidateWindow = 2 * clock.Second
 
-// workerContactTTL is for how long another member's report of workers that contact it counts.
+// workerContactTTL is the age up to which another member's report of workers that contact it counts.
 const workerContactTTL = 5 * clock.Second
 
-// handOverIfCutOff gives up leadership for a member that the workers do reach, or that can
-// read the store; it tells whether it did. See health.LeaderReach for the reasons.
+// handOverIfCutOff hands leadership over if few machines reach this leader while many contact another
+// member, if all machines have become unreachable, or if the store answers no reads. It reports whether
+// it has done so. See health.LeaderReach for the reasons.
 func (term *Term) handOverIfCutOff(fleet health.Reachability, now clock.Micros) bool {
 	reach := term.reach(fleet, now)
 	reason := reach.HandOverReason()
@@ -30,7 +30,8 @@
 	return true
 }
 
-// reach collects what this leader knows of its way to the machines, the store and the others.
+// reach returns what this leader knows of its connections to the machines, the store and the other
+// members.
 func (term *Term) reach(fleet health.Reachability, now clock.Micros) health.LeaderReach {
 	reach := health.LeaderReach{
 		Fleet:            fleet,
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -9,8 +9,8 @@
 	"firwood.dev/firwood/internal/records"
 )
 
-// A leader that neither workers nor members reach hands over on the members' reports in the
-// store: not on old ones, nor on a few workers, nor while the workers reach it too.
+// A leader that neither workers nor members reach hands over because of the members' reports in the
+// store. It does not hand over because of old reports or a few workers, nor while workers reach it too.
 func TestHandOverOnWorkerContactRecords(t *testing.T) {
 	encodeContact := func(workers uint32, ago clock.Micros) []byte {
 		value, err := records.WorkerContact{Workers: workers, ReportedAt: int64(clock.WallTime() - ago)}.MarshalJSON()
@@ -37,13 +37,13 @@
 		now := clock.Now()
 		term.liveness.resumedAt = now - 60*clock.Second
 		if got := term.handOverIfCutOff(test.fleet, now); got != test.wantHandOver || term.isClosed != test.wantHandOver {
-			t.Errorf("%s: hands over %v, the term is closed %v", test.name, got, term.isClosed)
+			t.Errorf("%s: hands over %v, the term is closed %v; want both equal to wantHandOver", test.name, got, term.isClosed)
 		}
 	}
 }
 
-// A leader that could not renew its lock for a while does not suspect machines whose heartbeats
-// are missing for that time, nor hand over for it.
+// A leader that could not renew its lock for a while does not suspect machines because their heartbeats
+// from that time are missing, and does not hand over because of them.
 func TestLapsedTermDoesNotSuspectMachines(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
 	owner := ownerOf(term)
@@ -54,17 +54,17 @@
 	owner.heartbeats["b"] = &ReceivedHeartbeat{ReceivedAt: now, Heartbeat: &peer.Heartbeat{IsStoreReachable: true, WorkerCount: 4}}
 	term.Tick(now)
 	if term.isClosed || term.liveness.resumedAt != now || term.entitlement.hasLapsed {
-		t.Fatalf("handed over %v, resumed at %d, now is %d", term.isClosed, term.liveness.resumedAt, now)
+		t.Fatalf("handed over %v, resumed at %d; want false and %d, and hasLapsed cleared", term.isClosed, term.liveness.resumedAt, now)
 	}
 	later := now + term.environment.Timing.SuspectTimeout
 	owner.heartbeats["b"].ReceivedAt = later
 	if !term.handOverIfCutOff(health.Reachability{Up: 4, Reachable: 0}, later) {
-		t.Fatal("does not hand over though no machine becomes reachable again")
+		t.Fatal("the leader does not hand over, though no machine became reachable again within SuspectTimeout")
 	}
 }
 
-// A leader whose machines all become unreachable at once hands over, if another member could
-// lead. The next one, which no machine has reached yet, does not hand over in turn.
+// A leader whose machines all become unreachable at once hands over if another member could lead. The
+// next leader, which no machine has reached yet, does not hand over in turn.
 func TestHandOverWhenNoMachineIsReachable(t *testing.T) {
 	for _, test := range []struct {
 		name                 string
@@ -73,10 +73,10 @@
 		isPeerStoreReachable bool
 		wantHandOver         bool
 	}{
-		{"all at once", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, true, true},
-		{"a third stays reachable", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 7}, clock.Second, true, false},
-		{"never reachable", health.Reachability{Up: 20, Reachable: 0}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, true, false},
-		{"too few to tell", health.Reachability{Up: 2, Reachable: 2}, health.Reachability{Up: 2, Reachable: 0}, clock.Second, true, false},
+		{"all machines become unreachable", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, true, true},
+		{"a third of the machines stays reachable", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 7}, clock.Second, true, false},
+		{"no machine was ever reachable", health.Reachability{Up: 20, Reachable: 0}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, true, false},
+		{"too few machines to judge by", health.Reachability{Up: 2, Reachable: 2}, health.Reachability{Up: 2, Reachable: 0}, clock.Second, true, false},
 		{"no other member is up", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, 9 * clock.Second, true, false},
 		{"the other member can't reach the store", health.Reachability{Up: 20, Reachable: 18}, health.Reachability{Up: 20, Reachable: 0}, clock.Second, false, false},
 	} {
@@ -86,10 +86,10 @@
 		term.liveness.resumedAt = now
 		ownerOf(term).heartbeats["b"] = &ReceivedHeartbeat{ReceivedAt: now - test.peerHeartbeatAge, Heartbeat: &peer.Heartbeat{IsStoreReachable: test.isPeerStoreReachable}}
 		if term.handOverIfCutOff(test.before, now) {
-			t.Fatalf("%s: hands over at first", test.name)
+			t.Fatalf("%s: hands over before the reachability changes", test.name)
 		}
 		if got := term.handOverIfCutOff(test.after, now); got != test.wantHandOver {
-			t.Errorf("%s: hands over %v", test.name, got)
+			t.Errorf("%s: got hand-over %v, want the opposite", test.name, got)
 		}
 	}
 }
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -6,19 +6,19 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// restoreHints has a new leader go on with what the last one sent.
+// restoreHints applies the hints that the last leader sent to a new leader's machines and scheduler.
 func (term *Term) restoreHints(now clock.Micros) {
 	term.environment.Hints.Restore(term.tracker.Machines, term.scheduler, now)
 }
 
-// addHints adds what the next leader would have to find out again to a heartbeat.
+// addHints adds to a heartbeat what the next leader would otherwise have to find out again.
 func (term *Term) addHints(heartbeat *peer.Heartbeat) {
 	term.hints.images.AddImages(heartbeat, term.tracker.SortedMachines(), term.sentHintOf, clock.Now())
 	hints.AddForecasts(heartbeat, term.scheduler, term.host.MachineTypes())
 }
 
-// sentHintOf returns the hint that was last sent of a machine, nil for a machine that this
-// leader doesn't track.
+// sentHintOf returns the hint last sent for a machine, or nil for a machine that this leader doesn't
+// track.
 func (term *Term) sentHintOf(machine string) *hints.Sent {
 	if state := term.machines[machine]; state != nil {
 		return &state.sentHint
--- a/internal/leader/hints_test.go
+++ b/internal/leader/hints_test.go
@@ -11,9 +11,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// What a leader sends in its heartbeats, some machines at a time, is what the next one begins
-// with: images of machines that are still in the same incarnation, run times and boot times.
-// Hints that are impossible are ignored.
+// The next leader starts with the hints from the last leader's heartbeats, each of which covers only some
+// machines: cached images of machines that are still in the same incarnation, run times and boot times.
+// Impossible hints are ignored.
 func TestNextLeaderRestoresHints(t *testing.T) {
 	var names []string
 	for i := range 2*peer.MaxCachedImageMachines + 3 {
@@ -37,7 +37,7 @@
 		heartbeat := &peer.Heartbeat{Member: "b", Leader: "b", Token: 9}
 		firstTerm.addHints(heartbeat)
 		if len(heartbeat.CachedImages) > peer.MaxCachedImageMachines {
-			t.Fatalf("one heartbeat has hints of %d machines", len(heartbeat.CachedImages))
+			t.Fatalf("one heartbeat has hints for %d machines, want at most MaxCachedImageMachines", len(heartbeat.CachedImages))
 		}
 		heartbeat, err := peer.Decode(peer.Encode(heartbeat)[4:])
 		if err != nil {
@@ -50,8 +50,8 @@
 		{Class: "d", Count: 9, Mean: math.NaN(), MeanSquare: 1}, {Class: "e", Count: 9, Mean: 3, MeanSquare: 1},
 	}, BootTimes: []peer.BootTimes{{MachineType: "none", Durations: []clock.Micros{clock.Second}}}}}, maxMachines, now)
 
-	// What has not changed is not sent again, what has is, and all of it once a member is back
-	// that may have missed it.
+	// Unchanged hints are not sent again, while changed ones are. All hints are sent again once a member
+	// that may have missed some is back.
 	sentMachines := func(heartbeats int) (machines []string) {
 		for range heartbeats {
 			heartbeat := &peer.Heartbeat{Member: "b", Leader: "b", Token: 9}
@@ -63,28 +63,28 @@
 		return machines
 	}
 	if again := sentMachines(3); len(again) > 0 {
-		t.Errorf("sent again: %v", again)
+		t.Errorf("unchanged hints are sent again for %v", again)
 	}
 	firstTerm.tracker.Machines["i-07"].ImageUsedAt["another"] = now
 	if changed := sentMachines(3); !slices.Equal(changed, []string{"i-07"}) {
-		t.Errorf("changes are sent of %v", changed)
+		t.Errorf("changed hints are sent for %v, want i-07 alone", changed)
 	}
 	firstTerm.ResendHints(clock.Now())
 	if all := sentMachines(3); len(all) != len(names) {
-		t.Errorf("a member that is back is sent hints of %d machines", len(all))
+		t.Errorf("after ResendHints, hints are sent for %d machines, want all", len(all))
 	}
 
 	term := nextOwner.newTerm(10, clock.Now())
 	for i, name := range names {
 		machine := term.tracker.Machines[name]
-		incarnation := uint64(3 + i%2) // every second one has lost all it had
+		incarnation := uint64(3 + i%2) // every second machine is in a new incarnation, without images
 		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: name, Incarnation: incarnation, Sequence: 2, FencingToken: 10}, term.liveness.startedAt+clock.Second)
 		if _, hasImage := machine.ImageUsedAt[fmt.Sprintf("img-%02d", i)]; hasImage != (incarnation == 3) {
-			t.Errorf("%s in incarnation %d: said to have its image cached %v", name, incarnation, hasImage)
+			t.Errorf("%s in incarnation %d: image cached %v, want the opposite", name, incarnation, hasImage)
 		}
 	}
 	if boot := term.scheduler.BootTime(term.host.MachineTypes()[0].Name, 50); boot < 19*clock.Second || boot > 21*clock.Second {
-		t.Errorf("machines are expected to boot in %.1f s, not as long as the last leader saw", boot.Seconds())
+		t.Errorf("machines are expected to boot in %.1f s, want about 20 s as observed by the last leader", boot.Seconds())
 	}
 	for class, want := range map[string]float64{"c": 50, "d": 100, "e": 100} {
 		if got := term.scheduler.RunTimeModel(class).PredictedSeconds(100); math.Abs(got-want) > 1e-9 {
--- a/internal/leader/host.go
+++ b/internal/leader/host.go
@@ -12,49 +12,49 @@
 const (
 	// HeartbeatInterval is the time between two heartbeats of a member to the others.
 	HeartbeatInterval = clock.Second
-	// MemberTimeout is after how long without a heartbeat a member counts as unreachable.
+	// MemberTimeout is the time without a heartbeat after which a member counts as unreachable.
 	MemberTimeout = 3 * HeartbeatInterval
 )
 
-// Host is what a term needs of the controller that it belongs to: what the controller alone can
-// do, and what it alone knows. All methods but PostResult are for the controller's goroutine.
+// Host is the part of the controller that its term uses: actions that only the controller can perform
+// and facts that only it knows. All methods but PostResult are for the controller's goroutine.
 type Host interface {
 	// PostResult queues a command for the controller's goroutine. It may be called on any goroutine.
 	PostResult(command func())
 
-	// IsEntitled tells whether this process may act as leader now; EntitledUntil is the end of
+	// IsEntitled reports whether this process may act as leader now. EntitledUntil returns the end of
 	// the lock's lease as known.
 	IsEntitled() bool
 	EntitledUntil() clock.Micros
-	// HandleFenced reports that a write has proven the term's token to be outdated, which ends
-	// the term; HandleHigherToken reports the same of a worker, which has shown a higher one.
+	// HandleFenced ends the term with this token, since a write has shown that the token is stale.
+	// HandleHigherToken does so because a worker has shown a higher token.
 	HandleFenced(token uint64)
 	HandleHigherToken(token uint64)
-	// HandOver ends the term, and stays out of elections for a while.
+	// HandOver ends the term, and keeps this member out of elections for the duration of the backoff.
 	HandOver(now, backoff clock.Micros)
 
-	// Heartbeats are the other members' last heartbeats, Timestamps their newest timestamps, and
-	// WorkerContacts what they wrote of workers that contact them; all by member.
+	// Heartbeats returns the other members' last heartbeats, Timestamps their newest timestamps, and
+	// WorkerContacts their reports of how many workers contact them. All are keyed by member.
 	Heartbeats() map[string]*ReceivedHeartbeat
 	Timestamps() map[string]delegation.Timestamp
 	WorkerContacts() map[string]WorkerContact
-	// SendHeartbeatNow has heartbeats sent to the other members with the next tick.
+	// SendHeartbeatNow makes the next tick send heartbeats to the other members.
 	SendHeartbeatNow()
 	// SendStreamMessage sends a message of the standby stream to a member.
 	SendStreamMessage(member string, heartbeat *peer.Heartbeat)
 
-	// MachineTypes are what the cloud offers.
+	// MachineTypes returns the machine types that the cloud offers.
 	MachineTypes() []wire.MachineType
 	// LookUpIfEvicted fetches a job's record from the store if it may have been evicted from
 	// the view.
 	LookUpIfEvicted(id string)
-	// ProblemOf returns a job's line in the job report, and whether it belongs there; wall is
-	// the time of day.
+	// ProblemOf returns a job's line in the job report, and whether the job belongs there. wall is the
+	// wall-clock time.
 	ProblemOf(id string, record *storeview.Job, wall int64) (problem jobreport.Problem, isProblem bool)
-	// AdjustRateShare lets this member use what the others leave of the store's rate of changes.
+	// AdjustRateShare lets this member use the part of the store's write rate that the others leave.
 	AdjustRateShare(now clock.Micros)
-	// LogDropped logs, at a rate that is bounded for each message, something that is malformed or
-	// exceeds a limit.
+	// LogDropped logs something that is malformed or exceeds a limit. The rate is bounded separately for
+	// each message.
 	LogDropped(message string, args ...any)
 }
 
@@ -64,7 +64,7 @@
 	ReceivedAt clock.Micros
 }
 
-// WorkerContact is how many workers contacted a member lately, and when it said so.
+// WorkerContact is how many workers have recently contacted a member, and when the member reported that.
 type WorkerContact struct {
 	Workers    uint32
 	ReportedAt clock.Micros
