--- a/internal/leader/host.go
+++ b/internal/leader/host.go
@@ -26,7 +26,7 @@
 	// the lock's lease as known.
 	IsEntitled() bool
 	EntitledUntil() clock.Micros
-	// HandleFenced ends the term with this token, since a write has shown that the token is stale.
+	// HandleFenced ends the term that has this token, since a write has shown that the token is stale.
 	// HandleHigherToken does so because a worker has shown a higher token.
 	HandleFenced(token uint64)
 	HandleHigherToken(token uint64)
--- a/internal/leader/job_end_writer.go
+++ b/internal/leader/job_end_writer.go
@@ -9,7 +9,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// jobEndWriter makes the end of complete jobs durable. Users get it in no reply before that.
+// jobEndWriter makes the end of complete jobs durable. No reply tells users of an end before that.
 type jobEndWriter struct{ term *Term }
 
 func (writer *jobEndWriter) write(id string, job *allocation.Job, jobInfo *jobState) {
@@ -29,7 +29,7 @@
 		Conditions: []wire.Condition{{Key: records.JobKey(id), Version: record.Version}},
 		Changes:    []wire.Change{{PutKey: records.JobKey(id), Value: value}},
 	}
-	if term.environment.Store.BacklogDuration() < backlogThreshold { // else the cleaner removes it later
+	if term.environment.Store.BacklogDuration() < backlogThreshold { // otherwise the cleaner deletes the progress later
 		term.appendProgressDeletes(write, id, jobInfo)
 	}
 	verify := term.afterSync(func() { writer.verify(id, job, jobInfo) })
@@ -45,7 +45,7 @@
 	})
 }
 
-// endRecord is the record of a job that has completed.
+// endRecord returns the record of a job that has completed.
 func (writer *jobEndWriter) endRecord(id string, record *storeview.Job, job *allocation.Job, jobInfo *jobState) *storeview.Job {
 	end := storeview.NewEndedJob(record, wire.JobDone, clock.WallTime())
 	end.FirstStartAt, end.Errors, end.Restarts = jobInfo.firstStartAt, job.FailureCount, job.RestartCount
@@ -56,21 +56,21 @@
 	return end
 }
 
-// recordCommit applies an end that is durable since a revision.
+// recordCommit applies the end of a job that has become durable with the given revision.
 func (writer *jobEndWriter) recordCommit(id string, end *storeview.Job, revision uint64, job *allocation.Job, jobInfo *jobState) {
 	term := writer.term
 	jobInfo.isEndDurable = true
 	term.tracker.MarkDurable(job, job.UnpersistedCompletions())
 	if current := term.environment.View.Jobs[id]; current == nil || current.Version < revision {
-		// Dependent jobs need not wait for the watch.
+		// Apply the end now, so that dependent jobs need not wait for the watch.
 		end.Version = revision
 		term.environment.View.SetJob(id, end)
 	}
 	term.logJobEnd(id, end)
 }
 
-// verify reads from the view what became of a write whose outcome isn't known, or that had a
-// conflict: the job was cancelled meanwhile, or the write was executed after all.
+// verify reads the outcome from the view after a write that had a conflict or whose outcome is unknown.
+// Either the job has been cancelled meanwhile, or the write was executed after all.
 func (writer *jobEndWriter) verify(id string, job *allocation.Job, jobInfo *jobState) {
 	term := writer.term
 	jobInfo.isWriting = false
--- a/internal/leader/job_persistence.go
+++ b/internal/leader/job_persistence.go
@@ -11,8 +11,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// persistence groups what keeps the key-value store up to date with the allocation table and
-// tidies it up. Each part has a file of its own.
+// persistence groups the parts that keep the key-value store up to date with the allocation table and
+// delete obsolete keys. Each part has its own file.
 type persistence struct {
 	progress  progressWriter
 	jobEnds   jobEndWriter
@@ -28,8 +28,8 @@
 	}
 }
 
-// persistJobs writes which tasks of jobs have completed, and the end of jobs that are complete
-// or cancelled. At most one write of a job is under way at a time.
+// persistJobs writes which tasks of jobs have completed, and the end of jobs that are complete or
+// cancelled. At most one write per job is in flight.
 func (term *Term) persistJobs(now clock.Micros) {
 	var due []string
 	for id, job := range term.tracker.Jobs {
@@ -53,14 +53,14 @@
 	term.persistence.progress.writeDue(due, now)
 }
 
-// removeJob ends the tracking of a job whose end is durable and that has no tasks left.
+// removeJob stops tracking a job whose end is durable and that has no tasks left.
 func (term *Term) removeJob(id string, job *allocation.Job) {
 	term.tracker.RemoveJob(job)
 	delete(term.jobs, id)
 }
 
-// recordStarts makes it durable that tasks of the job may have been started from now on. A later
-// leader looks on the machines for tasks of such jobs, and knows that no other job has any.
+// recordStarts makes it durable that tasks of the job may be started from now on. A later leader looks
+// for tasks of such jobs on the machines, and knows that no other job has any.
 func (term *Term) recordStarts(job *allocation.Job) {
 	id := job.Spec.ID
 	jobInfo := term.jobs[id]
@@ -68,8 +68,8 @@
 		return
 	}
 	jobInfo.isRecordingStarts = true
-	// The key must not exist: a write that is executed late, or twice, must not undo progress
-	// that was written meanwhile.
+	// The write requires that the key doesn't exist: if it is executed late, or twice, it must not undo
+	// progress that was written meanwhile.
 	write := &kvstore.Write{
 		Priority:   kvstore.Required,
 		Conditions: []wire.Condition{{Key: records.ProgressKey(id, 0)}},
@@ -94,8 +94,8 @@
 	})
 }
 
-// appendProgressDeletes adds the removal of a job's progress to the write of its end, as far as
-// one transaction takes it; the cleaner removes the rest later.
+// appendProgressDeletes adds the deletion of a job's progress to the write of its end, as far as it fits
+// into one transaction. The cleaner deletes the rest later.
 func (term *Term) appendProgressDeletes(write *kvstore.Write, id string, jobInfo *jobState) {
 	maxChanges := term.maxTransactionOps()
 	for _, number := range slices.Sorted(maps.Keys(jobInfo.keyVersions)) {
--- a/internal/leader/late_jobs.go
+++ b/internal/leader/late_jobs.go
@@ -5,7 +5,7 @@
 	"firwood.dev/firwood/internal/storeview"
 )
 
-// logJobEnd logs the end of a job, as an error if batch work has missed its objective.
+// logJobEnd logs the end of a job, at error level if the job is batch work that missed its objective.
 func (term *Term) logJobEnd(id string, record *storeview.Job) {
 	if problem, ok := term.host.ProblemOf(id, record, int64(clock.WallTime())); ok && problem.IsLate {
 		term.environment.Log.Error("job finished late", "job", id, "class", problem.Class, "late_by_s", problem.LateByS, "took_s", problem.TookS, "why", problem.Reason)
@@ -14,7 +14,7 @@
 	term.environment.Log.Debug("job completed", "job", id)
 }
 
-// warnLateJobs warns, once a job, of batch work that misses its objective while it runs.
+// warnLateJobs logs, once per job, batch work that misses its objective while it is running.
 func (term *Term) warnLateJobs(now clock.Micros) {
 	wall := int64(clock.WallTime())
 	for id, jobInfo := range term.jobs {
--- a/internal/leader/log_limit.go
+++ b/internal/leader/log_limit.go
@@ -3,19 +3,19 @@
 import "firwood.dev/firwood/internal/clock"
 
 const (
-	// logLimitWindow is the time in which logLimitLines lines of one kind are logged at most.
+	// logLimitWindow is the time in which at most logLimitLines lines of one kind are logged.
 	logLimitWindow = 5 * clock.Second
 	logLimitLines  = 20
 )
 
-// logLimit bounds how many lines of one kind a term logs. The zero value is ready for use.
+// logLimit bounds how many lines of one kind a term logs. The zero value is ready to use.
 type logLimit struct {
 	windowStartedAt clock.Micros
 	logged          int
-	suppressed      int // lines since the last one that was logged
+	suppressed      int // the number of lines suppressed since the last one that was logged
 }
 
-// allow tells whether a line may be logged now, and how many were suppressed before it.
+// allow reports whether a line may be logged now, and how many lines were suppressed before it.
 func (limit *logLimit) allow(now clock.Micros) (suppressed int, isAllowed bool) {
 	if now-limit.windowStartedAt >= logLimitWindow {
 		limit.windowStartedAt, limit.logged = now, 0
--- a/internal/leader/machine_deletion.go
+++ b/internal/leader/machine_deletion.go
@@ -9,10 +9,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// deleteRetryInterval is the time after which a deletion that the cloud didn't answer is sent again.
+// deleteRetryInterval is the delay before a deletion that the cloud did not answer is sent again.
 const deleteRetryInterval = clock.Second
 
-// deleteMachine has a machine deleted in the cloud. It gets no tasks from now on.
+// deleteMachine queues the deletion of a machine in the cloud. The machine gets no tasks from now on.
 func (term *Term) deleteMachine(machine *allocation.Machine) {
 	machineInfo := term.machines[machine.Name]
 	if machineInfo == nil || machineInfo.isDeleting {
@@ -23,7 +23,7 @@
 	term.deletions.pending = append(term.deletions.pending, machine.Name)
 }
 
-// sendDeletes sends the next request to delete machines, one at a time.
+// sendDeletes sends the next request to delete machines. At most one request is in flight.
 func (term *Term) sendDeletes(now clock.Micros) {
 	deletions := &term.deletions
 	if len(deletions.pending) == 0 || deletions.isInFlight || now < deletions.nextAt {
@@ -61,8 +61,8 @@
 	term.requestPlan()
 }
 
-// removeDeletedMachine ends the tracking of a machine that the cloud has deleted. It returns the
-// request that the machine came from, if one is known.
+// removeDeletedMachine stops tracking a machine that the cloud has deleted. It returns the scale-out
+// request that created the machine, or nil if none is known.
 func (term *Term) removeDeletedMachine(name string, now clock.Micros) *scaleout.Request {
 	term.deletions.deletedAt[name] = now
 	delete(term.listing.unknownSince, name)
--- a/internal/leader/machine_health.go
+++ b/internal/leader/machine_health.go
@@ -9,8 +9,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// reviewMachines hands leadership over if this leader is cut off, and otherwise judges each
-// machine: see health.Verdict.
+// reviewMachines hands leadership over if this leader is cut off. Otherwise it decides what to do about
+// each machine; see health.Verdict.
 func (term *Term) reviewMachines(now clock.Micros) {
 	term.updateRenewalBounds(now)
 	fleet, zones := term.countReachable(now)
@@ -40,7 +40,8 @@
 	term.deleteUnknownMachines(now)
 }
 
-// countReachable counts the machines that have booted, in all and by zone.
+// countReachable counts the machines that have booted, and those of them that are reachable, in total and
+// by zone.
 func (term *Term) countReachable(now clock.Micros) (fleet health.Reachability, zones map[string]health.Reachability) {
 	zones = map[string]health.Reachability{}
 	for _, machine := range term.tracker.Machines {
@@ -56,21 +57,21 @@
 	return fleet, zones
 }
 
-// isReachable tells whether a machine's last heartbeat, or the process's last stall, is
+// isReachable reports whether a machine's last heartbeat, or the end of the process's last stall, is
 // within the heartbeat window.
 func (term *Term) isReachable(machine *allocation.Machine, now clock.Micros) bool {
 	return now-max(machine.LastHeartbeatAt, term.liveness.resumedAt) < term.environment.Timing.HeartbeatWindow
 }
 
-// silenceOf is how long a machine's heartbeats have been missing while they could arrive.
-// The machines of a zone that was cut off come back one by one, so it counts from when
-// most of the zone was reachable again. Added after two thirds of a zone were deleted
-// when the first third was reachable again.
+// silenceOf returns for how long a machine's heartbeats have been missing although they could have
+// arrived. After a zone was cut off, its machines become reachable again one by one, so the time counts
+// from when the zone was mostly reachable again at the earliest. Without this, two thirds of a zone were
+// deleted once the first third was reachable again.
 func (term *Term) silenceOf(machine *allocation.Machine, now clock.Micros) clock.Micros {
 	return now - max(machine.LastHeartbeatAt, term.liveness.resumedAt, term.liveness.zoneUnreachableAt[machine.Zone])
 }
 
-// applyVerdict carries out what was decided about a machine.
+// applyVerdict carries out the decision about a machine.
 func (term *Term) applyVerdict(verdict health.Verdict, machine *allocation.Machine, evidence health.Evidence, now clock.Micros) {
 	switch verdict {
 	case health.Keep:
@@ -90,15 +91,15 @@
 	}
 }
 
-// logDeletion logs why a machine is deleted that ought to work. Silence is how long nothing
-// has been received from it.
+// logDeletion logs why a machine that ought to work is deleted. silence is the time for which nothing has
+// been received from it.
 func (term *Term) logDeletion(machine *allocation.Machine, reason string, silence clock.Micros) {
 	term.environment.Log.Info("deleting machine", "machine", machine.Name, "zone", machine.Zone, "spot", machine.Spot, "reason", reason, "silent_s", silence.Seconds())
 }
 
-// expireDeletedMachines forgets machines that were deleted long ago. Since it doesn't look
-// at the cloud's list, the rule in handleList, which keeps those that are still listed,
-// has no effect; which of the two should hold has yet to be decided.
+// expireDeletedMachines forgets machines that were deleted more than deletedMachineTTL ago. It ignores
+// the cloud's list, so the rule in handleList that keeps machines that are still listed has no effect.
+// Which of the two rules should apply has yet to be decided.
 func (term *Term) expireDeletedMachines(now clock.Micros) {
 	for name, at := range term.deletions.deletedAt {
 		if now-at > deletedMachineTTL {
@@ -108,16 +109,16 @@
 }
 
 const (
-	// unknownMachineGrace is how long a machine that no record names is left alone.
+	// unknownMachineGrace is the time for which a machine that no record names is left alone.
 	unknownMachineGrace = 5 * clock.Second
-	// unknownMachineRetry is how long after its deletion was requested such a machine is
-	// left alone, besides the grace.
+	// unknownMachineRetry is the time, in addition to the grace, for which such a machine is left alone
+	// after its deletion has been requested.
 	unknownMachineRetry = 30 * clock.Second
 )
 
-// deleteUnknownMachines deletes machines that no record names. Such a machine comes from a
-// scale-out request that was carried out late. It has no tasks, and is deleted once no
-// request is open that it might belong to.
+// deleteUnknownMachines deletes machines that no record names. Such a machine comes from a scale-out
+// request that was executed late, and has no tasks. It is deleted once no scale-out request that it might
+// belong to is unanswered.
 func (term *Term) deleteUnknownMachines(now clock.Micros) {
 	for _, request := range term.scaleOuts {
 		if !request.IsAnswered() {
@@ -129,18 +130,18 @@
 			continue
 		}
 		term.environment.Log.Info("deleting unknown machine", "machine", name)
-		// An instant in the future, in a map of past ones: it delays the next attempt.
+		// This instant is in the future, unlike those of other machines, which delays the next attempt.
 		term.listing.unknownSince[name] = now + unknownMachineRetry
 		term.deletions.pending = append(term.deletions.pending, name)
 	}
 }
 
-// checkpointMargin is by how much the time until a reclaim must exceed that of two saves of a
-// checkpoint for a task to run on.
+// checkpointMargin is the minimum time that has to be left until a reclaim, beyond twice the time to save
+// a checkpoint, for a task to keep running.
 const checkpointMargin = 3 * clock.Second
 
-// evacuateReclaimed stops the tasks of a machine that the cloud reclaims, unless they will be
-// done in time, or are better left running.
+// evacuateReclaimed stops the tasks of a machine that the cloud reclaims, except those that will be done
+// in time and those that are better left running.
 func (term *Term) evacuateReclaimed(machine *allocation.Machine, now clock.Micros) {
 	remaining := machine.ReclaimAt - now
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
@@ -157,8 +158,9 @@
 	})
 }
 
-// isBetterLeftRunning tells whether a task that saves checkpoints should run on although its
-// machine is reclaimed: there is time to run and still save, or too little to save at all.
+// isBetterLeftRunning reports whether a task that saves checkpoints should keep running although its
+// machine is being reclaimed: either there is enough time to run further and still save a checkpoint, or
+// too little time to save one at all.
 func isBetterLeftRunning(placement *allocation.Placement, remaining clock.Micros) bool {
 	spec := placement.Job.Spec
 	saveTime := clock.FromSeconds(spec.CheckpointSaveSeconds)
--- a/internal/leader/machine_listing.go
+++ b/internal/leader/machine_listing.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// deletedMachineTTL is how long a deleted machine is remembered: heartbeats of it that
-	// arrive late, and lists that lag, mean nothing.
+	// deletedMachineTTL is the time for which a deleted machine is remembered. Meanwhile its late
+	// heartbeats, and entries in lists that lag behind, don't make it an unknown machine.
 	deletedMachineTTL = 600 * clock.Second
-	// listInterval is between two reads of the cloud's list, listRetryDelay after one failed.
+	// listInterval is the time between two reads of the cloud's list, listRetryDelay that after a read
+	// that failed.
 	listInterval   = 10 * clock.Second
 	listRetryDelay = 3 * clock.Second
 )
 
-// listMachines reads the cloud's list periodically, for machines that failed and machines
-// that no record names.
+// listMachines periodically reads the cloud's list, to find machines that have failed and machines that
+// no record names.
 func (term *Term) listMachines(now clock.Micros) {
 	if term.listing.isInFlight || now < term.listing.nextAt {
 		return
@@ -29,7 +30,7 @@
 	})
 }
 
-// handleList takes the cloud's list, or its failure.
+// handleList applies the cloud's list, or schedules a retry if the read failed.
 func (term *Term) handleList(listed []wire.ListedMachine, err error) {
 	now := clock.Now()
 	term.listing.isInFlight = false
@@ -47,8 +48,8 @@
 	maps.DeleteFunc(term.deletions.deletedAt, func(name string, at clock.Micros) bool { return now-at > deletedMachineTTL && !names[name] })
 }
 
-// deleteUnlisted deletes machines of an earlier term that have sent no heartbeat and that the
-// cloud doesn't list, though a record names them: they don't exist any more.
+// deleteUnlisted deletes machines of an earlier term that have sent no heartbeat and that the cloud
+// doesn't list, although a record names them: they no longer exist.
 func (term *Term) deleteUnlisted(names map[string]bool, now clock.Micros) {
 	listLag := clock.FromSeconds(2*term.environment.Config.Deployment.Cloud.ListLagSeconds) + clock.Second
 	for name, machine := range term.tracker.Machines {
@@ -60,10 +61,10 @@
 	}
 }
 
-// applyListedMachine takes what the cloud says of one machine.
+// applyListedMachine applies the cloud's information on one machine.
 func (term *Term) applyListedMachine(listed *wire.ListedMachine, now clock.Micros) {
 	if _, ok := term.deletions.deletedAt[listed.ID]; ok {
-		return // the list lags
+		return // the list lags behind the deletion
 	}
 	machine := term.tracker.Machines[listed.ID]
 	if machine == nil {
--- a/internal/leader/machine_types.go
+++ b/internal/leader/machine_types.go
@@ -6,8 +6,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// SaveMachineTypes keeps the machine types in the key-value store, for controllers that start
-// while the cloud's interface is down. If it fails they are written with the next fetch.
+// SaveMachineTypes stores the machine types in the key-value store, for controllers that start while the
+// cloud's API is unavailable. If the write fails, they are written after the next fetch.
 func (term *Term) SaveMachineTypes() {
 	value, err := wire.MachineTypeList{Types: term.host.MachineTypes()}.MarshalJSON()
 	if err != nil || len(value) > int(term.environment.Config.Deployment.Store.Effective().MaxValueKB*1024) {
--- a/internal/leader/metrics.go
+++ b/internal/leader/metrics.go
@@ -5,8 +5,8 @@
 	"firwood.dev/firwood/internal/metrics"
 )
 
-// MetricsStatus is what metrics tell of the term. It looks at each machine once, and at tasks only if
-// they are of cancelled jobs and listed.
+// MetricsStatus returns the term's part of the metrics. It visits each machine once, and visits tasks only
+// if they belong to cancelled jobs and are still listed by workers.
 func (term *Term) MetricsStatus(now clock.Micros) metrics.LeaderStatus {
 	count, earliest := term.tracker.ListedCancelledTasks()
 	status := metrics.LeaderStatus{Machines: len(term.tracker.Machines), UnconfirmedMachines: term.tracker.UnconfirmedMachines(), ListedCancelledTasks: count}
@@ -16,5 +16,5 @@
 	return status
 }
 
-// ViewAge is the time since the newest read of the store that the term knows to be completed was sent.
+// ViewAge returns the time since the newest completed read of the store was sent, as known to the term.
 func (term *Term) ViewAge(now clock.Micros) clock.Micros { return term.viewAge(now) }
