--- a/internal/leader/constraints.go
+++ b/internal/leader/constraints.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// updateRenewalBounds tells the tracker until when other members may have renewed leases as delegates.
+// updateRenewalBounds tells the tracker until when other members, or this one before its term, may have
+// renewed leases as delegates.
 func (term *Term) updateRenewalBounds(now clock.Micros) {
 	constraints := term.renewals.constraints.Confirmed()
 	renewalsUntil := map[string]clock.Micros{}
@@ -55,7 +56,7 @@
 // updateConstraints constrains zones that have no reachable machine and members that are unreachable,
 // and lifts the constraints of those that are reachable again. From the write on, heartbeats from a
 // constrained zone get no replies and a constrained member gets no grants. A new leader that has
-// reached neither can therefore bound the leases there.
+// reached neither the zone nor the member can therefore bound the leases there.
 func (term *Term) updateConstraints(now clock.Micros) {
 	current := term.renewals.constraints.Confirmed()
 	updated := delegation.Constraints{Zones: term.zoneConstraints(current, now), MemberGrantUntil: term.memberConstraints(current, now)}
@@ -201,10 +202,10 @@
 const maxDeferral = clock.Second
 
 // deferIfRenewalBlocked reports whether a heartbeat must not be handled now, since its reply would renew
-// a lease. A heartbeat that arrives while the view is too old is deferred until a newer view has been
-// read. One from a constrained zone is deferred until the constraint is lifted, which this method
-// initiates. A late copy of an earlier heartbeat is refused instead, since it does not show that the
-// zone is reachable.
+// a lease. It defers or refuses such a heartbeat. A heartbeat that arrives while the view is too old is
+// deferred until a newer view has been read. A heartbeat from a constrained zone is deferred until the
+// constraint is lifted, which this method initiates. A late copy of an earlier heartbeat is refused
+// instead, since it does not show that the zone is reachable.
 func (term *Term) deferIfRenewalBlocked(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if !term.entitlement.viewAge.MayRenewLeases(now) {
 		// No reply may renew a lease before the view has been read again.
--- a/internal/leader/constraints_test.go
+++ b/internal/leader/constraints_test.go
@@ -63,7 +63,7 @@
 		return term.tracker.AddMachine(name, "big", zone, false, allocation.Resources{}, term.liveness.startedAt)
 	}
 	bootingMachine := add("i-9", "y")
-	bootingMachine.CreatedAt = term.liveness.startedAt + clock.Second // requested in this term, boots
+	bootingMachine.CreatedAt = term.liveness.startedAt + clock.Second // requested in this term, still booting
 	now := term.liveness.startedAt + term.environment.Timing.HeartbeatWindow + clock.Second
 	term.updateConstraints(now)
 	if !term.renewals.constraints.MayConstrainZone("x") || term.renewals.constraints.MayConstrainZone("y") {
--- a/internal/leader/entitlement.go
+++ b/internal/leader/entitlement.go
@@ -40,7 +40,7 @@
 	term.entitlement.hasLapsed = false
 	term.RecordResume(now)
 	// Other members may have recorded cancellations while the store refused only this member. Without
-	// this, a leader started tasks of a job cancelled in that time again.
+	// this, a leader restarted tasks of a job that had been cancelled in that time.
 	term.entitlement.viewAge.RecordEntitlementRegained(now)
 	term.updateDeadlines()
 }
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -16,7 +16,7 @@
 
 // handOverIfCutOff hands leadership over if few machines reach this leader while many contact another
 // member, if all machines have become unreachable, or if the store answers no reads. It reports whether
-// it has done so. See health.LeaderReach for the reasons.
+// it has done so. See health.LeaderReach for the exact conditions and their reasons.
 func (term *Term) handOverIfCutOff(fleet health.Reachability, now clock.Micros) bool {
 	reach := term.reach(fleet, now)
 	reason := reach.HandOverReason()
--- a/internal/leader/host.go
+++ b/internal/leader/host.go
@@ -27,7 +27,7 @@
 	IsEntitled() bool
 	EntitledUntil() clock.Micros
 	// HandleFenced ends the term that has this token, since a write has shown that the token is stale.
-	// HandleHigherToken does so because a worker has shown a higher token.
+	// HandleHigherToken does the same, since a worker has shown a higher token.
 	HandleFenced(token uint64)
 	HandleHigherToken(token uint64)
 	// HandOver ends the term, and keeps this member out of elections for the duration of the backoff.
--- a/internal/leader/job_end_writer.go
+++ b/internal/leader/job_end_writer.go
@@ -70,7 +70,7 @@
 }
 
 // verify reads the outcome from the view after a write that had a conflict or whose outcome is unknown.
-// Either the job has been cancelled meanwhile, or the write was executed after all.
+// A conflict means that the job has been cancelled meanwhile, or that the write was executed after all.
 func (writer *jobEndWriter) verify(id string, job *allocation.Job, jobInfo *jobState) {
 	term := writer.term
 	jobInfo.isWriting = false
