--- a/internal/allocation/machine_tracking.go
+++ b/internal/allocation/machine_tracking.go
@@ -2,8 +2,8 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// AddMachine adds a machine, or returns the one that has the name. One that is added before
-// FinishRecovery has to be reconciled.
+// AddMachine adds a machine and returns it. If a machine of that name exists, AddMachine returns that
+// one unchanged. A machine that is added before FinishRecovery has to be reconciled.
 func (tracker *Tracker) AddMachine(name, machineType, zone string, spot bool, capacity Resources, now clock.Micros) *Machine {
 	if machine := tracker.Machines[name]; machine != nil {
 		return machine
@@ -28,18 +28,18 @@
 	return machine
 }
 
-// reconcile records that nothing which an earlier leader started can be on the machine unseen.
-func (tracker *Tracker) reconcile(machine *Machine) {
+// markReconciled records that this leader knows everything that earlier leaders started on the machine.
+func (tracker *Tracker) markReconciled(machine *Machine) {
 	if !machine.Reconciled {
 		machine.Reconciled = true
 		tracker.unreconciledCount--
-		tracker.finishReconciliation()
+		tracker.confirmTasksIfReconciled()
 	}
 }
 
-// finishReconciliation ends the unconfirmed state of all tasks once every machine is reconciled: a
-// task that no machine has listed is nowhere.
-func (tracker *Tracker) finishReconciliation() {
+// confirmTasksIfReconciled ends the unconfirmed state of all tasks once every machine is reconciled:
+// a task that no machine has listed by then runs nowhere.
+func (tracker *Tracker) confirmTasksIfReconciled() {
 	if !tracker.IsReconciled() {
 		return
 	}
@@ -53,12 +53,12 @@
 	}
 }
 
-// RemoveMachine records that the cloud has confirmed a machine's deletion: its tasks are over.
+// RemoveMachine removes a machine whose deletion the cloud has confirmed, and ends its placements.
 func (tracker *Tracker) RemoveMachine(machine *Machine, now clock.Micros) {
 	for _, placement := range machine.placements {
 		tracker.endPlacement(placement, CauseVanished, now)
 	}
-	tracker.reconcile(machine)
+	tracker.markReconciled(machine)
 	delete(tracker.Machines, machine.Name)
 	tracker.sortedMachines = nil
 }
--- a/internal/leader/fleet_log.go
+++ b/internal/leader/fleet_log.go
@@ -7,13 +7,13 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// fleetLogInterval is between two logs of the fleet.
+// fleetLogInterval is the time between two logs of the fleet.
 const fleetLogInterval = 5 * clock.Second
 
-// fleetUse sums up machines of one kind, and what runs on them, in whole CPUs.
+// fleetUse counts the machines of one kind and sums up the use of their CPUs, in whole CPUs.
 type fleetUse struct {
-	machines, booting, idle            int
-	cpus, cpusOfReplicas, cpusOfOthers int64
+	machines, booting, idle     int
+	cpus, replicaCPUs, taskCPUs int64
 }
 
 func (use *fleetUse) add(machine *allocation.Machine) {
@@ -29,14 +29,15 @@
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
 		cpus := placement.Job.Request.MilliCPU / 1000
 		if placement.Job.IsService() {
-			use.cpusOfReplicas += cpus
+			use.replicaCPUs += cpus
 		} else {
-			use.cpusOfOthers += cpus
+			use.taskCPUs += cpus
 		}
 	})
 }
 
-// logFleet sums up, at debug level, which machines there are and what they do.
+// logFleet logs, at debug level, the number of machines and how they are used, and the number of waiting
+// tasks.
 func (term *Term) logFleet(now clock.Micros) {
 	if now < term.pace.nextFleetLogAt {
 		return
@@ -62,5 +63,5 @@
 }
 
 func (use *fleetUse) log(log *slog.Logger, kind string) {
-	log.Debug("fleet", "kind", kind, "machines", use.machines, "booting", use.booting, "idle", use.idle, "cpus", use.cpus, "replica_cpus", use.cpusOfReplicas, "task_cpus", use.cpusOfOthers)
+	log.Debug("fleet", "kind", kind, "machines", use.machines, "booting", use.booting, "idle", use.idle, "cpus", use.cpus, "replica_cpus", use.replicaCPUs, "task_cpus", use.taskCPUs)
 }
--- a/internal/leader/progress_writer.go
+++ b/internal/leader/progress_writer.go
@@ -84,12 +84,12 @@
 		jobInfo.updateKeyVersions(term.environment.View.Progress[id])
 		term.requestPlan()
 	})
-	term.commitHandled(write, outcomeHandlers{
+	term.commitWithHandlers(write, outcomeHandlers{
 		committed: func(revision uint64) {
 			for key := range keys {
 				jobInfo.setKeyVersion(key, revision)
 			}
-			term.tracker.MarkDurable(job, tasks)
+			term.tracker.MarkCompletionsDurable(job, tasks)
 			jobInfo.isWriting = false
 		},
 		conflict:    verify,
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -163,7 +163,7 @@
 	term.updateDeadlines()
 	term.renewals = environment.newLeaseRenewals(now)
 	term.restore(now, clock.WallTime())
-	term.reconciliation.machines = term.tracker.UnreconciledCount()
+	term.reconciliation.machines = term.tracker.UnreconciledMachineCount()
 	term.requestPlan()
 	environment.Failover.isReplicaUsed = allocationConfig.MayHaveStarted != nil
 	term.recordRebuilt()
@@ -180,7 +180,7 @@
 	term.entitlement.actDeadline.Store(0)
 	term.entitlement.startDeadline.Store(0)
 	for _, deferred := range term.renewals.deferredHeartbeats {
-		term.refuseDeferred(deferred, termOverReply)
+		term.refuseDeferredHeartbeat(deferred, termOverReply)
 	}
 	term.renewals.deferredHeartbeats = nil
 	return term.renewals.constraints.ConstrainedZones()
