--- a/internal/leader/entitlement.go
+++ b/internal/leader/entitlement.go
@@ -59,10 +59,10 @@
 // setStartsPaused pauses or resumes starts, and logs a change.
 func (term *Term) setStartsPaused(isPaused bool, now clock.Micros) {
 	term.tracker.SetStartsPaused(isPaused)
-	if isPaused == term.logs.areStartsPaused {
+	if isPaused == term.logs.isPauseLogged {
 		return
 	}
-	term.logs.areStartsPaused = isPaused
+	term.logs.isPauseLogged = isPaused
 	message := "starts resumed"
 	if isPaused {
 		message = "starts paused: the view is too old"
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -37,7 +37,7 @@
 		term.probing.nextMachineIndex %= len(machines)
 		machine := machines[term.probing.nextMachineIndex]
 		term.probing.nextMachineIndex++
-		if machineInfo := term.machines[machine.Name]; canProbe(machine, machineInfo) && hasRoundDue(machine, machineInfo, now) {
+		if machineInfo := term.machines[machine.Name]; canProbe(machine, machineInfo) && isRoundProbeDue(machine, machineInfo, now) {
 			term.probeMachine(machine, machineInfo, now)
 		}
 	}
@@ -53,8 +53,8 @@
 	return machineInfo.probes.NeedsProbe(machine.LastHeartbeatAt, term.liveness.resumedAt, now, term.environment.Timing)
 }
 
-// hasRoundDue tells whether a machine has replicas and is probed in its turn.
-func hasRoundDue(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
+// isRoundProbeDue tells whether a machine has replicas and is probed in its turn.
+func isRoundProbeDue(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
 	return machine.ReplicaCount() > 0 && machineInfo.probes.IsRoundDue(machine.LastHeartbeatAt, now)
 }
 
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -127,10 +127,10 @@
 // matters: arrivals, constraints and hints are those of the jobs and machines that were
 // restored before. Everything that earlier leaders may have started tasks of, or on, has to
 // be there before FinishRecovery: what is added after it counts as new.
-func (term *Term) restore(now, wall clock.Micros) {
-	term.restoreScaleOuts(now, wall)
+func (term *Term) restore(now, wallTime clock.Micros) {
+	term.restoreScaleOuts(now, wallTime)
 	cancelled := term.restoreJobs(now)
-	term.replayArrivals(now, wall)
+	term.replayArrivals(now, wallTime)
 	term.adoptConstraints(now)
 	term.updateRenewalBounds(now)
 	term.tracker.FinishRecovery()
@@ -140,9 +140,9 @@
 
 // restoreScaleOuts adds the machines of all recorded scale-out requests, and sends again
 // those that have no recorded result.
-func (term *Term) restoreScaleOuts(now, wall clock.Micros) {
+func (term *Term) restoreScaleOuts(now, wallTime clock.Micros) {
 	for name, record := range term.environment.View.ScaleOuts {
-		request := scaleout.Restore(name, record.ScaleOut, record.Version, now-max(wall-clock.Micros(record.RequestedAt), 0))
+		request := scaleout.Restore(name, record.ScaleOut, record.Version, now-max(wallTime-clock.Micros(record.RequestedAt), 0))
 		term.scaleOuts[name] = request
 		for _, machineName := range record.Machines {
 			term.addMachine(request, machineName).RecordedInStore = true
--- a/internal/leader/renewal_stops_test.go
+++ b/internal/leader/renewal_stops_test.go
@@ -22,8 +22,8 @@
 	ownerOf(term).term = term
 	term.entitlement.actDeadline.Store(1 << 62)
 	spec := &wire.Job{ID: "req-000001", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 1, CPUs: 1, Team: "t"}
-	ended := &storeview.Job{Job: records.Job{Spec: spec, State: wire.JobCancelled, EndedAt: int64(clock.WallTime())}}
-	term.cancelJob(term.addJob(spec.ID, ended, true), ended, clock.Now())
+	cancelledRecord := &storeview.Job{Job: records.Job{Spec: spec, State: wire.JobCancelled, EndedAt: int64(clock.WallTime())}}
+	term.cancelJob(term.addJob(spec.ID, cancelledRecord, true), cancelledRecord, clock.Now())
 	return term
 }
 
--- a/internal/leader/small_limits_test.go
+++ b/internal/leader/small_limits_test.go
@@ -96,14 +96,14 @@
 			term.persistJobs(clock.Now() + clock.Second)
 			return len(job.UnpersistedCompletions()) == 0
 		})
-		done := owner.View.Progress[id]
-		owner.View.RequestSync(func(error) { done = owner.View.Progress[id] }, clock.Now()+10*clock.Second)
+		progress := owner.View.Progress[id]
+		owner.View.RequestSync(func(error) { progress = owner.View.Progress[id] }, clock.Now()+10*clock.Second)
 		runUntil(t, owner, func() bool {
-			done = owner.View.Progress[id]
-			return len(done) == (test.tasks-1)/owner.TasksPerKey+1
+			progress = owner.View.Progress[id]
+			return len(progress) == (test.tasks-1)/owner.TasksPerKey+1
 		})
 		for _, i := range []int{0, owner.TasksPerKey - 1, owner.TasksPerKey, test.tasks - 2} {
-			if !done[i/owner.TasksPerKey].Bits.IsSet(i % owner.TasksPerKey) {
+			if !progress[i/owner.TasksPerKey].Bits.IsSet(i % owner.TasksPerKey) {
 				t.Errorf("%v KiB: task %d is done, and the record does not say so", test.valueKB, i)
 			}
 		}
--- a/internal/leader/standby_stream.go
+++ b/internal/leader/standby_stream.go
@@ -25,8 +25,8 @@
 	term.standby = newDecisionStream(term)
 	allocationConfig.Replicator = term.standby
 	view := environment.View
-	if copied, ok := environment.Replica.TrustedTable(view.Standby, &view.Terms, environment.Config.Member); ok && view.Terms.LastToken() == term.token {
-		allocationConfig.MayHaveStarted = copied.MayBeRunning
+	if replicaTable, ok := environment.Replica.TrustedTable(view.Standby, &view.Terms, environment.Config.Member); ok && view.Terms.LastToken() == term.token {
+		allocationConfig.MayHaveStarted = replicaTable.MayBeRunning
 	}
 }
 
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -21,7 +21,7 @@
 	isClosed    bool
 	tracker     *allocation.Tracker
 	scheduler   *scheduler.Scheduler
-	tracked
+	trackedState
 
 	entitlement entitlement
 	liveness    liveness
@@ -78,7 +78,7 @@
 // logLimits bound lines that many machines or tasks may cause at once.
 type logLimits struct {
 	listedTasks, heldBackHeartbeats logLimit
-	areStartsPaused                 bool // as last logged
+	isPauseLogged                   bool // as last logged
 }
 
 // tickPace is when the periodic steps of a tick are due.
@@ -148,8 +148,8 @@
 	now := clock.Now()
 	term := &Term{
 		environment: environment, host: host, token: token,
-		tracked:  tracked{scaleOuts: map[string]*scaleout.Request{}, machines: map[string]*machineState{}, jobs: map[string]*jobState{}},
-		liveness: liveness{startedAt: now, resumedAt: now, zoneUnreachableAt: map[string]clock.Micros{}},
+		trackedState: trackedState{scaleOuts: map[string]*scaleout.Request{}, machines: map[string]*machineState{}, jobs: map[string]*jobState{}},
+		liveness:     liveness{startedAt: now, resumedAt: now, zoneUnreachableAt: map[string]clock.Micros{}},
 	}
 	term.entitlement.viewAge = staleness.NewTracker(environment.Staleness, readAt)
 	term.deletions.deletedAt, term.listing.unknownSince = map[string]clock.Micros{}, map[string]clock.Micros{}
@@ -163,7 +163,7 @@
 	term.updateDeadlines()
 	term.renewals = environment.newLeaseRenewals(now)
 	term.restore(now, clock.WallTime())
-	term.reconciliation.machines = term.tracker.UnreconciledCount()
+	term.reconciliation.machineCount = term.tracker.UnreconciledCount()
 	term.requestPlan()
 	environment.Failover.isReplicaUsed = allocationConfig.MayHaveStarted != nil
 	term.recordRebuilt()
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -14,7 +14,7 @@
 
 // A new leader has no heartbeats yet of the machines that an earlier one requested. That
 // is no sign that they never came up; the cloud's list saying so is.
-func TestMissingHeartbeatIsNotBooting(t *testing.T) {
+func TestMachineWithoutHeartbeatIsDeletedOnlyIfListedBooting(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3")
 	later := term.liveness.startedAt + term.environment.Timing.SuspectTimeout + 2*clock.Second
 	term.reviewMachines(later)
@@ -41,8 +41,8 @@
 		term.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Address: "127.0.0.1:1", Incarnation: 1, Sequence: 1, FencingToken: 9}, now)
 	}
 	now += 20 * clock.Second // less than a lease
-	one := term.tracker.Machines["i-1"]
-	one.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
+	firstMachine := term.tracker.Machines["i-1"]
+	firstMachine.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
 	owner.heartbeats["b"] = &ReceivedHeartbeat{Heartbeat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, ReceivedAt: now}
 	term.RecordResume(now)
 	term.reviewMachines(now)
@@ -53,7 +53,7 @@
 		t.Fatal("the scheduler suspects machines")
 	}
 	now += term.environment.Timing.SuspectTimeout + clock.Second
-	one.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
+	firstMachine.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 2 {
 		t.Fatalf("machines without heartbeats since the stall: deleted %v", term.deletions.pending)
@@ -63,8 +63,8 @@
 // A machine that answers no probe is deleted while the others of its zone answer, and only then:
 // if the zone is cut off none does, and a process that was late itself, or had no connection free,
 // can't conclude anything.
-func TestProbeMisses(t *testing.T) {
-	fail := errors.New("no answer")
+func TestProbeMissesDeleteMachineOnlyIfZoneAnswers(t *testing.T) {
+	errNoAnswer := errors.New("no answer")
 	for _, test := range []struct {
 		name           string
 		answering      int // machines that answer, of four
@@ -73,11 +73,11 @@
 		isDeleted      bool
 		isInconclusive bool // it must not count as a miss
 	}{
-		{"one hangs", 3, fail, 0, true, false},
-		{"zone cut off", 0, fail, 0, false, false},
-		{"half hang", 2, fail, 0, false, false},
+		{"one hangs", 3, errNoAnswer, 0, true, false},
+		{"zone cut off", 0, errNoAnswer, 0, false, false},
+		{"half hang", 2, errNoAnswer, 0, false, false},
 		{"no connection free", 3, client.ErrPoolExhausted, 0, false, true},
-		{"result handled late", 3, fail, 5 * clock.Second, false, true},
+		{"result handled late", 3, errNoAnswer, 5 * clock.Second, false, true},
 	} {
 		term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
 		term.entitlement.actDeadline.Store(1 << 62)
--- a/internal/leader/token_confirmation.go
+++ b/internal/leader/token_confirmation.go
@@ -28,8 +28,8 @@
 	dueAt   clock.Micros
 }
 
-// awaitConfirmation has a machine asked later whose heartbeat didn't show the leader's token.
-func (term *Term) awaitConfirmation(machine *allocation.Machine, now clock.Micros) {
+// queueConfirmationRequest has a machine asked later whose heartbeat didn't show the leader's token.
+func (term *Term) queueConfirmationRequest(machine *allocation.Machine, now clock.Micros) {
 	confirmations := &term.confirmations
 	if machine.TokenConfirmed || confirmations.isQueued[machine] {
 		return
--- a/internal/leader/token_confirmation_test.go
+++ b/internal/leader/token_confirmation_test.go
@@ -83,8 +83,8 @@
 
 // A machine that is being deleted, is gone, or has just left a request unanswered is not asked, and
 // leaves the queue: its next heartbeat has it asked again.
-func TestConfirmationIsNotAskedOfMachinesThatWait(t *testing.T) {
-	for name, hold := range map[string]func(term *Term){
+func TestConfirmationRequestSkipsUnavailableMachines(t *testing.T) {
+	for name, makeUnavailable := range map[string]func(term *Term){
 		"deleted":     func(term *Term) { term.machines["i-1"].isDeleting = true },
 		"forgotten":   func(term *Term) { term.tracker.RemoveMachine(term.tracker.Machines["i-1"], clock.Now()) },
 		"just failed": func(term *Term) { term.machines["i-1"].commandsBlockedUntil = clock.Now() + 60*clock.Second },
@@ -92,7 +92,7 @@
 		term := newTestTerm(t, "i-1")
 		term.entitlement.actDeadline.Store(1 << 62)
 		replyTo(t, term, heartbeatWith("i-1", cancelledTask, 5, 4))
-		hold(term)
+		makeUnavailable(term)
 		term.sendConfirmationRequests(clock.Now() + 2*confirmationDelay)
 		if term.commandRequestsInFlight != 0 || len(term.confirmations.queue) != 0 || len(term.confirmations.isQueued) != 0 {
 			t.Errorf("%s: %d in flight, %d queued", name, term.commandRequestsInFlight, len(term.confirmations.queue))
--- a/internal/leader/tracked_jobs.go
+++ b/internal/leader/tracked_jobs.go
@@ -16,21 +16,21 @@
 // forecasts. Added after new leaders, whose forecasts knew of no arrivals, scaled in every idle
 // machine within seconds of a failover, although the classes of waiting jobs were about to need
 // them.
-func (term *Term) replayArrivals(now, wall clock.Micros) {
+func (term *Term) replayArrivals(now, wallTime clock.Micros) {
 	jobs := slices.Collect(maps.Values(term.tracker.Jobs))
 	slices.SortFunc(jobs, func(a, b *allocation.Job) int {
 		return cmp.Or(cmp.Compare(a.ReleasedAt, b.ReleasedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
 	for _, job := range jobs {
-		term.scheduler.ObserveArrival(job, now-max(wall-job.ReleasedAt, 0))
+		term.scheduler.ObserveArrival(job, now-max(wallTime-job.ReleasedAt, 0))
 	}
 }
 
 // addJob has an active job tracked, with the completed tasks that its progress names.
 func (term *Term) addJob(id string, record *storeview.Job, startsRecorded bool) *allocation.Job {
 	completed := term.environment.View.CompletedTasks(id, record, term.environment.TasksPerKey)
-	released := term.environment.Graph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
-	job := term.tracker.AddJob(record.Spec, released, clock.Now(), startsRecorded, completed.IsSet)
+	releasedAt := term.environment.Graph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
+	job := term.tracker.AddJob(record.Spec, releasedAt, clock.Now(), startsRecorded, completed.IsSet)
 	urgency := term.environment.Graph.UrgencyOf(id, UrgencyOf(record))
 	job.Priority, job.Deadline = urgency.Priority, urgency.Deadline
 	jobInfo := &jobState{layout: term.progressLayoutOf(record), firstStartAt: record.FirstStartAt}
--- a/internal/leader/tracked_state.go
+++ b/internal/leader/tracked_state.go
@@ -12,7 +12,7 @@
 
 // tracked is what the leader knows of requests, machines and jobs besides the allocation table,
 // by name.
-type tracked struct {
+type trackedState struct {
 	scaleOuts map[string]*scaleout.Request
 	machines  map[string]*machineState
 	jobs      map[string]*jobState
--- a/internal/leader/worker_heartbeats.go
+++ b/internal/leader/worker_heartbeats.go
@@ -19,7 +19,7 @@
 	machine := term.tracker.Machines[heartbeat.MachineID]
 	if machine == nil {
 		term.noteUnknownMachine(heartbeat.MachineID, now)
-		term.renewLease(reply, allocation.StopsOfListedTasks(heartbeat, term.mustEnd), metrics.ReplyUnknownMachine)
+		term.renewLease(reply, allocation.StopsOfListedTasks(heartbeat, term.needsStop), metrics.ReplyUnknownMachine)
 		return
 	}
 	result := term.recordHeartbeat(machine, heartbeat, now)
@@ -30,7 +30,7 @@
 		term.host.HandleHigherToken(term.token)
 		return
 	}
-	commands := term.commandsAfter(result, machine, now)
+	commands := term.replyCommands(result, machine, now)
 	term.logListedCancelled(machine, heartbeat, true, now)
 	if len(commands) > 0 {
 		term.renewLease(reply, commands, metrics.ReplyRenewedWithCommands)
@@ -55,8 +55,8 @@
 	reply.SendBefore(200, body, 0, term.replyDeadline(commands))
 }
 
-// mustEnd tells whether tasks of a job have to end: it is cancelled, or over, or unknown.
-func (term *Term) mustEnd(jobID string) bool {
+// needsStop tells whether tasks of a job have to end: it is cancelled, or over, or unknown.
+func (term *Term) needsStop(jobID string) bool {
 	if job := term.tracker.Jobs[jobID]; job != nil {
 		return job.Cancelled
 	}
@@ -91,14 +91,14 @@
 	return result
 }
 
-// commandsAfter is what the reply to a heartbeat commands. A repeated or older one, which an answer
+// replyCommands is what the reply to a heartbeat commands. A repeated or older one, which an answer
 // to a command request or a probe may have overtaken, gets stops alone: its reply renews the lease too.
-func (term *Term) commandsAfter(result allocation.HeartbeatResult, machine *allocation.Machine, now clock.Micros) []wire.Command {
+func (term *Term) replyCommands(result allocation.HeartbeatResult, machine *allocation.Machine, now clock.Micros) []wire.Command {
 	if result != allocation.HeartbeatAccepted {
 		return term.tracker.RenewalStops(machine)
 	}
 	term.processTaskEvents(now)
-	term.awaitConfirmation(machine, now)
+	term.queueConfirmationRequest(machine, now)
 	commands := term.tracker.HeartbeatCommands(machine, now)
 	term.requestPlan()
 	return commands
@@ -173,9 +173,9 @@
 	term.requestPlan()
 }
 
-// hasFullRun tells whether this leader has seen the whole run of a task, from its beginning
+// hasObservedFullRun tells whether this leader has seen the whole run of a task, from its beginning
 // and not from a checkpoint, so that its duration says something of the class.
-func hasFullRun(placement *allocation.Placement) bool {
+func hasObservedFullRun(placement *allocation.Placement) bool {
 	job := placement.Job
 	wasSeen := placement.RunningAt != 0 && !placement.Adopted
 	isResumedTask := job.Tasks[placement.TaskIndex].CheckpointedSeconds != 0
@@ -186,7 +186,7 @@
 // observeCompletedRun has the scheduler learn from the duration of a task's run, and of the
 // job's once all its tasks are done.
 func (term *Term) observeCompletedRun(placement *allocation.Placement, now clock.Micros) {
-	if !hasFullRun(placement) {
+	if !hasObservedFullRun(placement) {
 		return
 	}
 	job := placement.Job
--- a/internal/leader/worker_heartbeats_test.go
+++ b/internal/leader/worker_heartbeats_test.go
@@ -10,7 +10,7 @@
 )
 
 // A higher token is reported as such wherever a worker shows it, and ends the term.
-func TestHigherTokenOfAWorkerIsReported(t *testing.T) {
+func TestHigherTokenFromWorkerEndsTerm(t *testing.T) {
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 10}
 	for name, show := range map[string]func(*Term, *allocation.Machine, *machineState){
 		"heartbeat": func(term *Term, _ *allocation.Machine, _ *machineState) {
