--- a/internal/leader/reconciliation_times.go
+++ b/internal/leader/reconciliation_times.go
@@ -12,7 +12,7 @@
 // reconciliationTimes measures how long after the rebuild of the allocation table the machines of
 // earlier leaders are reconciled: they may be commanded from then on, or are gone.
 type reconciliationTimes struct {
-	machineCount int // that had to be reconciled when the table was rebuilt
+	machines     int // that had to be reconciled when the table was rebuilt
 	reachedAfter [len(reconciledPercents)]clock.Micros
 	isLogged     bool
 }
@@ -21,12 +21,12 @@
 // parts are.
 func (term *Term) recordReconciliation(now clock.Micros) {
 	times := &term.reconciliation
-	if times.isLogged || times.machineCount == 0 {
+	if times.isLogged || times.machines == 0 {
 		return
 	}
-	reconciled := times.machineCount - term.tracker.UnreconciledCount()
+	reconciled := times.machines - term.tracker.UnreconciledCount()
 	for i, percent := range reconciledPercents {
-		if times.reachedAfter[i] == 0 && reconciled*100 >= times.machineCount*percent {
+		if times.reachedAfter[i] == 0 && reconciled*100 >= times.machines*percent {
 			times.reachedAfter[i] = now - term.liveness.startedAt
 		}
 	}
@@ -35,6 +35,6 @@
 	}
 	times.isLogged = true
 	term.environment.Metrics.ObserveFailover(metrics.FailoverReconciled, times.reachedAfter[1])
-	term.environment.Log.Info("machines reconciled after failover", "token", term.token, "machines", times.machineCount,
+	term.environment.Log.Info("machines reconciled after failover", "token", term.token, "machines", times.machines,
 		"half_s", times.reachedAfter[0].Seconds(), "p90_s", times.reachedAfter[1].Seconds(), "p99_s", times.reachedAfter[2].Seconds())
 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -163,7 +163,7 @@
 	term.updateDeadlines()
 	term.renewals = environment.newLeaseRenewals(now)
 	term.restore(now, clock.WallTime())
-	term.reconciliation.machineCount = term.tracker.UnreconciledCount()
+	term.reconciliation.machines = term.tracker.UnreconciledCount()
 	term.requestPlan()
 	environment.Failover.isReplicaUsed = allocationConfig.MayHaveStarted != nil
 	term.recordRebuilt()
