--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -10,16 +10,16 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A machine that fails or hangs shows only as missing heartbeats, after its longest
-// interval and the redirects through other members; replicas on it are down meanwhile.
-// So machines with replicas are probed periodically, and others when a heartbeat is
-// overdue. One that leaves two probes in a row unanswered while most of its zone answers
-// is deleted, which proves its tasks over.
+// Missing heartbeats show that a machine has failed or hangs only after its longest heartbeat interval
+// and the redirects through other members; replicas on the machine are down meanwhile. So machines with
+// replicas are probed periodically, and other machines when a heartbeat is overdue. A machine that leaves
+// two probes in a row unanswered while most of its zone answers is deleted; the deletion proves that its
+// tasks have ended.
 
-// sendProbes probes the machines that are due: first those that missed a probe or whose
-// heartbeat is overdue, then those with replicas, in turn. The number of probes in flight
-// is bounded, so each round continues where the last one ended. Added after the first
-// machines by name had been probed again and again, and the last ones never.
+// sendProbes probes the machines that are due: first those that missed a probe or whose heartbeat is
+// overdue, then those with replicas, in turn. The number of probes in flight is bounded, so each round
+// continues where the last one ended; otherwise the first machines by name would be probed again and
+// again and the last ones never, as happened once.
 func (term *Term) sendProbes(now clock.Micros) {
 	machines := term.tracker.SortedMachines()
 	for _, machine := range machines {
@@ -43,22 +43,22 @@
 	}
 }
 
-// canProbe tells whether a machine can be probed at all.
+// canProbe reports whether a machine can be probed at all.
 func canProbe(machine *allocation.Machine, machineInfo *machineState) bool {
 	return machineInfo != nil && !machineInfo.isDeleting && machine.Address != "" && machine.FirstHeartbeatAt != 0 && !machineInfo.probes.IsInFlight
 }
 
-// needsProbe tells whether a machine is probed out of turn.
+// needsProbe reports whether a machine is due for a probe out of turn.
 func (term *Term) needsProbe(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
 	return machineInfo.probes.NeedsProbe(machine.LastHeartbeatAt, term.liveness.resumedAt, now, term.environment.Timing)
 }
 
-// isRoundProbeDue tells whether a machine has replicas and is probed in its turn.
+// isRoundProbeDue reports whether a machine has replicas and is due for a probe in its turn.
 func isRoundProbeDue(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
 	return machine.ReplicaCount() > 0 && machineInfo.probes.IsRoundDue(machine.LastHeartbeatAt, now)
 }
 
-// probeMachine asks a machine for its state.
+// probeMachine requests a machine's status from its worker.
 func (term *Term) probeMachine(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
 	term.probing.inFlight++
 	machineInfo.probes.Begin(now)
@@ -77,19 +77,19 @@
 	})
 }
 
-// handleProbeResult takes the result of a probe that was sent at an instant: a heartbeat, or
-// none if the machine didn't answer.
+// handleProbeResult handles the result of a probe that was sent at sentAt. heartbeat is the answer, or
+// nil if the machine didn't answer.
 func (term *Term) handleProbeResult(machine *allocation.Machine, machineInfo *machineState, sentAt clock.Micros, heartbeat *wire.Heartbeat, err error) {
 	now := clock.Now()
 	machineInfo.probes.IsInFlight = false
 	switch {
 	case term.tracker.Machines[machine.Name] != machine:
-		// It has been deleted meanwhile.
+		// The machine has been deleted meanwhile.
 	case heartbeat != nil:
 		term.handleProbeAnswer(machine, machineInfo, heartbeat, now)
 	case errors.Is(err, client.ErrPoolExhausted), errors.Is(err, client.ErrSendDeadlinePassed), health.IsResultTooLate(sentAt, now):
-		// The probe was not sent, or this process was too late itself to take the answer:
-		// that says nothing of the machine.
+		// The probe was not sent, or this process was too late to handle the answer: the result says
+		// nothing about the machine.
 	default:
 		term.handleProbeMiss(machine, machineInfo, sentAt, now)
 	}
@@ -98,7 +98,7 @@
 func (term *Term) handleProbeAnswer(machine *allocation.Machine, machineInfo *machineState, heartbeat *wire.Heartbeat, now clock.Micros) {
 	machineInfo.probes.RecordAnswer(now)
 	if term.renewals.constraints.MayConstrainZone(machine.Zone) {
-		term.renewals.liftingZones[machine.Zone] = true // it is reachable again; the next review writes that
+		term.renewals.liftingZones[machine.Zone] = true // reachable again; the next review lifts its constraint
 	}
 	if term.tracker.RecordCommandHeartbeat(machine, heartbeat, now) == allocation.HeartbeatFenced {
 		term.host.HandleHigherToken(term.token)
@@ -118,9 +118,9 @@
 	}
 }
 
-// isZoneAnswering tells whether the way to a machine's zone is open: of the machines there that
-// were heard since an instant (and half a probe's timeout), or else have missed a probe, at least
-// two in three were heard.
+// isZoneAnswering reports whether the network to a machine's zone works. It counts the machines of the
+// zone that were heard later than half a probe timeout after since, and those not heard by then that have
+// missed a probe; at least two in three of them must have been heard.
 func (term *Term) isZoneAnswering(machine *allocation.Machine, since clock.Micros) bool {
 	var answers health.ZoneAnswers
 	for _, other := range term.tracker.Machines {
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -12,12 +12,12 @@
 	"firwood.dev/firwood/internal/staleness"
 )
 
-// Term is the state of one leadership term: made at a failover, discarded when
-// the lock is lost. Results that arrive once it is closed are dropped.
+// Term is the state of one leadership term. It is created at a failover and discarded when the
+// lock is lost. Results that arrive after it is closed are dropped.
 type Term struct {
 	environment *Environment
 	host        Host
-	token       uint64 // the fencing token that the lock was won with
+	token       uint64 // the fencing token with which the lock was won
 	isClosed    bool
 	tracker     *allocation.Tracker
 	scheduler   *scheduler.Scheduler
@@ -29,77 +29,80 @@
 	pace        tickPace
 	hints       hintSender
 	logs        logLimits
-	// reconciliation measures the failover's last part.
+	// reconciliation measures the last phase of the failover.
 	reconciliation reconciliationTimes
-	// standby streams the allocation table to replicas, nil if that is turned off.
+	// standby streams the allocation table to the replicas, or is nil if standby is disabled.
 	standby *decisionStream
 	backgroundWork
 }
 
-// entitlement is until when the leader may act.
+// entitlement is the time until which the leader may act, and how it depends on the view's age.
 type entitlement struct {
-	// actDeadline is the end of the lock's lease as known, 0 once the term is closed;
-	// startDeadline is the end of the time in which tasks may be started, no later than
-	// that. The controller's goroutine writes both, senders on other goroutines read them.
+	// actDeadline is the end of the lock's lease as far as known, or 0 once the term is closed.
+	// startDeadline is the end of the time in which tasks may be started; it is never later than
+	// actDeadline. The controller's goroutine writes both, senders on other goroutines read them.
 	actDeadline, startDeadline atomic.Int64
-	// viewAge tells what the age of the view allows.
+	// viewAge tracks the age of the view and what the leader may still do on it.
 	viewAge          *staleness.Tracker
-	isRefreshingView bool // a read that makes the view new again is under way
-	hasLapsed        bool // the entitlement was over at the last tick
+	isRefreshingView bool // a read that brings the view up to date is in flight
+	hasLapsed        bool // the leader was not entitled to act at the last tick
 }
 
-// liveness is since when the leader could receive heartbeats, and from where it did.
+// liveness is since when the leader has been able to receive heartbeats, and which parts of the
+// fleet it has reached.
 type liveness struct {
-	startedAt clock.Micros // of the term
-	// resumedAt is since when this process has been able to receive heartbeats: machines
-	// that were not heard of while it was stalled itself don't become suspected.
+	startedAt clock.Micros // when the term began
+	// resumedAt is the instant since which this process has been able to receive heartbeats.
+	// Machines that sent none while the process itself was stalled are not suspected.
 	resumedAt clock.Micros
-	// hadMostReachable: most machines were reachable at some time in this term.
+	// hadMostReachable is whether most machines were reachable at some time in this term.
 	hadMostReachable bool
-	// zoneUnreachableAt is when a zone was last not mostly reachable.
+	// zoneUnreachableAt is, by zone, the last instant at which most of the zone's machines were
+	// not reachable.
 	zoneUnreachableAt map[string]clock.Micros
 }
 
-// leaseRenewals bounds until when members may have renewed workers' leases.
+// leaseRenewals bounds the time until which members may have renewed workers' leases.
 type leaseRenewals struct {
-	// grants is until when other members may have renewed leases as delegates.
+	// grants is the time until which other members may have renewed leases as delegates.
 	grants *delegation.Grants
-	// acknowledgements are the members' timestamps that extend their grants.
+	// acknowledgements are the members' timestamps that extend their grants, by member.
 	acknowledgements map[string]delegation.Timestamp
-	// cancellationsKnownAt is the last instant before which every cancellation is in the view.
+	// cancellationsKnownAt is an instant: the view has every cancellation confirmed before it.
 	cancellationsKnownAt clock.Micros
-	// constraints are the renewal constraints recorded for later leaders; liftingZones
-	// are zones whose constraint is being lifted, deferredHeartbeats wait for that.
+	// constraints are the renewal constraints recorded for later leaders. liftingZones are the
+	// zones whose constraint is being lifted; deferredHeartbeats are those that can't be replied
+	// to yet.
 	constraints        *delegation.ConstraintTracker
 	liftingZones       map[string]bool
 	deferredHeartbeats []deferredHeartbeat
 }
 
-// logLimits bound lines that many machines or tasks may cause at once.
+// logLimits bounds the log lines that many machines or tasks may cause at once.
 type logLimits struct {
 	listedTasks, heldBackHeartbeats logLimit
-	isPauseLogged                   bool // as last logged
+	isPauseLogged                   bool // the last logged change of the starts was a pause
 }
 
-// tickPace is when the periodic steps of a tick are due.
+// tickPace holds when the periodic steps of a tick are due.
 type tickPace struct {
 	needsPlan      bool // something has changed since the last plan
 	nextPlanAt     clock.Micros
-	planInterval   clock.Micros // between the last plan and the next
-	consolidatedAt clock.Micros // when replicas were last moved together
+	planInterval   clock.Micros // the time between the last plan and the next one
+	consolidatedAt clock.Micros // when replicas were last consolidated on fewer machines
 	nextSlowTickAt clock.Micros
 	nextFleetLogAt clock.Micros
 }
 
-// hintSender is how far the leader has sent advisory state to the other members.
+// hintSender tracks which advisory state the leader has sent to the other members.
 type hintSender struct {
 	images hints.Sender
 	counts hints.CountsSender
 }
 
-// backgroundWork is what a term does beside placing tasks.
+// backgroundWork is the state of everything that a term does besides placing tasks.
 type backgroundWork struct {
-	scaleOutSequence        int // of the last scale-out request's name
+	scaleOutSequence        int // the number in the name of the last scale-out request
 	listing                 machineListing
 	deletions               machineDeletions
 	tokenIssue              tokenIssue
@@ -109,11 +112,12 @@
 	confirmations           tokenConfirmations
 }
 
-// machineListing is the state of reading the cloud's list of machines.
+// machineListing is the state of reading the cloud's list of machines periodically.
 type machineListing struct {
 	isInFlight bool
 	nextAt     clock.Micros
-	// unknownSince are machines that send heartbeats, or are listed, and that no record names.
+	// unknownSince is, by machine, since when a machine that no record names has been known from
+	// a heartbeat or from the cloud's list.
 	unknownSince map[string]clock.Micros
 }
 
@@ -122,28 +126,29 @@
 	pending    []string
 	isInFlight bool
 	nextAt     clock.Micros
-	// deletedAt are machines that the cloud has deleted for this leader; heartbeats of
-	// theirs that arrive late mean nothing.
+	// deletedAt is, by machine, when the cloud deleted a machine for this leader. Late heartbeats
+	// and stale list entries of these machines don't count as signs of an unknown machine.
 	deletedAt map[string]clock.Micros
 }
 
-// tokenIssue is the state of issuing a higher fencing token within the term.
+// tokenIssue is the state of issuing a higher fencing token during the term.
 type tokenIssue struct {
-	raiseAt    clock.Micros // when the issued token takes effect, 0: none is issued
-	issuedAt   clock.Micros // when the last one was issued
+	raiseAt    clock.Micros // when the issued token takes effect, or 0 if none is pending
+	issuedAt   clock.Micros // when the last token was issued, or 0 if none was
 	isInFlight bool
 }
 
 // probing is the state of probing machines.
 type probing struct {
 	inFlight         int
-	nextMachineIndex int // where the next round over machines with replicas begins
+	nextMachineIndex int // the machine at which the next round over machines with replicas begins
 }
 
-// requestPlan has the next tick plan, as soon as its pace allows.
+// requestPlan makes a tick run a plan as soon as the plan interval has passed.
 func (term *Term) requestPlan() { term.pace.needsPlan = true }
 
-// New rebuilds a leader's state from a view that is as new as a read sent at readAt.
+// New returns a term whose state is rebuilt from the view, which is as new as a read sent at
+// readAt.
 func New(environment *Environment, host Host, token uint64, readAt clock.Micros) *Term {
 	now := clock.Now()
 	term := &Term{
@@ -170,11 +175,12 @@
 	return term
 }
 
-// termOverReply is the body's text in replies to workers whose heartbeats outlived the term.
+// termOverReply is the body of replies to workers whose heartbeats were still deferred when the
+// term ended.
 const termOverReply = "the lead is over"
 
-// Close ends the term: nothing is sent any more, and workers that wait for a reply are refused.
-// It returns the zones that this leader has constrained, or may have.
+// Close ends the term: nothing is sent any more, and workers whose heartbeats are deferred get an
+// error reply. Close returns the zones that this leader has constrained or may have constrained.
 func (term *Term) Close() (constrainedZones map[string]bool) {
 	term.isClosed = true
 	term.entitlement.actDeadline.Store(0)
@@ -186,16 +192,16 @@
 	return term.renewals.constraints.ConstrainedZones()
 }
 
-// slowTickInterval is how often machines are reviewed, and planned though nothing has
-// been reported.
+// slowTickInterval is the time between two slow ticks, which review the machines and request a plan
+// even if nothing has been reported.
 const slowTickInterval = 500 * clock.Millisecond
 
-// Tick does what is due, at every tick of the controller.
+// Tick performs the steps that are due. The controller calls it at each of its own ticks.
 func (term *Term) Tick(now clock.Micros) {
 	term.updateDeadlines()
 	if !term.host.IsEntitled() {
 		term.entitlement.hasLapsed = true
-		return // nothing may be sent; the lock may yet be renewed
+		return // nothing may be sent; the lock may still be renewed
 	}
 	term.resumeAfterLapse(now)
 	mayStart := term.pauseStartsIfStale(now)
@@ -217,8 +223,8 @@
 	term.persistence.archive.tick(now)
 }
 
-// slowTick does the steps that need not be done at every tick; it tells whether they ended
-// the term.
+// slowTick performs the steps that are not needed at every tick. It reports whether they ended the
+// term.
 func (term *Term) slowTick(now clock.Micros) (isOver bool) {
 	term.pace.nextSlowTickAt = now + slowTickInterval
 	term.reviewMachines(now)
@@ -235,9 +241,9 @@
 	return false
 }
 
-// planIfDue plans if something has changed and the last plan is long enough ago. The
-// duration of a plan grows with the waiting tasks and the machines with free capacity;
-// the interval grows with it, so that heartbeats and users get their share of the processor.
+// planIfDue runs a plan if something has changed and the plan interval has passed. A plan takes
+// longer the more tasks wait and the more machines have free capacity. The interval grows with that
+// duration, so that heartbeats and users' requests get their share of the processor.
 func (term *Term) planIfDue(now clock.Micros) {
 	if !term.pace.needsPlan || now < term.pace.nextPlanAt {
 		return
--- a/internal/leader/token.go
+++ b/internal/leader/token.go
@@ -7,8 +7,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// issueToken issues a higher fencing token when the tracker asks for one, so that it can forget
-// attempts; see package allocation. The token takes effect later; see raiseAt.
+// issueToken issues a higher fencing token when the tracker asks for one, so that the tracker can
+// forget attempts; see package allocation. The token takes effect later, at raiseAt.
 func (term *Term) issueToken(now clock.Micros) {
 	if term.tokenIssue.raiseAt != 0 && now >= term.tokenIssue.raiseAt {
 		term.tokenIssue.raiseAt = 0
@@ -23,8 +23,8 @@
 		committed: func(revision uint64) {
 			term.tokenIssue.issuedAt = clock.Now()
 			term.tracker.IssueToken(revision)
-			// The members learn it first, by two heartbeats: a delegate can't answer a worker that
-			// has seen a higher token than the delegate knows.
+			// The members learn the token first, from two heartbeats: a delegate can't answer a
+			// worker that has seen a higher token than the delegate knows.
 			term.tokenIssue.raiseAt = term.tokenIssue.issuedAt + 2*HeartbeatInterval
 			term.host.SendHeartbeatNow()
 		},
@@ -32,10 +32,10 @@
 	})
 }
 
-// mayIssueToken tells whether the last token, or the term's own, has taken effect and is half a
-// lease old: a worker
-// reports a higher token at once no more often than that (PROTOCOL, "Workers -> controller nodes"), so to
-// issue one more often would be of no use.
+// mayIssueToken reports whether the newest token, which is the last one issued or the term's own, has
+// taken effect and is at least half a lease old. A worker reports a higher token immediately at most
+// once in half a lease (PROTOCOL, "Workers -> controller nodes"), so issuing tokens more often would
+// have no use.
 func (term *Term) mayIssueToken(now clock.Micros) bool {
 	issue := &term.tokenIssue
 	interval := clock.FromSeconds(term.environment.Config.Deployment.Workers.LeaseSeconds) / 2
--- a/internal/leader/token_confirmation.go
+++ b/internal/leader/token_confirmation.go
@@ -5,30 +5,34 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// A worker may be commanded once it has shown the leader's token. It does so by itself half a second
-// after the first reply, but at most once in half a lease: after a second failover in that time it
-// would wait for its next regular heartbeat. So a leader asks for the token to be confirmed.
+// A worker may get commands once it has shown the leader's token. It does so on its own half a second
+// after the leader's first reply, but at most once in half a lease: after a second failover within that
+// time it would show the token only in its next regular heartbeat. So the leader sends a request that
+// asks the worker to confirm the token.
 //
-// Added after a leader had replied to a machine and ended 2.8 s later, before the machine's next
+// Without these requests a leader replied to a machine and ended 2.8 s later, before the machine's next
 // heartbeat; its first decision had come 2 s after the reply (docs/incidents/renewed-without-stops.md).
 
-// confirmationDelay is how long after the first reply a worker is asked: longer than a worker takes
-// that confirms by itself, so that an ordinary failover costs no requests.
+// confirmationDelay is the time from the first reply to a worker until the leader asks the worker to
+// confirm the token. It is longer than a worker that confirms on its own takes, so that an ordinary
+// failover causes no requests.
 const confirmationDelay = clock.Second
 
-// tokenConfirmations are the machines to be asked, in the order in which they are due.
+// tokenConfirmations holds the machines to be asked for a confirmation, in the order in which they are
+// due.
 type tokenConfirmations struct {
 	queue    []pendingConfirmation
-	isQueued map[*allocation.Machine]bool
+	isQueued map[*allocation.Machine]bool // the machines in queue
 }
 
-// pendingConfirmation is one of them.
+// pendingConfirmation is a machine that is to be asked, and when.
 type pendingConfirmation struct {
 	machine *allocation.Machine
 	dueAt   clock.Micros
 }
 
-// queueConfirmationRequest has a machine asked later whose heartbeat didn't show the leader's token.
+// queueConfirmationRequest schedules a confirmation request to a machine whose heartbeat didn't show the
+// leader's token. It does nothing if one is queued already.
 func (term *Term) queueConfirmationRequest(machine *allocation.Machine, now clock.Micros) {
 	confirmations := &term.confirmations
 	if machine.TokenConfirmed || confirmations.isQueued[machine] {
@@ -41,8 +45,8 @@
 	confirmations.queue = append(confirmations.queue, pendingConfirmation{machine, now + confirmationDelay})
 }
 
-// sendConfirmationRequests asks the machines that are due and have not confirmed by themselves. Half
-// of the requests in flight is left to commands.
+// sendConfirmationRequests asks the machines that are due and have not confirmed the token on their own.
+// It uses at most half of the allowed requests in flight and leaves the rest to commands.
 func (term *Term) sendConfirmationRequests(now clock.Micros) {
 	confirmations := &term.confirmations
 	for len(confirmations.queue) > 0 && confirmations.queue[0].dueAt <= now {
@@ -56,8 +60,8 @@
 	}
 }
 
-// sendConfirmationRequest asks one machine, unless its commands have to wait: its next heartbeat has it
-// asked again.
+// sendConfirmationRequest asks one machine, unless the machine is gone or being deleted or its commands
+// have to wait. In that case its next heartbeat queues a request again.
 func (term *Term) sendConfirmationRequest(machine *allocation.Machine, now clock.Micros) {
 	machineInfo := term.machines[machine.Name]
 	if term.tracker.Machines[machine.Name] != machine || machineInfo == nil || machineInfo.isDeleting || term.isCommandBlocked(machine, machineInfo, now) {
