--- a/internal/leader/progress_writer.go
+++ b/internal/leader/progress_writer.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// progressInterval is the least time between two writes of one job's progress.
+	// progressInterval is the minimum time between two writes of the same job's progress.
 	progressInterval = 700 * clock.Millisecond
-	// maxProgressWrites bounds the progress writes under way.
+	// maxProgressWrites is the maximum number of progress writes in flight.
 	maxProgressWrites = 8
 )
 
-// progressWriter writes which tasks of jobs have completed, with what the rate of writes has to
-// spare.
+// progressWriter writes which tasks of jobs have completed. Its writes have background priority: they
+// use only the write rate that other writes leave.
 type progressWriter struct {
 	term     *Term
 	inFlight int
 }
 
-// writeDue writes the progress of jobs, those whose last write is longest ago first, as far as
-// the bound on writes under way allows.
+// writeDue writes the progress of the due jobs, starting with those whose last write is longest ago,
+// until maxProgressWrites are in flight.
 func (writer *progressWriter) writeDue(due []string, now clock.Micros) {
 	if writer.inFlight >= maxProgressWrites || len(due) == 0 {
 		return
@@ -48,8 +48,8 @@
 	writer.commit(write, id, job, jobInfo, keys, tasks)
 }
 
-// selectProgressKeys leaves out the tasks whose keys are more than one transaction takes; those
-// are for the next write. It returns the other tasks and their keys.
+// selectProgressKeys selects tasks whose progress keys fit one transaction of at most maxKeys keys. It
+// returns these tasks and their keys; the other tasks are left to the next write.
 func selectProgressKeys(tasks []int, layout *records.ProgressLayout, maxKeys int) ([]int, map[int]bool) {
 	keys := map[int]bool{}
 	tasks = slices.DeleteFunc(tasks, func(task int) bool {
@@ -63,15 +63,15 @@
 	return tasks, keys
 }
 
-// newProgressWrite writes progress keys of a job. It is conditional on the keys' versions: a
-// write that is executed late must not undo a later one.
+// newProgressWrite returns a write of some of a job's progress keys. It is conditional on the keys'
+// versions, since a write that the store executes late must not undo a later one.
 func newProgressWrite(id string, job *allocation.Job, jobInfo *jobState, keys map[int]bool) *kvstore.Write {
 	write := &kvstore.Write{Priority: kvstore.Background}
 	isDone := func(task int) bool { return job.Tasks[task].State == allocation.TaskDone }
 	for key := range keys {
 		write.Conditions = append(write.Conditions, wire.Condition{Key: records.ProgressKey(id, key), Version: jobInfo.keyVersions[key]})
 		write.Changes = append(write.Changes, jobInfo.layout.PutChange(id, key, len(job.Tasks), isDone))
-		// The key is listed from now on, so that the write of the job's end removes it.
+		// From now on the job's key versions include the key, so that the write of the job's end deletes it.
 		jobInfo.setKeyVersion(key, 0)
 	}
 	return write
--- a/internal/leader/reconciliation_times.go
+++ b/internal/leader/reconciliation_times.go
@@ -5,20 +5,20 @@
 	"firwood.dev/firwood/internal/metrics"
 )
 
-// reconciledPercents are the parts of the machines of earlier leaders for which it is measured how
-// long they take to be reconciled.
+// reconciledPercents are the shares, in percent, of the machines of earlier leaders for which the time
+// until they are reconciled is measured.
 var reconciledPercents = [...]int{50, 90, 99}
 
-// reconciliationTimes measures how long after the rebuild of the allocation table the machines of
-// earlier leaders are reconciled: they may be commanded from then on, or are gone.
+// reconciliationTimes measures how long after the start of the term the machines of earlier leaders are
+// reconciled. A reconciled machine may get commands, or is gone.
 type reconciliationTimes struct {
-	machines     int // that had to be reconciled when the table was rebuilt
-	reachedAfter [len(reconciledPercents)]clock.Micros
+	machines     int                                   // the number to be reconciled once the table was rebuilt
+	reachedAfter [len(reconciledPercents)]clock.Micros // the time until each percentage was reached, or 0
 	isLogged     bool
 }
 
-// recordReconciliation notes which parts of the machines are reconciled, and logs the times once all
-// parts are.
+// recordReconciliation records the time at which each share of the machines is reconciled, and logs the
+// times once all shares are.
 func (term *Term) recordReconciliation(now clock.Micros) {
 	times := &term.reconciliation
 	if times.isLogged || times.machines == 0 {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -12,14 +12,14 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A new leader rebuilds its state from the records of the key-value store, the hints of
-// the last leader, and, if it was a replica of that leader's allocation table, from the
-// replica. What the records don't tell comes with the workers' heartbeats.
+// A new leader rebuilds its state from the records in the key-value store, from the hints of the last
+// leader, and, if this member had a replica of that leader's allocation table, from the replica. The rest
+// of its state comes with the workers' heartbeats.
 
-// firstListDelay is how long after its start a term first reads the cloud's list.
+// firstListDelay is the time from the start of a term until it first reads the cloud's list.
 const firstListDelay = 2 * clock.Second
 
-// allocationConfig is how a term with this fencing token counts tasks and leases.
+// allocationConfig returns the configuration of the allocation table of a term with this fencing token.
 func (environment *Environment) allocationConfig(token uint64) allocation.Config {
 	workers := &environment.Config.Deployment.Workers
 	return allocation.Config{
@@ -29,15 +29,15 @@
 	}
 }
 
-// mayBeActive tells whether a job has not ended, as far as the view knows. One that the allocation table
-// lacks is blocked, perhaps only until a dependency that was evicted from the view is looked up: an
-// earlier leader may have started it.
+// mayBeActive reports whether a job has not ended, as far as the view shows. If the allocation table lacks
+// such a job, the job is blocked, perhaps only until a dependency that was evicted from the view is looked
+// up; an earlier leader may have started its tasks.
 func (environment *Environment) mayBeActive(jobID string) bool {
 	record := environment.View.Jobs[jobID]
 	return record != nil && !record.HasEnded()
 }
 
-// schedulerSettings translates the tuning file; its durations are in seconds.
+// schedulerSettings converts the tuning file, whose durations are in seconds, to the scheduler's settings.
 func schedulerSettings(tuning *config.Tuning) scheduler.Settings {
 	return scheduler.Settings{
 		Screen: forecast.ScreenSettings{
@@ -69,7 +69,7 @@
 	}
 }
 
-// newScheduler makes the scheduler of a term that starts now.
+// newScheduler returns the scheduler of a term that starts now.
 func (environment *Environment) newScheduler(machineTypes []wire.MachineType, now clock.Micros) *scheduler.Scheduler {
 	deployment := &environment.Config.Deployment
 	created := scheduler.New(schedulerSettings(environment.Tuning), machineTypes, environment.Teams, deployment.Zones)
@@ -80,8 +80,8 @@
 	return created
 }
 
-// delegatedZones are the zones in which some member may renew leases as delegate; nil if
-// delegation is turned off.
+// delegatedZones returns the zones in which some member may renew leases as a delegate, or nil if
+// delegation is disabled.
 func (environment *Environment) delegatedZones() map[string]bool {
 	if environment.Delegation.GrantTTL <= 0 {
 		return nil
@@ -93,7 +93,7 @@
 	return zones
 }
 
-// strictestObjectives is, by class, the smallest target in seconds of the objectives of a kind.
+// strictestObjectives returns, by class, the smallest target in seconds of the objectives of a kind.
 func strictestObjectives(objectives []config.Objective, kind string) map[string]float64 {
 	targets := map[string]float64{}
 	for _, objective := range objectives {
@@ -107,8 +107,8 @@
 	return targets
 }
 
-// newLeaseRenewals bounds what others may have renewed, from what this member knows itself
-// and from the constraints in the store.
+// newLeaseRenewals bounds which leases other members may have renewed, from what this member knows as
+// a delegate itself and from the constraints in the store.
 func (environment *Environment) newLeaseRenewals(now clock.Micros) leaseRenewals {
 	var others []string
 	for _, other := range environment.Config.Peers {
@@ -122,11 +122,11 @@
 	}
 }
 
-// restore takes over what the view tells of scale-out requests and jobs, adopts the
-// constraints and hints of earlier leaders, and completes the allocation table. The order
-// matters: arrivals, constraints and hints are those of the jobs and machines that were
-// restored before. Everything that earlier leaders may have started tasks of, or on, has to
-// be there before FinishRecovery: what is added after it counts as new.
+// restore restores the scale-out requests and jobs that the view has, adopts the constraints and hints of
+// earlier leaders, and completes the allocation table. The order matters: arrivals, constraints and hints
+// apply to the jobs and machines that were restored before them. Every job and machine of which, or on
+// which, earlier leaders may have started tasks has to be restored before FinishRecovery, since jobs and
+// machines added after it count as new.
 func (term *Term) restore(now, wallTime clock.Micros) {
 	term.restoreScaleOuts(now, wallTime)
 	cancelled := term.restoreJobs(now)
@@ -138,8 +138,8 @@
 	term.persistence.cleanup.addImpliedCancellations(cancelled...)
 }
 
-// restoreScaleOuts adds the machines of all recorded scale-out requests, and sends again
-// those that have no recorded result.
+// restoreScaleOuts adds the machines of all recorded scale-out requests, and sends those requests again
+// that have no recorded result.
 func (term *Term) restoreScaleOuts(now, wallTime clock.Micros) {
 	for name, record := range term.environment.View.ScaleOuts {
 		request := scaleout.Restore(name, record.ScaleOut, record.Version, now-max(wallTime-clock.Micros(record.RequestedAt), 0))
@@ -148,16 +148,16 @@
 			term.addMachine(request, machineName).RecordedInStore = true
 		}
 		if !record.IsResolved {
-			// Whether it was carried out is not known. A request is idempotent by its
-			// name, so sending it again settles that.
+			// Whether the cloud executed the request is not known. A request is idempotent by its name,
+			// so sending it again is safe and returns the result.
 			term.sendScaleOut(request)
 		}
 	}
 }
 
-// restoreJobs adds the jobs that have not ended and whose dependencies allow them to run,
-// and those that were cancelled but may have tasks left. It returns the jobs whose
-// cancellation follows from that of a dependency and is not yet in their own records.
+// restoreJobs adds the jobs that have not ended and are not blocked by dependencies, and the cancelled
+// jobs that may still have tasks. It returns the jobs that are cancelled because a dependency is, and
+// whose own records don't say so yet.
 func (term *Term) restoreJobs(now clock.Micros) (impliedCancellations []string) {
 	view, graph := term.environment.View, term.environment.Graph
 	for id, record := range view.Jobs {
@@ -169,7 +169,7 @@
 			if !IsBlocked(view, graph, id, record) {
 				term.addJob(id, record, hasProgress)
 			}
-		case record.Spec != nil: // cancelled, and its tasks may still run
+		case record.Spec != nil: // cancelled, and its tasks may still be running
 			job := term.addJob(id, record, hasProgress)
 			term.cancelJob(job, record, now)
 		}
@@ -177,8 +177,8 @@
 	return impliedCancellations
 }
 
-// recordRebuilt notes and logs that the allocation table is rebuilt. That ends the failover's
-// second phase, after the wait for the lock; recordFirstDecision ends the third.
+// recordRebuilt records and logs that the allocation table is rebuilt. This ends the failover's second
+// phase, which follows the wait for the lock; recordFirstDecision ends the third.
 func (term *Term) recordRebuilt() {
 	failover := term.environment.Failover
 	failover.rebuiltAt, failover.unconfirmed = clock.Now(), term.unconfirmedCount()
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// scaleOutVerifyDelay is the time from a write of a request's record that was not confirmed
-	// to reading back what is there.
+	// scaleOutVerifyDelay is the time from an unconfirmed write of a request's record until the
+	// record is read back.
 	scaleOutVerifyDelay = 200 * clock.Millisecond
-	// scaleOutRetryInterval is the time after which a request that the cloud didn't answer is
-	// sent again, scaleOutEntitlementInterval that after which one is looked at again that the
-	// leader was not entitled to send.
+	// scaleOutRetryInterval is the time after which a request that the cloud didn't answer is sent
+	// again. scaleOutEntitlementInterval is the time after which the leader checks again whether it may
+	// send a request that it was not entitled to send.
 	scaleOutRetryInterval, scaleOutEntitlementInterval = clock.Second, 300 * clock.Millisecond
-	// scaleOutShrinkDelay is the time from the deletion of a machine to the write of its
-	// request's record without it.
+	// scaleOutShrinkDelay is the time from the deletion of a machine until its request's record is
+	// written without it.
 	scaleOutShrinkDelay = clock.Second
 )
 
-// maxScaleOutsInFlight bounds the requests under way: no more than the cloud answers in two
-// seconds, and no more than half a second of the store's rate of writes takes, at two records a
-// request; but two in any case.
+// maxScaleOutsInFlight returns the maximum number of requests in flight: as many as the cloud answers in
+// two seconds, but no more than half a second of the store's write rate allows at two records a request,
+// and at least two.
 func (term *Term) maxScaleOutsInFlight() int {
 	deployment := &term.environment.Config.Deployment
 	return max(int(min(2*deployment.Cloud.RPS, deployment.Store.Effective().WriteRPS/4)), 2)
 }
 
-// requestScaleOut begins requests for machines: as many as it takes, since the cloud bounds the
-// machines of one. They are sent once their records are durable, so that a later leader knows which
-// machines may exist.
+// requestScaleOut begins as many requests as the wanted machines take, since the cloud limits the number
+// of machines in one request. A request is sent once its record is durable, so that a later leader knows
+// which machines may exist.
 func (term *Term) requestScaleOut(wanted scheduler.ScaleOutRequest, now clock.Micros) {
 	for remaining := wanted.Count; remaining > 0; remaining -= wire.MaxScaleOutCount {
 		term.scaleOutSequence++
@@ -50,16 +50,16 @@
 	}
 }
 
-// poolOf is the pool that a request takes machines from.
+// poolOf returns the pool from which a request takes machines.
 func poolOf(request *scaleout.Request) scheduler.Pool {
 	wanted := request.CloudRequest()
 	return scheduler.Pool{Type: wanted.MachineType, Zone: wanted.Zone, Spot: wanted.Spot}
 }
 
-// writeScaleOutRecord writes a request's record until that is confirmed, and then goes on with what
-// is due. If a write of the record is under way, it is written again after that one. Each write is
-// conditional on the record's version: one that is executed late, or twice, must not undo the
-// names of machines that may have tasks by then.
+// writeScaleOutRecord writes a request's record until the write is confirmed, and then takes the next step
+// that is due. If a write of the record is in flight, the record is written again after it. Each write is
+// conditional on the record's version: otherwise a write that the store executes late, or twice, could
+// remove the names of machines that have tasks by then.
 func (term *Term) writeScaleOutRecord(request *scaleout.Request, priority kvstore.Priority) {
 	write, ok := request.BeginWrite()
 	if !ok {
@@ -89,8 +89,8 @@
 	})
 }
 
-// verifyScaleOutRecord reads back which version a request's record has, a little later and until
-// the view could be brought up to date, and then calls rewrite.
+// verifyScaleOutRecord reads back the version of a request's record after scaleOutVerifyDelay, and then
+// calls rewrite. It retries until the view could be brought up to date.
 func (term *Term) verifyScaleOutRecord(request *scaleout.Request, rewrite func()) {
 	term.runAfter(scaleOutVerifyDelay, func() {
 		term.environment.View.RequestSync(func(err error) {
@@ -111,7 +111,7 @@
 	})
 }
 
-// admitMachines lets machines get tasks that their request's durable record names.
+// admitMachines allows tasks on the machines that the request's durable record names.
 func (term *Term) admitMachines(request *scaleout.Request) {
 	for _, name := range request.Machines() {
 		if machine := term.tracker.Machines[name]; machine != nil {
@@ -121,11 +121,11 @@
 	term.requestPlan()
 }
 
-// scheduleScaleOutShrink has machines that were deleted taken out of their request's record. A new
-// leader that finds them there looks for them until the cloud's list lacks them, so it is done
-// soon, but not for each machine at once, and with a backlog only as far as the rate of writes has
-// it to spare. Added after these writes took half of the rate while a fleet of 4,000 machines was
-// scaled in.
+// scheduleScaleOutShrink schedules a write of a request's record without its deleted machines. A new
+// leader that finds such machines in the record looks for them until the cloud's list lacks them, so the
+// write comes soon. But one write covers all machines deleted within the delay, and with a backlog of
+// writes it uses only the rate that other writes leave: without this, these writes took half of the
+// write rate while a fleet of 4,000 machines was scaled in.
 func (term *Term) scheduleScaleOutShrink(request *scaleout.Request) {
 	if !request.ScheduleShrink() {
 		return
@@ -140,7 +140,7 @@
 	})
 }
 
-// sendScaleOut sends a request to the cloud, as soon as the leader is entitled to act.
+// sendScaleOut sends a request to the cloud as soon as the leader is entitled to act.
 func (term *Term) sendScaleOut(request *scaleout.Request) {
 	if !term.host.IsEntitled() {
 		term.runAfter(scaleOutEntitlementInterval, func() { term.sendScaleOut(request) })
@@ -153,8 +153,8 @@
 	})
 }
 
-// handleScaleOutResult takes the cloud's answer to a request. Without one the request is sent
-// again; the cloud carries it out once.
+// handleScaleOutResult handles the cloud's answer to a request. A request without an answer is sent again;
+// the cloud executes it only once.
 func (term *Term) handleScaleOutResult(request *scaleout.Request, machines []string, err error) {
 	now := clock.Now()
 	pool, requested := poolOf(request), request.CloudRequest().Count
@@ -177,8 +177,8 @@
 	}
 }
 
-// addGrantedMachines has the machines tracked that the cloud gave, but for those that were
-// deleted as unknown before its answer came.
+// addGrantedMachines tracks the machines that the cloud granted, except those that were deleted as unknown
+// before the answer came.
 func (term *Term) addGrantedMachines(request *scaleout.Request) {
 	for _, name := range request.Machines() {
 		delete(term.listing.unknownSince, name)
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -6,7 +6,7 @@
 	"firwood.dev/firwood/internal/scheduler"
 )
 
-// drainMachine gives a machine no new tasks, and has it deleted once it is empty.
+// drainMachine stops placing tasks on a machine, which is deleted once it is empty.
 func (term *Term) drainMachine(machine *allocation.Machine) { machine.Draining = true }
 
 const (
@@ -15,11 +15,11 @@
 	planIntervalFactor = 4
 	minPlanInterval    = 20 * clock.Millisecond
 	maxPlanInterval    = 500 * clock.Millisecond
-	// consolidationInterval bounds how often replicas are moved together.
+	// consolidationInterval is the minimum time between two consolidations of replicas.
 	consolidationInterval = 10 * clock.Second
 )
 
-// Plan plans once, and carries out what was decided. Tick does that when it is due.
+// Plan runs one plan and carries out its decisions. Tick calls it when a plan is due.
 func (term *Term) Plan(now clock.Micros) {
 	pending := term.pendingScaleOuts()
 	decision := term.scheduler.Plan(term.tracker, now, clock.WallTime(), pending)
@@ -40,7 +40,7 @@
 	term.logSpares("on_demand", &decision.OrdinarySpares)
 }
 
-// pendingScaleOuts are the requests that the cloud has not answered yet.
+// pendingScaleOuts returns the requests that the cloud has not answered yet.
 func (term *Term) pendingScaleOuts() []scheduler.PendingScaleOut {
 	var pending []scheduler.PendingScaleOut
 	for _, request := range term.scaleOuts {
@@ -51,8 +51,8 @@
 	return pending
 }
 
-// requestScaleOuts requests machines, a few requests at a time: the cloud takes few requests
-// a second, and the next ones should rest on the answers to these.
+// requestScaleOuts requests machines, with few requests in flight: the cloud takes few requests a second,
+// and later requests should be based on the answers to these.
 func (term *Term) requestScaleOuts(requests []scheduler.ScaleOutRequest, pending int, now clock.Micros) {
 	free := max(term.maxScaleOutsInFlight()-pending, 0)
 	for _, request := range requests[:min(free, len(requests))] {
@@ -60,7 +60,8 @@
 	}
 }
 
-// consolidateReplicas moves the replicas of a machine elsewhere, so that it can be deleted.
+// consolidateReplicas drains a machine and stops its tasks so that they move elsewhere and the machine
+// can be deleted.
 func (term *Term) consolidateReplicas(machine *allocation.Machine) {
 	term.environment.Log.Debug("consolidating replicas", "machine", machine.Name)
 	term.drainMachine(machine)
@@ -69,7 +70,7 @@
 	})
 }
 
-// logSpares logs, at debug level, why warm spares are kept or not.
+// logSpares logs at debug level why warm spares are kept or not kept.
 func (term *Term) logSpares(kind string, report *scheduler.SpareReport) {
 	term.environment.Log.Debug("warm spare screening", "kind", kind, "enabled", report.IsEnabled, "arrivals_reason", report.ArrivalScreen.RejectReason, "arrivals", report.ArrivalScreen.SampleCount,
 		"run_times_reason", report.RunTimeScreen.RejectReason, "target", report.Cost.Target, "expected_wait", report.Cost.ExpectedWait, "idle_s", report.Cost.IdleSeconds)
