--- a/internal/leader/settings.go
+++ b/internal/leader/settings.go
@@ -10,14 +10,14 @@
 	"firwood.dev/firwood/internal/staleness"
 )
 
-// Settings are derived from the configuration once, at the start of the process.
+// Settings are the values derived from the configuration once, when the process starts.
 type Settings struct {
 	Teams       map[string]allocation.TeamQuota // by name
-	TasksPerKey int                             // tasks in one progress key
-	Staleness   staleness.Bounds                // what a leader may do on an old view
+	TasksPerKey int                             // the number of tasks in one progress key
+	Staleness   staleness.Bounds                // how old a view a leader may still act on
 	Delegation  delegation.Config
 	Timing      health.Timing // how old a machine's last heartbeat may be
-	LeaderTTL   clock.Micros  // of the leader's lock
+	LeaderTTL   clock.Micros  // the TTL of the leader's lock
 }
 
 // NewSettings derives the settings from the configuration and the tuning file.
@@ -33,12 +33,13 @@
 	}
 }
 
-// minLeaderTTL and maxLeaderTTL bound the leader lock's TTL where the tuning sets none.
+// minLeaderTTL and maxLeaderTTL bound the TTL of the leader's lock if the tuning file sets none.
 const minLeaderTTL, maxLeaderTTL = 3 * clock.Second, 6 * clock.Second
 
-// leaderTTL is the TTL of the leader's lock. Its expiry, the election and the first answered
-// heartbeat must all be inside a worker's lease, and a leader that is cut off or stalled is
-// missed for as long as the lock lasts: so it is a sixth of that lease, within bounds.
+// leaderTTL returns the TTL of the leader's lock, which is a sixth of a worker's lease, within bounds,
+// unless the tuning file sets it. The lock's expiry, the election and the first answered heartbeat must
+// all fit into a worker's lease, and a leader that is cut off or stalled is replaced only when its lock
+// expires.
 func leaderTTL(cfg *config.Platform, tunedSeconds float64) clock.Micros {
 	if ttl := clock.FromSeconds(tunedSeconds); ttl != 0 {
 		return ttl
@@ -46,7 +47,7 @@
 	return min(max(clock.FromSeconds(cfg.Deployment.Workers.LeaseSeconds)/6, minLeaderTTL), maxLeaderTTL)
 }
 
-// teamQuotas are the teams' quotas by name.
+// teamQuotas returns the teams' quotas by name.
 func teamQuotas(teams []config.Team) map[string]allocation.TeamQuota {
 	quotas := map[string]allocation.TeamQuota{}
 	for _, team := range teams {
@@ -59,10 +60,10 @@
 	return quotas
 }
 
-// newDelegationConfig is the delegation for workers that may take a whole round over the
-// members before they come back to this one. A worker waits a second before each other member
-// and tries it for four seconds. With one zone for all there is no cut that leaves it with
-// one member alone: the others answer at once, and what grants bridge is an outage of the store.
+// newDelegationConfig returns the delegation settings for workers that may try every other member before
+// they come back to this one. A worker waits one second before each other member and tries it for four
+// seconds. If there is only one zone, no partition leaves a worker with a single member: the other members
+// answer at once, and grants only bridge an outage of the store.
 func newDelegationConfig(cfg *config.Platform, cancelTimeout, leaseTTL clock.Micros) delegation.Config {
 	attemptTime := 5 * clock.Second
 	if len(cfg.Deployment.Zones) == 1 {
--- a/internal/leader/standby_record.go
+++ b/internal/leader/standby_record.go
@@ -9,10 +9,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The durable record of the members whose replicas are in step with a leader. A new leader trusts
-// only a replica that the record names.
+// The store has a durable record of the members whose replicas are in sync with a leader. A new leader
+// trusts only a replica that this record names.
 
-// writeStandbyRecord writes the record when the members in step have changed.
+// writeStandbyRecord writes the record if the set of members in sync has changed.
 func (term *Term) writeStandbyRecord(now clock.Micros) {
 	inSync := term.standby.inSync
 	record, version, ok := inSync.BeginWrite(now)
@@ -29,7 +29,7 @@
 		Conditions: []wire.Condition{{Key: records.StandbyKey, Version: version}},
 		Changes:    []wire.Change{{PutKey: records.StandbyKey, Value: value}},
 	}
-	syncView := term.afterSync(func() {}) // applyStandbyRecord takes what is there
+	syncView := term.afterSync(func() {}) // ObserveStandbyRecord gets the stored record from the view
 	reject := func() {
 		inSync.RejectWrite()
 		syncView()
--- a/internal/leader/standby_status.go
+++ b/internal/leader/standby_status.go
@@ -5,7 +5,7 @@
 	"firwood.dev/firwood/internal/jobreport"
 )
 
-// FollowerStatuses is how far the other members are behind this leader.
+// FollowerStatuses returns how far the replicas of the other members lag behind this leader.
 func (term *Term) FollowerStatuses(now clock.Micros) []jobreport.FollowerStatus {
 	var statuses []jobreport.FollowerStatus
 	isInSync := map[string]bool{}
--- a/internal/leader/standby_stream.go
+++ b/internal/leader/standby_stream.go
@@ -7,16 +7,16 @@
 	"firwood.dev/firwood/internal/standby"
 )
 
-// decisionStream is the leader's side of the stream of decisions that replicas copy its
-// allocation table from; see package standby. It implements allocation.Replicator.
+// decisionStream is the leader's side of the stream of decisions from which replicas copy its
+// allocation table; see package standby. It implements allocation.Replicator.
 type decisionStream struct {
 	publisher *standby.Publisher
-	// inSync is the set of members whose replicas are in step, with its durable record.
+	// inSync is the set of members whose replicas are in sync, with its durable record.
 	inSync *standby.InSyncSet
 }
 
-// setUpStandby prepares the stream of a new leader's decisions, and has its allocation table
-// begin with what this member's replica of the last leader's table proves.
+// setUpStandby creates the stream of a new leader's decisions. If this member's replica of the last
+// leader's table can be trusted, the new allocation table uses it to tell which tasks may have started.
 func (term *Term) setUpStandby(allocationConfig *allocation.Config) {
 	environment := term.environment
 	if environment.Replica == nil {
@@ -43,36 +43,37 @@
 	}
 }
 
-// RecordStarted appends an attempt that may begin from now on, and returns the decision's number.
+// RecordStarted appends the start of an attempt, which may be sent from now on, and returns the
+// decision's number.
 func (decisions *decisionStream) RecordStarted(task string, attempt uint64, machine string) uint64 {
 	placement := standby.Placement{Task: task, Attempt: attempt, Machine: machine}
 	return decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: placement})
 }
 
-// RecordEnded appends the end of an attempt, whose result, if it has one, is durable.
+// RecordEnded appends the end of an attempt. The attempt's result, if any, is durable.
 func (decisions *decisionStream) RecordEnded(task string, attempt uint64, machine string) {
 	placement := standby.Placement{Task: task, Attempt: attempt, Machine: machine}
 	decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: placement})
 }
 
-// RecordUnconfirmed appends that attempts of a task, or of a whole job, that an earlier leader
-// started may run on any machine.
+// RecordUnconfirmed appends that a task, or any task of a whole job, may be running on an unknown machine
+// because an earlier leader started it.
 func (decisions *decisionStream) RecordUnconfirmed(id string) {
 	decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: standby.UnconfirmedPlacement(id)})
 }
 
-// RecordResolved appends that what RecordUnconfirmed has appended is resolved.
+// RecordResolved appends that the entry of an earlier RecordUnconfirmed no longer holds.
 func (decisions *decisionStream) RecordResolved(id string) {
 	decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: standby.UnconfirmedPlacement(id)})
 }
 
-// MaySendStart tells whether the start with a decision's number may be sent.
+// MaySendStart reports whether the start with this decision number may be sent.
 func (decisions *decisionStream) MaySendStart(number uint64) bool {
 	return decisions.inSync.MaySendStart(number)
 }
 
-// streamDecisions sends the replicas the decisions that they lack, and writes the record of those
-// in step when it has changed.
+// streamDecisions sends to each replica the decisions that it lacks, and writes the record of the members
+// in sync if it has changed.
 func (term *Term) streamDecisions(now clock.Micros) {
 	if term.standby == nil {
 		return
--- a/internal/leader/tracked_jobs.go
+++ b/internal/leader/tracked_jobs.go
@@ -12,10 +12,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// replayArrivals feeds the arrivals of the jobs that the view still has to the scheduler's
-// forecasts. Added after new leaders, whose forecasts knew of no arrivals, scaled in every idle
-// machine within seconds of a failover, although the classes of waiting jobs were about to need
-// them.
+// replayArrivals passes the arrivals of the jobs that the view still has to the scheduler's forecasts.
+// Otherwise the forecasts of a new leader know of no arrivals: new leaders scaled in every idle machine
+// within seconds of a failover although the classes of waiting jobs were about to need them.
 func (term *Term) replayArrivals(now, wallTime clock.Micros) {
 	jobs := slices.Collect(maps.Values(term.tracker.Jobs))
 	slices.SortFunc(jobs, func(a, b *allocation.Job) int {
@@ -26,7 +25,7 @@
 	}
 }
 
-// addJob has an active job tracked, with the completed tasks that its progress names.
+// addJob starts tracking an active job, with the completed tasks that its progress records name.
 func (term *Term) addJob(id string, record *storeview.Job, startsRecorded bool) *allocation.Job {
 	completed := term.environment.View.CompletedTasks(id, record, term.environment.TasksPerKey)
 	releasedAt := term.environment.Graph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
@@ -39,7 +38,7 @@
 	return job
 }
 
-// addMachine has a machine tracked that a scale-out request was granted.
+// addMachine starts tracking a machine that was granted to a scale-out request.
 func (term *Term) addMachine(request *scaleout.Request, name string) *allocation.Machine {
 	now := clock.Now()
 	pool := poolOf(request)
@@ -51,7 +50,7 @@
 	return machine
 }
 
-// ApplyJobRecord applies a job's record that is new in the view.
+// ApplyJobRecord applies a job record that is new or changed in the view.
 func (term *Term) ApplyJobRecord(id string, record *storeview.Job) {
 	now := clock.Now()
 	job := term.tracker.Jobs[id]
@@ -70,8 +69,8 @@
 	}
 }
 
-// cancelJob applies a durable cancellation. The tasks' grace period runs from the end that the
-// record has, which this leader may have read late, for instance while the key-value store refused
+// cancelJob applies a durable cancellation. The grace period of the tasks starts at the end time in the
+// record, since this leader may have read the record late, for instance while the key-value store refused
 // its requests.
 func (term *Term) cancelJob(job *allocation.Job, record *storeview.Job, now clock.Micros) {
 	term.tracker.Cancel(job, now)
@@ -79,8 +78,8 @@
 	term.jobs[job.Spec.ID].isEndDurable = true
 }
 
-// unconfirmedCount counts the tasks that may run on any machine since an earlier leader may have
-// started them.
+// unconfirmedCount returns the number of tasks that may be running on any machine because an earlier
+// leader may have started them.
 func (term *Term) unconfirmedCount() int {
 	count := 0
 	for _, job := range term.tracker.Jobs {
--- a/internal/leader/worker_client.go
+++ b/internal/leader/worker_client.go
@@ -6,10 +6,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// maxWorkerResponseBytes bounds the body of a worker's response.
+// maxWorkerResponseBytes is the maximum size of the body of a worker's response.
 const maxWorkerResponseBytes = 4 * wire.MaxBodyBytes
 
-// workerHost is the connection to the worker on a machine, made at its first use.
+// workerHost returns the client of the worker on a machine, which is created at its first use.
 func (term *Term) workerHost(machine *allocation.Machine, machineInfo *machineState) *client.Host {
 	if machineInfo.workerHost == nil {
 		machineInfo.workerHost = term.environment.WorkerRequests.Pool.NewHost(machine.Address, 1, maxWorkerResponseBytes)
@@ -17,8 +17,8 @@
 	return machineInfo.workerHost
 }
 
-// decodeHeartbeatOf reads the heartbeat in a response of a machine's worker; nil if there is
-// none, or that of another machine, which may have got its address.
+// decodeHeartbeatOf decodes the heartbeat in a response from a machine's worker. It returns nil if the
+// response has none, or has that of another machine, which may have got the machine's address.
 func decodeHeartbeatOf(machine string, body []byte) *wire.Heartbeat {
 	decoded := &wire.Heartbeat{}
 	if decoded.UnmarshalJSON(body) != nil || decoded.MachineID != machine {
--- a/internal/leader/worker_heartbeats.go
+++ b/internal/leader/worker_heartbeats.go
@@ -10,7 +10,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// HandleHeartbeat takes a worker's heartbeat and replies to it, which renews its lease.
+// HandleHeartbeat handles a worker's heartbeat. The reply renews the worker's lease.
 func (term *Term) HandleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
 	now := clock.Now()
 	if term.deferIfConstrained(heartbeat, reply, now) {
@@ -39,11 +39,11 @@
 	}
 }
 
-// renewLease sends the reply that renews a worker's lease. The commands have to include the stop of
-// every task that its heartbeat lists and that has to end (invariant 7 of package allocation).
+// renewLease sends the reply that renews a worker's lease. The commands have to include a stop of every
+// task that the worker's heartbeat lists and that has to end (invariant 7 of package allocation).
 func (term *Term) renewLease(reply *server.Reply, commands []wire.Command, result metrics.HeartbeatReply) {
 	if commands == nil {
-		commands = []wire.Command{} // the protocol has a list
+		commands = []wire.Command{} // the protocol requires a list
 	}
 	body, err := wire.HeartbeatResponse{FencingToken: term.tracker.FencingToken(), Commands: commands}.MarshalJSON()
 	if err != nil {
@@ -55,7 +55,7 @@
 	reply.SendBefore(200, body, 0, term.replyDeadline(commands))
 }
 
-// needsStop tells whether tasks of a job have to end: it is cancelled, or over, or unknown.
+// needsStop reports whether the tasks of a job have to end: the job is cancelled, has ended or is unknown.
 func (term *Term) needsStop(jobID string) bool {
 	if job := term.tracker.Jobs[jobID]; job != nil {
 		return job.Cancelled
@@ -63,13 +63,13 @@
 	return !term.environment.mayBeActive(jobID)
 }
 
-// replyUnavailable replies 503, to be retried after a second.
+// replyUnavailable replies with status 503 and has the worker retry after one second.
 func replyUnavailable(reply *server.Reply, reason string) {
 	reply.Send(503, server.ErrorBody(reason), 1)
 }
 
-// noteUnknownMachine records that a machine exists that no record names, unless this leader
-// has deleted it.
+// noteUnknownMachine records since when a machine that no record names has been known to exist, unless
+// this leader has deleted it.
 func (term *Term) noteUnknownMachine(name string, now clock.Micros) {
 	if _, isDeleted := term.deletions.deletedAt[name]; isDeleted {
 		return
@@ -79,8 +79,8 @@
 	}
 }
 
-// recordHeartbeat has the allocation table take a heartbeat, and the scheduler the time
-// that a machine of this term took to boot.
+// recordHeartbeat records a heartbeat in the allocation table. If a machine requested in this term sends
+// its first heartbeat, the scheduler gets the machine's boot time.
 func (term *Term) recordHeartbeat(machine *allocation.Machine, heartbeat *wire.Heartbeat, now clock.Micros) allocation.HeartbeatResult {
 	term.tracker.RecordLeaseRenewal(machine, now)
 	wasBooting := machine.FirstHeartbeatAt == 0
@@ -91,8 +91,9 @@
 	return result
 }
 
-// replyCommands is what the reply to a heartbeat commands. A repeated or older one, which an answer
-// to a command request or a probe may have overtaken, gets stops alone: its reply renews the lease too.
+// replyCommands returns the commands in the reply to a heartbeat. The reply to a repeated or older
+// heartbeat, which the answer to a command request or a probe may have overtaken, has only stops: it
+// renews the lease too.
 func (term *Term) replyCommands(result allocation.HeartbeatResult, machine *allocation.Machine, now clock.Micros) []wire.Command {
 	if result != allocation.HeartbeatAccepted {
 		return term.tracker.RenewalStops(machine)
@@ -104,9 +105,9 @@
 	return commands
 }
 
-// replyDeadline is the latest instant at which the reply to a heartbeat may be sent, since
-// it renews the worker's lease and may start tasks. It is never 0, which would be no deadline: a
-// closed term's deadlines are 0.
+// replyDeadline returns the latest instant at which the reply to a heartbeat may be sent, since the reply
+// renews the worker's lease and may start tasks. It is never 0, which would mean no deadline; the deadlines
+// of a closed term are 0.
 func (term *Term) replyDeadline(commands []wire.Command) clock.Micros {
 	until := min(term.mayActUntil(), term.entitlement.viewAge.RenewLeasesUntil())
 	if slices.ContainsFunc(commands, func(command wire.Command) bool { return command.Action == wire.ActionStart }) {
@@ -115,7 +116,7 @@
 	return max(until, 1)
 }
 
-// processTaskEvents takes the tasks that heartbeats have shown as started or exited.
+// processTaskEvents handles the tasks that heartbeats have reported as started or exited.
 func (term *Term) processTaskEvents(now clock.Micros) {
 	for _, placement := range term.tracker.Started {
 		term.handleTaskStart(placement, now)
@@ -141,14 +142,14 @@
 }
 
 const (
-	// maxFailureDoublings bounds the backoff of a task that fails: 2 s after its first failure, twice
-	// as long after each further one, at most 32 s. Twice that applies while the job is taken to be
+	// maxFailureDoublings bounds the backoff of a failing task: 2 s after its first failure, doubled after
+	// each further failure, at most 32 s. The backoff is twice as long while the job is considered to be
 	// at fault.
 	maxFailureDoublings = 5
-	// minFailedMachines is on how many machines a job has to fail, with no task done, to be
-	// taken to be at fault itself.
+	// minFailedMachines is the number of machines on which a job has to fail, with no task done, for the
+	// job itself to be considered at fault.
 	minFailedMachines = 3
-	// rejectedRetryDelay is how long a task waits that a worker would not start.
+	// rejectedRetryDelay is the time until a task that a worker refused to start is tried again.
 	rejectedRetryDelay = clock.Second
 )
 
@@ -173,8 +174,8 @@
 	term.requestPlan()
 }
 
-// hasObservedFullRun tells whether this leader has seen the whole run of a task, from its beginning
-// and not from a checkpoint, so that its duration says something of the class.
+// hasObservedFullRun reports whether this leader has observed a task's run from its beginning and not
+// from a checkpoint, so that its duration is representative of the class.
 func hasObservedFullRun(placement *allocation.Placement) bool {
 	job := placement.Job
 	wasSeen := placement.RunningAt != 0 && !placement.Adopted
@@ -183,8 +184,8 @@
 	return wasSeen && !job.IsService() && !isResumedTask && !isResumedGang
 }
 
-// observeCompletedRun has the scheduler learn from the duration of a task's run, and of the
-// job's once all its tasks are done.
+// observeCompletedRun passes the duration of a task's run to the scheduler, and the mean of the job's runs
+// once all its tasks are done.
 func (term *Term) observeCompletedRun(placement *allocation.Placement, now clock.Micros) {
 	if !hasObservedFullRun(placement) {
 		return
@@ -203,9 +204,9 @@
 	term.environment.Log.Debug("task done", "job", job.Spec.ID, "task", placement.TaskIndex, "machine", placement.Machine.Name, "run_s", runSeconds, "estimate_s", job.Spec.EstimatedRunSeconds)
 }
 
-// handleTaskFailure delays the next attempt of a task that failed. A faulty machine fails
-// many jobs, a faulty job fails everywhere: a job that fails on several machines without
-// any task done is retried half as often, and no machine is blamed for it.
+// handleTaskFailure delays the next attempt of a task that failed. A faulty machine fails many jobs, while
+// a faulty job fails on every machine. So a job that fails on several machines with no task done is retried
+// half as often, and its failures don't count against any machine.
 func (term *Term) handleTaskFailure(placement *allocation.Placement, now clock.Micros) {
 	job := placement.Job
 	task := &job.Tasks[placement.TaskIndex]
