--- a/internal/leader/owner_test.go
+++ b/internal/leader/owner_test.go
@@ -24,12 +24,12 @@
 	"firwood.dev/firwood/wire"
 )
 
-// testOwner stands for the controller that a term belongs to. It implements Host with what a test
-// sets, and storeview.Observer with what a leader's controller does. Only the test runs its
-// commands.
+// testOwner stands in for the controller that a term belongs to. It implements Host with the values that
+// a test sets, and storeview.Observer as the controller of a leader does. Posted commands run only when the
+// test runs them.
 type testOwner struct {
 	*Environment
-	term     *Term // what the view's changes are told to, nil for none
+	term     *Term // the term that is told of the view's changes, or nil
 	commands *commandqueue.Queue
 
 	hasReportedHigherToken bool
@@ -45,8 +45,8 @@
 	nextWatchAt clock.Micros
 }
 
-// newTestTerm makes a leader of token 9 that has found these machines recorded,
-// requested long ago. What it sends goes nowhere.
+// newTestTerm returns the term of a leader with token 9. The view records these machines as requested 300 s
+// ago. Nothing answers the requests that the term sends.
 func newTestTerm(t testing.TB, machines ...string) *Term {
 	t.Helper()
 	cfg := &config.Platform{Member: "a", Location: "x", Peers: []config.Peer{{Member: "b", Location: "y", Address: "127.0.0.1:1"}}}
@@ -85,15 +85,15 @@
 	return owner
 }
 
-// newTerm begins a term. The view's changes are told to it once it is set as the owner's.
+// newTerm begins a term. The term is told of the view's changes once the test sets it as the owner's.
 func (owner *testOwner) newTerm(token uint64, readAt clock.Micros) *Term {
 	return New(owner.Environment, owner, token, readAt)
 }
 
-// ownerOf is the owner that a term belongs to.
+// ownerOf returns the owner of a term.
 func ownerOf(term *Term) *testOwner { return term.host.(*testOwner) }
 
-// runUntil runs the commands that are posted to the owner until the condition holds.
+// runUntil runs the commands that are posted to the owner until isDone returns true.
 func runUntil(t *testing.T, owner *testOwner, isDone func() bool) {
 	t.Helper()
 	for i := 0; i < 20000; i++ {
@@ -107,7 +107,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("the condition does not become true in time")
+	t.Fatal("got no true condition within 20000 rounds of 1 ms, want it to become true")
 }
 
 // watchInterval is the time between two reads of the store's changes.
@@ -165,7 +165,7 @@
 	return jobreport.Problem{}, false
 }
 
-// JobChanged implements storeview.Observer: the dependency graph is told first, then the term.
+// JobChanged implements storeview.Observer. It updates the dependency graph first, then the term.
 func (owner *testOwner) JobChanged(id string, job *storeview.Job) {
 	job.IsCancelledByDependency = job.State == "" && owner.Graph.IsCancelled(id)
 	switch {
--- a/internal/leader/probes_test.go
+++ b/internal/leader/probes_test.go
@@ -9,8 +9,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// In a fleet with more replicas than probes may be in flight, each machine is probed in its
-// turn, and one that left a probe unanswered is probed out of turn.
+// The first machines by name must not be probed again and again while the last ones never are. With more
+// replicas than probes may be in flight, each machine is probed in its turn, and a machine that left a probe
+// unanswered is probed out of turn.
 func TestProbesAreRoundRobin(t *testing.T) {
 	const fleet = 300
 	var names []string
@@ -50,7 +51,7 @@
 	}
 	for _, name := range names {
 		if probed[name] == 0 {
-			t.Fatalf("%s is never probed", name)
+			t.Fatalf("machine %s got no probe, want at least one", name)
 		}
 	}
 	last := names[fleet-1]
@@ -58,9 +59,9 @@
 	before := probed[last]
 	sendRound()
 	if probed[last] != before+1 {
-		t.Error("a machine that left a probe unanswered waits for its turn")
+		t.Error("got no out-of-turn probe of the machine that left a probe unanswered, want one")
 	}
 	if inFlight := term.probing.inFlight; inFlight != 0 {
-		t.Errorf("%d probes are still in flight", inFlight)
+		t.Errorf("got %d probes still in flight, want 0", inFlight)
 	}
 }
--- a/internal/leader/renewal_stops_test.go
+++ b/internal/leader/renewal_stops_test.go
@@ -11,11 +11,11 @@
 	"firwood.dev/firwood/wire"
 )
 
-// cancelledTask is the task that the tests of renewing replies have workers list.
+// cancelledTask is the task of a cancelled job that the workers in these tests list.
 const cancelledTask = "req-000001/0"
 
 // newTermWithCancelledJob returns an entitled term that took over a cancelled job with a task that may
-// run, and knows the machine i-1.
+// still run. The term knows the machine i-1.
 func newTermWithCancelledJob(t *testing.T) *Term {
 	t.Helper()
 	term := newTestTerm(t, "i-1")
@@ -27,7 +27,7 @@
 	return term
 }
 
-// replyTo returns the reply to a heartbeat.
+// replyTo has a term handle a heartbeat and returns the reply.
 func replyTo(t *testing.T, term *Term, heartbeat *wire.Heartbeat) (status int, response wire.HeartbeatResponse) {
 	t.Helper()
 	term.HandleHeartbeat(heartbeat, server.NewReply(func(code int, body []byte, _ int) {
@@ -47,9 +47,9 @@
 	}
 }
 
-// Every reply that renews a lease stops the listed tasks that have to end: under an earlier leader's
-// token, to a heartbeat that the answer to a command request has overtaken, and to a machine that no
-// record names; of a cancelled job, and of one that this leader doesn't know.
+// Every reply that renews a lease has to stop the listed tasks that have to end. That holds for a heartbeat
+// with an earlier leader's token, for one that a probe's answer has overtaken, and for a machine that no
+// record names, and both for tasks of a cancelled job and of a job that this leader doesn't know.
 func TestEveryRenewingReplyCarriesStops(t *testing.T) {
 	const unknownTask = "req-000002/0"
 	for name, heartbeat := range map[string]*wire.Heartbeat{
@@ -63,23 +63,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			term := newTermWithCancelledJob(t)
-			// What a probe has shown: the worker has made this heartbeat later than the overtaken one.
+			// The worker sent the answer to a probe after the overtaken heartbeat and before the others.
 			probed := heartbeatWith("i-1", heartbeat.Tasks[0].TaskID, 5, 4)
 			term.handleProbeAnswer(term.tracker.Machines["i-1"], term.machines["i-1"], probed, clock.Now())
 			status, response := replyTo(t, term, heartbeat)
 			if status != 200 || len(response.Commands) != 1 {
-				t.Fatalf("status %d, commands %+v", status, response.Commands)
+				t.Fatalf("got status %d and commands %+v, want status 200 and one command", status, response.Commands)
 			}
 			command := response.Commands[0]
 			if command.Action != wire.ActionStop || command.TaskID != heartbeat.Tasks[0].TaskID || command.Attempt != 40 {
-				t.Fatalf("command %+v", command)
+				t.Fatalf("got command %+v, want a stop of attempt 40 of the listed task", command)
 			}
 		})
 	}
 }
 
-// A job that the table lacks since a dependency of it is not known yet may have been started by an
-// earlier leader: the first reply leaves its tasks alone, on known and unknown machines.
+// A job whose dependency is not known yet is missing from the allocation table, although an earlier leader
+// may have started it. The first reply must not stop its tasks, on known and unknown machines.
 func TestTasksOfBlockedJobsAreNotStoppedAtOnce(t *testing.T) {
 	term := newTermWithCancelledJob(t)
 	spec := &wire.Job{ID: "req-000002", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 1, CPUs: 1, Team: "t", DependsOn: []string{"req-000009"}}
@@ -87,12 +87,13 @@
 	for _, machine := range []string{"i-1", "i-9"} {
 		status, response := replyTo(t, term, heartbeatWith(machine, "req-000002/0", 5, 4))
 		if status != 200 || len(response.Commands) != 0 {
-			t.Errorf("%s: status %d, commands %+v", machine, status, response.Commands)
+			t.Errorf("machine %s: got status %d and commands %+v, want status 200 and no commands", machine, status, response.Commands)
 		}
 	}
 }
 
-// A heartbeat that waited for a read is answered by what the read has brought: a cancellation among it.
+// A heartbeat that waited for a read of the store is answered from what the read returned, which may include
+// a cancellation.
 func TestDeferredHeartbeatIsAnsweredWithNewStops(t *testing.T) {
 	term := newTestTerm(t, "i-1")
 	owner := ownerOf(term)
@@ -108,11 +109,11 @@
 		}
 	}))
 	if len(term.renewals.deferredHeartbeats) != 1 {
-		t.Fatal("the heartbeat isn't deferred")
+		t.Fatal("got no deferred heartbeat, or several, want one")
 	}
 	term.ApplyJobRecord(spec.ID, &storeview.Job{Job: records.Job{Spec: spec, State: wire.JobCancelled, EndedAt: int64(clock.WallTime())}})
 	term.recordViewRead(clock.Now())
 	if len(response.Commands) != 1 || response.Commands[0].Action != wire.ActionStop {
-		t.Fatalf("commands %+v", response.Commands)
+		t.Fatalf("got commands %+v, want one stop", response.Commands)
 	}
 }
--- a/internal/leader/repeated_writes_test.go
+++ b/internal/leader/repeated_writes_test.go
@@ -14,8 +14,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Every transaction that writes a scale-out request's record, or that tasks of a job may be started,
-// is executed again at a later time: none undoes what a later one has written.
+// The store may execute a write late or twice. Every transaction that writes a scale-out request's record,
+// or records that tasks of a job may be started, is executed again at a later time here; none may undo what
+// a later transaction has written.
 func TestRepeatedWritesAreIdempotent(t *testing.T) {
 	fakeStore, stop := fake.NewStore()
 	defer stop()
@@ -50,15 +51,15 @@
 		fakeStore.ReapplyTransaction(transaction)
 		for key, value := range before {
 			if fakeStore.Value(key) != value {
-				t.Fatalf("%s was %s, after a repeat %s", key, value, fakeStore.Value(key))
+				t.Fatalf("key %s: want value %s, got %s after a repeated transaction", key, value, fakeStore.Value(key))
 			}
 		}
 	}
 	if len(before) < 3 {
-		t.Fatalf("only %v written", before)
+		t.Fatalf("got records %v, want at least 3", before)
 	}
-	// An unknown outcome: the transaction was executed, its answer lost. The next write reads back
-	// the version that it left.
+	// If a transaction was executed and its answer lost, its outcome is unknown. The next write reads
+	// back the version that the transaction left.
 	written := request.Version()
 	request.RetryFrom(1)
 	term.writeScaleOutRecord(request, kvstore.Required)
--- a/internal/leader/small_limits_test.go
+++ b/internal/leader/small_limits_test.go
@@ -14,8 +14,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// newTermOnStore makes the term of a leader that holds the lock of a fake store. Only the test runs
-// its commands.
+// newTermOnStore returns the term of a leader that holds the lock of a fake store. Posted commands run only
+// when the test runs them.
 func newTermOnStore(t *testing.T, limits config.StoreLimits) (*fake.Store, *Term) {
 	t.Helper()
 	fakeStore, stop := fake.NewStore()
@@ -29,7 +29,7 @@
 	return fakeStore, startNewTerm(t, owner)
 }
 
-// startNewTerm takes the lock from whoever holds it and begins a term.
+// startNewTerm takes the lock, whoever holds it, and begins a term.
 func startNewTerm(t *testing.T, owner *testOwner) *Term {
 	t.Helper()
 	if owner.term != nil {
@@ -49,9 +49,9 @@
 	return owner.term
 }
 
-// A large job's records in a store with small values and transactions: every value and every
-// transaction stays within the limits, every completed task is recorded, and nothing is left in the
-// end but the record of the job's end.
+// A store may have small limits for values and transactions. Every value and every transaction that is
+// written for a large job has to stay within them, every completed task has to be recorded, and in the end
+// only the record of the job's end may be left.
 func TestLargeJobFitsSmallStoreLimits(t *testing.T) {
 	for _, test := range []struct {
 		valueKB float64
@@ -88,7 +88,7 @@
 				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{TaskID: wire.TaskID(id, i), Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitDone})
 			}
 			if term.tracker.RecordHeartbeat(machine, heartbeat, clock.Now()) != allocation.HeartbeatAccepted {
-				t.Fatal("report not taken")
+				t.Fatal("the heartbeat that lists the tasks as done was not accepted, want it accepted")
 			}
 		}
 		complete(0, test.tasks-1)
@@ -104,7 +104,7 @@
 		})
 		for _, i := range []int{0, owner.TasksPerKey - 1, owner.TasksPerKey, test.tasks - 2} {
 			if !progress[i/owner.TasksPerKey].Bits.IsSet(i % owner.TasksPerKey) {
-				t.Errorf("%v KiB: task %d is done, and the record does not say so", test.valueKB, i)
+				t.Errorf("value limit of %v KiB: task %d is not recorded as done, want it recorded", test.valueKB, i)
 			}
 		}
 		complete(test.tasks-1, test.tasks)
@@ -112,16 +112,16 @@
 		runUntil(t, owner, func() bool {
 			term.persistJobs(clock.Now() + clock.Second)
 			sweepAt += sweepInterval
-			term.persistence.cleanup.tick(sweepAt) // what the end's transaction could not take
+			term.persistence.cleanup.tick(sweepAt) // deletes the keys that did not fit the end's transaction
 			return len(fakeStore.Keys(records.ProgressPrefix)) == 0 && term.tracker.Jobs[id] == nil
 		})
 		for _, transaction := range fakeStore.Transactions() {
 			if len(transaction.Changes) > test.ops {
-				t.Errorf("a transaction of %d changes, %d are allowed", len(transaction.Changes), test.ops)
+				t.Errorf("got a transaction of %d changes, want at most %d", len(transaction.Changes), test.ops)
 			}
 			for _, change := range transaction.Changes {
 				if len(change.Value) > int(test.valueKB*1024) {
-					t.Errorf("%s: a value of %d bytes, %v KiB are allowed", change.PutKey, len(change.Value), test.valueKB)
+					t.Errorf("key %s: got a value of %d bytes, want at most %v KiB", change.PutKey, len(change.Value), test.valueKB)
 				}
 			}
 		}
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -12,25 +12,25 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A new leader has no heartbeats yet of the machines that an earlier one requested. That
-// is no sign that they never came up; the cloud's list saying so is.
+// A new leader has had no heartbeats yet from the machines that an earlier leader requested. Missing
+// heartbeats don't show that such a machine never booted; the cloud's list does if it says so.
 func TestMachineWithoutHeartbeatIsDeletedOnlyIfListedBooting(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3")
 	later := term.liveness.startedAt + term.environment.Timing.SuspectTimeout + 2*clock.Second
 	term.reviewMachines(later)
 	if len(term.deletions.pending) != 0 {
-		t.Fatalf("deleted %v, of which nothing is known", term.deletions.pending)
+		t.Fatalf("got deletions of %v, want none before the cloud's list", term.deletions.pending)
 	}
 	term.applyListedMachine(&wire.ListedMachine{ID: "i-1", State: wire.MachineRunning}, later)
 	term.applyListedMachine(&wire.ListedMachine{ID: "i-2", State: wire.MachineBooting}, later)
 	term.reviewMachines(later)
 	if !slices.Equal(term.deletions.pending, []string{"i-2"}) {
-		t.Fatalf("deleted %v, only i-2 has never come up", term.deletions.pending)
+		t.Fatalf("got deletions of %v, want only i-2, which has never booted", term.deletions.pending)
 	}
 }
 
-// Machines without heartbeats while this process was stalled are not suspected: none is
-// deleted, no zone is constrained and leadership is not handed over for it.
+// Heartbeats that are missing because this process was stalled must not make machines suspected: no machine
+// is deleted, no zone is constrained and leadership is not handed over.
 func TestProcessStallDoesNotSuspectMachines(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3", "i-4")
 	term.entitlement.actDeadline.Store(1 << 62)
@@ -47,31 +47,31 @@
 	term.RecordResume(now)
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 0 || len(term.renewals.constraints.ConstrainedZones()) != 0 || term.isClosed {
-		t.Fatalf("after a stall: deletes %v, constrains %v, term closed %v", term.deletions.pending, term.renewals.constraints.ConstrainedZones(), term.isClosed)
+		t.Fatalf("after a stall: got deletions of %v, constrained zones %v and term closed %v, want none of them", term.deletions.pending, term.renewals.constraints.ConstrainedZones(), term.isClosed)
 	}
 	if term.scheduler.ResumedAt != now {
-		t.Fatal("the scheduler suspects machines")
+		t.Fatal("the scheduler does not have the time of the resumption, want it so that no machine is suspected")
 	}
 	now += term.environment.Timing.SuspectTimeout + clock.Second
 	firstMachine.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 2 {
-		t.Fatalf("machines without heartbeats since the stall: deleted %v", term.deletions.pending)
+		t.Fatalf("got deletions of %v, want the 2 machines without heartbeats since the stall", term.deletions.pending)
 	}
 }
 
-// A machine that answers no probe is deleted while the others of its zone answer, and only then:
-// if the zone is cut off none does, and a process that was late itself, or had no connection free,
-// can't conclude anything.
+// A machine that answers no probe is deleted only while most of the others in its zone answer. If the zone
+// is cut off, none answers. If this process handled the result too late itself, or had no connection free,
+// the missing answer proves nothing.
 func TestProbeMissesDeleteMachineOnlyIfZoneAnswers(t *testing.T) {
 	errNoAnswer := errors.New("no answer")
 	for _, test := range []struct {
 		name           string
-		answering      int // machines that answer, of four
+		answering      int // how many of the four machines answer
 		err            error
 		delay          clock.Micros // from the probe's timeout to the handling of its result
 		isDeleted      bool
-		isInconclusive bool // it must not count as a miss
+		isInconclusive bool // the result must not count as a miss
 	}{
 		{"one hangs", 3, errNoAnswer, 0, true, false},
 		{"zone cut off", 0, errNoAnswer, 0, false, false},
@@ -87,7 +87,7 @@
 			term.tracker.Machines[name].LastHeartbeatAt -= 20 * clock.Second
 		}
 		term.liveness.resumedAt -= 60 * clock.Second
-		term.liveness.zoneUnreachableAt["x"] = term.liveness.resumedAt // the clock may be younger than a probe
+		term.liveness.zoneUnreachableAt["x"] = term.liveness.resumedAt // a probe may be sent at a negative instant: the clock starts with the process
 		for round := uint64(0); round < 2; round++ {
 			sent := clock.Now() - health.ProbeTimeout - test.delay
 			for i, name := range names {
@@ -100,16 +100,16 @@
 			}
 		}
 		if got := len(term.deletions.pending) > 0; got != test.isDeleted {
-			t.Errorf("%s: deleted %v", test.name, term.deletions.pending)
+			t.Errorf("%s: got deletions of %v, want some only if one machine hangs and the result is conclusive", test.name, term.deletions.pending)
 		}
 		if test.isInconclusive && term.machines["i-4"].probes.Misses != 0 {
-			t.Errorf("%s: counted as a miss", test.name)
+			t.Errorf("%s: the result counted as a miss, want it ignored", test.name)
 		}
 	}
 }
 
-// When a zone that was cut off comes back, machines whose heartbeats come later than those of
-// the first third get the suspect timeout from there; those without are deleted after it.
+// The machines of a zone that was cut off come back one by one. Once most of the zone is reachable again,
+// the others get the suspect timeout from that time, and only those still silent after it are deleted.
 func TestRecoveringZoneKeepsItsMachines(t *testing.T) {
 	names := []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"}
 	term := newTestTerm(t, names...)
@@ -133,7 +133,7 @@
 	}
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 0 {
-		t.Fatalf("deleted when the zone comes back: %v", term.deletions.pending)
+		t.Fatalf("got deletions of %v when the zone comes back, want none", term.deletions.pending)
 	}
 	recordHeartbeats("i-3", "i-4")
 	for end := now + term.environment.Timing.SuspectTimeout + 3*clock.Second; now < end; now += clock.Second / 2 {
@@ -142,6 +142,6 @@
 	}
 	slices.Sort(term.deletions.pending)
 	if !slices.Equal(term.deletions.pending, []string{"i-5", "i-6"}) {
-		t.Fatalf("after the suspect timeout: deleted %v", term.deletions.pending)
+		t.Fatalf("got deletions of %v after the suspect timeout, want i-5 and i-6", term.deletions.pending)
 	}
 }
--- a/internal/leader/token_confirmation_test.go
+++ b/internal/leader/token_confirmation_test.go
@@ -10,7 +10,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// newTermWithFleet returns an entitled term of token 9 with so many machines, and their names.
+// newTermWithFleet returns an entitled term with token 9 and the given number of machines, and their names.
 func newTermWithFleet(t *testing.T, machines int) (*Term, []string) {
 	t.Helper()
 	var names []string
@@ -22,8 +22,9 @@
 	return term, names
 }
 
-// Machines that have not confirmed the token a while after the first reply are asked, no more at a time
-// than half of what may be in flight, and all in the end. Those that confirm by themselves are not asked.
+// Machines that have not confirmed the token within confirmationDelay of the first reply are asked to. At
+// most half of the allowed requests are in flight at a time, and all such machines are asked in the end.
+// Machines that confirm on their own are not asked.
 func TestConfirmationRequestsAreBounded(t *testing.T) {
 	const machineCount, confirmedCount = 200, 50
 	term, names := newTermWithFleet(t, machineCount)
@@ -39,50 +40,50 @@
 	now := clock.Now()
 	term.sendConfirmationRequests(now + confirmationDelay/2)
 	if term.commandRequestsInFlight != 0 {
-		t.Fatalf("%d requests before the delay", term.commandRequestsInFlight)
+		t.Fatalf("got %d requests in flight before the delay, want 0", term.commandRequestsInFlight)
 	}
 	limit := term.environment.WorkerRequests.MaxInFlight / 2
 	now += 2 * confirmationDelay
 	term.sendConfirmationRequests(now)
 	if term.commandRequestsInFlight != limit {
-		t.Fatalf("%d requests in flight, of %d", term.commandRequestsInFlight, limit)
+		t.Fatalf("got %d requests in flight, want %d", term.commandRequestsInFlight, limit)
 	}
 	asked := term.commandRequestsInFlight
-	runUntil(t, owner, func() bool { // nothing listens there, so each request fails
+	runUntil(t, owner, func() bool { // nothing listens at the machines' address, so each request fails
 		before := term.commandRequestsInFlight
 		term.sendConfirmationRequests(now)
 		asked += term.commandRequestsInFlight - before
 		return len(term.confirmations.queue) == 0 && term.commandRequestsInFlight == 0
 	})
 	if asked != machineCount-confirmedCount {
-		t.Fatalf("%d machines asked, of %d that have not confirmed", asked, machineCount-confirmedCount)
+		t.Fatalf("got %d machines asked, want the %d that have not confirmed", asked, machineCount-confirmedCount)
 	}
 }
 
-// A request that asks for a confirmation carries the stops that are due, and nothing else; its answer
-// confirms the token.
+// A confirmation request carries the stops that are due and nothing else, and its answer confirms the
+// token.
 func TestConfirmationRequestCarriesStops(t *testing.T) {
 	term := newTermWithCancelledJob(t)
 	machine := term.tracker.Machines["i-1"]
 	replyTo(t, term, heartbeatWith("i-1", cancelledTask, 5, 4))
 	request := term.tracker.BuildConfirmationRequest(machine, clock.Now())
 	if request == nil || request.FencingToken != 9 || request.Incarnation != 1 || len(request.Commands) != 1 || request.Commands[0].Action != wire.ActionStop {
-		t.Fatalf("request %+v", request)
+		t.Fatalf("got request %+v, want token 9, incarnation 1 and one stop", request)
 	}
 	if term.tracker.BuildConfirmationRequest(machine, clock.Now()) != nil {
-		t.Fatal("a second request while one is in flight")
+		t.Fatal("got a second request while one is in flight, want none")
 	}
 	term.handleCommandResponse(machine, term.machines["i-1"], nil, allocation.CommandExecuted, &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: 6, FencingToken: 9})
 	if !machine.TokenConfirmed || !machine.Reconciled {
-		t.Fatal("the answer doesn't confirm the token")
+		t.Fatal("the token is not confirmed, or the machine not reconciled, after the answer; want both")
 	}
 	if term.tracker.BuildConfirmationRequest(machine, clock.Now()) != nil {
-		t.Fatal("a machine that has confirmed is asked again")
+		t.Fatal("got a request to a machine that has confirmed, want none")
 	}
 }
 
-// A machine that is being deleted, is gone, or has just left a request unanswered is not asked, and
-// leaves the queue: its next heartbeat has it asked again.
+// A machine that is being deleted, is gone, or has just left a request unanswered is not asked for a
+// confirmation and leaves the queue. Its next heartbeat queues a request again.
 func TestConfirmationRequestSkipsUnavailableMachines(t *testing.T) {
 	for name, makeUnavailable := range map[string]func(term *Term){
 		"deleted":     func(term *Term) { term.machines["i-1"].isDeleting = true },
@@ -95,24 +96,24 @@
 		makeUnavailable(term)
 		term.sendConfirmationRequests(clock.Now() + 2*confirmationDelay)
 		if term.commandRequestsInFlight != 0 || len(term.confirmations.queue) != 0 || len(term.confirmations.isQueued) != 0 {
-			t.Errorf("%s: %d in flight, %d queued", name, term.commandRequestsInFlight, len(term.confirmations.queue))
+			t.Errorf("%s: got %d requests in flight and %d queued, want 0 and 0", name, term.commandRequestsInFlight, len(term.confirmations.queue))
 		}
 	}
 }
 
-// A machine that leaves the question for the token unanswered isn't taken for unreachable by that: it
-// gets tasks as soon as it confirms. One that leaves commands unanswered is.
+// A machine that leaves a confirmation request unanswered is not considered unreachable for that: it gets
+// tasks as soon as it confirms. A machine that leaves commands unanswered is considered unreachable.
 func TestUnansweredConfirmationLeavesMachineReachable(t *testing.T) {
 	term := newTermWithCancelledJob(t)
 	machine := term.tracker.Machines["i-1"]
 	replyTo(t, term, heartbeatWith("i-1", cancelledTask, 5, 4))
 	for i := range 2 {
 		if i == 0 && term.tracker.BuildConfirmationRequest(machine, clock.Now()) == nil {
-			t.Fatal("no request")
+			t.Fatal("got no confirmation request, want one")
 		}
 		term.handleCommandResponse(machine, term.machines["i-1"], nil, allocation.CommandOutcomeUnknown, nil)
 		if isUnreachable := machine.UnreachableUntil > 0; isUnreachable != (i == 1) {
-			t.Fatalf("request %d: unreachable is %v", i, isUnreachable)
+			t.Fatalf("request %d: got unreachable %v, want true only after request 1", i, isUnreachable)
 		}
 	}
 }
--- a/internal/leader/tracked_jobs.go
+++ b/internal/leader/tracked_jobs.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// addJob starts tracking an active job, with the completed tasks that its progress records name.
+// addJob starts tracking a job that is active or may have tasks left, with the completed tasks that its
+// progress records name.
 func (term *Term) addJob(id string, record *storeview.Job, startsRecorded bool) *allocation.Job {
 	completed := term.environment.View.CompletedTasks(id, record, term.environment.TasksPerKey)
 	releasedAt := term.environment.Graph.ReleasedAt(id, clock.Micros(record.SubmittedAt))
--- a/internal/leader/worker_heartbeats_test.go
+++ b/internal/leader/worker_heartbeats_test.go
@@ -9,7 +9,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A higher token is reported as such wherever a worker shows it, and ends the term.
+// A worker may show a higher token in a heartbeat, in a command response or in the answer to a probe. Each
+// of them is reported to the host and ends the term.
 func TestHigherTokenFromWorkerEndsTerm(t *testing.T) {
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 10}
 	for name, show := range map[string]func(*Term, *allocation.Machine, *machineState){
@@ -28,7 +29,7 @@
 		owner.term = term
 		show(term, term.tracker.Machines["i-1"], term.machines["i-1"])
 		if !owner.hasReportedHigherToken || owner.term != nil {
-			t.Errorf("%s: reported is %v, the term goes on: %v", name, owner.hasReportedHigherToken, owner.term != nil)
+			t.Errorf("%s: got higher token reported %v, term running %v, want true, false", name, owner.hasReportedHigherToken, owner.term != nil)
 		}
 	}
 }
