--- a/internal/leader/owner_test.go
+++ b/internal/leader/owner_test.go
@@ -107,7 +107,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("got no true condition within 20000 rounds of 1 ms, want it to become true")
+	t.Fatal("the condition is still false after 20000 rounds of 1 ms, want true")
 }
 
 // watchInterval is the time between two reads of the store's changes.
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -10,11 +10,11 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Missing heartbeats show that a machine has failed or hangs only after its longest heartbeat interval
-// and the redirects through other members; replicas on the machine are down meanwhile. So machines with
-// replicas are probed periodically, and other machines when a heartbeat is overdue. A machine that leaves
-// two probes in a row unanswered while most of its zone answers is deleted; the deletion proves that its
-// tasks have ended.
+// Missing heartbeats reveal a failed or hanging machine late: after its longest heartbeat interval and the
+// redirects through other members. Replicas on the machine are down meanwhile. So machines with replicas
+// are probed periodically, and other machines when a heartbeat is overdue. A machine that leaves two probes
+// in a row unanswered while most of its zone answers is deleted; the deletion proves that its tasks have
+// ended.
 
 // sendProbes probes the machines that are due: first those that missed a probe or whose heartbeat is
 // overdue, then those with replicas, in turn. The number of probes in flight is bounded, so each round
--- a/internal/leader/reconciliation_times.go
+++ b/internal/leader/reconciliation_times.go
@@ -10,7 +10,7 @@
 var reconciledPercents = [...]int{50, 90, 99}
 
 // reconciliationTimes measures how long after the start of the term the machines of earlier leaders are
-// reconciled. A reconciled machine may get commands, or is gone.
+// reconciled. A machine is reconciled once it may get commands or is gone.
 type reconciliationTimes struct {
 	machines     int                                   // the number to be reconciled once the table was rebuilt
 	reachedAfter [len(reconciledPercents)]clock.Micros // the time until each percentage was reached, or 0
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -107,8 +107,8 @@
 	return targets
 }
 
-// newLeaseRenewals bounds which leases other members may have renewed, from what this member knows as
-// a delegate itself and from the constraints in the store.
+// newLeaseRenewals returns the bounds on what other members may have renewed. They follow from what this
+// member knows as a delegate itself and from the constraints in the store.
 func (environment *Environment) newLeaseRenewals(now clock.Micros) leaseRenewals {
 	var others []string
 	for _, other := range environment.Config.Peers {
--- a/internal/leader/renewal_stops_test.go
+++ b/internal/leader/renewal_stops_test.go
@@ -48,8 +48,9 @@
 }
 
 // Every reply that renews a lease has to stop the listed tasks that have to end. That holds for a heartbeat
-// with an earlier leader's token, for one that a probe's answer has overtaken, and for a machine that no
-// record names, and both for tasks of a cancelled job and of a job that this leader doesn't know.
+// with an earlier leader's token, for one that the answer to a command request or a probe has overtaken, and
+// for a machine that no record names. The tasks may be those of a cancelled job or of a job that this leader
+// doesn't know.
 func TestEveryRenewingReplyCarriesStops(t *testing.T) {
 	const unknownTask = "req-000002/0"
 	for name, heartbeat := range map[string]*wire.Heartbeat{
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -48,27 +48,29 @@
 	hasLapsed        bool // the leader was not entitled to act at the last tick
 }
 
-// liveness is since when the leader has been able to receive heartbeats, and which parts of the
-// fleet it has reached.
+// liveness records since when the leader has been able to receive heartbeats, and whether it has
+// reached the fleet and each zone.
 type liveness struct {
 	startedAt clock.Micros // when the term began
 	// resumedAt is the instant since which this process has been able to receive heartbeats.
 	// Machines that sent none while the process itself was stalled are not suspected.
 	resumedAt clock.Micros
-	// hadMostReachable is whether most machines were reachable at some time in this term.
+	// hadMostReachable is whether the fleet was mostly reachable at some time in this term; see
+	// health.Reachability.
 	hadMostReachable bool
-	// zoneUnreachableAt is, by zone, the last instant at which most of the zone's machines were
-	// not reachable.
+	// zoneUnreachableAt holds, by zone, the last instant at which the zone was not mostly reachable;
+	// see health.Reachability.
 	zoneUnreachableAt map[string]clock.Micros
 }
 
 // leaseRenewals bounds the time until which members may have renewed workers' leases.
 type leaseRenewals struct {
-	// grants is the time until which other members may have renewed leases as delegates.
+	// grants tracks until when other members may have renewed leases as delegates.
 	grants *delegation.Grants
 	// acknowledgements are the members' timestamps that extend their grants, by member.
 	acknowledgements map[string]delegation.Timestamp
-	// cancellationsKnownAt is an instant: the view has every cancellation confirmed before it.
+	// cancellationsKnownAt is the latest instant before which every confirmed cancellation is known
+	// to be in the view.
 	cancellationsKnownAt clock.Micros
 	// constraints are the renewal constraints recorded for later leaders. liftingZones are the
 	// zones whose constraint is being lifted; deferredHeartbeats are those that can't be replied
@@ -116,8 +118,8 @@
 type machineListing struct {
 	isInFlight bool
 	nextAt     clock.Micros
-	// unknownSince is, by machine, since when a machine that no record names has been known from
-	// a heartbeat or from the cloud's list.
+	// unknownSince holds, by name, when a heartbeat or the cloud's list first showed a machine that
+	// no record names.
 	unknownSince map[string]clock.Micros
 }
 
@@ -126,7 +128,7 @@
 	pending    []string
 	isInFlight bool
 	nextAt     clock.Micros
-	// deletedAt is, by machine, when the cloud deleted a machine for this leader. Late heartbeats
+	// deletedAt holds, by name, when the cloud deleted a machine for this leader. Late heartbeats
 	// and stale list entries of these machines don't count as signs of an unknown machine.
 	deletedAt map[string]clock.Micros
 }
@@ -144,7 +146,7 @@
 	nextMachineIndex int // the machine at which the next round over machines with replicas begins
 }
 
-// requestPlan makes a tick run a plan as soon as the plan interval has passed.
+// requestPlan has a plan run at the next tick, or at the first one after the plan interval has passed.
 func (term *Term) requestPlan() { term.pace.needsPlan = true }
 
 // New returns a term whose state is rebuilt from the view, which is as new as a read sent at
@@ -175,7 +177,7 @@
 	return term
 }
 
-// termOverReply is the body of replies to workers whose heartbeats were still deferred when the
+// termOverReply is the error text in replies to workers whose heartbeats were still deferred when the
 // term ended.
 const termOverReply = "the lead is over"
 
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -50,7 +50,7 @@
 		t.Fatalf("after a stall: got deletions of %v, constrained zones %v and term closed %v, want none of them", term.deletions.pending, term.renewals.constraints.ConstrainedZones(), term.isClosed)
 	}
 	if term.scheduler.ResumedAt != now {
-		t.Fatal("the scheduler does not have the time of the resumption, want it so that no machine is suspected")
+		t.Fatal("the scheduler has another ResumedAt than the end of the stall, so it would suspect machines")
 	}
 	now += term.environment.Timing.SuspectTimeout + clock.Second
 	firstMachine.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
@@ -60,8 +60,8 @@
 	}
 }
 
-// A machine that answers no probe is deleted only while most of the others in its zone answer. If the zone
-// is cut off, none answers. If this process handled the result too late itself, or had no connection free,
+// A machine that answers no probe is deleted only while its zone mostly answers. If the zone is cut off, no
+// machine in it answers. If this process handled the result too late itself, or had no connection free,
 // the missing answer proves nothing.
 func TestProbeMissesDeleteMachineOnlyIfZoneAnswers(t *testing.T) {
 	errNoAnswer := errors.New("no answer")
@@ -108,8 +108,8 @@
 	}
 }
 
-// The machines of a zone that was cut off come back one by one. Once most of the zone is reachable again,
-// the others get the suspect timeout from that time, and only those still silent after it are deleted.
+// The machines of a zone that was cut off come back one by one. Once a third of the zone is reachable
+// again, the others get the suspect timeout from that time, and only those still silent after it are deleted.
 func TestRecoveringZoneKeepsItsMachines(t *testing.T) {
 	names := []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"}
 	term := newTestTerm(t, names...)
--- a/internal/leader/worker_heartbeats.go
+++ b/internal/leader/worker_heartbeats.go
@@ -68,8 +68,8 @@
 	reply.Send(503, server.ErrorBody(reason), 1)
 }
 
-// noteUnknownMachine records since when a machine that no record names has been known to exist, unless
-// this leader has deleted it.
+// noteUnknownMachine records when a machine that no record names was first shown to exist, unless this
+// leader has deleted it.
 func (term *Term) noteUnknownMachine(name string, now clock.Micros) {
 	if _, isDeleted := term.deletions.deletedAt[name]; isDeleted {
 		return
