--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -87,7 +87,9 @@
 			term.tracker.Machines[name].LastHeartbeatAt -= 20 * clock.Second
 		}
 		term.liveness.resumedAt -= 60 * clock.Second
-		term.liveness.zoneUnreachableAt["x"] = term.liveness.resumedAt // a probe may be sent at a negative instant: the clock starts with the process
+		// The clock starts with the process, so probes may be sent at negative instants, which are before
+		// the zero value of zoneUnreachableAt.
+		term.liveness.zoneUnreachableAt["x"] = term.liveness.resumedAt
 		for round := uint64(0); round < 2; round++ {
 			sent := clock.Now() - health.ProbeTimeout - test.delay
 			for i, name := range names {
