--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -37,7 +37,7 @@
 		term.consolidateReplicas(decision.Drain)
 	}
 	term.logSpares("spot", &decision.SpotSpares)
-	term.logSpares("on_demand", &decision.OrdinarySpares)
+	term.logSpares("on_demand", &decision.OnDemandSpares)
 }
 
 // pendingScaleOuts are the requests that the cloud has not answered yet.
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -13,16 +13,16 @@
 // queue before a full fleet, and with a queue as at the start of a day.
 func BenchmarkPlan(b *testing.B) {
 	for _, testCase := range []struct {
-		name    string
-		filled  float64
-		waiting int
+		name           string
+		filledFraction float64
+		waitingJobs    int
 	}{{"quiet", 0.9, 0}, {"full", 1, 40}, {"start", 0, 300}, {"start of a large day", 0, 900}} {
-		for _, n := range []int{500, 1500, 4000, 6000} {
-			b.Run(fmt.Sprintf("%s/%d", testCase.name, n), func(b *testing.B) {
+		for _, machineCount := range []int{500, 1500, 4000, 6000} {
+			b.Run(fmt.Sprintf("%s/%d", testCase.name, machineCount), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					b.StopTimer()
-					fixture := newFleetFixture(n, testCase.filled, testCase.waiting)
+					fixture := newFleetFixture(machineCount, testCase.filledFraction, testCase.waitingJobs)
 					b.StartTimer()
 					// As a leader does it: again and again, with little changed.
 					for i := 0; i < plansPerIteration; i++ {
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -26,7 +26,7 @@
 	requested    int // machines requested by this plan
 }
 
-func (forecast *capacityForecast) forPool(pool Pool) *poolForecast {
+func (forecast *capacityForecast) findOrAddPool(pool Pool) *poolForecast {
 	for _, capacity := range forecast.pools {
 		if capacity.pool == pool {
 			return capacity
@@ -37,7 +37,7 @@
 	return capacity
 }
 
-func (forecast *capacityForecast) addMachine(capacity *poolForecast, expected expectedMachine) {
+func (forecast *capacityForecast) addExpectedMachine(capacity *poolForecast, expected expectedMachine) {
 	capacity.machineCount++
 	if forecast.minNeed.IsWithin(expected.free) {
 		capacity.expected = append(capacity.expected, expected)
@@ -100,12 +100,12 @@
 			bootTimes[machine.Type] = quantiles
 		}
 		if cycle.isExpected(machine, quantiles.latest) {
-			forecast.addMachine(forecast.forPool(poolOf(machine)), expectedMachine{free: cycle.freeWithin(machine, quantiles.median.Seconds()), machine: machine})
+			forecast.addExpectedMachine(forecast.findOrAddPool(poolOf(machine)), expectedMachine{free: cycle.freeWithin(machine, quantiles.median.Seconds()), machine: machine})
 		}
 	}
 	for _, pending := range pendingScaleOuts {
 		for range pending.Count {
-			forecast.addMachine(forecast.forPool(pending.Pool), expectedMachine{free: cycle.scheduler.MachineCapacity(pending.Pool.Type)})
+			forecast.addExpectedMachine(forecast.findOrAddPool(pending.Pool), expectedMachine{free: cycle.scheduler.MachineCapacity(pending.Pool.Type)})
 		}
 	}
 	return forecast
--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -33,18 +33,18 @@
 	}
 	var best *allocation.Machine
 	for _, machine := range cycle.machines {
-		if machine.Spot || !machine.IsSchedulable() || machine.IsIdle() || usedShare(machine) > maxConsolidatedShare {
+		if machine.Spot || !machine.IsSchedulable() || machine.IsIdle() || dominantUsedShare(machine) > maxConsolidatedShare {
 			continue
 		}
-		if (best == nil || usedShare(machine) < usedShare(best)) && cycle.areReplicasMovable(machine) {
+		if (best == nil || dominantUsedShare(machine) < dominantUsedShare(best)) && cycle.areReplicasMovable(machine) {
 			best = machine
 		}
 	}
 	return best
 }
 
-// usedShare is how much of a machine is used, of what is used most of.
-func usedShare(machine *allocation.Machine) float64 {
+// dominantUsedShare is how much of a machine is used, of what is used most of.
+func dominantUsedShare(machine *allocation.Machine) float64 {
 	return dominantShare(machine.Used(), machine.Capacity)
 }
 
@@ -54,7 +54,7 @@
 	remainingRoom := map[*allocation.Machine]allocation.Resources{}
 	isMovable := true
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
-		isMovable = isMovable && cycle.isMovable(placement) && cycle.takeRoom(placement, remainingRoom)
+		isMovable = isMovable && cycle.isMovable(placement) && cycle.reserveReplicaRoom(placement, remainingRoom)
 	})
 	return isMovable
 }
@@ -64,14 +64,14 @@
 		placement.StartedAt != 0 && cycle.now-placement.StartedAt >= minConsolidationAge
 }
 
-// takeRoom takes room for a replica on another machine; false if there is none. Which of
+// reserveReplicaRoom takes room for a replica on another machine; false if there is none. Which of
 // the machines with room it will be is decided only when the replica has stopped, so all of
 // them have to have its image, or it would be away for a fetch.
-func (cycle *schedulingCycle) takeRoom(placement *allocation.Placement, remainingRoom map[*allocation.Machine]allocation.Resources) bool {
+func (cycle *schedulingCycle) reserveReplicaRoom(placement *allocation.Placement, remainingRoom map[*allocation.Machine]allocation.Resources) bool {
 	job := placement.Job
 	hasRoom := false
 	for _, other := range cycle.machines {
-		if !canTakeReplica(placement, other) {
+		if !canMoveReplica(placement, other) {
 			continue
 		}
 		free, seen := remainingRoom[other]
@@ -92,12 +92,12 @@
 	return hasRoom
 }
 
-// canTakeReplica tells whether a replica may be moved to another machine: one that has
+// canMoveReplica tells whether a replica may be moved to another machine: one that has
 // replicas and is fuller, and that its job allows. Within a zone and type nothing changes
 // for the job; else it has to allow one more task there.
-func canTakeReplica(placement *allocation.Placement, other *allocation.Machine) bool {
+func canMoveReplica(placement *allocation.Placement, other *allocation.Machine) bool {
 	job, machine := placement.Job, placement.Machine
-	if other == machine || other.Spot && !job.Spec.AllowsSpot || !other.IsSchedulable() || other.ReplicaCount() == 0 || usedShare(other) < usedShare(machine) {
+	if other == machine || other.Spot && !job.Spec.AllowsSpot || !other.IsSchedulable() || other.ReplicaCount() == 0 || dominantUsedShare(other) < dominantUsedShare(machine) {
 		return false
 	}
 	return other.Zone == machine.Zone && other.Type == machine.Type || allocation.IsEligible(job, other)
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -43,8 +43,8 @@
 	machineCount int                   // machines that exist, booting ones included
 	withRoom     []*allocation.Machine // usable ones with room
 
-	preemptible    []*allocation.Machine // the result of preemptibleMachines
-	hasPreemptible bool                  // that is worked out
+	preemptible         []*allocation.Machine // the result of preemptibleMachines
+	isPreemptibleListed bool                  // that is worked out
 }
 
 // freeResources is what is free on a machine and not reserved.
@@ -52,8 +52,8 @@
 	return machine.Free().Sub(cycle.reserved[machine.SortIndex])
 }
 
-// poolView finds or adds a pool; there are few.
-func (cycle *schedulingCycle) poolView(pool Pool) *poolView {
+// findOrAddPoolView finds or adds a pool; there are few.
+func (cycle *schedulingCycle) findOrAddPoolView(pool Pool) *poolView {
 	for _, view := range cycle.pools {
 		if view.pool == pool {
 			return view
@@ -86,9 +86,9 @@
 		cycle.busySeconds[i] = -1
 	}
 	for _, machine := range cycle.machines {
-		view := cycle.poolView(poolOf(machine))
+		view := cycle.findOrAddPoolView(poolOf(machine))
 		view.machineCount++
-		cycle.countForZone(machine)
+		cycle.updateZoneHealth(machine)
 		if len(queue) > 0 && cycle.isUsable(machine) && cycle.minNeed.IsWithin(machine.Free()) {
 			view.withRoom = append(view.withRoom, machine)
 		}
@@ -96,9 +96,9 @@
 	return cycle
 }
 
-// countForZone counts a machine for its zone's health. One that an earlier leader requested
+// updateZoneHealth counts a machine for its zone's health. One that an earlier leader requested
 // counts as up: nothing else is known.
-func (cycle *schedulingCycle) countForZone(machine *allocation.Machine) {
+func (cycle *schedulingCycle) updateZoneHealth(machine *allocation.Machine) {
 	if machine.FirstHeartbeatAt == 0 && machine.CreatedAt >= cycle.scheduler.TermStartedAt {
 		return
 	}
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -16,8 +16,8 @@
 	critical         // would be late with the tasks that run now, and in time with more
 )
 
-// goesFirst tells whether a job goes before others of its priority and entitlement.
-func (level urgency) goesFirst() bool { return level >= urgent }
+// hasPrecedence tells whether a job goes before others of its priority and entitlement.
+func (level urgency) hasPrecedence() bool { return level >= urgent }
 
 // String names the level.
 func (level urgency) String() string { return [...]string{"relaxed", "urgent", "critical"}[level] }
@@ -38,9 +38,9 @@
 }
 
 const (
-	// minUrgentSlackSeconds: with less slack than this a job is urgent, however short its run
+	// minUrgencyThresholdSeconds: with less slack than this a job is urgent, however short its run
 	// is. A long run is urgent from a quarter of its time on.
-	minUrgentSlackSeconds = 20
+	minUrgencyThresholdSeconds = 20
 	// alreadyLateSeconds stands for a deadline that had passed before the job could start.
 	alreadyLateSeconds = 0.001
 	// veryLateFactor is the multiple of its time past which a job is very late.
@@ -77,32 +77,32 @@
 // isUrgent tells whether a job's run still fits before its deadline, with little slack. By
 // need and run time alone, the last tasks of a long job would wait for every shorter one
 // that comes. A job that is late anyway has no such claim.
-func (scheduler *Scheduler) isUrgent(job *allocation.Job, minSeconds float64, wall clock.Micros) bool {
+func (scheduler *Scheduler) isUrgent(job *allocation.Job, minSeconds float64, wallNow clock.Micros) bool {
 	deadline := scheduler.deadlineSeconds(job)
 	if deadline == 0 {
 		return false
 	}
-	slack := deadline - (wall - job.ReleasedAt).Seconds() - minSeconds
-	return slack >= 0 && slack < max(minSeconds/4, minUrgentSlackSeconds)
+	slack := deadline - (wallNow - job.ReleasedAt).Seconds() - minSeconds
+	return slack >= 0 && slack < max(minSeconds/4, minUrgencyThresholdSeconds)
 }
 
 // isCritical tells whether a job that has started will miss its deadline with the tasks
 // that run now, though more could still help. For such a job an ordinary machine is worth
 // its price when there are no spot machines.
-func (scheduler *Scheduler) isCritical(queued *queuedJob, wall clock.Micros) bool {
+func (scheduler *Scheduler) isCritical(queued *queuedJob, wallNow clock.Micros) bool {
 	job := queued.job
 	deadline := scheduler.deadlineSeconds(job)
 	if deadline == 0 || queued.lateness != onTime || job.ActiveCount() == 0 {
 		return false
 	}
 	waves := 1 + float64(len(queued.readyTasks))/float64(job.ActiveCount())
-	return (wall-job.ReleasedAt).Seconds()+waves*queued.runSeconds > deadline
+	return (wallNow-job.ReleasedAt).Seconds()+waves*queued.runSeconds > deadline
 }
 
 // latenessOf predicts the lateness of a job that takes minSeconds from now on at the least.
-func (scheduler *Scheduler) latenessOf(job *allocation.Job, minSeconds float64, wall clock.Micros) lateness {
+func (scheduler *Scheduler) latenessOf(job *allocation.Job, minSeconds float64, wallNow clock.Micros) lateness {
 	deadline := scheduler.deadlineSeconds(job)
-	end := (wall - job.ReleasedAt).Seconds() + minSeconds
+	end := (wallNow - job.ReleasedAt).Seconds() + minSeconds
 	switch {
 	case deadline == 0 || end <= deadline:
 		return onTime
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -81,9 +81,9 @@
 	fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Tasks: tasks}, fixture.now)
 }
 
-// newCrowdedFixture has machines with two GPUs each, both used by tasks of an array that end
+// newFullGPUFixture has machines with two GPUs each, both used by tasks of an array that end
 // at different times. No pool has more machines.
-func newCrowdedFixture(t *testing.T, machines int, spec wire.Job) (*schedulerFixture, *allocation.Job) {
+func newFullGPUFixture(t *testing.T, machines int, spec wire.Job) (*schedulerFixture, *allocation.Job) {
 	t.Helper()
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
 	spec.ID, spec.TaskCount, spec.CPUs, spec.GPUs, spec.Team = "req-000001", 2*machines, 5, 1, "a"
@@ -161,17 +161,17 @@
 
 // newFleetFixture has n machines, most of them spot, that are filled to the given part by
 // running tasks of arrays and replicas, and so many more arrays and services that wait.
-func newFleetFixture(n int, filled float64, waiting int) *schedulerFixture {
+func newFleetFixture(machineCount int, filledFraction float64, waitingJobs int) *schedulerFixture {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
-	rng := rand.New(rand.NewPCG(uint64(n), 8))
-	var machines, spotOnly, ordinaryOnly []*allocation.Machine
-	for i := 0; i < n; i++ {
+	rng := rand.New(rand.NewPCG(uint64(machineCount), 8))
+	var machines, spotOnly, onDemandOnly []*allocation.Machine
+	for i := 0; i < machineCount; i++ {
 		machine := fixture.addMachine(fmt.Sprintf("i-%06d", i), "big", []string{"x", "y", "z"}[i%3], i%4 != 0)
 		machines = append(machines, machine)
 		if machine.Spot {
 			spotOnly = append(spotOnly, machine)
 		} else {
-			ordinaryOnly = append(ordinaryOnly, machine)
+			onDemandOnly = append(onDemandOnly, machine)
 		}
 	}
 	id := 0
@@ -195,7 +195,7 @@
 		var job *allocation.Job
 		next := 0
 		for _, machine := range machines {
-			for float64(machine.Used().MilliCPU) < filled*float64(machine.Capacity.MilliCPU) {
+			for float64(machine.Used().MilliCPU) < filledFraction*float64(machine.Capacity.MilliCPU) {
 				if job == nil || next == len(job.Tasks) {
 					job, next = addWaitingJob(jobKind, jobSize), 0
 					job.Spec.SpreadZones = false
@@ -213,14 +213,14 @@
 		}
 	}
 	fillMachines(spotOnly, wire.KindArray, 90)
-	fillMachines(ordinaryOnly, wire.KindService, 8)
+	fillMachines(onDemandOnly, wire.KindService, 8)
 	fixture.now += clock.Second
 	for _, machine := range machines {
 		fixture.tracker.BuildCommandRequest(machine, fixture.now)
 		fixture.tracker.RecordHeartbeat(machine, heartbeats[machine], fixture.now)
 	}
 	fixture.now += 10 * clock.Second
-	for i := 0; i < waiting; i++ {
+	for i := 0; i < waitingJobs; i++ {
 		if i%3 == 0 {
 			addWaitingJob(wire.KindService, 8)
 		} else {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -22,7 +22,7 @@
 func cheapestSlots(queued *queuedJob, slots []gangSlot, readyBy float64) (selected []gangSlot, loss float64) {
 	job, taskCount := queued.job, len(queued.readyTasks)
 	for _, slot := range slots {
-		if !math.IsInf(slot.costBy(readyBy), 1) {
+		if !math.IsInf(slot.costIfReadyBy(readyBy), 1) {
 			selected = append(selected, slot)
 		}
 	}
@@ -30,7 +30,7 @@
 		return nil, 0
 	}
 	slices.SortFunc(selected, func(a, b gangSlot) int {
-		return cmp.Or(cmp.Compare(a.costBy(readyBy), b.costBy(readyBy)), -cmp.Compare(a.score, b.score), cmp.Compare(a.machine.SortIndex, b.machine.SortIndex))
+		return cmp.Or(cmp.Compare(a.costIfReadyBy(readyBy), b.costIfReadyBy(readyBy)), -cmp.Compare(a.score, b.score), cmp.Compare(a.machine.SortIndex, b.machine.SortIndex))
 	})
 	zones := map[string]int{}
 	chosen := selected[:0]
@@ -42,7 +42,7 @@
 			continue
 		}
 		zones[slot.machine.Zone]++
-		loss += slot.costBy(readyBy)
+		loss += slot.costIfReadyBy(readyBy)
 		chosen = append(chosen, slot)
 	}
 	if len(chosen) < taskCount {
@@ -150,17 +150,17 @@
 func (cycle *schedulingCycle) reserveForGang(queued *queuedJob, machine *allocation.Machine, wanted allocation.Resources, readyBy float64) {
 	cycle.gangReserved[machine.SortIndex] = true
 	fetchSeconds := cycle.imageReadySeconds(queued.job, machine)
-	endsInTime := func(placement *allocation.Placement) bool {
+	isEndingInTime := func(placement *allocation.Placement) bool {
 		return drainMargin*cycle.scheduler.remainingSeconds(placement, cycle.now)+fetchSeconds <= readyBy
 	}
 	available := cycle.freeAfterStopping(machine)
 	for _, placement := range cycle.placementsByEnd(machine) {
-		if !placement.IsStopping() && endsInTime(placement) {
+		if !placement.IsStopping() && isEndingInTime(placement) {
 			available = available.Add(placement.Job.Request)
 		}
 	}
 	victims := preemptiblePlacements(machine, func(placement *allocation.Placement) bool {
-		return cycle.mayStop(queued, placement) && !endsInTime(placement)
+		return cycle.mayStop(queued, placement) && !isEndingInTime(placement)
 	})
 	for _, placement := range victims {
 		if wanted.IsWithin(available) {
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -14,7 +14,7 @@
 // GPU is free too. Added after each went to the next array task, and gangs waited for as
 // long as there were any.
 func TestGangReservationHoldsUntilGangFits(t *testing.T) {
-	fixture, batch := newCrowdedFixture(t, 1, wire.Job{EstimatedRunSeconds: 20})
+	fixture, batch := newFullGPUFixture(t, 1, wire.Job{EstimatedRunSeconds: 20})
 	gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, TaskCount: 1, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60, Priority: wire.PriorityNormal})
 	small := fixture.addJob(wire.Job{ID: "req-000003", Team: "b", TaskCount: 5, CPUs: 5, GPUs: 1, EstimatedRunSeconds: 90})
 	fixture.now += 18 * clock.Second
@@ -33,9 +33,9 @@
 // A reservation that could not be filled before a machine requested now is ready is not made:
 // the room serves others meanwhile. An aged gang makes it all the same, so that the largest
 // starts too.
-func TestGangReservationIsBoundedUnlessAged(t *testing.T) {
+func TestGangReservationTimeIsBoundedUnlessAged(t *testing.T) {
 	for _, aged := range []bool{false, true} {
-		fixture, batch := newCrowdedFixture(t, 1, wire.Job{EstimatedRunSeconds: 500})
+		fixture, batch := newFullGPUFixture(t, 1, wire.Job{EstimatedRunSeconds: 500})
 		fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, TaskCount: 1, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60})
 		if aged {
 			fixture.now += fixture.scheduler.Settings.AgingThreshold
@@ -52,14 +52,14 @@
 // Work of lower priority is stopped for a gang where that costs less than the wait for an
 // image elsewhere, and not where it costs more; never work of its own priority, nor what is
 // within another team's quota.
-func TestGangPreemptsWorkCheaperThanItsWait(t *testing.T) {
+func TestGangPreemptsOnlyWhenCheaperThanWaiting(t *testing.T) {
 	for _, testCase := range []struct {
-		name     string
-		age      clock.Micros
-		priority string
-		team     allocation.TeamQuota
-		adopted  bool // an earlier leader started the work
-		stops    int
+		name         string
+		age          clock.Micros
+		priority     string
+		team         allocation.TeamQuota
+		adopted      bool // an earlier leader started the work
+		wantStopping int
 	}{
 		{"young work", 3 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{}, false, 2},
 		{"old work", 300 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{}, false, 0},
@@ -67,7 +67,7 @@
 		{"work of its priority", 3 * clock.Second, wire.PriorityNormal, allocation.TeamQuota{}, false, 0},
 		{"entitled work", 3 * clock.Second, wire.PriorityHigh, allocation.TeamQuota{GuaranteedMilliGPU: 8000}, false, 0},
 	} {
-		fixture, batch := newCrowdedFixture(t, 2, wire.Job{EstimatedRunSeconds: 1000})
+		fixture, batch := newFullGPUFixture(t, 2, wire.Job{EstimatedRunSeconds: 1000})
 		fixture.scheduler.Teams["a"] = testCase.team
 		batch.ForEachPlacement(func(placement *allocation.Placement) { placement.Adopted = testCase.adopted })
 		for _, machine := range fixture.tracker.Machines {
@@ -78,10 +78,10 @@
 			Priority: testCase.priority, Image: "water", ImageSizeGB: 20})
 		fixture.now += testCase.age
 		fixture.plan()
-		if stoppingCount(batch) != testCase.stops {
-			t.Errorf("%s: %d tasks are stopped, want %d", testCase.name, stoppingCount(batch), testCase.stops)
+		if stoppingCount(batch) != testCase.wantStopping {
+			t.Errorf("%s: %d tasks are stopped, want %d", testCase.name, stoppingCount(batch), testCase.wantStopping)
 		}
-		if testCase.stops == 0 && gang.ActiveCount() != 1 {
+		if testCase.wantStopping == 0 && gang.ActiveCount() != 1 {
 			t.Errorf("%s: the gang is not placed on the free machine", testCase.name)
 		}
 	}
--- a/internal/scheduler/gangslots.go
+++ b/internal/scheduler/gangslots.go
@@ -18,9 +18,9 @@
 	score                   float64
 }
 
-// costBy is what it costs, in seconds of a machine's work, to have a slot by some time; +Inf
+// costIfReadyBy is what it costs, in seconds of a machine's work, to have a slot by some time; +Inf
 // if that can't be.
-func (slot *gangSlot) costBy(deadline float64) float64 {
+func (slot *gangSlot) costIfReadyBy(deadline float64) float64 {
 	switch {
 	case slot.readyInSeconds <= deadline:
 		return 0
@@ -75,7 +75,7 @@
 	queued              *queuedJob
 	machine             *allocation.Machine
 	fetchSeconds, score float64
-	isListed            bool // endingPlacements and victims are
+	hasListedPlacements bool // endingPlacements and victims are
 
 	freeIfDrained    allocation.Resources // if nothing is stopped
 	endingPlacements []*allocation.Placement
@@ -109,10 +109,10 @@
 // listPlacements lists, once, what ends by itself and what may be stopped; a machine with
 // enough free room needs neither.
 func (search *slotSearch) listPlacements() {
-	if search.isListed {
+	if search.hasListedPlacements {
 		return
 	}
-	search.isListed = true
+	search.hasListedPlacements = true
 	search.endingPlacements = search.cycle.placementsByEnd(search.machine)
 	search.victims = preemptiblePlacements(search.machine, func(placement *allocation.Placement) bool {
 		return search.cycle.mayStop(search.queued, placement)
@@ -144,16 +144,16 @@
 
 // placementsByEnd lists what will end by itself on a machine, what ends first first.
 func (cycle *schedulingCycle) placementsByEnd(machine *allocation.Machine) []*allocation.Placement {
-	var out []*allocation.Placement
+	var placements []*allocation.Placement
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
 		if !placement.Job.IsService() || placement.IsStopping() {
-			out = append(out, placement)
+			placements = append(placements, placement)
 		}
 	})
-	slices.SortFunc(out, func(a, b *allocation.Placement) int {
+	slices.SortFunc(placements, func(a, b *allocation.Placement) int {
 		return cmp.Or(cmp.Compare(cycle.scheduler.remainingSeconds(a, cycle.now), cycle.scheduler.remainingSeconds(b, cycle.now)), cmp.Compare(a.TaskIndex, b.TaskIndex))
 	})
-	return out
+	return placements
 }
 
 // preemptionLoss is what stopping a task loses, in seconds of a whole machine: its run since
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -9,17 +9,17 @@
 // Points of the placement score. The kind of machine comes first, then the image, then
 // what keeps machines free to be deleted.
 const (
-	pointsForKind         = 100  // spot for jobs that may use it, ordinary for others
-	pointsForReplicas     = 50   // a replica, where there are others
-	pointsForImage        = 20   // the image is there
-	pointsForImageReplica = 60   // the same for a replica, which users wait for
-	pointsForFetch        = 10   // the image is being fetched
-	pointsPerFetch        = 10   // taken off for each other fetch under way
-	pointsPerFetchReplica = 25   // the same for a replica
-	pointsForFailure      = 1000 // taken off where tasks of the job have failed
-	pointsForExtension    = 8    // taken off, at most, for prolonging a machine's use
-	halfExtensionSeconds  = 30   // the prolongation for which half of pointsForExtension are taken off
-	pointsForFullness     = 5    // at most
+	pointsForSpotMatch         = 100  // spot for jobs that may use it, ordinary for others
+	pointsForReplicaColocation = 50   // a replica, where there are others
+	pointsForImage             = 20   // the image is there
+	pointsForImageReplica      = 60   // the same for a replica, which users wait for
+	pointsForFetch             = 10   // the image is being fetched
+	penaltyPerFetch            = 10   // taken off for each other fetch under way
+	penaltyPerFetchReplica     = 25   // the same for a replica
+	penaltyForFailure          = 1000 // taken off where tasks of the job have failed
+	maxPenaltyForExtension     = 8    // taken off, at most, for prolonging a machine's use
+	halfExtensionSeconds       = 30   // the prolongation for which half of maxPenaltyForExtension are taken off
+	maxPointsForFullness       = 5    // at most
 )
 
 // placementScore orders machines for a job, the higher the better: the kind that it should
@@ -27,25 +27,25 @@
 func (cycle *schedulingCycle) placementScore(job *allocation.Job, machine *allocation.Machine) float64 {
 	score := 0.0
 	if job.Spec.AllowsSpot == machine.Spot {
-		score += pointsForKind
+		score += pointsForSpotMatch
 	}
 	if job.IsService() && machine.ReplicaCount() > 0 {
 		// Replicas stay for long, and a machine that has one cannot be deleted: they go
 		// together.
-		score += pointsForReplicas
+		score += pointsForReplicaColocation
 	}
 	score += imageScore(job, machine)
 	if job.FailuresByMachine[machine.Name] > 0 {
-		score -= pointsForFailure
+		score -= penaltyForFailure
 	}
 	if !job.IsService() {
 		// A machine is paid for until its last task ends: a task goes where it
 		// prolongs that least.
 		runSeconds := cycle.scheduler.predictedRunSeconds(job)
 		extension := max(runSeconds-cycle.remainingBusySeconds(machine), 0)
-		score -= pointsForExtension * extension / (extension + halfExtensionSeconds)
+		score -= maxPenaltyForExtension * extension / (extension + halfExtensionSeconds)
 	}
-	score += pointsForFullness * dominantShare(machine.Used().Add(cycle.reserved[machine.SortIndex]), machine.Capacity)
+	score += maxPointsForFullness * dominantShare(machine.Used().Add(cycle.reserved[machine.SortIndex]), machine.Capacity)
 	return score
 }
 
@@ -55,17 +55,17 @@
 func imageScore(job *allocation.Job, machine *allocation.Machine) float64 {
 	switch _, cached := machine.ImageUsedAt[job.Spec.Image]; {
 	case cached && job.IsService():
-		return pointsForImageReplica // more than pointsForReplicas: the image counts before the company
+		return pointsForImageReplica // more than pointsForReplicaColocation: the image counts before the company
 	case cached:
 		return pointsForImage
 	case machine.IsFetching(job.Spec.Image):
 		return pointsForFetch
 	case job.IsService():
-		// From two fetches on this outweighs pointsForReplicas: a replica rather goes to a
+		// From two fetches on this outweighs pointsForReplicaColocation: a replica rather goes to a
 		// machine of its own for a while than wait for several fetches.
-		return -pointsPerFetchReplica * float64(machine.FetchCount())
+		return -penaltyPerFetchReplica * float64(machine.FetchCount())
 	}
-	return -pointsPerFetch * float64(machine.FetchCount())
+	return -penaltyPerFetch * float64(machine.FetchCount())
 }
 
 // remainingBusySeconds is how long, in seconds, the present tasks of a machine will run;
@@ -248,9 +248,9 @@
 // machine.
 func (cycle *schedulingCycle) isBetterZone(job *allocation.Job, a, b *zoneCandidates) bool {
 	switch {
-	case cycle.prefersZone(job, a.zone, b.zone):
+	case cycle.isPreferredZone(job, a.zone, b.zone):
 		return true
-	case cycle.prefersZone(job, b.zone, a.zone):
+	case cycle.isPreferredZone(job, b.zone, a.zone):
 		return false
 	case a.taskCount != b.taskCount:
 		return a.taskCount < b.taskCount
@@ -258,9 +258,9 @@
 	return isBetterCandidate(a.candidates[0], b.candidates[0])
 }
 
-// prefersZone tells whether a job is better off in zone a than in b: replicas outlive the
+// isPreferredZone tells whether a job is better off in zone a than in b: replicas outlive the
 // loss of a zone's network only where a controller inside can renew their leases.
-func (cycle *schedulingCycle) prefersZone(job *allocation.Job, a, b string) bool {
+func (cycle *schedulingCycle) isPreferredZone(job *allocation.Job, a, b string) bool {
 	return job.IsService() && cycle.scheduler.DelegatedZones[a] && !cycle.scheduler.DelegatedZones[b]
 }
 
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -73,9 +73,9 @@
 			imagesByMachine[placement.Machine.Name][job.Spec.Image] = true
 		})
 	}
-	for n, images := range imagesByMachine {
+	for machineName, images := range imagesByMachine {
 		if len(images) > 6 {
-			t.Errorf("%s fetches %d of 12 images at a time", n, len(images))
+			t.Errorf("%s fetches %d of 12 images at a time", machineName, len(images))
 		}
 	}
 	if len(imagesByMachine) < 3 {
@@ -88,17 +88,17 @@
 func TestPlacementMatchesBruteForce(t *testing.T) {
 	placed := 0
 	for seed := uint64(1); seed <= 300; seed++ {
-		fast := placeAll(newPlacementFixture(seed), func(cycle *schedulingCycle, queued *queuedJob) { cycle.placeTasks(queued) })
-		plain := placeAll(newPlacementFixture(seed), bruteForcePlace)
-		if len(fast) != len(plain) {
-			t.Fatalf("load %d: %d tasks placed, plainly %d", seed, len(fast), len(plain))
+		optimized := placeAll(newPlacementFixture(seed), func(cycle *schedulingCycle, queued *queuedJob) { cycle.placeTasks(queued) })
+		bruteForce := placeAll(newPlacementFixture(seed), bruteForcePlace)
+		if len(optimized) != len(bruteForce) {
+			t.Fatalf("load %d: %d tasks placed, plainly %d", seed, len(optimized), len(bruteForce))
 		}
-		for id, machine := range plain {
-			if fast[id] != machine {
-				t.Fatalf("load %d: %s goes to %s, plainly to %s", seed, id, fast[id], machine)
+		for id, machine := range bruteForce {
+			if optimized[id] != machine {
+				t.Fatalf("load %d: %s goes to %s, plainly to %s", seed, id, optimized[id], machine)
 			}
 		}
-		placed += len(plain)
+		placed += len(bruteForce)
 	}
 	if placed < 2000 {
 		t.Fatalf("only %d tasks were placed", placed)
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -29,8 +29,8 @@
 	ScaleIn      []*allocation.Machine // to be deleted
 	// Drain is a machine whose replicas go to others; nil: there is none.
 	Drain *allocation.Machine
-	// SpotSpares and OrdinarySpares tell how the spare targets came about.
-	SpotSpares, OrdinarySpares SpareReport
+	// SpotSpares and OnDemandSpares tell how the spare targets came about.
+	SpotSpares, OnDemandSpares SpareReport
 }
 
 // SpareReport is the record of one choice of a spare target.
@@ -42,10 +42,10 @@
 
 // Plan places what fits, and works out which machines to request, delete and drain. now is
 // of the steady clock; wall is the time of day, which deadlines are in.
-func (scheduler *Scheduler) Plan(tracker *allocation.Tracker, now, wall clock.Micros, pendingScaleOuts []PendingScaleOut) Decision {
+func (scheduler *Scheduler) Plan(tracker *allocation.Tracker, now, wallNow clock.Micros, pendingScaleOuts []PendingScaleOut) Decision {
 	var decision Decision
 	entitled := scheduler.quotaEntitlements(tracker)
-	queue := scheduler.buildQueue(tracker, entitled, now, wall)
+	queue := scheduler.buildQueue(tracker, entitled, now, wallNow)
 	cycle := scheduler.newCycle(tracker, queue, now)
 	cycle.entitled = entitled
 	for _, queued := range queue {
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -15,7 +15,7 @@
 func TestPlanRespectsJobMachineAndQuotaConstraints(t *testing.T) {
 	rng := rand.New(rand.NewPCG(6, 6))
 	placed, gangs := 0, 0
-	for n := 0; n < 400; n++ {
+	for workload := 0; workload < 400; workload++ {
 		fixture := newFixture(map[string]allocation.TeamQuota{"a": {GuaranteedMilliCPU: 8000, MaxMilliCPU: 40000}, "b": {MaxMilliGPU: 3000}})
 		for i := rng.IntN(8); i >= 0; i-- {
 			fixture.addMachine(fmt.Sprint("i-", i), []string{"big", "small"}[rng.IntN(2)], []string{"x", "y"}[rng.IntN(2)], rng.IntN(2) == 0)
@@ -26,30 +26,30 @@
 		for cycleIndex := 0; cycleIndex < 3; cycleIndex++ {
 			for _, request := range fixture.plan().ScaleOut {
 				if request.Count < 1 || request.Count > wire.MaxScaleOutCount {
-					t.Fatalf("load %d: %d machines are requested", n, request.Count)
+					t.Fatalf("load %d: %d machines are requested", workload, request.Count)
 				}
 			}
 			fixture.now += clock.Second
 		}
 		usage := map[string]allocation.Resources{}
 		for _, job := range fixture.tracker.Jobs {
-			taskCount := checkPlacements(t, n, job)
+			taskCount := checkPlacements(t, workload, job)
 			placed += taskCount
 			usage[job.Spec.Team] = usage[job.Spec.Team].Add(job.Request.Times(taskCount))
 			if job.IsGang() && job.ActiveCount() > 0 {
 				gangs++
 				if job.WaitingCount() > 0 {
-					t.Fatalf("load %d: gang %s is placed in part", n, job.Spec.ID)
+					t.Fatalf("load %d: gang %s is placed in part", workload, job.Spec.ID)
 				}
 			}
 		}
 		for _, machine := range fixture.tracker.Machines {
 			if !machine.Used().IsWithin(machine.Capacity) {
-				t.Fatalf("load %d: more than the capacity of %s is used", n, machine.Name)
+				t.Fatalf("load %d: more than the capacity of %s is used", workload, machine.Name)
 			}
 		}
 		if usage["a"].MilliCPU > 40000 || usage["b"].MilliGPU > 3000 {
-			t.Fatalf("load %d: over a team's limit: %v", n, usage)
+			t.Fatalf("load %d: over a team's limit: %v", workload, usage)
 		}
 	}
 	if placed < 1000 || gangs < 20 {
@@ -77,22 +77,22 @@
 
 // checkPlacements checks that all tasks of a job are where it allows them, and returns how
 // many are placed.
-func checkPlacements(t *testing.T, load int, job *allocation.Job) (taskCount int) {
+func checkPlacements(t *testing.T, workload int, job *allocation.Job) (taskCount int) {
 	t.Helper()
 	zones := map[string]int{}
 	job.ForEachPlacement(func(placement *allocation.Placement) {
 		taskCount++
 		zones[placement.Machine.Zone]++
 		if placement.Machine.Spot && !job.Spec.AllowsSpot || job.Spec.Zone != "" && placement.Machine.Zone != job.Spec.Zone || job.Spec.MachineTypes != nil && placement.Machine.Type != "big" {
-			t.Fatalf("load %d: %s in a wrong place", load, job.Spec.ID)
+			t.Fatalf("load %d: %s in a wrong place", workload, job.Spec.ID)
 		}
 	})
 	if job.Spec.SingleZone && len(zones) > 1 {
-		t.Fatalf("load %d: %s in several zones", load, job.Spec.ID)
+		t.Fatalf("load %d: %s in several zones", workload, job.Spec.ID)
 	}
 	for _, count := range zones {
 		if job.Spec.SpreadZones && count > job.MaxTasksPerZone() {
-			t.Fatalf("load %d: %s is not spread", load, job.Spec.ID)
+			t.Fatalf("load %d: %s is not spread", workload, job.Spec.ID)
 		}
 	}
 	return taskCount
@@ -150,13 +150,13 @@
 	fixture.tracker.FinishCommandRequest(unreachable, starts, allocation.CommandExecuted, fixture.now)
 	reachable.Draining = true
 	fixture.plan()
-	n := 0
+	taskCount := 0
 	secondJob.ForEachPlacement(func(placement *allocation.Placement) {
 		if placement.Machine == unreachable {
-			n++
+			taskCount++
 		}
 	})
-	if n == 0 {
+	if taskCount == 0 {
 		t.Fatal("it is reachable again, and gets no task")
 	}
 	suspected := fixture.addMachine("i-2", "small", "x", false)
@@ -178,11 +178,11 @@
 			fixture.now += 100 * clock.Millisecond
 		})
 	}
-	small, large := allocs(100, 6), allocs(2000, 6)
-	if large > 2*small {
-		t.Errorf("a plan before 100 machines allocates %v times, before 2000 %v times", small, large)
+	smallFleet, largeFleet := allocs(100, 6), allocs(2000, 6)
+	if largeFleet > 2*smallFleet {
+		t.Errorf("a plan before 100 machines allocates %v times, before 2000 %v times", smallFleet, largeFleet)
 	}
-	if more := allocs(100, 60); more < 2*small {
-		t.Errorf("ten times the queue allocates %v times, against %v: the test counts the wrong thing", more, small)
+	if longQueue := allocs(100, 60); longQueue < 2*smallFleet {
+		t.Errorf("ten times the queue allocates %v times, against %v: the test counts the wrong thing", longQueue, smallFleet)
 	}
 }
--- a/internal/scheduler/poolchoice.go
+++ b/internal/scheduler/poolchoice.go
@@ -60,7 +60,7 @@
 				if spot {
 					price = machineType.SpotPrice
 				}
-				out = append(out, pricedPool{forecast.forPool(pool), price / float64(tasksPerMachine)})
+				out = append(out, pricedPool{forecast.findOrAddPool(pool), price / float64(tasksPerMachine)})
 			}
 		}
 	}
@@ -98,9 +98,9 @@
 
 func (cycle *schedulingCycle) isPreferredPool(job *allocation.Job, a, b *poolForecast) bool {
 	switch {
-	case cycle.prefersZone(job, a.pool.Zone, b.pool.Zone):
+	case cycle.isPreferredZone(job, a.pool.Zone, b.pool.Zone):
 		return true
-	case cycle.prefersZone(job, b.pool.Zone, a.pool.Zone):
+	case cycle.isPreferredZone(job, b.pool.Zone, a.pool.Zone):
 		return false
 	}
 	return a.machineCount < b.machineCount || a.machineCount == b.machineCount && isPoolBefore(a.pool, b.pool)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -101,10 +101,10 @@
 // preemptibleMachines lists a pool's machines where something may be stopped or is
 // stopping; most others are full of production replicas, which nothing may preempt.
 func (cycle *schedulingCycle) preemptibleMachines(view *poolView) []*allocation.Machine {
-	if view.hasPreemptible {
+	if view.isPreemptibleListed {
 		return view.preemptible
 	}
-	view.hasPreemptible = true
+	view.isPreemptibleListed = true
 	hasPreemptibleReplicas := false
 	for _, job := range cycle.tracker.Jobs {
 		hasPreemptibleReplicas = hasPreemptibleReplicas || job.IsService() && job.Priority > 0
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -118,7 +118,7 @@
 	}
 	return cmp.Or(
 		compareTrueFirst(a.isEntitled, b.isEntitled),
-		compareTrueFirst(a.urgency.goesFirst(), b.urgency.goesFirst()),
+		compareTrueFirst(a.urgency.hasPrecedence(), b.urgency.hasPrecedence()),
 		cmp.Compare(a.lateness, b.lateness),
 		cmp.Compare(a.machinesNeeded, b.machinesNeeded),
 		cmp.Compare(a.remainingWork, b.remainingWork),
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -92,7 +92,7 @@
 			expected.free = expected.free.Sub(job.Request)
 			shortfall.place(capacity.pool.Zone, 1)
 		}
-		forecast.addMachine(capacity, expected)
+		forecast.addExpectedMachine(capacity, expected)
 		if capacity.requested == 0 {
 			growing = append(growing, capacity)
 		}
--- a/internal/scheduler/spares.go
+++ b/internal/scheduler/spares.go
@@ -16,7 +16,7 @@
 	idleToKeep := 0
 	decision.SpotSpares, idleToKeep = cycle.planSpareTarget(spotMachines, queue, pendingScaleOuts, decision)
 	cycle.planScaleIn(spotMachines, idleToKeep, decision)
-	decision.OrdinarySpares, idleToKeep = cycle.planSpareTarget(ordinaryMachines, queue, pendingScaleOuts, decision)
+	decision.OnDemandSpares, idleToKeep = cycle.planSpareTarget(ordinaryMachines, queue, pendingScaleOuts, decision)
 	cycle.planScaleIn(ordinaryMachines, idleToKeep, decision)
 	if len(queue) == 0 && len(pendingScaleOuts) == 0 {
 		decision.Drain = cycle.chooseConsolidation(idleToKeep)
