--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -5,24 +5,24 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// expectedMachine is what will be free on a machine one boot time from now.
+// expectedMachine describes the resources expected to be free on a machine one boot time from now.
 type expectedMachine struct {
 	free    allocation.Resources
-	machine *allocation.Machine // nil if not there yet
+	machine *allocation.Machine // nil if the machine is only requested so far
 }
 
-// capacityForecast holds the expected machines, pool by pool. A machine with no room left
-// for anything that waits is dropped when it is first found too small.
+// capacityForecast holds the expected machines of each pool. A machine that has too little room
+// for any waiting task is left out, or removed when allocate next comes across it.
 type capacityForecast struct {
 	pools   []*poolForecast
-	minNeed allocation.Resources // the component-wise minimum of what waits
+	minNeed allocation.Resources // component-wise minimum of the waiting tasks' requests
 }
 
-// poolForecast is what will be free in a pool.
+// poolForecast describes the machines expected in a pool one boot time from now.
 type poolForecast struct {
 	pool         Pool
 	expected     []expectedMachine
-	machineCount int // machines that exist or boot, and those requested
+	machineCount int // machines that are up, booting or requested
 	requested    int // machines requested by this plan
 }
 
@@ -44,7 +44,8 @@
 	}
 }
 
-// allocate takes room for up to limit tasks in a pool; it returns for how many there was.
+// allocate allocates resources for up to limit tasks in a pool and returns the number of tasks
+// that fit.
 func (forecast *capacityForecast) allocate(capacity *poolForecast, need allocation.Resources, limit int) int {
 	allocated := 0
 	remaining := capacity.expected[:0]
@@ -55,7 +56,7 @@
 			allocated++
 		}
 		if allocated == limit && len(remaining) == i {
-			capacity.expected[i] = expected // nothing was taken out before it
+			capacity.expected[i] = expected // no earlier machine was removed, so the list stays as it is
 			return allocated
 		}
 		if forecast.minNeed.IsWithin(expected.free) {
@@ -66,7 +67,7 @@
 	return allocated
 }
 
-// countFitting counts the tasks of a job that will find room in a zone, up to all of them.
+// countFitting returns how many tasks of a job fit into a zone, at most all of its tasks.
 func (forecast *capacityForecast) countFitting(job *allocation.Job, zone string) int {
 	fitCount := 0
 	for _, capacity := range forecast.pools {
@@ -82,11 +83,11 @@
 	return fitCount
 }
 
-// bootQuantiles are the boot times of a type by which half of its machines are up, and
-// after which one is not counted on any more.
+// bootQuantiles holds two quantiles of a machine type's boot time: half of its machines are up
+// after median, and a machine that is not up after latest is no longer expected.
 type bootQuantiles struct{ median, latest clock.Micros }
 
-// forecastCapacity works out what will be free one boot time from now.
+// forecastCapacity predicts which resources are free one boot time from now.
 func (cycle *schedulingCycle) forecastCapacity(wanted []*queuedJob, pendingScaleOuts []PendingScaleOut) *capacityForecast {
 	forecast := &capacityForecast{minNeed: minNeed(wanted)}
 	bootTimes := map[string]bootQuantiles{}
@@ -111,14 +112,14 @@
 	return forecast
 }
 
-// isUnavailable tells whether a machine will take no tasks: it is drained or reclaimed, kept for
-// a gang, or suspected.
+// isUnavailable reports whether a machine takes no tasks: it is draining, is about to be reclaimed,
+// is reserved for a gang, or is suspected.
 func (cycle *schedulingCycle) isUnavailable(machine *allocation.Machine) bool {
 	return machine.Draining || machine.ReclaimAt != 0 || cycle.gangReserved[machine.SortIndex] ||
 		machine.FirstHeartbeatAt != 0 && !cycle.scheduler.hasRecentHeartbeat(machine, cycle.now)
 }
 
-// freeWithin is what will be free on a machine in so many seconds.
+// freeWithin predicts the resources that are free on a machine after the given number of seconds.
 func (cycle *schedulingCycle) freeWithin(machine *allocation.Machine, seconds float64) allocation.Resources {
 	free := cycle.freeResources(machine)
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
@@ -129,11 +130,12 @@
 	return free
 }
 
-// isExpected tells whether a machine that is not unavailable will take tasks soon: it has seen
-// the token; or has come up less than a heartbeat window ago, and shows with its next
-// heartbeat that it has; or is still within the boot time of its type. Added after machines
-// that had just come up were not counted, and each was requested once more. One that sends
-// heartbeats for longer without having seen the token gets no commands.
+// isExpected reports whether a machine that is not unavailable will soon take tasks. This holds in
+// three cases: its worker has confirmed the fencing token; or its first heartbeat arrived less than
+// a heartbeat window ago, so that its next heartbeat is due to confirm the token; or it has sent no
+// heartbeat and is still within the boot time of its type. The second case was added after machines
+// that had just booted were not counted and each was requested once more. A worker that has sent
+// heartbeats for longer without confirming the token gets no commands.
 func (cycle *schedulingCycle) isExpected(machine *allocation.Machine, latestBootTime clock.Micros) bool {
 	switch {
 	case machine.TokenConfirmed:
--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -6,17 +6,19 @@
 )
 
 const (
-	// minConsolidationAge is how long a replica has to run before it may be moved.
+	// minConsolidationAge is how long a replica must have run before it may be moved.
 	minConsolidationAge = 45 * clock.Second
-	// maxConsolidatedShare is how much of a machine its replicas may use for it to be emptied.
+	// maxConsolidatedShare is the largest used share of a machine that may be emptied by moving its
+	// replicas.
 	maxConsolidatedShare = 0.5
 )
 
-// chooseConsolidation picks an ordinary machine that is at most half used, by replicas
-// alone, all of which fit on other machines that have their images: moved there they are
-// away for a moment only, and the machine can be deleted. The free room that the spare
-// target keeps is not touched. While some ordinary machine boots or is drained none is
-// picked.
+// chooseConsolidation picks an on-demand machine to empty, or returns nil. The machine is at most
+// half used and runs only replicas, all of which fit on other machines that have their images, so
+// that each is down only briefly while it moves. The emptied machine can be deleted. The free
+// capacity that remains after the deletion must cover minFreeMachines, the spare target. No machine
+// is picked while any on-demand machine is draining or has not confirmed the fencing token, as while
+// it boots.
 func (cycle *schedulingCycle) chooseConsolidation(minFreeMachines int) *allocation.Machine {
 	freeMachines := 0.0
 	for _, machine := range cycle.machines {
@@ -43,13 +45,13 @@
 	return best
 }
 
-// dominantUsedShare is how much of a machine is used, of what is used most of.
+// dominantUsedShare returns the used share of a machine's most heavily used resource.
 func dominantUsedShare(machine *allocation.Machine) float64 {
 	return dominantShare(machine.Used(), machine.Capacity)
 }
 
-// areReplicasMovable tells whether a machine has nothing but replicas, each of which may be
-// moved and has room elsewhere.
+// areReplicasMovable reports whether a machine runs nothing but replicas, each of which may be
+// moved and fits on another machine.
 func (cycle *schedulingCycle) areReplicasMovable(machine *allocation.Machine) bool {
 	remainingRoom := map[*allocation.Machine]allocation.Resources{}
 	isMovable := true
@@ -64,9 +66,10 @@
 		placement.StartedAt != 0 && cycle.now-placement.StartedAt >= minConsolidationAge
 }
 
-// reserveReplicaRoom takes room for a replica on another machine; false if there is none. Which of
-// the machines with room it will be is decided only when the replica has stopped, so all of
-// them have to have its image, or it would be away for a fetch.
+// reserveReplicaRoom reserves room for a replica on another machine and reports whether there is
+// room. The replica's new machine is chosen only after the replica has stopped, and can be any of
+// the machines with room. All of them must therefore have its image: otherwise the replica could be
+// down for as long as an image fetch takes.
 func (cycle *schedulingCycle) reserveReplicaRoom(placement *allocation.Placement, remainingRoom map[*allocation.Machine]allocation.Resources) bool {
 	job := placement.Job
 	hasRoom := false
@@ -92,9 +95,10 @@
 	return hasRoom
 }
 
-// canMoveReplica tells whether a replica may be moved to another machine: one that has
-// replicas and is fuller, and that its job allows. Within a zone and type nothing changes
-// for the job; else it has to allow one more task there.
+// canMoveReplica reports whether a replica may move to another machine. That machine must be
+// schedulable, run replicas already, be at least as full, and be allowed by the job. A move within
+// the same zone and machine type always satisfies the job's constraints; otherwise the job must
+// allow one more task on the other machine.
 func canMoveReplica(placement *allocation.Placement, other *allocation.Machine) bool {
 	job, machine := placement.Job, placement.Machine
 	if other == machine || other.Spot && !job.Spec.AllowsSpot || !other.IsSchedulable() || other.ReplicaCount() == 0 || dominantUsedShare(other) < dominantUsedShare(machine) {
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -5,55 +5,57 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// schedulingCycle is the working state of one plan. What it looks at is bounded by what
-// waits and by the machines that have room for some of it: most of a large
-// fleet is full most of the time.
+// schedulingCycle is the working state of one plan. The work of a plan is bounded by the waiting
+// jobs and by the machines that have room for some of them, since most machines of a large fleet are
+// full most of the time.
 type schedulingCycle struct {
 	scheduler  *Scheduler
 	tracker    *allocation.Tracker
 	now        clock.Micros
-	machines   []*allocation.Machine // sorted; a machine's SortIndex is its index here
+	machines   []*allocation.Machine // sorted; a machine's SortIndex is its index in this slice
 	pools      []*poolView
-	minNeed    allocation.Resources     // the component-wise minimum of the needs in the queue
+	minNeed    allocation.Resources     // component-wise minimum of the queued jobs' requests
 	entitled   map[*allocation.Job]bool // jobs within their team's guaranteed quota
 	zoneHealth map[string]*zoneHealth
 
-	// By SortIndex; the first three are the scheduler's buffers.
-	reserved     []allocation.Resources // for jobs whose starts are not recorded yet, and gangs
-	gangReserved []bool                 // a gang waits here until more of the machine is free
-	busySeconds  []float64              // until the last task ends; -1: not worked out
-	releasing    []allocation.Resources // used by tasks that are stopping; nil: not worked out
+	// These slices are indexed by SortIndex. The first three are the scheduler's reused buffers.
+	reserved     []allocation.Resources // room for jobs whose starts are not recorded yet, and for gangs
+	gangReserved []bool                 // whether a gang has reserved room that is not all free yet
+	busySeconds  []float64              // seconds until the last task ends; -1 if not computed yet
+	releasing    []allocation.Resources // resources of stopping tasks; the slice is nil until computed
 }
 
-// zoneHealth counts a zone's machines that were up, and those of them with a recent heartbeat.
+// zoneHealth counts the machines of a zone that have been up, and how many of them have a recent
+// heartbeat.
 type zoneHealth struct{ upCount, recentCount int }
 
-// isZoneSuspected tells whether fewer than a third of a zone's machines, of three or more,
-// have a recent heartbeat: a new one there would probably be unreachable too. Added after
-// all machines requested for the replicas of a zone without network came up in that zone,
-// as it had the fewest machines left.
+// isZoneSuspected reports whether a zone has at least three machines that have been up and fewer
+// than a third of them have a recent heartbeat: a new machine there would probably be unreachable
+// too. Added after a zone lost its network and all machines requested to replace its replicas were
+// requested in that same zone, because it had the fewest machines left.
 func (cycle *schedulingCycle) isZoneSuspected(zone string) bool {
 	health := cycle.zoneHealth[zone]
 	return health != nil && health.upCount >= 3 && 3*health.recentCount < health.upCount
 }
 
-// poolView is what a plan knows of a pool.
+// poolView is what a plan knows about a pool.
 type poolView struct {
 	pool         Pool
-	machineCount int                   // machines that exist, booting ones included
-	withRoom     []*allocation.Machine // usable ones with room
+	machineCount int                   // existing machines, including booting ones
+	withRoom     []*allocation.Machine // usable machines with room for at least minNeed
 
-	preemptible         []*allocation.Machine // the result of preemptibleMachines
-	isPreemptibleListed bool                  // that is worked out
+	preemptible         []*allocation.Machine // result of preemptibleMachines, once computed
+	isPreemptibleListed bool                  // whether preemptible has been computed
 }
 
-// freeResources is what is free on a machine and not reserved.
+// freeResources returns the resources of a machine that are neither used nor reserved.
 func (cycle *schedulingCycle) freeResources(machine *allocation.Machine) allocation.Resources {
 	return machine.Free().Sub(cycle.reserved[machine.SortIndex])
 }
 
-// findOrAddPoolView finds or adds a pool; there are few.
-func (cycle *schedulingCycle) findOrAddPoolView(pool Pool) *poolView {
+// poolView returns the view of a pool and adds it if it is missing. The search is linear
+// because there are few pools.
+func (cycle *schedulingCycle) poolView(pool Pool) *poolView {
 	for _, view := range cycle.pools {
 		if view.pool == pool {
 			return view
@@ -73,8 +75,8 @@
 	return 0
 }
 
-// newCycle starts a plan for a queue: it sorts the machines into pools and counts those
-// that send heartbeats.
+// newCycle starts a plan for a queue. It groups the machines by pool and counts, for each zone,
+// the machines with a recent heartbeat.
 func (scheduler *Scheduler) newCycle(tracker *allocation.Tracker, queue []*queuedJob, now clock.Micros) *schedulingCycle {
 	cycle := &schedulingCycle{scheduler: scheduler, tracker: tracker, now: now, machines: tracker.SortedMachines(), minNeed: minNeed(queue), zoneHealth: map[string]*zoneHealth{}}
 	buffers := &scheduler.buffers
@@ -86,7 +88,7 @@
 		cycle.busySeconds[i] = -1
 	}
 	for _, machine := range cycle.machines {
-		view := cycle.findOrAddPoolView(poolOf(machine))
+		view := cycle.poolView(poolOf(machine))
 		view.machineCount++
 		cycle.updateZoneHealth(machine)
 		if len(queue) > 0 && cycle.isUsable(machine) && cycle.minNeed.IsWithin(machine.Free()) {
@@ -96,8 +98,8 @@
 	return cycle
 }
 
-// updateZoneHealth counts a machine for its zone's health. One that an earlier leader requested
-// counts as up: nothing else is known.
+// updateZoneHealth counts a machine in its zone's health unless it is still booting. A machine
+// requested by an earlier leader counts as having been up, because this leader can't tell.
 func (cycle *schedulingCycle) updateZoneHealth(machine *allocation.Machine) {
 	if machine.FirstHeartbeatAt == 0 && machine.CreatedAt >= cycle.scheduler.TermStartedAt {
 		return
@@ -113,13 +115,13 @@
 	}
 }
 
-// isUsable tells whether a machine may get tasks now: it is schedulable, has a recent
-// heartbeat, accepts commands, and is not backing off after failed tasks.
+// isUsable reports whether a machine may get tasks now: it is schedulable, has a recent heartbeat,
+// can be reached by commands, and is not backing off after task failures.
 func (cycle *schedulingCycle) isUsable(machine *allocation.Machine) bool {
 	return machine.IsSchedulable() && cycle.now >= max(machine.UnreachableUntil, machine.BackoffUntil) && cycle.scheduler.hasRecentHeartbeat(machine, cycle.now)
 }
 
-// zeroedSlice returns n zeroed elements, in the buffer if that is large enough.
+// zeroedSlice returns a slice of n zeroed elements. It reuses the buffer if that is large enough.
 func zeroedSlice[T any](buffer []T, n int) []T {
 	if cap(buffer) < n {
 		return make([]T, n, n+n/4)
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -7,48 +7,49 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// urgency is how near a job's deadline is, as long as it can be met.
+// urgency classifies how close a job is to missing a deadline that it can still meet.
 type urgency int
 
 const (
 	relaxed  urgency = iota
-	urgent           // can be in time only if it starts soon
-	critical         // would be late with the tasks that run now, and in time with more
+	urgent           // meets its deadline only if its waiting tasks start soon
+	critical         // misses its deadline with the tasks that run now, but can meet it with more
 )
 
-// hasPrecedence tells whether a job goes before others of its priority and entitlement.
+// hasPrecedence reports whether a job is placed before others of the same priority and entitlement.
 func (level urgency) hasPrecedence() bool { return level >= urgent }
 
-// String names the level.
+// String returns the name of the urgency level.
 func (level urgency) String() string { return [...]string{"relaxed", "urgent", "critical"}[level] }
 
-// lateness is by how much a job is going to miss its deadline. When not all can be done in
-// time, those that can are not held up by those that cannot.
+// lateness classifies by how much a job will miss its deadline. If not all jobs can meet their
+// deadlines, the jobs that can go before the jobs that cannot.
 type lateness int
 
 const (
 	onTime   lateness = iota
-	late              // by up to half of the time that it had
-	veryLate          // by more
+	late              // takes up to half as long again as its deadline allows
+	veryLate          // takes longer than that
 )
 
-// String names the level.
+// String returns the name of the lateness level.
 func (level lateness) String() string {
 	return [...]string{"on time", "late", "very late"}[level]
 }
 
 const (
-	// minUrgencyThresholdSeconds: with less slack than this a job is urgent, however short its run
-	// is. A long run is urgent from a quarter of its time on.
+	// minUrgencyThresholdSeconds is the smallest slack threshold for urgency: a job with less slack
+	// is urgent, however short its run is. For a long run the threshold is a quarter of the run time.
 	minUrgencyThresholdSeconds = 20
-	// alreadyLateSeconds stands for a deadline that had passed before the job could start.
+	// alreadyLateSeconds replaces the time limit of a job whose deadline passed before the job could
+	// start. It is above 0, because 0 stands for no deadline.
 	alreadyLateSeconds = 0.001
-	// veryLateFactor is the multiple of its time past which a job is very late.
+	// veryLateFactor is the multiple of its time limit beyond which a job is very late.
 	veryLateFactor = 1.5
 )
 
-// deadlineSeconds is when a job should be done, in seconds from the instant from which its
-// waits count; 0: it has no deadline.
+// deadlineSeconds returns the time within which a job should be done, in seconds from its
+// ReleasedAt, from which its waiting time counts. It returns 0 if the job has no deadline.
 func (scheduler *Scheduler) deadlineSeconds(job *allocation.Job) float64 {
 	switch {
 	case job.IsService():
@@ -61,8 +62,8 @@
 	return scheduler.CompletionObjectives[job.Spec.Class]
 }
 
-// minCompletionSeconds is how long the waiting tasks of a job take at the least, in seconds:
-// its team's limit may not let all of them run at a time.
+// minCompletionSeconds returns the shortest time, in seconds, in which the waiting tasks of a job
+// can finish. They may need several waves, since the team's limit may not let all run at once.
 func (scheduler *Scheduler) minCompletionSeconds(job *allocation.Job, runSeconds float64) float64 {
 	quota := scheduler.Teams[job.Spec.Team]
 	waves := 1.0
@@ -74,9 +75,9 @@
 	return waves * runSeconds
 }
 
-// isUrgent tells whether a job's run still fits before its deadline, with little slack. By
-// need and run time alone, the last tasks of a long job would wait for every shorter one
-// that comes. A job that is late anyway has no such claim.
+// isUrgent reports whether a job can still meet its deadline, but with little slack. If jobs were
+// ordered by need and run time alone, the last tasks of a long job would wait for every shorter job
+// that arrives. A job that will be late anyway gets no such precedence.
 func (scheduler *Scheduler) isUrgent(job *allocation.Job, minSeconds float64, wallNow clock.Micros) bool {
 	deadline := scheduler.deadlineSeconds(job)
 	if deadline == 0 {
@@ -86,9 +87,9 @@
 	return slack >= 0 && slack < max(minSeconds/4, minUrgencyThresholdSeconds)
 }
 
-// isCritical tells whether a job that has started will miss its deadline with the tasks
-// that run now, though more could still help. For such a job an ordinary machine is worth
-// its price when there are no spot machines.
+// isCritical reports whether a job that has running tasks will miss its deadline with these tasks
+// alone, although it could meet the deadline with more. Such a job is worth the price of an
+// on-demand machine if no spot machines are available.
 func (scheduler *Scheduler) isCritical(queued *queuedJob, wallNow clock.Micros) bool {
 	job := queued.job
 	deadline := scheduler.deadlineSeconds(job)
@@ -99,7 +100,7 @@
 	return (wallNow-job.ReleasedAt).Seconds()+waves*queued.runSeconds > deadline
 }
 
-// latenessOf predicts the lateness of a job that takes minSeconds from now on at the least.
+// latenessOf predicts the lateness of a job that needs at least minSeconds from now on.
 func (scheduler *Scheduler) latenessOf(job *allocation.Job, minSeconds float64, wallNow clock.Micros) lateness {
 	deadline := scheduler.deadlineSeconds(job)
 	end := (wallNow - job.ReleasedAt).Seconds() + minSeconds
