--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -8,17 +8,17 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// A gang starts with its last task, whole machines are rare where most tasks take a part of
-// one, and room that becomes free would go to the next small task before enough of it is
-// free together. So for each place it is worked out when it will be ready, its image
-// fetched, and what work would have to be stopped for that, and what costs least is
-// reserved. The reserved amount is withheld from jobs later in the queue; other gangs skip
-// the machine. A reservation lasts one plan; the next one makes it again or drops it. See
-// docs/design.md, "Gangs".
+// The tasks of a gang start together, so the gang waits until its last task has a place. Few machines
+// are entirely free, since most tasks use only part of one, and room that becomes free would go to
+// the next small task before enough of it is free at the same time. The scheduler therefore works
+// out, for each possible slot, when the slot will be ready with the gang's image fetched and which
+// work would have to be stopped for that, and reserves the cheapest slots. Jobs later in the queue
+// can't use the reserved amount, and other gangs skip the machine altogether. A reservation lasts for
+// one plan; the next plan renews or drops it. See docs/design.md, "Gangs".
 
-// cheapestSlots picks the cheapest slots that are ready by some time for all tasks of a
-// gang, and of equal ones the best, with the work that is lost for them; nil if there are
-// not enough.
+// cheapestSlots selects, for all tasks of a gang, the cheapest slots that are ready within readyBy
+// seconds, and among equally cheap ones those with the highest score. It returns the slots and the
+// work lost for them, in seconds of a machine's work. It returns nil if there are not enough slots.
 func cheapestSlots(queued *queuedJob, slots []gangSlot, readyBy float64) (selected []gangSlot, loss float64) {
 	job, taskCount := queued.job, len(queued.readyTasks)
 	for _, slot := range slots {
@@ -51,16 +51,17 @@
 	return chosen, loss
 }
 
-// chooseSlots weighs, for a gang, every second that it waits against the work that is
-// stopped to have it wait less. It returns the slots, when the last of them is ready, in
-// seconds, and what they cost; nil and +Inf if there are not enough.
+// chooseSlots chooses the slots of a gang so that the cost of waiting and the cost of stopped work
+// are lowest in total: every second of waiting costs GangWaitWeight for each task. It returns the
+// slots, the seconds until the last of them is ready, and the cost. It returns nil slots and a cost
+// of +Inf if there are not enough.
 func (cycle *schedulingCycle) chooseSlots(queued *queuedJob, slots []gangSlot) (best []gangSlot, readyBy, cost float64) {
-	taskCount := float64(len(queued.job.Tasks)) // all of them wait
+	taskCount := float64(len(queued.job.Tasks)) // all tasks of the gang wait, not only the unplaced ones
 	cost = math.Inf(1)
 	for _, seconds := range cycle.candidateTimes(queued, slots) {
 		wait := cycle.scheduler.Settings.GangWaitWeight * taskCount * seconds
 		if wait >= cost {
-			break // later is dearer, whatever is stopped
+			break // all later times cost more, even if no work is stopped for them
 		}
 		if selected, loss := cheapestSlots(queued, slots, seconds); selected != nil && wait+loss < cost {
 			best, readyBy, cost = selected, seconds, wait+loss
@@ -69,8 +70,8 @@
 	return best, readyBy, cost
 }
 
-// candidateTimes lists the whole seconds at which some slot will be ready, soonest first, as
-// far as a gang may reserve room for so long; an aged one may for any time.
+// candidateTimes returns the times at which some slot will be ready, rounded up to whole seconds, in
+// ascending order. It leaves out times beyond maxReservationSeconds, unless the gang is aged.
 func (cycle *schedulingCycle) candidateTimes(queued *queuedJob, slots []gangSlot) []float64 {
 	maxSeconds := cycle.maxReservationSeconds(queued.job, slots)
 	var times []float64
@@ -85,16 +86,17 @@
 	return slices.Compact(times)
 }
 
-// maxReservationSeconds bounds how long a gang may keep room from others: as long as a
-// machine requested now would take to be ready. The type of the first slot stands for all.
+// maxReservationSeconds returns the longest time for which a gang may reserve room, which is as long
+// as a machine requested now would take to boot and fetch the image. The machine type of the first
+// slot stands for all types.
 func (cycle *schedulingCycle) maxReservationSeconds(job *allocation.Job, slots []gangSlot) float64 {
 	typeName := slots[0].machine.Type
 	return cycle.scheduler.BootTime(typeName, medianBoot).Seconds() + cycle.scheduler.imageFetchSeconds(job, typeName)
 }
 
-// placeGang places all tasks of a gang, or all that it has lost before it was complete, or
-// none. It may reserve room that is not free yet instead. It returns what placeOnSlots does,
-// or 0.
+// placeGang places either all waiting tasks of a gang or none. In a gang that is partly placed these
+// are the tasks that it lost before it was complete. If the best slots are not all free yet, it
+// reserves them instead. It returns the result of placeOnSlots, or 0 if it did not call that.
 func (cycle *schedulingCycle) placeGang(queued *queuedJob) int {
 	if len(queued.readyTasks) != queued.job.WaitingCount() || queued.taskLimit < len(queued.readyTasks) {
 		return 0
@@ -110,8 +112,8 @@
 	return cycle.placeOnSlots(queued, slots)
 }
 
-// bestSlots chooses slots for a gang, in the best zone if it has to have all its tasks in
-// one, and when they are ready, in seconds.
+// bestSlots chooses the slots of a gang and returns them with the seconds until all are ready. For
+// a gang that needs all its tasks in one zone it chooses the cheapest zone.
 func (cycle *schedulingCycle) bestSlots(queued *queuedJob) (best []gangSlot, bestReadyBy float64) {
 	zones := []string{""}
 	if queued.job.Spec.SingleZone {
@@ -130,8 +132,8 @@
 	return best, bestReadyBy
 }
 
-// reserveSlots keeps room for a gang, and stops what has to be stopped to have it by
-// then. Nothing is requested for the gang as long as it has a reservation.
+// reserveSlots reserves room for a gang and stops the work that has to be stopped for the room to be
+// free in time. No machines are requested for the gang while it has a reservation.
 func (cycle *schedulingCycle) reserveSlots(queued *queuedJob, slots []gangSlot, readyBy float64) {
 	queued.hasReservation = true
 	slotsByMachine := map[*allocation.Machine]int{}
@@ -145,8 +147,8 @@
 	}
 }
 
-// reserveForGang keeps room on one machine, and stops what would not end in time by itself,
-// as far as the room needs it.
+// reserveForGang reserves room on one machine. As far as the room requires it, it stops placements
+// that would not end in time by themselves.
 func (cycle *schedulingCycle) reserveForGang(queued *queuedJob, machine *allocation.Machine, wanted allocation.Resources, readyBy float64) {
 	cycle.gangReserved[machine.SortIndex] = true
 	fetchSeconds := cycle.imageReadySeconds(queued.job, machine)
@@ -172,9 +174,8 @@
 	cycle.reserved[machine.SortIndex] = componentMin(wanted, machine.Free())
 }
 
-// placeOnSlots places a gang on slots that are free. Until its starts are recorded it only
-// reserves the room. It returns the number of tasks that it has placed or has reserved room
-// for.
+// placeOnSlots places a gang on slots that are free. If the job's starts are not recorded yet, it
+// only reserves the room. It returns the number of tasks that it placed or reserved room for.
 func (cycle *schedulingCycle) placeOnSlots(queued *queuedJob, slots []gangSlot) int {
 	job := queued.job
 	if !job.StartsRecorded {
@@ -189,7 +190,7 @@
 	}
 	for index, slot := range slots {
 		if cycle.tracker.PlaceTask(job, queued.readyTasks[index], slot.machine, attempt, cycle.now) != nil {
-			cycle.tracker.StopJob(job, 0) // it cannot start whole: end what this attempt has
+			cycle.tracker.StopJob(job, 0) // the gang can't start whole, so stop the tasks placed in this attempt
 			return 0
 		}
 	}
--- a/internal/scheduler/gangslots.go
+++ b/internal/scheduler/gangslots.go
@@ -8,18 +8,19 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// gangSlot is room for one task of a gang. Times are seconds from now.
+// gangSlot is room for one task of a gang on a machine. Its times are in seconds from now and include
+// the image fetch.
 type gangSlot struct {
 	machine                 *allocation.Machine
-	isFree                  bool    // there is room now
-	readyInSeconds          float64 // ready, image and all, if what is there ends by itself
-	preemptedReadyInSeconds float64 // ready if work is stopped for it
-	preemptionLoss          float64 // seconds of a machine's work that are lost by that
-	score                   float64
+	isFree                  bool    // whether the room is free now
+	readyInSeconds          float64 // when the slot is ready if the current tasks end by themselves; +Inf if never
+	preemptedReadyInSeconds float64 // when the slot is ready if work is stopped for it; +Inf if never
+	preemptionLoss          float64 // work lost by stopping, in seconds of a machine's work
+	score                   float64 // placement score of the machine
 }
 
-// costIfReadyBy is what it costs, in seconds of a machine's work, to have a slot by some time; +Inf
-// if that can't be.
+// costIfReadyBy returns the cost of having the slot ready by the deadline, in seconds of a machine's
+// work; +Inf if the slot can't be ready by then.
 func (slot *gangSlot) costIfReadyBy(deadline float64) float64 {
 	switch {
 	case slot.readyInSeconds <= deadline:
@@ -31,16 +32,16 @@
 }
 
 const (
-	// drainMargin is the safety factor on predicted run times, which are means.
+	// drainMargin is a safety factor on predicted run times, because the predictions are means.
 	drainMargin = 1.25
-	// stopSeconds is how long a task that writes no checkpoint takes to stop.
+	// stopSeconds is how long it takes to stop a task that writes no checkpoint.
 	stopSeconds = 0.5
-	// restartLossSeconds is what a stopped task loses beside its progress: it has to be placed
-	// again, mostly with an image fetch.
+	// restartLossSeconds is what a stopped task loses in addition to its progress: it has to be placed
+	// again, mostly with another image fetch.
 	restartLossSeconds = 15
 )
 
-// gangSlots lists where tasks of a gang could go in a zone, or anywhere if that is empty.
+// gangSlots returns the possible slots for tasks of a gang in a zone, or in all zones if zone is "".
 func (cycle *schedulingCycle) gangSlots(queued *queuedJob, zone string) []gangSlot {
 	var slots []gangSlot
 	for _, machine := range cycle.machines {
@@ -68,25 +69,26 @@
 	return slots
 }
 
-// slotSearch finds the slots of one machine, one after the other: each by what ends by
-// itself, and by what is stopped, beyond what the slots before it need.
+// slotSearch finds the slots of one machine one after another. It tracks separately which placements
+// have ended if the gang waits and which are stopped if it preempts, in both cases for all slots
+// found so far.
 type slotSearch struct {
 	cycle               *schedulingCycle
 	queued              *queuedJob
 	machine             *allocation.Machine
 	fetchSeconds, score float64
-	hasListedPlacements bool // endingPlacements and victims are
+	hasListedPlacements bool // whether endingPlacements and victims have been listed
 
-	freeIfDrained    allocation.Resources // if nothing is stopped
-	endingPlacements []*allocation.Placement
-	drainSeconds     float64
+	freeIfDrained    allocation.Resources    // free resources if nothing is stopped
+	endingPlacements []*allocation.Placement // placements that drainUntilFits has not counted as ended
+	drainSeconds     float64                 // seconds until the last placement counted as ended does end
 
-	freeIfPreempted allocation.Resources
-	victims         []*allocation.Placement
-	loss            float64
+	freeIfPreempted allocation.Resources    // free resources if work is stopped
+	victims         []*allocation.Placement // placements that may be stopped and are not counted as stopped
+	loss            float64                 // work lost by all stops counted so far, in seconds of a machine's work
 }
 
-// next returns the next slot; false if the machine has no other.
+// next returns the next slot, or false if the machine has no further slot.
 func (search *slotSearch) next() (gangSlot, bool) {
 	request := search.queued.job.Request
 	slot := gangSlot{machine: search.machine, isFree: request.IsWithin(search.freeIfDrained), readyInSeconds: math.Inf(1), preemptedReadyInSeconds: math.Inf(1), score: search.score}
@@ -106,8 +108,8 @@
 	return slot, true
 }
 
-// listPlacements lists, once, what ends by itself and what may be stopped; a machine with
-// enough free room needs neither.
+// listPlacements lists the placements that end by themselves and those that may be stopped. It does
+// so at most once, and not at all for a machine with enough free room.
 func (search *slotSearch) listPlacements() {
 	if search.hasListedPlacements {
 		return
@@ -120,7 +122,8 @@
 	search.freeIfPreempted = search.cycle.freeAfterStopping(search.machine)
 }
 
-// drainUntilFits lets placements end until there is room; false if there never is.
+// drainUntilFits counts placements as ended, in the order of their ends, until the request fits. It
+// reports whether the request fits.
 func (search *slotSearch) drainUntilFits(request allocation.Resources) bool {
 	for len(search.endingPlacements) > 0 && !request.IsWithin(search.freeIfDrained) {
 		ending := search.endingPlacements[0]
@@ -131,7 +134,8 @@
 	return request.IsWithin(search.freeIfDrained)
 }
 
-// preemptUntilFits stops placements until there is room; false if there never is.
+// preemptUntilFits counts placements as stopped until the request fits. It reports whether the
+// request fits.
 func (search *slotSearch) preemptUntilFits(request allocation.Resources) bool {
 	for len(search.victims) > 0 && !request.IsWithin(search.freeIfPreempted) {
 		victim := search.victims[0]
@@ -142,7 +146,7 @@
 	return request.IsWithin(search.freeIfPreempted)
 }
 
-// placementsByEnd lists what will end by itself on a machine, what ends first first.
+// placementsByEnd returns the placements of a machine that end by themselves, the earliest end first.
 func (cycle *schedulingCycle) placementsByEnd(machine *allocation.Machine) []*allocation.Placement {
 	var placements []*allocation.Placement
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
@@ -156,8 +160,8 @@
 	return placements
 }
 
-// preemptionLoss is what stopping a task loses, in seconds of a whole machine: its run since
-// its last checkpoint, and a new start.
+// preemptionLoss returns the work lost by stopping a task, in seconds of a whole machine: its run
+// since its last checkpoint, and its restart.
 func (cycle *schedulingCycle) preemptionLoss(placement *allocation.Placement) float64 {
 	elapsed := cycle.scheduler.elapsedSeconds(placement, cycle.now)
 	if checkpointInterval := placement.Job.Spec.CheckpointIntervalSeconds; checkpointInterval > 0 {
@@ -166,15 +170,15 @@
 	return (elapsed + restartLossSeconds) * dominantShare(placement.Job.Request, placement.Machine.Capacity)
 }
 
-// imageReadySeconds is how long, in seconds, a machine takes until it has a job's image:
-// fetches share its rate.
+// imageReadySeconds returns the seconds until a machine has a job's image. All fetches of a machine
+// share its fetch rate.
 func (cycle *schedulingCycle) imageReadySeconds(job *allocation.Job, machine *allocation.Machine) float64 {
 	if _, ok := machine.ImageUsedAt[job.Spec.Image]; ok {
 		return 0
 	}
 	fetchSeconds := cycle.scheduler.imageFetchSeconds(job, machine.Type)
 	if machine.IsFetching(job.Spec.Image) {
-		return fetchSeconds / 2 // under way since an unknown instant
+		return fetchSeconds / 2 // expected rest of a fetch that began at an unknown time
 	}
 	return fetchSeconds * float64(1+machine.FetchCount())
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -6,32 +6,33 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// Points of the placement score. The kind of machine comes first, then the image, then
-// what keeps machines free to be deleted.
+// Points of the placement score, in order of weight: penalties for task failures, then a match of spot
+// or on-demand, then the image, then what leaves other machines idle so that they can be deleted.
 const (
-	pointsForSpotMatch         = 100  // spot for jobs that may use it, ordinary for others
-	pointsForReplicaColocation = 50   // a replica, where there are others
-	pointsForImage             = 20   // the image is there
-	pointsForImageReplica      = 60   // the same for a replica, which users wait for
-	pointsForFetch             = 10   // the image is being fetched
-	penaltyPerFetch            = 10   // taken off for each other fetch under way
+	pointsForSpotMatch         = 100  // a spot machine for a job that allows spot, an on-demand machine for others
+	pointsForReplicaColocation = 50   // a replica on a machine that already has replicas
+	pointsForImage             = 20   // the machine has the job's image
+	pointsForImageReplica      = 60   // the same for a replica, whose start users wait for
+	pointsForFetch             = 10   // the machine is fetching the job's image
+	penaltyPerFetch            = 10   // for each image in flight on a machine that would also have to fetch the job's
 	penaltyPerFetchReplica     = 25   // the same for a replica
-	penaltyForFailure          = 1000 // taken off where tasks of the job have failed
-	maxPenaltyForExtension     = 8    // taken off, at most, for prolonging a machine's use
-	halfExtensionSeconds       = 30   // the prolongation for which half of maxPenaltyForExtension are taken off
-	maxPointsForFullness       = 5    // at most
+	penaltyForFailure          = 1000 // tasks of the job have failed on the machine
+	maxPenaltyForExtension     = 8    // limit of the penalty for extending the time that the machine is in use
+	halfExtensionSeconds       = 30   // extension that costs half of maxPenaltyForExtension
+	maxPointsForFullness       = 5    // points for a machine that is entirely used
 )
 
-// placementScore orders machines for a job, the higher the better: the kind that it should
-// use, the image there, then the fullest, so that others become idle and can be deleted.
+// placementScore rates a machine for a job; higher is better. It prefers the right choice of spot or
+// on-demand, then a machine that has the image, then the fullest machine, so that others become idle
+// and can be deleted.
 func (cycle *schedulingCycle) placementScore(job *allocation.Job, machine *allocation.Machine) float64 {
 	score := 0.0
 	if job.Spec.AllowsSpot == machine.Spot {
 		score += pointsForSpotMatch
 	}
 	if job.IsService() && machine.ReplicaCount() > 0 {
-		// Replicas stay for long, and a machine that has one cannot be deleted: they go
-		// together.
+		// Replicas run for a long time, and a machine that has one can't be deleted, so replicas are
+		// placed together.
 		score += pointsForReplicaColocation
 	}
 	score += imageScore(job, machine)
@@ -39,8 +40,8 @@
 		score -= penaltyForFailure
 	}
 	if !job.IsService() {
-		// A machine is paid for until its last task ends: a task goes where it
-		// prolongs that least.
+		// A machine is paid for until its last task ends, so a task goes where it extends that time
+		// the least.
 		runSeconds := cycle.scheduler.predictedRunSeconds(job)
 		extension := max(runSeconds-cycle.remainingBusySeconds(machine), 0)
 		score -= maxPenaltyForExtension * extension / (extension + halfExtensionSeconds)
@@ -49,27 +50,27 @@
 	return score
 }
 
-// imageScore is the part of the score for the job's image. Fetches share a machine's rate.
-// Added after many replicas that had lost their machines went to one machine after the
-// other, where each fetched every image there is.
+// imageScore returns the part of the score that depends on the job's image. All fetches of a machine
+// share its fetch rate. Added after many replicas that had lost their machines were all placed on
+// one machine after another, each of which then fetched every image.
 func imageScore(job *allocation.Job, machine *allocation.Machine) float64 {
 	switch _, cached := machine.ImageUsedAt[job.Spec.Image]; {
 	case cached && job.IsService():
-		return pointsForImageReplica // more than pointsForReplicaColocation: the image counts before the company
+		return pointsForImageReplica // above pointsForReplicaColocation: having the image matters more
 	case cached:
 		return pointsForImage
 	case machine.IsFetching(job.Spec.Image):
 		return pointsForFetch
 	case job.IsService():
-		// From two fetches on this outweighs pointsForReplicaColocation: a replica rather goes to a
-		// machine of its own for a while than wait for several fetches.
+		// From two fetches on, the penalty exceeds or equals pointsForReplicaColocation: a replica is
+		// better off without other replicas for a while than waiting for several fetches.
 		return -penaltyPerFetchReplica * float64(machine.FetchCount())
 	}
 	return -penaltyPerFetch * float64(machine.FetchCount())
 }
 
-// remainingBusySeconds is how long, in seconds, the present tasks of a machine will run;
-// worked out once in a plan.
+// remainingBusySeconds returns the seconds until the last present task of a machine ends, +Inf if the
+// machine has a replica. The result is computed once per plan.
 func (cycle *schedulingCycle) remainingBusySeconds(machine *allocation.Machine) float64 {
 	busy := &cycle.busySeconds[machine.SortIndex]
 	if *busy < 0 {
@@ -81,20 +82,21 @@
 	return *busy
 }
 
-// candidate is a machine that a job may use now.
+// candidate is a machine on which a task of a job can start now.
 type candidate struct {
 	machine *allocation.Machine
 	score   float64
 }
 
-// candidateHeap is a heap with the best on top, by score, then by name: a job of ten tasks
-// need not sort a thousand machines. Push and Pop are there for heap.Interface alone.
+// candidateHeap is a heap of candidates with the best one, by score and then by name, at the top. With
+// a heap a job of ten tasks need not sort a thousand machines. Push and Pop exist only to satisfy
+// heap.Interface.
 type candidateHeap []candidate
 
 // Len implements sort.Interface.
 func (candidates candidateHeap) Len() int { return len(candidates) }
 
-// Less implements sort.Interface; the better candidate comes first.
+// Less implements sort.Interface. The better candidate sorts first.
 func (candidates candidateHeap) Less(a, b int) bool {
 	return isBetterCandidate(candidates[a], candidates[b])
 }
@@ -114,7 +116,7 @@
 	return x
 }
 
-// removeBest drops the best one.
+// removeBest removes the best candidate.
 func (candidates *candidateHeap) removeBest() {
 	n := len(*candidates) - 1
 	(*candidates)[0] = (*candidates)[n]
@@ -124,12 +126,12 @@
 	}
 }
 
-// forEachCandidate visits the machines with room for a task of the job, pool by pool.
-// Machines with no room left for anything that waits are dropped from the plan's lists.
+// forEachCandidate calls visit for each machine with room for a task of the job, pool by pool. It
+// removes machines without room for any waiting task from the pool views.
 func (cycle *schedulingCycle) forEachCandidate(job *allocation.Job, visit func(*allocation.Machine)) {
 	for _, view := range cycle.pools {
 		if len(view.withRoom) == 0 || !allocation.IsEligible(job, view.withRoom[0]) {
-			continue // what a job allows depends on the pool alone
+			continue // eligibility depends only on the pool, so one machine stands for all
 		}
 		remaining := view.withRoom[:0]
 		for _, machine := range view.withRoom {
@@ -150,9 +152,9 @@
 	cycle.reserved[machine.SortIndex] = cycle.reserved[machine.SortIndex].Add(need)
 }
 
-// placeTasks places independent tasks. Until the job's starts are recorded it only reserves
-// the room: the record has to be durable first. It returns the number of tasks that it has
-// placed or has reserved room for.
+// placeTasks places independent tasks. If the job's starts are not recorded yet, it only reserves the
+// room, because the record has to be durable before any task starts. It returns the number of tasks
+// that it placed or reserved room for.
 func (cycle *schedulingCycle) placeTasks(queued *queuedJob) int {
 	job := queued.job
 	maxTasks := min(len(queued.readyTasks), queued.taskLimit)
@@ -188,14 +190,14 @@
 	return placed
 }
 
-// zoneCandidates are the machines of one zone that a spread job may use now.
+// zoneCandidates holds the machines of one zone on which a task of a spread job can start now.
 type zoneCandidates struct {
 	zone       string
 	candidates candidateHeap
-	taskCount  int // tasks of the job in the zone
+	taskCount  int // number of the job's tasks in the zone
 }
 
-// placeSpread places tasks one by one, each in the zone that has the fewest.
+// placeSpread places the tasks of a spread job one by one, each in the zone that bestZone picks.
 func (cycle *schedulingCycle) placeSpread(job *allocation.Job, maxTasks int, place func(*allocation.Machine) bool) {
 	zones := cycle.candidatesByZone(job)
 	for placed := 0; placed < maxTasks; {
@@ -230,7 +232,7 @@
 	return zones
 }
 
-// bestZone picks the zone for the next task of a spread job; nil if none may have another.
+// bestZone picks the zone for the next task of a spread job, or nil if no zone may have another task.
 func (cycle *schedulingCycle) bestZone(job *allocation.Job, zones []*zoneCandidates) *zoneCandidates {
 	var best *zoneCandidates
 	for _, zone := range zones {
@@ -244,8 +246,8 @@
 	return best
 }
 
-// isBetterZone compares by the job's preference, then by its tasks there, then by the best
-// machine.
+// isBetterZone reports whether zone a is better than zone b for the next task of a spread job. It
+// compares the job's zone preference, then the number of the job's tasks there, then the best machine.
 func (cycle *schedulingCycle) isBetterZone(job *allocation.Job, a, b *zoneCandidates) bool {
 	switch {
 	case cycle.isPreferredZone(job, a.zone, b.zone):
@@ -258,8 +260,8 @@
 	return isBetterCandidate(a.candidates[0], b.candidates[0])
 }
 
-// isPreferredZone tells whether a job is better off in zone a than in b: replicas outlive the
-// loss of a zone's network only where a controller inside can renew their leases.
+// isPreferredZone reports whether a job should run in zone a rather than in zone b. Replicas survive
+// a network outage of their zone only if a controller inside the zone can renew their leases.
 func (cycle *schedulingCycle) isPreferredZone(job *allocation.Job, a, b string) bool {
 	return job.IsService() && cycle.scheduler.DelegatedZones[a] && !cycle.scheduler.DelegatedZones[b]
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -20,28 +20,31 @@
 	Count int
 }
 
-// Decision is what a plan wants done beside placements and stops, which the tracker has
-// already.
+// Decision lists what the leader has to carry out after a plan. Placements and stops are not in it,
+// because the plan makes them in the tracker directly.
 type Decision struct {
-	// RecordStarts are jobs that have room and whose starts are to be recorded first.
+	// RecordStarts are the jobs for which there is room, but whose starts have to be recorded before
+	// any task is placed.
 	RecordStarts []*allocation.Job
-	ScaleOut     []ScaleOutRequest     // in the order of need
-	ScaleIn      []*allocation.Machine // to be deleted
-	// Drain is a machine whose replicas go to others; nil: there is none.
+	ScaleOut     []ScaleOutRequest     // machines to request, the most needed first
+	ScaleIn      []*allocation.Machine // machines to delete
+	// Drain is a machine to empty by moving its replicas to other machines, or nil.
 	Drain *allocation.Machine
-	// SpotSpares and OnDemandSpares tell how the spare targets came about.
+	// SpotSpares and OnDemandSpares report how the spare targets were chosen.
 	SpotSpares, OnDemandSpares SpareReport
 }
 
-// SpareReport is the record of one choice of a spare target.
+// SpareReport reports how a spare target was chosen.
 type SpareReport struct {
 	ArrivalScreen, RunTimeScreen forecast.ScreenResult
-	IsEnabled                    bool // the screen passed, nothing waits in vain, an arrival is recent
-	Cost                         forecast.SpareCost
+	// IsEnabled is true if the demand passed the screen, every waiting job will find room within one
+	// boot time, and a job has arrived recently.
+	IsEnabled bool
+	Cost      forecast.SpareCost
 }
 
-// Plan places what fits, and works out which machines to request, delete and drain. now is
-// of the steady clock; wall is the time of day, which deadlines are in.
+// Plan places the tasks that fit and decides which machines to request, delete and drain. now is
+// monotonic time; wallNow is wall-clock time, in which deadlines are given.
 func (scheduler *Scheduler) Plan(tracker *allocation.Tracker, now, wallNow clock.Micros, pendingScaleOuts []PendingScaleOut) Decision {
 	var decision Decision
 	entitled := scheduler.quotaEntitlements(tracker)
@@ -58,8 +61,8 @@
 	return decision
 }
 
-// placeJob places as much of a job as fits, or of one whose starts are not recorded yet
-// reserves the room.
+// placeJob places as many tasks of a job as fit. If the job's starts are not recorded yet, it only
+// reserves the room for them.
 func (cycle *schedulingCycle) placeJob(queued *queuedJob, decision *Decision) {
 	job := queued.job
 	queued.taskLimit = cycle.quotaAllowance(job)
