--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -9,8 +9,8 @@
 
 const plansPerIteration = 10
 
-// The curve of a plan over the size of the fleet: with nothing to do, with a
-// queue before a full fleet, and with a queue as at the start of a day.
+// BenchmarkPlan measures how the time of a plan grows with the fleet: without waiting jobs, with a
+// queue and a full fleet, and with a queue and an empty fleet as at the start of a day.
 func BenchmarkPlan(b *testing.B) {
 	for _, testCase := range []struct {
 		name           string
@@ -24,7 +24,7 @@
 					b.StopTimer()
 					fixture := newFleetFixture(machineCount, testCase.filledFraction, testCase.waitingJobs)
 					b.StartTimer()
-					// As a leader does it: again and again, with little changed.
+					// A leader plans again and again, with few changes in between.
 					for i := 0; i < plansPerIteration; i++ {
 						fixture.plan()
 						fixture.now += clock.Second / plansPerIteration
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -31,8 +31,8 @@
 
 // isZoneSuspected reports whether a zone has at least three machines that have been up and fewer
 // than a third of them have a recent heartbeat: a new machine there would probably be unreachable
-// too. Added after a zone lost its network and all machines requested to replace its replicas were
-// requested in that same zone, because it had the fewest machines left.
+// too. Added after a zone lost its network and all machines requested for its replicas came up in
+// that same zone, because it had the fewest machines left.
 func (cycle *schedulingCycle) isZoneSuspected(zone string) bool {
 	health := cycle.zoneHealth[zone]
 	return health != nil && health.upCount >= 3 && 3*health.recentCount < health.upCount
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -38,11 +38,12 @@
 }
 
 const (
-	// minUrgencyThresholdSeconds is the smallest slack threshold for urgency: a job with less slack
-	// is urgent, however short its run is. For a long run the threshold is a quarter of the run time.
+	// minUrgencyThresholdSeconds is the smallest slack threshold for urgency: a job with less slack is
+	// urgent, however short its run is. For a long job the threshold is a quarter of the job's
+	// minCompletionSeconds.
 	minUrgencyThresholdSeconds = 20
-	// alreadyLateSeconds replaces the time limit of a job whose deadline passed before the job could
-	// start. It is above 0, because 0 stands for no deadline.
+	// alreadyLateSeconds replaces the time limit of a job whose deadline had passed before the job
+	// could start. It is above 0, because 0 stands for no deadline.
 	alreadyLateSeconds = 0.001
 	// veryLateFactor is the multiple of its time limit beyond which a job is very late.
 	veryLateFactor = 1.5
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -30,7 +30,7 @@
 	heartbeatSeqs map[string]uint64
 }
 
-// newFixture has two machine types and no machines; its heartbeat window is an hour.
+// newFixture returns a fixture with two machine types, no machines and a heartbeat window of 1 h.
 func newFixture(teams map[string]allocation.TeamQuota) *schedulerFixture {
 	types := []wire.MachineType{
 		{Name: "big", CPUs: 16, GPUs: 2, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 0.4, BootSeconds: 15, FetchGBPerSecond: 1, Zones: []string{"x", "y", "z"}},
@@ -43,7 +43,7 @@
 	return fixture
 }
 
-// addMachine adds a machine that has sent a heartbeat and seen the token.
+// addMachine adds a machine that has sent a heartbeat and confirmed the fencing token.
 func (fixture *schedulerFixture) addMachine(name, typeName, zone string, spot bool) *allocation.Machine {
 	machine := fixture.tracker.AddMachine(name, typeName, zone, spot, fixture.scheduler.MachineCapacity(typeName), fixture.now)
 	machine.RecordedInStore = true
@@ -52,7 +52,7 @@
 	return machine
 }
 
-// addJob adds a waiting job, by default an array of normal priority.
+// addJob adds a waiting job. The kind is array and the priority normal, unless spec sets them.
 func (fixture *schedulerFixture) addJob(spec wire.Job) *allocation.Job {
 	if spec.Priority == "" {
 		spec.Priority = wire.PriorityNormal
@@ -63,12 +63,12 @@
 	return fixture.tracker.AddJob(&spec, fixture.now, fixture.now, true, nil)
 }
 
-// plan plans at the present time, with no request pending.
+// plan runs a plan at the fixture's current time without pending scale-out requests.
 func (fixture *schedulerFixture) plan() Decision {
 	return fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 }
 
-// reportTasks sends a heartbeat of a machine with all that is placed on it, in one state.
+// reportTasks sends a heartbeat that lists all tasks on the machine that are not stopping, in taskState.
 func (fixture *schedulerFixture) reportTasks(machine *allocation.Machine, taskState string) {
 	fixture.tracker.HeartbeatCommands(machine, fixture.now)
 	var tasks []wire.TaskStatus
@@ -81,8 +81,8 @@
 	fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Tasks: tasks}, fixture.now)
 }
 
-// newFullGPUFixture has machines with two GPUs each, both used by tasks of an array that end
-// at different times. No pool has more machines.
+// newFullGPUFixture returns a fixture with machines of two GPUs each, and the array job whose tasks
+// use all these GPUs. All pools count as empty, so no further machines can be requested at first.
 func newFullGPUFixture(t *testing.T, machines int, spec wire.Job) (*schedulerFixture, *allocation.Job) {
 	t.Helper()
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
@@ -104,7 +104,7 @@
 	return fixture, batchJob
 }
 
-// stoppingCount counts the tasks of a job that are being stopped.
+// stoppingCount returns the number of a job's tasks that are being stopped.
 func stoppingCount(job *allocation.Job) (n int) {
 	job.ForEachPlacement(func(placement *allocation.Placement) {
 		if placement.IsStopping() {
@@ -114,7 +114,7 @@
 	return n
 }
 
-// completeTask sends a heartbeat in which one task of its machine has completed.
+// completeTask sends a heartbeat that reports one task as completed and the machine's others as running.
 func (fixture *schedulerFixture) completeTask(job *allocation.Job, index int) {
 	machine := job.Tasks[index].Placement.Machine
 	var tasks []wire.TaskStatus
@@ -129,8 +129,8 @@
 	fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Tasks: tasks}, fixture.now)
 }
 
-// simulateSecond simulates the workers for a second: what was placed starts, what has had its
-// run time completes.
+// simulateSecond advances the time by a second and has the workers report: placed tasks run, and
+// tasks that have run for their job's run time complete. It records each job's first start.
 func (fixture *schedulerFixture) simulateSecond(runTimes, firstStarts map[*allocation.Job]clock.Micros) {
 	fixture.now += clock.Second
 	for _, machine := range fixture.tracker.SortedMachines() {
@@ -159,8 +159,9 @@
 	}
 }
 
-// newFleetFixture has n machines, most of them spot, that are filled to the given part by
-// running tasks of arrays and replicas, and so many more arrays and services that wait.
+// newFleetFixture returns a fixture with machineCount machines, three quarters of them spot. Running
+// tasks of arrays (spot) and services (on-demand) fill each machine to filledFraction, and
+// waitingJobs further arrays and services wait.
 func newFleetFixture(machineCount int, filledFraction float64, waitingJobs int) *schedulerFixture {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
 	rng := rand.New(rand.NewPCG(uint64(machineCount), 8))
@@ -190,7 +191,7 @@
 		fixture.heartbeatSeqs[machine.Name]++
 		heartbeats[machine] = &wire.Heartbeat{MachineID: machine.Name, Incarnation: 1, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}
 	}
-	// fillMachines places running tasks of jobs of a kind and size on machines.
+	// fillMachines fills the machines with running tasks of jobs of the given kind and size.
 	fillMachines := func(machines []*allocation.Machine, jobKind string, jobSize int) {
 		var job *allocation.Job
 		next := 0
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -10,9 +10,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A GPU that becomes free is kept for a gang whose turn it is, until the machine's other
-// GPU is free too. Added after each went to the next array task, and gangs waited for as
-// long as there were any.
+// A GPU that becomes free must be reserved for the gang at the head of the queue until the machine's
+// other GPU is free too. Without the reservation each GPU went to the next array task, and gangs
+// waited for as long as there were such tasks.
 func TestGangReservationHoldsUntilGangFits(t *testing.T) {
 	fixture, batch := newFullGPUFixture(t, 1, wire.Job{EstimatedRunSeconds: 20})
 	gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, TaskCount: 1, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60, Priority: wire.PriorityNormal})
@@ -21,17 +21,17 @@
 	fixture.completeTask(batch, 0)
 	fixture.plan()
 	if small.ActiveCount() != 0 {
-		t.Fatal("a GPU that a gang waits for went to an array")
+		t.Fatal("array tasks were placed on the GPU reserved for the gang, want none")
 	}
 	fixture.completeTask(batch, 1)
 	fixture.plan()
 	if gang.ActiveCount() != 1 || small.ActiveCount() != 0 {
-		t.Fatalf("the gang has %d places, the array %d", gang.ActiveCount(), small.ActiveCount())
+		t.Fatalf("got %d gang tasks and %d array tasks placed, want 1 and 0", gang.ActiveCount(), small.ActiveCount())
 	}
 }
 
-// A reservation that could not be filled before a machine requested now is ready is not made:
-// the room serves others meanwhile. An aged gang makes it all the same, so that the largest
+// A gang must not reserve room that becomes free only after a machine requested now would be ready:
+// other jobs use that room meanwhile. An aged gang reserves it nevertheless, so that the largest gang
 // starts too.
 func TestGangReservationTimeIsBoundedUnlessAged(t *testing.T) {
 	for _, aged := range []bool{false, true} {
@@ -44,14 +44,14 @@
 		fixture.completeTask(batch, 0)
 		fixture.plan()
 		if (small.ActiveCount() == 0) != aged {
-			t.Errorf("aged %v: %d tasks were placed on the free GPU", aged, small.ActiveCount())
+			t.Errorf("aged %v: got %d tasks placed on the free GPU, want none only if the gang is aged", aged, small.ActiveCount())
 		}
 	}
 }
 
-// Work of lower priority is stopped for a gang where that costs less than the wait for an
-// image elsewhere, and not where it costs more; never work of its own priority, nor what is
-// within another team's quota.
+// Work of lower priority must be stopped for a gang where that costs less than waiting for an image
+// fetch elsewhere, and not where it costs more. Work of the gang's own priority and work within
+// another team's guaranteed quota are never stopped.
 func TestGangPreemptsOnlyWhenCheaperThanWaiting(t *testing.T) {
 	for _, testCase := range []struct {
 		name         string
@@ -73,26 +73,26 @@
 		for _, machine := range fixture.tracker.Machines {
 			machine.ImageUsedAt["water"] = fixture.now
 		}
-		fixture.addMachine("i-99", "big", "x", false) // free, without the image
+		fixture.addMachine("i-99", "big", "x", false) // free, but without the gang's image
 		gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, TaskCount: 1, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60,
 			Priority: testCase.priority, Image: "water", ImageSizeGB: 20})
 		fixture.now += testCase.age
 		fixture.plan()
 		if stoppingCount(batch) != testCase.wantStopping {
-			t.Errorf("%s: %d tasks are stopped, want %d", testCase.name, stoppingCount(batch), testCase.wantStopping)
+			t.Errorf("%s: got %d tasks being stopped, want %d", testCase.name, stoppingCount(batch), testCase.wantStopping)
 		}
 		if testCase.wantStopping == 0 && gang.ActiveCount() != 1 {
-			t.Errorf("%s: the gang is not placed on the free machine", testCase.name)
+			t.Errorf("%s: the gang was not placed on the free machine", testCase.name)
 		}
 	}
 }
 
-// Under a stream of small jobs in an overloaded fleet the largest gang starts within the four
-// minutes that the users allow, and gangs start whole.
+// Under a stream of small jobs in an overloaded fleet, the largest gang must start within the four
+// minutes that users accept, and all its tasks must be placed together.
 func TestLargestGangDoesNotStarve(t *testing.T) {
 	rng := rand.New(rand.NewPCG(9, 9))
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {}})
-	fixture.scheduler.Settings.GangWaitWeight = 0 // by reservations alone, with nothing stopped
+	fixture.scheduler.Settings.GangWaitWeight = 0 // waiting costs nothing, so reservations alone help the gang
 	for i := range 8 {
 		fixture.addMachine(fmt.Sprintf("i-%02d", i), "big", "x", false)
 	}
@@ -130,21 +130,21 @@
 			}
 		}
 		if large != nil && large.ActiveCount() != 0 && large.ActiveCount() != 6 && large.DoneCount() == 0 {
-			t.Fatalf("%d of six tasks placed", large.ActiveCount())
+			t.Fatalf("got %d tasks of the large gang placed, want all 6 or none", large.ActiveCount())
 		}
 		if large != nil && large.ActiveCount() == 6 {
 			if waited := fixture.now - large.ReleasedAt; waited > 240*clock.Second {
-				t.Fatalf("started after %v s", waited.Seconds())
+				t.Fatalf("the large gang started after %v s, want at most 240 s", waited.Seconds())
 			}
 			return
 		}
 		fixture.now += clock.Second
 	}
-	t.Fatal("the large gang never started")
+	t.Fatal("the large gang did not start within 400 s")
 }
 
-// A gang that loses a task before it has been complete gets another with the same
-// attempt; the images that the others have fetched are not given up.
+// A gang that loses a task before it is complete must get a replacement in the same attempt: a new
+// attempt would discard the images that the other tasks have fetched.
 func TestIncompleteGangReplacesLostTaskInSameAttempt(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	for i := range 3 {
@@ -160,26 +160,26 @@
 	fixture.tracker.RemoveMachine(lost, fixture.now)
 	fixture.plan()
 	if gang.ActiveCount() != 2 || gang.GangAttempt != attempt || stoppingCount(gang) != 0 {
-		t.Fatalf("%d places, attempt %d after %d, %d are stopped", gang.ActiveCount(), gang.GangAttempt, attempt, stoppingCount(gang))
+		t.Fatalf("got %d tasks placed in attempt %d, want 2 in attempt %d; got %d stopping, want 0", gang.ActiveCount(), gang.GangAttempt, attempt, stoppingCount(gang))
 	}
-	// Once it has run, the loss of one ends the others.
+	// Once the gang has run, the loss of one task must stop the others.
 	for _, machine := range fixture.tracker.SortedMachines() {
 		fixture.reportTasks(machine, wire.TaskRunning)
 	}
 	fixture.tracker.RemoveMachine(gang.Tasks[1].Placement.Machine, fixture.now)
 	fixture.plan()
 	if stoppingCount(gang) != 1 || gang.ActiveCount() != 1 {
-		t.Fatalf("%d places, %d are stopped", gang.ActiveCount(), stoppingCount(gang))
+		t.Fatalf("after a loss while running: got %d tasks placed, %d of them stopping, want 1 and 1", gang.ActiveCount(), stoppingCount(gang))
 	}
 }
 
-// A gang that no possible fleet can hold waits and costs nothing: once every pool was empty,
-// no machine is requested for a part of it. Other jobs are served.
+// A gang that is too large for any possible fleet must wait without cost: once every pool has been
+// found empty, no machine may be requested for part of the gang. Other jobs must still be placed.
 func TestNoScaleOutForInfeasibleGang(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	huge := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", Kind: wire.KindGang, TaskCount: 100000, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60, MachineTypes: []string{"big"}})
 	if decision := fixture.plan(); len(decision.ScaleOut) == 0 {
-		t.Fatal("no machine is requested for a gang before any pool was empty")
+		t.Fatal("got no machine requested for the gang before any pool was found empty, want some")
 	}
 	for i := range 6 {
 		fixture.addMachine(fmt.Sprintf("i-%d", i), "big", []string{"x", "y", "z"}[i%3], false)
@@ -188,8 +188,8 @@
 		fixture.scheduler.ObserveEmptyPool(Pool{"big", zone, false}, fixture.now)
 	}
 	small := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindGang, TaskCount: 2, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60})
-	fixture.now += 60 * clock.Second // the backoff of the pools is over
+	fixture.now += 60 * clock.Second // past the backoff of the pools
 	if decision := fixture.plan(); len(decision.ScaleOut) != 0 || small.ActiveCount() != 2 || huge.ActiveCount() != 0 {
-		t.Fatalf("requested %v, %d of two tasks placed, %d of the huge gang", decision.ScaleOut, small.ActiveCount(), huge.ActiveCount())
+		t.Fatalf("got scale-out requests %v, %d small and %d huge gang tasks placed, want none, 2 and 0", decision.ScaleOut, small.ActiveCount(), huge.ActiveCount())
 	}
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -6,15 +6,16 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// Points of the placement score, in order of weight: penalties for task failures, then a match of spot
-// or on-demand, then the image, then what leaves other machines idle so that they can be deleted.
+// Points and penalties of the placement score. Failures on the machine outweigh all else. The match of
+// spot or on-demand comes next, then the image, then what leaves other machines idle so that they can
+// be deleted.
 const (
 	pointsForSpotMatch         = 100  // a spot machine for a job that allows spot, an on-demand machine for others
 	pointsForReplicaColocation = 50   // a replica on a machine that already has replicas
 	pointsForImage             = 20   // the machine has the job's image
 	pointsForImageReplica      = 60   // the same for a replica, whose start users wait for
 	pointsForFetch             = 10   // the machine is fetching the job's image
-	penaltyPerFetch            = 10   // for each image in flight on a machine that would also have to fetch the job's
+	penaltyPerFetch            = 10   // for each image being fetched, if the job's image is not among them or there
 	penaltyPerFetchReplica     = 25   // the same for a replica
 	penaltyForFailure          = 1000 // tasks of the job have failed on the machine
 	maxPenaltyForExtension     = 8    // limit of the penalty for extending the time that the machine is in use
@@ -62,8 +63,8 @@
 	case machine.IsFetching(job.Spec.Image):
 		return pointsForFetch
 	case job.IsService():
-		// From two fetches on, the penalty exceeds or equals pointsForReplicaColocation: a replica is
-		// better off without other replicas for a while than waiting for several fetches.
+		// From two fetches on, the penalty is at least pointsForReplicaColocation: a replica is better
+		// off on a machine without other replicas for a while than waiting for several fetches.
 		return -penaltyPerFetchReplica * float64(machine.FetchCount())
 	}
 	return -penaltyPerFetch * float64(machine.FetchCount())
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -9,9 +9,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Replicas go, and machines are requested for them, to zones where a controller can renew
-// leases while the zone has no network, as far as the job allows. Added after a zone without
-// a controller lost its network, and with it a third of the replicas.
+// As far as the job allows, replicas must be placed, and machines for them requested, in zones where a
+// controller can renew leases during a network outage of the zone. Guards against losing all replicas
+// in a zone without a controller: such a zone lost its network and with it a third of the replicas.
 func TestReplicasPreferDelegatedZones(t *testing.T) {
 	fixture := newFixture(nil)
 	fixture.scheduler.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: []string{"x", "y", "z"}}})
@@ -26,20 +26,20 @@
 	decision := fixture.plan()
 	for _, request := range decision.ScaleOut {
 		if request.Pool.Zone == "x" {
-			t.Errorf("requested in a zone without delegation: %+v", decision.ScaleOut)
+			t.Errorf("got scale-out requests %+v, want none in zone x, which has no delegate", decision.ScaleOut)
 		}
 	}
 	if len(decision.ScaleOut) == 0 {
-		t.Fatal("no machine is requested")
+		t.Fatal("got no machine requested for the replicas, want some")
 	}
 	for _, zone := range []string{"x", "y", "z"} {
 		fixture.addMachine("i-"+zone, "m", zone, false)
 	}
 	fixture.plan()
 	if byZone := countByZone(job); byZone["x"] != 0 || byZone["y"]+byZone["z"] != 5 {
-		t.Errorf("placed at %v", byZone)
+		t.Errorf("got replicas by zone %v, want all 5 in y and z", byZone)
 	}
-	// One zone with delegation may not have them all.
+	// A single zone with a delegate must not get all replicas of a spread job.
 	fixture = newFixture(nil)
 	fixture.scheduler.DelegatedZones = map[string]bool{"y": true}
 	fixture.addMachine("i-x", "big", "x", false)
@@ -47,12 +47,12 @@
 	job = fixture.addJob(wire.Job{Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 5, CPUs: 1, MemoryGB: 1, SpreadZones: true})
 	fixture.plan()
 	if byZone := countByZone(job); byZone["y"] != 3 || byZone["x"] != 2 {
-		t.Errorf("with delegation in one zone placed at %v", byZone)
+		t.Errorf("with a delegate only in zone y: got replicas by zone %v, want 3 in y and 2 in x", byZone)
 	}
 }
 
-// Replicas with many images go to more machines than would hold them: fetches
-// share a machine's rate.
+// Replicas with many different images must be spread over more machines than their size requires,
+// because all fetches of a machine share its fetch rate.
 func TestImageFetchesAreSpreadOverMachines(t *testing.T) {
 	fixture := newFixture(nil)
 	for i := 0; i < 4; i++ {
@@ -75,37 +75,37 @@
 	}
 	for machineName, images := range imagesByMachine {
 		if len(images) > 6 {
-			t.Errorf("%s fetches %d of 12 images at a time", machineName, len(images))
+			t.Errorf("%s: got %d of 12 images fetched at a time, want at most 6", machineName, len(images))
 		}
 	}
 	if len(imagesByMachine) < 3 {
-		t.Errorf("all images on %d machines", len(imagesByMachine))
+		t.Errorf("got all images fetched on %d machines, want at least 3", len(imagesByMachine))
 	}
 }
 
-// The fast placement decides as the plain one does: every machine scored for every job, and
-// all of them looked through for every task.
+// The optimized placement must place the same tasks on the same machines as a brute-force placement,
+// which scores every machine for every job and goes through all of them for every task.
 func TestPlacementMatchesBruteForce(t *testing.T) {
 	placed := 0
 	for seed := uint64(1); seed <= 300; seed++ {
 		optimized := placeAll(newPlacementFixture(seed), func(cycle *schedulingCycle, queued *queuedJob) { cycle.placeTasks(queued) })
 		bruteForce := placeAll(newPlacementFixture(seed), bruteForcePlace)
 		if len(optimized) != len(bruteForce) {
-			t.Fatalf("load %d: %d tasks placed, plainly %d", seed, len(optimized), len(bruteForce))
+			t.Fatalf("seed %d: got %d tasks placed, want %d as by brute force", seed, len(optimized), len(bruteForce))
 		}
 		for id, machine := range bruteForce {
 			if optimized[id] != machine {
-				t.Fatalf("load %d: %s goes to %s, plainly to %s", seed, id, optimized[id], machine)
+				t.Fatalf("seed %d: task %s: got machine %q, want %s as by brute force", seed, id, optimized[id], machine)
 			}
 		}
 		placed += len(bruteForce)
 	}
 	if placed < 2000 {
-		t.Fatalf("only %d tasks were placed", placed)
+		t.Fatalf("got only %d tasks placed over all seeds, want at least 2000 for a meaningful comparison", placed)
 	}
 }
 
-// newPlacementFixture generates machines, some with images, and waiting arrays and services.
+// newPlacementFixture generates machines, some of them with images, and waiting arrays and services.
 func newPlacementFixture(seed uint64) *schedulerFixture {
 	rng := rand.New(rand.NewPCG(seed, 21))
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {MaxMilliCPU: int64(20+rng.IntN(100)) * 1000}})
@@ -126,7 +126,7 @@
 	return fixture
 }
 
-// placeAll places the queue with a function, and returns the machine of each task.
+// placeAll places all queued jobs with placeJob and returns the machine of each placed task.
 func placeAll(fixture *schedulerFixture, placeJob func(cycle *schedulingCycle, queued *queuedJob)) map[string]string {
 	queue := fixture.scheduler.buildQueue(fixture.tracker, nil, fixture.now, fixture.now)
 	cycle := fixture.scheduler.newCycle(fixture.tracker, queue, fixture.now)
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -10,8 +10,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Over generated loads no plan violates what a job allows, a machine's capacity or a team's
-// limit, and gangs are placed whole.
+// Over generated workloads no plan may violate a job's constraints, a machine's capacity or a team's
+// limit, and every gang must be placed as a whole.
 func TestPlanRespectsJobMachineAndQuotaConstraints(t *testing.T) {
 	rng := rand.New(rand.NewPCG(6, 6))
 	placed, gangs := 0, 0
@@ -26,7 +26,7 @@
 		for cycleIndex := 0; cycleIndex < 3; cycleIndex++ {
 			for _, request := range fixture.plan().ScaleOut {
 				if request.Count < 1 || request.Count > wire.MaxScaleOutCount {
-					t.Fatalf("load %d: %d machines are requested", workload, request.Count)
+					t.Fatalf("workload %d: got %d machines requested at once, want 1 to the maximum count", workload, request.Count)
 				}
 			}
 			fixture.now += clock.Second
@@ -39,21 +39,21 @@
 			if job.IsGang() && job.ActiveCount() > 0 {
 				gangs++
 				if job.WaitingCount() > 0 {
-					t.Fatalf("load %d: gang %s is placed in part", workload, job.Spec.ID)
+					t.Fatalf("workload %d: gang %s is placed only in part", workload, job.Spec.ID)
 				}
 			}
 		}
 		for _, machine := range fixture.tracker.Machines {
 			if !machine.Used().IsWithin(machine.Capacity) {
-				t.Fatalf("load %d: more than the capacity of %s is used", workload, machine.Name)
+				t.Fatalf("workload %d: the tasks on %s use more than its capacity", workload, machine.Name)
 			}
 		}
 		if usage["a"].MilliCPU > 40000 || usage["b"].MilliGPU > 3000 {
-			t.Fatalf("load %d: over a team's limit: %v", workload, usage)
+			t.Fatalf("workload %d: usage by team %v is above a team's limit", workload, usage)
 		}
 	}
 	if placed < 1000 || gangs < 20 {
-		t.Fatalf("%d tasks and %d gangs were placed", placed, gangs)
+		t.Fatalf("got %d tasks and %d gangs placed, want at least 1000 and 20 for a meaningful test", placed, gangs)
 	}
 }
 
@@ -75,8 +75,8 @@
 	return spec
 }
 
-// checkPlacements checks that all tasks of a job are where it allows them, and returns how
-// many are placed.
+// checkPlacements fails the test if a task of the job is on a machine that the job does not allow. It
+// returns the number of placed tasks.
 func checkPlacements(t *testing.T, workload int, job *allocation.Job) (taskCount int) {
 	t.Helper()
 	zones := map[string]int{}
@@ -84,47 +84,47 @@
 		taskCount++
 		zones[placement.Machine.Zone]++
 		if placement.Machine.Spot && !job.Spec.AllowsSpot || job.Spec.Zone != "" && placement.Machine.Zone != job.Spec.Zone || job.Spec.MachineTypes != nil && placement.Machine.Type != "big" {
-			t.Fatalf("load %d: %s in a wrong place", workload, job.Spec.ID)
+			t.Fatalf("workload %d: a task of %s is on a machine that the job does not allow", workload, job.Spec.ID)
 		}
 	})
 	if job.Spec.SingleZone && len(zones) > 1 {
-		t.Fatalf("load %d: %s in several zones", workload, job.Spec.ID)
+		t.Fatalf("workload %d: %s has tasks in several zones, want a single zone", workload, job.Spec.ID)
 	}
 	for _, count := range zones {
 		if job.Spec.SpreadZones && count > job.MaxTasksPerZone() {
-			t.Fatalf("load %d: %s is not spread", workload, job.Spec.ID)
+			t.Fatalf("workload %d: %s has more tasks in a zone than it allows", workload, job.Spec.ID)
 		}
 	}
 	return taskCount
 }
 
-// A machine that backs off after failed tasks gets none, and no other is requested in its
-// place.
+// A machine that backs off after task failures must get no tasks, and no machine may be requested to
+// replace it.
 func TestMachineInFaultBackoffGetsNoTasks(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	machine := fixture.addMachine("i-0", "small", "x", false)
 	machine.BackoffUntil = fixture.now + 2*clock.Second
 	job := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 2, EstimatedRunSeconds: 50})
 	if decision := fixture.plan(); job.ActiveCount() != 0 || len(decision.ScaleOut) != 0 {
-		t.Fatalf("%d tasks are placed, %v is requested though there will be room in a moment", job.ActiveCount(), decision.ScaleOut)
+		t.Fatalf("during the backoff: got %d tasks placed and scale-out requests %v, want none", job.ActiveCount(), decision.ScaleOut)
 	}
 	fixture.now = machine.BackoffUntil
 	machine.LastHeartbeatAt = fixture.now
 	fixture.plan()
 	if job.ActiveCount() != 2 {
-		t.Fatalf("%d tasks are placed when the backoff is over", job.ActiveCount())
+		t.Fatalf("after the backoff: got %d tasks placed, want 2", job.ActiveCount())
 	}
 }
 
-// A machine that sends heartbeats may not be reachable: it gets no tasks while command
-// requests to it get no answer, until one is answered, nor once it is suspected.
+// A machine may be unreachable although its heartbeats arrive. It must get no tasks after a command
+// request without an answer until another request is answered, and none while it is suspected.
 func TestUnreachableMachineGetsNoTasks(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	unreachable, reachable := fixture.addMachine("i-0", "small", "x", false), fixture.addMachine("i-1", "small", "x", false)
 	firstJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 4, EstimatedRunSeconds: 50})
 	fixture.plan()
 	if firstJob.ActiveCount() != 2 {
-		t.Fatalf("%d tasks are placed", firstJob.ActiveCount())
+		t.Fatalf("got %d tasks placed, want 2", firstJob.ActiveCount())
 	}
 	_, starts := fixture.tracker.BuildCommandRequest(unreachable, fixture.now)
 	fixture.tracker.FinishCommandRequest(unreachable, starts, allocation.CommandOutcomeUnknown, fixture.now)
@@ -132,7 +132,7 @@
 		fixture.heartbeatSeqs[machine.Name]++
 		fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: machine.Name, Incarnation: incarnation, Sequence: fixture.heartbeatSeqs[machine.Name], FencingToken: 1, Address: "127.0.0.1:1"}, fixture.now)
 	}
-	// Its lease expires unseen; it sends heartbeats of its next incarnation.
+	// The machine's lease expires unnoticed, and heartbeats of its next incarnation arrive.
 	fixture.tracker.Cancel(firstJob, fixture.now)
 	fixture.now += 2 * clock.Second
 	sendHeartbeat(unreachable, 2)
@@ -140,12 +140,12 @@
 	fixture.plan()
 	secondJob.ForEachPlacement(func(placement *allocation.Placement) {
 		if placement.Machine == unreachable {
-			t.Fatal("an unreachable machine got a task")
+			t.Fatal("a task was placed on the unreachable machine, want none before a command request is answered")
 		}
 	})
 	request, starts := fixture.tracker.BuildCommandRequest(unreachable, fixture.now)
 	if request == nil {
-		t.Fatal("no command request checks whether it is reachable")
+		t.Fatal("got no command request to the unreachable machine, want one that checks whether it is reachable")
 	}
 	fixture.tracker.FinishCommandRequest(unreachable, starts, allocation.CommandExecuted, fixture.now)
 	reachable.Draining = true
@@ -157,7 +157,7 @@
 		}
 	})
 	if taskCount == 0 {
-		t.Fatal("it is reachable again, and gets no task")
+		t.Fatal("got no task on the machine after it was reachable again, want some")
 	}
 	suspected := fixture.addMachine("i-2", "small", "x", false)
 	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
@@ -165,11 +165,11 @@
 	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", TaskCount: 1, CPUs: 2, EstimatedRunSeconds: 50})
 	fixture.plan()
 	if !suspected.IsIdle() {
-		t.Fatal("a suspected machine got a task")
+		t.Fatal("a task was placed on the suspected machine, want none")
 	}
 }
 
-// What a plan allocates follows what waits, not the size of the fleet.
+// The number of allocations in a plan must grow with the queue, not with the size of the fleet.
 func TestPlanAllocationsScaleWithQueueNotFleet(t *testing.T) {
 	allocs := func(machines, waiting int) float64 {
 		fixture := newFleetFixture(machines, 1, waiting)
@@ -180,9 +180,9 @@
 	}
 	smallFleet, largeFleet := allocs(100, 6), allocs(2000, 6)
 	if largeFleet > 2*smallFleet {
-		t.Errorf("a plan before 100 machines allocates %v times, before 2000 %v times", smallFleet, largeFleet)
+		t.Errorf("got %v allocations with 100 machines and %v with 2000, want at most twice as many", smallFleet, largeFleet)
 	}
 	if longQueue := allocs(100, 60); longQueue < 2*smallFleet {
-		t.Errorf("ten times the queue allocates %v times, against %v: the test counts the wrong thing", longQueue, smallFleet)
+		t.Errorf("got %v allocations with ten times the queue and %v before, want at least twice as many", longQueue, smallFleet)
 	}
 }
