--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -68,7 +68,8 @@
 	return fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, nil)
 }
 
-// reportTasks sends a heartbeat that lists all tasks on the machine that are not stopping, in taskState.
+// reportTasks sends a heartbeat in which all tasks of the machine that are not stopping have the state
+// taskState.
 func (fixture *schedulerFixture) reportTasks(machine *allocation.Machine, taskState string) {
 	fixture.tracker.HeartbeatCommands(machine, fixture.now)
 	var tasks []wire.TaskStatus
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -11,8 +11,8 @@
 )
 
 // A GPU that becomes free must be reserved for the gang at the head of the queue until the machine's
-// other GPU is free too. Without the reservation each GPU went to the next array task, and gangs
-// waited for as long as there were such tasks.
+// other GPU is free too. Added after each free GPU went to the next array task, and gangs waited for as
+// long as there were such tasks.
 func TestGangReservationHoldsUntilGangFits(t *testing.T) {
 	fixture, batch := newFullGPUFixture(t, 1, wire.Job{EstimatedRunSeconds: 20})
 	gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "b", Kind: wire.KindGang, TaskCount: 1, CPUs: 10, GPUs: 2, EstimatedRunSeconds: 60, Priority: wire.PriorityNormal})
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -15,7 +15,7 @@
 	pointsForImage             = 20   // the machine has the job's image
 	pointsForImageReplica      = 60   // the same for a replica, whose start users wait for
 	pointsForFetch             = 10   // the machine is fetching the job's image
-	penaltyPerFetch            = 10   // for each image being fetched, if the job's image is not among them or there
+	penaltyPerFetch            = 10   // for each fetch in flight, if the job's image is neither there nor being fetched
 	penaltyPerFetchReplica     = 25   // the same for a replica
 	penaltyForFailure          = 1000 // tasks of the job have failed on the machine
 	maxPenaltyForExtension     = 8    // limit of the penalty for extending the time that the machine is in use
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -10,8 +10,8 @@
 )
 
 // As far as the job allows, replicas must be placed, and machines for them requested, in zones where a
-// controller can renew leases during a network outage of the zone. Guards against losing all replicas
-// in a zone without a controller: such a zone lost its network and with it a third of the replicas.
+// controller can renew leases during a network outage of the zone. Added after a zone without a
+// controller lost its network and with it a third of the replicas.
 func TestReplicasPreferDelegatedZones(t *testing.T) {
 	fixture := newFixture(nil)
 	fixture.scheduler.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 16, MemoryGB: 64, OnDemandPrice: 1, BootSeconds: 15, Zones: []string{"x", "y", "z"}}})
