--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -161,7 +161,7 @@
 	term.requestPlan()
 	switch {
 	case err == nil:
-		term.scheduler.ObserveFilled(pool, requested, len(machines), now)
+		term.scheduler.ObserveScaleOutResult(pool, requested, len(machines), now)
 		term.environment.Log.Debug("scale-out request granted", "request", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "requested", requested, "granted", len(machines))
 		request.Grant(machines)
 		term.addGrantedMachines(request)
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -96,7 +96,7 @@
 		}
 		quantiles, ok := bootTimes[machine.Type]
 		if !ok {
-			quantiles = bootQuantiles{cycle.scheduler.BootTime(machine.Type, medianBoot), cycle.scheduler.BootTime(machine.Type, latestBoot)}
+			quantiles = bootQuantiles{cycle.scheduler.BootTime(machine.Type, medianBootPercentile), cycle.scheduler.BootTime(machine.Type, latestBootPercentile)}
 			bootTimes[machine.Type] = quantiles
 		}
 		if cycle.isExpected(machine, quantiles.latest) {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -89,7 +89,7 @@
 // machine requested now would take to be ready. The type of the first slot stands for all.
 func (cycle *schedulingCycle) maxReservationSeconds(job *allocation.Job, slots []gangSlot) float64 {
 	typeName := slots[0].machine.Type
-	return cycle.scheduler.BootTime(typeName, medianBoot).Seconds() + cycle.scheduler.imageFetchSeconds(job, typeName)
+	return cycle.scheduler.BootTime(typeName, medianBootPercentile).Seconds() + cycle.scheduler.imageFetchSeconds(job, typeName)
 }
 
 // placeGang places all tasks of a gang, or all that it has lost before it was complete, or
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -23,7 +23,7 @@
 type machineKind bool
 
 const (
-	ordinaryMachines machineKind = false
+	onDemandMachines machineKind = false
 	spotMachines     machineKind = true
 )
 
@@ -46,11 +46,11 @@
 	backoff.backoffUntil = now + min(clock.Second<<min(backoff.emptyResponses, maxBackoffShift), maxPoolBackoff)
 }
 
-// ObserveFilled records how many of the requested machines a pool gave: all end its backoff,
+// ObserveScaleOutResult records how many of the requested machines a pool gave: all end its backoff,
 // fewer count as an empty pool.
-func (scheduler *Scheduler) ObserveFilled(pool Pool, requested, filled int, now clock.Micros) {
+func (scheduler *Scheduler) ObserveScaleOutResult(pool Pool, requested, granted int, now clock.Micros) {
 	backoff := scheduler.backoffFor(pool)
-	if filled >= requested {
+	if granted >= requested {
 		backoff.emptyResponses, backoff.backoffUntil = 0, 0
 		return
 	}
--- a/internal/scheduler/poolchoice.go
+++ b/internal/scheduler/poolchoice.go
@@ -70,27 +70,27 @@
 // isTooExpensive tells whether a job rather waits for a spot machine than have a machine of an
 // ordinary pool.
 func (cycle *schedulingCycle) isTooExpensive(job *allocation.Job, urgency urgency, pool Pool) bool {
-	return !pool.Spot && cycle.scheduler.MachineTypes[pool.Type].SpotPrice > 0 && urgency != critical && cycle.mayAwaitSpot(job)
+	return !pool.Spot && cycle.scheduler.MachineTypes[pool.Type].SpotPrice > 0 && urgency != critical && cycle.mayWaitForSpot(job)
 }
 
-// mayAwaitSpot tells whether a job waits for a spot machine: for SpotWaitTimeout from when this
+// mayWaitForSpot tells whether a job waits for a spot machine: for SpotWaitTimeout from when this
 // leader first knew of it, and for as long as tasks of it run. A gang does not: all its
 // machines would have to come in that time.
-func (cycle *schedulingCycle) mayAwaitSpot(job *allocation.Job) bool {
+func (cycle *schedulingCycle) mayWaitForSpot(job *allocation.Job) bool {
 	return job.Spec.AllowsSpot && !job.IsGang() && (job.ActiveCount() > 0 || cycle.now-job.AddedAt < cycle.scheduler.Settings.SpotWaitTimeout)
 }
 
 // cheapestPool picks where to request one more machine for a job: the cheapest per task, then
 // a zone that it prefers, then the pool with the fewest machines, so that a loss hits little.
-func (cycle *schedulingCycle) cheapestPool(job *allocation.Job, offers []pricedPool, isZoneAllowed func(zone string) bool) *poolForecast {
+func (cycle *schedulingCycle) cheapestPool(job *allocation.Job, pricedPools []pricedPool, isZoneAllowed func(zone string) bool) *poolForecast {
 	var best *poolForecast
 	var bestCost float64
-	for _, priced := range offers {
-		if !isZoneAllowed(priced.capacity.pool.Zone) {
+	for _, offer := range pricedPools {
+		if !isZoneAllowed(offer.capacity.pool.Zone) {
 			continue
 		}
-		if best == nil || priced.costPerTask < bestCost || priced.costPerTask == bestCost && cycle.isPreferredPool(job, priced.capacity, best) {
-			best, bestCost = priced.capacity, priced.costPerTask
+		if best == nil || offer.costPerTask < bestCost || offer.costPerTask == bestCost && cycle.isPreferredPool(job, offer.capacity, best) {
+			best, bestCost = offer.capacity, offer.costPerTask
 		}
 	}
 	return best
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -122,7 +122,7 @@
 // a thousandth of a CPU of lost work. A fetch at an unknown rate counts as 1 s. Added after three in four replicas of a busy day took
 // the places of batch work and waited for their image there.
 func (cycle *schedulingCycle) fetchCost(job *allocation.Job, machine *allocation.Machine) float64 {
-	if _, cached := machine.ImageUsedAt[job.Spec.Image]; cached || !job.IsService() {
+	if _, isCached := machine.ImageUsedAt[job.Spec.Image]; isCached || !job.IsService() {
 		return 0
 	}
 	fetchSeconds := 1.0
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -59,8 +59,8 @@
 // there; where much more would be, it does not.
 func TestPreemptionPrefersMachinesWithCachedImage(t *testing.T) {
 	for _, testCase := range []struct {
-		ran  clock.Micros // how long the work beside the image has run
-		want string
+		ranFor clock.Micros // how long the work beside the image has run
+		want   string
 	}{{30 * clock.Second, "i-image"}, {600 * clock.Second, "i-bare"}} {
 		fixture := newFixture(nil)
 		machines := map[string]*allocation.Machine{}
@@ -73,7 +73,7 @@
 			if err := fixture.tracker.PlaceTask(batchJob, i, machines[n], fixture.tracker.NextAttempt(), fixture.now); err != nil {
 				t.Fatal(err)
 			}
-			fixture.now += testCase.ran
+			fixture.now += testCase.ranFor
 		}
 		for _, machine := range machines {
 			machine.LastHeartbeatAt = fixture.now
@@ -85,7 +85,7 @@
 		fixture.plan()
 		for i := range batchJob.Tasks {
 			if placement := batchJob.Tasks[i].Placement; placement.IsStopping() != (placement.Machine.Name == testCase.want) {
-				t.Errorf("after %d s: on %s stopping is %v, want it on %s", testCase.ran/clock.Second, placement.Machine.Name, placement.IsStopping(), testCase.want)
+				t.Errorf("after %d s: on %s stopping is %v, want it on %s", testCase.ranFor/clock.Second, placement.Machine.Name, placement.IsStopping(), testCase.want)
 			}
 		}
 	}
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -77,7 +77,7 @@
 func TestLatenessByPredictedCompletion(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	withDeadline := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20, DeadlineSeconds: 100})
-	without := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
+	withoutDeadline := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
 	for _, testCase := range []struct {
 		runSeconds float64
 		want       string
@@ -85,7 +85,7 @@
 		if got := fixture.scheduler.latenessOf(withDeadline, testCase.runSeconds, fixture.now).String(); got != testCase.want {
 			t.Errorf("a job that takes %v s of 100 s is %s, want %s", testCase.runSeconds, got, testCase.want)
 		}
-		if got := fixture.scheduler.latenessOf(without, testCase.runSeconds, fixture.now); got != onTime {
+		if got := fixture.scheduler.latenessOf(withoutDeadline, testCase.runSeconds, fixture.now); got != onTime {
 			t.Errorf("a job without a deadline is %s", got)
 		}
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -6,10 +6,10 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// hasGuarantee tells whether a team's guaranteed quota covers a resource that a task needs.
+// hasGuaranteeFor tells whether a team's guaranteed quota covers a resource that a task needs.
 // A quota of 0 in a resource means none there. Added after jobs that take CPUs beside their
 // GPUs were never entitled to anything by a quota of GPUs alone.
-func hasGuarantee(quota allocation.TeamQuota, need allocation.Resources) bool {
+func hasGuaranteeFor(quota allocation.TeamQuota, need allocation.Resources) bool {
 	return quota.GuaranteedMilliCPU > 0 && need.MilliCPU > 0 || quota.GuaranteedMilliGPU > 0 && need.MilliGPU > 0
 }
 
@@ -38,7 +38,7 @@
 			if !isWithinGuarantee(scheduler.Teams[team], usage) {
 				break
 			}
-			if hasGuarantee(scheduler.Teams[team], job.Request) {
+			if hasGuaranteeFor(scheduler.Teams[team], job.Request) {
 				entitled[job] = true
 			}
 		}
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -37,7 +37,7 @@
 // the full timeout.
 func (cycle *schedulingCycle) isIdleTooLong(machine *allocation.Machine, kind machineKind, idleTimeout clock.Micros) bool {
 	timeout := idleTimeout
-	if !cycle.scheduler.needsWarmSpares(cycle.scheduler.demandOf(kind), cycle.scheduler.BootTime(machine.Type, medianBoot)) {
+	if !cycle.scheduler.needsWarmSpares(cycle.scheduler.demandForKind(kind), cycle.scheduler.BootTime(machine.Type, medianBootPercentile)) {
 		timeout = min(cycle.scheduler.Settings.RelaxedIdleTimeout, idleTimeout)
 	}
 	idleFor := cycle.now - max(machine.BecameIdleAt, machine.FirstHeartbeatAt)
@@ -64,7 +64,7 @@
 // unconfirmed.
 func (cycle *schedulingCycle) hasUnconfirmedTasks(kind machineKind) bool {
 	for _, job := range cycle.tracker.Jobs {
-		if job.UnconfirmedCount() > 0 && !job.Cancelled && (job.Spec.AllowsSpot || kind == ordinaryMachines) {
+		if job.UnconfirmedCount() > 0 && !job.Cancelled && (job.Spec.AllowsSpot || kind == onDemandMachines) {
 			return true
 		}
 	}
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -12,7 +12,7 @@
 // free within one boot time (compare the paper's sequential plan, IV-C, Definition 6), and
 // machines for the rest are requested now.
 func (cycle *schedulingCycle) planScaleOut(queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) {
-	wanted := cycle.unconfirmedReplicas()
+	wanted := cycle.possiblyLostReplicas()
 	for _, queued := range queue {
 		if queued.unplaced > 0 {
 			wanted = append(wanted, queued)
@@ -22,19 +22,19 @@
 		return
 	}
 	forecast := cycle.forecastCapacity(wanted, pendingScaleOuts)
-	var growing []*poolForecast // in the order of need
+	var requestedPools []*poolForecast // in the order of need
 	for _, queued := range wanted {
 		shortfall := jobShortfall{queued: queued, remaining: queued.unplaced, requiredZone: cycle.chooseZone(queued.job, forecast), tasksByZone: map[string]int{}}
-		shortfall.useForecast(forecast)
+		shortfall.allocateFromForecast(forecast)
 		if shortfall.remaining <= 0 {
 			continue
 		}
 		queued.hasShortfall = true
 		if !queued.job.IsGang() || !cycle.isInfeasible(queued, shortfall.requiredZone) {
-			growing = cycle.requestMachines(&shortfall, forecast, growing)
+			requestedPools = cycle.requestMachines(&shortfall, forecast, requestedPools)
 		}
 	}
-	for _, capacity := range growing {
+	for _, capacity := range requestedPools {
 		decision.ScaleOut = append(decision.ScaleOut, ScaleOutRequest{capacity.pool, capacity.requested})
 	}
 }
@@ -56,8 +56,8 @@
 	return min(shortfall.remaining, job.MaxTasksPerZone()-job.CountInZone(zone)-shortfall.tasksByZone[zone])
 }
 
-// useForecast takes what room the forecast has for the job.
-func (shortfall *jobShortfall) useForecast(forecast *capacityForecast) {
+// allocateFromForecast takes what room the forecast has for the job.
+func (shortfall *jobShortfall) allocateFromForecast(forecast *capacityForecast) {
 	job := shortfall.queued.job
 	for _, capacity := range forecast.pools {
 		zone := capacity.pool.Zone
@@ -65,12 +65,12 @@
 			continue
 		}
 		if count := shortfall.zoneAllowance(zone); count > 0 {
-			shortfall.place(zone, forecast.allocate(capacity, job.Request, count))
+			shortfall.assignToZone(zone, forecast.allocate(capacity, job.Request, count))
 		}
 	}
 }
 
-func (shortfall *jobShortfall) place(zone string, taskCount int) {
+func (shortfall *jobShortfall) assignToZone(zone string, taskCount int) {
 	shortfall.tasksByZone[zone] += taskCount
 	shortfall.remaining -= taskCount
 }
@@ -78,11 +78,11 @@
 // requestMachines adds machines to the forecast until the job has room, or as many as one
 // request may ask for; more is left to the next plan. It appends the pools that had not
 // grown yet.
-func (cycle *schedulingCycle) requestMachines(shortfall *jobShortfall, forecast *capacityForecast, growing []*poolForecast) []*poolForecast {
+func (cycle *schedulingCycle) requestMachines(shortfall *jobShortfall, forecast *capacityForecast, requestedPools []*poolForecast) []*poolForecast {
 	job := shortfall.queued.job
-	offers := cycle.pricedPools(job, shortfall.queued.urgency, shortfall.requiredZone, forecast)
+	pricedPools := cycle.pricedPools(job, shortfall.queued.urgency, shortfall.requiredZone, forecast)
 	for shortfall.remaining > 0 {
-		capacity := cycle.cheapestPool(job, offers, func(zone string) bool { return shortfall.zoneAllowance(zone) > 0 })
+		capacity := cycle.cheapestPool(job, pricedPools, func(zone string) bool { return shortfall.zoneAllowance(zone) > 0 })
 		if capacity == nil || capacity.requested >= wire.MaxScaleOutCount {
 			break
 		}
@@ -90,15 +90,15 @@
 		expected := expectedMachine{free: cycle.scheduler.MachineCapacity(capacity.pool.Type)}
 		for count := shortfall.zoneAllowance(capacity.pool.Zone); count > 0 && job.Request.IsWithin(expected.free); count-- {
 			expected.free = expected.free.Sub(job.Request)
-			shortfall.place(capacity.pool.Zone, 1)
+			shortfall.assignToZone(capacity.pool.Zone, 1)
 		}
 		forecast.addMachine(capacity, expected)
 		if capacity.requested == 0 {
-			growing = append(growing, capacity)
+			requestedPools = append(requestedPools, capacity)
 		}
 		capacity.requested++
 	}
-	return growing
+	return requestedPools
 }
 
 // isInfeasible tells whether a gang needs more machines than can be had: every pool that it
@@ -124,10 +124,10 @@
 	return taskCapacity < len(queued.job.Tasks)
 }
 
-// unconfirmedReplicas lists production replicas on suspected machines, or unconfirmed since
+// possiblyLostReplicas lists production replicas on suspected machines, or unconfirmed since
 // a failover. Nothing of them may be started yet, but the machines that they will need can
 // boot meanwhile: requested only once the loss is proven, they would be a boot too late.
-func (cycle *schedulingCycle) unconfirmedReplicas() []*queuedJob {
+func (cycle *schedulingCycle) possiblyLostReplicas() []*queuedJob {
 	var out []*queuedJob
 	for _, job := range cycle.tracker.Jobs {
 		if !job.IsService() || job.Cancelled || job.Priority != 0 {
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -27,16 +27,16 @@
 	for seq, after := range []clock.Micros{0, 4 * clock.Second, 8 * clock.Second, 9 * clock.Second} {
 		fixture.now = upAt + after
 		fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-0", Incarnation: 1, Sequence: uint64(seq + 1), Address: "127.0.0.1:1"}, fixture.now)
-		isRequested := len(fixture.plan().ScaleOut) > 0
-		if isRequested != (after > fixture.scheduler.HeartbeatWindow) {
-			t.Errorf("%v after it came up another one is requested: %v", after.Duration(), isRequested)
+		isScaledOut := len(fixture.plan().ScaleOut) > 0
+		if isScaledOut != (after > fixture.scheduler.HeartbeatWindow) {
+			t.Errorf("%v after it came up another one is requested: %v", after.Duration(), isScaledOut)
 		}
 	}
 }
 
 // All machines for a gang of one zone are requested in one zone, and in the next one when
 // the first was empty.
-func TestScaleOutForOneZoneGangUsesOneZone(t *testing.T) {
+func TestScaleOutForSingleZoneGangUsesOneZone(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 6, CPUs: 16, MachineTypes: []string{"big"}, Kind: wire.KindGang, SingleZone: true})
 	requestedZone := func() string {
@@ -165,7 +165,7 @@
 
 // An array waits a while for a spot machine; a gang does not, which would need all
 // its machines to come in that time.
-func TestGangDoesNotAwaitSpotMachines(t *testing.T) {
+func TestGangDoesNotWaitForSpotMachines(t *testing.T) {
 	for _, kind := range []string{wire.KindArray, wire.KindGang} {
 		fixture := newFixture(nil)
 		fixture.scheduler.Settings.SpotWaitTimeout = 40 * clock.Second
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -53,7 +53,7 @@
 	runTimes       map[string]*forecast.RunTimeModel  // by class
 	bootTimes      map[string]*forecast.BootTimeModel // by machine type
 	spotDemand     forecast.DemandModel               // of jobs that may use spot machines
-	ordinaryDemand forecast.DemandModel               // of the others
+	onDemandDemand forecast.DemandModel               // of the others
 }
 
 // buffers is memory that each plan uses again, by the machines' SortIndex.
@@ -83,11 +83,11 @@
 }
 
 // RunTimeModel returns the run times of a class, and adds it if it is new.
-func (scheduler *Scheduler) RunTimeModel(name string) *forecast.RunTimeModel {
-	model := scheduler.models.runTimes[name]
+func (scheduler *Scheduler) RunTimeModel(class string) *forecast.RunTimeModel {
+	model := scheduler.models.runTimes[class]
 	if model == nil {
 		model = &forecast.RunTimeModel{}
-		scheduler.models.runTimes[name] = model
+		scheduler.models.runTimes[class] = model
 	}
 	return model
 }
@@ -97,17 +97,17 @@
 	return slices.Sorted(maps.Keys(scheduler.models.runTimes))
 }
 
-// demandFor returns the demand that a job belongs to.
-func (scheduler *Scheduler) demandFor(job *allocation.Job) *forecast.DemandModel {
-	return scheduler.demandOf(machineKind(job.Spec.AllowsSpot))
+// demandForJob returns the demand that a job belongs to.
+func (scheduler *Scheduler) demandForJob(job *allocation.Job) *forecast.DemandModel {
+	return scheduler.demandForKind(machineKind(job.Spec.AllowsSpot))
 }
 
-// demandOf returns the demand that a kind of machines serves.
-func (scheduler *Scheduler) demandOf(kind machineKind) *forecast.DemandModel {
+// demandForKind returns the demand that a kind of machines serves.
+func (scheduler *Scheduler) demandForKind(kind machineKind) *forecast.DemandModel {
 	if kind == spotMachines {
 		return &scheduler.models.spotDemand
 	}
-	return &scheduler.models.ordinaryDemand
+	return &scheduler.models.onDemandDemand
 }
 
 // MachineCapacity is the capacity of machines of a type; zero if the type is unknown.
@@ -128,9 +128,9 @@
 	return n
 }
 
-// machineShare is how many machines a job would fill, not rounded, of the allowed type that
+// fractionalMachinesNeeded is how many machines a job would fill, not rounded, of the allowed type that
 // holds most of its tasks.
-func (scheduler *Scheduler) machineShare(job *allocation.Job) float64 {
+func (scheduler *Scheduler) fractionalMachinesNeeded(job *allocation.Job) float64 {
 	maxPerMachine := 0
 	for typeName := range scheduler.MachineTypes {
 		if job.Spec.MachineTypes == nil || slices.Contains(job.Spec.MachineTypes, typeName) {
@@ -143,29 +143,29 @@
 // MachinesNeeded is how many machines a job needs, r in the paper (4), of the allowed type
 // that holds most of its tasks.
 func (scheduler *Scheduler) MachinesNeeded(job *allocation.Job) int {
-	return max(int(math.Ceil(scheduler.machineShare(job)-roundingMargin)), 1)
+	return max(int(math.Ceil(scheduler.fractionalMachinesNeeded(job)-roundingMargin)), 1)
 }
 
 // ObserveArrival records the arrival of a job.
 func (scheduler *Scheduler) ObserveArrival(job *allocation.Job, now clock.Micros) {
-	demand := scheduler.demandFor(job)
+	demand := scheduler.demandForJob(job)
 	if waitObjective, ok := scheduler.WaitObjectives[job.Spec.Class]; ok {
 		demand.ObserveWaitObjective(waitObjective)
 	}
-	demand.ObserveArrival(now, scheduler.MachinesNeeded(job), scheduler.machineShare(job), &scheduler.Settings.Smoothing)
+	demand.ObserveArrival(now, scheduler.MachinesNeeded(job), scheduler.fractionalMachinesNeeded(job), &scheduler.Settings.Smoothing)
 }
 
 // ObserveTaskRun records the run time of a completed task.
 func (scheduler *Scheduler) ObserveTaskRun(job *allocation.Job, seconds float64, now clock.Micros) {
 	scheduler.RunTimeModel(job.Spec.Class).Observe(job.Spec.EstimatedRunSeconds, seconds, scheduler.Settings.Smoothing.RunTime)
-	scheduler.demandFor(job).ObserveTaskRun(seconds, &scheduler.Settings.Smoothing)
+	scheduler.demandForJob(job).ObserveTaskRun(seconds, &scheduler.Settings.Smoothing)
 }
 
 // ObserveJobRun records the mean run time of a job's tasks. The screen uses jobs, as for
 // arrivals: the tasks of one array are not independent samples, and a thousand of them from
 // a few jobs fit no distribution.
 func (scheduler *Scheduler) ObserveJobRun(job *allocation.Job, seconds float64, now clock.Micros) {
-	scheduler.demandFor(job).JobRunTimes.Add(now, seconds)
+	scheduler.demandForJob(job).JobRunTimes.Add(now, seconds)
 }
 
 // bootTimeModel returns the boot times of a type, and adds it if it is new.
@@ -197,21 +197,21 @@
 	}
 }
 
-// medianBoot and latestBoot are the quantiles, in percent, by which a machine is expected
+// medianBootPercentile and latestBootPercentile are the quantiles, in percent, by which a machine is expected
 // to have booted, and past which it is not counted on any more.
 const (
-	medianBoot = 50
-	latestBoot = 95
+	medianBootPercentile = 50
+	latestBootPercentile = 95
 )
 
 // BootTime is a quantile, in percent, of a type's boot time.
-func (scheduler *Scheduler) BootTime(typeName string, quantile float64) clock.Micros {
-	return scheduler.models.bootTimes[typeName].Quantile(quantile, clock.FromSeconds(scheduler.MachineTypes[typeName].BootSeconds))
+func (scheduler *Scheduler) BootTime(typeName string, percentile float64) clock.Micros {
+	return scheduler.models.bootTimes[typeName].Quantile(percentile, clock.FromSeconds(scheduler.MachineTypes[typeName].BootSeconds))
 }
 
 // BootTimeout is how long a machine may boot before it is deleted.
 func (scheduler *Scheduler) BootTimeout(typeName string) clock.Micros {
-	return 2*scheduler.BootTime(typeName, latestBoot) + 2*clock.Second
+	return 2*scheduler.BootTime(typeName, latestBootPercentile) + 2*clock.Second
 }
 
 // hasRecentHeartbeat tells whether a machine's last heartbeat is within the window. Silence
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -15,7 +15,7 @@
 	// sooner than a machine boots.
 	IdleTimeout, RelaxedIdleTimeout clock.Micros
 	// SpotWaitTimeout is how long a job that may use spot machines waits for one before an
-	// ordinary machine is requested for it; see mayAwaitSpot for jobs that wait on.
+	// ordinary machine is requested for it; see mayWaitForSpot for jobs that wait on.
 	SpotWaitTimeout clock.Micros
 	// AgingThreshold is how long a job waits for its first start before it goes first
 	// within its priority; 0: never.
--- a/internal/scheduler/spares.go
+++ b/internal/scheduler/spares.go
@@ -16,8 +16,8 @@
 	idleToKeep := 0
 	decision.SpotSpares, idleToKeep = cycle.planSpareTarget(spotMachines, queue, pendingScaleOuts, decision)
 	cycle.planScaleIn(spotMachines, idleToKeep, decision)
-	decision.OrdinarySpares, idleToKeep = cycle.planSpareTarget(ordinaryMachines, queue, pendingScaleOuts, decision)
-	cycle.planScaleIn(ordinaryMachines, idleToKeep, decision)
+	decision.OrdinarySpares, idleToKeep = cycle.planSpareTarget(onDemandMachines, queue, pendingScaleOuts, decision)
+	cycle.planScaleIn(onDemandMachines, idleToKeep, decision)
 	if len(queue) == 0 && len(pendingScaleOuts) == 0 {
 		decision.Drain = cycle.chooseConsolidation(idleToKeep)
 	}
@@ -30,13 +30,13 @@
 	if !report.IsEnabled {
 		return report, 0
 	}
-	demand := cycle.scheduler.demandOf(kind)
+	demand := cycle.scheduler.demandForKind(kind)
 	survey := cycle.surveyFleet(kind)
 	pool, hasPool := cycle.chooseSparePool(kind)
 	if survey.typeName == "" {
 		survey.typeName = pool.Type
 	}
-	bootTime := cycle.scheduler.BootTime(survey.typeName, medianBoot)
+	bootTime := cycle.scheduler.BootTime(survey.typeName, medianBootPercentile)
 	if !cycle.scheduler.needsWarmSpares(demand, bootTime) {
 		return report, 0
 	}
@@ -60,7 +60,7 @@
 // screenDemand tells whether spares are planned for a kind: its demand passes the screen,
 // nothing waits in vain, and an arrival is recent.
 func (cycle *schedulingCycle) screenDemand(kind machineKind, queue []*queuedJob) SpareReport {
-	settings, demand := &cycle.scheduler.Settings, cycle.scheduler.demandOf(kind)
+	settings, demand := &cycle.scheduler.Settings, cycle.scheduler.demandForKind(kind)
 	report := SpareReport{ArrivalScreen: demand.ArrivalGaps.Screen(&settings.Screen, cycle.now), RunTimeScreen: demand.JobRunTimes.Screen(&settings.Screen, cycle.now)}
 	// The queue counts as empty when what waits will find room that is about to be
 	// free: in a fleet of a thousand machines something always waits a moment.
@@ -68,8 +68,8 @@
 		return machineKind(queued.job.Spec.AllowsSpot) == kind && queued.unplaced > 0 && queued.hasShortfall
 	})
 	// Services have no run times: where there is nothing else, their arrivals alone count.
-	isServicesOnly := kind == ordinaryMachines && report.RunTimeScreen.SampleCount == 0
-	report.IsEnabled = report.ArrivalScreen.IsExponential && (report.RunTimeScreen.IsExponential || isServicesOnly) &&
+	hasOnlyServices := kind == onDemandMachines && report.RunTimeScreen.SampleCount == 0
+	report.IsEnabled = report.ArrivalScreen.IsExponential && (report.RunTimeScreen.IsExponential || hasOnlyServices) &&
 		isQueueServed && demand.HasRecentArrival(cycle.now, settings.Spares.ArrivalRecencyWindow)
 	return report
 }
@@ -101,7 +101,7 @@
 				survey.freeOnBusyMachines += room
 			}
 		case machine.FirstHeartbeatAt == 0:
-			remaining := cycle.scheduler.BootTime(machine.Type, medianBoot) - (cycle.now - machine.CreatedAt)
+			remaining := cycle.scheduler.BootTime(machine.Type, medianBootPercentile) - (cycle.now - machine.CreatedAt)
 			survey.bootingSeconds = append(survey.bootingSeconds, max(remaining.Seconds(), 0))
 		}
 		machine.ForEachPlacement(func(placement *allocation.Placement) {
