--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -8,7 +8,8 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Pool is what machines are requested from: a type, a zone, spot or not.
+// Pool identifies a set of machines that can be requested from the cloud: those of one type, in
+// one zone, and either spot or on-demand.
 type Pool struct {
 	Type, Zone string
 	Spot       bool
@@ -18,8 +19,8 @@
 	return Pool{machine.Type, machine.Zone, machine.Spot}
 }
 
-// machineKind tells spot machines, which the cloud may reclaim, from ordinary ones. Its
-// value is that of the Spot fields.
+// machineKind distinguishes spot machines, which the cloud may reclaim, from on-demand machines.
+// It is true for spot, like the Spot fields of Pool and allocation.Machine.
 type machineKind bool
 
 const (
@@ -27,10 +28,10 @@
 	spotMachines     machineKind = true
 )
 
-// poolBackoff is the backoff of a pool after empty or partly filled requests.
+// poolBackoff is the backoff of a pool that did not supply all the machines requested from it.
 type poolBackoff struct {
 	backoffUntil   clock.Micros
-	emptyResponses int // in a row
+	emptyResponses int // consecutive requests that the pool did not fill
 }
 
 const (
@@ -38,16 +39,16 @@
 	maxPoolBackoff  = 20 * clock.Second
 )
 
-// ObserveEmptyPool records that a pool was empty: it is not asked for 2 s, then for twice as
-// long each time, up to maxPoolBackoff.
+// ObserveEmptyPool records that a pool had no machine to give. The pool is not asked again for
+// 2 s; the time doubles with each consecutive call, up to maxPoolBackoff.
 func (scheduler *Scheduler) ObserveEmptyPool(pool Pool, now clock.Micros) {
 	backoff := scheduler.backoffFor(pool)
 	backoff.emptyResponses++
 	backoff.backoffUntil = now + min(clock.Second<<min(backoff.emptyResponses, maxBackoffShift), maxPoolBackoff)
 }
 
-// ObserveScaleOutResult records how many of the requested machines a pool gave: all end its backoff,
-// fewer count as an empty pool.
+// ObserveScaleOutResult records how many of the requested machines a pool granted. A complete
+// grant ends the pool's backoff; a partial one counts as an empty pool.
 func (scheduler *Scheduler) ObserveScaleOutResult(pool Pool, requested, granted int, now clock.Micros) {
 	backoff := scheduler.backoffFor(pool)
 	if granted >= requested {
@@ -57,7 +58,7 @@
 	scheduler.ObserveEmptyPool(pool, now)
 }
 
-// isBackingOff tells whether a pool is not asked now, since it was found empty.
+// isBackingOff reports whether a pool is not to be asked now because it recently had too few machines.
 func (cycle *schedulingCycle) isBackingOff(pool Pool) bool {
 	return cycle.now < cycle.scheduler.backoffFor(pool).backoffUntil
 }
@@ -71,8 +72,9 @@
 	return backoff
 }
 
-// isPoolAllowed tells whether a job allows machines of a pool. Its other tasks count for a
-// job of one zone; allocation.IsEligible is stricter, for a placement now.
+// isPoolAllowed reports whether a job may use machines of a pool. A job with SingleZone is bound to
+// the zone of its existing placements, if there are any. allocation.IsEligible is stricter: it
+// decides whether a task may be placed now.
 func isPoolAllowed(job *allocation.Job, pool Pool) bool {
 	spec := job.Spec
 	if pool.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != pool.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, pool.Type) {
@@ -86,7 +88,7 @@
 	return true
 }
 
-// isPoolBefore breaks ties between pools of one kind.
+// isPoolBefore orders pools by zone and then by type, to break ties between pools of one kind.
 func isPoolBefore(a, b Pool) bool {
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Type, b.Type)) < 0
 }
--- a/internal/scheduler/poolchoice.go
+++ b/internal/scheduler/poolchoice.go
@@ -4,9 +4,11 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// chooseZone picks the zone that a job has to have all its tasks in, if it has to: where its
-// tasks are, else where most of them will find room, or where machines can be requested.
-// Machines requested in several zones would never do.
+// chooseZone returns the zone that all tasks of a SingleZone job have to run in, or "" for other
+// jobs. It is the zone that has tasks of the job or that its spec names; otherwise it is the zone
+// where most of its tasks will find room. A zone where machines can be requested counts as having
+// room for one task at least. All requests for such a job have to go to the same zone, since
+// machines in several zones are of no use to it.
 func (cycle *schedulingCycle) chooseZone(job *allocation.Job, forecast *capacityForecast) string {
 	if !job.Spec.SingleZone {
 		return ""
@@ -23,7 +25,7 @@
 		if len(cycle.pricedPools(job, relaxed, zone, forecast)) > 0 {
 			fitCount = max(fitCount, 1)
 		} else if fitCount < len(job.Tasks) {
-			fitCount = 0 // no machine can be requested there now
+			fitCount = 0 // no machine can be requested in this zone now
 		}
 		if fitCount > bestFit {
 			bestZone, bestFit = zone, fitCount
@@ -32,14 +34,14 @@
 	return bestZone
 }
 
-// pricedPool is a pool that machines may be requested from for a job, with what a task
-// costs there.
+// pricedPool is a pool from which machines may be requested for a job, with the price of running
+// one task of the job there.
 type pricedPool struct {
 	capacity    *poolForecast
 	costPerTask float64
 }
 
-// pricedPools lists the pools that machines may be requested from for a job now.
+// pricedPools lists the pools from which machines may be requested for a job now.
 func (cycle *schedulingCycle) pricedPools(job *allocation.Job, urgency urgency, requiredZone string, forecast *capacityForecast) []pricedPool {
 	var out []pricedPool
 	for typeName, machineType := range cycle.scheduler.MachineTypes {
@@ -67,25 +69,26 @@
 	return out
 }
 
-// isTooExpensive tells whether a job rather waits for a spot machine than have a machine of an
-// ordinary pool.
+// isTooExpensive reports whether a pool is an on-demand pool that a job should not use yet, because
+// the job may wait for a cheaper spot machine of the same type. Critical jobs do not wait.
 func (cycle *schedulingCycle) isTooExpensive(job *allocation.Job, urgency urgency, pool Pool) bool {
 	return !pool.Spot && cycle.scheduler.MachineTypes[pool.Type].SpotPrice > 0 && urgency != critical && cycle.mayWaitForSpot(job)
 }
 
-// mayWaitForSpot tells whether a job waits for a spot machine: for SpotWaitTimeout from when this
-// leader first knew of it, and for as long as tasks of it run. A gang does not: all its
-// machines would have to come in that time.
+// mayWaitForSpot reports whether a job may wait for a spot machine. It may until SpotWaitTimeout has
+// passed since this leader first knew of the job, and at any time while tasks of the job are active.
+// A gang does not wait: all its machines would have to become available within that time.
 func (cycle *schedulingCycle) mayWaitForSpot(job *allocation.Job) bool {
 	return job.Spec.AllowsSpot && !job.IsGang() && (job.ActiveCount() > 0 || cycle.now-job.AddedAt < cycle.scheduler.Settings.SpotWaitTimeout)
 }
 
-// cheapestPool picks where to request one more machine for a job: the cheapest per task, then
-// a zone that it prefers, then the pool with the fewest machines, so that a loss hits little.
-func (cycle *schedulingCycle) cheapestPool(job *allocation.Job, pricedPools []pricedPool, isZoneAllowed func(zone string) bool) *poolForecast {
+// cheapestPool picks the pool to request one more machine from for a job: the one with the lowest
+// price per task, then one in a zone that the job prefers, then the one with the fewest machines,
+// so that the loss of a pool affects few tasks. It returns nil if no pool is allowed.
+func (cycle *schedulingCycle) cheapestPool(job *allocation.Job, candidatePools []pricedPool, isZoneAllowed func(zone string) bool) *poolForecast {
 	var best *poolForecast
 	var bestCost float64
-	for _, offer := range pricedPools {
+	for _, offer := range candidatePools {
 		if !isZoneAllowed(offer.capacity.pool.Zone) {
 			continue
 		}
@@ -106,9 +109,9 @@
 	return a.machineCount < b.machineCount || a.machineCount == b.machineCount && isPoolBefore(a.pool, b.pool)
 }
 
-// chooseSparePool picks where a spare machine of a kind is requested: for ordinary ones a
-// zone with delegation if there is one, as these are for replicas first, then the pool with
-// the fewest machines.
+// chooseSparePool picks the pool to request a spare machine of a kind from. On-demand spares are
+// mainly for replicas, so zones with delegation come first for them. Then the pool with the fewest
+// machines is chosen.
 func (cycle *schedulingCycle) chooseSparePool(kind machineKind) (best Pool, found bool) {
 	for typeName, machineType := range cycle.scheduler.MachineTypes {
 		for _, zone := range machineType.Zones {
--- a/internal/scheduler/prediction.go
+++ b/internal/scheduler/prediction.go
@@ -7,8 +7,8 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// remainingSeconds predicts the rest of a placement's run, in seconds; +Inf for a service.
-// The placement keeps the forecast for the forecast's TTL.
+// remainingSeconds predicts how long a placement will still run, in seconds; it returns +Inf for a
+// service. It caches the prediction in the placement for forecastTTL.
 func (scheduler *Scheduler) remainingSeconds(placement *allocation.Placement, now clock.Micros) float64 {
 	if placement.Job.IsService() {
 		return math.Inf(1)
@@ -24,15 +24,16 @@
 	return seconds
 }
 
-// forecastTTL is how long a forecast is used again. Thousands of tasks run at a time, and
-// the forecast of one changes little within a second.
+// forecastTTL is how long a cached prediction is reused. Thousands of tasks run at a time, and the
+// prediction for one of them changes little within a second.
 const forecastTTL = 1 * clock.Second
 
-// maxRemainingSeconds is the longest predicted run that counts as bounded.
+// maxRemainingSeconds is the longest predicted remaining run that RemainingRun treats as finite.
 const maxRemainingSeconds = 1e6
 
-// estimateRemainingSeconds makes the forecast (50): of a placement that has not started, its
-// image fetch and what is left after its checkpoint.
+// estimateRemainingSeconds computes the prediction for a placement (50). If the task has not
+// started, it is the time of the image fetch plus the part of the predicted run time that is not
+// covered by the checkpoint.
 func (scheduler *Scheduler) estimateRemainingSeconds(placement *allocation.Placement, now clock.Micros) float64 {
 	job := placement.Job
 	savedSeconds := job.Tasks[placement.TaskIndex].CheckpointedSeconds
@@ -49,9 +50,9 @@
 	return scheduler.RunTimeModel(job.Spec.Class).RemainingSeconds(job.Spec.EstimatedRunSeconds, elapsed)
 }
 
-// elapsedSeconds is how long ago, in seconds, a placement was made. An adopted one was made
-// by an earlier leader, at an unknown time: half of its predicted run is taken to have
-// passed before.
+// elapsedSeconds is how long ago, in seconds, a placement was made. An adopted placement was made
+// by an earlier leader at an unknown time; half of its predicted run time is added, as the part
+// that is assumed to have passed before the adoption.
 func (scheduler *Scheduler) elapsedSeconds(placement *allocation.Placement, now clock.Micros) float64 {
 	elapsed := (now - placement.CreatedAt).Seconds()
 	if placement.Adopted && !placement.Job.IsService() {
@@ -60,7 +61,7 @@
 	return elapsed
 }
 
-// predictedRunSeconds predicts how long a task of a job runs (46).
+// predictedRunSeconds predicts the run time of one task of a job, in seconds (46).
 func (scheduler *Scheduler) predictedRunSeconds(job *allocation.Job) float64 {
 	return scheduler.RunTimeModel(job.Spec.Class).PredictedSeconds(job.Spec.EstimatedRunSeconds)
 }
@@ -73,8 +74,8 @@
 	return 0
 }
 
-// RemainingRun predicts how long a placement will still run; math.MaxInt64 if that has no
-// bound.
+// RemainingRun predicts how long a placement will still run. It returns math.MaxInt64 for services
+// and for predictions above maxRemainingSeconds.
 func (scheduler *Scheduler) RemainingRun(placement *allocation.Placement, now clock.Micros) clock.Micros {
 	seconds := scheduler.remainingSeconds(placement, now)
 	if math.IsInf(seconds, 1) || seconds > maxRemainingSeconds {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -8,14 +8,14 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// freeAfterStopping is what will be free on a machine once the tasks that are stopping have
-// stopped.
+// freeAfterStopping is what will be free on a machine once the tasks that are being stopped have
+// exited.
 func (cycle *schedulingCycle) freeAfterStopping(machine *allocation.Machine) allocation.Resources {
 	return cycle.freeResources(machine).Add(*cycle.releasingOn(machine))
 }
 
-// releasingOn returns what tasks that are stopping use on a machine, less what reserveReleasing
-// has taken. It is worked out for all machines when a plan first needs it.
+// releasingOn returns the resources used by tasks that are being stopped on a machine, less what
+// reserveReleasing has reserved. The first call in a plan computes them for all machines.
 func (cycle *schedulingCycle) releasingOn(machine *allocation.Machine) *allocation.Resources {
 	if cycle.releasing == nil {
 		cycle.releasing = make([]allocation.Resources, len(cycle.machines))
@@ -30,9 +30,9 @@
 	return &cycle.releasing[machine.SortIndex]
 }
 
-// preemptForQueue stops work to make room for production jobs, and for those that their
-// team's quota entitles to it. What loses least goes first. Gangs weigh that themselves, see
-// placeGang.
+// preemptForQueue stops tasks to make room for production jobs and for jobs entitled by their
+// team's quota. It stops the tasks whose loss costs least. Gangs are left out, since placeGang
+// weighs preemption for them.
 func (cycle *schedulingCycle) preemptForQueue(queue []*queuedJob) {
 	var active []*allocation.Job
 	for _, queued := range queue {
@@ -48,8 +48,8 @@
 	}
 }
 
-// activeIndependentJobs lists the jobs whose tasks may be stopped at all, for some job; not
-// nil.
+// activeIndependentJobs lists the jobs, other than gangs, that have active tasks: no other tasks
+// are ever stopped for a job. The result is never nil.
 func (cycle *schedulingCycle) activeIndependentJobs() []*allocation.Job {
 	active := []*allocation.Job{}
 	for _, job := range cycle.tracker.Jobs {
@@ -60,17 +60,18 @@
 	return active
 }
 
-// mayStop tells whether a placement may be stopped for a job.
+// mayStop reports whether a placement may be stopped to make room for a job.
 func (cycle *schedulingCycle) mayStop(queued *queuedJob, placement *allocation.Placement) bool {
 	return !placement.IsStopping() && cycle.mayPreempt(queued, placement.Job)
 }
 
-// mayPreempt tells whether tasks of a victim may be stopped for a job; gangs are never. They
-// may be stopped for a job of a higher priority, unless the victim is within another team's
-// quota; production and entitled jobs ignore that. They may be stopped for an entitled job
-// of the same priority and another team, unless the victim is entitled too, a service, or
-// was started by aging. Added after entitled jobs stopped such work as soon as it was
-// placed, and the next plan placed it again, thousands of times.
+// mayPreempt reports whether tasks of the victim may be stopped to make room for a job. Tasks of a
+// gang are never stopped. A job of a higher priority may preempt the victim, unless the victim is
+// within the guaranteed quota of another team; production jobs and entitled jobs may preempt it
+// even then. An entitled job may also preempt a victim of the same priority and another team,
+// unless the victim is entitled too, is a service, or was started by aging. Without the exception
+// for aging, an entitled job stops aged work as soon as it is placed and the next plan places it
+// again; this has repeated thousands of times.
 func (cycle *schedulingCycle) mayPreempt(queued *queuedJob, victim *allocation.Job) bool {
 	job := queued.job
 	switch {
@@ -84,22 +85,23 @@
 	return queued.isEntitled && !cycle.entitled[victim] && victim.Spec.Team != job.Spec.Team && victim.Priority == job.Priority && !victim.IsService()
 }
 
-// reserveReleasing reserves, within this plan, room that is being freed; a later plan places
-// a task there.
+// reserveReleasing reserves, within this plan, room on a machine that tasks being stopped will
+// release. A later plan places a task there.
 func (cycle *schedulingCycle) reserveReleasing(machine *allocation.Machine, need allocation.Resources) {
 	releasing := cycle.releasingOn(machine)
 	*releasing = releasing.Sub(need)
 }
 
-// stopPlacement stops a task that isn't stopping yet, and counts what it frees.
+// stopPlacement stops a task that is not being stopped yet, and counts its resources as releasing.
 func (cycle *schedulingCycle) stopPlacement(placement *allocation.Placement) {
-	releasing := cycle.releasingOn(placement.Machine) // before the stop, or the task would count twice
+	releasing := cycle.releasingOn(placement.Machine) // read before the stop, or the task would count twice
 	*releasing = releasing.Add(placement.Job.Request)
 	cycle.tracker.StopPlacement(placement, 0)
 }
 
-// preemptibleMachines lists a pool's machines where something may be stopped or is
-// stopping; most others are full of production replicas, which nothing may preempt.
+// preemptibleMachines lists the usable machines of a pool on which tasks may be preempted, or on
+// which the smallest need in the queue fits once the tasks being stopped have exited. Most other
+// machines are full of production replicas, which nothing may preempt.
 func (cycle *schedulingCycle) preemptibleMachines(view *poolView) []*allocation.Machine {
 	if view.hasPreemptible {
 		return view.preemptible
@@ -118,9 +120,10 @@
 	return view.preemptible
 }
 
-// fetchCost weighs the image fetch that a replica would wait for on a machine, in seconds of
-// a thousandth of a CPU of lost work. A fetch at an unknown rate counts as 1 s. Added after three in four replicas of a busy day took
-// the places of batch work and waited for their image there.
+// fetchCost is the cost of the image fetch that a replica would have to wait for on a machine, in
+// milli-CPU-seconds of lost work. It is 0 if the image is cached, and for jobs other than services.
+// A fetch at an unknown rate counts as 1 s. Without this cost, three in four replicas of a busy day
+// replaced batch work on machines without their image and had to wait for the fetch.
 func (cycle *schedulingCycle) fetchCost(job *allocation.Job, machine *allocation.Machine) float64 {
 	if _, isCached := machine.ImageUsedAt[job.Spec.Image]; isCached || !job.IsService() {
 		return 0
@@ -132,20 +135,20 @@
 	return replicaFetchWeight * fetchSeconds * float64(job.Request.MilliCPU)
 }
 
-// replicaFetchWeight is how many seconds of batch work a second of a replica's wait is
-// worth.
+// replicaFetchWeight is how many seconds of lost batch work one second of a replica's wait for its
+// image is worth.
 const replicaFetchWeight = 20
 
-// evaluatePreemption is a machine where a task can start once the victims are stopped.
+// preemptionOption is a machine where a task can start once the victims are stopped.
 type preemptionOption struct {
-	// candidate has as its score, negated, the lost work that the start costs, in seconds of a
-	// thousandth of a CPU.
+	// candidate's score is the negated cost of the start: the lost work and the weighted image
+	// fetch, in milli-CPU-seconds.
 	candidate
 	victims []*allocation.Placement
 }
 
-// evaluatePreemption works out what a start of a job's task on a machine costs; false if it
-// can't start there.
+// evaluatePreemption computes the cost of starting a task of a job on a machine. It returns false
+// if the task cannot start there.
 func (cycle *schedulingCycle) evaluatePreemption(queued *queuedJob, machine *allocation.Machine) (preemptionOption, bool) {
 	job := queued.job
 	available := cycle.freeAfterStopping(machine)
@@ -167,8 +170,8 @@
 	return preemptionOption{candidate{machine, -cost - fetchCost}, victims[:victimCount]}, job.Request.IsWithin(available)
 }
 
-// preemptionCandidates lists the machines where a task of a job can start, some with work
-// stopped for it, as a heap.
+// preemptionCandidates returns a heap of the machines where a task of a job can start, with or
+// without stopping other tasks.
 func (cycle *schedulingCycle) preemptionCandidates(queued *queuedJob) candidateHeap {
 	var candidates candidateHeap
 	for _, view := range cycle.pools {
@@ -186,8 +189,9 @@
 	return candidates
 }
 
-// preemptForTasks stops work for independent tasks, each time where it loses least. Options
-// are worked out again when their turn comes, as machines may have given room before.
+// preemptForTasks stops tasks to make room for the independent tasks of a job, each time on the
+// machine where that costs least. A candidate's cost is computed again when it reaches the top of
+// the heap, since earlier reservations and stops may have changed it.
 func (cycle *schedulingCycle) preemptForTasks(queued *queuedJob) {
 	job := queued.job
 	candidates := cycle.preemptionCandidates(queued)
@@ -217,7 +221,7 @@
 	}
 }
 
-// preemptiblePlacements lists what may be stopped on a machine, what was placed last first.
+// preemptiblePlacements lists the placements on a machine that may be stopped, the latest first.
 func preemptiblePlacements(machine *allocation.Machine, mayStop func(*allocation.Placement) bool) []*allocation.Placement {
 	var victims []*allocation.Placement
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -8,32 +8,33 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// queuedJob is a waiting job in the order of the plan.
+// queuedJob is a waiting job as one plan sees it.
 type queuedJob struct {
 	job        *allocation.Job
-	isEntitled bool // within its team's guaranteed quota
-	isAged     bool // has waited for the aging threshold, and nothing of it has started
+	isEntitled bool // fits into its team's guaranteed quota, see quotaEntitlements
+	isAged     bool // has waited for the aging threshold without any of its tasks starting
 	urgency    urgency
 	lateness   lateness
 
-	machinesNeeded int     // r (4): a gang's machines; 1 for a task of an array or a service
+	machinesNeeded int     // r (4): the machines that a gang needs; 1 for an array or a service
 	runSeconds     float64 // the predicted run time of a task
-	remainingWork  float64 // seconds of work that wait: what the job still asks for
+	remainingWork  float64 // seconds of work that wait: runSeconds for a gang, else for each ready task
 
-	readyTasks []int // indices of waiting tasks that may be placed now
-	unplaced   int   // of those, not placed by this plan
-	taskLimit  int   // of those, allowed by the team's limit
+	readyTasks []int // indices of the waiting tasks that may be placed now
+	unplaced   int   // how many of them, within the team's limit, have no room in this plan yet
+	taskLimit  int   // how many tasks the team's limit allows to place
 
-	// isLossUnconfirmed: its tasks may still run. Machines may be requested for it, and
-	// nothing may be started.
+	// isLossUnconfirmed reports whether the job's tasks may still be running on lost machines.
+	// Machines may be requested for such a job, but none of its tasks may be started.
 	isLossUnconfirmed bool
-	// hasShortfall: it wants more than what will be free one boot time from now.
+	// hasShortfall reports whether the job needs more room than will be free one boot time from now.
 	hasShortfall bool
-	// hasReservation: room is reserved for it, and nothing else is done for it.
+	// hasReservation reports whether this plan has reserved room for the job; the rest of the plan
+	// skips it.
 	hasReservation bool
 }
 
-// buildQueue lists the waiting jobs in the order of the plan.
+// buildQueue returns the waiting jobs in the order in which the plan places them.
 func (scheduler *Scheduler) buildQueue(tracker *allocation.Tracker, entitled map[*allocation.Job]bool, now, wall clock.Micros) []*queuedJob {
 	var queue []*queuedJob
 	for _, job := range tracker.Jobs {
@@ -48,9 +49,9 @@
 	return queue
 }
 
-// isWaiting tells whether a job has tasks that may have to be started. Unconfirmed tasks
-// may still run. A gang starts whole or waits; one that has not been complete yet gets the
-// tasks that it lacks.
+// isWaiting reports whether a job has tasks that may need to be started. Unconfirmed tasks do not
+// count, since they may still be running. A gang is started as a whole; once it has active tasks,
+// only one that has never been complete gets replacements for the tasks that it lacks.
 func isWaiting(job *allocation.Job) bool {
 	if job.Cancelled || job.WaitingCount() == 0 || job.ActiveCount() == 0 && job.WaitingCount() == job.UnconfirmedCount() {
 		return false
@@ -58,8 +59,8 @@
 	return !job.IsGang() || job.UnconfirmedCount() == 0 && (job.ActiveCount() == 0 || job.CanReplaceLostTasks())
 }
 
-// readyTasks lists the tasks of a job that may be placed now; none of a gang while one of
-// them is backing off.
+// readyTasks lists the tasks of a job that may be placed now. It lists none for a gang while any
+// of its tasks is backing off.
 func readyTasks(job *allocation.Job, now clock.Micros) []int {
 	var ready []int
 	for i := range job.Tasks {
@@ -98,17 +99,17 @@
 	return queued
 }
 
-// isAged tells whether a job has waited so long for its first start that it goes first
-// within its priority. With the smallest need always first, the largest would wait as long
-// as small ones come.
+// isAged reports whether a job has waited so long for its first start that it goes before the
+// other jobs of its priority. By smallest need first alone, the largest jobs would wait for as
+// long as smaller ones arrive.
 func (scheduler *Scheduler) isAged(job *allocation.Job, wall clock.Micros) bool {
 	threshold := scheduler.Settings.AgingThreshold
 	return threshold > 0 && wall-job.ReleasedAt >= threshold && job.ActiveCount() == 0 && job.DoneCount() == 0
 }
 
-// compareQueued is the order of the plan: smallest need first (4) within priority, age,
-// quota entitlement and deadlines. Aged jobs go by age alone: when many have waited too
-// long, the smallest of them first would have the largest wait on.
+// compareQueued defines the order of the queue: smallest need first (4), within priority, aging,
+// quota entitlement, urgency and lateness. Aged jobs are ordered by their waiting time alone: when
+// many jobs are aged, smallest need first would keep the largest of them waiting.
 func compareQueued(a, b *queuedJob) int {
 	if c := cmp.Or(cmp.Compare(a.job.Priority, b.job.Priority), compareTrueFirst(a.isAged, b.isAged)); c != 0 {
 		return c
@@ -125,7 +126,7 @@
 		compareByAge(a.job, b.job))
 }
 
-// compareByAge orders jobs by when their waits began, then by ID.
+// compareByAge orders jobs by when their waits began, the earliest first, and then by ID.
 func compareByAge(a, b *allocation.Job) int {
 	return cmp.Or(cmp.Compare(a.ReleasedAt, b.ReleasedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -6,22 +6,22 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// hasGuaranteeFor tells whether a team's guaranteed quota covers a resource that a task needs.
-// A quota of 0 in a resource means none there. Added after jobs that take CPUs beside their
-// GPUs were never entitled to anything by a quota of GPUs alone.
+// hasGuaranteeFor reports whether a team has a guaranteed quota of any resource that a task needs.
+// A guarantee of 0 means that the team has none of that resource. One resource is enough: if all
+// were required, a quota of GPUs alone would entitle no job, since jobs with GPUs take CPUs too.
 func hasGuaranteeFor(quota allocation.TeamQuota, need allocation.Resources) bool {
 	return quota.GuaranteedMilliCPU > 0 && need.MilliCPU > 0 || quota.GuaranteedMilliGPU > 0 && need.MilliGPU > 0
 }
 
-// isWithinGuarantee tells whether a team's usage is within its guaranteed quota, in each
-// resource that this is set for.
+// isWithinGuarantee reports whether a team's usage is within its guaranteed quota, in each resource
+// for which the team has a guarantee.
 func isWithinGuarantee(quota allocation.TeamQuota, usage allocation.Resources) bool {
 	return (quota.GuaranteedMilliCPU <= 0 || usage.MilliCPU <= quota.GuaranteedMilliCPU) &&
 		(quota.GuaranteedMilliGPU <= 0 || usage.MilliGPU <= quota.GuaranteedMilliGPU)
 }
 
-// quotaEntitlements tells which jobs fit into their team's guaranteed quota together with
-// the team's earlier unfinished jobs (PROTOCOL, "How aims are counted").
+// quotaEntitlements returns the jobs that fit into their team's guaranteed quota together with all
+// of the team's earlier unfinished jobs (PROTOCOL, "How aims are counted").
 func (scheduler *Scheduler) quotaEntitlements(tracker *allocation.Tracker) map[*allocation.Job]bool {
 	byTeam := map[string][]*allocation.Job{}
 	for _, job := range tracker.Jobs {
@@ -46,8 +46,8 @@
 	return entitled
 }
 
-// quotaAllowance is how many more tasks of a job its team's limit allows; 0 for a gang unless it
-// allows all of its tasks that wait.
+// quotaAllowance is how many more tasks of a job its team's limit allows to place. It is 0 for a
+// gang unless the limit allows all of the gang's waiting tasks.
 func (cycle *schedulingCycle) quotaAllowance(job *allocation.Job) int {
 	quota := cycle.scheduler.Teams[job.Spec.Team]
 	usage := cycle.tracker.TeamUsage(job.Spec.Team)
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -4,7 +4,7 @@
 	"firwood.dev/firwood/internal/allocation"
 )
 
-// dominantShare is the largest part that a need takes of any of a machine's resources.
+// dominantShare is the largest share that a need takes of any resource of a machine.
 func dominantShare(need, size allocation.Resources) float64 {
 	share := 0.0
 	for _, dimension := range [][2]int64{{need.MilliCPU, size.MilliCPU}, {need.MilliGPU, size.MilliGPU}, {need.MemoryMB, size.MemoryMB}} {
@@ -15,14 +15,14 @@
 	return share
 }
 
-// freeFraction is the part of a machine that is left for others, of its scarcest resource.
-// Added after machines whose GPUs were all taken counted, by their CPUs, as room for spares.
+// freeFraction is the free share of a machine's scarcest resource. By CPUs alone, machines whose
+// GPUs are all in use would count as room for spares.
 func freeFraction(free, size allocation.Resources) float64 {
 	return max(1-dominantShare(size.Sub(free), size), 0)
 }
 
-// minNeed is the component-wise minimum of what a task of each job needs: a machine with
-// less free can take nothing.
+// minNeed is the component-wise minimum of what a task of each queued job needs. A machine with
+// less free than that in any resource has room for none of them.
 func minNeed(queue []*queuedJob) allocation.Resources {
 	if len(queue) == 0 {
 		return allocation.Resources{}
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -8,8 +8,8 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// planScaleIn deletes machines of a kind that have been idle for long, but for those that
-// the spare target keeps. The ones that have been idle longest go first.
+// planScaleIn deletes machines of a kind that have been idle for too long, except for the
+// idleToKeep machines that became idle last, which the spare target keeps.
 func (cycle *schedulingCycle) planScaleIn(kind machineKind, idleToKeep int, decision *Decision) {
 	if cycle.hasUnconfirmedTasks(kind) {
 		return
@@ -23,7 +23,7 @@
 	slices.SortStableFunc(idle, func(a, b *allocation.Machine) int { return -cmp.Compare(a.BecameIdleAt, b.BecameIdleAt) })
 	idleTimeout := cycle.scheduler.Settings.IdleTimeout
 	if cycle.fleetSize(kind)/machinesPerSpare > minSpareLimit {
-		idleTimeout /= 2 // the spares, which have grown with the fleet, are what is kept
+		idleTimeout /= 2 // the spare target, which grows with the fleet, keeps enough idle machines
 	}
 	for i, machine := range idle {
 		if i >= idleToKeep && cycle.isIdleTooLong(machine, kind, idleTimeout) {
@@ -32,9 +32,9 @@
 	}
 }
 
-// isIdleTooLong tells whether an idle machine is to be deleted. The minimum charge is paid
-// whether the machine is used or not, so a younger one is kept, unless it has been idle for
-// the full timeout.
+// isIdleTooLong reports whether an idle machine is to be deleted. A machine younger than
+// minChargedDuration is paid for until then in any case, so it is kept unless it has been idle for
+// the whole of idleTimeout.
 func (cycle *schedulingCycle) isIdleTooLong(machine *allocation.Machine, kind machineKind, idleTimeout clock.Micros) bool {
 	timeout := idleTimeout
 	if !cycle.scheduler.needsWarmSpares(cycle.scheduler.demandForKind(kind), cycle.scheduler.BootTime(machine.Type, medianBootPercentile)) {
@@ -44,7 +44,8 @@
 	return idleFor >= timeout && (cycle.now-machine.CreatedAt >= minChargedDuration || idleFor >= idleTimeout)
 }
 
-// minChargedDuration is the least time that a deleted machine is charged for (PROTOCOL, "GET /flavors").
+// minChargedDuration is the shortest time that the cloud charges for a machine, even if it is
+// deleted earlier (PROTOCOL, "GET /flavors").
 const minChargedDuration = 60 * clock.Second
 
 // fleetSize counts the machines of a kind.
@@ -58,10 +59,10 @@
 	return n
 }
 
-// hasUnconfirmedTasks tells whether tasks that may use machines of a kind are unconfirmed.
-// They are either found on a machine or have to be started again, all at once. Added after
-// a new leader deleted a fleet's idle machines while two in three of its tasks were
-// unconfirmed.
+// hasUnconfirmedTasks reports whether there are unconfirmed tasks that may use machines of a kind.
+// Each of them is either found on a machine, or has to be started again, possibly all at once.
+// Without this check a new leader deleted a fleet's idle machines while two in three of its tasks
+// were unconfirmed.
 func (cycle *schedulingCycle) hasUnconfirmedTasks(kind machineKind) bool {
 	for _, job := range cycle.tracker.Jobs {
 		if job.UnconfirmedCount() > 0 && !job.Cancelled && (job.Spec.AllowsSpot || kind == onDemandMachines) {
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -8,9 +8,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// planScaleOut works out what is lacking: what waits is planned in order onto what will be
-// free within one boot time (compare the paper's sequential plan, IV-C, Definition 6), and
-// machines for the rest are requested now.
+// planScaleOut requests the machines that are lacking. It assigns the waiting tasks in queue order
+// to the room that will be free within one boot time (compare the paper's sequential plan, IV-C,
+// Definition 6), and requests machines now for the tasks that find no room.
 func (cycle *schedulingCycle) planScaleOut(queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) {
 	wanted := cycle.possiblyLostReplicas()
 	for _, queued := range queue {
@@ -22,7 +22,7 @@
 		return
 	}
 	forecast := cycle.forecastCapacity(wanted, pendingScaleOuts)
-	var requestedPools []*poolForecast // in the order of need
+	var requestedPools []*poolForecast // in the order in which the queue first needs them
 	for _, queued := range wanted {
 		shortfall := jobShortfall{queued: queued, remaining: queued.unplaced, requiredZone: cycle.chooseZone(queued.job, forecast), tasksByZone: map[string]int{}}
 		shortfall.allocateFromForecast(forecast)
@@ -39,15 +39,15 @@
 	}
 }
 
-// jobShortfall is what of a job has found no room in the forecast yet.
+// jobShortfall tracks which of a job's tasks have found no room in the forecast yet.
 type jobShortfall struct {
 	queued       *queuedJob
 	remaining    int            // tasks without room
-	tasksByZone  map[string]int // tasks with room, of those that waited
-	requiredZone string         // the only zone that the job may use; empty: any
+	tasksByZone  map[string]int // tasks for which this plan has found room
+	requiredZone string         // the only zone that the job may use, or "" if it may use any
 }
 
-// zoneAllowance is how many more of the job's tasks a zone may have.
+// zoneAllowance is how many more tasks of the job may be assigned to a zone.
 func (shortfall *jobShortfall) zoneAllowance(zone string) int {
 	job := shortfall.queued.job
 	if shortfall.queued.isLossUnconfirmed || !job.Spec.SpreadZones {
@@ -56,7 +56,7 @@
 	return min(shortfall.remaining, job.MaxTasksPerZone()-job.CountInZone(zone)-shortfall.tasksByZone[zone])
 }
 
-// allocateFromForecast takes what room the forecast has for the job.
+// allocateFromForecast assigns tasks of the job to the room that the forecast has for them.
 func (shortfall *jobShortfall) allocateFromForecast(forecast *capacityForecast) {
 	job := shortfall.queued.job
 	for _, capacity := range forecast.pools {
@@ -75,18 +75,18 @@
 	shortfall.remaining -= taskCount
 }
 
-// requestMachines adds machines to the forecast until the job has room, or as many as one
-// request may ask for; more is left to the next plan. It appends the pools that had not
-// grown yet.
+// requestMachines adds machines to the forecast until all tasks of the job have room. It stops early
+// if no pool is left, or if the cheapest one has reached the limit of one request; the next plan
+// requests the rest. It returns requestedPools with the pools appended that had no request before.
 func (cycle *schedulingCycle) requestMachines(shortfall *jobShortfall, forecast *capacityForecast, requestedPools []*poolForecast) []*poolForecast {
 	job := shortfall.queued.job
-	pricedPools := cycle.pricedPools(job, shortfall.queued.urgency, shortfall.requiredZone, forecast)
+	candidatePools := cycle.pricedPools(job, shortfall.queued.urgency, shortfall.requiredZone, forecast)
 	for shortfall.remaining > 0 {
-		capacity := cycle.cheapestPool(job, pricedPools, func(zone string) bool { return shortfall.zoneAllowance(zone) > 0 })
+		capacity := cycle.cheapestPool(job, candidatePools, func(zone string) bool { return shortfall.zoneAllowance(zone) > 0 })
 		if capacity == nil || capacity.requested >= wire.MaxScaleOutCount {
 			break
 		}
-		// A new machine takes what it can of this job at once.
+		// Tasks of this job fill the new machine at once.
 		expected := expectedMachine{free: cycle.scheduler.MachineCapacity(capacity.pool.Type)}
 		for count := shortfall.zoneAllowance(capacity.pool.Zone); count > 0 && job.Request.IsWithin(expected.free); count-- {
 			expected.free = expected.free.Sub(job.Request)
@@ -101,9 +101,9 @@
 	return requestedPools
 }
 
-// isInfeasible tells whether a gang needs more machines than can be had: every pool that it
-// may use was found empty, and all machines there would not hold it. Machines requested for a
-// part of it would idle, be deleted and be requested again.
+// isInfeasible reports whether a gang needs more machines than the cloud has: each pool that it may
+// use was found empty, and the existing machines of these pools together cannot hold the gang.
+// Machines requested for a part of the gang would idle, be deleted, and be requested again.
 func (cycle *schedulingCycle) isInfeasible(queued *queuedJob, requiredZone string) bool {
 	taskCapacity := 0
 	for typeName, machineType := range cycle.scheduler.MachineTypes {
@@ -124,9 +124,10 @@
 	return taskCapacity < len(queued.job.Tasks)
 }
 
-// possiblyLostReplicas lists production replicas on suspected machines, or unconfirmed since
-// a failover. Nothing of them may be started yet, but the machines that they will need can
-// boot meanwhile: requested only once the loss is proven, they would be a boot too late.
+// possiblyLostReplicas lists the services with production replicas that are on suspected machines or
+// are unconfirmed since a failover. The replicas may not be started again yet, but the machines
+// that they will need can boot in the meantime. If those were requested only once the loss is
+// confirmed, the replicas would start one boot time later.
 func (cycle *schedulingCycle) possiblyLostReplicas() []*queuedJob {
 	var out []*queuedJob
 	for _, job := range cycle.tracker.Jobs {
@@ -141,8 +142,8 @@
 	return out
 }
 
-// possiblyLostCount counts tasks of a job that are unconfirmed though machines have had the
-// time for a heartbeat, or on a suspected machine.
+// possiblyLostCount counts the tasks of a job that are on suspected machines, and those that are
+// still unconfirmed although this term is old enough for each machine to have sent a heartbeat.
 func (cycle *schedulingCycle) possiblyLostCount(job *allocation.Job) int {
 	lostCount := 0
 	if cycle.now-cycle.scheduler.TermStartedAt > cycle.scheduler.HeartbeatWindow {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,13 +1,13 @@
-// Package scheduler plans: the order of waiting jobs, where their tasks go, what is stopped
-// for them, which machines are requested and deleted, and how many are kept as warm spares.
-// It does no I/O, and time comes in as arguments. Plan records placements and stops in the
-// allocation tracker and returns what else is to be done.
+// Package scheduler decides the order of waiting jobs, the machines on which their tasks run, the
+// tasks that are stopped for them, the machines to request and delete, and the number of warm
+// spares. It does no I/O, and takes the current time as an argument. Plan records placements and
+// stops in the allocation tracker and returns what else has to be done.
 //
 // It follows SNF-ICON (Pulungan et al., "A Smallest-Need-First Job Scheduling Framework with
 // Adaptive Optimization of Idle Node Counts for Energy-Efficient HPC Systems", "the paper"
-// below); what was changed and why is in docs/design.md, "SNF-ICON, kept and changed".
-// Estimates and the paper's symbols are in package forecast. Numbers in brackets are the
-// paper's equations.
+// below). docs/design.md, "SNF-ICON, kept and changed", lists the deviations and their reasons.
+// Package forecast holds the estimates and explains the paper's symbols. Numbers in parentheses
+// refer to the paper's equations.
 package scheduler
 
 import (
@@ -21,23 +21,23 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Scheduler plans for one leader's term, and learns from what it observes. It is used by one
-// goroutine.
+// Scheduler plans during one leader's term and learns from what it observes. It is not safe for
+// concurrent use.
 type Scheduler struct {
 	Settings     Settings
 	MachineTypes map[string]wire.MachineType // by name
 	Teams        map[string]allocation.TeamQuota
 	Zones        []string
 
-	// CompletionObjectives are the times within which users expect jobs to be done, in
-	// seconds by class, where a job has no deadline of its own; WaitObjectives those within
-	// which they expect them to start.
+	// CompletionObjectives maps each class to the seconds within which users expect its jobs to be
+	// done; it applies to jobs without a deadline of their own. WaitObjectives maps each class to
+	// the seconds within which users expect its jobs to start.
 	CompletionObjectives, WaitObjectives map[string]float64
-	// HeartbeatWindow: a machine whose last heartbeat is older is suspected.
+	// HeartbeatWindow is the age of the last heartbeat beyond which a machine is suspected.
 	HeartbeatWindow clock.Micros
-	// TermStartedAt is when this leader's term began, ResumedAt when it last resumed after a
-	// stall of the process or a lapse of its entitlement, in which no heartbeat arrived or was
-	// answered: silence before either does not count.
+	// TermStartedAt is when this leader's term began. ResumedAt is when the leader last resumed
+	// after a stall of the process or a lapse of its entitlement to lead. During those, no heartbeat
+	// arrived or was answered, so a machine's silence before either time does not count.
 	TermStartedAt, ResumedAt clock.Micros
 	// DelegatedZones are the zones in which a controller can renew workers' leases while the
 	// zone has no network; nil if there is no such zone.
@@ -48,15 +48,15 @@
 	buffers      buffers
 }
 
-// models are what the scheduler has learned.
+// models holds what the scheduler has learned.
 type models struct {
 	runTimes       map[string]*forecast.RunTimeModel  // by class
 	bootTimes      map[string]*forecast.BootTimeModel // by machine type
 	spotDemand     forecast.DemandModel               // of jobs that may use spot machines
-	onDemandDemand forecast.DemandModel               // of the others
+	onDemandDemand forecast.DemandModel               // of all other jobs
 }
 
-// buffers is memory that each plan uses again, by the machines' SortIndex.
+// buffers holds slices that each plan reuses. They are indexed by the machines' SortIndex.
 type buffers struct {
 	reserved     []allocation.Resources
 	gangReserved []bool
@@ -82,7 +82,7 @@
 	}
 }
 
-// RunTimeModel returns the run times of a class, and adds it if it is new.
+// RunTimeModel returns the run-time model of a class, and creates it if there is none.
 func (scheduler *Scheduler) RunTimeModel(class string) *forecast.RunTimeModel {
 	model := scheduler.models.runTimes[class]
 	if model == nil {
@@ -92,17 +92,18 @@
 	return model
 }
 
-// RunTimeClasses lists every class looked up so far; a model may have no observations.
+// RunTimeClasses lists the classes for which RunTimeModel was called. Their models may have no
+// observations.
 func (scheduler *Scheduler) RunTimeClasses() []string {
 	return slices.Sorted(maps.Keys(scheduler.models.runTimes))
 }
 
-// demandForJob returns the demand that a job belongs to.
+// demandForJob returns the demand model that a job counts toward.
 func (scheduler *Scheduler) demandForJob(job *allocation.Job) *forecast.DemandModel {
 	return scheduler.demandForKind(machineKind(job.Spec.AllowsSpot))
 }
 
-// demandForKind returns the demand that a kind of machines serves.
+// demandForKind returns the model of the demand for machines of a kind.
 func (scheduler *Scheduler) demandForKind(kind machineKind) *forecast.DemandModel {
 	if kind == spotMachines {
 		return &scheduler.models.spotDemand
@@ -110,13 +111,13 @@
 	return &scheduler.models.onDemandDemand
 }
 
-// MachineCapacity is the capacity of machines of a type; zero if the type is unknown.
+// MachineCapacity is the capacity of machines of a type, or zero if the type is unknown.
 func (scheduler *Scheduler) MachineCapacity(typeName string) allocation.Resources {
 	machineType := scheduler.MachineTypes[typeName]
 	return allocation.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
 
-// tasksPerMachine is how many tasks with some need fit on an empty machine of a type.
+// tasksPerMachine is how many tasks with the given need fit on an empty machine of a type.
 func (scheduler *Scheduler) tasksPerMachine(need allocation.Resources, typeName string) int {
 	size := scheduler.MachineCapacity(typeName)
 	n := math.MaxInt32
@@ -128,8 +129,8 @@
 	return n
 }
 
-// fractionalMachinesNeeded is how many machines a job would fill, not rounded, of the allowed type that
-// holds most of its tasks.
+// fractionalMachinesNeeded is how many machines a job would fill, not rounded, if they were of the
+// allowed type that holds most of its tasks.
 func (scheduler *Scheduler) fractionalMachinesNeeded(job *allocation.Job) float64 {
 	maxPerMachine := 0
 	for typeName := range scheduler.MachineTypes {
@@ -140,8 +141,8 @@
 	return float64(len(job.Tasks)) / float64(max(maxPerMachine, 1))
 }
 
-// MachinesNeeded is how many machines a job needs, r in the paper (4), of the allowed type
-// that holds most of its tasks.
+// MachinesNeeded is how many machines of the allowed type that holds most of its tasks a job needs,
+// at least 1; it is r in the paper (4).
 func (scheduler *Scheduler) MachinesNeeded(job *allocation.Job) int {
 	return max(int(math.Ceil(scheduler.fractionalMachinesNeeded(job)-roundingMargin)), 1)
 }
@@ -161,14 +162,14 @@
 	scheduler.demandForJob(job).ObserveTaskRun(seconds, &scheduler.Settings.Smoothing)
 }
 
-// ObserveJobRun records the mean run time of a job's tasks. The screen uses jobs, as for
-// arrivals: the tasks of one array are not independent samples, and a thousand of them from
-// a few jobs fit no distribution.
+// ObserveJobRun records the mean run time of a job's tasks. The screen uses one sample per job, as
+// for arrivals: the tasks of one array are not independent samples, and a thousand of them from a
+// few jobs would not fit any distribution.
 func (scheduler *Scheduler) ObserveJobRun(job *allocation.Job, seconds float64, now clock.Micros) {
 	scheduler.demandForJob(job).JobRunTimes.Add(now, seconds)
 }
 
-// bootTimeModel returns the boot times of a type, and adds it if it is new.
+// bootTimeModel returns the boot-time model of a machine type, and creates it if there is none.
 func (scheduler *Scheduler) bootTimeModel(typeName string) *forecast.BootTimeModel {
 	model := scheduler.models.bootTimes[typeName]
 	if model == nil {
@@ -183,39 +184,39 @@
 	scheduler.bootTimeModel(typeName).Observe(bootTime)
 }
 
-// RecentBootTimes returns the last boot times of a type, for the next leader's
-// RestoreBootTimes.
+// RecentBootTimes returns the latest observed boot times of a type, to be handed to the next
+// leader's RestoreBootTimes.
 func (scheduler *Scheduler) RecentBootTimes(typeName string) []clock.Micros {
 	return scheduler.models.bootTimes[typeName].Recent()
 }
 
-// RestoreBootTimes takes the boot times of a type that an earlier leader has observed,
-// unless there are observations already. Unknown types are ignored.
+// RestoreBootTimes adopts the boot times of a type that an earlier leader observed, unless this
+// scheduler has observations of its own. It ignores unknown types.
 func (scheduler *Scheduler) RestoreBootTimes(typeName string, bootTimes []clock.Micros) {
 	if _, ok := scheduler.MachineTypes[typeName]; ok {
 		scheduler.bootTimeModel(typeName).Restore(bootTimes)
 	}
 }
 
-// medianBootPercentile and latestBootPercentile are the quantiles, in percent, by which a machine is expected
-// to have booted, and past which it is not counted on any more.
+// Half of the machines of a type have booted within medianBootPercentile of its boot times. A
+// machine that takes longer than latestBootPercentile is no longer counted on.
 const (
 	medianBootPercentile = 50
 	latestBootPercentile = 95
 )
 
-// BootTime is a quantile, in percent, of a type's boot time.
+// BootTime is a percentile of the boot times of a type.
 func (scheduler *Scheduler) BootTime(typeName string, percentile float64) clock.Micros {
 	return scheduler.models.bootTimes[typeName].Quantile(percentile, clock.FromSeconds(scheduler.MachineTypes[typeName].BootSeconds))
 }
 
-// BootTimeout is how long a machine may boot before it is deleted.
+// BootTimeout is how long a machine of a type may boot before it is deleted.
 func (scheduler *Scheduler) BootTimeout(typeName string) clock.Micros {
 	return 2*scheduler.BootTime(typeName, latestBootPercentile) + 2*clock.Second
 }
 
-// hasRecentHeartbeat tells whether a machine's last heartbeat is within the window. Silence
-// before TermStartedAt or ResumedAt does not count.
+// hasRecentHeartbeat reports whether a machine's last heartbeat is within HeartbeatWindow. The time
+// before TermStartedAt and ResumedAt does not count as silence.
 func (scheduler *Scheduler) hasRecentHeartbeat(machine *allocation.Machine, now clock.Micros) bool {
 	return now-max(machine.LastHeartbeatAt, scheduler.TermStartedAt, scheduler.ResumedAt) <= scheduler.HeartbeatWindow
 }
