--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -16,13 +16,13 @@
 	urgency    urgency
 	lateness   lateness
 
-	machinesNeeded int     // r (4): the machines that a gang needs; 1 for an array or a service
+	machinesNeeded int     // r (4): the machines that a gang needs; 1 for other kinds of jobs
 	runSeconds     float64 // the predicted run time of a task
-	remainingWork  float64 // seconds of work that wait: runSeconds for a gang, else for each ready task
+	remainingWork  float64 // seconds of waiting work: runSeconds for a gang, or for each ready task of another job
 
 	readyTasks []int // indices of the waiting tasks that may be placed now
-	unplaced   int   // how many of them, within the team's limit, have no room in this plan yet
-	taskLimit  int   // how many tasks the team's limit allows to place
+	unplaced   int   // tasks within the team's limit that have no room in this plan yet
+	taskLimit  int   // how many more tasks the team's limit allows
 
 	// isLossUnconfirmed reports whether the job's tasks may still be running on lost machines.
 	// Machines may be requested for such a job, but none of its tasks may be started.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -198,14 +198,14 @@
 	}
 }
 
-// Half of the machines of a type have booted within medianBootPercentile of its boot times. A
-// machine that takes longer than latestBootPercentile is no longer counted on.
+// medianBootPercentile is the percentile of a type's boot times by which a machine is expected to
+// have booted. A machine that takes longer than latestBootPercentile is no longer counted on.
 const (
 	medianBootPercentile = 50
 	latestBootPercentile = 95
 )
 
-// BootTime is a percentile of the boot times of a type.
+// BootTime is the given percentile, from 0 to 100, of the boot times of a type.
 func (scheduler *Scheduler) BootTime(typeName string, percentile float64) clock.Micros {
 	return scheduler.models.bootTimes[typeName].Quantile(percentile, clock.FromSeconds(scheduler.MachineTypes[typeName].BootSeconds))
 }
--- a/internal/scheduler/spares.go
+++ b/internal/scheduler/spares.go
@@ -9,9 +9,10 @@
 	"firwood.dev/firwood/internal/forecast"
 )
 
-// planSpares chooses the spare target of each kind of machines (paper, IV-F to IV-I),
-// requests what it lacks, and deletes machines that have been idle for long and are not
-// part of it. With nothing waiting it looks for a machine to consolidate.
+// planSpares chooses the spare target of each kind of machine (paper, IV-F to IV-I), requests the
+// spares that are lacking, and deletes machines that have been idle for too long and are not part
+// of the target. If no job waits and no request is pending, it also looks for a machine to
+// consolidate.
 func (cycle *schedulingCycle) planSpares(queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) {
 	idleToKeep := 0
 	decision.SpotSpares, idleToKeep = cycle.planSpareTarget(spotMachines, queue, pendingScaleOuts, decision)
@@ -23,8 +24,8 @@
 	}
 }
 
-// planSpareTarget chooses how many spares of a kind to have, and requests what is lacking.
-// It returns how many whole idle machines are to be kept.
+// planSpareTarget chooses the number of spares of a kind and requests those that are lacking. It
+// returns the number of whole idle machines to keep.
 func (cycle *schedulingCycle) planSpareTarget(kind machineKind, queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) (SpareReport, int) {
 	report := cycle.screenDemand(kind, queue)
 	if !report.IsEnabled {
@@ -48,41 +49,42 @@
 	if shortfall := int(math.Ceil(target - survey.freeMachines - float64(len(survey.bootingSeconds)) - roundingMargin)); shortfall > 0 && hasPool {
 		decision.ScaleOut = append(decision.ScaleOut, ScaleOutRequest{pool, shortfall})
 	}
-	// The room beside running tasks is part of the target; whole idle machines
-	// are kept only for the rest of it.
+	// Free room on machines with tasks is part of the target; whole idle machines are kept only
+	// for the rest of the target.
 	return report, max(int(math.Ceil(target-survey.freeOnBusyMachines-roundingMargin)), 0)
 }
 
-// roundingMargin keeps rounding errors from adding a machine when a number of them is
-// rounded up.
+// roundingMargin is subtracted before a number of machines is rounded up, so that a rounding error
+// does not add a machine.
 const roundingMargin = 1e-9
 
-// screenDemand tells whether spares are planned for a kind: its demand passes the screen,
-// nothing waits in vain, and an arrival is recent.
+// screenDemand decides whether spares are planned for a kind of machine. They are if the demand
+// passes the screen, every waiting job will find room within a boot time, and the last arrival is
+// recent.
 func (cycle *schedulingCycle) screenDemand(kind machineKind, queue []*queuedJob) SpareReport {
 	settings, demand := &cycle.scheduler.Settings, cycle.scheduler.demandForKind(kind)
 	report := SpareReport{ArrivalScreen: demand.ArrivalGaps.Screen(&settings.Screen, cycle.now), RunTimeScreen: demand.JobRunTimes.Screen(&settings.Screen, cycle.now)}
-	// The queue counts as empty when what waits will find room that is about to be
-	// free: in a fleet of a thousand machines something always waits a moment.
+	// The queue counts as empty if all waiting tasks will find room that is about to be free: in a
+	// fleet of a thousand machines some task is always waiting for a moment.
 	isQueueServed := !slices.ContainsFunc(queue, func(queued *queuedJob) bool {
 		return machineKind(queued.job.Spec.AllowsSpot) == kind && queued.unplaced > 0 && queued.hasShortfall
 	})
-	// Services have no run times: where there is nothing else, their arrivals alone count.
+	// Services have no run times. If there are no other jobs, the arrivals alone are screened.
 	hasOnlyServices := kind == onDemandMachines && report.RunTimeScreen.SampleCount == 0
 	report.IsEnabled = report.ArrivalScreen.IsExponential && (report.RunTimeScreen.IsExponential || hasOnlyServices) &&
 		isQueueServed && demand.HasRecentArrival(cycle.now, settings.Spares.ArrivalRecencyWindow)
 	return report
 }
 
-// fleetSurvey is what there is of machines of one kind.
+// fleetSurvey summarizes the machines of one kind.
 type fleetSurvey struct {
 	machineCount       int
-	typeName           string    // of one of them; empty: there is none
+	typeName           string    // the type of one of the machines, or "" if there are none
 	freeMachines       float64   // free room, in machines
-	freeOnBusyMachines float64   // the part of that on machines that have tasks
-	bootingSeconds     []float64 // for each machine that boots or is requested
-	nearestCompletion  float64   // seconds until a placement ends, d_C (21); +Inf: none does
-	runningTasks       int       // tasks of services left out
+	freeOnBusyMachines float64   // the part of freeMachines that is on machines with tasks
+	bootingSeconds     []float64 // seconds until ready, for each machine that boots or is requested
+	nearestCompletion  float64   // seconds until the next placement ends, d_C (21); +Inf if none will
+	runningTasks       int       // tasks on the machines, without those of services
 }
 
 func (cycle *schedulingCycle) surveyFleet(kind machineKind) *fleetSurvey {
@@ -116,7 +118,7 @@
 	return survey
 }
 
-// addPending counts requests under way as machines that begin to boot now.
+// addPending counts each machine of a pending request as one that begins to boot now.
 func (survey *fleetSurvey) addPending(kind machineKind, pendingScaleOuts []PendingScaleOut, bootTime clock.Micros) {
 	for _, pending := range pendingScaleOuts {
 		if machineKind(pending.Pool.Spot) == kind {
@@ -138,9 +140,9 @@
 	}
 }
 
-// Where no bound of the spare target is set, it is one in machinesPerSpare of the
-// machines of its kind, and minSpareLimit at least: a job may ask for tens of machines in
-// a large fleet.
+// If Settings.Spares.Max is 0, the spare target of a kind is at most one in machinesPerSpare of the
+// machines of that kind, but the bound is never below minSpareLimit. The bound grows with the fleet
+// because a job may ask for tens of machines in a large fleet.
 const (
 	machinesPerSpare = 16
 	minSpareLimit    = 4
@@ -153,9 +155,9 @@
 	return max(minSpareLimit, survey.machineCount/machinesPerSpare)
 }
 
-// needsWarmSpares tells whether users expect starts of this kind of demand sooner than a
-// machine boots, or have said nothing about any class. Only then is an idle machine worth
-// its price; where they wait longer than a boot anyway, a machine requested on arrival does.
+// needsWarmSpares reports whether users expect jobs of this demand to start sooner than a machine
+// boots, or have set no such objective for any class. Only then is an idle machine worth its price:
+// if users accept a wait longer than a boot, requesting a machine on arrival is enough.
 func (scheduler *Scheduler) needsWarmSpares(demand *forecast.DemandModel, bootTime clock.Micros) bool {
 	waitObjective := demand.WaitObjective()
 	return waitObjective == 0 && len(scheduler.WaitObjectives) == 0 || waitObjective > 0 && waitObjective < bootTime.Seconds()
