--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -14,20 +14,20 @@
 	machine := fixture.addMachine("i-0", "small", "x", false)
 	batchJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 2, EstimatedRunSeconds: 50})
 	fixture.plan()
-	fixture.tracker.HeartbeatCommands(machine, fixture.now) // sent: from now on only a stop ends them
+	fixture.tracker.HeartbeatCommands(machine, fixture.now) // start commands sent: only a stop ends the tasks now
 	fixture.now += 10 * clock.Second
 	service := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 1, CPUs: 2, Priority: wire.PriorityProduction, Kind: wire.KindService})
 	fixture.plan()
 	if stopped := stoppingCount(batchJob); stopped != 1 || service.ActiveCount() != 0 {
-		t.Fatalf("%d stopped, %d replicas placed", stopped, service.ActiveCount())
+		t.Fatalf("%d batch tasks are stopping and %d replicas are placed, want 1 and 0", stopped, service.ActiveCount())
 	}
 	fixture.plan()
 	if stoppingCount(batchJob) != 1 {
-		t.Fatal("the same replica stopped a second task")
+		t.Fatal("after a second plan, the number of batch tasks stopping for one replica is not 1")
 	}
 }
 
-// A gang of higher priority gets room for all its tasks, or nothing is stopped for it.
+// Batch tasks are stopped for a gang of higher priority only if that makes room for all its tasks.
 func TestGangPreemptsOnlyIfItFitsWhole(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	for _, n := range []string{"i-0", "i-1"} {
@@ -41,25 +41,25 @@
 	gang := fixture.addJob(wire.Job{ID: "req-000002", Team: "a", TaskCount: 3, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindGang})
 	fixture.plan()
 	if stoppingCount(batchJob) != 0 {
-		t.Fatal("work is stopped for a gang that cannot fit")
+		t.Fatal("batch tasks are stopping for a gang that cannot fit, want none")
 	}
 	fixture.tracker.Cancel(gang, fixture.now)
 	fixture.addJob(wire.Job{ID: "req-000003", Team: "a", TaskCount: 3, CPUs: 2, Priority: wire.PriorityProduction, Kind: wire.KindGang})
 	fixture.plan()
 	if stoppingCount(batchJob) != 3 {
-		t.Fatalf("%d tasks are stopped for a gang of three", stoppingCount(batchJob))
+		t.Fatalf("%d batch tasks are stopping for a gang of three, want 3", stoppingCount(batchJob))
 	}
 	fixture.plan()
 	if stoppingCount(batchJob) != 3 {
-		t.Fatalf("%d after another plan", stoppingCount(batchJob))
+		t.Fatalf("after another plan %d batch tasks are stopping for a gang of three, want 3", stoppingCount(batchJob))
 	}
 }
 
-// A replica preempts batch work where its image is cached, though a little more work is lost
-// there; where much more would be, it does not.
+// A replica preempts batch work on the machine that has its image cached, even if a little more work
+// is lost there. If much more work would be lost there, it preempts work on the other machine.
 func TestPreemptionPrefersMachinesWithCachedImage(t *testing.T) {
 	for _, testCase := range []struct {
-		ranFor clock.Micros // how long the work beside the image has run
+		ranFor clock.Micros // how much longer the task on i-image has run than the one on i-bare
 		want   string
 	}{{30 * clock.Second, "i-image"}, {600 * clock.Second, "i-bare"}} {
 		fixture := newFixture(nil)
@@ -85,7 +85,7 @@
 		fixture.plan()
 		for i := range batchJob.Tasks {
 			if placement := batchJob.Tasks[i].Placement; placement.IsStopping() != (placement.Machine.Name == testCase.want) {
-				t.Errorf("after %d s: on %s stopping is %v, want it on %s", testCase.ranFor/clock.Second, placement.Machine.Name, placement.IsStopping(), testCase.want)
+				t.Errorf("task on i-image ran %d s longer: task on %s is stopping: got %v, want a stop only on %s", testCase.ranFor/clock.Second, placement.Machine.Name, placement.IsStopping(), testCase.want)
 			}
 		}
 	}
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -9,7 +9,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Smallest need first, within priority and quota entitlement.
+// The queue is ordered by smallest need first, within priority and quota entitlement.
 func TestQueueOrderIsSmallestNeedFirst(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {GuaranteedMilliCPU: 4000}, "b": {}})
 	fixture.addMachine("i-0", "big", "x", false)
@@ -24,12 +24,12 @@
 	}
 	want := []string{"req-000005", "req-000004", "req-000002", "req-000001", "req-000003"}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Fatalf("%v, want %v", got, want)
+		t.Fatalf("queue order: got %v, want %v", got, want)
 	}
 }
 
-// A long job whose deadline is near goes before shorter ones; one that is late
-// anyway does not.
+// A long job goes before shorter ones while it is about to miss its deadline, but not once it can no
+// longer meet the deadline.
 func TestUrgentDeadlineGoesFirst(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
@@ -43,13 +43,13 @@
 		want  string
 	}{{0, "req-000001"}, {40 * clock.Second, "req-000003"}, {80 * clock.Second, "req-000001"}, {120 * clock.Second, "req-000002"}, {200 * clock.Second, "req-000001"}} {
 		if got := firstJobID(fixture.now + testCase.after); got != testCase.want {
-			t.Errorf("after %v s: %s first, want %s", testCase.after.Seconds(), got, testCase.want)
+			t.Errorf("after %v s: first in the queue is %s, want %s", testCase.after.Seconds(), got, testCase.want)
 		}
 	}
 }
 
-// The deadline of a dependent counts for its dependencies: one that is derived makes a job
-// urgent, and late, like its own.
+// A deadline that a job derives from a job that depends on it makes it urgent or late, as its own
+// deadline would.
 func TestDependentsDeadlineMakesDependencyUrgent(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
@@ -58,22 +58,22 @@
 		return fixture.scheduler.buildQueue(fixture.tracker, nil, fixture.now, fixture.now)[0].job.Spec.ID
 	}
 	if got := firstJobID(); got != "req-000001" {
-		t.Fatalf("%s first, with no deadline", got)
+		t.Fatalf("without a deadline: first in the queue is %s, want req-000001", got)
 	}
 	dependency.Deadline = dependency.ReleasedAt + 110*clock.Second
 	if got := firstJobID(); got != "req-000002" {
-		t.Fatalf("%s first, though a dependent needs the other in time", got)
+		t.Fatalf("with a dependent's deadline near: first in the queue is %s, want req-000002", got)
 	}
 	dependency.ReleasedAt, dependency.Deadline = fixture.now+2*clock.Second, fixture.now+clock.Second
 	if deadline := fixture.scheduler.deadlineSeconds(dependency); deadline <= 0 {
-		t.Fatalf("a deadline that has passed counts as none: %v", deadline)
+		t.Fatalf("deadlineSeconds of a job whose deadline has passed: got %v, want above 0", deadline)
 	}
 	if got := firstJobID(); got != "req-000001" {
-		t.Fatalf("%s first, though its deadline has passed", got)
+		t.Fatalf("after the deadline has passed: first in the queue is %s, want req-000001", got)
 	}
 }
 
-// Without a deadline a job is never late; with one, by the time at which it can be done.
+// A job's lateness follows from its predicted completion. A job without a deadline is never late.
 func TestLatenessByPredictedCompletion(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	withDeadline := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20, DeadlineSeconds: 100})
@@ -83,10 +83,10 @@
 		want       string
 	}{{100, "on time"}, {101, "late"}, {150, "late"}, {151, "very late"}} {
 		if got := fixture.scheduler.latenessOf(withDeadline, testCase.runSeconds, fixture.now).String(); got != testCase.want {
-			t.Errorf("a job that takes %v s of 100 s is %s, want %s", testCase.runSeconds, got, testCase.want)
+			t.Errorf("latenessOf a job that takes %v s and has a deadline of 100 s: got %s, want %s", testCase.runSeconds, got, testCase.want)
 		}
 		if got := fixture.scheduler.latenessOf(withoutDeadline, testCase.runSeconds, fixture.now); got != onTime {
-			t.Errorf("a job without a deadline is %s", got)
+			t.Errorf("latenessOf a job without a deadline: got %s, want on time", got)
 		}
 	}
 }
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -8,8 +8,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A guaranteed quota of 0 is none, in each resource for itself: it covers nothing and bounds
-// nothing. Added after quotas of GPUs alone covered no job at all, since all take CPUs too.
+// Each resource of a guaranteed quota counts for itself: a guarantee of 0 entitles no job and limits
+// none. Quotas of GPUs alone used to entitle no job, since all jobs take CPUs too.
 func TestQuotaEntitlementsPerResource(t *testing.T) {
 	both := wire.Job{TaskCount: 2, CPUs: 4, GPUs: 1}
 	cpus := wire.Job{TaskCount: 2, CPUs: 4}
@@ -25,7 +25,7 @@
 		{"CPUs alone", allocation.TeamQuota{GuaranteedMilliCPU: 16000}, []wire.Job{both, cpus, cpus}, []bool{true, true, false}},
 		{"both, GPUs short", allocation.TeamQuota{GuaranteedMilliCPU: 80000, GuaranteedMilliGPU: 2000}, []wire.Job{both, both}, []bool{true, false}},
 		{"both, CPUs short", allocation.TeamQuota{GuaranteedMilliCPU: 8000, GuaranteedMilliGPU: 8000}, []wire.Job{both, both}, []bool{true, false}},
-		{"what comes after one that is too large", allocation.TeamQuota{GuaranteedMilliGPU: 3000}, []wire.Job{{TaskCount: 4, GPUs: 1}, both}, []bool{false, false}},
+		{"job after one that exceeds the quota", allocation.TeamQuota{GuaranteedMilliGPU: 3000}, []wire.Job{{TaskCount: 4, GPUs: 1}, both}, []bool{false, false}},
 	} {
 		fixture := newFixture(map[string]allocation.TeamQuota{"a": testCase.team})
 		var jobs []*allocation.Job
@@ -36,14 +36,14 @@
 		entitled := fixture.scheduler.quotaEntitlements(fixture.tracker)
 		for i, job := range jobs {
 			if entitled[job] != testCase.want[i] {
-				t.Errorf("%s: job %d entitled: %v, want %v", testCase.name, i, entitled[job], testCase.want[i])
+				t.Errorf("%s: job %d is entitled: got %v, want %v", testCase.name, i, entitled[job], testCase.want[i])
 			}
 		}
 	}
 }
 
-// A machine is as full as its scarcest resource: with all GPUs used there is no room on it,
-// however many CPUs are left, and no spare to count on.
+// The free fraction of a machine is that of its scarcest resource: a machine with all GPUs in use has
+// no room and counts for no spare, however many CPUs are free.
 func TestFreeFractionIsThatOfScarcestResource(t *testing.T) {
 	size := allocation.Resources{MilliCPU: 12000, MilliGPU: 2000, MemoryMB: 96000}
 	for _, testCase := range []struct {
@@ -56,16 +56,16 @@
 		{allocation.Resources{MilliCPU: 3000, MemoryMB: 72000}, 0.25},
 	} {
 		if got := freeFraction(size.Sub(testCase.used), size); !isAlmostEqual(got, testCase.want) {
-			t.Errorf("%v of %v used: %v is free, want %v", testCase.used, size, got, testCase.want)
+			t.Errorf("freeFraction with %v of %v used: got %v, want %v", testCase.used, size, got, testCase.want)
 		}
 	}
 	if got := freeFraction(allocation.Resources{MilliCPU: 4000}, allocation.Resources{MilliCPU: 16000}); !isAlmostEqual(got, 0.25) {
-		t.Errorf("a machine without GPUs: %v", got)
+		t.Errorf("freeFraction of a machine without GPUs: got %v, want 0.25", got)
 	}
 }
 
-// What was started by aging is not stopped for entitled jobs: else each plan would place it,
-// and stop it again.
+// Tasks that were started by aging are not stopped for entitled jobs. Otherwise each plan would place
+// them and stop them again.
 func TestAgedWorkIsNotPreemptedForQuota(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {GuaranteedMilliGPU: 100000}})
 	machine := fixture.addMachine("i-0", "big", "x", false)
@@ -79,10 +79,10 @@
 		fixture.plan()
 		fixture.reportTasks(machine, wire.TaskRunning)
 		if agedJob.ActiveCount() != 2 || stoppingCount(agedJob) != 0 || entitledJob.ActiveCount() != 0 {
-			t.Fatalf("%d aged tasks are placed, %d of them stopping, %d entitled ones placed", agedJob.ActiveCount(), stoppingCount(agedJob), entitledJob.ActiveCount())
+			t.Fatalf("got %d aged tasks placed, %d of them stopping, and %d entitled tasks placed; want 2, 0 and 0", agedJob.ActiveCount(), stoppingCount(agedJob), entitledJob.ActiveCount())
 		}
 	}
-	// Other work beyond its team's quota is preempted.
+	// Work that was not started by aging and is outside its team's guaranteed quota is preempted.
 	fixture = newFixture(map[string]allocation.TeamQuota{"a": {}, "b": {GuaranteedMilliGPU: 100000}})
 	machine = fixture.addMachine("i-0", "big", "x", false)
 	youngJob := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 2, CPUs: 5, GPUs: 1, EstimatedRunSeconds: 50})
@@ -91,6 +91,6 @@
 	fixture.addJob(wire.Job{ID: "req-000002", Team: "b", TaskCount: 2, CPUs: 5, GPUs: 1, EstimatedRunSeconds: 50})
 	fixture.plan()
 	if stoppingCount(youngJob) != 2 {
-		t.Fatalf("%d tasks are stopped for two entitled ones", stoppingCount(youngJob))
+		t.Fatalf("%d tasks are stopping for two entitled tasks, want 2", stoppingCount(youngJob))
 	}
 }
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -9,16 +9,17 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A machine that has just come up takes tasks once it has seen the token, which its next
-// heartbeat shows, so none is requested in its place. One that sends heartbeats for longer
-// without having seen it is unreachable, and not counted on.
+// A machine that has just come up shows with its next heartbeat that it has seen the fencing token,
+// and then takes tasks, so no other machine may be requested in its place. A machine that sends
+// heartbeats for longer than the window without showing the token is unreachable; it is not
+// counted on, and another is requested.
 func TestNoScaleOutForMachineThatJustCameUp(t *testing.T) {
 	fixture := newFixture(nil)
 	fixture.scheduler.HeartbeatWindow = 8 * clock.Second
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 50, MachineTypes: []string{"small"}})
 	requests := fixture.plan().ScaleOut
 	if len(requests) != 1 || requests[0].Count != 1 {
-		t.Fatalf("requests %v", requests)
+		t.Fatalf("scale-out requests for one task: got %v, want one request for one machine", requests)
 	}
 	pool := requests[0].Pool
 	machine := fixture.tracker.AddMachine("i-0", pool.Type, pool.Zone, pool.Spot, fixture.scheduler.MachineCapacity(pool.Type), fixture.now)
@@ -29,32 +30,32 @@
 		fixture.tracker.RecordHeartbeat(machine, &wire.Heartbeat{MachineID: "i-0", Incarnation: 1, Sequence: uint64(seq + 1), Address: "127.0.0.1:1"}, fixture.now)
 		isScaledOut := len(fixture.plan().ScaleOut) > 0
 		if isScaledOut != (after > fixture.scheduler.HeartbeatWindow) {
-			t.Errorf("%v after it came up another one is requested: %v", after.Duration(), isScaledOut)
+			t.Errorf("%v after the machine came up: another one is requested: got %v, want true only after 8 s", after.Duration(), isScaledOut)
 		}
 	}
 }
 
-// All machines for a gang of one zone are requested in one zone, and in the next one when
-// the first was empty.
+// All machines for a SingleZone gang are requested in one zone. If that zone is empty, all are
+// requested in another.
 func TestScaleOutForSingleZoneGangUsesOneZone(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 6, CPUs: 16, MachineTypes: []string{"big"}, Kind: wire.KindGang, SingleZone: true})
 	requestedZone := func() string {
 		decision := fixture.plan()
 		if len(decision.ScaleOut) != 1 || decision.ScaleOut[0].Count != 6 {
-			t.Fatalf("requests %v", decision.ScaleOut)
+			t.Fatalf("scale-out requests for a gang of six: got %v, want one request for 6 machines", decision.ScaleOut)
 		}
 		return decision.ScaleOut[0].Pool.Zone
 	}
 	firstZone := requestedZone()
 	fixture.scheduler.ObserveEmptyPool(Pool{"big", firstZone, false}, fixture.now)
 	if secondZone := requestedZone(); secondZone == firstZone {
-		t.Fatal("the empty zone is asked again")
+		t.Fatal("the second request went to the zone whose pool was found empty after the first")
 	}
 }
 
-// A machine for a replica on a suspected machine is requested before the loss is confirmed;
-// the replica is not started before.
+// A machine for a replica on a suspected machine is requested before the loss of the replica is
+// confirmed, but the replica is not started again before that.
 func TestScaleOutForSuspectedMachinesBeforeLossIsConfirmed(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
@@ -62,30 +63,30 @@
 	job := fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, Priority: wire.PriorityProduction, Kind: wire.KindService})
 	fixture.plan()
 	if job.ActiveCount() != 1 {
-		t.Fatal("not placed")
+		t.Fatal("the replica is not placed on the only machine")
 	}
 	fixture.tracker.HeartbeatCommands(machine, fixture.now)
 	fixture.now += 4 * clock.Second
 	if decision := fixture.plan(); len(decision.ScaleOut) != 0 {
-		t.Fatalf("requested too early: %v", decision.ScaleOut)
+		t.Fatalf("scale-out requests before the heartbeat window has passed: got %v, want none", decision.ScaleOut)
 	}
 	fixture.now += 2 * clock.Second
 	decision := fixture.plan()
 	if len(decision.ScaleOut) != 1 || decision.ScaleOut[0].Count != 1 || decision.ScaleOut[0].Pool.Spot {
-		t.Fatalf("requests %v", decision.ScaleOut)
+		t.Fatalf("scale-out requests for the suspected replica: got %v, want one on-demand machine", decision.ScaleOut)
 	}
 	if d := fixture.scheduler.Plan(fixture.tracker, fixture.now, fixture.now, []PendingScaleOut{{Pool: decision.ScaleOut[0].Pool, Count: 1}}); len(d.ScaleOut) != 0 || job.ActiveCount() != 1 {
-		t.Fatalf("requested twice: %v", d.ScaleOut)
+		t.Fatalf("with the first request pending: got scale-out requests %v, want none and the replica still on its machine", d.ScaleOut)
 	}
 }
 
-// An empty pool is not asked for a while, and the next zone is.
+// An empty pool is not asked again for a while; machines are requested from other pools meanwhile.
 func TestEmptyPoolBacksOff(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 3, CPUs: 16, EstimatedRunSeconds: 50, MachineTypes: []string{"big"}})
 	firstRequests := fixture.plan().ScaleOut
 	if len(firstRequests) == 0 {
-		t.Fatal("no machine is requested")
+		t.Fatal("got no scale-out request for a waiting job, want at least one")
 	}
 	for _, request := range firstRequests {
 		fixture.scheduler.ObserveEmptyPool(request.Pool, fixture.now)
@@ -93,17 +94,17 @@
 	for _, request := range fixture.plan().ScaleOut {
 		for _, earlier := range firstRequests {
 			if earlier.Pool == request.Pool {
-				t.Fatalf("%v is asked again at once", request.Pool)
+				t.Fatalf("pool %v was found empty and is asked again at once", request.Pool)
 			}
 		}
 	}
 	if len(fixture.scheduler.Plan(fixture.tracker, fixture.now+60*clock.Second, fixture.now+60*clock.Second, nil).ScaleOut) == 0 {
-		t.Fatal("never asked again")
+		t.Fatal("got no scale-out request 60 s after the pools were found empty, want at least one")
 	}
 }
 
-// When a whole zone is suspected, machines for its replicas are requested in another: in that
-// one they would be unreachable too.
+// If a whole zone is suspected, machines for its replicas are requested in other zones, since new
+// machines in the suspected zone would be unreachable too.
 func TestNoScaleOutInSuspectedZone(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.scheduler.HeartbeatWindow = 5 * clock.Second
@@ -130,17 +131,17 @@
 	sendHeartbeats("y")
 	decision := fixture.plan()
 	if len(decision.ScaleOut) == 0 {
-		t.Fatal("no machine is requested for the replicas of the suspected zone")
+		t.Fatal("got no scale-out request for the replicas of the suspected zone, want at least one")
 	}
 	for _, request := range decision.ScaleOut {
 		if request.Pool.Zone == "x" {
-			t.Fatalf("requests %v in the suspected zone", request)
+			t.Fatalf("scale-out request %v is in the suspected zone", request)
 		}
 	}
 }
 
-// The first machines of a burst to come up are the fast ones. Added after the others counted
-// as overdue by their times alone, and each was requested a second time.
+// The machines of a burst that come up first are the fast ones. Judged by their boot times alone, the
+// other machines would count as overdue, and each would be requested a second time.
 func TestFastFirstBootsDoNotMakeOthersOverdue(t *testing.T) {
 	fixture := newFixture(nil)
 	var booting []*allocation.Machine
@@ -153,18 +154,18 @@
 	for range 20 {
 		fixture.scheduler.ObserveBoot("big", 9*clock.Second)
 	}
-	fixture.now += 14 * clock.Second // nominal is 15
+	fixture.now += 14 * clock.Second // the type's nominal boot time is 15 s
 	if decision := fixture.plan(); len(decision.ScaleOut) > 0 {
-		t.Errorf("%d machines boot in their usual time, and %v is requested", len(booting), decision.ScaleOut)
+		t.Errorf("scale-out requests while %d machines are within the nominal boot time: got %v, want none", len(booting), decision.ScaleOut)
 	}
 	fixture.now += 60 * clock.Second
 	if decision := fixture.plan(); len(decision.ScaleOut) == 0 {
-		t.Error("all machines are overdue, and none is requested for them")
+		t.Error("got no scale-out request though all machines are overdue, want at least one")
 	}
 }
 
-// An array waits a while for a spot machine; a gang does not, which would need all
-// its machines to come in that time.
+// An array waits for a spot machine for a while. A gang does not, since all its machines would have
+// to become available within that time.
 func TestGangDoesNotWaitForSpotMachines(t *testing.T) {
 	for _, kind := range []string{wire.KindArray, wire.KindGang} {
 		fixture := newFixture(nil)
@@ -176,7 +177,7 @@
 		}
 		fixture.addJob(wire.Job{ID: "req-000001", Kind: kind, TaskCount: 4, CPUs: 4, EstimatedRunSeconds: 100, AllowsSpot: true})
 		if decision := fixture.plan(); (len(decision.ScaleOut) > 0) != (kind == wire.KindGang) {
-			t.Errorf("%s: requested %v", kind, decision.ScaleOut)
+			t.Errorf("%s with all spot pools empty: got scale-out requests %v, want some only for a gang", kind, decision.ScaleOut)
 		}
 	}
 }
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -11,9 +11,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Under a load above the fleet's capacity, smallest first would have the large wait for as
-// long as small ones come. Over generated loads the largest start within four minutes, and
-// at least half of every class and team is started.
+// Under a load above the fleet's capacity, smallest need first alone would keep large jobs waiting
+// for as long as small ones arrive. Over generated loads, the largest tenth of the jobs has to start
+// within four minutes, and at least half of the jobs of every class and team has to start.
 func TestNoStarvationUnderOverload(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 12))
@@ -29,7 +29,7 @@
 		}
 		var submissions []submission
 		for sec := 0; sec < 900; sec++ {
-			// 48 tasks fit at a time; what comes asks for half as much again.
+			// The fleet runs 48 tasks at a time; the submitted jobs need one and a half times that.
 			if sec < 660 && rng.IntN(10) == 0 {
 				size, class := 2+rng.IntN(20), "short"
 				if rng.IntN(6) == 0 {
@@ -54,12 +54,12 @@
 				started[group] += boolToInt(startedAt != 0)
 			}
 			if i < len(submissions)/10 && (startedAt == 0 || startedAt-submission.submittedAt > 240*clock.Second) {
-				t.Errorf("load %d: %s with %d tasks starts after %v", seed, submission.job.Spec.ID, submission.size, (startedAt - submission.submittedAt).Seconds())
+				t.Errorf("seed %d: %s with %d tasks started %v s after its submission (negative: never), want at most 240 s", seed, submission.job.Spec.ID, submission.size, (startedAt - submission.submittedAt).Seconds())
 			}
 		}
 		for group, n := range count {
 			if 2*started[group] < n {
-				t.Errorf("load %d: %d of %d of %s were started", seed, started[group], n, group)
+				t.Errorf("seed %d: %d of %d jobs of %s were started, want at least half", seed, started[group], n, group)
 			}
 		}
 	}
