--- a/internal/scheduler/poolchoice.go
+++ b/internal/scheduler/poolchoice.go
@@ -7,8 +7,9 @@
 // chooseZone returns the zone that all tasks of a SingleZone job have to run in, or "" for other
 // jobs. It is the zone that has tasks of the job or that its spec names; otherwise it is the zone
 // where most of its tasks will find room. A zone where machines can be requested counts as having
-// room for one task at least. All requests for such a job have to go to the same zone, since
-// machines in several zones are of no use to it.
+// room for one task at least; one where none can be requested counts only if all tasks fit there.
+// All requests for such a job have to go to the same zone, since machines in several zones are of
+// no use to it.
 func (cycle *schedulingCycle) chooseZone(job *allocation.Job, forecast *capacityForecast) string {
 	if !job.Spec.SingleZone {
 		return ""
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// A deadline that a job derives from a job that depends on it makes it urgent or late, as its own
-// deadline would.
+// A deadline that a job has derived from its dependents makes the job urgent or late, like a deadline
+// of its own.
 func TestDependentsDeadlineMakesDependencyUrgent(t *testing.T) {
 	fixture := newFixture(map[string]allocation.TeamQuota{"a": {}})
 	fixture.addJob(wire.Job{ID: "req-000001", Team: "a", TaskCount: 1, CPUs: 4, EstimatedRunSeconds: 20})
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -9,7 +9,7 @@
 )
 
 // Each resource of a guaranteed quota counts for itself: a guarantee of 0 entitles no job and limits
-// none. Quotas of GPUs alone used to entitle no job, since all jobs take CPUs too.
+// none. Otherwise a quota of GPUs alone would entitle no job, since all jobs take CPUs too.
 func TestQuotaEntitlementsPerResource(t *testing.T) {
 	both := wire.Job{TaskCount: 2, CPUs: 4, GPUs: 1}
 	cpus := wire.Job{TaskCount: 2, CPUs: 4}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -130,7 +130,7 @@
 }
 
 // fractionalMachinesNeeded is how many machines a job would fill, not rounded, if they were of the
-// allowed type that holds most of its tasks.
+// allowed type that fits the most of its tasks on one machine.
 func (scheduler *Scheduler) fractionalMachinesNeeded(job *allocation.Job) float64 {
 	maxPerMachine := 0
 	for typeName := range scheduler.MachineTypes {
@@ -141,8 +141,8 @@
 	return float64(len(job.Tasks)) / float64(max(maxPerMachine, 1))
 }
 
-// MachinesNeeded is how many machines of the allowed type that holds most of its tasks a job needs,
-// at least 1; it is r in the paper (4).
+// MachinesNeeded is fractionalMachinesNeeded rounded up, and at least 1: the number of machines that
+// a job needs, r in the paper (4).
 func (scheduler *Scheduler) MachinesNeeded(job *allocation.Job) int {
 	return max(int(math.Ceil(scheduler.fractionalMachinesNeeded(job)-roundingMargin)), 1)
 }
