--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -91,7 +91,7 @@
 // slot stands for all types.
 func (cycle *schedulingCycle) maxReservationSeconds(job *allocation.Job, slots []gangSlot) float64 {
 	typeName := slots[0].machine.Type
-	return cycle.scheduler.BootTime(typeName, medianBoot).Seconds() + cycle.scheduler.imageFetchSeconds(job, typeName)
+	return cycle.scheduler.BootTime(typeName, medianBootPercentile).Seconds() + cycle.scheduler.imageFetchSeconds(job, typeName)
 }
 
 // placeGang places either all waiting tasks of a gang or none. In a gang that is partly placed these
