--- a/internal/controller/controller_setup.go
+++ b/internal/controller/controller_setup.go
@@ -49,7 +49,7 @@
 		workers:    workerContactState{contactAt: map[string]clock.Micros{}, reports: map[string]leader.WorkerContact{}},
 		delegation: newDelegationState(settings.Delegation),
 		history:    newFinishedJobHistory(finishedJobCapacity(tuning.FinishedJobs, deployment.ProcessLimits.MemoryMB), deployment.Store.Effective().MaxTransactionOps),
-		users:      userRequestState{pendingSubmissions: map[string][]*server.Reply{}, progressCounts: hints.NewCounts(leader.HeartbeatInterval)},
+		users:      userRequestState{pendingSubmissions: map[string][]*server.Reply{}, progressCounts: hints.NewProgressCounts(leader.HeartbeatInterval)},
 	}
 	controller.process.nextDropLogAt = map[string]clock.Micros{}
 	if tuning.Standby.Enabled {
--- a/internal/controller/controller_state.go
+++ b/internal/controller/controller_state.go
@@ -125,7 +125,7 @@
 type userRequestState struct {
 	// pendingSubmissions are the replies that wait for a submission's write, by job.
 	pendingSubmissions map[string][]*server.Reply
-	progressCounts     *hints.Counts
+	progressCounts     *hints.ProgressCounts
 }
 
 // storeUsage is how the members share the store's rates, and what was reported of
--- a/internal/controller/election_actions.go
+++ b/internal/controller/election_actions.go
@@ -21,7 +21,7 @@
 		case election.GrantLease:
 			controller.grantLease()
 		case election.AcquireLock:
-			controller.acquireLockInTurn(action.LeaseID)
+			controller.acquireLockOrYield(action.LeaseID)
 		case election.RenewLease:
 			controller.renewLease(action.LeaseID)
 		case election.RevokeLease:
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -99,7 +99,7 @@
 		}
 		return 0, 0
 	}
-	count, _ := controller.users.progressCounts.Of(id)
+	count, _ := controller.users.progressCounts.Progress(id)
 	return int(count.Done), int(count.Running)
 }
 
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// firstTypesInterval is how often the cloud is asked for machine types until they are known,
+	// initialTypesFetchInterval is how often the cloud is asked for machine types until they are known,
 	// typesRefreshInterval how often a leader asks again: prices change.
-	firstTypesInterval   = 2 * clock.Second
-	typesRefreshInterval = 60 * clock.Second
+	initialTypesFetchInterval = 2 * clock.Second
+	typesRefreshInterval      = 60 * clock.Second
 )
 
 // fetchMachineTypes asks the cloud for its machine types when that is due.
@@ -38,7 +38,7 @@
 // member as leader.
 func (controller *Controller) isTypesFetchDue(now clock.Micros) bool {
 	catalog := &controller.machineTypes
-	interval := firstTypesInterval
+	interval := initialTypesFetchInterval
 	if len(catalog.list) > 0 {
 		if controller.term == nil {
 			return false
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -31,7 +31,7 @@
 		return
 	}
 	now := clock.Now()
-	if controller.term != nil && controller.hasComeBack(heartbeat, now) {
+	if controller.term != nil && controller.isFirstAfterAbsence(heartbeat, now) {
 		controller.term.ResendHints(now)
 	}
 	controller.members.heartbeats[heartbeat.Member] = &leader.ReceivedHeartbeat{Heartbeat: heartbeat, ReceivedAt: now}
@@ -41,9 +41,9 @@
 	controller.updateProgressCounts(heartbeat, now)
 }
 
-// hasComeBack tells whether a heartbeat is a member's first one since its start or since it was
+// isFirstAfterAbsence tells whether a heartbeat is a member's first one since its start or since it was
 // last reachable.
-func (controller *Controller) hasComeBack(heartbeat *peer.Heartbeat, now clock.Micros) bool {
+func (controller *Controller) isFirstAfterAbsence(heartbeat *peer.Heartbeat, now clock.Micros) bool {
 	last := controller.members.heartbeats[heartbeat.Member]
 	return last == nil || last.Heartbeat.Incarnation != heartbeat.Incarnation || now-last.ReceivedAt >= leader.MemberTimeout
 }
@@ -125,9 +125,9 @@
 // of them than at the last call. Those that come while logDropped lets no line through are in the
 // count of the next line.
 func (controller *Controller) logMalformedResponses() {
-	if drops := controller.store.MalformedResponses.Load(); drops > controller.storeUse.reportedDrops {
-		controller.logDropped("malformed or unexpected store responses", "dropped_so_far", drops)
-		controller.storeUse.reportedDrops = drops
+	if malformed := controller.store.MalformedResponses.Load(); malformed > controller.storeUse.reportedDrops {
+		controller.logDropped("malformed or unexpected store responses", "dropped_so_far", malformed)
+		controller.storeUse.reportedDrops = malformed
 	}
 }
 
@@ -148,7 +148,7 @@
 func (controller *Controller) newHeartbeat(now clock.Micros) *peer.Heartbeat {
 	heartbeat := &peer.Heartbeat{
 		Member:                 controller.cfg.Member,
-		StandbyProtocolVersion: controller.standbyVersion(),
+		StandbyProtocolVersion: controller.standbyProtocolVersion(),
 		IsStoreReachable:       controller.store.LastSuccessAt() > controller.store.LastFailureAt() && now-controller.store.LastSuccessAt() < storeReachableWindow,
 	}
 	heartbeat.Leader, heartbeat.Token = controller.elector.LockHolder()
--- a/internal/controller/rate_shares.go
+++ b/internal/controller/rate_shares.go
@@ -8,9 +8,9 @@
 
 // applyRateShares sets this member's shares of the outside services' rates, as leader or not.
 func (controller *Controller) applyRateShares() {
-	shares := rateshare.OfFollower(len(controller.cfg.Peers))
+	shares := rateshare.FollowerShares(len(controller.cfg.Peers))
 	if controller.elector.Phase() == election.Leader {
-		shares = rateshare.OfLeader(len(controller.cfg.Peers))
+		shares = rateshare.LeaderShares(len(controller.cfg.Peers))
 		controller.storeUse.shares.BeginTerm()
 	}
 	controller.store.SetRateShare(shares.Store)
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -5,8 +5,8 @@
 	"firwood.dev/firwood/internal/standby"
 )
 
-// standbyVersion is the version of the stream's messages that this member takes, 0 for none.
-func (controller *Controller) standbyVersion() uint8 {
+// standbyProtocolVersion is the version of the stream's messages that this member takes, 0 for none.
+func (controller *Controller) standbyProtocolVersion() uint8 {
 	if controller.failover.replica == nil {
 		return 0
 	}
--- a/internal/controller/standby_trust.go
+++ b/internal/controller/standby_trust.go
@@ -51,8 +51,8 @@
 	return received.Heartbeat.Incarnation == member.Incarnation && now-received.ReceivedAt < 2*leader.HeartbeatInterval
 }
 
-// acquireLockInTurn tries for the lock, after yieldDelay if there is a better candidate.
-func (controller *Controller) acquireLockInTurn(lease uint64) {
+// acquireLockOrYield tries for the lock, after yieldDelay if there is a better candidate.
+func (controller *Controller) acquireLockOrYield(lease uint64) {
 	if !controller.hasBetterCandidate(clock.Now()) {
 		controller.acquireLock(lease)
 		return
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -32,13 +32,13 @@
 	case !controller.view.IsLoaded || len(controller.machineTypes.list) == 0:
 		replyUnavailable(reply, reasonNotReady)
 	default:
-		controller.lookUpNamedJobs(job, reply, func(absent map[string]bool) { controller.judgeSubmission(job, reply, absent) })
+		controller.lookUpReferencedJobs(job, reply, func(absent map[string]bool) { controller.admitOrRejectSubmission(job, reply, absent) })
 	}
 }
 
-// lookUpNamedJobs looks up a submission's dependencies, and the job itself, where they may
+// lookUpReferencedJobs looks up a submission's dependencies, and the job itself, where they may
 // have been evicted. It proceeds with those that are proven absent.
-func (controller *Controller) lookUpNamedJobs(job *wire.Job, reply *server.Reply, proceed func(absent map[string]bool)) {
+func (controller *Controller) lookUpReferencedJobs(job *wire.Job, reply *server.Reply, proceed func(absent map[string]bool)) {
 	absent := map[string]bool{}
 	var ids []string
 	for _, id := range append(slices.Clone(job.DependsOn), job.ID) {
@@ -46,19 +46,19 @@
 			ids = append(ids, id)
 		}
 	}
-	remaining, isAnswered := len(ids), true
+	remaining, hasAllResults := len(ids), true
 	if remaining == 0 {
 		proceed(absent)
 		return
 	}
 	for _, id := range ids {
 		controller.lookUpJob(id, clock.Now()+syncTimeout, func(result jobhistory.LookupResult) {
-			isAnswered = isAnswered && result != jobhistory.Unavailable
+			hasAllResults = hasAllResults && result != jobhistory.Unavailable
 			absent[id] = result == jobhistory.Absent
 			if remaining--; remaining > 0 {
 				return
 			}
-			if !isAnswered {
+			if !hasAllResults {
 				replyUnavailable(reply, reasonStoreUnavailable)
 				return
 			}
@@ -67,15 +67,15 @@
 	}
 }
 
-// judgeSubmission decides on a submission once the jobs that it names are in the view or
+// admitOrRejectSubmission decides on a submission once the jobs that it names are in the view or
 // known to be absent.
-func (controller *Controller) judgeSubmission(job *wire.Job, reply *server.Reply, absent map[string]bool) {
-	isUnproven := func(id string) bool { return controller.mayBeEvicted(id) && !absent[id] }
-	if controller.view.Jobs[job.ID] != nil || isUnproven(job.ID) {
+func (controller *Controller) admitOrRejectSubmission(job *wire.Job, reply *server.Reply, absent map[string]bool) {
+	mayExistOnlyInStore := func(id string) bool { return controller.mayBeEvicted(id) && !absent[id] }
+	if controller.view.Jobs[job.ID] != nil || mayExistOnlyInStore(job.ID) {
 		controller.showJob(job.ID, reply)
 		return
 	}
-	if slices.ContainsFunc(job.DependsOn, isUnproven) {
+	if slices.ContainsFunc(job.DependsOn, mayExistOnlyInStore) {
 		// The look-up brought it into the view, and it was evicted again for want of memory.
 		replyUnavailable(reply, "what it awaits was forgotten again")
 		return
@@ -144,13 +144,13 @@
 
 // rejectAfterSync replies 422 once the view proves that no member has accepted the job.
 func (controller *Controller) rejectAfterSync(job *wire.Job, reply *server.Reply, reason string) {
-	controller.unlessAccepted(job, reply, func() { reply.Send(422, server.ErrorBody(reason), 0) })
+	controller.proceedIfNotAccepted(job, reply, func() { reply.Send(422, server.ErrorBody(reason), 0) })
 }
 
 // recheckDependencies judges a job's dependencies again once the view is new enough: another
 // member may have accepted them a moment ago.
 func (controller *Controller) recheckDependencies(job *wire.Job, reply *server.Reply) {
-	controller.unlessAccepted(job, reply, func() {
+	controller.proceedIfNotAccepted(job, reply, func() {
 		if reason := controller.invalidDependencyReason(job); reason != "" {
 			reply.Send(422, server.ErrorBody(reason), 0)
 			return
@@ -159,15 +159,15 @@
 	})
 }
 
-// unlessAccepted proceeds once the view proves that no member has accepted the job; a job that
+// proceedIfNotAccepted proceeds once the view proves that no member has accepted the job; a job that
 // was accepted is answered with its status.
-func (controller *Controller) unlessAccepted(job *wire.Job, reply *server.Reply, proceed func()) {
-	evictions := controller.history.evicted.evictions
+func (controller *Controller) proceedIfNotAccepted(job *wire.Job, reply *server.Reply, proceed func()) {
+	evictionsBefore := controller.history.evicted.evictions
 	controller.view.RequestSync(func(err error) {
 		switch record := controller.view.Jobs[job.ID]; {
 		case err != nil:
 			replyUnavailable(reply, err.Error())
-		case record == nil && controller.history.evicted.evictions != evictions:
+		case record == nil && controller.history.evicted.evictions != evictionsBefore:
 			replyUnavailable(reply, "it may have been forgotten meanwhile")
 		case record != nil:
 			reply.Send(200, controller.encodeJobStatus(job.ID, record), 0)
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -16,9 +16,9 @@
 	loadRetryDelay = 300 * time.Millisecond
 	// maxSyncsInFlight bounds the watches that answer at once.
 	maxSyncsInFlight = 2
-	// syncInterval is the least time between two of those, leaderSyncInterval that of a leader,
+	// minSyncInterval is the least time between two of those, minLeaderSyncInterval that of a leader,
 	// whose starts wait for them.
-	syncInterval, leaderSyncInterval = 60 * clock.Millisecond, 25 * clock.Millisecond
+	minSyncInterval, minLeaderSyncInterval = 60 * clock.Millisecond, 25 * clock.Millisecond
 	// pollTimeout is how long a watch waits for changes.
 	pollTimeout = 10 * clock.Second
 	// pollInterval is the time between two such watches, leaderPollInterval that of a leader,
@@ -89,9 +89,9 @@
 // startSync opens a watch that answers at once for the syncs that are requested.
 func (controller *Controller) startSync(now clock.Micros) {
 	watches := &controller.watches
-	minInterval := syncInterval
+	minInterval := minSyncInterval
 	if controller.isLeading() {
-		minInterval = leaderSyncInterval
+		minInterval = minLeaderSyncInterval
 	}
 	if watches.syncsInFlight >= maxSyncsInFlight || now-watches.lastSyncAt < minInterval {
 		return
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -14,21 +14,21 @@
 // held its lock for 78 s, while all leases ran out.
 
 const (
-	// workerContactInterval is how often a member reports the count.
-	workerContactInterval = clock.Second
-	// minWorkerContacts is the count from which a report is worth a write.
-	minWorkerContacts = 3
+	// workerContactReportInterval is how often a member reports the count.
+	workerContactReportInterval = clock.Second
+	// minReportedContacts is the count from which a report is worth a write.
+	minReportedContacts = 3
 )
 
 // expireWorkerContacts drops workers that have not contacted this member for a while.
 func (controller *Controller) expireWorkerContacts(now clock.Micros) {
-	for name, lastAt := range controller.workers.contactAt {
-		if now-lastAt > controller.settings.Timing.SuspectTimeout {
+	for name, lastContactAt := range controller.workers.contactAt {
+		if now-lastContactAt > controller.settings.Timing.SuspectTimeout {
 			delete(controller.workers.contactAt, name)
 		}
 	}
-	for name, lastAt := range controller.delegation.repliedAt {
-		if now-lastAt > clock.FromSeconds(controller.cfg.Deployment.Workers.LeaseSeconds) {
+	for name, lastReplyAt := range controller.delegation.repliedAt {
+		if now-lastReplyAt > clock.FromSeconds(controller.cfg.Deployment.Workers.LeaseSeconds) {
 			delete(controller.delegation.repliedAt, name)
 		}
 	}
@@ -44,12 +44,12 @@
 	if err != nil {
 		return
 	}
-	controller.workers.nextReportAt = now + workerContactInterval
+	controller.workers.nextReportAt = now + workerContactReportInterval
 	// A write that is refused or late is made up for by the next.
 	controller.store.Commit(&kvstore.Write{
 		Priority: kvstore.Critical,
 		Changes:  []wire.Change{{PutKey: records.WorkerContactKey(controller.cfg.Member), Value: value}},
-		Deadline: now + workerContactInterval,
+		Deadline: now + workerContactReportInterval,
 		Done:     func(kvstore.Outcome, uint64) {},
 	})
 }
@@ -59,7 +59,7 @@
 func (controller *Controller) isWorkerContactReportDue(now clock.Micros) bool {
 	holder, _ := controller.elector.LockHolder()
 	isOtherLeading := controller.term == nil && holder != "" && holder != controller.cfg.Member
-	if !isOtherLeading || len(controller.workers.contactAt) < minWorkerContacts || now < controller.workers.nextReportAt {
+	if !isOtherLeading || len(controller.workers.contactAt) < minReportedContacts || now < controller.workers.nextReportAt {
 		return false
 	}
 	received := controller.members.heartbeats[holder]
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -10,12 +10,12 @@
 )
 
 // The member that reports is one that many workers contact and that receives no heartbeats of the leader.
-func TestWorkerContactIsReported(t *testing.T) {
+func TestWorkerContactsAreReportedWithoutLeaderHeartbeats(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		workers int
-		age     clock.Micros // of the leader's last heartbeat, 0: there is none
-		reports bool
+		name         string
+		workers      int
+		heartbeatAge clock.Micros // of the leader's last heartbeat, 0: there is none
+		wantReport   bool
 	}{
 		{"no heartbeat of the leader came", 6, 0, true},
 		{"its last heartbeat is too old", 6, 10 * clock.Second, true},
@@ -28,27 +28,27 @@
 		for i := range test.workers {
 			controller.workers.contactAt[string(rune('a'+i))] = now
 		}
-		if test.age != 0 {
-			controller.members.heartbeats["b"] = &leader.ReceivedHeartbeat{ReceivedAt: now - test.age}
+		if test.heartbeatAge != 0 {
+			controller.members.heartbeats["b"] = &leader.ReceivedHeartbeat{ReceivedAt: now - test.heartbeatAge}
 		}
 		controller.reportWorkerContact(now)
-		if got := controller.workers.nextReportAt != 0; got != test.reports {
+		if got := controller.workers.nextReportAt != 0; got != test.wantReport {
 			t.Errorf("%s: reported %v", test.name, got)
 		}
 	}
 }
 
 // A member's report counts from when it was written, as far as the members' clocks may differ.
-func TestWorkerContactRecordIsDated(t *testing.T) {
+func TestWorkerContactAgeAllowsForClockSkew(t *testing.T) {
 	controller := newTestController(t)
 	for _, test := range []struct {
-		name             string
-		ago, skew, wantS clock.Micros // in seconds
+		name               string
+		agoS, skewS, wantS clock.Micros // in seconds
 	}{
 		{"new", 0, 0, 0}, {"old", 8, 0, 8}, {"old, by clocks that may differ", 8, 2, 6}, {"from a clock that is ahead", -3, 0, 0},
 	} {
-		controller.cfg.Deployment.ClockErrorMillis = float64(test.skew) * 1000 / 2
-		value, err := records.WorkerContact{Workers: 12, ReportedAt: int64(clock.WallTime() - test.ago*clock.Second)}.MarshalJSON()
+		controller.cfg.Deployment.ClockErrorMillis = float64(test.skewS) * 1000 / 2
+		value, err := records.WorkerContact{Workers: 12, ReportedAt: int64(clock.WallTime() - test.agoS*clock.Second)}.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// leaderAdviceWindow is for how long after its last heartbeat a leader is named to workers,
-	// lockAdviceWindow for how long after the store's last answer the lock's holder is.
-	leaderAdviceWindow = 3 * leader.HeartbeatInterval
-	lockAdviceWindow   = 12 * clock.Second
+	// leaderRedirectWindow is for how long after its last heartbeat a leader is named to workers,
+	// lockHolderRedirectWindow for how long after the store's last answer the lock's holder is.
+	leaderRedirectWindow     = 3 * leader.HeartbeatInterval
+	lockHolderRedirectWindow = 12 * clock.Second
 )
 
 // HandleHeartbeat replies to a worker's heartbeat: with commands as leader, with stops of cancelled
@@ -38,7 +38,7 @@
 
 // replyRedirect sends a worker to the leader, or to try the other members if none is named.
 func (controller *Controller) replyRedirect(reply *server.Reply) {
-	body, err := wire.Redirect{Member: controller.leaderForWorkers(clock.Now())}.MarshalJSON()
+	body, err := wire.Redirect{Member: controller.redirectTarget(clock.Now())}.MarshalJSON()
 	if err != nil {
 		body = []byte("{}")
 	}
@@ -46,18 +46,18 @@
 	reply.Send(421, body, 0)
 }
 
-// leaderForWorkers is the leader that workers are redirected to, "" if none is known well
+// redirectTarget is the leader that workers are redirected to, "" if none is known well
 // enough. A member that reaches neither the leader nor the store names nobody. Added after a member
 // redirected workers to a leader that was down. It was itself the next one in the workers' lists,
 // so they went back and forth between the two for minutes, while a third member led.
-func (controller *Controller) leaderForWorkers(now clock.Micros) string {
+func (controller *Controller) redirectTarget(now clock.Micros) string {
 	known := controller.knownLeader()
 	if known == controller.cfg.Member {
 		return ""
 	}
 	received := controller.members.heartbeats[known]
-	isReachable := received != nil && now-received.ReceivedAt < leaderAdviceWindow
-	if !isReachable && now-controller.store.LastSuccessAt() >= lockAdviceWindow {
+	isReachable := received != nil && now-received.ReceivedAt < leaderRedirectWindow
+	if !isReachable && now-controller.store.LastSuccessAt() >= lockHolderRedirectWindow {
 		return ""
 	}
 	return known
--- a/internal/hints/counts.go
+++ b/internal/hints/counts.go
@@ -10,44 +10,44 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// Counts is the progress of jobs as the leader last sent it, for display only. The counts of
+// ProgressCounts is the progress of jobs as the leader last sent it, for display only. The counts of
 // a large fleet come in several heartbeats, in turn.
-type Counts struct {
-	jobs              map[string]receivedCount
+type ProgressCounts struct {
+	jobs              map[string]receivedProgress
 	heartbeatInterval clock.Micros
 }
 
-type receivedCount struct {
+type receivedProgress struct {
 	peer.JobProgress
 	receivedAt clock.Micros
 }
 
-// NewCounts makes counts for heartbeats that come once per interval.
-func NewCounts(heartbeatInterval clock.Micros) *Counts {
-	return &Counts{jobs: map[string]receivedCount{}, heartbeatInterval: heartbeatInterval}
+// NewProgressCounts makes counts for heartbeats that come once per interval.
+func NewProgressCounts(heartbeatInterval clock.Micros) *ProgressCounts {
+	return &ProgressCounts{jobs: map[string]receivedProgress{}, heartbeatInterval: heartbeatInterval}
 }
 
-// Of returns the progress of a job; ok is false if the leader has sent none.
-func (counts *Counts) Of(job string) (progress peer.JobProgress, ok bool) {
+// Progress returns the progress of a job; ok is false if the leader has sent none.
+func (counts *ProgressCounts) Progress(job string) (progress peer.JobProgress, ok bool) {
 	received, ok := counts.jobs[job]
 	return received.JobProgress, ok
 }
 
 // Remove drops the progress of a job that has ended.
-func (counts *Counts) Remove(job string) { delete(counts.jobs, job) }
+func (counts *ProgressCounts) Remove(job string) { delete(counts.jobs, job) }
 
 // Update takes the counts of a heartbeat, of jobs that have not ended. A job that was in none
 // of the heartbeats of two turns has no progress any more.
-func (counts *Counts) Update(heartbeat *peer.Heartbeat, now clock.Micros, hasEnded func(job string) bool) {
+func (counts *ProgressCounts) Update(heartbeat *peer.Heartbeat, now clock.Micros, hasEnded func(job string) bool) {
 	if heartbeat.ProgressPageCount <= 1 {
 		clear(counts.jobs)
 	} else {
 		ttl := 2 * clock.Micros(heartbeat.ProgressPageCount) * counts.heartbeatInterval
-		maps.DeleteFunc(counts.jobs, func(_ string, received receivedCount) bool { return now-received.receivedAt > ttl })
+		maps.DeleteFunc(counts.jobs, func(_ string, received receivedProgress) bool { return now-received.receivedAt > ttl })
 	}
 	for _, count := range heartbeat.JobProgress {
 		if !hasEnded(count.Job) {
-			counts.jobs[count.Job] = receivedCount{count, now}
+			counts.jobs[count.Job] = receivedProgress{count, now}
 		}
 	}
 }
@@ -56,14 +56,14 @@
 // are spread over the pages by a hash of their ids, so some pages get more than others.
 const pageFillFactor = 0.75
 
-// CountsSender is how far a leader has sent counts. The zero value has sent none.
-type CountsSender struct {
+// ProgressSender is how far a leader has sent counts. The zero value has sent none.
+type ProgressSender struct {
 	nextPage uint64
 }
 
 // Add adds the progress of jobs to a heartbeat: of all that have any, or of the page whose
 // turn it is if they don't fit into one.
-func (sender *CountsSender) Add(heartbeat *peer.Heartbeat, jobs map[string]*allocation.Job) {
+func (sender *ProgressSender) Add(heartbeat *peer.Heartbeat, jobs map[string]*allocation.Job) {
 	var counts []peer.JobProgress
 	for id, job := range jobs {
 		if !job.Cancelled && (job.StartedCount > 0 || job.DoneCount() > 0) {
--- a/internal/hints/counts_test.go
+++ b/internal/hints/counts_test.go
@@ -11,18 +11,18 @@
 
 // The progress of more jobs than fit into a heartbeat is sent in turn, and all of it is known
 // after one turn; a job that has no progress any more is dropped after another two.
-func TestProgressCountsAreSentInParts(t *testing.T) {
+func TestProgressIsSentInPages(t *testing.T) {
 	const jobs = 3*peer.MaxJobProgress + 17
 	running := map[string]*allocation.Job{}
 	for i := range jobs {
 		running[fmt.Sprintf("req-%06d", i)] = &allocation.Job{StartedCount: 1}
 	}
 	const interval = clock.Second
-	var sender CountsSender
-	follower := NewCounts(interval)
+	var sender ProgressSender
+	follower := NewProgressCounts(interval)
 	hasEnded := func(job string) bool { return job == "req-000003" }
 	now := clock.Second
-	turn := func() (heartbeats int) {
+	sendAllPages := func() (heartbeats int) {
 		for pageCount := uint32(1); heartbeats < int(pageCount); heartbeats++ {
 			heartbeat := &peer.Heartbeat{Member: "b", Leader: "b", Token: 9}
 			sender.Add(heartbeat, running)
@@ -36,18 +36,18 @@
 		}
 		return heartbeats
 	}
-	if heartbeats := turn(); heartbeats < 4 || len(follower.jobs) != jobs-1 {
+	if heartbeats := sendAllPages(); heartbeats < 4 || len(follower.jobs) != jobs-1 {
 		t.Fatalf("%d of %d jobs are known after %d heartbeats", len(follower.jobs), jobs-1, heartbeats)
 	}
 	delete(running, "req-000007")
 	for range 3 {
-		turn()
+		sendAllPages()
 	}
-	if _, ok := follower.Of("req-000007"); ok || len(follower.jobs) != jobs-2 {
+	if _, ok := follower.Progress("req-000007"); ok || len(follower.jobs) != jobs-2 {
 		t.Errorf("%d jobs are known", len(follower.jobs))
 	}
 	clear(running)
-	turn()
+	sendAllPages()
 	if len(follower.jobs) != 0 {
 		t.Errorf("%d jobs are known when none has progress", len(follower.jobs))
 	}
--- a/internal/hints/hints.go
+++ b/internal/hints/hints.go
@@ -16,9 +16,9 @@
 	"firwood.dev/firwood/internal/scheduler"
 )
 
-// imageTTL is for how long after its last hint a machine's images are kept, once there are hints
+// imageHintTTL is for how long after its last hint a machine's images are kept, once there are hints
 // of more machines than Store's maxMachines.
-const imageTTL = 600 * clock.Second
+const imageHintTTL = 600 * clock.Second
 
 // Hints is what a leader has sent, for the case that this member leads next.
 type Hints struct {
@@ -44,7 +44,7 @@
 		hints.cachedImages[images.Machine] = receivedImages{images, now}
 	}
 	if len(hints.cachedImages) > maxMachines {
-		maps.DeleteFunc(hints.cachedImages, func(_ string, images receivedImages) bool { return now-images.receivedAt > imageTTL })
+		maps.DeleteFunc(hints.cachedImages, func(_ string, images receivedImages) bool { return now-images.receivedAt > imageHintTTL })
 	}
 	if len(heartbeat.RunTimes) > 0 {
 		clear(hints.runTimes)
--- a/internal/hints/sender.go
+++ b/internal/hints/sender.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// scanRounds is in how many heartbeats the leader looks at all machines for hints that are
+	// heartbeatsPerScan is in how many heartbeats the leader looks at all machines for hints that are
 	// due. In a small fleet it takes fewer: each heartbeat looks at as many as it has room for.
-	scanRounds = 10
+	heartbeatsPerScan = 10
 	// resendInterval is after how long a machine's hint is repeated though nothing has
 	// changed: a member may have come back meanwhile.
-	resendInterval = imageTTL / 2
+	resendInterval = imageHintTTL / 2
 )
 
-// Sent is the hint of a machine that was last sent. The zero value is for a machine of which
+// SentImages is the hint of a machine that was last sent. The zero value is for a machine of which
 // none was.
-type Sent struct {
+type SentImages struct {
 	incarnation uint64
 	imageCount  int
 	sentAt      clock.Micros
 }
 
-// Sender is how far a leader has sent hints to the other members. The zero value has sent
+// ImageSender is how far a leader has sent hints to the other members. The zero value has sent
 // nothing.
-type Sender struct {
+type ImageSender struct {
 	nextMachineIndex int // the machine that the next heartbeat begins with
 	// resendBefore: hints sent before this instant are repeated.
 	resendBefore clock.Micros
 }
 
 // ResendAll has the hints of all machines repeated, for a member that may have missed them.
-func (sender *Sender) ResendAll(now clock.Micros) { sender.resendBefore = now }
+func (sender *ImageSender) ResendAll(now clock.Micros) { sender.resendBefore = now }
 
 // AddImages adds the cached images of machines to a heartbeat. Each call looks at some of the
 // machines, in turn, and adds those whose hint is due, peer.MaxCachedImageMachines at most, so that
 // the size of a heartbeat does not grow with the fleet. sentOf returns what was last sent of a
 // machine, nil if it gets no hint.
-func (sender *Sender) AddImages(heartbeat *peer.Heartbeat, machines []*allocation.Machine, sentOf func(machine string) *Sent, now clock.Micros) {
-	scanned := max((len(machines)+scanRounds-1)/scanRounds, peer.MaxCachedImageMachines)
+func (sender *ImageSender) AddImages(heartbeat *peer.Heartbeat, machines []*allocation.Machine, sentOf func(machine string) *SentImages, now clock.Micros) {
+	scanned := max((len(machines)+heartbeatsPerScan-1)/heartbeatsPerScan, peer.MaxCachedImageMachines)
 	for range min(scanned, len(machines)) {
 		if len(heartbeat.CachedImages) >= peer.MaxCachedImageMachines {
 			break
@@ -56,7 +56,7 @@
 			continue
 		}
 		sent := sentOf(machine.Name)
-		current := Sent{machine.Incarnation, len(machine.ImageUsedAt), now}
+		current := SentImages{machine.Incarnation, len(machine.ImageUsedAt), now}
 		if sent == nil || !sender.isDue(*sent, current) {
 			continue
 		}
@@ -70,7 +70,7 @@
 // isDue reports whether a machine's hint has changed since it was sent, or has to be repeated. Of
 // the images only their number is compared: if one has replaced another, the hint is due only when
 // it is repeated.
-func (sender *Sender) isDue(sent, current Sent) bool {
+func (sender *ImageSender) isDue(sent, current SentImages) bool {
 	hasChanged := sent.incarnation != current.incarnation || sent.imageCount != current.imageCount
 	return hasChanged || current.sentAt-sent.sentAt >= resendInterval || sent.sentAt < sender.resendBefore
 }
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -19,7 +19,7 @@
 
 // sentHintOf returns the hint last sent for a machine, or nil for a machine that this leader doesn't
 // track.
-func (term *Term) sentHintOf(machine string) *hints.Sent {
+func (term *Term) sentHintOf(machine string) *hints.SentImages {
 	if state := term.machines[machine]; state != nil {
 		return &state.sentHint
 	}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -93,8 +93,8 @@
 
 // hintSender is how far the leader has sent advisory state to the other members.
 type hintSender struct {
-	images hints.Sender
-	counts hints.CountsSender
+	images hints.ImageSender
+	counts hints.ProgressSender
 }
 
 // backgroundWork is what a term does beside placing tasks.
--- a/internal/leader/tracked_state.go
+++ b/internal/leader/tracked_state.go
@@ -26,7 +26,7 @@
 	isDeleting           bool
 	probes               health.Probes
 	faults               health.Faults
-	sentHint             hints.Sent
+	sentHint             hints.SentImages
 	// isListedBooting: the cloud's last list said that it boots. For a machine that an
 	// earlier leader requested this is the only sign that it has never booted.
 	isListedBooting bool
--- a/internal/rateshare/shares.go
+++ b/internal/rateshare/shares.go
@@ -29,16 +29,16 @@
 // of the cloud's requests.
 type Shares struct{ Store, Cloud float64 }
 
-// OfLeader returns the shares of a leader beside so many other members.
-func OfLeader(others int) Shares {
+// LeaderShares returns the shares of a leader beside so many other members.
+func LeaderShares(others int) Shares {
 	if others == 0 {
 		return Shares{Store: 1, Cloud: 1}
 	}
 	return Shares{Store: minLeaderShare, Cloud: leaderCloudShare}
 }
 
-// OfFollower returns the shares of a member that doesn't lead, beside so many others.
-func OfFollower(others int) Shares {
+// FollowerShares returns the shares of a member that doesn't lead, beside so many others.
+func FollowerShares(others int) Shares {
 	if others == 0 {
 		return Shares{Store: 1, Cloud: 1}
 	}
@@ -47,11 +47,11 @@
 
 // Adjuster adjusts the leader's share of changes to what the others use.
 type Adjuster struct {
-	adjustedAt      clock.Micros
-	observedChanges int64 // changes that the watch has brought
-	observedBefore  int64 // of those, at the last adjustment
-	ownWritesBefore int64 // changes that this process had written by the last adjustment
-	share           float64
+	lastAdjustedAt           clock.Micros
+	observedChanges          int64 // changes that the watch has brought
+	observedAtLastAdjustment int64 // of those, at the last adjustment
+	writtenAtLastAdjustment  int64 // changes that this process had written by the last adjustment
+	share                    float64
 }
 
 // ObserveChanges counts changes that the watch has brought.
@@ -70,19 +70,19 @@
 // Adjust works out the leader's share of changes anew, once per adjustInterval at most, and returns
 // it and whether it has changed.
 func (adjuster *Adjuster) Adjust(now clock.Micros, load Load) (share float64, hasChanged bool) {
-	elapsed := now - adjuster.adjustedAt
+	elapsed := now - adjuster.lastAdjustedAt
 	if elapsed < adjustInterval {
 		return adjuster.share, false
 	}
-	before := adjuster.share
-	observed, written := adjuster.observedChanges-adjuster.observedBefore, load.Written-adjuster.ownWritesBefore
+	previousShare := adjuster.share
+	observed, written := adjuster.observedChanges-adjuster.observedAtLastAdjustment, load.Written-adjuster.writtenAtLastAdjustment
 	// The watch may lag behind this process's own writes, so the difference may be negative.
 	usedByOthers := max(float64(observed-written)/elapsed.Seconds(), 0)
-	adjuster.adjustedAt, adjuster.observedBefore, adjuster.ownWritesBefore = now, adjuster.observedChanges, load.Written
+	adjuster.lastAdjustedAt, adjuster.observedAtLastAdjustment, adjuster.writtenAtLastAdjustment = now, adjuster.observedChanges, load.Written
 	adjuster.share = minLeaderShare
 	if load.Backlog > BacklogThreshold {
 		leftByOthers := 1 - othersHeadroom*usedByOthers/load.ChangesPerSecond
 		adjuster.share = min(max(leftByOthers, minLeaderShare), maxLeaderShare)
 	}
-	return adjuster.share, adjuster.share != before
+	return adjuster.share, adjuster.share != previousShare
 }
--- a/internal/rateshare/shares_test.go
+++ b/internal/rateshare/shares_test.go
@@ -14,9 +14,9 @@
 	adjuster := Adjuster{}
 	now, written := clock.Second, int64(0)
 	for i, test := range []struct {
-		seen, own int64 // changes in a second: all, and the leader's
-		backlog   clock.Micros
-		share     float64
+		observed, own int64 // changes in a second: all, and the leader's
+		backlog       clock.Micros
+		wantShare     float64
 	}{
 		{20, 15, 0, minLeaderShare},
 		{15, 15, 5 * clock.Second, maxLeaderShare},
@@ -26,32 +26,32 @@
 		{15, 15, clock.Second / 2, minLeaderShare},
 	} {
 		now += clock.Second
-		adjuster.adjustedAt = now - clock.Second
-		adjuster.observedChanges += test.seen
+		adjuster.lastAdjustedAt = now - clock.Second
+		adjuster.observedChanges += test.observed
 		written += test.own
-		if got, _ := adjuster.Adjust(now, Load{Written: written, Backlog: test.backlog, ChangesPerSecond: perSecond}); math.Abs(got-test.share) > 1e-9 {
-			t.Errorf("case %d: a share of %.2f, want %.2f", i, got, test.share)
+		if got, _ := adjuster.Adjust(now, Load{Written: written, Backlog: test.backlog, ChangesPerSecond: perSecond}); math.Abs(got-test.wantShare) > 1e-9 {
+			t.Errorf("case %d: a share of %.2f, want %.2f", i, got, test.wantShare)
 		}
 	}
 }
 
 // The share is adjusted once a second, and said to have changed only if it has.
-func TestAdjustmentsAreSpaced(t *testing.T) {
+func TestShareIsAdjustedOncePerInterval(t *testing.T) {
 	adjuster := Adjuster{}
 	adjuster.BeginTerm()
 	busy := Load{Backlog: 5 * clock.Second, ChangesPerSecond: 30}
 	for i, test := range []struct {
-		now        clock.Micros
-		load       Load
-		share      float64
-		hasChanged bool
+		now         clock.Micros
+		load        Load
+		wantShare   float64
+		wantChanged bool
 	}{
 		{10 * clock.Second, Load{ChangesPerSecond: 30}, minLeaderShare, false},
 		{10*clock.Second + adjustInterval/2, busy, minLeaderShare, false},
 		{11 * clock.Second, busy, maxLeaderShare, true},
 		{12 * clock.Second, busy, maxLeaderShare, false},
 	} {
-		if share, hasChanged := adjuster.Adjust(test.now, test.load); share != test.share || hasChanged != test.hasChanged {
+		if share, hasChanged := adjuster.Adjust(test.now, test.load); share != test.wantShare || hasChanged != test.wantChanged {
 			t.Errorf("case %d: a share of %.2f, changed %v", i, share, hasChanged)
 		}
 	}
@@ -60,7 +60,7 @@
 // All members together don't use more than the whole rates, and a single one has all.
 func TestSharesAddUpToOne(t *testing.T) {
 	for others := range 5 {
-		leader, follower := OfLeader(others), OfFollower(others)
+		leader, follower := LeaderShares(others), FollowerShares(others)
 		store := leader.Store + float64(others)*follower.Store
 		cloud := leader.Cloud + float64(others)*follower.Cloud
 		if math.Abs(store-1) > 1e-9 || math.Abs(cloud-1) > 1e-9 {
