--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -22,13 +22,13 @@
 
 // expireWorkerContacts drops workers that have not contacted this member for a while.
 func (controller *Controller) expireWorkerContacts(now clock.Micros) {
-	for name, lastContactAt := range controller.workers.contactAt {
-		if now-lastContactAt > controller.settings.Timing.SuspectTimeout {
+	for name, lastAt := range controller.workers.contactAt {
+		if now-lastAt > controller.settings.Timing.SuspectTimeout {
 			delete(controller.workers.contactAt, name)
 		}
 	}
-	for name, lastReplyAt := range controller.delegation.repliedAt {
-		if now-lastReplyAt > clock.FromSeconds(controller.cfg.Deployment.Workers.LeaseSeconds) {
+	for name, lastAt := range controller.delegation.repliedAt {
+		if now-lastAt > clock.FromSeconds(controller.cfg.Deployment.Workers.LeaseSeconds) {
 			delete(controller.delegation.repliedAt, name)
 		}
 	}
--- a/internal/rateshare/shares_test.go
+++ b/internal/rateshare/shares_test.go
@@ -41,17 +41,17 @@
 	adjuster.BeginTerm()
 	busy := Load{Backlog: 5 * clock.Second, ChangesPerSecond: 30}
 	for i, test := range []struct {
-		now         clock.Micros
-		load        Load
-		wantShare   float64
-		wantChanged bool
+		now        clock.Micros
+		load       Load
+		share      float64
+		hasChanged bool
 	}{
 		{10 * clock.Second, Load{ChangesPerSecond: 30}, minLeaderShare, false},
 		{10*clock.Second + adjustInterval/2, busy, minLeaderShare, false},
 		{11 * clock.Second, busy, maxLeaderShare, true},
 		{12 * clock.Second, busy, maxLeaderShare, false},
 	} {
-		if share, hasChanged := adjuster.Adjust(test.now, test.load); share != test.wantShare || hasChanged != test.wantChanged {
+		if share, hasChanged := adjuster.Adjust(test.now, test.load); share != test.share || hasChanged != test.hasChanged {
 			t.Errorf("case %d: a share of %.2f, changed %v", i, share, hasChanged)
 		}
 	}
