--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -6,13 +6,15 @@
 )
 
 const (
-	// initialTypesFetchInterval is how often the cloud is asked for machine types until they are known,
-	// typesRefreshInterval how often a leader asks again: prices change.
+	// initialTypesFetchInterval is the time between two requests to the cloud for its machine types
+	// while none are known.
 	initialTypesFetchInterval = 2 * clock.Second
-	typesRefreshInterval      = 60 * clock.Second
+	// typesRefreshInterval is the time between two such requests of a leader once types are known. It
+	// fetches them again since prices change.
+	typesRefreshInterval = 60 * clock.Second
 )
 
-// fetchMachineTypes asks the cloud for its machine types when that is due.
+// fetchMachineTypes requests the machine types from the cloud if a request is due.
 func (controller *Controller) fetchMachineTypes(now clock.Micros) {
 	if !controller.isTypesFetchDue(now) {
 		return
@@ -34,8 +36,8 @@
 	}()
 }
 
-// isTypesFetchDue tells whether machine types are not known, or have to be refreshed by this
-// member as leader.
+// isTypesFetchDue reports whether to request the machine types now: no request is in flight, and
+// either no types are known or this member leads and has to refresh them.
 func (controller *Controller) isTypesFetchDue(now clock.Micros) bool {
 	catalog := &controller.machineTypes
 	interval := initialTypesFetchInterval
@@ -48,7 +50,7 @@
 	return !catalog.isFetching && (catalog.requestedAt == 0 || now-catalog.requestedAt >= interval)
 }
 
-// setMachineTypes takes machine types from the cloud or the store.
+// setMachineTypes replaces the known machine types by those from the cloud or the store.
 func (controller *Controller) setMachineTypes(types []wire.MachineType) {
 	controller.machineTypes.list = types
 	if controller.term != nil {
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -6,8 +6,8 @@
 	"firwood.dev/firwood/internal/server"
 )
 
-// SendMetrics replies with the metrics of this process as text. It may be called on any goroutine. Of
-// the controller's goroutine it takes the status alone; the text is made on another.
+// SendMetrics replies with the metrics of this process as text. It may be called on any goroutine. Only
+// the status is collected on the controller's goroutine; another one encodes the text.
 func (controller *Controller) SendMetrics(reply *server.Reply) {
 	controller.postUserRequest(reply, func() {
 		status := controller.metricsStatus(clock.Now())
@@ -24,7 +24,7 @@
 	reply.SendText(metrics.ContentType, text)
 }
 
-// metricsStatus is what the metrics tell of this instant.
+// metricsStatus returns the values of the metrics that depend on the controller's state at this instant.
 func (controller *Controller) metricsStatus(now clock.Micros) metrics.Status {
 	_, token := controller.elector.LockHolder()
 	status := metrics.Status{Token: token, ViewRevision: controller.view.Revision}
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -12,12 +12,12 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// storeReachableWindow is how long ago the store's last answer may be for this member to say that
-// it reaches the store.
+// storeReachableWindow is the greatest age of the store's last successful answer at which this member
+// reports that it reaches the store.
 const storeReachableWindow = 12 * clock.Second
 
-// HandlePeerHeartbeat takes a message of another member. One that finds the queue full is dropped,
-// as if it was lost on its way. It may be called on any goroutine.
+// HandlePeerHeartbeat queues a message of another member for the controller's goroutine. If the queue is
+// full, the message is dropped as if it had been lost in transit. It may be called on any goroutine.
 func (controller *Controller) HandlePeerHeartbeat(heartbeat *peer.Heartbeat) {
 	controller.commands.Post(commandqueue.Heartbeat, func() { controller.handlePeerHeartbeat(heartbeat) })
 }
@@ -41,15 +41,15 @@
 	controller.updateProgressCounts(heartbeat, now)
 }
 
-// isFirstAfterAbsence tells whether a heartbeat is a member's first one since its start or since it was
-// last reachable.
+// isFirstAfterAbsence reports whether a heartbeat is the first one of a member since its process
+// started, or since the member was last unreachable.
 func (controller *Controller) isFirstAfterAbsence(heartbeat *peer.Heartbeat, now clock.Micros) bool {
 	last := controller.members.heartbeats[heartbeat.Member]
 	return last == nil || last.Heartbeat.Incarnation != heartbeat.Incarnation || now-last.ReceivedAt >= leader.MemberTimeout
 }
 
-// recordTimestamp keeps a member's timestamp if it is the newest one: messages may arrive out
-// of order.
+// recordTimestamp stores a member's timestamp if it is newer than the stored one. Messages may arrive
+// out of order.
 func (controller *Controller) recordTimestamp(heartbeat *peer.Heartbeat) {
 	known := controller.members.timestamps[heartbeat.Member]
 	isNewer := heartbeat.Incarnation > known.Incarnation || heartbeat.Incarnation == known.Incarnation && heartbeat.Timestamp > known.At
@@ -58,9 +58,10 @@
 	}
 }
 
-// recordDelegation takes what a heartbeat means for delegation. To a follower, the leader's
-// heartbeat extends this member's grant. To the leader, a follower's heartbeat tells which of the
-// leader's timestamps has arrived there, and for how long the follower has not acted as delegate.
+// recordDelegation updates the state of lease delegation from a heartbeat. On a follower, the leader's
+// heartbeat extends this member's grant. On the leader, a follower's heartbeat tells which of the
+// leader's timestamps the follower has received, and for how long the follower has not acted as
+// delegate.
 func (controller *Controller) recordDelegation(heartbeat *peer.Heartbeat, now clock.Micros) {
 	acknowledgement := delegation.Timestamp{Incarnation: heartbeat.AckIncarnation, At: heartbeat.AckTimestamp}
 	if controller.term == nil {
@@ -76,7 +77,7 @@
 	}
 }
 
-// updateProgressCounts takes the jobs' progress from the heartbeat of the newest known leader.
+// updateProgressCounts stores the jobs' progress if the heartbeat is from the newest known leader.
 func (controller *Controller) updateProgressCounts(heartbeat *peer.Heartbeat, now clock.Micros) {
 	if heartbeat.Leader != heartbeat.Member || controller.elector.Phase() == election.Leader {
 		return
@@ -86,14 +87,14 @@
 	}
 }
 
-// hasJobEnded tells whether a job is known to have ended.
+// hasJobEnded reports whether a job is known to have ended.
 func (controller *Controller) hasJobEnded(job string) bool {
 	record := controller.view.Jobs[job]
 	return record != nil && record.HasEnded()
 }
 
-// knownLeader is the member with the highest token that holds the lock, or says that it leads;
-// "" if there is none.
+// knownLeader returns the member with the highest token among the lock's holder and the members that
+// recently reported that they lead; "" if there is none.
 func (controller *Controller) knownLeader() string {
 	holder, token := controller.elector.LockHolder()
 	for member, received := range controller.members.heartbeats {
@@ -104,7 +105,7 @@
 	return holder
 }
 
-// tickHeartbeat sends a heartbeat to the other members when it is due.
+// tickHeartbeat sends a heartbeat to the other members if one is due.
 func (controller *Controller) tickHeartbeat(now clock.Micros) {
 	if now < controller.members.nextHeartbeatAt {
 		return
@@ -116,14 +117,14 @@
 		controller.sendHeartbeats(now)
 		return
 	}
-	// Acknowledge before sending, so that this heartbeat carries the newest acknowledgements:
-	// the grants of members that are cut off then last a second longer.
+	// Acknowledge before sending, so that this heartbeat carries the newest acknowledgements: the
+	// grant of a member that is cut off afterwards then lasts a second longer.
 	controller.term.AcknowledgeTimestamps(now, func() { controller.sendHeartbeats(clock.Now()) })
 }
 
-// logMalformedResponses logs how many of the store's responses could not be used, if there are more
-// of them than at the last call. Those that come while logDropped lets no line through are in the
-// count of the next line.
+// logMalformedResponses logs the number of the store's responses that could not be used, if it has
+// grown since the last call. Responses that come while logDropped suppresses the line are included in
+// the count of the next line.
 func (controller *Controller) logMalformedResponses() {
 	if malformed := controller.store.MalformedResponses.Load(); malformed > controller.storeUse.reportedDrops {
 		controller.logDropped("malformed or unexpected store responses", "dropped_so_far", malformed)
@@ -143,8 +144,9 @@
 	}
 }
 
-// newHeartbeat makes what all members are sent alike. On the way it expires worker contacts, so
-// that their count is current, and writes that count to the store if that is due.
+// newHeartbeat returns a heartbeat with the fields that are the same for all receivers. It first
+// expires old worker contacts, so that their count is current, and writes that count to the store if
+// a report is due.
 func (controller *Controller) newHeartbeat(now clock.Micros) *peer.Heartbeat {
 	heartbeat := &peer.Heartbeat{
 		Member:                 controller.cfg.Member,
@@ -164,8 +166,8 @@
 	return heartbeat
 }
 
-// acknowledgementFor is the timestamp of a member that a heartbeat to it acknowledges: as
-// leader the one that extends its grant, else the newest one.
+// acknowledgementFor returns the timestamp of a member that a heartbeat to it acknowledges. A leader
+// acknowledges the timestamp that extends the member's grant; a follower acknowledges the newest one.
 func (controller *Controller) acknowledgementFor(member string) delegation.Timestamp {
 	if controller.term != nil {
 		return controller.term.AcknowledgementFor(member)
@@ -173,7 +175,7 @@
 	return controller.members.timestamps[member]
 }
 
-// storeHints takes the hints of a leader's heartbeat, for the case that this member leads next.
+// storeHints stores the hints in a leader's heartbeat, in case this member is the next leader.
 func (controller *Controller) storeHints(heartbeat *peer.Heartbeat, now clock.Micros) {
 	maxMachines := 2 * len(controller.view.ScaleOuts) * peer.MaxCachedImageMachines
 	controller.failover.hints.Store(heartbeat, maxMachines, now)
--- a/internal/controller/rate_shares.go
+++ b/internal/controller/rate_shares.go
@@ -6,7 +6,8 @@
 	"firwood.dev/firwood/internal/rateshare"
 )
 
-// applyRateShares sets this member's shares of the outside services' rates, as leader or not.
+// applyRateShares sets this member's shares of the rates of the store and the cloud, according to
+// whether it leads.
 func (controller *Controller) applyRateShares() {
 	shares := rateshare.FollowerShares(len(controller.cfg.Peers))
 	if controller.elector.Phase() == election.Leader {
@@ -17,7 +18,7 @@
 	controller.cloud.SetRateShare(shares.Cloud)
 }
 
-// adjustRateShare lets the leader use what the others leave of the rate of changes.
+// adjustRateShare lets the leader use the part of the store's write rate that the others leave unused.
 func (controller *Controller) adjustRateShare(now clock.Micros) {
 	if len(controller.cfg.Peers) == 0 {
 		return
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -5,7 +5,8 @@
 	"firwood.dev/firwood/internal/standby"
 )
 
-// standbyProtocolVersion is the version of the stream's messages that this member takes, 0 for none.
+// standbyProtocolVersion returns the version of the standby stream's messages that this member
+// accepts, or 0 if it accepts none.
 func (controller *Controller) standbyProtocolVersion() uint8 {
 	if controller.failover.replica == nil {
 		return 0
@@ -13,7 +14,7 @@
 	return peer.StandbyProtocolVersion
 }
 
-// handleStandbyMessage takes a message of the leader's stream, or a replica's answer to one.
+// handleStandbyMessage handles a message of the leader's stream, or a replica's answer to one.
 func (controller *Controller) handleStandbyMessage(heartbeat *peer.Heartbeat) {
 	switch {
 	case controller.failover.replica == nil:
@@ -24,9 +25,9 @@
 	}
 }
 
-// isLeading tells whether this member holds the lock. Its replica doesn't take messages of the
-// leader before any more: it would acknowledge decisions that this member's rebuilt allocation
-// table doesn't have.
+// isLeading reports whether this member holds the lock, including the time in which it rebuilds the
+// allocation table. Its replica then accepts no more messages of the previous leader, since it would
+// acknowledge decisions that are missing from this member's rebuilt table.
 func (controller *Controller) isLeading() bool {
 	return controller.term != nil || controller.failover.isRebuilding
 }
@@ -48,7 +49,7 @@
 	controller.sendStreamMessage(from, &peer.Heartbeat{Member: controller.cfg.Member, StandbyFrame: peer.StandbyFrame{StandbyPosition: &position}})
 }
 
-// sendStreamMessage sends a message of a stream to a member that takes such messages.
+// sendStreamMessage sends a message of the standby stream to a member, if that member accepts them.
 func (controller *Controller) sendStreamMessage(member string, heartbeat *peer.Heartbeat) {
 	received := controller.members.heartbeats[member]
 	if received == nil || received.Heartbeat.StandbyProtocolVersion == 0 {
@@ -61,7 +62,7 @@
 	}
 }
 
-// applyStandbyRecord takes a newer record from the view.
+// applyStandbyRecord applies a newer in-sync record from the view.
 func (controller *Controller) applyStandbyRecord(record standby.InSyncRecord, version uint64) {
 	if controller.failover.replica != nil {
 		controller.failover.replica.PruneEarlier(record.Token)
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -9,8 +9,8 @@
 	"firwood.dev/firwood/internal/server"
 )
 
-// SendStandbyStatus replies with who stands by for the leader, as far as this member knows. It
-// may be called on any goroutine.
+// SendStandbyStatus replies with the members that stand by for the leader and how far their replicas
+// are, as far as this member knows. It may be called on any goroutine.
 func (controller *Controller) SendStandbyStatus(reply *server.Reply) {
 	controller.postUserRequest(reply, func() { controller.replyStandbyStatus(reply) })
 }
@@ -33,7 +33,7 @@
 	reply.Send(200, body, 0)
 }
 
-// replicaStatus is how far this member's replica has come.
+// replicaStatus returns the state of this member's replica and how far it has followed the leader.
 func (controller *Controller) replicaStatus() *jobreport.ReplicaStatus {
 	replica := controller.failover.replica
 	position, table := replica.Position(), replica.Table()
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -14,13 +14,14 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The way of a submission: jobs that it names and that may have been evicted are looked up;
-// then it is judged; then its record is written under the condition that there is none.
-// A submission that is repeated, here or at another member, is answered with the status of
-// the job that was accepted, and never refused.
-
-// SubmitJob makes a job durable, and replies with its status. It may be called on any
-// goroutine.
+// A submission takes three steps. First, the jobs that it refers to and that may have been evicted are
+// looked up in the store. Second, the submission is validated. Third, the job's record is written on the
+// condition that no record exists.
+//
+// A repeated submission, at this member or another one, is answered with the status of the accepted
+// job and never rejected.
+
+// SubmitJob makes a job durable, and replies with its status. It may be called on any goroutine.
 func (controller *Controller) SubmitJob(job *wire.Job, reply *server.Reply) {
 	controller.postUserRequest(reply, func() { controller.submitJob(job, reply) })
 }
@@ -36,8 +37,8 @@
 	}
 }
 
-// lookUpReferencedJobs looks up a submission's dependencies, and the job itself, where they may
-// have been evicted. It proceeds with those that are proven absent.
+// lookUpReferencedJobs looks up those of a submission's dependencies and the job itself that may have
+// been evicted. It calls proceed with the jobs that are proven to be absent from the store.
 func (controller *Controller) lookUpReferencedJobs(job *wire.Job, reply *server.Reply, proceed func(absent map[string]bool)) {
 	absent := map[string]bool{}
 	var ids []string
@@ -67,8 +68,8 @@
 	}
 }
 
-// admitOrRejectSubmission decides on a submission once the jobs that it names are in the view or
-// known to be absent.
+// admitOrRejectSubmission validates a submission, and writes it if it is valid. Each job that it refers
+// to is in the view or known to be absent, unless it was evicted again after its lookup.
 func (controller *Controller) admitOrRejectSubmission(job *wire.Job, reply *server.Reply, absent map[string]bool) {
 	mayExistOnlyInStore := func(id string) bool { return controller.mayBeEvicted(id) && !absent[id] }
 	if controller.view.Jobs[job.ID] != nil || mayExistOnlyInStore(job.ID) {
@@ -76,7 +77,7 @@
 		return
 	}
 	if slices.ContainsFunc(job.DependsOn, mayExistOnlyInStore) {
-		// The look-up brought it into the view, and it was evicted again for want of memory.
+		// The lookup read the dependency into the view, which evicted it again to bound its memory.
 		replyUnavailable(reply, "what it awaits was forgotten again")
 		return
 	}
@@ -95,7 +96,7 @@
 	controller.commitSubmission(job, reply)
 }
 
-// rejectionReason says why a job can never run, if so.
+// rejectionReason returns why a job can never run, or "" if it can. It does not check dependencies.
 func (controller *Controller) rejectionReason(job *wire.Job) string {
 	team, ok := controller.settings.Teams[job.Team]
 	if !ok {
@@ -116,19 +117,21 @@
 	return ""
 }
 
-// fitsMachineType tells whether a job's tasks may run on machines of a type, and fit there.
+// fitsMachineType reports whether a job's tasks may run on machines of a type and fit on one.
 func fitsMachineType(job *wire.Job, taskNeed allocation.Resources, machineType *wire.MachineType) bool {
 	return (job.MachineTypes == nil || slices.Contains(job.MachineTypes, machineType.Name)) &&
 		(job.Zone == "" || slices.Contains(machineType.Zones, job.Zone)) &&
 		taskNeed.IsWithin(allocation.NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB))
 }
 
-// exceedsTeamLimit tells whether resources are more than a team may have; a limit of 0 is none.
+// exceedsTeamLimit reports whether a need exceeds a team's CPU or GPU limit. A limit of 0 means that
+// there is none.
 func exceedsTeamLimit(need allocation.Resources, team allocation.TeamQuota) bool {
 	return team.MaxMilliCPU > 0 && need.MilliCPU > team.MaxMilliCPU || team.MaxMilliGPU > 0 && need.MilliGPU > team.MaxMilliGPU
 }
 
-// invalidDependencyReason says why a job can never run for what it depends on, if so.
+// invalidDependencyReason returns why a job's dependencies prevent it from ever running, or "" if they
+// don't.
 func (controller *Controller) invalidDependencyReason(job *wire.Job) string {
 	for _, id := range job.DependsOn {
 		record := controller.view.Jobs[id]
@@ -142,12 +145,12 @@
 	return ""
 }
 
-// rejectAfterSync replies 422 once the view proves that no member has accepted the job.
+// rejectAfterSync replies 422 once a sync of the view proves that no member has accepted the job.
 func (controller *Controller) rejectAfterSync(job *wire.Job, reply *server.Reply, reason string) {
 	controller.proceedIfNotAccepted(job, reply, func() { reply.Send(422, server.ErrorBody(reason), 0) })
 }
 
-// recheckDependencies judges a job's dependencies again once the view is new enough: another
+// recheckDependencies validates a job's dependencies again after a sync of the view, since another
 // member may have accepted them a moment ago.
 func (controller *Controller) recheckDependencies(job *wire.Job, reply *server.Reply) {
 	controller.proceedIfNotAccepted(job, reply, func() {
@@ -159,8 +162,8 @@
 	})
 }
 
-// proceedIfNotAccepted proceeds once the view proves that no member has accepted the job; a job that
-// was accepted is answered with its status.
+// proceedIfNotAccepted calls proceed once a sync of the view proves that no member has accepted the job.
+// If a member has accepted it, the reply is the job's status.
 func (controller *Controller) proceedIfNotAccepted(job *wire.Job, reply *server.Reply, proceed func()) {
 	evictions := controller.history.evicted.evictions
 	controller.view.RequestSync(func(err error) {
@@ -177,8 +180,8 @@
 	}, clock.Now()+syncTimeout)
 }
 
-// commitSubmission writes a new job's record. That there is none yet, in the archive
-// neither, is the write's condition.
+// commitSubmission writes a new job's record. The write succeeds only if the job has no record yet,
+// neither under its job key nor under its archive key.
 func (controller *Controller) commitSubmission(job *wire.Job, reply *server.Reply) {
 	record := &storeview.Job{Job: records.Job{Spec: job, SubmittedAt: int64(clock.WallTime())}}
 	changes, err := records.SubmissionChanges(&record.Job, leader.StoreLimits(controller.cfg))
@@ -204,8 +207,8 @@
 	}
 }
 
-// handleSubmissionResult takes an accepted job into the view, and replies to all who
-// submitted it meanwhile: the first one created it.
+// handleSubmissionResult adds an accepted job to the view. It replies to all requests that submitted
+// the job while the write was in flight; the first of them created the job.
 func (controller *Controller) handleSubmissionResult(job *wire.Job, record *storeview.Job, outcome kvstore.Outcome, revision uint64) {
 	replies := controller.users.pendingSubmissions[job.ID]
 	delete(controller.users.pendingSubmissions, job.ID)
@@ -229,8 +232,8 @@
 	}
 }
 
-// applySubmission takes an accepted job into the view. The watch will bring it; a leader
-// need not wait for that.
+// applySubmission adds an accepted job to the view. The watch would deliver it later, but a leader need
+// not wait for that.
 func (controller *Controller) applySubmission(job *wire.Job, record *storeview.Job) {
 	if record.DependencyParts > 0 {
 		for part, ids := range records.SplitDependencies(job.DependsOn, leader.StoreLimits(controller.cfg)) {
@@ -240,8 +243,8 @@
 	controller.view.SetJob(job.ID, record)
 }
 
-// acceptedState is the state of a job that was just accepted: it may be cancelled already
-// with a job that it depends on.
+// acceptedState returns the state of a job that was just accepted. The job may already be cancelled
+// because a job that it depends on is.
 func (controller *Controller) acceptedState(id string) string {
 	if record := controller.view.Jobs[id]; record.HasEnded() {
 		return record.EffectiveState()
--- a/internal/controller/term_host.go
+++ b/internal/controller/term_host.go
@@ -10,7 +10,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// newTerm begins the term of a token on a view that is as new as a read sent at readAt.
+// newTerm begins the term of a fencing token. The view has to be at least as new as a read that was sent
+// at readAt.
 func (controller *Controller) newTerm(token uint64, readAt clock.Micros) *leader.Term {
 	return leader.New(&leader.Environment{
 		Config: controller.cfg, Tuning: &controller.tuning, Log: controller.log, Settings: controller.settings,
@@ -22,7 +23,7 @@
 	}, termHost{controller}, token, readAt)
 }
 
-// termHost implements leader.Host: it is what a term sees of its controller.
+// termHost implements leader.Host. It gives a term access to its controller.
 type termHost struct{ controller *Controller }
 
 // PostResult implements leader.Host.
--- a/internal/controller/view_observer.go
+++ b/internal/controller/view_observer.go
@@ -8,12 +8,13 @@
 	"firwood.dev/firwood/wire"
 )
 
-// viewObserver implements storeview.Observer: it carries out what changes in the view mean for the
-// controller.
+// viewObserver implements storeview.Observer. It updates the rest of the controller when the view
+// changes.
 type viewObserver struct{ controller *Controller }
 
-// JobChanged implements storeview.Observer. The order matters: whether the job is cancelled with a
-// dependency has to be known before the dependency graph and the leader's term see the record.
+// JobChanged implements storeview.Observer. The order of the updates matters: whether the job is
+// cancelled with a dependency has to be known before the dependency graph and the leader's term see
+// the record.
 func (observer viewObserver) JobChanged(id string, job *storeview.Job) {
 	controller := observer.controller
 	if job.HasEnded() {
@@ -35,8 +36,8 @@
 	observer.controller.traceObservedFailover(token)
 }
 
-// MachineTypesRead implements storeview.Observer. The cloud's own answer is newer than what is
-// stored.
+// MachineTypesRead implements storeview.Observer. It ignores the stored types once any are known, since
+// the cloud's own answer is newer.
 func (observer viewObserver) MachineTypesRead(types []wire.MachineType) {
 	if len(observer.controller.machineTypes.list) == 0 {
 		observer.controller.setMachineTypes(types)
@@ -58,14 +59,14 @@
 	observer.controller.applyWorkerContact(member, record)
 }
 
-// ArchiveMarkerRead implements storeview.Observer: a job that is not in the view may be in the
-// archive.
+// ArchiveMarkerRead implements storeview.Observer. From now on, a job that is not in the view may be in
+// the archive.
 func (observer viewObserver) ArchiveMarkerRead() { observer.controller.recordEviction() }
 
 // RecordRejected implements storeview.Observer.
 func (observer viewObserver) RecordRejected(key string, err error) {
 	controller := observer.controller
 	malformed := controller.store.MalformedResponses.Add(1)
-	controller.storeUse.reportedDrops++ // not to be reported as a response as well
+	controller.storeUse.reportedDrops++ // keeps logMalformedResponses from logging it as a response as well
 	controller.logDropped("malformed record in the store", "key", key, "error", err, "dropped_so_far", malformed)
 }
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// loadRetryDelay is the time between two attempts to read everything.
+	// loadRetryDelay is the time between two attempts to load all keys.
 	loadRetryDelay = 300 * time.Millisecond
-	// maxSyncsInFlight bounds the watches that answer at once.
+	// maxSyncsInFlight bounds the syncs in flight. A sync is a watch that the store answers at once.
 	maxSyncsInFlight = 2
-	// minSyncInterval is the least time between two of those, minLeaderSyncInterval that of a leader,
-	// whose starts wait for them.
+	// minSyncInterval is the least time between the starts of two syncs. minLeaderSyncInterval is
+	// that of a leader, whose task starts wait for syncs.
 	minSyncInterval, minLeaderSyncInterval = 60 * clock.Millisecond, 25 * clock.Millisecond
-	// pollTimeout is how long a watch waits for changes.
+	// pollTimeout is how long the store may hold back its answer to a poll while there are no
+	// changes. A poll is a watch that waits for changes.
 	pollTimeout = 10 * clock.Second
-	// pollInterval is the time between two such watches, leaderPollInterval that of a leader,
-	// pollRetryDelay the time after one that failed.
+	// pollInterval is the time from the end of a poll to the start of the next, leaderPollInterval
+	// that of a leader, and pollRetryDelay that after a failed poll.
 	pollInterval, leaderPollInterval, pollRetryDelay = 200 * clock.Millisecond, 50 * clock.Millisecond, 300 * clock.Millisecond
 )
 
-// watchState is which reads that keep the view up to date are under way.
+// watchState records which of the reads that keep the view up to date are in flight.
 type watchState struct {
 	isLoading     bool
 	syncsInFlight int
 	lastSyncAt    clock.Micros
 	isPolling     bool
 	nextPollAt    clock.Micros
-	// readSentAt is when the newest read that the view has was sent, 0 if there is none.
+	// readSentAt is when the newest read that the view includes was sent, or 0 if there is none.
 	readSentAt clock.Micros
 }
 
-// loadAll reads everything, at the start and after a watch fell too far behind. A goroutine of its
-// own reads, and ends with one result.
+// loadAll reads all keys, at startup and after a watch fell too far behind. The reads run on their own
+// goroutine, which ends by posting one result.
 func (controller *Controller) loadAll() {
 	if controller.watches.isLoading {
 		return
@@ -75,8 +76,8 @@
 	controller.log.Info("store loaded", "revision", revision, "jobs", len(controller.view.Jobs))
 }
 
-// startWatches opens the watches that are due: one that answers at once if a sync is requested, and
-// a long one that brings changes by itself.
+// startWatches starts the watches that are due: a sync if one is requested, and a poll, which delivers
+// changes without a request.
 func (controller *Controller) startWatches() {
 	if !controller.view.IsLoaded {
 		return
@@ -86,7 +87,7 @@
 	controller.startPoll(now)
 }
 
-// startSync opens a watch that answers at once for the syncs that are requested.
+// startSync starts a watch that the store answers at once, for the syncs that are requested.
 func (controller *Controller) startSync(now clock.Micros) {
 	watches := &controller.watches
 	minInterval := minSyncInterval
@@ -108,7 +109,7 @@
 	})
 }
 
-// startPoll opens the watch that waits for changes.
+// startPoll starts the watch that waits for changes.
 func (controller *Controller) startPoll(now clock.Micros) {
 	watches := &controller.watches
 	if watches.isPolling || now < watches.nextPollAt {
@@ -128,12 +129,12 @@
 	})
 }
 
-// watch makes one request for the changes since the view's revision, which the store may keep back
-// for some time until there are any, and applies them. It runs on a goroutine of its own; done runs
-// on the controller's.
+// watch requests the changes since the view's revision and applies them. The store may hold back its
+// answer for the duration of block while there are no changes. watch runs on its own goroutine; done
+// runs on the controller's.
 func (controller *Controller) watch(block clock.Micros, done func(error)) {
 	revisions := make(chan uint64, 1)
-	// The view's revision belongs to the controller's goroutine, and is read as late as possible.
+	// Only the controller's goroutine may read the view's revision. It is read as late as possible.
 	controller.postResult(func() { revisions <- controller.view.Revision })
 	var from uint64
 	select {
@@ -155,13 +156,13 @@
 	})
 }
 
-// recordRead notes that the view has all changes up to an instant at which a read was sent.
+// recordRead records that the view has all changes up to the instant at which a read was sent.
 func (controller *Controller) recordRead(sentAt clock.Micros) {
 	controller.watches.readSentAt = max(controller.watches.readSentAt, sentAt)
 }
 
-// observeLock passes the lock to the elector, unless the view is older than this member's own
-// token: it then shows a lock from before the election.
+// observeLock passes the lock to the elector, unless the view is older than this member's own token.
+// Such a view still shows a lock from before the election.
 func (controller *Controller) observeLock() {
 	if controller.elector.Phase() == election.Leader && controller.view.Revision < controller.elector.Token() {
 		return
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -8,19 +8,20 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A leader hands over if workers reach other members and not it. Heartbeats tell it how many
-// workers contact each member. If the members cannot reach the leader either, they write that
-// count to the store instead. Added after a leader that neither workers nor members reached
-// held its lock for 78 s, while all leases ran out.
+// A leader hands over its leadership if workers reach other members but not the leader. It learns from
+// heartbeats how many workers contact each member. If the members cannot reach the leader either, they
+// write that count to the store instead. Without those reports, a leader that neither workers nor
+// members could reach once held its lock for 78 s, while all leases expired.
 
 const (
-	// workerContactReportInterval is how often a member reports the count.
+	// workerContactReportInterval is how often a member reports how many workers contact it.
 	workerContactReportInterval = clock.Second
-	// minReportedContacts is the count from which a report is worth a write.
+	// minReportedContacts is the least number of workers for which a member writes a report.
 	minReportedContacts = 3
 )
 
-// expireWorkerContacts drops workers that have not contacted this member for a while.
+// expireWorkerContacts drops the workers that have not contacted this member for the suspect timeout,
+// and the times of replies as delegate that are longer ago than a worker's lease lasts.
 func (controller *Controller) expireWorkerContacts(now clock.Micros) {
 	for name, lastAt := range controller.workers.contactAt {
 		if now-lastAt > controller.settings.Timing.SuspectTimeout {
@@ -34,8 +35,8 @@
 	}
 }
 
-// reportWorkerContact writes how many workers contact this member to the store, while it
-// receives no heartbeats of the leader.
+// reportWorkerContact writes to the store how many workers contact this member, while it receives no
+// heartbeats of the leader.
 func (controller *Controller) reportWorkerContact(now clock.Micros) {
 	if !controller.isWorkerContactReportDue(now) {
 		return
@@ -45,7 +46,7 @@
 		return
 	}
 	controller.workers.nextReportAt = now + workerContactReportInterval
-	// A write that is refused or late is made up for by the next.
+	// If this write is refused or late, the next report replaces it.
 	controller.store.Commit(&kvstore.Write{
 		Priority: kvstore.Critical,
 		Changes:  []wire.Change{{PutKey: records.WorkerContactKey(controller.cfg.Member), Value: value}},
@@ -54,8 +55,8 @@
 	})
 }
 
-// isWorkerContactReportDue tells whether another member leads, doesn't send heartbeats, and
-// workers contact this one.
+// isWorkerContactReportDue reports whether this member has to write a report now: another member
+// leads but its heartbeats don't arrive, and enough workers contact this member.
 func (controller *Controller) isWorkerContactReportDue(now clock.Micros) bool {
 	holder, _ := controller.elector.LockHolder()
 	isOtherLeading := controller.term == nil && holder != "" && holder != controller.cfg.Member
@@ -66,9 +67,9 @@
 	return received == nil || now-received.ReceivedAt >= leader.MemberTimeout
 }
 
-// applyWorkerContact takes a member's report. It may be read long after it was written, so its age
-// is taken from the writer's time of day, less what the two clocks may differ by: a report is never
-// taken for older than it is.
+// applyWorkerContact records a member's report. The report may be read long after it was written, so
+// its age is taken from the writer's wall-clock time, minus the maximum clock skew. A report is
+// therefore never taken for older than it is.
 func (controller *Controller) applyWorkerContact(member string, record records.WorkerContact) {
 	now := clock.Now()
 	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-leader.MaxClockSkew(controller.cfg), 0)
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// leaderRedirectWindow is for how long after its last heartbeat a leader is named to workers,
-	// lockHolderRedirectWindow for how long after the store's last answer the lock's holder is.
-	leaderRedirectWindow     = 3 * leader.HeartbeatInterval
+	// leaderRedirectWindow is how long after a leader's last heartbeat workers are redirected to it.
+	leaderRedirectWindow = 3 * leader.HeartbeatInterval
+	// lockHolderRedirectWindow is how long after the store's last answer workers are redirected to the
+	// known leader even if its heartbeats don't arrive.
 	lockHolderRedirectWindow = 12 * clock.Second
 )
 
-// HandleHeartbeat replies to a worker's heartbeat: with commands as leader, with stops of cancelled
-// tasks as delegate, else with a redirect. It may be called on any goroutine.
+// HandleHeartbeat replies to a worker's heartbeat: a leader with commands, a delegate with stops of
+// cancelled tasks, any other member with a redirect. It may be called on any goroutine.
 func (controller *Controller) HandleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
 	if !controller.commands.Post(commandqueue.Heartbeat, func() { controller.handleWorkerHeartbeat(heartbeat, reply) }) {
 		controller.metrics.CountReply(metrics.ReplyRefused)
@@ -36,7 +37,8 @@
 	}
 }
 
-// replyRedirect sends a worker to the leader, or to try the other members if none is named.
+// replyRedirect redirects a worker to the leader. If the reply names none, the worker tries the other
+// members.
 func (controller *Controller) replyRedirect(reply *server.Reply) {
 	body, err := wire.Redirect{Member: controller.redirectTarget(clock.Now())}.MarshalJSON()
 	if err != nil {
@@ -46,10 +48,10 @@
 	reply.Send(421, body, 0)
 }
 
-// redirectTarget is the leader that workers are redirected to, "" if none is known well
-// enough. A member that reaches neither the leader nor the store names nobody. Added after a member
-// redirected workers to a leader that was down. It was itself the next one in the workers' lists,
-// so they went back and forth between the two for minutes, while a third member led.
+// redirectTarget returns the leader to which workers are redirected, or "" if none is known well enough.
+// A member that reaches neither the leader nor the store names nobody. Otherwise it may redirect workers
+// to a leader that is down. If it is itself the next member in the workers' lists, they go back and
+// forth between the two while a third member leads, as has happened for minutes.
 func (controller *Controller) redirectTarget(now clock.Micros) string {
 	known := controller.knownLeader()
 	if known == controller.cfg.Member {
