--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -36,8 +36,8 @@
 	}()
 }
 
-// isTypesFetchDue reports whether to request the machine types now: no request is in flight, and
-// either no types are known or this member leads and has to refresh them.
+// isTypesFetchDue reports whether to request the machine types now. Only a leader refreshes types that
+// are known.
 func (controller *Controller) isTypesFetchDue(now clock.Micros) bool {
 	catalog := &controller.machineTypes
 	interval := initialTypesFetchInterval
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -9,12 +9,13 @@
 	"firwood.dev/firwood/internal/records"
 )
 
-// The member that reports is one that many workers contact and that receives no heartbeats of the leader.
+// A member writes a worker contact report only if enough workers contact it and it receives no recent
+// heartbeat of the leader. Otherwise a leader that neither workers nor members reach keeps its lock.
 func TestWorkerContactsAreReportedWithoutLeaderHeartbeats(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		workers      int
-		heartbeatAge clock.Micros // of the leader's last heartbeat, 0: there is none
+		heartbeatAge clock.Micros // of the leader's last heartbeat; 0 means that none was received
 		wantReport   bool
 	}{
 		{"no heartbeat of the leader came", 6, 0, true},
@@ -33,12 +34,13 @@
 		}
 		controller.reportWorkerContact(now)
 		if got := controller.workers.nextReportAt != 0; got != test.wantReport {
-			t.Errorf("%s: reported %v", test.name, got)
+			t.Errorf("%s: wrote a report = %t, want the opposite", test.name, got)
 		}
 	}
 }
 
-// A member's report counts from when it was written, as far as the members' clocks may differ.
+// The age of a member's report is the time since it was written, minus the maximum clock skew, so that a
+// report is never taken for older than it is.
 func TestWorkerContactAgeAllowsForClockSkew(t *testing.T) {
 	controller := newTestController(t)
 	for _, test := range []struct {
@@ -55,7 +57,7 @@
 		controller.view.ApplyPut(records.WorkerContactKey("b"), value, controller.view.Revision+1)
 		contact := controller.workers.reports["b"]
 		if age := clock.Now() - contact.ReportedAt; contact.Workers != 12 || age < test.wantS*clock.Second || age > (test.wantS+1)*clock.Second {
-			t.Errorf("%s: %d workers, reported %.3f s ago", test.name, contact.Workers, age.Seconds())
+			t.Errorf("%s: %d workers, age %.3f s; want 12 workers, age at most 1 s above the case's wantS", test.name, contact.Workers, age.Seconds())
 		}
 	}
 }
--- a/internal/controller/zone_constraints_test.go
+++ b/internal/controller/zone_constraints_test.go
@@ -7,30 +7,30 @@
 	"firwood.dev/firwood/internal/delegation"
 )
 
-// A member doesn't reply as delegate, after its term, in a zone that it has constrained, nor in
-// one whose recorded constraint names it; it does where only another member knows of one.
+// After its term, a member must not reply as delegate in a zone that it has constrained, or in a zone
+// whose recorded constraint names it. It may do so where only another member knows of a constraint.
 func TestZoneConstraintsOutliveTerm(t *testing.T) {
 	controller := newTestController(t)
 	controller.view.IsLoaded = true
 	controller.term = controller.newTerm(9, clock.Now())
 	if controller.mayConstrainZone("y") {
-		t.Fatal("constrained before it is recorded")
+		t.Fatal("mayConstrainZone(\"y\") = true before a constraint is recorded, want false")
 	}
 	controller.applyConstraints(delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"y": {KnownBy: []string{"a", "b"}}, "z": {KnownBy: []string{"b"}}}}, 20)
 	if !controller.mayConstrainZone("y") || controller.mayConstrainZone("x") {
-		t.Fatal("the term doesn't get the constraint, or it holds for another zone")
+		t.Fatal("during the term: want mayConstrainZone true for zone y, which has a constraint, and false for x")
 	}
 	controller.endTerm(endLockLost)
 	if !controller.mayConstrainZone("y") || controller.mayConstrainZone("x") {
-		t.Fatal("the constraint is forgotten with the term, or holds for another zone")
+		t.Fatal("after the term: want mayConstrainZone true for zone y, which has a constraint, and false for x")
 	}
-	// A member that knows nothing of a constraint may act as delegate.
+	// A member that is not named by a zone's constraint may act as delegate there.
 	controller.delegation.unconfirmedConstraints, controller.view.Constraints = nil, delegation.Constraints{Zones: map[string]delegation.ZoneConstraint{"z": {KnownBy: []string{"b"}}}}
 	if controller.mayConstrainZone("z") {
-		t.Fatal("bound by a constraint that only another member knows of")
+		t.Fatal("mayConstrainZone(\"z\") = true for a constraint that names only another member, want false")
 	}
 	controller.view.Constraints.Zones["z"] = delegation.ZoneConstraint{KnownBy: []string{"b", "a"}}
 	if !controller.mayConstrainZone("z") {
-		t.Fatal("not bound by a recorded constraint that names this member")
+		t.Fatal("mayConstrainZone(\"z\") = false for a recorded constraint that names this member, want true")
 	}
 }
--- a/internal/hints/counts.go
+++ b/internal/hints/counts.go
@@ -10,8 +10,8 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// ProgressCounts is the progress of jobs as the leader last sent it, for display only. The counts of
-// a large fleet come in several heartbeats, in turn.
+// ProgressCounts is the progress of jobs as the leader last sent it, for display only. If the progress of
+// all jobs doesn't fit into one heartbeat, the leader sends it in pages, one per heartbeat.
 type ProgressCounts struct {
 	jobs              map[string]receivedProgress
 	heartbeatInterval clock.Micros
@@ -22,7 +22,8 @@
 	receivedAt clock.Micros
 }
 
-// NewProgressCounts makes counts for heartbeats that come once per interval.
+// NewProgressCounts returns empty counts. heartbeatInterval is the time between two of the leader's
+// heartbeats.
 func NewProgressCounts(heartbeatInterval clock.Micros) *ProgressCounts {
 	return &ProgressCounts{jobs: map[string]receivedProgress{}, heartbeatInterval: heartbeatInterval}
 }
@@ -33,11 +34,12 @@
 	return received.JobProgress, ok
 }
 
-// Remove drops the progress of a job that has ended.
+// Remove removes the progress of a job that has ended.
 func (counts *ProgressCounts) Remove(job string) { delete(counts.jobs, job) }
 
-// Update takes the counts of a heartbeat, of jobs that have not ended. A job that was in none
-// of the heartbeats of two turns has no progress any more.
+// Update stores the progress in a heartbeat, except that of jobs that have ended. It drops the progress
+// of a job that the heartbeats have not mentioned while all pages were sent twice, or that is missing
+// from a heartbeat that has the progress of all jobs.
 func (counts *ProgressCounts) Update(heartbeat *peer.Heartbeat, now clock.Micros, hasEnded func(job string) bool) {
 	if heartbeat.ProgressPageCount <= 1 {
 		clear(counts.jobs)
@@ -52,17 +54,18 @@
 	}
 }
 
-// pageFillFactor is how full a heartbeat is on average if the counts don't all fit into one. Jobs
-// are spread over the pages by a hash of their ids, so some pages get more than others.
+// pageFillFactor is how full a page is on average. It is less than 1, since a hash of their ids
+// distributes the jobs over the pages, so some pages get more jobs than others.
 const pageFillFactor = 0.75
 
-// ProgressSender is how far a leader has sent counts. The zero value has sent none.
+// ProgressSender adds jobs' progress to a leader's heartbeats, and tracks which page is next. Its zero
+// value starts with the first page.
 type ProgressSender struct {
 	nextPage uint64
 }
 
-// Add adds the progress of jobs to a heartbeat: of all that have any, or of the page whose
-// turn it is if they don't fit into one.
+// Add adds to a heartbeat the progress of all jobs that have any. If it doesn't fit, it adds only the
+// page that is next.
 func (sender *ProgressSender) Add(heartbeat *peer.Heartbeat, jobs map[string]*allocation.Job) {
 	var counts []peer.JobProgress
 	for id, job := range jobs {
--- a/internal/hints/counts_test.go
+++ b/internal/hints/counts_test.go
@@ -9,8 +9,8 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// The progress of more jobs than fit into a heartbeat is sent in turn, and all of it is known
-// after one turn; a job that has no progress any more is dropped after another two.
+// The progress of more jobs than fit into one heartbeat is sent in pages. A follower knows all of it once
+// all pages were sent, and drops a job without progress after all pages were sent twice more.
 func TestProgressIsSentInPages(t *testing.T) {
 	const jobs = 3*peer.MaxJobProgress + 17
 	running := map[string]*allocation.Job{}
@@ -37,18 +37,18 @@
 		return heartbeats
 	}
 	if heartbeats := sendAllPages(); heartbeats < 4 || len(follower.jobs) != jobs-1 {
-		t.Fatalf("%d of %d jobs are known after %d heartbeats", len(follower.jobs), jobs-1, heartbeats)
+		t.Fatalf("the follower knows %d jobs, want %d; all pages took %d heartbeats, want at least 4", len(follower.jobs), jobs-1, heartbeats)
 	}
 	delete(running, "req-000007")
 	for range 3 {
 		sendAllPages()
 	}
 	if _, ok := follower.Progress("req-000007"); ok || len(follower.jobs) != jobs-2 {
-		t.Errorf("%d jobs are known", len(follower.jobs))
+		t.Errorf("after a job lost its progress: knows %d jobs, want one job less, without that job", len(follower.jobs))
 	}
 	clear(running)
 	sendAllPages()
 	if len(follower.jobs) != 0 {
-		t.Errorf("%d jobs are known when none has progress", len(follower.jobs))
+		t.Errorf("after all jobs lost their progress: knows %d jobs, want 0", len(follower.jobs))
 	}
 }
--- a/internal/hints/hints.go
+++ b/internal/hints/hints.go
@@ -1,10 +1,10 @@
-// Package hints has what a leader sends in heartbeats and what is advisory alone: hints for
-// the next leader, and counts of the jobs' progress, which other members show to users.
+// Package hints has the advisory data that a leader sends in heartbeats: hints for the next leader, and
+// counts of the jobs' progress, which other members show to users.
 //
-// Hints are which images machines have cached, how run times compare with estimates, and how
-// long machines took to boot. Added after starts waited, at each change of the leader, for
-// fetches of images that were there. A wrong hint costs a fetch or a poor forecast, and what
-// the new leader sees itself corrects it.
+// The hints are the images that machines have cached, how run times compare with estimates, and how long
+// machines took to boot. Without them, task starts waited at each change of the leader for fetches of
+// images that the machines already had. A wrong hint costs a fetch or a poor forecast, and is corrected
+// by what the new leader observes itself.
 package hints
 
 import (
@@ -16,11 +16,11 @@
 	"firwood.dev/firwood/internal/scheduler"
 )
 
-// imageHintTTL is for how long after its last hint a machine's images are kept, once there are hints
-// of more machines than Store's maxMachines.
+// imageHintTTL is how long a machine's cached images are kept after its last hint. It applies only once
+// there are hints for more machines than Store's maxMachines.
 const imageHintTTL = 600 * clock.Second
 
-// Hints is what a leader has sent, for the case that this member leads next.
+// Hints are the hints that this member has received from leaders, in case it is the next leader.
 type Hints struct {
 	cachedImages map[string]receivedImages         // by machine
 	runTimes     map[string]peer.RunTimeStatistics // by class
@@ -32,13 +32,13 @@
 	receivedAt clock.Micros
 }
 
-// New makes hints that hold nothing.
+// New returns empty hints.
 func New() *Hints {
 	return &Hints{cachedImages: map[string]receivedImages{}, runTimes: map[string]peer.RunTimeStatistics{}, bootTimes: map[string][]clock.Micros{}}
 }
 
-// Store takes the hints of a leader's heartbeat. Images of more than maxMachines machines are
-// kept only while they are recent.
+// Store stores the hints in a leader's heartbeat. Once there are images of more than maxMachines
+// machines, those older than imageHintTTL are dropped.
 func (hints *Hints) Store(heartbeat *peer.Heartbeat, maxMachines int, now clock.Micros) {
 	for _, images := range heartbeat.CachedImages {
 		hints.cachedImages[images.Machine] = receivedImages{images, now}
@@ -59,7 +59,7 @@
 	}
 }
 
-// Restore gives a new leader's machines and forecasts what the last leader knew.
+// Restore applies the hints to a new leader's machines and forecasts.
 func (hints *Hints) Restore(machines map[string]*allocation.Machine, forecasts *scheduler.Scheduler, now clock.Micros) {
 	for name, machine := range machines {
 		if images, ok := hints.cachedImages[name]; ok {
--- a/internal/hints/sender.go
+++ b/internal/hints/sender.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	// heartbeatsPerScan is in how many heartbeats the leader looks at all machines for hints that are
-	// due. In a small fleet it takes fewer: each heartbeat looks at as many as it has room for.
+	// heartbeatsPerScan is the greatest number of heartbeats in which the leader checks all machines
+	// for due hints. A small fleet takes fewer, since each heartbeat checks at least as many machines as
+	// it has room for.
 	heartbeatsPerScan = 10
-	// resendInterval is after how long a machine's hint is repeated though nothing has
-	// changed: a member may have come back meanwhile.
+	// resendInterval is the time after which the leader repeats an unchanged hint, since a member may
+	// have restarted or become reachable again.
 	resendInterval = imageHintTTL / 2
 )
 
-// SentImages is the hint of a machine that was last sent. The zero value is for a machine of which
-// none was.
+// SentImages describes the hint that was last sent for a machine. Its zero value means that none was
+// sent.
 type SentImages struct {
 	incarnation uint64
 	imageCount  int
 	sentAt      clock.Micros
 }
 
-// ImageSender is how far a leader has sent hints to the other members. The zero value has sent
-// nothing.
+// ImageSender adds hints of machines' cached images to a leader's heartbeats, and tracks which machine
+// is next. Its zero value has sent none.
 type ImageSender struct {
-	nextMachineIndex int // the machine that the next heartbeat begins with
-	// resendBefore: hints sent before this instant are repeated.
+	nextMachineIndex int // index of the machine that the next heartbeat checks first
+	// resendBefore is the instant before which sent hints have to be repeated.
 	resendBefore clock.Micros
 }
 
-// ResendAll has the hints of all machines repeated, for a member that may have missed them.
+// ResendAll makes the hints of all machines due again, for a member that may have missed them.
 func (sender *ImageSender) ResendAll(now clock.Micros) { sender.resendBefore = now }
 
-// AddImages adds the cached images of machines to a heartbeat. Each call looks at some of the
-// machines, in turn, and adds those whose hint is due, peer.MaxCachedImageMachines at most, so that
-// the size of a heartbeat does not grow with the fleet. sentOf returns what was last sent of a
-// machine, nil if it gets no hint.
+// AddImages adds the cached images of machines to a heartbeat. Each call checks the next part of the
+// machines in turn, and adds those whose hint is due, at most peer.MaxCachedImageMachines, so that the
+// size of a heartbeat does not grow with the fleet. sentOf returns the hint last sent for a machine, or
+// nil if the machine gets no hint.
 func (sender *ImageSender) AddImages(heartbeat *peer.Heartbeat, machines []*allocation.Machine, sentOf func(machine string) *SentImages, now clock.Micros) {
 	scanned := max((len(machines)+heartbeatsPerScan-1)/heartbeatsPerScan, peer.MaxCachedImageMachines)
 	for range min(scanned, len(machines)) {
@@ -67,16 +68,16 @@
 	}
 }
 
-// isDue reports whether a machine's hint has changed since it was sent, or has to be repeated. Of
-// the images only their number is compared: if one has replaced another, the hint is due only when
-// it is repeated.
+// isDue reports whether a machine's hint has changed since it was sent or has to be repeated. It compares
+// only the number of images: if one image has replaced another, the hint is not sent before the next
+// repetition.
 func (sender *ImageSender) isDue(sent, current SentImages) bool {
 	hasChanged := sent.incarnation != current.incarnation || sent.imageCount != current.imageCount
 	return hasChanged || current.sentAt-sent.sentAt >= resendInterval || sent.sentAt < sender.resendBefore
 }
 
-// AddForecasts adds what the scheduler has observed of classes' run times and machine types'
-// boot times to a heartbeat, as far as there is room.
+// AddForecasts adds to a heartbeat the observed run times of classes and boot times of machine types, as
+// far as there is room.
 func AddForecasts(heartbeat *peer.Heartbeat, forecasts *scheduler.Scheduler, machineTypes []wire.MachineType) {
 	for _, class := range forecasts.RunTimeClasses() {
 		count, mean, meanSquare := forecasts.RunTimeModel(class).Hint()
--- a/internal/jobhistory/cache.go
+++ b/internal/jobhistory/cache.go
@@ -1,7 +1,7 @@
-// Package jobhistory bounds how many finished jobs a controller caches, and batches lookups of
-// the others in the key-value store. Their records stay there for good, since users may ask for
-// them at any time; a cache of all of them would exhaust a process's memory within days. The
-// package does no I/O and reads no clock.
+// Package jobhistory bounds how many finished jobs a controller caches, and batches lookups of the other
+// finished jobs in the key-value store. All records stay in the store permanently, since users may ask
+// for them at any time; caching all of them would exhaust a process's memory within days. The package
+// does no I/O and reads no clock.
 //
 // Invariant: an uncached job is reported as absent only after a request to the store that was sent
 // after the lookup was enqueued.
@@ -25,7 +25,7 @@
 	// yet may exceed it.
 	recency, err := simplelru.NewLRU[string, struct{}](math.MaxInt, nil)
 	if err != nil {
-		panic(err) // only for a size that is not positive
+		panic(err) // NewLRU fails only for a size that is not positive
 	}
 	return &Cache{capacity: capacity, recency: recency}
 }
@@ -33,7 +33,7 @@
 // Touch marks a finished job as cached and most recently used.
 func (cache *Cache) Touch(jobID string) { cache.recency.Add(jobID, struct{}{}) }
 
-// Len is the number of cached jobs.
+// Len returns the number of cached jobs.
 func (cache *Cache) Len() int { return cache.recency.Len() }
 
 // Evict removes the least recently used jobs beyond the capacity and returns them. It checks at
--- a/internal/jobhistory/jobhistory_test.go
+++ b/internal/jobhistory/jobhistory_test.go
@@ -15,23 +15,23 @@
 	for i := range 6 {
 		cache.Touch(fmt.Sprint(i))
 	}
-	cache.Touch("0") // a user asks for it
+	cache.Touch("0") // makes it the most recently used
 	evicted := cache.Evict(100, func(jobID string) bool { return jobID != "2" })
 	if !slices.Equal(evicted, []string{"1", "3", "4"}) || cache.Len() != 3 {
-		t.Errorf("evicted %v, %d are left", evicted, cache.Len())
+		t.Errorf("Evict() = %v, %d jobs are left; want [1 3 4], 3 left", evicted, cache.Len())
 	}
 	if again := cache.Evict(100, func(string) bool { return true }); again != nil {
-		t.Errorf("evicted within the capacity: %v", again)
+		t.Errorf("Evict() within the capacity = %v, want none", again)
 	}
 	cache.Touch("5")
 	cache.Touch("6")
 	if none := cache.Evict(100, func(string) bool { return false }); none != nil || cache.Len() != 4 {
-		t.Errorf("evicted %v, %d are left", none, cache.Len())
+		t.Errorf("Evict() of jobs that must stay = %v, %d jobs are left; want none, 4 left", none, cache.Len())
 	}
 }
 
-// Of any number of records in any order the newest are kept, and never more than twice the
-// capacity is held.
+// Newest keeps the records with the latest end, whatever their number and order, and never holds more
+// than twice its capacity.
 func TestNewestKeepsLatestRecords(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
@@ -40,13 +40,13 @@
 		for _, i := range rng.Perm(count) {
 			newest.Add(int64(i), i)
 			if len(newest.entries) > 2*capacity {
-				t.Fatalf("%d records are held for %d", len(newest.entries), capacity)
+				t.Fatalf("Newest holds %d records with a capacity of %d, want at most twice that", len(newest.entries), capacity)
 			}
 		}
 		kept, dropped := newest.Records()
 		slices.Sort(kept)
 		if len(kept) != min(count, capacity) || len(kept) > 0 && kept[0] != count-len(kept) || dropped != count-len(kept) {
-			t.Fatalf("of %d at most %d: %v, %d dropped", count, capacity, kept, dropped)
+			t.Fatalf("%d records, capacity %d: Records() = %v, %d dropped; want the newest ones", count, capacity, kept, dropped)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 			isEnqueued := lookups.Enqueue(jobID, now+clock.Second, func(result LookupResult) {
 				completedCount++
 				if result == Absent && existed || result == Present && !exists[jobID] {
-					t.Fatalf("seed %d: result of %s is %v, existed %v, exists %v", seed, jobID, result, existed, exists[jobID])
+					t.Fatalf("seed %d: result for job %s is %v, which existed at the start = %t, now = %t", seed, jobID, result, existed, exists[jobID])
 				}
 			})
 			if isEnqueued {
@@ -89,19 +89,19 @@
 			serveBatch(lookups, rng, exists, now, func() {})
 		}
 		if enqueuedCount != completedCount || enqueuedCount == 0 {
-			t.Fatalf("seed %d: %d lookups, %d completed", seed, enqueuedCount, completedCount)
+			t.Fatalf("seed %d: %d lookups enqueued and %d completed, want the same number above 0", seed, enqueuedCount, completedCount)
 		}
 	}
 }
 
-// serveBatch carries out one request; jobs may come to exist and lookups may be enqueued meanwhile.
+// serveBatch processes one request. Jobs may be created, and lookups enqueued, while it is in flight.
 func serveBatch(lookups *Lookups, rng *rand.Rand, exists map[string]bool, now clock.Micros, enqueue func()) {
 	jobIDs := lookups.NextBatch(now)
 	if len(jobIDs) == 0 {
 		return
 	}
 	if len(jobIDs) > 4 {
-		panic("the batch is larger than its bound")
+		panic("NextBatch returned more than 4 jobs")
 	}
 	var present []string
 	for _, jobID := range jobIDs {
@@ -110,9 +110,9 @@
 		}
 	}
 	for range rng.IntN(3) {
-		exists[fmt.Sprint(rng.IntN(12))] = true // after the request was carried out
+		exists[fmt.Sprint(rng.IntN(12))] = true // created after the store processed the request
 	}
-	enqueue() // while the response is on its way: this lookup needs the next batch
+	enqueue() // while the response is in flight, so this lookup needs the next batch
 	hasFailed := rng.IntN(5) == 0
 	if hasFailed {
 		present = nil
--- a/internal/jobhistory/lookups.go
+++ b/internal/jobhistory/lookups.go
@@ -44,21 +44,21 @@
 type Lookups struct {
 	maxWaiting, batchSize int
 	waiting               []pendingLookup
-	// retries are lookups of a batch that found other jobs, which proves nothing of theirs.
-	// They are sent before new ones.
+	// retries are the lookups of an earlier batch whose response had records of other jobs only, which
+	// proves nothing about theirs. They are sent before new ones.
 	retries  []pendingLookup
 	inFlight []pendingLookup
 }
 
-// NewLookups lets maxWaiting lookups wait, those in flight not counted, and sends lookups of up to
-// batchSize jobs at a time.
+// NewLookups returns an empty Lookups. Up to maxWaiting lookups may wait, not counting those in flight,
+// and a batch has up to batchSize jobs.
 func NewLookups(maxWaiting, batchSize int) *Lookups {
 	return &Lookups{maxWaiting: maxWaiting, batchSize: batchSize}
 }
 
-// Enqueue adds a lookup, or returns false if too many are waiting. A lookup that still waits at its
-// deadline is completed as Unavailable by the first NextBatch that finds no batch in flight; one in
-// flight waits for its batch.
+// Enqueue adds a lookup, or returns false if too many lookups are waiting. A lookup that still waits at
+// its deadline is completed as Unavailable by the first NextBatch that finds no batch in flight. A lookup
+// in flight is completed or retried with its batch, whatever its deadline.
 func (lookups *Lookups) Enqueue(jobID string, deadline clock.Micros, onResult func(LookupResult)) bool {
 	if len(lookups.waiting)+len(lookups.retries) >= lookups.maxWaiting {
 		return false
@@ -67,8 +67,8 @@
 	return true
 }
 
-// NextBatch returns the jobs to look up now, none while a batch is in flight. If it returns some,
-// CompleteBatch must follow.
+// NextBatch returns the jobs to look up now, or none while a batch is in flight. If it returns any jobs,
+// the caller must call CompleteBatch.
 func (lookups *Lookups) NextBatch(now clock.Micros) []string {
 	if len(lookups.inFlight) > 0 {
 		return nil
@@ -81,8 +81,8 @@
 	return lookups.fillBatch(source)
 }
 
-// fillBatch moves lookups of the first jobs of a queue to the batch in flight, several lookups of
-// one job together.
+// fillBatch moves the lookups of the first jobs of a queue to the batch in flight. All lookups of one job
+// go into the same batch.
 func (lookups *Lookups) fillBatch(source *[]pendingLookup) []string {
 	var jobIDs []string
 	rest := (*source)[:0]
@@ -115,24 +115,24 @@
 		})
 	}
 	for _, lookup := range overdue {
-		// After the loop above, since the callback may call Enqueue. It must not call NextBatch
-		// when the result is Unavailable: the call of NextBatch that is under way would add to that batch.
+		// The callbacks run after the loop above, since they may call Enqueue. On Unavailable they must
+		// not call NextBatch: the NextBatch call in progress would add to that batch.
 		lookup.onResult(Unavailable)
 	}
 }
 
 // BatchResult is the outcome of the request for a batch.
 type BatchResult struct {
-	// Present lists jobs that have a record which was read.
+	// Present lists the jobs whose record was read.
 	Present []string
-	// AreOthersAbsent tells that all other jobs of the batch have no record.
+	// AreOthersAbsent means that all other jobs of the batch have no record.
 	AreOthersAbsent bool
-	// HasFailed tells that the request failed.
+	// HasFailed means that the request failed.
 	HasFailed bool
 }
 
-// CompleteBatch completes the lookups of the batch in flight. Those that the result says nothing
-// of are retried, or completed as Unavailable if the request failed.
+// CompleteBatch completes the lookups of the batch in flight. Lookups about which the result says nothing
+// are completed as Unavailable if the request failed, and otherwise retried.
 func (lookups *Lookups) CompleteBatch(result BatchResult) {
 	batch := lookups.inFlight
 	lookups.inFlight = nil // before the callbacks, which may call Enqueue and NextBatch
--- a/internal/jobhistory/newest.go
+++ b/internal/jobhistory/newest.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Newest keeps the records with the latest end, up to a capacity, from records in any order. It
+// Newest keeps the records with the latest end, up to its capacity. Records may be added in any order. It
 // holds at most twice its capacity.
 type Newest[R any] struct {
 	capacity int
@@ -14,14 +14,14 @@
 }
 
 type entry[R any] struct {
-	endedAt int64 // time of day in microseconds
+	endedAt int64 // wall-clock time in microseconds
 	record  R
 }
 
 // NewNewest returns an empty Newest for the given number of records.
 func NewNewest[R any](capacity int) *Newest[R] { return &Newest[R]{capacity: capacity} }
 
-// Add adds the record of a job that ended at a time of day in microseconds.
+// Add adds the record of a job. endedAt is the wall-clock time of its end in microseconds.
 func (newest *Newest[R]) Add(endedAt int64, record R) {
 	newest.entries = append(newest.entries, entry[R]{endedAt, record})
 	if len(newest.entries) >= 2*newest.capacity+1 {
