--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -14,7 +14,7 @@
 	return peer.StandbyProtocolVersion
 }
 
-// handleStandbyMessage handles a message of the leader's stream, or a replica's answer to one.
+// handleStandbyMessage handles a message of the leader's standby stream, or a replica's answer to one.
 func (controller *Controller) handleStandbyMessage(heartbeat *peer.Heartbeat) {
 	switch {
 	case controller.failover.replica == nil:
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -37,8 +37,9 @@
 	}
 }
 
-// lookUpReferencedJobs looks up those of a submission's dependencies and the job itself that may have
-// been evicted. It calls proceed with the jobs that are proven to be absent from the store.
+// lookUpReferencedJobs looks up the submitted job and its dependencies in the store, except those that
+// cannot have been evicted. It then calls proceed with the jobs that are proven to be absent, or replies
+// 503 if the store gave no result for one of them.
 func (controller *Controller) lookUpReferencedJobs(job *wire.Job, reply *server.Reply, proceed func(absent map[string]bool)) {
 	absent := map[string]bool{}
 	var ids []string
@@ -163,7 +164,8 @@
 }
 
 // proceedIfNotAccepted calls proceed once a sync of the view proves that no member has accepted the job.
-// If a member has accepted it, the reply is the job's status.
+// If a member has accepted it, the reply is the job's status. If the sync fails, or the job may have been
+// evicted from the view during the sync, the reply is a 503.
 func (controller *Controller) proceedIfNotAccepted(job *wire.Job, reply *server.Reply, proceed func()) {
 	evictions := controller.history.evicted.evictions
 	controller.view.RequestSync(func(err error) {
@@ -207,8 +209,9 @@
 	}
 }
 
-// handleSubmissionResult adds an accepted job to the view. It replies to all requests that submitted
-// the job while the write was in flight; the first of them created the job.
+// handleSubmissionResult handles the outcome of a submission's write. It adds an accepted job to the view
+// and replies to all requests that submitted the job while the write was in flight; the first of them
+// created the job.
 func (controller *Controller) handleSubmissionResult(job *wire.Job, record *storeview.Job, outcome kvstore.Outcome, revision uint64) {
 	replies := controller.users.pendingSubmissions[job.ID]
 	delete(controller.users.pendingSubmissions, job.ID)
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -129,8 +129,8 @@
 	})
 }
 
-// watch requests the changes since the view's revision and applies them. The store may hold back its
-// answer for the duration of block while there are no changes. watch runs on its own goroutine; done
+// watch requests the changes since the view's revision and applies them. While there are no changes, the
+// store may hold back its answer for up to the duration of block. watch runs on its own goroutine; done
 // runs on the controller's.
 func (controller *Controller) watch(block clock.Micros, done func(error)) {
 	revisions := make(chan uint64, 1)
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -10,8 +10,8 @@
 
 // A leader hands over its leadership if workers reach other members but not the leader. It learns from
 // heartbeats how many workers contact each member. If the members cannot reach the leader either, they
-// write that count to the store instead. Without those reports, a leader that neither workers nor
-// members could reach once held its lock for 78 s, while all leases expired.
+// write that count to the store instead. Before these reports existed, a leader that neither workers nor
+// members reached held its lock for 78 s, while all leases expired.
 
 const (
 	// workerContactReportInterval is how often a member reports how many workers contact it.
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -9,8 +9,8 @@
 	"firwood.dev/firwood/internal/records"
 )
 
-// A member writes a worker contact report only if enough workers contact it and it receives no recent
-// heartbeat of the leader. Otherwise a leader that neither workers nor members reach keeps its lock.
+// A member that enough workers contact reports this to the store while it receives no recent heartbeat of
+// the leader. Without the report, a leader that neither workers nor members reach keeps its lock.
 func TestWorkerContactsAreReportedWithoutLeaderHeartbeats(t *testing.T) {
 	for _, test := range []struct {
 		name         string
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -49,9 +49,9 @@
 }
 
 // redirectTarget returns the leader to which workers are redirected, or "" if none is known well enough.
-// A member that reaches neither the leader nor the store names nobody. Otherwise it may redirect workers
-// to a leader that is down. If it is itself the next member in the workers' lists, they go back and
-// forth between the two while a third member leads, as has happened for minutes.
+// A member that reaches neither the leader nor the store names nobody. Before that rule, a member
+// redirected workers to a leader that was down. The member was also the next one in the workers' lists,
+// so they went back and forth between the two for minutes while a third member led.
 func (controller *Controller) redirectTarget(now clock.Micros) string {
 	known := controller.knownLeader()
 	if known == controller.cfg.Member {
--- a/internal/hints/counts_test.go
+++ b/internal/hints/counts_test.go
@@ -44,7 +44,7 @@
 		sendAllPages()
 	}
 	if _, ok := follower.Progress("req-000007"); ok || len(follower.jobs) != jobs-2 {
-		t.Errorf("after a job lost its progress: knows %d jobs, want one job less, without that job", len(follower.jobs))
+		t.Errorf("after a job lost its progress: knows %d jobs, want one fewer than before, without that job", len(follower.jobs))
 	}
 	clear(running)
 	sendAllPages()
--- a/internal/jobhistory/jobhistory_test.go
+++ b/internal/jobhistory/jobhistory_test.go
@@ -66,7 +66,7 @@
 			isEnqueued := lookups.Enqueue(jobID, now+clock.Second, func(result LookupResult) {
 				completedCount++
 				if result == Absent && existed || result == Present && !exists[jobID] {
-					t.Fatalf("seed %d: result for job %s is %v, which existed at the start = %t, now = %t", seed, jobID, result, existed, exists[jobID])
+					t.Fatalf("seed %d: lookup of job %s = %v; existed when enqueued: %t, exists now: %t", seed, jobID, result, existed, exists[jobID])
 				}
 			})
 			if isEnqueued {
