--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -98,8 +98,8 @@
 
 // hintSender tracks which advisory state the leader has sent to the other members.
 type hintSender struct {
-	images hints.Sender
-	counts hints.CountsSender
+	images hints.ImageSender
+	counts hints.ProgressSender
 }
 
 // backgroundWork is the state of everything that a term does besides placing tasks.
