--- a/internal/commandqueue/queue.go
+++ b/internal/commandqueue/queue.go
@@ -57,13 +57,13 @@
 // New makes a queue for a process with so many sockets and other members. Each connection has one
 // request under way at a time, so heartbeats of all workers that can be connected fit. A fixed
 // limit of 4,096 had been too small for a large fleet.
-func New(sockets, members int) *Queue {
+func New(maxSockets, peerCount int) *Queue {
 	return &Queue{
 		wake: make(chan struct{}, 1),
 		limits: [priorityCount]int{
-			Heartbeat: sockets + members*heartbeatsPerMember,
+			Heartbeat: maxSockets + peerCount*heartbeatsPerMember,
 			Result:    maxResults,
-			User:      max(sockets/4, minUserCommands),
+			User:      max(maxSockets/4, minUserCommands),
 		},
 	}
 }
--- a/internal/commandqueue/queue_test.go
+++ b/internal/commandqueue/queue_test.go
@@ -7,7 +7,7 @@
 
 // Heartbeats go before results, results before users' requests, and those are bounded: in
 // the queue, and in a batch.
-func TestCommandPriorities(t *testing.T) {
+func TestPrioritiesOrderAndBoundCommands(t *testing.T) {
 	queue := New(900, 2)
 	var got []int
 	for range 3 {
@@ -41,20 +41,20 @@
 
 // Heartbeats of every worker that can be connected fit, with messages of the other
 // members, whatever the limit of sockets is. Added after a queue of 4,096 had been too small.
-func TestQueueLimitsFollowConnections(t *testing.T) {
-	for _, connections := range []int{900, 3500, 4700, 7100, 20000} {
-		queue := New(connections, 2)
-		for i := range connections + 2 {
+func TestQueueLimitsScaleWithSockets(t *testing.T) {
+	for _, maxSockets := range []int{900, 3500, 4700, 7100, 20000} {
+		queue := New(maxSockets, 2)
+		for i := range maxSockets + 2 {
 			if !queue.Post(Heartbeat, func() {}) {
-				t.Fatalf("%d sockets: heartbeat %d is refused", connections, i)
+				t.Fatalf("%d sockets: heartbeat %d is refused", maxSockets, i)
 			}
 		}
-		users := 0
+		userCommands := 0
 		for queue.Post(User, func() {}) {
-			users++
+			userCommands++
 		}
-		if users < minUserCommands || users < connections/4 {
-			t.Errorf("%d sockets: %d commands of users", connections, users)
+		if userCommands < minUserCommands || userCommands < maxSockets/4 {
+			t.Errorf("%d sockets: %d commands of users", maxSockets, userCommands)
 		}
 	}
 }
--- a/internal/controller/availability.go
+++ b/internal/controller/availability.go
@@ -14,8 +14,8 @@
 // outage of the store every member is refused, and leaving then would only cost time after it.
 func (controller *Controller) updateAvailability(now clock.Micros) {
 	isReady := controller.view.IsLoaded && len(controller.machineTypes.list) > 0
-	isCutOff := controller.isStoreRefusing(now) && controller.isStoreReachableElsewhere(now)
-	controller.process.isUnavailable.Store(!isReady || isCutOff)
+	isCutOffFromStore := controller.isStoreRefusing(now) && controller.isStoreReachableElsewhere(now)
+	controller.process.isUnavailable.Store(!isReady || isCutOffFromStore)
 }
 
 // isStoreRefusing tells whether the store has refused this member's requests for a second.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -102,15 +102,15 @@
 	controller.evictFinishedJobs()
 	controller.sendLookups(now)
 	controller.process.isActiveLeader.Store(controller.term != nil && controller.isEntitled())
-	controller.sendCancellationNews(now)
+	controller.sendNewCancellations(now)
 	controller.tickHeartbeat(now)
 }
 
 // detectStall tells the term if the process was stalled: heartbeats that were sent meanwhile could
 // not be read, so their absence means nothing.
 func (controller *Controller) detectStall(now clock.Micros) {
-	lastTickAt := controller.process.tickedAt
-	controller.process.tickedAt = now
+	lastTickAt := controller.process.lastTickAt
+	controller.process.lastTickAt = now
 	if lastTickAt == 0 || now-lastTickAt <= stallThreshold {
 		return
 	}
@@ -147,6 +147,6 @@
 }
 
 // runAfter runs a command on the owner's goroutine after a while.
-func (controller *Controller) runAfter(after clock.Micros, command func()) {
-	time.AfterFunc(after.Duration(), func() { controller.postResult(command) })
+func (controller *Controller) runAfter(delay clock.Micros, command func()) {
+	time.AfterFunc(delay.Duration(), func() { controller.postResult(command) })
 }
--- a/internal/controller/controller_setup.go
+++ b/internal/controller/controller_setup.go
@@ -43,10 +43,10 @@
 		elector:         election.New(election.Config{Member: cfg.Member, TTL: settings.LeaderTTL, TimerSlack: electionTimerSlack}),
 		failover:        failoverState{processStartedAt: clock.Now(), hints: hints.New()},
 		members: memberState{
-			heartbeats: map[string]*leader.ReceivedHeartbeat{}, timestamps: map[string]delegation.Timestamp{},
+			heartbeats: map[string]*leader.ReceivedHeartbeat{}, newestTimestamps: map[string]delegation.Timestamp{},
 			cancellations: cancellation.NewLog(clock.FromSeconds(deployment.Workers.CancelTimeoutSeconds), deployment.Store.WriteRPS),
 		},
-		workers:    workerContactState{contactAt: map[string]clock.Micros{}, reports: map[string]leader.WorkerContact{}},
+		workers:    workerContactState{lastContactAt: map[string]clock.Micros{}, reports: map[string]leader.WorkerContact{}},
 		delegation: newDelegationState(settings.Delegation),
 		history:    newFinishedJobHistory(finishedJobCapacity(tuning.FinishedJobs, deployment.ProcessLimits.MemoryMB), deployment.Store.Effective().MaxTransactionOps),
 		users:      userRequestState{pendingSubmissions: map[string][]*server.Reply{}, progressCounts: hints.NewCounts(leader.HeartbeatInterval)},
@@ -70,8 +70,8 @@
 }
 
 // newDelegationState is that of a process that has just started: it has no grant.
-func newDelegationState(times delegation.Config) delegationState {
-	return delegationState{delegate: delegation.NewDelegate(times, uint64(clock.WallTime()), clock.Now()), repliedAt: map[string]clock.Micros{}}
+func newDelegationState(cfg delegation.Config) delegationState {
+	return delegationState{delegate: delegation.NewDelegate(cfg, uint64(clock.WallTime()), clock.Now()), lastReplyAt: map[string]clock.Micros{}}
 }
 
 // newFinishedJobHistory makes a history of so many jobs. A look-up asks for its keys as conditions
--- a/internal/controller/controller_state.go
+++ b/internal/controller/controller_state.go
@@ -52,7 +52,7 @@
 
 // processStatus is how this process itself does.
 type processStatus struct {
-	tickedAt clock.Micros // the last tick, 0 before the first
+	lastTickAt clock.Micros // the last tick, 0 before the first
 	// isUnavailable: users should not be routed here. The goroutine of Run writes it with
 	// each heartbeat, the server's event loop reads it.
 	isUnavailable atomic.Bool
@@ -80,23 +80,23 @@
 	processStartedAt clock.Micros
 	// leaderHeartbeatAt is when another member's heartbeat as leader last came.
 	leaderHeartbeatAt clock.Micros
-	last              leader.FailoverTimes
+	lastTimes         leader.FailoverTimes
 	tracer            *tracing.Tracer
 }
 
 // memberState is what is known of the other members, by name.
 type memberState struct {
-	links           []*peer.Link // in the order of the configuration's peers
-	heartbeats      map[string]*leader.ReceivedHeartbeat
-	timestamps      map[string]delegation.Timestamp // their newest ones
-	nextHeartbeatAt clock.Micros
+	links            []*peer.Link // in the order of the configuration's peers
+	heartbeats       map[string]*leader.ReceivedHeartbeat
+	newestTimestamps map[string]delegation.Timestamp // their newest ones
+	nextHeartbeatAt  clock.Micros
 	// cancellations are recent ones that other members may not know yet.
 	cancellations cancellation.Log
 }
 
 // workerContactState counts the workers that contact members other than the leader.
 type workerContactState struct {
-	contactAt map[string]clock.Micros // when each worker last sent a heartbeat here
+	lastContactAt map[string]clock.Micros // when each worker last sent a heartbeat here
 	// reports are the other members' counts, as they wrote them to the key-value store.
 	reports      map[string]leader.WorkerContact
 	nextReportAt clock.Micros
@@ -105,8 +105,8 @@
 // delegationState is for renewing workers' leases while the leader is unreachable.
 type delegationState struct {
 	delegate *delegation.Delegate // this member's grant
-	// repliedAt is when each worker was last answered under the grant.
-	repliedAt map[string]clock.Micros
+	// lastReplyAt is when each worker was last answered under the grant.
+	lastReplyAt map[string]clock.Micros
 	// unconfirmedConstraints are zones that this member, in its last term, may have
 	// constrained: the outcome of that write is not known.
 	unconfirmedConstraints map[string]bool
--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -14,8 +14,8 @@
 // With one zone there are grants even where leases are too short to outlast a zone's partition: in
 // a store outage the leader whose lock cannot be renewed answers the workers, without commands, and
 // redirects them in turn, as long as its grant lasts, and no longer.
-func TestDelegationBridgesStoreOutage(t *testing.T) {
-	with := func(zones ...string) *Controller {
+func TestDelegateRenewsLeasesDuringStoreOutage(t *testing.T) {
+	newController := func(zones ...string) *Controller {
 		cfg := &config.Platform{Member: "a", Location: zones[0], Peers: []config.Peer{
 			{Member: "b", Location: zones[0], Address: "127.0.0.1:1"}, {Member: "c", Location: zones[0], Address: "127.0.0.1:1"},
 		}}
@@ -27,12 +27,12 @@
 		deployment.ProcessLimits = config.ProcessLimits{Cores: 1, MemoryMB: 100, MaxSockets: 900}
 		return New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	}
-	if controller := with("x", "y"); controller.settings.Delegation.GrantTTL != 0 {
+	if controller := newController("x", "y"); controller.settings.Delegation.GrantTTL != 0 {
 		t.Fatal("grants where a zone's partition would put off the proof that a lease is over")
 	}
-	controller := with("x")
-	lease, cancel := 10*clock.Second, 35*clock.Second
-	if controller.settings.Delegation.GrantTTL < lease || controller.settings.Delegation.CancellationGrace+controller.settings.Delegation.GrantTTL+lease >= cancel {
+	controller := newController("x")
+	leaseDuration, cancelTimeout := 10*clock.Second, 35*clock.Second
+	if controller.settings.Delegation.GrantTTL < leaseDuration || controller.settings.Delegation.CancellationGrace+controller.settings.Delegation.GrantTTL+leaseDuration >= cancelTimeout {
 		t.Fatalf("a grant lasts %d us", controller.settings.Delegation.GrantTTL)
 	}
 	controller.view.IsLoaded = true
@@ -43,7 +43,7 @@
 	}
 	now := 100 * clock.Second
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", Zone: "x", FencingToken: 9}
-	if repliesToEither(controller, heartbeat, now) {
+	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
 		t.Fatal("answers as delegate though it never knew of all cancellations")
 	}
 	makeEntitled(t, controller, 9)
@@ -54,31 +54,31 @@
 	if controller.isEntitled() || term.CancellationsKnownAt() != now {
 		t.Fatalf("entitled %v, knows all cancellations before %d, not %d", controller.isEntitled(), term.CancellationsKnownAt(), now)
 	}
-	end := now + controller.settings.Delegation.GrantTTL
+	grantEnd := now + controller.settings.Delegation.GrantTTL
 	var lastReplyAt, longestGap clock.Micros
 	// The worker sends a heartbeat, is redirected, and comes back after it has tried the others.
-	for reportAt := now; reportAt < end+lease; {
-		if controller.replyAsDelegate(heartbeat, &server.Reply{}, reportAt) {
-			if reportAt >= end {
-				t.Fatalf("answers as delegate %d us after its grant has ended", reportAt-end)
+	for heartbeatAt := now; heartbeatAt < grantEnd+leaseDuration; {
+		if controller.replyAsDelegate(heartbeat, &server.Reply{}, heartbeatAt) {
+			if heartbeatAt >= grantEnd {
+				t.Fatalf("answers as delegate %d us after its grant has ended", heartbeatAt-grantEnd)
 			}
 			if lastReplyAt != 0 {
-				longestGap = max(longestGap, reportAt-lastReplyAt)
+				longestGap = max(longestGap, heartbeatAt-lastReplyAt)
 			}
-			lastReplyAt = reportAt
-			reportAt += 3 * clock.Second / 2
+			lastReplyAt = heartbeatAt
+			heartbeatAt += 3 * clock.Second / 2
 			continue
 		}
-		if reportAt < end && reportAt == now {
+		if heartbeatAt < grantEnd && heartbeatAt == now {
 			t.Fatal("a worker that comes from elsewhere is not answered")
 		}
-		reportAt += 5 * clock.Second / 2
+		heartbeatAt += 5 * clock.Second / 2
 	}
-	if longestGap >= lease/2 || lastReplyAt < end-lease/2 {
-		t.Fatalf("answers lie up to %d us apart, the last %d us before the end", longestGap, end-lastReplyAt)
+	if longestGap >= leaseDuration/2 || lastReplyAt < grantEnd-leaseDuration/2 {
+		t.Fatalf("answers lie up to %d us apart, the last %d us before the end", longestGap, grantEnd-lastReplyAt)
 	}
 	controller.delegation.delegate.RecordLeaderHeartbeat(now, 10, controller.delegation.delegate.Timestamp(now)) // a newer leader is there
-	if repliesToEither(controller, heartbeat, now) {
+	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
 		t.Fatal("answers as delegate while a newer leader sends heartbeats")
 	}
 }
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -32,11 +32,11 @@
 		return false
 	}
 	token, grantUntil, ok := controller.delegation.delegate.MayAnswer(now, heartbeat.FencingToken)
-	if _, newest := controller.elector.LockHolder(); !ok || newest > token {
+	if _, newestToken := controller.elector.LockHolder(); !ok || newestToken > token {
 		return false
 	}
 	if controller.isRedirectDue(heartbeat.MachineID, grantUntil, now) {
-		delete(controller.delegation.repliedAt, heartbeat.MachineID)
+		delete(controller.delegation.lastReplyAt, heartbeat.MachineID)
 		return false
 	}
 	stops := allocation.StopsOfListedTasks(heartbeat, controller.isCancelled)
@@ -45,11 +45,11 @@
 		return false
 	}
 	// The reply goes out soon, or not at all.
-	until := min(grantUntil, now+delegatedReplyTimeout)
-	controller.recordDelegatedReply(heartbeat.MachineID, until, now)
+	sendDeadline := min(grantUntil, now+delegatedReplyTimeout)
+	controller.recordDelegatedReply(heartbeat.MachineID, sendDeadline, now)
 	controller.metrics.CountReply(metrics.ReplyAsDelegate)
 	controller.metrics.CountCommands(stops, metrics.ChannelDelegate, metrics.OutcomeSent)
-	reply.SendBefore(200, body, 0, until)
+	reply.SendBefore(200, body, 0, sendDeadline)
 	return true
 }
 
@@ -65,7 +65,7 @@
 // unreachable leader, so shortly before the grant ends the worker is answered each time.
 func (controller *Controller) isRedirectDue(machine string, grantUntil, now clock.Micros) bool {
 	workers := &controller.cfg.Deployment.Workers
-	repliedAt, wasAnswered := controller.delegation.repliedAt[machine]
+	repliedAt, wasAnswered := controller.delegation.lastReplyAt[machine]
 	if !wasAnswered || now-repliedAt > clock.FromSeconds(workers.LeaseSeconds) {
 		return false
 	}
@@ -75,10 +75,10 @@
 // recordDelegatedReply notes a renewal under the grant. A leader whose entitlement has run out
 // answers as delegate too. It may renew the lock yet and continue its term, which must then know
 // of the leases that it renewed meanwhile.
-func (controller *Controller) recordDelegatedReply(machineName string, until, now clock.Micros) {
-	controller.delegation.repliedAt[machineName] = now
-	controller.delegation.delegate.RecordAnswer(until)
+func (controller *Controller) recordDelegatedReply(machineName string, sendDeadline, now clock.Micros) {
+	controller.delegation.lastReplyAt[machineName] = now
+	controller.delegation.delegate.RecordAnswer(sendDeadline)
 	if controller.term != nil {
-		controller.term.RecordDelegatedRenewal(machineName, until)
+		controller.term.RecordDelegatedRenewal(machineName, sendDeadline)
 	}
 }
--- a/internal/controller/delegate_replies_test.go
+++ b/internal/controller/delegate_replies_test.go
@@ -12,9 +12,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// repliesToEither tells whether the member answers one of two heartbeats in a row: a worker is
+// repliesToOneOfTwoHeartbeats tells whether the member answers one of two heartbeats in a row: a worker is
 // redirected after each answer, so one heartbeat alone would not show it.
-func repliesToEither(controller *Controller, heartbeat *wire.Heartbeat, now clock.Micros) bool {
+func repliesToOneOfTwoHeartbeats(controller *Controller, heartbeat *wire.Heartbeat, now clock.Micros) bool {
 	first := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
 	second := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
 	return first || second
@@ -26,13 +26,13 @@
 func TestDelegateRedirectsAfterEachReply(t *testing.T) {
 	controller := newTestController(t)
 	controller.view.IsLoaded = true
-	now, back := 100*clock.Second, 5*clock.Second
+	now, leaderSilence := 100*clock.Second, 5*clock.Second
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", FencingToken: 5}
 	controller.delegation.delegate = delegation.NewDelegate(controller.settings.Delegation, 1, now-60*clock.Second)
-	if repliesToEither(controller, heartbeat, now) {
+	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
 		t.Fatal("answers as delegate without a grant")
 	}
-	controller.delegation.delegate.RecordLeaderHeartbeat(now-back, 5, controller.delegation.delegate.Timestamp(now-back))
+	controller.delegation.delegate.RecordLeaderHeartbeat(now-leaderSilence, 5, controller.delegation.delegate.Timestamp(now-leaderSilence))
 	for i, want := range []bool{true, false, true, false} {
 		if got := controller.replyAsDelegate(heartbeat, &server.Reply{}, now); got != want {
 			t.Fatalf("heartbeat %d: answered as delegate %v", i, got)
@@ -42,7 +42,7 @@
 		t.Fatal("answers as delegate against a newer leader")
 	}
 	controller.delegation.delegate.RecordLeaderHeartbeat(now, 5, controller.delegation.delegate.Timestamp(now))
-	if repliesToEither(controller, heartbeat, now) {
+	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
 		t.Fatal("replies as delegate while the leader is reachable")
 	}
 }
--- a/internal/controller/dependencies_bench_test.go
+++ b/internal/controller/dependencies_bench_test.go
@@ -14,23 +14,23 @@
 
 // dependentJobRecords are records of pipelines of a length, by key; half of the pipelines are
 // cancelled by their first job.
-func dependentJobRecords(b *testing.B, jobs, length int) map[string][]byte {
+func dependentJobRecords(b *testing.B, jobs, pipelineLength int) map[string][]byte {
 	b.Helper()
 	values := map[string][]byte{}
-	wall := int64(clock.WallTime())
+	wallTime := int64(clock.WallTime())
 	for i := range jobs {
 		id := fmt.Sprintf("req-%06d", i)
-		record := &storeview.Job{Job: records.Job{SubmittedAt: wall + int64(i), Spec: &wire.Job{
+		record := &storeview.Job{Job: records.Job{SubmittedAt: wallTime + int64(i), Spec: &wire.Job{
 			ID: id, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 16, CPUs: 1, MemoryGB: 3, EstimatedRunSeconds: 25, Image: "i", ImageSizeGB: 1,
 		}}}
-		first := i%length == 0
+		first := i%pipelineLength == 0
 		if !first {
 			record.Spec.DependsOn = []string{fmt.Sprintf("req-%06d", i-1)}
 		}
-		if (i+1)%length == 0 {
+		if (i+1)%pipelineLength == 0 {
 			record.Spec.DeadlineSeconds, record.Spec.Priority = 600, wire.PriorityHigh
 		}
-		if first && i/length%2 == 0 {
+		if first && i/pipelineLength%2 == 0 {
 			record = storeview.NewEndedJob(record, wire.JobCancelled, clock.WallTime())
 		}
 		value, err := record.MarshalJSON()
@@ -57,39 +57,39 @@
 func BenchmarkDependentJobs(b *testing.B) {
 	for _, size := range []struct{ jobs, length int }{{1000, 5}, {10000, 5}, {10000, 10000}, {50000, 5}} {
 		b.Run(fmt.Sprintf("%d in pipelines of %d", size.jobs, size.length), func(b *testing.B) {
-			records := dependentJobRecords(b, size.jobs, size.length)
-			var read, failover, plan, submission clock.Micros
+			values := dependentJobRecords(b, size.jobs, size.length)
+			var readTime, failoverTime, planTime, submissionTime clock.Micros
 			var heldBytes float64
 			for b.Loop() {
-				before := heapInUse()
+				heapBefore := heapInUse()
 				controller := newTestController(b)
 				controller.view.IsLoaded = true
 				startedAt := clock.Now()
-				for key, value := range records {
+				for key, value := range values {
 					controller.view.ApplyPut(key, value, 5)
 				}
-				read += clock.Now() - startedAt
+				readTime += clock.Now() - startedAt
 				startedAt = clock.Now()
 				term := controller.newTerm(10, clock.Now())
-				failover += clock.Now() - startedAt
+				failoverTime += clock.Now() - startedAt
 				controller.term = term
 				if heldBytes == 0 {
-					heldBytes = heapInUse() - before // of the first round, before which nothing is held
+					heldBytes = heapInUse() - heapBefore // of the first round, before which nothing is held
 				}
 				term.Plan(clock.Now())
 				startedAt = clock.Now()
 				term.Plan(clock.Now())
-				plan += clock.Now() - startedAt
+				planTime += clock.Now() - startedAt
 				startedAt = clock.Now()
-				last := fmt.Sprintf("req-%06d", size.jobs-1)
-				controller.submitJob(&wire.Job{ID: "req-999999", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 1, CPUs: 1, DependsOn: []string{last}}, server.NewReply(func(int, []byte, int) {}))
-				submission += clock.Now() - startedAt
+				lastJobID := fmt.Sprintf("req-%06d", size.jobs-1)
+				controller.submitJob(&wire.Job{ID: "req-999999", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 1, CPUs: 1, DependsOn: []string{lastJobID}}, server.NewReply(func(int, []byte, int) {}))
+				submissionTime += clock.Now() - startedAt
 			}
-			rounds := float64(b.N)
-			b.ReportMetric(read.Seconds()*1000/rounds, "ms/read")
-			b.ReportMetric(failover.Seconds()*1000/rounds, "ms/takeover")
-			b.ReportMetric(plan.Seconds()*1000/rounds, "ms/plan")
-			b.ReportMetric(float64(submission)/rounds, "us/submission")
+			iterations := float64(b.N)
+			b.ReportMetric(readTime.Seconds()*1000/iterations, "ms/read")
+			b.ReportMetric(failoverTime.Seconds()*1000/iterations, "ms/takeover")
+			b.ReportMetric(planTime.Seconds()*1000/iterations, "ms/plan")
+			b.ReportMetric(float64(submissionTime)/iterations, "us/submission")
 			b.ReportMetric(heldBytes/float64(size.jobs), "B/job")
 		})
 	}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -17,9 +17,9 @@
 )
 
 // newJobRecord makes the record of a job of one task.
-func newJobRecord(id, priority string, submittedAt, deadlineS float64, dependencies ...string) *storeview.Job {
+func newJobRecord(id, priority string, submittedAt, deadlineSeconds float64, dependencies ...string) *storeview.Job {
 	return &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.FromSeconds(submittedAt)), Spec: &wire.Job{
-		ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1, Priority: priority, EstimatedRunSeconds: 10, DeadlineSeconds: deadlineS, DependsOn: dependencies,
+		ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1, Priority: priority, EstimatedRunSeconds: 10, DeadlineSeconds: deadlineSeconds, DependsOn: dependencies,
 	}}, Version: 1}
 }
 
@@ -30,37 +30,37 @@
 	controller := newTestController(t)
 	term := controller.newTerm(9, clock.Now())
 	controller.term = term
-	wall := clock.WallTime().Seconds()
-	controller.view.SetJob("req-000002", newJobRecord("req-000002", wire.PriorityLow, wall, 0, "req-000001"))
+	wallTime := clock.WallTime().Seconds()
+	controller.view.SetJob("req-000002", newJobRecord("req-000002", wire.PriorityLow, wallTime, 0, "req-000001"))
 	if term.TrackedJob("req-000002") != nil {
 		t.Fatal("a job is tracked whose dependency is not even known")
 	}
-	controller.view.SetJob("req-000001", newJobRecord("req-000001", wire.PriorityLow, wall, 0))
+	controller.view.SetJob("req-000001", newJobRecord("req-000001", wire.PriorityLow, wallTime, 0))
 	first := term.TrackedJob("req-000001")
 	if first == nil || first.Priority != wire.PriorityIndex(wire.PriorityLow) || first.Deadline != 0 {
 		t.Fatalf("the first is %+v", first)
 	}
-	controller.view.SetJob("req-000003", newJobRecord("req-000003", wire.PriorityHigh, wall, 300, "req-000002"))
-	want := clock.FromSeconds(wall+300) - 2*(10*clock.Second+startOverhead)
+	controller.view.SetJob("req-000003", newJobRecord("req-000003", wire.PriorityHigh, wallTime, 300, "req-000002"))
+	want := clock.FromSeconds(wallTime+300) - 2*(10*clock.Second+startOverhead)
 	if first.Priority != wire.PriorityIndex(wire.PriorityHigh) || first.Deadline != want {
 		t.Fatalf("after the last: priority %d, deadline %d, want %d", first.Priority, first.Deadline, want)
 	}
-	end := clock.FromSeconds(wall + 50)
-	controller.view.SetJob("req-000001", &storeview.Job{Job: records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: int64(end)}, Version: 2})
+	completedAt := clock.FromSeconds(wallTime + 50)
+	controller.view.SetJob("req-000001", &storeview.Job{Job: records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: int64(completedAt)}, Version: 2})
 	second := term.TrackedJob("req-000002")
-	if second == nil || second.ReleasedAt != end || second.Priority != wire.PriorityIndex(wire.PriorityHigh) {
+	if second == nil || second.ReleasedAt != completedAt || second.Priority != wire.PriorityIndex(wire.PriorityHigh) {
 		t.Fatalf("the second is %+v", second)
 	}
 	if term.TrackedJob("req-000003") != nil {
 		t.Fatal("the third is tracked before the second is done")
 	}
-	over := storeview.NewEndedJob(controller.view.Jobs["req-000002"], wire.JobCancelled, clock.WallTime())
-	over.Version = 3
-	controller.view.SetJob("req-000002", over)
+	cancelled := storeview.NewEndedJob(controller.view.Jobs["req-000002"], wire.JobCancelled, clock.WallTime())
+	cancelled.Version = 3
+	controller.view.SetJob("req-000002", cancelled)
 	if record := controller.view.Jobs["req-000003"]; !record.HasEnded() || record.EffectiveState() != wire.JobCancelled {
 		t.Fatal("the third is not cancelled with the second")
 	}
-	controller.view.SetJob("req-000004", newJobRecord("req-000004", wire.PriorityLow, wall, 0, "req-000003"))
+	controller.view.SetJob("req-000004", newJobRecord("req-000004", wire.PriorityLow, wallTime, 0, "req-000003"))
 	if record := controller.view.Jobs["req-000004"]; record.EffectiveState() != wire.JobCancelled || term.TrackedJob("req-000004") != nil {
 		t.Fatal("a job that depends on a cancelled one is not cancelled, or is tracked")
 	}
@@ -82,11 +82,11 @@
 	if len(changes) < 3 || record.DependencyParts != len(changes)-1 {
 		t.Fatalf("%d changes, %d parts", len(changes), record.DependencyParts)
 	}
-	for _, backwards := range []bool{false, true} {
+	for _, isReversed := range []bool{false, true} {
 		controller.view = storeview.New(viewObserver{controller})
 		for i := range changes {
 			change := changes[i]
-			if backwards {
+			if isReversed {
 				change = changes[len(changes)-1-i]
 			}
 			if len(change.Value) > 1<<10 {
--- a/internal/controller/drop_log_test.go
+++ b/internal/controller/drop_log_test.go
@@ -18,7 +18,7 @@
 
 // Each kind of what is dropped has a bound of its own, and only the lines about the store have the
 // count of what the store has sent malformed.
-func TestDropsOfOneKindHideNoOther(t *testing.T) {
+func TestDropLogLimitsEachMessageSeparately(t *testing.T) {
 	controller := newTestController(t)
 	log := captureLog(controller)
 	observer, host := viewObserver{controller}, termHost{controller}
--- a/internal/controller/election_actions.go
+++ b/internal/controller/election_actions.go
@@ -45,12 +45,12 @@
 	}()
 }
 
-func (controller *Controller) renewLease(lease uint64) {
+func (controller *Controller) renewLease(leaseID uint64) {
 	timeout := controller.leaderTTL() / 4
 	go func() {
-		result := renewResult(controller.store.RenewLease(lease, timeout))
+		result := renewResult(controller.store.RenewLease(leaseID, timeout))
 		controller.postResult(func() {
-			controller.executeActions(controller.elector.HandleRenewResult(clock.Now(), lease, result))
+			controller.executeActions(controller.elector.HandleRenewResult(clock.Now(), leaseID, result))
 		})
 	}()
 }
@@ -66,12 +66,12 @@
 	return election.RenewUnknown
 }
 
-func (controller *Controller) revokeLease(lease uint64) {
+func (controller *Controller) revokeLease(leaseID uint64) {
 	go func() {
-		if err := controller.store.RevokeLease(lease); err != nil {
-			controller.log.Debug("lease not revoked", "lease", lease, "error", err)
+		if err := controller.store.RevokeLease(leaseID); err != nil {
+			controller.log.Debug("lease not revoked", "lease", leaseID, "error", err)
 		} else {
-			controller.log.Debug("lease revoked", "lease", lease)
+			controller.log.Debug("lease revoked", "lease", leaseID)
 		}
 		// The lock that hung on the lease is deleted with it; the watch may not have shown that yet.
 		controller.postResult(controller.refreshLock)
@@ -83,15 +83,15 @@
 	controller.view.RequestSync(func(error) {}, clock.Now()+lockRefreshTimeout)
 }
 
-func (controller *Controller) acquireLock(lease uint64) {
-	value, err := records.Lock{Member: controller.cfg.Member, Lease: lease, NeedsStandbyRecord: controller.failover.replica != nil}.MarshalJSON()
+func (controller *Controller) acquireLock(leaseID uint64) {
+	value, err := records.Lock{Member: controller.cfg.Member, Lease: leaseID, NeedsStandbyRecord: controller.failover.replica != nil}.MarshalJSON()
 	if err != nil {
 		return
 	}
 	write := &kvstore.Write{
 		Priority:   kvstore.Critical,
 		Conditions: []wire.Condition{{Key: records.LockKey}},
-		Changes:    []wire.Change{{PutKey: records.LockKey, Value: value, LeaseID: lease}},
+		Changes:    []wire.Change{{PutKey: records.LockKey, Value: value, LeaseID: leaseID}},
 		Deadline:   clock.Now() + controller.leaderTTL()/2,
 	}
 	write.Done = func(outcome kvstore.Outcome, revision uint64) {
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -30,15 +30,15 @@
 
 // evictedJobs summarizes finished jobs that are not in the view any more.
 type evictedJobs struct {
-	// hasEvicted: a job that is not in the view may have a record in the store. It is never reset:
+	// mayExist: a job that is not in the view may have a record in the store. It is never reset:
 	// counts that are 0 don't prove that no job is evicted, as they are for display and may lag.
 	// evictions counts how often a job may have left the view, so that a request that waited can
 	// tell whether one did meanwhile.
-	hasEvicted bool
-	evictions  int
-	counts     storeview.FinishedCounts
+	mayExist      bool
+	evictionCount int
+	counts        storeview.FinishedCounts
 	// problems are their worst ones, for the job report.
-	problems []jobreport.Problem
+	worstProblems []jobreport.Problem
 }
 
 // evictFinishedJobs evicts finished jobs beyond the capacity from the view.
@@ -48,7 +48,7 @@
 		controller.recordEviction()
 		controller.history.evicted.counts.Add(record.State, 1)
 		if problem, ok := controller.problemOf(id, record, int64(clock.WallTime())); ok {
-			controller.history.evicted.problems = jobreport.Worst(append(controller.history.evicted.problems, problem))
+			controller.history.evicted.worstProblems = jobreport.Worst(append(controller.history.evicted.worstProblems, problem))
 		}
 		controller.view.EvictJob(id)
 		controller.dependencyGraph.Remove(id)
@@ -69,25 +69,25 @@
 // recordEviction notes that from now on a job that is not in the view may have a record in the
 // store.
 func (controller *Controller) recordEviction() {
-	controller.history.evicted.hasEvicted = true
-	controller.history.evicted.evictions++
+	controller.history.evicted.mayExist = true
+	controller.history.evicted.evictionCount++
 }
 
 // mayBeEvicted tells whether a job is not in the view, and may have been evicted.
 func (controller *Controller) mayBeEvicted(id string) bool {
-	return controller.view.Jobs[id] == nil && controller.history.evicted.hasEvicted
+	return controller.view.Jobs[id] == nil && controller.history.evicted.mayExist
 }
 
 // recountEvicted counts evicted jobs after all records were read: read counts the finished jobs
 // among the records, dropped those of them that were not taken into the view.
-func (controller *Controller) recountEvicted(read storeview.FinishedCounts, dropped int) {
-	if dropped > 0 {
+func (controller *Controller) recountEvicted(readCounts storeview.FinishedCounts, droppedCount int) {
+	if droppedCount > 0 {
 		controller.recordEviction()
 	}
 	for _, record := range controller.view.Jobs {
 		if record.IsFinished() {
-			read.Add(record.State, -1)
+			readCounts.Add(record.State, -1)
 		}
 	}
-	controller.history.evicted.counts = read
+	controller.history.evicted.counts = readCounts
 }
--- a/internal/controller/eviction_bench_test.go
+++ b/internal/controller/eviction_bench_test.go
@@ -11,9 +11,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// finishedPage is a page of records of finished jobs, from a number on.
-func finishedPage(b *testing.B, first, jobs int) (items []wire.KeyValue, size int) {
-	for i := first; i < first+jobs; i++ {
+// finishedJobsPage is a page of records of finished jobs, from a number on.
+func finishedJobsPage(b *testing.B, firstNumber, jobCount int) (items []wire.KeyValue, size int) {
+	for i := firstNumber; i < firstNumber+jobCount; i++ {
 		id := fmt.Sprintf("req-%08d", i)
 		now := clock.WallTime()
 		record := &storeview.Job{Job: records.Job{SubmittedAt: int64(now), Spec: &wire.Job{ID: id, Class: "reproject", TaskCount: 90, DeadlineSeconds: 600}}}
@@ -32,24 +32,24 @@
 // A controller begins with the records of so many finished jobs, of which it remembers as
 // many as 125 MB allow, or all of them.
 func BenchmarkFinishedJobs(b *testing.B) {
-	const page = 1000
-	for _, jobs := range []int{50_000, 500_000} {
-		for name, capacity := range map[string]int{"bounded": finishedJobCapacity(0, 125), "all": jobs} {
-			b.Run(fmt.Sprint(jobs, "/", name), func(b *testing.B) {
+	const pageSize = 1000
+	for _, jobCount := range []int{50_000, 500_000} {
+		for name, capacity := range map[string]int{"bounded": finishedJobCapacity(0, 125), "all": jobCount} {
+			b.Run(fmt.Sprint(jobCount, "/", name), func(b *testing.B) {
 				for b.Loop() {
 					controller := newTestController(b)
 					controller.history.capacity = capacity
-					before, stored := heapInUse(), 0
+					heapBefore, storedBytes := heapInUse(), 0
 					filter := storeview.NewLoadFilter(capacity)
-					for first := 0; first < jobs; first += page {
-						items, size := finishedPage(b, first, page)
-						stored += size
+					for first := 0; first < jobCount; first += pageSize {
+						items, size := finishedJobsPage(b, first, pageSize)
+						storedBytes += size
 						filter.Add(items)
 					}
-					controller.applyLoad(filter, uint64(jobs))
+					controller.applyLoad(filter, uint64(jobCount))
 					filter = nil
-					b.ReportMetric((heapInUse()-before)/1e6, "MB-memory")
-					b.ReportMetric(float64(stored)/float64(jobs), "B-stored/job")
+					b.ReportMetric((heapInUse()-heapBefore)/1e6, "MB-memory")
+					b.ReportMetric(float64(storedBytes)/float64(jobCount), "B-stored/job")
 					runtime.KeepAlive(controller)
 				}
 			})
--- a/internal/controller/forwarded_cancellations.go
+++ b/internal/controller/forwarded_cancellations.go
@@ -28,9 +28,9 @@
 	return received.Heartbeat.StoreRevision
 }
 
-// sendCancellationNews sends new cancellations without waiting for the next regular
+// sendNewCancellations sends new cancellations without waiting for the next regular
 // heartbeat, if some other member may lack one. The leader need not: it acts on them itself.
-func (controller *Controller) sendCancellationNews(now clock.Micros) {
+func (controller *Controller) sendNewCancellations(now clock.Micros) {
 	if controller.term != nil || !controller.members.cancellations.TakeEarlySendRequest(now) {
 		return
 	}
@@ -42,9 +42,9 @@
 	}
 }
 
-// applyCancellations takes cancellations that a member knows to be durable. Of a job
+// applyForwardedCancellations takes cancellations that a member knows to be durable. Of a job
 // that is not in the view this member can't have started anything.
-func (controller *Controller) applyCancellations(member string, cancellations []peer.Cancellation) {
+func (controller *Controller) applyForwardedCancellations(member string, cancellations []peer.Cancellation) {
 	for _, cancellation := range cancellations {
 		record := controller.view.Jobs[cancellation.Job]
 		if record == nil || record.HasEnded() || record.Spec == nil || cancellation.Revision <= record.Version {
--- a/internal/controller/hints_test.go
+++ b/internal/controller/hints_test.go
@@ -16,7 +16,7 @@
 )
 
 // A leader sends its hints again to a member that has come back, which may have missed them.
-func TestHintsAreSentAgainToMemberThatIsBack(t *testing.T) {
+func TestHintsAreResentToReturningMember(t *testing.T) {
 	controller := newTestController(t, "i-1")
 	controller.view.Jobs["req-000001"] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
 		ID: "req-000001", Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Team: "t", TaskCount: 1, CPUs: 1, Image: "img",
@@ -37,9 +37,9 @@
 	}
 	heartbeat := &peer.Heartbeat{Member: "b", Incarnation: 5, Timestamp: 1}
 	for _, test := range []struct {
-		name     string
-		prepare  func()
-		sentToIt int
+		name       string
+		prepare    func()
+		wantResent int
 	}{
 		{"nothing has come", func() {}, 0},
 		{"the first heartbeat", func() { controller.handlePeerHeartbeat(heartbeat) }, 1},
@@ -52,8 +52,8 @@
 	} {
 		time.Sleep(time.Millisecond) // what was sent was sent before
 		test.prepare()
-		if again := sentMachines(); len(again) != test.sentToIt {
-			t.Errorf("%s: sent again are %v", test.name, again)
+		if resent := sentMachines(); len(resent) != test.wantResent {
+			t.Errorf("%s: sent again are %v", test.name, resent)
 		}
 	}
 }
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -51,7 +51,7 @@
 		case controller.mayBeEvicted(id):
 			controller.cancelEvictedJob(id, reply, attemptsLeft-1) // it was evicted meanwhile
 		default:
-			controller.cancelProvenJob(id, reply, attemptsLeft-1)
+			controller.cancelJobIfPresent(id, reply, attemptsLeft-1)
 		}
 	}, clock.Now()+syncTimeout)
 }
@@ -63,13 +63,13 @@
 			replyUnavailable(reply, reasonStoreUnavailable)
 			return
 		}
-		controller.cancelProvenJob(id, reply, attemptsLeft-1)
+		controller.cancelJobIfPresent(id, reply, attemptsLeft-1)
 	})
 }
 
-// cancelProvenJob cancels a job on a view that has been proven to have it, if there is such
+// cancelJobIfPresent cancels a job on a view that has been proven to have it, if there is such
 // a job at all.
-func (controller *Controller) cancelProvenJob(id string, reply *server.Reply, attemptsLeft int) {
+func (controller *Controller) cancelJobIfPresent(id string, reply *server.Reply, attemptsLeft int) {
 	if controller.view.Jobs[id] == nil {
 		reply.Send(404, server.ErrorBody(reasonNoSuchJob), 0)
 		return
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -31,9 +31,9 @@
 )
 
 // lookUpJob fetches a job that may have been evicted. The result is at least as new as the call.
-func (controller *Controller) lookUpJob(id string, until clock.Micros, done func(jobhistory.LookupResult)) {
-	if !controller.history.lookups.Enqueue(id, until, done) {
-		done(jobhistory.Unavailable)
+func (controller *Controller) lookUpJob(id string, deadline clock.Micros, onResult func(jobhistory.LookupResult)) {
+	if !controller.history.lookups.Enqueue(id, deadline, onResult) {
+		onResult(jobhistory.Unavailable)
 		return
 	}
 	controller.sendLookups(clock.Now())
@@ -95,15 +95,15 @@
 	if !isArchived {
 		id = strings.TrimPrefix(item.Key, records.JobPrefix)
 	}
-	isNew := controller.view.Jobs[id] == nil
+	isNewToView := controller.view.Jobs[id] == nil
 	controller.view.ApplyPut(records.JobKey(id), item.Value, item.Version)
 	record := controller.view.Jobs[id]
-	if !isNew || record == nil || !record.IsFinished() {
+	if !isNewToView || record == nil || !record.IsFinished() {
 		return id
 	}
 	record.IsArchived = isArchived
 	controller.history.evicted.counts.Add(record.State, -1)
-	controller.history.evicted.problems = slices.DeleteFunc(controller.history.evicted.problems, func(problem jobreport.Problem) bool { return problem.Job == id })
+	controller.history.evicted.worstProblems = slices.DeleteFunc(controller.history.evicted.worstProblems, func(problem jobreport.Problem) bool { return problem.Job == id })
 	return id
 }
 
--- a/internal/controller/job_report.go
+++ b/internal/controller/job_report.go
@@ -17,16 +17,16 @@
 }
 
 func (controller *Controller) replyJobReport(reply *server.Reply) {
-	wall := int64(clock.WallTime())
+	wallTime := int64(clock.WallTime())
 	evicted := &controller.history.evicted
 	report := jobreport.Report{
 		Member: controller.cfg.Member, Jobs: len(controller.view.Jobs) + evicted.counts.Done + evicted.counts.Cancelled,
 		Done: evicted.counts.Done, Cancelled: evicted.counts.Cancelled,
-		Problems: append([]jobreport.Problem{}, evicted.problems...),
+		Problems: append([]jobreport.Problem{}, evicted.worstProblems...),
 	}
 	for id, record := range controller.view.Jobs {
 		report.CountJob(record.EffectiveState())
-		if problem, isProblem := controller.problemOf(id, record, wall); isProblem {
+		if problem, isProblem := controller.problemOf(id, record, wallTime); isProblem {
 			report.Problems = append(report.Problems, problem)
 		}
 	}
@@ -41,19 +41,19 @@
 
 // problemOf returns a job's line in the report, and whether it belongs there; wall is the
 // time of day.
-func (controller *Controller) problemOf(id string, record *storeview.Job, wall int64) (problem jobreport.Problem, isProblem bool) {
+func (controller *Controller) problemOf(id string, record *storeview.Job, wallTime int64) (problem jobreport.Problem, isProblem bool) {
 	if record.HasEnded() {
 		return jobreport.Assess(controller.reportedEndedJob(id, record))
 	}
-	return jobreport.Assess(controller.reportedActiveJob(id, record, clock.Micros(wall)))
+	return jobreport.Assess(controller.reportedActiveJob(id, record, clock.Micros(wallTime)))
 }
 
 // reportedEndedJob is a job that has ended, as its record tells it.
 func (controller *Controller) reportedEndedJob(id string, record *storeview.Job) jobreport.Job {
-	submitted := clock.Micros(record.SubmittedAt)
+	submittedAt := clock.Micros(record.SubmittedAt)
 	job := jobreport.Job{
 		ID: id, Class: record.Class, State: record.EffectiveState(),
-		SubmittedAt: submitted, ReleasedAt: max(submitted, clock.Micros(record.ReleasedAt)), FirstStartAt: clock.Micros(record.FirstStartAt), EndedAt: clock.Micros(record.EndedAt),
+		SubmittedAt: submittedAt, ReleasedAt: max(submittedAt, clock.Micros(record.ReleasedAt)), FirstStartAt: clock.Micros(record.FirstStartAt), EndedAt: clock.Micros(record.EndedAt),
 		DeadlineAt: clock.Micros(record.DeadlineAt), Errors: record.Errors, Restarts: record.Restarts,
 	}
 	if job.DeadlineAt == 0 {
@@ -63,11 +63,11 @@
 }
 
 // reportedActiveJob is a job that has not ended. Of its tasks the leader alone knows.
-func (controller *Controller) reportedActiveJob(id string, record *storeview.Job, wall clock.Micros) jobreport.Job {
-	submitted := clock.Micros(record.SubmittedAt)
+func (controller *Controller) reportedActiveJob(id string, record *storeview.Job, wallTime clock.Micros) jobreport.Job {
+	submittedAt := clock.Micros(record.SubmittedAt)
 	job := jobreport.Job{
 		ID: id, Class: record.Spec.Class, State: jobreport.StateActive,
-		SubmittedAt: submitted, ReleasedAt: controller.dependencyGraph.ReleasedAt(id, submitted), FirstStartAt: clock.Micros(record.FirstStartAt), EndedAt: wall,
+		SubmittedAt: submittedAt, ReleasedAt: controller.dependencyGraph.ReleasedAt(id, submittedAt), FirstStartAt: clock.Micros(record.FirstStartAt), EndedAt: wallTime,
 		DeadlineAt: controller.activeDeadline(record), Errors: record.Errors, Restarts: record.Restarts,
 		HasProgress: controller.view.Progress[id] != nil,
 	}
@@ -80,7 +80,7 @@
 	if tracked := controller.term.TrackedJob(id); tracked != nil {
 		job.Errors, job.Restarts = tracked.FailureCount, tracked.RestartCount
 		if tracked.FirstStartAt != 0 {
-			job.FirstStartAt = wall - (clock.Now() - tracked.FirstStartAt)
+			job.FirstStartAt = wallTime - (clock.Now() - tracked.FirstStartAt)
 		}
 	}
 	return job
@@ -109,15 +109,15 @@
 	return clock.Micros(max(record.SubmittedAt, record.ReleasedAt)) + objective
 }
 
-// objectiveFinished is the kind of the objectives for the time until a job has finished.
-const objectiveFinished = "finished"
+// objectiveKindFinished is the kind of the objectives for the time until a job has finished.
+const objectiveKindFinished = "finished"
 
 // completionObjective is within which time jobs of a class should finish, by the most
 // lenient of its objectives; 0 if it has none.
 func (controller *Controller) completionObjective(class string) clock.Micros {
 	var longest clock.Micros
 	for _, objective := range controller.cfg.Deployment.Objectives {
-		if objective.Kind == objectiveFinished && objective.Class == class {
+		if objective.Kind == objectiveKindFinished && objective.Class == class {
 			longest = max(longest, clock.FromSeconds(objective.TargetSeconds))
 		}
 	}
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -43,7 +43,7 @@
 		case controller.mayBeEvicted(id):
 			controller.showEvictedJob(id, reply) // it was evicted meanwhile
 		default:
-			controller.replyProvenStatus(id, reply)
+			controller.replyStatusFromFreshView(id, reply)
 		}
 	}, clock.Now()+syncTimeout)
 }
@@ -55,23 +55,23 @@
 			replyUnavailable(reply, reasonStoreUnavailable)
 			return
 		}
-		controller.replyProvenStatus(id, reply)
+		controller.replyStatusFromFreshView(id, reply)
 	})
 }
 
-// replyProvenStatus replies from a view that has just been proven to be new enough. A process
+// replyStatusFromFreshView replies from a view that has just been proven to be new enough. A process
 // that stalls after the proof must not send the status as if it were new: somebody may have
 // been told of the job's end meanwhile. So what isn't final is sent within a time, or not
 // at all.
-func (controller *Controller) replyProvenStatus(id string, reply *server.Reply) {
-	until := clock.Now() + syncTimeout
+func (controller *Controller) replyStatusFromFreshView(id string, reply *server.Reply) {
+	sendDeadline := clock.Now() + syncTimeout
 	switch record := controller.view.Jobs[id]; {
 	case record == nil:
-		reply.SendBefore(404, server.ErrorBody(reasonNoSuchJob), 0, until)
+		reply.SendBefore(404, server.ErrorBody(reasonNoSuchJob), 0, sendDeadline)
 	case record.HasEnded():
 		reply.Send(200, controller.encodeJobStatus(id, record), 0)
 	default:
-		reply.SendBefore(200, controller.encodeJobStatus(id, record), 0, until)
+		reply.SendBefore(200, controller.encodeJobStatus(id, record), 0, sendDeadline)
 	}
 }
 
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -43,7 +43,7 @@
 		return
 	}
 	controller.failover.isRebuilding = true
-	controller.failover.last = leader.FailoverTimes{LeaderHeartbeatAt: controller.failover.leaderHeartbeatAt, LockWonAt: clock.Now(), Token: controller.elector.Token()}
+	controller.failover.lastTimes = leader.FailoverTimes{LeaderHeartbeatAt: controller.failover.leaderHeartbeatAt, LockWonAt: clock.Now(), Token: controller.elector.Token()}
 	controller.applyRateShares()
 	controller.log.Info("leadership acquired", "token", controller.elector.Token(), "lease", controller.elector.LeaseID(), "may_act_s", (controller.elector.EntitledUntil() - clock.Now()).Seconds())
 	controller.rebuildTerm()
@@ -99,9 +99,9 @@
 	controller.members.nextHeartbeatAt = 0
 }
 
-// handleFenced ends the term of a token that has proven to be outdated: by a write that was fenced
+// handleStaleToken ends the term of a token that has proven to be outdated: by a write that was fenced
 // or by a worker that knows a higher one, which the reason tells.
-func (controller *Controller) handleFenced(token uint64, reason endReason) {
+func (controller *Controller) handleStaleToken(token uint64, reason endReason) {
 	controller.executeActions(controller.elector.HandleFencedWrite(clock.Now(), token))
 	if controller.elector.Phase() != election.Leader {
 		controller.endTerm(reason)
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -11,7 +11,7 @@
 
 // The log tells a term that a worker ended, by showing a higher token, from one that a fenced write
 // ended.
-func TestEndReasonNamesWhatProvedTheTokenOutdated(t *testing.T) {
+func TestTermEndLogNamesReason(t *testing.T) {
 	for _, test := range []struct {
 		reason string
 		end    func(*Controller)
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -35,7 +35,7 @@
 		controller.term.ResendHints(now)
 	}
 	controller.members.heartbeats[heartbeat.Member] = &leader.ReceivedHeartbeat{Heartbeat: heartbeat, ReceivedAt: now}
-	controller.applyCancellations(heartbeat.Member, heartbeat.Cancellations)
+	controller.applyForwardedCancellations(heartbeat.Member, heartbeat.Cancellations)
 	controller.recordTimestamp(heartbeat)
 	controller.recordDelegation(heartbeat, now)
 	controller.updateProgressCounts(heartbeat, now)
@@ -51,10 +51,10 @@
 // recordTimestamp keeps a member's timestamp if it is the newest one: messages may arrive out
 // of order.
 func (controller *Controller) recordTimestamp(heartbeat *peer.Heartbeat) {
-	known := controller.members.timestamps[heartbeat.Member]
+	known := controller.members.newestTimestamps[heartbeat.Member]
 	isNewer := heartbeat.Incarnation > known.Incarnation || heartbeat.Incarnation == known.Incarnation && heartbeat.Timestamp > known.At
 	if isNewer {
-		controller.members.timestamps[heartbeat.Member] = delegation.Timestamp{Incarnation: heartbeat.Incarnation, At: heartbeat.Timestamp}
+		controller.members.newestTimestamps[heartbeat.Member] = delegation.Timestamp{Incarnation: heartbeat.Incarnation, At: heartbeat.Timestamp}
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	heartbeat.Leader, heartbeat.Token = controller.elector.LockHolder()
 	controller.expireWorkerContacts(now)
-	heartbeat.WorkerCount = uint32(len(controller.workers.contactAt))
+	heartbeat.WorkerCount = uint32(len(controller.workers.lastContactAt))
 	controller.reportWorkerContact(now)
 	if controller.term != nil {
 		controller.term.AddToHeartbeat(heartbeat)
@@ -170,7 +170,7 @@
 	if controller.term != nil {
 		return controller.term.AcknowledgementFor(member)
 	}
-	return controller.members.timestamps[member]
+	return controller.members.newestTimestamps[member]
 }
 
 // storeHints takes the hints of a leader's heartbeat, for the case that this member leads next.
--- a/internal/controller/standby_status.go
+++ b/internal/controller/standby_status.go
@@ -16,7 +16,7 @@
 }
 
 func (controller *Controller) replyStandbyStatus(reply *server.Reply) {
-	status := jobreport.StandbyStatus{Member: controller.cfg.Member, Leader: controller.knownLeader(), Enabled: controller.failover.replica != nil, Failover: controller.failover.last.Status()}
+	status := jobreport.StandbyStatus{Member: controller.cfg.Member, Leader: controller.knownLeader(), Enabled: controller.failover.replica != nil, Failover: controller.failover.lastTimes.Status()}
 	switch {
 	case controller.failover.replica == nil:
 	case controller.term != nil:
--- a/internal/controller/term_host.go
+++ b/internal/controller/term_host.go
@@ -18,7 +18,7 @@
 		WorkerRequests: leader.WorkerRequests{Pool: controller.workerRequests.pool, MaxInFlight: controller.workerRequests.maxInFlight},
 		View:           controller.view, Graph: controller.dependencyGraph, Hints: controller.failover.hints,
 		Delegate: controller.delegation.delegate, Replica: controller.failover.replica,
-		Failover: &controller.failover.last, Tracer: controller.failover.tracer, Metrics: controller.metrics,
+		Failover: &controller.failover.lastTimes, Tracer: controller.failover.tracer, Metrics: controller.metrics,
 	}, termHost{controller}, token, readAt)
 }
 
@@ -35,11 +35,13 @@
 func (host termHost) EntitledUntil() clock.Micros { return host.controller.elector.EntitledUntil() }
 
 // HandleFenced implements leader.Host.
-func (host termHost) HandleFenced(token uint64) { host.controller.handleFenced(token, endWriteFenced) }
+func (host termHost) HandleFenced(token uint64) {
+	host.controller.handleStaleToken(token, endWriteFenced)
+}
 
 // HandleHigherToken implements leader.Host.
 func (host termHost) HandleHigherToken(token uint64) {
-	host.controller.handleFenced(token, endHigherToken)
+	host.controller.handleStaleToken(token, endHigherToken)
 }
 
 // HandOver implements leader.Host.
@@ -55,7 +57,7 @@
 
 // Timestamps implements leader.Host.
 func (host termHost) Timestamps() map[string]delegation.Timestamp {
-	return host.controller.members.timestamps
+	return host.controller.members.newestTimestamps
 }
 
 // WorkerContacts implements leader.Host.
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -22,14 +22,14 @@
 
 // expireWorkerContacts drops workers that have not contacted this member for a while.
 func (controller *Controller) expireWorkerContacts(now clock.Micros) {
-	for name, lastAt := range controller.workers.contactAt {
+	for name, lastAt := range controller.workers.lastContactAt {
 		if now-lastAt > controller.settings.Timing.SuspectTimeout {
-			delete(controller.workers.contactAt, name)
+			delete(controller.workers.lastContactAt, name)
 		}
 	}
-	for name, lastAt := range controller.delegation.repliedAt {
+	for name, lastAt := range controller.delegation.lastReplyAt {
 		if now-lastAt > clock.FromSeconds(controller.cfg.Deployment.Workers.LeaseSeconds) {
-			delete(controller.delegation.repliedAt, name)
+			delete(controller.delegation.lastReplyAt, name)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	if !controller.isWorkerContactReportDue(now) {
 		return
 	}
-	value, err := records.WorkerContact{Workers: uint32(len(controller.workers.contactAt)), ReportedAt: int64(clock.WallTime())}.MarshalJSON()
+	value, err := records.WorkerContact{Workers: uint32(len(controller.workers.lastContactAt)), ReportedAt: int64(clock.WallTime())}.MarshalJSON()
 	if err != nil {
 		return
 	}
@@ -59,7 +59,7 @@
 func (controller *Controller) isWorkerContactReportDue(now clock.Micros) bool {
 	holder, _ := controller.elector.LockHolder()
 	isOtherLeading := controller.term == nil && holder != "" && holder != controller.cfg.Member
-	if !isOtherLeading || len(controller.workers.contactAt) < minWorkerContacts || now < controller.workers.nextReportAt {
+	if !isOtherLeading || len(controller.workers.lastContactAt) < minWorkerContacts || now < controller.workers.nextReportAt {
 		return false
 	}
 	received := controller.members.heartbeats[holder]
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -26,7 +26,7 @@
 		now := 100 * clock.Second
 		controller.elector.ObserveLock(now, election.Lock{Exists: true, Holder: "b", LeaseID: 3, Version: 9})
 		for i := range test.workers {
-			controller.workers.contactAt[string(rune('a'+i))] = now
+			controller.workers.lastContactAt[string(rune('a'+i))] = now
 		}
 		if test.age != 0 {
 			controller.members.heartbeats["b"] = &leader.ReceivedHeartbeat{ReceivedAt: now - test.age}
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -26,7 +26,7 @@
 }
 
 func (controller *Controller) handleWorkerHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
-	controller.workers.contactAt[heartbeat.MachineID] = clock.Now()
+	controller.workers.lastContactAt[heartbeat.MachineID] = clock.Now()
 	switch {
 	case controller.term != nil && controller.isEntitled():
 		controller.term.HandleHeartbeat(heartbeat, reply)
