--- a/internal/commandqueue/queue.go
+++ b/internal/commandqueue/queue.go
@@ -1,25 +1,24 @@
-// Package commandqueue holds the commands that wait for the goroutine that owns a
-// process's state. It is bounded by priority, so that users' requests are refused before
-// workers' heartbeats are.
+// Package commandqueue queues commands for the goroutine that owns a process's state. Each priority has a
+// limit of its own, so that users' requests are refused before workers' heartbeats are.
 package commandqueue
 
 import "sync"
 
-// Priority says which commands are run first, and which limit applies to them.
+// Priority determines the order in which commands run, and the limit that applies to them.
 type Priority uint8
 
-// The priorities, the most urgent one first.
+// The priorities, most urgent first.
 const (
 	// Heartbeat is for heartbeats of workers and of other members.
 	Heartbeat Priority = iota
-	// Result is for results of this process's own calls, which decisions wait for.
+	// Result is for the results of this process's own calls, which its decisions wait for.
 	Result
 	// User is for users' requests.
 	User
 	priorityCount
 )
 
-// String is the priority's name.
+// String returns the priority's name.
 func (priority Priority) String() string {
 	switch priority {
 	case Heartbeat:
@@ -33,15 +32,15 @@
 }
 
 const (
-	// minUserCommands is how many users' requests may wait even if there are few sockets.
+	// minUserCommands is how many users' requests may be queued even if there are few sockets.
 	minUserCommands = 1024
-	// heartbeatsPerMember is how many messages of another member may wait.
+	// heartbeatsPerMember is how many queued heartbeats the limit allows for each other member.
 	heartbeatsPerMember = 64
-	// maxResults bounds results. They are as many as this process's own calls, which are
-	// bounded where they are made, so the limit is not reached.
+	// maxResults is the limit of queued results. Each result belongs to one of this process's own calls,
+	// whose number is bounded where they are made, so the limit is not reached.
 	maxResults = 1 << 20
-	// maxUserCommandsPerBatch bounds how many users' requests one batch takes, so that
-	// heartbeats that come meanwhile need not wait for all of them.
+	// maxUserCommandsPerBatch bounds how many users' requests one batch contains, so that heartbeats that
+	// arrive meanwhile need not wait for all queued requests.
 	maxUserCommandsPerBatch = 64
 )
 
@@ -54,9 +53,9 @@
 	wake    chan struct{}
 }
 
-// New makes a queue for a process with so many sockets and other members. Each connection has one
-// request under way at a time, so heartbeats of all workers that can be connected fit. A fixed
-// limit of 4,096 had been too small for a large fleet.
+// New returns a queue for a process that may use maxSockets sockets and has peerCount other members. Each
+// connection has one request in flight at a time, so the queue has room for the heartbeats of all workers
+// that can be connected. A fixed limit of 4,096 was too small for a large fleet.
 func New(maxSockets, peerCount int) *Queue {
 	return &Queue{
 		wake: make(chan struct{}, 1),
@@ -68,7 +67,7 @@
 	}
 }
 
-// Wake returns the channel that receives when commands wait.
+// Wake returns the channel that receives a value when commands are queued.
 func (queue *Queue) Wake() <-chan struct{} { return queue.wake }
 
 // Post adds a command. It returns false if the limit of the priority is reached.
@@ -84,7 +83,7 @@
 	return true
 }
 
-// signal wakes the goroutine that takes batches, unless it has been woken already.
+// signal wakes the goroutine that takes batches, unless a wake-up is already pending.
 func (queue *Queue) signal() {
 	select {
 	case queue.wake <- struct{}{}:
--- a/internal/commandqueue/queue_test.go
+++ b/internal/commandqueue/queue_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Heartbeats go before results, results before users' requests, and those are bounded: in
-// the queue, and in a batch.
+// Heartbeats run before results, and results before users' requests. Users' requests are bounded, both in
+// the queue and in each batch.
 func TestPrioritiesOrderAndBoundCommands(t *testing.T) {
 	queue := New(900, 2)
 	var got []int
@@ -22,31 +22,31 @@
 		command()
 	}
 	if !slices.IsSorted(got) || len(got) != 9 {
-		t.Fatalf("order %v", got)
+		t.Fatalf("the %d commands ran in the order of priorities %v, want 9 in ascending order", len(got), got)
 	}
 	accepted := 0
 	for queue.Post(User, func() {}) {
 		accepted++
 	}
 	if accepted != minUserCommands {
-		t.Fatalf("%d user commands queued", accepted)
+		t.Fatalf("the queue accepted %d user commands, want %d", accepted, minUserCommands)
 	}
 	if !queue.Post(Heartbeat, func() {}) {
-		t.Fatal("a heartbeat is refused because of users' requests")
+		t.Fatal("Post refused a heartbeat while the limit of user commands was reached")
 	}
 	if batch := queue.TakeBatch(); len(batch) != maxUserCommandsPerBatch+1 {
-		t.Fatalf("a batch of %d", len(batch))
+		t.Fatalf("TakeBatch returned %d commands, want %d", len(batch), maxUserCommandsPerBatch+1)
 	}
 }
 
-// Heartbeats of every worker that can be connected fit, with messages of the other
-// members, whatever the limit of sockets is. Added after a queue of 4,096 had been too small.
+// Whatever the socket limit is, the queue has room for the heartbeats of every worker that can be connected
+// and for messages of the other members. A fixed limit of 4,096 was too small.
 func TestQueueLimitsScaleWithSockets(t *testing.T) {
 	for _, maxSockets := range []int{900, 3500, 4700, 7100, 20000} {
 		queue := New(maxSockets, 2)
 		for i := range maxSockets + 2 {
 			if !queue.Post(Heartbeat, func() {}) {
-				t.Fatalf("%d sockets: heartbeat %d is refused", maxSockets, i)
+				t.Fatalf("with %d sockets, Post refused heartbeat %d, want %d accepted", maxSockets, i, maxSockets+2)
 			}
 		}
 		userCommands := 0
@@ -54,7 +54,7 @@
 			userCommands++
 		}
 		if userCommands < minUserCommands || userCommands < maxSockets/4 {
-			t.Errorf("%d sockets: %d commands of users", maxSockets, userCommands)
+			t.Errorf("with %d sockets, Post accepted %d user commands, want at least %d", maxSockets, userCommands, max(minUserCommands, maxSockets/4))
 		}
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,8 +15,8 @@
 	"firwood.dev/firwood/internal/tracing"
 )
 
-// Controller is one member of the control plane. Its fields belong to the goroutine of
-// Run, except those of environment, which New sets once, and the atomics.
+// Controller is one member of the control plane. Only the goroutine of Run uses its fields, except for
+// those of environment, which New sets and nothing changes later, and for the atomics.
 type Controller struct {
 	environment
 	process processStatus
@@ -25,7 +25,7 @@
 	watches         watchState
 	dependencyGraph *dag.Graph
 	elector         *election.Elector
-	term            *leader.Term // nil unless this member leads and the allocation table is rebuilt
+	term            *leader.Term // nil unless this member leads and has rebuilt the allocation table
 
 	machineTypes machineCatalog
 	failover     failoverState
@@ -37,23 +37,23 @@
 	storeUse     storeUsage
 }
 
-// SetTracer has failovers written to a tracer. It is called before Run.
+// SetTracer sets the tracer that failovers are written to. It must be called before Run.
 func (controller *Controller) SetTracer(tracer *tracing.Tracer) { controller.failover.tracer = tracer }
 
-// ConnLimiter is the limiter of connections, which the server shares with this process's
-// command requests.
+// ConnLimiter returns the limiter of connections, which the server shares with this process's command
+// requests.
 func (controller *Controller) ConnLimiter() *connlimit.Limiter {
 	return controller.workerRequests.limiter
 }
 
-// CloseIdleWorkerConnection closes an idle connection to a worker, and tells whether there was
-// one. It may be called on any goroutine.
+// CloseIdleWorkerConnection closes an idle connection to a worker, and reports whether there was one. It may
+// be called on any goroutine.
 func (controller *Controller) CloseIdleWorkerConnection() bool {
 	return controller.workerRequests.pool.EvictIdle()
 }
 
-// postResult queues what follows from the result of one of this process's own calls. It may be
-// called on any goroutine.
+// postResult queues a command that handles the result of one of this process's own calls. It may be called
+// on any goroutine.
 func (controller *Controller) postResult(command func()) {
 	controller.commands.Post(commandqueue.Result, command)
 }
@@ -64,7 +64,7 @@
 	stallThreshold = 2 * clock.Second
 )
 
-// Run works until the context ends.
+// Run runs the controller until the context is done.
 func (controller *Controller) Run(ctx context.Context) {
 	defer close(controller.stopped)
 	for _, other := range controller.cfg.Peers {
@@ -90,7 +90,7 @@
 	}
 }
 
-// tick does what is due, after each batch of commands and at least every tickInterval.
+// tick does all work that is due. It runs after each batch of commands and at least every tickInterval.
 func (controller *Controller) tick() {
 	now := clock.Now()
 	controller.detectStall(now)
@@ -106,8 +106,8 @@
 	controller.tickHeartbeat(now)
 }
 
-// detectStall tells the term if the process was stalled: heartbeats that were sent meanwhile could
-// not be read, so their absence means nothing.
+// detectStall tells the leadership term if the process was stalled. Heartbeats that were sent meanwhile could
+// not be read, so their absence does not mean that their senders failed.
 func (controller *Controller) detectStall(now clock.Micros) {
 	lastTickAt := controller.process.lastTickAt
 	controller.process.lastTickAt = now
@@ -120,7 +120,7 @@
 	}
 }
 
-// tickTerm does what is due as leader, as long as this member has the lock.
+// tickTerm ticks the leadership term, or ends it if this member no longer holds the lock.
 func (controller *Controller) tickTerm(now clock.Micros) {
 	if controller.term == nil {
 		return
@@ -132,11 +132,11 @@
 	controller.term.Tick(now)
 }
 
-// dropLogInterval bounds how often dropped responses and messages of one kind are logged.
+// dropLogInterval is the minimum interval between two log lines of logDropped with the same message.
 const dropLogInterval = 5 * clock.Second
 
-// logDropped logs what is malformed, unexpected or exceeds a limit. Each message has a bound of its
-// own on its rate, so that none hides another.
+// logDropped logs that something was dropped because it was malformed, unexpected or above a limit. The rate
+// of each message is limited separately, so that a frequent message doesn't suppress others.
 func (controller *Controller) logDropped(message string, args ...any) {
 	now := clock.Now()
 	if now < controller.process.nextDropLogAt[message] {
@@ -146,7 +146,7 @@
 	controller.log.Error(message, args...)
 }
 
-// runAfter runs a command on the owner's goroutine after a while.
+// runAfter runs a command on the goroutine of Run after a delay.
 func (controller *Controller) runAfter(delay clock.Micros, command func()) {
 	time.AfterFunc(delay.Duration(), func() { controller.postResult(command) })
 }
--- a/internal/controller/controller_setup.go
+++ b/internal/controller/controller_setup.go
@@ -24,7 +24,7 @@
 	"firwood.dev/firwood/internal/storeview"
 )
 
-// New makes a controller, which reaches the outside by dial. It does nothing before Run.
+// New returns a controller, which opens its connections with dial. It does nothing before Run.
 func New(cfg *config.Platform, tuning config.Tuning, log *slog.Logger, dial client.Dialer) *Controller {
 	deployment := &cfg.Deployment
 	settings := leader.NewSettings(cfg, &tuning)
@@ -59,7 +59,7 @@
 	return controller
 }
 
-// electionTimerSlack is by how much a tick may be late.
+// electionTimerSlack is how late a tick may be.
 const electionTimerSlack = 50 * clock.Millisecond
 
 func newStoreClient(cfg *config.Platform, dial client.Dialer) *kvstore.Client {
@@ -69,13 +69,13 @@
 	}, records.LockKey)
 }
 
-// newDelegationState is that of a process that has just started: it has no grant.
+// newDelegationState returns the state of a process that has just started: it has no grant.
 func newDelegationState(cfg delegation.Config) delegationState {
 	return delegationState{delegate: delegation.NewDelegate(cfg, uint64(clock.WallTime()), clock.Now()), lastReplyAt: map[string]clock.Micros{}}
 }
 
-// newFinishedJobHistory makes a history of so many jobs. A look-up asks for its keys as conditions
-// of one transaction, and the store takes four times as many conditions as changes.
+// newFinishedJobHistory returns a history that keeps up to capacity jobs. A look-up asks for its keys as
+// conditions of one transaction, and the store allows four times as many conditions as changes.
 func newFinishedJobHistory(capacity, maxTransactionOps int) finishedJobHistory {
 	return finishedJobHistory{
 		capacity: capacity, finished: jobhistory.NewCache(capacity),
--- a/internal/controller/controller_state.go
+++ b/internal/controller/controller_state.go
@@ -25,7 +25,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// environment is what a controller works with. New sets it, and nothing changes it later.
+// environment holds the settings and clients of a controller. New sets it, and nothing changes it later.
 type environment struct {
 	cfg    *config.Platform
 	tuning config.Tuning
@@ -33,10 +33,10 @@
 	dial   client.Dialer
 	store  *kvstore.Client
 	cloud  *cloud.Client
-	// commands is the queue of what the goroutine of Run has to do; stopped is closed when
-	// Run has returned.
+	// commands is the queue of commands for the goroutine of Run.
 	commands *commandqueue.Queue
-	stopped  chan struct{}
+	// stopped is closed when Run has returned.
+	stopped chan struct{}
 
 	workerRequests workerRequestLimits
 	settings       leader.Settings
@@ -47,90 +47,91 @@
 type workerRequestLimits struct {
 	limiter     *connlimit.Limiter // shared with the server's inbound connections
 	pool        *client.Pool
-	maxInFlight int // command requests and probes under way at a time
+	maxInFlight int // bounds the command requests and probes in flight
 }
 
-// processStatus is how this process itself does.
+// processStatus is the status of this process.
 type processStatus struct {
-	lastTickAt clock.Micros // the last tick, 0 before the first
-	// isUnavailable: users should not be routed here. The goroutine of Run writes it with
-	// each heartbeat, the server's event loop reads it.
+	lastTickAt clock.Micros // 0 before the first tick
+	// isUnavailable reports whether users should not be routed to this member. The goroutine of Run writes
+	// it before each regular heartbeat to the other members, and the server's event loop reads it.
 	isUnavailable atomic.Bool
-	// isActiveLeader: this process may answer workers as leader. The goroutine of Run writes
-	// it with each tick, any goroutine may read it.
+	// isActiveLeader reports whether this process may answer workers as leader. The goroutine of Run
+	// writes it with each tick, and any goroutine may read it.
 	isActiveLeader atomic.Bool
-	nextDropLogAt  map[string]clock.Micros // when logDropped may log a message again
+	nextDropLogAt  map[string]clock.Micros // when logDropped may next log each message
 }
 
-// machineCatalog is what the cloud offers.
+// machineCatalog holds the machine types that the cloud offers.
 type machineCatalog struct {
 	list        []wire.MachineType
 	isFetching  bool
 	requestedAt clock.Micros // when the cloud was last asked, 0 if never
 }
 
-// failoverState is what a failover needs, and how the last one went.
+// failoverState holds the state that a failover needs, and the times of the last one.
 type failoverState struct {
-	hints *hints.Hints // what the leader tells for the next one
+	hints *hints.Hints // from the leader's heartbeats, for this member's next term
 	// isRebuilding is true from winning the lock until the allocation table is rebuilt from a
 	// view at least as new as the fencing token.
 	isRebuilding bool
-	// replica follows the leader's allocation table, nil if standby is turned off.
+	// replica is a copy of the leader's allocation table, or nil if standby is turned off.
 	replica          *standby.Replica
 	processStartedAt clock.Micros
-	// leaderHeartbeatAt is when another member's heartbeat as leader last came.
+	// leaderHeartbeatAt is when this member last received a heartbeat from another member as leader.
 	leaderHeartbeatAt clock.Micros
 	lastTimes         leader.FailoverTimes
 	tracer            *tracing.Tracer
 }
 
-// memberState is what is known of the other members, by name.
+// memberState holds what this member knows of the others, by name.
 type memberState struct {
 	links            []*peer.Link // in the order of the configuration's peers
 	heartbeats       map[string]*leader.ReceivedHeartbeat
-	newestTimestamps map[string]delegation.Timestamp // their newest ones
+	newestTimestamps map[string]delegation.Timestamp
 	nextHeartbeatAt  clock.Micros
-	// cancellations are recent ones that other members may not know yet.
+	// cancellations is the log of recent cancellations that other members may not know yet.
 	cancellations cancellation.Log
 }
 
-// workerContactState counts the workers that contact members other than the leader.
+// workerContactState holds which workers contact this member, and how many contact each other member.
 type workerContactState struct {
 	lastContactAt map[string]clock.Micros // when each worker last sent a heartbeat here
-	// reports are the other members' counts, as they wrote them to the key-value store.
+	// reports holds the other members' counts, as they wrote them to the key-value store.
 	reports      map[string]leader.WorkerContact
 	nextReportAt clock.Micros
 }
 
-// delegationState is for renewing workers' leases while the leader is unreachable.
+// delegationState is the state for renewing workers' leases while the leader is unreachable.
 type delegationState struct {
 	delegate *delegation.Delegate // this member's grant
-	// lastReplyAt is when each worker was last answered under the grant.
+	// lastReplyAt is when this member last answered each worker under the grant. Redirecting a worker
+	// deletes its entry.
 	lastReplyAt map[string]clock.Micros
-	// unconfirmedConstraints are zones that this member, in its last term, may have
-	// constrained: the outcome of that write is not known.
+	// unconfirmedConstraints are the zones that this member may have constrained in its last term. The
+	// outcome of that write is not known.
 	unconfirmedConstraints map[string]bool
 }
 
-// finishedJobHistory orders finished jobs for eviction. Those that were evicted are only
-// counted, and looked up in the key-value store on demand.
+// finishedJobHistory orders finished jobs for eviction. Jobs that were evicted are only counted, and are
+// looked up in the key-value store on demand.
 type finishedJobHistory struct {
-	finished *jobhistory.Cache // those in the view
-	capacity int               // how many are kept
+	finished *jobhistory.Cache // the finished jobs in the view, by last use
+	capacity int               // how many finished jobs are kept in the view
 	evicted  evictedJobs
 	lookups  *jobhistory.Lookups
 }
 
-// userRequestState is what users' requests need between two commands.
+// userRequestState is the state that users' requests keep from one command to a later one.
 type userRequestState struct {
-	// pendingSubmissions are the replies that wait for a submission's write, by job.
+	// pendingSubmissions holds, by job, the replies that wait for the write of a submission.
 	pendingSubmissions map[string][]*server.Reply
 	progressCounts     *hints.Counts
 }
 
-// storeUsage is how the members share the store's rates, and what was reported of
-// its malformed responses and records.
+// storeUsage holds how the members share the store's rates, and how many of the store's malformed responses
+// and records have been reported.
 type storeUsage struct {
 	shares        rateshare.Adjuster
-	reportedDrops int64 // malformed responses and records that were reported
+	reportedDrops int64 // malformed responses and records that have been reported
 }
