--- a/internal/commandqueue/queue_test.go
+++ b/internal/commandqueue/queue_test.go
@@ -22,20 +22,20 @@
 		command()
 	}
 	if !slices.IsSorted(got) || len(got) != 9 {
-		t.Fatalf("the %d commands ran in the order of priorities %v, want 9 in ascending order", len(got), got)
+		t.Fatalf("the commands ran in the order of priorities %v, want 9 in ascending order", got)
 	}
 	accepted := 0
 	for queue.Post(User, func() {}) {
 		accepted++
 	}
 	if accepted != minUserCommands {
-		t.Fatalf("the queue accepted %d user commands, want %d", accepted, minUserCommands)
+		t.Fatalf("the queue accepted %d user commands, want minUserCommands", accepted)
 	}
 	if !queue.Post(Heartbeat, func() {}) {
 		t.Fatal("Post refused a heartbeat while the limit of user commands was reached")
 	}
 	if batch := queue.TakeBatch(); len(batch) != maxUserCommandsPerBatch+1 {
-		t.Fatalf("TakeBatch returned %d commands, want %d", len(batch), maxUserCommandsPerBatch+1)
+		t.Fatalf("TakeBatch returned %d commands, want maxUserCommandsPerBatch and one heartbeat", len(batch))
 	}
 }
 
@@ -46,7 +46,7 @@
 		queue := New(maxSockets, 2)
 		for i := range maxSockets + 2 {
 			if !queue.Post(Heartbeat, func() {}) {
-				t.Fatalf("with %d sockets, Post refused heartbeat %d, want %d accepted", maxSockets, i, maxSockets+2)
+				t.Fatalf("with %d sockets, Post refused heartbeat %d, want two more accepted than sockets", maxSockets, i)
 			}
 		}
 		userCommands := 0
@@ -54,7 +54,7 @@
 			userCommands++
 		}
 		if userCommands < minUserCommands || userCommands < maxSockets/4 {
-			t.Errorf("with %d sockets, Post accepted %d user commands, want at least %d", maxSockets, userCommands, max(minUserCommands, maxSockets/4))
+			t.Errorf("with %d sockets, Post accepted %d user commands, want at least minUserCommands and one for four sockets", maxSockets, userCommands)
 		}
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -109,12 +109,12 @@
 // detectStall tells the leadership term if the process was stalled. Heartbeats that were sent meanwhile could
 // not be read, so their absence does not mean that their senders failed.
 func (controller *Controller) detectStall(now clock.Micros) {
-	lastTickAt := controller.process.lastTickAt
+	previousTickAt := controller.process.lastTickAt
 	controller.process.lastTickAt = now
-	if lastTickAt == 0 || now-lastTickAt <= stallThreshold {
+	if previousTickAt == 0 || now-previousTickAt <= stallThreshold {
 		return
 	}
-	controller.log.Info("process stalled", "gap_s", (now - lastTickAt).Seconds())
+	controller.log.Info("process stalled", "gap_s", (now - previousTickAt).Seconds())
 	if controller.term != nil {
 		controller.term.RecordResume(now)
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -13,8 +13,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// newTestController makes a controller whose view has these machines recorded, requested long
-// ago. It has no term, and what it sends goes nowhere.
+// newTestController returns a controller whose view records the given machines, requested 300 s ago. It has
+// no term, and its requests reach nobody.
 func newTestController(t testing.TB, machines ...string) *Controller {
 	t.Helper()
 	cfg := &config.Platform{Member: "a", Location: "x", Peers: []config.Peer{{Member: "b", Location: "y", Address: "127.0.0.1:1"}}}
@@ -32,7 +32,7 @@
 	return controller
 }
 
-// makeEntitled has a controller win the lock with a token.
+// makeEntitled makes a controller win the lock with a token.
 func makeEntitled(t testing.TB, controller *Controller, token uint64) {
 	t.Helper()
 	now := clock.Now()
@@ -41,6 +41,6 @@
 	controller.elector.HandleGrantResult(now, 5)
 	controller.elector.HandleAcquireResult(now, election.AcquireSucceeded, token)
 	if !controller.isEntitled() {
-		t.Fatal("not entitled")
+		t.Fatal("the controller won the lock, but is not entitled to act as leader")
 	}
 }
--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -11,9 +11,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// With one zone there are grants even where leases are too short to outlast a zone's partition: in
-// a store outage the leader whose lock cannot be renewed answers the workers, without commands, and
-// redirects them in turn, as long as its grant lasts, and no longer.
+// In a store outage the leader cannot renew its lock. It then answers workers as a delegate: without
+// commands, redirecting each worker after every answer, until its grant ends and no longer. If all workers are
+// in one zone, there are grants even with leases that are too short for delegation in a partition between
+// zones.
 func TestDelegateRenewsLeasesDuringStoreOutage(t *testing.T) {
 	newController := func(zones ...string) *Controller {
 		cfg := &config.Platform{Member: "a", Location: zones[0], Peers: []config.Peer{
@@ -28,23 +29,23 @@
 		return New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	}
 	if controller := newController("x", "y"); controller.settings.Delegation.GrantTTL != 0 {
-		t.Fatal("grants where a zone's partition would put off the proof that a lease is over")
+		t.Fatal("two zones have grants, want none: workers redirected in a partition would delay the proof of lease ends")
 	}
 	controller := newController("x")
 	leaseDuration, cancelTimeout := 10*clock.Second, 35*clock.Second
 	if controller.settings.Delegation.GrantTTL < leaseDuration || controller.settings.Delegation.CancellationGrace+controller.settings.Delegation.GrantTTL+leaseDuration >= cancelTimeout {
-		t.Fatalf("a grant lasts %d us", controller.settings.Delegation.GrantTTL)
+		t.Fatalf("a grant lasts %d us, want at least a lease, and less than the cancel timeout with grace and lease", controller.settings.Delegation.GrantTTL)
 	}
 	controller.view.IsLoaded = true
 	term := controller.newTerm(9, clock.Now())
-	controller.term = term // it does not hold the lock: nothing was ever renewed
+	controller.term = term // without the lock, since no lease was ever renewed
 	if controller.isEntitled() {
-		t.Fatal("entitled without a lock")
+		t.Fatal("the controller is entitled to act as leader without the lock")
 	}
 	now := 100 * clock.Second
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", Zone: "x", FencingToken: 9}
 	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
-		t.Fatal("answers as delegate though it never knew of all cancellations")
+		t.Fatal("the member answers as a delegate, but has never known of all cancellations")
 	}
 	makeEntitled(t, controller, 9)
 	term.AcknowledgeTimestamps(now, func() {})
@@ -52,15 +53,15 @@
 	batch.Complete(nil)
 	controller.elector.StepDown(clock.Now(), clock.Second)
 	if controller.isEntitled() || term.CancellationsKnownAt() != now {
-		t.Fatalf("entitled %v, knows all cancellations before %d, not %d", controller.isEntitled(), term.CancellationsKnownAt(), now)
+		t.Fatalf("entitled %v, want false; knows all cancellations before %d, want %d", controller.isEntitled(), term.CancellationsKnownAt(), now)
 	}
 	grantEnd := now + controller.settings.Delegation.GrantTTL
 	var lastReplyAt, longestGap clock.Micros
-	// The worker sends a heartbeat, is redirected, and comes back after it has tried the others.
+	// The worker sends a heartbeat, is redirected, and comes back after it has tried the other members.
 	for heartbeatAt := now; heartbeatAt < grantEnd+leaseDuration; {
 		if controller.replyAsDelegate(heartbeat, &server.Reply{}, heartbeatAt) {
 			if heartbeatAt >= grantEnd {
-				t.Fatalf("answers as delegate %d us after its grant has ended", heartbeatAt-grantEnd)
+				t.Fatalf("the member answers as a delegate %d us after the end of its grant", heartbeatAt-grantEnd)
 			}
 			if lastReplyAt != 0 {
 				longestGap = max(longestGap, heartbeatAt-lastReplyAt)
@@ -70,15 +71,16 @@
 			continue
 		}
 		if heartbeatAt < grantEnd && heartbeatAt == now {
-			t.Fatal("a worker that comes from elsewhere is not answered")
+			t.Fatal("the member does not answer the first heartbeat of a worker")
 		}
 		heartbeatAt += 5 * clock.Second / 2
 	}
 	if longestGap >= leaseDuration/2 || lastReplyAt < grantEnd-leaseDuration/2 {
-		t.Fatalf("answers lie up to %d us apart, the last %d us before the end", longestGap, grantEnd-lastReplyAt)
+		t.Fatalf("answers are up to %d us apart and the last is %d us before the grant's end, want less than half a lease", longestGap, grantEnd-lastReplyAt)
 	}
-	controller.delegation.delegate.RecordLeaderHeartbeat(now, 10, controller.delegation.delegate.Timestamp(now)) // a newer leader is there
+	// A newer leader sends a heartbeat.
+	controller.delegation.delegate.RecordLeaderHeartbeat(now, 10, controller.delegation.delegate.Timestamp(now))
 	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
-		t.Fatal("answers as delegate while a newer leader sends heartbeats")
+		t.Fatal("the member answers as a delegate while a newer leader sends heartbeats")
 	}
 }
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -9,21 +9,20 @@
 )
 
 const (
-	// delegatedReplyTimeout bounds how long a reply under a grant may take to go out.
+	// delegatedReplyTimeout is how long after its making a reply under a grant may be sent.
 	delegatedReplyTimeout = clock.Second
-	// redirectMargin is how much longer than two of a worker's heartbeat intervals a grant must
-	// last for the worker to be redirected.
+	// redirectMargin is how much longer than two of a worker's heartbeat intervals a grant must still last
+	// for the worker to be redirected.
 	redirectMargin = 4 * clock.Second
 )
 
-// replyAsDelegate renews the lease of a worker that cannot reach the leader, if this member may,
-// and tells whether it replied. Renewals and redirects alternate, so a worker that can reach
-// the leader is not kept from it. The renewal comes first: a worker that was redirected first
-// had tried an unreachable leader for four seconds, came here, tried it again, and was back
-// after its lease had ended.
+// replyAsDelegate renews the lease of a worker that cannot reach the leader, if this member may, and reports
+// whether it replied. Renewals and redirects alternate, so that a worker that can reach the leader returns to
+// it. The renewal comes first. When the redirect came first, a worker had already tried an unreachable leader
+// for four seconds, was redirected to it here, tried it again, and was back after its lease had ended.
 //
-// The reply stops the listed tasks of cancelled jobs, which needs no entitlement: a cancellation is
-// final. Beyond that a delegate commands nothing.
+// The reply also stops the listed tasks of cancelled jobs. That needs no entitlement, because a cancellation
+// is final. A delegate sends no other commands.
 func (controller *Controller) replyAsDelegate(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if controller.term != nil {
 		controller.delegation.delegate.EndTerm(controller.term.IssuedToken(), controller.term.CancellationsKnownAt())
@@ -44,7 +43,7 @@
 	if err != nil {
 		return false
 	}
-	// The reply goes out soon, or not at all.
+	// The reply is sent soon or not at all.
 	sendDeadline := min(grantUntil, now+delegatedReplyTimeout)
 	controller.recordDelegatedReply(heartbeat.MachineID, sendDeadline, now)
 	controller.metrics.CountReply(metrics.ReplyAsDelegate)
@@ -53,28 +52,28 @@
 	return true
 }
 
-// isCancelled tells whether a job is durably cancelled, as far as the view knows. Jobs that are not in
-// the view may be new, so their tasks are left to the leader.
+// isCancelled reports whether a job is durably cancelled, as far as the view knows. A job that is not in the
+// view may be new, so its tasks are left to the leader.
 func (controller *Controller) isCancelled(jobID string) bool {
 	record := controller.view.Jobs[jobID]
 	return record != nil && record.State == wire.JobCancelled
 }
 
-// isRedirectDue tells whether a worker was answered under the grant last time, within its lease,
-// and can be back before the grant ends. A worker's lease is not renewed while it tries an
-// unreachable leader, so shortly before the grant ends the worker is answered each time.
+// isRedirectDue reports whether this member answered a worker's previous heartbeat under the grant, less than
+// a lease ago, and the worker can be back before the grant ends. A worker's lease is not renewed while the
+// worker tries an unreachable leader, so shortly before the grant ends the worker is answered each time.
 func (controller *Controller) isRedirectDue(machine string, grantUntil, now clock.Micros) bool {
 	workers := &controller.cfg.Deployment.Workers
-	repliedAt, wasAnswered := controller.delegation.lastReplyAt[machine]
-	if !wasAnswered || now-repliedAt > clock.FromSeconds(workers.LeaseSeconds) {
+	lastReplyAt, wasAnswered := controller.delegation.lastReplyAt[machine]
+	if !wasAnswered || now-lastReplyAt > clock.FromSeconds(workers.LeaseSeconds) {
 		return false
 	}
 	return grantUntil-now > clock.FromSeconds(2*workers.HeartbeatIntervalSeconds)+redirectMargin
 }
 
-// recordDelegatedReply notes a renewal under the grant. A leader whose entitlement has run out
-// answers as delegate too. It may renew the lock yet and continue its term, which must then know
-// of the leases that it renewed meanwhile.
+// recordDelegatedReply records a renewal under the grant. A leader whose entitlement has run out also answers
+// as a delegate. If it renews the lock after that and continues its term, the term must know of the leases
+// that were renewed meanwhile.
 func (controller *Controller) recordDelegatedReply(machineName string, sendDeadline, now clock.Micros) {
 	controller.delegation.lastReplyAt[machineName] = now
 	controller.delegation.delegate.RecordAnswer(sendDeadline)
--- a/internal/controller/delegate_replies_test.go
+++ b/internal/controller/delegate_replies_test.go
@@ -12,17 +12,17 @@
 	"firwood.dev/firwood/wire"
 )
 
-// repliesToOneOfTwoHeartbeats tells whether the member answers one of two heartbeats in a row: a worker is
-// redirected after each answer, so one heartbeat alone would not show it.
+// repliesToOneOfTwoHeartbeats reports whether the member answers, as a delegate, one of two heartbeats in a
+// row. One heartbeat is not enough to tell, since a worker is redirected after each answer.
 func repliesToOneOfTwoHeartbeats(controller *Controller, heartbeat *wire.Heartbeat, now clock.Micros) bool {
 	first := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
 	second := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
 	return first || second
 }
 
-// A follower that reaches neither the leader nor the store renews a worker's lease at once, and
-// redirects the worker after each answer. While the leader is reachable it renews nothing, so that
-// it keeps no worker from the leader.
+// A follower that reaches neither the leader nor the store renews a worker's lease at once, and redirects the
+// worker after each answer. While the leader is reachable the follower renews nothing, so that it keeps no
+// worker from the leader.
 func TestDelegateRedirectsAfterEachReply(t *testing.T) {
 	controller := newTestController(t)
 	controller.view.IsLoaded = true
@@ -30,25 +30,26 @@
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", FencingToken: 5}
 	controller.delegation.delegate = delegation.NewDelegate(controller.settings.Delegation, 1, now-60*clock.Second)
 	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
-		t.Fatal("answers as delegate without a grant")
+		t.Fatal("the member answers as a delegate without a grant")
 	}
 	controller.delegation.delegate.RecordLeaderHeartbeat(now-leaderSilence, 5, controller.delegation.delegate.Timestamp(now-leaderSilence))
 	for i, want := range []bool{true, false, true, false} {
 		if got := controller.replyAsDelegate(heartbeat, &server.Reply{}, now); got != want {
-			t.Fatalf("heartbeat %d: answered as delegate %v", i, got)
+			t.Fatalf("heartbeat %d: answered as a delegate %v, want the opposite", i, got)
 		}
 	}
 	if controller.replyAsDelegate(&wire.Heartbeat{MachineID: "i-1", FencingToken: 6}, &server.Reply{}, now) {
-		t.Fatal("answers as delegate against a newer leader")
+		t.Fatal("the member answers as a delegate to a worker that knows a newer leader")
 	}
 	controller.delegation.delegate.RecordLeaderHeartbeat(now, 5, controller.delegation.delegate.Timestamp(now))
 	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
-		t.Fatal("replies as delegate while the leader is reachable")
+		t.Fatal("the member answers as a delegate while the leader is reachable")
 	}
 }
 
-// A delegate's reply stops the listed tasks of cancelled jobs, shrunk records included. Tasks of active
-// jobs, and of jobs that it doesn't know, run on: the leader may have started them since its last read.
+// A delegate's reply stops the listed tasks of cancelled jobs, also of those whose record no longer has the
+// specification. Tasks of active jobs continue, and so do tasks of jobs that the delegate doesn't know: the
+// leader may have started them since the delegate last read the store.
 func TestDelegateStopsCancelledTasks(t *testing.T) {
 	controller := newTestController(t)
 	controller.view.IsLoaded = true
@@ -71,16 +72,16 @@
 		}
 	})
 	if !controller.replyAsDelegate(heartbeat, reply, now) {
-		t.Fatal("no answer as delegate")
+		t.Fatal("the member does not answer as a delegate")
 	}
 	var stopped []string
 	for _, command := range response.Commands {
 		if command.Action != wire.ActionStop || command.Attempt != 7 {
-			t.Errorf("command %+v", command)
+			t.Errorf("command is %+v, want a stop of attempt 7", command)
 		}
 		stopped = append(stopped, command.TaskID)
 	}
 	if !slices.Equal(stopped, []string{"req-000002/0", "req-000003/0"}) {
-		t.Fatalf("stopped %v", stopped)
+		t.Fatalf("stopped tasks are %v, want those of the cancelled jobs 000002 and 000003", stopped)
 	}
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -8,14 +8,14 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A job's state with respect to its dependencies (whether it may start, whether it is cancelled
-// with one of them, how urgent it is) is not stored. Every controller derives it from the jobs'
-// records alone. The leader's allocation table has only released jobs.
+// Three parts of a job's state follow from its dependencies: whether it may start, whether it is cancelled
+// because a dependency was, and how urgent it is. They are not stored. Every controller derives them from the
+// jobs' records alone. The leader's allocation table holds only released jobs.
 
-// startOverhead is about how long a job takes beside its run, to get a machine and an image.
+// startOverhead is about how long a job takes in addition to its run, to get a machine and an image.
 const startOverhead = 5 * clock.Second
 
-// updateDependencyGraph applies a job's record to the graph, and what follows for other jobs.
+// updateDependencyGraph applies a job's record to the dependency graph, and the effects to other jobs.
 func (controller *Controller) updateDependencyGraph(id string, record *storeview.Job) {
 	switch {
 	case record.State == wire.JobDone:
@@ -25,7 +25,7 @@
 	case record.Spec != nil:
 		dependencies, isComplete := controller.view.DependenciesOf(id, record)
 		if !isComplete {
-			return // the other parts were written in the same transaction
+			return // the missing parts were written in the same transaction, so they are read too
 		}
 		controller.lookUpEvictedDependencies(dependencies)
 		controller.applyGraphChange(controller.dependencyGraph.AddJob(dag.Job{
@@ -35,11 +35,11 @@
 	}
 }
 
-// lookUpEvictedDependencies looks up dependencies of a new job that may have been evicted. The
-// job is blocked until they are known.
+// lookUpEvictedDependencies looks up those dependencies of a new job that may have been evicted. The job is
+// blocked until they are known.
 func (controller *Controller) lookUpEvictedDependencies(dependencies []string) {
 	if !controller.view.IsLoaded {
-		return // lookUpUnknownDependencies does it for all jobs after the load
+		return // after the load, lookUpUnknownDependencies looks them up for all jobs
 	}
 	for _, id := range dependencies {
 		if controller.mayBeEvicted(id) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// applyGraphChange applies the effects of one job's change on the others.
+// applyGraphChange applies the effects that a change of one job has on others.
 func (controller *Controller) applyGraphChange(change dag.Effects) {
 	controller.applyImpliedCancellations(change.Cancelled)
 	if controller.term == nil {
@@ -64,8 +64,8 @@
 	}
 }
 
-// applyImpliedCancellations marks jobs as cancelled with a dependency. The leader writes that to
-// their own records in time.
+// applyImpliedCancellations marks jobs as cancelled because a job that they depend on was cancelled. The
+// leader writes their own records later.
 func (controller *Controller) applyImpliedCancellations(ids []string) {
 	for _, id := range ids {
 		if record := controller.view.Jobs[id]; record != nil && record.State == "" {
--- a/internal/controller/dependencies_bench_test.go
+++ b/internal/controller/dependencies_bench_test.go
@@ -12,8 +12,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// dependentJobRecords are records of pipelines of a length, by key; half of the pipelines are
-// cancelled by their first job.
+// dependentJobRecords returns the records, by key, of jobs in pipelines of the given length. In every other
+// pipeline the first job is cancelled, which cancels the rest.
 func dependentJobRecords(b *testing.B, jobs, pipelineLength int) map[string][]byte {
 	b.Helper()
 	values := map[string][]byte{}
@@ -42,18 +42,18 @@
 	return values
 }
 
-// heapInUse is how many bytes are held once what nobody holds is gone.
+// heapInUse returns the bytes of heap memory in use after unreachable objects have been freed.
 func heapInUse() float64 {
 	for range 3 {
-		runtime.GC() // the first ones leave what has a finalizer
+		runtime.GC() // an object with a finalizer is freed only by a cycle after the one that finds it unreachable
 	}
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc)
 }
 
-// What thousands of dependent jobs cost: to read their records, to begin a term, a
-// submission that names one, a plan while they wait, and the memory that they hold.
+// BenchmarkDependentJobs measures what thousands of dependent jobs cost: reading their records, beginning a
+// term, submitting a job that depends on one of them, planning while they wait, and the memory that they take.
 func BenchmarkDependentJobs(b *testing.B) {
 	for _, size := range []struct{ jobs, length int }{{1000, 5}, {10000, 5}, {10000, 10000}, {50000, 5}} {
 		b.Run(fmt.Sprintf("%d in pipelines of %d", size.jobs, size.length), func(b *testing.B) {
@@ -74,7 +74,7 @@
 				failoverTime += clock.Now() - startedAt
 				controller.term = term
 				if heldBytes == 0 {
-					heldBytes = heapInUse() - heapBefore // of the first round, before which nothing is held
+					heldBytes = heapInUse() - heapBefore // in the first iteration only, since nothing is held before it
 				}
 				term.Plan(clock.Now())
 				startedAt = clock.Now()
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -16,16 +16,16 @@
 	"firwood.dev/firwood/wire"
 )
 
-// newJobRecord makes the record of a job of one task.
+// newJobRecord returns the record of a job with one task.
 func newJobRecord(id, priority string, submittedAt, deadlineSeconds float64, dependencies ...string) *storeview.Job {
 	return &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.FromSeconds(submittedAt)), Spec: &wire.Job{
 		ID: id, Kind: wire.KindArray, Team: "t", TaskCount: 1, CPUs: 1, Priority: priority, EstimatedRunSeconds: 10, DeadlineSeconds: deadlineSeconds, DependsOn: dependencies,
 	}}, Version: 1}
 }
 
-// The leader's allocation table has a job once all its dependencies are done, with the urgency
-// of its dependents, and its waits count from then. A job that depends on a cancelled one is
-// cancelled at once, as are its dependents.
+// The leader's allocation table holds a job once all its dependencies are done. The job has the urgency of its
+// dependents, and its waiting time counts from then on. A job that depends on a cancelled one is cancelled at
+// once, as are its own dependents.
 func TestDependentJobsAreTrackedWhenReleased(t *testing.T) {
 	controller := newTestController(t)
 	term := controller.newTerm(9, clock.Now())
@@ -33,41 +33,41 @@
 	wallTime := clock.WallTime().Seconds()
 	controller.view.SetJob("req-000002", newJobRecord("req-000002", wire.PriorityLow, wallTime, 0, "req-000001"))
 	if term.TrackedJob("req-000002") != nil {
-		t.Fatal("a job is tracked whose dependency is not even known")
+		t.Fatal("job 2 is tracked before its dependency is known")
 	}
 	controller.view.SetJob("req-000001", newJobRecord("req-000001", wire.PriorityLow, wallTime, 0))
 	first := term.TrackedJob("req-000001")
 	if first == nil || first.Priority != wire.PriorityIndex(wire.PriorityLow) || first.Deadline != 0 {
-		t.Fatalf("the first is %+v", first)
+		t.Fatalf("job 1 is tracked as %+v, want low priority and no deadline", first)
 	}
 	controller.view.SetJob("req-000003", newJobRecord("req-000003", wire.PriorityHigh, wallTime, 300, "req-000002"))
 	want := clock.FromSeconds(wallTime+300) - 2*(10*clock.Second+startOverhead)
 	if first.Priority != wire.PriorityIndex(wire.PriorityHigh) || first.Deadline != want {
-		t.Fatalf("after the last: priority %d, deadline %d, want %d", first.Priority, first.Deadline, want)
+		t.Fatalf("after job 3 was added, job 1 has priority %d and deadline %d, want high and %d", first.Priority, first.Deadline, want)
 	}
 	completedAt := clock.FromSeconds(wallTime + 50)
 	controller.view.SetJob("req-000001", &storeview.Job{Job: records.Job{SubmittedAt: 1, State: wire.JobDone, EndedAt: int64(completedAt)}, Version: 2})
 	second := term.TrackedJob("req-000002")
 	if second == nil || second.ReleasedAt != completedAt || second.Priority != wire.PriorityIndex(wire.PriorityHigh) {
-		t.Fatalf("the second is %+v", second)
+		t.Fatalf("job 2 is tracked as %+v, want high priority, released when job 1 was done", second)
 	}
 	if term.TrackedJob("req-000003") != nil {
-		t.Fatal("the third is tracked before the second is done")
+		t.Fatal("job 3 is tracked before job 2 is done")
 	}
 	cancelled := storeview.NewEndedJob(controller.view.Jobs["req-000002"], wire.JobCancelled, clock.WallTime())
 	cancelled.Version = 3
 	controller.view.SetJob("req-000002", cancelled)
 	if record := controller.view.Jobs["req-000003"]; !record.HasEnded() || record.EffectiveState() != wire.JobCancelled {
-		t.Fatal("the third is not cancelled with the second")
+		t.Fatal("job 3 is not cancelled with job 2")
 	}
 	controller.view.SetJob("req-000004", newJobRecord("req-000004", wire.PriorityLow, wallTime, 0, "req-000003"))
 	if record := controller.view.Jobs["req-000004"]; record.EffectiveState() != wire.JobCancelled || term.TrackedJob("req-000004") != nil {
-		t.Fatal("a job that depends on a cancelled one is not cancelled, or is tracked")
+		t.Fatal("job 4, which depends on the cancelled job 3, is not cancelled or is tracked")
 	}
 }
 
-// A long list of dependencies is split so that every value fits, and is put together again in
-// whatever order its keys are read.
+// A long list of dependencies is split so that each part fits into a value of the store. It is put together
+// again in whatever order the keys are read.
 func TestLongDependencyListsAreSplit(t *testing.T) {
 	controller := newTestController(t)
 	controller.cfg.Deployment.Store.MaxValueKB = 1
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	if len(changes) < 3 || record.DependencyParts != len(changes)-1 {
-		t.Fatalf("%d changes, %d parts", len(changes), record.DependencyParts)
+		t.Fatalf("the submission has %d changes and %d dependency parts, want at least 3, and one part fewer", len(changes), record.DependencyParts)
 	}
 	for _, isReversed := range []bool{false, true} {
 		controller.view = storeview.New(viewObserver{controller})
@@ -90,21 +90,21 @@
 				change = changes[len(changes)-1-i]
 			}
 			if len(change.Value) > 1<<10 {
-				t.Fatalf("a value of %d bytes", len(change.Value))
+				t.Fatalf("a value has %d bytes, want at most 1024", len(change.Value))
 			}
 			controller.view.ApplyPut(change.PutKey, change.Value, 5)
 		}
 		dependencies, isComplete := controller.view.DependenciesOf("req-000500", controller.view.Jobs["req-000500"])
 		if !isComplete || len(dependencies) != 300 || dependencies[299] != "req-000299" {
-			t.Fatalf("%d of 300 are read, complete %v", len(dependencies), isComplete)
+			t.Fatalf("read %d dependencies, want 300; complete %v, want true", len(dependencies), isComplete)
 		}
 		if !leader.IsBlocked(controller.view, controller.dependencyGraph, "req-000500", controller.view.Jobs["req-000500"]) {
-			t.Fatal("it is not blocked")
+			t.Fatal("the job is not blocked by its dependencies")
 		}
 	}
 }
 
-// The end of a job that was cancelled with one that it depends on is written by the leader's term.
+// When a job is cancelled, the leader's term writes the end of the jobs that depend on it.
 func TestImpliedCancellationsAreWritten(t *testing.T) {
 	fakeStore, stop := fake.NewStore()
 	t.Cleanup(stop)
@@ -136,12 +136,12 @@
 	for _, id := range dependents {
 		var record records.Job
 		if err := record.UnmarshalJSON([]byte(fakeStore.Value(records.JobKey(id)))); err != nil || record.State != wire.JobCancelled {
-			t.Errorf("%s is stored as %+v, error %v", id, record, err)
+			t.Errorf("job %s is stored as %+v, error %v, want it cancelled", id, record, err)
 		}
 	}
 }
 
-// runUntil runs the commands that are posted to the controller until the condition holds.
+// runUntil runs the commands that are posted to the controller until isDone returns true.
 func runUntil(t *testing.T, controller *Controller, isDone func() bool) {
 	t.Helper()
 	for range 10000 {
@@ -153,5 +153,5 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("it does not come about")
+	t.Fatal("the awaited condition does not hold after 10000 tries")
 }
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -34,9 +34,9 @@
 	// counts that are 0 don't prove that no job is evicted, as they are for display and may lag.
 	// evictions counts how often a job may have left the view, so that a request that waited can
 	// tell whether one did meanwhile.
-	mayExist      bool
-	evictionCount int
-	counts        storeview.FinishedCounts
+	mayExist  bool
+	evictions int
+	counts    storeview.FinishedCounts
 	// problems are their worst ones, for the job report.
 	worstProblems []jobreport.Problem
 }
@@ -70,7 +70,7 @@
 // store.
 func (controller *Controller) recordEviction() {
 	controller.history.evicted.mayExist = true
-	controller.history.evicted.evictionCount++
+	controller.history.evicted.evictions++
 }
 
 // mayBeEvicted tells whether a job is not in the view, and may have been evicted.
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -162,12 +162,12 @@
 // unlessAccepted proceeds once the view proves that no member has accepted the job; a job that
 // was accepted is answered with its status.
 func (controller *Controller) unlessAccepted(job *wire.Job, reply *server.Reply, proceed func()) {
-	evictions := controller.history.evicted.evictionCount
+	evictions := controller.history.evicted.evictions
 	controller.view.RequestSync(func(err error) {
 		switch record := controller.view.Jobs[job.ID]; {
 		case err != nil:
 			replyUnavailable(reply, err.Error())
-		case record == nil && controller.history.evicted.evictionCount != evictions:
+		case record == nil && controller.history.evicted.evictions != evictions:
 			replyUnavailable(reply, "it may have been forgotten meanwhile")
 		case record != nil:
 			reply.Send(200, controller.encodeJobStatus(job.ID, record), 0)
