--- a/internal/controller/controller_setup.go
+++ b/internal/controller/controller_setup.go
@@ -74,7 +74,7 @@
 	return delegationState{delegate: delegation.NewDelegate(cfg, uint64(clock.WallTime()), clock.Now()), lastReplyAt: map[string]clock.Micros{}}
 }
 
-// newFinishedJobHistory returns a history that keeps up to capacity jobs. A look-up asks for its keys as
+// newFinishedJobHistory returns a history that keeps up to capacity jobs. A lookup asks for its keys as
 // conditions of one transaction, and the store allows four times as many conditions as changes.
 func newFinishedJobHistory(capacity, maxTransactionOps int) finishedJobHistory {
 	return finishedJobHistory{
--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -29,7 +29,7 @@
 		return New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	}
 	if controller := newController("x", "y"); controller.settings.Delegation.GrantTTL != 0 {
-		t.Fatal("two zones have grants, want none: workers redirected in a partition would delay the proof of lease ends")
+		t.Fatal("two zones have grants, want none: a redirected worker may be back too late in a partition between zones")
 	}
 	controller := newController("x")
 	leaseDuration, cancelTimeout := 10*clock.Second, 35*clock.Second
@@ -71,7 +71,7 @@
 			continue
 		}
 		if heartbeatAt < grantEnd && heartbeatAt == now {
-			t.Fatal("the member does not answer the first heartbeat of a worker")
+			t.Fatal("the member does not answer the first heartbeat of a worker that comes from another member")
 		}
 		heartbeatAt += 5 * clock.Second / 2
 	}
--- a/internal/controller/drop_log_test.go
+++ b/internal/controller/drop_log_test.go
@@ -9,15 +9,15 @@
 	"firwood.dev/firwood/internal/records"
 )
 
-// captureLog has a controller log to the string that is returned.
+// captureLog makes a controller log to the builder that it returns.
 func captureLog(controller *Controller) *strings.Builder {
 	var log strings.Builder
 	controller.log = slog.New(slog.NewTextHandler(&log, nil))
 	return &log
 }
 
-// Each kind of what is dropped has a bound of its own, and only the lines about the store have the
-// count of what the store has sent malformed.
+// The log lines for each kind of dropped data are rate-limited separately. Only the lines about the store
+// count what was malformed in data of the store.
 func TestDropLogLimitsEachMessageSeparately(t *testing.T) {
 	controller := newTestController(t)
 	log := captureLog(controller)
@@ -38,11 +38,11 @@
 		`msg="malformed or unexpected store responses" dropped_so_far=4`,
 	}
 	if len(lines) != len(want) {
-		t.Fatalf("logged are\n%s", log)
+		t.Fatalf("the log has the wrong number of lines:\n%s", log)
 	}
 	for i, line := range lines {
 		if !strings.HasSuffix(line, want[i]) {
-			t.Errorf("logged is %q, want %q", line, want[i])
+			t.Errorf("log line is %q, want a line that ends in %q", line, want[i])
 		}
 	}
 }
--- a/internal/controller/election_actions.go
+++ b/internal/controller/election_actions.go
@@ -10,11 +10,11 @@
 	"firwood.dev/firwood/wire"
 )
 
-// lockRefreshTimeout bounds how long a sync may take that shows who has the lock.
+// lockRefreshTimeout is the timeout of a sync that shows who holds the lock.
 const lockRefreshTimeout = 10 * clock.Second
 
-// executeActions carries out what the elector decided. Requests run on goroutines of their
-// own, and their results go back to the elector as commands.
+// executeActions carries out what the elector decided. Each request runs on a goroutine of its own, and its
+// result goes back to the elector in a command.
 func (controller *Controller) executeActions(actions []election.Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -55,7 +55,7 @@
 	}()
 }
 
-// renewResult is the outcome of a renewal that returned an error, or nil.
+// renewResult converts the error of a lease renewal, which may be nil, to a result for the elector.
 func renewResult(err error) election.RenewResult {
 	switch {
 	case err == nil:
@@ -73,12 +73,12 @@
 		} else {
 			controller.log.Debug("lease revoked", "lease", leaseID)
 		}
-		// The lock that hung on the lease is deleted with it; the watch may not have shown that yet.
+		// The store deletes the lock together with its lease. The watch may not have shown that yet.
 		controller.postResult(controller.refreshLock)
 	}()
 }
 
-// refreshLock has the view show soon who has the lock.
+// refreshLock requests a sync, so that the view soon shows who holds the lock.
 func (controller *Controller) refreshLock() {
 	controller.view.RequestSync(func(error) {}, clock.Now()+lockRefreshTimeout)
 }
@@ -105,7 +105,7 @@
 	}
 }
 
-// acquireResult is what the outcome of the lock's write means to the elector.
+// acquireResult converts the outcome of writing the lock to a result for the elector.
 func acquireResult(outcome kvstore.Outcome) election.AcquireResult {
 	switch outcome {
 	case kvstore.Committed:
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -6,21 +6,21 @@
 	"firwood.dev/firwood/internal/storeview"
 )
 
-// Finished jobs' records stay in the store. Each controller keeps those in memory that ended
-// or were requested last, and fetches others on demand; see package jobhistory.
+// The store keeps the records of finished jobs. Each controller keeps in memory those that ended or were
+// requested most recently, and fetches others on demand; see package jobhistory.
 
 const (
-	// finishedMemoryDivisor: finished jobs may take one part in so many of the process's memory.
-	// finishedJobBytes is about what one of them takes.
+	// Finished jobs may take one part in finishedMemoryDivisor of the process's memory.
+	// finishedJobBytes is about how much memory one of them takes.
 	finishedMemoryDivisor, finishedJobBytes = 16, 512
-	// minFinishedJobs is how many are kept however little memory there is.
+	// minFinishedJobs is how many finished jobs are kept however little memory there is.
 	minFinishedJobs = 1000
-	// maxEvictionsPerTick bounds how many are considered in one tick.
+	// maxEvictionsPerTick bounds how many jobs are considered for eviction in one tick.
 	maxEvictionsPerTick = 200
 )
 
-// finishedJobCapacity is how many finished jobs are kept: as many as are configured, else as
-// many as the process's memory allows.
+// finishedJobCapacity returns how many finished jobs are kept: the configured number if there is one, otherwise
+// as many as the process's memory allows.
 func finishedJobCapacity(configured int, memoryMB float64) int {
 	if configured > 0 {
 		return configured
@@ -28,16 +28,16 @@
 	return max(int(memoryMB*(1<<20)/finishedMemoryDivisor/finishedJobBytes), minFinishedJobs)
 }
 
-// evictedJobs summarizes finished jobs that are not in the view any more.
+// evictedJobs summarizes finished jobs that are no longer in the view.
 type evictedJobs struct {
-	// mayExist: a job that is not in the view may have a record in the store. It is never reset:
-	// counts that are 0 don't prove that no job is evicted, as they are for display and may lag.
-	// evictions counts how often a job may have left the view, so that a request that waited can
-	// tell whether one did meanwhile.
-	mayExist  bool
+	// mayExist reports whether a job that is not in the view may have a record in the store. It is never
+	// reset: counts that are 0 don't prove that no job is evicted, since they are for display and may lag.
+	mayExist bool
+	// evictions counts how often a job may have left the view, so that a request that has waited can tell
+	// whether one did meanwhile.
 	evictions int
 	counts    storeview.FinishedCounts
-	// problems are their worst ones, for the job report.
+	// worstProblems are the worst problems among evicted jobs, for the job report.
 	worstProblems []jobreport.Problem
 }
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// canEvict tells whether nothing but a user's request needs a finished job any more.
+// canEvict reports whether only users' requests may still need a finished job.
 func (controller *Controller) canEvict(id string) bool {
 	record := controller.view.Jobs[id]
 	hasOtherKeys := controller.view.Progress[id] != nil || controller.view.Dependencies[id] != nil
@@ -66,20 +66,19 @@
 	return !isTracked
 }
 
-// recordEviction notes that from now on a job that is not in the view may have a record in the
-// store.
+// recordEviction records that from now on a job that is not in the view may have a record in the store.
 func (controller *Controller) recordEviction() {
 	controller.history.evicted.mayExist = true
 	controller.history.evicted.evictions++
 }
 
-// mayBeEvicted tells whether a job is not in the view, and may have been evicted.
+// mayBeEvicted reports whether a job is not in the view but may have been evicted from it.
 func (controller *Controller) mayBeEvicted(id string) bool {
 	return controller.view.Jobs[id] == nil && controller.history.evicted.mayExist
 }
 
-// recountEvicted counts evicted jobs after all records were read: read counts the finished jobs
-// among the records, dropped those of them that were not taken into the view.
+// recountEvicted counts evicted jobs after all records were read. readCounts counts the finished jobs among
+// the records, and droppedCount those of them that were not taken into the view.
 func (controller *Controller) recountEvicted(readCounts storeview.FinishedCounts, droppedCount int) {
 	if droppedCount > 0 {
 		controller.recordEviction()
--- a/internal/controller/eviction_bench_test.go
+++ b/internal/controller/eviction_bench_test.go
@@ -11,7 +11,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// finishedJobsPage is a page of records of finished jobs, from a number on.
+// finishedJobsPage returns the records of jobCount finished jobs, numbered from firstNumber on, and the size
+// of their keys and values in bytes.
 func finishedJobsPage(b *testing.B, firstNumber, jobCount int) (items []wire.KeyValue, size int) {
 	for i := firstNumber; i < firstNumber+jobCount; i++ {
 		id := fmt.Sprintf("req-%08d", i)
@@ -29,8 +30,8 @@
 	return items, size
 }
 
-// A controller begins with the records of so many finished jobs, of which it remembers as
-// many as 125 MB allow, or all of them.
+// BenchmarkFinishedJobs loads the records of finished jobs into a new controller, which keeps as many of them
+// as a process with 125 MB of memory does, or all of them.
 func BenchmarkFinishedJobs(b *testing.B) {
 	const pageSize = 1000
 	for _, jobCount := range []int{50_000, 500_000} {
--- a/internal/controller/forwarded_cancellations.go
+++ b/internal/controller/forwarded_cancellations.go
@@ -8,8 +8,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// logCancellation takes a job's record into the log of cancellations, if it is one whose
-// tasks may still run.
+// logCancellation adds a job to the log of cancellations if its record says that it is cancelled and its tasks
+// may still run.
 func (controller *Controller) logCancellation(id string, record *storeview.Job) {
 	if record.State != wire.JobCancelled || record.Spec == nil {
 		return
@@ -18,8 +18,8 @@
 	controller.members.cancellations.Add(cancellation, clock.Now(), clock.WallTime())
 }
 
-// peerRevision is the revision of a member's view by its last heartbeat, 0 if that is older than
-// MemberTimeout: the member may have been restarted since, with a view that it has yet to load.
+// peerRevision returns the revision of a member's view from the member's last heartbeat, or 0 if that heartbeat
+// is older than MemberTimeout. The member may then have been restarted, with a view that it has yet to load.
 func (controller *Controller) peerRevision(member string) uint64 {
 	received := controller.members.heartbeats[member]
 	if received == nil || clock.Now()-received.ReceivedAt > leader.MemberTimeout {
@@ -28,8 +28,8 @@
 	return received.Heartbeat.StoreRevision
 }
 
-// sendNewCancellations sends new cancellations without waiting for the next regular
-// heartbeat, if some other member may lack one. The leader need not: it acts on them itself.
+// sendNewCancellations sends new cancellations ahead of the next regular heartbeat if another member may lack
+// one. The leader doesn't, because it acts on them itself.
 func (controller *Controller) sendNewCancellations(now clock.Micros) {
 	if controller.term != nil || !controller.members.cancellations.TakeEarlySendRequest(now) {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// applyForwardedCancellations takes cancellations that a member knows to be durable. Of a job
-// that is not in the view this member can't have started anything.
+// applyForwardedCancellations applies cancellations that another member knows to be durable. It skips jobs that
+// are not in the view, since this member can't have started any of their tasks.
 func (controller *Controller) applyForwardedCancellations(member string, cancellations []peer.Cancellation) {
 	for _, cancellation := range cancellations {
 		record := controller.view.Jobs[cancellation.Job]
--- a/internal/controller/hints_test.go
+++ b/internal/controller/hints_test.go
@@ -15,7 +15,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A leader sends its hints again to a member that has come back, which may have missed them.
+// A leader resends its hints to a member that has come back, because the member may have missed them.
 func TestHintsAreResentToReturningMember(t *testing.T) {
 	controller := newTestController(t, "i-1")
 	controller.view.Jobs["req-000001"] = &storeview.Job{Job: records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{
@@ -33,7 +33,7 @@
 		return machines
 	}
 	if first := sentMachines(); !slices.Equal(first, []string{"i-1"}) {
-		t.Fatalf("hints are sent of %v", first)
+		t.Fatalf("the first heartbeat has hints about the machines %v, want i-1", first)
 	}
 	heartbeat := &peer.Heartbeat{Member: "b", Incarnation: 5, Timestamp: 1}
 	for _, test := range []struct {
@@ -41,25 +41,24 @@
 		prepare    func()
 		wantResent int
 	}{
-		{"nothing has come", func() {}, 0},
-		{"the first heartbeat", func() { controller.handlePeerHeartbeat(heartbeat) }, 1},
-		{"the next heartbeat", func() { controller.handlePeerHeartbeat(heartbeat) }, 0},
-		{"the process was restarted", func() { controller.handlePeerHeartbeat(&peer.Heartbeat{Member: "b", Incarnation: 6, Timestamp: 1}) }, 1},
-		{"it was unreachable", func() {
+		{"before any heartbeat", func() {}, 0},
+		{"after the first heartbeat", func() { controller.handlePeerHeartbeat(heartbeat) }, 1},
+		{"after the next heartbeat", func() { controller.handlePeerHeartbeat(heartbeat) }, 0},
+		{"after the process was restarted", func() { controller.handlePeerHeartbeat(&peer.Heartbeat{Member: "b", Incarnation: 6, Timestamp: 1}) }, 1},
+		{"after the member was unreachable", func() {
 			controller.members.heartbeats["b"].ReceivedAt -= leader.MemberTimeout
 			controller.handlePeerHeartbeat(&peer.Heartbeat{Member: "b", Incarnation: 6, Timestamp: 2})
 		}, 1},
 	} {
-		time.Sleep(time.Millisecond) // what was sent was sent before
+		time.Sleep(time.Millisecond) // so that earlier hints were sent at an earlier time
 		test.prepare()
 		if resent := sentMachines(); len(resent) != test.wantResent {
-			t.Errorf("%s: sent again are %v", test.name, resent)
+			t.Errorf("%s: resent hints about the machines %v, want wantResent of them", test.name, resent)
 		}
 	}
 }
 
-// What a leader's heartbeats tell of run times and machines is what this member begins its own
-// term with.
+// A member begins its own term with the hints about run times and machines from the last leader's heartbeats.
 func TestNextTermBeginsWithStoredHints(t *testing.T) {
 	controller := newTestController(t, "i-1")
 	now := clock.Now()
@@ -67,11 +66,11 @@
 		RunTimes: []peer.RunTimeStatistics{{Class: "c", Count: 1, Mean: math.Log(0.5), MeanSquare: math.Log(0.5) * math.Log(0.5)}},
 	}})
 	if controller.failover.leaderHeartbeatAt < now {
-		t.Fatal("the heartbeat doesn't count as the leader's")
+		t.Fatal("leaderHeartbeatAt was not updated by a heartbeat of the leader")
 	}
 	controller.term = controller.newTerm(10, clock.Now())
 	heartbeat := controller.newHeartbeat(clock.Now())
 	if len(heartbeat.RunTimes) != 1 || heartbeat.RunTimes[0].Class != "c" || heartbeat.Leader != "a" || heartbeat.Token != 10 {
-		t.Fatalf("the next leader sends %+v", heartbeat)
+		t.Fatalf("the heartbeat of the next leader is %+v, want run times of class c, leader a and token 10", heartbeat)
 	}
 }
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -10,16 +10,16 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The way of a cancellation: the job is found in the view, after a sync, or by a look-up in
-// the store if it may have been evicted. Its end is then written under the condition that its
-// record is still the one of the view. After a conflict the whole way is taken again.
+// A cancellation first needs the job's record: from the view, from the view after a sync, or by a lookup in
+// the store if the job may have been evicted. It then writes the job's end on the condition that the record in
+// the store is still the one in the view. After a conflict it starts over.
 
-// maxCancelAttempts bounds how often a cancellation starts over, after a sync, a look-up
+// maxCancelAttempts bounds how often a cancellation starts over, after a sync, a lookup
 // or a conflict.
 const maxCancelAttempts = 3
 
-// CancelJob makes a job's cancellation durable, and replies with its status. It may be called
-// on any goroutine.
+// CancelJob makes a job's cancellation durable, and replies with the job's status. It may be called on any
+// goroutine.
 func (controller *Controller) CancelJob(id string, reply *server.Reply) {
 	controller.postUserRequest(reply, func() { controller.cancelJob(id, reply, maxCancelAttempts) })
 }
@@ -41,15 +41,15 @@
 	}
 }
 
-// cancelAfterSync cancels a job that is not in the view once the view is new enough to say
-// whether there is such a job.
+// cancelAfterSync cancels a job that is not in the view, after a sync has made the view new enough to tell
+// whether the job exists.
 func (controller *Controller) cancelAfterSync(id string, reply *server.Reply, attemptsLeft int) {
 	controller.view.RequestSync(func(err error) {
 		switch {
 		case err != nil:
 			replyUnavailable(reply, err.Error())
 		case controller.mayBeEvicted(id):
-			controller.cancelEvictedJob(id, reply, attemptsLeft-1) // it was evicted meanwhile
+			controller.cancelEvictedJob(id, reply, attemptsLeft-1) // the job was evicted during the sync
 		default:
 			controller.cancelJobIfPresent(id, reply, attemptsLeft-1)
 		}
@@ -67,8 +67,8 @@
 	})
 }
 
-// cancelJobIfPresent cancels a job on a view that has been proven to have it, if there is such
-// a job at all.
+// cancelJobIfPresent cancels a job if it is in the view, and replies 404 if not. The view must have been proven
+// new enough to tell whether the job exists.
 func (controller *Controller) cancelJobIfPresent(id string, reply *server.Reply, attemptsLeft int) {
 	if controller.view.Jobs[id] == nil {
 		reply.Send(404, server.ErrorBody(reasonNoSuchJob), 0)
@@ -77,8 +77,8 @@
 	controller.cancelJob(id, reply, attemptsLeft)
 }
 
-// commitCancellation writes a job's end. That its record is still the one of the view is the
-// write's condition.
+// commitCancellation writes a job's end, on the condition that the record in the store is still the one in the
+// view.
 func (controller *Controller) commitCancellation(id string, record *storeview.Job, reply *server.Reply, attemptsLeft int) {
 	end := storeview.NewEndedJob(record, wire.JobCancelled, clock.WallTime())
 	value, err := end.MarshalJSON()
@@ -110,14 +110,14 @@
 	}
 }
 
-// applyCancellation takes a durable end into the view, unless the watch was faster.
+// applyCancellation applies the durable end of a job to the view, unless the watch has already done so.
 func (controller *Controller) applyCancellation(id string, end *storeview.Job) {
 	if current := controller.view.Jobs[id]; current == nil || current.Version < end.Version {
 		controller.view.SetJob(id, end)
 	}
 }
 
-// retryCancellation starts over on a view that has the record which was in the way.
+// retryCancellation starts over after a conflict, once a sync has brought the conflicting record into the view.
 func (controller *Controller) retryCancellation(id string, reply *server.Reply, attemptsLeft int) {
 	controller.view.RequestSync(func(err error) {
 		if err != nil {
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -13,24 +13,24 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Jobs that may have been evicted are looked up in the store in batches: one request asks which of
-// the keys of many jobs exist, then the records of a few of those are read. The jobs whose records
-// were not read yet are in a later batch.
+// Jobs that may have been evicted are looked up in the store in batches. One request asks which of the keys of
+// many jobs exist, and then a few of the existing records are read. Jobs whose records were not read yet are
+// in a later batch.
 
 const (
-	// maxPendingLookups bounds the look-ups that wait.
+	// maxPendingLookups bounds the lookups that wait.
 	maxPendingLookups = 1024
 	// maxJobsPerLookup bounds the jobs whose keys one request asks for.
 	maxJobsPerLookup = 96
-	// maxReadsPerLookup bounds the records that are read after it.
+	// maxReadsPerLookup bounds the records that are read after that request.
 	maxReadsPerLookup = 8
-	// keysPerJob: a job's record is under its job key or under its archive key.
+	// keysPerJob counts the keys that a job's record may be under: its job key and its archive key.
 	keysPerJob = 2
-	// lookUpRetryInterval is after how long a dependency is looked up again.
+	// lookUpRetryInterval is how long after an unsuccessful lookup a dependency is looked up again.
 	lookUpRetryInterval = clock.Second
 )
 
-// lookUpJob fetches a job that may have been evicted. The result is at least as new as the call.
+// lookUpJob fetches a job that may have been evicted from the view. The result is at least as new as the call.
 func (controller *Controller) lookUpJob(id string, deadline clock.Micros, onResult func(jobhistory.LookupResult)) {
 	if !controller.history.lookups.Enqueue(id, deadline, onResult) {
 		onResult(jobhistory.Unavailable)
@@ -39,8 +39,8 @@
 	controller.sendLookups(clock.Now())
 }
 
-// sendLookups sends the next request for jobs that wait to be looked up, if there are any. Its
-// goroutine ends with the result of that request.
+// sendLookups sends the next request for jobs that wait to be looked up, if there are any and no request is in
+// flight. The goroutine that it starts ends with the result of that request.
 func (controller *Controller) sendLookups(now clock.Micros) {
 	jobs := controller.history.lookups.NextBatch(now)
 	if len(jobs) == 0 {
@@ -62,8 +62,8 @@
 	}()
 }
 
-// readJobRecords reads the records of a few of some jobs. Whether the others are absent is known
-// only if none of them exists.
+// readJobRecords reads the records of a few of the given jobs. areOthersAbsent reports that no other job has a
+// record, which is known only if none of the jobs has one.
 func (controller *Controller) readJobRecords(jobs []string) (read []wire.KeyValue, areOthersAbsent bool, err error) {
 	var keys []string
 	for _, id := range jobs {
@@ -79,7 +79,7 @@
 		}
 		item, err := controller.store.Get(key)
 		if errors.Is(err, kvstore.ErrNotFound) {
-			continue // it was archived meanwhile, and is looked up again
+			continue // the job was archived meanwhile, and is looked up again
 		}
 		if err != nil {
 			return read, false, err
@@ -89,7 +89,7 @@
 	return read, false, nil
 }
 
-// applyLookedUpRecord takes a record that was looked up into the view, and returns the job's id.
+// applyLookedUpRecord adds a record that was looked up to the view, and returns the job's id.
 func (controller *Controller) applyLookedUpRecord(item wire.KeyValue) string {
 	id, isArchived := strings.CutPrefix(item.Key, records.ArchivePrefix)
 	if !isArchived {
@@ -107,16 +107,15 @@
 	return id
 }
 
-// lookUpUnknownDependencies looks up the dependencies that are not in the view. All of them were
-// accepted, so they have finished and were evicted. Until they are known, the jobs that depend
-// on them don't start.
+// lookUpUnknownDependencies looks up the dependencies that are not in the view. All of them were accepted, so
+// they have finished and were evicted. Until they are known, the jobs that depend on them don't start.
 func (controller *Controller) lookUpUnknownDependencies() {
 	for _, id := range controller.dependencyGraph.UnknownDependencies() {
 		controller.lookUpUntilKnown(id)
 	}
 }
 
-// lookUpUntilKnown looks a job up, again and again until it is in the view.
+// lookUpUntilKnown looks up a job, and retries until the job is in the view.
 func (controller *Controller) lookUpUntilKnown(id string) {
 	controller.lookUpJob(id, clock.Now()+syncTimeout, func(result jobhistory.LookupResult) {
 		if result != jobhistory.Present {
--- a/internal/controller/job_report.go
+++ b/internal/controller/job_report.go
@@ -10,8 +10,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// SendJobReport replies with which jobs failed or ran late, and why, as far as this member
-// knows. It may be called on any goroutine.
+// SendJobReport replies with the jobs that failed or ran late, and the reasons, as far as this member knows
+// them. It may be called on any goroutine.
 func (controller *Controller) SendJobReport(reply *server.Reply) {
 	controller.postUserRequest(reply, func() { controller.replyJobReport(reply) })
 }
@@ -39,8 +39,8 @@
 	reply.Send(200, body, 0)
 }
 
-// problemOf returns a job's line in the report, and whether it belongs there; wall is the
-// time of day.
+// problemOf returns a job's line in the report, and whether the job belongs in the report. wallTime is the
+// current wall-clock time.
 func (controller *Controller) problemOf(id string, record *storeview.Job, wallTime int64) (problem jobreport.Problem, isProblem bool) {
 	if record.HasEnded() {
 		return jobreport.Assess(controller.reportedEndedJob(id, record))
@@ -48,7 +48,7 @@
 	return jobreport.Assess(controller.reportedActiveJob(id, record, clock.Micros(wallTime)))
 }
 
-// reportedEndedJob is a job that has ended, as its record tells it.
+// reportedEndedJob returns what the report needs of a job that has ended, from the job's record.
 func (controller *Controller) reportedEndedJob(id string, record *storeview.Job) jobreport.Job {
 	submittedAt := clock.Micros(record.SubmittedAt)
 	job := jobreport.Job{
@@ -62,7 +62,8 @@
 	return job
 }
 
-// reportedActiveJob is a job that has not ended. Of its tasks the leader alone knows.
+// reportedActiveJob returns what the report needs of a job that has not ended. Only the leader knows the state
+// of the job's tasks.
 func (controller *Controller) reportedActiveJob(id string, record *storeview.Job, wallTime clock.Micros) jobreport.Job {
 	submittedAt := clock.Micros(record.SubmittedAt)
 	job := jobreport.Job{
@@ -86,8 +87,8 @@
 	return job
 }
 
-// activeDeadline is the time of day until which a job that has not ended should, 0 if there
-// is none. A service has no deadline of its own.
+// activeDeadline returns the wall-clock time by which a job that has not ended should end, or 0 if there is
+// none. A service has no deadline of its own, so only its class's objective counts.
 func (controller *Controller) activeDeadline(record *storeview.Job) clock.Micros {
 	deadline := clock.Micros(record.DeadlineAt)
 	if record.Spec.DeadlineSeconds > 0 {
@@ -99,8 +100,8 @@
 	return deadline
 }
 
-// objectiveDeadline is the time of day until which a job ends by its class's objective, 0 if
-// the class has none.
+// objectiveDeadline returns the wall-clock time by which a job should end according to its class's objective,
+// or 0 if the class has none.
 func (controller *Controller) objectiveDeadline(class string, record *storeview.Job) clock.Micros {
 	objective := controller.completionObjective(class)
 	if objective <= 0 {
@@ -109,11 +110,11 @@
 	return clock.Micros(max(record.SubmittedAt, record.ReleasedAt)) + objective
 }
 
-// objectiveKindFinished is the kind of the objectives for the time until a job has finished.
+// objectiveKindFinished is the kind of objectives for the time until a job has finished.
 const objectiveKindFinished = "finished"
 
-// completionObjective is within which time jobs of a class should finish, by the most
-// lenient of its objectives; 0 if it has none.
+// completionObjective returns the time within which jobs of a class should finish, according to the most
+// lenient of the class's objectives, or 0 if it has none.
 func (controller *Controller) completionObjective(class string) clock.Micros {
 	var longest clock.Micros
 	for _, objective := range controller.cfg.Deployment.Objectives {
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -8,9 +8,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The way of a poll: a job that has ended is answered from the view at once. Anything else
-// could be overtaken by what another member confirms, so the answer waits for a sync of the
-// view; a job that may have been evicted from the view is looked up in the store.
+// The status of a job that has ended is answered from the view at once. Another status could be outdated by
+// what another member has confirmed, so the answer waits for a sync of the view. A job that may have been
+// evicted from the view is looked up in the store.
 
 // maxDependenciesShown bounds how many pending dependencies a job's status lists.
 const maxDependenciesShown = 50
@@ -25,7 +25,7 @@
 		if record.IsFinished() {
 			controller.history.finished.Touch(id)
 		}
-		reply.Send(200, controller.encodeJobStatus(id, record), 0) // final, so it cannot be overtaken
+		reply.Send(200, controller.encodeJobStatus(id, record), 0) // final, so it cannot be outdated
 		return
 	}
 	if !controller.view.IsLoaded {
@@ -41,7 +41,7 @@
 		case err != nil:
 			replyUnavailable(reply, err.Error())
 		case controller.mayBeEvicted(id):
-			controller.showEvictedJob(id, reply) // it was evicted meanwhile
+			controller.showEvictedJob(id, reply) // the job was evicted during the sync
 		default:
 			controller.replyStatusFromFreshView(id, reply)
 		}
@@ -59,10 +59,9 @@
 	})
 }
 
-// replyStatusFromFreshView replies from a view that has just been proven to be new enough. A process
-// that stalls after the proof must not send the status as if it were new: somebody may have
-// been told of the job's end meanwhile. So what isn't final is sent within a time, or not
-// at all.
+// replyStatusFromFreshView replies with a job's status from a view that has just been proven new enough. If the
+// process stalls after that proof, it must not send the status as if it were new: another member may have told
+// somebody of the job's end meanwhile. So a reply that isn't final is sent before a deadline or not at all.
 func (controller *Controller) replyStatusFromFreshView(id string, reply *server.Reply) {
 	sendDeadline := clock.Now() + syncTimeout
 	switch record := controller.view.Jobs[id]; {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	// rebuildSyncTimeout bounds the sync that a rebuild starts from; rebuildRetryInterval is after
-	// how long the next one is tried.
+	// rebuildSyncTimeout is the timeout of the sync that a rebuild begins with; rebuildRetryInterval is the
+	// delay before the next attempt.
 	rebuildSyncTimeout   = 2 * clock.Second
 	rebuildRetryInterval = clock.Second / 10
-	// releaseBackoff is for how long a member that shuts down doesn't run for election;
-	// releaseTimeout bounds how long the shutdown waits for the lease to be revoked.
+	// releaseBackoff is how long a member that shuts down does not run for election; releaseTimeout bounds
+	// how long the shutdown waits for the lease to be revoked.
 	releaseBackoff = 3600 * clock.Second
 	releaseTimeout = 2 * time.Second
 )
 
-// isEntitled tells whether this process may act as leader now.
+// isEntitled reports whether this process may act as leader now.
 func (controller *Controller) isEntitled() bool { return controller.elector.IsEntitled(clock.Now()) }
 
-// IsLeader tells whether this process answers workers as leader, as of the last tick. It may be
-// called on any goroutine.
+// IsLeader reports whether this process answers workers as leader, as of the last tick. It may be called on any
+// goroutine.
 func (controller *Controller) IsLeader() bool { return controller.process.isActiveLeader.Load() }
 
-// startFailoverIfElected begins the failover once this member has the lock.
+// startFailoverIfElected begins the failover once this member holds the lock.
 func (controller *Controller) startFailoverIfElected() {
 	if controller.elector.Phase() != election.Leader || controller.term != nil || controller.failover.isRebuilding {
 		return
@@ -49,7 +49,7 @@
 	controller.rebuildTerm()
 }
 
-// rebuildTerm begins the term on a view that is as new as the fencing token.
+// rebuildTerm begins the term once the view is at least as new as the fencing token.
 func (controller *Controller) rebuildTerm() {
 	token := controller.elector.Token()
 	requestedAt := clock.Now()
@@ -67,8 +67,8 @@
 	}, clock.Now()+rebuildSyncTimeout)
 }
 
-// retryRebuild rebuilds again where the view was too old, or the machine types were not known:
-// they come from the store or the cloud.
+// retryRebuild rebuilds again after the view was too old or the machine types, which come from the store or
+// the cloud, were not known.
 func (controller *Controller) retryRebuild(token uint64) {
 	if controller.elector.Token() != token || !controller.failover.isRebuilding {
 		controller.restartFailover()
@@ -77,15 +77,15 @@
 	controller.rebuildTerm()
 }
 
-// restartFailover gives up a rebuild for a token that is not this member's any more, and begins
-// another one if it has won the lock again.
+// restartFailover abandons the rebuild for a token that this member no longer holds, and begins another one if
+// the member has won the lock again.
 func (controller *Controller) restartFailover() {
 	controller.failover.isRebuilding = false
 	controller.startFailoverIfElected()
 }
 
-// endTerm ends the leadership term, if there is one. This member's grant as a delegate begins
-// then, so that it may go on to renew workers' leases until there is another leader.
+// endTerm ends the leadership term, if there is one. This member's own grant as a delegate begins then, so that
+// it may continue to renew workers' leases until there is another leader.
 func (controller *Controller) endTerm(reason endReason) {
 	if controller.term == nil {
 		return
@@ -99,8 +99,8 @@
 	controller.members.nextHeartbeatAt = 0
 }
 
-// handleStaleToken ends the term of a token that has proven to be outdated: by a write that was fenced
-// or by a worker that knows a higher one, which the reason tells.
+// handleStaleToken ends the term whose token has been proven stale, either by a fenced write or by a worker that
+// knows a higher token. reason says which.
 func (controller *Controller) handleStaleToken(token uint64, reason endReason) {
 	controller.executeActions(controller.elector.HandleFencedWrite(clock.Now(), token))
 	if controller.elector.Phase() != election.Leader {
@@ -108,9 +108,9 @@
 	}
 }
 
-// ReleaseLeadership revokes the lease, so that another member can be elected at once. It waits
-// at most releaseTimeout, and may be called on any goroutine while Run runs. The request blocks
-// Run's goroutine, unlike any other: the process is about to exit.
+// ReleaseLeadership revokes the lease, so that another member can be elected at once. It waits at most
+// releaseTimeout, and may be called on any goroutine while Run runs. Unlike any other request, this one blocks
+// Run's goroutine, since the process is about to exit.
 func (controller *Controller) ReleaseLeadership() {
 	done := make(chan struct{})
 	controller.postResult(func() {
@@ -129,7 +129,7 @@
 	}
 }
 
-// traceObservedFailover traces what a follower saw of a failover: for how long there was no leader.
+// traceObservedFailover traces, on a follower, how long there was no leader during a failover.
 func (controller *Controller) traceObservedFailover(token uint64) {
 	if controller.failover.leaderHeartbeatAt == 0 || controller.isLeading() || controller.elector.Token() == token {
 		return
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -9,8 +9,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The log tells a term that a worker ended, by showing a higher token, from one that a fenced write
-// ended.
+// The log says whether a term ended because a worker reported a higher token or because a write was fenced.
 func TestTermEndLogNamesReason(t *testing.T) {
 	for _, test := range []struct {
 		reason string
@@ -28,10 +27,10 @@
 		log := captureLog(controller)
 		test.end(controller)
 		if controller.term != nil {
-			t.Errorf("%s: the term goes on", test.reason)
+			t.Errorf("%s: the term has not ended", test.reason)
 		}
 		if want := `msg="leadership term ended" reason="` + test.reason + `" token=9`; !strings.Contains(log.String(), want) {
-			t.Errorf("logged is\n%swant %s", log, want)
+			t.Errorf("the log is\n%swant a line with %s", log, want)
 		}
 	}
 }
