--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -34,7 +34,7 @@
 	controller := newController("x")
 	leaseDuration, cancelTimeout := 10*clock.Second, 35*clock.Second
 	if controller.settings.Delegation.GrantTTL < leaseDuration || controller.settings.Delegation.CancellationGrace+controller.settings.Delegation.GrantTTL+leaseDuration >= cancelTimeout {
-		t.Fatalf("a grant lasts %d us, want at least a lease, and less than the cancel timeout with grace and lease", controller.settings.Delegation.GrantTTL)
+		t.Fatalf("a grant lasts %d us, want at least a lease, and with grace and lease less than the cancel timeout", controller.settings.Delegation.GrantTTL)
 	}
 	controller.view.IsLoaded = true
 	term := controller.newTerm(9, clock.Now())
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// delegatedReplyTimeout is how long after its making a reply under a grant may be sent.
+	// delegatedReplyTimeout bounds how long a reply under a grant may wait before it is sent.
 	delegatedReplyTimeout = clock.Second
 	// redirectMargin is how much longer than two of a worker's heartbeat intervals a grant must still last
 	// for the worker to be redirected.
@@ -59,9 +59,9 @@
 	return record != nil && record.State == wire.JobCancelled
 }
 
-// isRedirectDue reports whether this member answered a worker's previous heartbeat under the grant, less than
-// a lease ago, and the worker can be back before the grant ends. A worker's lease is not renewed while the
-// worker tries an unreachable leader, so shortly before the grant ends the worker is answered each time.
+// isRedirectDue reports whether this member answered a worker's previous heartbeat under the grant, at most a
+// lease ago, and the worker can be back before the grant ends. A worker's lease is not renewed while the worker
+// tries an unreachable leader, so shortly before the grant ends each of the worker's heartbeats is answered.
 func (controller *Controller) isRedirectDue(machine string, grantUntil, now clock.Micros) bool {
 	workers := &controller.cfg.Deployment.Workers
 	lastReplyAt, wasAnswered := controller.delegation.lastReplyAt[machine]
--- a/internal/controller/delegate_replies_test.go
+++ b/internal/controller/delegate_replies_test.go
@@ -82,6 +82,6 @@
 		stopped = append(stopped, command.TaskID)
 	}
 	if !slices.Equal(stopped, []string{"req-000002/0", "req-000003/0"}) {
-		t.Fatalf("stopped tasks are %v, want those of the cancelled jobs 000002 and 000003", stopped)
+		t.Fatalf("stopped tasks are %v, want those of the cancelled jobs req-000002 and req-000003", stopped)
 	}
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -8,9 +8,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Three parts of a job's state follow from its dependencies: whether it may start, whether it is cancelled
-// because a dependency was, and how urgent it is. They are not stored. Every controller derives them from the
-// jobs' records alone. The leader's allocation table holds only released jobs.
+// Whether a job may start, whether it is cancelled with a dependency, and how urgent it is follow from the
+// dependencies between jobs. None of this is stored. Every controller derives it from the jobs' records alone.
+// The leader's allocation table holds only released jobs.
 
 // startOverhead is about how long a job takes in addition to its run, to get a machine and an image.
 const startOverhead = 5 * clock.Second
@@ -19,16 +19,16 @@
 func (controller *Controller) updateDependencyGraph(id string, record *storeview.Job) {
 	switch {
 	case record.State == wire.JobDone:
-		controller.applyGraphChange(controller.dependencyGraph.RecordCompletion(id, clock.Micros(record.EndedAt)))
+		controller.applyGraphEffects(controller.dependencyGraph.RecordCompletion(id, clock.Micros(record.EndedAt)))
 	case record.State == wire.JobCancelled:
-		controller.applyGraphChange(controller.dependencyGraph.RecordCancellation(id))
+		controller.applyGraphEffects(controller.dependencyGraph.RecordCancellation(id))
 	case record.Spec != nil:
 		dependencies, isComplete := controller.view.DependenciesOf(id, record)
 		if !isComplete {
 			return // the missing parts were written in the same transaction, so they are read too
 		}
 		controller.lookUpEvictedDependencies(dependencies)
-		controller.applyGraphChange(controller.dependencyGraph.AddJob(dag.Job{
+		controller.applyGraphEffects(controller.dependencyGraph.AddJob(dag.Job{
 			ID: id, DependsOn: dependencies, SubmittedAt: clock.Micros(record.SubmittedAt), Urgency: leader.UrgencyOf(record),
 			EstimatedRunTime: clock.FromSeconds(record.Spec.EstimatedRunSeconds) + startOverhead,
 		}))
@@ -48,24 +48,24 @@
 	}
 }
 
-// applyGraphChange applies the effects that a change of one job has on others.
-func (controller *Controller) applyGraphChange(change dag.Effects) {
-	controller.applyImpliedCancellations(change.Cancelled)
+// applyGraphEffects applies the effects that a change of one job has on others.
+func (controller *Controller) applyGraphEffects(effects dag.Effects) {
+	controller.applyImpliedCancellations(effects.Cancelled)
 	if controller.term == nil {
 		return
 	}
-	for _, id := range change.Released {
+	for _, id := range effects.Released {
 		if record := controller.view.Jobs[id]; record != nil && !record.HasEnded() {
 			controller.term.ApplyJobRecord(id, record)
 		}
 	}
-	for _, id := range change.MoreUrgent {
+	for _, id := range effects.MoreUrgent {
 		controller.term.UpdateUrgency(id)
 	}
 }
 
 // applyImpliedCancellations marks jobs as cancelled because a job that they depend on was cancelled. The
-// leader writes their own records later.
+// leader later writes this to their own records.
 func (controller *Controller) applyImpliedCancellations(ids []string) {
 	for _, id := range ids {
 		if record := controller.view.Jobs[id]; record != nil && record.State == "" {
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -24,8 +24,8 @@
 }
 
 // The leader's allocation table holds a job once all its dependencies are done. The job has the urgency of its
-// dependents, and its waiting time counts from then on. A job that depends on a cancelled one is cancelled at
-// once, as are its own dependents.
+// dependents, and its waiting time counts from the end of its last dependency. A job that depends on a
+// cancelled one is cancelled at once, as are its own dependents.
 func TestDependentJobsAreTrackedWhenReleased(t *testing.T) {
 	controller := newTestController(t)
 	term := controller.newTerm(9, clock.Now())
@@ -123,7 +123,7 @@
 	dependents := []string{"req-000001", "req-000002", "req-000003"}
 	for i, id := range dependents {
 		record := newJobRecord(id, wire.PriorityLow, clock.WallTime().Seconds(), 0, fmt.Sprintf("req-%06d", i))
-		record.Version = 0 // as if its key were free
+		record.Version = 0 // so that its write is conditional on the store having no record of the job
 		controller.view.SetJob(id, record)
 	}
 	end := storeview.NewEndedJob(root, wire.JobCancelled, clock.WallTime())
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -1,7 +1,7 @@
 // Package controller runs one member of the cluster's control plane. A single goroutine owns all state and
 // runs a queue of commands in batches. I/O runs on other goroutines, whose results come back as commands.
 // This package carries out what the pure packages decide (election, delegation, storeview, ...). Package
-// leader has what only a leader does.
+// leader implements what only a leader does.
 //
 // Read controller.go first (Run, and tick, which lists all recurring work), then controller_state.go and
 // controller_setup.go, watch.go and view_observer.go (how the view follows the store and what changes in the
--- a/internal/controller/drop_log_test.go
+++ b/internal/controller/drop_log_test.go
@@ -16,8 +16,8 @@
 	return &log
 }
 
-// The log lines for each kind of dropped data are rate-limited separately. Only the lines about the store
-// count what was malformed in data of the store.
+// The log lines for each kind of dropped data are rate-limited separately. Only the lines about the store have
+// dropped_so_far, the number of malformed responses and records.
 func TestDropLogLimitsEachMessageSeparately(t *testing.T) {
 	controller := newTestController(t)
 	log := captureLog(controller)
--- a/internal/controller/forwarded_cancellations.go
+++ b/internal/controller/forwarded_cancellations.go
@@ -8,9 +8,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// logCancellation adds a job to the log of cancellations if its record says that it is cancelled and its tasks
+// addToCancellationLog adds a job to the log of cancellations if its record says that it is cancelled and its tasks
 // may still run.
-func (controller *Controller) logCancellation(id string, record *storeview.Job) {
+func (controller *Controller) addToCancellationLog(id string, record *storeview.Job) {
 	if record.State != wire.JobCancelled || record.Spec == nil {
 		return
 	}
--- a/internal/controller/job_report.go
+++ b/internal/controller/job_report.go
@@ -62,8 +62,8 @@
 	return job
 }
 
-// reportedActiveJob returns what the report needs of a job that has not ended. Only the leader knows the state
-// of the job's tasks.
+// reportedActiveJob returns what the report needs of a job that has not ended. Only the leader knows the job's
+// tasks; other members take the numbers from the job's record.
 func (controller *Controller) reportedActiveJob(id string, record *storeview.Job, wallTime clock.Micros) jobreport.Job {
 	submittedAt := clock.Micros(record.SubmittedAt)
 	job := jobreport.Job{
@@ -88,7 +88,8 @@
 }
 
 // activeDeadline returns the wall-clock time by which a job that has not ended should end, or 0 if there is
-// none. A service has no deadline of its own, so only its class's objective counts.
+// none. A service has no deadline of its own. For a service, and for a job without a deadline, the objective of
+// the class applies.
 func (controller *Controller) activeDeadline(record *storeview.Job) clock.Micros {
 	deadline := clock.Micros(record.DeadlineAt)
 	if record.Spec.DeadlineSeconds > 0 {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -99,8 +99,8 @@
 	controller.members.nextHeartbeatAt = 0
 }
 
-// handleStaleToken ends the term whose token has been proven stale, either by a fenced write or by a worker that
-// knows a higher token. reason says which.
+// handleStaleToken ends the term whose token has been proven stale, by a fenced write or by a worker that knows
+// a higher token. reason says which.
 func (controller *Controller) handleStaleToken(token uint64, reason endReason) {
 	controller.executeActions(controller.elector.HandleFencedWrite(clock.Now(), token))
 	if controller.elector.Phase() != election.Leader {
--- a/internal/controller/view_observer.go
+++ b/internal/controller/view_observer.go
@@ -22,7 +22,7 @@
 	if job.IsFinished() {
 		controller.history.finished.Touch(id)
 	}
-	controller.logCancellation(id, job)
+	controller.addToCancellationLog(id, job)
 	job.IsCancelledByDependency = job.State == "" && controller.dependencyGraph.IsCancelled(id)
 	controller.updateDependencyGraph(id, job)
 	if controller.term != nil {
