--- a/internal/controller/election_actions.go
+++ b/internal/controller/election_actions.go
@@ -10,11 +10,11 @@
 	"firwood.dev/firwood/wire"
 )
 
-// lockRefreshTimeout bounds how long a sync may take that shows who has the lock.
+// lockRefreshTimeout is the timeout of a sync that shows who holds the lock.
 const lockRefreshTimeout = 10 * clock.Second
 
-// executeActions carries out what the elector decided. Requests run on goroutines of their
-// own, and their results go back to the elector as commands.
+// executeActions carries out what the elector decided. Each request runs on a goroutine of its own, and its
+// result goes back to the elector in a command.
 func (controller *Controller) executeActions(actions []election.Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -45,17 +45,17 @@
 	}()
 }
 
-func (controller *Controller) renewLease(lease uint64) {
+func (controller *Controller) renewLease(leaseID uint64) {
 	timeout := controller.leaderTTL() / 4
 	go func() {
-		result := renewResult(controller.store.RenewLease(lease, timeout))
+		result := renewResult(controller.store.RenewLease(leaseID, timeout))
 		controller.postResult(func() {
-			controller.executeActions(controller.elector.HandleRenewResult(clock.Now(), lease, result))
+			controller.executeActions(controller.elector.HandleRenewResult(clock.Now(), leaseID, result))
 		})
 	}()
 }
 
-// renewResult is the outcome of a renewal that returned an error, or nil.
+// renewResult converts the error of a lease renewal, which may be nil, to a result for the elector.
 func renewResult(err error) election.RenewResult {
 	switch {
 	case err == nil:
@@ -66,32 +66,32 @@
 	return election.RenewUnknown
 }
 
-func (controller *Controller) revokeLease(lease uint64) {
+func (controller *Controller) revokeLease(leaseID uint64) {
 	go func() {
-		if err := controller.store.RevokeLease(lease); err != nil {
-			controller.log.Debug("lease not revoked", "lease", lease, "error", err)
+		if err := controller.store.RevokeLease(leaseID); err != nil {
+			controller.log.Debug("lease not revoked", "lease", leaseID, "error", err)
 		} else {
-			controller.log.Debug("lease revoked", "lease", lease)
+			controller.log.Debug("lease revoked", "lease", leaseID)
 		}
-		// The lock that hung on the lease is deleted with it; the watch may not have shown that yet.
+		// The store deletes the lock together with its lease. The watch may not have shown that yet.
 		controller.postResult(controller.refreshLock)
 	}()
 }
 
-// refreshLock has the view show soon who has the lock.
+// refreshLock requests a sync, so that the view soon shows who holds the lock.
 func (controller *Controller) refreshLock() {
 	controller.view.RequestSync(func(error) {}, clock.Now()+lockRefreshTimeout)
 }
 
-func (controller *Controller) acquireLock(lease uint64) {
-	value, err := records.Lock{Member: controller.cfg.Member, Lease: lease, NeedsStandbyRecord: controller.failover.replica != nil}.MarshalJSON()
+func (controller *Controller) acquireLock(leaseID uint64) {
+	value, err := records.Lock{Member: controller.cfg.Member, Lease: leaseID, NeedsStandbyRecord: controller.failover.replica != nil}.MarshalJSON()
 	if err != nil {
 		return
 	}
 	write := &kvstore.Write{
 		Priority:   kvstore.Critical,
 		Conditions: []wire.Condition{{Key: records.LockKey}},
-		Changes:    []wire.Change{{PutKey: records.LockKey, Value: value, LeaseID: lease}},
+		Changes:    []wire.Change{{PutKey: records.LockKey, Value: value, LeaseID: leaseID}},
 		Deadline:   clock.Now() + controller.leaderTTL()/2,
 	}
 	write.Done = func(outcome kvstore.Outcome, revision uint64) {
@@ -105,7 +105,7 @@
 	}
 }
 
-// acquireResult is what the outcome of the lock's write means to the elector.
+// acquireResult converts the outcome of writing the lock to a result for the elector.
 func acquireResult(outcome kvstore.Outcome) election.AcquireResult {
 	switch outcome {
 	case kvstore.Committed:
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -35,7 +35,7 @@
 		controller.term.ResendHints(now)
 	}
 	controller.members.heartbeats[heartbeat.Member] = &leader.ReceivedHeartbeat{Heartbeat: heartbeat, ReceivedAt: now}
-	controller.applyCancellations(heartbeat.Member, heartbeat.Cancellations)
+	controller.applyForwardedCancellations(heartbeat.Member, heartbeat.Cancellations)
 	controller.recordTimestamp(heartbeat)
 	controller.recordDelegation(heartbeat, now)
 	controller.updateProgressCounts(heartbeat, now)
@@ -51,10 +51,10 @@
 // recordTimestamp stores a member's timestamp if it is newer than the stored one. Messages may arrive
 // out of order.
 func (controller *Controller) recordTimestamp(heartbeat *peer.Heartbeat) {
-	known := controller.members.timestamps[heartbeat.Member]
+	known := controller.members.newestTimestamps[heartbeat.Member]
 	isNewer := heartbeat.Incarnation > known.Incarnation || heartbeat.Incarnation == known.Incarnation && heartbeat.Timestamp > known.At
 	if isNewer {
-		controller.members.timestamps[heartbeat.Member] = delegation.Timestamp{Incarnation: heartbeat.Incarnation, At: heartbeat.Timestamp}
+		controller.members.newestTimestamps[heartbeat.Member] = delegation.Timestamp{Incarnation: heartbeat.Incarnation, At: heartbeat.Timestamp}
 	}
 }
 
@@ -155,7 +155,7 @@
 	}
 	heartbeat.Leader, heartbeat.Token = controller.elector.LockHolder()
 	controller.expireWorkerContacts(now)
-	heartbeat.WorkerCount = uint32(len(controller.workers.contactAt))
+	heartbeat.WorkerCount = uint32(len(controller.workers.lastContactAt))
 	controller.reportWorkerContact(now)
 	if controller.term != nil {
 		controller.term.AddToHeartbeat(heartbeat)
@@ -172,7 +172,7 @@
 	if controller.term != nil {
 		return controller.term.AcknowledgementFor(member)
 	}
-	return controller.members.timestamps[member]
+	return controller.members.newestTimestamps[member]
 }
 
 // storeHints stores the hints in a leader's heartbeat, in case this member is the next leader.
