--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -26,12 +26,12 @@
 // final. Beyond that a delegate commands nothing.
 func (controller *Controller) replyAsDelegate(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if controller.term != nil {
-		controller.delegation.delegate.EndTerm(controller.term.IssuedToken(), controller.term.CancellationsKnownAt())
+		controller.delegation.delegate.GrantToSelf(controller.term.IssuedToken(), controller.term.CancellationsKnownAt())
 	}
 	if !controller.view.IsLoaded || controller.mayConstrainZone(heartbeat.Zone) {
 		return false
 	}
-	token, grantUntil, ok := controller.delegation.delegate.MayAnswer(now, heartbeat.FencingToken)
+	token, grantUntil, ok := controller.delegation.delegate.MayReply(now, heartbeat.FencingToken)
 	if _, newest := controller.elector.LockHolder(); !ok || newest > token {
 		return false
 	}
@@ -77,7 +77,7 @@
 // of the leases that it renewed meanwhile.
 func (controller *Controller) recordDelegatedReply(machineName string, until, now clock.Micros) {
 	controller.delegation.repliedAt[machineName] = now
-	controller.delegation.delegate.RecordAnswer(until)
+	controller.delegation.delegate.RecordReply(until)
 	if controller.term != nil {
 		controller.term.RecordDelegatedRenewal(machineName, until)
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -91,7 +91,7 @@
 		return
 	}
 	controller.log.Info("leadership term ended", "reason", string(reason), "token", controller.term.Token(), "read_revision", controller.view.Revision, "read_age_s", controller.term.ViewAge(clock.Now()).Seconds())
-	controller.delegation.delegate.EndTerm(controller.term.IssuedToken(), controller.term.CancellationsKnownAt())
+	controller.delegation.delegate.GrantToSelf(controller.term.IssuedToken(), controller.term.CancellationsKnownAt())
 	controller.delegation.unconfirmedConstraints = controller.term.Close()
 	controller.term = nil
 	controller.failover.isRebuilding = false
@@ -102,7 +102,7 @@
 // handleFenced ends the term of a token that has proven to be outdated: by a write that was fenced
 // or by a worker that knows a higher one, which the reason tells.
 func (controller *Controller) handleFenced(token uint64, reason endReason) {
-	controller.executeActions(controller.elector.HandleFencedWrite(clock.Now(), token))
+	controller.executeActions(controller.elector.HandleStaleToken(clock.Now(), token))
 	if controller.elector.Phase() != election.Leader {
 		controller.endTerm(reason)
 	}
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -71,7 +71,7 @@
 		}
 		return
 	}
-	if controller.delegation.delegate.IsOwnStamp(acknowledgement) {
+	if controller.delegation.delegate.IsOwnTimestamp(acknowledgement) {
 		controller.term.RecordReceipt(heartbeat.Member, now, acknowledgement.At, heartbeat.SilentFor)
 	}
 }
--- a/internal/delegation/config.go
+++ b/internal/delegation/config.go
@@ -19,9 +19,9 @@
 type Config struct {
 	// GrantTTL is how long a grant lasts from its timestamp; 0 disables delegation.
 	GrantTTL clock.Micros
-	// SilenceBeforeActing is for how long a follower has had no heartbeat of the leader before it
+	// LeaderHeartbeatTimeout is for how long a follower has had no heartbeat of the leader before it
 	// answers as delegate.
-	SilenceBeforeActing clock.Micros
+	LeaderHeartbeatTimeout clock.Micros
 	// CancellationGrace is how long after a cancellation tasks of the job may still run while the
 	// leader goes on acknowledging timestamps. They may outlive a grant by one lease, so
 	// CancellationGrace, GrantTTL and the lease together are less than the cancellation timeout.
@@ -29,10 +29,10 @@
 }
 
 const (
-	// graceDivisor: CancellationGrace is a thirtieth of the time between a lease and the
+	// cancellationGraceDivisor: CancellationGrace is a thirtieth of the time between a lease and the
 	// cancellation timeout. It is short, since it is subtracted from GrantTTL: tasks of a cancelled
 	// job normally end within a fraction of a second, unless their machine is unreachable.
-	graceDivisor = 30
+	cancellationGraceDivisor = 30
 	// deliveryMargin covers late timers and the transit of an answer.
 	deliveryMargin = clock.Second
 )
@@ -41,13 +41,13 @@
 // redirectRoundTrip is how long a worker that is redirected to an unreachable leader takes to
 // come back. It has to be back well before its lease ends; otherwise delegation would only delay
 // the proof that the lease has ended, and is disabled.
-func NewConfig(cancellationTimeout, leaseTTL, silenceBeforeActing, redirectRoundTrip clock.Micros) Config {
-	afterLease := cancellationTimeout - leaseTTL
-	cfg := Config{SilenceBeforeActing: silenceBeforeActing, CancellationGrace: afterLease / graceDivisor}
-	grantTTL := afterLease - cfg.CancellationGrace - clock.MutualDrift(cancellationTimeout) - deliveryMargin
-	isTooShort := grantTTL <= silenceBeforeActing
+func NewConfig(cancellationTimeout, leaseTTL, leaderHeartbeatTimeout, redirectRoundTrip clock.Micros) Config {
+	timeAfterLease := cancellationTimeout - leaseTTL
+	cfg := Config{LeaderHeartbeatTimeout: leaderHeartbeatTimeout, CancellationGrace: timeAfterLease / cancellationGraceDivisor}
+	grantTTL := timeAfterLease - cfg.CancellationGrace - clock.MutualDrift(cancellationTimeout) - deliveryMargin
+	isGrantTooShort := grantTTL <= leaderHeartbeatTimeout
 	isWorkerBackInTime := leaseTTL >= redirectRoundTrip+redirectRoundTrip/2
-	if !isTooShort && isWorkerBackInTime {
+	if !isGrantTooShort && isWorkerBackInTime {
 		cfg.GrantTTL = grantTTL
 	}
 	return cfg
--- a/internal/delegation/constraints.go
+++ b/internal/delegation/constraints.go
@@ -43,7 +43,7 @@
 // live under one key; see package versionedwrite. A constraint that is being written has to be
 // honoured from BeginWrite on.
 //
-// Of the embedded Tracker's methods DropSuperseded is not used: keeping a constraint for longer
+// Of the embedded Tracker's methods DropSupersededValues is not used: keeping a constraint for longer
 // than necessary is safe.
 type ConstraintTracker struct {
 	*versionedwrite.Tracker[Constraints]
--- a/internal/delegation/constraints_test.go
+++ b/internal/delegation/constraints_test.go
@@ -8,7 +8,7 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-const constrainedNames = 3
+const constrainedNameCount = 3
 
 // sentWrite may be carried out, now or later, and again.
 type sentWrite struct {
@@ -33,14 +33,14 @@
 }
 
 // hasConstraint reports whether the zone or the member of a name is constrained in the store.
-func (store *fakeStore) hasConstraint(name string) (isZone, isMember bool) {
-	_, isZone = store.stored.Zones[name]
-	return isZone, store.stored.MemberGrantUntil[name] != 0
+func (store *fakeStore) hasConstraint(name string) (isZoneConstrained, isMemberConstrained bool) {
+	_, isZoneConstrained = store.stored.Zones[name]
+	return isZoneConstrained, store.stored.MemberGrantUntil[name] != 0
 }
 
 func randomConstraints(rng *rand.Rand, at clock.Micros) Constraints {
 	constraints := Constraints{Zones: map[string]ZoneConstraint{}, MemberGrantUntil: map[string]clock.Micros{}}
-	for number := range constrainedNames {
+	for number := range constrainedNameCount {
 		if rng.IntN(2) == 0 {
 			constraints.Zones[fmt.Sprint(number)] = ZoneConstraint{LastAnswerAt: at}
 			constraints.MemberGrantUntil[fmt.Sprint(number)] = at
@@ -50,7 +50,7 @@
 }
 
 // write sends a write and records its outcome; it reports whether that was unknown.
-func (store *fakeStore) write(write sentWrite, tracker *ConstraintTracker, rng *rand.Rand) (isUnknown bool) {
+func (store *fakeStore) sendWrite(write sentWrite, tracker *ConstraintTracker, rng *rand.Rand) (isUnknown bool) {
 	store.sentWrites = append(store.sentWrites, write)
 	switch rng.IntN(4) {
 	case 0: // the response, or the request, is lost or late
@@ -86,7 +86,7 @@
 			switch rng.IntN(4) {
 			case 0, 1:
 				constraints := randomConstraints(rng, clock.Micros(step))
-				if version, ok := tracker.BeginWrite(constraints); ok && store.write(sentWrite{constraints, version}, tracker, rng) {
+				if version, ok := tracker.BeginWrite(constraints); ok && store.sendWrite(sentWrite{constraints, version}, tracker, rng) {
 					unknownCount++
 				}
 			case 2:
@@ -97,10 +97,10 @@
 				tracker.ObserveStored(store.stored, store.version)
 				readCount++
 			}
-			for number := range constrainedNames {
+			for number := range constrainedNameCount {
 				name := fmt.Sprint(number)
-				isZone, isMember := store.hasConstraint(name)
-				if isZone && !tracker.MayConstrainZone(name) || isMember && !tracker.MayConstrainMember(name) {
+				isZoneConstrained, isMemberConstrained := store.hasConstraint(name)
+				if isZoneConstrained && !tracker.MayConstrainZone(name) || isMemberConstrained && !tracker.MayConstrainMember(name) {
 					t.Fatalf("history %d, step %d: a constraint on %s is stored and unknown to the tracker", seed, step, name)
 				}
 			}
--- a/internal/delegation/delegate.go
+++ b/internal/delegation/delegate.go
@@ -8,10 +8,10 @@
 	incarnation uint64
 	startedAt   clock.Micros
 
-	leaderToken       uint64       // highest token of a leader that it knows; 0: none
-	leaderHeartbeatAt clock.Micros // when that leader's last heartbeat was received; 0: never
-	grantUntil        clock.Micros
-	lastAnswerUntil   clock.Micros // latest deadline of an answer given as delegate
+	leaderToken         uint64       // highest token of a leader that it knows; 0: none
+	leaderHeartbeatAt   clock.Micros // when that leader's last heartbeat was received; 0: never
+	grantUntil          clock.Micros
+	latestReplyDeadline clock.Micros // latest deadline of an answer given as delegate
 }
 
 // NewDelegate starts the side of a member's process. The incarnation has to differ from those of
@@ -25,8 +25,8 @@
 	return Timestamp{delegate.incarnation, now}
 }
 
-// IsOwnStamp reports whether a timestamp is of this incarnation.
-func (delegate *Delegate) IsOwnStamp(timestamp Timestamp) bool {
+// IsOwnTimestamp reports whether a timestamp is of this incarnation.
+func (delegate *Delegate) IsOwnTimestamp(timestamp Timestamp) bool {
 	return timestamp.Incarnation == delegate.incarnation && timestamp.At > 0
 }
 
@@ -40,45 +40,45 @@
 	// and it is used under the successor's token.
 	delegate.leaderToken = token
 	delegate.leaderHeartbeatAt = now
-	if delegate.cfg.isEnabled() && delegate.IsOwnStamp(ack) && ack.At <= now {
+	if delegate.cfg.isEnabled() && delegate.IsOwnTimestamp(ack) && ack.At <= now {
 		delegate.grantUntil = max(delegate.grantUntil, ack.At+delegate.cfg.GrantTTL)
 	}
 }
 
-// EndTerm gives this member a grant of its own when its entitlement as leader has ended, if only
-// for now, and lets it answer as delegate at once. syncedAt is the last instant before which it
+// GrantToSelf gives this member a grant of its own when its entitlement as leader has ended, if only
+// for now, and lets it answer as delegate at once. cancellationsKnownAt is the last instant before which it
 // knew of every cancellation while it was entitled; 0 if there is none, and then it gets no grant.
 // It may be called repeatedly, and in a term that goes on later.
-func (delegate *Delegate) EndTerm(token uint64, syncedAt clock.Micros) {
-	if token < delegate.leaderToken || !delegate.cfg.isEnabled() || syncedAt == 0 {
+func (delegate *Delegate) GrantToSelf(token uint64, cancellationsKnownAt clock.Micros) {
+	if token < delegate.leaderToken || !delegate.cfg.isEnabled() || cancellationsKnownAt == 0 {
 		return
 	}
 	delegate.leaderToken = token
 	delegate.leaderHeartbeatAt = 0 // there is no other leader yet whose silence has to be awaited
-	delegate.grantUntil = max(delegate.grantUntil, syncedAt+delegate.cfg.GrantTTL)
+	delegate.grantUntil = max(delegate.grantUntil, cancellationsKnownAt+delegate.cfg.GrantTTL)
 }
 
-// MayAnswer reports whether the member may answer a worker as delegate, with which token and
+// MayReply reports whether the member may answer a worker as delegate, with which token and
 // until when. workerToken is the highest token that the worker has seen.
-func (delegate *Delegate) MayAnswer(now clock.Micros, workerToken uint64) (token uint64, until clock.Micros, ok bool) {
+func (delegate *Delegate) MayReply(now clock.Micros, workerToken uint64) (token uint64, until clock.Micros, ok bool) {
 	knowsNewestLeader := delegate.leaderToken != 0 && workerToken <= delegate.leaderToken
-	isLeaderSilent := now-delegate.leaderHeartbeatAt >= delegate.cfg.SilenceBeforeActing
+	isLeaderSilent := now-delegate.leaderHeartbeatAt >= delegate.cfg.LeaderHeartbeatTimeout
 	if !knowsNewestLeader || !isLeaderSilent || now >= delegate.grantUntil {
 		return 0, 0, false
 	}
 	return delegate.leaderToken, delegate.grantUntil, true
 }
 
-// RecordAnswer records an answer given as delegate that may be sent until then.
-func (delegate *Delegate) RecordAnswer(until clock.Micros) {
-	delegate.lastAnswerUntil = max(delegate.lastAnswerUntil, until)
+// RecordReply records an answer given as delegate that may be sent until then.
+func (delegate *Delegate) RecordReply(until clock.Micros) {
+	delegate.latestReplyDeadline = max(delegate.latestReplyDeadline, until)
 }
 
 // SilentFor returns for how long this incarnation has certainly not answered as delegate. That is
 // never longer than its age: of earlier incarnations it knows nothing.
 func (delegate *Delegate) SilentFor(now clock.Micros) clock.Micros {
-	if delegate.lastAnswerUntil == 0 {
+	if delegate.latestReplyDeadline == 0 {
 		return now - delegate.startedAt
 	}
-	return max(now-delegate.lastAnswerUntil, 0)
+	return max(now-delegate.latestReplyDeadline, 0)
 }
--- a/internal/delegation/delegation_test.go
+++ b/internal/delegation/delegation_test.go
@@ -8,8 +8,8 @@
 
 // Over generated histories (lost, late and reordered heartbeats, restarts, changes of the leader,
 // drifting clocks) no delegate answers later than the leader's LatestRenewal.
-func TestLatestRenewalBoundsEveryDelegatedAnswer(t *testing.T) {
-	answerCount, proofCount := 0, 0
+func TestLatestRenewalBoundsEveryDelegatedReply(t *testing.T) {
+	replyCount, pastBoundCount := 0, 0
 	for seed := uint64(1); seed <= 1500; seed++ {
 		simulation := newDelegationSimulation(seed)
 		for step := range 400 {
@@ -18,19 +18,19 @@
 			if leader == nil {
 				continue
 			}
-			now, lastAnswerAt := leader.localTime(simulation.now), leader.localTime(simulation.lastAnswerAt)
+			now, lastReplyAt := leader.localTime(simulation.now), leader.localTime(simulation.lastReplyAt)
 			latestRenewal := leader.grants.LatestRenewal(now)
-			if latestRenewal < lastAnswerAt && simulation.lastAnswerAt != 0 {
-				t.Fatalf("history %d, step %d: answered as delegate at %d, the leader takes %d for the latest", seed, step, lastAnswerAt, latestRenewal)
+			if latestRenewal < lastReplyAt && simulation.lastReplyAt != 0 {
+				t.Fatalf("history %d, step %d: answered as delegate at %d, the leader takes %d for the latest", seed, step, lastReplyAt, latestRenewal)
 			}
 			if latestRenewal < now-10*clock.Second {
-				proofCount++
+				pastBoundCount++
 			}
 		}
-		answerCount += simulation.answerCount
+		replyCount += simulation.replyCount
 	}
-	if answerCount < 1000 || proofCount < 1000 {
-		t.Fatalf("%d answers, %d proofs: too few cases covered", answerCount, proofCount)
+	if replyCount < 1000 || pastBoundCount < 1000 {
+		t.Fatalf("%d answers, %d proofs: too few cases covered", replyCount, pastBoundCount)
 	}
 }
 
@@ -50,17 +50,17 @@
 	delegate := NewDelegate(cfg, 1, clock.Second)
 	timestamp := delegate.Timestamp(10 * clock.Second)
 	delegate.RecordLeaderHeartbeat(25*clock.Second, 5, timestamp) // fifteen seconds late
-	if _, _, ok := delegate.MayAnswer(26*clock.Second, 5); ok {
+	if _, _, ok := delegate.MayReply(26*clock.Second, 5); ok {
 		t.Fatal("answers as delegate while the leader is reachable")
 	}
-	if _, until, ok := delegate.MayAnswer(29*clock.Second, 5); !ok || until != timestamp.At+cfg.GrantTTL {
+	if _, until, ok := delegate.MayReply(29*clock.Second, 5); !ok || until != timestamp.At+cfg.GrantTTL {
 		t.Fatalf("until %v, %v", until, ok)
 	}
-	if _, _, ok := delegate.MayAnswer(29*clock.Second, 6); ok {
+	if _, _, ok := delegate.MayReply(29*clock.Second, 6); ok {
 		t.Fatal("answers as delegate for a worker that has seen a newer leader")
 	}
 	delegate.RecordLeaderHeartbeat(30*clock.Second, 6, Timestamp{})
-	if token, until, ok := delegate.MayAnswer(34*clock.Second, 5); !ok || token != 6 || until != timestamp.At+cfg.GrantTTL {
+	if token, until, ok := delegate.MayReply(34*clock.Second, 5); !ok || token != 6 || until != timestamp.At+cfg.GrantTTL {
 		t.Fatalf("under the new leader: token %d until %v, %v", token, until, ok)
 	}
 	if delegate.RecordLeaderHeartbeat(35*clock.Second, 5, delegate.Timestamp(35*clock.Second)); delegate.grantUntil != timestamp.At+cfg.GrantTTL {
@@ -68,7 +68,7 @@
 	}
 	restarted := NewDelegate(cfg, 2, clock.Second)
 	restarted.RecordLeaderHeartbeat(20*clock.Second, 5, timestamp)
-	if _, _, ok := restarted.MayAnswer(24*clock.Second, 5); ok {
+	if _, _, ok := restarted.MayReply(24*clock.Second, 5); ok {
 		t.Fatal("a timestamp of an earlier incarnation gives a grant")
 	}
 }
--- a/internal/delegation/grants.go
+++ b/internal/delegation/grants.go
@@ -40,10 +40,10 @@
 	return from + grants.cfg.GrantTTL + clock.MutualDrift(grants.cfg.GrantTTL)
 }
 
-// RecordInherited applies an earlier leader's constraint, which no leader has removed since: the
+// ApplyInheritedConstraint applies an earlier leader's constraint, which no leader has removed since: the
 // member's last grant ends by grantUntil. The caller has converted that from the time of day, in
 // which it is stored, to an instant of this member's steady clock.
-func (grants *Grants) RecordInherited(name string, grantUntil clock.Micros) {
+func (grants *Grants) ApplyInheritedConstraint(name string, grantUntil clock.Micros) {
 	if member := grants.members[name]; member != nil {
 		member.grantUntil = min(member.grantUntil, grantUntil)
 	}
@@ -66,14 +66,14 @@
 }
 
 // RecordReceipt records that a member has received the heartbeat that this leader sent at
-// stampedAt, and that it had not answered as delegate for silentFor when it said so.
-func (grants *Grants) RecordReceipt(name string, now, stampedAt, silentFor clock.Micros) {
+// sentAt, and that it had not answered as delegate for silentFor when it said so.
+func (grants *Grants) RecordReceipt(name string, now, sentAt, silentFor clock.Micros) {
 	member := grants.members[name]
-	if member == nil || stampedAt < grants.termStartedAt || stampedAt > now || silentFor < 0 {
+	if member == nil || sentAt < grants.termStartedAt || sentAt > now || silentFor < 0 {
 		return
 	}
-	if stampedAt >= member.lastReceiptAt {
-		member.lastReceiptAt = stampedAt
+	if sentAt >= member.lastReceiptAt {
+		member.lastReceiptAt = sentAt
 		member.renewalsUntil = max(member.renewalsUntil, now-silentFor+clock.MutualDrift(silentFor))
 	}
 }
@@ -96,19 +96,19 @@
 			continue
 		}
 		latest = max(latest, member.renewalsUntil)
-		if !grants.isCertainlySilent(member, now) {
+		if !grants.hasNotRepliedSinceReceipt(member, now) {
 			latest = max(latest, member.grantUntil)
 		}
 	}
 	return latest
 }
 
-// isCertainlySilent reports whether a member can't have answered as delegate since lastReceiptAt:
+// hasNotRepliedSinceReceipt reports whether a member can't have answered as delegate since lastReceiptAt:
 // it has received this leader's heartbeat of that instant, and answers nobody as delegate for
-// SilenceBeforeActing after that.
-func (grants *Grants) isCertainlySilent(member *memberState, now clock.Micros) bool {
-	silence := grants.cfg.SilenceBeforeActing
-	return member.lastReceiptAt != 0 && now < member.lastReceiptAt+silence-clock.MutualDrift(silence)
+// LeaderHeartbeatTimeout after that.
+func (grants *Grants) hasNotRepliedSinceReceipt(member *memberState, now clock.Micros) bool {
+	heartbeatTimeout := grants.cfg.LeaderHeartbeatTimeout
+	return member.lastReceiptAt != 0 && now < member.lastReceiptAt+heartbeatTimeout-clock.MutualDrift(heartbeatTimeout)
 }
 
 // OwnRenewalsUntil returns until when this member may have renewed leases as delegate before its
--- a/internal/delegation/simulation_test.go
+++ b/internal/delegation/simulation_test.go
@@ -18,14 +18,14 @@
 
 // simulatedController is one process of a member.
 type simulatedController struct {
-	delegate    *Delegate
-	grants      *Grants // nil unless it leads
-	token       uint64
-	timestamps  map[int]Timestamp // the newest one received from each other member
-	acks        map[int]Timestamp // those that it acknowledges as leader
-	clockOffset clock.Micros
-	clockRate   float64 // seconds of its clock in a true second
-	syncedAt    clock.Micros
+	delegate             *Delegate
+	grants               *Grants // nil unless it leads
+	token                uint64
+	timestamps           map[int]Timestamp // the newest one received from each other member
+	acks                 map[int]Timestamp // those that it acknowledges as leader
+	clockOffset          clock.Micros
+	clockRate            float64 // seconds of its clock in a true second
+	cancellationsKnownAt clock.Micros
 }
 
 func (controller *simulatedController) localTime(trueTime clock.Micros) clock.Micros {
@@ -51,14 +51,14 @@
 	inTransit       []heartbeat
 	leaderIndex     int // -1: nobody leads
 	token           uint64
-	lastAnswerAt    clock.Micros // when anybody answered as delegate last; 0: never
-	answerCount     int
+	lastReplyAt     clock.Micros // when anybody answered as delegate last; 0: never
+	replyCount      int
 }
 
 func newDelegationSimulation(seed uint64) *delegationSimulation {
 	simulation := &delegationSimulation{
 		rng:         rand.New(rand.NewPCG(seed, 9)),
-		cfg:         Config{GrantTTL: 20 * clock.Second, SilenceBeforeActing: 3 * clock.Second, CancellationGrace: 5 * clock.Second},
+		cfg:         Config{GrantTTL: 20 * clock.Second, LeaderHeartbeatTimeout: 3 * clock.Second, CancellationGrace: 5 * clock.Second},
 		names:       []string{"a", "b", "c"},
 		now:         1000 * clock.Second,
 		controllers: make([]*simulatedController, 3),
@@ -107,18 +107,18 @@
 	}
 	for i, controller := range simulation.controllers {
 		if controller.grants != nil && simulation.rng.IntN(2) == 0 && !simulation.isCutOff[i] {
-			simulation.acknowledge(controller)
+			simulation.acknowledgeTimestamps(controller)
 		}
 		simulation.sendHeartbeats(i)
 	}
 	simulation.deliverHeartbeats()
-	simulation.answerWorkers()
+	simulation.replyToWorkers()
 }
 
 // changeLeader passes the lock on; the deposed leader may give itself a grant.
 func (simulation *delegationSimulation) changeLeader() {
 	if deposed := simulation.leader(); deposed != nil {
-		deposed.delegate.EndTerm(deposed.token, deposed.syncedAt)
+		deposed.delegate.GrantToSelf(deposed.token, deposed.cancellationsKnownAt)
 		deposed.grants, deposed.token = nil, 0
 	}
 	simulation.leaderIndex = simulation.rng.IntN(3)
@@ -128,12 +128,12 @@
 	others := slices.Delete(slices.Clone(simulation.names), simulation.leaderIndex, simulation.leaderIndex+1)
 	controller.token, controller.acks = simulation.token, map[int]Timestamp{}
 	controller.grants = NewGrants(simulation.cfg, localNow, controller.delegate.SilentFor(localNow), others)
-	controller.syncedAt = localNow
+	controller.cancellationsKnownAt = localNow
 }
 
 // acknowledge has a leader that has read the store acknowledge all timestamps.
-func (simulation *delegationSimulation) acknowledge(controller *simulatedController) {
-	controller.syncedAt = controller.localTime(simulation.now)
+func (simulation *delegationSimulation) acknowledgeTimestamps(controller *simulatedController) {
+	controller.cancellationsKnownAt = controller.localTime(simulation.now)
 	for other, timestamp := range controller.timestamps {
 		controller.acks[other] = timestamp
 		controller.grants.RecordAck(simulation.names[other], controller.localTime(simulation.now))
@@ -194,22 +194,22 @@
 	switch {
 	case controller.grants == nil && message.token != 0:
 		controller.delegate.RecordLeaderHeartbeat(localNow, message.token, message.ack)
-	case controller.grants != nil && controller.delegate.IsOwnStamp(message.ack):
+	case controller.grants != nil && controller.delegate.IsOwnTimestamp(message.ack):
 		controller.grants.RecordReceipt(simulation.names[message.from], localNow, message.ack.At, message.silentFor)
 	}
 }
 
-// answerWorkers has some members that don't lead answer a worker as delegates, if they may.
-func (simulation *delegationSimulation) answerWorkers() {
+// replyToWorkers has some members that don't lead answer a worker as delegates, if they may.
+func (simulation *delegationSimulation) replyToWorkers() {
 	for _, controller := range simulation.controllers {
 		if controller.grants != nil || simulation.rng.IntN(2) == 0 {
 			continue
 		}
 		localNow := controller.localTime(simulation.now)
-		if _, until, ok := controller.delegate.MayAnswer(localNow, simulation.token); ok {
-			controller.delegate.RecordAnswer(min(until, localNow))
-			simulation.lastAnswerAt = simulation.now
-			simulation.answerCount++
+		if _, until, ok := controller.delegate.MayReply(localNow, simulation.token); ok {
+			controller.delegate.RecordReply(min(until, localNow))
+			simulation.lastReplyAt = simulation.now
+			simulation.replyCount++
 		}
 	}
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -36,7 +36,7 @@
 }
 
 // The response to the transaction that created the lock was lost; the lock itself shows it.
-func TestAcquireSurvivesLostResponse(t *testing.T) {
+func TestMemberBecomesLeaderAfterLostAcquireResponse(t *testing.T) {
 	elector := New(Config{Member: "a", TTL: testTTL})
 	elector.ObserveLock(1, Lock{})
 	elector.Tick(2)
@@ -57,8 +57,8 @@
 // A follower campaigns at once when the lock becomes free, whatever it observed before.
 func TestFollowerCampaignsAtOnceWhenLockIsFree(t *testing.T) {
 	elector := New(Config{Member: "a", TTL: testTTL})
-	foreignLock := Lock{Exists: true, Holder: "b", LeaseID: 1, Version: 1}
-	elector.ObserveLock(1, foreignLock)
+	otherMembersLock := Lock{Exists: true, Holder: "b", LeaseID: 1, Version: 1}
+	elector.ObserveLock(1, otherMembersLock)
 	elector.Tick(2)
 	elector.ObserveLock(3, Lock{})
 	if actions := elector.Tick(3); len(actions) != 1 || actions[0].Kind != GrantLease {
--- a/internal/election/fake_store_test.go
+++ b/internal/election/fake_store_test.go
@@ -6,13 +6,13 @@
 
 // fakeStore is the key-value store with its leases and the lock key, as PROTOCOL describes them.
 type fakeStore struct {
-	now           clock.Micros
-	leases        map[uint64]*fakeLease
-	lastLeaseID   uint64
-	revision      uint64
-	lock          Lock
-	isDown        bool
-	refusesMember map[int]bool
+	now              clock.Micros
+	leases           map[uint64]*fakeLease
+	lastLeaseID      uint64
+	revision         uint64
+	lock             Lock
+	isDown           bool
+	isUnreachableFor map[int]bool
 }
 
 func (store *fakeStore) expireLeases() {
--- a/internal/election/simulation_test.go
+++ b/internal/election/simulation_test.go
@@ -58,7 +58,7 @@
 func newElectionSimulation(seed uint64) *electionSimulation {
 	simulation := &electionSimulation{
 		rng:   rand.New(rand.NewPCG(seed, 2)),
-		store: &fakeStore{now: clock.Second, leases: map[uint64]*fakeLease{}, refusesMember: map[int]bool{}},
+		store: &fakeStore{now: clock.Second, leases: map[uint64]*fakeLease{}, isUnreachableFor: map[int]bool{}},
 	}
 	for i := range memberCount {
 		name := fmt.Sprint("m", i)
@@ -75,21 +75,21 @@
 
 // sendRequest carries a request to the store and its response back; either may be lost or
 // delayed. handle is what the store does; it returns what the member does with the response.
-func (simulation *electionSimulation) sendRequest(index int, handle func() func()) {
+func (simulation *electionSimulation) sendRequest(index int, execute func() func()) {
 	member := simulation.members[index]
 	incarnation := member.incarnation
 	delay := 40 * clock.Millisecond
 	if simulation.rng.IntN(6) == 0 {
 		delay = 4 * clock.Second
 	}
-	lost := simulation.rng.IntN(15) == 0
+	isResponseLost := simulation.rng.IntN(15) == 0
 	simulation.scheduleWithin(delay, func() {
 		var deliverResponse func()
-		if !simulation.store.isDown && !simulation.store.refusesMember[index] {
-			deliverResponse = handle()
+		if !simulation.store.isDown && !simulation.store.isUnreachableFor[index] {
+			deliverResponse = execute()
 		}
 		simulation.scheduleWithin(delay, func() {
-			if member.incarnation == incarnation && member.restartAt == 0 && !lost && deliverResponse != nil {
+			if member.incarnation == incarnation && member.restartAt == 0 && !isResponseLost && deliverResponse != nil {
 				deliverResponse()
 			}
 		})
@@ -225,9 +225,9 @@
 	case 1, 2, 3, 4:
 		store.endOutage()
 	case 5:
-		store.refusesMember[rng.IntN(memberCount)] = true
+		store.isUnreachableFor[rng.IntN(memberCount)] = true
 	case 6, 7:
-		clear(store.refusesMember)
+		clear(store.isUnreachableFor)
 	case 8:
 		simulation.members[rng.IntN(memberCount)].pausedUntil = store.now + clock.Micros(rng.Int64N(int64(12*clock.Second)))
 	case 9, 10:
--- a/internal/election/transitions.go
+++ b/internal/election/transitions.go
@@ -5,7 +5,7 @@
 // HandleGrantResult handles the response to GrantLease; lease 0 means that the request failed.
 func (elector *Elector) HandleGrantResult(now clock.Micros, leaseID uint64) []Action {
 	if elector.phase != RequestingLease {
-		return revokeUnused(leaseID)
+		return revokeUnusedLease(leaseID)
 	}
 	elector.request.isInFlight = false
 	if leaseID == 0 {
@@ -23,8 +23,8 @@
 	return []Action{{Kind: AcquireLock, LeaseID: leaseID}}
 }
 
-// revokeUnused revokes a lease that was granted after the campaign for it had ended.
-func revokeUnused(leaseID uint64) []Action {
+// revokeUnusedLease revokes a lease that was granted after the campaign for it had ended.
+func revokeUnusedLease(leaseID uint64) []Action {
 	if leaseID == 0 {
 		return nil
 	}
@@ -44,7 +44,7 @@
 		elector.observed.Lock = lock
 		return elector.becomeLeader(version)
 	case AcquireFailed:
-		return elector.becomeFollowerAndRefresh(now)
+		return elector.becomeFollowerAndRefreshLock(now)
 	}
 	elector.request.nextAttemptAt = now + elector.cfg.TTL/acquirePollDivisor
 	return []Action{{Kind: RefreshLock}}
@@ -61,20 +61,20 @@
 		elector.own.entitledUntil = max(elector.own.entitledUntil, elector.entitlementEnd(elector.request.sentAt))
 		elector.scheduleRenewal()
 	case RenewLeaseExpired:
-		return elector.becomeFollowerAndRefresh(now)
+		return elector.becomeFollowerAndRefreshLock(now)
 	default:
 		elector.request.nextAttemptAt = now + elector.cfg.TTL/renewRetryDivisor
 	}
 	return nil
 }
 
-// HandleFencedWrite handles a write that the store rejected because the lock was not this
+// HandleStaleToken handles a write that the store rejected because the lock was not this
 // leader's any more.
-func (elector *Elector) HandleFencedWrite(now clock.Micros, token uint64) []Action {
+func (elector *Elector) HandleStaleToken(now clock.Micros, token uint64) []Action {
 	if elector.phase != Leader || token != elector.own.token {
 		return nil
 	}
-	return elector.becomeFollowerAndRefresh(now)
+	return elector.becomeFollowerAndRefreshLock(now)
 }
 
 // StepDown gives up leadership, and doesn't campaign again before the backoff has passed. The
@@ -86,7 +86,7 @@
 	if elector.phase == Follower {
 		return nil
 	}
-	return elector.becomeFollowerAndRefresh(now)
+	return elector.becomeFollowerAndRefreshLock(now)
 }
 
 // becomeLeader starts a leadership term with a fencing token.
@@ -118,7 +118,7 @@
 	return actions
 }
 
-// becomeFollowerAndRefresh is becomeFollower where the lock as observed may be out of date.
-func (elector *Elector) becomeFollowerAndRefresh(now clock.Micros) []Action {
+// becomeFollowerAndRefreshLock is becomeFollower where the lock as observed may be out of date.
+func (elector *Elector) becomeFollowerAndRefreshLock(now clock.Micros) []Action {
 	return append(elector.becomeFollower(now), Action{Kind: RefreshLock})
 }
--- a/internal/leader/constraints.go
+++ b/internal/leader/constraints.go
@@ -38,7 +38,7 @@
 		}
 	}
 	for member, renewalsUntil := range constraints.MemberGrantUntil {
-		term.renewals.grants.RecordInherited(member, term.latestMonotonicTime(now, renewalsUntil))
+		term.renewals.grants.ApplyInheritedConstraint(member, term.latestMonotonicTime(now, renewalsUntil))
 	}
 }
 
--- a/internal/standby/in_sync_set.go
+++ b/internal/standby/in_sync_set.go
@@ -175,6 +175,6 @@
 // name.
 func (set *InSyncSet) ObserveRecord(record InSyncRecord, version uint64) {
 	if set.records.ObserveStored(record, version) {
-		set.records.DropSuperseded()
+		set.records.DropSupersededValues()
 	}
 }
--- a/internal/versionedwrite/tracker.go
+++ b/internal/versionedwrite/tracker.go
@@ -89,7 +89,7 @@
 
 // ObserveStored records the value and version read from the store, and reports whether they
 // are newer than what was confirmed. While a write is in flight all unresolved values are
-// kept, since the one observed may be that write's; see DropSuperseded.
+// kept, since the one observed may be that write's; see DropSupersededValues.
 func (tracker *Tracker[T]) ObserveStored(value T, version uint64) (isNewer bool) {
 	if version <= tracker.version {
 		return false
@@ -101,10 +101,10 @@
 	return true
 }
 
-// DropSuperseded drops the unresolved values but that of the write in flight. It may be called
+// DropSupersededValues drops the unresolved values but that of the write in flight. It may be called
 // right after ObserveStored has reported a newer version: the writes of the others were
 // conditional on an older one. Keeping them is safe too, and errs to the side of caution.
-func (tracker *Tracker[T]) DropSuperseded() {
+func (tracker *Tracker[T]) DropSupersededValues() {
 	if tracker.isInFlight {
 		tracker.unresolved = slices.Clone(tracker.unresolved[len(tracker.unresolved)-1:])
 	}
--- a/internal/versionedwrite/tracker_test.go
+++ b/internal/versionedwrite/tracker_test.go
@@ -7,29 +7,29 @@
 )
 
 // checkState compares all that a tracker tells with what is expected.
-func checkState(t *testing.T, tracker *Tracker[string], possible []string, isInFlight bool) {
+func checkState(t *testing.T, tracker *Tracker[string], wantPossible []string, wantInFlight bool) {
 	t.Helper()
-	if got := slices.Collect(tracker.Possible()); !slices.Equal(got, possible) {
-		t.Errorf("%q may be in force, want %q", got, possible)
+	if got := slices.Collect(tracker.Possible()); !slices.Equal(got, wantPossible) {
+		t.Errorf("%q may be in force, want %q", got, wantPossible)
 	}
-	if tracker.Confirmed() != possible[0] || tracker.IsConfirmed() != (len(possible) == 1) || tracker.IsInFlight() != isInFlight {
+	if tracker.Confirmed() != wantPossible[0] || tracker.IsConfirmed() != (len(wantPossible) == 1) || tracker.IsInFlight() != wantInFlight {
 		t.Errorf("confirmed %q (%v), in flight %v", tracker.Confirmed(), tracker.IsConfirmed(), tracker.IsInFlight())
 	}
 }
 
 // begin starts a write that has to be conditional on a version.
-func begin(t *testing.T, tracker *Tracker[string], value string, wantVersion uint64) {
+func beginWrite(t *testing.T, tracker *Tracker[string], value string, wantVersion uint64) {
 	t.Helper()
 	if version, ok := tracker.BeginWrite(value); !ok || version != wantVersion {
 		t.Fatalf("the write of %q is conditional on version %d, %v; want %d", value, version, ok, wantVersion)
 	}
 }
 
-func TestOutcomesOfWrites(t *testing.T) {
+func TestPossibleValuesAfterWriteOutcome(t *testing.T) {
 	tests := map[string]struct {
-		record      func(*Tracker[string])
-		possible    []string
-		nextVersion uint64
+		record          func(*Tracker[string])
+		wantPossible    []string
+		wantNextVersion uint64
 	}{
 		"committed":       {func(tracker *Tracker[string]) { tracker.RecordCommit(9) }, []string{"new"}, 9},
 		"refused":         {func(tracker *Tracker[string]) { tracker.RecordRefusal() }, []string{"old", "lost"}, 3},
@@ -39,24 +39,24 @@
 		t.Run(name, func(t *testing.T) {
 			tracker := NewTracker("old", 3)
 			checkState(t, tracker, []string{"old"}, false)
-			begin(t, tracker, "lost", 3)
+			beginWrite(t, tracker, "lost", 3)
 			tracker.RecordUnknownOutcome()
-			begin(t, tracker, "new", 3)
+			beginWrite(t, tracker, "new", 3)
 			checkState(t, tracker, []string{"old", "lost", "new"}, true)
 			if _, ok := tracker.BeginWrite("another"); ok {
 				t.Error("a second write begins while one is in flight")
 			}
 			checkState(t, tracker, []string{"old", "lost", "new"}, true)
 			test.record(tracker)
-			checkState(t, tracker, test.possible, false)
-			begin(t, tracker, "next", test.nextVersion)
+			checkState(t, tracker, test.wantPossible, false)
+			beginWrite(t, tracker, "next", test.wantNextVersion)
 		})
 	}
 }
 
 func TestNewerVersionSupersedesUnresolvedWrites(t *testing.T) {
 	tracker := NewTracker("old", 3)
-	begin(t, tracker, "lost", 3)
+	beginWrite(t, tracker, "lost", 3)
 	tracker.RecordUnknownOutcome()
 	if tracker.ObserveStored("stale", 3) || tracker.ObserveStored("stale", 2) {
 		t.Error("a version that is not newer is taken")
@@ -66,25 +66,25 @@
 		t.Error("a newer version is not taken")
 	}
 	checkState(t, tracker, []string{"lost"}, false)
-	tracker.DropSuperseded()
+	tracker.DropSupersededValues()
 	checkState(t, tracker, []string{"lost"}, false)
-	begin(t, tracker, "next", 4)
+	beginWrite(t, tracker, "next", 4)
 }
 
 // A newer version that is read while a write is in flight may be that write's, whose outcome
 // is still to be recorded.
 func TestNewerVersionKeepsWriteInFlight(t *testing.T) {
 	tracker := NewTracker("old", 3)
-	begin(t, tracker, "lost", 3)
+	beginWrite(t, tracker, "lost", 3)
 	tracker.RecordUnknownOutcome()
-	begin(t, tracker, "new", 3)
+	beginWrite(t, tracker, "new", 3)
 	tracker.ObserveStored("lost", 4)
 	checkState(t, tracker, []string{"lost", "lost", "new"}, true)
-	tracker.DropSuperseded()
+	tracker.DropSupersededValues()
 	checkState(t, tracker, []string{"lost", "new"}, true)
 	tracker.RecordRefusal()
 	checkState(t, tracker, []string{"lost"}, false)
-	begin(t, tracker, "next", 4)
+	beginWrite(t, tracker, "next", 4)
 }
 
 // sentWrite is a request that may be carried out at any time, and again.
@@ -144,7 +144,7 @@
 // Over generated histories of committed, refused, lost, late and repeated writes, with reads
 // also while a write is in flight, the stored value is one that the tracker knows.
 func TestStoredValueIsAlwaysPossible(t *testing.T) {
-	unresolvedCount, inFlightReadCount := 0, 0 // so that the histories cover something
+	unresolvedStepCount, inFlightReadCount := 0, 0 // so that the histories cover something
 	for seed := uint64(1); seed <= 1000; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		store := &fakeStore{}
@@ -167,18 +167,18 @@
 					inFlightReadCount++
 				}
 				if tracker.ObserveStored(store.value, store.version) && dropsSuperseded {
-					tracker.DropSuperseded()
+					tracker.DropSupersededValues()
 				}
 			}
 			if !slices.Contains(slices.Collect(tracker.Possible()), store.value) {
 				t.Fatalf("history %d, step %d: %d is stored and unknown to the tracker", seed, step, store.value)
 			}
 			if !tracker.IsConfirmed() {
-				unresolvedCount++
+				unresolvedStepCount++
 			}
 		}
 	}
-	if unresolvedCount < 1000 || inFlightReadCount < 1000 {
-		t.Fatalf("%d steps with unresolved writes, %d reads during a write: too few cases covered", unresolvedCount, inFlightReadCount)
+	if unresolvedStepCount < 1000 || inFlightReadCount < 1000 {
+		t.Fatalf("%d steps with unresolved writes, %d reads during a write: too few cases covered", unresolvedStepCount, inFlightReadCount)
 	}
 }
