--- a/internal/delegation/constraints_test.go
+++ b/internal/delegation/constraints_test.go
@@ -50,7 +50,7 @@
 }
 
 // write sends a write and records its outcome; it reports whether that was unknown.
-func (store *fakeStore) sendWrite(write sentWrite, tracker *ConstraintTracker, rng *rand.Rand) (isUnknown bool) {
+func (store *fakeStore) write(write sentWrite, tracker *ConstraintTracker, rng *rand.Rand) (isUnknown bool) {
 	store.sentWrites = append(store.sentWrites, write)
 	switch rng.IntN(4) {
 	case 0: // the response, or the request, is lost or late
@@ -86,7 +86,7 @@
 			switch rng.IntN(4) {
 			case 0, 1:
 				constraints := randomConstraints(rng, clock.Micros(step))
-				if version, ok := tracker.BeginWrite(constraints); ok && store.sendWrite(sentWrite{constraints, version}, tracker, rng) {
+				if version, ok := tracker.BeginWrite(constraints); ok && store.write(sentWrite{constraints, version}, tracker, rng) {
 					unknownCount++
 				}
 			case 2:
