--- a/internal/delegation/constraints.go
+++ b/internal/delegation/constraints.go
@@ -8,30 +8,30 @@
 	"firwood.dev/firwood/internal/versionedwrite"
 )
 
-// Constraints are what a leader records in the key-value store for its successors; they bind
-// every leader until one removes them there. Without them a new leader has to assume that leases
-// and grants that it hasn't observed began with its own term. Added after replicas of a zone that
-// was cut off had been replaced only half a minute after the last of them had ended
-// (docs/incidents/late-proof.md).
+// Constraints are limits on the renewal of leases that a leader records in the key-value store for its
+// successors. They bind every leader until one removes them from the store. Without them a new leader
+// has to assume that leases and grants that it has not observed began with its own term. Constraints
+// were added after replicas of a partitioned zone had been replaced only half a minute after the last of
+// them had ended (docs/incidents/late-proof.md).
 type Constraints struct {
-	// Zones are those in which no worker's heartbeat is answered.
+	// Zones maps each zone in which no worker's heartbeat gets a reply to its constraint.
 	Zones map[string]ZoneConstraint `json:"z,omitempty"`
-	// MemberGrantUntil maps each member that gets no new grant to the end of the last one that it
-	// may have (time of day).
+	// MemberGrantUntil maps each member that gets no new grant to the end of the last grant that it
+	// may have, in wall-clock time.
 	MemberGrantUntil map[string]clock.Micros `json:"m,omitempty"`
 }
 
 // ZoneConstraint is the constraint on one zone.
 type ZoneConstraint struct {
-	// LastAnswerAt is the time of day of the last heartbeat in the zone that may have been
-	// answered, answers of delegates left out.
+	// LastAnswerAt is the wall-clock time of the last heartbeat from the zone that may have got a
+	// reply, not counting replies of delegates.
 	LastAnswerAt clock.Micros `json:"t"`
-	// KnownBy are the members that have read the constraint: they don't renew leases as delegates
-	// there, in this or any later incarnation.
+	// KnownBy are the members that have read the constraint. They do not renew leases in the zone as
+	// delegates, neither in this incarnation nor in a later one.
 	KnownBy []string `json:"b,omitempty"`
 }
 
-// Equal reports whether both are the same.
+// Equal reports whether both values hold the same constraints.
 func (constraints Constraints) Equal(other Constraints) bool {
 	return maps.EqualFunc(constraints.Zones, other.Zones, func(a, b ZoneConstraint) bool {
 		return a.LastAnswerAt == b.LastAnswerAt && slices.Equal(a.KnownBy, b.KnownBy)
@@ -39,18 +39,18 @@
 		maps.Equal(constraints.MemberGrantUntil, other.MemberGrantUntil)
 }
 
-// ConstraintTracker is a leader's knowledge of which constraints are, or may be, in force. They
-// live under one key; see package versionedwrite. A constraint that is being written has to be
-// honoured from BeginWrite on.
+// ConstraintTracker tracks which constraints are, or may be, in force, as known to a leader. All
+// constraints are stored under one key; see package versionedwrite. The leader has to honor a constraint
+// as soon as BeginWrite has been called for it.
 //
-// Of the embedded Tracker's methods DropSupersededValues is not used: keeping a constraint for longer
-// than necessary is safe.
+// DropSupersededValues of the embedded Tracker is not used: honoring a constraint for longer than
+// necessary is safe.
 type ConstraintTracker struct {
 	*versionedwrite.Tracker[Constraints]
 }
 
-// NewConstraintTracker starts from the stored value, which has to be as new as the leader's
-// token.
+// NewConstraintTracker returns a tracker that starts from the stored value. That value has to be read at
+// a revision no older than the leader's fencing token.
 func NewConstraintTracker(constraints Constraints, version uint64) *ConstraintTracker {
 	return &ConstraintTracker{versionedwrite.NewTracker(constraints, version)}
 }
--- a/internal/delegation/delegate.go
+++ b/internal/delegation/delegate.go
@@ -2,20 +2,20 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// Delegate is the follower's side.
+// Delegate is the follower's side of delegation: it decides whether this member may act as delegate.
 type Delegate struct {
 	cfg         Config
 	incarnation uint64
 	startedAt   clock.Micros
 
-	leaderToken         uint64       // highest token of a leader that it knows; 0: none
-	leaderHeartbeatAt   clock.Micros // when that leader's last heartbeat was received; 0: never
-	grantUntil          clock.Micros
-	latestReplyDeadline clock.Micros // latest deadline of an answer given as delegate
+	leaderToken         uint64       // highest known fencing token of a leader, or 0 if none is known
+	leaderHeartbeatAt   clock.Micros // when that leader's last heartbeat was received, or 0 if none was
+	grantUntil          clock.Micros // end of this member's grant
+	latestReplyDeadline clock.Micros // latest deadline of a reply given as delegate, or 0 if none was given
 }
 
-// NewDelegate starts the side of a member's process. The incarnation has to differ from those of
-// all its other processes.
+// NewDelegate returns the Delegate of a member's process that starts now. The incarnation has to differ
+// from those of all other processes of the member.
 func NewDelegate(cfg Config, incarnation uint64, now clock.Micros) *Delegate {
 	return &Delegate{cfg: cfg, incarnation: incarnation, startedAt: now}
 }
@@ -25,19 +25,19 @@
 	return Timestamp{delegate.incarnation, now}
 }
 
-// IsOwnTimestamp reports whether a timestamp is of this incarnation.
+// IsOwnTimestamp reports whether a timestamp belongs to this incarnation of the member.
 func (delegate *Delegate) IsOwnTimestamp(timestamp Timestamp) bool {
 	return timestamp.Incarnation == delegate.incarnation && timestamp.At > 0
 }
 
-// RecordLeaderHeartbeat records a leader's heartbeat, with the member's own timestamp that it
-// acknowledges.
+// RecordLeaderHeartbeat records a heartbeat from the leader with the given fencing token. ack is this
+// member's own timestamp that the heartbeat acknowledges, and extends the grant.
 func (delegate *Delegate) RecordLeaderHeartbeat(now clock.Micros, token uint64, ack Timestamp) {
 	if token < delegate.leaderToken {
 		return
 	}
-	// A grant outlives the leader that gave it: the successor takes it into account,
-	// and it is used under the successor's token.
+	// A grant outlives the leader that gave it: the successor takes the grant into account,
+	// and this member uses it with the successor's token.
 	delegate.leaderToken = token
 	delegate.leaderHeartbeatAt = now
 	if delegate.cfg.isEnabled() && delegate.IsOwnTimestamp(ack) && ack.At <= now {
@@ -45,20 +45,20 @@
 	}
 }
 
-// GrantToSelf gives this member a grant of its own when its entitlement as leader has ended, if only
-// for now, and lets it answer as delegate at once. cancellationsKnownAt is the last instant before which it
-// knew of every cancellation while it was entitled; 0 if there is none, and then it gets no grant.
-// It may be called repeatedly, and in a term that goes on later.
+// GrantToSelf gives this member a grant when its own entitlement as leader has ended, if only
+// temporarily, and lets it reply as delegate at once. cancellationsKnownAt is the latest instant before
+// which this member, while entitled, knew of every cancellation; if it is 0, there is none and the member
+// gets no grant. GrantToSelf may be called repeatedly, and in a term that continues later.
 func (delegate *Delegate) GrantToSelf(token uint64, cancellationsKnownAt clock.Micros) {
 	if token < delegate.leaderToken || !delegate.cfg.isEnabled() || cancellationsKnownAt == 0 {
 		return
 	}
 	delegate.leaderToken = token
-	delegate.leaderHeartbeatAt = 0 // there is no other leader yet whose silence has to be awaited
+	delegate.leaderHeartbeatAt = 0 // no other leader is known yet whose heartbeats could time out
 	delegate.grantUntil = max(delegate.grantUntil, cancellationsKnownAt+delegate.cfg.GrantTTL)
 }
 
-// MayReply reports whether the member may answer a worker as delegate, with which token and
+// MayReply reports whether the member may reply to a worker as delegate, with which fencing token and
 // until when. workerToken is the highest token that the worker has seen.
 func (delegate *Delegate) MayReply(now clock.Micros, workerToken uint64) (token uint64, until clock.Micros, ok bool) {
 	knowsNewestLeader := delegate.leaderToken != 0 && workerToken <= delegate.leaderToken
@@ -69,13 +69,13 @@
 	return delegate.leaderToken, delegate.grantUntil, true
 }
 
-// RecordReply records an answer given as delegate that may be sent until then.
+// RecordReply records a reply given as delegate that is sent before until, or not at all.
 func (delegate *Delegate) RecordReply(until clock.Micros) {
 	delegate.latestReplyDeadline = max(delegate.latestReplyDeadline, until)
 }
 
-// SilentFor returns for how long this incarnation has certainly not answered as delegate. That is
-// never longer than its age: of earlier incarnations it knows nothing.
+// SilentFor returns how long this incarnation has certainly not replied as delegate. The result never
+// exceeds the age of the incarnation, which knows nothing of earlier ones.
 func (delegate *Delegate) SilentFor(now clock.Micros) clock.Micros {
 	if delegate.latestReplyDeadline == 0 {
 		return now - delegate.startedAt
--- a/internal/delegation/grants.go
+++ b/internal/delegation/grants.go
@@ -6,7 +6,8 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Grants is the leader's side: until when other members may have renewed leases as delegates.
+// Grants is the leader's side of delegation: it bounds until when other members may have renewed leases
+// as delegates. All its instants are of the leader's monotonic clock.
 type Grants struct {
 	cfg              Config
 	termStartedAt    clock.Micros
@@ -16,14 +17,14 @@
 
 // memberState is what the leader knows of another member as delegate.
 type memberState struct {
-	grantUntil    clock.Micros // end of the last grant that it may have
-	lastReceiptAt clock.Micros // latest timestamp of this leader that it is known to have received
-	renewalsUntil clock.Micros // it has not answered as delegate between this and lastReceiptAt
+	grantUntil    clock.Micros // end of the last grant that the member may have
+	lastReceiptAt clock.Micros // send time of the newest heartbeat of this leader known to have arrived there
+	renewalsUntil clock.Micros // the member has not replied as delegate between this and lastReceiptAt
 }
 
-// NewGrants starts the side of a leader whose term begins now. silentFor is for how long this
-// member has not answered as delegate itself. Grants that earlier leaders gave to others or to
-// themselves began before now.
+// NewGrants returns the Grants of a leader whose term begins now. silentFor is how long this member
+// itself has not replied as delegate. others are the names of the other members. Grants that earlier
+// leaders gave to other members or to themselves began before now.
 func NewGrants(cfg Config, now, silentFor clock.Micros, others []string) *Grants {
 	grants := &Grants{cfg: cfg, termStartedAt: now, ownRenewalsUntil: now - silentFor, members: map[string]*memberState{}}
 	for _, name := range others {
@@ -32,7 +33,7 @@
 	return grants
 }
 
-// grantEnd is when a grant given at an instant ends at the latest; 0 if delegation is disabled.
+// grantEnd returns when a grant given at from ends at the latest, or 0 if delegation is disabled.
 func (grants *Grants) grantEnd(from clock.Micros) clock.Micros {
 	if !grants.cfg.isEnabled() {
 		return 0
@@ -40,16 +41,16 @@
 	return from + grants.cfg.GrantTTL + clock.MutualDrift(grants.cfg.GrantTTL)
 }
 
-// ApplyInheritedConstraint applies an earlier leader's constraint, which no leader has removed since: the
-// member's last grant ends by grantUntil. The caller has converted that from the time of day, in
-// which it is stored, to an instant of this member's steady clock.
+// ApplyInheritedConstraint applies an earlier leader's constraint that no leader has removed since: the
+// member's last grant ends by grantUntil. The constraint is stored in wall-clock time; the caller has
+// converted it to an instant of this member's monotonic clock.
 func (grants *Grants) ApplyInheritedConstraint(name string, grantUntil clock.Micros) {
 	if member := grants.members[name]; member != nil {
 		member.grantUntil = min(member.grantUntil, grantUntil)
 	}
 }
 
-// GrantUntil returns the end of the last grant that a member may have.
+// GrantUntil returns the end of the last grant that a member may have, or 0 if the member is unknown.
 func (grants *Grants) GrantUntil(name string) clock.Micros {
 	if member := grants.members[name]; member != nil {
 		return member.grantUntil
@@ -57,16 +58,17 @@
 	return 0
 }
 
-// RecordAck records that a member's timestamp, received before ackedAt, is acknowledged from now
-// on.
+// RecordAck records that this leader acknowledges, from now on, a timestamp that it received from a
+// member before ackedAt.
 func (grants *Grants) RecordAck(name string, ackedAt clock.Micros) {
 	if member := grants.members[name]; member != nil {
 		member.grantUntil = max(member.grantUntil, grants.grantEnd(ackedAt))
 	}
 }
 
-// RecordReceipt records that a member has received the heartbeat that this leader sent at
-// sentAt, and that it had not answered as delegate for silentFor when it said so.
+// RecordReceipt records a member's heartbeat which shows that the member has received the heartbeat that
+// this leader sent at sentAt. silentFor is how long the member had not replied as delegate when it sent
+// its heartbeat.
 func (grants *Grants) RecordReceipt(name string, now, sentAt, silentFor clock.Micros) {
 	member := grants.members[name]
 	if member == nil || sentAt < grants.termStartedAt || sentAt > now || silentFor < 0 {
@@ -78,14 +80,14 @@
 	}
 }
 
-// LatestRenewal returns the last instant at which another member, or this one before its term,
-// may have renewed a worker's lease as delegate, as far as can be known now.
+// LatestRenewal returns the last instant at which another member, or this one before its term, may have
+// renewed a worker's lease as delegate, as far as this leader can tell now.
 func (grants *Grants) LatestRenewal(now clock.Micros) clock.Micros {
 	return grants.LatestRenewalExcept(now, "", nil)
 }
 
-// LatestRenewalExcept is LatestRenewal for a zone in which the excluded members don't renew
-// leases as delegates. self is this member's name.
+// LatestRenewalExcept returns the same as LatestRenewal for a zone in which the excluded members do not
+// renew leases as delegates. self is this member's name.
 func (grants *Grants) LatestRenewalExcept(now clock.Micros, self string, excluded []string) clock.Micros {
 	var latest clock.Micros
 	if !slices.Contains(excluded, self) {
@@ -103,14 +105,14 @@
 	return latest
 }
 
-// hasNotRepliedSinceReceipt reports whether a member can't have answered as delegate since lastReceiptAt:
-// it has received this leader's heartbeat of that instant, and answers nobody as delegate for
-// LeaderHeartbeatTimeout after that.
+// hasNotRepliedSinceReceipt reports whether a member certainly has not replied as delegate since
+// lastReceiptAt. The member has received the heartbeat that this leader sent at that instant, and does
+// not reply as delegate for LeaderHeartbeatTimeout after receiving it.
 func (grants *Grants) hasNotRepliedSinceReceipt(member *memberState, now clock.Micros) bool {
 	heartbeatTimeout := grants.cfg.LeaderHeartbeatTimeout
 	return member.lastReceiptAt != 0 && now < member.lastReceiptAt+heartbeatTimeout-clock.MutualDrift(heartbeatTimeout)
 }
 
-// OwnRenewalsUntil returns until when this member may have renewed leases as delegate before its
-// term.
+// OwnRenewalsUntil returns the last instant before its term at which this member may have renewed
+// leases as delegate.
 func (grants *Grants) OwnRenewalsUntil() clock.Micros { return grants.ownRenewalsUntil }
