--- a/internal/delegation/constraints_test.go
+++ b/internal/delegation/constraints_test.go
@@ -10,13 +10,13 @@
 
 const constrainedNameCount = 3
 
-// sentWrite may be carried out, now or later, and again.
+// sentWrite is a write request that the store may apply now or later, and more than once.
 type sentWrite struct {
 	constraints     Constraints
 	expectedVersion uint64
 }
 
-// fakeStore has the key of the constraints.
+// fakeStore is a key-value store that holds only the constraints' key.
 type fakeStore struct {
 	stored            Constraints
 	version, revision uint64
@@ -32,7 +32,7 @@
 	return true
 }
 
-// hasConstraint reports whether the zone or the member of a name is constrained in the store.
+// hasConstraint reports whether the store holds a constraint on the zone, and on the member, of this name.
 func (store *fakeStore) hasConstraint(name string) (isZoneConstrained, isMemberConstrained bool) {
 	_, isZoneConstrained = store.stored.Zones[name]
 	return isZoneConstrained, store.stored.MemberGrantUntil[name] != 0
@@ -49,17 +49,17 @@
 	return constraints
 }
 
-// write sends a write and records its outcome; it reports whether that was unknown.
+// write sends a write and records its outcome in the tracker. It reports whether the outcome is unknown.
 func (store *fakeStore) write(write sentWrite, tracker *ConstraintTracker, rng *rand.Rand) (isUnknown bool) {
 	store.sentWrites = append(store.sentWrites, write)
 	switch rng.IntN(4) {
-	case 0: // the response, or the request, is lost or late
+	case 0: // the request or its response is lost or late
 		if rng.IntN(2) == 0 {
 			store.apply(write)
 		}
 		tracker.RecordUnknownOutcome()
 		return true
-	case 1: // it never left
+	case 1: // the request was never sent
 		if write.expectedVersion == store.version {
 			store.sentWrites = store.sentWrites[:len(store.sentWrites)-1]
 		}
@@ -74,8 +74,9 @@
 	return false
 }
 
-// Over generated histories of committed, refused, lost, late and repeated writes, every
-// constraint in the store is one that the tracker says may be in force.
+// The test guards against a leader that ignores a constraint in force because it does not know the outcome
+// of a write. In random histories of committed, rejected, lost, late and repeated writes, every constraint
+// in the store has to be one that the tracker reports as possibly in force.
 func TestTrackerKnowsEveryConstraintInForce(t *testing.T) {
 	unknownCount, readCount := 0, 0
 	for seed := uint64(1); seed <= 2000; seed++ {
@@ -101,12 +102,12 @@
 				name := fmt.Sprint(number)
 				isZoneConstrained, isMemberConstrained := store.hasConstraint(name)
 				if isZoneConstrained && !tracker.MayConstrainZone(name) || isMemberConstrained && !tracker.MayConstrainMember(name) {
-					t.Fatalf("history %d, step %d: a constraint on %s is stored and unknown to the tracker", seed, step, name)
+					t.Fatalf("history %d, step %d: the tracker doesn't know of the stored constraint on %s", seed, step, name)
 				}
 			}
 		}
 	}
 	if unknownCount < 1000 || readCount < 1000 {
-		t.Fatalf("%d unknown outcomes, %d reads: too few cases covered", unknownCount, readCount)
+		t.Fatalf("covered %d unknown outcomes and %d reads, want at least 1000 of each", unknownCount, readCount)
 	}
 }
--- a/internal/delegation/delegate.go
+++ b/internal/delegation/delegate.go
@@ -30,8 +30,9 @@
 	return timestamp.Incarnation == delegate.incarnation && timestamp.At > 0
 }
 
-// RecordLeaderHeartbeat records a heartbeat from the leader with the given fencing token. ack is this
-// member's own timestamp that the heartbeat acknowledges, and extends the grant.
+// RecordLeaderHeartbeat records a heartbeat from the leader with the given fencing token, unless a higher
+// token is known. ack is this member's own timestamp that the heartbeat acknowledges; it extends the
+// grant if it belongs to this incarnation.
 func (delegate *Delegate) RecordLeaderHeartbeat(now clock.Micros, token uint64, ack Timestamp) {
 	if token < delegate.leaderToken {
 		return
--- a/internal/delegation/grants.go
+++ b/internal/delegation/grants.go
@@ -19,7 +19,7 @@
 type memberState struct {
 	grantUntil    clock.Micros // end of the last grant that the member may have
 	lastReceiptAt clock.Micros // send time of the newest heartbeat of this leader known to have arrived there
-	renewalsUntil clock.Micros // the member has not replied as delegate between this and lastReceiptAt
+	renewalsUntil clock.Micros // the member has not replied as delegate after this and up to lastReceiptAt
 }
 
 // NewGrants returns the Grants of a leader whose term begins now. silentFor is how long this member
--- a/internal/delegation/simulation_test.go
+++ b/internal/delegation/simulation_test.go
@@ -7,10 +7,10 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// heartbeat is a message in transit, perhaps for minutes.
+// heartbeat is a message in transit. It may stay in transit for minutes.
 type heartbeat struct {
 	from, to       int
-	token          uint64 // 0: not from a leader
+	token          uint64 // 0 unless the sender is leader
 	timestamp, ack Timestamp
 	silentFor      clock.Micros
 	arrivesAt      clock.Micros
@@ -19,12 +19,12 @@
 // simulatedController is one process of a member.
 type simulatedController struct {
 	delegate             *Delegate
-	grants               *Grants // nil unless it leads
+	grants               *Grants // nil unless the controller is leader
 	token                uint64
-	timestamps           map[int]Timestamp // the newest one received from each other member
-	acks                 map[int]Timestamp // those that it acknowledges as leader
+	timestamps           map[int]Timestamp // the newest timestamp received from each other member
+	acks                 map[int]Timestamp // the timestamps that the controller acknowledges as leader
 	clockOffset          clock.Micros
-	clockRate            float64 // seconds of its clock in a true second
+	clockRate            float64 // seconds that the controller's clock advances per second of true time
 	cancellationsKnownAt clock.Micros
 }
 
@@ -32,14 +32,14 @@
 	return controller.clockOffset + clock.Micros(float64(trueTime)*controller.clockRate)
 }
 
-// isNewer reports whether a timestamp is of a later process, or a later one of the same.
+// isNewer reports whether timestamp is newer than other: from a later process, or later in the same one.
 func isNewer(timestamp, other Timestamp) bool {
 	return timestamp.Incarnation > other.Incarnation ||
 		timestamp.Incarnation == other.Incarnation && timestamp.At > other.At
 }
 
-// delegationSimulation runs three members with drifting clocks. Heartbeats are lost, late and
-// reordered, processes restart, members are cut off, and the leader changes.
+// delegationSimulation runs three members with drifting clocks. Heartbeats are lost, delayed and
+// reordered, processes restart, members are partitioned from the others, and the leader changes.
 type delegationSimulation struct {
 	rng             *rand.Rand
 	cfg             Config
@@ -49,9 +49,9 @@
 	controllers     []*simulatedController
 	isCutOff        []bool
 	inTransit       []heartbeat
-	leaderIndex     int // -1: nobody leads
+	leaderIndex     int // index of the leader in controllers, or -1 if there is none
 	token           uint64
-	lastReplyAt     clock.Micros // when anybody answered as delegate last; 0: never
+	lastReplyAt     clock.Micros // true time of the last reply by any delegate, or 0 if there was none
 	replyCount      int
 }
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// leader returns the controller that leads; nil if nobody does.
+// leader returns the controller that is leader, or nil if there is none.
 func (simulation *delegationSimulation) leader() *simulatedController {
 	if simulation.leaderIndex < 0 {
 		return nil
@@ -115,7 +115,7 @@
 	simulation.replyToWorkers()
 }
 
-// changeLeader passes the lock on; the deposed leader may give itself a grant.
+// changeLeader gives the lock to a random member. The deposed leader may give itself a grant.
 func (simulation *delegationSimulation) changeLeader() {
 	if deposed := simulation.leader(); deposed != nil {
 		deposed.delegate.GrantToSelf(deposed.token, deposed.cancellationsKnownAt)
@@ -131,7 +131,7 @@
 	controller.cancellationsKnownAt = localNow
 }
 
-// acknowledge has a leader that has read the store acknowledge all timestamps.
+// acknowledgeTimestamps makes a leader that has just read the store acknowledge all received timestamps.
 func (simulation *delegationSimulation) acknowledgeTimestamps(controller *simulatedController) {
 	controller.cancellationsKnownAt = controller.localTime(simulation.now)
 	for other, timestamp := range controller.timestamps {
@@ -140,7 +140,7 @@
 	}
 }
 
-// sendHeartbeats sends a member's heartbeats to some of the others.
+// sendHeartbeats sends heartbeats from one member to some of the others.
 func (simulation *delegationSimulation) sendHeartbeats(from int) {
 	for to := range simulation.controllers {
 		if to == from || simulation.rng.IntN(2) == 0 {
@@ -199,7 +199,7 @@
 	}
 }
 
-// replyToWorkers has some members that don't lead answer a worker as delegates, if they may.
+// replyToWorkers makes some members other than the leader reply to a worker as delegates, if they may.
 func (simulation *delegationSimulation) replyToWorkers() {
 	for _, controller := range simulation.controllers {
 		if controller.grants != nil || simulation.rng.IntN(2) == 0 {
--- a/internal/election/action.go
+++ b/internal/election/action.go
@@ -13,11 +13,11 @@
 	RenewLease
 	// RevokeLease ends the lease; no response is needed.
 	RevokeLease
-	// RefreshLock reads the lock key; ObserveLock takes what was read.
+	// RefreshLock reads the lock key; ObserveLock takes the result.
 	RefreshLock
 )
 
-// String returns the kind as logs and test failures show it.
+// String returns the name of the kind for logs and test failures.
 func (kind ActionKind) String() string {
 	switch kind {
 	case GrantLease:
@@ -36,9 +36,9 @@
 
 // Action is one request that the caller has to send.
 type Action struct {
-	// Kind says which request it is.
+	// Kind is the kind of request.
 	Kind ActionKind
-	// LeaseID is the lease that the request is about; 0 for GrantLease and RefreshLock.
+	// LeaseID is the lease that the request concerns; it is 0 for GrantLease and RefreshLock.
 	LeaseID uint64
 }
 
@@ -48,13 +48,13 @@
 const (
 	// AcquireSucceeded means that this member has the lock; the key's version is the fencing token.
 	AcquireSucceeded AcquireResult = iota + 1
-	// AcquireFailed means that another member has the lock, or the transaction can never be committed.
+	// AcquireFailed means that another member has the lock or that the transaction can never be committed.
 	AcquireFailed
-	// AcquireUnknown means that the transaction may have been committed, or may still be.
+	// AcquireUnknown means that the transaction may have been committed or may be committed later.
 	AcquireUnknown
 )
 
-// String returns the result as logs and test failures show it.
+// String returns the name of the result for logs and test failures.
 func (result AcquireResult) String() string {
 	switch result {
 	case AcquireSucceeded:
@@ -71,13 +71,13 @@
 const (
 	// RenewSucceeded means that the lease was renewed.
 	RenewSucceeded RenewResult = iota + 1
-	// RenewLeaseExpired means that the lease doesn't exist any more, and with it the lock.
+	// RenewLeaseExpired means that the lease no longer exists, and neither does the lock.
 	RenewLeaseExpired
 	// RenewUnknown means that the lease may have been renewed.
 	RenewUnknown
 )
 
-// String returns the result as logs and test failures show it.
+// String returns the name of the result for logs and test failures.
 func (result RenewResult) String() string {
 	switch result {
 	case RenewSucceeded:
--- a/internal/election/fake_store_test.go
+++ b/internal/election/fake_store_test.go
@@ -4,7 +4,7 @@
 
 type fakeLease struct{ expiresAt clock.Micros }
 
-// fakeStore is the key-value store with its leases and the lock key, as PROTOCOL describes them.
+// fakeStore simulates the key-value store with its leases and the lock key, as PROTOCOL describes them.
 type fakeStore struct {
 	now              clock.Micros
 	leases           map[uint64]*fakeLease
@@ -58,7 +58,7 @@
 	}
 }
 
-// endOutage makes the store available; after an outage leases run for a full TTL.
+// endOutage makes the store available. All leases run for a full TTL after an outage.
 func (store *fakeStore) endOutage() {
 	if !store.isDown {
 		return
--- a/internal/election/lock.go
+++ b/internal/election/lock.go
@@ -2,20 +2,20 @@
 
 // Lock is the lock key as last observed.
 type Lock struct {
-	// Exists tells whether somebody has the lock; the other fields are zero if not.
+	// Exists reports whether any member has the lock; the other fields are zero if none has.
 	Exists bool
-	// Holder is the member that has created the key.
+	// Holder is the member that created the key.
 	Holder string
 	// LeaseID is the lease that the key is attached to.
 	LeaseID uint64
-	// Version is the key's version: the fencing token of the holder.
+	// Version is the key's version, which is the fencing token of the holder.
 	Version uint64
 }
 
-// observedLock is the lock as far as the member knows it.
+// observedLock is the lock as last observed by this member.
 type observedLock struct {
 	Lock
-	isKnown bool // the lock has been observed at all
+	isKnown bool // whether the lock has been observed at all
 }
 
 // isFree reports whether the lock is known to have no holder.
--- a/internal/election/simulation_test.go
+++ b/internal/election/simulation_test.go
@@ -10,17 +10,17 @@
 const (
 	testTTL        = 6 * clock.Second
 	testTimerSlack = 50 * clock.Millisecond
-	// requestTimeout is after how long a member takes a response for lost.
+	// requestTimeout is how long a member waits before it treats a response as lost.
 	requestTimeout = 3 * clock.Second
 	memberCount    = 3
 )
 
 type simulatedMember struct {
 	name         string
-	clockRate    float64 // seconds of its clock in a true second
+	clockRate    float64 // seconds that the member's clock advances per second of true time
 	elector      *Elector
 	pausedUntil  clock.Micros
-	restartAt    clock.Micros // 0: it runs
+	restartAt    clock.Micros // when the member restarts, or 0 while it runs
 	incarnation  int
 	seenRevision uint64
 	wasEntitled  bool
@@ -44,9 +44,9 @@
 	run func()
 }
 
-// electionSimulation runs members with drifting clocks against a fake store. Requests and
-// responses are delayed or lost; members pause, crash and restart; the store fails for all
-// or for one member.
+// electionSimulation runs members with drifting clocks against a fake store. Requests and responses are
+// delayed or lost, members pause, crash and restart, and the store is unavailable to all members or to
+// one of them.
 type electionSimulation struct {
 	rng       *rand.Rand
 	store     *fakeStore
@@ -73,8 +73,9 @@
 	simulation.events = append(simulation.events, scheduledEvent{at, run})
 }
 
-// sendRequest carries a request to the store and its response back; either may be lost or
-// delayed. handle is what the store does; it returns what the member does with the response.
+// sendRequest simulates a request to the store and its response, either of which may be lost or delayed.
+// execute carries the request out in the store and returns a function that delivers the response to the
+// member.
 func (simulation *electionSimulation) sendRequest(index int, execute func() func()) {
 	member := simulation.members[index]
 	incarnation := member.incarnation
@@ -96,7 +97,8 @@
 	})
 }
 
-// call is a request whose response is handled once: when it comes, or as unknown at the timeout.
+// call is a request whose result is handled once: when the response arrives or, as unknown, at the
+// timeout.
 type call struct {
 	simulation *electionSimulation
 	index      int
@@ -108,7 +110,7 @@
 	return &call{simulation: simulation, index: index, member: simulation.members[index]}
 }
 
-// finish hands a result to the elector, unless the call is done, and performs what follows.
+// finish passes a result to the elector and performs the resulting actions, unless the call is done.
 func (call *call) finish(handleResult func(now clock.Micros) []Action) {
 	if call.isDone {
 		return
@@ -118,7 +120,7 @@
 	call.simulation.performActions(call.index, handleResult(now))
 }
 
-// finishAtTimeout is finish at the timeout, if the member's process still runs by then.
+// finishAtTimeout calls finish at the timeout if the member's process still runs then.
 func (call *call) finishAtTimeout(handleResult func(now clock.Micros) []Action) {
 	incarnation := call.member.incarnation
 	at := call.simulation.store.now + requestTimeout
@@ -216,7 +218,7 @@
 	}
 }
 
-// injectFault begins or ends a fault now and then.
+// injectFault occasionally begins or ends a random fault.
 func (simulation *electionSimulation) injectFault() {
 	rng, store := simulation.rng, simulation.store
 	switch rng.IntN(3000) {
@@ -237,7 +239,7 @@
 	}
 }
 
-// stepMember lets a member act, and reports whether it is entitled then.
+// stepMember lets a member act, and reports whether the member is entitled afterwards.
 func (simulation *electionSimulation) stepMember(index int) bool {
 	member, store := simulation.members[index], simulation.store
 	if member.restartAt != 0 {
@@ -261,7 +263,7 @@
 	return isEntitled
 }
 
-// step advances the time and returns how many members are entitled then.
+// step advances the time and returns how many members are entitled afterwards.
 func (simulation *electionSimulation) step() (entitledCount int) {
 	simulation.store.now += 10 * clock.Millisecond
 	simulation.store.expireLeases()
--- a/internal/election/transitions.go
+++ b/internal/election/transitions.go
@@ -2,7 +2,7 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// HandleGrantResult handles the response to GrantLease; lease 0 means that the request failed.
+// HandleGrantResult handles the response to GrantLease. A leaseID of 0 means that the request failed.
 func (elector *Elector) HandleGrantResult(now clock.Micros, leaseID uint64) []Action {
 	if elector.phase != RequestingLease {
 		return revokeUnusedLease(leaseID)
@@ -31,8 +31,8 @@
 	return []Action{{Kind: RevokeLease, LeaseID: leaseID}}
 }
 
-// HandleAcquireResult handles the response to AcquireLock; version is the key's, if it was
-// created.
+// HandleAcquireResult handles the response to AcquireLock. version is the version of the lock key if the
+// key was created.
 func (elector *Elector) HandleAcquireResult(now clock.Micros, result AcquireResult, version uint64) []Action {
 	if elector.phase != AcquiringLock {
 		return nil
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// HandleStaleToken handles a write that the store rejected because the lock was not this
-// leader's any more.
+// HandleStaleToken ends the leadership with the given fencing token, which has proven stale: the store
+// rejected a write because the lock no longer belongs to this leader, or a worker reported a higher token.
 func (elector *Elector) HandleStaleToken(now clock.Micros, token uint64) []Action {
 	if elector.phase != Leader || token != elector.own.token {
 		return nil
@@ -77,10 +77,11 @@
 	return elector.becomeFollowerAndRefreshLock(now)
 }
 
-// StepDown gives up leadership, and doesn't campaign again before the backoff has passed. The
-// backoff has to be longer than the timeout of a request to the store: results of GrantLease and
-// AcquireLock don't say which campaign they belong to, and a late one would be taken for that of
-// the next campaign, which was sent later and so seems to entitle for longer.
+// StepDown gives up leadership, and prevents a new campaign before the backoff has passed. The backoff has
+// to be longer than the timeout of a request to the store. Results of GrantLease and AcquireLock do not
+// say which campaign they belong to, so a late result would be taken for that of the next campaign. The
+// request of that campaign was sent later, so the late result would seem to entitle the member for longer
+// than it does.
 func (elector *Elector) StepDown(now, backoff clock.Micros) []Action {
 	elector.backoffUntil = now + backoff
 	if elector.phase == Follower {
@@ -103,8 +104,8 @@
 	elector.request.nextAttemptAt = elector.request.sentAt + elector.cfg.TTL/renewDivisor
 }
 
-// becomeFollower gives up lease and leadership. Revoking the lease also deletes a lock key that
-// was created by a transaction whose response was lost.
+// becomeFollower gives up the lease and leadership. Revoking the lease also deletes a lock key that was
+// created by a transaction whose response was lost.
 func (elector *Elector) becomeFollower(now clock.Micros) []Action {
 	var actions []Action
 	if elector.own.leaseID != 0 {
@@ -118,7 +119,8 @@
 	return actions
 }
 
-// becomeFollowerAndRefreshLock is becomeFollower where the lock as observed may be out of date.
+// becomeFollowerAndRefreshLock does the same as becomeFollower and also reads the lock again, since the
+// observed lock may be out of date.
 func (elector *Elector) becomeFollowerAndRefreshLock(now clock.Micros) []Action {
 	return append(elector.becomeFollower(now), Action{Kind: RefreshLock})
 }
--- a/internal/versionedwrite/tracker_test.go
+++ b/internal/versionedwrite/tracker_test.go
@@ -6,22 +6,22 @@
 	"testing"
 )
 
-// checkState compares all that a tracker tells with what is expected.
+// checkState checks everything that a tracker reports.
 func checkState(t *testing.T, tracker *Tracker[string], wantPossible []string, wantInFlight bool) {
 	t.Helper()
 	if got := slices.Collect(tracker.Possible()); !slices.Equal(got, wantPossible) {
-		t.Errorf("%q may be in force, want %q", got, wantPossible)
+		t.Errorf("Possible = %q, want %q", got, wantPossible)
 	}
 	if tracker.Confirmed() != wantPossible[0] || tracker.IsConfirmed() != (len(wantPossible) == 1) || tracker.IsInFlight() != wantInFlight {
-		t.Errorf("confirmed %q (%v), in flight %v", tracker.Confirmed(), tracker.IsConfirmed(), tracker.IsInFlight())
+		t.Errorf("Confirmed = %q, IsConfirmed = %v, IsInFlight = %v; want the values that follow from checkState's parameters", tracker.Confirmed(), tracker.IsConfirmed(), tracker.IsInFlight())
 	}
 }
 
-// begin starts a write that has to be conditional on a version.
+// beginWrite begins a write and checks the version that the write is conditional on.
 func beginWrite(t *testing.T, tracker *Tracker[string], value string, wantVersion uint64) {
 	t.Helper()
 	if version, ok := tracker.BeginWrite(value); !ok || version != wantVersion {
-		t.Fatalf("the write of %q is conditional on version %d, %v; want %d", value, version, ok, wantVersion)
+		t.Fatalf("BeginWrite(%q) = version %d, %v; want version %d, true", value, version, ok, wantVersion)
 	}
 }
 
@@ -44,7 +44,7 @@
 			beginWrite(t, tracker, "new", 3)
 			checkState(t, tracker, []string{"old", "lost", "new"}, true)
 			if _, ok := tracker.BeginWrite("another"); ok {
-				t.Error("a second write begins while one is in flight")
+				t.Error("BeginWrite = true while another write is in flight, want false")
 			}
 			checkState(t, tracker, []string{"old", "lost", "new"}, true)
 			test.record(tracker)
@@ -59,11 +59,11 @@
 	beginWrite(t, tracker, "lost", 3)
 	tracker.RecordUnknownOutcome()
 	if tracker.ObserveStored("stale", 3) || tracker.ObserveStored("stale", 2) {
-		t.Error("a version that is not newer is taken")
+		t.Error("ObserveStored = true for a version that is not newer, want false")
 	}
 	checkState(t, tracker, []string{"old", "lost"}, false)
 	if !tracker.ObserveStored("lost", 4) {
-		t.Error("a newer version is not taken")
+		t.Error("ObserveStored = false for a newer version, want true")
 	}
 	checkState(t, tracker, []string{"lost"}, false)
 	tracker.DropSupersededValues()
@@ -71,8 +71,8 @@
 	beginWrite(t, tracker, "next", 4)
 }
 
-// A newer version that is read while a write is in flight may be that write's, whose outcome
-// is still to be recorded.
+// A newer version that is read while a write is in flight may come from that write, whose outcome has
+// not been recorded yet. The tracker therefore has to keep the value of that write.
 func TestNewerVersionKeepsWriteInFlight(t *testing.T) {
 	tracker := NewTracker("old", 3)
 	beginWrite(t, tracker, "lost", 3)
@@ -87,15 +87,15 @@
 	beginWrite(t, tracker, "next", 4)
 }
 
-// sentWrite is a request that may be carried out at any time, and again.
+// sentWrite is a write request that the store may apply at any time, and more than once.
 type sentWrite struct{ value, expectedVersion uint64 }
 
-// fakeStore carries conditional writes of one key out.
+// fakeStore is a key-value store with one key that is written conditionally.
 type fakeStore struct {
 	value, version uint64
 	sentWrites     []sentWrite
-	// committedAt is the version at which the write in flight was committed before its
-	// response has come; 0 if it was not.
+	// committedAt is the version at which the write in flight was committed before its response
+	// arrived, or 0 if it was not committed.
 	committedAt uint64
 }
 
@@ -107,7 +107,7 @@
 	return true
 }
 
-// applyRandom carries out one of the sent writes, perhaps the one in flight.
+// applyRandom applies one of the sent writes, possibly the one in flight.
 func (store *fakeStore) applyRandom(isInFlight bool, rng *rand.Rand) {
 	if len(store.sentWrites) == 0 {
 		return
@@ -118,20 +118,20 @@
 	}
 }
 
-// finishWrite records one of the outcomes that the write in flight, the last one sent, may have.
+// finishWrite records a random outcome that is possible for the write in flight, the last one sent.
 func (store *fakeStore) finishWrite(tracker *Tracker[uint64], rng *rand.Rand) {
 	last := len(store.sentWrites) - 1
 	committedAt := store.committedAt
 	store.committedAt = 0
 	switch outcome := rng.IntN(4); {
-	case outcome == 0: // the response, or the request, is lost or late
+	case outcome == 0: // the request or its response is lost or late
 		if rng.IntN(2) == 0 {
 			store.apply(store.sentWrites[last])
 		}
 		tracker.RecordUnknownOutcome()
 	case committedAt != 0:
 		tracker.RecordCommit(committedAt)
-	case outcome == 1: // it never left
+	case outcome == 1: // the request was never sent
 		store.sentWrites = store.sentWrites[:last]
 		tracker.RecordRefusal()
 	case store.apply(store.sentWrites[last]):
@@ -141,10 +141,11 @@
 	}
 }
 
-// Over generated histories of committed, refused, lost, late and repeated writes, with reads
-// also while a write is in flight, the stored value is one that the tracker knows.
+// The test guards against a tracker that misses a value in force. In random histories of committed,
+// rejected, lost, late and repeated writes, with reads also while a write is in flight, the stored value
+// always has to be one of the tracker's possible values.
 func TestStoredValueIsAlwaysPossible(t *testing.T) {
-	unresolvedStepCount, inFlightReadCount := 0, 0 // so that the histories cover something
+	unresolvedStepCount, inFlightReadCount := 0, 0 // show that the histories cover these cases
 	for seed := uint64(1); seed <= 1000; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		store := &fakeStore{}
@@ -171,7 +172,7 @@
 				}
 			}
 			if !slices.Contains(slices.Collect(tracker.Possible()), store.value) {
-				t.Fatalf("history %d, step %d: %d is stored and unknown to the tracker", seed, step, store.value)
+				t.Fatalf("history %d, step %d: the tracker doesn't list the stored value %d as possible", seed, step, store.value)
 			}
 			if !tracker.IsConfirmed() {
 				unresolvedStepCount++
@@ -179,6 +180,6 @@
 		}
 	}
 	if unresolvedStepCount < 1000 || inFlightReadCount < 1000 {
-		t.Fatalf("%d steps with unresolved writes, %d reads during a write: too few cases covered", unresolvedStepCount, inFlightReadCount)
+		t.Fatalf("covered %d steps with unresolved writes and %d reads during a write, want at least 1000 of each", unresolvedStepCount, inFlightReadCount)
 	}
 }
