--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -25,12 +25,12 @@
 // is final. A delegate sends no other commands.
 func (controller *Controller) replyAsDelegate(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if controller.term != nil {
-		controller.delegation.delegate.EndTerm(controller.term.IssuedToken(), controller.term.CancellationsKnownAt())
+		controller.delegation.delegate.GrantToSelf(controller.term.IssuedToken(), controller.term.CancellationsKnownAt())
 	}
 	if !controller.view.IsLoaded || controller.mayConstrainZone(heartbeat.Zone) {
 		return false
 	}
-	token, grantUntil, ok := controller.delegation.delegate.MayAnswer(now, heartbeat.FencingToken)
+	token, grantUntil, ok := controller.delegation.delegate.MayReply(now, heartbeat.FencingToken)
 	if _, newestToken := controller.elector.LockHolder(); !ok || newestToken > token {
 		return false
 	}
@@ -76,7 +76,7 @@
 // that were renewed meanwhile.
 func (controller *Controller) recordDelegatedReply(machineName string, sendDeadline, now clock.Micros) {
 	controller.delegation.lastReplyAt[machineName] = now
-	controller.delegation.delegate.RecordAnswer(sendDeadline)
+	controller.delegation.delegate.RecordReply(sendDeadline)
 	if controller.term != nil {
 		controller.term.RecordDelegatedRenewal(machineName, sendDeadline)
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -91,7 +91,7 @@
 		return
 	}
 	controller.log.Info("leadership term ended", "reason", string(reason), "token", controller.term.Token(), "read_revision", controller.view.Revision, "read_age_s", controller.term.ViewAge(clock.Now()).Seconds())
-	controller.delegation.delegate.EndTerm(controller.term.IssuedToken(), controller.term.CancellationsKnownAt())
+	controller.delegation.delegate.GrantToSelf(controller.term.IssuedToken(), controller.term.CancellationsKnownAt())
 	controller.delegation.unconfirmedConstraints = controller.term.Close()
 	controller.term = nil
 	controller.failover.isRebuilding = false
@@ -102,7 +102,7 @@
 // handleStaleToken ends the term whose token has been proven stale, by a fenced write or by a worker that knows
 // a higher token. reason says which.
 func (controller *Controller) handleStaleToken(token uint64, reason endReason) {
-	controller.executeActions(controller.elector.HandleFencedWrite(clock.Now(), token))
+	controller.executeActions(controller.elector.HandleStaleToken(clock.Now(), token))
 	if controller.elector.Phase() != election.Leader {
 		controller.endTerm(reason)
 	}
