--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -64,7 +64,7 @@
 // applyStandbyRecord takes a newer record from the view.
 func (controller *Controller) applyStandbyRecord(record standby.InSyncRecord, version uint64) {
 	if controller.failover.replica != nil {
-		controller.failover.replica.PruneEarlier(record.Token)
+		controller.failover.replica.PruneEarlierReplicas(record.Token)
 	}
 	if controller.term != nil {
 		controller.term.ObserveStandbyRecord(record, version)
--- a/internal/standby/failover_test.go
+++ b/internal/standby/failover_test.go
@@ -37,33 +37,33 @@
 				publisher.AppendDecision(Decision{Started, Placement{runningTask, 1, "m"}})
 			}
 			catchUp(t, publisher, "b", replica)
-			replica.PruneEarlier(record.Token)
+			replica.PruneEarlierReplicas(record.Token)
 		}
 		table, ok := replica.TrustedTable(record, history, "b")
 		if ok != isRecordFirst || ok && (!table.MayBeRunning(runningTask) || table.MayBeRunning("req-000001/4")) {
 			t.Errorf("all record-first: %v, trusted: %v", isRecordFirst, ok)
 		}
 		record = InSyncRecord{Token: 15, Members: record.Members}
-		replica.PruneEarlier(record.Token)
-		if table, ok := replica.TrustedTable(record, history, "b"); !ok || table.Len() != 0 || len(replica.earlier) != 0 {
-			t.Errorf("the last leader's replica is trusted: %v, %d earlier ones are kept", ok, len(replica.earlier))
+		replica.PruneEarlierReplicas(record.Token)
+		if table, ok := replica.TrustedTable(record, history, "b"); !ok || table.Len() != 0 || len(replica.earlierReplicas) != 0 {
+			t.Errorf("the last leader's replica is trusted: %v, %d earlier ones are kept", ok, len(replica.earlierReplicas))
 		}
 	}
 }
 
 // A leader's first record waits for the members of the last one, but not for long: if it named
 // nobody and this leader failed soon, the next one would have no trusted replica.
-func TestFirstRecordWaitsForLastRecordsMembers(t *testing.T) {
+func TestFirstRecordWaitsForMembersOfPreviousRecord(t *testing.T) {
 	replica := NewReplica(7)
 	publisher := NewPublisher(11, []string{"b", "c"})
 	publisher.AppendDecision(Decision{Started, UnconfirmedPlacement("req-000001")})
-	foundRecord := InSyncRecord{Token: 10, Members: []Member{{"b", 7}}}
-	set := NewInSyncSet(publisher, foundRecord, 1, []string{"b", "c"}, 0)
+	previousRecord := InSyncRecord{Token: 10, Members: []Member{{"b", 7}}}
+	set := NewInSyncSet(publisher, previousRecord, 1, []string{"b", "c"}, 0)
 	if record, _, ok := set.BeginWrite(firstRecordTimeout - 1); ok {
 		t.Fatalf("%+v is written before the member is in sync", record)
 	}
-	lateSet := NewInSyncSet(publisher, foundRecord, 1, []string{"b", "c"}, 0)
-	if record, _, ok := lateSet.BeginWrite(firstRecordTimeout); !ok || len(record.Members) != 0 {
+	setAfterTimeout := NewInSyncSet(publisher, previousRecord, 1, []string{"b", "c"}, 0)
+	if record, _, ok := setAfterTimeout.BeginWrite(firstRecordTimeout); !ok || len(record.Members) != 0 {
 		t.Fatalf("%+v, %v after the wait", record, ok)
 	}
 	catchUp(t, publisher, "b", replica)
--- a/internal/standby/in_sync_set.go
+++ b/internal/standby/in_sync_set.go
@@ -60,9 +60,9 @@
 
 // NewInSyncSet starts the set of a leader that has read a record at a version. The record is an
 // earlier leader's, so no start may be sent before one of this leader's own is durable.
-func NewInSyncSet(publisher *Publisher, foundRecord InSyncRecord, foundVersion uint64, memberNames []string, now clock.Micros) *InSyncSet {
+func NewInSyncSet(publisher *Publisher, previousRecord InSyncRecord, previousVersion uint64, memberNames []string, now clock.Micros) *InSyncSet {
 	return &InSyncSet{
-		publisher: publisher, memberNames: memberNames, records: versionedwrite.NewTracker(foundRecord, foundVersion),
+		publisher: publisher, memberNames: memberNames, records: versionedwrite.NewTracker(previousRecord, previousVersion),
 		firstRecordDeadline: now + firstRecordTimeout, laggingSince: map[string]clock.Micros{},
 	}
 }
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -118,9 +118,9 @@
 	case publisher.needsSnapshot(follower):
 		return &Message{Token: publisher.token, Part: publisher.nextPart(follower)}
 	case follower.position.Sequence < publisher.lastSequence:
-		return publisher.buildDecisions(follower)
+		return publisher.buildDecisionMessage(follower)
 	}
-	return publisher.buildDigest(follower, now)
+	return publisher.buildDigestMessage(follower, now)
 }
 
 // needsSnapshot reports whether decisions from the log can't bring the follower up to date.
@@ -129,8 +129,8 @@
 	return !follower.position.IsComplete || follower.position.Sequence < requiredSequence
 }
 
-// buildDecisions makes a message of the next decisions, with the digest if they are the last ones.
-func (publisher *Publisher) buildDecisions(follower *followerState) *Message {
+// buildDecisionMessage makes a message of the next decisions, with the digest if they are the last ones.
+func (publisher *Publisher) buildDecisionMessage(follower *followerState) *Message {
 	follower.transfer = nil
 	after := follower.position.Sequence
 	remaining := publisher.decisionLog[after-publisher.sequenceBeforeLog():]
@@ -143,8 +143,8 @@
 	return message
 }
 
-// buildDigest makes a message that has only the digest; nil if none is due.
-func (publisher *Publisher) buildDigest(follower *followerState, now clock.Micros) *Message {
+// buildDigestMessage makes a message that has only the digest; nil if none is due.
+func (publisher *Publisher) buildDigestMessage(follower *followerState, now clock.Micros) *Message {
 	if !follower.isDigestDue(now) {
 		return nil
 	}
@@ -166,19 +166,19 @@
 // unconfirmed entries, followers of the first version can't, and those whose version is not known
 // yet might not.
 func (publisher *Publisher) isCompatible(follower *followerState) bool {
-	return publisher.table.UnconfirmedCount() == 0 || follower.hasPosition && follower.readsUnconfirmed()
+	return publisher.table.UnconfirmedCount() == 0 || follower.hasPosition && follower.canReadUnconfirmed()
 }
 
-// readsUnconfirmed reports whether the version of the follower's last position has unconfirmed
+// canReadUnconfirmed reports whether the version of the follower's last position has unconfirmed
 // entries.
-func (follower *followerState) readsUnconfirmed() bool {
+func (follower *followerState) canReadUnconfirmed() bool {
 	return follower.position.ProtocolVersion >= firstVersionWithUnconfirmed
 }
 
 // minLogSequence returns the sequence number that a follower has to have reached to be sent
 // decisions from the log; otherwise it gets a snapshot.
 func (publisher *Publisher) minLogSequence(follower *followerState) uint64 {
-	if follower.readsUnconfirmed() {
+	if follower.canReadUnconfirmed() {
 		return 0
 	}
 	return publisher.lastUnconfirmedSequence
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -26,8 +26,8 @@
 
 	assembly *snapshotAssembly
 	// earlier are complete replicas of earlier leaders, oldest first.
-	earlier []earlierReplica
-	dropped DropCounts
+	earlierReplicas []earlierReplica
+	dropped         DropCounts
 }
 
 // earlierReplica is the table of an earlier leader after the last decision received from it. That
@@ -87,25 +87,25 @@
 		return
 	}
 	if replica.isComplete {
-		replica.keepEarlier(earlierReplica{replica.token, replica.table})
+		replica.keepEarlierReplica(earlierReplica{replica.token, replica.table})
 	}
 	replica.token, replica.acknowledgedSequence = token, 0
 	replica.reset()
 }
 
-// keepEarlier keeps a replica that is followed no further. Over the bound the second oldest is
-// dropped: the oldest is that of the record in force as of the last PruneEarlier.
-func (replica *Replica) keepEarlier(earlier earlierReplica) {
-	replica.earlier = append(replica.earlier, earlier)
-	if len(replica.earlier) > maxEarlierReplicas {
-		replica.earlier = slices.Delete(replica.earlier, 1, 2)
+// keepEarlierReplica keeps a replica that is followed no further. Over the bound the second oldest is
+// dropped: the oldest is that of the record in force as of the last PruneEarlierReplicas.
+func (replica *Replica) keepEarlierReplica(earlier earlierReplica) {
+	replica.earlierReplicas = append(replica.earlierReplicas, earlier)
+	if len(replica.earlierReplicas) > maxEarlierReplicas {
+		replica.earlierReplicas = slices.Delete(replica.earlierReplicas, 1, 2)
 	}
 }
 
-// PruneEarlier drops replicas of leaders before the one whose record is in force. They can't be
+// PruneEarlierReplicas drops replicas of leaders before the one whose record is in force. They can't be
 // needed any more, since tokens of the record only grow.
-func (replica *Replica) PruneEarlier(recordToken uint64) {
-	replica.earlier = slices.DeleteFunc(replica.earlier, func(earlier earlierReplica) bool { return earlier.token < recordToken })
+func (replica *Replica) PruneEarlierReplicas(recordToken uint64) {
+	replica.earlierReplicas = slices.DeleteFunc(replica.earlierReplicas, func(earlier earlierReplica) bool { return earlier.token < recordToken })
 }
 
 // reset discards the replica.
@@ -124,14 +124,14 @@
 	case len(message.Decisions) > 0:
 		replica.applyDecisions(message.AfterSequence, message.Decisions)
 	}
-	if check := message.Check; check != nil && replica.contradicts(*check) {
+	if check := message.Check; check != nil && replica.hasDigestMismatch(*check) {
 		replica.dropped.DigestMismatch++
 		replica.reset()
 	}
 }
 
 // contradicts reports whether the replica is as far as the check and has another digest.
-func (replica *Replica) contradicts(check DigestCheck) bool {
+func (replica *Replica) hasDigestMismatch(check DigestCheck) bool {
 	return replica.isComplete && check.Sequence == replica.lastSequence && check.Digest != replica.table.Digest()
 }
 
@@ -183,7 +183,7 @@
 	if replica.token == record.Token {
 		return replica.table, replica.isComplete
 	}
-	for _, earlier := range replica.earlier {
+	for _, earlier := range replica.earlierReplicas {
 		if earlier.token == record.Token {
 			return earlier.table, true
 		}
--- a/internal/standby/simulation_leader_test.go
+++ b/internal/standby/simulation_leader_test.go
@@ -11,38 +11,38 @@
 
 const (
 	jobCount, tasksPerJob = 4, 10
-	// maxUnconfirmedTasks is up to how many unconfirmed tasks of a job are sent one by one.
-	maxUnconfirmedTasks = 3
+	// maxUnconfirmedTaskEntries is up to how many unconfirmed tasks of a job are sent one by one.
+	maxUnconfirmedTaskEntries = 3
 )
 
 // leaderState is what the leader of the simulation has in memory.
 type leaderState struct {
-	leader    string // its name; empty if nobody leads
-	publisher *Publisher
-	inSyncSet *InSyncSet
+	leaderName string // its name; empty if nobody leads
+	publisher  *Publisher
+	inSyncSet  *InSyncSet
 	// known are placements that the leader knows of.
-	known map[Placement]bool
+	knownPlacements map[Placement]bool
 	// unconfirmed are tasks that may be running anywhere.
-	unconfirmed map[string]bool
+	unconfirmedTasks map[string]bool
 	// unconfirmedJobs are jobs that it has sent as one unconfirmed entry.
 	unconfirmedJobs map[string]bool
 	// pendingStarts wait for the followers, by sequence number.
 	pendingStarts map[uint64]Placement
 }
 
-func (state *leaderState) hasLeader() bool { return state.leader != "" }
+func (state *leaderState) hasLeader() bool { return state.leaderName != "" }
 
 // statistics count what the histories have covered.
 type statistics struct {
-	trustedFailovers        int // by a member with a trusted replica
-	chainedFailovers        int // of those, after a leader with unconfirmed tasks
-	earlierReplicaFailovers int // of those, with the replica of a leader before the last one
-	sentStarts              int
+	trustedFailovers         int // by a member with a trusted replica
+	failoversWithUnconfirmed int // of those, after a leader with unconfirmed tasks
+	earlierReplicaFailovers  int // of those, with the replica of a leader before the last one
+	sentStarts               int
 }
 
 func (total *statistics) add(other statistics) {
 	total.trustedFailovers += other.trustedFailovers
-	total.chainedFailovers += other.chainedFailovers
+	total.failoversWithUnconfirmed += other.failoversWithUnconfirmed
 	total.earlierReplicaFailovers += other.earlierReplicaFailovers
 	total.sentStarts += other.sentStarts
 }
@@ -77,8 +77,8 @@
 	mayBeRunning, ok := sim.trustedPredicate(name)
 	if ok {
 		sim.trustedFailovers++
-		if len(sim.unconfirmed) > 0 {
-			sim.chainedFailovers++
+		if len(sim.unconfirmedTasks) > 0 {
+			sim.failoversWithUnconfirmed++
 		}
 		if sim.record.Token != sim.lockToken {
 			sim.earlierReplicaFailovers++
@@ -86,24 +86,24 @@
 	} else {
 		mayBeRunning = func(string) bool { return true }
 	}
-	sim.changeLockHolder(!sim.isOldVersion[name])
-	sim.leader = name
+	sim.changeLockHolder(!sim.isFirstVersion[name])
+	sim.leaderName = name
 	others := slices.DeleteFunc(slices.Clone(sim.memberNames), func(other string) bool { return other == name })
 	sim.publisher = NewPublisher(sim.lockToken, others)
 	sim.inSyncSet = NewInSyncSet(sim.publisher, sim.record, sim.recordVersion, others, sim.now)
-	sim.pendingStarts, sim.known, sim.unconfirmed, sim.unconfirmedJobs = map[uint64]Placement{}, map[Placement]bool{}, map[string]bool{}, map[string]bool{}
+	sim.pendingStarts, sim.knownPlacements, sim.unconfirmedTasks, sim.unconfirmedJobs = map[uint64]Placement{}, map[Placement]bool{}, map[string]bool{}, map[string]bool{}
 	for job := range jobCount {
-		sim.addUnconfirmed(job, mayBeRunning)
+		sim.addUnconfirmedTasks(job, mayBeRunning)
 	}
 }
 
-// addUnconfirmed has a new leader publish which tasks of a job may be running.
-func (sim *simulation) addUnconfirmed(job int, mayBeRunning func(task string) bool) {
+// addUnconfirmedTasks has a new leader publish which tasks of a job may be running.
+func (sim *simulation) addUnconfirmedTasks(job int, mayBeRunning func(task string) bool) {
 	var tasks []string
 	for i := range tasksPerJob {
 		if task := wire.TaskID(jobID(job), i); mayBeRunning(task) {
 			tasks = append(tasks, task)
-			sim.unconfirmed[task] = true
+			sim.unconfirmedTasks[task] = true
 		}
 	}
 	if len(tasks) == tasksPerJob {
@@ -118,17 +118,17 @@
 
 // publishUnconfirmed publishes an unconfirmed entry; the version without them publishes nothing.
 func (sim *simulation) publishUnconfirmed(kind DecisionKind, id string) {
-	if !sim.isOldVersion[sim.leader] {
+	if !sim.isFirstVersion[sim.leaderName] {
 		sim.publisher.AppendDecision(Decision{kind, UnconfirmedPlacement(id)})
 	}
 }
 
 // observeRunning has a heartbeat tell the leader of a placement.
 func (sim *simulation) observeRunning(placement Placement) {
-	if sim.known[placement] {
+	if sim.knownPlacements[placement] {
 		return
 	}
-	sim.known[placement] = true
+	sim.knownPlacements[placement] = true
 	sim.publisher.AppendDecision(Decision{Started, placement})
 	sim.resolveUnconfirmed(placement.Task)
 }
@@ -136,22 +136,22 @@
 // resolveUnconfirmed ends the uncertainty about a task: the leader has proof of where it is, or
 // that it is nowhere.
 func (sim *simulation) resolveUnconfirmed(task string) {
-	if !sim.unconfirmed[task] {
+	if !sim.unconfirmedTasks[task] {
 		return
 	}
-	delete(sim.unconfirmed, task)
+	delete(sim.unconfirmedTasks, task)
 	job := jobOfTask(task)
 	if !sim.unconfirmedJobs[job] {
 		sim.publishUnconfirmed(Ended, task)
 		return
 	}
 	var remaining []string
-	for other := range sim.unconfirmed {
+	for other := range sim.unconfirmedTasks {
 		if jobOfTask(other) == job {
 			remaining = append(remaining, other)
 		}
 	}
-	if len(remaining) > maxUnconfirmedTasks {
+	if len(remaining) > maxUnconfirmedTaskEntries {
 		return
 	}
 	delete(sim.unconfirmedJobs, job)
@@ -163,10 +163,10 @@
 
 // reconcileMachines has every machine report: what no machine has is nowhere.
 func (sim *simulation) reconcileMachines() {
-	for placement := range sim.running {
+	for placement := range sim.runningPlacements {
 		sim.observeRunning(placement)
 	}
-	for task := range sim.unconfirmed {
+	for task := range sim.unconfirmedTasks {
 		sim.resolveUnconfirmed(task)
 	}
 }
@@ -175,17 +175,17 @@
 func (sim *simulation) makeDecision() {
 	switch sim.rng.IntN(8) {
 	case 0, 1:
-		for placement := range sim.running {
-			if sim.rng.IntN(4) == 0 && !sim.known[placement] {
-				delete(sim.running, placement) // it ends with its machine, which the leader does not know of
-			} else if sim.known[placement] {
-				delete(sim.running, placement)
+		for placement := range sim.runningPlacements {
+			if sim.rng.IntN(4) == 0 && !sim.knownPlacements[placement] {
+				delete(sim.runningPlacements, placement) // it ends with its machine, which the leader does not know of
+			} else if sim.knownPlacements[placement] {
+				delete(sim.runningPlacements, placement)
 				sim.publisher.AppendDecision(Decision{Ended, placement})
 			}
 			return
 		}
 	case 2, 3:
-		for placement := range sim.running {
+		for placement := range sim.runningPlacements {
 			sim.observeRunning(placement)
 			return
 		}
@@ -201,12 +201,12 @@
 // placeTask decides on a start of a task that is nowhere as far as the leader knows.
 func (sim *simulation) placeTask() {
 	task := wire.TaskID(jobID(sim.rng.IntN(jobCount)), sim.rng.IntN(tasksPerJob))
-	if sim.unconfirmed[task] {
+	if sim.unconfirmedTasks[task] {
 		return
 	}
-	for _, placements := range []iter.Seq[Placement]{maps.Keys(sim.known), maps.Values(sim.pendingStarts)} {
+	for _, placements := range []iter.Seq[Placement]{maps.Keys(sim.knownPlacements), maps.Values(sim.pendingStarts)} {
 		for placement := range placements {
-			if placement.Task == task && (!sim.known[placement] || sim.running[placement]) {
+			if placement.Task == task && (!sim.knownPlacements[placement] || sim.runningPlacements[placement]) {
 				return
 			}
 		}
@@ -223,12 +223,12 @@
 			continue
 		}
 		delete(sim.pendingStarts, sequence)
-		for other := range sim.running {
+		for other := range sim.runningPlacements {
 			if other.Task == placement.Task {
 				sim.t.Fatalf("%s is started on %s, and runs on %s", placement.Task, placement.Machine, other.Machine)
 			}
 		}
-		sim.running[placement], sim.known[placement] = true, true
+		sim.runningPlacements[placement], sim.knownPlacements[placement] = true, true
 		sim.sentStarts++
 	}
 }
@@ -237,16 +237,16 @@
 // what it knows to be nowhere, publishes nothing, and leaves the record as it is.
 func (sim *simulation) leadWithoutReplicas() {
 	sim.changeLockHolder(false)
-	sim.leader, sim.unconfirmed = "", nil
+	sim.leaderName, sim.unconfirmedTasks = "", nil
 	for range sim.rng.IntN(4) {
 		task := wire.TaskID(jobID(sim.rng.IntN(jobCount)), sim.rng.IntN(tasksPerJob))
 		isRunning := false
-		for placement := range sim.running {
+		for placement := range sim.runningPlacements {
 			isRunning = isRunning || placement.Task == task
 		}
 		if !isRunning {
 			sim.lastAttempt++
-			sim.running[Placement{Task: task, Attempt: uint64(sim.lastAttempt), Machine: "m"}] = true
+			sim.runningPlacements[Placement{Task: task, Attempt: uint64(sim.lastAttempt), Machine: "m"}] = true
 		}
 	}
 }
--- a/internal/standby/simulation_network_test.go
+++ b/internal/standby/simulation_network_test.go
@@ -23,7 +23,7 @@
 type storedRecord struct {
 	record        InSyncRecord
 	recordVersion uint64
-	writes        []recordWrite // sent; may be carried out at any time, and again
+	delayedWrites []recordWrite // sent; may be carried out at any time, and again
 }
 
 type recordWrite struct {
@@ -32,13 +32,13 @@
 	version uint64
 }
 
-// deliverRandom takes some message and some answer out of the network, or copies of them.
-func (sim *simulation) deliverRandom() {
+// deliverRandomMessages takes some message and some answer out of the network, or copies of them.
+func (sim *simulation) deliverRandomMessages() {
 	if n := len(sim.messages); n > 0 {
 		i := sim.rng.IntN(n)
 		delivery := sim.messages[i]
 		isLost, isRepeated := sim.rng.IntN(8) == 0, sim.rng.IntN(5) == 0
-		if !isLost && delivery.to != sim.leader {
+		if !isLost && delivery.to != sim.leaderName {
 			sim.answers = append(sim.answers, inFlightAnswer{delivery.to, sim.publisher, sim.applyToReplica(delivery)})
 		}
 		if !isRepeated {
@@ -48,7 +48,7 @@
 	if n := len(sim.answers); n > 0 {
 		i := sim.rng.IntN(n)
 		answer := sim.answers[i]
-		if sim.rng.IntN(8) > 0 && sim.leader != "" && answer.to == sim.publisher {
+		if sim.rng.IntN(8) > 0 && sim.leaderName != "" && answer.to == sim.publisher {
 			sim.publisher.RecordPosition(answer.from, answer.position)
 		}
 		if sim.rng.IntN(5) > 0 {
@@ -61,7 +61,7 @@
 // send its version; it may be given what was sent to an earlier process of a later version.
 func (sim *simulation) applyToReplica(delivery inFlightMessage) Position {
 	position := sim.replicas[delivery.to].ApplyMessage(delivery.message)
-	if sim.isOldVersion[delivery.to] {
+	if sim.isFirstVersion[delivery.to] {
 		position.ProtocolVersion = 0
 	}
 	return position
@@ -75,14 +75,14 @@
 	sim.recordVersion++
 	sim.record = write.record
 	for _, name := range sim.memberNames {
-		sim.replicas[name].PruneEarlier(sim.record.Token)
+		sim.replicas[name].PruneEarlierReplicas(sim.record.Token)
 	}
 	return true
 }
 
 // writeRecord has the leader write its record, with one of the outcomes that a write may have.
 func (sim *simulation) writeRecord() {
-	if sim.isOldVersion[sim.leader] && len(sim.unconfirmed) > 0 {
+	if sim.isFirstVersion[sim.leaderName] && len(sim.unconfirmedTasks) > 0 {
 		// That version names nobody before everything is confirmed.
 		sim.applyWrite(recordWrite{InSyncRecord{Token: sim.lockToken}, sim.lockToken, sim.recordVersion})
 		sim.inSyncSet.ObserveRecord(sim.record, sim.recordVersion)
@@ -95,7 +95,7 @@
 	write := recordWrite{record, sim.publisher.token, version}
 	switch sim.rng.IntN(4) {
 	case 0: // no response, and carried out late if at all
-		sim.writes = append(sim.writes, write)
+		sim.delayedWrites = append(sim.delayedWrites, write)
 		sim.inSyncSet.MarkWriteUnresolved()
 	case 1: // carried out, no response
 		sim.applyWrite(write)
@@ -118,13 +118,13 @@
 	}
 }
 
-// observeOrRepeatWrite has the leader read the record, and a sent write be carried out (again).
-func (sim *simulation) observeOrRepeatWrite() {
+// observeRecordOrApplyDelayedWrite has the leader read the record, and a sent write be carried out (again).
+func (sim *simulation) observeRecordOrApplyDelayedWrite() {
 	if sim.hasLeader() && sim.rng.IntN(2) == 0 {
 		sim.inSyncSet.ObserveRecord(sim.record, sim.recordVersion)
 	}
-	if len(sim.writes) > 0 && sim.rng.IntN(2) == 0 {
-		sim.applyWrite(sim.writes[sim.rng.IntN(len(sim.writes))])
+	if len(sim.delayedWrites) > 0 && sim.rng.IntN(2) == 0 {
+		sim.applyWrite(sim.delayedWrites[sim.rng.IntN(len(sim.delayedWrites))])
 	}
 }
 
--- a/internal/standby/simulation_test.go
+++ b/internal/standby/simulation_test.go
@@ -32,8 +32,8 @@
 	statistics
 
 	// running are placements that some leader has sent, and that have not ended.
-	running     map[Placement]bool
-	lastAttempt int
+	runningPlacements map[Placement]bool
+	lastAttempt       int
 }
 
 // lockState is the last state of the leader's lock.
@@ -49,32 +49,32 @@
 	lastIncarnation uint64
 	replicas        map[string]*Replica
 	termHistories   map[string]*TermHistory
-	isOldVersion    map[string]bool // of the version without unconfirmed entries
+	isFirstVersion  map[string]bool // of the version without unconfirmed entries
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	sim := &simulation{
-		t: t, rng: rand.New(rand.NewPCG(seed, 5)), running: map[Placement]bool{},
+		t: t, rng: rand.New(rand.NewPCG(seed, 5)), runningPlacements: map[Placement]bool{},
 		cluster: cluster{
 			memberNames: []string{"a", "b", "c"}, replicas: map[string]*Replica{},
-			termHistories: map[string]*TermHistory{}, isOldVersion: map[string]bool{},
+			termHistories: map[string]*TermHistory{}, isFirstVersion: map[string]bool{},
 		},
 	}
 	for _, name := range sim.memberNames {
-		sim.restart(name)
+		sim.restartMember(name)
 	}
 	return sim
 }
 
 // restart replaces a member's process, perhaps by one of another version.
-func (sim *simulation) restart(name string) {
+func (sim *simulation) restartMember(name string) {
 	sim.lastIncarnation++
 	sim.replicas[name] = NewReplica(sim.lastIncarnation)
-	sim.isOldVersion[name] = sim.rng.IntN(5) == 0
+	sim.isFirstVersion[name] = sim.rng.IntN(5) == 0
 	sim.termHistories[name] = &TermHistory{}
 	sim.termHistories[name].ObserveTerm(sim.lockToken, sim.isRecordFirst)
-	if sim.leader == name {
-		sim.leader = ""
+	if sim.leaderName == name {
+		sim.leaderName = ""
 	}
 }
 
@@ -91,7 +91,7 @@
 	if !isTrusted {
 		return nil, false
 	}
-	if sim.isOldVersion[name] {
+	if sim.isFirstVersion[name] {
 		mayBeRunning = func(task string) bool { return table.countByID[task] > 0 }
 		return mayBeRunning, sim.replicas[name].token == sim.record.Token && history.LastToken() == sim.record.Token
 	}
@@ -111,13 +111,13 @@
 			sim.publishMessages()
 		}
 	case 5, 6, 7:
-		sim.deliverRandom()
+		sim.deliverRandomMessages()
 	case 8:
 		if sim.hasLeader() {
 			sim.writeRecord()
 		}
 	case 9:
-		sim.observeOrRepeatWrite()
+		sim.observeRecordOrApplyDelayedWrite()
 	case 10:
 		sim.restartOrResetHistory()
 	case 11:
@@ -136,7 +136,7 @@
 func (sim *simulation) restartOrResetHistory() {
 	switch sim.rng.IntN(18) {
 	case 0, 1, 2:
-		sim.restart(sim.randomMember())
+		sim.restartMember(sim.randomMember())
 	case 3:
 		history := sim.termHistories[sim.randomMember()]
 		history.Reset()
@@ -159,14 +159,14 @@
 // checkInvariants checks what would hold if any member won the lock now.
 func (sim *simulation) checkInvariants() {
 	for _, name := range sim.memberNames {
-		if earlierCount := len(sim.replicas[name].earlier); earlierCount > maxEarlierReplicas {
+		if earlierCount := len(sim.replicas[name].earlierReplicas); earlierCount > maxEarlierReplicas {
 			sim.t.Fatalf("%s keeps %d earlier replicas", name, earlierCount)
 		}
 		mayBeRunning, ok := sim.trustedPredicate(name)
 		if !ok {
 			continue
 		}
-		for placement := range sim.running {
+		for placement := range sim.runningPlacements {
 			if !mayBeRunning(placement.Task) {
 				sim.t.Fatalf("%s would start %s, which is on %s", name, placement.Task, placement.Machine)
 			}
@@ -204,7 +204,7 @@
 		sim.checkAllInSync()
 	}
 	t.Logf("%+v", total)
-	if total.trustedFailovers < *historyCount || total.chainedFailovers < *historyCount/2 ||
+	if total.trustedFailovers < *historyCount || total.failoversWithUnconfirmed < *historyCount/2 ||
 		total.earlierReplicaFailovers < *historyCount/20 || total.sentStarts < 10**historyCount {
 		t.Error("too few cases covered")
 	}
--- a/internal/standby/snapshot_assembly.go
+++ b/internal/standby/snapshot_assembly.go
@@ -23,7 +23,7 @@
 	}
 	assembly := replica.assembly
 	switch {
-	case assembly == nil || !assembly.includes(part) || part.Index > assembly.receivedParts:
+	case assembly == nil || !assembly.isSnapshotOf(part) || part.Index > assembly.receivedParts:
 		replica.dropped.OutOfOrder++
 	case part.Index < assembly.receivedParts:
 		// a repetition
@@ -58,7 +58,7 @@
 }
 
 // includes reports whether a part belongs to the snapshot that is being assembled.
-func (assembly *snapshotAssembly) includes(part *SnapshotPart) bool {
+func (assembly *snapshotAssembly) isSnapshotOf(part *SnapshotPart) bool {
 	return assembly.sequence == part.Sequence && assembly.partCount == part.PartCount
 }
 
