--- a/internal/standby/decision.go
+++ b/internal/standby/decision.go
@@ -1,12 +1,14 @@
 // Package standby replicates the leader's table of placements to the other controllers, so that a
-// new leader need not treat every task as one that may be running anywhere. It is pure:
-// decisions, messages and instants come in, messages come out.
+// new leader does not have to treat every task as one that may be running on any machine. The
+// package does no input or output: the caller passes in decisions, received messages and the
+// current time, and sends the messages that the package returns.
 //
-// Invariant: if the in-sync record names a member, and every leader since that record's was
-// record-first (it sent no start before a record of its own was in force), then the member's
-// replica of the record's leader covers every task that may be running: by a placement of the
-// task, or by an unconfirmed entry of the task or of its job. docs/standby.md, "The argument",
-// has the argument.
+// A leader is record-first if it sends no start before an in-sync record of its own is in force.
+//
+// Invariant: if the in-sync record names a member, and every leader since the one that wrote the
+// record was record-first, then the member's replica of that leader's table covers every task that
+// may be running: by a placement of the task, or by an unconfirmed entry for the task or its job.
+// docs/standby.md, "The argument", proves this.
 package standby
 
 import (
@@ -17,20 +19,20 @@
 )
 
 // Placement is one attempt of a task on one machine. An attempt starts at most once, and never
-// starts again after it has ended. A placement without a machine is an unconfirmed entry, see
+// starts again after it has ended. A placement without a machine is an unconfirmed entry; see
 // UnconfirmedPlacement.
 type Placement struct {
-	// Task is the task's id on the wire; in an unconfirmed entry it may be a job's.
+	// Task is the task's id on the wire. In an unconfirmed entry it may be a job's id instead.
 	Task string
-	// Attempt is the number of the attempt; 0 in an unconfirmed entry.
+	// Attempt is the number of the attempt, or 0 in an unconfirmed entry.
 	Attempt uint64
-	// Machine is the machine's name; empty in an unconfirmed entry.
+	// Machine is the machine's name, or empty in an unconfirmed entry.
 	Machine string
 }
 
-// UnconfirmedPlacement says that a task, or any task of a job, may be running on an unknown
-// machine: an earlier leader may have started it, and the present one has no proof yet that it
-// did not, or that the task has ended.
+// UnconfirmedPlacement returns an unconfirmed entry for a task or a job. The entry means that the
+// task, or any task of the job, may be running on an unknown machine: an earlier leader may have
+// started it, and the present leader has no proof yet that it did not, or that the task has ended.
 func UnconfirmedPlacement(id string) Placement { return Placement{Task: id} }
 
 // IsUnconfirmed reports whether the placement is an unconfirmed entry.
@@ -48,7 +50,7 @@
 	return isTask || wire.IsValidJobID(placement.Task)
 }
 
-// jobOfTask returns the job of a task id, and the id itself if it is a job's.
+// jobOfTask returns the job id in a task id. If it is given a job id, it returns that.
 func jobOfTask(task string) string {
 	job, _, _ := strings.Cut(task, "/")
 	return job
@@ -63,13 +65,13 @@
 	)
 }
 
-// DecisionKind says what a decision does. Its values are sent on the wire.
+// DecisionKind is the kind of change that a decision makes. Its values are sent on the wire.
 type DecisionKind uint8
 
 const (
-	// Started means that the placement may run from now on, or that the unconfirmed entry was added.
+	// Started means that the placement may run from now on, or that an unconfirmed entry was added.
 	Started DecisionKind = iota + 1
-	// Ended means that the placement has provably ended, or that the unconfirmed entry is resolved.
+	// Ended means that the placement is proven to have ended, or that an unconfirmed entry was resolved.
 	Ended
 )
 
@@ -87,10 +89,10 @@
 // isValid reports whether this build knows the kind.
 func (kind DecisionKind) isValid() bool { return kind == Started || kind == Ended }
 
-// Decision is one change of the table.
+// Decision is one change to the table.
 type Decision struct {
-	// Kind says what happens to the placement.
+	// Kind is the kind of change.
 	Kind DecisionKind
-	// Placement is what the decision is about.
+	// Placement is the placement or unconfirmed entry that changes.
 	Placement Placement
 }
--- a/internal/standby/failover_test.go
+++ b/internal/standby/failover_test.go
@@ -45,8 +45,8 @@
 		}
 		record = InSyncRecord{Token: 15, Members: record.Members}
 		replica.PruneEarlierReplicas(record.Token)
-		if table, ok := replica.TrustedTable(record, history, "b"); !ok || table.Len() != 0 || len(replica.earlierReplicas) != 0 {
-			t.Errorf("the last leader's replica is trusted: %v, %d earlier ones are kept", ok, len(replica.earlierReplicas))
+		if table, ok := replica.TrustedTable(record, history, "b"); !ok || table.Len() != 0 || len(replica.earlier) != 0 {
+			t.Errorf("the last leader's replica is trusted: %v, %d earlier ones are kept", ok, len(replica.earlier))
 		}
 	}
 }
--- a/internal/standby/in_sync_set.go
+++ b/internal/standby/in_sync_set.go
@@ -16,13 +16,14 @@
 	Incarnation uint64 `json:"l"`
 }
 
-// InSyncRecord is the durable list of members that are in sync with a leader: their replicas have
-// every start that it has sent. It lives under one key of the key-value store, which is never
-// deleted; each write is conditional on the leader's lock and on the record's version.
+// InSyncRecord is the durable list of the members that are in sync with a leader, that is, whose
+// replicas have every start that the leader has sent. It is stored under one key of the key-value
+// store. The key is never deleted, and each write is conditional on the leader's lock and on the
+// record's version.
 type InSyncRecord struct {
 	// Token is the fencing token of the leader that wrote the record.
 	Token uint64 `json:"t"`
-	// Members are the members in sync, in the order of the settings.
+	// Members are the members in sync, in the order of the members in the settings.
 	Members []Member `json:"s"`
 }
 
@@ -35,31 +36,33 @@
 }
 
 const (
-	// maxInSyncLag is for how long a member in sync may hold up starts before it is left out.
+	// maxInSyncLag is how long an in-sync member may hold up starts before the next record omits it.
 	maxInSyncLag = clock.Second / 2
-	// firstRecordTimeout is how long a new leader waits for the members of the last record before
-	// it writes its own. Added after a first record that named nobody had left the next leader
-	// without a trusted replica, when this one failed soon (docs/standby.md, "Successive
-	// failovers").
+	// firstRecordTimeout is how long a new leader waits for the members of the previous record to
+	// come into sync before it writes its own first record. Without the wait, a first record once
+	// named no members; the leader failed soon after, and the next leader had no trusted replica
+	// (docs/standby.md, "Successive failovers").
 	firstRecordTimeout = 300 * clock.Millisecond
 )
 
-// InSyncSet tracks which members are in sync with a leader. A member is required from before the
-// write that names it is sent until a record without it is durable. So whichever record is in
-// force, its members have every start that was sent.
+// InSyncSet tracks which members are in sync with a leader. A member is required from just before a
+// write of a record that names it is sent until a record without it is durable. A start is sent only
+// once every required member has it, so the members of whichever record is in force have every start
+// that was sent.
 type InSyncSet struct {
 	publisher   *Publisher
 	memberNames []string
 
 	records *versionedwrite.Tracker[InSyncRecord]
-	// firstRecordDeadline is until when the first record waits for the members that the found one
-	// names.
+	// firstRecordDeadline is when the first record stops waiting for the members that the previous
+	// record names.
 	firstRecordDeadline clock.Micros
-	laggingSince        map[string]clock.Micros // since when an in-sync member has lacked a decision
+	// laggingSince is, by name, since when an in-sync member has lacked a decision.
+	laggingSince map[string]clock.Micros
 }
 
-// NewInSyncSet starts the set of a leader that has read a record at a version. The record is an
-// earlier leader's, so no start may be sent before one of this leader's own is durable.
+// NewInSyncSet returns the set of a new leader that has read an earlier leader's record at
+// previousVersion. No start may be sent before a record of this leader's own is durable.
 func NewInSyncSet(publisher *Publisher, previousRecord InSyncRecord, previousVersion uint64, memberNames []string, now clock.Micros) *InSyncSet {
 	return &InSyncSet{
 		publisher: publisher, memberNames: memberNames, records: versionedwrite.NewTracker(previousRecord, previousVersion),
@@ -67,10 +70,10 @@
 	}
 }
 
-// isOwn reports whether a record is this leader's.
+// isOwn reports whether this leader wrote the record.
 func (set *InSyncSet) isOwn(record InSyncRecord) bool { return record.Token == set.publisher.token }
 
-// requiredMembers returns the members of all own records that may be in force.
+// requiredMembers returns the members of all of this leader's records that may be in force.
 func (set *InSyncSet) requiredMembers() []Member {
 	var all []Member
 	for record := range set.records.Possible() {
@@ -84,8 +87,8 @@
 	return slices.Compact(all)
 }
 
-// MaySendStart reports whether the start with this sequence number may be sent: a record of this
-// leader is in force, and every required member has the decision.
+// MaySendStart reports whether the start with this sequence number may be sent: whether a record of
+// this leader is durable, and every required member has the decision.
 func (set *InSyncSet) MaySendStart(sequence uint64) bool {
 	if !set.isOwn(set.records.Confirmed()) {
 		return false
@@ -98,8 +101,8 @@
 	return true
 }
 
-// BeginWrite returns the next record, and the version that its write is conditional on, if a
-// write is needed. The caller has to end it with ConfirmWrite, RejectWrite or
+// BeginWrite returns the next record and the version that its write is conditional on, and reports
+// whether a write is needed. The caller must end the write with ConfirmWrite, RejectWrite or
 // MarkWriteUnresolved.
 func (set *InSyncSet) BeginWrite(now clock.Micros) (InSyncRecord, uint64, bool) {
 	if set.records.IsInFlight() {
@@ -122,7 +125,7 @@
 	return wanted, version, ok
 }
 
-// isMemberAwaited reports whether the leader's first record waits for a member.
+// isMemberAwaited reports whether the leader's first record still waits for a member.
 func (set *InSyncSet) isMemberAwaited(name string, now clock.Micros) bool {
 	record := set.records.Confirmed()
 	if now >= set.firstRecordDeadline || set.isOwn(record) {
@@ -131,9 +134,9 @@
 	return slices.ContainsFunc(record.Members, func(member Member) bool { return member.Name == name })
 }
 
-// checkInSync returns the member's current process and whether the next record is to name it: it
-// has every decision, or the durable record names it and it has not lagged for long. It updates
-// laggingSince.
+// checkInSync returns the member's current process, and whether the next record is to name it. That
+// is so if the process has every decision, or if this leader's durable record names it and it has
+// lagged for less than maxInSyncLag. checkInSync also updates laggingSince.
 func (set *InSyncSet) checkInSync(name string, now clock.Micros) (Member, bool) {
 	member := Member{Name: name, Incarnation: set.publisher.incarnationOf(name)}
 	if set.publisher.HasDecision(member, set.publisher.lastSequence) {
@@ -152,7 +155,8 @@
 	return member, now-since < maxInSyncLag
 }
 
-// InSyncMembers returns the members that the durable record names, if it is this leader's.
+// InSyncMembers returns the members that the durable record names, or nil if the record is an
+// earlier leader's.
 func (set *InSyncSet) InSyncMembers() []Member {
 	record := set.records.Confirmed()
 	if !set.isOwn(record) {
@@ -161,18 +165,18 @@
 	return record.Members
 }
 
-// ConfirmWrite records that the last write is durable, at a version.
+// ConfirmWrite records that the last write was committed at a version.
 func (set *InSyncSet) ConfirmWrite(version uint64) { set.records.RecordCommit(version) }
 
 // RejectWrite records that the last write can never be committed.
 func (set *InSyncSet) RejectWrite() { set.records.RecordRefusal() }
 
-// MarkWriteUnresolved records that the last write may have been committed, or may still be.
+// MarkWriteUnresolved records that the last write may have been committed, or may yet be committed.
 func (set *InSyncSet) MarkWriteUnresolved() { set.records.RecordUnknownOutcome() }
 
-// ObserveRecord records the record as read from the key-value store. Records that it supersedes
-// are dropped at once: as long as they may be in force, starts wait for the members that they
-// name.
+// ObserveRecord records the record as read from the key-value store. It drops the records that the
+// one read supersedes at once, since starts wait for the members of every record that may be in
+// force.
 func (set *InSyncSet) ObserveRecord(record InSyncRecord, version uint64) {
 	if set.records.ObserveStored(record, version) {
 		set.records.DropSuperseded()
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -26,8 +26,8 @@
 
 	assembly *snapshotAssembly
 	// earlier are complete replicas of earlier leaders, oldest first.
-	earlierReplicas []earlierReplica
-	dropped         DropCounts
+	earlier []earlierReplica
+	dropped DropCounts
 }
 
 // earlierReplica is the table of an earlier leader after the last decision received from it. That
@@ -96,16 +96,16 @@
 // keepEarlierReplica keeps a replica that is followed no further. Over the bound the second oldest is
 // dropped: the oldest is that of the record in force as of the last PruneEarlierReplicas.
 func (replica *Replica) keepEarlierReplica(earlier earlierReplica) {
-	replica.earlierReplicas = append(replica.earlierReplicas, earlier)
-	if len(replica.earlierReplicas) > maxEarlierReplicas {
-		replica.earlierReplicas = slices.Delete(replica.earlierReplicas, 1, 2)
+	replica.earlier = append(replica.earlier, earlier)
+	if len(replica.earlier) > maxEarlierReplicas {
+		replica.earlier = slices.Delete(replica.earlier, 1, 2)
 	}
 }
 
 // PruneEarlierReplicas drops replicas of leaders before the one whose record is in force. They can't be
 // needed any more, since tokens of the record only grow.
 func (replica *Replica) PruneEarlierReplicas(recordToken uint64) {
-	replica.earlierReplicas = slices.DeleteFunc(replica.earlierReplicas, func(earlier earlierReplica) bool { return earlier.token < recordToken })
+	replica.earlier = slices.DeleteFunc(replica.earlier, func(earlier earlierReplica) bool { return earlier.token < recordToken })
 }
 
 // reset discards the replica.
@@ -183,7 +183,7 @@
 	if replica.token == record.Token {
 		return replica.table, replica.isComplete
 	}
-	for _, earlier := range replica.earlierReplicas {
+	for _, earlier := range replica.earlier {
 		if earlier.token == record.Token {
 			return earlier.table, true
 		}
--- a/internal/standby/simulation_test.go
+++ b/internal/standby/simulation_test.go
@@ -159,7 +159,7 @@
 // checkInvariants checks what would hold if any member won the lock now.
 func (sim *simulation) checkInvariants() {
 	for _, name := range sim.memberNames {
-		if earlierCount := len(sim.replicas[name].earlierReplicas); earlierCount > maxEarlierReplicas {
+		if earlierCount := len(sim.replicas[name].earlier); earlierCount > maxEarlierReplicas {
 			sim.t.Fatalf("%s keeps %d earlier replicas", name, earlierCount)
 		}
 		mayBeRunning, ok := sim.trustedPredicate(name)
--- a/internal/standby/snapshot_assembly.go
+++ b/internal/standby/snapshot_assembly.go
@@ -1,6 +1,6 @@
 package standby
 
-// snapshotAssembly is a snapshot of which some parts are missing.
+// snapshotAssembly is a snapshot of which the follower has received only some parts so far.
 type snapshotAssembly struct {
 	sequence      uint64
 	digest        uint64
@@ -9,11 +9,11 @@
 	table         *Table
 }
 
-// applyPart takes the next part of a snapshot; the last one makes the replica complete.
+// applyPart takes a part of a snapshot. The last part makes the replica complete.
 func (replica *Replica) applyPart(part *SnapshotPart) {
 	switch {
 	case replica.isComplete && part.Sequence <= replica.lastSequence:
-		return // a repetition
+		return // the replica already has this snapshot's decisions
 	case part.Sequence < replica.acknowledgedSequence:
 		replica.dropped.OutOfOrder++ // see acknowledgedSequence
 		return
@@ -26,7 +26,7 @@
 	case assembly == nil || !assembly.isSnapshotOf(part) || part.Index > assembly.receivedParts:
 		replica.dropped.OutOfOrder++
 	case part.Index < assembly.receivedParts:
-		// a repetition
+		// The part was received before.
 	default:
 		assembly.appendPart(part)
 		if assembly.receivedParts == assembly.partCount {
@@ -35,7 +35,7 @@
 	}
 }
 
-// startAssembly begins the assembly of a snapshot with its first part, unless it has begun.
+// startAssembly begins to assemble the snapshot that the part belongs to, unless that has begun.
 func (replica *Replica) startAssembly(part *SnapshotPart) {
 	if replica.assembly != nil && replica.assembly.sequence == part.Sequence {
 		return
@@ -45,7 +45,8 @@
 	}
 }
 
-// finishAssembly makes the assembled snapshot the replica's table, if the digest is right.
+// finishAssembly makes the assembled snapshot the replica's table. If its digest differs from the
+// leader's, it discards the replica instead.
 func (replica *Replica) finishAssembly() {
 	assembly := replica.assembly
 	replica.assembly = nil
@@ -57,7 +58,7 @@
 	replica.table, replica.lastSequence, replica.isComplete = assembly.table, assembly.sequence, true
 }
 
-// includes reports whether a part belongs to the snapshot that is being assembled.
+// isSnapshotOf reports whether the part belongs to the snapshot that is being assembled.
 func (assembly *snapshotAssembly) isSnapshotOf(part *SnapshotPart) bool {
 	return assembly.sequence == part.Sequence && assembly.partCount == part.PartCount
 }
--- a/internal/standby/snapshot_transfer.go
+++ b/internal/standby/snapshot_transfer.go
@@ -12,8 +12,8 @@
 	receivedParts int       // how many parts the follower has
 }
 
-// nextPart returns the part of a snapshot that a follower needs next. If the log has moved past
-// the snapshot meanwhile, a new one is begun.
+// nextPart returns the part of a snapshot that a follower needs next. It begins a new snapshot if
+// the log no longer reaches back to the one being sent.
 func (publisher *Publisher) nextPart(follower *followerState) *SnapshotPart {
 	transfer, position := follower.transfer, follower.position
 	isUsable := transfer != nil && transfer.sequence >= publisher.sequenceBeforeLog()
@@ -22,9 +22,9 @@
 	case isInProgress && position.SnapshotParts == transfer.receivedParts+1:
 		transfer.advance()
 	case isInProgress && position.SnapshotParts == transfer.receivedParts:
-		// The last message, or its answer, was lost: send the same part again.
+		// The last message or its answer was lost, so the same part is sent again.
 	case isUsable && transfer.receivedParts == 0 && position.SnapshotParts == 0:
-		// Nothing of it has arrived yet.
+		// No part of this snapshot has arrived yet, so the first part is sent again.
 	default:
 		transfer = publisher.newTransfer()
 		follower.transfer = transfer
@@ -35,7 +35,7 @@
 	}
 }
 
-// newTransfer begins a snapshot of the table as it is now.
+// newTransfer returns a transfer of a snapshot of the present table.
 func (publisher *Publisher) newTransfer() *snapshotTransfer {
 	placements := publisher.table.copyPlacements()
 	return &snapshotTransfer{
@@ -44,7 +44,7 @@
 	}
 }
 
-// currentPlacements returns the placements of the part that comes after those the follower has.
+// currentPlacements returns the placements of the first part that the follower does not have.
 func (transfer *snapshotTransfer) currentPlacements() []Placement {
 	var placements []Placement
 	transfer.placements.Ascend(transfer.nextPlacement, func(placement Placement) bool {
@@ -54,7 +54,7 @@
 	return placements
 }
 
-// advance goes on to the next part.
+// advance moves on to the next part.
 func (transfer *snapshotTransfer) advance() {
 	visited := 0
 	transfer.placements.Ascend(transfer.nextPlacement, func(placement Placement) bool {
--- a/internal/standby/table.go
+++ b/internal/standby/table.go
@@ -10,8 +10,10 @@
 // Table is the set of placements that may be running, unconfirmed entries included, with an
 // incremental digest of the set.
 type Table struct {
-	placements       *btree.BTreeG[Placement]
-	countByID        map[string]int // number of placements by task id; unconfirmed entries by the id of the task or job
+	placements *btree.BTreeG[Placement]
+	// countByID is the number of placements by task id. An unconfirmed entry counts under the id of
+	// its task or job.
+	countByID        map[string]int
 	unconfirmedCount int
 	digest           uint64
 }
@@ -25,7 +27,7 @@
 	}
 }
 
-// Apply applies a decision; one that was applied already changes nothing.
+// Apply applies a decision. Applying the same decision again changes nothing.
 func (table *Table) Apply(decision Decision) {
 	switch decision.Kind {
 	case Started:
@@ -59,26 +61,28 @@
 	}
 }
 
-// MayBeRunning reports whether a task may be running: a placement of it is known, or it or its
-// job is unconfirmed.
+// MayBeRunning reports whether a task may be running: whether the table has a placement of it, or an
+// unconfirmed entry for it or its job.
 func (table *Table) MayBeRunning(task string) bool {
 	return table.countByID[task] > 0 || table.countByID[jobOfTask(task)] > 0
 }
 
-// Len returns how many placements there are, unconfirmed entries included.
+// Len returns the number of placements, unconfirmed entries included.
 func (table *Table) Len() int { return table.placements.Len() }
 
-// UnconfirmedCount returns how many tasks, or whole jobs, are unconfirmed.
+// UnconfirmedCount returns the number of unconfirmed entries, each of which is for a task or a whole
+// job.
 func (table *Table) UnconfirmedCount() int { return table.unconfirmedCount }
 
-// Digest is equal for equal sets, whatever the order of the decisions that led to them.
+// Digest returns the digest of the set. Equal sets have equal digests, whatever the order of the
+// decisions that led to them.
 func (table *Table) Digest() uint64 { return table.digest }
 
-// copyPlacements returns the set as it is now, as a copy-on-write copy; taking it is O(1).
+// copyPlacements returns a copy-on-write copy of the present set, in O(1) time.
 func (table *Table) copyPlacements() *btree.BTreeG[Placement] { return table.placements.Copy() }
 
-// placementDigest hashes one placement. The digest of a set is the sum (mod 2^64) of those of its
-// placements, so each change updates it in O(1).
+// placementDigest returns the hash of one placement. The digest of a set is the sum (mod 2^64) of the
+// hashes of its placements, so that each change updates it in O(1) time.
 func placementDigest(placement Placement) uint64 {
 	var hasher xxhash.Digest
 	hasher.Reset()
--- a/internal/standby/term_history.go
+++ b/internal/standby/term_history.go
@@ -2,22 +2,23 @@
 
 import "slices"
 
-// maxTerms is how many leadership terms a member remembers at most; beyond that the older half is
-// dropped. A record of a term that was dropped makes no replica trusted.
+// maxTerms is the maximum number of leadership terms that a member remembers. When it is reached,
+// the older half is dropped. An in-sync record from a dropped term makes no replica trusted.
 const maxTerms = 64
 
-// TermHistory is the gapless sequence of leadership terms that a member has observed.
+// TermHistory is the sequence, without gaps, of the leadership terms that a member has observed.
 type TermHistory struct{ terms []leadershipTerm }
 
-// leadershipTerm is the time for which one leader had the lock.
+// leadershipTerm is the period during which one leader holds the lock.
 type leadershipTerm struct {
 	token uint64
-	// isRecordFirst: the leader sends no start before an in-sync record of its own is in force.
+	// isRecordFirst is whether the leader sends no start before an in-sync record of its own is in
+	// force.
 	isRecordFirst bool
 }
 
-// ObserveTerm appends the lock's present term. It has to be called for each change of the lock,
-// in order, or Reset after a gap.
+// ObserveTerm appends the present term of the lock. The caller must report each change of the lock,
+// in order, and must call Reset first if it may have missed one.
 func (history *TermHistory) ObserveTerm(token uint64, isRecordFirst bool) {
 	if token == history.LastToken() {
 		return
@@ -28,10 +29,10 @@
 	history.terms = append(history.terms, leadershipTerm{token, isRecordFirst})
 }
 
-// Reset forgets all terms; it is called when changes of the lock may have been missed.
+// Reset forgets all terms. The caller uses it when it may have missed changes of the lock.
 func (history *TermHistory) Reset() { history.terms = nil }
 
-// LastToken returns the token of the last term observed; 0 if there is none.
+// LastToken returns the token of the last term observed, or 0 if there is none.
 func (history *TermHistory) LastToken() uint64 {
 	if len(history.terms) == 0 {
 		return 0
@@ -39,7 +40,7 @@
 	return history.terms[len(history.terms)-1].token
 }
 
-// IsRecordFirstSince reports whether the term of a token was observed and every later term was
+// IsRecordFirstSince reports whether the term with this token was observed and every later term was
 // record-first.
 func (history *TermHistory) IsRecordFirstSince(token uint64) bool {
 	for _, term := range slices.Backward(history.terms) {
