--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	// maxLogDecisions is how many decisions are kept for followers that lag; one that lags by
-	// more gets a snapshot.
+	// maxLogDecisions is how many of the last decisions are kept for lagging followers. A follower
+	// that lags by more gets a snapshot.
 	maxLogDecisions = 16 * MaxDecisions
-	// resendTimeout is how long the answer to a message is awaited before the next one is sent.
+	// resendTimeout is how long the leader waits for the answer to a message before it sends the next.
 	resendTimeout = 200 * clock.Millisecond
-	// digestInterval is how often a follower that is up to date is sent the digest.
+	// digestInterval is how often a follower that is up to date is sent the digest. It is also how
+	// often the leader's token is announced to a follower that can't be sent the table.
 	digestInterval = 5 * clock.Second
 )
 
-// Publisher is the leader's side. It keeps a bounded log of decisions and has at most one message
-// in flight to each follower, so that a slow one costs neither time nor memory.
+// Publisher is the leader's side of the replication. It keeps a bounded log of decisions and at most
+// one message in flight to each follower, so that a slow follower costs neither time nor memory.
 type Publisher struct {
 	token        uint64
 	table        *Table
 	lastSequence uint64
-	decisionLog  []Decision // the last ones, up to lastSequence
-	// lastUnconfirmedSequence is the number of the last decision about an unconfirmed entry.
+	decisionLog  []Decision // the last decisions, up to lastSequence
+	// lastUnconfirmedSequence is the sequence number of the last decision about an unconfirmed entry.
 	lastUnconfirmedSequence uint64
 
 	followers map[string]*followerState
 }
 
-// followerState is what the leader knows of a follower.
+// followerState is what the leader knows about a follower.
 type followerState struct {
 	position    Position
 	hasPosition bool
 
-	laggingSince    clock.Micros // since when the replica has been incomplete or behind; 0: up to date
-	isAnswerPending bool         // a message is in flight
+	laggingSince    clock.Micros // since when the replica has been incomplete or behind, or 0 if it is up to date
+	isAnswerPending bool         // whether a message is in flight
 	sentAt          clock.Micros
-	digestSentAt    clock.Micros
+	digestSentAt    clock.Micros // when the last digest without decisions, or the last announcement, was sent
 	transfer        *snapshotTransfer
 }
 
-// NewPublisher starts the side of a leader whose table is empty, with the other members.
+// NewPublisher returns the publisher of a leader whose table is empty, for the given other members.
 func NewPublisher(token uint64, memberNames []string) *Publisher {
 	publisher := &Publisher{token: token, table: NewTable(), followers: map[string]*followerState{}}
 	for _, name := range memberNames {
@@ -50,8 +51,8 @@
 	return publisher
 }
 
-// AppendDecision applies a decision and returns its sequence number. A start must not be sent
-// before InSyncSet.MaySendStart allows that number.
+// AppendDecision applies a decision to the table and returns the decision's sequence number. A start
+// must not be sent before InSyncSet.MaySendStart allows its number.
 func (publisher *Publisher) AppendDecision(decision Decision) uint64 {
 	publisher.table.Apply(decision)
 	publisher.lastSequence++
@@ -70,10 +71,10 @@
 	return publisher.lastSequence - uint64(len(publisher.decisionLog))
 }
 
-// RecordPosition records a follower's position. A position under an earlier token says only which
-// process answers: that follower has nothing of this leader yet, and counts as one of the first
-// protocol version until it answers under this leader's token. A position under a later token is
-// ignored: it answers another leader. A transfer to an earlier process of the member is abandoned.
+// RecordPosition records a follower's position. A position under an earlier leader's token says only
+// which process answers: that follower has nothing of this leader yet, and is treated as one of the
+// first protocol version until it answers under this leader's token. A position under a later token
+// answers another leader and is ignored. A transfer to an earlier process of the member is abandoned.
 func (publisher *Publisher) RecordPosition(name string, position Position) {
 	follower := publisher.followers[name]
 	if follower == nil || position.Token > publisher.token {
@@ -92,7 +93,7 @@
 	follower.position, follower.hasPosition, follower.isAnswerPending = position, true, false
 }
 
-// NextMessage returns the next message to a follower, if one is due.
+// NextMessage returns the next message to a follower, and reports whether one is due.
 func (publisher *Publisher) NextMessage(name string, now clock.Micros) (*Message, bool) {
 	follower := publisher.followers[name]
 	if follower == nil {
@@ -110,7 +111,7 @@
 	return message, true
 }
 
-// buildMessage makes what the follower needs most; nil if that is nothing.
+// buildMessage returns the message that the follower needs most, or nil if none is due.
 func (publisher *Publisher) buildMessage(follower *followerState, now clock.Micros) *Message {
 	switch {
 	case !publisher.isCompatible(follower):
@@ -123,19 +124,20 @@
 	return publisher.buildDigestMessage(follower, now)
 }
 
-// needsSnapshot reports whether decisions from the log can't bring the follower up to date.
+// needsSnapshot reports whether the decisions in the log can't bring the follower up to date.
 func (publisher *Publisher) needsSnapshot(follower *followerState) bool {
 	requiredSequence := max(publisher.sequenceBeforeLog(), publisher.minLogSequence(follower))
 	return !follower.position.IsComplete || follower.position.Sequence < requiredSequence
 }
 
-// buildDecisionMessage makes a message of the next decisions, with the digest if they are the last ones.
+// buildDecisionMessage returns a message with the decisions that the follower lacks next. It includes
+// the digest if they are the last ones.
 func (publisher *Publisher) buildDecisionMessage(follower *followerState) *Message {
 	follower.transfer = nil
 	after := follower.position.Sequence
 	remaining := publisher.decisionLog[after-publisher.sequenceBeforeLog():]
 	next := remaining[:min(len(remaining), MaxDecisions)]
-	// The log is moved in place later, so the message gets a copy.
+	// The message gets a copy, since AppendDecision moves the log's entries in place.
 	message := &Message{Token: publisher.token, AfterSequence: after, Decisions: slices.Clone(next)}
 	if len(next) == len(remaining) {
 		message.Check = publisher.digestCheck()
@@ -143,7 +145,7 @@
 	return message
 }
 
-// buildDigestMessage makes a message that has only the digest; nil if none is due.
+// buildDigestMessage returns a message that has only the digest, or nil if none is due.
 func (publisher *Publisher) buildDigestMessage(follower *followerState, now clock.Micros) *Message {
 	if !follower.isDigestDue(now) {
 		return nil
@@ -152,31 +154,31 @@
 	return &Message{Token: publisher.token, Check: publisher.digestCheck()}
 }
 
-// digestCheck returns the digest of the table as it is now.
+// digestCheck returns the digest of the present table.
 func (publisher *Publisher) digestCheck() *DigestCheck {
 	return &DigestCheck{Sequence: publisher.lastSequence, Digest: publisher.table.Digest()}
 }
 
-// isDigestDue reports whether the last digest or announcement was sent long enough ago.
+// isDigestDue reports whether digestInterval has passed since the last digest or announcement.
 func (follower *followerState) isDigestDue(now clock.Micros) bool {
 	return now-follower.digestSentAt >= digestInterval
 }
 
-// isCompatible reports whether the follower can read the table as it is. As long as there are
-// unconfirmed entries, followers of the first version can't, and those whose version is not known
-// yet might not.
+// isCompatible reports whether the follower is known to be able to read the present table. While the
+// table has unconfirmed entries, followers of the first protocol version can't read it, and those
+// whose version is not known yet may not be able to.
 func (publisher *Publisher) isCompatible(follower *followerState) bool {
 	return publisher.table.UnconfirmedCount() == 0 || follower.hasPosition && follower.canReadUnconfirmed()
 }
 
-// canReadUnconfirmed reports whether the version of the follower's last position has unconfirmed
-// entries.
+// canReadUnconfirmed reports whether the protocol version in the follower's last position has
+// unconfirmed entries.
 func (follower *followerState) canReadUnconfirmed() bool {
 	return follower.position.ProtocolVersion >= firstVersionWithUnconfirmed
 }
 
-// minLogSequence returns the sequence number that a follower has to have reached to be sent
-// decisions from the log; otherwise it gets a snapshot.
+// minLogSequence returns the sequence number that a follower must have reached to be sent decisions
+// from the log. A follower that has not reached it gets a snapshot.
 func (publisher *Publisher) minLogSequence(follower *followerState) uint64 {
 	if follower.canReadUnconfirmed() {
 		return 0
@@ -184,8 +186,8 @@
 	return publisher.lastUnconfirmedSequence
 }
 
-// buildAnnouncement makes a message that has only the leader's token; the answer reveals the
-// follower's protocol version.
+// buildAnnouncement returns a message that has only the leader's token, or nil if none is due. The
+// answer reveals the follower's protocol version.
 func (publisher *Publisher) buildAnnouncement(follower *followerState, now clock.Micros) *Message {
 	if follower.hasPosition && !follower.isDigestDue(now) {
 		return nil
@@ -194,9 +196,9 @@
 	return &Message{Token: publisher.token}
 }
 
-// HasDecision reports whether the replica of a member's process has a decision. One of the first
-// version counts as having none while there are unconfirmed entries: it may have received a
-// snapshot that was sent to an earlier process of the member, of a later version.
+// HasDecision reports whether the replica of a member's process has a decision. While the table has
+// unconfirmed entries, a process of the first protocol version counts as having no decisions: it may
+// have received a snapshot that was sent to an earlier process of the member, of a later version.
 func (publisher *Publisher) HasDecision(member Member, sequence uint64) bool {
 	follower := publisher.followers[member.Name]
 	if follower == nil || !publisher.isCompatible(follower) {
@@ -206,8 +208,8 @@
 	return follower.hasPosition && position.Incarnation == member.Incarnation && position.IsComplete && position.Sequence >= sequence
 }
 
-// LagCount returns how many decisions a member's replica lacks; if it is not complete, one more
-// than there are, so that it never seems up to date.
+// LagCount returns how many decisions a member's replica lacks. For an incomplete replica it returns
+// one more than there are decisions, so that the replica never seems up to date.
 func (publisher *Publisher) LagCount(name string) uint64 {
 	follower := publisher.followers[name]
 	if follower == nil || !follower.position.IsComplete {
@@ -216,7 +218,7 @@
 	return publisher.lastSequence - follower.position.Sequence
 }
 
-// trackLag notes since when a follower has lagged.
+// trackLag records since when a follower has lagged.
 func (publisher *Publisher) trackLag(follower *followerState, now clock.Micros) {
 	switch {
 	case follower.position.IsComplete && follower.position.Sequence == publisher.lastSequence:
@@ -226,7 +228,7 @@
 	}
 }
 
-// LagDuration returns for how long a member's replica has been incomplete or behind.
+// LagDuration returns how long a member's replica has been incomplete or behind.
 func (publisher *Publisher) LagDuration(name string, now clock.Micros) clock.Micros {
 	if follower := publisher.followers[name]; follower != nil && follower.laggingSince != 0 {
 		return now - follower.laggingSince
@@ -234,7 +236,7 @@
 	return 0
 }
 
-// incarnationOf returns the incarnation of a member's last position; 0 if there was none.
+// incarnationOf returns the incarnation in a member's last position, or 0 if there is no position.
 func (publisher *Publisher) incarnationOf(name string) uint64 {
 	if follower := publisher.followers[name]; follower != nil && follower.hasPosition {
 		return follower.position.Incarnation
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -2,16 +2,17 @@
 
 import "slices"
 
-// maxEarlierReplicas bounds how many replicas of earlier leaders are kept.
+// maxEarlierReplicas is the maximum number of replicas of earlier leaders that are kept.
 const maxEarlierReplicas = 3
 
-// Replica is a follower's copy of the leader's table. Decisions after a gap are not applied; the
-// position in the answer shows the leader what is missing, and it sends that again. A replica whose
-// digest differs from the leader's is discarded, and gets a snapshot.
+// Replica is a follower's copy of the leader's table. Decisions that come after a gap are not
+// applied: the position in the answer shows the leader which decisions are missing, and the leader
+// sends them again. A replica whose digest differs from the leader's is discarded, and the leader
+// sends a snapshot.
 //
-// Replicas of earlier leaders are kept as they were, as long as the in-sync record may still be
-// that leader's: a new leader that fails before it has written a record of its own has sent no
-// start.
+// Replicas of earlier leaders are kept unchanged as long as the in-sync record may still be the one
+// that such a leader wrote. They stay valid when a new leader fails before it has written a record
+// of its own, since it has then sent no start.
 type Replica struct {
 	incarnation uint64
 	token       uint64
@@ -19,20 +20,21 @@
 	table        *Table
 	isComplete   bool
 	lastSequence uint64
-	// acknowledgedSequence is the highest sequence number that the leader may believe this
-	// replica to have. After a discard, snapshots older than it are refused: a delayed one would
-	// make the replica complete again, without starts that were sent because of its answer.
+	// acknowledgedSequence is the highest sequence number that the leader may believe this replica
+	// to have. After the replica was discarded, older snapshots are refused. A delayed one would make
+	// the replica complete again, but without starts that the leader sent because this replica had
+	// acknowledged them.
 	acknowledgedSequence uint64
 
 	assembly *snapshotAssembly
-	// earlier are complete replicas of earlier leaders, oldest first.
+	// earlier holds the complete replicas of earlier leaders, oldest first.
 	earlier []earlierReplica
 	dropped DropCounts
 }
 
 // earlierReplica is the table of an earlier leader after the last decision received from it. That
-// leader can't have sent a later start while the member was in sync, since this process has
-// stopped answering it.
+// leader cannot have sent a later start while this member was in sync with it, since this process
+// has stopped answering its messages.
 type earlierReplica struct {
 	token uint64
 	table *Table
@@ -40,26 +42,26 @@
 
 // DropCounts counts messages that were not applied, by reason.
 type DropCounts struct {
-	// Stale: from a leader that has been replaced.
+	// Stale counts messages from a leader that has been replaced.
 	Stale int `json:"older"`
-	// OutOfOrder: decisions after a gap, parts out of order, or parts of a snapshot that is older
-	// than what the replica has acknowledged.
+	// OutOfOrder counts decisions after a gap, parts out of order, and parts of a snapshot that is
+	// older than what the replica has acknowledged.
 	OutOfOrder int `json:"gaps"`
-	// Malformed: over the bounds, or inconsistent.
+	// Malformed counts messages that are over the bounds or inconsistent.
 	Malformed int `json:"malformed"`
-	// ForeignToken: under a token that is not the lock's.
+	// ForeignToken counts messages under a token that is not the lock's.
 	ForeignToken int `json:"foreign"`
-	// DigestMismatch: the digest of the replica, or of a snapshot, differs from the leader's; the
-	// replica was discarded.
+	// DigestMismatch counts how often the digest of the replica, or of a snapshot, differed from the
+	// leader's. The replica was then discarded.
 	DigestMismatch int `json:"differing"`
 }
 
-// NewReplica returns an empty replica of a member's process.
+// NewReplica returns an empty replica for a member's process.
 func NewReplica(incarnation uint64) *Replica {
 	return &Replica{incarnation: incarnation, table: NewTable()}
 }
 
-// ApplyMessage applies a message and returns the position after it, which is the answer.
+// ApplyMessage applies a message and returns the position after it, which is the answer to send.
 func (replica *Replica) ApplyMessage(message *Message) Position {
 	switch {
 	case !message.isValid():
@@ -73,15 +75,15 @@
 	return replica.Position()
 }
 
-// RejectForeignMessage counts a message that must not be applied, since its token is known not to
-// be the lock's, and returns the answer to it.
+// RejectForeignMessage counts a message that must not be applied, since its token is known not to be
+// the lock's. It returns the answer to the message.
 func (replica *Replica) RejectForeignMessage() Position {
 	replica.dropped.ForeignToken++
 	return replica.Position()
 }
 
-// switchLeader starts an empty replica of a newer leader and keeps the present one if it is
-// complete.
+// switchLeader starts an empty replica of a newer leader. It keeps the previous leader's replica if
+// that is complete.
 func (replica *Replica) switchLeader(token uint64) {
 	if token == replica.token {
 		return
@@ -93,8 +95,9 @@
 	replica.reset()
 }
 
-// keepEarlierReplica keeps a replica that is followed no further. Over the bound the second oldest is
-// dropped: the oldest is that of the record in force as of the last PruneEarlierReplicas.
+// keepEarlierReplica keeps a replica that gets no more decisions. Over the bound it drops the second
+// oldest, because the oldest is the replica of the leader whose record was in force at the last call
+// of PruneEarlierReplicas.
 func (replica *Replica) keepEarlierReplica(earlier earlierReplica) {
 	replica.earlier = append(replica.earlier, earlier)
 	if len(replica.earlier) > maxEarlierReplicas {
@@ -102,13 +105,13 @@
 	}
 }
 
-// PruneEarlierReplicas drops replicas of leaders before the one whose record is in force. They can't be
-// needed any more, since tokens of the record only grow.
+// PruneEarlierReplicas drops the replicas of leaders before the one whose record is in force. They
+// can't be needed any more, since the record's token only grows.
 func (replica *Replica) PruneEarlierReplicas(recordToken uint64) {
 	replica.earlier = slices.DeleteFunc(replica.earlier, func(earlier earlierReplica) bool { return earlier.token < recordToken })
 }
 
-// reset discards the replica.
+// reset discards the present leader's replica.
 func (replica *Replica) reset() {
 	replica.table = NewTable()
 	replica.isComplete = false
@@ -130,12 +133,13 @@
 	}
 }
 
-// contradicts reports whether the replica is as far as the check and has another digest.
+// hasDigestMismatch reports whether the replica has reached the check's sequence number with another
+// digest.
 func (replica *Replica) hasDigestMismatch(check DigestCheck) bool {
 	return replica.isComplete && check.Sequence == replica.lastSequence && check.Digest != replica.table.Digest()
 }
 
-// applyDecisions applies those of the decisions that are new; none, if one before them is missing.
+// applyDecisions applies the decisions that are new. It applies none if an earlier decision is missing.
 func (replica *Replica) applyDecisions(afterSequence uint64, decisions []Decision) {
 	lastSequence := afterSequence + uint64(len(decisions))
 	switch {
@@ -143,7 +147,7 @@
 		replica.dropped.OutOfOrder++
 		return
 	case lastSequence <= replica.lastSequence:
-		return // a repetition
+		return // all of them were applied before
 	}
 	for _, decision := range decisions[replica.lastSequence-afterSequence:] {
 		replica.table.Apply(decision)
@@ -151,7 +155,8 @@
 	replica.lastSequence = lastSequence
 }
 
-// Position returns how far the replica has got. Calling it counts as answering the leader.
+// Position returns how far the replica has got. A call counts as an answer to the leader, so it
+// updates acknowledgedSequence.
 func (replica *Replica) Position() Position {
 	if replica.isComplete {
 		replica.acknowledgedSequence = max(replica.acknowledgedSequence, replica.lastSequence)
@@ -166,15 +171,17 @@
 	return position
 }
 
-// Table returns the copy as far as it goes; only TrustedTable says whether it may be relied on.
+// Table returns the replica's present table, complete or not. Only TrustedTable says whether a table
+// may be relied on.
 func (replica *Replica) Table() *Table { return replica.table }
 
-// DropCounts returns how many messages were not applied so far.
+// DropCounts returns the counts of messages that were not applied so far.
 func (replica *Replica) DropCounts() DropCounts { return replica.dropped }
 
-// TrustedTable returns the table if what is durable proves that it covers every task that may be
-// running: the in-sync record names this process of the member, every leader since the record's
-// was record-first, and the replica is of the record's leader.
+// TrustedTable returns the table of the leader that wrote the in-sync record, and reports whether
+// durable facts prove that the table covers every task that may be running. That is so if the record
+// names this process of the member, every leader since the record's was record-first, and this
+// process has a complete replica of the record's leader.
 func (replica *Replica) TrustedTable(record InSyncRecord, history *TermHistory, memberName string) (*Table, bool) {
 	isNamed := record.hasMember(Member{Name: memberName, Incarnation: replica.incarnation})
 	if !isNamed || !history.IsRecordFirstSince(record.Token) {
