--- a/internal/standby/failover_test.go
+++ b/internal/standby/failover_test.go
@@ -7,7 +7,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// catchUp exchanges messages until a replica has every decision of a leader.
+// catchUp exchanges messages until a replica has every decision of the leader.
 func catchUp(t *testing.T, publisher *Publisher, name string, replica *Replica) {
 	t.Helper()
 	for now := clock.Second; now < 10*clock.Second; now += clock.Second {
@@ -18,12 +18,12 @@
 			publisher.RecordPosition(name, replica.ApplyMessage(message))
 		}
 	}
-	t.Fatal("the replica does not come up to date")
+	t.Fatal("the replica still lacks decisions of the leader after 9 exchanges of messages")
 }
 
-// Five leaders fail one after another, each before its in-sync record is written: none of them has
-// sent a start, so the replica of the leader before them stays trusted. With one among them that is
-// not record-first it does not.
+// Five leaders fail one after another, each before its in-sync record is written. As none of them has
+// sent a start, the replica of the leader before them stays trusted. It does not if one of the five
+// is not record-first, since that one may have sent starts without a record.
 func TestReplicaStaysTrustedAcrossRecordFirstTerms(t *testing.T) {
 	const runningTask = "req-000001/3"
 	for _, isRecordFirst := range []bool{true, false} {
@@ -41,18 +41,19 @@
 		}
 		table, ok := replica.TrustedTable(record, history, "b")
 		if ok != isRecordFirst || ok && (!table.MayBeRunning(runningTask) || table.MayBeRunning("req-000001/4")) {
-			t.Errorf("all record-first: %v, trusted: %v", isRecordFirst, ok)
+			t.Errorf("all terms record-first: %v, replica trusted: %v; want the same, and only the running task in a trusted table", isRecordFirst, ok)
 		}
 		record = InSyncRecord{Token: 15, Members: record.Members}
 		replica.PruneEarlierReplicas(record.Token)
 		if table, ok := replica.TrustedTable(record, history, "b"); !ok || table.Len() != 0 || len(replica.earlier) != 0 {
-			t.Errorf("the last leader's replica is trusted: %v, %d earlier ones are kept", ok, len(replica.earlier))
+			t.Errorf("after the last leader's record: replica trusted: %v, want true with an empty table; earlier replicas kept: %d, want 0", ok, len(replica.earlier))
 		}
 	}
 }
 
-// A leader's first record waits for the members of the last one, but not for long: if it named
-// nobody and this leader failed soon, the next one would have no trusted replica.
+// A leader's first record waits for the members of the previous record to come into sync, up to
+// firstRecordTimeout. If it named no members and this leader failed soon, the next leader would have
+// no trusted replica.
 func TestFirstRecordWaitsForMembersOfPreviousRecord(t *testing.T) {
 	replica := NewReplica(7)
 	publisher := NewPublisher(11, []string{"b", "c"})
@@ -60,32 +61,32 @@
 	previousRecord := InSyncRecord{Token: 10, Members: []Member{{"b", 7}}}
 	set := NewInSyncSet(publisher, previousRecord, 1, []string{"b", "c"}, 0)
 	if record, _, ok := set.BeginWrite(firstRecordTimeout - 1); ok {
-		t.Fatalf("%+v is written before the member is in sync", record)
+		t.Fatalf("BeginWrite before firstRecordTimeout, with the previous member not in sync: got %+v, want no write", record)
 	}
 	setAfterTimeout := NewInSyncSet(publisher, previousRecord, 1, []string{"b", "c"}, 0)
 	if record, _, ok := setAfterTimeout.BeginWrite(firstRecordTimeout); !ok || len(record.Members) != 0 {
-		t.Fatalf("%+v, %v after the wait", record, ok)
+		t.Fatalf("BeginWrite at firstRecordTimeout: got %+v, %v, want a record without members", record, ok)
 	}
 	catchUp(t, publisher, "b", replica)
 	if record, _, ok := set.BeginWrite(clock.Millisecond); !ok || len(record.Members) != 1 {
-		t.Fatalf("%+v, %v with the member in sync", record, ok)
+		t.Fatalf("BeginWrite with member b in sync: got %+v, %v, want a record with one member", record, ok)
 	}
 }
 
-// A message with a placement that no leader can have sent is dropped whole, and counted.
+// A message with a placement that no leader can have sent is dropped as a whole, and counted.
 func TestInvalidPlacementsAreRejected(t *testing.T) {
 	for name, placement := range map[string]Placement{
-		"of no task":      {},
-		"with an attempt": {Task: "req-000001", Attempt: 3},
-		"of no job":       {Task: "job 1"},
-		"of no number":    {Task: "req-000001/x"},
-		"no task":         {Machine: "m", Attempt: 1},
+		"unconfirmed entry without an id":            {},
+		"unconfirmed entry with an attempt":          {Task: "req-000001", Attempt: 3},
+		"unconfirmed entry with a malformed job id":  {Task: "job 1"},
+		"unconfirmed entry with a malformed task id": {Task: "req-000001/x"},
+		"placement on a machine without a task":      {Machine: "m", Attempt: 1},
 	} {
 		replica := NewReplica(1)
 		replica.ApplyMessage(&Message{Token: 3, Part: &SnapshotPart{PartCount: 1, Placements: []Placement{UnconfirmedPlacement(wire.TaskID("req-000001", 0)), placement}}})
 		replica.ApplyMessage(&Message{Token: 3, Decisions: []Decision{{Started, placement}}})
 		if replica.isComplete || replica.dropped.Malformed != 2 || replica.table.Len() != 0 {
-			t.Errorf("%s: complete %v, %+v", name, replica.isComplete, replica.dropped)
+			t.Errorf("%s: complete: %v, dropped: %+v; want an incomplete, empty replica and 2 malformed messages", name, replica.isComplete, replica.dropped)
 		}
 	}
 }
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -13,7 +13,7 @@
 	// resendTimeout is how long the leader waits for the answer to a message before it sends the next.
 	resendTimeout = 200 * clock.Millisecond
 	// digestInterval is how often a follower that is up to date is sent the digest. It is also how
-	// often the leader's token is announced to a follower that can't be sent the table.
+	// often the leader's token is announced to a follower that has answered but can't read the table.
 	digestInterval = 5 * clock.Second
 )
 
--- a/internal/standby/simulation_leader_test.go
+++ b/internal/standby/simulation_leader_test.go
@@ -11,32 +11,33 @@
 
 const (
 	jobCount, tasksPerJob = 4, 10
-	// maxUnconfirmedTaskEntries is up to how many unconfirmed tasks of a job are sent one by one.
+	// maxUnconfirmedTaskEntries is the highest number of a job's tasks that are still unconfirmed at
+	// which the leader replaces the job's unconfirmed entry by entries for these tasks.
 	maxUnconfirmedTaskEntries = 3
 )
 
-// leaderState is what the leader of the simulation has in memory.
+// leaderState is what the simulated leader has in memory.
 type leaderState struct {
-	leaderName string // its name; empty if nobody leads
+	leaderName string // the leader's name, or empty if no member leads
 	publisher  *Publisher
 	inSyncSet  *InSyncSet
-	// known are placements that the leader knows of.
+	// knownPlacements are the placements that the leader has learned of, ended ones included.
 	knownPlacements map[Placement]bool
-	// unconfirmed are tasks that may be running anywhere.
+	// unconfirmedTasks are the tasks that may be running on an unknown machine.
 	unconfirmedTasks map[string]bool
-	// unconfirmedJobs are jobs that it has sent as one unconfirmed entry.
+	// unconfirmedJobs are the jobs for which the leader has published one unconfirmed entry.
 	unconfirmedJobs map[string]bool
-	// pendingStarts wait for the followers, by sequence number.
+	// pendingStarts are the starts that wait for the followers, by sequence number.
 	pendingStarts map[uint64]Placement
 }
 
 func (state *leaderState) hasLeader() bool { return state.leaderName != "" }
 
-// statistics count what the histories have covered.
+// statistics counts the cases that the generated histories have covered.
 type statistics struct {
-	trustedFailovers         int // by a member with a trusted replica
-	failoversWithUnconfirmed int // of those, after a leader with unconfirmed tasks
-	earlierReplicaFailovers  int // of those, with the replica of a leader before the last one
+	trustedFailovers         int // failovers to a member with a trusted replica
+	failoversWithUnconfirmed int // trusted failovers after a leader that still had unconfirmed tasks
+	earlierReplicaFailovers  int // trusted failovers with the replica of a leader before the last one
 	sentStarts               int
 }
 
@@ -49,7 +50,8 @@
 
 func jobID(job int) string { return fmt.Sprintf("req-%06d", job) }
 
-// chooseSuccessor returns who leads next: often a member that may trust its replica.
+// chooseSuccessor returns the name of the next leader. About half the time it prefers members with a
+// trusted replica.
 func (sim *simulation) chooseSuccessor() string {
 	start := sim.rng.IntN(len(sim.memberNames))
 	if sim.rng.IntN(2) == 0 {
@@ -63,7 +65,7 @@
 	return sim.memberNames[start]
 }
 
-// changeLockHolder gives the lock to somebody, which every member observes.
+// changeLockHolder starts a new term of the lock, which every member observes.
 func (sim *simulation) changeLockHolder(isRecordFirst bool) {
 	sim.lockToken += 1 + uint64(sim.rng.IntN(3))
 	sim.isRecordFirst = isRecordFirst
@@ -72,7 +74,8 @@
 	}
 }
 
-// electLeader has a member win the lock, and begin with what it may conclude from its replica.
+// electLeader has a member win the lock. The new leader treats as unconfirmed every task that may be
+// running according to its trusted replica, or every task if it has none.
 func (sim *simulation) electLeader(name string) {
 	mayBeRunning, ok := sim.trustedPredicate(name)
 	if ok {
@@ -116,14 +119,15 @@
 	}
 }
 
-// publishUnconfirmed publishes an unconfirmed entry; the version without them publishes nothing.
+// publishUnconfirmed publishes a decision about an unconfirmed entry. A leader of the first protocol
+// version publishes nothing, as it has no such entries.
 func (sim *simulation) publishUnconfirmed(kind DecisionKind, id string) {
 	if !sim.isFirstVersion[sim.leaderName] {
 		sim.publisher.AppendDecision(Decision{kind, UnconfirmedPlacement(id)})
 	}
 }
 
-// observeRunning has a heartbeat tell the leader of a placement.
+// observeRunning has the leader learn from a heartbeat that a placement is running.
 func (sim *simulation) observeRunning(placement Placement) {
 	if sim.knownPlacements[placement] {
 		return
@@ -133,8 +137,8 @@
 	sim.resolveUnconfirmed(placement.Task)
 }
 
-// resolveUnconfirmed ends the uncertainty about a task: the leader has proof of where it is, or
-// that it is nowhere.
+// resolveUnconfirmed ends the uncertainty about a task: the leader has proof of where the task runs,
+// or that it runs nowhere.
 func (sim *simulation) resolveUnconfirmed(task string) {
 	if !sim.unconfirmedTasks[task] {
 		return
@@ -161,7 +165,8 @@
 	sim.publishUnconfirmed(Ended, job)
 }
 
-// reconcileMachines has every machine report: what no machine has is nowhere.
+// reconcileMachines has every machine report its placements. A task that no machine reports is not
+// running.
 func (sim *simulation) reconcileMachines() {
 	for placement := range sim.runningPlacements {
 		sim.observeRunning(placement)
@@ -171,13 +176,13 @@
 	}
 }
 
-// makeDecision has the leader learn of an end or of a placement, or decide on a start.
+// makeDecision has the leader learn of an end or of a running placement, or decide on a start.
 func (sim *simulation) makeDecision() {
 	switch sim.rng.IntN(8) {
 	case 0, 1:
 		for placement := range sim.runningPlacements {
 			if sim.rng.IntN(4) == 0 && !sim.knownPlacements[placement] {
-				delete(sim.runningPlacements, placement) // it ends with its machine, which the leader does not know of
+				delete(sim.runningPlacements, placement) // ends with its machine, before the leader has learned of it
 			} else if sim.knownPlacements[placement] {
 				delete(sim.runningPlacements, placement)
 				sim.publisher.AppendDecision(Decision{Ended, placement})
@@ -198,7 +203,8 @@
 	}
 }
 
-// placeTask decides on a start of a task that is nowhere as far as the leader knows.
+// placeTask decides on a start of a random task, unless the task may be running as far as the leader
+// knows.
 func (sim *simulation) placeTask() {
 	task := wire.TaskID(jobID(sim.rng.IntN(jobCount)), sim.rng.IntN(tasksPerJob))
 	if sim.unconfirmedTasks[task] {
@@ -216,7 +222,7 @@
 	sim.pendingStarts[sim.publisher.AppendDecision(Decision{Started, placement})] = placement
 }
 
-// sendStarts sends the starts that may be sent.
+// sendStarts sends the pending starts that the in-sync set allows.
 func (sim *simulation) sendStarts() {
 	for sequence, placement := range sim.pendingStarts {
 		if !sim.inSyncSet.MaySendStart(sequence) {
@@ -225,7 +231,7 @@
 		delete(sim.pendingStarts, sequence)
 		for other := range sim.runningPlacements {
 			if other.Task == placement.Task {
-				sim.t.Fatalf("%s is started on %s, and runs on %s", placement.Task, placement.Machine, other.Machine)
+				sim.t.Fatalf("start of %s sent for %s while the task runs on %s; want at most one running attempt", placement.Task, placement.Machine, other.Machine)
 			}
 		}
 		sim.runningPlacements[placement], sim.knownPlacements[placement] = true, true
@@ -233,8 +239,8 @@
 	}
 }
 
-// leadWithoutReplicas has a controller of a version without replicas lead for a moment: it starts
-// what it knows to be nowhere, publishes nothing, and leaves the record as it is.
+// leadWithoutReplicas has a controller of a version without replicas lead for a short time. It starts
+// tasks that it knows are not running, publishes nothing, and leaves the in-sync record unchanged.
 func (sim *simulation) leadWithoutReplicas() {
 	sim.changeLockHolder(false)
 	sim.leaderName, sim.unconfirmedTasks = "", nil
--- a/internal/standby/simulation_network_test.go
+++ b/internal/standby/simulation_network_test.go
@@ -2,7 +2,7 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// network has the messages and answers in flight.
+// network holds the messages and answers in flight.
 type network struct {
 	messages []inFlightMessage
 	answers  []inFlightAnswer
@@ -23,7 +23,7 @@
 type storedRecord struct {
 	record        InSyncRecord
 	recordVersion uint64
-	delayedWrites []recordWrite // sent; may be carried out at any time, and again
+	delayedWrites []recordWrite // writes sent without a response; each may be applied at any time, also repeatedly
 }
 
 type recordWrite struct {
@@ -32,7 +32,8 @@
 	version uint64
 }
 
-// deliverRandomMessages takes some message and some answer out of the network, or copies of them.
+// deliverRandomMessages delivers or loses one random message and one random answer. Sometimes it
+// leaves them in flight, so that they are repeated.
 func (sim *simulation) deliverRandomMessages() {
 	if n := len(sim.messages); n > 0 {
 		i := sim.rng.IntN(n)
@@ -57,8 +58,9 @@
 	}
 }
 
-// applyToReplica has a member apply a message. The version without unconfirmed entries does not
-// send its version; it may be given what was sent to an earlier process of a later version.
+// applyToReplica has a member apply a message. A member of the first protocol version does not send
+// its version. Such a member may be given a message that was sent to an earlier process of a later
+// version.
 func (sim *simulation) applyToReplica(delivery inFlightMessage) Position {
 	position := sim.replicas[delivery.to].ApplyMessage(delivery.message)
 	if sim.isFirstVersion[delivery.to] {
@@ -67,7 +69,7 @@
 	return position
 }
 
-// applyWrite carries a write out, if its conditions hold.
+// applyWrite applies a write to the store if its conditions hold, and reports whether it did.
 func (sim *simulation) applyWrite(write recordWrite) bool {
 	if write.token != sim.lockToken || write.version != sim.recordVersion {
 		return false
@@ -80,10 +82,10 @@
 	return true
 }
 
-// writeRecord has the leader write its record, with one of the outcomes that a write may have.
+// writeRecord has the leader write its record if one is due, with a random outcome.
 func (sim *simulation) writeRecord() {
 	if sim.isFirstVersion[sim.leaderName] && len(sim.unconfirmedTasks) > 0 {
-		// That version names nobody before everything is confirmed.
+		// The first version names no members until no task is unconfirmed.
 		sim.applyWrite(recordWrite{InSyncRecord{Token: sim.lockToken}, sim.lockToken, sim.recordVersion})
 		sim.inSyncSet.ObserveRecord(sim.record, sim.recordVersion)
 		return
@@ -94,10 +96,10 @@
 	}
 	write := recordWrite{record, sim.publisher.token, version}
 	switch sim.rng.IntN(4) {
-	case 0: // no response, and carried out late if at all
+	case 0: // no response; applied later, if at all
 		sim.delayedWrites = append(sim.delayedWrites, write)
 		sim.inSyncSet.MarkWriteUnresolved()
-	case 1: // carried out, no response
+	case 1: // applied, but no response
 		sim.applyWrite(write)
 		sim.inSyncSet.MarkWriteUnresolved()
 	default:
@@ -118,7 +120,8 @@
 	}
 }
 
-// observeRecordOrApplyDelayedWrite has the leader read the record, and a sent write be carried out (again).
+// observeRecordOrApplyDelayedWrite has the leader read the record, or has the store apply a delayed
+// write, or both.
 func (sim *simulation) observeRecordOrApplyDelayedWrite() {
 	if sim.hasLeader() && sim.rng.IntN(2) == 0 {
 		sim.inSyncSet.ObserveRecord(sim.record, sim.recordVersion)
@@ -128,7 +131,8 @@
 	}
 }
 
-// healNetwork ends the faults and waits until all members are in sync.
+// healNetwork ends the faults and has the leader and the followers exchange messages for 10 s, in
+// which all members should come into sync.
 func (sim *simulation) healNetwork() {
 	if !sim.hasLeader() {
 		sim.electLeader("a")
@@ -148,7 +152,7 @@
 	}
 }
 
-// writeRecordReliably has the leader write its record, if it needs to, with a response at once.
+// writeRecordReliably has the leader write its record if one is due, with an immediate response.
 func (sim *simulation) writeRecordReliably() {
 	record, version, ok := sim.inSyncSet.BeginWrite(sim.now)
 	if !ok {
--- a/internal/standby/simulation_test.go
+++ b/internal/standby/simulation_test.go
@@ -13,12 +13,12 @@
 	firstSeed    = flag.Uint64("first-seed", 1, "seed of the first generated history")
 )
 
-// simulation is a generated history of leaders, followers and a network that loses, repeats,
-// delays and reorders, with a key-value store that carries writes out late. Members are of three
-// versions: the present one, the one without unconfirmed entries, and one without replicas, which
-// leads for a moment now and then.
+// simulation is a generated history of leaders and followers. Its network loses, repeats, delays and
+// reorders messages, and its key-value store may apply writes late. There are controllers of three
+// versions: the present one, the first one with replicas, which has no unconfirmed entries, and one
+// without replicas, which leads for a short time now and then.
 //
-// Actions draw random numbers while they range over maps, so a seed does not repeat a history.
+// A seed does not reproduce a history, since actions draw random numbers while they range over maps.
 type simulation struct {
 	t   *testing.T
 	rng *rand.Rand
@@ -31,25 +31,25 @@
 	storedRecord
 	statistics
 
-	// running are placements that some leader has sent, and that have not ended.
+	// runningPlacements are the placements whose start was sent by some leader and that have not ended.
 	runningPlacements map[Placement]bool
 	lastAttempt       int
 }
 
-// lockState is the last state of the leader's lock.
+// lockState is the present state of the leader's lock.
 type lockState struct {
-	lockToken uint64 // of the last leader
-	// isRecordFirst: the last leader sends no start without a record of its own.
+	lockToken uint64 // token of the last leader
+	// isRecordFirst is whether the last leader sends no start before a record of its own is in force.
 	isRecordFirst bool
 }
 
-// cluster has the members' processes, by name.
+// cluster holds the state of the members' processes, by name.
 type cluster struct {
 	memberNames     []string
 	lastIncarnation uint64
 	replicas        map[string]*Replica
 	termHistories   map[string]*TermHistory
-	isFirstVersion  map[string]bool // of the version without unconfirmed entries
+	isFirstVersion  map[string]bool // whether the process is of the first version, without unconfirmed entries
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
@@ -66,7 +66,7 @@
 	return sim
 }
 
-// restart replaces a member's process, perhaps by one of another version.
+// restartMember replaces a member's process, possibly by one of another version.
 func (sim *simulation) restartMember(name string) {
 	sim.lastIncarnation++
 	sim.replicas[name] = NewReplica(sim.lastIncarnation)
@@ -78,13 +78,13 @@
 	}
 }
 
-// randomMember draws the name of a member.
+// randomMember returns the name of a random member.
 func (sim *simulation) randomMember() string {
 	return sim.memberNames[sim.rng.IntN(len(sim.memberNames))]
 }
 
-// trustedPredicate returns what a member may conclude if it wins the lock now: which tasks may be
-// running.
+// trustedPredicate returns which tasks may be running according to a member's replica, and whether
+// the member could trust the replica if it won the lock now.
 func (sim *simulation) trustedPredicate(name string) (mayBeRunning func(task string) bool, isTrusted bool) {
 	history := sim.termHistories[name]
 	table, isTrusted := sim.replicas[name].TrustedTable(sim.record, history, name)
@@ -98,7 +98,7 @@
 	return table.MayBeRunning, true
 }
 
-// step advances the time and performs a random action.
+// step advances the time, performs a random action and checks the invariants.
 func (sim *simulation) step() {
 	sim.now += clock.Micros(sim.rng.IntN(150)) * clock.Millisecond
 	switch sim.rng.IntN(12) {
@@ -132,7 +132,7 @@
 	sim.checkInvariants()
 }
 
-// restartOrResetHistory restarts a member, or has one miss changes of the lock, now and then.
+// restartOrResetHistory occasionally restarts a member, or has one miss changes of the lock.
 func (sim *simulation) restartOrResetHistory() {
 	switch sim.rng.IntN(18) {
 	case 0, 1, 2:
@@ -144,23 +144,24 @@
 	}
 }
 
-// injectFault has a version without replicas lead, or corrupts a replica, now and then.
+// injectFault occasionally has a controller without replicas lead, or corrupts a replica.
 func (sim *simulation) injectFault() {
 	switch sim.rng.IntN(100) {
 	case 0:
 		sim.leadWithoutReplicas()
 	case 1:
-		// The digest shows that this replica differs.
+		// The next digest check shows that this replica differs from the leader's table.
 		replica := sim.replicas[sim.randomMember()]
 		replica.table.add(Placement{Task: "none", Attempt: uint64(sim.rng.IntN(1000)), Machine: "none"})
 	}
 }
 
-// checkInvariants checks what would hold if any member won the lock now.
+// checkInvariants checks that no member would start a running task if it won the lock now, and that
+// the earlier replicas and the decision log stay within their bounds.
 func (sim *simulation) checkInvariants() {
 	for _, name := range sim.memberNames {
 		if earlierCount := len(sim.replicas[name].earlier); earlierCount > maxEarlierReplicas {
-			sim.t.Fatalf("%s keeps %d earlier replicas", name, earlierCount)
+			sim.t.Fatalf("member %s keeps %d earlier replicas, want at most maxEarlierReplicas", name, earlierCount)
 		}
 		mayBeRunning, ok := sim.trustedPredicate(name)
 		if !ok {
@@ -168,30 +169,30 @@
 		}
 		for placement := range sim.runningPlacements {
 			if !mayBeRunning(placement.Task) {
-				sim.t.Fatalf("%s would start %s, which is on %s", name, placement.Task, placement.Machine)
+				sim.t.Fatalf("trusted replica of member %s lacks task %s, which is running on %s", name, placement.Task, placement.Machine)
 			}
 		}
 	}
 	if sim.hasLeader() && len(sim.publisher.decisionLog) > maxLogDecisions {
-		sim.t.Fatalf("%d decisions are kept", len(sim.publisher.decisionLog))
+		sim.t.Fatalf("decision log has %d decisions, want at most maxLogDecisions", len(sim.publisher.decisionLog))
 	}
 }
 
-// checkAllInSync checks that all members have come into sync.
+// checkAllInSync checks that all followers are in sync and that no start is pending.
 func (sim *simulation) checkAllInSync() {
 	if len(sim.pendingStarts) > 0 || len(sim.record.Members) != 2 {
-		sim.t.Fatalf("%d starts wait, %v are in sync", len(sim.pendingStarts), sim.record.Members)
+		sim.t.Fatalf("after healing: %d pending starts, want 0; members in sync: %v, want 2", len(sim.pendingStarts), sim.record.Members)
 	}
 	for name := range sim.publisher.followers {
 		if table := sim.replicas[name].table; table.Digest() != sim.publisher.table.Digest() || table.Len() != sim.publisher.table.Len() {
-			sim.t.Fatalf("%s differs", name)
+			sim.t.Fatalf("replica of member %s differs from the leader's table after healing", name)
 		}
 	}
 }
 
-// Over generated histories of lost, repeated, late and reordered messages, answers and writes, of
-// restarts and changes of the leader, no trusted replica lacks a start that was sent; once the
-// network has healed, all members come into sync.
+// Generated histories lose, repeat, delay and reorder messages, answers and writes, restart members and
+// change the leader. No trusted replica may lack a start that was sent, and all members must come into
+// sync once the network has healed.
 func TestTrustedReplicasCoverEverySentStart(t *testing.T) {
 	var total statistics
 	for i := range *historyCount {
@@ -206,6 +207,6 @@
 	t.Logf("%+v", total)
 	if total.trustedFailovers < *historyCount || total.failoversWithUnconfirmed < *historyCount/2 ||
 		total.earlierReplicaFailovers < *historyCount/20 || total.sentStarts < 10**historyCount {
-		t.Error("too few cases covered")
+		t.Error("too few cases covered by the histories; see the counts logged above")
 	}
 }
