--- a/internal/standby/in_sync_set.go
+++ b/internal/standby/in_sync_set.go
@@ -36,7 +36,7 @@
 }
 
 const (
-	// maxInSyncLag is how long an in-sync member may hold up starts before the next record omits it.
+	// maxInSyncLag is how long an in-sync member may delay starts before the next record omits it.
 	maxInSyncLag = clock.Second / 2
 	// firstRecordTimeout is how long a new leader waits for the members of the previous record to
 	// come into sync before it writes its own first record. Without the wait, a first record once
@@ -57,7 +57,7 @@
 	// firstRecordDeadline is when the first record stops waiting for the members that the previous
 	// record names.
 	firstRecordDeadline clock.Micros
-	// laggingSince is, by name, since when an in-sync member has lacked a decision.
+	// laggingSince is the time since which an in-sync member has lacked a decision, by member name.
 	laggingSince map[string]clock.Micros
 }
 
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// maxLogDecisions is how many of the last decisions are kept for lagging followers. A follower
-	// that lags by more gets a snapshot.
+	// maxLogDecisions is the maximum number of decisions that are kept for lagging followers. When it
+	// is reached, the older half is dropped. A follower that lacks a dropped decision gets a snapshot.
 	maxLogDecisions = 16 * MaxDecisions
-	// resendTimeout is how long the leader waits for the answer to a message before it sends the next.
+	// resendTimeout is how long the leader waits for the answer to a message before it sends another.
 	resendTimeout = 200 * clock.Millisecond
 	// digestInterval is how often a follower that is up to date is sent the digest. It is also how
 	// often the leader's token is announced to a follower that has answered but can't read the table.
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -178,10 +178,10 @@
 // DropCounts returns the counts of messages that were not applied so far.
 func (replica *Replica) DropCounts() DropCounts { return replica.dropped }
 
-// TrustedTable returns the table of the leader that wrote the in-sync record, and reports whether
-// durable facts prove that the table covers every task that may be running. That is so if the record
-// names this process of the member, every leader since the record's was record-first, and this
-// process has a complete replica of the record's leader.
+// TrustedTable returns the table of the leader that wrote the in-sync record, and reports whether the
+// record and the term history prove that the table covers every task that may be running. That is so
+// if the record names this process of the member, every leader since the record's was record-first,
+// and this process has a complete replica of the record's leader.
 func (replica *Replica) TrustedTable(record InSyncRecord, history *TermHistory, memberName string) (*Table, bool) {
 	isNamed := record.hasMember(Member{Name: memberName, Incarnation: replica.incarnation})
 	if !isNamed || !history.IsRecordFirstSince(record.Token) {
--- a/internal/standby/simulation_leader_test.go
+++ b/internal/standby/simulation_leader_test.go
@@ -11,8 +11,8 @@
 
 const (
 	jobCount, tasksPerJob = 4, 10
-	// maxUnconfirmedTaskEntries is the highest number of a job's tasks that are still unconfirmed at
-	// which the leader replaces the job's unconfirmed entry by entries for these tasks.
+	// maxUnconfirmedTaskEntries bounds the entries for single tasks that replace a job's unconfirmed
+	// entry. The leader replaces it once no more tasks of the job than this are still unconfirmed.
 	maxUnconfirmedTaskEntries = 3
 )
 
--- a/internal/standby/snapshot_assembly.go
+++ b/internal/standby/snapshot_assembly.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// startAssembly begins to assemble the snapshot that the part belongs to, unless that has begun.
+// startAssembly begins to assemble the snapshot that the part belongs to, unless it has done so already.
 func (replica *Replica) startAssembly(part *SnapshotPart) {
 	if replica.assembly != nil && replica.assembly.sequence == part.Sequence {
 		return
