--- a/internal/commandqueue/queue_test.go
+++ b/internal/commandqueue/queue_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Heartbeats go before results, results before users' requests, and those are bounded: in
-// the queue, and in a batch.
-func TestCommandPriorities(t *testing.T) {
+// Heartbeats run before results, and results before users' requests. Users' requests are bounded, both in
+// the queue and in each batch.
+func TestPrioritiesOrderAndBoundCommands(t *testing.T) {
 	queue := New(900, 2)
 	var got []int
 	for range 3 {
@@ -22,39 +22,39 @@
 		command()
 	}
 	if !slices.IsSorted(got) || len(got) != 9 {
-		t.Fatalf("order %v", got)
+		t.Fatalf("the commands ran in the order of priorities %v, want 9 in ascending order", got)
 	}
 	accepted := 0
 	for queue.Post(User, func() {}) {
 		accepted++
 	}
 	if accepted != minUserCommands {
-		t.Fatalf("%d user commands queued", accepted)
+		t.Fatalf("the queue accepted %d user commands, want minUserCommands", accepted)
 	}
 	if !queue.Post(Heartbeat, func() {}) {
-		t.Fatal("a heartbeat is refused because of users' requests")
+		t.Fatal("Post refused a heartbeat while the limit of user commands was reached")
 	}
 	if batch := queue.TakeBatch(); len(batch) != maxUserCommandsPerBatch+1 {
-		t.Fatalf("a batch of %d", len(batch))
+		t.Fatalf("TakeBatch returned %d commands, want maxUserCommandsPerBatch and one heartbeat", len(batch))
 	}
 }
 
-// Heartbeats of every worker that can be connected fit, with messages of the other
-// members, whatever the limit of sockets is. Added after a queue of 4,096 had been too small.
-func TestQueueLimitsFollowConnections(t *testing.T) {
-	for _, connections := range []int{900, 3500, 4700, 7100, 20000} {
-		queue := New(connections, 2)
-		for i := range connections + 2 {
+// Whatever the socket limit is, the queue has room for the heartbeats of every worker that can be connected
+// and for messages of the other members. A fixed limit of 4,096 was too small.
+func TestQueueLimitsScaleWithSockets(t *testing.T) {
+	for _, maxSockets := range []int{900, 3500, 4700, 7100, 20000} {
+		queue := New(maxSockets, 2)
+		for i := range maxSockets + 2 {
 			if !queue.Post(Heartbeat, func() {}) {
-				t.Fatalf("%d sockets: heartbeat %d is refused", connections, i)
+				t.Fatalf("with %d sockets, Post refused heartbeat %d, want two more accepted than sockets", maxSockets, i)
 			}
 		}
-		users := 0
+		userCommands := 0
 		for queue.Post(User, func() {}) {
-			users++
+			userCommands++
 		}
-		if users < minUserCommands || users < connections/4 {
-			t.Errorf("%d sockets: %d commands of users", connections, users)
+		if userCommands < minUserCommands || userCommands < maxSockets/4 {
+			t.Errorf("with %d sockets, Post accepted %d user commands, want at least minUserCommands and one for four sockets", maxSockets, userCommands)
 		}
 	}
 }
--- a/internal/controller/job_report.go
+++ b/internal/controller/job_report.go
@@ -10,23 +10,23 @@
 	"firwood.dev/firwood/wire"
 )
 
-// SendJobReport replies with which jobs failed or ran late, and why, as far as this member
-// knows. It may be called on any goroutine.
+// SendJobReport replies with the jobs that failed or ran late, and the reasons, as far as this member knows
+// them. It may be called on any goroutine.
 func (controller *Controller) SendJobReport(reply *server.Reply) {
 	controller.postUserRequest(reply, func() { controller.replyJobReport(reply) })
 }
 
 func (controller *Controller) replyJobReport(reply *server.Reply) {
-	wall := int64(clock.WallTime())
+	wallTime := int64(clock.WallTime())
 	evicted := &controller.history.evicted
 	report := jobreport.Report{
 		Member: controller.cfg.Member, Jobs: len(controller.view.Jobs) + evicted.counts.Done + evicted.counts.Cancelled,
 		Done: evicted.counts.Done, Cancelled: evicted.counts.Cancelled,
-		Problems: append([]jobreport.Problem{}, evicted.problems...),
+		Problems: append([]jobreport.Problem{}, evicted.worstProblems...),
 	}
 	for id, record := range controller.view.Jobs {
 		report.CountJob(record.EffectiveState())
-		if problem, isProblem := controller.problemOf(id, record, wall); isProblem {
+		if problem, isProblem := controller.problemOf(id, record, wallTime); isProblem {
 			report.Problems = append(report.Problems, problem)
 		}
 	}
@@ -39,21 +39,21 @@
 	reply.Send(200, body, 0)
 }
 
-// problemOf returns a job's line in the report, and whether it belongs there; wall is the
-// time of day.
-func (controller *Controller) problemOf(id string, record *storeview.Job, wall int64) (problem jobreport.Problem, isProblem bool) {
+// problemOf returns a job's line in the report, and whether the job belongs in the report. wallTime is the
+// current wall-clock time.
+func (controller *Controller) problemOf(id string, record *storeview.Job, wallTime int64) (problem jobreport.Problem, isProblem bool) {
 	if record.HasEnded() {
 		return jobreport.Assess(controller.reportedEndedJob(id, record))
 	}
-	return jobreport.Assess(controller.reportedActiveJob(id, record, clock.Micros(wall)))
+	return jobreport.Assess(controller.reportedActiveJob(id, record, clock.Micros(wallTime)))
 }
 
-// reportedEndedJob is a job that has ended, as its record tells it.
+// reportedEndedJob returns what the report needs of a job that has ended, from the job's record.
 func (controller *Controller) reportedEndedJob(id string, record *storeview.Job) jobreport.Job {
-	submitted := clock.Micros(record.SubmittedAt)
+	submittedAt := clock.Micros(record.SubmittedAt)
 	job := jobreport.Job{
 		ID: id, Class: record.Class, State: record.EffectiveState(),
-		SubmittedAt: submitted, ReleasedAt: max(submitted, clock.Micros(record.ReleasedAt)), FirstStartAt: clock.Micros(record.FirstStartAt), EndedAt: clock.Micros(record.EndedAt),
+		SubmittedAt: submittedAt, ReleasedAt: max(submittedAt, clock.Micros(record.ReleasedAt)), FirstStartAt: clock.Micros(record.FirstStartAt), EndedAt: clock.Micros(record.EndedAt),
 		DeadlineAt: clock.Micros(record.DeadlineAt), Errors: record.Errors, Restarts: record.Restarts,
 	}
 	if job.DeadlineAt == 0 {
@@ -62,12 +62,13 @@
 	return job
 }
 
-// reportedActiveJob is a job that has not ended. Of its tasks the leader alone knows.
-func (controller *Controller) reportedActiveJob(id string, record *storeview.Job, wall clock.Micros) jobreport.Job {
-	submitted := clock.Micros(record.SubmittedAt)
+// reportedActiveJob returns what the report needs of a job that has not ended. Only the leader knows the job's
+// tasks; other members take the numbers from the job's record.
+func (controller *Controller) reportedActiveJob(id string, record *storeview.Job, wallTime clock.Micros) jobreport.Job {
+	submittedAt := clock.Micros(record.SubmittedAt)
 	job := jobreport.Job{
 		ID: id, Class: record.Spec.Class, State: jobreport.StateActive,
-		SubmittedAt: submitted, ReleasedAt: controller.dependencyGraph.ReleasedAt(id, submitted), FirstStartAt: clock.Micros(record.FirstStartAt), EndedAt: wall,
+		SubmittedAt: submittedAt, ReleasedAt: controller.dependencyGraph.ReleasedAt(id, submittedAt), FirstStartAt: clock.Micros(record.FirstStartAt), EndedAt: wallTime,
 		DeadlineAt: controller.activeDeadline(record), Errors: record.Errors, Restarts: record.Restarts,
 		HasProgress: controller.view.Progress[id] != nil,
 	}
@@ -80,14 +81,15 @@
 	if tracked := controller.term.TrackedJob(id); tracked != nil {
 		job.Errors, job.Restarts = tracked.FailureCount, tracked.RestartCount
 		if tracked.FirstStartAt != 0 {
-			job.FirstStartAt = wall - (clock.Now() - tracked.FirstStartAt)
+			job.FirstStartAt = wallTime - (clock.Now() - tracked.FirstStartAt)
 		}
 	}
 	return job
 }
 
-// activeDeadline is the time of day until which a job that has not ended should, 0 if there
-// is none. A service has no deadline of its own.
+// activeDeadline returns the wall-clock time by which a job that has not ended should end, or 0 if there is
+// none. A service has no deadline of its own. For a service, and for a job without a deadline, the objective of
+// the class applies.
 func (controller *Controller) activeDeadline(record *storeview.Job) clock.Micros {
 	deadline := clock.Micros(record.DeadlineAt)
 	if record.Spec.DeadlineSeconds > 0 {
@@ -99,8 +101,8 @@
 	return deadline
 }
 
-// objectiveDeadline is the time of day until which a job ends by its class's objective, 0 if
-// the class has none.
+// objectiveDeadline returns the wall-clock time by which a job should end according to its class's objective,
+// or 0 if the class has none.
 func (controller *Controller) objectiveDeadline(class string, record *storeview.Job) clock.Micros {
 	objective := controller.completionObjective(class)
 	if objective <= 0 {
@@ -109,15 +111,15 @@
 	return clock.Micros(max(record.SubmittedAt, record.ReleasedAt)) + objective
 }
 
-// objectiveFinished is the kind of the objectives for the time until a job has finished.
-const objectiveFinished = "finished"
+// objectiveKindFinished is the kind of objectives for the time until a job has finished.
+const objectiveKindFinished = "finished"
 
-// completionObjective is within which time jobs of a class should finish, by the most
-// lenient of its objectives; 0 if it has none.
+// completionObjective returns the time within which jobs of a class should finish, according to the most
+// lenient of the class's objectives, or 0 if it has none.
 func (controller *Controller) completionObjective(class string) clock.Micros {
 	var longest clock.Micros
 	for _, objective := range controller.cfg.Deployment.Objectives {
-		if objective.Kind == objectiveFinished && objective.Class == class {
+		if objective.Kind == objectiveKindFinished && objective.Class == class {
 			longest = max(longest, clock.FromSeconds(objective.TargetSeconds))
 		}
 	}
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// leaderAdviceWindow is for how long after its last heartbeat a leader is named to workers,
-	// lockAdviceWindow for how long after the store's last answer the lock's holder is.
-	leaderAdviceWindow = 3 * leader.HeartbeatInterval
-	lockAdviceWindow   = 12 * clock.Second
+	// leaderRedirectWindow is how long after a leader's last heartbeat workers are redirected to it.
+	leaderRedirectWindow = 3 * leader.HeartbeatInterval
+	// lockHolderRedirectWindow is how long after the store's last answer workers are redirected to the
+	// known leader even if its heartbeats don't arrive.
+	lockHolderRedirectWindow = 12 * clock.Second
 )
 
-// HandleHeartbeat replies to a worker's heartbeat: with commands as leader, with stops of cancelled
-// tasks as delegate, else with a redirect. It may be called on any goroutine.
+// HandleHeartbeat replies to a worker's heartbeat: a leader with commands, a delegate with stops of
+// cancelled tasks, any other member with a redirect. It may be called on any goroutine.
 func (controller *Controller) HandleHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
 	if !controller.commands.Post(commandqueue.Heartbeat, func() { controller.handleWorkerHeartbeat(heartbeat, reply) }) {
 		controller.metrics.CountReply(metrics.ReplyRefused)
@@ -26,7 +27,7 @@
 }
 
 func (controller *Controller) handleWorkerHeartbeat(heartbeat *wire.Heartbeat, reply *server.Reply) {
-	controller.workers.contactAt[heartbeat.MachineID] = clock.Now()
+	controller.workers.lastContactAt[heartbeat.MachineID] = clock.Now()
 	switch {
 	case controller.term != nil && controller.isEntitled():
 		controller.term.HandleHeartbeat(heartbeat, reply)
@@ -36,9 +37,10 @@
 	}
 }
 
-// replyRedirect sends a worker to the leader, or to try the other members if none is named.
+// replyRedirect redirects a worker to the leader. If the reply names none, the worker tries the other
+// members.
 func (controller *Controller) replyRedirect(reply *server.Reply) {
-	body, err := wire.Redirect{Member: controller.leaderForWorkers(clock.Now())}.MarshalJSON()
+	body, err := wire.Redirect{Member: controller.redirectTarget(clock.Now())}.MarshalJSON()
 	if err != nil {
 		body = []byte("{}")
 	}
@@ -46,18 +48,18 @@
 	reply.Send(421, body, 0)
 }
 
-// leaderForWorkers is the leader that workers are redirected to, "" if none is known well
-// enough. A member that reaches neither the leader nor the store names nobody. Added after a member
-// redirected workers to a leader that was down. It was itself the next one in the workers' lists,
-// so they went back and forth between the two for minutes, while a third member led.
-func (controller *Controller) leaderForWorkers(now clock.Micros) string {
+// redirectTarget returns the leader to which workers are redirected, or "" if none is known well enough.
+// A member that reaches neither the leader nor the store names nobody. Before that rule, a member
+// redirected workers to a leader that was down. The member was also the next one in the workers' lists,
+// so they went back and forth between the two for minutes while a third member led.
+func (controller *Controller) redirectTarget(now clock.Micros) string {
 	known := controller.knownLeader()
 	if known == controller.cfg.Member {
 		return ""
 	}
 	received := controller.members.heartbeats[known]
-	isReachable := received != nil && now-received.ReceivedAt < leaderAdviceWindow
-	if !isReachable && now-controller.store.LastSuccessAt() >= lockAdviceWindow {
+	isReachable := received != nil && now-received.ReceivedAt < leaderRedirectWindow
+	if !isReachable && now-controller.store.LastSuccessAt() >= lockHolderRedirectWindow {
 		return ""
 	}
 	return known
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -8,11 +8,11 @@
 	"firwood.dev/firwood/wire"
 )
 
-// planScaleOut works out what is lacking: what waits is planned in order onto what will be
-// free within one boot time (compare the paper's sequential plan, IV-C, Definition 6), and
-// machines for the rest are requested now.
+// planScaleOut requests the machines that are lacking. It assigns the waiting tasks in queue order
+// to the room that will be free within one boot time (compare the paper's sequential plan, IV-C,
+// Definition 6), and requests machines now for the tasks that find no room.
 func (cycle *schedulingCycle) planScaleOut(queue []*queuedJob, pendingScaleOuts []PendingScaleOut, decision *Decision) {
-	wanted := cycle.unconfirmedReplicas()
+	wanted := cycle.possiblyLostReplicas()
 	for _, queued := range queue {
 		if queued.unplaced > 0 {
 			wanted = append(wanted, queued)
@@ -22,32 +22,32 @@
 		return
 	}
 	forecast := cycle.forecastCapacity(wanted, pendingScaleOuts)
-	var growing []*poolForecast // in the order of need
+	var requestedPools []*poolForecast // in the order in which the queue first needs them
 	for _, queued := range wanted {
 		shortfall := jobShortfall{queued: queued, remaining: queued.unplaced, requiredZone: cycle.chooseZone(queued.job, forecast), tasksByZone: map[string]int{}}
-		shortfall.useForecast(forecast)
+		shortfall.allocateFromForecast(forecast)
 		if shortfall.remaining <= 0 {
 			continue
 		}
 		queued.hasShortfall = true
 		if !queued.job.IsGang() || !cycle.isInfeasible(queued, shortfall.requiredZone) {
-			growing = cycle.requestMachines(&shortfall, forecast, growing)
+			requestedPools = cycle.requestMachines(&shortfall, forecast, requestedPools)
 		}
 	}
-	for _, capacity := range growing {
+	for _, capacity := range requestedPools {
 		decision.ScaleOut = append(decision.ScaleOut, ScaleOutRequest{capacity.pool, capacity.requested})
 	}
 }
 
-// jobShortfall is what of a job has found no room in the forecast yet.
+// jobShortfall tracks which of a job's tasks have found no room in the forecast yet.
 type jobShortfall struct {
 	queued       *queuedJob
 	remaining    int            // tasks without room
-	tasksByZone  map[string]int // tasks with room, of those that waited
-	requiredZone string         // the only zone that the job may use; empty: any
+	tasksByZone  map[string]int // tasks for which this plan has found room
+	requiredZone string         // the only zone that the job may use, or "" if it may use any
 }
 
-// zoneAllowance is how many more of the job's tasks a zone may have.
+// zoneAllowance is how many more tasks of the job may be assigned to a zone.
 func (shortfall *jobShortfall) zoneAllowance(zone string) int {
 	job := shortfall.queued.job
 	if shortfall.queued.isLossUnconfirmed || !job.Spec.SpreadZones {
@@ -56,8 +56,8 @@
 	return min(shortfall.remaining, job.MaxTasksPerZone()-job.CountInZone(zone)-shortfall.tasksByZone[zone])
 }
 
-// useForecast takes what room the forecast has for the job.
-func (shortfall *jobShortfall) useForecast(forecast *capacityForecast) {
+// allocateFromForecast assigns tasks of the job to the room that the forecast has for them.
+func (shortfall *jobShortfall) allocateFromForecast(forecast *capacityForecast) {
 	job := shortfall.queued.job
 	for _, capacity := range forecast.pools {
 		zone := capacity.pool.Zone
@@ -65,45 +65,45 @@
 			continue
 		}
 		if count := shortfall.zoneAllowance(zone); count > 0 {
-			shortfall.place(zone, forecast.allocate(capacity, job.Request, count))
+			shortfall.assignToZone(zone, forecast.allocate(capacity, job.Request, count))
 		}
 	}
 }
 
-func (shortfall *jobShortfall) place(zone string, taskCount int) {
+func (shortfall *jobShortfall) assignToZone(zone string, taskCount int) {
 	shortfall.tasksByZone[zone] += taskCount
 	shortfall.remaining -= taskCount
 }
 
-// requestMachines adds machines to the forecast until the job has room, or as many as one
-// request may ask for; more is left to the next plan. It appends the pools that had not
-// grown yet.
-func (cycle *schedulingCycle) requestMachines(shortfall *jobShortfall, forecast *capacityForecast, growing []*poolForecast) []*poolForecast {
+// requestMachines adds machines to the forecast until all tasks of the job have room. It stops early
+// if no pool is left, or if the cheapest one has reached the limit of one request; the next plan
+// requests the rest. It returns requestedPools with the pools appended that had no request before.
+func (cycle *schedulingCycle) requestMachines(shortfall *jobShortfall, forecast *capacityForecast, requestedPools []*poolForecast) []*poolForecast {
 	job := shortfall.queued.job
-	offers := cycle.pricedPools(job, shortfall.queued.urgency, shortfall.requiredZone, forecast)
+	candidatePools := cycle.pricedPools(job, shortfall.queued.urgency, shortfall.requiredZone, forecast)
 	for shortfall.remaining > 0 {
-		capacity := cycle.cheapestPool(job, offers, func(zone string) bool { return shortfall.zoneAllowance(zone) > 0 })
+		capacity := cycle.cheapestPool(job, candidatePools, func(zone string) bool { return shortfall.zoneAllowance(zone) > 0 })
 		if capacity == nil || capacity.requested >= wire.MaxScaleOutCount {
 			break
 		}
-		// A new machine takes what it can of this job at once.
+		// Tasks of this job fill the new machine at once.
 		expected := expectedMachine{free: cycle.scheduler.MachineCapacity(capacity.pool.Type)}
 		for count := shortfall.zoneAllowance(capacity.pool.Zone); count > 0 && job.Request.IsWithin(expected.free); count-- {
 			expected.free = expected.free.Sub(job.Request)
-			shortfall.place(capacity.pool.Zone, 1)
+			shortfall.assignToZone(capacity.pool.Zone, 1)
 		}
-		forecast.addMachine(capacity, expected)
+		forecast.addExpectedMachine(capacity, expected)
 		if capacity.requested == 0 {
-			growing = append(growing, capacity)
+			requestedPools = append(requestedPools, capacity)
 		}
 		capacity.requested++
 	}
-	return growing
+	return requestedPools
 }
 
-// isInfeasible tells whether a gang needs more machines than can be had: every pool that it
-// may use was found empty, and all machines there would not hold it. Machines requested for a
-// part of it would idle, be deleted and be requested again.
+// isInfeasible reports whether a gang needs more machines than the cloud has: each pool that it may
+// use was found empty, and the existing machines of these pools together cannot hold the gang.
+// Machines requested for a part of the gang would idle, be deleted, and be requested again.
 func (cycle *schedulingCycle) isInfeasible(queued *queuedJob, requiredZone string) bool {
 	taskCapacity := 0
 	for typeName, machineType := range cycle.scheduler.MachineTypes {
@@ -124,10 +124,11 @@
 	return taskCapacity < len(queued.job.Tasks)
 }
 
-// unconfirmedReplicas lists production replicas on suspected machines, or unconfirmed since
-// a failover. Nothing of them may be started yet, but the machines that they will need can
-// boot meanwhile: requested only once the loss is proven, they would be a boot too late.
-func (cycle *schedulingCycle) unconfirmedReplicas() []*queuedJob {
+// possiblyLostReplicas lists the services with production replicas that are on suspected machines or
+// are unconfirmed since a failover. The replicas may not be started again yet, but the machines
+// that they will need can boot in the meantime. If those were requested only once the loss is
+// confirmed, the replicas would start one boot time later.
+func (cycle *schedulingCycle) possiblyLostReplicas() []*queuedJob {
 	var out []*queuedJob
 	for _, job := range cycle.tracker.Jobs {
 		if !job.IsService() || job.Cancelled || job.Priority != 0 {
@@ -141,8 +142,8 @@
 	return out
 }
 
-// possiblyLostCount counts tasks of a job that are unconfirmed though machines have had the
-// time for a heartbeat, or on a suspected machine.
+// possiblyLostCount counts the tasks of a job that are on suspected machines, and those that are
+// still unconfirmed although this term is old enough for each machine to have sent a heartbeat.
 func (cycle *schedulingCycle) possiblyLostCount(job *allocation.Job) int {
 	lostCount := 0
 	if cycle.now-cycle.scheduler.TermStartedAt > cycle.scheduler.HeartbeatWindow {
