--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { seed.Main(m) }
 
-// historyStep is one record of a generated history: the submission or the end of a job.
-type historyStep struct {
+// historyRecord is one record of a generated history: the submission or the end of a job.
+type historyRecord struct {
 	job         Job
 	stage       stage
 	completedAt clock.Micros
@@ -22,9 +22,9 @@
 
 // drawHistory draws jobs that depend on earlier ones, and their ends by id: no job is done before
 // its dependencies, or after a cancellation of one of them.
-func drawHistory(t *rapid.T) (jobs []Job, outcomes map[string]historyStep) {
+func drawHistory(t *rapid.T) (jobs []Job, outcomes map[string]historyRecord) {
 	count := rapid.IntRange(1, 14).Draw(t, "jobs")
-	outcomes = map[string]historyStep{}
+	outcomes = map[string]historyRecord{}
 	isCancelled := map[string]bool{}
 	isDone := map[string]bool{}
 	for i := range count {
@@ -38,19 +38,19 @@
 			}
 		}
 		jobs = append(jobs, job)
-		ready := true
+		isReady := true
 		for _, dependency := range job.DependsOn {
-			ready = ready && isDone[dependency]
+			isReady = isReady && isDone[dependency]
 			isCancelled[job.ID] = isCancelled[job.ID] || isCancelled[dependency]
 		}
 		switch end := rapid.IntRange(0, 3).Draw(t, "end"); {
 		case isCancelled[job.ID]:
 		case end == 0:
 			isCancelled[job.ID] = true
-			outcomes[job.ID] = historyStep{job: job, stage: stageCancelled}
-		case end < 3 && ready:
+			outcomes[job.ID] = historyRecord{job: job, stage: stageCancelled}
+		case end < 3 && isReady:
 			isDone[job.ID] = true
-			outcomes[job.ID] = historyStep{job: job, stage: stageDone, completedAt: clock.Micros(200 + 10*i)}
+			outcomes[job.ID] = historyRecord{job: job, stage: stageDone, completedAt: clock.Micros(200 + 10*i)}
 		}
 	}
 	return jobs, outcomes
@@ -64,7 +64,7 @@
 }
 
 // expectedStates derives the states of all jobs directly from the definitions.
-func expectedStates(jobs []Job, outcomes map[string]historyStep) map[string]expectedState {
+func expectedStates(jobs []Job, outcomes map[string]historyRecord) map[string]expectedState {
 	states := map[string]expectedState{}
 	for _, job := range jobs {
 		state := expectedState{releasedAt: job.SubmittedAt, isCancelled: outcomes[job.ID].stage == stageCancelled}
@@ -91,38 +91,38 @@
 }
 
 // drawRecords draws the records of a history in any order; one of them may be repeated.
-func drawRecords(t *rapid.T, jobs []Job, outcomes map[string]historyStep) []historyStep {
-	var steps []historyStep
+func drawRecords(t *rapid.T, jobs []Job, outcomes map[string]historyRecord) []historyRecord {
+	var historyRecords []historyRecord
 	for _, job := range jobs {
 		// The record of a job that has ended doesn't list its dependencies any more.
 		if outcome, hasOutcome := outcomes[job.ID]; hasOutcome {
-			steps = append(steps, outcome)
+			historyRecords = append(historyRecords, outcome)
 			if rapid.Bool().Draw(t, "its submission is seen too") {
-				steps = append(steps, historyStep{job: job, stage: stageUnfinished})
+				historyRecords = append(historyRecords, historyRecord{job: job, stage: stageUnfinished})
 			}
 		} else {
-			steps = append(steps, historyStep{job: job, stage: stageUnfinished})
+			historyRecords = append(historyRecords, historyRecord{job: job, stage: stageUnfinished})
 		}
 	}
-	steps = rapid.Permutation(steps).Draw(t, "order")
-	if count := len(steps); count > 0 && rapid.Bool().Draw(t, "repeat") {
-		steps = append(steps, steps[rapid.IntRange(0, count-1).Draw(t, "repeated")])
+	historyRecords = rapid.Permutation(historyRecords).Draw(t, "order")
+	if count := len(historyRecords); count > 0 && rapid.Bool().Draw(t, "repeat") {
+		historyRecords = append(historyRecords, historyRecords[rapid.IntRange(0, count-1).Draw(t, "repeated")])
 	}
-	return steps
+	return historyRecords
 }
 
 // applyRecord gives a record to the graph and checks its effects; isReleased has the jobs that were
 // released so far.
-func applyRecord(t *rapid.T, graph *Graph, step historyStep, isReleased map[string]bool) {
+func applyRecord(t *rapid.T, graph *Graph, record historyRecord, isReleased map[string]bool) {
 	t.Helper()
 	var effects Effects
-	switch step.stage {
+	switch record.stage {
 	case stageUnfinished:
-		effects = graph.AddJob(step.job)
+		effects = graph.AddJob(record.job)
 	case stageDone:
-		effects = graph.RecordCompletion(step.job.ID, step.completedAt)
+		effects = graph.RecordCompletion(record.job.ID, record.completedAt)
 	case stageCancelled:
-		effects = graph.RecordCancellation(step.job.ID)
+		effects = graph.RecordCancellation(record.job.ID)
 	}
 	for _, id := range effects.Released {
 		if isReleased[id] || graph.IsBlocked(id) {
@@ -130,8 +130,8 @@
 		}
 		isReleased[id] = true
 	}
-	if slices.Contains(effects.Cancelled, step.job.ID) && step.stage != stageUnfinished {
-		t.Fatalf("%s is listed as cancelled with itself", step.job.ID)
+	if slices.Contains(effects.Cancelled, record.job.ID) && record.stage != stageUnfinished {
+		t.Fatalf("%s is listed as cancelled with itself", record.job.ID)
 	}
 }
 
@@ -164,8 +164,8 @@
 		jobs, outcomes := drawHistory(t)
 		graph := New()
 		isReleased := map[string]bool{}
-		for _, step := range drawRecords(t, jobs, outcomes) {
-			applyRecord(t, graph, step, isReleased)
+		for _, record := range drawRecords(t, jobs, outcomes) {
+			applyRecord(t, graph, record, isReleased)
 		}
 		wantStates := expectedStates(jobs, outcomes)
 		for _, job := range jobs {
@@ -188,7 +188,7 @@
 
 // In a chain of thousands of jobs, and with thousands of dependents of one job, each record has
 // its effect on every job exactly once.
-func TestLongChainsAndWideFans(t *testing.T) {
+func TestEffectsReachEachJobOnceInLongChainsAndWideFans(t *testing.T) {
 	const length = 5000
 	id := func(i int) string { return fmt.Sprintf("req-%d", i) }
 	chain := New()
--- a/internal/dag/urgency.go
+++ b/internal/dag/urgency.go
@@ -24,13 +24,13 @@
 	for len(work) > 0 {
 		jobNode, _ := heap.Pop(&work).(*node)
 		jobNode.isQueued = false
-		demanded := jobNode.urgency.forDependencies(jobNode.estimatedRunTime)
+		inherited := jobNode.urgency.forDependencies(jobNode.estimatedRunTime)
 		for _, dependency := range jobNode.dependencies {
 			dependencyNode := graph.nodes[dependency]
 			if dependencyNode == nil || dependencyNode.hasEnded() {
 				continue // nil: it was done and has been removed
 			}
-			merged := dependencyNode.urgency.Merge(demanded)
+			merged := dependencyNode.urgency.Merge(inherited)
 			if merged == dependencyNode.urgency {
 				continue
 			}
--- a/internal/health/faults.go
+++ b/internal/health/faults.go
@@ -34,7 +34,7 @@
 	// PauseMachine gives it no tasks for a moment: failures are widespread, so the machine
 	// itself is probably not at fault.
 	PauseMachine
-	// DrainMachine gives it no tasks, and deletes it once it is empty; see TakeRetry for one
+	// DrainMachine gives it no tasks, and deletes it once it is empty; see BeginRetry for one
 	// that does not become empty.
 	DrainMachine
 )
@@ -74,8 +74,8 @@
 		*faults = Faults{firstAt: now, retryAt: faults.retryAt}
 	}
 	faults.lastAt = now
-	isHeldBack := machine.Draining || now < machine.BackoffUntil
-	if isHeldBack || len(machine.FailedJobs) < minFaultyJobs {
+	isDrainedOrPaused := machine.Draining || now < machine.BackoffUntil
+	if isDrainedOrPaused || len(machine.FailedJobs) < minFaultyJobs {
 		return NoFaultAction, 0
 	}
 	if now-faults.firstAt < SharedFaultWindow && isWidespread() {
@@ -101,12 +101,12 @@
 // drained for faults.
 func (faults *Faults) RetryAt() clock.Micros { return faults.retryAt }
 
-// TakeRetry reports whether a faulty machine that can't be deleted, since it still has tasks, is
+// BeginRetry reports whether a faulty machine that can't be deleted, since it still has tasks, is
 // to get new ones again. It reports that once per drain, and failures count anew from then on, for
 // which the caller has to clear machine.FailedJobs and machine.Draining. Added after two of a
 // fleet's three machines, for which the cloud had no replacement, got no tasks for eight minutes
 // because replicas went on running on them without a fault (docs/incidents/all-faulty.md).
-func (faults *Faults) TakeRetry(machine *allocation.Machine, now clock.Micros) bool {
+func (faults *Faults) BeginRetry(machine *allocation.Machine, now clock.Micros) bool {
 	if faults.retryAt == 0 || now < faults.retryAt || machine.IsIdle() {
 		return false
 	}
--- a/internal/health/handover.go
+++ b/internal/health/handover.go
@@ -53,8 +53,8 @@
 	ReadAge clock.Micros
 	// LeaderTTL is how long the lock lasts without renewal.
 	LeaderTTL clock.Micros
-	// HasSettled tells that workers had the time to come back since the process's last stall.
-	HasSettled bool
+	// HasWaitedForWorkers tells that workers had the time to come back since the process's last stall.
+	HasWaitedForWorkers bool
 	// ContactingOther is how many workers contact the member with the most of them.
 	ContactingOther uint32
 }
@@ -65,9 +65,9 @@
 	switch {
 	case reach.HasCandidate && reach.ReadAge > 2*reach.LeaderTTL:
 		return StoreUnreadable
-	case reach.HadMostReachable && reach.HasCandidate && reach.Fleet.IsNoneReachable():
+	case reach.HadMostReachable && reach.HasCandidate && reach.Fleet.IsFullyUnreachable():
 		return NoneReachable
-	case reach.HasSettled && reach.Fleet.IsOnlyLeaderCutOff(reach.ContactingOther):
+	case reach.HasWaitedForWorkers && reach.Fleet.IsOnlyLeaderCutOff(reach.ContactingOther):
 		return OnlyLeaderCutOff
 	default:
 		return KeepLeadership
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -9,15 +9,15 @@
 import "firwood.dev/firwood/internal/clock"
 
 const (
-	// lateHeartbeatFactor is the longest interval between two heartbeats of a worker that
+	// longestIntervalFactor is the longest interval between two heartbeats of a worker that
 	// runs well, as a multiple of the configured one.
-	lateHeartbeatFactor = 1.25
-	// slowMessage is how much later than the longest interval a heartbeat comes that was slow
+	longestIntervalFactor = 1.25
+	// slowHeartbeatDelay is how much later than the longest interval a heartbeat comes that was slow
 	// once, as after one retransmission.
-	slowMessage = 1500 * clock.Millisecond
-	// lostReply is how much later it comes if the reply to the one before was lost, so that the
+	slowHeartbeatDelay = 1500 * clock.Millisecond
+	// lostReplyDelay is how much later it comes if the reply to the one before was lost, so that the
 	// worker waited for it in vain and was redirected to the leader by another member.
-	lostReply = 6500 * clock.Millisecond
+	lostReplyDelay = 6500 * clock.Millisecond
 	// probeSlack is what a heartbeat without any delay of that kind may take; a later one is
 	// overdue, which costs a probe and nothing else.
 	probeSlack = clock.Second / 2
@@ -35,6 +35,6 @@
 
 // NewTiming derives the times from the configured heartbeat interval of workers.
 func NewTiming(heartbeatIntervalSeconds float64) Timing {
-	longest := clock.FromSeconds(lateHeartbeatFactor * heartbeatIntervalSeconds)
-	return Timing{HeartbeatWindow: longest + slowMessage, SuspectTimeout: longest + lostReply, ProbeAfter: longest + probeSlack}
+	longest := clock.FromSeconds(longestIntervalFactor * heartbeatIntervalSeconds)
+	return Timing{HeartbeatWindow: longest + slowHeartbeatDelay, SuspectTimeout: longest + lostReplyDelay, ProbeAfter: longest + probeSlack}
 }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -26,7 +26,7 @@
 // A store that answers no reads comes first; a leader whose workers have had no time to
 // come back does not conclude anything from how many are reachable.
 func TestHandOverReasons(t *testing.T) {
-	cutOff := LeaderReach{Fleet: Reachability{Up: 20}, HasCandidate: true, LeaderTTL: 4 * clock.Second, ReadAge: clock.Second, HasSettled: true, ContactingOther: 12}
+	cutOff := LeaderReach{Fleet: Reachability{Up: 20}, HasCandidate: true, LeaderTTL: 4 * clock.Second, ReadAge: clock.Second, HasWaitedForWorkers: true, ContactingOther: 12}
 	with := func(change func(*LeaderReach)) LeaderReach {
 		reach := cutOff
 		change(&reach)
@@ -38,13 +38,13 @@
 		want  HandOverReason
 	}{
 		{"others are contacted", cutOff, OnlyLeaderCutOff},
-		{"not settled", with(func(reach *LeaderReach) { reach.HasSettled = false }), KeepLeadership},
+		{"not settled", with(func(reach *LeaderReach) { reach.HasWaitedForWorkers = false }), KeepLeadership},
 		{"no reads", with(func(reach *LeaderReach) { reach.ReadAge = 9 * clock.Second; reach.HadMostReachable = true }), StoreUnreadable},
-		{"reads are a little late", with(func(reach *LeaderReach) { reach.ReadAge = 8 * clock.Second; reach.HasSettled = false }), KeepLeadership},
+		{"reads are a little late", with(func(reach *LeaderReach) { reach.ReadAge = 8 * clock.Second; reach.HasWaitedForWorkers = false }), KeepLeadership},
 		{"no reads, no candidate", with(func(reach *LeaderReach) {
 			reach.ReadAge, reach.HasCandidate, reach.ContactingOther = 9*clock.Second, false, 0
 		}), KeepLeadership},
-		{"all at once", with(func(reach *LeaderReach) { reach.HadMostReachable, reach.HasSettled = true, false }), NoneReachable},
+		{"all at once", with(func(reach *LeaderReach) { reach.HadMostReachable, reach.HasWaitedForWorkers = true, false }), NoneReachable},
 	} {
 		if got := test.reach.HandOverReason(); got != test.want {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
@@ -53,22 +53,22 @@
 }
 
 // Each enum value has a text of its own, and one that is none says so.
-func TestEnumTexts(t *testing.T) {
+func TestEnumTextsAreUnique(t *testing.T) {
 	seen := map[string]bool{}
-	add := func(text string) {
+	checkText := func(text string) {
 		if seen[text] || text == "" || strings.Contains(text, "(") {
 			t.Errorf("text %q is empty, stands twice or has no name", text)
 		}
 		seen[text] = true
 	}
 	for verdict := Keep; verdict <= Reclaimed; verdict++ {
-		add(verdict.String())
+		checkText(verdict.String())
 	}
 	for reason := StoreUnreadable; reason <= OnlyLeaderCutOff; reason++ {
-		add(reason.String())
+		checkText(reason.String())
 	}
 	for action := PauseMachine; action <= DrainMachine; action++ {
-		add(action.String())
+		checkText(action.String())
 	}
 	if got := (Reclaimed + 1).String(); got != "Verdict(8)" {
 		t.Errorf("unknown verdict: %q", got)
@@ -80,19 +80,19 @@
 func TestFaultsPauseBeforeDrain(t *testing.T) {
 	var faults Faults
 	machine := &allocation.Machine{MachineRestrictions: allocation.MachineRestrictions{FailedJobs: map[string]bool{"a": true}}}
-	always := func() bool { return true }
+	isWidespread := func() bool { return true }
 	now := 1000 * clock.Second
-	if action, _ := faults.RecordFailure(machine, always, now); action != NoFaultAction {
+	if action, _ := faults.RecordFailure(machine, isWidespread, now); action != NoFaultAction {
 		t.Fatalf("one job: %v", action)
 	}
 	machine.FailedJobs["b"] = true
 	for _, pause := range []clock.Micros{2 * clock.Second, 4 * clock.Second, 8 * clock.Second} {
-		action, until := faults.RecordFailure(machine, always, now)
+		action, until := faults.RecordFailure(machine, isWidespread, now)
 		if action != PauseMachine || until != now+pause {
 			t.Fatalf("%v until %d, want a pause of %d", action, until-now, pause)
 		}
 		machine.BackoffUntil = until
-		if action, _ := faults.RecordFailure(machine, always, until-1); action != NoFaultAction {
+		if action, _ := faults.RecordFailure(machine, isWidespread, until-1); action != NoFaultAction {
 			t.Fatalf("while it pauses: %v", action)
 		}
 		now = until
@@ -101,18 +101,18 @@
 		t.Error("failures count for the window of shared faults")
 	}
 	now += SharedFaultWindow
-	if action, _ := faults.RecordFailure(machine, always, now); action != DrainMachine || faults.RetryAt() != now+RetryBackoff {
+	if action, _ := faults.RecordFailure(machine, isWidespread, now); action != DrainMachine || faults.RetryAt() != now+RetryBackoff {
 		t.Fatalf("after the window: %v, retry at %d", action, faults.RetryAt()-now)
 	}
 }
 
 // Misses before the way to the zone was open don't count, an answer ends a row of misses,
 // and a machine that missed a probe is probed again sooner than the others.
-func TestProbeBookkeeping(t *testing.T) {
+func TestProbeMissesAreCountedInARow(t *testing.T) {
 	timing := NewTiming(2)
 	var probes Probes
 	now := 1000 * clock.Second
-	probes.Begin(now)
+	probes.RecordSent(now)
 	probes.RecordMiss(now, now+1)
 	if probes.Misses != 0 {
 		t.Fatal("counted a miss while the way was closed")
@@ -135,13 +135,13 @@
 	if probes.NeedsProbe(now, 0, now+timing.ProbeAfter-1, timing) || !probes.NeedsProbe(now, 0, now+timing.ProbeAfter, timing) {
 		t.Error("an overdue heartbeat doesn't lead to a probe")
 	}
-	if !IsResultTooLate(now, now+ProbeTimeout+probeLateness+1) || IsResultTooLate(now, now+ProbeTimeout+probeLateness) {
+	if !IsResultTooLate(now, now+ProbeTimeout+maxProbeResultDelay+1) || IsResultTooLate(now, now+ProbeTimeout+maxProbeResultDelay) {
 		t.Error("the lateness of results is not bounded as said")
 	}
 }
 
 // A zone answers while two in three of its machines do.
-func TestZoneAnswers(t *testing.T) {
+func TestZoneAnswersIfTwoThirdsOfMachinesDo(t *testing.T) {
 	since := 1000 * clock.Second
 	for _, test := range []struct {
 		answered, missed, silent int
--- a/internal/health/probe.go
+++ b/internal/health/probe.go
@@ -7,9 +7,9 @@
 	ProbeInterval = 2 * clock.Second
 	// ProbeTimeout bounds a probe; a lost packet is retransmitted within it.
 	ProbeTimeout = 1500 * clock.Millisecond
-	// probeLateness is how long after ProbeTimeout the controller may handle a probe's result
+	// maxProbeResultDelay is how long after ProbeTimeout the controller may handle a probe's result
 	// for a miss to count; see IsResultTooLate.
-	probeLateness = clock.Second / 2
+	maxProbeResultDelay = clock.Second / 2
 	// missRetryInterval is how soon a machine is probed again after a miss.
 	missRetryInterval = clock.Second / 2
 	// allowedProbeMisses is how many probes in a row may stay unanswered.
@@ -25,8 +25,8 @@
 	firstMissSentAt clock.Micros // the first probe of the misses in a row
 }
 
-// Begin records that a probe is sent.
-func (probes *Probes) Begin(now clock.Micros) { probes.IsInFlight, probes.sentAt = true, now }
+// RecordSent records that a probe is sent.
+func (probes *Probes) RecordSent(now clock.Micros) { probes.IsInFlight, probes.sentAt = true, now }
 
 // RecordAnswer records the answer to a probe.
 func (probes *Probes) RecordAnswer(now clock.Micros) { probes.Misses, probes.AnsweredAt = 0, now }
@@ -54,7 +54,9 @@
 
 // IsResultTooLate reports whether the controller itself was too late to handle a probe's result,
 // as after a stall: then a missing answer says nothing about the machine.
-func IsResultTooLate(sentAt, now clock.Micros) bool { return now-sentAt > ProbeTimeout+probeLateness }
+func IsResultTooLate(sentAt, now clock.Micros) bool {
+	return now-sentAt > ProbeTimeout+maxProbeResultDelay
+}
 
 // NeedsProbe reports whether a machine, with or without replicas, is probed out of turn: it left a
 // probe unanswered, or its heartbeat is overdue, and the last probe is long enough ago.
@@ -62,11 +64,11 @@
 	if probes.Misses > 0 {
 		return probes.silence(lastHeartbeatAt, now) >= missRetryInterval
 	}
-	return now-max(lastHeartbeatAt, resumedAt) >= timing.ProbeAfter && probes.IsRoundDue(lastHeartbeatAt, now)
+	return now-max(lastHeartbeatAt, resumedAt) >= timing.ProbeAfter && probes.IsRoundProbeDue(lastHeartbeatAt, now)
 }
 
-// IsRoundDue reports whether a machine with replicas is due in its turn.
-func (probes *Probes) IsRoundDue(lastHeartbeatAt, now clock.Micros) bool {
+// IsRoundProbeDue reports whether a machine with replicas is due in its turn.
+func (probes *Probes) IsRoundProbeDue(lastHeartbeatAt, now clock.Micros) bool {
 	return probes.silence(lastHeartbeatAt, now) >= ProbeInterval
 }
 
@@ -81,9 +83,9 @@
 
 // Add counts one machine of the zone. since is when the first unanswered probe was sent to the
 // machine in question; another one counts as answering only if it was heard some time after that.
-func (answers *ZoneAnswers) Add(probes *Probes, lastHeartbeatAt, since clock.Micros) {
+func (answers *ZoneAnswers) Add(probes *Probes, lastHeartbeatAt, firstMissSentAt clock.Micros) {
 	switch {
-	case max(probes.AnsweredAt, lastHeartbeatAt) > since+ProbeTimeout/2:
+	case max(probes.AnsweredAt, lastHeartbeatAt) > firstMissSentAt+ProbeTimeout/2:
 		answers.answered++
 	case probes.Misses > 0:
 		answers.missed++
--- a/internal/health/reachability.go
+++ b/internal/health/reachability.go
@@ -4,8 +4,8 @@
 // within the heartbeat window.
 type Reachability struct{ Up, Reachable int }
 
-// minUpForVerdict is how many machines have to be up for their silence to mean something.
-const minUpForVerdict = 3
+// minUpMachines is how many machines have to be up for their silence to mean something.
+const minUpMachines = 3
 
 // Add counts one machine that is up.
 func (counts *Reachability) Add(isReachable bool) {
@@ -24,10 +24,10 @@
 // IsOnlyLeaderCutOff tells whether the fault is on the leader's side: fewer than a quarter
 // of the machines reach it, while at least a third contact another member.
 func (counts Reachability) IsOnlyLeaderCutOff(contactingOther uint32) bool {
-	return counts.Up >= minUpForVerdict && 4*counts.Reachable < counts.Up && 3*int(contactingOther) >= counts.Up
+	return counts.Up >= minUpMachines && 4*counts.Reachable < counts.Up && 3*int(contactingOther) >= counts.Up
 }
 
-// IsNoneReachable tells whether no machine is reachable, of enough for that to mean something.
-func (counts Reachability) IsNoneReachable() bool {
-	return counts.Up >= minUpForVerdict && counts.Reachable == 0
+// IsFullyUnreachable tells whether no machine is reachable, of enough for that to mean something.
+func (counts Reachability) IsFullyUnreachable() bool {
+	return counts.Up >= minUpMachines && counts.Reachable == 0
 }
--- a/internal/health/reachability_test.go
+++ b/internal/health/reachability_test.go
@@ -5,7 +5,7 @@
 // A leader that is cut off from the workers hands over. One of whose machines many are reclaimed at
 // once, or whose workers contact no other member, does not; and where no machine is reachable none
 // is deleted.
-func TestReachability(t *testing.T) {
+func TestReachabilityThresholds(t *testing.T) {
 	for _, test := range []struct {
 		counts                                Reachability
 		contactingOther                       uint32
--- a/internal/health/verdict.go
+++ b/internal/health/verdict.go
@@ -16,9 +16,9 @@
 	// LeaseExpired means: its lease has run out, so its tasks have ended for certain, and it is
 	// to be deleted.
 	LeaseExpired
-	// LeaseExpiredBooting means: no task can be on it, but it stays: it was requested in this
+	// LeaseExpiredWhileBooting means: no task can be on it, but it stays: it was requested in this
 	// term and may yet boot.
-	LeaseExpiredBooting
+	LeaseExpiredWhileBooting
 	// NeverBooted means: it has taken too long to boot.
 	NeverBooted
 	// Suspected means: its heartbeats are missing while most of its zone is reachable.
@@ -35,7 +35,7 @@
 // String is the verdict as logged.
 func (verdict Verdict) String() string {
 	names := [...]string{
-		Keep: "keep", LeaseExpired: "lease expired", LeaseExpiredBooting: "lease expired while booting", NeverBooted: "did not boot",
+		Keep: "keep", LeaseExpired: "lease expired", LeaseExpiredWhileBooting: "lease expired while booting", NeverBooted: "did not boot",
 		Suspected: "suspected", Drained: "drained", ReclaimedIdle: "reclaimed, idle", Reclaimed: "reclaimed",
 	}
 	if int(verdict) >= len(names) {
@@ -77,7 +77,7 @@
 			// missing from the cloud's list: it would count as booting for ever.
 			return LeaseExpired
 		}
-		return LeaseExpiredBooting
+		return LeaseExpiredWhileBooting
 	case !hasBooted && term.isBootOverdue(machine, evidence, now):
 		return NeverBooted
 	case hasBooted && evidence.Silence > term.SuspectTimeout && evidence.Zone.IsMostlyReachable():
--- a/internal/leader/faulty_machines.go
+++ b/internal/leader/faulty_machines.go
@@ -45,7 +45,7 @@
 // retryFaultyMachine lets a drained faulty machine get tasks again once its retry is due, if the machine
 // cannot be deleted yet since it still has tasks.
 func (term *Term) retryFaultyMachine(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
-	if !machineInfo.faults.TakeRetry(machine, now) {
+	if !machineInfo.faults.BeginRetry(machine, now) {
 		return
 	}
 	term.environment.Log.Info("retrying faulty machine", "machine", machine.Name)
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -34,11 +34,11 @@
 // members.
 func (term *Term) reach(fleet health.Reachability, now clock.Micros) health.LeaderReach {
 	reach := health.LeaderReach{
-		Fleet:            fleet,
-		HadMostReachable: term.liveness.hadMostReachable,
-		ReadAge:          now - max(term.entitlement.viewAge.LastReadSentAt(), term.liveness.resumedAt),
-		LeaderTTL:        term.environment.LeaderTTL,
-		HasSettled:       now-term.liveness.resumedAt >= term.environment.Timing.SuspectTimeout,
+		Fleet:               fleet,
+		HadMostReachable:    term.liveness.hadMostReachable,
+		ReadAge:             now - max(term.entitlement.viewAge.LastReadSentAt(), term.liveness.resumedAt),
+		LeaderTTL:           term.environment.LeaderTTL,
+		HasWaitedForWorkers: now-term.liveness.resumedAt >= term.environment.Timing.SuspectTimeout,
 	}
 	for _, received := range term.host.Heartbeats() {
 		if now-received.ReceivedAt < candidateWindow && received.Heartbeat.IsStoreReachable {
--- a/internal/leader/machine_health.go
+++ b/internal/leader/machine_health.go
@@ -79,7 +79,7 @@
 		term.tracker.ExpireLease(machine, now)
 		term.logDeletion(machine, verdict.String(), evidence.Silence)
 		term.deleteMachine(machine)
-	case health.LeaseExpiredBooting:
+	case health.LeaseExpiredWhileBooting:
 		term.tracker.ExpireLease(machine, now)
 	case health.NeverBooted, health.Suspected:
 		term.logDeletion(machine, verdict.String(), evidence.Silence)
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -55,13 +55,13 @@
 
 // isRoundProbeDue reports whether a machine has replicas and is due for a probe in its turn.
 func isRoundProbeDue(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) bool {
-	return machine.ReplicaCount() > 0 && machineInfo.probes.IsRoundDue(machine.LastHeartbeatAt, now)
+	return machine.ReplicaCount() > 0 && machineInfo.probes.IsRoundProbeDue(machine.LastHeartbeatAt, now)
 }
 
 // probeMachine requests a machine's status from its worker.
 func (term *Term) probeMachine(machine *allocation.Machine, machineInfo *machineState, now clock.Micros) {
 	term.probing.inFlight++
-	machineInfo.probes.Begin(now)
+	machineInfo.probes.RecordSent(now)
 	host := term.workerHost(machine, machineInfo)
 	name := machine.Name
 	term.background(func() func() {
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -163,13 +163,13 @@
 	case err == nil:
 		term.scheduler.ObserveScaleOutResult(pool, requested, len(machines), now)
 		term.environment.Log.Debug("scale-out request granted", "request", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "requested", requested, "granted", len(machines))
-		request.Grant(machines)
+		request.RecordGrant(machines)
 		term.addGrantedMachines(request)
 		term.writeScaleOutRecord(request, kvstore.Required)
 	case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrInvalidRequest):
 		term.scheduler.ObserveEmptyPool(pool, now)
 		term.environment.Log.Debug("scale-out request refused", "request", request.Name(), "zone", pool.Zone, "spot", pool.Spot, "error", err)
-		request.Refuse()
+		request.RecordRefusal()
 		term.writeScaleOutRecord(request, kvstore.Required)
 	default:
 		term.environment.Log.Debug("scale-out request not answered", "request", request.Name(), "error", err)
--- a/internal/scaleout/request.go
+++ b/internal/scaleout/request.go
@@ -83,13 +83,13 @@
 	return wire.ScaleOutRequest{RequestID: request.name, MachineType: record.Type, Zone: record.Zone, Spot: record.Spot, Count: record.Count}
 }
 
-// Grant records the machines that the cloud gave. The record is to be written.
-func (request *Request) Grant(machines []string) {
+// RecordGrant records the machines that the cloud gave. The record is to be written.
+func (request *Request) RecordGrant(machines []string) {
 	request.state, request.record.IsResolved, request.record.Machines = Granted, true, machines
 }
 
-// Refuse records that the cloud gave nothing. The record is to be written.
-func (request *Request) Refuse() {
+// RecordRefusal records that the cloud gave nothing. The record is to be written.
+func (request *Request) RecordRefusal() {
 	request.state, request.record.IsResolved = Refused, true
 }
 
--- a/internal/scaleout/request_test.go
+++ b/internal/scaleout/request_test.go
@@ -10,23 +10,23 @@
 var testRecord = records.ScaleOut{Type: "big", Zone: "x", Count: 2, RequestedAt: 1}
 
 // write begins a write that must be due, and checks what it is conditional on.
-func write(t *testing.T, request *Request, version uint64) Write {
+func beginWrite(t *testing.T, request *Request, wantVersion uint64) Write {
 	t.Helper()
 	write, ok := request.BeginWrite()
 	if !ok {
 		t.Fatalf("%s: no write begins", request.State())
 	}
-	if write.Condition.Key != records.ScaleOutKey(request.Name()) || write.Condition.Version != version {
-		t.Fatalf("the write is conditional on %+v, want version %d", write.Condition, version)
+	if write.Condition.Key != records.ScaleOutKey(request.Name()) || write.Condition.Version != wantVersion {
+		t.Fatalf("the write is conditional on %+v, want version %d", write.Condition, wantVersion)
 	}
 	return write
 }
 
 // confirm reports the write under way as durable, and checks what is due then.
-func confirm(t *testing.T, request *Request, revision uint64, want Step, state State) {
+func confirmWrite(t *testing.T, request *Request, revision uint64, wantStep Step, wantState State) {
 	t.Helper()
-	if step := request.ConfirmWrite(revision); step != want || request.State() != state {
-		t.Fatalf("after revision %d: %s, then %s; want %s, then %s", revision, request.State(), step, state, want)
+	if step := request.ConfirmWrite(revision); step != wantStep || request.State() != wantState {
+		t.Fatalf("after revision %d: %s, then %s; want %s, then %s", revision, request.State(), step, wantState, wantStep)
 	}
 }
 
@@ -41,34 +41,34 @@
 
 func TestGrantedRequestLivesUntilItsLastMachineIsDeleted(t *testing.T) {
 	request := New("a-9-1", testRecord, 7)
-	if record := storedRecord(t, write(t, request, 0)); record.IsResolved || record.Count != 2 {
+	if record := storedRecord(t, beginWrite(t, request, 0)); record.IsResolved || record.Count != 2 {
 		t.Fatalf("the first record is %+v", record)
 	}
-	confirm(t, request, 10, StepSend, Requesting)
+	confirmWrite(t, request, 10, StepSend, Requesting)
 	if request.IsAnswered() {
 		t.Fatal("answered before the cloud's answer")
 	}
-	request.Grant([]string{"i-1", "i-2"})
+	request.RecordGrant([]string{"i-1", "i-2"})
 	if !request.IsAnswered() {
 		t.Fatal("not answered after the cloud's answer")
 	}
-	if record := storedRecord(t, write(t, request, 10)); !record.IsResolved || !slices.Equal(record.Machines, []string{"i-1", "i-2"}) {
+	if record := storedRecord(t, beginWrite(t, request, 10)); !record.IsResolved || !slices.Equal(record.Machines, []string{"i-1", "i-2"}) {
 		t.Fatalf("the record of the answer is %+v", record)
 	}
-	confirm(t, request, 11, StepAdmitMachines, Resolved)
+	confirmWrite(t, request, 11, StepAdmitMachines, Resolved)
 	request.RemoveMachine("i-1")
-	if record := storedRecord(t, write(t, request, 11)); !slices.Equal(record.Machines, []string{"i-2"}) {
+	if record := storedRecord(t, beginWrite(t, request, 11)); !slices.Equal(record.Machines, []string{"i-2"}) {
 		t.Fatalf("the smaller record is %+v", record)
 	}
-	confirm(t, request, 12, StepNone, Resolved)
+	confirmWrite(t, request, 12, StepNone, Resolved)
 	request.RemoveMachine("i-2")
-	if last := write(t, request, 12); last.Change.DeleteKey != records.ScaleOutKey("a-9-1") || last.Change.PutKey != "" {
+	if last := beginWrite(t, request, 12); last.Change.DeleteKey != records.ScaleOutKey("a-9-1") || last.Change.PutKey != "" {
 		t.Fatalf("the last write is %+v", last)
 	}
 	if request.IsOver() {
 		t.Fatal("over before its record is deleted")
 	}
-	confirm(t, request, 13, StepNone, Resolved)
+	confirmWrite(t, request, 13, StepNone, Resolved)
 	if !request.IsOver() || request.Version() != 0 {
 		t.Fatalf("after the delete: over %v, version %d", request.IsOver(), request.Version())
 	}
@@ -76,13 +76,13 @@
 
 func TestRefusedRequestIsDeleted(t *testing.T) {
 	request := New("a-9-1", testRecord, 7)
-	write(t, request, 0)
-	confirm(t, request, 10, StepSend, Requesting)
-	request.Refuse()
-	if last := write(t, request, 10); last.Change.DeleteKey == "" {
+	beginWrite(t, request, 0)
+	confirmWrite(t, request, 10, StepSend, Requesting)
+	request.RecordRefusal()
+	if last := beginWrite(t, request, 10); last.Change.DeleteKey == "" {
 		t.Fatalf("the write is %+v, want a delete", last)
 	}
-	confirm(t, request, 11, StepNone, Resolved)
+	confirmWrite(t, request, 11, StepNone, Resolved)
 	if !request.IsOver() {
 		t.Fatal("not over")
 	}
@@ -91,36 +91,36 @@
 // A change while a write is under way is written after it, and nothing else is due before.
 func TestChangeDuringWriteIsWrittenAgain(t *testing.T) {
 	request := New("a-9-1", testRecord, 7)
-	write(t, request, 0)
-	confirm(t, request, 10, StepSend, Requesting)
-	request.Grant([]string{"i-1", "i-2"})
-	write(t, request, 10)
+	beginWrite(t, request, 0)
+	confirmWrite(t, request, 10, StepSend, Requesting)
+	request.RecordGrant([]string{"i-1", "i-2"})
+	beginWrite(t, request, 10)
 	request.RemoveMachine("i-1")
 	if _, ok := request.BeginWrite(); ok {
 		t.Fatal("two writes at a time")
 	}
-	confirm(t, request, 11, StepWriteAgain, Granted)
-	if record := storedRecord(t, write(t, request, 11)); !slices.Equal(record.Machines, []string{"i-2"}) {
+	confirmWrite(t, request, 11, StepWriteAgain, Granted)
+	if record := storedRecord(t, beginWrite(t, request, 11)); !slices.Equal(record.Machines, []string{"i-2"}) {
 		t.Fatalf("written again is %+v", record)
 	}
-	confirm(t, request, 12, StepAdmitMachines, Resolved)
+	confirmWrite(t, request, 12, StepAdmitMachines, Resolved)
 }
 
 // After a write whose outcome is not known the next one is conditional on what was read back.
 func TestUncertainWriteIsRetriedFromVersionRead(t *testing.T) {
 	for _, version := range []uint64{0, 10} { // not executed, executed
 		request := New("a-9-1", testRecord, 7)
-		write(t, request, 0)
+		beginWrite(t, request, 0)
 		request.RetryFrom(version)
 		if request.State() != Recording {
 			t.Fatalf("%s before the record is known to be durable", request.State())
 		}
-		write(t, request, version)
-		confirm(t, request, 11, StepSend, Requesting)
+		beginWrite(t, request, version)
+		confirmWrite(t, request, 11, StepSend, Requesting)
 	}
 }
 
-func TestRestoredRequest(t *testing.T) {
+func TestRestoredRequestContinuesFromRecord(t *testing.T) {
 	resolved := testRecord
 	resolved.IsResolved, resolved.Machines = true, []string{"i-1"}
 	for _, test := range []struct {
