--- a/internal/health/faults.go
+++ b/internal/health/faults.go
@@ -8,20 +8,22 @@
 )
 
 const (
-	// minFaultyJobs is how many jobs have to fail on a machine for it to be faulty.
+	// minFaultyJobs is the number of different jobs whose tasks have to fail on a machine for the
+	// machine to be faulty.
 	minFaultyJobs = 2
-	// SharedFaultWindow is for how long a failure on a machine counts as recent. Failures are
-	// widespread if more than one in sharedFaultDivisor of the other machines have a recent one.
-	// A machine whose own first failure is longer ago than this is drained all the same.
+	// SharedFaultWindow is how long a failure on a machine counts as recent. Failures are widespread
+	// if more than one in sharedFaultDivisor of the other machines have a recent failure. A machine
+	// whose own first failure is at least SharedFaultWindow ago is drained even so.
 	SharedFaultWindow  = 60 * clock.Second
 	sharedFaultDivisor = 10
-	// RetryBackoff is for how long a drained machine gets no tasks the first time, pauseBackoff
-	// for how long a paused one. Both double each time, maxBackoffDoublings times at most.
+	// RetryBackoff is how long a machine gets no tasks when it is drained for the first time, and
+	// pauseBackoff how long when it is paused for the first time. Both double each time, but at most
+	// maxBackoffDoublings times.
 	RetryBackoff        = 15 * clock.Second
 	pauseBackoff        = 2 * clock.Second
 	maxBackoffDoublings = 4
-	// faultTTL is after how long without a failure a machine's earlier ones no longer count, and
-	// its backoffs begin anew.
+	// faultTTL is the time without a failure after which a machine's earlier failures no longer count
+	// and its backoffs start again from their initial values.
 	faultTTL = 300 * clock.Second
 )
 
@@ -29,17 +31,17 @@
 type FaultAction uint8
 
 const (
-	// NoFaultAction is the zero value: nothing.
+	// NoFaultAction is the zero value: there is nothing to do.
 	NoFaultAction FaultAction = iota
-	// PauseMachine gives it no tasks for a moment: failures are widespread, so the machine
-	// itself is probably not at fault.
+	// PauseMachine means that the machine gets no tasks for a short time: failures are widespread, so
+	// the machine itself is probably not the cause.
 	PauseMachine
-	// DrainMachine gives it no tasks, and deletes it once it is empty; see BeginRetry for one
-	// that does not become empty.
+	// DrainMachine means that the machine gets no tasks and is deleted once it is idle. If it does not
+	// become idle, BeginRetry ends the drain.
 	DrainMachine
 )
 
-// String is the action as logged.
+// String returns the action's name in logs.
 func (action FaultAction) String() string {
 	switch action {
 	case NoFaultAction:
@@ -53,22 +55,23 @@
 	}
 }
 
-// Faults is the record of failed tasks of one machine.
+// Faults records the failed tasks of one machine.
 type Faults struct {
-	// firstAt and lastAt are the instants of the first and the last failure that count; 0: none.
+	// firstAt and lastAt are the instants of the first and the last failure that count, or 0 if there
+	// is none.
 	firstAt, lastAt clock.Micros
-	// retryAt is when a faulty machine that still has tasks gets new ones again; 0: it is not
-	// drained for faults.
+	// retryAt is when a faulty machine that still has tasks may get new ones again, or 0 if the machine
+	// is not drained for faults.
 	retryAt clock.Micros
-	// drainCount and pauseCount are how often it was drained and paused.
+	// drainCount and pauseCount are how often the machine was drained and paused.
 	drainCount, pauseCount int
 }
 
-// RecordFailure records a failed task, whose job machine.FailedJobs has to have by then, and decides
-// what the caller has to do. A machine on which tasks of minFaultyJobs jobs have failed is drained;
-// while failures are widespread it is paused instead. Nothing is done about one that is drained or
-// paused already. isWidespread, which looks at the other machines, is called only if the decision
-// depends on it. The instant is the end of the pause; 0 for the other actions.
+// RecordFailure records a failed task and decides what the caller has to do about the machine. The
+// caller has to add the task's job to machine.FailedJobs before the call. A machine on which tasks of
+// minFaultyJobs jobs have failed is drained, or only paused while failures are widespread. A machine that
+// is already drained or paused needs no action. isWidespread, which examines the other machines, is called
+// only if the decision depends on it. The returned instant is the end of the pause, or 0 for other actions.
 func (faults *Faults) RecordFailure(machine *allocation.Machine, isWidespread func() bool, now clock.Micros) (FaultAction, clock.Micros) {
 	if faults.firstAt == 0 || now-faults.lastAt > faultTTL {
 		*faults = Faults{firstAt: now, retryAt: faults.retryAt}
@@ -93,19 +96,20 @@
 	return faults.lastAt != 0 && now-faults.lastAt < SharedFaultWindow
 }
 
-// IsWidespread reports whether failures are so common that their cause is shared: failing is the
-// number of machines with a recent failure, of others, all that are up beside the one in question.
+// IsWidespread reports whether failures are so common that they probably have a shared cause. others is
+// the number of all booted machines except the one in question, and failing is how many of them have a
+// recent failure.
 func IsWidespread(failing, others int) bool { return sharedFaultDivisor*failing > others }
 
-// RetryAt is when the machine gets tasks again if it still has some by then; 0 if it is not
+// RetryAt returns when the machine may get tasks again if it still has some by then, or 0 if it is not
 // drained for faults.
 func (faults *Faults) RetryAt() clock.Micros { return faults.retryAt }
 
-// BeginRetry reports whether a faulty machine that can't be deleted, since it still has tasks, is
-// to get new ones again. It reports that once per drain, and failures count anew from then on, for
-// which the caller has to clear machine.FailedJobs and machine.Draining. Added after two of a
-// fleet's three machines, for which the cloud had no replacement, got no tasks for eight minutes
-// because replicas went on running on them without a fault (docs/incidents/all-faulty.md).
+// BeginRetry ends the drain of a faulty machine that can't be deleted, because it still has tasks, once
+// its retry is due. It reports whether it did so, which happens once per drain. The caller then has to
+// clear machine.FailedJobs and machine.Draining, so that failures are counted anew. Without such retries,
+// two of a fleet's three machines once got no tasks for eight minutes: replicas kept running on them
+// without a fault, and the cloud had no machines to replace them (docs/incidents/all-faulty.md).
 func (faults *Faults) BeginRetry(machine *allocation.Machine, now clock.Micros) bool {
 	if faults.retryAt == 0 || now < faults.retryAt || machine.IsIdle() {
 		return false
--- a/internal/health/handover.go
+++ b/internal/health/handover.go
@@ -10,20 +10,19 @@
 type HandOverReason uint8
 
 const (
-	// KeepLeadership is the zero value: there is no reason.
+	// KeepLeadership is the zero value: there is no reason to hand over.
 	KeepLeadership HandOverReason = iota
-	// StoreUnreadable means: the key-value store renews the lock but answers no reads.
+	// StoreUnreadable means that the key-value store renews the lock but answers no reads.
 	StoreUnreadable
-	// NoneReachable means: all machines became unreachable at once. The leader doesn't wait
-	// until another member reports that workers contact it: a worker that has waited four
-	// seconds for a reply, and is then redirected to this leader, would lose a lease of ten
-	// seconds.
+	// NoneReachable means that all machines became unreachable at once. The leader doesn't wait until
+	// another member reports that workers contact it: a worker that has waited four seconds for a
+	// reply, and is then redirected to this leader, would lose a lease of ten seconds.
 	NoneReachable
-	// OnlyLeaderCutOff means: few machines reach the leader while many contact another member.
+	// OnlyLeaderCutOff means that few machines reach the leader while many contact another member.
 	OnlyLeaderCutOff
 )
 
-// String is the reason as logged.
+// String returns the reason as it appears in logs.
 func (reason HandOverReason) String() string {
 	switch reason {
 	case KeepLeadership:
@@ -39,28 +38,32 @@
 	}
 }
 
-// LeaderReach is what a leader knows of its way to the machines, the store and the others.
+// LeaderReach is what a leader knows of its connections to the machines, the key-value store and the
+// other members.
 type LeaderReach struct {
+	// Fleet counts the machines that have booted, and those of them that are reachable.
 	Fleet Reachability
-	// HadMostReachable tells that most machines were reachable at some time in this term. A
-	// leader that never reached them doesn't pass leadership on for that.
+	// HadMostReachable reports whether the fleet was mostly reachable (see
+	// Reachability.IsMostlyReachable) at some time in this term. A leader that never reached the
+	// machines doesn't hand over because none is reachable.
 	HadMostReachable bool
-	// HasCandidate tells that another member, which sends heartbeats and reaches the store,
-	// could lead.
+	// HasCandidate reports whether another member that sends heartbeats and reaches the store could
+	// become leader.
 	HasCandidate bool
-	// ReadAge is how long ago the newest read was sent that the store has answered; it counts
-	// from the end of the process's last stall at the earliest.
+	// ReadAge is the time since the newest read that the store has answered was sent, or since the end
+	// of the process's last stall if that is later.
 	ReadAge clock.Micros
-	// LeaderTTL is how long the lock lasts without renewal.
+	// LeaderTTL is how long the leader's lock lasts without renewal.
 	LeaderTTL clock.Micros
-	// HasWaitedForWorkers tells that workers had the time to come back since the process's last stall.
+	// HasWaitedForWorkers reports whether workers have had enough time to send heartbeats again since
+	// the process's last stall.
 	HasWaitedForWorkers bool
-	// ContactingOther is how many workers contact the member with the most of them.
+	// ContactingOther is the number of workers that contact the member which most workers contact.
 	ContactingOther uint32
 }
 
-// HandOverReason returns why to hand over, or KeepLeadership. As long as a leader that is cut off
-// keeps renewing its lock, no other member can lead, and the workers' leases run out.
+// HandOverReason returns why the leader should hand over, or KeepLeadership. As long as a leader that is
+// cut off keeps renewing its lock, no other member can become leader, and the workers' leases expire.
 func (reach LeaderReach) HandOverReason() HandOverReason {
 	switch {
 	case reach.HasCandidate && reach.ReadAge > 2*reach.LeaderTTL:
--- a/internal/health/probe.go
+++ b/internal/health/probe.go
@@ -3,37 +3,37 @@
 import "firwood.dev/firwood/internal/clock"
 
 const (
-	// ProbeInterval is how often a machine with replicas is probed while it sends nothing.
+	// ProbeInterval is how often a machine with replicas is probed while it sends no heartbeats.
 	ProbeInterval = 2 * clock.Second
-	// ProbeTimeout bounds a probe; a lost packet is retransmitted within it.
+	// ProbeTimeout is the timeout of a probe. It allows for one retransmission of a lost packet.
 	ProbeTimeout = 1500 * clock.Millisecond
-	// maxProbeResultDelay is how long after ProbeTimeout the controller may handle a probe's result
-	// for a miss to count; see IsResultTooLate.
+	// maxProbeResultDelay is how long after ProbeTimeout the controller may handle a missing answer and
+	// still count it as a miss; see IsResultTooLate.
 	maxProbeResultDelay = clock.Second / 2
-	// missRetryInterval is how soon a machine is probed again after a miss.
+	// missRetryInterval is the time after which a machine that missed a probe is probed again.
 	missRetryInterval = clock.Second / 2
-	// allowedProbeMisses is how many probes in a row may stay unanswered.
+	// allowedProbeMisses is how many consecutive probes may stay unanswered.
 	allowedProbeMisses = 1
 )
 
-// Probes is the record of probes of one machine.
+// Probes records the probes of one machine.
 type Probes struct {
 	IsInFlight      bool
-	Misses          int          // in a row
-	AnsweredAt      clock.Micros // the last answer
-	sentAt          clock.Micros // the last probe
-	firstMissSentAt clock.Micros // the first probe of the misses in a row
+	Misses          int          // consecutive unanswered probes
+	AnsweredAt      clock.Micros // when the last answer came
+	sentAt          clock.Micros // when the last probe was sent
+	firstMissSentAt clock.Micros // when the first of the consecutive unanswered probes was sent
 }
 
 // RecordSent records that a probe is sent.
 func (probes *Probes) RecordSent(now clock.Micros) { probes.IsInFlight, probes.sentAt = true, now }
 
-// RecordAnswer records the answer to a probe.
+// RecordAnswer records that a probe was answered.
 func (probes *Probes) RecordAnswer(now clock.Micros) { probes.Misses, probes.AnsweredAt = 0, now }
 
-// RecordMiss records that a probe sent at an instant stayed unanswered. reachableSince is since
-// when this process has run without a stall and most of the machine's zone has been reachable; a
-// probe sent before that proves nothing, and neither do the misses before it.
+// RecordMiss records that a probe sent at sentAt stayed unanswered. reachableSince is the instant since
+// which this process has run without a stall and the machine's zone has been mostly reachable. A probe
+// that was sent earlier proves nothing about the machine, so it resets the count of misses.
 func (probes *Probes) RecordMiss(sentAt, reachableSince clock.Micros) {
 	if sentAt < reachableSince {
 		probes.Misses = 0
@@ -45,44 +45,48 @@
 	probes.Misses++
 }
 
-// HasTooManyMisses reports whether the machine is to be deleted, provided that most of its zone
-// answers; see ZoneAnswers.
+// HasTooManyMisses reports whether the machine has missed so many probes that it is to be deleted,
+// provided that most of its zone answers; see ZoneAnswers.
 func (probes *Probes) HasTooManyMisses() bool { return probes.Misses > allowedProbeMisses }
 
-// FirstMissSentAt is when the first of the misses in a row was sent.
+// FirstMissSentAt returns when the first of the consecutive unanswered probes was sent.
 func (probes *Probes) FirstMissSentAt() clock.Micros { return probes.firstMissSentAt }
 
-// IsResultTooLate reports whether the controller itself was too late to handle a probe's result,
-// as after a stall: then a missing answer says nothing about the machine.
+// IsResultTooLate reports whether the controller handles a probe's result so late, for example after a
+// stall, that a missing answer says nothing about the machine.
 func IsResultTooLate(sentAt, now clock.Micros) bool {
 	return now-sentAt > ProbeTimeout+maxProbeResultDelay
 }
 
-// NeedsProbe reports whether a machine, with or without replicas, is probed out of turn: it left a
-// probe unanswered, or its heartbeat is overdue, and the last probe is long enough ago.
+// NeedsProbe reports whether a machine, with or without replicas, is to be probed out of turn. After a
+// miss, it is once missRetryInterval has passed since the last probe or heartbeat. Otherwise it is if its
+// heartbeat is overdue and ProbeInterval has passed since the last probe. resumedAt is the end of the
+// process's last stall; a heartbeat becomes overdue only some time after it.
 func (probes *Probes) NeedsProbe(lastHeartbeatAt, resumedAt, now clock.Micros, timing Timing) bool {
 	if probes.Misses > 0 {
-		return probes.silence(lastHeartbeatAt, now) >= missRetryInterval
+		return probes.timeSinceLastContact(lastHeartbeatAt, now) >= missRetryInterval
 	}
 	return now-max(lastHeartbeatAt, resumedAt) >= timing.ProbeAfter && probes.IsRoundProbeDue(lastHeartbeatAt, now)
 }
 
-// IsRoundProbeDue reports whether a machine with replicas is due in its turn.
+// IsRoundProbeDue reports whether a machine with replicas is due for its regular probe: ProbeInterval has
+// passed since its last heartbeat or probe.
 func (probes *Probes) IsRoundProbeDue(lastHeartbeatAt, now clock.Micros) bool {
-	return probes.silence(lastHeartbeatAt, now) >= ProbeInterval
+	return probes.timeSinceLastContact(lastHeartbeatAt, now) >= ProbeInterval
 }
 
-// silence is how long ago the last heartbeat came or the last probe was sent.
-func (probes *Probes) silence(lastHeartbeatAt, now clock.Micros) clock.Micros {
+// timeSinceLastContact returns the time since the last heartbeat or the last probe, whichever was later.
+func (probes *Probes) timeSinceLastContact(lastHeartbeatAt, now clock.Micros) clock.Micros {
 	return now - max(lastHeartbeatAt, probes.sentAt)
 }
 
-// ZoneAnswers counts the machines of a zone that have answered, or missed, probes since
-// some machine there began to miss them.
+// ZoneAnswers counts the machines of a zone that have answered probes or sent heartbeats, and those that
+// have missed probes, since a certain machine of the zone began to miss probes.
 type ZoneAnswers struct{ answered, missed int }
 
-// Add counts one machine of the zone. since is when the first unanswered probe was sent to the
-// machine in question; another one counts as answering only if it was heard some time after that.
+// Add counts one machine of the zone. firstMissSentAt is when the first unanswered probe was sent to the
+// machine that may have to be deleted. Another machine counts as answering only if its last answer or
+// heartbeat came more than half of ProbeTimeout after that.
 func (answers *ZoneAnswers) Add(probes *Probes, lastHeartbeatAt, firstMissSentAt clock.Micros) {
 	switch {
 	case max(probes.AnsweredAt, lastHeartbeatAt) > firstMissSentAt+ProbeTimeout/2:
@@ -92,6 +96,6 @@
 	}
 }
 
-// IsMostlyAnswering reports whether the network to the zone works: at least two in three of the
-// machines counted have answered. In a partition nobody answers, and nothing may be deleted.
+// IsMostlyAnswering reports whether the network to the zone works: at least two in three of the counted
+// machines have answered. In a network partition no machine answers, and none may be deleted.
 func (answers ZoneAnswers) IsMostlyAnswering() bool { return answers.answered >= 2*answers.missed }
--- a/internal/health/reachability.go
+++ b/internal/health/reachability.go
@@ -1,13 +1,14 @@
 package health
 
-// Reachability counts machines that are up, and those of them whose last heartbeat is
-// within the heartbeat window.
+// Reachability counts machines that have booted, and those of them whose last heartbeat is within the
+// heartbeat window.
 type Reachability struct{ Up, Reachable int }
 
-// minUpMachines is how many machines have to be up for their silence to mean something.
+// minUpMachines is the number of booted machines from which on it is significant that few of them are
+// reachable.
 const minUpMachines = 3
 
-// Add counts one machine that is up.
+// Add counts one machine that has booted.
 func (counts *Reachability) Add(isReachable bool) {
 	counts.Up++
 	if isReachable {
@@ -15,19 +16,21 @@
 	}
 }
 
-// IsMostlyReachable reports whether the network to these machines works: at least a third of
-// them, and at least one, is reachable. A third is enough, since many may fail at once.
+// IsMostlyReachable reports whether the network to these machines works: at least a third of them, and
+// at least one, is reachable. A third is enough, since many machines may fail at once.
 func (counts Reachability) IsMostlyReachable() bool {
 	return counts.Reachable > 0 && 3*counts.Reachable >= counts.Up
 }
 
-// IsOnlyLeaderCutOff tells whether the fault is on the leader's side: fewer than a quarter
-// of the machines reach it, while at least a third contact another member.
+// IsOnlyLeaderCutOff reports whether the network fault is on the leader's side: fewer than a quarter of
+// the machines reach the leader, while at least a third of them contact another member. With fewer than
+// minUpMachines machines it reports false.
 func (counts Reachability) IsOnlyLeaderCutOff(contactingOther uint32) bool {
 	return counts.Up >= minUpMachines && 4*counts.Reachable < counts.Up && 3*int(contactingOther) >= counts.Up
 }
 
-// IsFullyUnreachable tells whether no machine is reachable, of enough for that to mean something.
+// IsFullyUnreachable reports whether no machine is reachable. With fewer than minUpMachines machines it
+// reports false.
 func (counts Reachability) IsFullyUnreachable() bool {
 	return counts.Up >= minUpMachines && counts.Reachable == 0
 }
--- a/internal/health/verdict.go
+++ b/internal/health/verdict.go
@@ -7,32 +7,32 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Verdict is what becomes of a machine.
+// Verdict is the decision about a machine.
 type Verdict uint8
 
 const (
-	// Keep is the zero value: the machine stays.
+	// Keep is the zero value: nothing is done about the machine.
 	Keep Verdict = iota
-	// LeaseExpired means: its lease has run out, so its tasks have ended for certain, and it is
-	// to be deleted.
+	// LeaseExpired means that the machine's lease has expired, so its tasks have certainly ended, and
+	// the machine is to be deleted.
 	LeaseExpired
-	// LeaseExpiredWhileBooting means: no task can be on it, but it stays: it was requested in this
-	// term and may yet boot.
+	// LeaseExpiredWhileBooting means that the lease has expired, so no task can be on the machine, but
+	// that the machine is kept: it was requested in this term and may still boot.
 	LeaseExpiredWhileBooting
-	// NeverBooted means: it has taken too long to boot.
+	// NeverBooted means that the machine has taken too long to boot.
 	NeverBooted
-	// Suspected means: its heartbeats are missing while most of its zone is reachable.
+	// Suspected means that the machine's heartbeats are missing while most of its zone is reachable.
 	Suspected
-	// Drained means: it gets no tasks and is empty, or it is cordoned, since a start of a
-	// cancelled job may still arrive there.
+	// Drained means that the machine is to be deleted because it is draining and idle, or because a
+	// start of a cancelled job may still arrive there and it is too late to fence that start.
 	Drained
-	// ReclaimedIdle means: the cloud reclaims it, and it is empty.
+	// ReclaimedIdle means that the cloud reclaims the machine, which is idle.
 	ReclaimedIdle
-	// Reclaimed means: the cloud reclaims it, and it has tasks.
+	// Reclaimed means that the cloud reclaims the machine, which still has tasks.
 	Reclaimed
 )
 
-// String is the verdict as logged.
+// String returns the verdict as it appears in logs.
 func (verdict Verdict) String() string {
 	names := [...]string{
 		Keep: "keep", LeaseExpired: "lease expired", LeaseExpiredWhileBooting: "lease expired while booting", NeverBooted: "did not boot",
@@ -44,46 +44,47 @@
 	return names[verdict]
 }
 
-// Term is the part of a leadership term that machines are judged by.
+// Term holds what decisions about machines need from the current leadership term.
 type Term struct {
 	StartedAt      clock.Micros
 	SuspectTimeout clock.Micros
-	Tracker        *allocation.Tracker // only read
+	Tracker        *allocation.Tracker // never changed by this package
 	BootTimeout    func(machineType string) clock.Micros
 }
 
-// Evidence is what else is known of one machine.
+// Evidence is what else is known about one machine.
 type Evidence struct {
-	// Silence is for how long its heartbeats have been missing although they could have arrived.
-	// It counts from the last stall of this process, and from the last time that its zone was
-	// mostly unreachable, at the earliest.
+	// Silence is how long the machine's heartbeats have been missing although they could have arrived.
+	// It starts no earlier than the end of this process's last stall, and no earlier than the last time
+	// that the machine's zone was mostly unreachable.
 	Silence clock.Micros
-	// IsListedBooting: the cloud's last list said that it boots.
+	// IsListedBooting reports whether the cloud's last list showed the machine as booting.
 	IsListedBooting bool
-	// Zone counts the machines of its zone that have booted.
+	// Zone counts the booted machines of the machine's zone.
 	Zone Reachability
 }
 
-// Judge decides what becomes of a machine, which it only reads.
+// Judge decides what to do about a machine, without changing the machine.
 func (term *Term) Judge(machine *allocation.Machine, evidence Evidence, now clock.Micros) Verdict {
 	hasBooted := machine.FirstHeartbeatAt != 0
 	isFromEarlierTerm := machine.CreatedAt < term.StartedAt
 	switch {
 	case term.Tracker.LeaseEndsAt(machine) <= now && (hasBooted || !machine.Reconciled):
-		// The lease of a machine that hasn't booted matters only until it is reconciled: then
-		// no task can be there.
+		// The lease of a machine that hasn't booted matters only until the machine is reconciled:
+		// from then on it is known that no task is on it.
 		if hasBooted || isFromEarlierTerm {
-			// A machine that an earlier leader requested, and that was reclaimed meanwhile, is
-			// missing from the cloud's list: it would count as booting for ever.
+			// If a machine that an earlier leader requested has been reclaimed meanwhile, it is missing
+			// from the cloud's list and would count as booting forever.
 			return LeaseExpired
 		}
 		return LeaseExpiredWhileBooting
 	case !hasBooted && term.isBootOverdue(machine, evidence, now):
 		return NeverBooted
 	case hasBooted && evidence.Silence > term.SuspectTimeout && evidence.Zone.IsMostlyReachable():
-		// Deleting it proves that its tasks have ended, sooner than its lease would. If a
-		// whole zone is silent, a network partition is more likely, and its machines come
-		// back. Zone was added after a leader that was cut off had deleted half of its fleet.
+		// Deleting the machine proves that its tasks have ended, and does so before its lease expires.
+		// If a whole zone is silent, a network partition is more likely, and its machines become
+		// reachable again. The condition on the zone was added after a leader that was cut off had
+		// deleted half of its fleet.
 		return Suspected
 	case machine.Draining && machine.IsIdle(), term.Tracker.HasUnfenceableStart(machine, now):
 		return Drained
@@ -96,11 +97,11 @@
 	}
 }
 
-// isBootOverdue reports whether a machine without a heartbeat has taken too long to boot. That
-// this leader has had no heartbeat of it is no proof: an earlier leader may have had some. So the
-// machine has to have been requested in this term, or be listed as booting. Added after a leader
-// had taken a zone that was cut off for machines that never booted, and had deleted it with all
-// that ran there (docs/incidents/zone-taken-for-booting.md).
+// isBootOverdue reports whether a machine without a heartbeat has taken too long to boot. That this leader
+// has received no heartbeat from the machine doesn't prove that it never booted, since an earlier leader
+// may have received some. So the machine must have been requested in this term or be listed as booting.
+// Without this condition, a leader once mistook the machines of a zone that was cut off for machines that
+// had never booted, and deleted them with all tasks there (docs/incidents/zone-taken-for-booting.md).
 func (term *Term) isBootOverdue(machine *allocation.Machine, evidence Evidence, now clock.Micros) bool {
 	isRequestedInTerm := machine.CreatedAt > term.StartedAt
 	if !isRequestedInTerm && !evidence.IsListedBooting {
--- a/internal/scaleout/request_test.go
+++ b/internal/scaleout/request_test.go
@@ -10,7 +10,7 @@
 var testRecord = records.ScaleOut{Type: "big", Zone: "x", Count: 2, RequestedAt: 1}
 
 // write begins a write that must be due, and checks what it is conditional on.
-func beginWrite(t *testing.T, request *Request, wantVersion uint64) Write {
+func write(t *testing.T, request *Request, wantVersion uint64) Write {
 	t.Helper()
 	write, ok := request.BeginWrite()
 	if !ok {
@@ -41,7 +41,7 @@
 
 func TestGrantedRequestLivesUntilItsLastMachineIsDeleted(t *testing.T) {
 	request := New("a-9-1", testRecord, 7)
-	if record := storedRecord(t, beginWrite(t, request, 0)); record.IsResolved || record.Count != 2 {
+	if record := storedRecord(t, write(t, request, 0)); record.IsResolved || record.Count != 2 {
 		t.Fatalf("the first record is %+v", record)
 	}
 	confirmWrite(t, request, 10, StepSend, Requesting)
@@ -52,17 +52,17 @@
 	if !request.IsAnswered() {
 		t.Fatal("not answered after the cloud's answer")
 	}
-	if record := storedRecord(t, beginWrite(t, request, 10)); !record.IsResolved || !slices.Equal(record.Machines, []string{"i-1", "i-2"}) {
+	if record := storedRecord(t, write(t, request, 10)); !record.IsResolved || !slices.Equal(record.Machines, []string{"i-1", "i-2"}) {
 		t.Fatalf("the record of the answer is %+v", record)
 	}
 	confirmWrite(t, request, 11, StepAdmitMachines, Resolved)
 	request.RemoveMachine("i-1")
-	if record := storedRecord(t, beginWrite(t, request, 11)); !slices.Equal(record.Machines, []string{"i-2"}) {
+	if record := storedRecord(t, write(t, request, 11)); !slices.Equal(record.Machines, []string{"i-2"}) {
 		t.Fatalf("the smaller record is %+v", record)
 	}
 	confirmWrite(t, request, 12, StepNone, Resolved)
 	request.RemoveMachine("i-2")
-	if last := beginWrite(t, request, 12); last.Change.DeleteKey != records.ScaleOutKey("a-9-1") || last.Change.PutKey != "" {
+	if last := write(t, request, 12); last.Change.DeleteKey != records.ScaleOutKey("a-9-1") || last.Change.PutKey != "" {
 		t.Fatalf("the last write is %+v", last)
 	}
 	if request.IsOver() {
@@ -76,10 +76,10 @@
 
 func TestRefusedRequestIsDeleted(t *testing.T) {
 	request := New("a-9-1", testRecord, 7)
-	beginWrite(t, request, 0)
+	write(t, request, 0)
 	confirmWrite(t, request, 10, StepSend, Requesting)
 	request.RecordRefusal()
-	if last := beginWrite(t, request, 10); last.Change.DeleteKey == "" {
+	if last := write(t, request, 10); last.Change.DeleteKey == "" {
 		t.Fatalf("the write is %+v, want a delete", last)
 	}
 	confirmWrite(t, request, 11, StepNone, Resolved)
@@ -91,16 +91,16 @@
 // A change while a write is under way is written after it, and nothing else is due before.
 func TestChangeDuringWriteIsWrittenAgain(t *testing.T) {
 	request := New("a-9-1", testRecord, 7)
-	beginWrite(t, request, 0)
+	write(t, request, 0)
 	confirmWrite(t, request, 10, StepSend, Requesting)
 	request.RecordGrant([]string{"i-1", "i-2"})
-	beginWrite(t, request, 10)
+	write(t, request, 10)
 	request.RemoveMachine("i-1")
 	if _, ok := request.BeginWrite(); ok {
 		t.Fatal("two writes at a time")
 	}
 	confirmWrite(t, request, 11, StepWriteAgain, Granted)
-	if record := storedRecord(t, beginWrite(t, request, 11)); !slices.Equal(record.Machines, []string{"i-2"}) {
+	if record := storedRecord(t, write(t, request, 11)); !slices.Equal(record.Machines, []string{"i-2"}) {
 		t.Fatalf("written again is %+v", record)
 	}
 	confirmWrite(t, request, 12, StepAdmitMachines, Resolved)
@@ -110,12 +110,12 @@
 func TestUncertainWriteIsRetriedFromVersionRead(t *testing.T) {
 	for _, version := range []uint64{0, 10} { // not executed, executed
 		request := New("a-9-1", testRecord, 7)
-		beginWrite(t, request, 0)
+		write(t, request, 0)
 		request.RetryFrom(version)
 		if request.State() != Recording {
 			t.Fatalf("%s before the record is known to be durable", request.State())
 		}
-		beginWrite(t, request, version)
+		write(t, request, version)
 		confirmWrite(t, request, 11, StepSend, Requesting)
 	}
 }
