--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -1,10 +1,10 @@
-// Package dag tracks the dependencies between jobs: which jobs may start, which are cancelled
-// because a dependency was cancelled, and how priority and deadline propagate from a job to its
-// dependencies. It does no I/O and reads no clock.
+// Package dag tracks the dependencies between jobs: which jobs may start, which are cancelled because a
+// dependency was cancelled, and how priority and deadline propagate from a job to its dependencies. It
+// does no I/O and reads no clock.
 //
-// Records may arrive in any order, since a view of the key-value store is loaded in the order of
-// its keys. Everything here is derived from durable records of jobs, so each controller, and each
-// new leader, reaches the same state from the same records.
+// Records may arrive in any order, since a view of the key-value store is loaded in the order of its keys.
+// The graph is derived only from durable records of jobs, so each controller, and each new leader, reaches
+// the same state from the same records.
 package dag
 
 import (
@@ -14,15 +14,15 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Urgency is the priority and the deadline of a job. A job passes them on to its dependencies.
+// Urgency is a job's priority and deadline, both of which propagate to the job's dependencies.
 type Urgency struct {
 	// Priority is an index; 0 is the highest priority.
 	Priority int
-	// Deadline is a time of day; 0 means that there is none.
+	// Deadline is a wall-clock time, or 0 if there is no deadline.
 	Deadline clock.Micros
 }
 
-// Merge returns the higher priority and the earlier deadline of both.
+// Merge returns the higher of the two priorities with the earlier of the two deadlines.
 func (u Urgency) Merge(other Urgency) Urgency {
 	u.Priority = min(u.Priority, other.Priority)
 	if other.hasEarlierDeadline(u) {
@@ -35,8 +35,9 @@
 	return u.Deadline != 0 && (other.Deadline == 0 || u.Deadline < other.Deadline)
 }
 
-// forDependencies returns the urgency that a job passes on to its dependencies: they have to be
-// done earlier by its own run time. A deadline stays above 0, which means that there is none.
+// forDependencies returns the urgency that a job passes on to its dependencies. They have to be done
+// earlier than the job by its run time. The resulting deadline is at least 1, since 0 would mean that
+// there is none.
 func (u Urgency) forDependencies(runTime clock.Micros) Urgency {
 	if u.Deadline != 0 {
 		u.Deadline = max(u.Deadline-runTime, 1)
@@ -44,25 +45,25 @@
 	return u
 }
 
-// Job is a job's record as far as the graph needs it.
+// Job is the part of a job's record that the graph needs.
 type Job struct {
 	ID        string
 	DependsOn []string
-	// SubmittedAt is the time of day of the submission.
+	// SubmittedAt is the wall-clock time of the submission.
 	SubmittedAt clock.Micros
 	Urgency     Urgency
-	// EstimatedRunTime is the estimated time from the start of the job to its end.
+	// EstimatedRunTime is the estimated time from the job's start to its end.
 	EstimatedRunTime clock.Micros
 }
 
-// Effects lists the consequences of a record.
+// Effects lists how a record affects jobs.
 type Effects struct {
 	// Released are jobs whose dependencies are now all done.
 	Released []string
-	// Cancelled are jobs that are cancelled because a dependency was cancelled. AddJob lists the
-	// added job too; RecordCancellation doesn't list its own job.
+	// Cancelled are jobs that are cancelled because a dependency was cancelled. The effects of AddJob
+	// include the added job if it is cancelled; those of RecordCancellation exclude the cancelled job.
 	Cancelled []string
-	// MoreUrgent are jobs whose urgency was raised; a job may be listed more than once.
+	// MoreUrgent are jobs whose urgency was raised. A job may be listed more than once.
 	MoreUrgent []string
 }
 
@@ -70,13 +71,13 @@
 type stage uint8
 
 const (
-	stageUnknown stage = iota // no record has been seen
+	stageUnknown stage = iota // no record of the job has been seen
 	stageUnfinished
 	stageDone
 	stageCancelled
 )
 
-// String names the stage in test failures.
+// String returns the stage's name in test failures.
 func (s stage) String() string {
 	switch s {
 	case stageUnknown:
@@ -97,28 +98,28 @@
 	stage                  stage
 	submittedAt            clock.Micros
 	estimatedRunTime       clock.Micros
-	urgency                Urgency // its own, merged with that of its dependents
+	urgency                Urgency // the job's own, merged with what its dependents pass on
 	dependencies           []string
 	dependents             []string
 	unfinishedDependencies int          // dependencies that are not done
-	releasedAt             clock.Micros // submission, or end of the last dependency; for a done job its own end
-	isQueued               bool         // waits in propagateUrgency's heap
+	releasedAt             clock.Micros // submission, or end of the last dependency if later; for a done job, its own end
+	isQueued               bool         // whether the node is in propagateUrgency's heap
 }
 
-// hasEnded tells whether the job is done, or cancelled by its own record or with a dependency.
+// hasEnded reports whether the job is done or cancelled, by its own record or because of a dependency.
 func (n *node) hasEnded() bool { return n.stage == stageDone || n.stage == stageCancelled }
 
-// Graph holds the jobs of a view of the store.
+// Graph holds the jobs of one view of the key-value store.
 type Graph struct{ nodes map[string]*node }
 
 // New returns an empty graph.
 func New() *Graph { return &Graph{nodes: map[string]*node{}} }
 
-// lowestUrgency is the urgency of a job whose record was not seen: its priority is lower than any
-// real one (a greater index), and it has no deadline.
+// lowestUrgency is the urgency of a job whose record has not been seen. Its priority is lower than any
+// valid one (its index is greater), and it has no deadline.
 var lowestUrgency = Urgency{Priority: 1 << 30}
 
-// ensureNode returns the node of a job. It creates one, of an unknown stage, if necessary.
+// ensureNode returns the node of a job, and creates it with stageUnknown if necessary.
 func (graph *Graph) ensureNode(id string) *node {
 	jobNode := graph.nodes[id]
 	if jobNode == nil {
@@ -128,7 +129,7 @@
 	return jobNode
 }
 
-// AddJob records an unfinished job. Recording it twice, or after its end, has no effect.
+// AddJob adds an unfinished job. Adding a job twice, or after its end, has no effect.
 func (graph *Graph) AddJob(job Job) Effects {
 	jobNode := graph.ensureNode(job.ID)
 	var effects Effects
@@ -158,7 +159,7 @@
 	return effects
 }
 
-// RecordCompletion records the durable end of a job at a time of day.
+// RecordCompletion records that a job's completion is durable. completedAt is a wall-clock time.
 func (graph *Graph) RecordCompletion(id string, completedAt clock.Micros) Effects {
 	jobNode := graph.ensureNode(id)
 	var effects Effects
@@ -178,8 +179,8 @@
 	return effects
 }
 
-// RecordCancellation records the durable cancellation of a job and cancels its transitive
-// dependents. The job itself is not listed among the effects.
+// RecordCancellation records that a job's cancellation is durable, and cancels the job's transitive
+// dependents. The effects don't list the job itself.
 func (graph *Graph) RecordCancellation(id string) Effects {
 	var effects Effects
 	graph.cancelWithDependents(id, &effects)
@@ -189,8 +190,8 @@
 	return effects
 }
 
-// cancelWithDependents cancels a job and its transitive dependents, and lists those that had not
-// ended.
+// cancelWithDependents cancels a job and its transitive dependents, and adds those that had not ended to
+// effects.
 func (graph *Graph) cancelWithDependents(id string, effects *Effects) {
 	work := []string{id}
 	for len(work) > 0 {
@@ -207,21 +208,21 @@
 	}
 }
 
-// IsBlocked tells whether a job has a dependency that is not done. It says nothing useful of a
-// cancelled job: see IsCancelled.
+// IsBlocked reports whether a job has a dependency that is not done. The result is meaningless for a
+// cancelled job; see IsCancelled.
 func (graph *Graph) IsBlocked(id string) bool {
 	jobNode := graph.nodes[id]
 	return jobNode != nil && jobNode.unfinishedDependencies > 0
 }
 
-// IsCancelled tells whether a job is cancelled, by its own record or because of a dependency.
+// IsCancelled reports whether a job is cancelled, by its own record or because of a dependency.
 func (graph *Graph) IsCancelled(id string) bool {
 	jobNode := graph.nodes[id]
 	return jobNode != nil && jobNode.stage == stageCancelled
 }
 
-// ReleasedAt is the time of day from which a job's waiting time counts: its submission, or the
-// end of its last dependency.
+// ReleasedAt returns the wall-clock time from which a job's waiting time counts: its submission, or the
+// end of its last dependency if that is later.
 func (graph *Graph) ReleasedAt(id string, submitted clock.Micros) clock.Micros {
 	if jobNode := graph.nodes[id]; jobNode != nil {
 		return max(submitted, jobNode.releasedAt)
@@ -229,7 +230,7 @@
 	return submitted
 }
 
-// UrgencyOf is a job's own urgency merged with that of its transitive dependents.
+// UrgencyOf returns a job's own urgency merged with the urgency that its transitive dependents pass on.
 func (graph *Graph) UrgencyOf(id string, own Urgency) Urgency {
 	if jobNode := graph.nodes[id]; jobNode != nil {
 		return jobNode.urgency.Merge(own)
@@ -237,7 +238,7 @@
 	return own
 }
 
-// PendingDependencies lists the dependencies of a job that are not done.
+// PendingDependencies returns the dependencies of a job that are not done.
 func (graph *Graph) PendingDependencies(id string) []string {
 	jobNode := graph.nodes[id]
 	if jobNode == nil || jobNode.unfinishedDependencies == 0 {
@@ -245,7 +246,8 @@
 	}
 	var pending []string
 	for _, dependency := range jobNode.dependencies {
-		// A dependency that was removed was done: had it been cancelled, this job would be too.
+		// A dependency that is no longer in the graph was done: had it been cancelled, this job would be
+		// cancelled too.
 		if dependencyNode := graph.nodes[dependency]; dependencyNode != nil && dependencyNode.stage != stageDone {
 			pending = append(pending, dependency)
 		}
@@ -253,15 +255,15 @@
 	return pending
 }
 
-// Remove drops a job that has ended; it has no effect on others. If a later record names the job,
-// it comes back as unknown until its end is recorded again.
+// Remove removes a job that has ended, which has no effect on other jobs. If a later record names the job
+// as a dependency, the job is unknown until its end is recorded again.
 func (graph *Graph) Remove(id string) {
 	if jobNode := graph.nodes[id]; jobNode != nil && jobNode.hasEnded() {
 		delete(graph.nodes, id)
 	}
 }
 
-// UnknownDependencies lists, in order, the dependencies of which no record was seen.
+// UnknownDependencies returns, in sorted order, the dependencies of which no record has been seen.
 func (graph *Graph) UnknownDependencies() []string {
 	var ids []string
 	for id, jobNode := range graph.nodes {
--- a/internal/dag/graph_bench_test.go
+++ b/internal/dag/graph_bench_test.go
@@ -9,7 +9,7 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// graphShape generates the jobs of a graph of a given size, each after its dependencies.
+// graphShape generates the jobs of a graph of a given size, so that each job follows its dependencies.
 type graphShape struct {
 	name     string
 	makeJobs func(size int) []Job
@@ -67,8 +67,8 @@
 	}},
 }
 
-// diamondJobs is a chain of diamonds: one job, two parallel ones, one, and so on. slowBranch, 0 or
-// 1, selects which of the two parallel ones takes longer.
+// diamondJobs returns a chain of diamonds: one job, two parallel jobs, one job, and so on. slowBranch, 0
+// or 1, selects which of the two parallel jobs takes longer.
 func diamondJobs(size, slowBranch int) []Job {
 	jobs := []Job{jobWithDependencies(0)}
 	for i := 1; i+2 < size; i += 3 {
@@ -78,9 +78,9 @@
 	return jobs
 }
 
-// BenchmarkGraph measures the time and memory per job by the size of the graph: all records are
-// added, as by a new leader, the last with a deadline that propagates to all; then half of the
-// jobs are completed and the next one is cancelled with its dependents.
+// BenchmarkGraph measures the time and memory per job for graphs of several shapes and sizes. It adds all
+// jobs, as a new leader does, the last one with a deadline that propagates to all others. Then it completes
+// half of the jobs, and cancels the next one with its dependents.
 func BenchmarkGraph(b *testing.B) {
 	for _, shape := range graphShapes {
 		for _, size := range []int{1000, 10000, 50000} {
@@ -118,7 +118,7 @@
 	return stats.HeapAlloc
 }
 
-// Propagation of urgency is linear in the number of edges, also where paths of different lengths
+// The propagation of urgency takes time linear in the number of edges, even if paths of different lengths
 // meet repeatedly.
 func TestUrgencyPropagatesInLinearTime(t *testing.T) {
 	for _, shape := range graphShapes {
@@ -127,7 +127,7 @@
 			for _, job := range shape.makeJobs(size) {
 				graph.AddJob(job)
 			}
-			// The last job is more urgent than all before it.
+			// A job that depends on the last job is more urgent than all other jobs.
 			last := shape.makeJobs(size)[len(shape.makeJobs(size))-1]
 			urgent := jobWithDependencies(size+1, 0)
 			urgent.DependsOn = []string{last.ID}
@@ -138,7 +138,7 @@
 				edges += len(job.DependsOn)
 			}
 			if len(effects.MoreUrgent) > 4*(edges+1) {
-				t.Errorf("%s of %d: %d changes over %d edges", shape.name, size, len(effects.MoreUrgent), edges)
+				t.Errorf("%s of %d jobs: got %d changes, want at most 4*(%d edges + 1)", shape.name, size, len(effects.MoreUrgent), edges)
 			}
 		}
 	}
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -20,8 +20,8 @@
 	completedAt clock.Micros
 }
 
-// drawHistory draws jobs that depend on earlier ones, and their ends by id: no job is done before
-// its dependencies, or after a cancellation of one of them.
+// drawHistory draws jobs that depend on earlier ones, and the ends of some of them by job id. No job is
+// done before its dependencies, or if one of them is cancelled.
 func drawHistory(t *rapid.T) (jobs []Job, outcomes map[string]historyRecord) {
 	count := rapid.IntRange(1, 14).Draw(t, "jobs")
 	outcomes = map[string]historyRecord{}
@@ -63,7 +63,7 @@
 	urgency                Urgency
 }
 
-// expectedStates derives the states of all jobs directly from the definitions.
+// expectedStates derives the states of all jobs directly from their definitions, without a graph.
 func expectedStates(jobs []Job, outcomes map[string]historyRecord) map[string]expectedState {
 	states := map[string]expectedState{}
 	for _, job := range jobs {
@@ -90,11 +90,11 @@
 	return states
 }
 
-// drawRecords draws the records of a history in any order; one of them may be repeated.
+// drawRecords draws the records of a history in any order. One of them may be repeated.
 func drawRecords(t *rapid.T, jobs []Job, outcomes map[string]historyRecord) []historyRecord {
 	var historyRecords []historyRecord
 	for _, job := range jobs {
-		// The record of a job that has ended doesn't list its dependencies any more.
+		// The record of a job that has ended no longer lists the job's dependencies.
 		if outcome, hasOutcome := outcomes[job.ID]; hasOutcome {
 			historyRecords = append(historyRecords, outcome)
 			if rapid.Bool().Draw(t, "its submission is seen too") {
@@ -111,7 +111,7 @@
 	return historyRecords
 }
 
-// applyRecord gives a record to the graph and checks its effects; isReleased has the jobs that were
+// applyRecord applies a record to the graph and checks the effects. isReleased has the jobs that have been
 // released so far.
 func applyRecord(t *rapid.T, graph *Graph, record historyRecord, isReleased map[string]bool) {
 	t.Helper()
@@ -126,38 +126,39 @@
 	}
 	for _, id := range effects.Released {
 		if isReleased[id] || graph.IsBlocked(id) {
-			t.Fatalf("%s is released twice, or blocked", id)
+			t.Fatalf("%s is released twice, or while it is blocked", id)
 		}
 		isReleased[id] = true
 	}
 	if slices.Contains(effects.Cancelled, record.job.ID) && record.stage != stageUnfinished {
-		t.Fatalf("%s is listed as cancelled with itself", record.job.ID)
+		t.Fatalf("the effects of the cancellation of %s list the job itself", record.job.ID)
 	}
 }
 
-// checkJob compares the graph's state of a job without a record of its end with the expectation.
+// checkJob compares the graph's state of a job that has no record of its end with the expected state. The
+// job may be more urgent than expected, since the cancellation of a dependent doesn't lower its urgency.
 func checkJob(t *rapid.T, graph *Graph, job Job, want expectedState) {
 	t.Helper()
 	if graph.IsCancelled(job.ID) != want.isCancelled {
-		t.Fatalf("%s cancelled: %v, want %v", job.ID, graph.IsCancelled(job.ID), want.isCancelled)
+		t.Fatalf("%s: IsCancelled: got %v, want %v", job.ID, graph.IsCancelled(job.ID), want.isCancelled)
 	}
 	if want.isCancelled {
 		return
 	}
 	if graph.IsBlocked(job.ID) != want.isBlocked || (len(graph.PendingDependencies(job.ID)) > 0) != want.isBlocked {
-		t.Fatalf("%s blocked: %v, want %v", job.ID, graph.IsBlocked(job.ID), want.isBlocked)
+		t.Fatalf("%s: IsBlocked: got %v, want %v, and pending dependencies only if blocked", job.ID, graph.IsBlocked(job.ID), want.isBlocked)
 	}
 	if releasedAt := graph.ReleasedAt(job.ID, job.SubmittedAt); !want.isBlocked && releasedAt != want.releasedAt {
-		t.Fatalf("%s released at %d, want %d", job.ID, releasedAt, want.releasedAt)
+		t.Fatalf("%s: ReleasedAt: got %d, want %d", job.ID, releasedAt, want.releasedAt)
 	}
 	if got := graph.UrgencyOf(job.ID, job.Urgency); got.Priority > want.urgency.Priority || want.urgency.Deadline != 0 && (got.Deadline == 0 || got.Deadline > want.urgency.Deadline) {
-		t.Fatalf("%s is less urgent than expected: %+v, want %+v", job.ID, got, want.urgency)
+		t.Fatalf("%s: urgency: got %+v, want at least %+v", job.ID, got, want.urgency)
 	}
 }
 
-// In whatever order the records arrive, and however often, the graph agrees with the definitions:
-// no job is released before all its dependencies are done, and the dependents of a cancelled job
-// are cancelled.
+// The graph's state agrees with the definitions in whatever order, and however often, the records arrive.
+// No job is released before all its dependencies are done, and the dependents of a cancelled job are
+// cancelled.
 func TestRecordOrderIsIrrelevant(t *testing.T) {
 	blockedCount, cascadeCount := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -182,12 +183,12 @@
 		}
 	})
 	if blockedCount < 20 || cascadeCount < 20 {
-		t.Fatalf("%d jobs blocked, %d cancelled with a dependency: the histories cover too little", blockedCount, cascadeCount)
+		t.Fatalf("the histories cover too little: got %d blocked jobs and %d cancelled with a dependency, want at least 20 of each", blockedCount, cascadeCount)
 	}
 }
 
-// In a chain of thousands of jobs, and with thousands of dependents of one job, each record has
-// its effect on every job exactly once.
+// Each record affects every job exactly once, in a chain of thousands of jobs and with thousands of
+// dependents of one job.
 func TestEffectsReachEachJobOnceInLongChainsAndWideFans(t *testing.T) {
 	const length = 5000
 	id := func(i int) string { return fmt.Sprintf("req-%d", i) }
@@ -201,10 +202,10 @@
 	}
 	last := Job{ID: "req-last", DependsOn: []string{id(length - 1)}, Urgency: Urgency{Priority: 0, Deadline: 1 << 40}, EstimatedRunTime: 1}
 	if effects := chain.AddJob(last); len(effects.MoreUrgent) != length {
-		t.Fatalf("%d jobs are more urgent, of %d", len(effects.MoreUrgent), length)
+		t.Fatalf("jobs made more urgent: got %d, want %d", len(effects.MoreUrgent), length)
 	}
 	if effects := chain.RecordCancellation(id(0)); len(effects.Cancelled) != length {
-		t.Fatalf("%d jobs are cancelled, of %d", len(effects.Cancelled), length)
+		t.Fatalf("cancelled jobs: got %d, want %d", len(effects.Cancelled), length)
 	}
 	fan := New()
 	fan.AddJob(Job{ID: "req-root"})
@@ -212,6 +213,6 @@
 		fan.AddJob(Job{ID: id(i), DependsOn: []string{"req-root"}})
 	}
 	if effects := fan.RecordCompletion("req-root", 5); len(effects.Released) != length {
-		t.Fatalf("%d jobs are released, of %d", len(effects.Released), length)
+		t.Fatalf("released jobs: got %d, want %d", len(effects.Released), length)
 	}
 }
--- a/internal/dag/urgency.go
+++ b/internal/dag/urgency.go
@@ -7,11 +7,11 @@
 
 // propagateUrgency raises the urgency of all transitive dependencies of a job.
 //
-// Jobs are processed in the order of their submission, the latest first. Since a dependency is
-// submitted before its dependents, each job is normally processed once, with the urgency of all
-// its dependents. In another order, a graph in which paths of different lengths meet repeatedly
-// could be processed once per path. If the clocks of controllers disagree on the
-// order of submissions, the result is the same but some jobs are processed more than once.
+// Jobs are processed in the order of their submission, the latest first. Since a dependency is submitted
+// before its dependents, each job is normally processed once, with the urgency of all its dependents. In
+// another order, a job could be processed once per path where paths of different lengths meet repeatedly.
+// If the controllers' clocks disagree on the order of submissions, the result is the same but some jobs are
+// processed more than once.
 func (graph *Graph) propagateUrgency(jobNode *node, effects *Effects) {
 	work := submissionHeap{}
 	push := func(jobNode *node) {
@@ -28,7 +28,7 @@
 		for _, dependency := range jobNode.dependencies {
 			dependencyNode := graph.nodes[dependency]
 			if dependencyNode == nil || dependencyNode.hasEnded() {
-				continue // nil: it was done and has been removed
+				continue // nil means that the dependency was done and has been removed
 			}
 			merged := dependencyNode.urgency.Merge(inherited)
 			if merged == dependencyNode.urgency {
@@ -41,13 +41,13 @@
 	}
 }
 
-// submissionHeap is a heap.Interface of jobs, the one that was submitted last on top.
+// submissionHeap is a heap.Interface of jobs with the most recently submitted job on top.
 type submissionHeap []*node
 
 // Len implements sort.Interface.
 func (h submissionHeap) Len() int { return len(h) }
 
-// Less implements sort.Interface: latest submission first, then the greatest id.
+// Less implements sort.Interface: the latest submission comes first, and among equals the greatest id.
 func (h submissionHeap) Less(i, j int) bool {
 	return cmp.Or(-cmp.Compare(h[i].submittedAt, h[j].submittedAt), -cmp.Compare(h[i].id, h[j].id)) < 0
 }
--- a/internal/health/faults.go
+++ b/internal/health/faults.go
@@ -16,9 +16,8 @@
 	// whose own first failure is at least SharedFaultWindow ago is drained even so.
 	SharedFaultWindow  = 60 * clock.Second
 	sharedFaultDivisor = 10
-	// RetryBackoff is how long a machine gets no tasks when it is drained for the first time, and
-	// pauseBackoff how long when it is paused for the first time. Both double each time, but at most
-	// maxBackoffDoublings times.
+	// RetryBackoff and pauseBackoff are how long a machine gets no tasks when it is drained or paused,
+	// respectively, for the first time. Both double each time, but at most maxBackoffDoublings times.
 	RetryBackoff        = 15 * clock.Second
 	pauseBackoff        = 2 * clock.Second
 	maxBackoffDoublings = 4
--- a/internal/health/handover.go
+++ b/internal/health/handover.go
@@ -41,7 +41,6 @@
 // LeaderReach is what a leader knows of its connections to the machines, the key-value store and the
 // other members.
 type LeaderReach struct {
-	// Fleet counts the machines that have booted, and those of them that are reachable.
 	Fleet Reachability
 	// HadMostReachable reports whether the fleet was mostly reachable (see
 	// Reachability.IsMostlyReachable) at some time in this term. A leader that never reached the
@@ -58,7 +57,7 @@
 	// HasWaitedForWorkers reports whether workers have had enough time to send heartbeats again since
 	// the process's last stall.
 	HasWaitedForWorkers bool
-	// ContactingOther is the number of workers that contact the member which most workers contact.
+	// ContactingOther is the largest number of workers that contact any single other member.
 	ContactingOther uint32
 }
 
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -27,7 +27,7 @@
 
 // Timing holds the ages of a machine's last heartbeat at which the machine is treated differently.
 type Timing struct {
-	// HeartbeatWindow is the age up to which the machine counts as reachable.
+	// HeartbeatWindow is the age below which the machine counts as reachable.
 	HeartbeatWindow clock.Micros
 	// SuspectTimeout is the age beyond which the machine is suspected to have failed.
 	SuspectTimeout clock.Micros
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -8,7 +8,8 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// The three ages of a heartbeat follow the interval, and are passed in this order.
+// All three ages grow with the heartbeat interval. A silent machine is first probed, then counts as
+// unreachable, and is then suspected.
 func TestTimingFollowsHeartbeatInterval(t *testing.T) {
 	for _, test := range []struct {
 		intervalSeconds float64
@@ -18,13 +19,14 @@
 		{10, Timing{HeartbeatWindow: 14 * clock.Second, SuspectTimeout: 19 * clock.Second, ProbeAfter: 13 * clock.Second}},
 	} {
 		if got := NewTiming(test.intervalSeconds); got != test.want {
-			t.Errorf("interval %v s: %+v, want %+v", test.intervalSeconds, got, test.want)
+			t.Errorf("NewTiming(%v): got %+v, want %+v", test.intervalSeconds, got, test.want)
 		}
 	}
 }
 
-// A store that answers no reads comes first; a leader whose workers have had no time to
-// come back does not conclude anything from how many are reachable.
+// A store that answers no reads takes precedence over the other reasons to hand over. A leader whose workers
+// have had no time to send heartbeats again since a stall doesn't conclude from few reachable machines that
+// it is cut off.
 func TestHandOverReasons(t *testing.T) {
 	cutOff := LeaderReach{Fleet: Reachability{Up: 20}, HasCandidate: true, LeaderTTL: 4 * clock.Second, ReadAge: clock.Second, HasWaitedForWorkers: true, ContactingOther: 12}
 	with := func(change func(*LeaderReach)) LeaderReach {
@@ -37,27 +39,27 @@
 		reach LeaderReach
 		want  HandOverReason
 	}{
-		{"others are contacted", cutOff, OnlyLeaderCutOff},
-		{"not settled", with(func(reach *LeaderReach) { reach.HasWaitedForWorkers = false }), KeepLeadership},
-		{"no reads", with(func(reach *LeaderReach) { reach.ReadAge = 9 * clock.Second; reach.HadMostReachable = true }), StoreUnreadable},
-		{"reads are a little late", with(func(reach *LeaderReach) { reach.ReadAge = 8 * clock.Second; reach.HasWaitedForWorkers = false }), KeepLeadership},
-		{"no reads, no candidate", with(func(reach *LeaderReach) {
+		{"many workers contact another member", cutOff, OnlyLeaderCutOff},
+		{"workers had no time to return", with(func(reach *LeaderReach) { reach.HasWaitedForWorkers = false }), KeepLeadership},
+		{"no reads are answered", with(func(reach *LeaderReach) { reach.ReadAge = 9 * clock.Second; reach.HadMostReachable = true }), StoreUnreadable},
+		{"reads are slightly late", with(func(reach *LeaderReach) { reach.ReadAge = 8 * clock.Second; reach.HasWaitedForWorkers = false }), KeepLeadership},
+		{"no reads are answered, no candidate", with(func(reach *LeaderReach) {
 			reach.ReadAge, reach.HasCandidate, reach.ContactingOther = 9*clock.Second, false, 0
 		}), KeepLeadership},
-		{"all at once", with(func(reach *LeaderReach) { reach.HadMostReachable, reach.HasWaitedForWorkers = true, false }), NoneReachable},
+		{"all machines become unreachable", with(func(reach *LeaderReach) { reach.HadMostReachable, reach.HasWaitedForWorkers = true, false }), NoneReachable},
 	} {
 		if got := test.reach.HandOverReason(); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// Each enum value has a text of its own, and one that is none says so.
+// Each enum value has its own text, and the text of an undefined value shows its number.
 func TestEnumTextsAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	checkText := func(text string) {
 		if seen[text] || text == "" || strings.Contains(text, "(") {
-			t.Errorf("text %q is empty, stands twice or has no name", text)
+			t.Errorf("text %q: want a unique name that is neither empty nor a number", text)
 		}
 		seen[text] = true
 	}
@@ -71,43 +73,43 @@
 		checkText(action.String())
 	}
 	if got := (Reclaimed + 1).String(); got != "Verdict(8)" {
-		t.Errorf("unknown verdict: %q", got)
+		t.Errorf("text of an undefined verdict: got %q, want Verdict(8)", got)
 	}
 }
 
-// Two failed jobs make a machine faulty; while failures are widespread it only pauses, each
-// time for longer, and after the window of shared faults it is faulty after all.
+// A machine on which tasks of two jobs have failed is faulty. While failures are widespread it is only
+// paused, each time for longer. Once its first failure is SharedFaultWindow ago, it is drained even so.
 func TestFaultsPauseBeforeDrain(t *testing.T) {
 	var faults Faults
 	machine := &allocation.Machine{MachineRestrictions: allocation.MachineRestrictions{FailedJobs: map[string]bool{"a": true}}}
 	isWidespread := func() bool { return true }
 	now := 1000 * clock.Second
 	if action, _ := faults.RecordFailure(machine, isWidespread, now); action != NoFaultAction {
-		t.Fatalf("one job: %v", action)
+		t.Fatalf("tasks of one job failed: got action %v, want none", action)
 	}
 	machine.FailedJobs["b"] = true
 	for _, pause := range []clock.Micros{2 * clock.Second, 4 * clock.Second, 8 * clock.Second} {
 		action, until := faults.RecordFailure(machine, isWidespread, now)
 		if action != PauseMachine || until != now+pause {
-			t.Fatalf("%v until %d, want a pause of %d", action, until-now, pause)
+			t.Fatalf("tasks of two jobs failed: got %v for %d microseconds, want a pause for %d", action, until-now, pause)
 		}
 		machine.BackoffUntil = until
 		if action, _ := faults.RecordFailure(machine, isWidespread, until-1); action != NoFaultAction {
-			t.Fatalf("while it pauses: %v", action)
+			t.Fatalf("failure during a pause: got action %v, want none", action)
 		}
 		now = until
 	}
 	if !faults.HasRecentFailure(now) || faults.HasRecentFailure(now+SharedFaultWindow) {
-		t.Error("failures count for the window of shared faults")
+		t.Error("HasRecentFailure: want true right after a failure and false after SharedFaultWindow")
 	}
 	now += SharedFaultWindow
 	if action, _ := faults.RecordFailure(machine, isWidespread, now); action != DrainMachine || faults.RetryAt() != now+RetryBackoff {
-		t.Fatalf("after the window: %v, retry at %d", action, faults.RetryAt()-now)
+		t.Fatalf("failure after SharedFaultWindow: got %v with a retry after %d microseconds, want a drain with a retry after RetryBackoff", action, faults.RetryAt()-now)
 	}
 }
 
-// Misses before the way to the zone was open don't count, an answer ends a row of misses,
-// and a machine that missed a probe is probed again sooner than the others.
+// A miss from before the zone was reachable doesn't count, and an answer resets the count of misses. A
+// machine that missed a probe is probed again sooner than others.
 func TestProbeMissesAreCountedInARow(t *testing.T) {
 	timing := NewTiming(2)
 	var probes Probes
@@ -115,32 +117,33 @@
 	probes.RecordSent(now)
 	probes.RecordMiss(now, now+1)
 	if probes.Misses != 0 {
-		t.Fatal("counted a miss while the way was closed")
+		t.Fatal("counted the miss of a probe that was sent before the zone was reachable")
 	}
 	probes.RecordMiss(now, now)
 	if probes.HasTooManyMisses() || probes.FirstMissSentAt() != now {
-		t.Fatal("one miss is too many, or is not the first")
+		t.Fatal("after one miss: want HasTooManyMisses false, and FirstMissSentAt the time of this miss")
 	}
 	if probes.NeedsProbe(now, 0, now+missRetryInterval-1, timing) || !probes.NeedsProbe(now, 0, now+missRetryInterval, timing) {
-		t.Error("after a miss it is not probed again after half a second")
+		t.Error("after a miss: want another probe due after exactly missRetryInterval")
 	}
 	probes.RecordMiss(now+1, now)
 	if !probes.HasTooManyMisses() || probes.FirstMissSentAt() != now {
-		t.Fatal("two misses are not too many, or the first is not the first")
+		t.Fatal("after two misses: want HasTooManyMisses true, and FirstMissSentAt the time of the first miss")
 	}
 	probes.RecordAnswer(now + 2)
 	if probes.HasTooManyMisses() || probes.Misses != 0 {
-		t.Fatal("an answer doesn't end the misses")
+		t.Fatal("after an answer: want no misses")
 	}
 	if probes.NeedsProbe(now, 0, now+timing.ProbeAfter-1, timing) || !probes.NeedsProbe(now, 0, now+timing.ProbeAfter, timing) {
-		t.Error("an overdue heartbeat doesn't lead to a probe")
+		t.Error("without misses: want a probe due after exactly ProbeAfter without a heartbeat")
 	}
 	if !IsResultTooLate(now, now+ProbeTimeout+maxProbeResultDelay+1) || IsResultTooLate(now, now+ProbeTimeout+maxProbeResultDelay) {
-		t.Error("the lateness of results is not bounded as said")
+		t.Error("IsResultTooLate: want true only later than maxProbeResultDelay after ProbeTimeout")
 	}
 }
 
-// A zone answers while two in three of its machines do.
+// The network to a zone counts as working as long as at least two in three of the machines counted have
+// answered. Machines that have neither answered nor missed a probe are not counted.
 func TestZoneAnswersIfTwoThirdsOfMachinesDo(t *testing.T) {
 	since := 1000 * clock.Second
 	for _, test := range []struct {
@@ -158,7 +161,7 @@
 			answers.Add(&Probes{}, since, since)
 		}
 		if got := answers.IsMostlyAnswering(); got != test.want {
-			t.Errorf("%+v: %v", test, got)
+			t.Errorf("case %+v: got IsMostlyAnswering %v", test, got)
 		}
 	}
 }
--- a/internal/health/probe.go
+++ b/internal/health/probe.go
@@ -58,10 +58,10 @@
 	return now-sentAt > ProbeTimeout+maxProbeResultDelay
 }
 
-// NeedsProbe reports whether a machine, with or without replicas, is to be probed out of turn. After a
-// miss, it is once missRetryInterval has passed since the last probe or heartbeat. Otherwise it is if its
-// heartbeat is overdue and ProbeInterval has passed since the last probe. resumedAt is the end of the
-// process's last stall; a heartbeat becomes overdue only some time after it.
+// NeedsProbe reports whether a machine, with or without replicas, is to be probed out of turn. After a miss,
+// a probe is due once missRetryInterval has passed since the last probe or heartbeat. Otherwise it is due if
+// the heartbeat is overdue and ProbeInterval has passed since the last probe. resumedAt is the instant since
+// which this process has been able to receive heartbeats; no heartbeat is overdue until ProbeAfter later.
 func (probes *Probes) NeedsProbe(lastHeartbeatAt, resumedAt, now clock.Micros, timing Timing) bool {
 	if probes.Misses > 0 {
 		return probes.timeSinceLastContact(lastHeartbeatAt, now) >= missRetryInterval
@@ -85,8 +85,8 @@
 type ZoneAnswers struct{ answered, missed int }
 
 // Add counts one machine of the zone. firstMissSentAt is when the first unanswered probe was sent to the
-// machine that may have to be deleted. Another machine counts as answering only if its last answer or
-// heartbeat came more than half of ProbeTimeout after that.
+// machine that may have to be deleted. A machine counts as answering only if its last answer or heartbeat
+// came more than half of ProbeTimeout after that.
 func (answers *ZoneAnswers) Add(probes *Probes, lastHeartbeatAt, firstMissSentAt clock.Micros) {
 	switch {
 	case max(probes.AnsweredAt, lastHeartbeatAt) > firstMissSentAt+ProbeTimeout/2:
--- a/internal/health/reachability.go
+++ b/internal/health/reachability.go
@@ -4,7 +4,7 @@
 // heartbeat window.
 type Reachability struct{ Up, Reachable int }
 
-// minUpMachines is the number of booted machines from which on it is significant that few of them are
+// minUpMachines is the least number of booted machines for which it is significant that few of them are
 // reachable.
 const minUpMachines = 3
 
--- a/internal/scaleout/request.go
+++ b/internal/scaleout/request.go
@@ -1,11 +1,11 @@
-// Package scaleout has the life of a scale-out request: which state it is in, what its record in
-// the key-value store has to be, and what is due next. It does no I/O and reads no clock; the
-// leader writes the records, sends the requests and reports what came of that.
+// Package scaleout tracks scale-out requests: the state of each request, the content that its record
+// in the key-value store has to have, and the next step. It does no I/O and reads no clock; the leader
+// writes the records, sends the requests and reports the outcomes.
 //
 // A request's record is durable before the request is sent, so that any later leader knows which
-// machines may exist, and the machines' names are durable before a machine gets tasks. A later
-// leader sends a request again whose record has no answer: the cloud gives the same answer to the
-// same name.
+// machines may exist. The machines' names are durable before any of the machines gets tasks. If a
+// record has no answer yet, a later leader sends the request again: the cloud gives the same answer
+// to a request of the same name.
 package scaleout
 
 import (
@@ -16,37 +16,39 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Request is a scale-out request, from its first record until the last of its machines is deleted.
-// It is not safe for concurrent use.
+// Request is a scale-out request. It exists from its first record until the last of its machines is
+// deleted. It is not safe for concurrent use.
 type Request struct {
 	name        string
 	record      records.ScaleOut
 	requestedAt clock.Micros
 	state       State
 	write       recordWrite
-	// version is the revision of the record as last known, 0: there is none.
+	// version is the last known revision of the record, or 0 if there is no record.
 	version uint64
-	// isShrinkScheduled: a write without the machines that were deleted is due.
+	// isShrinkScheduled reports whether a write that removes deleted machines from the record is
+	// scheduled.
 	isShrinkScheduled bool
-	// isOver: the record was deleted.
+	// isOver reports whether the record was deleted.
 	isOver bool
 }
 
-// recordWrite is the write of a request's record that is under way.
+// recordWrite is the state of the last write of a request's record.
 type recordWrite struct {
 	isInFlight bool
 	isDelete   bool
-	// isStale: the record has changed since the write began, so it has to be written again.
+	// isStale reports whether the record has changed since the write began, so that it has to be
+	// written again.
 	isStale bool
 }
 
-// New makes a request whose record is still to be written. requestedAt is the present instant of
-// the steady clock, record.RequestedAt that of the time of day.
+// New returns a request whose record has yet to be written. requestedAt is the current instant of the
+// monotonic clock, and record.RequestedAt the current wall-clock time.
 func New(name string, record records.ScaleOut, requestedAt clock.Micros) *Request {
 	return &Request{name: name, record: record, requestedAt: requestedAt, state: Recording}
 }
 
-// Restore makes the request of a record that an earlier leader wrote.
+// Restore returns the request that belongs to a record written by an earlier leader.
 func Restore(name string, record records.ScaleOut, version uint64, requestedAt clock.Micros) *Request {
 	request := &Request{name: name, record: record, requestedAt: requestedAt, state: Requesting, version: version}
 	if record.IsResolved {
@@ -55,52 +57,52 @@
 	return request
 }
 
-// Name identifies the request, at the cloud and in the key-value store.
+// Name returns the name that identifies the request to the cloud and in the key-value store.
 func (request *Request) Name() string { return request.name }
 
-// State is where the request is in its life.
+// State returns the request's state.
 func (request *Request) State() State { return request.state }
 
-// RequestedAt is the instant of the steady clock at which the request was made.
+// RequestedAt returns the instant of the monotonic clock at which the request was made.
 func (request *Request) RequestedAt() clock.Micros { return request.requestedAt }
 
-// Version is the revision of the record as last known, 0 if there is none.
+// Version returns the last known revision of the record, or 0 if there is no record.
 func (request *Request) Version() uint64 { return request.version }
 
-// IsAnswered tells whether the cloud has answered the request.
+// IsAnswered reports whether the cloud has answered the request.
 func (request *Request) IsAnswered() bool { return request.state > Requesting }
 
-// IsOver tells whether the record was deleted, because the request has no machines any more.
+// IsOver reports whether the record was deleted, because the request no longer has any machines.
 func (request *Request) IsOver() bool { return request.isOver }
 
-// Machines are the names of the request's machines that are not deleted. The caller must not
-// change them.
+// Machines returns the names of the request's machines that have not been deleted. The caller must not
+// modify the slice.
 func (request *Request) Machines() []string { return request.record.Machines }
 
-// CloudRequest is what is sent to the cloud; it is the same each time.
+// CloudRequest returns the request to send to the cloud, which is the same each time.
 func (request *Request) CloudRequest() wire.ScaleOutRequest {
 	record := &request.record
 	return wire.ScaleOutRequest{RequestID: request.name, MachineType: record.Type, Zone: record.Zone, Spot: record.Spot, Count: record.Count}
 }
 
-// RecordGrant records the machines that the cloud gave. The record is to be written.
+// RecordGrant records the machines that the cloud granted. The caller has to write the record.
 func (request *Request) RecordGrant(machines []string) {
 	request.state, request.record.IsResolved, request.record.Machines = Granted, true, machines
 }
 
-// RecordRefusal records that the cloud gave nothing. The record is to be written.
+// RecordRefusal records that the cloud granted no machines. The caller has to write the record.
 func (request *Request) RecordRefusal() {
 	request.state, request.record.IsResolved = Refused, true
 }
 
-// RemoveMachine takes a machine that was deleted out of the record, which is to be written; see
+// RemoveMachine removes a deleted machine from the record. The caller has to write the record; see
 // ScheduleShrink.
 func (request *Request) RemoveMachine(name string) {
 	request.record.Machines = slices.DeleteFunc(request.record.Machines, func(other string) bool { return other == name })
 }
 
-// ScheduleShrink notes that a write without the machines that were deleted is due, and reports
-// whether the caller has to schedule it; false means that one is scheduled already.
+// ScheduleShrink records that a write has to remove deleted machines from the stored record. It reports
+// whether the caller has to schedule that write; false means that a write is already scheduled.
 func (request *Request) ScheduleShrink() bool {
 	if request.isShrinkScheduled {
 		return false
@@ -109,5 +111,5 @@
 	return true
 }
 
-// BeginShrink records that the scheduled write begins: machines removed from now on need another.
+// BeginShrink records that the scheduled write begins. Machines removed from now on need another write.
 func (request *Request) BeginShrink() { request.isShrinkScheduled = false }
--- a/internal/scaleout/write.go
+++ b/internal/scaleout/write.go
@@ -5,18 +5,18 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Write is a write of a request's record. It is conditional on the record's version: one that is
-// executed late, or twice, must not undo a later one, which may name machines that have tasks by
-// then.
+// Write is a write of a request's record. It is conditional on the record's version: a write that is
+// executed late, or twice, must not undo a later write, since that one may name machines that have
+// tasks by then.
 type Write struct {
 	Condition wire.Condition
 	Change    wire.Change
 }
 
-// BeginWrite makes the write that brings the record up to date; it deletes the record once the
-// cloud has answered and no machine is left. The caller has to report the outcome with
-// ConfirmWrite or RetryFrom. False means that a write is under way, after which ConfirmWrite asks
-// for one more, or that the record can't be encoded.
+// BeginWrite returns the write that brings the stored record up to date. The write deletes the record
+// if the cloud has answered and no machine is left. The caller has to report the outcome with
+// ConfirmWrite or RetryFrom. BeginWrite returns false if another write is in flight, in which case
+// ConfirmWrite asks for one more write, or if the record can't be encoded.
 func (request *Request) BeginWrite() (Write, bool) {
 	if request.write.isInFlight {
 		request.write.isStale = true
@@ -38,8 +38,8 @@
 	return write, true
 }
 
-// ConfirmWrite records that the write under way is durable since a revision, and returns what is
-// due next. The state only moves on with a write of the record as it is now, not with a stale one.
+// ConfirmWrite records that the write in flight is durable as of a revision, and returns the next step.
+// The state advances only if the write had the record's current content, and not if it is stale.
 func (request *Request) ConfirmWrite(revision uint64) Step {
 	write := request.write
 	request.write.isInFlight, request.version = false, revision
@@ -63,9 +63,9 @@
 	return StepNone
 }
 
-// RetryFrom ends a write that had a conflict, was not executed, or whose outcome is unknown.
-// version is what the record was read back with since, 0 if there is none. The caller has to begin
-// a write again, also if the one that ended was executed after all.
+// RetryFrom ends a write that had a conflict, was not executed, or has an unknown outcome. version is the
+// record's version as read back since, or 0 if there is no record. The caller has to begin a write again,
+// even if the one that ended was executed after all.
 func (request *Request) RetryFrom(version uint64) {
 	request.write.isInFlight, request.version = false, version
 }
