--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestConversions(t *testing.T) {
+func TestSecondsAndDuration(t *testing.T) {
 	if got := (1500 * Millisecond).Seconds(); got != 1.5 {
 		t.Errorf("%v seconds", got)
 	}
@@ -32,7 +32,7 @@
 }
 
 // The zero instant is before every instant that the clock gives.
-func TestNowIsAfterZero(t *testing.T) {
+func TestNowIsNonzeroAndMonotonic(t *testing.T) {
 	if first := Now(); first < Second || Now() < first {
 		t.Errorf("the clock began at %d and went back", first)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -94,7 +94,7 @@
 func (controller *Controller) tick() {
 	now := clock.Now()
 	controller.detectStall(now)
-	controller.view.ExpireWaiters(now)
+	controller.view.ExpireSyncs(now)
 	controller.startWatches()
 	controller.executeActions(controller.elector.Tick(now))
 	controller.fetchMachineTypes(now)
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -62,9 +62,9 @@
 )
 
 const (
-	maxConnections = 6
-	maxSenders     = 3
-	requestTimeout = 3 * clock.Second
+	maxIdleConnections = 6
+	maxSenders         = 3
+	requestTimeout     = 3 * clock.Second
 	// maxResponseBytes bounds a response; the store itself sets no limit.
 	maxResponseBytes = 4 << 20
 	// The queue holds as many writes as the store's whole write rate takes in
@@ -73,9 +73,9 @@
 	queueCapacitySeconds = 4
 	// initialRateShare is this process's share of both rates until SetRateShare is called.
 	initialRateShare = 0.25
-	// queuedRequestShare is the part of this process's request rate that requests wait for;
+	// throttledRequestShare is the part of this process's request rate that requests wait for;
 	// the rest is for lease requests, which don't wait.
-	queuedRequestShare = 0.95
+	throttledRequestShare = 0.95
 	// minRequestBurst and minWriteBurst let a process with a small share still send a few
 	// requests or changes at once; the latter is less if MaxTransactionOps is.
 	minRequestBurst = 2
@@ -87,7 +87,7 @@
 func New(dial client.Dialer, address string, limits Limits, lockKey string) *Client {
 	requestRate, writeRate := limits.RPS*initialRateShare, limits.WriteRPS*initialRateShare
 	return &Client{
-		host: client.NewHost(dial, address, maxConnections, maxResponseBytes), limits: limits, lockKey: lockKey,
+		host: client.NewHost(dial, address, maxIdleConnections, maxResponseBytes), limits: limits, lockKey: lockKey,
 		requestBudget: client.NewTokenBucket(requestRate, requestRate), writeBudget: client.NewTokenBucket(writeRate, writeRate),
 	}
 }
@@ -95,7 +95,7 @@
 // SetRateShare sets which part, from 0 to 1, of the store's request and write rates this process
 // may use. The write rate is at least one change a second.
 func (store *Client) SetRateShare(share float64) {
-	rate := share * store.limits.RPS * queuedRequestShare
+	rate := share * store.limits.RPS * throttledRequestShare
 	store.requestBudget.SetRate(rate, max(rate, minRequestBurst))
 	store.SetWriteRateShare(share)
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -53,7 +53,7 @@
 
 // A write whose own condition fails does not fail the others of its transaction. A fencing
 // token that is not the lock's version fails all writes that have it, and no others.
-func TestGroupCommit(t *testing.T) {
+func TestConflictAndFencingFailOnlyOwnWrites(t *testing.T) {
 	store, fakeStore := newTestClient(t)
 	if results := commitAll(t, store, &Write{Changes: putChange("a/0", "1")}); results[0].outcome != Committed {
 		t.Fatalf("%v", results)
@@ -84,7 +84,7 @@
 
 // A key on a lease is deleted with it, a watch shows that, and an ended lease can't be renewed. In
 // an outage writes are not executed, and the failure is recorded.
-func TestWatchAndLeases(t *testing.T) {
+func TestLeaseRevocationIsWatchedAndOutageIsRecorded(t *testing.T) {
 	store, fakeStore := newTestClient(t)
 	if _, err := store.Get("a/lock"); !errors.Is(err, ErrNotFound) {
 		t.Fatalf("a key that nobody wrote: %v", err)
@@ -137,14 +137,14 @@
 	}
 	received := make(chan int, 1)
 	go func() {
-		c, err := listener.Accept()
+		connection, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		buffer := make([]byte, 1000)
-		n, _ := c.Read(buffer) // the error shows in n
+		n, _ := connection.Read(buffer) // the error shows in n
 		received <- n
-		c.Close()
+		connection.Close()
 	}()
 	host := client.NewHost(client.DialTCP, listener.Addr().String(), 1, 1000)
 	request := client.Request{Method: "POST", Target: "/x", Timeout: 5 * clock.Second, SendDeadline: func() clock.Micros { return 1 }}
@@ -155,15 +155,15 @@
 		t.Fatalf("%d bytes were sent too late", n)
 	}
 	listener.Close()
-	var sendError *client.NotSentError
-	if _, err := host.Do(client.Request{Method: "GET", Target: "/", Timeout: clock.Second}); !errors.As(err, &sendError) {
+	var notSentError *client.NotSentError
+	if _, err := host.Do(client.Request{Method: "GET", Target: "/", Timeout: clock.Second}); !errors.As(err, &notSentError) {
 		t.Fatalf("nobody listens: %v", err)
 	}
 }
 
 // When more is queued than the rate allows, interactive writes go first and background
 // writes are sent only from spare rate. No write is lost.
-func TestWritePriorities(t *testing.T) {
+func TestInteractiveWritesGoFirstAndBackgroundUsesSpareRate(t *testing.T) {
 	store := New(client.DialTCP, "127.0.0.1:1", Limits{RPS: 1000, WriteRPS: 8, MaxTransactionOps: 8}, "lead")
 	store.writeBudget = client.NewTokenBucket(8, 8)
 	store.activeSenders, store.isRecheckScheduled = maxSenders, true // the test takes the batches itself
@@ -197,7 +197,7 @@
 
 // A watch whose response would exceed maxResponseBytes gives ErrCompacted; all keys can still
 // be loaded page by page.
-func TestOversizedWatchIsCompacted(t *testing.T) {
+func TestOversizedWatchReturnsErrCompacted(t *testing.T) {
 	store, _ := newTestClient(t)
 	value := `"` + strings.Repeat("x", 40<<10) + `"`
 	for i := range maxResponseBytes/len(value) + 2 {
--- a/internal/kvstore/queue.go
+++ b/internal/kvstore/queue.go
@@ -74,7 +74,7 @@
 // can then be refused at once.
 func (store *Client) Commit(write *Write) bool {
 	write.queuedAt = clock.Now()
-	write.measure()
+	write.estimateSize()
 	if write.Priority == Interactive && write.Deadline != 0 && clock.Now()+store.InteractiveDelay() > write.Deadline {
 		return false
 	}
--- a/internal/kvstore/write.go
+++ b/internal/kvstore/write.go
@@ -107,7 +107,7 @@
 }
 
 // measure sets sizeBytes to an estimate of the write's part of a transaction.
-func (write *Write) measure() {
+func (write *Write) estimateSize() {
 	write.sizeBytes = 0
 	for i := range write.Changes {
 		change := &write.Changes[i]
--- a/internal/leader/commit_test.go
+++ b/internal/leader/commit_test.go
@@ -54,7 +54,7 @@
 		if posted == 0 {
 			t.Fatal("the result of background work was not posted within 10 s")
 		}
-		owner.View.ExpireWaiters(clock.Now() + 2*verifyTimeout)
+		owner.View.ExpireSyncs(clock.Now() + 2*verifyTimeout)
 		want := 1
 		if isClosed {
 			want = 0
--- a/internal/leader/owner_test.go
+++ b/internal/leader/owner_test.go
@@ -101,7 +101,7 @@
 			command()
 		}
 		owner.watch()
-		owner.View.ExpireWaiters(clock.Now())
+		owner.View.ExpireSyncs(clock.Now())
 		if isDone() {
 			return
 		}
--- a/internal/storeview/apply.go
+++ b/internal/storeview/apply.go
@@ -18,9 +18,9 @@
 
 // Apply applies the changes that a watch has brought, and tells how many of them the view did not
 // have. It skips those up to its revision: watches overlap.
-func (view *View) Apply(events *wire.WatchResponse) (applied int) {
-	for i := range events.Events {
-		event := &events.Events[i]
+func (view *View) Apply(response *wire.WatchResponse) (applied int) {
+	for i := range response.Events {
+		event := &response.Events[i]
 		if event.Version <= view.Revision {
 			continue
 		}
@@ -31,7 +31,7 @@
 			view.ApplyPut(event.PutKey, event.Value, event.Version)
 		}
 	}
-	view.Revision = max(view.Revision, events.Revision)
+	view.Revision = max(view.Revision, response.Revision)
 	return applied
 }
 
--- a/internal/storeview/sync.go
+++ b/internal/storeview/sync.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// ExpireWaiters ends the syncs whose deadline has passed with ErrSyncTimeout.
-func (view *View) ExpireWaiters(now clock.Micros) {
+// ExpireSyncs ends the syncs whose deadline has passed with ErrSyncTimeout.
+func (view *View) ExpireSyncs(now clock.Micros) {
 	var expired []*syncWaiter
 	remaining := view.waiters[:0]
 	for _, waiter := range view.waiters {
--- a/internal/storeview/view_test.go
+++ b/internal/storeview/view_test.go
@@ -15,12 +15,12 @@
 
 // recorder is an Observer that lists what it is told.
 type recorder struct {
-	view *View
-	seen []string
+	view    *View
+	reports []string
 }
 
 func (observer *recorder) add(format string, args ...any) {
-	observer.seen = append(observer.seen, fmt.Sprintf(format, args...))
+	observer.reports = append(observer.reports, fmt.Sprintf(format, args...))
 }
 
 func (observer *recorder) JobChanged(id string, job *Job) {
@@ -67,7 +67,7 @@
 
 // Each kind of key is reported once it is in the view, and a value or key that cannot be read is
 // rejected and changes nothing.
-func TestPutsAreReported(t *testing.T) {
+func TestPutsAreReportedOrRejected(t *testing.T) {
 	for _, test := range []struct {
 		key, value string
 		want       []string
@@ -98,8 +98,8 @@
 	} {
 		view, observer := newTestView()
 		view.ApplyPut(test.key, []byte(test.value), 7)
-		if !slices.Equal(observer.seen, test.want) {
-			t.Errorf("%s %s: reported are %q, want %q", test.key, test.value, observer.seen, test.want)
+		if !slices.Equal(observer.reports, test.want) {
+			t.Errorf("%s %s: reported are %q, want %q", test.key, test.value, observer.reports, test.want)
 		}
 	}
 }
@@ -120,13 +120,13 @@
 	if applied != 0 {
 		t.Errorf("%d events are applied again", applied)
 	}
-	if want := []string{"job req-000001@9", "job req-000001@10"}; !slices.Equal(observer.seen, want) {
-		t.Errorf("reported are %q, want %q", observer.seen, want)
+	if want := []string{"job req-000001@9", "job req-000001@10"}; !slices.Equal(observer.reports, want) {
+		t.Errorf("reported are %q, want %q", observer.reports, want)
 	}
 }
 
 // A deleted key leaves nothing behind, but a job, whose record is then in the archive.
-func TestDeletes(t *testing.T) {
+func TestDeletesRemoveContentsAndArchiveJobs(t *testing.T) {
 	view, _ := newTestView()
 	puts := map[string]string{
 		records.LockKey: `{"m":"b"}`, records.ArchiveMarkerKey: `{}`, records.JobKey("req-000001"): `{"at":1,"s":"done"}`, records.ProgressKey("req-000001", 1): `{"b":""}`,
@@ -156,7 +156,7 @@
 
 // A load drops keys that were deleted unseen and keeps jobs; one older than the view changes
 // nothing.
-func TestLoadReplacesTheContents(t *testing.T) {
+func TestLoadReplacesContentsAndKeepsJobs(t *testing.T) {
 	view, _ := newTestView()
 	view.ApplyPut(records.ScaleOutKey("a-1"), []byte(`{}`), 4)
 	view.ApplyPut(records.LockKey, []byte(`{"m":"b"}`), 4)
@@ -182,12 +182,12 @@
 }
 
 // A sync ends with the watch that was opened after it, or at its deadline, and only once.
-func TestSyncsEndOnce(t *testing.T) {
+func TestSyncCallbacksRunOnce(t *testing.T) {
 	view, _ := newTestView()
 	errWatch := errors.New("watch")
-	var ends [3][]error
+	var results [3][]error
 	request := func(i int, deadline int64) {
-		view.RequestSync(func(err error) { ends[i] = append(ends[i], err) }, clock.Micros(deadline))
+		view.RequestSync(func(err error) { results[i] = append(results[i], err) }, clock.Micros(deadline))
 	}
 	request(0, 10)
 	request(1, 20)
@@ -199,17 +199,17 @@
 		t.Error("they are claimed twice")
 	}
 	request(2, 20)
-	view.ExpireWaiters(clock.Micros(10))
+	view.ExpireSyncs(clock.Micros(10))
 	batch.Complete(nil)
 	if later, ok := view.ClaimSyncs(); !ok {
 		t.Error("the last has no watch")
 	} else {
 		later.Complete(errWatch)
 	}
-	view.ExpireWaiters(clock.Micros(30))
+	view.ExpireSyncs(clock.Micros(30))
 	for i, want := range []error{ErrSyncTimeout, nil, errWatch} {
-		if len(ends[i]) != 1 || !errors.Is(ends[i][0], want) {
-			t.Errorf("sync %d ends with %v, want %v", i, ends[i], want)
+		if len(results[i]) != 1 || !errors.Is(results[i][0], want) {
+			t.Errorf("sync %d ends with %v, want %v", i, results[i], want)
 		}
 	}
 }
