--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Seconds are rounded to whole microseconds. Negative numbers and NaN give 0, and those above
+// FromSeconds rounds to whole microseconds. Negative numbers and NaN give 0, and numbers above
 // maxSeconds give maxSeconds.
 func TestFromSeconds(t *testing.T) {
 	for _, testCase := range []struct {
@@ -17,23 +17,23 @@
 		{math.NaN(), 0}, {math.Inf(-1), 0}, {math.Inf(1), maxSeconds * Second}, {1e13, maxSeconds * Second}, {1e12, maxSeconds * Second},
 	} {
 		if got := FromSeconds(testCase.seconds); got != testCase.want {
-			t.Errorf("%v seconds are %d, want %d", testCase.seconds, got, testCase.want)
+			t.Errorf("FromSeconds(%v) = %d, want %d", testCase.seconds, got, testCase.want)
 		}
 	}
 }
 
 func TestSecondsAndDuration(t *testing.T) {
 	if got := (1500 * Millisecond).Seconds(); got != 1.5 {
-		t.Errorf("%v seconds", got)
+		t.Errorf("(1500 * Millisecond).Seconds() = %v, want 1.5", got)
 	}
 	if got := (1500 * Millisecond).Duration(); got != 1500*time.Millisecond {
-		t.Errorf("%v", got)
+		t.Errorf("(1500 * Millisecond).Duration() = %v, want 1.5s", got)
 	}
 }
 
-// The zero instant is before every instant that the clock gives.
+// Every reading is later than the zero instant, which means "never", and readings never decrease.
 func TestNowIsNonzeroAndMonotonic(t *testing.T) {
 	if first := Now(); first < Second || Now() < first {
-		t.Errorf("the clock began at %d and went back", first)
+		t.Errorf("the first reading is %d; want at least one second, and no smaller second reading", first)
 	}
 }
--- a/internal/clock/drift.go
+++ b/internal/clock/drift.go
@@ -1,17 +1,18 @@
 package clock
 
-// The steady clocks of two machines drift apart by up to 0.05% (PROTOCOL, first section).
-// The allowances here are larger, so that a clock which is somewhat worse does no harm.
+// The monotonic clocks of two machines drift apart by up to 0.05% (PROTOCOL, first section). The
+// allowances here are larger, so that a clock with somewhat more drift does no harm.
 const (
-	// storeDriftDivisor bounds the drift between a member's clock and the key-value store's: 0.1%.
+	// storeDriftDivisor sets the allowed drift between a member's clock and the key-value store's: 0.1%.
 	storeDriftDivisor = 1000
-	// mutualDriftDivisor bounds the drift between the clocks of any two processes: 0.2%.
+	// mutualDriftDivisor sets the allowed drift between the clocks of any two processes: 0.2%.
 	mutualDriftDivisor = 500
 )
 
-// StoreDrift bounds by how much a member's steady clock and the key-value store's may
-// differ about a duration.
+// StoreDrift returns the most by which a member's monotonic clock and the key-value store's may
+// differ in measuring duration.
 func StoreDrift(duration Micros) Micros { return duration / storeDriftDivisor }
 
-// MutualDrift bounds by how much the steady clocks of two processes may differ about a duration.
+// MutualDrift returns the most by which the monotonic clocks of two processes may differ in measuring
+// duration.
 func MutualDrift(duration Micros) Micros { return duration / mutualDriftDivisor }
--- a/internal/clock/drift_test.go
+++ b/internal/clock/drift_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Bounds of leases are worked out with these: a smaller allowance would make them unsafe, a
-// larger one would change when controllers act.
+// The bounds of leases are computed with these allowances: smaller allowances would make leases
+// unsafe, larger ones would change when controllers act.
 func TestDriftAllowances(t *testing.T) {
 	for _, test := range []struct{ duration, store, mutual Micros }{
 		{0, 0, 0},
@@ -12,7 +12,7 @@
 		{66 * Second, 66 * Millisecond, 132 * Millisecond},
 	} {
 		if store, mutual := StoreDrift(test.duration), MutualDrift(test.duration); store != test.store || mutual != test.mutual {
-			t.Errorf("allowances for %d us are %d and %d, want %d and %d", test.duration, store, mutual, test.store, test.mutual)
+			t.Errorf("allowances for %d us: got store %d, mutual %d; want %d and %d", test.duration, store, mutual, test.store, test.mutual)
 		}
 	}
 }
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -8,11 +8,11 @@
 	"firwood.dev/firwood/wire"
 )
 
-var errGrantWithoutLease = errors.New("grant without a lease")
+var errGrantWithoutLease = errors.New("the response to a lease request has no lease ID")
 
-// GrantLease creates a lease and returns its id. Lease requests count against the request
-// rate but don't wait for it, so that a busy leader doesn't lose its lock. A response later than
-// the ttl is not waited for: the lease could have ended.
+// GrantLease creates a lease and returns its id. Lease requests count against the request rate but
+// don't wait for it, so that a busy leader does not lose its lock. GrantLease does not wait for a
+// response for longer than ttl, since the lease could have expired by then.
 func (store *Client) GrantLease(ttl clock.Micros) (uint64, error) {
 	store.requestBudget.Reserve(1)
 	body, err := wire.LeaseRequest{TTLMillis: int64(ttl / clock.Millisecond)}.MarshalJSON()
@@ -36,19 +36,19 @@
 	return grant.LeaseID, nil
 }
 
-// RenewLease renews a lease for its TTL; ErrNotFound if it has ended.
+// RenewLease extends a lease by its TTL from now. It returns ErrNotFound if the lease has ended.
 func (store *Client) RenewLease(lease uint64, timeout clock.Micros) error {
 	store.requestBudget.Reserve(1)
 	return store.sendLeaseRequest("POST", "/grants/"+strconv.FormatUint(lease, 10)+"/renew", timeout)
 }
 
-// RevokeLease ends a lease at once, which deletes its keys.
+// RevokeLease ends a lease at once, which deletes the keys attached to it.
 func (store *Client) RevokeLease(lease uint64) error {
 	store.requestBudget.Reserve(1)
 	return store.sendLeaseRequest("DELETE", "/grants/"+strconv.FormatUint(lease, 10), requestTimeout)
 }
 
-// sendLeaseRequest sends a request whose response has no content that matters.
+// sendLeaseRequest sends a request whose response has no relevant content but its status.
 func (store *Client) sendLeaseRequest(method, target string, timeout clock.Micros) error {
 	var body []byte
 	if method == "POST" {
--- a/internal/kvstore/queue.go
+++ b/internal/kvstore/queue.go
@@ -8,10 +8,11 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// sortPending puts the queued writes in the order in which they are sent: by priority, except
+// sortPending sorts the queued writes into the order in which they are sent: by priority, except
 // that promoted required writes alternate with interactive ones. The caller holds the mutex.
 func (store *Client) sortPending(now clock.Micros) {
-	turns := map[*Write]int{} // of interactive and promoted writes: even and odd numbers in their order
+	// turns orders the interactive and promoted writes: even numbers for interactive ones, odd for promoted.
+	turns := map[*Write]int{}
 	interactive, promoted := 0, 0
 	for _, write := range store.pending {
 		switch {
@@ -37,23 +38,23 @@
 	})
 }
 
-// InteractiveDelay is how long an interactive write of one change queued now would wait for the
-// write rate. The interactive changes go before it and, since the two kinds alternate, promoted
-// ones up to one more than these.
+// InteractiveDelay returns how long an interactive write of one change, if queued now, would wait for
+// the write rate. The queued critical and interactive changes go before it. So do promoted ones, up
+// to one more than these, since promoted writes alternate with interactive ones.
 func (store *Client) InteractiveDelay() clock.Micros {
 	interactive, promoted := store.countQueuedChanges()
 	return store.writeBudget.Delay(float64(interactive + min(promoted, interactive+1) + 1))
 }
 
-// BacklogDuration is how long the queued critical, interactive and promoted writes take at
-// the present write rate.
+// BacklogDuration returns how long the queued critical, interactive and promoted writes take at the
+// current write rate.
 func (store *Client) BacklogDuration() clock.Micros {
 	interactive, promoted := store.countQueuedChanges()
 	return store.writeBudget.Delay(float64(interactive + promoted))
 }
 
-// countQueuedChanges counts the queued changes of critical and interactive writes, and of
-// promoted ones.
+// countQueuedChanges counts the queued changes of critical and interactive writes, and separately
+// those of promoted writes.
 func (store *Client) countQueuedChanges() (interactive, promoted int) {
 	now := clock.Now()
 	store.mu.Lock()
@@ -69,9 +70,9 @@
 	return interactive, promoted
 }
 
-// Commit queues a write for the next transaction. It returns false, and never calls Done, if
-// the queue is full or if an interactive write can't be sent before its Deadline: its caller
-// can then be refused at once.
+// Commit queues a write for one of the next transactions. It returns false, and never calls Done, if
+// the queue is full, or if the write is interactive and can't be sent before its Deadline, so that
+// the caller can refuse its own client at once.
 func (store *Client) Commit(write *Write) bool {
 	write.queuedAt = clock.Now()
 	write.estimateSize()
@@ -88,8 +89,8 @@
 	return true
 }
 
-// startSender starts a sender if there are writes and fewer than maxSenders senders. The caller
-// holds the mutex.
+// startSender starts another sender if writes are queued and fewer than maxSenders senders run. The
+// caller holds the mutex.
 func (store *Client) startSender() {
 	if store.activeSenders < maxSenders && len(store.pending) > 0 {
 		store.activeSenders++
@@ -97,10 +98,11 @@
 	}
 }
 
-// takeBatch removes from the queue, by priority, the writes of the next transaction. All have
-// one fencing token, since a lost lock fails the whole transaction. Background writes are taken
-// only from spare rate, since rate reserved for them would delay the others; those left are
-// reconsidered after backgroundRecheckInterval.
+// takeBatch removes the writes of the next transaction from the queue, by priority. All of them have
+// the same fencing token, since a lost lock fails the whole transaction. Background writes are taken
+// only from spare rate, since rate reserved for them would delay the other writes; deferred ones are
+// reconsidered after backgroundRecheckInterval. If no write may be sent, takeBatch ends the calling
+// sender and returns nil.
 func (store *Client) takeBatch() []*Write {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -129,7 +131,7 @@
 	return batch
 }
 
-// batchTotals is what the writes of a batch amount to.
+// batchTotals holds the total size of the writes of a batch.
 type batchTotals struct{ changes, conditions, sizeBytes int }
 
 func (totals *batchTotals) add(write *Write) {
@@ -138,9 +140,10 @@
 	totals.sizeBytes += write.sizeBytes
 }
 
-// canJoin reports that a write may go in one transaction with a batch that is not empty. The
-// batch does not grow beyond what the rate covers now, since all that are queued meanwhile, also
-// more urgent ones, would wait for the rest; only critical writes may join all the same.
+// canJoin reports whether a write may join a non-empty batch in one transaction. A batch does not
+// grow beyond the changes that the write budget covers now: its sender would have to wait for the
+// missing tokens, and all writes queued meanwhile, also more urgent ones, would wait behind it. Only
+// critical writes may join nevertheless.
 func (store *Client) canJoin(first *Write, totals batchTotals, write *Write) bool {
 	totals.add(write)
 	if write.FencingToken != first.FencingToken || !store.fitsTransaction(totals) {
@@ -149,22 +152,22 @@
 	return write.Priority == Critical || store.writeBudget.HasTokens(float64(totals.changes))
 }
 
-// fitsTransaction reports that the store's limits allow a transaction of so much. One
-// condition more, on the lock key, is added to those of the writes.
+// fitsTransaction reports whether the store's limits allow a transaction of the given totals. The
+// condition on the lock key comes on top of the writes' own conditions.
 func (store *Client) fitsTransaction(totals batchTotals) bool {
 	return totals.changes <= store.limits.MaxTransactionOps &&
 		totals.conditions+1 <= conditionsPerOp*store.limits.MaxTransactionOps &&
 		totals.sizeBytes <= maxTransactionBytes
 }
 
-// hasSpareRate reports that after a batch and a background write the rate still covers
-// as many changes again as the write has.
+// hasSpareRate reports whether, after the batch and a background write, the write budget still covers
+// as many further changes as the background write has.
 func (store *Client) hasSpareRate(totals batchTotals, write *Write) bool {
 	return store.writeBudget.HasTokens(float64(totals.changes + 2*len(write.Changes)))
 }
 
-// endSender counts a sender that ends since there is nothing that it may send. Deferred
-// background writes are rechecked a little later. The caller holds the mutex.
+// endSender records that a sender ends because it may send no queued write. It schedules a recheck
+// of deferred background writes after backgroundRecheckInterval. The caller holds the mutex.
 func (store *Client) endSender(hasDeferred bool) {
 	store.activeSenders--
 	if hasDeferred && !store.isRecheckScheduled {
@@ -173,14 +176,14 @@
 	}
 }
 
-// conditionsPerOp is how many conditions the store takes for each change that its limit
-// of changes allows (PROTOCOL, POST /txn).
+// conditionsPerOp is the number of conditions that the store allows per transaction for each change
+// of its limit of changes (PROTOCOL, POST /txn).
 const conditionsPerOp = 4
 
-// backgroundRecheckInterval is how often deferred background writes are reconsidered.
+// backgroundRecheckInterval is the time after which deferred background writes are reconsidered.
 const backgroundRecheckInterval = 50 * clock.Millisecond
 
-// recheckPending completes expired writes as NotExecuted and starts a sender for the others.
+// recheckPending completes expired writes with NotExecuted and starts a sender for the others.
 func (store *Client) recheckPending() {
 	now := clock.Now()
 	var expired []*Write
--- a/internal/kvstore/reads.go
+++ b/internal/kvstore/reads.go
@@ -10,12 +10,12 @@
 	"firwood.dev/firwood/wire"
 )
 
-// maxPageKeys is how many keys LoadPrefix asks for in one request.
+// maxPageKeys is the number of keys that LoadPrefix asks for in one request.
 const maxPageKeys = 1000
 
-// LoadPrefix reads all keys with a prefix and passes them to visit page by page, since all of
-// them may not fit into memory. Later pages may show later revisions. It returns the first page's:
-// a watch from there shows every change that a page lacks.
+// LoadPrefix reads all keys with a prefix and passes them to visit page by page, since all of them
+// may not fit into memory. Later pages may be of later revisions. LoadPrefix returns the revision of
+// the first page: a watch from there shows every change that a page lacks.
 func (store *Client) LoadPrefix(prefix string, visit func(items []wire.KeyValue)) (uint64, error) {
 	var revision uint64
 	after := ""
@@ -35,7 +35,7 @@
 	}
 }
 
-// ReadPage reads up to limit keys with a prefix, after the given key if it isn't empty.
+// ReadPage reads up to limit keys with a prefix. If after is not empty, only keys after it are read.
 func (store *Client) ReadPage(prefix, after string, limit int) (*wire.KeyPage, error) {
 	target := "/kv?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
 	if after != "" {
@@ -57,16 +57,16 @@
 	return page, nil
 }
 
-// Watch waits up to timeout for changes of keys with a prefix after revision `since`. With
-// timeout 0 it returns at once, so that the response proves what the latest revision is.
+// Watch waits up to timeout for changes of keys with a prefix after revision since. With timeout 0 it
+// returns at once, and the response proves which revision is the latest.
 func (store *Client) Watch(prefix string, since uint64, timeout clock.Micros) (*wire.WatchResponse, error) {
 	store.requestBudget.Wait(1)
 	target := "/watch?under=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(since, 10) +
 		"&blockMs=" + strconv.FormatInt(int64(timeout/clock.Millisecond), 10)
 	status, body, err := store.sendRequest("GET", target, nil, timeout+requestTimeout)
 	if isTooLarge(err) {
-		// The same watch would be too large each time. Pages of keys are bounded, so
-		// loading all keys again works.
+		// The same watch would be too large each time. Pages of keys are bounded, so loading all
+		// keys again works.
 		return nil, ErrCompacted
 	}
 	if err != nil {
@@ -86,13 +86,13 @@
 	return response, nil
 }
 
-// isTooLarge reports that a response exceeded maxResponseBytes.
+// isTooLarge reports whether err means that a response exceeded maxResponseBytes.
 func isTooLarge(err error) bool {
 	var malformed *http1.Error
 	return errors.As(err, &malformed) && malformed.Status == statusTooLarge
 }
 
-// Get reads one key; ErrNotFound if it does not exist.
+// Get reads one key. It returns ErrNotFound if the key does not exist.
 func (store *Client) Get(key string) (*wire.KeyValue, error) {
 	store.requestBudget.Wait(1)
 	status, body, err := store.sendRequest("GET", "/kv/"+key, nil, requestTimeout)
@@ -112,12 +112,12 @@
 	return item, nil
 }
 
-var errConflictWithoutKeys = errors.New("conflict without keys")
+var errConflictWithoutKeys = errors.New("a 409 response to a transaction lists no failed keys")
 
-// FindExisting finds which keys exist with one compare-only transaction, instead of a request for
-// each. An empty result means that none exists. Otherwise it lists keys that exist, and nothing
-// is known of the others. At most conditionsPerOp times Limits.MaxTransactionOps keys may be
-// asked for.
+// FindExisting finds out which keys exist with one compare-only transaction, instead of one request
+// per key. An empty result means that none of the keys exists. Otherwise the result lists keys that
+// exist; the keys that it does not list may exist or not. FindExisting accepts at most
+// conditionsPerOp * Limits.MaxTransactionOps keys.
 func (store *Client) FindExisting(keys []string) ([]string, error) {
 	transaction := wire.Transaction{}
 	for _, key := range keys {
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -10,15 +10,15 @@
 )
 
 // maxTransactionBytes bounds the sum of the writes' sizeBytes. The rest of the store's limit of
-// 64 KiB a transaction (PROTOCOL, POST /txn) is for what they don't count: the JSON around the
-// two lists, the condition on the lock key, and what the estimate misses.
+// 64 KiB per transaction (PROTOCOL, POST /txn) is for what sizeBytes does not include: the JSON around
+// the two lists, the condition on the lock key, and the error of the estimate.
 const maxTransactionBytes = 56 << 10
 
-// runSender sends one transaction after another until no queued write may be sent. It
-// runs on a goroutine of its own, of which startSender starts at most maxSenders.
+// runSender sends one transaction after another until no queued write may be sent. It runs on a
+// goroutine of its own; startSender starts at most maxSenders of these.
 func (store *Client) runSender() {
 	for {
-		// Wait for the rates before the batch is chosen, so that writes queued meanwhile join it.
+		// Wait for the rates before choosing the batch, so that writes queued meanwhile can join it.
 		store.requestBudget.Wait(0)
 		store.writeBudget.Wait(0)
 		batch := store.takeBatch()
@@ -30,9 +30,9 @@
 	}
 }
 
-// commitBatch sends writes with one fencing token until each is completed: in one
-// transaction, and those left of it after a conflict or a 429 in another. Writes without
-// Deadline are sent again after 429 without end.
+// commitBatch sends writes with the same fencing token until each is completed: first in one
+// transaction, then, after a conflict or a 429, the remaining ones in another. A write without
+// Deadline is retried after each 429, without a limit on the number of retries.
 func (store *Client) commitBatch(batch []*Write) {
 	for {
 		batch = completeExpired(batch)
@@ -43,7 +43,7 @@
 	}
 }
 
-// completeExpired completes the writes whose Deadline has passed and returns the others.
+// completeExpired completes the writes whose Deadline has passed with NotExecuted and returns the others.
 func completeExpired(batch []*Write) []*Write {
 	now := clock.Now()
 	return slices.DeleteFunc(batch, func(write *Write) bool {
@@ -55,8 +55,8 @@
 	})
 }
 
-// sendTransaction sends the writes in one transaction, completes those whose outcome that
-// decides, and returns the others, which are to be sent again.
+// sendTransaction sends the writes in one transaction and completes those whose outcome is then
+// known or can no longer be known. It returns the others, which are to be sent again.
 func (store *Client) sendTransaction(batch []*Write) []*Write {
 	transaction := store.buildTransaction(batch)
 	body, err := transaction.MarshalJSON()
@@ -83,14 +83,14 @@
 	case statusBadRequest:
 		store.commitSeparately(batch)
 		return nil
-	default: // 503; PROTOCOL has no other status for transactions
+	default: // 503; PROTOCOL defines no other status for transactions
 		completeWrites(batch, NotExecuted, 0)
 		return nil
 	}
 }
 
-// buildTransaction joins the writes' conditions and changes, and binds them to the
-// lock key's version if they have a fencing token.
+// buildTransaction joins the writes' conditions and changes. If the writes have a fencing token, it
+// adds the condition that the token is the lock key's version.
 func (store *Client) buildTransaction(batch []*Write) wire.Transaction {
 	transaction := wire.Transaction{}
 	if token := batch[0].FencingToken; token != 0 {
@@ -103,7 +103,7 @@
 	return transaction
 }
 
-// outcomeOfSendError is the outcome of writes for which no response came.
+// outcomeOfSendError returns the outcome of writes whose transaction got no response.
 func outcomeOfSendError(err error) Outcome {
 	var notSent *client.NotSentError
 	if errors.As(err, &notSent) {
@@ -112,7 +112,7 @@
 	return Unknown
 }
 
-// completeCommitted handles a 200.
+// completeCommitted handles a 200: it completes all writes.
 func (store *Client) completeCommitted(batch []*Write, changes int, responseBody []byte) {
 	var result wire.TransactionResult
 	if err := result.UnmarshalJSON(responseBody); err != nil {
@@ -124,8 +124,9 @@
 	completeWrites(batch, Committed, result.Revision)
 }
 
-// completeConflicting handles a 409. All writes are fenced if the lock key is among the
-// failed ones; otherwise those with a failed condition conflict, and the others are returned.
+// completeConflicting handles a 409. If the lock key is among the failed keys, all writes are
+// completed as Fenced. Otherwise the writes with a failed condition are completed as Conflict, and
+// the others are returned.
 func (store *Client) completeConflicting(batch []*Write, responseBody []byte) []*Write {
 	var result wire.TransactionResult
 	if err := result.UnmarshalJSON(responseBody); err != nil || len(result.FailedKeys) == 0 {
@@ -146,16 +147,15 @@
 		return true
 	})
 	if len(batch) == before {
-		// No write has a condition on a failed key, so the same transaction would fail again
-		// and again.
+		// No write has a condition on a failed key, so the same transaction would fail again each time.
 		completeWrites(batch, Conflict, result.Revision)
 		return nil
 	}
 	return batch
 }
 
-// commitSeparately handles a 400, such as for a put with an expired lease: one write that the
-// store does not accept must not fail the others of its transaction, so each is sent by itself.
+// commitSeparately handles a 400, for example for a put with an expired lease. One write that the
+// store does not accept must not fail the others of its transaction, so each is sent in its own.
 func (store *Client) commitSeparately(batch []*Write) {
 	if len(batch) == 1 {
 		completeWrites(batch, NotExecuted, 0)
--- a/internal/kvstore/write.go
+++ b/internal/kvstore/write.go
@@ -12,12 +12,12 @@
 type Outcome uint8
 
 const (
-	// Committed means that the write is durable.
+	// Committed means that the write was executed and is durable.
 	Committed Outcome = iota
-	// Conflict means that one of the write's own conditions failed; nothing was changed.
+	// Conflict means that one of the write's own conditions failed. Nothing was changed.
 	Conflict
-	// Fenced means that the lock key's version is not the write's fencing token: another
-	// leader may hold the lock. Nothing was changed.
+	// Fenced means that the lock key's version is not the write's fencing token, so another leader
+	// may hold the lock. Nothing was changed.
 	Fenced
 	// NotExecuted means that the write was certainly not executed.
 	NotExecuted
@@ -25,23 +25,23 @@
 	Unknown
 )
 
-// Priority orders the queued writes, which are many more at times than the store's write
-// rate allows. The zero value is Interactive.
+// Priority orders the queued writes. At times far more writes are queued than the store's write rate
+// allows. The zero value is Interactive.
 type Priority int8
 
 const (
-	// Critical is for writes that the leader lock depends on. They go first, and even into a
-	// transaction that the rate does not cover yet.
+	// Critical is for writes that the leader lock depends on. They go first, and may join a
+	// transaction even if the write rate does not cover them yet.
 	Critical Priority = iota - 1
 	// Interactive is for writes whose result a caller waits for.
 	Interactive
 	// Required is for writes that scheduling waits for.
 	Required
-	// Background is for writes that are sent from spare rate only.
+	// Background is for writes that are sent only from spare rate.
 	Background
 )
 
-// String names the outcome as log lines do.
+// String returns the outcome's name in log lines.
 func (outcome Outcome) String() string {
 	switch outcome {
 	case Committed:
@@ -58,7 +58,7 @@
 	return "outcome(" + strconv.Itoa(int(outcome)) + ")"
 }
 
-// String names the priority as log lines do.
+// String returns the priority's name in log lines.
 func (priority Priority) String() string {
 	switch priority {
 	case Critical:
@@ -73,7 +73,7 @@
 	return "priority(" + strconv.Itoa(int(priority)) + ")"
 }
 
-// Write is a set of changes that are made together, or not at all.
+// Write is a set of changes of which the store executes all or none.
 type Write struct {
 	Priority Priority
 	// FencingToken, if not 0, is the version that the lock key must have.
@@ -82,31 +82,31 @@
 	Conditions []wire.Condition
 	// Changes are at most Limits.MaxTransactionOps puts and deletes.
 	Changes []wire.Change
-	// Deadline is the instant from which on the write is not sent any more; 0: none. One that
-	// was sent before may still be executed after it.
+	// Deadline is the instant from which the write is no longer sent, or 0 for no deadline. A write
+	// that was sent before its deadline may still be executed after it.
 	Deadline clock.Micros
-	// Done is called once with the result, on a goroutine of this package that sends other writes
-	// only after it: it must not block. The revision is that of the changes if they were
-	// committed, the store's latest one for Conflict and Fenced, and 0 otherwise.
+	// Done is called once with the result, on a goroutine of this package. That goroutine sends
+	// other writes only after Done returns, so Done must not block. revision is the revision of the
+	// changes for Committed, the store's latest revision for Conflict and Fenced, and 0 otherwise.
 	Done func(outcome Outcome, revision uint64)
 
-	sizeBytes int          // estimated size in a transaction; see measure
+	sizeBytes int          // estimated size in a transaction; see estimateSize
 	queuedAt  clock.Micros // when Commit was called
 }
 
-// isExpired reports that the write may no longer be sent.
+// isExpired reports whether the write may no longer be sent.
 func (write *Write) isExpired(now clock.Micros) bool {
 	return write.Deadline != 0 && now >= write.Deadline
 }
 
-// hasConditionOn reports that one of the write's conditions is on one of the keys.
+// hasConditionOn reports whether one of the write's conditions is on one of the keys.
 func (write *Write) hasConditionOn(keys []string) bool {
 	return slices.ContainsFunc(write.Conditions, func(condition wire.Condition) bool {
 		return slices.Contains(keys, condition.Key)
 	})
 }
 
-// measure sets sizeBytes to an estimate of the write's part of a transaction.
+// estimateSize sets sizeBytes to an estimate of the write's size within a transaction.
 func (write *Write) estimateSize() {
 	write.sizeBytes = 0
 	for i := range write.Changes {
@@ -118,21 +118,20 @@
 	}
 }
 
-// Estimated size of the JSON around a change's or a condition's key and value: braces, names and
+// Estimated sizes of the JSON around the key and value of a change or condition: braces, names and
 // numbers.
 const (
 	changeOverheadBytes    = 48
 	conditionOverheadBytes = 40
 )
 
-// requiredPromotionAge is how long a required write is queued before it alternates with
-// interactive ones. Added after strict priority had starved required writes under a flood of
-// submissions: a leader requested no machine for 40 s, and accepted jobs waited 100 s for their
-// starts to be recorded. Ordering both by age alone starved the submissions instead
-// (docs/incidents/starved-marks.md).
+// requiredPromotionAge is how long a required write is queued before it alternates with interactive
+// ones. With strict priority, a flood of submissions starved the required writes: a leader requested
+// no machine for 40 s, and accepted jobs waited 100 s for their starts to be recorded. Ordering both
+// kinds by age alone starved the submissions instead (docs/incidents/starved-marks.md).
 const requiredPromotionAge = clock.Second / 2
 
-// isPromoted reports that a required write has waited so long that it alternates with
+// isPromoted reports whether a required write has been queued for so long that it alternates with
 // interactive ones.
 func (write *Write) isPromoted(now clock.Micros) bool {
 	return write.Priority == Required && now-write.queuedAt >= requiredPromotionAge
