--- a/internal/kvstore/queue.go
+++ b/internal/kvstore/queue.go
@@ -101,8 +101,8 @@
 // takeBatch removes the writes of the next transaction from the queue, by priority. All of them have
 // the same fencing token, since a lost lock fails the whole transaction. Background writes are taken
 // only from spare rate, since rate reserved for them would delay the other writes; deferred ones are
-// reconsidered after backgroundRecheckInterval. If no write may be sent, takeBatch ends the calling
-// sender and returns nil.
+// reconsidered after backgroundRecheckInterval. If no write may be sent, takeBatch records that the
+// calling sender ends, and returns nil.
 func (store *Client) takeBatch() []*Write {
 	store.mu.Lock()
 	defer store.mu.Unlock()
--- a/internal/storeview/apply.go
+++ b/internal/storeview/apply.go
@@ -12,12 +12,12 @@
 )
 
 var (
-	errMalformedKey   = errors.New("malformed key")
-	errTaskOutOfRange = errors.New("the first task is out of range")
+	errMalformedKey   = errors.New("the key does not end in a job id, a slash and a number")
+	errTaskOutOfRange = errors.New("the first task's number is below 0 or not below the maximum number of tasks")
 )
 
-// Apply applies the changes that a watch has brought, and tells how many of them the view did not
-// have. It skips those up to its revision: watches overlap.
+// Apply applies the changes in a watch's response and returns how many of them were new to the view.
+// It skips changes up to the view's revision, since the responses of watches may overlap.
 func (view *View) Apply(response *wire.WatchResponse) (applied int) {
 	for i := range response.Events {
 		event := &response.Events[i]
@@ -35,14 +35,15 @@
 	return applied
 }
 
-// ApplyPut sets what a key holds, as of a revision.
+// ApplyPut stores the value of a key, which was written at revision version.
 func (view *View) ApplyPut(key string, value []byte, version uint64) {
 	if err := view.put(key, value, version); err != nil {
 		view.observer.RecordRejected(key, err)
 	}
 }
 
-// put passes a value to the method for its kind. Keys of no known kind are those of later versions.
+// put passes a value to the method for its kind. It ignores keys of unknown kinds, which later
+// versions may write.
 func (view *View) put(key string, value []byte, version uint64) error {
 	switch {
 	case key == records.LockKey:
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// putStandby sets the record of in-sync members. One that can't be read names nobody, since the
-// one before it may name members that are not in sync any more.
+// putStandby stores the record of in-sync members. A record that can't be decoded is taken as one
+// without members, since the record before it may name members that are no longer in sync.
 func (view *View) putStandby(value []byte, version uint64) {
 	view.Standby, view.StandbyVersion = standby.InSyncRecord{}, version
 	if err := json.Unmarshal(value, &view.Standby); err != nil {
@@ -121,8 +122,8 @@
 	return nil
 }
 
-// putJob sets a job's record unless the view has it or a newer one, of this process's own writes
-// or of another member's message.
+// putJob stores a job's record unless the view already has that record or a newer one, from this
+// process's own writes or another member's message.
 func (view *View) putJob(key string, value []byte, version uint64) error {
 	id := strings.TrimPrefix(key, records.JobPrefix)
 	job := &Job{}
@@ -184,7 +185,8 @@
 	return nil
 }
 
-// applyDelete removes what a key held. Keys that stay, or whose absence means nothing, are ignored.
+// applyDelete removes what the view holds of a deleted key. It ignores keys that are never deleted and
+// keys whose deletion changes nothing in the view.
 func (view *View) applyDelete(key string) {
 	switch {
 	case key == records.LockKey:
@@ -193,7 +195,7 @@
 		view.HasArchive = false
 	case strings.HasPrefix(key, records.JobPrefix):
 		if job := view.Jobs[strings.TrimPrefix(key, records.JobPrefix)]; job != nil {
-			job.IsArchived = true // records are deleted for that alone
+			job.IsArchived = true // a job's record is deleted only when it is moved to the archive
 		}
 	case strings.HasPrefix(key, records.ProgressPrefix):
 		if id, number, ok := records.ParseProgressKey(key); ok {
@@ -208,7 +210,7 @@
 	}
 }
 
-// removePart removes one of a job's numbered parts, and the job with its last one.
+// removePart removes one of a job's numbered parts, and the job's entry with its last part.
 func removePart[V any](parts map[string]map[int]V, id string, number int) {
 	delete(parts[id], number)
 	if len(parts[id]) == 0 {
--- a/internal/storeview/job.go
+++ b/internal/storeview/job.go
@@ -6,23 +6,24 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Job is a job's record with what is known of it beside the stored value.
+// Job is a job's record with what this process knows of it besides the stored value.
 type Job struct {
 	records.Job
 	// Version is the revision of the record.
 	Version uint64
-	// IsArchived: the record lies in the archive.
+	// IsArchived tells whether the record is in the archive.
 	IsArchived bool
-	// IsCancelledByDependency: a job that this one depends on is durably cancelled, so this one
-	// is too, whether or not its own record says so yet. The observer sets it, since it follows
-	// from the dependency graph.
+	// IsCancelledByDependency tells whether a job that this one depends on is durably cancelled. This
+	// job is then cancelled too, whether or not its own record says so yet. The Observer sets the
+	// field, since it follows from the dependency graph.
 	IsCancelledByDependency bool
 }
 
-// HasEnded tells whether the job has ended, by its own record or with a job that it depends on.
+// HasEnded reports whether the job has ended, by its own record or because a job that it depends on
+// was cancelled.
 func (job *Job) HasEnded() bool { return job.State != "" || job.IsCancelledByDependency }
 
-// Key is the key that the job's record lies below.
+// Key returns the key of the job's record, which is in the archive if IsArchived is set.
 func (job *Job) Key(id string) string {
 	if job.IsArchived {
 		return records.ArchiveKey(id)
@@ -30,7 +31,7 @@
 	return records.JobKey(id)
 }
 
-// EffectiveState is the state that users are told of a job that has ended.
+// EffectiveState returns the state that users are told of a job that has ended.
 func (job *Job) EffectiveState() string {
 	if job.IsCancelledByDependency {
 		return wire.JobCancelled
@@ -38,7 +39,8 @@
 	return job.State
 }
 
-// NewEndedJob is a job that ends now in a state. Its Version is set once the record is written.
+// NewEndedJob returns a job that ends now in state. The caller sets its Version once the record is
+// written.
 func NewEndedJob(job *Job, state string, now clock.Micros) *Job {
 	return &Job{Job: *records.NewEndRecord(&job.Job, state, now)}
 }
@@ -49,7 +51,7 @@
 	Version uint64
 }
 
-// ProgressPart is what one progress key of a job holds, with the revision of its value.
+// ProgressPart is the value of one progress key of a job, with the revision of the value.
 type ProgressPart struct {
 	records.ProgressPart
 	Version uint64
--- a/internal/storeview/load.go
+++ b/internal/storeview/load.go
@@ -13,7 +13,8 @@
 // FinishedCounts counts finished jobs.
 type FinishedCounts struct{ Done, Cancelled int }
 
-// Add adds so many jobs of a state, or subtracts them; a count does not go below 0.
+// Add adds count jobs that ended in state, or subtracts them if count is negative. A sum does not go
+// below 0.
 func (counts *FinishedCounts) Add(state string, count int) {
 	if state == wire.JobDone {
 		counts.Done = max(counts.Done+count, 0)
@@ -22,21 +23,22 @@
 	}
 }
 
-// LoadFilter takes what is read from the store page by page. Of finished jobs it keeps the newest
-// ones and counts the others, so that memory is bounded however many there are.
+// LoadFilter collects, page by page, what is read from the store. Of the finished jobs it keeps only
+// those that ended last and counts the others, so that memory is bounded for any number of jobs.
 type LoadFilter struct {
 	others   []wire.KeyValue
 	finished *jobhistory.Newest[wire.KeyValue]
-	// FinishedCounts counts all finished jobs.
+	// FinishedCounts counts all finished jobs, including those that are kept.
 	FinishedCounts FinishedCounts
 }
 
-// NewLoadFilter makes a filter that keeps so many finished jobs.
+// NewLoadFilter returns a filter that keeps up to capacity finished jobs.
 func NewLoadFilter(capacity int) *LoadFilter {
 	return &LoadFilter{finished: jobhistory.NewNewest[wire.KeyValue](capacity)}
 }
 
-// Add takes a page. It may keep the page's memory for records other than those of finished jobs.
+// Add adds a page. The filter may refer to the page's memory for records other than those of finished
+// jobs.
 func (filter *LoadFilter) Add(items []wire.KeyValue) {
 	for _, item := range items {
 		var record records.Job
@@ -45,28 +47,29 @@
 			filter.others = append(filter.others, item)
 			continue
 		}
-		// Copied, so that one kept record does not keep the memory of its whole page.
+		// The item is copied, so that one kept record does not keep the memory of its whole page.
 		item.Key, item.Value = strings.Clone(item.Key), slices.Clone(item.Value)
 		filter.FinishedCounts.Add(record.State, 1)
 		filter.finished.Add(record.EndedAt, item)
 	}
 }
 
-// keptItems are what was kept, and how many finished jobs were not.
+// keptItems returns the items that were kept and the number of finished jobs that were dropped.
 func (filter *LoadFilter) keptItems() (items []wire.KeyValue, dropped int) {
 	newest, dropped := filter.finished.Records()
 	return append(filter.others, newest...), dropped
 }
 
-// Load replaces the view by everything that was read of the store as of a revision, and returns how
-// many finished jobs the filter has dropped. ok is false, and nothing is changed, if the view is
-// newer.
+// Load replaces the view's contents by what was read from the store as of a revision, and returns how
+// many finished jobs the filter has dropped. Jobs that the view already holds stay. If the view is
+// newer, Load changes nothing and ok is false.
 func (view *View) Load(filter *LoadFilter, revision uint64) (dropped int, ok bool) {
 	if view.IsLoaded && revision < view.Revision {
 		return 0, false
 	}
-	// Keys may have been deleted while nobody watched. Those of jobs never are, except to be moved
-	// to the archive, nor are the records of constraints and of in-sync members.
+	// Keys may have been deleted while no watch was open, so their contents are cleared first. The
+	// keys of jobs are never deleted, except to be moved to the archive, and neither are the records of
+	// constraints and of in-sync members; these contents stay.
 	view.Dependencies = map[string]map[int][]string{}
 	view.Progress = map[string]map[int]ProgressPart{}
 	view.ScaleOuts = map[string]*ScaleOut{}
--- a/internal/storeview/sync.go
+++ b/internal/storeview/sync.go
@@ -6,15 +6,15 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// ErrSyncTimeout is what a sync ends with that did not complete in time. Its text goes out in
+// ErrSyncTimeout is the error of a sync that did not complete by its deadline. Its text is sent in
 // replies to users.
 var ErrSyncTimeout = errors.New("the state service does not answer")
 
-// syncWaiter is a call of RequestSync that has not been answered.
+// syncWaiter is a call of RequestSync whose callback may not have run yet.
 type syncWaiter struct {
 	callback    func(error)
 	deadline    clock.Micros
-	hasWatch    bool // a watch that will complete it is in flight
+	hasWatch    bool // whether a watch that will complete this sync has been claimed by ClaimSyncs
 	isCompleted bool
 }
 
@@ -25,9 +25,9 @@
 	}
 }
 
-// RequestSync calls back once, when the view is at least as new as this call: when a watch that
-// was opened after it has been applied. It calls back with an error if that watch fails, or with
-// ErrSyncTimeout at the deadline.
+// RequestSync calls callback once, when the view is at least as new as the store was at this call,
+// that is when the response of a watch that was opened after it has been applied. It passes an error
+// if that watch fails, and ErrSyncTimeout if neither happens by the deadline.
 func (view *View) RequestSync(callback func(error), deadline clock.Micros) {
 	view.waiters = append(view.waiters, &syncWaiter{callback: callback, deadline: deadline})
 }
@@ -36,7 +36,7 @@
 type SyncBatch struct{ waiters []*syncWaiter }
 
 // ClaimSyncs returns the requested syncs that no watch is in flight for; ok is false if there are
-// none. The caller opens a watch, and calls Complete when its answer is applied.
+// none. The caller opens a watch and calls Complete when it has applied the response.
 func (view *View) ClaimSyncs() (batch SyncBatch, ok bool) {
 	for _, waiter := range view.waiters {
 		if !waiter.hasWatch && !waiter.isCompleted {
@@ -47,14 +47,14 @@
 	return batch, len(batch.waiters) > 0
 }
 
-// Complete ends the batch's syncs, with the error of the watch if it failed.
+// Complete completes the batch's syncs, with the error of the watch if the watch failed.
 func (batch SyncBatch) Complete(err error) {
 	for _, waiter := range batch.waiters {
 		waiter.complete(err)
 	}
 }
 
-// ExpireSyncs ends the syncs whose deadline has passed with ErrSyncTimeout.
+// ExpireSyncs completes the syncs whose deadline has passed with ErrSyncTimeout.
 func (view *View) ExpireSyncs(now clock.Micros) {
 	var expired []*syncWaiter
 	remaining := view.waiters[:0]
--- a/internal/storeview/view.go
+++ b/internal/storeview/view.go
@@ -1,6 +1,6 @@
-// Package storeview is a process's copy of what firwood keeps in the key-value store. The
-// controller reads the store and hands what it reads to a View, which decodes it and reports to an
-// Observer what has changed. The package does no I/O and reads no clock.
+// Package storeview holds a process's copy of what firwood keeps in the key-value store. The
+// controller reads the store and passes what it reads to a View, which decodes it and reports changes
+// to an Observer. The package does no I/O and reads no clock.
 package storeview
 
 import (
@@ -14,14 +14,15 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Observer learns what changes in a View. A method is called in the middle of an apply, right after
-// the change that it reports and before the next one. It may read the view; of what the view holds
-// it changes Job.IsCancelledByDependency alone.
+// Observer is told what changes in a View. A method is called while changes are being applied, right
+// after the change that it reports and before the next one. It may read the view; the only part of
+// the view that it may change is Job.IsCancelledByDependency.
 type Observer interface {
-	// JobChanged reports a newer record of a job, or that what the job depends on has come to be
-	// known. It sets IsCancelledByDependency of this job, and of those that depend on it.
+	// JobChanged reports a newer record of a job, or that all dependencies of a job have become known.
+	// The method sets IsCancelledByDependency of this job and of those that depend on it.
 	JobChanged(id string, job *Job)
-	// TermObserved reports a lock of another token than the last, before Lock is changed.
+	// TermObserved reports a leader lock whose fencing token differs from the last observed one. It
+	// is called before View.Lock is updated.
 	TermObserved(token uint64)
 	// MachineTypesRead reports the stored machine types.
 	MachineTypesRead(types []wire.MachineType)
@@ -29,50 +30,50 @@
 	ConstraintsChanged(constraints delegation.Constraints, version uint64)
 	// StandbyChanged reports the record of in-sync members, which is empty if it cannot be read.
 	StandbyChanged(record standby.InSyncRecord, version uint64)
-	// WorkerContactRead reports how many workers contact a member.
+	// WorkerContactRead reports the record of how many workers contact a member.
 	WorkerContactRead(member string, record records.WorkerContact)
-	// ArchiveMarkerRead reports that there may be an archive.
+	// ArchiveMarkerRead reports that finished jobs may be in the archive.
 	ArchiveMarkerRead()
-	// RecordRejected reports a key or value that cannot be read. The view keeps what it had, except
-	// for the record of in-sync members, of which see StandbyChanged.
+	// RecordRejected reports a key or value that cannot be decoded. The view keeps its previous
+	// contents, except for the record of in-sync members (see StandbyChanged).
 	RecordRejected(key string, err error)
 }
 
-// View is the copy. It is never assumed to be recent: an answer to a user that could be stale waits
-// for a watch that was opened after the question came and so proves the view's revision, see
-// RequestSync. Its exported fields are for reading; methods change them. A View belongs to the
-// controller's goroutine.
+// View is the copy. It is never assumed to be recent: if an answer to a user could be stale, the
+// answer waits for a watch that was opened after the request arrived and that thus proves the view's
+// revision (see RequestSync). Other packages only read the exported fields; the methods change them.
+// A View belongs to the controller's goroutine.
 type View struct {
-	// IsLoaded: all keys have been read once. Revision is the store's revision that the view has
-	// reached.
+	// IsLoaded tells whether all keys have been read once. Revision is the revision of the store that
+	// the view has reached.
 	IsLoaded bool
 	Revision uint64
-	// Jobs are the jobs by id, without finished ones that were evicted.
+	// Jobs holds the jobs by id, without the finished jobs that were evicted.
 	Jobs map[string]*Job
-	// Progress is what the progress keys of jobs hold, by job and number.
+	// Progress holds the values of the jobs' progress keys, by job id and key number.
 	Progress map[string]map[int]ProgressPart
-	// Dependencies are the parts of what jobs depend on, by job and number, where they have keys
-	// of their own.
+	// Dependencies holds the parts of the jobs' lists of dependencies, by job id and part number. Only
+	// lists that have keys of their own are here; other lists are in the job's record.
 	Dependencies map[string]map[int][]string
-	// ScaleOuts are the scale-out requests by name.
+	// ScaleOuts holds the scale-out requests by name.
 	ScaleOuts map[string]*ScaleOut
 	Lock      election.Lock
-	// Constraints are the leaders' renewal constraints, with the revision of their record.
+	// Constraints holds the leaders' renewal constraints; ConstraintsVersion is the revision of their record.
 	Constraints        delegation.Constraints
 	ConstraintsVersion uint64
-	// Standby is the record of the members in sync with a leader, with its revision.
+	// Standby is the record of the members in sync with a leader; StandbyVersion is its revision.
 	Standby        standby.InSyncRecord
 	StandbyVersion uint64
-	// HasArchive: there may be finished jobs in the archive.
+	// HasArchive tells whether there may be finished jobs in the archive.
 	HasArchive bool
-	// Terms are the leadership terms that were seen since all keys were last read.
+	// Terms holds the leadership terms that were observed since all keys were last read.
 	Terms standby.TermHistory
 
 	observer Observer
 	waiters  []*syncWaiter
 }
 
-// New makes an empty view.
+// New returns an empty view that reports to observer.
 func New(observer Observer) *View {
 	return &View{
 		observer: observer, Jobs: map[string]*Job{}, Progress: map[string]map[int]ProgressPart{},
@@ -80,8 +81,8 @@
 	}
 }
 
-// SetJob sets a newer record of a job, as it was read or, before the watch brings it, as this
-// process has written it.
+// SetJob stores a newer record of a job: one that was read, or one that this process has written and
+// that no watch has returned yet.
 func (view *View) SetJob(id string, job *Job) {
 	view.Jobs[id] = job
 	view.observer.JobChanged(id, job)
@@ -90,7 +91,8 @@
 // EvictJob removes a finished job, whose record stays in the store.
 func (view *View) EvictJob(id string) { delete(view.Jobs, id) }
 
-// SetConstraints sets the renewal constraints of some revision, unless they are known by then.
+// SetConstraints stores the renewal constraints written at revision version, unless the view already
+// has these or newer ones.
 func (view *View) SetConstraints(constraints delegation.Constraints, version uint64) {
 	if version <= view.ConstraintsVersion {
 		return
@@ -99,7 +101,8 @@
 	view.observer.ConstraintsChanged(constraints, version)
 }
 
-// SetDependencies sets one part of what a job depends on; the job's record may have come before.
+// SetDependencies stores one part of a job's list of dependencies, whether or not the view already has
+// the job's record. If it has, and no part is missing any more, the Observer is told of the job again.
 func (view *View) SetDependencies(id string, part int, ids []string) {
 	parts := view.Dependencies[id]
 	if parts == nil {
@@ -112,7 +115,8 @@
 	}
 }
 
-// DependenciesOf is what an active job depends on, and whether all parts of that are known.
+// DependenciesOf returns the ids of the jobs that an active job depends on. isComplete tells whether
+// all parts of the list are known; if not, ids is nil.
 func (view *View) DependenciesOf(id string, job *Job) (ids []string, isComplete bool) {
 	if job.DependencyParts == 0 {
 		return job.Spec.DependsOn, true
@@ -127,8 +131,8 @@
 	return ids, true
 }
 
-// CompletedTasks is the set of an active job's completed tasks, by all of its progress keys;
-// nominalTasksPerKey is that of records.NewProgressLayout.
+// CompletedTasks returns the set of an active job's completed tasks, from all of its progress keys.
+// nominalTasksPerKey is the same as for records.NewProgressLayout.
 func (view *View) CompletedTasks(id string, job *Job, nominalTasksPerKey int) records.Bitmap {
 	var completed records.Bitmap
 	tasksPerKey := job.TasksPerProgressKey(nominalTasksPerKey)
@@ -138,7 +142,7 @@
 	return completed
 }
 
-// ProgressKeys are the numbers of a job's progress keys, in order.
+// ProgressKeys returns the numbers of a job's progress keys in ascending order.
 func (view *View) ProgressKeys(id string) []int {
 	return slices.Sorted(maps.Keys(view.Progress[id]))
 }
--- a/internal/storeview/view_test.go
+++ b/internal/storeview/view_test.go
@@ -13,7 +13,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// recorder is an Observer that lists what it is told.
+// recorder is an Observer that records the reports it receives as texts.
 type recorder struct {
 	view    *View
 	reports []string
@@ -65,8 +65,8 @@
 	return observer.view, observer
 }
 
-// Each kind of key is reported once it is in the view, and a value or key that cannot be read is
-// rejected and changes nothing.
+// The view reports each kind of key after storing its content. It rejects a key or value that it
+// cannot decode, and keeps its contents then.
 func TestPutsAreReportedOrRejected(t *testing.T) {
 	for _, test := range []struct {
 		key, value string
@@ -99,13 +99,13 @@
 		view, observer := newTestView()
 		view.ApplyPut(test.key, []byte(test.value), 7)
 		if !slices.Equal(observer.reports, test.want) {
-			t.Errorf("%s %s: reported are %q, want %q", test.key, test.value, observer.reports, test.want)
+			t.Errorf("ApplyPut(%s, %s): got reports %q, want %q", test.key, test.value, observer.reports, test.want)
 		}
 	}
 }
 
-// A record that the view has, or a newer one, is not applied again; events up to the view's
-// revision are skipped.
+// A record that is not newer than the view's is not applied, and events up to the view's revision
+// are skipped.
 func TestOldChangesAreSkipped(t *testing.T) {
 	view, observer := newTestView()
 	key := records.JobKey("req-000001")
@@ -114,18 +114,19 @@
 	view.ApplyPut(key, []byte(`{"at":1}`), 8)
 	applied := view.Apply(&wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Version: 10, PutKey: key, Value: []byte(`{"at":2}`)}}})
 	if applied != 1 || view.Revision != 12 {
-		t.Errorf("%d applied, revision %d", applied, view.Revision)
+		t.Errorf("Apply of an event at revision 10: got %d applied and view revision %d, want 1 and 12", applied, view.Revision)
 	}
 	applied = view.Apply(&wire.WatchResponse{Revision: 12, Events: []wire.WatchEvent{{Version: 12, PutKey: key, Value: []byte(`{"at":3}`)}}})
 	if applied != 0 {
-		t.Errorf("%d events are applied again", applied)
+		t.Errorf("Apply of an event at the view's revision: got %d applied, want 0", applied)
 	}
 	if want := []string{"job req-000001@9", "job req-000001@10"}; !slices.Equal(observer.reports, want) {
-		t.Errorf("reported are %q, want %q", observer.reports, want)
+		t.Errorf("got reports %q, want %q", observer.reports, want)
 	}
 }
 
-// A deleted key leaves nothing behind, but a job, whose record is then in the archive.
+// The deletion of a key removes its content from the view, except for a job, whose record has moved
+// to the archive.
 func TestDeletesRemoveContentsAndArchiveJobs(t *testing.T) {
 	view, _ := newTestView()
 	puts := map[string]string{
@@ -136,10 +137,10 @@
 		view.ApplyPut(key, []byte(value), 5)
 	}
 	if !view.Lock.Exists || !view.HasArchive || len(view.Progress) != 1 || len(view.Dependencies) != 1 || len(view.ScaleOuts) != 1 {
-		t.Fatalf("not all is put: %+v", view)
+		t.Fatalf("not all puts are in the view: %+v", view)
 	}
 	if key := view.Jobs["req-000001"].Key("req-000001"); key != records.JobKey("req-000001") {
-		t.Errorf("the job lies below %s", key)
+		t.Errorf("key of the job's record before its deletion: got %s, want that of JobKey", key)
 	}
 	events := &wire.WatchResponse{Revision: 6}
 	for key := range puts {
@@ -147,15 +148,15 @@
 	}
 	view.Apply(events)
 	if view.Lock.Exists || view.HasArchive || len(view.Progress)+len(view.Dependencies)+len(view.ScaleOuts) != 0 {
-		t.Errorf("not all is deleted: %+v", view)
+		t.Errorf("not all deleted keys are gone from the view: %+v", view)
 	}
 	if key := view.Jobs["req-000001"].Key("req-000001"); key != records.ArchiveKey("req-000001") {
-		t.Errorf("the archived job lies below %s", key)
+		t.Errorf("key of the job's record after its deletion: got %s, want that of ArchiveKey", key)
 	}
 }
 
-// A load drops keys that were deleted unseen and keeps jobs; one older than the view changes
-// nothing.
+// A load drops keys that were deleted while no watch was open, but keeps jobs. A load that is older
+// than the view changes nothing.
 func TestLoadReplacesContentsAndKeepsJobs(t *testing.T) {
 	view, _ := newTestView()
 	view.ApplyPut(records.ScaleOutKey("a-1"), []byte(`{}`), 4)
@@ -168,20 +169,20 @@
 		{Key: records.ScaleOutKey("a-2"), Value: []byte(`{}`), Version: 7},
 	})
 	if filter.FinishedCounts != (FinishedCounts{Done: 1, Cancelled: 1}) {
-		t.Errorf("counted are %+v", filter.FinishedCounts)
+		t.Errorf("FinishedCounts: got %+v, want 1 done and 1 cancelled", filter.FinishedCounts)
 	}
 	if dropped, ok := view.Load(filter, 8); dropped != 1 || !ok || !view.IsLoaded || view.Revision != 8 {
-		t.Errorf("dropped %d, %v, revision %d", dropped, ok, view.Revision)
+		t.Errorf("Load at revision 8: got dropped %d, ok %v, view revision %d; want 1, true, 8", dropped, ok, view.Revision)
 	}
 	if view.Jobs["req-000001"] == nil || view.Jobs["req-000002"] != nil || view.Jobs["req-000003"] == nil || view.ScaleOuts["a-1"] != nil || view.ScaleOuts["a-2"] == nil || view.Lock.Exists {
-		t.Errorf("loaded is %+v", view)
+		t.Errorf("view after Load: got %+v, want jobs 1 and 3, scale-out a-2 and no lock", view)
 	}
 	if _, ok := view.Load(NewLoadFilter(1), 7); ok || view.ScaleOuts["a-2"] == nil {
-		t.Error("an older load is applied")
+		t.Error("Load at a revision older than the view's changed the view or returned ok")
 	}
 }
 
-// A sync ends with the watch that was opened after it, or at its deadline, and only once.
+// A sync ends with the watch that was opened after its request, or at its deadline, and only once.
 func TestSyncCallbacksRunOnce(t *testing.T) {
 	view, _ := newTestView()
 	errWatch := errors.New("watch")
@@ -193,23 +194,23 @@
 	request(1, 20)
 	batch, ok := view.ClaimSyncs()
 	if !ok {
-		t.Fatal("no syncs to claim")
+		t.Fatal("ClaimSyncs returned no syncs, want the two requested ones")
 	}
 	if _, ok := view.ClaimSyncs(); ok {
-		t.Error("they are claimed twice")
+		t.Error("the second ClaimSyncs returned syncs that were already claimed")
 	}
 	request(2, 20)
 	view.ExpireSyncs(clock.Micros(10))
 	batch.Complete(nil)
 	if later, ok := view.ClaimSyncs(); !ok {
-		t.Error("the last has no watch")
+		t.Error("ClaimSyncs returned no syncs, want the one requested after the first claim")
 	} else {
 		later.Complete(errWatch)
 	}
 	view.ExpireSyncs(clock.Micros(30))
 	for i, want := range []error{ErrSyncTimeout, nil, errWatch} {
 		if len(results[i]) != 1 || !errors.Is(results[i][0], want) {
-			t.Errorf("sync %d ends with %v, want %v", i, results[i], want)
+			t.Errorf("sync %d: got results %v, want one: %v", i, results[i], want)
 		}
 	}
 }
