--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -21,13 +21,13 @@
 var origin = time.Now()
 
 // ResetOrigin restarts the monotonic clock at one second. Tests in simulated time call it before
-// anything else, since simulated time does not continue the time at which the process started. It
-// must not be called while another goroutine may call Now.
+// anything else, since simulated time does not continue the real time at which the process started.
+// It must not be called while another goroutine may call Now.
 func ResetOrigin() { origin = time.Now() }
 
 // Now returns the monotonic clock's reading. The clock's zero is one second before the start of the
 // process, so no reading is 0, and a zero instant can mean "never". Readings of different processes
-// can't be compared, not even those of a process and its restarted successor.
+// can't be compared, nor can readings from before and after a restart of a process.
 func Now() Micros { return Micros(time.Since(origin).Microseconds()) + Second }
 
 // WallTime returns the wall-clock time in microseconds since 1970 (UTC).
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -30,14 +30,14 @@
 	requestBudget *client.TokenBucket
 	writeBudget   *client.TokenBucket
 
-	// mu guards the fields from pending to isRequiredTurn, which form the queue of writes.
+	// mu guards the fields from pending to isPromotedNext, which form the queue of writes.
 	mu                 sync.Mutex
 	pending            []*Write
 	activeSenders      int  // goroutines in runSender, at most maxSenders; each ends when it may send no write
 	isRecheckScheduled bool // whether recheckPending is due to run for deferred background writes
-	// isRequiredTurn tells whether a promoted required write goes first in the next transaction,
+	// isPromotedNext tells whether a promoted required write goes first in the next transaction,
 	// because the last transaction began with an interactive write.
-	isRequiredTurn bool
+	isPromotedNext bool
 
 	// lastSuccessAt and lastFailureAt are instants of the monotonic clock. Every goroutine that
 	// sends a request writes them.
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -36,7 +36,7 @@
 	return grant.LeaseID, nil
 }
 
-// RenewLease extends a lease by its TTL from now. It returns ErrNotFound if the lease has ended.
+// RenewLease restarts a lease's TTL. It returns ErrNotFound if the lease has ended.
 func (store *Client) RenewLease(lease uint64, timeout clock.Micros) error {
 	store.requestBudget.Reserve(1)
 	return store.sendLeaseRequest("POST", "/grants/"+strconv.FormatUint(lease, 10)+"/renew", timeout)
--- a/internal/kvstore/queue.go
+++ b/internal/kvstore/queue.go
@@ -21,7 +21,7 @@
 			interactive++
 		case write.isPromoted(now):
 			turns[write] = 2*promoted + 1
-			if store.isRequiredTurn {
+			if store.isPromotedNext {
 				turns[write] = 2*promoted - 1
 			}
 			promoted++
@@ -127,7 +127,7 @@
 		store.endSender(hasDeferred)
 		return nil
 	}
-	store.isRequiredTurn = batch[0].Priority == Interactive
+	store.isPromotedNext = batch[0].Priority == Interactive
 	return batch
 }
 
--- a/internal/storeview/load.go
+++ b/internal/storeview/load.go
@@ -60,9 +60,10 @@
 	return append(filter.others, newest...), dropped
 }
 
-// Load replaces the view's contents by what was read from the store as of a revision, and returns how
-// many finished jobs the filter has dropped. Jobs that the view already holds stay. If the view is
-// newer, Load changes nothing and ok is false.
+// Load replaces the view's contents by what filter kept of the store as of revision, and returns how
+// many finished jobs the filter dropped. Jobs that the view already
+// holds stay unless the filter has a newer record of them. If the view is newer than revision, Load
+// changes nothing and ok is false.
 func (view *View) Load(filter *LoadFilter, revision uint64) (dropped int, ok bool) {
 	if view.IsLoaded && revision < view.Revision {
 		return 0, false
--- a/internal/storeview/view.go
+++ b/internal/storeview/view.go
@@ -14,15 +14,15 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Observer is told what changes in a View. A method is called while changes are being applied, right
+// Observer is told what changes in a View. Each method is called while changes are being applied, right
 // after the change that it reports and before the next one. It may read the view; the only part of
 // the view that it may change is Job.IsCancelledByDependency.
 type Observer interface {
 	// JobChanged reports a newer record of a job, or that all dependencies of a job have become known.
 	// The method sets IsCancelledByDependency of this job and of those that depend on it.
 	JobChanged(id string, job *Job)
-	// TermObserved reports a leader lock whose fencing token differs from the last observed one. It
-	// is called before View.Lock is updated.
+	// TermObserved reports a leader lock whose fencing token differs from the last observed one. It is
+	// called after View.Terms and before View.Lock is updated.
 	TermObserved(token uint64)
 	// MachineTypesRead reports the stored machine types.
 	MachineTypesRead(types []wire.MachineType)
@@ -39,9 +39,9 @@
 	RecordRejected(key string, err error)
 }
 
-// View is the copy. It is never assumed to be recent: if an answer to a user could be stale, the
-// answer waits for a watch that was opened after the request arrived and that thus proves the view's
-// revision (see RequestSync). Other packages only read the exported fields; the methods change them.
+// View is a process's copy of the store's contents. It is never assumed to be recent: if an answer to
+// a user could be stale, the answer waits for a watch that was opened after the request arrived and
+// that thus proves the view's revision (see RequestSync). Other packages only read the exported fields; the methods change them.
 // A View belongs to the controller's goroutine.
 type View struct {
 	// IsLoaded tells whether all keys have been read once. Revision is the revision of the store that
@@ -88,7 +88,7 @@
 	view.observer.JobChanged(id, job)
 }
 
-// EvictJob removes a finished job, whose record stays in the store.
+// EvictJob removes a finished job from the view. The job's record stays in the store.
 func (view *View) EvictJob(id string) { delete(view.Jobs, id) }
 
 // SetConstraints stores the renewal constraints written at revision version, unless the view already
--- a/internal/storeview/view_test.go
+++ b/internal/storeview/view_test.go
@@ -65,8 +65,8 @@
 	return observer.view, observer
 }
 
-// The view reports each kind of key after storing its content. It rejects a key or value that it
-// cannot decode, and keeps its contents then.
+// The view reports what it reads under each kind of key. A key or value that cannot be decoded is
+// reported as rejected; an in-sync record that cannot be decoded is also reported as an empty one.
 func TestPutsAreReportedOrRejected(t *testing.T) {
 	for _, test := range []struct {
 		key, value string
@@ -182,7 +182,7 @@
 	}
 }
 
-// A sync ends with the watch that was opened after its request, or at its deadline, and only once.
+// A sync ends with the watch that was opened after the request for it, or at its deadline, and only once.
 func TestSyncCallbacksRunOnce(t *testing.T) {
 	view, _ := newTestView()
 	errWatch := errors.New("watch")
