--- a/internal/storeview/view.go
+++ b/internal/storeview/view.go
@@ -41,8 +41,8 @@
 
 // View is a process's copy of the store's contents. It is never assumed to be recent: if an answer to
 // a user could be stale, the answer waits for a watch that was opened after the request arrived and
-// that thus proves the view's revision (see RequestSync). Other packages only read the exported fields; the methods change them.
-// A View belongs to the controller's goroutine.
+// that thus proves the view's revision (see RequestSync). Other packages only read the exported
+// fields; the methods change them. A View belongs to the controller's goroutine.
 type View struct {
 	// IsLoaded tells whether all keys have been read once. Revision is the revision of the store that
 	// the view has reached.
