--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -33,16 +33,16 @@
 func (e *StatusError) Error() string { return fmt.Sprintf("cloud: status %d", e.Status) }
 
 const (
-	requestTimeout  = 8 * clock.Second
-	maxResponseBody = 1 << 20 // bytes
-	maxIdle         = 4       // connections
+	requestTimeout     = 8 * clock.Second
+	maxResponseBytes   = 1 << 20 // bytes
+	maxIdleConnections = 4       // connections
 	// initialRateShare and initialBurst apply until the first SetRateShare.
 	initialRateShare = 0.25
 	initialBurst     = 2
 	// burstSeconds is how many seconds' worth of requests the cloud accepts at once.
 	burstSeconds = 2
-	// noCapacity is the error text of a 503 that means ErrNoCapacity.
-	noCapacity = "no capacity"
+	// noCapacityErrorText is the error text of a 503 that means ErrNoCapacity.
+	noCapacityErrorText = "no capacity"
 )
 
 // Client calls the cloud's API.
@@ -56,7 +56,7 @@
 // all controllers together.
 func New(dial client.Dialer, address string, requestsPerSecond float64) *Client {
 	return &Client{
-		host:              client.NewHost(dial, address, maxIdle, maxResponseBody),
+		host:              client.NewHost(dial, address, maxIdleConnections, maxResponseBytes),
 		bucket:            client.NewTokenBucket(requestsPerSecond*initialRateShare, initialBurst),
 		requestsPerSecond: requestsPerSecond,
 	}
@@ -84,7 +84,7 @@
 		return nil, ErrUnavailable
 	case http.StatusServiceUnavailable:
 		var errorBody wire.ErrorResponse
-		if err := errorBody.UnmarshalJSON(response.Body); err == nil && errorBody.Error == noCapacity {
+		if err := errorBody.UnmarshalJSON(response.Body); err == nil && errorBody.Error == noCapacityErrorText {
 			return nil, ErrNoCapacity
 		}
 		return nil, ErrUnavailable
@@ -95,12 +95,12 @@
 }
 
 // callAndDecode sends a request and decodes the body of the response.
-func (c *Client) callAndDecode(request client.Request, into interface{ UnmarshalJSON([]byte) error }) error {
+func (c *Client) callAndDecode(request client.Request, destination interface{ UnmarshalJSON([]byte) error }) error {
 	body, err := c.call(request)
 	if err != nil {
 		return err
 	}
-	if err := into.UnmarshalJSON(body); err != nil {
+	if err := destination.UnmarshalJSON(body); err != nil {
 		return fmt.Errorf("cloud: malformed response to %s %s: %w", request.Method, request.Target, err)
 	}
 	return nil
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -67,7 +67,7 @@
 func drawStandbyFrame(t *rapid.T) StandbyFrame {
 	var frame StandbyFrame
 	if rapid.Bool().Draw(t, "has message") {
-		frame.StandbyMessage = messageGenerator().Draw(t, "message")
+		frame.StandbyMessage = standbyMessageGenerator().Draw(t, "message")
 	}
 	if rapid.Bool().Draw(t, "has position") {
 		frame.StandbyPosition = &standby.Position{
@@ -89,7 +89,7 @@
 	})
 }
 
-func messageGenerator() *rapid.Generator[*standby.Message] {
+func standbyMessageGenerator() *rapid.Generator[*standby.Message] {
 	return rapid.Custom(func(t *rapid.T) *standby.Message {
 		message := &standby.Message{Token: rapid.Uint64().Draw(t, "token"), AfterSequence: rapid.Uint64().Draw(t, "after")}
 		for _, placement := range rapid.SliceOfN(placementGenerator(), 0, 3).Draw(t, "decisions") {
@@ -109,11 +109,11 @@
 
 // The largest standby messages fit into a frame, however long the names of jobs and machines.
 func TestLargestStandbyMessageFitsFrame(t *testing.T) {
-	longest := standby.Placement{Task: strings.Repeat("t", 140), Attempt: 1 << 60, Machine: strings.Repeat("m", 64)}
+	longestPlacement := standby.Placement{Task: strings.Repeat("t", 140), Attempt: 1 << 60, Machine: strings.Repeat("m", 64)}
 	var decisions, part standby.Message
 	part.Part = &standby.SnapshotPart{PartCount: 1}
 	for i := range standby.MaxDecisions {
-		placement := longest
+		placement := longestPlacement
 		placement.Machine += strconv.Itoa(i) // equal strings are written once
 		decisions.Decisions = append(decisions.Decisions, standby.Decision{Kind: standby.Started, Placement: placement})
 		part.Part.Placements = append(part.Part.Placements, placement)
@@ -128,14 +128,14 @@
 // A standby message over its bounds is rejected as malformed.
 func TestOversizedStandbyMessageIsRefused(t *testing.T) {
 	message := &standby.Message{Token: 1, Decisions: make([]standby.Decision, standby.MaxDecisions+1)}
-	var frames FrameReader
-	if err := frames.Feed(Encode(&Heartbeat{Member: "n1", StandbyFrame: StandbyFrame{StandbyMessage: message}}), func(*Heartbeat) { t.Error("a frame was handled") }); !errors.Is(err, ErrMalformed) {
+	var reader FrameReader
+	if err := reader.Feed(Encode(&Heartbeat{Member: "n1", StandbyFrame: StandbyFrame{StandbyMessage: message}}), func(*Heartbeat) { t.Error("a frame was handled") }); !errors.Is(err, ErrMalformed) {
 		t.Errorf("got error %v, want %v", err, ErrMalformed)
 	}
 }
 
 // Frames are decoded as they were encoded, however the stream is split.
-func TestHeartbeatsSurviveAnySplit(t *testing.T) {
+func TestHeartbeatsRoundTripOverSplitStream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := rapid.SliceOfN(heartbeatGenerator(), 1, 4).Draw(t, "heartbeats")
 		var stream []byte
@@ -158,7 +158,7 @@
 }
 
 // Garbage on the port for peers is rejected as malformed; it neither panics nor accumulates.
-func TestGarbage(t *testing.T) {
+func TestCorruptFramesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heartbeat := heartbeatGenerator().Draw(t, "heartbeat")
 		frame := append([]byte(nil), Encode(&heartbeat)...)
@@ -199,21 +199,21 @@
 		heartbeat.JobProgress = append(heartbeat.JobProgress, JobProgress{Job: "req-000001", Done: 1})
 	}
 	heartbeat.Cancellations = []Cancellation{{Job: "req-000002", Revision: 3}}
-	for _, withLongJobs := range []bool{false, true} {
-		if withLongJobs {
+	for _, withLongJobNames := range []bool{false, true} {
+		if withLongJobNames {
 			for i := range heartbeat.JobProgress {
 				heartbeat.JobProgress[i].Job = longName
 			}
 		}
 		var got *Heartbeat
-		var frames FrameReader
-		if err := frames.Feed(Encode(heartbeat), func(heartbeat *Heartbeat) { got = heartbeat }); err != nil || got == nil {
+		var reader FrameReader
+		if err := reader.Feed(Encode(heartbeat), func(heartbeat *Heartbeat) { got = heartbeat }); err != nil || got == nil {
 			t.Fatalf("rejected: %v", err)
 		}
 		if got.Token != 7 || len(got.Cancellations) != 1 || len(got.CachedImages) != 0 {
 			t.Errorf("received %+v", got)
 		}
-		if (len(got.JobProgress) == MaxJobProgress) == withLongJobs {
+		if (len(got.JobProgress) == MaxJobProgress) == withLongJobNames {
 			t.Errorf("progress of %d jobs", len(got.JobProgress))
 		}
 	}
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -32,8 +32,8 @@
 		t.Fatal(err)
 	}
 	var got []Heartbeat
-	var frames FrameReader
-	if err := frames.Feed(frame, func(heartbeat *Heartbeat) { got = append(got, *heartbeat) }); err != nil {
+	var reader FrameReader
+	if err := reader.Feed(frame, func(heartbeat *Heartbeat) { got = append(got, *heartbeat) }); err != nil {
 		t.Fatal(err)
 	}
 	if len(got) != 1 || !reflect.DeepEqual(got[0], productionHeartbeat) {
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -34,20 +34,20 @@
 	if heartbeat.Member == "" {
 		return nil, fmt.Errorf("%w: no sender", ErrMalformed)
 	}
-	if err := decodeHints(table, heartbeat); err != nil {
+	if err := decodeLeaderHints(table, heartbeat); err != nil {
 		return nil, err
 	}
 	if heartbeat.Cancellations, err = decodeCancellations(table); err != nil {
 		return nil, err
 	}
-	if err := decodeStandby(table, heartbeat); err != nil {
+	if err := decodeStandbyFrame(table, heartbeat); err != nil {
 		return nil, err
 	}
 	return heartbeat, nil
 }
 
-// decodeHints reads what only a leader sends.
-func decodeHints(table *fb.Heartbeat, heartbeat *Heartbeat) (err error) {
+// decodeLeaderHints reads what only a leader sends.
+func decodeLeaderHints(table *fb.Heartbeat, heartbeat *Heartbeat) (err error) {
 	heartbeat.ProgressPageCount = table.ProgressPageCount()
 	if heartbeat.JobProgress, err = decodeJobProgress(table); err != nil {
 		return err
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -15,27 +15,27 @@
 // hints are left out of one: first cached images, then also job progress. Standby frames have none;
 // the bounds of package standby keep them small enough (TestLargestStandbyMessageFitsFrame).
 func Encode(heartbeat *Heartbeat) []byte {
-	frame := encodeUnbounded(heartbeat)
+	frame := encodeFrame(heartbeat)
 	if len(frame) <= MaxFrame {
 		return frame
 	}
 	smaller := *heartbeat
 	smaller.CachedImages = nil
-	if frame = encodeUnbounded(&smaller); len(frame) > MaxFrame {
+	if frame = encodeFrame(&smaller); len(frame) > MaxFrame {
 		smaller.JobProgress = nil
-		frame = encodeUnbounded(&smaller)
+		frame = encodeFrame(&smaller)
 	}
 	return frame
 }
 
-func encodeUnbounded(heartbeat *Heartbeat) []byte {
+func encodeFrame(heartbeat *Heartbeat) []byte {
 	builder := flatbuffers.NewBuilder(initialBuilderSize)
 	progress := encodeJobProgress(builder, heartbeat.JobProgress)
 	cancellations := encodeCancellations(builder, heartbeat.Cancellations)
 	cachedImages, runTimes := encodeCachedImages(builder, heartbeat.CachedImages), encodeRunTimes(builder, heartbeat.RunTimes)
 	bootTimes := encodeBootTimes(builder, heartbeat.BootTimes)
 	member, leader := builder.CreateString(heartbeat.Member), builder.CreateString(heartbeat.Leader)
-	message, position := encodeStandby(builder, heartbeat)
+	message, position := encodeStandbyFrame(builder, heartbeat)
 	fb.HeartbeatStart(builder)
 	fb.HeartbeatAddMember(builder, member)
 	fb.HeartbeatAddIsStoreReachable(builder, heartbeat.IsStoreReachable)
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -21,11 +21,11 @@
 // frame wait to be sent; a newer one replaces an older one. A frame that is lost isn't sent
 // again: the next heartbeat supersedes it, and package standby repeats its messages.
 type Link struct {
-	dial    Dialer
-	address string
-	wake    chan struct{} // holds one token while frames may be waiting
-	done    chan struct{}
-	close   sync.Once // closes done
+	dial      Dialer
+	address   string
+	wake      chan struct{} // holds one token while frames may be waiting
+	closed    chan struct{}
+	closeOnce sync.Once // closes done
 
 	mu               sync.Mutex
 	pendingHeartbeat []byte
@@ -35,13 +35,13 @@
 // NewLink starts a link, whose goroutine runs until Close or, if it is dialing or writing then, until
 // that has ended.
 func NewLink(dial Dialer, address string) *Link {
-	link := &Link{dial: dial, address: address, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	link := &Link{dial: dial, address: address, wake: make(chan struct{}, 1), closed: make(chan struct{})}
 	go link.run()
 	return link
 }
 
 // Close ends the link. Nothing may be sent after it; closing it again does nothing.
-func (link *Link) Close() { link.close.Do(func() { close(link.done) }) }
+func (link *Link) Close() { link.closeOnce.Do(func() { close(link.closed) }) }
 
 // SendHeartbeat replaces the heartbeat that waits to be sent.
 func (link *Link) SendHeartbeat(frame []byte) { link.replacePending(&link.pendingHeartbeat, frame) }
@@ -89,7 +89,7 @@
 	}()
 	for {
 		select {
-		case <-link.done:
+		case <-link.closed:
 			return
 		case <-link.wake:
 		}
@@ -116,7 +116,7 @@
 	timer := time.NewTimer(redialBackoff.Duration())
 	defer timer.Stop()
 	select {
-	case <-link.done:
+	case <-link.closed:
 		return false
 	case <-timer.C:
 		return true
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -48,14 +48,14 @@
 }
 
 // Close ends the pause before a redial.
-func TestCloseEndsTheRedialPause(t *testing.T) {
+func TestCloseEndsTheWaitBeforeARedial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dialer := &pipeDialer{failures: 1}
-		link := &Link{dial: dialer.dial, address: "other", wake: make(chan struct{}, 1), done: make(chan struct{})}
-		hasEnded := make(chan struct{})
+		link := &Link{dial: dialer.dial, address: "other", wake: make(chan struct{}, 1), closed: make(chan struct{})}
+		runEnded := make(chan struct{})
 		go func() {
 			link.run()
-			close(hasEnded)
+			close(runEnded)
 		}()
 		link.SendHeartbeat([]byte("heartbeat"))
 		synctest.Wait()
@@ -64,7 +64,7 @@
 		}
 		closedAt := time.Now()
 		link.Close()
-		<-hasEnded
+		<-runEnded
 		if pause := time.Since(closedAt); pause != 0 {
 			t.Errorf("the link ends %v after Close", pause)
 		}
@@ -74,7 +74,7 @@
 	})
 }
 
-func TestCloseTwice(t *testing.T) {
+func TestSecondCloseHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		link := NewLink((&pipeDialer{}).dial, "other")
 		link.Close()
--- a/internal/peer/standby_bench_test.go
+++ b/internal/peer/standby_bench_test.go
@@ -16,14 +16,14 @@
 	}
 }
 
-func benchmarkStandbyStream(b *testing.B, placements int) {
+func benchmarkStandbyStream(b *testing.B, placementCount int) {
 	followers := map[string]*standby.Replica{"n1": standby.NewReplica(1), "n2": standby.NewReplica(2)}
 	publisher := standby.NewPublisher(9, []string{"n1", "n2"})
-	started := func(i int) standby.Decision {
+	startDecision := func(i int) standby.Decision {
 		return standby.Decision{Kind: standby.Started, Placement: benchmarkPlacement(i)}
 	}
-	for i := range placements {
-		publisher.AppendDecision(started(i))
+	for i := range placementCount {
+		publisher.AppendDecision(startDecision(i))
 	}
 	now := clock.Second
 	sentBytes := 0
@@ -56,7 +56,7 @@
 		for k := range tasksPerMessage {
 			number := i*tasksPerMessage + k
 			publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: benchmarkPlacement(number)})
-			publisher.AppendDecision(started(number + placements))
+			publisher.AppendDecision(startDecision(number + placementCount))
 		}
 		exchange()
 	}
--- a/internal/peer/standby_codec.go
+++ b/internal/peer/standby_codec.go
@@ -17,18 +17,18 @@
 	return heartbeat.StandbyMessage != nil || heartbeat.StandbyPosition != nil
 }
 
-// encodeStandby writes the standby message and position; an offset is 0 if there is none.
-func encodeStandby(builder *flatbuffers.Builder, heartbeat *Heartbeat) (message, position flatbuffers.UOffsetT) {
+// encodeStandbyFrame writes the standby message and position; an offset is 0 if there is none.
+func encodeStandbyFrame(builder *flatbuffers.Builder, heartbeat *Heartbeat) (message, position flatbuffers.UOffsetT) {
 	if heartbeat.StandbyMessage != nil {
-		message = encodeMessage(builder, heartbeat.StandbyMessage)
+		message = encodeStandbyMessage(builder, heartbeat.StandbyMessage)
 	}
 	if heartbeat.StandbyPosition != nil {
-		position = encodePosition(builder, heartbeat.StandbyPosition)
+		position = encodeStandbyPosition(builder, heartbeat.StandbyPosition)
 	}
 	return message, position
 }
 
-func encodeMessage(builder *flatbuffers.Builder, message *standby.Message) flatbuffers.UOffsetT {
+func encodeStandbyMessage(builder *flatbuffers.Builder, message *standby.Message) flatbuffers.UOffsetT {
 	decisions := make([]flatbuffers.UOffsetT, len(message.Decisions))
 	for i, decision := range message.Decisions {
 		decisions[i] = encodePlacement(builder, decision.Kind, decision.Placement)
@@ -70,7 +70,7 @@
 	return fb.StandbyPlacementEnd(builder)
 }
 
-func encodePosition(builder *flatbuffers.Builder, position *standby.Position) flatbuffers.UOffsetT {
+func encodeStandbyPosition(builder *flatbuffers.Builder, position *standby.Position) flatbuffers.UOffsetT {
 	fb.StandbyPositionStart(builder)
 	fb.StandbyPositionAddIncarnation(builder, position.Incarnation)
 	fb.StandbyPositionAddToken(builder, position.Token)
@@ -82,10 +82,10 @@
 	return fb.StandbyPositionEnd(builder)
 }
 
-// decodeStandby reads the standby message and position, if the frame has them.
-func decodeStandby(table *fb.Heartbeat, heartbeat *Heartbeat) error {
+// decodeStandbyFrame reads the standby message and position, if the frame has them.
+func decodeStandbyFrame(table *fb.Heartbeat, heartbeat *Heartbeat) error {
 	if messageTable := table.StandbyMessage(nil); messageTable != nil {
-		message, err := decodeMessage(messageTable)
+		message, err := decodeStandbyMessage(messageTable)
 		if err != nil {
 			return err
 		}
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func decodeMessage(table *fb.StandbyMessage) (*standby.Message, error) {
+func decodeStandbyMessage(table *fb.StandbyMessage) (*standby.Message, error) {
 	if table.PlacementsLength() > standby.MaxPartPlacements {
 		return nil, fmt.Errorf("%w: a part of %d placements", ErrMalformed, table.PlacementsLength())
 	}
--- a/wire/decode.go
+++ b/wire/decode.go
@@ -34,7 +34,7 @@
 // sender's (status 400): the body is no JSON object, or a *FieldError names the first field
 // that is wrong.
 func DecodeJob(body []byte) (*Job, error) {
-	if !isJSONObject(body) {
+	if !hasOpeningBrace(body) {
 		return nil, errNotAnObject
 	}
 	var submitted submission
@@ -53,8 +53,8 @@
 	return job, nil
 }
 
-// isJSONObject reports that a body begins as an object does; null would decode as an empty one.
-func isJSONObject(body []byte) bool {
+// hasOpeningBrace reports that a body begins as an object does; null would decode as an empty one.
+func hasOpeningBrace(body []byte) bool {
 	trimmed := bytes.TrimLeft(body, " \t\r\n")
 	return len(trimmed) > 0 && trimmed[0] == '{'
 }
@@ -67,13 +67,13 @@
 	to   *T
 }
 
-// copyRequired copies the fields in order. reject gives the reason to refuse a value, or "".
-func copyRequired[T any](fields []requiredField[T], reject func(T) string) error {
+// copyRequiredFields copies the fields in order. reject gives the reason to refuse a value, or "".
+func copyRequiredFields[T any](fields []requiredField[T], rejectionReason func(T) string) error {
 	for _, field := range fields {
 		if field.from == nil {
 			return &FieldError{field.name, reasonMissing}
 		}
-		if reason := reject(*field.from); reason != "" {
+		if reason := rejectionReason(*field.from); reason != "" {
 			return &FieldError{field.name, reason}
 		}
 		*field.to = *field.from
@@ -82,7 +82,7 @@
 }
 
 func (submitted *submission) decodeNames(job *Job) error {
-	return copyRequired([]requiredField[string]{
+	return copyRequiredFields([]requiredField[string]{
 		{"nameId", submitted.ID, &job.ID},
 		{"lot", submitted.Class, &job.Class},
 		{"crew", submitted.Team, &job.Team},
@@ -98,7 +98,7 @@
 }
 
 func (submitted *submission) decodeAmounts(job *Job) error {
-	return copyRequired([]requiredField[float64]{
+	return copyRequiredFields([]requiredField[float64]{
 		{"cores", submitted.CPUs, &job.CPUs},
 		{"gpus", submitted.GPUs, &job.GPUs},
 		{"ramGb", submitted.MemoryGB, &job.MemoryGB},
@@ -106,11 +106,11 @@
 		{"guessS", submitted.EstimatedRunSeconds, &job.EstimatedRunSeconds},
 		{"markS", submitted.CheckpointIntervalSeconds, &job.CheckpointIntervalSeconds},
 		{"stashS", submitted.CheckpointSaveSeconds, &job.CheckpointSaveSeconds},
-	}, rejectAmount)
+	}, amountRejectionReason)
 }
 
-// rejectAmount gives the reason to refuse an amount, or "".
-func rejectAmount(amount float64) string {
+// amountRejectionReason gives the reason to refuse an amount, or "".
+func amountRejectionReason(amount float64) string {
 	if math.IsNaN(amount) || math.IsInf(amount, 0) || amount < 0 || amount > maxAmount {
 		return "is not a valid amount"
 	}
@@ -118,7 +118,7 @@
 }
 
 func (submitted *submission) decodeFlags(job *Job) error {
-	return copyRequired([]requiredField[bool]{
+	return copyRequiredFields([]requiredField[bool]{
 		{"oneZone", submitted.SingleZone, &job.SingleZone},
 		{"spread", submitted.SpreadZones, &job.SpreadZones},
 		{"loaners", submitted.AllowsSpot, &job.AllowsSpot},
@@ -181,7 +181,7 @@
 	if submitted.DeadlineSeconds == nil {
 		return nil
 	}
-	if reason := rejectAmount(*submitted.DeadlineSeconds); reason != "" {
+	if reason := amountRejectionReason(*submitted.DeadlineSeconds); reason != "" {
 		return &FieldError{"dueS", reason}
 	}
 	job.DeadlineSeconds = *submitted.DeadlineSeconds
--- a/wire/roundtrip_test.go
+++ b/wire/roundtrip_test.go
@@ -16,8 +16,8 @@
 
 // Every message decodes to what was encoded, also with unknown fields beside it, and to what
 // the standard library decodes from the same bytes.
-func TestEveryTypeRoundTrips(t *testing.T) {
-	value := rapid.Custom(func(t *rapid.T) json.RawMessage {
+func TestMessagesRoundTrip(t *testing.T) {
+	valueGenerator := rapid.Custom(func(t *rapid.T) json.RawMessage {
 		encoded, err := json.Marshal(rapid.MapOf(rapid.String(), rapid.Int()).Draw(t, "value"))
 		if err != nil {
 			t.Fatal(err)
@@ -71,17 +71,17 @@
 		},
 		"Transaction": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := Transaction{Conditions: []Condition{{Key: rapid.String().Draw(t, "key"), Version: rapid.Uint64().Draw(t, "version")}},
-				Changes: []Change{{PutKey: "a", Value: []byte(value.Draw(t, "value")), LeaseID: rapid.Uint64().Draw(t, "lease")}, {DeleteKey: "b"}}}
+				Changes: []Change{{PutKey: "a", Value: []byte(valueGenerator.Draw(t, "value")), LeaseID: rapid.Uint64().Draw(t, "lease")}, {DeleteKey: "b"}}}
 			return &v, &Transaction{}
 		},
 		"KeyPage": func(t *rapid.T) (jsonCodec, jsonCodec) {
-			v := KeyPage{KeyValues: []KeyValue{{Key: rapid.String().Draw(t, "key"), Value: []byte(value.Draw(t, "value")), Version: rapid.Uint64().Draw(t, "version")}},
+			v := KeyPage{KeyValues: []KeyValue{{Key: rapid.String().Draw(t, "key"), Value: []byte(valueGenerator.Draw(t, "value")), Version: rapid.Uint64().Draw(t, "version")}},
 				HasMore: rapid.Bool().Draw(t, "more"), Revision: rapid.Uint64().Draw(t, "revision")}
 			return &v, &KeyPage{}
 		},
 		"WatchResponse": func(t *rapid.T) (jsonCodec, jsonCodec) {
 			v := WatchResponse{Revision: rapid.Uint64().Draw(t, "revision"), Events: []WatchEvent{
-				{PutKey: rapid.String().Draw(t, "key"), Value: []byte(value.Draw(t, "value")), Version: rapid.Uint64().Draw(t, "version")},
+				{PutKey: rapid.String().Draw(t, "key"), Value: []byte(valueGenerator.Draw(t, "value")), Version: rapid.Uint64().Draw(t, "version")},
 				{DeleteKey: "a", Version: 1}}}
 			return &v, &WatchResponse{}
 		},
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -125,7 +125,7 @@
 }
 
 // Decoding any bytes ends with a value or an error.
-func TestDecodeMalformedInput(t *testing.T) {
+func TestDecodersReturnOnAnyInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		input := []byte(exampleJobJSON)
 		changes := rapid.IntRange(1, 8).Draw(t, "changes")
@@ -142,7 +142,7 @@
 	})
 }
 
-func TestTaskIDs(t *testing.T) {
+func TestParseTaskIDInvertsTaskID(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := fmt.Sprintf("req-%06d", rapid.IntRange(0, 999999).Draw(t, "id"))
 		index := rapid.IntRange(0, MaxTasks-1).Draw(t, "task")
@@ -180,7 +180,7 @@
 }
 
 // An invalid submission is refused by the protocol's name of the first field that is wrong.
-func TestDecodeJobNamesTheField(t *testing.T) {
+func TestDecodeJobErrorNamesFirstInvalidField(t *testing.T) {
 	for _, testCase := range []struct{ from, to, field, text string }{
 		{`"lot":"train",`, ``, "lot", "lot is missing"},
 		{`"crew":"vision"`, `"crew":""`, "crew", "crew is empty or too long"},
