--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -107,25 +107,27 @@
 	})
 }
 
-// The largest standby messages fit into a frame, however long the names of jobs and machines.
+// A standby message with the maximum number of decisions or placements fits into a frame, even with long
+// names of tasks and machines. Encode can't shorten standby messages, and a receiver closes the link on a
+// larger frame.
 func TestLargestStandbyMessageFitsFrame(t *testing.T) {
 	longestPlacement := standby.Placement{Task: strings.Repeat("t", 140), Attempt: 1 << 60, Machine: strings.Repeat("m", 64)}
 	var decisions, part standby.Message
 	part.Part = &standby.SnapshotPart{PartCount: 1}
 	for i := range standby.MaxDecisions {
 		placement := longestPlacement
-		placement.Machine += strconv.Itoa(i) // equal strings are written once
+		placement.Machine += strconv.Itoa(i) // makes the names differ, since equal ones are encoded once
 		decisions.Decisions = append(decisions.Decisions, standby.Decision{Kind: standby.Started, Placement: placement})
 		part.Part.Placements = append(part.Part.Placements, placement)
 	}
 	for name, message := range map[string]*standby.Message{"decisions": &decisions, "part": &part} {
 		if frame := Encode(&Heartbeat{Member: "n1", StandbyFrame: StandbyFrame{StandbyMessage: message}}); len(frame) > MaxFrame {
-			t.Errorf("%s: %d bytes", name, len(frame))
+			t.Errorf("message with the maximum of %s: got a frame of %d bytes, want at most MaxFrame", name, len(frame))
 		}
 	}
 }
 
-// A standby message over its bounds is rejected as malformed.
+// A reader rejects a standby message with more than the maximum number of decisions as malformed.
 func TestOversizedStandbyMessageIsRefused(t *testing.T) {
 	message := &standby.Message{Token: 1, Decisions: make([]standby.Decision, standby.MaxDecisions+1)}
 	var reader FrameReader
@@ -134,7 +136,7 @@
 	}
 }
 
-// Frames are decoded as they were encoded, however the stream is split.
+// Heartbeats are decoded as they were encoded, wherever the stream is split between calls of Feed.
 func TestHeartbeatsRoundTripOverSplitStream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := rapid.SliceOfN(heartbeatGenerator(), 1, 4).Draw(t, "heartbeats")
@@ -157,8 +159,9 @@
 	})
 }
 
-// Garbage on the port for peers is rejected as malformed; it neither panics nor accumulates.
-func TestCorruptFramesAreRejected(t *testing.T) {
+// Corrupted frames and arbitrary bytes on the port for peers must not make the reader panic or buffer more
+// than one frame. If decoding fails, the error is ErrMalformed.
+func TestCorruptInputCausesNoPanicOrGrowth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heartbeat := heartbeatGenerator().Draw(t, "heartbeat")
 		frame := append([]byte(nil), Encode(&heartbeat)...)
@@ -168,14 +171,14 @@
 		var reader FrameReader
 		err := reader.Feed(frame, func(*Heartbeat) {})
 		if err == nil && len(reader.buffer) > MaxFrame+sizePrefixLength {
-			t.Fatalf("%d bytes are buffered", len(reader.buffer))
+			t.Fatalf("got %d bytes in the reader's buffer, want at most one frame", len(reader.buffer))
 		}
 		if err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatalf("got error %v, want %v", err, ErrMalformed)
 		}
 		decoded, err := Decode(rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "bytes"))
 		if err == nil && decoded.Member == "" {
-			t.Fatal("a heartbeat without a sender")
+			t.Fatal("got a heartbeat without a sender, want an error")
 		}
 		if err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatalf("got error %v, want %v", err, ErrMalformed)
@@ -183,8 +186,9 @@
 	})
 }
 
-// Long names of jobs and images don't make a frame that receivers reject: cached images are left out,
-// and job progress too if that isn't enough. Everything else is sent.
+// Encode shortens a heartbeat with long names of jobs and images so that receivers accept the frame. It
+// leaves out the cached images and, if the frame is still too large, also the job progress. It keeps
+// everything else.
 func TestLargeHeartbeatsFitFrame(t *testing.T) {
 	longName := strings.Repeat("x", 2000)
 	heartbeat := &Heartbeat{Member: "a", Leader: "a", Token: 7}
@@ -208,13 +212,13 @@
 		var got *Heartbeat
 		var reader FrameReader
 		if err := reader.Feed(Encode(heartbeat), func(heartbeat *Heartbeat) { got = heartbeat }); err != nil || got == nil {
-			t.Fatalf("rejected: %v", err)
+			t.Fatalf("got error %v or no heartbeat, want a heartbeat", err)
 		}
 		if got.Token != 7 || len(got.Cancellations) != 1 || len(got.CachedImages) != 0 {
-			t.Errorf("received %+v", got)
+			t.Errorf("got %+v, want token 7, one cancellation and no cached images", got)
 		}
 		if (len(got.JobProgress) == MaxJobProgress) == withLongJobNames {
-			t.Errorf("progress of %d jobs", len(got.JobProgress))
+			t.Errorf("got the progress of %d jobs, want it left out only with long job names", len(got.JobProgress))
 		}
 	}
 }
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -19,9 +19,10 @@
 	StoreRevision: 77, Cancellations: []Cancellation{{"req-000002", 76, 1700000000000000}},
 }
 
-// While versions are replaced, each reads the other's frames. Fields may only be appended: the
-// recorded frame of the version in production is decoded to its content, and that content is
-// encoded to the same bytes.
+// While a new version replaces another one, controllers of each read the frames of the other, so the
+// schema may only be extended by appending fields. This test guards against incompatible changes: the
+// frame recorded from the version in production must decode to its content, and that content must
+// encode to the same bytes.
 func TestProductionHeartbeatCompatibility(t *testing.T) {
 	text, err := os.ReadFile("testdata/heartbeat-production.hex")
 	if err != nil {
@@ -37,10 +38,10 @@
 		t.Fatal(err)
 	}
 	if len(got) != 1 || !reflect.DeepEqual(got[0], productionHeartbeat) {
-		t.Fatalf("the recorded frame is decoded as %+v", got)
+		t.Fatalf("decode the recorded frame: got %+v, want one heartbeat equal to productionHeartbeat", got)
 	}
-	// Equal bytes prove that all fields still have their slots.
+	// Equal bytes show that every field is still in its slot of the FlatBuffers table.
 	if encoded := Encode(&productionHeartbeat); string(encoded) != string(frame) {
-		t.Fatalf("the same content is encoded as %x", encoded)
+		t.Fatalf("encode productionHeartbeat: got %x, want the recorded frame", encoded)
 	}
 }
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -8,11 +8,11 @@
 	"firwood.dev/firwood/internal/peer/fb"
 )
 
-// ErrMalformed reports a frame that can't be read or exceeds a bound.
+// ErrMalformed reports a frame that can't be decoded or exceeds a bound.
 var ErrMalformed = errors.New("peer: malformed frame")
 
-// Decode reads one frame without its size prefix. FlatBuffers for Go has no verifier: its
-// accessors panic on malformed input, which is recovered here and returned as ErrMalformed.
+// Decode decodes one frame without its size prefix. FlatBuffers for Go has no verifier, so its
+// accessors panic on malformed input. Decode recovers from the panic and returns ErrMalformed.
 func Decode(content []byte) (heartbeat *Heartbeat, err error) {
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -20,7 +20,7 @@
 		}
 	}()
 	if len(content) < minFrameLength {
-		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, len(content))
+		return nil, fmt.Errorf("%w: content of only %d bytes", ErrMalformed, len(content))
 	}
 	table := fb.GetRootAsHeartbeat(content, 0)
 	heartbeat = &Heartbeat{
@@ -32,7 +32,7 @@
 		StandbyProtocolVersion: table.StandbyProtocolVersion(),
 	}
 	if heartbeat.Member == "" {
-		return nil, fmt.Errorf("%w: no sender", ErrMalformed)
+		return nil, fmt.Errorf("%w: the sender's name is missing", ErrMalformed)
 	}
 	if err := decodeLeaderHints(table, heartbeat); err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	return heartbeat, nil
 }
 
-// decodeLeaderHints reads what only a leader sends.
+// decodeLeaderHints reads the fields that only a leader sends.
 func decodeLeaderHints(table *fb.Heartbeat, heartbeat *Heartbeat) (err error) {
 	heartbeat.ProgressPageCount = table.ProgressPageCount()
 	if heartbeat.JobProgress, err = decodeJobProgress(table); err != nil {
@@ -62,8 +62,8 @@
 	return err
 }
 
-// decodeTables reads a vector of tables, of which a frame may have `limit`. read returns the
-// entry at an index, false if it is missing or exceeds a bound of its own.
+// decodeTables reads a vector of tables, which may have at most limit entries. read returns the entry at
+// an index, or false if the entry is missing or exceeds a bound of its own.
 func decodeTables[T any](length, limit int, read func(i int) (T, bool)) ([]T, error) {
 	if length > limit {
 		return nil, fmt.Errorf("%w: %d entries, at most %d are allowed", ErrMalformed, length, limit)
@@ -72,7 +72,7 @@
 	for i := range length {
 		item, ok := read(i)
 		if !ok {
-			return nil, fmt.Errorf("%w: entry %d of %d", ErrMalformed, i, length)
+			return nil, fmt.Errorf("%w: entry %d of %d is missing or exceeds a bound", ErrMalformed, i, length)
 		}
 		items = append(items, item)
 	}
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -8,12 +8,13 @@
 	"firwood.dev/firwood/internal/peer/fb"
 )
 
-// initialBuilderSize is the first capacity of a frame's buffer in bytes; it grows as needed.
+// initialBuilderSize is the initial capacity in bytes of a frame's buffer, which grows as needed.
 const initialBuilderSize = 256
 
-// Encode makes a frame with its size prefix. A receiver closes the link on a frame over MaxFrame, so
-// hints are left out of one: first cached images, then also job progress. Standby frames have none;
-// the bounds of package standby keep them small enough (TestLargestStandbyMessageFitsFrame).
+// Encode returns a frame with its size prefix. Because a receiver closes the link on a frame larger than
+// MaxFrame, Encode leaves hints out of such a frame: first the cached images and, if that is not enough,
+// also the job progress. Standby frames have no hints. The bounds in package standby keep them small
+// enough (TestLargestStandbyMessageFitsFrame).
 func Encode(heartbeat *Heartbeat) []byte {
 	frame := encodeFrame(heartbeat)
 	if len(frame) <= MaxFrame {
@@ -61,8 +62,8 @@
 	return builder.FinishedBytes()
 }
 
-// encodeTables writes a vector of tables, one for each of the first `limit` items; further ones are
-// left out.
+// encodeTables writes a vector of tables, one for each of the first limit items. It leaves out the
+// other items.
 func encodeTables[T any](builder *flatbuffers.Builder, items []T, limit int, encode func(T) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	var offsets []flatbuffers.UOffsetT
 	for _, item := range items[:min(len(items), limit)] {
@@ -82,9 +83,9 @@
 	})
 }
 
-// encodeBootTimes leaves the field out, instead of writing an empty vector, if there are no
-// boot times: the recorded frame of an earlier version, which had no such field, must be
-// encoded to the same bytes (TestProductionHeartbeatCompatibility).
+// encodeBootTimes leaves the field out, instead of writing an empty vector, if there are no boot times.
+// The frame recorded from an earlier version, which had no such field, must encode to the same bytes
+// (TestProductionHeartbeatCompatibility).
 func encodeBootTimes(builder *flatbuffers.Builder, times []BootTimes) flatbuffers.UOffsetT {
 	if len(times) == 0 {
 		return 0
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -17,39 +17,39 @@
 // Dialer opens a connection to an address.
 type Dialer = func(address string, timeout time.Duration) (net.Conn, error)
 
-// Link sends frames to one other controller. Only the newest heartbeat and the newest standby
-// frame wait to be sent; a newer one replaces an older one. A frame that is lost isn't sent
-// again: the next heartbeat supersedes it, and package standby repeats its messages.
+// Link sends frames to one other controller. At most one heartbeat and one standby frame are pending; a
+// newer frame replaces a pending one of its kind. The link doesn't resend a frame that is lost: the next
+// heartbeat supersedes a lost one, and package standby repeats its messages.
 type Link struct {
-	dial      Dialer
-	address   string
-	wake      chan struct{} // holds one token while frames may be waiting
-	closed    chan struct{}
-	closeOnce sync.Once // closes done
+	dial    Dialer
+	address string
+	wake    chan struct{} // has one element while frames may be pending
+	closed  chan struct{} // closed by Close
+	close   sync.Once     // makes repeated calls of Close safe
 
 	mu               sync.Mutex
 	pendingHeartbeat []byte
 	pendingStandby   []byte
 }
 
-// NewLink starts a link, whose goroutine runs until Close or, if it is dialing or writing then, until
-// that has ended.
+// NewLink starts a link and its goroutine. The goroutine runs until Close is called. If it is dialing
+// or writing at that time, it ends after that operation.
 func NewLink(dial Dialer, address string) *Link {
 	link := &Link{dial: dial, address: address, wake: make(chan struct{}, 1), closed: make(chan struct{})}
 	go link.run()
 	return link
 }
 
-// Close ends the link. Nothing may be sent after it; closing it again does nothing.
-func (link *Link) Close() { link.closeOnce.Do(func() { close(link.closed) }) }
+// Close ends the link. After Close no frames may be sent. Further calls of Close have no effect.
+func (link *Link) Close() { link.close.Do(func() { close(link.closed) }) }
 
-// SendHeartbeat replaces the heartbeat that waits to be sent.
+// SendHeartbeat makes frame the pending heartbeat, in place of an earlier one that has not been sent.
 func (link *Link) SendHeartbeat(frame []byte) { link.replacePending(&link.pendingHeartbeat, frame) }
 
-// SendStandby replaces the standby frame that waits to be sent.
+// SendStandby makes frame the pending standby frame, in place of an earlier one that has not been sent.
 func (link *Link) SendStandby(frame []byte) { link.replacePending(&link.pendingStandby, frame) }
 
-// takePending removes and returns the waiting frames, the standby frame first.
+// takePending removes and returns the pending frames, the standby frame first.
 func (link *Link) takePending() [][]byte {
 	link.mu.Lock()
 	defer link.mu.Unlock()
@@ -70,7 +70,7 @@
 	link.requestSend()
 }
 
-// requestSend wakes the link's goroutine, unless a wake waits for it by then.
+// requestSend wakes the link's goroutine. It does nothing if a wake-up is already waiting for the goroutine.
 func (link *Link) requestSend() {
 	select {
 	case link.wake <- struct{}{}:
@@ -78,8 +78,9 @@
 	}
 }
 
-// run owns the connection. It dials when there is something to send, and again after a failed
-// write. After a failed dial the frames wait for the redial, or for newer ones that replace them.
+// run dials, writes the pending frames and closes the connection, which only run uses. If there is no
+// connection, or a failed write has closed it, run dials as soon as there is a frame to send. After a
+// failed dial the pending frames wait for the redial, unless newer frames replace them.
 func (link *Link) run() {
 	var connection net.Conn
 	defer func() {
@@ -100,7 +101,7 @@
 				if !link.waitForRedial() {
 					return
 				}
-				link.requestSend() // the failed dial took the wake, and its frames still wait
+				link.requestSend() // the failed dial consumed the wake-up, but its frames are still pending
 				continue
 			}
 		}
@@ -111,7 +112,7 @@
 	}
 }
 
-// waitForRedial waits until the link may dial again; false means that it was closed.
+// waitForRedial waits until the link may dial again. It returns false if the link was closed meanwhile.
 func (link *Link) waitForRedial() bool {
 	timer := time.NewTimer(redialBackoff.Duration())
 	defer timer.Stop()
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// pipeDialer is a Dialer whose first attempts fail.
+// pipeDialer is a Dialer that connects to an in-memory pipe. Its first attempts can be made to fail.
 type pipeDialer struct {
-	failures int      // how many more attempts fail
-	remote   net.Conn // the other end of the last connection
+	failures int      // number of further attempts that fail
+	remote   net.Conn // remote end of the latest connection
 }
 
 var errDial = errors.New("refused")
@@ -26,7 +26,8 @@
 	return local, nil
 }
 
-// A frame that was waiting when a dial failed is sent after the redial, without another Send.
+// A frame that is pending when a dial fails is sent after the redial, without another call of Send. The
+// failed dial consumes the wake-up for the frame, so the link has to wake itself again.
 func TestFrameIsSentAfterAFailedDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dialer := &pipeDialer{failures: 1}
@@ -34,20 +35,20 @@
 		defer link.Close()
 		const frame = "heartbeat"
 		link.SendHeartbeat([]byte(frame))
-		time.Sleep(redialBackoff.Duration()) // of the bubble's clock
+		time.Sleep(redialBackoff.Duration()) // on the simulated clock of synctest
 		synctest.Wait()
 		if dialer.remote == nil {
-			t.Fatal("the link doesn't dial again while a frame waits")
+			t.Fatal("the link has not dialed again after the backoff, although a frame is pending")
 		}
 		defer dialer.remote.Close()
 		received := make([]byte, len(frame))
 		if _, err := dialer.remote.Read(received); err != nil || string(received) != frame {
-			t.Errorf("received %q, %v", received, err)
+			t.Errorf("got frame %q, error %v, want the pending heartbeat", received, err)
 		}
 	})
 }
 
-// Close ends the pause before a redial.
+// Close ends the wait before a redial at once, and a closed link doesn't dial again.
 func TestCloseEndsTheWaitBeforeARedial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dialer := &pipeDialer{failures: 1}
@@ -60,16 +61,16 @@
 		link.SendHeartbeat([]byte("heartbeat"))
 		synctest.Wait()
 		if dialer.failures != 0 {
-			t.Fatal("the link hasn't dialed")
+			t.Fatal("the link has not dialed after SendHeartbeat")
 		}
 		closedAt := time.Now()
 		link.Close()
 		<-runEnded
-		if pause := time.Since(closedAt); pause != 0 {
-			t.Errorf("the link ends %v after Close", pause)
+		if delay := time.Since(closedAt); delay != 0 {
+			t.Errorf("run ended %v after Close, want it to end at once", delay)
 		}
 		if dialer.remote != nil {
-			t.Error("a closed link has dialed again")
+			t.Error("the link has dialed again after Close")
 		}
 	})
 }
--- a/internal/peer/standby_bench_test.go
+++ b/internal/peer/standby_bench_test.go
@@ -8,8 +8,9 @@
 	"firwood.dev/firwood/internal/standby"
 )
 
-// BenchmarkStandbyStream measures the cost of a task's start and end for the leader and two
-// followers, and the bytes over the links, by the size of the table: four tasks per machine.
+// BenchmarkStandbyStream measures the time that the leader and two followers spend on the start or end
+// of a task, and the bytes that the leader sends. It uses allocation tables for several numbers of
+// machines, with four tasks per machine.
 func BenchmarkStandbyStream(b *testing.B) {
 	for _, machines := range []int{500, 1500, 4000} {
 		b.Run(fmt.Sprint(machines, "machines"), func(b *testing.B) { benchmarkStandbyStream(b, 4*machines) })
@@ -49,7 +50,7 @@
 	b.ReportMetric(0, "snapshot-bytes")
 	snapshotBytes := sentBytes
 	sentBytes = 0
-	// A scheduling cycle of a busy fleet starts and ends about ten tasks.
+	// In a busy fleet, one scheduling cycle starts and ends about ten tasks.
 	const tasksPerMessage = 10
 	for i := 0; b.Loop(); i++ {
 		now += 50 * clock.Millisecond
--- a/internal/peer/standby_codec.go
+++ b/internal/peer/standby_codec.go
@@ -12,12 +12,13 @@
 // StandbyProtocolVersion is the version of the standby messages that this build reads.
 const StandbyProtocolVersion = standby.ProtocolVersion
 
-// IsStandby tells whether the frame is a standby message or position, and no heartbeat.
+// IsStandby reports whether the frame is a standby message or position rather than a heartbeat.
 func (heartbeat *Heartbeat) IsStandby() bool {
 	return heartbeat.StandbyMessage != nil || heartbeat.StandbyPosition != nil
 }
 
-// encodeStandbyFrame writes the standby message and position; an offset is 0 if there is none.
+// encodeStandbyFrame writes the standby message and the standby position. It returns offset 0 for either
+// if the heartbeat lacks it.
 func encodeStandbyFrame(builder *flatbuffers.Builder, heartbeat *Heartbeat) (message, position flatbuffers.UOffsetT) {
 	if heartbeat.StandbyMessage != nil {
 		message = encodeStandbyMessage(builder, heartbeat.StandbyMessage)
@@ -82,7 +83,7 @@
 	return fb.StandbyPositionEnd(builder)
 }
 
-// decodeStandbyFrame reads the standby message and position, if the frame has them.
+// decodeStandbyFrame reads the standby message and the standby position, if the frame has them.
 func decodeStandbyFrame(table *fb.Heartbeat, heartbeat *Heartbeat) error {
 	if messageTable := table.StandbyMessage(nil); messageTable != nil {
 		message, err := decodeStandbyMessage(messageTable)
@@ -102,7 +103,7 @@
 
 func decodeStandbyMessage(table *fb.StandbyMessage) (*standby.Message, error) {
 	if table.PlacementsLength() > standby.MaxPartPlacements {
-		return nil, fmt.Errorf("%w: a part of %d placements", ErrMalformed, table.PlacementsLength())
+		return nil, fmt.Errorf("%w: %d placements in a part of a snapshot, which exceeds the bound", ErrMalformed, table.PlacementsLength())
 	}
 	message := &standby.Message{Token: table.Token(), AfterSequence: table.AfterSequence()}
 	var entry fb.StandbyPlacement
