--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -136,7 +136,7 @@
 // ScaleOut requests machines, at most wire.MaxScaleOutCount, and returns the ids of the machines that the
 // cloud created. These may be fewer than requested. After an error the caller may repeat the same
 // request: because of its RequestID, the cloud creates the machines only once. If sendDeadline is not
-// nil, the request is not sent at or after the instant that it returns.
+// nil, the request is not sent at or after the instant that sendDeadline returns.
 func (c *Client) ScaleOut(request wire.ScaleOutRequest, sendDeadline func() clock.Micros) ([]string, error) {
 	body, err := request.MarshalJSON()
 	if err != nil {
@@ -152,7 +152,7 @@
 
 // DeleteMachines deletes machines, at most wire.MaxMachinesPerDelete. The cloud ignores unknown ids. If
 // DeleteMachines returns nil, the machines and all tasks on them are gone. If sendDeadline is not nil,
-// the request is not sent at or after the instant that it returns.
+// the request is not sent at or after the instant that sendDeadline returns.
 func (c *Client) DeleteMachines(ids []string, sendDeadline func() clock.Micros) error {
 	body, err := wire.MachineIDs{IDs: ids}.MarshalJSON()
 	if err != nil {
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -131,7 +131,7 @@
 func TestOversizedStandbyMessageIsRefused(t *testing.T) {
 	message := &standby.Message{Token: 1, Decisions: make([]standby.Decision, standby.MaxDecisions+1)}
 	var reader FrameReader
-	if err := reader.Feed(Encode(&Heartbeat{Member: "n1", StandbyFrame: StandbyFrame{StandbyMessage: message}}), func(*Heartbeat) { t.Error("a frame was handled") }); !errors.Is(err, ErrMalformed) {
+	if err := reader.Feed(Encode(&Heartbeat{Member: "n1", StandbyFrame: StandbyFrame{StandbyMessage: message}}), func(*Heartbeat) { t.Error("got a heartbeat, want none") }); !errors.Is(err, ErrMalformed) {
 		t.Errorf("got error %v, want %v", err, ErrMalformed)
 	}
 }
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -12,7 +12,8 @@
 var ErrMalformed = errors.New("peer: malformed frame")
 
 // Decode decodes one frame without its size prefix. FlatBuffers for Go has no verifier, so its
-// accessors panic on malformed input. Decode recovers from the panic and returns ErrMalformed.
+// accessors panic on malformed input. Decode recovers from the panic and returns an error that wraps
+// ErrMalformed.
 func Decode(content []byte) (heartbeat *Heartbeat, err error) {
 	defer func() {
 		if fault := recover(); fault != nil {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// run dials, writes the pending frames and closes the connection, which only run uses. If there is no
-// connection, or a failed write has closed it, run dials as soon as there is a frame to send. After a
-// failed dial the pending frames wait for the redial, unless newer frames replace them.
+// run writes the pending frames. It is the only user of the connection. It dials when there is a frame to
+// send but no connection, which is also the case after a failed write. After a failed dial the pending
+// frames wait for the redial, unless newer frames replace them.
 func (link *Link) run() {
 	var connection net.Conn
 	defer func() {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -111,7 +111,7 @@
 	Timestamp      clock.Micros
 	AckIncarnation uint64
 	AckTimestamp   clock.Micros
-	// SilentFor is for how long the sender has not replied to any worker as delegate.
+	// SilentFor is how long the sender has certainly not replied to any worker as delegate.
 	SilentFor clock.Micros
 
 	LeaderHints
--- a/wire/decode.go
+++ b/wire/decode.go
@@ -138,7 +138,8 @@
 	return nil
 }
 
-// checkNames checks the names that must have a fixed form or be one of a fixed set of values.
+// checkNames checks the job's id, which must have a fixed form, and its kind and priority, which must each be
+// one of a fixed set of values.
 func checkNames(job *Job) error {
 	if !IsValidJobID(job.ID) {
 		return &FieldError{"nameId", "has not the form of a job id"}
--- a/wire/job.go
+++ b/wire/job.go
@@ -37,8 +37,8 @@
 // MaxBodyBytes is the maximum size of a request body (PROTOCOL, first section).
 const MaxBodyBytes = 64 << 10
 
-// Job is a validated submission (PROTOCOL, POST /api/jobs). It has no nested structs, like the
-// protocol's message and the stored record. Amounts of resources are per task.
+// Job is a validated submission (PROTOCOL, POST /api/jobs). It has no nested structs, because the
+// protocol's message and the stored record have none. Amounts of resources are per task.
 type Job struct {
 	ID       string `json:"nameId"`
 	Class    string `json:"lot"`
@@ -141,7 +141,7 @@
 // TaskID returns the id of the task of a job with the given index, such as "req-000412/3".
 func TaskID(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTaskID is the inverse of TaskID. ok is false if no valid job id and index have this task id.
+// ParseTaskID is the inverse of TaskID. ok is false if TaskID returns taskID for no valid job id and index.
 func ParseTaskID(taskID string) (job string, index int, ok bool) {
 	job, digits, found := strings.Cut(taskID, "/")
 	if !found || !IsValidJobID(job) || len(digits) == 0 || len(digits) > maxTaskIndexDigits {
--- a/wire/roundtrip_test.go
+++ b/wire/roundtrip_test.go
@@ -15,8 +15,8 @@
 }
 
 // A message that is encoded, extended by an unknown field, decoded and encoded again gives the same
-// bytes as the first encoding. The standard library can decode these bytes. Job has a round-trip test
-// of its own.
+// bytes as the first encoding. The standard library accepts these bytes. Job has a round-trip test of
+// its own.
 func TestMessagesRoundTrip(t *testing.T) {
 	valueGenerator := rapid.Custom(func(t *rapid.T) json.RawMessage {
 		encoded, err := json.Marshal(rapid.MapOf(rapid.String(), rapid.Int()).Draw(t, "value"))
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -12,7 +12,7 @@
 // Causes of a task's exit, in TaskStatus.ExitCause. The last three mean that the worker refused to start
 // the task.
 const (
-	ExitDone            = "done"       // completed; if started again, it exits as done once its image is fetched
+	ExitDone            = "done"       // completed; if started again, it exits as done once it has its image
 	ExitStopped         = "stopped"    // stopped by a command
 	ExitPeerLost        = "peers"      // another task of its gang is gone
 	ExitGangIncomplete  = "incomplete" // its gang was not complete in time
