--- a/internal/peer/standby_bench_test.go
+++ b/internal/peer/standby_bench_test.go
@@ -8,22 +8,23 @@
 	"firwood.dev/firwood/internal/standby"
 )
 
-// BenchmarkStandbyStream measures the cost of a task's start and end for the leader and two
-// followers, and the bytes over the links, by the size of the table: four tasks per machine.
+// BenchmarkStandbyStream measures the time that the leader and two followers spend on the start or end
+// of a task, and the bytes that the leader sends. It uses allocation tables for several numbers of
+// machines, with four tasks per machine.
 func BenchmarkStandbyStream(b *testing.B) {
 	for _, machines := range []int{500, 1500, 4000} {
 		b.Run(fmt.Sprint(machines, "machines"), func(b *testing.B) { benchmarkStandbyStream(b, 4*machines) })
 	}
 }
 
-func benchmarkStandbyStream(b *testing.B, placements int) {
+func benchmarkStandbyStream(b *testing.B, placementCount int) {
 	followers := map[string]*standby.Replica{"n1": standby.NewReplica(1), "n2": standby.NewReplica(2)}
 	publisher := standby.NewPublisher(9, []string{"n1", "n2"})
-	started := func(i int) standby.Decision {
+	startDecision := func(i int) standby.Decision {
 		return standby.Decision{Kind: standby.Started, Placement: benchmarkPlacement(i)}
 	}
-	for i := range placements {
-		publisher.AppendDecision(started(i))
+	for i := range placementCount {
+		publisher.AppendDecision(startDecision(i))
 	}
 	now := clock.Second
 	sentBytes := 0
@@ -49,14 +50,14 @@
 	b.ReportMetric(0, "snapshot-bytes")
 	snapshotBytes := sentBytes
 	sentBytes = 0
-	// A scheduling cycle of a busy fleet starts and ends about ten tasks.
+	// In a busy fleet, one scheduling cycle starts and ends about ten tasks.
 	const tasksPerMessage = 10
 	for i := 0; b.Loop(); i++ {
 		now += 50 * clock.Millisecond
 		for k := range tasksPerMessage {
 			number := i*tasksPerMessage + k
 			publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: benchmarkPlacement(number)})
-			publisher.AppendDecision(started(number + placements))
+			publisher.AppendDecision(startDecision(number + placementCount))
 		}
 		exchange()
 	}
