--- a/internal/client/threads_test.go
+++ b/internal/client/threads_test.go
@@ -14,14 +14,14 @@
 // Hundreds of machines that don't respond, each with a request in flight, don't hold a thread each.
 // The platform allows a process 2000 threads.
 func TestHungRequestsHoldNoThreads(t *testing.T) {
-	const hung = 300
+	const hungCount = 300
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
 	var accepted []net.Conn
-	acceptSignals := make(chan struct{}, hung)
+	acceptSignals := make(chan struct{}, hungCount)
 	go func() {
 		for {
 			netConn, err := listener.Accept()
@@ -34,9 +34,9 @@
 			acceptSignals <- struct{}{}
 		}
 	}()
-	pool := NewPool(DialTCP, connlimit.New(2*hung))
+	pool := NewPool(DialTCP, connlimit.New(2*hungCount))
 	var wg sync.WaitGroup
-	for i := 0; i < hung; i++ {
+	for i := 0; i < hungCount; i++ {
 		host := pool.NewHost(listener.Addr().String(), 1, 1<<10)
 		wg.Add(1)
 		go func() {
@@ -46,12 +46,12 @@
 			}
 		}()
 	}
-	for i := 0; i < hung; i++ {
+	for i := 0; i < hungCount; i++ {
 		<-acceptSignals
 	}
 	time.Sleep(50 * time.Millisecond) // let the requests reach their reads
-	if n := pprof.Lookup("threadcreate").Count(); n > 64 {
-		t.Errorf("%d threads for %d hung machines", n, hung)
+	if threadCount := pprof.Lookup("threadcreate").Count(); threadCount > 64 {
+		t.Errorf("%d threads for %d hung machines", threadCount, hungCount)
 	}
 	listener.Close()
 	mu.Lock()
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -38,9 +38,9 @@
 // isFull tells whether the limit is reached. The caller holds the mutex.
 func (limiter *Limiter) isFull() bool { return limiter.inbound+limiter.outbound >= limiter.limit }
 
-// isHeadroomUsed tells whether no more room than the inbound headroom is left, so that further
+// hasOnlyHeadroomLeft tells whether no more room than the inbound headroom is left, so that further
 // outbound connections would take it. The caller holds the mutex.
-func (limiter *Limiter) isHeadroomUsed() bool {
+func (limiter *Limiter) hasOnlyHeadroomLeft() bool {
 	return limiter.inbound+limiter.outbound >= limiter.limit-limiter.inboundHeadroom
 }
 
@@ -77,7 +77,7 @@
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	mustLeaveHeadroom := limiter.outbound >= limiter.outboundMinimum
-	if limiter.isFull() || mustLeaveHeadroom && limiter.isHeadroomUsed() {
+	if limiter.isFull() || mustLeaveHeadroom && limiter.hasOnlyHeadroomLeft() {
 		return false
 	}
 	limiter.outbound++
@@ -96,7 +96,7 @@
 func (limiter *Limiter) IsUnderPressure() bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	return limiter.outbound > limiter.outboundMinimum && limiter.isHeadroomUsed()
+	return limiter.outbound > limiter.outboundMinimum && limiter.hasOnlyHeadroomLeft()
 }
 
 // Counts returns the numbers of inbound and outbound connections.
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -45,13 +45,13 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		limit := 1 + rng.IntN(200)
 		limiter := New(limit)
-		refused := 0
+		rejectedInbound := 0
 		for i := 0; i < 2000; i++ {
 			inbound, outbound := limiter.Counts()
 			switch rng.IntN(5) {
 			case 0, 1:
 				if !limiter.AcquireInbound() {
-					refused++
+					rejectedInbound++
 				}
 			case 2:
 				limiter.AcquireOutbound()
@@ -71,7 +71,7 @@
 				t.Fatalf("history %d: rejected with room left", seed)
 			}
 		}
-		if refused == 0 && limit < 20 {
+		if rejectedInbound == 0 && limit < 20 {
 			t.Fatalf("history %d never reached its limit", seed)
 		}
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -15,9 +15,9 @@
 func TestMain(m *testing.M) { seed.Main(m) }
 
 // feedInPieces feeds data to a parser in pieces and returns the parsed messages.
-func feedInPieces(parser *Parser, data []byte, piece func() int) (messages []*Message, err error) {
+func feedInPieces(parser *Parser, data []byte, pieceSize func() int) (messages []*Message, err error) {
 	for len(data) > 0 {
-		n := min(max(piece(), 1), len(data))
+		n := min(max(pieceSize(), 1), len(data))
 		parser.Feed(data[:n])
 		data = data[n:]
 		for {
@@ -69,7 +69,7 @@
 }
 
 // Any split of the bytes gives the same messages, in both directions.
-func TestSplitsGiveSameMessages(t *testing.T) {
+func TestSplitInputGivesSameMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		isResponse := rapid.Bool().Draw(t, "response")
 		var stream []byte
@@ -133,7 +133,7 @@
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	long := strings.Repeat("a", 9<<10)
 	for _, test := range []struct {
-		in     string
+		input  string
 		status int
 	}{
 		{"GET /\r\n\r\n", 400},
@@ -157,16 +157,16 @@
 		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", 400},
 	} {
 		parser := NewRequestParser(DefaultLimits)
-		parser.Feed([]byte(test.in))
+		parser.Feed([]byte(test.input))
 		message, err := parser.Next()
 		var httpError *Error
 		if !errors.As(err, &httpError) || httpError.Status != test.status {
-			t.Errorf("%.60q: %v %v, want %d", test.in, message, err, test.status)
+			t.Errorf("%.60q: %v %v, want %d", test.input, message, err, test.status)
 		}
 		// After an error nothing more is parsed.
 		parser.Feed([]byte("GET / HTTP/1.1\r\n\r\n"))
 		if message, _ := parser.Next(); message != nil {
-			t.Errorf("%.60q: a message after the error", test.in)
+			t.Errorf("%.60q: a message after the error", test.input)
 		}
 	}
 }
@@ -193,7 +193,7 @@
 }
 
 // The close of the connection ends a response without a length, but no other one.
-func TestResponseUntilClose(t *testing.T) {
+func TestCloseEndsOnlyResponseWithoutLength(t *testing.T) {
 	parser := NewResponseParser(DefaultLimits)
 	parser.Feed([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.0 200 OK\r\n\r\nabc"))
 	if message, err := parser.Next(); message != nil || err != nil {
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -59,9 +59,9 @@
 	remaining int      // bytes left of the body or chunk
 	err       *Error   // set in phaseFailed
 
-	// continuePending tells that the sender of a message whose head is complete waits for a 100
+	// isContinuePending tells that the sender of a message whose head is complete waits for a 100
 	// Continue. It stays until TakeContinueRequest is called, also when the message is over.
-	continuePending bool
+	isContinuePending bool
 }
 
 // NewRequestParser returns a parser of requests.
@@ -94,8 +94,8 @@
 
 // TakeContinueRequest returns true once for each message whose sender waits for a 100 Continue.
 func (parser *Parser) TakeContinueRequest() bool {
-	isPending := parser.continuePending
-	parser.continuePending = false
+	isPending := parser.isContinuePending
+	parser.isContinuePending = false
 	return isPending
 }
 
--- a/internal/http1/parser_head.go
+++ b/internal/http1/parser_head.go
@@ -51,7 +51,7 @@
 		return stepContinues, nil
 	}
 	if message.ExpectContinue {
-		parser.continuePending = true
+		parser.isContinuePending = true
 	}
 	hasNoBody := parser.isResponse && (message.Status == http.StatusNoContent || message.Status == http.StatusNotModified)
 	switch {
@@ -150,20 +150,20 @@
 		return err
 	}
 	switch {
-	case equalsLowercase(name, "content-length"):
+	case isHeaderName(name, "content-length"):
 		return parser.applyContentLength(value)
-	case equalsLowercase(name, "transfer-encoding"):
+	case isHeaderName(name, "transfer-encoding"):
 		if parser.isChunked || !bytes.EqualFold(value, []byte("chunked")) {
 			return newError(http.StatusBadRequest, "unsupported Transfer-Encoding")
 		}
 		parser.isChunked = true
-	case equalsLowercase(name, "connection"):
-		parser.applyConnection(value)
-	case equalsLowercase(name, "retry-after"):
+	case isHeaderName(name, "connection"):
+		parser.applyConnectionHeader(value)
+	case isHeaderName(name, "retry-after"):
 		if seconds, ok := parseDecimal(value); ok {
 			parser.message.RetryAfter = seconds
 		}
-	case equalsLowercase(name, "expect"):
+	case isHeaderName(name, "expect"):
 		if !parser.isResponse && bytes.EqualFold(value, []byte("100-continue")) {
 			parser.message.ExpectContinue = true
 		}
@@ -201,7 +201,7 @@
 	return nil
 }
 
-func (parser *Parser) applyConnection(value []byte) {
+func (parser *Parser) applyConnectionHeader(value []byte) {
 	for _, option := range bytes.Split(value, []byte{','}) {
 		option = bytes.TrimSpace(option)
 		switch {
@@ -213,16 +213,16 @@
 	}
 }
 
-// equalsLowercase compares ASCII text with a lower-case string, without regard to its case.
-func equalsLowercase(text []byte, lower string) bool {
-	if len(text) != len(lower) {
+// isHeaderName compares ASCII text with a lower-case string, without regard to its case.
+func isHeaderName(name []byte, lowerName string) bool {
+	if len(name) != len(lowerName) {
 		return false
 	}
-	for i, c := range text {
+	for i, c := range name {
 		if c >= 'A' && c <= 'Z' {
 			c += 'a' - 'A'
 		}
-		if c != lower[i] {
+		if c != lowerName[i] {
 			return false
 		}
 	}
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -14,10 +14,10 @@
 // conn is one connection. Its fields belong to the event loop, except pendingReply, which the mutex
 // guards. Either parser or frames is set.
 type conn struct {
-	evioConn evio.Conn
-	parser   *http1.Parser     // of a connection to the serve address
-	frames   *peer.FrameReader // of a connection to the peer address
-	role     clientRole
+	evioConn    evio.Conn
+	parser      *http1.Parser     // of a connection to the serve address
+	frameReader *peer.FrameReader // of a connection to the peer address
+	role        clientRole
 
 	stateChangedAt  clock.Micros // start of the idle time, or of the request that is being received
 	isBusy          bool         // a request is being processed
@@ -26,11 +26,11 @@
 	isClosed        bool         // handleData has returned evio.Close; evio closes it after writing
 
 	mu           sync.Mutex
-	pendingReply *storedResponse // set by any goroutine, taken by the event loop
+	pendingReply *pendingResponse // set by any goroutine, taken by the event loop
 }
 
 // takePendingReply removes and returns the reply that waits to be written, or nil.
-func (connection *conn) takePendingReply() *storedResponse {
+func (connection *conn) takePendingReply() *pendingResponse {
 	connection.mu.Lock()
 	defer connection.mu.Unlock()
 	response := connection.pendingReply
@@ -38,7 +38,7 @@
 	return response
 }
 
-func (connection *conn) setPendingReply(response *storedResponse) {
+func (connection *conn) setPendingReply(response *pendingResponse) {
 	connection.mu.Lock()
 	defer connection.mu.Unlock()
 	connection.pendingReply = response
@@ -46,7 +46,7 @@
 
 // replyNow sets the reply on the event loop itself, where no wake is needed.
 func (connection *conn) replyNow(status int, body []byte) {
-	connection.setPendingReply(&storedResponse{status: status, body: body})
+	connection.setPendingReply(&pendingResponse{status: status, body: body})
 }
 
 // isReceiving tells whether a part of a request has been received.
--- a/internal/server/eviction.go
+++ b/internal/server/eviction.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxClosing bounds the connections that are being closed for others, and with it how far the
+	// maxClosingConnections bounds the connections that are being closed for others, and with it how far the
 	// limit may be exceeded.
-	maxClosing = 16
+	maxClosingConnections = 16
 	// evictionGrace is how long a connection isn't evicted after its state has changed, as when it
 	// was opened: it may be about to send its first request.
 	evictionGrace = clock.Second
@@ -22,14 +22,14 @@
 // admit reserves an inbound connection; false means that there is no room. At the limit it closes, in
 // this order, an idle outbound connection, one that has sent no request, or a user's idle one. It never
 // closes a controller's, nor a worker's that has sent a heartbeat: the worker could lose its lease.
-func (server *Server) admit() bool {
+func (server *Server) admitConnection() bool {
 	if server.cfg.Limiter.AcquireInbound() {
 		return true
 	}
 	if server.evictOutbound() && server.cfg.Limiter.AcquireInbound() {
 		return true
 	}
-	if server.closingCount >= maxClosing {
+	if server.closingCount >= maxClosingConnections {
 		return false
 	}
 	victim := server.evictionVictim(clock.Now())
@@ -91,7 +91,7 @@
 		}
 	}
 	for connection := range server.connections {
-		isExpired := now-connection.stateChangedAt > server.timeoutOf(connection, idleTimeout)
+		isExpired := now-connection.stateChangedAt > server.stateTimeout(connection, idleTimeout)
 		if isExpired && !connection.isBusy && !connection.isClosing {
 			server.requestClose(connection)
 		}
@@ -99,9 +99,9 @@
 	return tickInterval, evio.None
 }
 
-// timeoutOf returns how long a connection may stay in its present state. ReadTimeout also bounds the time
+// stateTimeout returns how long a connection may stay in its present state. ReadTimeout also bounds the time
 // to the first request.
-func (server *Server) timeoutOf(connection *conn, idleTimeout clock.Micros) clock.Micros {
+func (server *Server) stateTimeout(connection *conn, idleTimeout clock.Micros) clock.Micros {
 	switch {
 	case connection.isReceiving() || connection.role == roleUnidentified:
 		return server.cfg.ReadTimeout
--- a/internal/server/eviction_test.go
+++ b/internal/server/eviction_test.go
@@ -11,7 +11,7 @@
 )
 
 // Connections over the limit are closed at once; the others are served.
-func TestConnectionLimit(t *testing.T) {
+func TestConnectionsOverLimitAreClosed(t *testing.T) {
 	address, _ := startServer(t, &echoApp{}, 5)
 	var netConns []net.Conn
 	defer func() {
@@ -19,7 +19,7 @@
 			netConn.Close()
 		}
 	}()
-	closed := 0
+	closedCount := 0
 	for i := 0; i < 12; i++ {
 		netConn, err := net.Dial("tcp4", address)
 		if err != nil {
@@ -31,11 +31,11 @@
 		netConn.SetDeadline(time.Now().Add(20 * time.Second)) //nolint:errcheck // a bound of the test
 		io.WriteString(netConn, "GET /up HTTP/1.1\r\n\r\n")   //nolint:errcheck // may be closed
 		if _, err := http.ReadResponse(bufio.NewReader(netConn), nil); err != nil {
-			closed++
+			closedCount++
 		}
 	}
-	if closed < 7 || closed > 8 {
-		t.Fatalf("%d of 12 connections were closed with a limit of 5", closed)
+	if closedCount < 7 || closedCount > 8 {
+		t.Fatalf("%d of 12 connections were closed with a limit of 5", closedCount)
 	}
 }
 
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -41,7 +41,7 @@
 // startServer returns the serve address and the peer address of a server with a connection limit.
 func startServer(t *testing.T, app App, limit int) (string, string) {
 	t.Helper()
-	port := func() string {
+	freeAddress := func() string {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -49,7 +49,7 @@
 		defer listener.Close()
 		return listener.Addr().String()
 	}
-	cfg := Config{ServeAddress: port(), PeerAddress: port(), Limiter: connlimit.New(limit), IdleTimeout: 60 * clock.Second, ReadTimeout: clock.Second, WorkerLeaseTTL: 60 * clock.Second}
+	cfg := Config{ServeAddress: freeAddress(), PeerAddress: freeAddress(), Limiter: connlimit.New(limit), IdleTimeout: 60 * clock.Second, ReadTimeout: clock.Second, WorkerLeaseTTL: 60 * clock.Second}
 	server := New(cfg, app, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go server.Run() //nolint:errcheck // runs until the test process ends
 	for i := 0; i < 200; i++ {
@@ -65,7 +65,7 @@
 
 // statusOf sends bytes and returns the status of the first response, 0 if the connection was closed
 // without one.
-func statusOf(t *testing.T, address, bytes string) int {
+func statusOf(t *testing.T, address, input string) int {
 	t.Helper()
 	netConn, err := net.Dial("tcp4", address)
 	if err != nil {
@@ -75,7 +75,7 @@
 	if err := netConn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(netConn, bytes) //nolint:errcheck // the server may close early
+	io.WriteString(netConn, input) //nolint:errcheck // the server may close early
 	httpResponse, err := http.ReadResponse(bufio.NewReader(netConn), nil)
 	if err != nil {
 		return 0
--- a/internal/server/input.go
+++ b/internal/server/input.go
@@ -23,7 +23,7 @@
 		return nil, evio.Close
 	}
 	process := server.processRequests
-	if connection.frames != nil {
+	if connection.frameReader != nil {
 		process = server.processFrames
 	}
 	output, action := process(connection, input)
@@ -37,7 +37,7 @@
 	if connection.isClosing {
 		return nil, evio.Close
 	}
-	if err := connection.frames.Feed(input, server.app.HandlePeerHeartbeat); err != nil {
+	if err := connection.frameReader.Feed(input, server.app.HandlePeerHeartbeat); err != nil {
 		server.log.Debug("closing peer connection", "error", err, "address", connection.evioConn.RemoteAddr())
 		return nil, evio.Close
 	}
@@ -51,7 +51,7 @@
 	if connection.isClosing && response == nil && !connection.isBusy {
 		return nil, evio.Close
 	}
-	if len(input) > 0 && !connection.feed(input) {
+	if len(input) > 0 && !connection.feedParser(input) {
 		return nil, evio.Close
 	}
 	if response != nil {
@@ -86,7 +86,7 @@
 }
 
 // feed gives input to the parser; false means that the client sends too much ahead of its replies.
-func (connection *conn) feed(input []byte) bool {
+func (connection *conn) feedParser(input []byte) bool {
 	if connection.parser.IsIdle() {
 		connection.stateChangedAt = clock.Now()
 	}
@@ -98,7 +98,7 @@
 // not written yet when a later wake has more to write, and a reply would be lost. Without pipelining, as
 // the protocol has it, that cannot happen: the next request comes after this reply. A client that
 // pipelines all the same gets one reply and a close.
-func (connection *conn) writeReply(output []byte, response *storedResponse) []byte {
+func (connection *conn) writeReply(output []byte, response *pendingResponse) []byte {
 	connection.closeAfterReply = connection.closeAfterReply || connection.parser.Buffered() > 0
 	connection.isBusy = false
 	response = response.enforceDeadline()
--- a/internal/server/reply.go
+++ b/internal/server/reply.go
@@ -7,8 +7,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// storedResponse is a response that waits to be written.
-type storedResponse struct {
+// pendingResponse is a response that waits to be written.
+type pendingResponse struct {
 	status      int
 	retryAfter  int    // seconds; 0: no header
 	contentType string // "" is JSON
@@ -22,13 +22,13 @@
 	// ReceivedAt is when the whole request had been received.
 	ReceivedAt clock.Micros
 	// send, if not nil, receives the response in place of a connection.
-	send func(status int, body []byte, retryAfter int)
+	callback func(status int, body []byte, retryAfter int)
 }
 
 // NewReply returns a Reply that passes the response to a function, for callers of an App without a
 // connection.
-func NewReply(send func(status int, body []byte, retryAfter int)) *Reply {
-	return &Reply{ReceivedAt: clock.Now(), send: send}
+func NewReply(callback func(status int, body []byte, retryAfter int)) *Reply {
+	return &Reply{ReceivedAt: clock.Now(), callback: callback}
 }
 
 // Send sends the response; retryAfter is in seconds, 0 for none. It may be called once, from any
@@ -41,19 +41,19 @@
 // loop takes the response, a 503 is sent in its place, since the process may have stalled meanwhile
 // and be no longer entitled to answer. A deadline of 0 is none.
 func (reply *Reply) SendBefore(status int, body []byte, retryAfter int, deadline clock.Micros) {
-	reply.store(&storedResponse{status: status, retryAfter: retryAfter, body: body, deadline: deadline})
+	reply.deliverResponse(&pendingResponse{status: status, retryAfter: retryAfter, body: body, deadline: deadline})
 }
 
 // SendText sends a response of status 200 whose body is of another media type than JSON.
 func (reply *Reply) SendText(contentType string, body []byte) {
-	reply.store(&storedResponse{status: http.StatusOK, contentType: contentType, body: body})
+	reply.deliverResponse(&pendingResponse{status: http.StatusOK, contentType: contentType, body: body})
 }
 
 // store has the event loop write a response, or passes it on.
-func (reply *Reply) store(response *storedResponse) {
-	if reply.send != nil {
+func (reply *Reply) deliverResponse(response *pendingResponse) {
+	if reply.callback != nil {
 		response = response.enforceDeadline()
-		reply.send(response.status, response.body, response.retryAfter)
+		reply.callback(response.status, response.body, response.retryAfter)
 		return
 	}
 	if reply.conn == nil {
@@ -67,9 +67,9 @@
 const expiredRetryAfter = 1
 
 // enforceDeadline returns the response, or a 503 in its place if its deadline has passed.
-func (response *storedResponse) enforceDeadline() *storedResponse {
+func (response *pendingResponse) enforceDeadline() *pendingResponse {
 	if response.deadline != 0 && clock.Now() >= response.deadline {
-		return &storedResponse{status: http.StatusServiceUnavailable, retryAfter: expiredRetryAfter, body: ErrorBody("no longer entitled to answer")}
+		return &pendingResponse{status: http.StatusServiceUnavailable, retryAfter: expiredRetryAfter, body: ErrorBody("no longer entitled to answer")}
 	}
 	return response
 }
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -50,13 +50,13 @@
 	}},
 }
 
-// hasJob tells whether the path of the route has a job's id.
-func (r *route) hasJob() bool { return strings.Contains(r.path, jobPlaceholder) }
+// hasPlaceholder tells whether the path of the route has a job's id.
+func (r *route) hasJobID() bool { return strings.Contains(r.path, jobPlaceholder) }
 
 // match tells whether the route leads from a path, and returns the job's id, which may be invalid.
 func (r *route) match(path string) (jobID string, matches bool) {
-	prefix, suffix, hasJob := strings.Cut(r.path, jobPlaceholder)
-	if !hasJob {
+	prefix, suffix, hasPlaceholder := strings.Cut(r.path, jobPlaceholder)
+	if !hasPlaceholder {
 		return "", path == r.path
 	}
 	rest, hasPrefix := strings.CutPrefix(path, prefix)
@@ -79,7 +79,7 @@
 		switch {
 		case request.Method != route.method:
 			connection.replyNow(http.StatusMethodNotAllowed, ErrorBody("method not allowed"))
-		case route.hasJob() && !wire.IsValidJobID(jobID):
+		case route.hasJobID() && !wire.IsValidJobID(jobID):
 			connection.replyNow(http.StatusNotFound, ErrorBody("no such job"))
 		default:
 			reply := &Reply{conn: connection, ReceivedAt: clock.Now()}
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -19,13 +19,13 @@
 
 // Each route answers with its status, malformed requests with theirs, and garbage on either port ends
 // only its connection.
-func TestRoutesAndMalformedInput(t *testing.T) {
+func TestRoutesAndMalformedInputGetExpectedStatus(t *testing.T) {
 	address, peerAddress := startServer(t, &echoApp{replyDeadline: 1}, 100)
 	post := func(path, body string) string {
 		return fmt.Sprintf("POST %s HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 	}
 	for _, c := range []struct {
-		in     string
+		input  string
 		status int
 	}{
 		{"GET /up HTTP/1.1\r\n\r\n", 200},
@@ -50,8 +50,8 @@
 		{"nonsense\r\n\r\n", 400},
 		{"POST /api/jobs HTTP/1.1\r\nContent-Length: 10\r\n\r\n{", 0}, // never ends
 	} {
-		if got := statusOf(t, address, c.in); got != c.status {
-			t.Errorf("%.50q: %d, want %d", c.in, got, c.status)
+		if got := statusOf(t, address, c.input); got != c.status {
+			t.Errorf("%.50q: %d, want %d", c.input, got, c.status)
 		}
 	}
 	rng := rand.New(rand.NewPCG(8, 8))
@@ -109,15 +109,15 @@
 		}
 	}
 
-	for _, first := range []string{showRequest(0), "GET /api/jobs/req-000000/withdraw HTTP/1.1\r\n\r\n"} {
+	for _, firstRequest := range []string{showRequest(0), "GET /api/jobs/req-000000/withdraw HTTP/1.1\r\n\r\n"} {
 		netConn, reader = dial()
 		defer netConn.Close()
-		if _, err := io.WriteString(netConn, first+showRequest(1)+showRequest(2)); err != nil {
+		if _, err := io.WriteString(netConn, firstRequest+showRequest(1)+showRequest(2)); err != nil {
 			t.Fatal(err)
 		}
-		body, closing, err := readReply(reader)
-		if err != nil || !closing || strings.Contains(body, "req-000001") {
-			t.Fatalf("first of three pipelined: %s %v %v", body, closing, err)
+		body, isClosing, err := readReply(reader)
+		if err != nil || !isClosing || strings.Contains(body, "req-000001") {
+			t.Fatalf("first of three pipelined: %s %v %v", body, isClosing, err)
 		}
 		if body, _, err := readReply(reader); err == nil {
 			t.Fatalf("a second reply: %s", body)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -57,13 +57,13 @@
 }
 
 const (
-	// Run gives up at the failure after maxListenerFailures in a row. A failure after the listeners
-	// have worked for longer than stableAfter begins a new row.
-	maxListenerFailures = 20
-	stableAfter         = 10 * clock.Second
-	restartBackoff      = 200 * time.Millisecond
-	// peerListener is the index of the peer address among the arguments of evio.Serve.
-	peerListener = 1
+	// Run gives up at the failure after maxConsecutiveFailures in a row. A failure after the listeners
+	// have worked for longer than failureCountResetAfter begins a new row.
+	maxConsecutiveFailures = 20
+	failureCountResetAfter = 10 * clock.Second
+	restartBackoff         = 200 * time.Millisecond
+	// peerListenerIndex is the index of the peer address among the arguments of evio.Serve.
+	peerListenerIndex = 1
 )
 
 // New returns a server; Run starts it.
@@ -81,12 +81,12 @@
 		server.connections, server.closingCount = map[*conn]struct{}{}, 0
 		err := evio.Serve(server.eventHandlers(), "tcp://"+server.cfg.ServeAddress, "tcp://"+server.cfg.PeerAddress)
 		servedFor := clock.Now() - startedAt
-		if servedFor > stableAfter {
+		if servedFor > failureCountResetAfter {
 			failures = 0
 		}
 		failures++
 		server.log.Error("listeners failed", "error", err, "failures", failures, "served_for_s", servedFor.Seconds())
-		if failures > maxListenerFailures {
+		if failures > maxConsecutiveFailures {
 			return fmt.Errorf("server: listeners cannot be kept open: %w", err)
 		}
 		time.Sleep(restartBackoff)
@@ -105,12 +105,12 @@
 
 func (server *Server) handleOpened(evioConn evio.Conn) ([]byte, evio.Options, evio.Action) {
 	opts := evio.Options{ReuseInputBuffer: true}
-	if !server.admit() {
+	if !server.admitConnection() {
 		return nil, opts, evio.Close
 	}
 	connection := &conn{evioConn: evioConn, stateChangedAt: clock.Now()}
-	if evioConn.AddrIndex() == peerListener {
-		connection.frames, connection.role = &peer.FrameReader{}, roleController
+	if evioConn.AddrIndex() == peerListenerIndex {
+		connection.frameReader, connection.role = &peer.FrameReader{}, roleController
 	} else {
 		connection.parser = http1.NewRequestParser(http1.DefaultLimits)
 	}
