--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
-// Package client is the outbound HTTP client: keep-alive connections, timeouts, a pool of
-// connections to many hosts, and token buckets that keep this process within the rate limits of
-// the services it calls.
+// Package client is the outbound HTTP client: hosts with keep-alive connections and timeouts, a pool
+// that bounds the connections to many hosts, and token buckets that keep this process within the rate
+// limits of the services that it calls.
 package client
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Dialer opens a connection to an address.
+// Dialer opens a connection to an address within a timeout.
 type Dialer func(address string, timeout time.Duration) (net.Conn, error)
 
 // DialTCP dials over TCP.
@@ -18,9 +18,9 @@
 }
 
 // ErrSendDeadlinePassed reports that a request was not sent because its SendDeadline had passed.
-var ErrSendDeadlinePassed = errors.New("client: the time to send has passed")
+var ErrSendDeadlinePassed = errors.New("client: the send deadline passed before the request was written")
 
-// NotSentError reports that the request was certainly not sent, so that it may be sent again.
+// NotSentError reports that no part of the request was sent, so that the caller may send it again.
 type NotSentError struct{ Err error }
 
 // Error implements error.
@@ -29,6 +29,6 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// ErrPoolExhausted reports that no connection may be opened: the pool's limiter has no room, and no
-// connection of the pool is idle. Do returns it within a *NotSentError.
-var ErrPoolExhausted = errors.New("client: no connection is free")
+// ErrPoolExhausted reports that the pool cannot open a connection: its limiter has no room, and none
+// of the pool's connections is idle. Do returns it within a *NotSentError.
+var ErrPoolExhausted = errors.New("client: the connection limit is reached and no connection is idle")
--- a/internal/client/host.go
+++ b/internal/client/host.go
@@ -15,32 +15,33 @@
 	// maxIdleAge bounds the reuse of an idle connection: after a network partition an old
 	// connection may be dead without an error.
 	maxIdleAge = 20 * clock.Second
-	// typicalHeadSize is the capacity for a request's head in bytes; it grows as needed.
+	// typicalHeadSize is the initial capacity for the head of an encoded request, in bytes. Longer
+	// heads grow the slice.
 	typicalHeadSize = 160
-	// readBufferSize is the size of the shared buffers for reads in bytes.
+	// readBufferSize is the size of each shared read buffer, in bytes.
 	readBufferSize = 8 << 10
 )
 
-// Host is the address of a service with its idle connections.
+// Host is a service at one address, with the idle connections to it.
 type Host struct {
 	dial    Dialer
 	address string
 	limits  http1.Limits
 
-	pool    *Pool // nil: the number of connections is not limited
+	pool    *Pool // bounds the number of connections; nil if it is not limited
 	maxIdle int
 
 	mu   sync.Mutex
-	idle []*conn // the latest used last
+	idle []*conn // the most recently used connection is last
 }
 
-// conn is one connection. It is used by one request at a time, or idle.
+// conn is one connection. At any time it is either used by one request or idle.
 type conn struct {
 	netConn     net.Conn
 	parser      *http1.Parser
-	lastUsedAt  clock.Micros // end of its latest request
+	lastUsedAt  clock.Micros // when its latest request ended
 	host        *Host
-	idleElement *list.Element // in the pool's list of idle connections; nil while in use or closed
+	idleElement *list.Element // element in the pool's idle list; nil while the connection is in use or closed
 }
 
 // NewHost returns a host that keeps at most maxIdle idle connections and accepts response bodies up
@@ -51,7 +52,7 @@
 	return &Host{dial: dial, address: address, limits: limits, maxIdle: maxIdle}
 }
 
-// removeIdle drops a connection that the pool has closed.
+// removeIdle removes a connection that the pool has closed from the host's idle connections.
 func (host *Host) removeIdle(connection *conn) {
 	host.mu.Lock()
 	defer host.mu.Unlock()
@@ -60,7 +61,7 @@
 	}
 }
 
-// closeConn closes a connection that is in use, and gives back its reservation.
+// closeConn closes a connection that is in use and releases its reservation.
 func (host *Host) closeConn(connection *conn) {
 	connection.netConn.Close()
 	if host.pool != nil {
@@ -68,12 +69,12 @@
 	}
 }
 
-// claimIdle claims an idle connection for use; false means that the pool has closed it meanwhile.
+// claimIdle claims an idle connection for use. It returns false if the pool has already closed it.
 func (host *Host) claimIdle(connection *conn) bool {
 	return host.pool == nil || host.pool.claimIdle(connection)
 }
 
-// Close closes the idle connections; those in use are not affected.
+// Close closes the idle connections. Connections in use are not affected.
 func (host *Host) Close() {
 	host.mu.Lock()
 	idle := host.idle
@@ -86,7 +87,8 @@
 	}
 }
 
-// takeIdle returns the connection that was used last, or nil. Connections over maxIdleAge are closed.
+// takeIdle returns the most recently used idle connection, or nil if there is none. It closes
+// connections that have been idle for maxIdleAge or longer.
 func (host *Host) takeIdle(now clock.Micros) *conn {
 	host.mu.Lock()
 	defer host.mu.Unlock()
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// returnIdle keeps a connection for reuse, or closes it if enough are idle.
+// returnIdle keeps a connection for reuse, or closes it if maxIdle connections are idle already.
 func (host *Host) returnIdle(connection *conn) {
 	host.mu.Lock()
 	defer host.mu.Unlock()
@@ -122,16 +124,16 @@
 // Request is an HTTP request.
 type Request struct {
 	Method, Target string
-	Body           []byte // nil: none
+	Body           []byte // nil if the request has no body
 	// Timeout bounds the whole exchange, dialing included.
 	Timeout clock.Micros
-	// SendDeadline, if not nil, returns the instant from which on the request must not be sent
-	// any more. It is called immediately before the write, after any waiting.
+	// SendDeadline, if not nil, returns the instant from which the request must no longer be sent.
+	// It is called immediately before the write, after any waiting.
 	SendDeadline func() clock.Micros
 }
 
-// Do sends the request and waits for its response. After an error that is not a *NotSentError or
-// ErrSendDeadlinePassed it is unknown whether the request was carried out.
+// Do sends the request and waits for its response. After an error other than a *NotSentError or
+// ErrSendDeadlinePassed, it is unknown whether the service carried out the request.
 func (host *Host) Do(request Request) (*http1.Message, error) {
 	deadline := time.Now().Add(request.Timeout.Duration())
 	connection := host.takeIdle(clock.Now())
@@ -154,7 +156,7 @@
 	return response, nil
 }
 
-// connect dials a new connection, with a reservation of the pool.
+// connect reserves a connection with the pool, if the host has one, and dials it.
 func (host *Host) connect(timeout clock.Micros) (*conn, error) {
 	if host.pool != nil && !host.pool.acquire() {
 		return nil, ErrPoolExhausted
@@ -176,21 +178,21 @@
 	}
 	encoded := make([]byte, 0, typicalHeadSize+len(request.Body))
 	encoded = http1.AppendRequest(encoded, request.Method, request.Target, connection.host.address, request.Body)
-	// This check is the last step before the write: a process that was paused between the
-	// decision and this line must not act on a lease that has expired.
+	// This check is the last step before the write: a process that was paused between its
+	// decision to send and this line must not act on a lease that has expired.
 	if request.SendDeadline != nil {
 		if sendDeadline := request.SendDeadline(); clock.Now() >= sendDeadline {
 			return nil, ErrSendDeadlinePassed
 		}
 	}
-	// A failed write is no NotSentError, since a part may have been sent.
+	// A failed write is not a NotSentError, since a part of the request may have been sent.
 	if _, err := connection.netConn.Write(encoded); err != nil {
 		return nil, err
 	}
 	return connection.readResponse()
 }
 
-// readResponse reads until the parser has a whole response.
+// readResponse reads from the connection until the parser has a whole response.
 func (connection *conn) readResponse() (*http1.Message, error) {
 	buffer := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(buffer)
@@ -213,5 +215,5 @@
 	}
 }
 
-// readBuffers are shared by all connections, since most of them are idle.
+// readBuffers are shared by all connections, since most connections are idle at any time.
 var readBuffers = sync.Pool{New: func() any { buffer := make([]byte, readBufferSize); return &buffer }}
--- a/internal/client/pool.go
+++ b/internal/client/pool.go
@@ -7,31 +7,31 @@
 	"firwood.dev/firwood/internal/connlimit"
 )
 
-// Pool bounds the connections to many hosts together, by a limiter that other connections of the
-// process use too. At the limit, the pool's connection that has been idle longest is closed for a
-// new one.
+// Pool bounds the total number of connections to many hosts. Its limiter also counts other connections
+// of the process. When the limit is reached, the pool closes the connection that has been idle longest
+// to make room for a new one.
 type Pool struct {
 	dial    Dialer
 	limiter *connlimit.Limiter
 
-	// mu guards idle and the idleElement of all connections. It is taken while a host's mutex is
-	// held, never the other way round.
+	// mu guards idle and the idleElement of all connections. Lock order: a host's mutex may be held
+	// when mu is locked, but no host's mutex may be locked while mu is held.
 	mu   sync.Mutex
-	idle *list.List // of *conn, the longest idle first
+	idle *list.List // of *conn; the connection that has been idle longest is first
 }
 
-// NewPool returns a pool whose connections count as outbound ones of the limiter.
+// NewPool returns a pool whose connections the limiter counts as outbound.
 func NewPool(dial Dialer, limiter *connlimit.Limiter) *Pool {
 	return &Pool{dial: dial, limiter: limiter, idle: list.New()}
 }
 
-// acquire reserves a connection with the limiter, closing an idle one if necessary.
+// acquire reserves a connection, if necessary by closing an idle one. It reports whether it succeeded.
 func (pool *Pool) acquire() bool {
-	// The reservation of the closed connection is reused, so the limiter isn't called for it.
+	// The new connection takes over the reservation of the closed one, so the limiter isn't called.
 	return pool.limiter.AcquireOutbound() || pool.closeOldestIdle()
 }
 
-// EvictIdle closes the connection that has been idle longest; false if none is idle.
+// EvictIdle closes the connection that has been idle longest. It returns false if none is idle.
 func (pool *Pool) EvictIdle() bool {
 	if !pool.closeOldestIdle() {
 		return false
@@ -41,7 +41,7 @@
 }
 
 // closeOldestIdle closes the connection that has been idle longest and leaves its reservation to
-// the caller; false if none is idle.
+// the caller. It returns false if none is idle.
 func (pool *Pool) closeOldestIdle() bool {
 	pool.mu.Lock()
 	oldest := pool.idle.Front()
@@ -52,18 +52,18 @@
 	connection := pool.idle.Remove(oldest).(*conn)
 	connection.idleElement = nil
 	pool.mu.Unlock()
-	// Nobody else can use it: a host that takes it from its own list at the same time finds
-	// idleElement nil in claimIdle and skips it.
+	// No other goroutine can use the connection now: a host that takes it from its own list at the
+	// same time finds idleElement nil in claimIdle and skips the connection.
 	connection.netConn.Close()
 	connection.host.removeIdle(connection)
 	return true
 }
 
-// release gives a connection's reservation back.
+// release releases the reservation of one connection.
 func (pool *Pool) release() { pool.limiter.ReleaseOutbound() }
 
-// claimIdle removes an idle connection from the pool's list for use; false means that the pool has
-// closed it meanwhile.
+// claimIdle removes an idle connection from the pool's list for use. It returns false if the pool has
+// already closed it.
 func (pool *Pool) claimIdle(connection *conn) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -75,14 +75,15 @@
 	return true
 }
 
-// addIdle appends a connection to the list of idle ones.
+// addIdle appends a connection to the pool's list of idle connections.
 func (pool *Pool) addIdle(connection *conn) {
 	pool.mu.Lock()
 	connection.idleElement = pool.idle.PushBack(connection)
 	pool.mu.Unlock()
 }
 
-// NewHost returns a host whose connections belong to the pool; see the function NewHost.
+// NewHost returns a host whose connections belong to the pool. The package function NewHost describes
+// the parameters.
 func (pool *Pool) NewHost(address string, maxIdle, maxBody int) *Host {
 	host := NewHost(pool.dial, address, maxIdle, maxBody)
 	host.pool = pool
--- a/internal/client/pool_test.go
+++ b/internal/client/pool_test.go
@@ -12,16 +12,16 @@
 	"firwood.dev/firwood/internal/connlimit"
 )
 
-// poolFixture is a pool with a small limit, and more hosts than that.
+// poolFixture is a pool with a small connection limit, and more hosts than the limit.
 type poolFixture struct {
 	limiter *connlimit.Limiter
 	hosts   []*Host
-	// onWait is called for each request to /wait, which is answered once releaseRequests is closed.
+	// onWait is called for each request to /wait. Such requests are answered once releaseRequests is closed.
 	onWait          func()
 	releaseRequests chan struct{}
 
 	mu        sync.Mutex
-	peakCount int // highest number of outbound connections when a server accepted one
+	peakCount int // highest number of outbound connections seen when a server accepted a connection
 }
 
 func newPoolFixture(t *testing.T, limit int) *poolFixture {
@@ -67,8 +67,8 @@
 	return err
 }
 
-// A pool never has more connections than its limit, in sequential and concurrent calls. At the limit
-// idle connections are closed for new ones, and if none is idle the caller gets ErrPoolExhausted.
+// A pool must not exceed its connection limit, in sequential or concurrent calls. At the limit it closes
+// idle connections to open new ones, and if none is idle the caller gets ErrPoolExhausted.
 func TestPoolStaysWithinLimit(t *testing.T) {
 	const limit = 3
 	fixture := newPoolFixture(t, limit)
@@ -79,7 +79,7 @@
 		host.Close()
 	}
 	if fixture.outboundCount() != 0 {
-		t.Fatalf("%d connections are left after all were closed", fixture.outboundCount())
+		t.Fatalf("got %d connections after closing all hosts, want 0", fixture.outboundCount())
 	}
 }
 
@@ -87,10 +87,10 @@
 	for range 3 {
 		for i, host := range fixture.hosts {
 			if err := get(host, "/"); err != nil {
-				t.Fatalf("host %d: %v", i, err)
+				t.Fatalf("request to host %d: %v", i, err)
 			}
 			if count := fixture.outboundCount(); count > limit {
-				t.Fatalf("%d connections, at most %d are allowed", count, limit)
+				t.Fatalf("sequential requests: got %d connections, want at most %d", count, limit)
 			}
 		}
 	}
@@ -111,11 +111,11 @@
 	}
 	callers.Wait()
 	if peak := fixture.peak(); peak > limit || fixture.outboundCount() > limit {
-		t.Fatalf("%d connections, then %d, at most %d are allowed", peak, fixture.outboundCount(), limit)
+		t.Fatalf("got a peak of %d connections and %d at the end, want at most %d", peak, fixture.outboundCount(), limit)
 	}
 }
 
-// With all connections in use, the next call is rejected at once as not sent.
+// While all connections are in use, a further call must fail at once with ErrPoolExhausted as not sent.
 func testExhaustedPool(t *testing.T, fixture *poolFixture, limit int) {
 	startedRequests := make(chan struct{}, limit)
 	fixture.onWait = func() { startedRequests <- struct{}{} }
@@ -132,7 +132,7 @@
 	}
 	var notSent *NotSentError
 	if err := get(fixture.hosts[limit], "/"); !errors.Is(err, ErrPoolExhausted) || !errors.As(err, &notSent) {
-		t.Fatalf("%v", err)
+		t.Fatalf("request with all connections in use: got error %v, want ErrPoolExhausted within a NotSentError", err)
 	}
 	close(fixture.releaseRequests)
 	callers.Wait()
--- a/internal/client/threads_test.go
+++ b/internal/client/threads_test.go
@@ -11,8 +11,8 @@
 	"firwood.dev/firwood/internal/connlimit"
 )
 
-// Hundreds of machines that don't respond, each with a request in flight, don't hold a thread each.
-// The platform allows a process 2000 threads.
+// Requests in flight to hundreds of machines that don't respond must not hold one thread each. The
+// platform allows a process 2000 threads.
 func TestHungRequestsHoldNoThreads(t *testing.T) {
 	const hungCount = 300
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -42,16 +42,16 @@
 		go func() {
 			defer wg.Done()
 			if _, err := host.Do(Request{Method: "GET", Target: "/status", Timeout: 60 * clock.Second}); err == nil {
-				t.Error("a hung machine answers")
+				t.Error("a request to a hung machine got a response, want an error")
 			}
 		}()
 	}
 	for i := 0; i < hungCount; i++ {
 		<-acceptSignals
 	}
-	time.Sleep(50 * time.Millisecond) // let the requests reach their reads
+	time.Sleep(50 * time.Millisecond) // lets all requests reach their reads
 	if threadCount := pprof.Lookup("threadcreate").Count(); threadCount > 64 {
-		t.Errorf("%d threads for %d hung machines", threadCount, hungCount)
+		t.Errorf("got %d threads with %d requests to hung machines, want at most 64", threadCount, hungCount)
 	}
 	listener.Close()
 	mu.Lock()
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,32 +1,32 @@
-// Package connlimit limits the connections of a process. Inbound connections (workers, users,
-// probes, other controllers) and outbound ones (command requests to workers) share one limit.
-// Inbound connections have priority: without one a worker's lease expires, while a command
+// Package connlimit limits the connections of a process. Inbound connections (from workers, users,
+// probes and other controllers) and outbound connections (for command requests to workers) share one
+// limit. Inbound connections have priority: a worker without one loses its lease, while a command
 // request only saves time.
 package connlimit
 
 import "sync"
 
-// Limiter counts connections. Their sum doesn't exceed the limit, except for the few that
-// ForceInbound admits while others are being closed for them; package server bounds those.
+// Limiter counts connections. The sum of inbound and outbound connections exceeds the limit only by
+// the few that ForceInbound admits while others are being closed for them. Package server bounds those.
 type Limiter struct {
 	limit           int
-	outboundMinimum int // outbound connections that may use the headroom; AcquireInbound leaves room for them
-	inboundHeadroom int // room that further outbound connections leave for inbound ones
+	outboundMinimum int // outbound connections that may use the headroom and that AcquireInbound leaves room for
+	inboundHeadroom int // room that outbound connections beyond the minimum leave free for inbound ones
 
 	mu                sync.Mutex
 	inbound, outbound int
 }
 
 const (
-	// outboundMinimumDivisor and maxOutboundMinimum set the outbound minimum: a 64th of the limit,
-	// from 1 to 32.
+	// outboundMinimumDivisor and maxOutboundMinimum define the outbound minimum: a 64th of the limit,
+	// but at least 1 and at most 32.
 	outboundMinimumDivisor = 64
 	maxOutboundMinimum     = 32
-	// inboundHeadroomDivisor sets the inbound headroom: a 16th of the limit.
+	// inboundHeadroomDivisor defines the inbound headroom: a 16th of the limit.
 	inboundHeadroomDivisor = 16
 )
 
-// New returns a limiter for the given number of connections.
+// New returns a limiter that allows limit connections.
 func New(limit int) *Limiter {
 	return &Limiter{
 		limit:           limit,
@@ -35,16 +35,16 @@
 	}
 }
 
-// isFull tells whether the limit is reached. The caller holds the mutex.
+// isFull reports whether the limit is reached. The caller holds the mutex.
 func (limiter *Limiter) isFull() bool { return limiter.inbound+limiter.outbound >= limiter.limit }
 
-// hasOnlyHeadroomLeft tells whether no more room than the inbound headroom is left, so that further
-// outbound connections would take it. The caller holds the mutex.
+// hasOnlyHeadroomLeft reports whether the remaining room does not exceed the inbound headroom, so that
+// another outbound connection would use the headroom. The caller holds the mutex.
 func (limiter *Limiter) hasOnlyHeadroomLeft() bool {
 	return limiter.inbound+limiter.outbound >= limiter.limit-limiter.inboundHeadroom
 }
 
-// AcquireInbound reserves an inbound connection; false means that there is no room besides the
+// AcquireInbound reserves an inbound connection. It returns false if there is no room besides the
 // outbound minimum, which inbound connections leave free.
 func (limiter *Limiter) AcquireInbound() bool {
 	limiter.mu.Lock()
@@ -56,23 +56,23 @@
 	return true
 }
 
-// ForceInbound reserves an inbound connection, beyond the limit if need be: the caller is closing
-// another one for it.
+// ForceInbound reserves an inbound connection, even beyond the limit. The caller must be closing
+// another connection for it.
 func (limiter *Limiter) ForceInbound() {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	limiter.inbound++
 }
 
-// ReleaseInbound releases a number of inbound connections.
+// ReleaseInbound releases count inbound connections.
 func (limiter *Limiter) ReleaseInbound(count int) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	limiter.inbound -= count
 }
 
-// AcquireOutbound reserves an outbound connection; false means that there is no room. Beyond the
-// outbound minimum, the inbound headroom counts as none.
+// AcquireOutbound reserves an outbound connection. It returns false if there is no room. Connections
+// beyond the outbound minimum must not use the inbound headroom.
 func (limiter *Limiter) AcquireOutbound() bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
@@ -91,8 +91,8 @@
 	limiter.outbound--
 }
 
-// IsUnderPressure tells whether outbound connections should be closed, to restore the headroom for
-// inbound ones.
+// IsUnderPressure reports whether outbound connections should be closed to restore the headroom for
+// inbound connections.
 func (limiter *Limiter) IsUnderPressure() bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// At the limits and the numbers of machines of both fleets, and with half as many machines again,
-// every worker and several hundred users get a connection however many outbound connections are
-// requested, and outbound ones get what is left, at least a few.
+// Outbound connections must not keep inbound ones out. With the limits of both fleets, at their numbers of
+// machines and at half as many machines again, every worker and 300 users get a connection, however many
+// outbound connections are requested. Outbound connections get the rest, at least a few.
 func TestInboundHasPriorityOverOutbound(t *testing.T) {
 	for _, fleet := range []struct{ limit, machines, users int }{
 		{3172, 1457, 300}, {3172, 2190, 300}, {2215, 1205, 300}, {2215, 1810, 300},
@@ -20,7 +20,7 @@
 				// An outbound connection is closed for the inbound one.
 				limiter.ReleaseOutbound()
 				if !limiter.AcquireInbound() {
-					t.Fatalf("%+v: worker %d finds no room", fleet, i)
+					t.Fatalf("fleet %+v: the connection of worker %d was rejected after closing an outbound one", fleet, i)
 				}
 			}
 		}
@@ -28,18 +28,18 @@
 			if !limiter.AcquireInbound() {
 				limiter.ReleaseOutbound()
 				if !limiter.AcquireInbound() {
-					t.Fatalf("%+v: user %d finds no room", fleet, i)
+					t.Fatalf("fleet %+v: the connection of user %d was rejected after closing an outbound one", fleet, i)
 				}
 			}
 		}
 		if inbound, outbound := limiter.Counts(); outbound < 8 || inbound != fleet.machines+fleet.users {
-			t.Errorf("%+v: %d in, %d out", fleet, inbound, outbound)
+			t.Errorf("fleet %+v: got %d inbound and %d outbound connections, want all of its machines and users inbound and at least 8 outbound", fleet, inbound, outbound)
 		}
 	}
 }
 
-// In generated histories the limit is never exceeded, and no inbound connection is rejected while
-// outbound ones hold more than their minimum and there is headroom.
+// In random histories of calls, the limit must never be exceeded. An inbound connection must not be rejected
+// while outbound ones exceed their minimum and the headroom is free.
 func TestLimitIsNeverExceeded(t *testing.T) {
 	for seed := uint64(1); seed <= 300; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -65,14 +65,14 @@
 				}
 			}
 			if inbound, outbound = limiter.Counts(); inbound+outbound > limit || inbound < 0 || outbound < 0 {
-				t.Fatalf("history %d: %d in and %d out of %d", seed, inbound, outbound, limit)
+				t.Fatalf("seed %d: got %d inbound and %d outbound connections, want at most %d together", seed, inbound, outbound, limit)
 			}
 			if outbound > limiter.outboundMinimum && inbound+outbound < limit-limiter.inboundHeadroom && !limiter.AcquireInbound() {
-				t.Fatalf("history %d: rejected with room left", seed)
+				t.Fatalf("seed %d: an inbound connection was rejected while the headroom was free", seed)
 			}
 		}
 		if rejectedInbound == 0 && limit < 20 {
-			t.Fatalf("history %d never reached its limit", seed)
+			t.Fatalf("seed %d: no inbound connection was rejected at a limit below 20, want at least one", seed)
 		}
 	}
 }
