--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -12,24 +12,24 @@
 )
 
 // conn is one connection. Its fields belong to the event loop, except pendingReply, which the mutex
-// guards. Either parser or frames is set.
+// guards. Exactly one of parser and frameReader is set.
 type conn struct {
 	evioConn    evio.Conn
-	parser      *http1.Parser     // of a connection to the serve address
-	frameReader *peer.FrameReader // of a connection to the peer address
+	parser      *http1.Parser     // set for a connection to the serve address
+	frameReader *peer.FrameReader // set for a connection to the peer address
 	role        clientRole
 
 	stateChangedAt  clock.Micros // start of the idle time, or of the request that is being received
 	isBusy          bool         // a request is being processed
-	closeAfterReply bool         // the connection is closed after the reply to the present request
-	isClosing       bool         // the server wants it closed; its next wake or input does that
-	isClosed        bool         // handleData has returned evio.Close; evio closes it after writing
+	closeAfterReply bool         // the connection is closed after the reply to the current request
+	isClosing       bool         // the server has decided to close the connection at its next wake or input
+	isClosed        bool         // handleData has returned evio.Close; evio closes the connection after writing
 
 	mu           sync.Mutex
 	pendingReply *pendingResponse // set by any goroutine, taken by the event loop
 }
 
-// takePendingReply removes and returns the reply that waits to be written, or nil.
+// takePendingReply removes and returns the reply that waits to be written, or returns nil.
 func (connection *conn) takePendingReply() *pendingResponse {
 	connection.mu.Lock()
 	defer connection.mu.Unlock()
@@ -44,28 +44,29 @@
 	connection.pendingReply = response
 }
 
-// replyNow sets the reply on the event loop itself, where no wake is needed.
+// replyNow sets the reply from the event loop itself, where no wake is needed.
 func (connection *conn) replyNow(status int, body []byte) {
 	connection.setPendingReply(&pendingResponse{status: status, body: body})
 }
 
-// isReceiving tells whether a part of a request has been received.
+// isReceiving reports whether a part of a request has been received.
 func (connection *conn) isReceiving() bool {
 	return connection.parser != nil && !connection.parser.IsIdle()
 }
 
-// clientRole tells what a client is, in the order in which connections are evicted at the limit:
-// unidentified ones first, then users'. Those of workers and controllers are never evicted.
+// clientRole is the kind of client at the other end of a connection. The roles are in the order in which
+// connections are evicted at the limit: unidentified clients first, then users. The connections of
+// workers and controllers are never evicted.
 type clientRole uint8
 
 const (
-	roleUnidentified clientRole = iota // no request yet
+	roleUnidentified clientRole = iota // the client has not sent a request yet
 	roleUser
 	roleWorker
 	roleController
 )
 
-// String names the role.
+// String returns the name of the role.
 func (role clientRole) String() string {
 	switch role {
 	case roleUnidentified:
--- a/internal/server/eviction.go
+++ b/internal/server/eviction.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// maxClosingConnections bounds the connections that are being closed for others, and with it how far the
-	// limit may be exceeded.
+	// maxClosingConnections bounds the number of connections that are being closed to make room for
+	// others, and thereby by how many connections the limit may be exceeded.
 	maxClosingConnections = 16
-	// evictionGrace is how long a connection isn't evicted after its state has changed, as when it
-	// was opened: it may be about to send its first request.
+	// evictionGrace is how long a connection is not evicted after its state has changed. A connection
+	// that was just opened may be about to send its first request.
 	evictionGrace = clock.Second
-	// tickInterval is the interval of the checks for idle connections.
+	// tickInterval is the interval between checks for connections whose timeout has passed.
 	tickInterval = time.Second
 )
 
-// admit reserves an inbound connection; false means that there is no room. At the limit it closes, in
-// this order, an idle outbound connection, one that has sent no request, or a user's idle one. It never
-// closes a controller's, nor a worker's that has sent a heartbeat: the worker could lose its lease.
+// admitConnection reserves an inbound connection. It returns false if there is no room. At the limit it
+// makes room by closing, in this order of preference, an idle outbound connection, a connection that has
+// sent no request, or an idle connection of a user. It never closes a controller's connection, nor that of
+// a worker that has sent a heartbeat, since the worker could lose its lease.
 func (server *Server) admitConnection() bool {
 	if server.cfg.Limiter.AcquireInbound() {
 		return true
@@ -41,12 +42,12 @@
 	return true
 }
 
-// evictOutbound closes an idle outbound connection; false if there is none.
+// evictOutbound closes an idle outbound connection. It returns false if there is none.
 func (server *Server) evictOutbound() bool {
 	return server.cfg.EvictOutbound != nil && server.cfg.EvictOutbound()
 }
 
-// evictionVictim returns the connection to close for a new one, or nil.
+// evictionVictim returns the connection to close for a new one, or nil if no connection may be evicted.
 func (server *Server) evictionVictim(now clock.Micros) *conn {
 	var victim *conn
 	for connection := range server.connections {
@@ -62,7 +63,8 @@
 	return connection.role.isEvictable() && !connection.isBusy && !connection.isClosing && !hasJustChanged
 }
 
-// isEvictedBefore compares by role, then by the time in the present state, the longest first.
+// isEvictedBefore orders connections by role, and within a role by the time that they have been in their
+// current state, longest first.
 func (connection *conn) isEvictedBefore(other *conn) bool {
 	if connection.role != other.role {
 		return connection.role < other.role
@@ -70,7 +72,7 @@
 	return connection.stateChangedAt < other.stateChangedAt
 }
 
-// requestClose has a connection closed in the event loop's next round.
+// requestClose has the event loop close a connection in its next iteration.
 func (server *Server) requestClose(connection *conn) {
 	if !connection.isClosing {
 		connection.isClosing = true
@@ -79,8 +81,8 @@
 	connection.evioConn.Wake()
 }
 
-// handleTick closes connections that have been idle, or receiving a request, for too long. Under
-// pressure it also closes outbound connections, and idle ones sooner.
+// handleTick closes connections that have been idle, or receiving a request, for too long. While the
+// limiter is under pressure it also closes idle outbound connections, and idle inbound ones sooner.
 func (server *Server) handleTick() (time.Duration, evio.Action) {
 	now := clock.Now()
 	idleTimeout := server.cfg.IdleTimeout
@@ -99,8 +101,8 @@
 	return tickInterval, evio.None
 }
 
-// stateTimeout returns how long a connection may stay in its present state. ReadTimeout also bounds the time
-// to the first request.
+// stateTimeout returns how long a connection may stay in its current state. ReadTimeout also bounds the
+// time to the first request.
 func (server *Server) stateTimeout(connection *conn, idleTimeout clock.Micros) clock.Micros {
 	switch {
 	case connection.isReceiving() || connection.role == roleUnidentified:
--- a/internal/server/eviction_test.go
+++ b/internal/server/eviction_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Connections over the limit are closed at once; the others are served.
+// Connections over the limit must be closed at once, and the others served.
 func TestConnectionsOverLimitAreClosed(t *testing.T) {
 	address, _ := startServer(t, &echoApp{}, 5)
 	var netConns []net.Conn
@@ -28,19 +28,20 @@
 		netConns = append(netConns, netConn)
 	}
 	for _, netConn := range netConns {
-		netConn.SetDeadline(time.Now().Add(20 * time.Second)) //nolint:errcheck // a bound of the test
-		io.WriteString(netConn, "GET /up HTTP/1.1\r\n\r\n")   //nolint:errcheck // may be closed
+		netConn.SetDeadline(time.Now().Add(20 * time.Second)) //nolint:errcheck // only bounds the test's duration
+		io.WriteString(netConn, "GET /up HTTP/1.1\r\n\r\n")   //nolint:errcheck // the server may have closed the connection
 		if _, err := http.ReadResponse(bufio.NewReader(netConn), nil); err != nil {
 			closedCount++
 		}
 	}
 	if closedCount < 7 || closedCount > 8 {
-		t.Fatalf("%d of 12 connections were closed with a limit of 5", closedCount)
+		t.Fatalf("got %d of 12 connections closed with a limit of 5, want 7 or 8", closedCount)
 	}
 }
 
-// At the limit, connections without a request are closed, once the grace for them is over; those of
-// workers stay, and a new worker or probe is admitted.
+// A flood of connections that send no request must not displace workers. At the limit the server closes
+// those connections once their grace period is over. Workers keep their connections, and a new worker or
+// probe is admitted.
 func TestWorkerConnectionsSurviveFlood(t *testing.T) {
 	const workers, limit = 20, 32
 	address, _ := startServer(t, &echoApp{}, limit)
@@ -76,27 +77,27 @@
 	for i := 0; i < workers; i++ {
 		netConn := dial()
 		if err := sendHeartbeat(netConn); err != nil {
-			t.Fatalf("worker %d: %v", i, err)
+			t.Fatalf("first heartbeat of worker %d: %v", i, err)
 		}
 		workerConns = append(workerConns, netConn)
 	}
 	for round := 0; round < 3; round++ {
 		for i := 0; i < 2*limit; i++ {
-			dial() // without a request
+			dial() // sends no request
 		}
 		time.Sleep(evictionGrace.Duration() + 100*time.Millisecond)
 		if err := sendRequest(dial(), "/up", ""); err != nil {
-			t.Fatalf("round %d: a probe finds no room: %v", round, err)
+			t.Fatalf("round %d: request of a new probe at the limit: %v", round, err)
 		}
 		if netConn := dial(); len(workerConns) < limit-8 {
 			if err := sendHeartbeat(netConn); err != nil {
-				t.Fatalf("round %d: a new worker finds no room: %v", round, err)
+				t.Fatalf("round %d: first heartbeat of a new worker at the limit: %v", round, err)
 			}
 			workerConns = append(workerConns, netConn)
 		}
 		for i, netConn := range workerConns {
 			if err := sendHeartbeat(netConn); err != nil {
-				t.Fatalf("round %d: worker %d has lost its connection: %v", round, i, err)
+				t.Fatalf("round %d: heartbeat of worker %d on its existing connection: %v", round, i, err)
 			}
 		}
 	}
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -17,7 +17,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// echoApp answers with the id in the request; ShowJob does so from another goroutine.
+// echoApp replies with the ID from the request. ShowJob replies from another goroutine.
 type echoApp struct{ replyDeadline clock.Micros }
 
 func (app *echoApp) SubmitJob(job *wire.Job, reply *Reply) {
@@ -38,7 +38,7 @@
 }
 func (app *echoApp) HandlePeerHeartbeat(*peer.Heartbeat) {}
 
-// startServer returns the serve address and the peer address of a server with a connection limit.
+// startServer starts a server with a connection limit and returns its serve address and peer address.
 func startServer(t *testing.T, app App, limit int) (string, string) {
 	t.Helper()
 	freeAddress := func() string {
@@ -59,12 +59,12 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the server does not listen")
+	t.Fatal("got no connection to the serve address within 200 attempts, want a listening server")
 	return "", ""
 }
 
-// statusOf sends bytes and returns the status of the first response, 0 if the connection was closed
-// without one.
+// statusOf sends input to a server and returns the status of the first response, or 0 if the server
+// closed the connection without a response.
 func statusOf(t *testing.T, address, input string) int {
 	t.Helper()
 	netConn, err := net.Dial("tcp4", address)
@@ -75,7 +75,7 @@
 	if err := netConn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(netConn, input) //nolint:errcheck // the server may close early
+	io.WriteString(netConn, input) //nolint:errcheck // the server may close the connection early
 	httpResponse, err := http.ReadResponse(bufio.NewReader(netConn), nil)
 	if err != nil {
 		return 0
@@ -84,7 +84,7 @@
 	return httpResponse.StatusCode
 }
 
-// fakeConn is a connection whose wakes are only counted; the test calls handleData for them.
+// fakeConn is a connection that only counts its wakes. The test itself calls handleData for them.
 type fakeConn struct {
 	evio.Conn
 	context   any
--- a/internal/server/input.go
+++ b/internal/server/input.go
@@ -10,13 +10,13 @@
 	"firwood.dev/firwood/internal/http1"
 )
 
-// maxPipelinedBytes bounds what a client may send while its request is being processed.
+// maxPipelinedBytes bounds how many bytes a client may send while its request is being processed.
 const maxPipelinedBytes = 128 << 10
 
-// handleData takes input of a connection, or a wake without input. A reply given synchronously has
-// also woken the loop, and evio closes a connection only after writing. Without isClosed that wake
-// would process the next of several pipelined requests, overwrite the reply that is being written and
-// revert the close.
+// handleData handles input from a connection, or a wake, which has no input. It ignores both once it has
+// decided to close the connection: evio closes a connection only after writing, and a reply that was sent
+// synchronously has also woken the event loop. Without isClosed, that wake would process the next
+// pipelined request, overwrite the reply that is being written and revert the close.
 func (server *Server) handleData(evioConn evio.Conn, input []byte) ([]byte, evio.Action) {
 	connection, ok := evioConn.Context().(*conn)
 	if !ok || connection.isClosed {
@@ -31,7 +31,7 @@
 	return output, action
 }
 
-// processFrames takes input of a controller, which gets no replies.
+// processFrames handles input from another controller, which gets no replies.
 func (server *Server) processFrames(connection *conn, input []byte) ([]byte, evio.Action) {
 	connection.stateChangedAt = clock.Now()
 	if connection.isClosing {
@@ -44,8 +44,8 @@
 	return nil, evio.None
 }
 
-// processRequests writes the reply that is due, if there is one, and processes requests until one has to
-// wait for its reply.
+// processRequests writes the pending reply, if there is one, and then processes requests until one of
+// them has to wait for its reply.
 func (server *Server) processRequests(connection *conn, input []byte) (output []byte, action evio.Action) {
 	response := connection.takePendingReply()
 	if connection.isClosing && response == nil && !connection.isBusy {
@@ -74,7 +74,7 @@
 		}
 		connection.isBusy, connection.closeAfterReply = true, request.Close
 		server.routeRequest(connection, request)
-		// A synchronous handler has replied by now.
+		// A synchronous handler has set its reply by now.
 		if response = connection.takePendingReply(); response != nil {
 			output = connection.writeReply(output, response)
 			if connection.closeAfterReply {
@@ -85,7 +85,8 @@
 	return output, evio.None
 }
 
-// feed gives input to the parser; false means that the client sends too much ahead of its replies.
+// feedParser passes input to the parser. It returns false if the client has sent more than
+// maxPipelinedBytes while its request is being processed.
 func (connection *conn) feedParser(input []byte) bool {
 	if connection.parser.IsIdle() {
 		connection.stateChangedAt = clock.Now()
@@ -94,10 +95,10 @@
 	return !connection.isBusy || connection.parser.Buffered() <= maxPipelinedBytes
 }
 
-// writeReply appends the reply to the request that is being processed. evio replaces output that it has
-// not written yet when a later wake has more to write, and a reply would be lost. Without pipelining, as
-// the protocol has it, that cannot happen: the next request comes after this reply. A client that
-// pipelines all the same gets one reply and a close.
+// writeReply appends the reply to the request that is being processed. When a later wake has more to
+// write, evio replaces output that it has not written yet, so a reply would be lost. This cannot happen
+// without pipelining, which the protocol does not use: the next request arrives only after this reply. A
+// client that pipelines nevertheless gets one reply, and its connection is closed.
 func (connection *conn) writeReply(output []byte, response *pendingResponse) []byte {
 	connection.closeAfterReply = connection.closeAfterReply || connection.parser.Buffered() > 0
 	connection.isBusy = false
@@ -107,7 +108,7 @@
 	})
 }
 
-// appendParseError appends the response to input that is no request.
+// appendParseError appends the response to input that is not a valid request.
 func appendParseError(output []byte, err error) []byte {
 	status := http.StatusBadRequest
 	var httpError *http1.Error
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -9,26 +9,26 @@
 	"firwood.dev/firwood/wire"
 )
 
-// exchange is one request on its way to the App.
+// exchange is one request that is being passed to the App, with its Reply.
 type exchange struct {
 	connection *conn
 	body       []byte
-	jobID      string // of a path with jobPlaceholder
+	jobID      string // the job's ID if the route's path has jobPlaceholder
 	reply      *Reply
 }
 
-// route leads a path to its handler.
+// route maps a method and a path to a handler.
 type route struct {
-	method, path string // the path may have jobPlaceholder once
+	method, path string // the path may contain jobPlaceholder once
 	role         clientRole
 	handle       func(server *Server, exchange exchange)
 }
 
-// jobPlaceholder stands for a job's id in a path.
+// jobPlaceholder stands for a job's ID in a path.
 const jobPlaceholder = "{job}"
 
-// routes are tried in order; the first with a matching path applies, so the cancellation of a job
-// comes before showing it.
+// routes are tried in order, and the first with a matching path applies. The route that cancels a job
+// therefore comes before the one that shows it.
 var routes = []route{
 	{http.MethodPost, "/checkin", roleWorker, (*Server).handleHeartbeat},
 	{http.MethodGet, "/up", roleUser, (*Server).handleHealth},
@@ -50,10 +50,10 @@
 	}},
 }
 
-// hasPlaceholder tells whether the path of the route has a job's id.
+// hasJobID reports whether the route's path contains a job's ID.
 func (r *route) hasJobID() bool { return strings.Contains(r.path, jobPlaceholder) }
 
-// match tells whether the route leads from a path, and returns the job's id, which may be invalid.
+// match reports whether the route applies to a path, and returns the job's ID, which may be invalid.
 func (r *route) match(path string) (jobID string, matches bool) {
 	prefix, suffix, hasPlaceholder := strings.Cut(r.path, jobPlaceholder)
 	if !hasPlaceholder {
@@ -64,9 +64,9 @@
 	return jobID, hasPrefix && hasSuffix
 }
 
-// routeRequest hands a request to the handler of its path. The path alone decides the role of the
-// connection, whatever the method and the body are. The method is checked before the job's id, so 405
-// comes before 404 for an invalid id.
+// routeRequest passes a request to the handler for its path. The path alone decides the role of the
+// connection, whatever the method and the body are. The method is checked before the job's ID, so a wrong
+// method gets 405 even if the ID is invalid.
 func (server *Server) routeRequest(connection *conn, request *http1.Message) {
 	path, _, _ := strings.Cut(request.Target, "?")
 	for i := range routes {
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -17,8 +17,8 @@
 	"firwood.dev/firwood/internal/connlimit"
 )
 
-// Each route answers with its status, malformed requests with theirs, and garbage on either port ends
-// only its connection.
+// Each route and each kind of malformed request must get its expected status. Garbage on either port must end
+// only the connection that sent it.
 func TestRoutesAndMalformedInputGetExpectedStatus(t *testing.T) {
 	address, peerAddress := startServer(t, &echoApp{replyDeadline: 1}, 100)
 	post := func(path, body string) string {
@@ -43,15 +43,15 @@
 		{post("/api/jobs", "[]"), 400},
 		{post("/checkin", "{}"), 400},
 		{post("/checkin", `{"box":"i-1","tick":18446744073709551616}`), 400},
-		// The deadline of the reply has passed when it is written.
+		// The reply's deadline has passed when the event loop takes the response.
 		{post("/checkin", `{"box":"i-1"}`), 503},
 		{"POST /api/jobs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413},
 		{"GET /up HTTP/1.1\r\nA: " + strings.Repeat("a", 9000), 431},
 		{"nonsense\r\n\r\n", 400},
-		{"POST /api/jobs HTTP/1.1\r\nContent-Length: 10\r\n\r\n{", 0}, // never ends
+		{"POST /api/jobs HTTP/1.1\r\nContent-Length: 10\r\n\r\n{", 0}, // the body never ends
 	} {
 		if got := statusOf(t, address, c.input); got != c.status {
-			t.Errorf("%.50q: %d, want %d", c.input, got, c.status)
+			t.Errorf("status of %.50q: got %d, want %d", c.input, got, c.status)
 		}
 	}
 	rng := rand.New(rand.NewPCG(8, 8))
@@ -65,17 +65,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			netConn.Write(garbage) //nolint:errcheck // the server may close early
+			netConn.Write(garbage) //nolint:errcheck // the server may close the connection early
 			netConn.Close()
 		}
 	}
 	if got := statusOf(t, address, "GET /up HTTP/1.1\r\n\r\n"); got != 200 {
-		t.Fatalf("after the garbage: %d", got)
+		t.Fatalf("status of GET /up after the garbage: got %d, want 200", got)
 	}
 }
 
-// Requests that wait for the reply to the one before are answered in order. Pipelined ones, which the
-// protocol doesn't have, get one reply and a close, never a wrong one.
+// Requests that are sent one after the other, each after the reply to the one before, must be answered in
+// order. Pipelined requests, which the protocol does not use, must get one reply and a close, and never the
+// reply to another request.
 func TestPipelinedRequestsGetOneReply(t *testing.T) {
 	address, _ := startServer(t, &echoApp{}, 100)
 	dial := func() (net.Conn, *bufio.Reader) {
@@ -105,7 +106,7 @@
 			t.Fatal(err)
 		}
 		if body, _, err := readReply(reader); err != nil || body != fmt.Sprintf(`"req-%06d"`, i) {
-			t.Fatalf("reply %d is %s: %v", i, body, err)
+			t.Fatalf("reply %d: got body %s, error %v, want the ID of its own request", i, body, err)
 		}
 	}
 
@@ -117,38 +118,38 @@
 		}
 		body, isClosing, err := readReply(reader)
 		if err != nil || !isClosing || strings.Contains(body, "req-000001") {
-			t.Fatalf("first of three pipelined: %s %v %v", body, isClosing, err)
+			t.Fatalf("reply to the first of three pipelined requests: got body %s, close %v, error %v, want the first reply with a close", body, isClosing, err)
 		}
 		if body, _, err := readReply(reader); err == nil {
-			t.Fatalf("a second reply: %s", body)
+			t.Fatalf("got a second reply to pipelined requests, want a closed connection: %s", body)
 		}
 	}
 }
 
-// A synchronous reply is written at once, and its wake comes later. After a close was decided the wake
-// must not cause another reply.
+// A reply that was sent synchronously is written at once, but its wake arrives later. If handleData has decided
+// to close the connection by then, the wake must not cause another reply.
 func TestWakeAfterCloseSendsNothing(t *testing.T) {
 	server := New(Config{Limiter: connlimit.New(10)}, &echoApp{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	conn := &fakeConn{}
 	if _, _, action := server.handleOpened(conn); action != evio.None {
-		t.Fatal("no room")
+		t.Fatal("handleOpened closed the first connection, want it admitted")
 	}
 	cancelRequest := "POST /api/jobs/req-000001/withdraw HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
 	output, action := server.handleData(conn, []byte(cancelRequest+cancelRequest+cancelRequest))
 	if action != evio.Close || strings.Count(string(output), "HTTP/1.1 503") != 1 {
-		t.Fatalf("three pipelined: %q, action %v", output, action)
+		t.Fatalf("three pipelined requests: got output %q, action %v, want one 503 and a close", output, action)
 	}
 	for i := 0; i < 3; i++ {
 		if output, action := server.handleData(conn, nil); len(output) > 0 || action != evio.Close {
-			t.Fatalf("wake %d: %q, action %v", i, output, action)
+			t.Fatalf("wake %d: got output %q, action %v, want no output and a close", i, output, action)
 		}
 	}
 	if conn.wakeCount != 1 {
-		t.Fatalf("%d requests were processed", conn.wakeCount)
+		t.Fatalf("got %d processed requests, want 1", conn.wakeCount)
 	}
 }
 
-// Metrics are of another media type than everything else.
+// Metrics must have the media type of text, while all other responses are JSON.
 func TestMetricsAreText(t *testing.T) {
 	address, _ := startServer(t, &echoApp{}, 100)
 	for path, want := range map[string]string{"/metrics": "text/plain; version=0.0.4", "/up": "application/json"} {
@@ -158,7 +159,7 @@
 		}
 		response.Body.Close()
 		if got := response.Header.Get("Content-Type"); got != want || response.StatusCode != 200 {
-			t.Errorf("%s: status %d, type %q", path, response.StatusCode, got)
+			t.Errorf("GET %s: got status %d, Content-Type %q, want 200 and the media type of its route", path, response.StatusCode, got)
 		}
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,6 @@
-// Package server serves HTTP and the links from other controllers: the listeners with evio's event
-// loop, the framing of connections, the routes. It decodes requests and hands them to an App, whose
-// replies may come at any time from any goroutine.
+// Package server serves HTTP and the connections from other controllers. It contains the listeners with
+// evio's event loop, the framing of connections and the routes. It decodes requests and passes them to an
+// App, which may reply at any time from any goroutine.
 package server
 
 import (
@@ -17,8 +17,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// App handles the requests. Its methods run on the event loop and must not block: all connections
-// would wait. Those with a Reply send it once, at once or later, from any goroutine.
+// App handles the requests. Its methods run on the event loop and must not block, since all connections
+// would wait. A method with a Reply sends it exactly once, before or after it returns, from any goroutine.
 type App interface {
 	SubmitJob(job *wire.Job, reply *Reply)
 	ShowJob(id string, reply *Reply)
@@ -31,34 +31,35 @@
 	HandlePeerHeartbeat(heartbeat *peer.Heartbeat)
 }
 
-// Config holds addresses and limits.
+// Config holds the addresses and limits of a Server.
 type Config struct {
 	ServeAddress, PeerAddress string
-	// Limiter counts the connections. EvictOutbound closes one idle outbound connection, which the
-	// Limiter counts too; false if there is none. EvictOutbound may be nil: there are none.
+	// Limiter counts inbound and outbound connections. EvictOutbound closes one idle outbound
+	// connection, and returns false if none is idle. It may be nil if there are no outbound connections.
 	Limiter       *connlimit.Limiter
 	EvictOutbound func() bool
-	// WorkerLeaseTTL bounds how long a worker's connection may be idle: afterwards its lease has
-	// expired, and keeping the connection doesn't help.
+	// WorkerLeaseTTL bounds how long a worker's connection may be idle. After that time the worker's
+	// lease has expired, so there is no use in keeping the connection.
 	WorkerLeaseTTL clock.Micros
 	// IdleTimeout bounds how long other connections may be idle. ReadTimeout bounds how long the
-	// first request may take to begin and any request to arrive, and under pressure the idle time.
+	// first request may take to begin and how long any request may take to arrive. When the limiter is
+	// under pressure, ReadTimeout bounds the idle time too.
 	IdleTimeout, ReadTimeout clock.Micros
 }
 
-// Server serves an App.
+// Server serves the requests of clients and other controllers with an App.
 type Server struct {
 	cfg Config
 	app App
 	log *slog.Logger
-	// The event loop owns these.
+	// The event loop owns the following fields.
 	connections  map[*conn]struct{}
-	closingCount int // connections with isClosing
+	closingCount int // number of connections whose isClosing is set
 }
 
 const (
-	// Run gives up at the failure after maxConsecutiveFailures in a row. A failure after the listeners
-	// have worked for longer than failureCountResetAfter begins a new row.
+	// Run returns an error when the listeners have failed more than maxConsecutiveFailures times in a
+	// row. If the listeners worked for longer than failureCountResetAfter, the count starts again.
 	maxConsecutiveFailures = 20
 	failureCountResetAfter = 10 * clock.Second
 	restartBackoff         = 200 * time.Millisecond
@@ -66,13 +67,13 @@
 	peerListenerIndex = 1
 )
 
-// New returns a server; Run starts it.
+// New returns a server. Run starts it.
 func New(cfg Config, app App, log *slog.Logger) *Server {
 	return &Server{cfg: cfg, app: app, log: log, connections: map[*conn]struct{}{}}
 }
 
-// Run serves until the listeners fail, and restarts them: one failed accept ends evio's loop, which
-// must not end the process. It returns an error if they fail again and again.
+// Run serves, and restarts the listeners when they fail: a single failed accept ends evio's event loop,
+// which must not end the process. It returns an error if the listeners fail too often in a row.
 func (server *Server) Run() error {
 	failures := 0
 	for {
@@ -87,7 +88,7 @@
 		failures++
 		server.log.Error("listeners failed", "error", err, "failures", failures, "served_for_s", servedFor.Seconds())
 		if failures > maxConsecutiveFailures {
-			return fmt.Errorf("server: listeners cannot be kept open: %w", err)
+			return fmt.Errorf("server: serve on the serve and peer addresses: too many consecutive failures: %w", err)
 		}
 		time.Sleep(restartBackoff)
 	}
