--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { seed.Main(m) }
 
-// feedInPieces feeds data to a parser in pieces and returns the parsed messages.
+// feedInPieces feeds data to a parser in pieces of the given sizes and returns the parsed messages.
 func feedInPieces(parser *Parser, data []byte, pieceSize func() int) (messages []*Message, err error) {
 	for len(data) > 0 {
 		n := min(max(pieceSize(), 1), len(data))
@@ -34,7 +34,7 @@
 	return messages, nil
 }
 
-// drawMessage draws a message and returns its bytes and its expected summary.
+// drawMessage draws a message and returns its encoding and the summary that summarize should return.
 func drawMessage(t *rapid.T, isResponse bool) (encoded []byte, summary string) {
 	body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
 	var head string
@@ -59,7 +59,7 @@
 	return append(encoded, "0\r\nTrailer: x\r\n\r\n"...), summary
 }
 
-// summarize returns the part of a message that drawMessage expects.
+// summarize returns a summary of the parts of a message that drawMessage chooses.
 func summarize(message *Message, isResponse bool) string {
 	body := append([]byte{}, message.Body...)
 	if isResponse {
@@ -68,7 +68,7 @@
 	return fmt.Sprint(message.Target, body)
 }
 
-// Any split of the bytes gives the same messages, in both directions.
+// The parsed messages must not depend on how the bytes are split into pieces, in either direction.
 func TestSplitInputGivesSameMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		isResponse := rapid.Bool().Draw(t, "response")
@@ -86,23 +86,23 @@
 		}
 		got, err := feedInPieces(parser, stream, func() int { return rapid.IntRange(1, 120).Draw(t, "piece") })
 		if err != nil {
-			t.Fatalf("%q: %v", stream, err)
+			t.Fatalf("parse %q: %v", stream, err)
 		}
 		if len(got) != len(want) {
-			t.Fatalf("%d messages, want %d", len(got), len(want))
+			t.Fatalf("got %d messages, want %d", len(got), len(want))
 		}
 		for i, message := range got {
 			if summary := summarize(message, isResponse); summary != want[i] {
-				t.Fatalf("message %d: %s, want %s", i, summary, want[i])
+				t.Fatalf("message %d: got %s, want %s", i, summary, want[i])
 			}
 		}
 		if !parser.IsIdle() {
-			t.Fatal("bytes are left over")
+			t.Fatal("the parser is not idle after the last message: bytes are left over")
 		}
 	})
 }
 
-// On any input the memory stays bounded and nothing panics.
+// On arbitrary input the parser's memory must stay bounded, and the parser must not panic.
 func TestBufferIsBoundedOnGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Line: 64, Head: 256, Body: 128}
@@ -119,17 +119,17 @@
 					break
 				}
 				if len(message.Body) > limits.Body {
-					t.Fatalf("a body of %d", len(message.Body))
+					t.Fatalf("got a body of %d bytes, want at most 128", len(message.Body))
 				}
 			}
 			if parser.Buffered() > limits.Line+limits.Head+limits.Body+64 {
-				t.Fatalf("%d bytes buffered", parser.Buffered())
+				t.Fatalf("got %d buffered bytes, want at most 512", parser.Buffered())
 			}
 		}
 	})
 }
 
-// Malformed and oversized messages are rejected with the matching status.
+// Malformed and oversized messages must be rejected with the matching status.
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	long := strings.Repeat("a", 9<<10)
 	for _, test := range []struct {
@@ -161,17 +161,17 @@
 		message, err := parser.Next()
 		var httpError *Error
 		if !errors.As(err, &httpError) || httpError.Status != test.status {
-			t.Errorf("%.60q: %v %v, want %d", test.input, message, err, test.status)
+			t.Errorf("parse %.60q: got message %v, error %v, want status %d", test.input, message, err, test.status)
 		}
-		// After an error nothing more is parsed.
+		// After an error the parser must not parse anything more.
 		parser.Feed([]byte("GET / HTTP/1.1\r\n\r\n"))
 		if message, _ := parser.Next(); message != nil {
-			t.Errorf("%.60q: a message after the error", test.input)
+			t.Errorf("parse %.60q: got a message after the error, want none", test.input)
 		}
 	}
 }
 
-// The parser reads what the writers write.
+// The parser must read what AppendResponse and AppendRequest write.
 func TestWritersAndParserAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "body")
@@ -181,18 +181,18 @@
 		parser.Feed(AppendResponse(nil, &Response{Status: 503, Body: body, RetryAfter: retryAfter, Close: closeAfter}))
 		message, err := parser.Next()
 		if err != nil || message == nil || message.Status != 503 || !bytes.Equal(message.Body, body) || message.RetryAfter != retryAfter || message.Close != closeAfter {
-			t.Fatalf("%+v %v", message, err)
+			t.Fatalf("parse a written response: got %+v, error %v, want the values written", message, err)
 		}
 		requestParser := NewRequestParser(DefaultLimits)
 		requestParser.Feed(AppendRequest(nil, "POST", "/txn", "127.0.0.1:1", body))
 		message, err = requestParser.Next()
 		if err != nil || message == nil || message.Method != "POST" || message.Target != "/txn" || !bytes.Equal(message.Body, body) {
-			t.Fatalf("%+v %v", message, err)
+			t.Fatalf("parse a written request: got %+v, error %v, want the values written", message, err)
 		}
 	})
 }
 
-// The close of the connection ends a response without a length, but no other one.
+// The close of the connection must end a response without a length, but no other message.
 func TestCloseEndsOnlyResponseWithoutLength(t *testing.T) {
 	parser := NewResponseParser(DefaultLimits)
 	parser.Feed([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.0 200 OK\r\n\r\nabc"))
@@ -201,7 +201,7 @@
 	}
 	message, err := parser.HandleEOF()
 	if err != nil || message == nil || string(message.Body) != "abc" || !message.Close {
-		t.Fatalf("%+v %v", message, err)
+		t.Fatalf("after the close: got %+v, error %v, want body abc with Close set", message, err)
 	}
 	truncated := NewResponseParser(DefaultLimits)
 	truncated.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"))
@@ -209,6 +209,6 @@
 		t.Fatal(message, err)
 	}
 	if _, err := truncated.HandleEOF(); err == nil {
-		t.Fatal("an incomplete response is returned")
+		t.Fatal("truncated response after the close: got no error, want one")
 	}
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -5,18 +5,19 @@
 	"net/http"
 )
 
-// Limits bounds the parts of a message, in bytes.
+// Limits bounds the sizes of the parts of a message, in bytes.
 type Limits struct {
-	Line int // request line, status line, header line, chunk size line
-	Head int // all lines of head and trailer, line ends included
-	Body int
+	Line int // of a request line, status line, header line or chunk size line
+	Head int // of all lines of the head and trailer together, line ends included
+	Body int // of the body
 }
 
-// DefaultLimits are for requests of users and workers, and with another Body for responses.
+// DefaultLimits are the limits for requests of users and workers. Clients change Body for responses.
 var DefaultLimits = Limits{Line: 8 << 10, Head: 16 << 10, Body: 64 << 10}
 
-// Error is a violation of the protocol or of a limit; Status is the HTTP status with which a server
-// answers it. A client can tell a limit (413, 431) from a malformed response (400) by it.
+// Error is a violation of the protocol or of a limit. Status is the HTTP status with which a server
+// answers it. A client can tell by Status whether the response exceeded a limit (413 or 431) or was
+// malformed (400).
 type Error struct {
 	Status int
 	Reason string
@@ -35,14 +36,14 @@
 
 // Message is a request or a response. It doesn't share memory with the parser.
 type Message struct {
-	Method string // requests
-	Target string // requests
-	Status int    // responses
+	Method string // set for requests
+	Target string // set for requests
+	Status int    // set for responses
 	Body   []byte
-	// Close tells that the sender closes the connection after this exchange.
+	// Close reports whether the sender closes the connection after this exchange.
 	Close bool
-	// RetryAfter is the header of that name in seconds; 0 if it is absent or no number.
+	// RetryAfter is the value of the Retry-After header in seconds, or 0 if it is absent or not a number.
 	RetryAfter int
-	// ExpectContinue tells that the sender waits for a 100 Continue before it sends the body.
+	// ExpectContinue reports whether the sender waits for a 100 Continue before it sends the body.
 	ExpectContinue bool
 }
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -1,6 +1,6 @@
-// Package http1 implements HTTP/1.1 framing in both directions: an incremental, bounded parser of
-// requests and responses, and the writers of both. It does no I/O, so that tests can feed it any
-// split of any bytes.
+// Package http1 implements HTTP/1.1 framing in both directions: an incremental parser of requests and
+// responses that uses bounded memory, and functions that write requests and responses. It does no I/O, so
+// that tests can feed it arbitrary bytes, split at any point.
 package http1
 
 import (
@@ -20,10 +20,10 @@
 	phaseChunkEnd                // the CRLF after a chunk
 	phaseTrailer                 // header lines after the last chunk
 	phaseUntilClose              // the body of a response that the peer's close ends
-	phaseFailed                  // a fault was found; nothing more is parsed
+	phaseFailed                  // an error was found; nothing more is parsed
 )
 
-// String names the phase in test failures.
+// String returns the name of the phase, for test failures.
 func (p phase) String() string {
 	names := [...]string{"head", "fixed body", "chunk size", "chunk data", "chunk end", "trailer", "until close", "failed"}
 	if int(p) < len(names) {
@@ -32,15 +32,15 @@
 	return fmt.Sprintf("phase %d", uint8(p))
 }
 
-// headState is what the parser knows of the head of the present message.
+// headState is what the parser has learned from the head of the current message.
 type headState struct {
 	headBytes     int  // bytes of head and trailer seen so far, line ends included
 	hasStartLine  bool // the start line has been read
 	contentLength int  // -1 if there is no Content-Length
-	isChunked     bool
+	isChunked     bool // Transfer-Encoding is chunked
 }
 
-// newHeadState returns the state before a message.
+// newHeadState returns the state before the first byte of a message.
 func newHeadState() headState { return headState{contentLength: -1} }
 
 // Parser is an incremental parser of requests or of responses.
@@ -49,18 +49,18 @@
 	isResponse bool
 
 	buffer     []byte
-	consumed   int // offset of the first byte that is not consumed
-	scanOffset int // offset from which the search for the end of a line continues
+	consumed   int // offset of the first byte that has not been consumed
+	scanOffset int // offset at which the search for the end of the current line continues
 
 	phase     phase
 	headState          // reset for each message
-	isHTTP10  bool     // set by each start line
-	message   *Message // being read; nil before its start line
-	remaining int      // bytes left of the body or chunk
-	err       *Error   // set in phaseFailed
+	isHTTP10  bool     // whether the version is HTTP/1.0; set by each start line
+	message   *Message // the message that is being read; nil before its start line
+	remaining int      // number of bytes of the body or chunk that have not been read
+	err       *Error   // the error that Next returns; set in phaseFailed
 
-	// isContinuePending tells that the sender of a message whose head is complete waits for a 100
-	// Continue. It stays until TakeContinueRequest is called, also when the message is over.
+	// isContinuePending reports whether the sender of a message whose head is complete waits for a 100
+	// Continue. It stays set until TakeContinueRequest is called, even if the message ends before that.
 	isContinuePending bool
 }
 
@@ -74,7 +74,7 @@
 	return &Parser{limits: limits, headState: newHeadState(), isResponse: true}
 }
 
-// Feed adds bytes that arrived.
+// Feed appends received bytes to the buffer.
 func (parser *Parser) Feed(data []byte) {
 	if parser.phase == phaseFailed {
 		return
@@ -87,20 +87,21 @@
 	parser.buffer = append(parser.buffer, data...)
 }
 
-// IsIdle tells whether no part of a message has been received.
+// IsIdle reports whether the parser is between two messages: no byte of the next one has been received.
 func (parser *Parser) IsIdle() bool {
 	return parser.phase == phaseHead && !parser.hasStartLine && parser.consumed == len(parser.buffer)
 }
 
-// TakeContinueRequest returns true once for each message whose sender waits for a 100 Continue.
+// TakeContinueRequest reports whether the sender of a message waits for a 100 Continue. It returns true
+// only once for each such message.
 func (parser *Parser) TakeContinueRequest() bool {
 	isPending := parser.isContinuePending
 	parser.isContinuePending = false
 	return isPending
 }
 
-// Next returns the next whole message, or nil without an error if more bytes are needed. An error is
-// an *Error, ends the connection, and is returned by every later call.
+// Next returns the next whole message, or nil without an error if the parser needs more bytes. An error
+// is an *Error. After it nothing more is parsed, and every later call returns the same error.
 func (parser *Parser) Next() (*Message, error) {
 	for {
 		result, err := parser.advance()
@@ -124,7 +125,7 @@
 }
 
 // HandleEOF is called when the peer has closed the connection. It returns the response that the close
-// ends, or nil without an error between two messages; any other incomplete message is an error.
+// completes, or nil without an error if no message had begun. Any other incomplete message is an error.
 func (parser *Parser) HandleEOF() (*Message, error) {
 	if parser.phase == phaseUntilClose {
 		message := parser.takeMessage()
@@ -140,7 +141,7 @@
 	return nil, newError(http.StatusBadRequest, "connection closed within a message")
 }
 
-// takeMessage returns the complete message and prepares for the next one.
+// takeMessage returns the complete message and resets the parser for the next one.
 func (parser *Parser) takeMessage() *Message {
 	message := parser.message
 	parser.message = nil
@@ -150,7 +151,8 @@
 	return message
 }
 
-// compact drops the consumed bytes, and a buffer larger than maxIdleBuffer if nothing is left in it.
+// compact drops the consumed bytes. If nothing is left in the buffer, it frees a buffer larger than
+// maxIdleBuffer.
 func (parser *Parser) compact() {
 	if parser.consumed == 0 {
 		return
@@ -166,22 +168,22 @@
 	parser.consumed = 0
 }
 
-// lineEnd ends the lines of a head, of chunk sizes and of the trailer, and follows each chunk.
+// lineEnd ends the lines of the head, of chunk sizes and of the trailer, and follows the data of each chunk.
 var lineEnd = []byte("\r\n")
 
-// maxIdleBuffer is the largest buffer in bytes that an idle parser keeps.
+// maxIdleBuffer is the size in bytes of the largest buffer that an idle parser keeps.
 const maxIdleBuffer = 8 << 10
 
-// stepResult is the outcome of one step of the parser.
+// stepResult is the result of one step of the parser.
 type stepResult uint8
 
 const (
-	stepContinues  stepResult = iota // call advance again
-	stepNeedsInput                   // the buffer has no whole line or body
+	stepContinues  stepResult = iota // the parser can take another step
+	stepNeedsInput                   // the buffer does not hold a whole line or body yet
 	stepHasMessage                   // parser.message is complete
 )
 
-// String names the result in test failures.
+// String returns the name of the result, for test failures.
 func (result stepResult) String() string {
 	switch result {
 	case stepContinues:
@@ -194,7 +196,8 @@
 	return fmt.Sprintf("step result %d", uint8(result))
 }
 
-// readLine consumes the next line and returns it without its CRLF; false if it is not whole yet.
+// readLine consumes the next line and returns it without its CRLF. It returns false if the line is not
+// complete yet.
 func (parser *Parser) readLine() ([]byte, bool, *Error) {
 	if parser.scanOffset < parser.consumed {
 		parser.scanOffset = parser.consumed
@@ -220,7 +223,7 @@
 	return line[:len(line)-1], true, nil
 }
 
-// advance does one step of the present phase.
+// advance takes one step of the current phase.
 func (parser *Parser) advance() (stepResult, *Error) {
 	switch parser.phase {
 	case phaseHead:
@@ -241,5 +244,5 @@
 	return stepNeedsInput, parser.err
 }
 
-// Buffered is the number of bytes that are not parsed yet.
+// Buffered returns the number of bytes that have been fed but not parsed yet.
 func (parser *Parser) Buffered() int { return len(parser.buffer) - parser.consumed }
--- a/internal/http1/parser_body.go
+++ b/internal/http1/parser_body.go
@@ -6,10 +6,11 @@
 	"strconv"
 )
 
-// maxChunkSizeDigits bounds the hexadecimal digits of a chunk's size: 32 bits.
+// maxChunkSizeDigits is the largest number of hexadecimal digits in a chunk size, so that it fits 32 bits.
 const maxChunkSizeDigits = 8
 
-// readBody moves buffered bytes of the body or chunk to the message, and tells whether it is complete.
+// readBody moves buffered bytes of the body or chunk to the message, and reports whether the body or chunk
+// is complete.
 func (parser *Parser) readBody() bool {
 	size := min(parser.remaining, parser.Buffered())
 	parser.message.Body = append(parser.message.Body, parser.buffer[parser.consumed:parser.consumed+size]...)
@@ -18,7 +19,7 @@
 	return parser.remaining == 0
 }
 
-// readFixedBody reads a body whose length the head gave.
+// readFixedBody reads a body whose length the head has given.
 func (parser *Parser) readFixedBody() (stepResult, *Error) {
 	if !parser.readBody() {
 		return stepNeedsInput, nil
@@ -26,7 +27,7 @@
 	return stepHasMessage, nil
 }
 
-// readChunkSize reads the line before a chunk; size 0 ends the body.
+// readChunkSize reads the line before a chunk. A size of 0 ends the body.
 func (parser *Parser) readChunkSize() (stepResult, *Error) {
 	line, ok, err := parser.readLine()
 	if err != nil || !ok {
@@ -48,7 +49,7 @@
 	return stepContinues, nil
 }
 
-// parseChunkSize reads hexadecimal digits, which extensions after a semicolon may follow.
+// parseChunkSize parses a line of hexadecimal digits, which may be followed by a semicolon and extensions.
 func parseChunkSize(line []byte) (int, bool) {
 	digits, _, _ := bytes.Cut(line, []byte{';'})
 	digits = bytes.TrimRight(digits, " \t")
@@ -81,8 +82,8 @@
 	return stepContinues, nil
 }
 
-// skipTrailer skips the header lines after the last chunk, up to the empty line. They count towards
-// the limit of the head.
+// skipTrailer skips the header lines after the last chunk, up to and including the empty line. The lines
+// count towards the limit of the head.
 func (parser *Parser) skipTrailer() (stepResult, *Error) {
 	line, ok, err := parser.readLine()
 	if err != nil || !ok {
@@ -98,7 +99,7 @@
 	return stepContinues, nil
 }
 
-// readUntilClose reads the body of a response without a length, which HandleEOF ends.
+// readUntilClose reads the body of a response without a length. The body ends at HandleEOF.
 func (parser *Parser) readUntilClose() (stepResult, *Error) {
 	if len(parser.message.Body)+parser.Buffered() > parser.limits.Body {
 		return stepNeedsInput, errBodyTooLarge
--- a/internal/http1/parser_head.go
+++ b/internal/http1/parser_head.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// parseHead reads one line of the head: the start line, a header, or the empty line that ends it.
+// parseHead parses one line of the head: the start line, a header, or the empty line that ends the head.
 func (parser *Parser) parseHead() (stepResult, *Error) {
 	line, ok, err := parser.readLine()
 	if err != nil {
@@ -47,7 +47,7 @@
 		return stepNeedsInput, newError(http.StatusBadRequest, "both Content-Length and Transfer-Encoding")
 	}
 	if parser.isResponse && message.Status < http.StatusOK {
-		parser.takeMessage() // interim (1xx) responses are skipped
+		parser.takeMessage() // skips an interim (1xx) response
 		return stepContinues, nil
 	}
 	if message.ExpectContinue {
@@ -70,14 +70,14 @@
 		parser.phase = phaseUntilClose
 		return stepContinues, nil
 	}
-	// A Content-Length of 0, or a request without a length: there is no body.
+	// With a Content-Length of 0, or for a request without a length, there is no body.
 	return stepHasMessage, nil
 }
 
-// deleteByte is the last of the ASCII control characters.
+// deleteByte is the highest ASCII control character, DEL.
 const deleteByte = 0x7f
 
-// parseVersion reads the protocol version. HTTP/1.0 closes by default.
+// parseVersion parses the protocol version. With HTTP/1.0 the connection closes by default.
 func (parser *Parser) parseVersion(version []byte) *Error {
 	switch string(version) {
 	case "HTTP/1.1":
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// isToken tells whether all bytes are allowed in a method or a header name (RFC 9110, section 5.6.2).
+// isToken reports whether all bytes are allowed in a method or a header name (RFC 9110, section 5.6.2).
 func isToken(text []byte) bool {
 	return !slices.ContainsFunc(text, func(c byte) bool { return !isTokenByte(c) })
 }
@@ -143,7 +143,7 @@
 	return bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), c) >= 0
 }
 
-// parseHeader reads a header line. Headers without a meaning for the framing are only checked.
+// parseHeader parses a header line. Headers that don't concern the parser are only checked.
 func (parser *Parser) parseHeader(line []byte) *Error {
 	name, value, err := splitHeader(line)
 	if err != nil {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// splitHeader returns name and value of a header line, without the whitespace around the value.
+// splitHeader returns the name and the value of a header line, without the whitespace around the value.
 func splitHeader(line []byte) (name, value []byte, err *Error) {
 	name, value, hasColon := bytes.Cut(line, []byte{':'})
 	if !hasColon || len(name) == 0 {
@@ -213,7 +213,7 @@
 	}
 }
 
-// isHeaderName compares ASCII text with a lower-case string, without regard to its case.
+// isHeaderName reports whether name equals lowerName, ignoring ASCII case. lowerName must be lower case.
 func isHeaderName(name []byte, lowerName string) bool {
 	if len(name) != len(lowerName) {
 		return false
@@ -232,8 +232,8 @@
 // maxDecimalDigits is the number of digits of the largest number that parseDecimal reads.
 const maxDecimalDigits = 10
 
-// parseDecimal reads a number below 2^31, of at most maxDecimalDigits digits and nothing else: no
-// sign, no spaces.
+// parseDecimal parses a number below 2^31. The text must have at most maxDecimalDigits digits and nothing
+// else: no sign and no spaces.
 func parseDecimal(digits []byte) (int, bool) {
 	if len(digits) == 0 || len(digits) > maxDecimalDigits {
 		return 0, false
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -4,7 +4,7 @@
 	"strconv"
 )
 
-// reasonPhrases are those of the statuses in use; for another status the phrase is empty.
+// reasonPhrases maps the statuses in use to their reason phrases. Other statuses get an empty phrase.
 var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 409: "Conflict", 413: "Content Too Large",
@@ -12,19 +12,19 @@
 	431: "Request Header Fields Too Large", 503: "Service Unavailable", 504: "Gateway Timeout",
 }
 
-// ContentTypeJSON is the media type of a response that names none.
+// ContentTypeJSON is the media type of a response that doesn't specify one.
 const ContentTypeJSON = "application/json"
 
 // Response is a response to be sent.
 type Response struct {
 	Status      int
-	ContentType string // "" is ContentTypeJSON
+	ContentType string // "" means ContentTypeJSON
 	Body        []byte
-	RetryAfter  int  // seconds, 0 for none
-	Close       bool // the connection is closed after it
+	RetryAfter  int  // Retry-After header in seconds; 0 for no header
+	Close       bool // whether the connection is closed after the response
 }
 
-// AppendResponse appends a response to dst.
+// AppendResponse appends an encoded response to dst.
 func AppendResponse(dst []byte, response *Response) []byte {
 	contentType := response.ContentType
 	if contentType == "" {
@@ -49,7 +49,7 @@
 	return append(dst, response.Body...)
 }
 
-// AppendRequest appends a request to dst, with a JSON body unless it is nil.
+// AppendRequest appends an encoded request to dst. It has a JSON body unless body is nil.
 func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
