--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -31,4 +31,4 @@
 
 // ErrPoolExhausted reports that the pool cannot open a connection: its limiter has no room, and none
 // of the pool's connections is idle. Do returns it within a *NotSentError.
-var ErrPoolExhausted = errors.New("client: the connection limit is reached and no connection is idle")
+var ErrPoolExhausted = errors.New("client: no room for another connection and none is idle")
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,7 +1,7 @@
 // Package connlimit limits the connections of a process. Inbound connections (from workers, users,
-// probes and other controllers) and outbound connections (for command requests to workers) share one
-// limit. Inbound connections have priority: a worker without one loses its lease, while a command
-// request only saves time.
+// probes and other controllers) and outbound connections (for command requests to workers and probes of
+// them) share one limit. Inbound connections have priority: a worker without one loses its lease, while a
+// command request only saves time.
 package connlimit
 
 import "sync"
--- a/internal/server/input.go
+++ b/internal/server/input.go
@@ -13,10 +13,10 @@
 // maxPipelinedBytes bounds how many bytes a client may send while its request is being processed.
 const maxPipelinedBytes = 128 << 10
 
-// handleData handles input from a connection, or a wake, which has no input. It ignores both once it has
-// decided to close the connection: evio closes a connection only after writing, and a reply that was sent
-// synchronously has also woken the event loop. Without isClosed, that wake would process the next
-// pipelined request, overwrite the reply that is being written and revert the close.
+// handleData handles input from a connection, or a wake, which has no input. Once it has returned
+// evio.Close, isClosed is set and later calls do nothing: evio closes a connection only after writing, and
+// a reply that was sent synchronously has also woken the event loop. Without isClosed, that wake would
+// process the next pipelined request, overwrite the reply that is being written and revert the close.
 func (server *Server) handleData(evioConn evio.Conn, input []byte) ([]byte, evio.Action) {
 	connection, ok := evioConn.Context().(*conn)
 	if !ok || connection.isClosed {
