--- a/cmd/firwood/job_test.go
+++ b/cmd/firwood/job_test.go
@@ -24,7 +24,7 @@
 
 // `firwood job cancel` and its alias `withdraw` send the same request, print the same and end
 // with the same exit status.
-func TestCancelCommandAndItsAlias(t *testing.T) {
+func TestWithdrawIsAliasOfCancel(t *testing.T) {
 	for _, testCase := range []struct {
 		name     string
 		status   int
--- a/cmd/firwood/main_test.go
+++ b/cmd/firwood/main_test.go
@@ -25,7 +25,7 @@
 }
 
 // `firwood worker` prints the status of a fake worker.
-func TestWorkerCommand(t *testing.T) {
+func TestWorkerCommandPrintsStatus(t *testing.T) {
 	types := []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, Zones: []string{"x"}}}
 	fakeCloud, stop := fake.NewCloud([]string{"n0"}, map[string]string{"n0": "127.0.0.1:1"}, types, time.Second, time.Minute)
 	defer stop()
@@ -54,7 +54,7 @@
 }
 
 // Each command line gives the output or the error that names what it is about.
-func TestCommandLine(t *testing.T) {
+func TestCommandLineOutputsAndErrors(t *testing.T) {
 	dir := t.TempDir()
 	invalidPlatform := writeFile(t, dir, "bad.json", `{"member":"a","serve_on":"nonsense"}`)
 	validTuning := writeFile(t, dir, "good.yaml", "alpha: 60\n")
@@ -100,7 +100,7 @@
 
 // Invalid settings end with status 2 and a line for each field, of both files at once; so do
 // limits that can't serve the fleet that is named.
-func TestInvalidSettings(t *testing.T) {
+func TestInvalidSettingsExitStatus(t *testing.T) {
 	dir := t.TempDir()
 	platform := writeFile(t, dir, "platform.json", validPlatformJSON)
 	invalidPlatform := writeFile(t, dir, "broken.json", strings.NewReplacer(`"rps":150`, `"rps":0`, `"txn_ops":24`, `"txn_ops":0`).Replace(validPlatformJSON))
--- a/internal/config/capacity.go
+++ b/internal/config/capacity.go
@@ -83,14 +83,14 @@
 			Purpose:  "records of the whole fleet's rentals in 60 s, by a leader's part of the rate",
 		},
 	}
-	var short []Shortfall
+	var shortfalls []Shortfall
 	for _, shortfall := range candidates {
 		shortfall.Machines = machines
 		if shortfall.Limit < shortfall.Required {
-			short = append(short, shortfall)
+			shortfalls = append(shortfalls, shortfall)
 		}
 	}
-	return short
+	return shortfalls
 }
 
 // CheckCompatibility checks what must hold of both files together.
--- a/internal/config/capacity_test.go
+++ b/internal/config/capacity_test.go
@@ -7,7 +7,7 @@
 
 // Each limit that is too low for the fleet is named with its deficit; for a fleet that the
 // limits suffice for there is none.
-func TestShortfalls(t *testing.T) {
+func TestShortfallsNameTooLowLimits(t *testing.T) {
 	platform, err := ParsePlatform([]byte(validPlatformJSON))
 	if err != nil {
 		t.Fatal(err)
@@ -34,18 +34,18 @@
 	if shortfalls := platform.Shortfalls(4000); shortfalls != nil {
 		t.Errorf("with enough of all: %v", shortfalls)
 	}
-	for name, lower := range map[string]func(){
+	for name, lowerLimit := range map[string]func(){
 		"deployment.limits.ram_mb":   func() { platform.Deployment.ProcessLimits.MemoryMB = 64 },
 		"deployment.limits.cores":    func() { platform.Deployment.ProcessLimits.Cores = 0.1 },
 		"deployment.cloud.rps":       func() { platform.Deployment.Cloud.RPS = 0.5 },
 		"deployment.state.write_rps": func() { platform.Deployment.Store.Upcoming = &UpcomingStoreLimits{WriteRPS: 2} },
 	} {
-		before := platform.Deployment
-		lower()
+		original := platform.Deployment
+		lowerLimit()
 		if shortfalls := platform.Shortfalls(4000); len(shortfalls) != 1 || shortfalls[0].Field != name {
 			t.Errorf("%s lowered: %v", name, shortfalls)
 		}
-		platform.Deployment = before
+		platform.Deployment = original
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -92,7 +92,7 @@
 }
 
 // Settings that are missing have their defaults; unknown and invalid ones are refused by name.
-func TestTuning(t *testing.T) {
+func TestTuningDefaultsAndUnknownKeys(t *testing.T) {
 	if tuning, err := ParseTuning(nil); err != nil || tuning != DefaultTuning() {
 		t.Fatalf("empty: %v %v", tuning, err)
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestLoadMissingFiles(t *testing.T) {
+func TestLoadErrorsNameTheMissingFile(t *testing.T) {
 	if _, err := LoadPlatform("/nowhere/a.json"); err == nil || !strings.Contains(err.Error(), "/nowhere/a.json") {
 		t.Error(err)
 	}
@@ -122,7 +122,7 @@
 // Unusual settings that have a meaning are accepted: guarantees above limits or above any
 // fleet, guarantees of one resource alone, small values and transactions. Those that have none
 // are refused by the field's name.
-func TestUnusualDeployments(t *testing.T) {
+func TestUnusualValidSettingsAreAccepted(t *testing.T) {
 	for _, testCase := range []struct {
 		from, to, field string
 	}{
@@ -159,12 +159,12 @@
 "limits":{"cores":0.12,"ram_mb":98,"max_sockets":900},"clock_error_ms":100}}`
 
 // The effective limits are the stricter of the current and the upcoming ones.
-func TestEffectiveStoreLimits(t *testing.T) {
-	current := StoreLimits{RPS: 200, WriteRPS: 80, MaxValueKB: 16, MaxTransactionOps: 48}
-	if got := current.Effective(); got != current {
+func TestEffectiveStoreLimitsAreTheStricter(t *testing.T) {
+	currentLimits := StoreLimits{RPS: 200, WriteRPS: 80, MaxValueKB: 16, MaxTransactionOps: 48}
+	if got := currentLimits.Effective(); got != currentLimits {
 		t.Errorf("without limits to come: %+v", got)
 	}
-	withUpcoming := current
+	withUpcoming := currentLimits
 	withUpcoming.Upcoming = &UpcomingStoreLimits{WriteRPS: 56, MaxValueKB: 2, MaxTransactionOps: 96}
 	if got, want := withUpcoming.Effective(), (StoreLimits{RPS: 200, WriteRPS: 56, MaxValueKB: 2, MaxTransactionOps: 48}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -65,7 +65,7 @@
 
 // check is something that must hold of a field.
 type check struct {
-	ok            bool
+	isSatisfied   bool
 	field, reason string // the reason goes on from the field's name, as in "is below 0"
 }
 
@@ -77,8 +77,8 @@
 	return check{isNonNegative(value), field, "is below 0"}
 }
 
-// checkFraction asks for a smoothing factor.
-func checkFraction(field string, value float64) check {
+// checkSmoothingFactor asks for a smoothing factor.
+func checkSmoothingFactor(field string, value float64) check {
 	return check{value > 0 && value <= 1, field, "is not within (0, 1]"}
 }
 
@@ -88,16 +88,16 @@
 
 // checkUnique asks for a name that is not among those seen, and adds it to them.
 func checkUnique(field, name string, seen map[string]bool) check {
-	ok := name != "" && !seen[name]
+	isUnique := name != "" && !seen[name]
 	seen[name] = true
-	return check{ok, field, "is missing or not unique"}
+	return check{isUnique, field, "is missing or not unique"}
 }
 
 // collectProblems lists the checks that don't hold, nil if there are none.
 func collectProblems(checks []check) error {
 	var problems FieldErrors
 	for _, c := range checks {
-		if !c.ok {
+		if !c.isSatisfied {
 			problems = append(problems, FieldError{c.field, c.reason})
 		}
 	}
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -157,7 +157,7 @@
 	tuning := DefaultTuning()
 	if len(bytes.TrimSpace(data)) > 0 {
 		if err := yaml.UnmarshalWithOptions(data, &tuning, yaml.Strict()); err != nil {
-			nameField(err)
+			removeGroupName(err)
 			const isColored, withSource = false, false
 			return tuning, fmt.Errorf("not valid YAML: %s", yaml.FormatError(err, isColored, withSource))
 		}
@@ -168,9 +168,9 @@
 	return tuning, nil
 }
 
-// nameField drops the name of a group from a type error, which names the field by Go's names:
+// removeGroupName drops the name of a group from a type error, which names the field by Go's names:
 // operators get "Tuning.Alpha", as when there were no groups.
-func nameField(err error) {
+func removeGroupName(err error) {
 	var typeError *yaml.TypeError
 	if !errors.As(err, &typeError) || typeError.StructFieldName == nil {
 		return
@@ -209,12 +209,12 @@
 }
 
 func (costs *Costs) checks() []check {
-	isRelaxedShorter := isNonNegative(costs.LaxIdleWaitS) && costs.LaxIdleWaitS <= costs.IdleWaitS
+	isValidLaxIdleWait := isNonNegative(costs.LaxIdleWaitS) && costs.LaxIdleWaitS <= costs.IdleWaitS
 	return []check{
 		checkNonNegative("alpha", costs.Alpha),
 		checkNonNegative("beta", costs.Beta),
 		checkNonNegative("idle_wait_s", costs.IdleWaitS),
-		{isRelaxedShorter, "lax_idle_wait_s", "is not between 0 and idle_wait_s"},
+		{isValidLaxIdleWait, "lax_idle_wait_s", "is not between 0 and idle_wait_s"},
 	}
 }
 
@@ -226,10 +226,10 @@
 }
 
 func (spares *WarmSpares) checks() []check {
-	isBounded := spares.SpareMax == 0 || spares.SpareMax >= spares.SpareMin && spares.SpareMax <= maxSpares
+	isValidSpareMax := spares.SpareMax == 0 || spares.SpareMax >= spares.SpareMin && spares.SpareMax <= maxSpares
 	return []check{
 		{spares.SpareMin >= 0, "spare_min", "is below 0"},
-		{isBounded, "spare_max", "is not 0 or between spare_min and 100000"},
+		{isValidSpareMax, "spare_max", "is not 0 or between spare_min and 100000"},
 	}
 }
 
@@ -245,9 +245,9 @@
 
 func (smoothing *Smoothing) checks() []check {
 	return []check{
-		checkFraction("smooth_arrival", smoothing.SmoothArrival),
-		checkFraction("smooth_service", smoothing.SmoothService),
-		checkFraction("smooth_need", smoothing.SmoothNeed),
+		checkSmoothingFactor("smooth_arrival", smoothing.SmoothArrival),
+		checkSmoothingFactor("smooth_service", smoothing.SmoothService),
+		checkSmoothingFactor("smooth_need", smoothing.SmoothNeed),
 	}
 }
 
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -48,7 +48,7 @@
 		controller.recordEviction()
 		controller.history.evicted.counts.Add(record.State, 1)
 		if problem, ok := controller.problemOf(id, record, int64(clock.WallTime())); ok {
-			controller.history.evicted.worstProblems = jobreport.Worst(append(controller.history.evicted.worstProblems, problem))
+			controller.history.evicted.worstProblems = jobreport.SelectWorst(append(controller.history.evicted.worstProblems, problem))
 		}
 		controller.view.EvictJob(id)
 		controller.dependencyGraph.Remove(id)
--- a/internal/controller/job_report.go
+++ b/internal/controller/job_report.go
@@ -30,7 +30,7 @@
 			report.Problems = append(report.Problems, problem)
 		}
 	}
-	report.Problems = jobreport.Worst(report.Problems)
+	report.Problems = jobreport.SelectWorst(report.Problems)
 	body, err := json.Marshal(report)
 	if err != nil {
 		replyUnavailable(reply, reasonNotEncodable)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -36,7 +36,7 @@
 	}
 	status.Token = controller.term.IssuedToken()
 	status.IsLeader = controller.isEntitled()
-	status.MayAct = max(controller.elector.EntitledUntil()-now, 0)
+	status.EntitledFor = max(controller.elector.EntitledUntil()-now, 0)
 	status.LeaderStatus = controller.term.MetricsStatus(now)
 	return status
 }
--- a/internal/jobreport/report.go
+++ b/internal/jobreport/report.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Worst sorts problems, the latest jobs first, and returns as many as are reported.
-func Worst(problems []Problem) []Problem {
+// SelectWorst sorts problems, the latest jobs first, and returns as many as are reported.
+func SelectWorst(problems []Problem) []Problem {
 	slices.SortFunc(problems, func(a, b Problem) int {
 		return cmp.Or(-cmp.Compare(a.LateByS, b.LateByS), cmp.Compare(a.Job, b.Job))
 	})
--- a/internal/jobreport/report_test.go
+++ b/internal/jobreport/report_test.go
@@ -44,19 +44,19 @@
 }
 
 // The latest jobs come first, and no more than a bound.
-func TestWorstProblemsComeFirst(t *testing.T) {
+func TestSelectWorstSortsAndTruncates(t *testing.T) {
 	problems := []Problem{{Job: "b", LateByS: 1}, {Job: "a", LateByS: 1}}
 	for i := range maxProblems {
 		problems = append(problems, Problem{Job: fmt.Sprint(i), LateByS: float64(i)})
 	}
-	worst := Worst(problems)
+	worst := SelectWorst(problems)
 	if len(worst) != maxProblems || worst[0].LateByS != maxProblems-1 || worst[len(worst)-1].Job != "a" {
 		t.Errorf("%d problems, from %+v to %+v", len(worst), worst[0], worst[len(worst)-1])
 	}
 }
 
 // The report's wire form stays as it is: operators' tools read it.
-func TestWireForm(t *testing.T) {
+func TestReportJSONFormat(t *testing.T) {
 	report := Report{Member: "a", Jobs: 3, Problems: []Problem{{Job: "j", Class: "c", State: StateActive, IsLate: true, Reason: "r", TookS: 1, LateByS: 2}}}
 	for _, state := range []string{wire.JobDone, wire.JobCancelled, ""} {
 		report.CountJob(state)
--- a/internal/leader/metrics.go
+++ b/internal/leader/metrics.go
@@ -11,7 +11,7 @@
 	count, earliest := term.tracker.ListedCancelledTasks()
 	status := metrics.LeaderStatus{Machines: len(term.tracker.Machines), UnconfirmedMachines: term.tracker.UnconfirmedMachines(), ListedCancelledTasks: count}
 	if count > 0 {
-		status.OldestCancellation = max(now-earliest, 0)
+		status.OldestCancellationAge = max(now-earliest, 0)
 	}
 	return status
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -28,8 +28,8 @@
 	IsLeader bool
 	// Token is the newest leader's as far as known, the own one at a leader.
 	Token uint64
-	// MayAct is for how long the leader may still act without another renewal of its lock.
-	MayAct clock.Micros
+	// EntitledFor is for how long the leader may still act without another renewal of its lock.
+	EntitledFor clock.Micros
 	// ViewAge is the time since the newest completed read of the store was sent, and ViewRevision
 	// the store's revision that the view has reached.
 	ViewAge      clock.Micros
@@ -44,17 +44,17 @@
 	// told to stop tasks.
 	UnconfirmedMachines int
 	// ListedCancelledTasks are tasks of cancelled jobs that workers still list as not exited, and
-	// OldestCancellation is the time since the earliest of their cancellations was confirmed.
-	ListedCancelledTasks int
-	OldestCancellation   clock.Micros
+	// OldestCancellationAge is the time since the earliest of their cancellations was confirmed.
+	ListedCancelledTasks  int
+	OldestCancellationAge clock.Micros
 }
 
 // Metrics are the metrics of one process.
 type Metrics struct {
-	replies   [heartbeatReplyCount]prometheus.Counter
-	commands  *prometheus.CounterVec
-	failovers [failoverPartCount]prometheus.Observer
-	taken     prometheus.Counter
+	heartbeatReplies  [heartbeatReplyCount]prometheus.Counter
+	commands          *prometheus.CounterVec
+	failoverDurations [failoverPartCount]prometheus.Observer
+	failoverCount     prometheus.Counter
 
 	mu       sync.Mutex // guards the gauges from being set to their being gathered
 	gauges   gauges
@@ -63,34 +63,34 @@
 
 // gauges are the metrics that a Status sets.
 type gauges struct {
-	leader, token, mayAct, viewAge, viewRevision   prometheus.Gauge
-	machines, unconfirmed, listed, oldestCancelled prometheus.Gauge
+	isLeader, token, entitledFor, viewAge, viewRevision                        prometheus.Gauge
+	machines, unconfirmedMachines, listedCancelledTasks, oldestCancellationAge prometheus.Gauge
 }
 
 // New returns metrics that are all zero.
 func New() *Metrics {
 	metrics := &Metrics{registry: prometheus.NewRegistry()}
-	replies := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "heartbeat_replies_total", Help: "Replies to workers' heartbeats, by result."}, []string{"result"})
-	for reply := range metrics.replies {
-		metrics.replies[reply] = replies.WithLabelValues(HeartbeatReply(reply).String())
+	replyCounters := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "heartbeat_replies_total", Help: "Replies to workers' heartbeats, by result."}, []string{"result"})
+	for reply := range metrics.heartbeatReplies {
+		metrics.heartbeatReplies[reply] = replyCounters.WithLabelValues(HeartbeatReply(reply).String())
 	}
 	metrics.commands = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "commands_total", Help: "Commands to workers, by kind, channel and outcome."}, []string{"kind", "channel", "outcome"})
-	failovers := prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "failover_seconds", Help: "Durations of the parts of this member's failovers.", Buckets: failoverBuckets}, []string{"part"})
-	for part := range metrics.failovers {
-		metrics.failovers[part] = failovers.WithLabelValues(FailoverPart(part).String())
+	durationHistograms := prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "failover_seconds", Help: "Durations of the parts of this member's failovers.", Buckets: failoverBuckets}, []string{"part"})
+	for part := range metrics.failoverDurations {
+		metrics.failoverDurations[part] = durationHistograms.WithLabelValues(FailoverPart(part).String())
 	}
-	metrics.taken = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "failovers_total", Help: "Terms that this member has begun as leader."})
-	metrics.registry.MustRegister(replies, metrics.commands, failovers, metrics.taken)
+	metrics.failoverCount = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "failovers_total", Help: "Terms that this member has begun as leader."})
+	metrics.registry.MustRegister(replyCounters, metrics.commands, durationHistograms, metrics.failoverCount)
 	metrics.gauges = gauges{
-		leader:          metrics.newGauge("leader", "1 if this member leads and may act, else 0."),
-		token:           metrics.newGauge("token", "Fencing token of the newest leader that this member knows."),
-		mayAct:          metrics.newGauge("may_act_seconds", "For how long the leader may act without another renewal of its lock."),
-		viewAge:         metrics.newGauge("view_age_seconds", "Time since the newest completed read of the store was sent."),
-		viewRevision:    metrics.newGauge("view_revision", "Revision of the store that the view has reached."),
-		machines:        metrics.newGauge("machines", "Machines in the leader's allocation table."),
-		unconfirmed:     metrics.newGauge("machines_unconfirmed", "Machines whose worker has not shown the leader's token."),
-		listed:          metrics.newGauge("cancelled_tasks_listed", "Tasks of cancelled jobs that workers still list as not exited."),
-		oldestCancelled: metrics.newGauge("cancelled_task_oldest_seconds", "Time since the earliest confirmed cancellation among them."),
+		isLeader:              metrics.newGauge("leader", "1 if this member leads and may act, else 0."),
+		token:                 metrics.newGauge("token", "Fencing token of the newest leader that this member knows."),
+		entitledFor:           metrics.newGauge("may_act_seconds", "For how long the leader may act without another renewal of its lock."),
+		viewAge:               metrics.newGauge("view_age_seconds", "Time since the newest completed read of the store was sent."),
+		viewRevision:          metrics.newGauge("view_revision", "Revision of the store that the view has reached."),
+		machines:              metrics.newGauge("machines", "Machines in the leader's allocation table."),
+		unconfirmedMachines:   metrics.newGauge("machines_unconfirmed", "Machines whose worker has not shown the leader's token."),
+		listedCancelledTasks:  metrics.newGauge("cancelled_tasks_listed", "Tasks of cancelled jobs that workers still list as not exited."),
+		oldestCancellationAge: metrics.newGauge("cancelled_task_oldest_seconds", "Time since the earliest confirmed cancellation among them."),
 	}
 	return metrics
 }
@@ -102,7 +102,7 @@
 }
 
 // CountReply counts the reply to a heartbeat.
-func (metrics *Metrics) CountReply(reply HeartbeatReply) { metrics.replies[reply].Inc() }
+func (metrics *Metrics) CountReply(reply HeartbeatReply) { metrics.heartbeatReplies[reply].Inc() }
 
 // CountCommands counts the commands of one message.
 func (metrics *Metrics) CountCommands(commands []wire.Command, channel CommandChannel, outcome CommandOutcome) {
@@ -125,11 +125,11 @@
 }
 
 // CountFailover counts a term that begins.
-func (metrics *Metrics) CountFailover() { metrics.taken.Inc() }
+func (metrics *Metrics) CountFailover() { metrics.failoverCount.Inc() }
 
 // ObserveFailover records how long a part of a failover took.
 func (metrics *Metrics) ObserveFailover(part FailoverPart, duration clock.Micros) {
-	metrics.failovers[part].Observe(duration.Seconds())
+	metrics.failoverDurations[part].Observe(duration.Seconds())
 }
 
 // Encode returns all metrics as text, with the gauges of a status. It may be called on any goroutine,
@@ -153,18 +153,18 @@
 }
 
 func (gauges *gauges) set(status *Status) {
-	gauges.leader.Set(boolValue(status.IsLeader))
+	gauges.isLeader.Set(gaugeValue(status.IsLeader))
 	gauges.token.Set(float64(status.Token))
-	gauges.mayAct.Set(status.MayAct.Seconds())
+	gauges.entitledFor.Set(status.EntitledFor.Seconds())
 	gauges.viewAge.Set(status.ViewAge.Seconds())
 	gauges.viewRevision.Set(float64(status.ViewRevision))
 	gauges.machines.Set(float64(status.Machines))
-	gauges.unconfirmed.Set(float64(status.UnconfirmedMachines))
-	gauges.listed.Set(float64(status.ListedCancelledTasks))
-	gauges.oldestCancelled.Set(status.OldestCancellation.Seconds())
+	gauges.unconfirmedMachines.Set(float64(status.UnconfirmedMachines))
+	gauges.listedCancelledTasks.Set(float64(status.ListedCancelledTasks))
+	gauges.oldestCancellationAge.Set(status.OldestCancellationAge.Seconds())
 }
 
-func boolValue(isSet bool) float64 {
+func gaugeValue(isSet bool) float64 {
 	if isSet {
 		return 1
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -15,7 +15,7 @@
 )
 
 // What is encoded is read back by the format's own parser, with every label and the values that were set.
-func TestEncodeIsReadBack(t *testing.T) {
+func TestEncodedMetricsAreParsedBack(t *testing.T) {
 	metrics := New()
 	metrics.CountReply(ReplyRenewed)
 	metrics.CountReply(ReplyRenewed)
@@ -24,8 +24,8 @@
 	metrics.CountFailover()
 	metrics.ObserveFailover(FailoverRebuild, 300*clock.Millisecond)
 	text, err := metrics.Encode(&Status{
-		IsLeader: true, Token: 41, MayAct: 3 * clock.Second, ViewAge: clock.Second / 2, ViewRevision: 77,
-		LeaderStatus: LeaderStatus{Machines: 4000, UnconfirmedMachines: 12, ListedCancelledTasks: 3, OldestCancellation: 5 * clock.Second},
+		IsLeader: true, Token: 41, EntitledFor: 3 * clock.Second, ViewAge: clock.Second / 2, ViewRevision: 77,
+		LeaderStatus: LeaderStatus{Machines: 4000, UnconfirmedMachines: 12, ListedCancelledTasks: 3, OldestCancellationAge: 5 * clock.Second},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 }
 
 // No label's value is the fallback of a value without a name, and none has two.
-func TestLabelsAreNamed(t *testing.T) {
+func TestLabelValuesAreNamedAndUnique(t *testing.T) {
 	seen := map[string]bool{}
 	check := func(value fmt.Stringer) {
 		text := fmt.Sprintf("%T %v", value, value)
@@ -83,11 +83,11 @@
 }
 
 // Metrics are read while they change.
-func TestConcurrentReads(t *testing.T) {
+func TestEncodeWhileMetricsChange(t *testing.T) {
 	metrics := New()
-	var workers sync.WaitGroup
+	var goroutines sync.WaitGroup
 	for range 4 {
-		workers.Go(func() {
+		goroutines.Go(func() {
 			for i := range 50 {
 				metrics.CountReply(ReplyRenewed)
 				if text, err := metrics.Encode(&Status{Token: uint64(i)}); err != nil || len(text) == 0 {
@@ -96,5 +96,5 @@
 			}
 		})
 	}
-	workers.Wait()
+	goroutines.Wait()
 }
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -47,16 +47,16 @@
 // New makes a tracer that writes to a destination (a path, or StandardErrorDestination) on behalf
 // of a member.
 func New(destination, member string) (*Tracer, error) {
-	out, closeFile, err := openDestination(destination)
+	out, closeDestination, err := openDestination(destination)
 	if err != nil {
 		return nil, err
 	}
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(&boundedWriter{destination: out, remainingBytes: maxTraceBytes}))
 	if err != nil {
-		return nil, errors.Join(err, closeFile())
+		return nil, errors.Join(err, closeDestination())
 	}
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter), sdktrace.WithSampler(sdktrace.AlwaysSample()))
-	return &Tracer{tracer: provider.Tracer(member), closeDestination: closeFile}, nil
+	return &Tracer{tracer: provider.Tracer(member), closeDestination: closeDestination}, nil
 }
 
 func openDestination(destination string) (io.Writer, func() error, error) {
@@ -107,8 +107,8 @@
 
 // wallTime converts an instant of the steady clock to the time of day, by the present difference of
 // the two clocks.
-func wallTime(steadyTime clock.Micros) time.Time {
-	wallMicros := clock.WallTime() - (clock.Now() - steadyTime)
+func wallTime(instant clock.Micros) time.Time {
+	wallMicros := clock.WallTime() - (clock.Now() - instant)
 	return time.UnixMicro(int64(wallMicros))
 }
 
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -14,7 +14,7 @@
 // Two controllers that observe the same failover write spans of one trace, with the times that
 // were given.
 func TestControllersShareTraceID(t *testing.T) {
-	ids := map[string]bool{}
+	traceIDs := map[string]bool{}
 	for _, member := range []string{"n0", "n1"} {
 		path := filepath.Join(t.TempDir(), "trace.json")
 		tracer, err := New(path, member)
@@ -41,10 +41,10 @@
 		if took := span.EndTime.Sub(span.StartTime); span.Name != "lock" || took < 1900*time.Millisecond || took > 2100*time.Millisecond {
 			t.Errorf("%s took %v", span.Name, took)
 		}
-		ids[span.SpanContext.TraceID] = true
+		traceIDs[span.SpanContext.TraceID] = true
 	}
-	if len(ids) != 1 {
-		t.Errorf("traces %v", ids)
+	if len(traceIDs) != 1 {
+		t.Errorf("traces %v", traceIDs)
 	}
 }
 
