--- a/internal/config/capacity.go
+++ b/internal/config/capacity.go
@@ -7,49 +7,52 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Shortfall is a limit of the deployment that is below what its fleet needs. It is an error.
+// Shortfall is an error that reports a limit of the deployment which is too low for the planned
+// fleet.
 type Shortfall struct {
 	// Field is the setting that gives the limit.
 	Field string
-	// Limit is the setting's value, and Required what a fleet of Machines needs.
+	// Limit is the setting's value, and Required is the value that a fleet of Machines needs.
 	Limit, Required float64
-	// Machines is the size of the fleet.
+	// Machines is the number of machines in the fleet.
 	Machines int
-	// Purpose is what the fleet needs it for.
+	// Purpose says why the fleet needs the required value.
 	Purpose string
 }
 
-// Deficit is how much is missing.
+// Deficit returns the amount by which the limit is too low.
 func (shortfall Shortfall) Deficit() float64 { return shortfall.Required - shortfall.Limit }
 
-// Error gives the limit and what the fleet needs.
+// Error returns the setting, its value, the required value and the purpose.
 func (shortfall Shortfall) Error() string {
 	return fmt.Sprintf("%s: %g, and a fleet of %d machines needs %.4g (%.4g more): %s",
 		shortfall.Field, shortfall.Limit, shortfall.Machines, shortfall.Required, shortfall.Deficit(), shortfall.Purpose)
 }
 
-// What a leader needs for its fleet. docs/operations.md, "Limits", says where each number
-// comes from.
+// The capacity that a leader needs for its fleet. docs/operations.md, section "Limits", explains how
+// each number was obtained.
 const (
-	// socketsPerMachine is one connection for heartbeats, and a sixth for users and command requests.
+	// socketsPerMachine is one connection for a worker's heartbeats, plus a sixth of a connection
+	// for users and command requests.
 	socketsPerMachine = 1 + 1.0/6
-	// baseMemoryMB is what a process needs without machines, and memoryKBPerMachine what each
-	// adds: its connections, its tasks and the garbage collector's slack.
+	// baseMemoryMB is the memory of a process without machines. memoryKBPerMachine is the memory
+	// that each machine adds: its connections, its tasks and the garbage collector's slack.
 	baseMemoryMB, memoryKBPerMachine = 20, 40
-	// heartbeatCPUSeconds is the processor time of one heartbeat, with its system calls, and
-	// heartbeatCPUShare the part of the processor that heartbeats may take.
+	// heartbeatCPUSeconds is the processor time of one heartbeat, including its system calls.
+	// heartbeatCPUShare is the share of the processor that heartbeats may use.
 	heartbeatCPUSeconds, heartbeatCPUShare = 150e-6, 0.5
 	// leaderCloudShare and leaderStoreShare are the leader's shares of the cloud's request rate
 	// and of the store's write rate.
 	leaderCloudShare, leaderStoreShare = 0.8, 0.5
-	// fleetListSeconds is the time in which the leader must be able to read the cloud's list, and
-	// fleetScaleOutSeconds the time in which it must be able to request the whole fleet.
+	// fleetListSeconds is the time within which the leader must be able to read the cloud's whole
+	// list of machines. fleetScaleOutSeconds is the time within which it must be able to request
+	// the whole fleet.
 	fleetListSeconds, fleetScaleOutSeconds = 10, 60
-	// writesPerScaleOut is how often the record of a scale-out request is written.
+	// writesPerScaleOut is how many times the record of a scale-out request is written.
 	writesPerScaleOut = 2
 )
 
-// Shortfalls lists the limits that are too low for a fleet of so many machines.
+// Shortfalls returns the limits that are too low for a fleet of the given number of machines.
 func (platform *Platform) Shortfalls(machines int) []Shortfall {
 	machineCount := float64(machines)
 	deployment := &platform.Deployment
@@ -93,7 +96,7 @@
 	return shortfalls
 }
 
-// CheckCompatibility checks what must hold of both files together.
+// CheckCompatibility checks the constraints between the two settings files.
 func CheckCompatibility(platform *Platform, tuning Tuning) error {
 	lease := platform.Deployment.Workers.LeaseSeconds
 	return collectProblems([]check{
--- a/internal/config/capacity_test.go
+++ b/internal/config/capacity_test.go
@@ -5,34 +5,34 @@
 	"testing"
 )
 
-// Each limit that is too low for the fleet is named with its deficit; for a fleet that the
-// limits suffice for there is none.
+// Shortfalls must report each limit that is too low for the fleet, with its deficit, and must report
+// none for a fleet for which all limits suffice.
 func TestShortfallsNameTooLowLimits(t *testing.T) {
 	platform, err := ParsePlatform([]byte(validPlatformJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if shortfalls := platform.Shortfalls(1500); shortfalls != nil {
-		t.Fatalf("1,500 machines: %v", shortfalls)
+		t.Fatalf("Shortfalls(1500) = %v, want none", shortfalls)
 	}
 	shortfalls := platform.Shortfalls(4000)
 	fields := map[string]Shortfall{}
 	for _, s := range shortfalls {
 		fields[s.Field] = s
 		if !strings.Contains(s.Error(), "4000 machines") || s.Deficit() <= 0 {
-			t.Errorf("reported as %q", s)
+			t.Errorf("shortfall of 4000 machines: %q, want the fleet's size and a positive deficit", s)
 		}
 	}
 	sockets, ok := fields["deployment.limits.max_sockets"]
 	if !ok || sockets.Required != 4000+667+64 || sockets.Deficit() != 4000+667+64-3500 {
-		t.Errorf("sockets: %+v", sockets)
+		t.Errorf("shortfall of sockets for 4000 machines: %+v, want 4731 required and a deficit of 1231", sockets)
 	}
 	if _, ok := fields["deployment.cloud.rps"]; ok {
-		t.Error("the cloud's rate is enough")
+		t.Error("Shortfalls(4000) reports deployment.cloud.rps, want no shortfall: the cloud's rate suffices")
 	}
 	platform.Deployment.ProcessLimits = ProcessLimits{Cores: 1, MemoryMB: 512, MaxSockets: 5000}
 	if shortfalls := platform.Shortfalls(4000); shortfalls != nil {
-		t.Errorf("with enough of all: %v", shortfalls)
+		t.Errorf("Shortfalls(4000) with sufficient limits = %v, want none", shortfalls)
 	}
 	for name, lowerLimit := range map[string]func(){
 		"deployment.limits.ram_mb":   func() { platform.Deployment.ProcessLimits.MemoryMB = 64 },
@@ -43,30 +43,30 @@
 		original := platform.Deployment
 		lowerLimit()
 		if shortfalls := platform.Shortfalls(4000); len(shortfalls) != 1 || shortfalls[0].Field != name {
-			t.Errorf("%s lowered: %v", name, shortfalls)
+			t.Errorf("Shortfalls(4000) with %s lowered = %v, want only that limit", name, shortfalls)
 		}
 		platform.Deployment = original
 	}
 }
 
-// All faults of a file are reported together, a line for each field.
+// All errors in a file must be reported together, each on a line that begins with its field.
 func TestAllErrorsReportedTogether(t *testing.T) {
 	broken := strings.NewReplacer(`"member":"n0"`, `"member":""`, `"txn_ops":24`, `"txn_ops":0`, `"cores":0.3`, `"cores":-1`, `"zones":["x","y"]`, `"zones":["x","x"]`).Replace(validPlatformJSON)
 	_, err := ParsePlatform([]byte(broken))
 	if err == nil {
-		t.Fatal("it is taken")
+		t.Fatal("ParsePlatform accepted a file with four invalid fields")
 	}
 	lines := strings.Split(err.Error(), "\n")
 	if len(lines) != 4 {
-		t.Fatalf("%d lines: %v", len(lines), err)
+		t.Fatalf("%d lines of errors, want 4: %v", len(lines), err)
 	}
 	for i, field := range []string{"member: ", "deployment.zones: ", "deployment.state.txn_ops: ", "deployment.limits.cores: "} {
 		if !strings.HasPrefix(lines[i], field) {
-			t.Errorf("line %d is %q", i, lines[i])
+			t.Errorf("line %d of the errors is %q, want it to begin with the expected field", i, lines[i])
 		}
 	}
 	if _, err := ParseTuning([]byte("alpha: -1\nbeta: -2\nfleet_machines: -3\nfinished_jobs: 99\narchive_finished_after_s: 599\n")); err == nil || len(strings.Split(err.Error(), "\n")) != 5 {
-		t.Errorf("the operators' file: %v", err)
+		t.Errorf("ParseTuning with five invalid fields: %v, want five lines", err)
 	}
 	platform, err := ParsePlatform([]byte(validPlatformJSON))
 	if err != nil {
@@ -78,6 +78,6 @@
 	}
 	tuning.LeaderTTLS = 36
 	if err := CheckCompatibility(platform, tuning); err == nil || !strings.HasPrefix(err.Error(), "leader_ttl_s: ") {
-		t.Errorf("a lock that outlasts a lease: %v", err)
+		t.Errorf("CheckCompatibility with a leader TTL equal to a worker's lease: %v, want an error about leader_ttl_s", err)
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 "state":{"rps":150,"write_rps":30,"value_kb":8,"txn_ops":24},"cloud":{"rps":4,"list_lag_s":5},
 "limits":{"cores":0.3,"ram_mb":179,"max_sockets":3500},"clock_error_ms":5}}`
 
-// Every fault of the platform's file is reported with the field that it is in.
+// Every error in the platform's file must be reported with the field that it concerns.
 func TestPlatformErrorsNameTheField(t *testing.T) {
 	if _, err := ParsePlatform([]byte(validPlatformJSON)); err != nil {
 		t.Fatal(err)
@@ -51,12 +51,12 @@
 			t.Fatal(err)
 		}
 		if _, err := ParsePlatform(data); err == nil || !strings.Contains(err.Error(), testCase.field) {
-			t.Errorf("%s=%s: %v", testCase.path, testCase.value, err)
+			t.Errorf("ParsePlatform with %s=%s: got error %v, want one that names the field", testCase.path, testCase.value, err)
 		}
 	}
 	for _, bad := range []string{"", "{", "[]", validPlatformJSON[:200]} {
 		if _, err := ParsePlatform([]byte(bad)); err == nil {
-			t.Errorf("%.20q is taken", bad)
+			t.Errorf("ParsePlatform accepted %.20q, want an error", bad)
 		}
 	}
 }
@@ -74,7 +74,8 @@
 	}
 }
 
-// A setting of the wrong type is refused by its name alone, without the group that it is in.
+// A setting of the wrong type must be rejected by its field name alone, without the name of the Go
+// struct in which the field is grouped.
 func TestTuningTypeErrorsNameTheField(t *testing.T) {
 	for _, testCase := range [][2]string{
 		{"alpha: x\n", "Go struct field Tuning.Alpha of type float64"},
@@ -86,26 +87,26 @@
 		{"standby:\n  enabled: x\n", "Go struct field Tuning.Standby of type bool"},
 	} {
 		if _, err := ParseTuning([]byte(testCase[0])); err == nil || !strings.HasSuffix(err.Error(), testCase[1]) {
-			t.Errorf("%q: %v", testCase[0], err)
+			t.Errorf("ParseTuning(%q): got error %v, want one that ends with the field and type", testCase[0], err)
 		}
 	}
 }
 
-// Settings that are missing have their defaults; unknown and invalid ones are refused by name.
+// A missing setting must get its default. An unknown or invalid setting must be rejected by name.
 func TestTuningDefaultsAndUnknownKeys(t *testing.T) {
 	if tuning, err := ParseTuning(nil); err != nil || tuning != DefaultTuning() {
-		t.Fatalf("empty: %v %v", tuning, err)
+		t.Fatalf("ParseTuning(nil) = %v, %v, want the defaults", tuning, err)
 	}
 	tuning, err := ParseTuning([]byte("alpha: 70\nspare_max: 2\n"))
 	if err != nil || tuning.Alpha != 70 || tuning.SpareMax != 2 || tuning.IdleWaitS != DefaultTuning().IdleWaitS {
-		t.Fatalf("%+v %v", tuning, err)
+		t.Fatalf("ParseTuning with alpha and spare_max set = %+v, %v, want these two changed and the defaults otherwise", tuning, err)
 	}
 	for _, testCase := range [][2]string{
 		{"alfa: 3\n", "alfa"}, {"alpha: -1\n", "alpha"}, {"alpha: x\n", "Alpha"}, {"spare_min: 3\nspare_max: 2\n", "spare_max"},
 		{"smooth_need: 2\n", "smooth_need"}, {"alpha: [\n", ""}, {"leader_ttl_s: 0.1\n", "leader_ttl_s"},
 	} {
 		if _, err := ParseTuning([]byte(testCase[0])); err == nil || !strings.Contains(err.Error(), testCase[1]) {
-			t.Errorf("%q: %v", testCase[0], err)
+			t.Errorf("ParseTuning(%q): got error %v, want one that names the invalid setting", testCase[0], err)
 		}
 	}
 }
@@ -119,9 +120,9 @@
 	}
 }
 
-// Unusual settings that have a meaning are accepted: guarantees above limits or above any
-// fleet, guarantees of one resource alone, small values and transactions. Those that have none
-// are refused by the field's name.
+// Unusual settings must be accepted if they have a meaning: guarantees above the limits or above any
+// fleet, guarantees of only one resource, and small values and transactions. Meaningless settings must
+// be rejected with the field's name.
 func TestUnusualValidSettingsAreAccepted(t *testing.T) {
 	for _, testCase := range []struct {
 		from, to, field string
@@ -136,18 +137,18 @@
 	} {
 		settings := strings.Replace(minimalPlatformJSON, testCase.from, testCase.to, 1)
 		if settings == minimalPlatformJSON {
-			t.Fatalf("%s is not in the settings", testCase.from)
+			t.Fatalf("%s does not occur in minimalPlatformJSON", testCase.from)
 		}
 		_, err := ParsePlatform([]byte(settings))
 		switch {
 		case testCase.field == "" && err != nil:
-			t.Errorf("%s: %v", testCase.to, err)
+			t.Errorf("ParsePlatform with %s: got error %v, want none", testCase.to, err)
 		case testCase.field != "" && (err == nil || !strings.HasPrefix(err.Error(), testCase.field+":")):
-			t.Errorf("%s: %v, want %s named", testCase.to, err, testCase.field)
+			t.Errorf("ParsePlatform with %s: got error %v, want one about %s", testCase.to, err, testCase.field)
 		}
 	}
 	if _, err := ParseTuning([]byte("gang_weight: -1")); err == nil || !strings.HasPrefix(err.Error(), "gang_weight:") {
-		t.Errorf("a gang weight below 0: %v", err)
+		t.Errorf("ParseTuning with gang_weight -1: got error %v, want one about gang_weight", err)
 	}
 }
 
@@ -158,15 +159,15 @@
 "state":{"rps":200,"write_rps":20,"value_kb":8,"txn_ops":24},"cloud":{"rps":8,"list_lag_s":3},
 "limits":{"cores":0.12,"ram_mb":98,"max_sockets":900},"clock_error_ms":100}}`
 
-// The effective limits are the stricter of the current and the upcoming ones.
+// The effective limits must be the stricter of the current and the upcoming limits.
 func TestEffectiveStoreLimitsAreTheStricter(t *testing.T) {
 	currentLimits := StoreLimits{RPS: 200, WriteRPS: 80, MaxValueKB: 16, MaxTransactionOps: 48}
 	if got := currentLimits.Effective(); got != currentLimits {
-		t.Errorf("without limits to come: %+v", got)
+		t.Errorf("Effective() without upcoming limits = %+v, want the limits unchanged", got)
 	}
 	withUpcoming := currentLimits
 	withUpcoming.Upcoming = &UpcomingStoreLimits{WriteRPS: 56, MaxValueKB: 2, MaxTransactionOps: 96}
 	if got, want := withUpcoming.Effective(), (StoreLimits{RPS: 200, WriteRPS: 56, MaxValueKB: 2, MaxTransactionOps: 48}); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("Effective() with upcoming limits = %+v, want %+v", got, want)
 	}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,6 +1,6 @@
-// Package config reads and checks the two settings files: the platform's JSON, which describes
-// the deployment, and the operators' YAML, which tunes firwood's behavior in it. All faults of
-// both are reported together, before a controller listens.
+// Package config reads and checks the two settings files: the platform's JSON file, which describes
+// the deployment, and the operators' YAML file, which tunes firwood's behavior in that deployment.
+// All errors in both files are reported together, before a controller listens.
 package config
 
 import (
@@ -10,7 +10,8 @@
 	"slices"
 )
 
-// Platform is the platform's file (DEPLOY). Unknown fields are ignored, since new ones may come.
+// Platform holds the settings of the platform's file (DEPLOY). Unknown fields are ignored, since the
+// platform may add fields.
 type Platform struct {
 	Member string `json:"member"`
 	// Location is the controller's zone.
@@ -29,15 +30,15 @@
 	Address  string `json:"address"`
 }
 
-// ExternalServices are the addresses of the cloud and the key-value store, as IP:port.
+// ExternalServices holds the addresses of the cloud and the key-value store, as IP:port.
 type ExternalServices struct {
 	CloudAddress string `json:"cloud"`
 	StoreAddress string `json:"state"`
 }
 
-// Deployment is the part of the file that is the same for all controllers.
+// Deployment holds the settings that are the same for all controllers.
 type Deployment struct {
-	// ControllerCount is not used: Peers count.
+	// ControllerCount is not used; the number of controllers follows from Platform.Peers.
 	ControllerCount int           `json:"nodes"`
 	Zones           []string      `json:"zones"`
 	Teams           []Team        `json:"teams"`
@@ -46,12 +47,12 @@
 	Store           StoreLimits   `json:"state"`
 	Cloud           Cloud         `json:"cloud"`
 	ProcessLimits   ProcessLimits `json:"limits"`
-	// ClockErrorMillis bounds how far the time of day of a process is from the true time.
+	// ClockErrorMillis bounds the difference between a process's wall-clock time and the true time.
 	ClockErrorMillis float64 `json:"clock_error_ms"`
 }
 
-// Team is a team's quota: its guarantees and its limits. A guarantee of 0 is no guarantee, a limit of
-// 0 no limit.
+// Team holds a team's quota: its guarantees and its limits. A guarantee of 0 means no guarantee, and a
+// limit of 0 means no limit.
 type Team struct {
 	Name           string  `json:"name"`
 	GuaranteedCPUs float64 `json:"cpus"`
@@ -69,39 +70,40 @@
 	TargetFraction float64 `json:"share"`
 }
 
-// WorkerTimings are the workers' intervals and timeouts (PROTOCOL, "Workers -> controller nodes").
+// WorkerTimings holds the workers' intervals and timeouts (PROTOCOL, "Workers -> controller nodes").
 type WorkerTimings struct {
 	HeartbeatIntervalSeconds float64 `json:"report_s"`
 	LeaseSeconds             float64 `json:"lease_s"`
-	// GangStartTimeoutSeconds and GangPeerTimeoutSeconds are not used: workers keep to them.
+	// GangStartTimeoutSeconds and GangPeerTimeoutSeconds are not used; workers enforce them.
 	GangStartTimeoutSeconds float64 `json:"gang_wait_s"`
 	GangPeerTimeoutSeconds  float64 `json:"gang_peer_s"`
-	// CancelTimeoutSeconds is the time within which all tasks of a cancelled job must be gone.
+	// CancelTimeoutSeconds is the time within which all tasks of a cancelled job must have ended.
 	CancelTimeoutSeconds float64 `json:"cancel_s"`
 }
 
-// StoreLimits are the key-value store's limits, for all controllers together (PROTOCOL,
+// StoreLimits holds the key-value store's limits for all controllers together (PROTOCOL,
 // "Controller nodes -> state service").
 type StoreLimits struct {
-	// RPS is requests a second, WriteRPS puts and deletes a second.
+	// RPS is the limit of requests per second, and WriteRPS the limit of puts and deletes per second.
 	RPS               float64 `json:"rps"`
 	WriteRPS          float64 `json:"write_rps"`
 	MaxValueKB        float64 `json:"value_kb"`
 	MaxTransactionOps int     `json:"txn_ops"`
-	// Upcoming, if not nil, are limits that will apply from some moment on, without notice; see
-	// Effective.
+	// Upcoming holds limits that will apply from an unknown time on, without notice, or is nil if
+	// there are none. See Effective.
 	Upcoming *UpcomingStoreLimits `json:"next"`
 }
 
-// UpcomingStoreLimits are the key-value store's later limits; 0 means unchanged.
+// UpcomingStoreLimits holds the key-value store's future limits. A limit of 0 means that it doesn't
+// change.
 type UpcomingStoreLimits struct {
 	WriteRPS          float64 `json:"write_rps"`
 	MaxValueKB        float64 `json:"value_kb"`
 	MaxTransactionOps int     `json:"txn_ops"`
 }
 
-// Effective returns the stricter of the current and the upcoming limits: what is written must
-// fit both, since nothing tells when the upcoming ones apply.
+// Effective returns the stricter of the current and the upcoming limits. Every write must satisfy
+// both, since the store does not announce when the upcoming limits begin to apply.
 func (limits StoreLimits) Effective() StoreLimits {
 	if limits.Upcoming == nil {
 		return limits
@@ -119,23 +121,24 @@
 	return limits
 }
 
-// Cloud holds the cloud's limits: requests a second for all controllers together, and how far its
-// list of machines mostly lags (PROTOCOL, GET /hosts: at times up to twice as far).
+// Cloud holds the cloud's limit of requests per second for all controllers together, and the usual lag
+// of its list of machines. At times the list lags up to twice as long (PROTOCOL, GET /hosts).
 type Cloud struct {
 	RPS            float64 `json:"rps"`
 	ListLagSeconds float64 `json:"list_lag_s"`
 }
 
-// ProcessLimits are the limits of a controller's process.
+// ProcessLimits holds the resource limits of a controller's process.
 type ProcessLimits struct {
 	Cores      float64 `json:"cores"`
 	MemoryMB   float64 `json:"ram_mb"`
 	MaxSockets int     `json:"max_sockets"`
 }
 
-// ConnectionLimit is how many connections workers, users, probes, other controllers and command
-// requests may use together. reservedSockets are kept for the key-value store, the cloud, the
-// listeners and connections that are being closed, or half of the sockets if there are so few.
+// ConnectionLimit returns how many connections workers, users, probes, other controllers and command
+// requests may use together. The remaining reservedSockets, or half of the sockets if there are fewer
+// than twice that number, are kept for the key-value store, the cloud, the listeners and connections
+// that are being closed.
 func (platform *Platform) ConnectionLimit() int {
 	limit := platform.Deployment.ProcessLimits.MaxSockets
 	return limit - min(reservedSockets, limit/2)
@@ -157,7 +160,7 @@
 	return platform, nil
 }
 
-// ParsePlatform decodes and checks the platform's settings. Errors name the field.
+// ParsePlatform decodes and checks the platform's settings. An error names the field that it concerns.
 func ParsePlatform(data []byte) (*Platform, error) {
 	platform := &Platform{}
 	if err := json.Unmarshal(data, platform); err != nil {
@@ -173,7 +176,7 @@
 	return platform, nil
 }
 
-// checks are what must hold of the platform's settings, in the order in which faults are reported.
+// checks returns the checks of the platform's settings, in the order in which errors are reported.
 func (platform *Platform) checks() []check {
 	checks := []check{
 		{platform.Member != "", "member", "is missing"},
@@ -232,7 +235,7 @@
 
 func isValidMaxValue(kilobytes float64) bool { return kilobytes >= 1 && isPositive(kilobytes) }
 
-// The least limits of the process that a controller runs with at all.
+// The lowest limits of the process with which a controller can run.
 const (
 	minMemoryMB = 32
 	minSockets  = 32
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -10,16 +10,16 @@
 	"strings"
 )
 
-// FieldError says what is wrong with one field of the settings.
+// FieldError reports an invalid field of the settings.
 type FieldError struct{ Field, Reason string }
 
-// Error gives the field and the reason.
+// Error returns the field and the reason.
 func (problem FieldError) Error() string { return problem.Field + ": " + problem.Reason }
 
-// FieldErrors lists all that is wrong with a settings file.
+// FieldErrors holds all invalid fields of a settings file.
 type FieldErrors []FieldError
 
-// Error lists the problems, a line each.
+// Error returns the errors, one per line.
 func (problems FieldErrors) Error() string {
 	lines := make([]string, len(problems))
 	for i := range problems {
@@ -28,7 +28,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap gives the problems one by one.
+// Unwrap returns the errors of the single fields.
 func (problems FieldErrors) Unwrap() []error {
 	wrapped := make([]error, len(problems))
 	for i := range problems {
@@ -37,7 +37,7 @@
 	return wrapped
 }
 
-// readFile reads a settings file. The path stands once in the error.
+// readFile reads a settings file. Its error contains the path only once.
 func readFile(path string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	var pathError *fs.PathError
@@ -50,7 +50,7 @@
 	return data, nil
 }
 
-// withFilePath names the file that an error is about, in each of its lines.
+// withFilePath adds the path of the file to an error, in each line if the error has one line per field.
 func withFilePath(path string, err error) error {
 	var problems FieldErrors
 	if !errors.As(err, &problems) {
@@ -63,10 +63,10 @@
 	return prefixed
 }
 
-// check is something that must hold of a field.
+// check is the result of checking one field.
 type check struct {
 	isSatisfied   bool
-	field, reason string // the reason goes on from the field's name, as in "is below 0"
+	field, reason string // reason continues the sentence after the field's name, as in "is below 0"
 }
 
 func checkPositive(field string, value float64) check {
@@ -77,7 +77,7 @@
 	return check{isNonNegative(value), field, "is below 0"}
 }
 
-// checkSmoothingFactor asks for a smoothing factor.
+// checkSmoothingFactor checks that a value is within (0, 1], as smoothing factors are.
 func checkSmoothingFactor(field string, value float64) check {
 	return check{value > 0 && value <= 1, field, "is not within (0, 1]"}
 }
@@ -86,14 +86,14 @@
 	return check{isAddrPort(value), field, "is not IP:port"}
 }
 
-// checkUnique asks for a name that is not among those seen, and adds it to them.
+// checkUnique checks that a name is not empty and not in seen, and adds it to seen.
 func checkUnique(field, name string, seen map[string]bool) check {
 	isUnique := name != "" && !seen[name]
 	seen[name] = true
 	return check{isUnique, field, "is missing or not unique"}
 }
 
-// collectProblems lists the checks that don't hold, nil if there are none.
+// collectProblems returns the errors of the checks that failed, or nil if there are none.
 func collectProblems(checks []check) error {
 	var problems FieldErrors
 	for _, c := range checks {
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -11,97 +11,102 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Tuning is the operators' file: how firwood behaves. Names of settings that end in _s are
-// seconds. The file is flat; the groups exist in Go only.
+// Tuning holds the settings of the operators' file, which tune firwood's behavior. A setting whose
+// name ends in _s is in seconds. The file is flat: the groups exist only in Go.
 type Tuning struct {
-	// LeaderTTLS is the TTL of the leader lock; 0 derives it from the workers' lease.
+	// LeaderTTLS is the TTL of the leader lock, or 0 to derive it from the workers' lease.
 	LeaderTTLS       float64 `yaml:"leader_ttl_s"`
 	Costs            `yaml:",inline"`
 	ArrivalWindows   `yaml:",inline"`
 	WarmSpares       `yaml:",inline"`
 	ScreenTolerances `yaml:",inline"`
 	Smoothing        `yaml:",inline"`
-	// HorizonS bounds the planning horizon for the cost of idle machines.
+	// HorizonS bounds the time over which the cost of idle machines is counted.
 	HorizonS float64 `yaml:"horizon_s"`
 	// SpotPatienceS is how long a job that allows spot machines waits for one before an
 	// on-demand machine is requested for it.
 	SpotPatienceS float64 `yaml:"spot_patience_s"`
-	// AgeAfterS is the threshold of priority aging: a job of which nothing has been started
-	// for so long goes first within its priority.
+	// AgeAfterS is the threshold of priority aging: a job that has waited this long for its first
+	// start goes before the other jobs of its priority.
 	AgeAfterS float64 `yaml:"age_after_s"`
-	// GangWeight is what a second of a gang's wait weighs, in seconds of lower-priority work on
-	// as many machines: it decides whether the gang waits for room or has work preempted.
+	// GangWeight is the cost of one second of a gang's wait, in seconds of lower-priority work on as
+	// many machines as the gang needs. It decides whether the gang waits for free machines or
+	// preempts work.
 	GangWeight float64 `yaml:"gang_weight"`
-	// FleetMachines is the largest fleet planned, used to check the deployment's limits;
-	// 0: no check.
+	// FleetMachines is the largest planned number of machines, for which the deployment's limits
+	// are checked, or 0 for no check.
 	FleetMachines int `yaml:"fleet_machines"`
-	// FinishedJobs is the size of a controller's cache of finished jobs, in jobs; others are
-	// looked up in the key-value store. 0 derives it from the memory limit.
+	// FinishedJobs is the capacity of a controller's cache of finished jobs, or 0 to derive it from
+	// the memory limit. Other finished jobs are looked up in the key-value store.
 	FinishedJobs int `yaml:"finished_jobs"`
-	// ArchiveFinishedAfterS is the age at which finished jobs are moved to the archive, which is
-	// not read when a controller starts; 0: there is none, and what is in it is moved back.
+	// ArchiveFinishedAfterS is the age at which finished jobs are moved to the archive, which is not
+	// read when a controller starts. If it is 0 there is no archive, and jobs in an existing archive
+	// are moved back.
 	ArchiveFinishedAfterS float64 `yaml:"archive_finished_after_s"`
-	// Standby is about replicas of the leader's allocation table.
+	// Standby holds the settings of replicas of the leader's allocation table.
 	Standby Standby `yaml:"standby"`
 }
 
-// Costs weigh waiting work against idle machines.
+// Costs holds the settings that weigh the wait of jobs against idle machines.
 type Costs struct {
-	// Alpha is the weight of a second of wait, in idle machine-seconds.
+	// Alpha is the weight of a second of wait, in idle machine-seconds if Beta is 1.
 	Alpha float64 `yaml:"alpha"`
 	// Beta is the weight of an idle machine-second.
 	Beta float64 `yaml:"beta"`
-	// IdleWaitS is how long an idle machine is kept.
+	// IdleWaitS is how long an idle machine is kept before it is deleted.
 	IdleWaitS float64 `yaml:"idle_wait_s"`
-	// LaxIdleWaitS is the same where users expect no start sooner than a machine boots.
+	// LaxIdleWaitS applies instead of IdleWaitS where users do not expect jobs to start sooner than
+	// a machine boots.
 	LaxIdleWaitS float64 `yaml:"lax_idle_wait_s"`
 }
 
-// ArrivalWindows are how far back arrivals of jobs count.
+// ArrivalWindows holds how far back arrivals of jobs are considered.
 type ArrivalWindows struct {
-	// ScreenWindowS is the window of the screen, which tests whether intervals between arrivals and
-	// run times look exponential.
+	// ScreenWindowS is the window of the screen, which is the test of whether the intervals between
+	// arrivals and the run times fit an exponential distribution.
 	ScreenWindowS float64 `yaml:"screen_window_s"`
-	// RecencyS is how long an arrival counts as recent.
+	// RecencyS is how recent the last arrival must be for warm spares to be kept.
 	RecencyS float64 `yaml:"recency_s"`
 }
 
-// WarmSpares bounds the target for warm spares, in machines.
+// WarmSpares bounds the target number of warm spare machines.
 type WarmSpares struct {
 	SpareMin int `yaml:"spare_min"`
-	// SpareMax of 0 stands for a bound that grows with the fleet.
+	// SpareMax is the upper bound, or 0 for a bound that grows with the fleet.
 	SpareMax int `yaml:"spare_max"`
 }
 
-// ScreenTolerances are the tolerances of the screen, as in the paper on SNF-ICON (PAPER,
-// section IV-A): how far intervals between arrivals, and run times, may be from exponential ones.
+// ScreenTolerances holds the tolerances of the screen, as in the paper on SNF-ICON (PAPER, section
+// IV-A): how far the intervals between arrivals, and the run times, may deviate from an exponential
+// distribution.
 type ScreenTolerances struct {
-	// The screen rejects fewer samples than ScreenMinSamples; of more than ScreenMaxSamples the
-	// newest count.
+	// ScreenMinSamples is the number of samples below which the screen rejects a series. Of more
+	// than ScreenMaxSamples samples, only the newest are used.
 	ScreenMinSamples int `yaml:"screen_min_samples"`
 	ScreenMaxSamples int `yaml:"screen_max_samples"`
-	// ScreenCV is how far the coefficient of variation may be from 1.
+	// ScreenCV is the largest accepted deviation of the coefficient of variation from 1.
 	ScreenCV float64 `yaml:"screen_cv"`
-	// ScreenLag is the largest correlation, by amount, of successive samples.
+	// ScreenLag is the largest accepted absolute correlation of successive samples.
 	ScreenLag float64 `yaml:"screen_lag"`
-	// ScreenKS is the largest Kolmogorov-Smirnov distance, times the square root of the
-	// number of samples.
+	// ScreenKS is the largest accepted Kolmogorov-Smirnov distance, multiplied by the square root
+	// of the number of samples.
 	ScreenKS float64 `yaml:"screen_ks"`
 }
 
-// Smoothing are the factors of exponential smoothing, within (0, 1]: of intervals between
-// arrivals, of run times, and of the sizes of requests.
+// Smoothing holds the factors of exponential smoothing, each within (0, 1]: of the intervals between
+// arrivals, of run times, and of the sizes of jobs.
 type Smoothing struct {
 	SmoothArrival float64 `yaml:"smooth_arrival"`
 	SmoothService float64 `yaml:"smooth_service"`
 	SmoothNeed    float64 `yaml:"smooth_need"`
 }
 
-// Standby are the settings of replicas of the leader's allocation table on the followers.
+// Standby holds the settings of replicas of the leader's allocation table on the followers.
 type Standby struct {
-	// Enabled makes this controller keep a replica, and stream its table when it leads.
+	// Enabled makes this controller keep a replica as a follower, and stream its table as leader.
 	Enabled bool `yaml:"enabled"`
-	// Trace is the file, or "stderr", to which spans of failovers are written; none if empty.
+	// Trace is the file to which spans of failovers are written, or "stderr" for standard error. If
+	// it is empty, no spans are written.
 	Trace string `yaml:"trace"`
 }
 
@@ -109,20 +114,21 @@
 	// minLeaderTTLSeconds and maxLeaderTTLSeconds bound the TTL of the leader lock.
 	minLeaderTTLSeconds = 0.5
 	maxLeaderTTLSeconds = 600
-	// maxSpares bounds the upper bound of warm spares.
+	// maxSpares is the highest value that spare_max may have.
 	maxSpares = 100_000
-	// minScreenSamples is the fewest samples that the screen's statistics are defined for.
+	// minScreenSamples is the smallest number of samples for which the screen's statistics are
+	// defined.
 	minScreenSamples = 3
-	// minArchiveAfterSeconds is the smallest age, after which no late message about a finished job
-	// comes any more.
+	// minArchiveAfterSeconds is the lowest age for archiving. At that age no late messages about a
+	// finished job arrive any more.
 	minArchiveAfterSeconds = 600
 	maxArchiveAfterSeconds = 1e9
-	// minFinishedJobs is the smallest cache, in jobs: users poll a job until they have seen its
-	// final state, so recently finished ones are asked for.
+	// minFinishedJobs is the smallest capacity of the cache. Users poll a job until they have seen
+	// its final state, so recently finished jobs are requested often.
 	minFinishedJobs = 100
 )
 
-// DefaultTuning gives the defaults.
+// DefaultTuning returns the default settings.
 func DefaultTuning() Tuning {
 	return Tuning{
 		Costs:            Costs{Alpha: 50, Beta: 1, IdleWaitS: 25, LaxIdleWaitS: 8},
@@ -135,7 +141,7 @@
 	}
 }
 
-// LoadTuning reads and checks the operators' file. An empty path gives the defaults.
+// LoadTuning reads and checks the operators' file. For an empty path it returns the defaults.
 func LoadTuning(path string) (Tuning, error) {
 	if path == "" {
 		return DefaultTuning(), nil
@@ -151,8 +157,8 @@
 	return tuning, nil
 }
 
-// ParseTuning decodes and checks the operators' settings. An unknown key is an error; one that
-// is missing has its default.
+// ParseTuning decodes and checks the operators' settings. An unknown setting is an error, and a missing
+// one gets its default.
 func ParseTuning(data []byte) (Tuning, error) {
 	tuning := DefaultTuning()
 	if len(bytes.TrimSpace(data)) > 0 {
@@ -168,8 +174,8 @@
 	return tuning, nil
 }
 
-// removeGroupName drops the name of a group from a type error, which names the field by Go's names:
-// operators get "Tuning.Alpha", as when there were no groups.
+// removeGroupName removes the name of the embedded group from a YAML type error, which names a field by
+// its Go name. Operators then see "Tuning.Alpha", as they did before the settings were grouped.
 func removeGroupName(err error) {
 	var typeError *yaml.TypeError
 	if !errors.As(err, &typeError) || typeError.StructFieldName == nil {
@@ -181,7 +187,7 @@
 	}
 }
 
-// checks are what must hold of the operators' settings, in the order in which faults are reported.
+// checks returns the checks of the operators' settings, in the order in which errors are reported.
 func (tuning *Tuning) checks() []check {
 	return slices.Concat(
 		[]check{{isValidLeaderTTL(tuning.LeaderTTLS), "leader_ttl_s", "is not 0 or between 0.5 and 600"}},
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -70,17 +70,17 @@
 // New returns metrics that are all zero.
 func New() *Metrics {
 	metrics := &Metrics{registry: prometheus.NewRegistry()}
-	replyCounters := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "heartbeat_replies_total", Help: "Replies to workers' heartbeats, by result."}, []string{"result"})
+	heartbeatReplies := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "heartbeat_replies_total", Help: "Replies to workers' heartbeats, by result."}, []string{"result"})
 	for reply := range metrics.heartbeatReplies {
-		metrics.heartbeatReplies[reply] = replyCounters.WithLabelValues(HeartbeatReply(reply).String())
+		metrics.heartbeatReplies[reply] = heartbeatReplies.WithLabelValues(HeartbeatReply(reply).String())
 	}
 	metrics.commands = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "commands_total", Help: "Commands to workers, by kind, channel and outcome."}, []string{"kind", "channel", "outcome"})
-	durationHistograms := prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "failover_seconds", Help: "Durations of the parts of this member's failovers.", Buckets: failoverBuckets}, []string{"part"})
+	failoverDurations := prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: "failover_seconds", Help: "Durations of the parts of this member's failovers.", Buckets: failoverBuckets}, []string{"part"})
 	for part := range metrics.failoverDurations {
-		metrics.failoverDurations[part] = durationHistograms.WithLabelValues(FailoverPart(part).String())
+		metrics.failoverDurations[part] = failoverDurations.WithLabelValues(FailoverPart(part).String())
 	}
 	metrics.failoverCount = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "failovers_total", Help: "Terms that this member has begun as leader."})
-	metrics.registry.MustRegister(replyCounters, metrics.commands, durationHistograms, metrics.failoverCount)
+	metrics.registry.MustRegister(heartbeatReplies, metrics.commands, failoverDurations, metrics.failoverCount)
 	metrics.gauges = gauges{
 		isLeader:              metrics.newGauge("leader", "1 if this member leads and may act, else 0."),
 		token:                 metrics.newGauge("token", "Fencing token of the newest leader that this member knows."),
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -47,16 +47,16 @@
 // New makes a tracer that writes to a destination (a path, or StandardErrorDestination) on behalf
 // of a member.
 func New(destination, member string) (*Tracer, error) {
-	out, closeDestination, err := openDestination(destination)
+	out, closeOutput, err := openDestination(destination)
 	if err != nil {
 		return nil, err
 	}
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(&boundedWriter{destination: out, remainingBytes: maxTraceBytes}))
 	if err != nil {
-		return nil, errors.Join(err, closeDestination())
+		return nil, errors.Join(err, closeOutput())
 	}
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter), sdktrace.WithSampler(sdktrace.AlwaysSample()))
-	return &Tracer{tracer: provider.Tracer(member), closeDestination: closeDestination}, nil
+	return &Tracer{tracer: provider.Tracer(member), closeDestination: closeOutput}, nil
 }
 
 func openDestination(destination string) (io.Writer, func() error, error) {
