--- a/cmd/firwood/job.go
+++ b/cmd/firwood/job.go
@@ -17,7 +17,7 @@
 	command := &cobra.Command{Use: "job", Short: "Submit, show and withdraw jobs"}
 	addNodeFlag(command, &node)
 	cancelCommand := newJobIDCommand(&node, "cancel ID", "Withdraw a job", "POST", "/withdraw")
-	cancelCommand.Aliases = []string{"withdraw"} // its former name
+	cancelCommand.Aliases = []string{"withdraw"} // the command's former name
 	command.AddCommand(
 		newSubmitCommand(&node),
 		newJobIDCommand(&node, "show ID", "Show a job's state", "GET", ""),
@@ -54,7 +54,7 @@
 	return os.ReadFile(name)
 }
 
-// newJobIDCommand makes a command that sends one request about the job with an id, and prints
+// newJobIDCommand returns a command that sends one request about the job with a given ID and prints
 // the job's state.
 func newJobIDCommand(node *string, use, short, method, targetSuffix string) *cobra.Command {
 	return &cobra.Command{
@@ -72,7 +72,8 @@
 	}
 }
 
-// printJobStatus prints a controller's answer about a job; an error status is an error.
+// printJobStatus prints the job's state from a controller's response. It returns an error for an error
+// status.
 func printJobStatus(out io.Writer, response *http1.Message) error {
 	if response.Status/100 != 2 {
 		var errorResponse wire.ErrorResponse
--- a/cmd/firwood/job_test.go
+++ b/cmd/firwood/job_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// startFakeController answers every request with a status and a body, and records the requests.
+// startFakeController starts a server that replies to every request with the given status and body, and
+// returns its address and the requests that it has received.
 func startFakeController(t *testing.T, status int, body string) (address string, requests *[]string) {
 	t.Helper()
 	requests = &[]string{}
@@ -22,8 +23,8 @@
 	return strings.TrimPrefix(server.URL, "http://"), requests
 }
 
-// `firwood job cancel` and its alias `withdraw` send the same request, print the same and end
-// with the same exit status.
+// `firwood job cancel` and its alias `withdraw` must send the same request, print the same output and
+// end with the same exit status.
 func TestWithdrawIsAliasOfCancel(t *testing.T) {
 	for _, testCase := range []struct {
 		name     string
@@ -43,20 +44,20 @@
 			var errorOut bytes.Buffer
 			exitCode := reportError(err, &errorOut)
 			if out += errorOut.String(); out != testCase.out || exitCode != testCase.exitCode {
-				t.Errorf("%s, %s: exit status %d: %q", name, testCase.name, exitCode, out)
+				t.Errorf("%s, %s: exit status %d, output %q, want those of the test case", name, testCase.name, exitCode, out)
 			}
 			if want := []string{"POST /api/jobs/req-000001/withdraw"}; !slices.Equal(*requests, want) {
-				t.Errorf("%s, %s: sent %q", name, testCase.name, *requests)
+				t.Errorf("%s, %s: sent %q, want one POST to /api/jobs/req-000001/withdraw", name, testCase.name, *requests)
 			}
 		}
 	}
 	for _, name := range []string{"cancel", "withdraw"} {
 		if _, err := executeCommand("job", name, "nonsense"); err == nil || !strings.Contains(err.Error(), "form of a job id") {
-			t.Errorf("%s of a malformed id: %v", name, err)
+			t.Errorf("%s of a malformed ID: got error %v, want one about the form of a job ID", name, err)
 		}
 	}
 	out, err := executeCommand("job", "withdraw", "--help")
 	if err != nil || !strings.Contains(out, "job cancel ID") || !strings.Contains(out, "cancel, withdraw") {
-		t.Errorf("help of the alias: %v: %s", err, out)
+		t.Errorf("help of the alias: error %v, output %s, want the usage of cancel with both names", err, out)
 	}
 }
--- a/cmd/firwood/main.go
+++ b/cmd/firwood/main.go
@@ -1,5 +1,5 @@
-// Command firwood is the cluster scheduler: it runs a controller, and has the commands with
-// which users and operators talk to controllers and workers.
+// Command firwood is the cluster scheduler. It runs a controller, and has commands with which users and
+// operators communicate with controllers and workers.
 package main
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/spf13/cobra"
 )
 
-// version is set by release builds.
+// version is the program's version. Release builds set it.
 var version = "0.1.0-dev"
 
-// Exit statuses; 0 is success.
+// Exit statuses of the process; 0 means success.
 const (
 	exitFailed          = 1
 	exitInvalidSettings = 2
@@ -25,8 +25,8 @@
 	os.Exit(reportError(newRootCommand().Execute(), os.Stderr))
 }
 
-// reportError prints an error, one line for each fault of the settings, and returns the exit
-// status.
+// reportError prints an error, with one line for each invalid field of the settings, and returns the
+// exit status.
 func reportError(err error, out io.Writer) int {
 	if err == nil {
 		return 0
--- a/cmd/firwood/main_test.go
+++ b/cmd/firwood/main_test.go
@@ -24,7 +24,7 @@
 	return out.String(), err
 }
 
-// `firwood worker` prints the status of a fake worker.
+// `firwood worker` must print the status of a worker, here of a fake one.
 func TestWorkerCommandPrintsStatus(t *testing.T) {
 	types := []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, Zones: []string{"x"}}}
 	fakeCloud, stop := fake.NewCloud([]string{"n0"}, map[string]string{"n0": "127.0.0.1:1"}, types, time.Second, time.Minute)
@@ -35,11 +35,11 @@
 	}
 	machines, err := cloudClient.ListMachines()
 	if err != nil || len(machines) != 1 {
-		t.Fatalf("%v %v", machines, err)
+		t.Fatalf("ListMachines: machines %v, error %v, want one machine", machines, err)
 	}
 	out, err := executeCommand("worker", machines[0].Address)
 	if err != nil || !strings.Contains(out, "i-000000 m in x, session 1, token 0, 0 tasks") {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("error %v, output %q, want the worker's status line", err, out)
 	}
 }
 
@@ -53,7 +53,7 @@
 	return path
 }
 
-// Each command line gives the output or the error that names what it is about.
+// Each command line must have the expected output, or an error that names the faulty argument or setting.
 func TestCommandLineOutputsAndErrors(t *testing.T) {
 	dir := t.TempDir()
 	invalidPlatform := writeFile(t, dir, "bad.json", `{"member":"a","serve_on":"nonsense"}`)
@@ -62,7 +62,7 @@
 	invalidJob := writeFile(t, dir, "job.json", `{"nameId":"x"}`)
 	for _, testCase := range []struct {
 		args []string
-		out  string // what the output or the error has to name
+		out  string // a text that the output or the error must contain
 		ok   bool
 	}{
 		{nil, "Usage:", true},
@@ -87,7 +87,7 @@
 			out += err.Error()
 		}
 		if (err == nil) != testCase.ok || !strings.Contains(out, testCase.out) {
-			t.Errorf("%v: %v: %s", testCase.args, err, out)
+			t.Errorf("firwood %v: error %v, output and error %q, want those of the test case", testCase.args, err, out)
 		}
 	}
 }
@@ -98,8 +98,8 @@
 "state":{"rps":150,"write_rps":30,"value_kb":8,"txn_ops":24},"cloud":{"rps":4,"list_lag_s":5},
 "limits":{"cores":0.3,"ram_mb":512,"max_sockets":3500}}}`
 
-// Invalid settings end with status 2 and a line for each field, of both files at once; so do
-// limits that can't serve the fleet that is named.
+// Invalid settings must end the process with status 2 and one line for each invalid field of both files
+// together. The same holds for limits that are too low for the planned fleet.
 func TestInvalidSettingsExitStatus(t *testing.T) {
 	dir := t.TempDir()
 	platform := writeFile(t, dir, "platform.json", validPlatformJSON)
@@ -111,30 +111,30 @@
 	}{
 		{"good", platform, "fleet_machines: 1500\nfinished_jobs: 100\narchive_finished_after_s: 600\n", 0, nil},
 		{"two fields in each", invalidPlatform, "alpha: -1\nbeta: -1\n", 2, []string{"deployment.state.rps: ", "deployment.state.txn_ops: ", "alpha: ", "beta: "}},
-		{"at odds with each other", platform, "leader_ttl_s: 40\n", 2, []string{"leader_ttl_s: "}},
+		{"incompatible files", platform, "leader_ttl_s: 40\n", 2, []string{"leader_ttl_s: "}},
 		{"too many machines", platform, "fleet_machines: 4000\n", 2, []string{"deployment.limits.max_sockets: 3500, and a fleet of 4000 machines needs 4731 (1231 more)", "deployment.limits.cores: "}},
 		{"no such file", filepath.Join(dir, "none"), "", 2, []string{"none: cannot be read"}},
 	} {
 		_, err := executeCommand("check", "--config", testCase.platform, "--settings", writeFile(t, dir, "tuning.yaml", testCase.tuning))
 		var out bytes.Buffer
 		if code := reportError(err, &out); code != testCase.code {
-			t.Errorf("%s: ends with %d: %s", testCase.name, code, out.String())
+			t.Errorf("%s: exit status %d, output %q, want the status of the test case", testCase.name, code, out.String())
 		}
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 		if len(testCase.lines) > 0 && len(lines) != len(testCase.lines) {
-			t.Errorf("%s: %d lines:\n%s", testCase.name, len(lines), out.String())
+			t.Errorf("%s: %d lines, want one for each expected error:\n%s", testCase.name, len(lines), out.String())
 			continue
 		}
 		for i, want := range testCase.lines {
 			if !strings.Contains(lines[i], want) {
-				t.Errorf("%s: line %d is %q", testCase.name, i, lines[i])
+				t.Errorf("%s: line %d is %q, want the expected error", testCase.name, i, lines[i])
 			}
 		}
 	}
 	if _, err := executeCommand("check", "--config", platform); err != nil {
-		t.Errorf("a fleet that is not named: %v", err)
+		t.Errorf("check without a planned fleet: got error %v, want none", err)
 	}
 	if _, err := executeCommand("--config", invalidPlatform); reportError(err, &bytes.Buffer{}) != 2 {
-		t.Errorf("serving with bad settings ends with %v", err)
+		t.Errorf("serving with invalid settings: error %v, want one with exit status 2", err)
 	}
 }
--- a/cmd/firwood/request.go
+++ b/cmd/firwood/request.go
@@ -18,7 +18,7 @@
 	statusOK         = 200
 )
 
-// sendRequest sends one request to a controller or a worker, at IP:port.
+// sendRequest sends one request to a controller or worker. The address has the form IP:port.
 func sendRequest(address, method, target string, body []byte) (*http1.Message, error) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return nil, fmt.Errorf("%q is not IP:port", address)
@@ -28,7 +28,7 @@
 	return host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: requestTimeout})
 }
 
-// getJSON decodes what a controller answers to GET.
+// getJSON sends a GET request to a controller and decodes the response into value.
 func getJSON(address, target string, value any) error {
 	response, err := sendRequest(address, "GET", target, nil)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// addNodeFlag gives a command, and those below it, the flag --node.
+// addNodeFlag adds the flag --node to a command and its subcommands.
 func addNodeFlag(command *cobra.Command, node *string) {
 	command.PersistentFlags().StringVar(node, "node", "127.0.0.1:8080", "a controller's `IP:PORT`")
 }
--- a/cmd/firwood/serve.go
+++ b/cmd/firwood/serve.go
@@ -20,20 +20,21 @@
 )
 
 const (
-	// memoryLimitShare is the part of the platform's memory limit that the Go runtime keeps
-	// to; the rest is for what it doesn't count, such as the kernel's socket buffers.
+	// memoryLimitShare is the share of the platform's memory limit that is set as the Go runtime's
+	// limit. The rest is for memory that the runtime doesn't count, such as the kernel's socket buffers.
 	memoryLimitShare = 0.6
-	// gcPercent trades memory for processor time: the memory limit bounds the heap anyway.
+	// gcPercent trades memory for processor time. The memory limit bounds the heap in any case.
 	gcPercent = 300
-	// maxProcs is enough for a controller, of whose work one goroutine does the most.
+	// maxProcs is enough for a controller, since one goroutine does most of its work.
 	maxProcs = 2
 
-	// idleTimeout and readTimeout are explained at server.Config.
+	// idleTimeout and readTimeout are the timeouts of connections; see server.Config.
 	idleTimeout = 90 * clock.Second
 	readTimeout = 10 * clock.Second
 )
 
-// newLogger logs to standard error, from the level in LOG_LEVEL on.
+// newLogger returns a logger that writes to standard error, at the level that LOG_LEVEL names or at
+// level info by default.
 func newLogger() (*slog.Logger, error) {
 	level := slog.LevelInfo
 	switch name := os.Getenv("LOG_LEVEL"); name {
@@ -48,7 +49,7 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
-// runController serves until a signal ends it, or until it can't listen.
+// runController runs a controller until the process receives a signal or the listener fails.
 func runController(configPath, settingsPath string) error {
 	if configPath == "" {
 		return errors.New("serve: --config is missing")
@@ -79,16 +80,16 @@
 	return serveUntilSignal(listener, instance)
 }
 
-// limitRuntime has the garbage collector work harder before the process reaches the platform's
-// memory limit, at which the platform ends it.
+// limitRuntime makes the garbage collector work harder before the process reaches the platform's memory
+// limit, at which the platform kills the process.
 func limitRuntime(limits config.ProcessLimits) {
 	debug.SetMemoryLimit(int64(limits.MemoryMB * memoryLimitShare * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
 	runtime.GOMAXPROCS(maxProcs)
 }
 
-// logShortfalls logs the limits that are too low for the configured fleet. The controller
-// serves nevertheless, as well as it can.
+// logShortfalls logs the limits that are too low for the configured fleet. The controller serves
+// nevertheless, as well as the limits allow.
 func logShortfalls(log *slog.Logger, shortfalls []config.Shortfall) {
 	for _, shortfall := range shortfalls {
 		log.Error("a limit is too low for the fleet",
@@ -108,9 +109,9 @@
 	}, instance, log)
 }
 
-// serveUntilSignal runs the listener and the controller, each on a goroutine that lasts as
-// long as the process. At SIGTERM or SIGINT a leader first gives up its leadership, so that the
-// next one needn't wait for the lock's lease to expire; the process then ends without an error.
+// serveUntilSignal runs the listener and the controller, each on a goroutine that lasts as long as the
+// process. At SIGTERM or SIGINT a leader first gives up its leadership, so that its successor does not
+// have to wait for the lock's lease to expire. The process then ends without an error.
 func serveUntilSignal(listener *server.Server, instance *controller.Controller) error {
 	listenerErrors := make(chan error, 1)
 	go func() { listenerErrors <- listener.Run() }()
--- a/cmd/firwood/settings.go
+++ b/cmd/firwood/settings.go
@@ -8,11 +8,11 @@
 	"firwood.dev/firwood/internal/config"
 )
 
-// settingsError marks an error in a settings file; the exit status is exitInvalidSettings.
+// settingsError marks an error in a settings file, for which the exit status is exitInvalidSettings.
 type settingsError struct{ error }
 
-// loadSettings reads and checks both files and reports the errors of both together. Only if each
-// is valid it checks that they fit together. Errors are a settingsError.
+// loadSettings reads and checks both files, and reports the errors of both together. If both are valid,
+// it also checks that they are compatible. Every error is a settingsError.
 func loadSettings(configPath, settingsPath string) (*config.Platform, config.Tuning, error) {
 	platform, platformErr := config.LoadPlatform(configPath)
 	tuning, tuningErr := config.LoadTuning(settingsPath)
@@ -26,9 +26,9 @@
 	return platform, tuning, nil
 }
 
-// checkSettings checks the files that are given, and with the platform's file also whether its limits
-// suffice for the fleet that the operators' file names. A limit that is too low is an error here,
-// but only logged by a controller.
+// checkSettings checks the given files. If the platform's file is given, it also checks whether that
+// file's limits suffice for the fleet in the operators' file. A limit that is too low is an error here,
+// whereas a controller only logs it.
 func checkSettings(out io.Writer, configPath, settingsPath string) error {
 	if configPath == "" {
 		if _, err := config.LoadTuning(settingsPath); err != nil {
--- a/cmd/firwood/status.go
+++ b/cmd/firwood/status.go
@@ -12,7 +12,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// newWorkerCommand makes the command that prints what a worker answers to GET /status.
+// newWorkerCommand returns the command that prints a worker's response to GET /status.
 func newWorkerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "worker IP:PORT", Short: "Show what a worker says of itself", Args: cobra.ExactArgs(1),
@@ -41,7 +41,8 @@
 	}
 }
 
-// newStandbyCommand makes the command that prints the replicas of the leader's allocation table.
+// newStandbyCommand returns the command that prints how up to date the replicas of the leader's
+// allocation table are.
 func newStandbyCommand() *cobra.Command {
 	var node string
 	command := &cobra.Command{
@@ -79,7 +80,7 @@
 	}
 }
 
-// newReportCommand makes the command that prints the job report.
+// newReportCommand returns the command that prints the job report.
 func newReportCommand() *cobra.Command {
 	var node string
 	command := &cobra.Command{
--- a/internal/jobreport/assess.go
+++ b/internal/jobreport/assess.go
@@ -8,22 +8,23 @@
 // StateActive is the reported state of a job that has not ended.
 const StateActive = "active"
 
-// Job is what is known of a job. Its instants are times of day, 0 if there is none.
+// Job holds what is known of a job. Its instants are wall-clock times, or 0 if they are not known.
 type Job struct {
 	ID, Class string
 	State     string // StateActive, or the state in which it ended
-	// SubmittedAt is the submission, ReleasedAt the end of its last dependency if that is later.
+	// SubmittedAt is when the job was submitted. ReleasedAt is when the last job that it depends on
+	// ended, or SubmittedAt if that is later.
 	SubmittedAt, ReleasedAt clock.Micros
-	FirstStartAt            clock.Micros // of any of its tasks
-	EndedAt                 clock.Micros // now, if it is active
+	FirstStartAt            clock.Micros // when the first of the job's tasks started
+	EndedAt                 clock.Micros // when the job ended, or now if it is active
 	DeadlineAt              clock.Micros
 	Errors, Restarts        int
-	// PendingDependency is a job that an active one waits for, "" if there is none.
+	// PendingDependency is a job that an active job waits for, or "" if there is none.
 	PendingDependency string
-	HasProgress       bool // some task may have been started
+	HasProgress       bool // whether tasks of the job may have started
 }
 
-// Assess returns a job's line in the report, and whether it belongs there. Cancelled jobs
+// Assess returns a job's line in the report, and whether the job belongs in the report. Cancelled jobs
 // don't.
 func Assess(job Job) (problem Problem, isProblem bool) {
 	problem = Problem{Job: job.ID, Class: job.Class, State: job.State, Errors: job.Errors, Restarts: job.Restarts}
@@ -41,7 +42,7 @@
 	return problem, problem.IsLate || problem.Errors > 0
 }
 
-// reasonFor returns the likely cause of a problem in words, "" if none is known.
+// reasonFor returns the likely cause of a problem in words, or "" if no cause is known.
 func reasonFor(job *Job, problem *Problem) string {
 	isActive := job.State == StateActive
 	switch {
--- a/internal/jobreport/report_test.go
+++ b/internal/jobreport/report_test.go
@@ -9,7 +9,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Each cause has its words, and only late jobs and those with errors are problems.
+// Each cause must have its text, and only late jobs and jobs with errors may be problems.
 func TestAssessNamesTheCause(t *testing.T) {
 	at := func(seconds float64) clock.Micros { return clock.FromSeconds(1000 + seconds) }
 	job := func(change func(*Job)) Job {
@@ -38,12 +38,12 @@
 	} {
 		problem, isProblem := Assess(test.job)
 		if isProblem != test.isProblem || problem.Reason != test.reason || problem.LateByS != test.lateByS || problem.WaitedS != test.waitedS || problem.IsLate != (test.lateByS > 0) {
-			t.Errorf("%+v: problem %v, %+v", test.job, isProblem, problem)
+			t.Errorf("Assess(%+v): isProblem = %t, problem = %+v, want the values of the test case", test.job, isProblem, problem)
 		}
 	}
 }
 
-// The latest jobs come first, and no more than a bound.
+// The latest jobs must come first, and no more than maxProblems may be returned.
 func TestSelectWorstSortsAndTruncates(t *testing.T) {
 	problems := []Problem{{Job: "b", LateByS: 1}, {Job: "a", LateByS: 1}}
 	for i := range maxProblems {
@@ -51,11 +51,11 @@
 	}
 	worst := SelectWorst(problems)
 	if len(worst) != maxProblems || worst[0].LateByS != maxProblems-1 || worst[len(worst)-1].Job != "a" {
-		t.Errorf("%d problems, from %+v to %+v", len(worst), worst[0], worst[len(worst)-1])
+		t.Errorf("SelectWorst returned %d problems, from %+v to %+v; want 200, the latest first and equally late ones by job", len(worst), worst[0], worst[len(worst)-1])
 	}
 }
 
-// The report's wire form stays as it is: operators' tools read it.
+// The JSON format of the reports must not change, since operators' tools read it.
 func TestReportJSONFormat(t *testing.T) {
 	report := Report{Member: "a", Jobs: 3, Problems: []Problem{{Job: "j", Class: "c", State: StateActive, IsLate: true, Reason: "r", TookS: 1, LateByS: 2}}}
 	for _, state := range []string{wire.JobDone, wire.JobCancelled, ""} {
@@ -70,7 +70,7 @@
 		{status, `{"member":"a","leader":"b","enabled":true,"replica":{"token":1,"complete":false,"decisions":0,"placements":0,"doubts":0,"digest":"d","dropped":{"older":0,"gaps":0,"malformed":0,"foreign":0,"differing":0}},"followers":[{"member":"c","in_step":false,"lacks_decisions":0,"lacks_ms":4}],"take_over":{"token":0,"replica_used":false,"in_doubt":0,"lock_ms":5,"rebuild_ms":0,"first_decision_ms":0}}`},
 	} {
 		if encoded, err := json.Marshal(test.value); err != nil || string(encoded) != test.want {
-			t.Errorf("encoded as %s (%v), want %s", encoded, err, test.want)
+			t.Errorf("encoded as %s (error: %v), want %s", encoded, err, test.want)
 		}
 	}
 }
--- a/internal/metrics/doc.go
+++ b/internal/metrics/doc.go
@@ -1,4 +1,4 @@
-// Package metrics has what a controller tells about itself in Prometheus' text format. Counters and
-// histograms may be changed on any goroutine. Gauges are set from a Status when the metrics are read,
-// so that nothing is computed for them in between.
+// Package metrics holds the metrics of a controller and encodes them in the Prometheus text format.
+// Counters and histograms may be changed on any goroutine. Gauges are set from a Status only when the
+// metrics are read, so that no work is done for them between reads.
 package metrics
--- a/internal/metrics/labels.go
+++ b/internal/metrics/labels.go
@@ -2,30 +2,31 @@
 
 import "fmt"
 
-// HeartbeatReply is how a worker's heartbeat was answered.
+// HeartbeatReply is the kind of reply to a worker's heartbeat.
 type HeartbeatReply uint8
 
-// Replies to heartbeats.
+// Replies to heartbeats, as values of the label.
 const (
-	// ReplyRenewed renewed the lease, ReplyRenewedWithCommands had commands as well.
+	// ReplyRenewed renewed the lease. ReplyRenewedWithCommands also carried commands.
 	ReplyRenewed HeartbeatReply = iota
 	ReplyRenewedWithCommands
-	// ReplyUnknownMachine renewed the lease of a machine that no record names.
+	// ReplyUnknownMachine renewed the lease of a machine that the leader has no record of.
 	ReplyUnknownMachine
-	// ReplyAsDelegate renewed the lease on behalf of an unreachable leader.
+	// ReplyAsDelegate was sent by a member that renewed the lease on behalf of an unreachable leader.
 	ReplyAsDelegate
-	// ReplyDeferred is no reply yet: the heartbeat waits, and is counted again when it is answered.
+	// ReplyDeferred counts a heartbeat whose reply is delayed. The heartbeat is counted again, under
+	// another kind, when the reply is sent.
 	ReplyDeferred
-	// ReplyRefused told the worker to try again.
+	// ReplyRefused told the worker to retry.
 	ReplyRefused
 	// ReplyRedirected sent the worker to another member.
 	ReplyRedirected
-	// ReplyFenced was to a worker that has seen a later leader's token.
+	// ReplyFenced was sent to a worker that has seen a later leader's token.
 	ReplyFenced
 	heartbeatReplyCount
 )
 
-// String returns the value of the label.
+// String returns the label's value.
 func (reply HeartbeatReply) String() string {
 	switch reply {
 	case ReplyRenewed:
@@ -48,19 +49,19 @@
 	return fmt.Sprintf("HeartbeatReply(%d)", uint8(reply))
 }
 
-// CommandChannel is the way that a command goes to a worker.
+// CommandChannel is the way by which a command is sent to a worker.
 type CommandChannel uint8
 
-// Channels of commands.
+// Channels of commands, as values of the label.
 const (
-	// ChannelReply is the reply to the worker's heartbeat, ChannelRequest a request to the worker,
-	// ChannelDelegate a delegate's reply.
+	// ChannelReply is the leader's reply to the worker's heartbeat, ChannelRequest is a command
+	// request to the worker, and ChannelDelegate is a delegate's reply to a heartbeat.
 	ChannelReply CommandChannel = iota
 	ChannelRequest
 	ChannelDelegate
 )
 
-// String returns the value of the label.
+// String returns the label's value.
 func (channel CommandChannel) String() string {
 	switch channel {
 	case ChannelReply:
@@ -73,21 +74,22 @@
 	return fmt.Sprintf("CommandChannel(%d)", uint8(channel))
 }
 
-// CommandOutcome is what became of a command.
+// CommandOutcome is what is known of the execution of a command.
 type CommandOutcome uint8
 
-// Outcomes of commands.
+// Outcomes of commands, as values of the label.
 const (
-	// OutcomeSent is all that is known of a command in a reply.
+	// OutcomeSent is the outcome of every command in a heartbeat reply, since nothing more is known.
 	OutcomeSent CommandOutcome = iota
 	OutcomeExecuted
 	OutcomeRejected
-	// OutcomeNotSent means that it certainly has not arrived, OutcomeUnknown that there was no answer.
+	// OutcomeNotSent means that the command certainly did not arrive. OutcomeUnknown means that it is
+	// not known whether the worker executed the command, for example because there was no response.
 	OutcomeNotSent
 	OutcomeUnknown
 )
 
-// String returns the value of the label.
+// String returns the label's value.
 func (outcome CommandOutcome) String() string {
 	switch outcome {
 	case OutcomeSent:
@@ -107,20 +109,21 @@
 // FailoverPart is a part of a failover whose duration is observed.
 type FailoverPart uint8
 
-// Parts of a failover.
+// Parts of a failover, as values of the label.
 const (
-	// FailoverLock is from the last heartbeat of the leader before to the lock.
+	// FailoverLock is from the previous leader's last heartbeat until the new leader has the lock.
 	FailoverLock FailoverPart = iota
-	// FailoverRebuild is from the lock to the rebuilt allocation table.
+	// FailoverRebuild is from the lock until the allocation table is rebuilt.
 	FailoverRebuild
-	// FailoverFirstDecision is from there to the first task placed.
+	// FailoverFirstDecision is from the rebuilt table until the first task is placed.
 	FailoverFirstDecision
-	// FailoverReconciled is from the rebuilt table until nine machines in ten may be commanded.
+	// FailoverReconciled is from the start of the term until nine in ten of the machines of earlier
+	// leaders may be sent commands or are gone.
 	FailoverReconciled
 	failoverPartCount
 )
 
-// String returns the value of the label.
+// String returns the label's value.
 func (part FailoverPart) String() string {
 	switch part {
 	case FailoverLock:
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -12,62 +12,64 @@
 	"firwood.dev/firwood/wire"
 )
 
-// namespace begins the name of every metric.
+// namespace is the prefix of every metric's name.
 const namespace = "firwood"
 
-// ContentType is the media type of what Encode returns.
+// ContentType is the media type of the text that Encode returns.
 var ContentType = string(textFormat)
 
 var textFormat = expfmt.NewFormat(expfmt.TypeTextPlain)
 
-// failoverBuckets are the upper bounds, in seconds, of a failover part's durations.
+// failoverBuckets holds the histogram's upper bounds of the durations of a failover's parts, in seconds.
 var failoverBuckets = []float64{0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 15, 30, 60, 120}
 
-// Status is a controller's state at one instant. What only a leader knows is zero at other members.
+// Status holds a controller's state at one instant. Fields that only a leader knows are zero at other
+// members.
 type Status struct {
+	// IsLeader reports whether the member leads and may act.
 	IsLeader bool
-	// Token is the newest leader's as far as known, the own one at a leader.
+	// Token is the fencing token of the newest leader that is known; at a leader it is its own.
 	Token uint64
-	// EntitledFor is for how long the leader may still act without another renewal of its lock.
+	// EntitledFor is how long the leader may still act without another renewal of its lock.
 	EntitledFor clock.Micros
-	// ViewAge is the time since the newest completed read of the store was sent, and ViewRevision
-	// the store's revision that the view has reached.
+	// ViewAge is the time since the newest completed read of the store was sent. ViewRevision is the
+	// revision of the store that the view has reached.
 	ViewAge      clock.Micros
 	ViewRevision uint64
 	LeaderStatus
 }
 
-// LeaderStatus is the part of a Status that only a leader has.
+// LeaderStatus holds the part of a Status that only a leader has.
 type LeaderStatus struct {
 	Machines int
-	// UnconfirmedMachines are those whose worker has not shown the leader's token: they may only be
-	// told to stop tasks.
+	// UnconfirmedMachines counts the machines whose worker has not shown the leader's token. Their
+	// workers may only be told to stop tasks.
 	UnconfirmedMachines int
-	// ListedCancelledTasks are tasks of cancelled jobs that workers still list as not exited, and
+	// ListedCancelledTasks counts the tasks of cancelled jobs that workers still list as not exited.
 	// OldestCancellationAge is the time since the earliest of their cancellations was confirmed.
 	ListedCancelledTasks  int
 	OldestCancellationAge clock.Micros
 }
 
-// Metrics are the metrics of one process.
+// Metrics holds the metrics of one process.
 type Metrics struct {
 	heartbeatReplies  [heartbeatReplyCount]prometheus.Counter
 	commands          *prometheus.CounterVec
 	failoverDurations [failoverPartCount]prometheus.Observer
 	failoverCount     prometheus.Counter
 
-	mu       sync.Mutex // guards the gauges from being set to their being gathered
+	mu       sync.Mutex // guards the gauges from when they are set until they are gathered
 	gauges   gauges
 	registry *prometheus.Registry
 }
 
-// gauges are the metrics that a Status sets.
+// gauges holds the metrics that are set from a Status.
 type gauges struct {
 	isLeader, token, entitledFor, viewAge, viewRevision                        prometheus.Gauge
 	machines, unconfirmedMachines, listedCancelledTasks, oldestCancellationAge prometheus.Gauge
 }
 
-// New returns metrics that are all zero.
+// New returns metrics whose values are all zero.
 func New() *Metrics {
 	metrics := &Metrics{registry: prometheus.NewRegistry()}
 	heartbeatReplies := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "heartbeat_replies_total", Help: "Replies to workers' heartbeats, by result."}, []string{"result"})
@@ -104,14 +106,15 @@
 // CountReply counts the reply to a heartbeat.
 func (metrics *Metrics) CountReply(reply HeartbeatReply) { metrics.heartbeatReplies[reply].Inc() }
 
-// CountCommands counts the commands of one message.
+// CountCommands counts the commands of one message, each under its kind.
 func (metrics *Metrics) CountCommands(commands []wire.Command, channel CommandChannel, outcome CommandOutcome) {
 	for i := range commands {
 		metrics.commands.WithLabelValues(commandKind(commands[i].Action), channel.String(), outcome.String()).Inc()
 	}
 }
 
-// commandKind is a command's name in the glossary, where the protocol has another.
+// commandKind returns the value of the label kind for an action of the protocol. It is the usual term
+// where the protocol has another name.
 func commandKind(action string) string {
 	switch action {
 	case wire.ActionStart:
@@ -124,7 +127,7 @@
 	return "other"
 }
 
-// CountFailover counts a term that begins.
+// CountFailover counts a term that this member has begun as leader.
 func (metrics *Metrics) CountFailover() { metrics.failoverCount.Inc() }
 
 // ObserveFailover records how long a part of a failover took.
@@ -132,8 +135,8 @@
 	metrics.failoverDurations[part].Observe(duration.Seconds())
 }
 
-// Encode returns all metrics as text, with the gauges of a status. It may be called on any goroutine,
-// and takes longer than the controller's own should be held up.
+// Encode returns all metrics as text, with the gauges set from the status. It may be called on any
+// goroutine. It takes too long to be called on the controller's own goroutine.
 func (metrics *Metrics) Encode(status *Status) ([]byte, error) {
 	metrics.mu.Lock()
 	defer metrics.mu.Unlock()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,7 +14,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// What is encoded is read back by the format's own parser, with every label and the values that were set.
+// The encoded metrics must be accepted by the format's own parser, with every label and every value that
+// was set.
 func TestEncodedMetricsAreParsedBack(t *testing.T) {
 	metrics := New()
 	metrics.CountReply(ReplyRenewed)
@@ -40,7 +41,7 @@
 		"firwood_machines": 4000, "firwood_machines_unconfirmed": 12, "firwood_cancelled_tasks_listed": 3, "firwood_cancelled_task_oldest_seconds": 5,
 	} {
 		if family := families[name]; family == nil || family.GetMetric()[0].GetGauge().GetValue() != want {
-			t.Errorf("%s is %v, want %v", name, family, want)
+			t.Errorf("metric %s is %v, want the value %v", name, family, want)
 		}
 	}
 	for _, line := range []string{
@@ -53,18 +54,19 @@
 		`firwood_failover_seconds_count{part="lock"} 0`,
 	} {
 		if !strings.Contains(string(text), line+"\n") {
-			t.Errorf("no line %s", line)
+			t.Errorf("the encoded metrics lack the line %s", line)
 		}
 	}
 }
 
-// No label's value is the fallback of a value without a name, and none has two.
+// A value without a case in its String method would get the fallback label, which contains a "(". Two
+// values of a type with the same label could not be told apart.
 func TestLabelValuesAreNamedAndUnique(t *testing.T) {
 	seen := map[string]bool{}
 	check := func(value fmt.Stringer) {
 		text := fmt.Sprintf("%T %v", value, value)
 		if strings.Contains(value.String(), "(") || seen[text] {
-			t.Errorf("label %s", text)
+			t.Errorf("label %s is the fallback or occurs twice, want a name of its own", text)
 		}
 		seen[text] = true
 	}
@@ -82,7 +84,7 @@
 	}
 }
 
-// Metrics are read while they change.
+// Reading metrics must not race with changes to them.
 func TestEncodeWhileMetricsChange(t *testing.T) {
 	metrics := New()
 	var goroutines sync.WaitGroup
@@ -91,7 +93,7 @@
 			for i := range 50 {
 				metrics.CountReply(ReplyRenewed)
 				if text, err := metrics.Encode(&Status{Token: uint64(i)}); err != nil || len(text) == 0 {
-					t.Errorf("%d bytes: %v", len(text), err)
+					t.Errorf("Encode returned %d bytes and the error %v, want text and no error", len(text), err)
 				}
 			}
 		})
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,7 +1,7 @@
-// Package tracing writes spans of failovers with OpenTelemetry, one JSON object each, to a file
-// or standard error; docs/standby-operations.md describes them. Invariant: controllers that
-// observe the same failover give it the same trace id, so that their files can be read together.
-// A process writes at most maxTraceBytes; later spans are dropped silently.
+// Package tracing writes spans of failovers with OpenTelemetry, each as one JSON object, to a file or
+// standard error. docs/standby-operations.md describes the spans. Controllers that observe the same
+// failover give its spans the same trace ID, so that their files can be merged. A process writes at most
+// maxTraceBytes; later spans are dropped silently.
 package tracing
 
 import (
@@ -21,20 +21,20 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// StandardErrorDestination is the destination that means standard error, not a file.
+// StandardErrorDestination is the destination that stands for standard error instead of a file.
 const StandardErrorDestination = "stderr"
 
-// maxTraceBytes bounds what one process writes.
+// maxTraceBytes bounds the number of bytes that one process writes.
 const maxTraceBytes = 4 << 20
 
 // Span is one phase of a failover.
 type Span struct {
-	// Name says which phase it is.
+	// Name is the name of the phase.
 	Name string
-	// StartedAt and EndedAt are instants of the steady clock.
+	// StartedAt and EndedAt are instants of the monotonic clock.
 	StartedAt clock.Micros
 	EndedAt   clock.Micros
-	// Attributes are added to the span; the token is added to all.
+	// Attributes are the span's attributes besides the token, which every span has.
 	Attributes map[string]string
 }
 
@@ -44,8 +44,8 @@
 	closeDestination func() error
 }
 
-// New makes a tracer that writes to a destination (a path, or StandardErrorDestination) on behalf
-// of a member.
+// New returns a tracer that writes spans to a destination on behalf of a member. The destination is a
+// path or StandardErrorDestination.
 func New(destination, member string) (*Tracer, error) {
 	out, closeOutput, err := openDestination(destination)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return file, file.Close, nil
 }
 
-// Close closes the destination. Spans are written synchronously, so none is lost.
+// Close closes the destination. No span is lost, since spans are written synchronously.
 func (tracer *Tracer) Close() error {
 	if tracer == nil {
 		return nil
@@ -78,7 +78,7 @@
 	return tracer.closeDestination()
 }
 
-// RecordFailover writes the spans of the failover that ended with a leader of this token.
+// RecordFailover writes the spans of the failover in which a leader with this token was elected.
 func (tracer *Tracer) RecordFailover(token uint64, spans []Span) {
 	if tracer == nil {
 		return
@@ -94,7 +94,7 @@
 	}
 }
 
-// failoverContext derives trace and parent ids from the token, so that they are the same at every
+// failoverContext derives the trace and parent IDs from the token, so that they are the same at every
 // controller.
 func failoverContext(token uint64) trace.SpanContext {
 	var traceID trace.TraceID
@@ -105,19 +105,19 @@
 	return trace.NewSpanContext(trace.SpanContextConfig{TraceID: traceID, SpanID: spanID, TraceFlags: trace.FlagsSampled, Remote: true})
 }
 
-// wallTime converts an instant of the steady clock to the time of day, by the present difference of
+// wallTime converts an instant of the monotonic clock to wall-clock time, by the current difference of
 // the two clocks.
 func wallTime(instant clock.Micros) time.Time {
 	wallMicros := clock.WallTime() - (clock.Now() - instant)
 	return time.UnixMicro(int64(wallMicros))
 }
 
-// boundedWriter drops the first write that exceeds its bound and all later ones, so that a process
-// that is elected again and again can't fill the disk. Write reports them as written.
+// boundedWriter drops the first write that exceeds its bound and all later writes, so that a process
+// that is elected repeatedly can't fill the disk. Write reports a dropped write as written.
 type boundedWriter struct {
 	mu             sync.Mutex // guards remainingBytes and the order of writes
 	destination    io.Writer
-	remainingBytes int // 0 from the first drop on
+	remainingBytes int // 0 after a write has been dropped
 }
 
 // Write implements io.Writer.
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -11,8 +11,8 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Two controllers that observe the same failover write spans of one trace, with the times that
-// were given.
+// Two controllers that observe the same failover must write spans of one trace, with the given start and
+// end times. Otherwise their files could not be merged.
 func TestControllersShareTraceID(t *testing.T) {
 	traceIDs := map[string]bool{}
 	for _, member := range []string{"n0", "n1"} {
@@ -39,16 +39,16 @@
 			t.Fatal(err)
 		}
 		if took := span.EndTime.Sub(span.StartTime); span.Name != "lock" || took < 1900*time.Millisecond || took > 2100*time.Millisecond {
-			t.Errorf("%s took %v", span.Name, took)
+			t.Errorf("span %q lasts %v, want the span \"lock\" of about 2 s", span.Name, took)
 		}
 		traceIDs[span.SpanContext.TraceID] = true
 	}
 	if len(traceIDs) != 1 {
-		t.Errorf("traces %v", traceIDs)
+		t.Errorf("trace IDs %v, want one that both controllers share", traceIDs)
 	}
 }
 
-// A write that exceeds the bound and all later ones are dropped, and reported as written.
+// A write that exceeds the bound, and all later writes, must be dropped but reported as written.
 func TestBoundedWriterDropsExcess(t *testing.T) {
 	var out bytes.Buffer
 	writer := &boundedWriter{destination: &out, remainingBytes: 10}
@@ -58,6 +58,6 @@
 		}
 	}
 	if out.Len() != 6 {
-		t.Errorf("%d bytes written", out.Len())
+		t.Errorf("%d bytes written, want 6", out.Len())
 	}
 }
