--- a/internal/forecast/boottime.go
+++ b/internal/forecast/boottime.go
@@ -14,9 +14,9 @@
 	maxRecentBoots = 32
 	// maxBootTime is the longest boot time that is distinguished from longer ones.
 	maxBootTime = 3600 * clock.Second
-	// upperQuantile, in percent: quantiles above it are never below 1.5 times the nominal
+	// upperPercentile, in percent: quantiles above it are never below 1.5 times the nominal
 	// figure, see Quantile.
-	upperQuantile = 90
+	upperPercentile = 90
 	// bootTimeDigits is the precision of the histogram, in significant digits.
 	bootTimeDigits = 2
 )
@@ -64,22 +64,22 @@
 	}
 }
 
-// Quantile is a quantile, in percent, of the boot time; before there are enough
+// Percentile is a quantile, in percent, of the boot time; before there are enough
 // observations it rests on the nominal figure of the type.
 //
 // An upper quantile is never below 1.5 times the nominal figure, since the first machines of a
 // burst to come up are the fast ones. Added after all others of a burst counted as overdue
 // by the times of these, and were requested a second time.
-func (model *BootTimeModel) Quantile(quantile float64, nominal clock.Micros) clock.Micros {
-	if quantile > upperQuantile {
-		nominal += nominal / 2 // usually 0.6 to 1.5 times the figure
+func (model *BootTimeModel) Percentile(percentile float64, nominalBootTime clock.Micros) clock.Micros {
+	if percentile > upperPercentile {
+		nominalBootTime += nominalBootTime / 2 // usually 0.6 to 1.5 times the figure
 	}
 	if model == nil || model.histogram.TotalCount() < minBootSamples {
-		return nominal
+		return nominalBootTime
 	}
-	observed := clock.Micros(model.histogram.ValueAtQuantile(quantile)) * clock.Millisecond
-	if quantile > upperQuantile {
-		return max(observed, nominal)
+	observed := clock.Micros(model.histogram.ValueAtQuantile(percentile)) * clock.Millisecond
+	if percentile > upperPercentile {
+		return max(observed, nominalBootTime)
 	}
 	return observed
 }
--- a/internal/forecast/demand.go
+++ b/internal/forecast/demand.go
@@ -36,8 +36,8 @@
 
 // ObserveArrival records the arrival of a job that needs machineCount machines and would
 // use share machines in all.
-func (demand *DemandModel) ObserveArrival(now clock.Micros, machineCount int, share float64, smoothing *Smoothing) {
-	fraction := min(max(share/float64(max(machineCount, 1)), minMachineFraction), 1)
+func (demand *DemandModel) ObserveArrival(now clock.Micros, machineCount int, fractionalMachines float64, smoothing *Smoothing) {
+	fraction := min(max(fractionalMachines/float64(max(machineCount, 1)), minMachineFraction), 1)
 	if demand.machineFraction == 0 {
 		demand.machineFraction = fraction
 	} else {
--- a/internal/forecast/runtime.go
+++ b/internal/forecast/runtime.go
@@ -15,24 +15,24 @@
 	// often wrong by half.
 	minSigma     = 0.25
 	initialSigma = 0.5
-	// maxHintMean and maxHintSquare bound the moments that another leader's hint may give.
-	maxHintMean   = 20
-	maxHintSquare = 1000
+	// maxRestoredMean and maxRestoredMeanSquare bound the moments that another leader's hint may give.
+	maxRestoredMean       = 20
+	maxRestoredMeanSquare = 1000
 	// minSurvival is the survival probability below which the ratio in (50) has no digits left.
 	minSurvival = 1e-12
 )
 
-// Hint returns the number of observations and the first and second moments of the log
+// Statistics returns the number of observations and the first and second moments of the log
 // ratio, for the next leader's Restore.
-func (model *RunTimeModel) Hint() (count int, mean, square float64) {
+func (model *RunTimeModel) Statistics() (count int, mean, meanSquare float64) {
 	return model.count, model.meanLogRatio, model.meanSquaredLogRatio
 }
 
 // Restore takes another leader's hint, unless there are observations already. Moments that
 // make no sense are ignored: a mean square below the square of the mean cannot be.
-func (model *RunTimeModel) Restore(count int, mean, square float64) {
-	if model.count == 0 && count > 0 && !math.IsNaN(mean) && math.Abs(mean) < maxHintMean && square >= mean*mean*(1-1e-9) && square < maxHintSquare {
-		model.count, model.meanLogRatio, model.meanSquaredLogRatio = count, mean, square
+func (model *RunTimeModel) Restore(count int, mean, meanSquare float64) {
+	if model.count == 0 && count > 0 && !math.IsNaN(mean) && math.Abs(mean) < maxRestoredMean && meanSquare >= mean*mean*(1-1e-9) && meanSquare < maxRestoredMeanSquare {
+		model.count, model.meanLogRatio, model.meanSquaredLogRatio = count, mean, meanSquare
 	}
 }
 
--- a/internal/forecast/screen.go
+++ b/internal/forecast/screen.go
@@ -25,12 +25,12 @@
 // Reasons of the screen, as they are logged; RejectNone: the series is accepted. No spread
 // means that all samples are 0.
 const (
-	RejectNone        RejectReason = ""
-	RejectTooFew      RejectReason = "too few samples"
-	RejectNoSpread    RejectReason = "no spread"
-	RejectVariation   RejectReason = "variation"
-	RejectCorrelation RejectReason = "correlation"
-	RejectDistance    RejectReason = "distance"
+	RejectNone          RejectReason = ""
+	RejectTooFewSamples RejectReason = "too few samples"
+	RejectNoSpread      RejectReason = "no spread"
+	RejectVariation     RejectReason = "variation"
+	RejectCorrelation   RejectReason = "correlation"
+	RejectDistance      RejectReason = "distance"
 )
 
 // ScreenResult is the outcome of the screen of one series (paper, IV-A), with the figures
@@ -88,7 +88,7 @@
 func screenSamples(samples []float64, settings *ScreenSettings) ScreenResult {
 	result := ScreenResult{SampleCount: len(samples)}
 	if result.SampleCount < settings.MinSamples {
-		result.RejectReason = RejectTooFew
+		result.RejectReason = RejectTooFewSamples
 		return result
 	}
 	mean := stat.Mean(samples, nil)
--- a/internal/forecast/sparecost.go
+++ b/internal/forecast/sparecost.go
@@ -107,15 +107,15 @@
 func (model *SpareModel) CheapestTarget(minTarget, maxTarget int, waitWeight, idleWeight float64) SpareCost {
 	best := model.Cost(minTarget, waitWeight, idleWeight)
 	for target := minTarget + 1; target <= maxTarget; target++ {
-		if cost := model.Cost(target, waitWeight, idleWeight); cost.isBelow(best) {
+		if cost := model.Cost(target, waitWeight, idleWeight); cost.isCheaperThan(best) {
 			best = cost
 		}
 	}
 	return best
 }
 
-// isBelow compares by J, then W, then E.
-func (cost SpareCost) isBelow(other SpareCost) bool {
+// isCheaperThan compares by J, then W, then E.
+func (cost SpareCost) isCheaperThan(other SpareCost) bool {
 	switch {
 	case cost.Total != other.Total:
 		return cost.Total < other.Total
--- a/internal/forecast/sparecost_test.go
+++ b/internal/forecast/sparecost_test.go
@@ -17,17 +17,17 @@
 	remainder6 := 6 - (1-math.Exp(-1.2))/0.2
 	remainder20 := 20 - (1-math.Exp(-4))/0.2
 	for _, testCase := range []struct {
-		x    int
-		w, e float64
+		target                    int
+		wantWait, wantIdleSeconds float64
 	}{
 		{0, 0.5 * 20, 0},
 		{1, 0.5 * (0.5*0 + 0.5*20), 5},
 		{2, 0.5 * (0.3*remainder6 + 0.2*20), 10},
 		{3, 0.5 * (0.3*remainder6 + 0.2*remainder20), 15},
 	} {
-		got := model.Cost(testCase.x, 50, 1)
-		if !isAlmostEqual(got.ExpectedWait, testCase.w) || !isAlmostEqual(got.IdleSeconds, testCase.e) || !isAlmostEqual(got.Total, 50*testCase.w+testCase.e) {
-			t.Errorf("x=%d: W=%v E=%v J=%v, want W=%v E=%v", testCase.x, got.ExpectedWait, got.IdleSeconds, got.Total, testCase.w, testCase.e)
+		got := model.Cost(testCase.target, 50, 1)
+		if !isAlmostEqual(got.ExpectedWait, testCase.wantWait) || !isAlmostEqual(got.IdleSeconds, testCase.wantIdleSeconds) || !isAlmostEqual(got.Total, 50*testCase.wantWait+testCase.wantIdleSeconds) {
+			t.Errorf("x=%d: W=%v E=%v J=%v, want W=%v E=%v", testCase.target, got.ExpectedWait, got.IdleSeconds, got.Total, testCase.wantWait, testCase.wantIdleSeconds)
 		}
 	}
 	model.MachineFraction = 0.25 // four typical jobs to a machine: a spare costs a quarter
@@ -52,10 +52,10 @@
 		for size := 1; size <= 5; size++ {
 			model.SizeWeights[size] = rng.Float64()
 		}
-		alpha := 100 * rng.Float64()
-		got := model.CheapestTarget(1, 6, alpha, 1)
+		waitWeight := 100 * rng.Float64()
+		got := model.CheapestTarget(1, 6, waitWeight, 1)
 		for target := 1; target <= 6; target++ {
-			if cost := model.Cost(target, alpha, 1); cost.Total < got.Total {
+			if cost := model.Cost(target, waitWeight, 1); cost.Total < got.Total {
 				t.Fatalf("x=%d has J=%v, the choice %d has %v", target, cost.Total, got.Target, got.Total)
 			}
 		}
--- a/internal/hints/sender.go
+++ b/internal/hints/sender.go
@@ -80,7 +80,7 @@
 // far as there is room.
 func AddForecasts(heartbeat *peer.Heartbeat, forecasts *scheduler.Scheduler, machineTypes []wire.MachineType) {
 	for _, class := range forecasts.RunTimeClasses() {
-		count, mean, meanSquare := forecasts.RunTimeModel(class).Hint()
+		count, mean, meanSquare := forecasts.RunTimeModel(class).Statistics()
 		if count > 0 && len(heartbeat.RunTimes) < peer.MaxRunTimeClasses {
 			heartbeat.RunTimes = append(heartbeat.RunTimes, peer.RunTimeStatistics{Class: class, Count: uint32(count), Mean: mean, MeanSquare: meanSquare})
 		}
--- a/internal/leader/progress_writer.go
+++ b/internal/leader/progress_writer.go
@@ -53,7 +53,7 @@
 func selectProgressKeys(tasks []int, layout *records.ProgressLayout, maxKeys int) ([]int, map[int]bool) {
 	keys := map[int]bool{}
 	tasks = slices.DeleteFunc(tasks, func(task int) bool {
-		key := layout.KeyOf(task)
+		key := layout.KeyNumber(task)
 		if !keys[key] && len(keys) >= maxKeys {
 			return true
 		}
--- a/internal/records/compatibility_test.go
+++ b/internal/records/compatibility_test.go
@@ -13,28 +13,28 @@
 // productionJobRecord has the fields of a job's record that the version in production
 // knows; it ignores others, and rewrites a record with these alone.
 type productionJobRecord struct {
-	Job      *productionJob `json:"j,omitempty"`
-	At       int64          `json:"at"`
-	State    string         `json:"s,omitempty"`
-	Class    string         `json:"c,omitempty"`
-	End      int64          `json:"e,omitempty"`
-	Due      int64          `json:"d,omitempty"`
-	First    int64          `json:"f,omitempty"`
-	Tasks    int            `json:"n,omitempty"`
-	Errors   int            `json:"x,omitempty"`
-	Restarts int            `json:"r,omitempty"`
+	Spec         *productionJob `json:"j,omitempty"`
+	SubmittedAt  int64          `json:"at"`
+	State        string         `json:"s,omitempty"`
+	Class        string         `json:"c,omitempty"`
+	EndedAt      int64          `json:"e,omitempty"`
+	DeadlineAt   int64          `json:"d,omitempty"`
+	FirstStartAt int64          `json:"f,omitempty"`
+	Tasks        int            `json:"n,omitempty"`
+	Errors       int            `json:"x,omitempty"`
+	Restarts     int            `json:"r,omitempty"`
 }
 
 type productionJob struct {
-	ID        string  `json:"nameId"`
-	Class     string  `json:"lot"`
-	Team      string  `json:"crew"`
-	Kind      string  `json:"shape"`
-	Priority  string  `json:"rank"`
-	Tasks     int     `json:"pieces"`
-	CPUs      float64 `json:"cores"`
-	EstimateS float64 `json:"guessS"`
-	DeadlineS float64 `json:"dueS,omitempty"`
+	ID                  string  `json:"nameId"`
+	Class               string  `json:"lot"`
+	Team                string  `json:"crew"`
+	Kind                string  `json:"shape"`
+	Priority            string  `json:"rank"`
+	TaskCount           int     `json:"pieces"`
+	CPUs                float64 `json:"cores"`
+	EstimatedRunSeconds float64 `json:"guessS"`
+	DeadlineSeconds     float64 `json:"dueS,omitempty"`
 }
 
 // The records that the version in production has written are read as they were meant: an active
@@ -82,8 +82,8 @@
 	if err := json.Unmarshal(value, &got); err != nil {
 		t.Fatal(err)
 	}
-	want := productionJobRecord{At: 5, Job: &productionJob{
-		ID: "req-000007", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 3, CPUs: 2, EstimateS: 9, DeadlineS: 60,
+	want := productionJobRecord{SubmittedAt: 5, Spec: &productionJob{
+		ID: "req-000007", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 3, CPUs: 2, EstimatedRunSeconds: 9, DeadlineSeconds: 60,
 	}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v", got)
--- a/internal/records/keys_test.go
+++ b/internal/records/keys_test.go
@@ -32,7 +32,7 @@
 }
 
 // A key of one kind that does not name a job and a number within its range is refused.
-func TestNumberedKeysAreParsed(t *testing.T) {
+func TestParseNumberedKeysRejectsMalformedKeys(t *testing.T) {
 	for _, test := range []struct {
 		suffix string
 		id     string
--- a/internal/records/progress.go
+++ b/internal/records/progress.go
@@ -54,8 +54,8 @@
 	HasFirstTask bool
 }
 
-// Part decodes the record.
-func (record *Progress) Part() (ProgressPart, error) {
+// Decode decodes the record.
+func (record *Progress) Decode() (ProgressPart, error) {
 	bits, err := DecodeBitmap(record.Bits)
 	part := ProgressPart{Bits: bits}
 	if record.FirstTask != nil {
@@ -66,25 +66,25 @@
 
 // AddTo adds the part's completed tasks to a set of all tasks of a job. The part is that of the
 // key with some number, the job has total tasks; see Job.TasksPerProgressKey for tasksPerKey.
-func (part *ProgressPart) AddTo(completed *Bitmap, number, tasksPerKey, total int) {
-	first := part.FirstTask
+func (part *ProgressPart) AddTo(completed *Bitmap, keyNumber, tasksPerKey, taskCount int) {
+	firstTask := part.FirstTask
 	if !part.HasFirstTask {
-		first = number * tasksPerKey
+		firstTask = keyNumber * tasksPerKey
 	}
 	for i := range 8 * len(part.Bits) {
-		if part.Bits.IsSet(i) && first+i < total {
-			completed.Set(first + i)
+		if part.Bits.IsSet(i) && firstTask+i < taskCount {
+			completed.Set(firstTask + i)
 		}
 	}
 }
 
 // TasksPerProgressKey is how many tasks a progress key of the job holds whose value doesn't say
 // where it begins; nominal is the number for jobs whose record doesn't say.
-func (record *Job) TasksPerProgressKey(nominal int) int {
+func (record *Job) TasksPerProgressKey(nominalTasksPerKey int) int {
 	if record.TasksPerKey > 0 {
 		return record.TasksPerKey
 	}
-	return nominal
+	return nominalTasksPerKey
 }
 
 // ProgressLayout maps a job's task numbers to the progress keys that they are written to.
@@ -102,41 +102,43 @@
 // NewProgressLayout is the layout for an active job. nominalTasksPerKey is what every version
 // assumes for jobs whose record doesn't say.
 func NewProgressLayout(record *Job, nominalTasksPerKey int, limits Limits) ProgressLayout {
-	nominal := record.TasksPerProgressKey(nominalTasksPerKey)
-	fitting := TasksPerProgressKey(limits.MaxValueKB)
-	if min(record.Spec.TaskCount, nominal) <= fitting {
-		return ProgressLayout{firstKey: 0, tasksPerKey: nominal}
+	tasksPerKey := record.TasksPerProgressKey(nominalTasksPerKey)
+	maxTasksPerKey := TasksPerProgressKey(limits.MaxValueKB)
+	if min(record.Spec.TaskCount, tasksPerKey) <= maxTasksPerKey {
+		return ProgressLayout{firstKey: 0, tasksPerKey: tasksPerKey}
 	}
-	return ProgressLayout{firstKey: (record.Spec.TaskCount + nominal - 1) / nominal, tasksPerKey: fitting}
+	return ProgressLayout{firstKey: (record.Spec.TaskCount + tasksPerKey - 1) / tasksPerKey, tasksPerKey: maxTasksPerKey}
 }
 
-// KeyOf is the number of the key that holds a task.
-func (layout ProgressLayout) KeyOf(task int) int { return layout.firstKey + task/layout.tasksPerKey }
+// KeyNumber is the number of the key that holds a task.
+func (layout ProgressLayout) KeyNumber(task int) int {
+	return layout.firstKey + task/layout.tasksPerKey
+}
 
 // TaskRange is the range of tasks that a key holds, of a job of total tasks: from first up to, and
 // without, end.
-func (layout ProgressLayout) TaskRange(key, total int) (first, end int) {
-	first = (key - layout.firstKey) * layout.tasksPerKey
-	return first, min(first+layout.tasksPerKey, total)
+func (layout ProgressLayout) TaskRange(keyNumber, taskCount int) (first, end int) {
+	first = (keyNumber - layout.firstKey) * layout.tasksPerKey
+	return first, min(first+layout.tasksPerKey, taskCount)
 }
 
 // PutChange writes what a key holds of a job of total tasks.
-func (layout ProgressLayout) PutChange(id string, key, total int, isDone func(task int) bool) wire.Change {
-	first, end := layout.TaskRange(key, total)
+func (layout ProgressLayout) PutChange(id string, keyNumber, taskCount int, isDone func(task int) bool) wire.Change {
+	first, end := layout.TaskRange(keyNumber, taskCount)
 	var bits Bitmap
 	for i := first; i < end; i++ {
 		if isDone(i) {
 			bits.Set(i - first)
 		}
 	}
-	return NewProgressChange(id, key, &first, bits)
+	return NewProgressChange(id, keyNumber, &first, bits)
 }
 
 // NewProgressChange writes a progress key; first, if not nil, is the task of the first bit.
-func NewProgressChange(id string, key int, first *int, bits Bitmap) wire.Change {
-	value, err := Progress{Bits: bits.Encode(), FirstTask: first}.MarshalJSON()
+func NewProgressChange(id string, keyNumber int, firstTask *int, bits Bitmap) wire.Change {
+	value, err := Progress{Bits: bits.Encode(), FirstTask: firstTask}.MarshalJSON()
 	if err != nil { // never: it is text and a number
 		value = []byte(`{"b":""}`)
 	}
-	return wire.Change{PutKey: ProgressKey(id, key), Value: value}
+	return wire.Change{PutKey: ProgressKey(id, keyNumber), Value: value}
 }
--- a/internal/records/progress_test.go
+++ b/internal/records/progress_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestBitmap(t *testing.T) {
+func TestBitmapSurvivesEncoding(t *testing.T) {
 	var bits Bitmap
 	for _, i := range []int{0, 7, 8, MaxTasksPerKey - 1} {
 		bits.Set(i)
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -62,8 +62,8 @@
 // can be on a machine.
 func (record *Job) IsFinished() bool { return record.State != "" && record.Spec == nil }
 
-// NewEndRecord makes the record of a job that ends now in a state, from the one that it had.
-func NewEndRecord(record *Job, state string, now clock.Micros) *Job {
+// NewEndedJob makes the record of a job that ends now in a state, from the one that it had.
+func NewEndedJob(record *Job, state string, now clock.Micros) *Job {
 	end := &Job{SubmittedAt: record.SubmittedAt, State: state, EndedAt: int64(now)}
 	if state == wire.JobCancelled {
 		// A later leader has to know what the tasks that may still run take.
--- a/internal/records/submission.go
+++ b/internal/records/submission.go
@@ -60,16 +60,16 @@
 // SplitDependencies splits a list of job ids so that each part's Dependencies record fits into a
 // value.
 func SplitDependencies(ids []string, limits Limits) [][]string {
-	const valueOverhead, bytesPerID = 16, 3 // of the value, and around each id
+	const valueOverhead, idOverhead = 16, 3 // of the value, and around each id
 	maxBytes := limits.MaxValueBytes()
 	var parts [][]string
-	size := maxBytes
+	partBytes := maxBytes
 	for _, id := range ids {
-		if size+len(id)+bytesPerID > maxBytes {
-			parts, size = append(parts, nil), valueOverhead
+		if partBytes+len(id)+idOverhead > maxBytes {
+			parts, partBytes = append(parts, nil), valueOverhead
 		}
 		parts[len(parts)-1] = append(parts[len(parts)-1], id)
-		size += len(id) + bytesPerID
+		partBytes += len(id) + idOverhead
 	}
 	return parts
 }
--- a/internal/records/submission_test.go
+++ b/internal/records/submission_test.go
@@ -12,11 +12,11 @@
 // transaction; a job that fits in neither way is refused.
 func TestSubmissionChangesFitTheLimits(t *testing.T) {
 	for _, test := range []struct {
-		name         string
-		class        int // length of the class
-		dependencies int
-		limits       Limits
-		wantChanges  int // 0: refused; a part of 1 KiB takes 77 of these ids
+		name            string
+		classLength     int // length of the class
+		dependencyCount int
+		limits          Limits
+		wantChanges     int // 0: refused; a part of 1 KiB takes 77 of these ids
 	}{
 		{"small", 4, 3, Limits{MaxValueKB: 1, MaxTransactionOps: 1}, 1},
 		{"long list", 4, 300, Limits{MaxValueKB: 1, MaxTransactionOps: 16}, 5},
@@ -25,8 +25,8 @@
 		{"too large without dependencies", 2000, 0, Limits{MaxValueKB: 1, MaxTransactionOps: 16}, 0},
 		{"too large beside its dependencies", 2000, 3, Limits{MaxValueKB: 1, MaxTransactionOps: 16}, 0},
 	} {
-		spec := &wire.Job{ID: "req-000500", Class: fmt.Sprintf("%0*d", test.class, 0)}
-		for i := range test.dependencies {
+		spec := &wire.Job{ID: "req-000500", Class: fmt.Sprintf("%0*d", test.classLength, 0)}
+		for i := range test.dependencyCount {
 			spec.DependsOn = append(spec.DependsOn, fmt.Sprintf("req-%06d", i))
 		}
 		record := &Job{Spec: spec, SubmittedAt: 1}
@@ -45,7 +45,7 @@
 				t.Errorf("%s: %s has a value of %d bytes", test.name, change.PutKey, len(change.Value))
 			}
 		}
-		if len(spec.DependsOn) != test.dependencies {
+		if len(spec.DependsOn) != test.dependencyCount {
 			t.Errorf("%s: the submission itself is changed", test.name)
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -207,7 +207,7 @@
 
 // BootTime is the given percentile, from 0 to 100, of the boot times of a type.
 func (scheduler *Scheduler) BootTime(typeName string, percentile float64) clock.Micros {
-	return scheduler.models.bootTimes[typeName].Quantile(percentile, clock.FromSeconds(scheduler.MachineTypes[typeName].BootSeconds))
+	return scheduler.models.bootTimes[typeName].Percentile(percentile, clock.FromSeconds(scheduler.MachineTypes[typeName].BootSeconds))
 }
 
 // BootTimeout is how long a machine of a type may boot before it is deleted.
--- a/internal/storeview/apply.go
+++ b/internal/storeview/apply.go
@@ -156,7 +156,7 @@
 	if err := record.UnmarshalJSON(value); err != nil {
 		return err
 	}
-	part, err := record.Part()
+	part, err := record.Decode()
 	switch {
 	case err != nil:
 		return err
