--- a/internal/records/compatibility_test.go
+++ b/internal/records/compatibility_test.go
@@ -10,11 +10,11 @@
 	"firwood.dev/firwood/wire"
 )
 
-// productionJobRecord has the fields of a job's record that the version in production
-// knows; it ignores others, and rewrites a record with these alone.
+// productionJobRecord has the fields of a job's record that the production version knows. That version
+// ignores all other fields, and drops them when it rewrites a record.
 type productionJobRecord struct {
-	Spec         *productionJob `json:"j,omitempty"`
-	SubmittedAt  int64          `json:"at"`
+	Job          *productionJob `json:"j,omitempty"`
+	AcceptedAt   int64          `json:"at"`
 	State        string         `json:"s,omitempty"`
 	Class        string         `json:"c,omitempty"`
 	EndedAt      int64          `json:"e,omitempty"`
@@ -26,19 +26,19 @@
 }
 
 type productionJob struct {
-	ID                  string  `json:"nameId"`
-	Class               string  `json:"lot"`
-	Team                string  `json:"crew"`
-	Kind                string  `json:"shape"`
-	Priority            string  `json:"rank"`
-	TaskCount           int     `json:"pieces"`
-	CPUs                float64 `json:"cores"`
-	EstimatedRunSeconds float64 `json:"guessS"`
-	DeadlineSeconds     float64 `json:"dueS,omitempty"`
+	ID              string  `json:"nameId"`
+	Class           string  `json:"lot"`
+	Team            string  `json:"crew"`
+	Kind            string  `json:"shape"`
+	Priority        string  `json:"rank"`
+	Tasks           int     `json:"pieces"`
+	CPUs            float64 `json:"cores"`
+	EstimateSeconds float64 `json:"guessS"`
+	DueSeconds      float64 `json:"dueS,omitempty"`
 }
 
-// The records that the version in production has written are read as they were meant: an active
-// job, a cancelled one whose tasks may still be on machines, and one that is done.
+// The records that the production version has written must be read with their original meaning: those
+// of an active job, of a cancelled job whose tasks may still be on machines, and of a job that is done.
 func TestProductionRecords(t *testing.T) {
 	text, err := os.ReadFile("testdata/records-production.jsonl")
 	if err != nil {
@@ -47,7 +47,7 @@
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	wantStates := []string{"", wire.JobCancelled, wire.JobDone}
 	if len(lines) != len(wantStates) {
-		t.Fatalf("%d records", len(lines))
+		t.Fatalf("got %d records in the file, want 3", len(lines))
 	}
 	for i, line := range lines {
 		record := &Job{}
@@ -55,19 +55,19 @@
 			t.Fatal(err)
 		}
 		if record.State != wantStates[i] || record.SubmittedAt != 1700000000000000 || (record.Spec == nil) != (i == 2) {
-			t.Errorf("%s is read as %+v", line, record)
+			t.Errorf("record %s is wrongly decoded as %+v", line, record)
 		}
 		if record.Spec != nil && (record.Spec.TaskCount != 20 || record.Spec.Priority != wire.PriorityNormal || record.Spec.DependsOn != nil) {
-			t.Errorf("its job is read as %+v", record.Spec)
+			t.Errorf("got spec %+v, want 20 tasks, normal priority and no dependencies", record.Spec)
 		}
 		written, err := record.MarshalJSON()
 		if err != nil || string(written) != line {
-			t.Errorf("%s is written as %s", line, written)
+			t.Errorf("record %s is encoded again as %s, want it unchanged", line, written)
 		}
 	}
 }
 
-// The version in production reads what this one writes, the new fields left out.
+// The production version must be able to read what this version writes, and ignores the new fields.
 func TestProductionReadsNewRecords(t *testing.T) {
 	job := &wire.Job{
 		ID: "req-000007", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 3, CPUs: 2, EstimatedRunSeconds: 9, DeadlineSeconds: 60,
@@ -82,18 +82,18 @@
 	if err := json.Unmarshal(value, &got); err != nil {
 		t.Fatal(err)
 	}
-	want := productionJobRecord{SubmittedAt: 5, Spec: &productionJob{
-		ID: "req-000007", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 3, CPUs: 2, EstimatedRunSeconds: 9, DeadlineSeconds: 60,
+	want := productionJobRecord{AcceptedAt: 5, Job: &productionJob{
+		ID: "req-000007", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 3, CPUs: 2, EstimateSeconds: 9, DueSeconds: 60,
 	}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v", got)
+		t.Errorf("production version reads a new record as %+v", got)
 	}
-	// What a job depends on lies in a key that the other version ignores.
+	// The dependencies lie in a key that the production version ignores.
 	if strings.HasPrefix(DependenciesKey("req-000007", 0), JobPrefix) || strings.HasPrefix(DependenciesKey("req-000007", 0), ProgressPrefix) {
-		t.Error("the key is taken for another kind")
+		t.Error("dependencies key has the prefix of a job or progress key")
 	}
-	// Jobs whose progress fits one key in both versions have the same layout.
+	// Both versions use the same layout for jobs whose progress fits in one key.
 	if tasksPerKey := TasksPerProgressKey(2); tasksPerKey < 10000 || tasksPerKey >= TasksPerProgressKey(16) {
-		t.Errorf("%d tasks in a key", tasksPerKey)
+		t.Errorf("got %d tasks per key for values of 2 KiB, want at least 10000 and fewer than for 16 KiB", tasksPerKey)
 	}
 }
--- a/internal/records/keys_test.go
+++ b/internal/records/keys_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The keys are read by members of other versions, so their strings never change.
+// Members of other versions read the keys, so the strings of the keys must never change.
 func TestKeyStrings(t *testing.T) {
 	for _, test := range []struct{ name, key, want string }{
 		{"lock", LockKey, "firwood/lead"},
@@ -26,12 +26,12 @@
 		{"worker contact prefix", WorkerContactPrefix, "firwood/asked/"},
 	} {
 		if test.key != test.want {
-			t.Errorf("%s: %q, want %q", test.name, test.key, test.want)
+			t.Errorf("%s: got key %q, want %q", test.name, test.key, test.want)
 		}
 	}
 }
 
-// A key of one kind that does not name a job and a number within its range is refused.
+// A numbered key must name a job and a number within its range; any other key is rejected.
 func TestParseNumberedKeysRejectsMalformedKeys(t *testing.T) {
 	for _, test := range []struct {
 		suffix string
@@ -50,7 +50,7 @@
 	} {
 		for prefix, parse := range map[string]func(string) (string, int, bool){ProgressPrefix: ParseProgressKey, DependenciesPrefix: ParseDependenciesKey} {
 			if id, number, ok := parse(prefix + test.suffix); id != test.id || number != test.number || ok != test.ok {
-				t.Errorf("%s%s is parsed as %q, %d, %v", prefix, test.suffix, id, number, ok)
+				t.Errorf("parsing %s%s: got id %q, number %d, ok %v", prefix, test.suffix, id, number, ok)
 			}
 		}
 	}
--- a/internal/records/progress_test.go
+++ b/internal/records/progress_test.go
@@ -13,7 +13,7 @@
 	}
 	for i := 0; i < MaxTasksPerKey; i++ {
 		if decoded.IsSet(i) != (i == 0 || i == 7 || i == 8 || i == MaxTasksPerKey-1) {
-			t.Fatalf("bit %d is %v", i, decoded.IsSet(i))
+			t.Fatalf("after encoding and decoding, bit %d is %v, want the opposite", i, decoded.IsSet(i))
 		}
 	}
 	if id, number, ok := ParseProgressKey(ProgressKey("req-000001", 3)); !ok || id != "req-000001" || number != 3 {
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,8 +1,8 @@
-// Package records has what firwood keeps in the key-value store: the layout of the keys, the
+// Package records defines what firwood keeps in the key-value store: the layout of the keys, the
 // records that are their values, and the codecs. It does no I/O and reads no clock.
 //
-// The records are read by later and earlier versions of firwood. JSON names never change their
-// meaning, and a version ignores names that it does not know.
+// Earlier and later versions of firwood read these records. A JSON name therefore never changes its
+// meaning, and a version ignores the names that it does not know.
 package records
 
 import (
@@ -15,58 +15,61 @@
 
 // Lock is the value of LockKey.
 type Lock struct {
-	// Member is the leader, Lease the lease of the key-value store that the lock is bound to.
+	// Member is the leader, and Lease is the lease of the key-value store that the lock is bound to.
 	Member string `json:"m"`
 	Lease  uint64 `json:"l"`
-	// NeedsStandbyRecord: the leader is record-first, that is, it sends no start before a record
-	// of its own is durable under StandbyKey (docs/standby.md, "The argument").
+	// NeedsStandbyRecord reports whether the leader is record-first: it sends no worker a task start
+	// before a record that it has written itself is durable under StandbyKey (docs/standby.md, "The
+	// argument").
 	NeedsStandbyRecord bool `json:"s,omitempty"`
 }
 
-// Job is the value of a job's key: the whole submission while tasks of the job may be on machines,
-// and after that only what users and operators ask for. Its instants are times of day, in
-// microseconds since the Unix epoch.
+// Job is the value of a job's key. It has the whole submission as long as tasks of the job may be on
+// machines. After that it has only what users and operators may ask for. Its times are wall-clock
+// times, in microseconds since the Unix epoch.
 type Job struct {
-	// Spec is the submission, nil once no task of the job can be on a machine any more. Its
-	// dependencies are left out if they have keys of their own.
+	// Spec is the submission, or nil once no task of the job can be on a machine any more. Its list of
+	// dependencies is empty if the list has keys of its own; see DependencyParts.
 	Spec *wire.Job `json:"j,omitempty"`
-	// SubmittedAt is when the submission was accepted.
+	// SubmittedAt is the time at which the submission was accepted.
 	SubmittedAt int64 `json:"at"`
-	// State is empty while the job is active, then wire.JobDone or wire.JobCancelled.
+	// State is empty while the job is active, and wire.JobDone or wire.JobCancelled afterwards.
 	State string `json:"s,omitempty"`
-	// Class is the job's class, kept without the submission.
+	// Class is the class of an ended job. It is stored here because Spec may be nil.
 	Class string `json:"c,omitempty"`
-	// EndedAt is when the job was completed or cancelled.
+	// EndedAt is the time at which the job was completed or cancelled.
 	EndedAt int64 `json:"e,omitempty"`
-	// DeadlineAt is the deadline, FirstStartAt the start of the first task; 0: none. Both are
-	// set when the job ends.
+	// DeadlineAt is the deadline, or 0 if the job has none; it is set when the job ends. FirstStartAt
+	// is the time at which the first task started, or 0 if none is known; it is set when the job completes.
 	DeadlineAt   int64 `json:"d,omitempty"`
 	FirstStartAt int64 `json:"f,omitempty"`
-	// Tasks is the number of tasks, kept without the submission.
+	// Tasks is the number of tasks of an ended job. It is stored here because Spec may be nil.
 	Tasks int `json:"n,omitempty"`
-	// Errors counts the failures of tasks, Restarts the tasks that were started again because
-	// their machines were lost. Both are set when the job ends.
+	// Errors counts the failures of tasks. Restarts counts the tasks that were started again because
+	// their machines were lost. Both are set when the job completes.
 	Errors   int `json:"x,omitempty"`
 	Restarts int `json:"r,omitempty"`
-	// DependencyParts is the number of the job's Dependencies records; 0: the list is in Spec.
+	// DependencyParts is the number of the job's Dependencies records, or 0 if Spec has the list.
 	DependencyParts int `json:"p,omitempty"`
-	// TasksPerKey is the number of tasks in one progress key whose value does not say where it
-	// begins; 0: see TasksPerProgressKey. Earlier versions wrote it; it is only read and kept.
+	// TasksPerKey is the number of tasks in each progress key whose value has no FirstTask, or 0 if
+	// Job.TasksPerProgressKey has to assume the number. Earlier versions wrote this field; this version
+	// only reads it and copies it to new records of the job.
 	TasksPerKey int `json:"k,omitempty"`
-	// ReleasedAt is the end of the last job that this one depended on; 0: none. It is set when
-	// the job ends.
+	// ReleasedAt is the time at which the last job that this one depended on ended, or 0 if the job did
+	// not wait for any. It is set when the job completes.
 	ReleasedAt int64 `json:"w,omitempty"`
 }
 
-// IsFinished tells whether the record is the job's last one: the job has ended, and no task of it
-// can be on a machine.
+// IsFinished reports whether this is the last record that the job gets: the job has
+// ended, and none of its tasks can be on a machine.
 func (record *Job) IsFinished() bool { return record.State != "" && record.Spec == nil }
 
-// NewEndedJob makes the record of a job that ends now in a state, from the one that it had.
-func NewEndedJob(record *Job, state string, now clock.Micros) *Job {
+// NewEndedRecord returns the record of a job that ends now in the given state, from the job's record
+// before its end.
+func NewEndedRecord(record *Job, state string, now clock.Micros) *Job {
 	end := &Job{SubmittedAt: record.SubmittedAt, State: state, EndedAt: int64(now)}
 	if state == wire.JobCancelled {
-		// A later leader has to know what the tasks that may still run take.
+		// A later leader has to know the resources of the tasks that may still run.
 		end.Spec = record.Spec
 	}
 	end.TasksPerKey = record.TasksPerKey
@@ -80,50 +83,50 @@
 	return end
 }
 
-// Dependencies is the value of a key with one part of the jobs that a job depends on.
+// Dependencies is the value of a dependencies key: one part of the list of jobs that a job depends on.
 type Dependencies struct {
-	// DependsOn are ids of jobs. The parts together, in the order of their numbers, are the list
-	// that was submitted.
+	// DependsOn lists ids of jobs. All parts, joined in the order of their numbers, are the submitted
+	// list.
 	DependsOn []string `json:"a"`
 }
 
 // ScaleOut is the value of a scale-out request's key.
 type ScaleOut struct {
-	// Type and Zone are those of the machines, Spot whether they are spot machines, Count how many
-	// were requested.
+	// Type and Zone are the type and zone of the requested machines, Spot is whether they are spot
+	// machines, and Count is the number of machines requested.
 	Type  string `json:"t"`
 	Zone  string `json:"z"`
 	Spot  bool   `json:"s,omitempty"`
 	Count int    `json:"n"`
-	// RequestedAt is the time of day of the request, in microseconds since the Unix epoch.
+	// RequestedAt is the wall-clock time of the request, in microseconds since the Unix epoch.
 	RequestedAt int64 `json:"at"`
-	// IsResolved: the cloud has answered, and Machines are the names of the machines that it
-	// gave and that have not been deleted.
+	// IsResolved reports whether the cloud has answered. Machines are then the names of the machines
+	// that the cloud provided and that have not been deleted.
 	IsResolved bool     `json:"ok,omitempty"`
 	Machines   []string `json:"m,omitempty"`
 }
 
 // Constraints is the value of ConstraintsKey.
 type Constraints struct {
-	// Constraints are the renewal constraints by which a leader bounds until when its successors
-	// have to reckon with leases.
+	// Constraints are the renewal constraints. From them, a leader's successors know the latest time at
+	// which leases may still be valid.
 	Constraints delegation.Constraints `json:"w"`
 }
 
-// WorkerContact is the value of a worker contact report.
+// WorkerContact is the value of a worker contact key: a member's report of the workers that contact it.
 type WorkerContact struct {
-	// Workers is how many workers contacted the member lately.
+	// Workers is the number of workers that have contacted the member recently.
 	Workers uint32 `json:"n"`
-	// ReportedAt is the time of day of the report, in microseconds since the Unix epoch.
+	// ReportedAt is the wall-clock time of the report, in microseconds since the Unix epoch.
 	ReportedAt int64 `json:"at"`
 }
 
-// Progress is the value of a progress key. That a job has one tells a new leader that tasks of the
-// job may have been started.
+// Progress is the value of a progress key. The existence of such a key tells a new leader that tasks of
+// the job may have been started.
 type Progress struct {
-	// Bits is a Bitmap of completed tasks in its text form.
+	// Bits is the text form of a Bitmap of completed tasks; see Bitmap.Encode.
 	Bits string `json:"b"`
-	// FirstTask is the task of the first bit. A value without it begins at the key's number times
-	// the tasks of one key; see ProgressLayout.
+	// FirstTask is the number of the task that the first bit stands for. If it is nil, that number is
+	// the key's number times the number of tasks per key; see ProgressLayout.
 	FirstTask *int `json:"f,omitempty"`
 }
--- a/internal/records/submission.go
+++ b/internal/records/submission.go
@@ -6,23 +6,24 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Limits are the store's limits that bound what a record may be.
+// Limits are the store's limits that records and transactions have to meet.
 type Limits struct {
-	// MaxValueKB is the largest value, in KiB; MaxTransactionOps the most changes of one
-	// transaction.
+	// MaxValueKB is the maximum size of a value, in KiB. MaxTransactionOps is the maximum number of
+	// changes in one transaction.
 	MaxValueKB        float64
 	MaxTransactionOps int
 }
 
-// MaxValueBytes is the largest value in bytes.
+// MaxValueBytes returns the maximum size of a value, in bytes.
 func (limits Limits) MaxValueBytes() int { return int(limits.MaxValueKB * 1024) }
 
-// ErrTooLarge is returned for a submission that the store's limits leave no room for.
-var ErrTooLarge = errors.New("the job does not fit into a transaction of the store")
+// ErrTooLarge is returned for a submission that does not fit within the store's limits.
+var ErrTooLarge = errors.New("the job does not fit within the store's value and transaction limits")
 
-// SubmissionChanges are the changes that create a new job's keys, to be made in one transaction.
-// Dependencies that do not fit into the job's own value go into keys of their own; the record is
-// changed to say so, and its Spec replaced by a copy without them.
+// SubmissionChanges returns the changes that create a new job's keys. They have to be made in one
+// transaction. If the job's record is too large for one value, its dependencies go into keys of their
+// own: SubmissionChanges then sets record.DependencyParts and replaces record.Spec by a copy without
+// dependencies.
 func SubmissionChanges(record *Job, limits Limits) ([]wire.Change, error) {
 	maxBytes := limits.MaxValueBytes()
 	value, err := record.MarshalJSON()
@@ -57,10 +58,10 @@
 	return append(changes, wire.Change{PutKey: key, Value: value}), nil
 }
 
-// SplitDependencies splits a list of job ids so that each part's Dependencies record fits into a
-// value.
+// SplitDependencies splits a list of job ids into parts, so that the Dependencies record of each part
+// fits into one value.
 func SplitDependencies(ids []string, limits Limits) [][]string {
-	const valueOverhead, idOverhead = 16, 3 // of the value, and around each id
+	const valueOverhead, idOverhead = 16, 3 // bytes of JSON syntax in a value and for each id
 	maxBytes := limits.MaxValueBytes()
 	var parts [][]string
 	partBytes := maxBytes
--- a/internal/records/submission_test.go
+++ b/internal/records/submission_test.go
@@ -8,15 +8,15 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A job's dependencies lie in its own value if they fit, else in further keys of the same
-// transaction; a job that fits in neither way is refused.
+// A job's dependencies are stored in the job's own value if they fit there, and otherwise in additional
+// keys that are created in the same transaction. A job that fits in neither way is refused.
 func TestSubmissionChangesFitTheLimits(t *testing.T) {
 	for _, test := range []struct {
 		name            string
-		classLength     int // length of the class
+		classLength     int // length of the class name, which makes the record large
 		dependencyCount int
 		limits          Limits
-		wantChanges     int // 0: refused; a part of 1 KiB takes 77 of these ids
+		wantChanges     int // 0 if the job is refused; a part of 1 KiB holds 77 of these ids
 	}{
 		{"small", 4, 3, Limits{MaxValueKB: 1, MaxTransactionOps: 1}, 1},
 		{"long list", 4, 300, Limits{MaxValueKB: 1, MaxTransactionOps: 16}, 5},
@@ -33,20 +33,20 @@
 		changes, err := SubmissionChanges(record, test.limits)
 		if test.wantChanges == 0 {
 			if !errors.Is(err, ErrTooLarge) || changes != nil {
-				t.Errorf("%s: %d changes, error %v", test.name, len(changes), err)
+				t.Errorf("%s: got %d changes, error %v, want no changes and ErrTooLarge", test.name, len(changes), err)
 			}
 			continue
 		}
 		if err != nil || len(changes) != test.wantChanges || record.DependencyParts != test.wantChanges-1 {
-			t.Errorf("%s: %d changes, %d parts, error %v, want %d changes", test.name, len(changes), record.DependencyParts, err, test.wantChanges)
+			t.Errorf("%s: got %d changes, %d parts, error %v, want %d changes and one part fewer", test.name, len(changes), record.DependencyParts, err, test.wantChanges)
 		}
 		for _, change := range changes {
 			if len(change.Value) > test.limits.MaxValueBytes() {
-				t.Errorf("%s: %s has a value of %d bytes", test.name, change.PutKey, len(change.Value))
+				t.Errorf("%s: value of %s has %d bytes, want at most the limit", test.name, change.PutKey, len(change.Value))
 			}
 		}
 		if len(spec.DependsOn) != test.dependencyCount {
-			t.Errorf("%s: the submission itself is changed", test.name)
+			t.Errorf("%s: the dependencies of the submitted spec were changed", test.name)
 		}
 	}
 }
--- a/internal/storeview/job.go
+++ b/internal/storeview/job.go
@@ -38,9 +38,9 @@
 	return job.State
 }
 
-// NewEndedJob is a job that ends now in a state. Its Version is set once the record is written.
+// NewEndedRecord is a job that ends now in a state. Its Version is set once the record is written.
 func NewEndedJob(job *Job, state string, now clock.Micros) *Job {
-	return &Job{Job: *records.NewEndedJob(&job.Job, state, now)}
+	return &Job{Job: *records.NewEndedRecord(&job.Job, state, now)}
 }
 
 // ScaleOut is a scale-out request's record with its revision.
