--- a/internal/forecast/demand.go
+++ b/internal/forecast/demand.go
@@ -6,36 +6,37 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// Smoothing holds the smoothing factors of the moving averages, each within (0, 1]
-// (paper, IV-D): rho_A, rho_S and rho_R.
+// Smoothing holds the smoothing factors of the moving averages (paper, IV-D): rho_A, rho_S and
+// rho_R. Each factor is above 0 and at most 1.
 type Smoothing struct{ Arrival, RunTime, DemandSize float64 }
 
 const (
-	// minGapSeconds keeps the arrival rate finite, the paper's epsilon (17).
+	// minGapSeconds is the smallest mean gap from which the arrival rate is computed, so that the
+	// rate stays finite. It is the paper's epsilon (17).
 	minGapSeconds = 1e-3
-	// minSizeWeight is the weight below which a size of jobs is forgotten.
+	// minSizeWeight is the weight below which a job size is forgotten.
 	minSizeWeight = 1e-4
-	// minMachineFraction is the least part of a machine that a spare is counted as.
+	// minMachineFraction is the smallest fraction of a machine that a spare counts as.
 	minMachineFraction = 0.01
 )
 
-// DemandModel is the model of one kind of demand: jobs that may use spot machines,
-// or those that may not. Its averages are exponential moving averages (paper, IV-D).
+// DemandModel models one kind of demand: either the jobs that may use spot machines, or the jobs that
+// may not. Its averages are exponential moving averages (paper, IV-D).
 type DemandModel struct {
-	ArrivalGaps Series // seconds between arrivals of jobs
-	JobRunTimes Series // seconds, the mean run time of a job's tasks
+	ArrivalGaps Series // times between arrivals of jobs, in seconds
+	JobRunTimes Series // for each job, the mean run time of its tasks, in seconds
 
 	lastArrivalAt   clock.Micros
 	meanGapSeconds  float64
 	meanRunSeconds  float64
 	gapCount        int
-	sizeWeights     map[int]float64 // by the number of machines that a job needs
-	machineFraction float64         // see MachineFraction
-	waitObjective   float64         // seconds, the shortest one of its classes; 0: none
+	sizeWeights     map[int]float64 // weights of job sizes, by the number of machines that a job needs
+	machineFraction float64         // the result of MachineFraction
+	waitObjective   float64         // the shortest wait objective of the jobs' classes in seconds, or 0 if none
 }
 
-// ObserveArrival records the arrival of a job that needs machineCount machines and would
-// use share machines in all.
+// ObserveArrival records the arrival of a job. machineCount is the number of machines that the job
+// needs, and fractionalMachines is the same number before it was rounded up.
 func (demand *DemandModel) ObserveArrival(now clock.Micros, machineCount int, fractionalMachines float64, smoothing *Smoothing) {
 	fraction := min(max(fractionalMachines/float64(max(machineCount, 1)), minMachineFraction), 1)
 	if demand.machineFraction == 0 {
@@ -50,7 +51,7 @@
 	demand.observeSize(machineCount, smoothing.DemandSize)
 }
 
-// observeGap updates the mean time between arrivals (17).
+// observeGap updates the mean time between two arrivals (17).
 func (demand *DemandModel) observeGap(now clock.Micros, gapSeconds, smoothing float64) {
 	demand.ArrivalGaps.Add(now, gapSeconds)
 	if demand.gapCount == 0 {
@@ -61,7 +62,7 @@
 	demand.gapCount++
 }
 
-// observeSize updates the weights of sizes of jobs (19).
+// observeSize updates the weights of job sizes (19).
 func (demand *DemandModel) observeSize(machineCount int, smoothing float64) {
 	if demand.sizeWeights == nil {
 		demand.sizeWeights = map[int]float64{machineCount: 1}
@@ -78,8 +79,8 @@
 	demand.sizeWeights[machineCount] += smoothing
 }
 
-// ObserveWaitObjective records that users expect jobs of some class of this demand to start
-// within so many seconds.
+// ObserveWaitObjective records the wait objective of a class of jobs of this demand: the time in
+// seconds within which users expect a job to start.
 func (demand *DemandModel) ObserveWaitObjective(seconds float64) {
 	if demand.waitObjective == 0 || seconds < demand.waitObjective {
 		demand.waitObjective = seconds
@@ -95,12 +96,13 @@
 	}
 }
 
-// HasRecentArrival is the arrival-recency gate (Definition 7).
+// HasRecentArrival reports whether the last arrival lies within the window, which is the paper's
+// arrival-recency gate (Definition 7).
 func (demand *DemandModel) HasRecentArrival(now, window clock.Micros) bool {
 	return demand.lastArrivalAt != 0 && now-demand.lastArrivalAt <= window
 }
 
-// ArrivalRate is the estimated number of arrivals a second, lambda (17).
+// ArrivalRate returns the estimated number of arrivals per second, lambda (17).
 func (demand *DemandModel) ArrivalRate() float64 {
 	if demand.gapCount == 0 {
 		return 0
@@ -108,9 +110,10 @@
 	return 1 / max(demand.meanGapSeconds, minGapSeconds)
 }
 
-// CompletionRate is the estimated number of completions a second, lambda_C (22), from the
-// least predicted rest of a run in seconds (21), +Inf if there is none, and the number of
-// running tasks.
+// CompletionRate returns the estimated number of completions per second, lambda_C (22).
+// nearestCompletion is the shortest predicted remaining run time of a task, in seconds (21), or +Inf
+// if there is none. If it is 0 or infinite, the rate is runningTasks divided by the mean run time, or
+// 0 if no task has completed yet.
 func (demand *DemandModel) CompletionRate(nearestCompletion float64, runningTasks int) float64 {
 	switch {
 	case nearestCompletion > 0 && !math.IsInf(nearestCompletion, 1):
@@ -121,15 +124,15 @@
 	return 0
 }
 
-// SizeWeights returns the weight w_r of each number r of machines that the next job may
-// need (19). The map is the model's own.
+// SizeWeights returns the weights w_r by the number r of machines that the next job may need (19).
+// The map is the model's own, so the caller must not change it.
 func (demand *DemandModel) SizeWeights() map[int]float64 { return demand.sizeWeights }
 
-// MachineFraction is the mean part that a job really uses of each machine it needs, which a
-// spare is counted as; 0 before the first arrival. Several tasks share a machine here,
-// which the paper's jobs do not.
+// MachineFraction returns the mean fraction that a job really uses of each machine that it needs, or 0
+// before the first arrival. A spare counts as this fraction of a machine, because here several tasks
+// share a machine, unlike in the paper.
 func (demand *DemandModel) MachineFraction() float64 { return demand.machineFraction }
 
-// WaitObjective is the shortest time in seconds within which users expect jobs of this
-// demand to start; 0: no such time.
+// WaitObjective returns the shortest time in seconds within which users expect jobs of this demand to
+// start, or 0 if there is no such time.
 func (demand *DemandModel) WaitObjective() float64 { return demand.waitObjective }
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -1,10 +1,11 @@
-// Package forecast holds what the scheduler learns about its load and predicts from it:
-// arrivals, run times, boot times, and what a number of warm spare machines would cost.
-// It is pure: it does no I/O, and time comes in as arguments.
+// Package forecast holds what the scheduler learns about its load and what it predicts from that:
+// arrivals, run times, boot times, and the cost of a number of warm spare machines.
+// It does no I/O and reads no clock: the caller passes times as arguments.
 //
 // It implements the estimates of SNF-ICON (Pulungan et al., "A Smallest-Need-First Job
 // Scheduling Framework with Adaptive Optimization of Idle Node Counts for Energy-Efficient
-// HPC Systems", "the paper" below). The paper's symbols, with the names that they have here:
+// HPC Systems"), which comments call the paper. Numbers in parentheses in comments are the paper's
+// equations. The paper's symbols have the following names here:
 //
 //	section, equation   symbol          here
 //	IV-A                TM, nmin, nmax  ScreenSettings.Window, MinSamples, MaxSamples
@@ -19,7 +20,7 @@
 //	IV-E (24), (25)     H_c, H          HorizonSeconds, meanHorizon
 //	IV-G (33), (34)     d_(r)(x)        readyDelays
 //	IV-G (35)           W(x)            ExpectedWait
-//	IV-H (37)           E(x)            IdleSeconds: of machines, in place of energy
+//	IV-H (37)           E(x)            IdleSeconds (of machines, where the paper uses energy)
 //	IV-H (38), (39)     x, J(x)         Target, Total
 //	IV-H (39)           alpha, beta     waitWeight, idleWeight
 //	IV-I                TA_max          the window of HasRecentArrival (Definition 7)
--- a/internal/forecast/runtime_test.go
+++ b/internal/forecast/runtime_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The conditional mean (50) against numbers drawn from the distribution.
+// RemainingSeconds computes the conditional mean (50) in closed form. The test compares it with the mean
+// of numbers drawn from the distribution.
 func TestRemainingSecondsMatchesSampling(t *testing.T) {
 	model := RunTimeModel{}
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -23,10 +24,10 @@
 			}
 		}
 		if got, want := model.RemainingSeconds(40, age), sum/float64(count); math.Abs(got-want) > 0.03*want {
-			t.Errorf("age %v: %v, sampled %v", age, got, want)
+			t.Errorf("RemainingSeconds(40, %v): got %v, want about %v, the mean of samples", age, got, want)
 		}
 	}
 	if tail := model.RemainingSeconds(40, 1e6); tail < 0 || math.IsNaN(tail) || math.IsInf(tail, 0) {
-		t.Errorf("far tail: %v", tail)
+		t.Errorf("RemainingSeconds(40, 1e6): got %v, want a finite value of at least 0", tail)
 	}
 }
--- a/internal/forecast/screen.go
+++ b/internal/forecast/screen.go
@@ -9,21 +9,22 @@
 	"firwood.dev/firwood/internal/clock"
 )
 
-// ScreenSettings bound what the screen accepts as exponential (paper, IV-A).
+// ScreenSettings are the limits within which the screen accepts samples as exponentially distributed
+// (paper, IV-A).
 type ScreenSettings struct {
-	Window                clock.Micros // older samples do not count
-	MinSamples            int          // fewer samples are rejected
-	MaxSamples            int          // of more samples, the newest count
-	MaxVariationDeviation float64      // of the coefficient of variation from 1 (6)
-	MaxLagCorrelation     float64      // absolute value (9)
-	MaxKSDistance         float64      // times the square root of the number of samples (10)
+	Window                clock.Micros // the age above which samples do not count
+	MinSamples            int          // the minimum number of samples; a series with fewer is rejected
+	MaxSamples            int          // the maximum number of samples that count; these are the newest
+	MaxVariationDeviation float64      // the maximum deviation of the coefficient of variation from 1 (6)
+	MaxLagCorrelation     float64      // the maximum absolute lag-one autocorrelation (9)
+	MaxKSDistance         float64      // the maximum distance times the square root of the sample count (10)
 }
 
-// RejectReason is why the screen rejects a series.
+// RejectReason is the reason why the screen rejects a series.
 type RejectReason string
 
-// Reasons of the screen, as they are logged; RejectNone: the series is accepted. No spread
-// means that all samples are 0.
+// Reasons of the screen, as they are logged. RejectNone means that the series is accepted, and
+// RejectNoSpread that all samples are 0.
 const (
 	RejectNone          RejectReason = ""
 	RejectTooFewSamples RejectReason = "too few samples"
@@ -33,8 +34,8 @@
 	RejectDistance      RejectReason = "distance"
 )
 
-// ScreenResult is the outcome of the screen of one series (paper, IV-A), with the figures
-// that it rests on.
+// ScreenResult is the result of screening one series (paper, IV-A), with the figures on which it is
+// based.
 type ScreenResult struct {
 	IsExponential        bool
 	RejectReason         RejectReason
@@ -44,13 +45,13 @@
 	KSDistance           float64 // (10)
 }
 
-// sample is an observation with its time.
+// sample is an observed value with the time of its observation.
 type sample struct {
 	observedAt clock.Micros
 	value      float64
 }
 
-// Series is a window of recent observations.
+// Series is a time-ordered list of recent observations.
 type Series struct{ samples []sample }
 
 // Add appends an observation.
@@ -58,10 +59,10 @@
 	series.samples = append(series.samples, sample{observedAt, value})
 }
 
-// trim drops samples from before the window, and the oldest of more than maxSamples. The
-// paper (IV-A) says both that nmax caps the samples and that the screen rejects more of them.
-// The cap is taken (docs/questions.md, 9): where jobs always come so fast, a screen that
-// rejects more samples would never pass.
+// trim drops the samples from before the window, and the oldest samples beyond maxSamples. The paper
+// (IV-A) says both that nmax caps the number of samples and that the screen rejects a larger number.
+// This implementation caps the number (docs/questions.md, 9): where jobs always arrive at a high rate,
+// a screen that rejects more samples would never pass.
 func (series *Series) trim(now, window clock.Micros, maxSamples int) {
 	i := 0
 	for i < len(series.samples) && series.samples[i].observedAt < now-window {
@@ -73,9 +74,9 @@
 	}
 }
 
-// Screen tests whether the samples of the window fit an exponential distribution: there
-// are enough of them (Definition 4), the coefficient of variation is near 1 (6), there is
-// little lag-one autocorrelation (9), and the Kolmogorov-Smirnov distance is small (10).
+// Screen tests whether the samples in the window fit an exponential distribution. They do if there are
+// enough samples (Definition 4), the coefficient of variation is near 1 (6), the lag-one
+// autocorrelation is small (9), and the Kolmogorov-Smirnov distance is small (10).
 func (series *Series) Screen(settings *ScreenSettings, now clock.Micros) ScreenResult {
 	series.trim(now, settings.Window, settings.MaxSamples)
 	values := make([]float64, len(series.samples))
@@ -118,8 +119,9 @@
 	return result
 }
 
-// exponentialDistance is the two-sided Kolmogorov-Smirnov distance between the samples'
-// distribution and the exponential one of the same mean (paper, IV-A).
+// exponentialDistance returns the two-sided Kolmogorov-Smirnov distance between the distribution of the
+// samples and the exponential distribution with the given mean, which is that of the samples (paper,
+// IV-A).
 func exponentialDistance(samples []float64, mean float64) float64 {
 	sorted := append([]float64(nil), samples...)
 	sort.Float64s(sorted)
--- a/internal/forecast/sparecost.go
+++ b/internal/forecast/sparecost.go
@@ -7,29 +7,30 @@
 	"sort"
 )
 
-// SpareModel is what the choice of the spare target rests on. Spares are counted in parts of
-// a machine, see DemandModel.MachineFraction.
+// SpareModel holds the values from which the target number of spares is chosen. A spare is counted as
+// a fraction of a machine; see DemandModel.MachineFraction.
 type SpareModel struct {
 	MachineFraction float64
-	ArrivalRate     float64         // arrivals a second, lambda
-	CompletionRate  float64         // completions a second, lambda_C
-	SizeWeights     map[int]float64 // w_r, by the number of machines r that the next job needs
-	ReadyCount      int             // spares ready now
-	BootingSeconds  []float64       // seconds until each booting machine is ready
-	BootSeconds     float64         // seconds until a machine requested now is ready
-	HorizonSeconds  float64         // H_c; 0: none
+	ArrivalRate     float64         // arrivals per second, lambda
+	CompletionRate  float64         // completions per second, lambda_C
+	SizeWeights     map[int]float64 // w_r, by the number r of machines that the next job needs
+	ReadyCount      int             // the number of spares that are ready now
+	BootingSeconds  []float64       // the seconds until each booting machine is ready
+	BootSeconds     float64         // the seconds until a machine requested now is ready
+	HorizonSeconds  float64         // the cap on the time to the next event, H_c, or 0 if there is none
 }
 
-// SpareCost is the cost of one candidate target.
+// SpareCost is the cost of one candidate for the target.
 type SpareCost struct {
 	Target       int     // x, the number of spares
 	ExpectedWait float64 // W, in seconds
-	IdleSeconds  float64 // E, in seconds of a machine
+	IdleSeconds  float64 // E, in machine-seconds
 	Total        float64 // J
 }
 
-// expectedRemainder is the expected part of a transition of delay seconds that is still left
-// at the next event, phi (59); 0 if no event is expected, as the limit of (59) is.
+// expectedRemainder returns how much of a delay of the given seconds is expected to remain at the next
+// event, phi (59). rate is the rate of events. If it is 0, no event is expected, and the result is 0,
+// which is the limit of (59).
 func expectedRemainder(delay, rate float64) float64 {
 	if rate <= 0 {
 		return 0
@@ -37,7 +38,8 @@
 	return delay - (1-math.Exp(-rate*delay))/rate
 }
 
-// Cost works out J for one target x (34), (35), (37), (39). The weights are alpha and beta.
+// Cost returns the cost J of one target x (34), (35), (37), (39). waitWeight is alpha, and idleWeight
+// is beta.
 func (model *SpareModel) Cost(target int, waitWeight, idleWeight float64) SpareCost {
 	eventRate := model.ArrivalRate + model.CompletionRate
 	cost := SpareCost{Target: target, ExpectedWait: model.expectedWait(model.readyDelays(target, eventRate), eventRate)}
@@ -46,8 +48,8 @@
 	return cost
 }
 
-// meanHorizon is the mean time to the next event, H, capped by the horizon (25); if no event
-// is expected, the horizon, 0 if there is none.
+// meanHorizon returns H, the mean time to the next event, with the time capped at the horizon (25). If
+// no event is expected, H is the horizon, or 0 if there is none.
 func (model *SpareModel) meanHorizon(eventRate float64) float64 {
 	switch {
 	case eventRate <= 0:
@@ -58,8 +60,9 @@
 	return 1 / eventRate
 }
 
-// readyDelays lists the seconds until each machine that the plan prepares is ready, nearest
-// first (33): those ready now, those that boot, those still to be requested.
+// readyDelays returns, for each machine of the target, how many of the seconds until it is ready are
+// expected to remain at the next event (33). The machines that are ready now come first, then the
+// booting ones, nearest first, and then those still to be requested.
 func (model *SpareModel) readyDelays(target int, eventRate float64) []float64 {
 	delays := make([]float64, 0, target)
 	for i := 0; i < model.ReadyCount && len(delays) < target; i++ {
@@ -78,18 +81,18 @@
 	return delays
 }
 
-// expectedWait is W: the mean delay over the sizes of the next job (34), times the
-// probability that the next event is an arrival (35).
+// expectedWait returns W: the mean delay over the sizes of the next job (34), times the probability
+// that the next event is an arrival (35).
 func (model *SpareModel) expectedWait(delays []float64, eventRate float64) float64 {
 	if eventRate <= 0 || model.ArrivalRate <= 0 {
 		return 0
 	}
 	var weightedDelay, totalWeight float64
-	// In order of size: the sums, and with them the choice, must not depend on the order
-	// of a map.
+	// The loop goes in order of size, because the floating-point sums, and so the chosen target, must
+	// not depend on the order of a map.
 	for _, size := range slices.Sorted(maps.Keys(model.SizeWeights)) {
 		sizeWeight := model.SizeWeights[size]
-		delay := model.BootSeconds // not prepared: requested on arrival
+		delay := model.BootSeconds // the machine is not prepared, but requested when the job arrives
 		if size <= len(delays) {
 			delay = delays[size-1]
 		}
@@ -102,8 +105,8 @@
 	return model.ArrivalRate / eventRate * weightedDelay / totalWeight
 }
 
-// CheapestTarget picks the target from minTarget to maxTarget with the least J, then the
-// least W, then E, then x (39).
+// CheapestTarget returns the cost of the best target from minTarget to maxTarget. That is the target
+// with the smallest J, then the smallest W, then E, then x (39).
 func (model *SpareModel) CheapestTarget(minTarget, maxTarget int, waitWeight, idleWeight float64) SpareCost {
 	best := model.Cost(minTarget, waitWeight, idleWeight)
 	for target := minTarget + 1; target <= maxTarget; target++ {
@@ -114,7 +117,7 @@
 	return best
 }
 
-// isCheaperThan compares by J, then W, then E.
+// isCheaperThan reports whether cost is less than other, compared by J, then by W, then by E.
 func (cost SpareCost) isCheaperThan(other SpareCost) bool {
 	switch {
 	case cost.Total != other.Total:
--- a/internal/forecast/sparecost_test.go
+++ b/internal/forecast/sparecost_test.go
@@ -8,10 +8,10 @@
 
 func isAlmostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
 
-// W and E worked by hand from (23), (25), (34), (35) and (59): 0.1 arrivals and 0.1 completions a
-// second, so each is the next event with probability one half, and that comes after 5 s in the
-// mean. One machine is ready, one boots for 6 s more, a new one takes 20 s. The next job needs 1, 2
-// or 3 machines with weights 0.5, 0.3 and 0.2.
+// The expected values are worked out by hand from (23), (25), (34), (35) and (59). There are 0.1
+// arrivals and 0.1 completions per second, so the next event is an arrival with probability one half,
+// and it comes after 5 s on average. One machine is ready, one boots for another 6 s, and a new one
+// takes 20 s. The next job needs 1, 2 or 3 machines with weights 0.5, 0.3 and 0.2.
 func TestSpareCostMatchesHandComputedValues(t *testing.T) {
 	model := SpareModel{MachineFraction: 1, ArrivalRate: 0.1, CompletionRate: 0.1, SizeWeights: map[int]float64{1: 0.5, 2: 0.3, 3: 0.2}, ReadyCount: 1, BootingSeconds: []float64{6}, BootSeconds: 20}
 	remainder6 := 6 - (1-math.Exp(-1.2))/0.2
@@ -27,21 +27,21 @@
 	} {
 		got := model.Cost(testCase.target, 50, 1)
 		if !isAlmostEqual(got.ExpectedWait, testCase.wantWait) || !isAlmostEqual(got.IdleSeconds, testCase.wantIdleSeconds) || !isAlmostEqual(got.Total, 50*testCase.wantWait+testCase.wantIdleSeconds) {
-			t.Errorf("x=%d: W=%v E=%v J=%v, want W=%v E=%v", testCase.target, got.ExpectedWait, got.IdleSeconds, got.Total, testCase.wantWait, testCase.wantIdleSeconds)
+			t.Errorf("target %d: got wait %v, idle seconds %v, total %v, want wait %v, idle seconds %v", testCase.target, got.ExpectedWait, got.IdleSeconds, got.Total, testCase.wantWait, testCase.wantIdleSeconds)
 		}
 	}
-	model.MachineFraction = 0.25 // four typical jobs to a machine: a spare costs a quarter
+	model.MachineFraction = 0.25 // four typical jobs fit on a machine, so a spare costs a quarter
 	if got := model.Cost(2, 50, 1); !isAlmostEqual(got.IdleSeconds, 2.5) || !isAlmostEqual(got.ExpectedWait, 0.5*(0.3*remainder6+0.2*20)) {
-		t.Errorf("a quarter machine: %+v", got)
+		t.Errorf("target 2 with a machine fraction of 0.25: got %+v, want the same wait and 2.5 idle seconds", got)
 	}
 	model.MachineFraction = 1
 	model.HorizonSeconds = 4
 	if got, want := model.Cost(1, 50, 1).IdleSeconds, (1-math.Exp(-0.8))/0.2; !isAlmostEqual(got, want) {
-		t.Errorf("capped horizon: %v, want %v", got, want)
+		t.Errorf("idle seconds with a horizon of 4 s: got %v, want %v", got, want)
 	}
 }
 
-// No target within the bounds costs less than the chosen one.
+// CheapestTarget must choose a target such that no other target within the bounds has a lower cost.
 func TestCheapestTargetMatchesBruteForce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	for n := 0; n < 2000; n++ {
@@ -56,7 +56,7 @@
 		got := model.CheapestTarget(1, 6, waitWeight, 1)
 		for target := 1; target <= 6; target++ {
 			if cost := model.Cost(target, waitWeight, 1); cost.Total < got.Total {
-				t.Fatalf("x=%d has J=%v, the choice %d has %v", target, cost.Total, got.Target, got.Total)
+				t.Fatalf("target %d has cost %v, below the chosen target %d with %v", target, cost.Total, got.Target, got.Total)
 			}
 		}
 	}
--- a/internal/records/progress.go
+++ b/internal/records/progress.go
@@ -92,10 +92,10 @@
 //
 // As long as the bits of one key fit into a value, each key holds the number of tasks that every
 // version assumes. A job may have been accepted under a higher limit, so that its values would exceed
-// the limit now in force. The progress of such a job is written to additional keys, with numbers above those of its first layout,
-// whose values have a FirstTask. A version that does not know these additional keys ignores them, since
-// their numbers seem to stand for tasks that the job does not have; that version may start completed
-// tasks again.
+// the limit now in force. The progress of such a job is written to additional keys, numbered above all
+// keys that the job would otherwise have, and their values have a FirstTask. A version that does not
+// know these additional keys ignores them, since their numbers stand for tasks that the job does not
+// have; that version may start completed tasks again.
 type ProgressLayout struct {
 	firstKey    int // the number of the first key that is written
 	tasksPerKey int // the number of tasks in one key
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -60,8 +60,8 @@
 	ReleasedAt int64 `json:"w,omitempty"`
 }
 
-// IsFinished reports whether this is the last record that the job gets: the job has
-// ended, and none of its tasks can be on a machine.
+// IsFinished reports whether this is the last record that the job gets: the job has ended, and none of
+// its tasks can be on a machine.
 func (record *Job) IsFinished() bool { return record.State != "" && record.Spec == nil }
 
 // NewEndedRecord returns the record of a job that ends now in the given state, from the job's record
--- a/internal/storeview/job.go
+++ b/internal/storeview/job.go
@@ -38,7 +38,7 @@
 	return job.State
 }
 
-// NewEndedRecord is a job that ends now in a state. Its Version is set once the record is written.
+// NewEndedJob is a job that ends now in a state. Its Version is set once the record is written.
 func NewEndedJob(job *Job, state string, now clock.Micros) *Job {
 	return &Job{Job: *records.NewEndedRecord(&job.Job, state, now)}
 }
