--- a/internal/records/progress_test.go
+++ b/internal/records/progress_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestBitmap(t *testing.T) {
+func TestBitmapSurvivesEncoding(t *testing.T) {
 	var bits Bitmap
 	for _, i := range []int{0, 7, 8, MaxTasksPerKey - 1} {
 		bits.Set(i)
@@ -13,7 +13,7 @@
 	}
 	for i := 0; i < MaxTasksPerKey; i++ {
 		if decoded.IsSet(i) != (i == 0 || i == 7 || i == 8 || i == MaxTasksPerKey-1) {
-			t.Fatalf("bit %d is %v", i, decoded.IsSet(i))
+			t.Fatalf("after encoding and decoding, bit %d is %v, want the opposite", i, decoded.IsSet(i))
 		}
 	}
 	if id, number, ok := ParseProgressKey(ProgressKey("req-000001", 3)); !ok || id != "req-000001" || number != 3 {
--- a/internal/storeview/job.go
+++ b/internal/storeview/job.go
@@ -42,7 +42,7 @@
 // NewEndedJob returns a job that ends now in state. The caller sets its Version once the record is
 // written.
 func NewEndedJob(job *Job, state string, now clock.Micros) *Job {
-	return &Job{Job: *records.NewEndRecord(&job.Job, state, now)}
+	return &Job{Job: *records.NewEndedRecord(&job.Job, state, now)}
 }
 
 // ScaleOut is a scale-out request's record with its revision.
