--- a/internal/sim/client.go
+++ b/internal/sim/client.go
@@ -49,16 +49,16 @@
 func JobID(number int) string { return fmt.Sprintf("req-%06d", number) }
 
 // Array is an array job of a team, as a user submits it.
-func Array(number, tasks int, team string) *wire.Job {
+func Array(number, taskCount int, team string) *wire.Job {
 	return &wire.Job{
 		ID: JobID(number), Class: "c", Team: team, Kind: wire.KindArray, Priority: "standard",
-		TaskCount: tasks, CPUs: 2, MemoryGB: 1, Image: "img", ImageSizeGB: 0.1, EstimatedRunSeconds: 20,
+		TaskCount: taskCount, CPUs: 2, MemoryGB: 1, Image: "img", ImageSizeGB: 0.1, EstimatedRunSeconds: 20,
 	}
 }
 
 // Service is a service of a team that is spread over zones, as a user submits it.
-func Service(number, tasks int, team string) *wire.Job {
-	job := Array(number, tasks, team)
+func Service(number, taskCount int, team string) *wire.Job {
+	job := Array(number, taskCount, team)
 	job.Kind, job.Priority, job.SpreadZones, job.EstimatedRunSeconds = wire.KindService, "production", true, 0
 	return job
 }
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -157,9 +157,9 @@
 }
 
 // WaitForRunningTasks waits until so many tasks of a job are on machines.
-func (cluster *Cluster) WaitForRunningTasks(id string, tasks int) {
+func (cluster *Cluster) WaitForRunningTasks(id string, taskCount int) {
 	cluster.t.Helper()
-	cluster.WaitFor(fmt.Sprintf("%d tasks of %s run", tasks, id), 2*time.Minute, func() bool { return len(cluster.MachinesRunning(id)) == tasks })
+	cluster.WaitFor(fmt.Sprintf("%d tasks of %s run", taskCount, id), 2*time.Minute, func() bool { return len(cluster.MachinesRunning(id)) == taskCount })
 }
 
 // WaitForNoTasks waits until no task of a job is on a machine.
--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -46,7 +46,7 @@
 
 // Users read a job at all controllers within milliseconds after it was accepted or its
 // cancellation confirmed, and repeat both requests: no reply is older than that.
-func TestReadsRightAfterWrites(t *testing.T) {
+func TestReadsRightAfterWritesAreNotStale(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 20; i++ {
 			job := Array(i, 1, "a")
@@ -97,7 +97,7 @@
 
 // Four one-task jobs are submitted a second and a quarter of them cancelled: each is answered and
 // ends.
-func TestManySmallJobs(t *testing.T) {
+func TestManySmallJobsAreAcceptedPromptlyAndEnd(t *testing.T) {
 	Run(t, Options{TaskDuration: 3 * time.Second, Limits: Limits{WriteRPS: 30}}, func(cluster *Cluster) {
 		// Large arrays whose tasks end all the time cause many writes of progress.
 		for i := 1001; i <= 1012; i++ {
@@ -135,7 +135,7 @@
 
 // A team has more work than its quota allows at a time, the leader changes, and every job gets
 // done.
-func TestWorkBeyondQuota(t *testing.T) {
+func TestWorkBeyondQuotaFinishes(t *testing.T) {
 	teams := []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 8}}
 	Run(t, Options{TaskDuration: 5 * time.Second, Teams: teams}, func(cluster *Cluster) {
 		for i := 1; i <= 12; i++ {
@@ -151,12 +151,12 @@
 
 // Jobs that can't run are rejected by every controller alike, and jobs that nobody submitted are
 // not found. The leader, once the store rejects its requests, does not decide either.
-func TestInvalidRequestsAtEveryMember(t *testing.T) {
+func TestEveryMemberRejectsInvalidRequests(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
-		unknownTeam, tooLarge, overLimit := Array(1, 1, "nobody"), Array(2, 1, "a"), Service(3, 9, "b")
+		unknownTeam, tooLarge, overQuota := Array(1, 1, "nobody"), Array(2, 1, "a"), Service(3, 9, "b")
 		tooLarge.CPUs = 9
 		for _, member := range cluster.Members() {
-			for _, job := range []*wire.Job{unknownTeam, tooLarge, overLimit} {
+			for _, job := range []*wire.Job{unknownTeam, tooLarge, overQuota} {
 				if response := cluster.Submit(member, job); response.Status != 422 {
 					t.Errorf("%s gets %d at %s", job.ID, response.Status, member)
 				}
--- a/internal/sim/dependencies_test.go
+++ b/internal/sim/dependencies_test.go
@@ -21,7 +21,7 @@
 
 // Jobs of two teams run in the order of their dependencies, across failovers; a job that waits for
 // a dependency is pending and uses nothing of its team's quota.
-func TestDependencyOrder(t *testing.T) {
+func TestJobsRunInDependencyOrder(t *testing.T) {
 	teams := []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 4}}
 	Run(t, Options{Teams: teams}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 3, "a"))
@@ -139,32 +139,32 @@
 
 // The store lowers its limits as announced: a job with hundreds of dependencies is accepted all the
 // same, no transaction is rejected for its size, and the next leader knows the job.
-func TestStoreLimitsAreLowered(t *testing.T) {
-	next := &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 10, WriteRPS: 40}
-	Run(t, Options{Limits: Limits{UpcomingStore: next}, TaskDuration: 3 * time.Second}, func(cluster *Cluster) {
-		const dependencies = 300
-		last := Array(1000, 1, "a")
-		for i := 1; i <= dependencies; i++ {
+func TestManyDependenciesAreAcceptedUnderLowerStoreLimits(t *testing.T) {
+	upcomingLimits := &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 10, WriteRPS: 40}
+	Run(t, Options{Limits: Limits{UpcomingStore: upcomingLimits}, TaskDuration: 3 * time.Second}, func(cluster *Cluster) {
+		const dependencyCount = 300
+		dependent := Array(1000, 1, "a")
+		for i := 1; i <= dependencyCount; i++ {
 			cluster.MustSubmit(cluster.Members()[i%3], Array(i, 1, "a"))
-			last.DependsOn = append(last.DependsOn, JobID(i))
-			if i == dependencies/2 {
+			dependent.DependsOn = append(dependent.DependsOn, JobID(i))
+			if i == dependencyCount/2 {
 				cluster.Store.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 10})
 			}
 		}
-		cluster.MustSubmit("n1", last)
-		if s := cluster.GetJob("n0", last.ID).JobState(); s != wire.JobPending && s != wire.JobDone {
-			t.Errorf("the job with %d dependencies is %q", dependencies, s)
+		cluster.MustSubmit("n1", dependent)
+		if s := cluster.GetJob("n0", dependent.ID).JobState(); s != wire.JobPending && s != wire.JobDone {
+			t.Errorf("the job with %d dependencies is %q", dependencyCount, s)
 		}
 		cluster.Restart(cluster.Leader(), time.Second)
-		cluster.WaitForState("n2", last.ID, wire.JobDone, 5*time.Minute)
+		cluster.WaitForState("n2", dependent.ID, wire.JobDone, 5*time.Minute)
 		if oversized := cluster.Store.OversizedCount(); oversized > 0 {
 			t.Errorf("%d transactions were rejected for their size", oversized)
 		}
 		if keys := cluster.Store.Keys("firwood/needs/"); len(keys) < 2 {
 			t.Errorf("a long list of dependencies is in %v alone", keys)
 		}
-		if !slices.Contains(cluster.Store.Keys(jobKeys), jobKeys+last.ID) {
-			t.Errorf("the record of %s is missing", last.ID)
+		if !slices.Contains(cluster.Store.Keys(jobKeys), jobKeys+dependent.ID) {
+			t.Errorf("the record of %s is missing", dependent.ID)
 		}
 	})
 }
@@ -209,7 +209,7 @@
 // A hundred jobs depend on each other in chains, fans and diamonds; half of them are cancelled with
 // their root as the leader crashes, while users submit more. Every controller shows the same of
 // each, submissions are answered in time, and the other jobs get done.
-func TestManyDependentJobs(t *testing.T) {
+func TestManyDependentJobsEndAfterLeaderCrash(t *testing.T) {
 	Run(t, Options{TaskDuration: 2 * time.Second, Limits: Limits{WriteRPS: 200}}, func(cluster *Cluster) {
 		submitter := &dagSubmitter{Cluster: cluster}
 		leader := cluster.Leader()
--- a/internal/sim/failover_test.go
+++ b/internal/sim/failover_test.go
@@ -9,7 +9,7 @@
 )
 
 // Jobs are cancelled in the seconds of a failover.
-func TestCancelDuringFailover(t *testing.T) {
+func TestJobsCancelledDuringFailoverStop(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 8; i++ {
 			cluster.MustSubmit("n0", Array(i, 1, "a"))
@@ -33,7 +33,7 @@
 
 // The leader restarts while machines with long tasks hang, are slow, or lose heartbeats or
 // commands: no task runs on two machines.
-func TestFaultyMachinesAtFailover(t *testing.T) {
+func TestNoTaskRunsTwiceOnFaultyMachinesAtFailover(t *testing.T) {
 	for _, fault := range []fake.MachineFault{fake.MachineHanging, fake.MachineCommandsLost, fake.MachineHeartbeatsLost, fake.MachineSlow} {
 		t.Run(fault.String(), func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
@@ -55,7 +55,7 @@
 }
 
 // The leader restarts ten times in two minutes, also during a store outage.
-func TestFrequentFailovers(t *testing.T) {
+func TestJobsFinishDespiteFrequentFailovers(t *testing.T) {
 	Run(t, Options{TaskDuration: 15 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
 			cluster.MustSubmit("n0", Array(i, 3, "a"))
@@ -80,7 +80,7 @@
 
 // All controllers crash; one is back within a second, or all stay down for longer than a worker's
 // lease.
-func TestAllMembersDown(t *testing.T) {
+func TestJobsSurviveCrashOfAllMembers(t *testing.T) {
 	for _, downtime := range []time.Duration{300 * time.Millisecond, 45 * time.Second} {
 		t.Run(downtime.String(), func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
@@ -105,7 +105,7 @@
 
 // The tasks of a job end far apart, across failovers: tasks that are done are not run again, and no
 // job is called done before its last task.
-func TestTaskProgressAcrossFailovers(t *testing.T) {
+func TestDoneTasksAreNotRerunAcrossFailovers(t *testing.T) {
 	Run(t, Options{TaskDuration: 3 * time.Second, TaskDurationStep: 25 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
 			cluster.MustSubmit("n0", Array(i, 2+i%2, "a"))
@@ -121,15 +121,15 @@
 		for i := 1; i <= 4; i++ {
 			cluster.WaitForState("n1", JobID(i), wire.JobDone, 3*time.Minute)
 		}
-		if again := cluster.Checker.Reruns(); len(again) > 0 {
-			t.Errorf("done tasks were started again: %v", again)
+		if reruns := cluster.Checker.Reruns(); len(reruns) > 0 {
+			t.Errorf("done tasks were started again: %v", reruns)
 		}
 	})
 }
 
 // The leader is partitioned from its workers and hands over, then the next one is and does, while
 // jobs are cancelled at both.
-func TestLeaderHandoverAndBack(t *testing.T) {
+func TestCancellationsSurviveRepeatedHandovers(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
 			cluster.MustSubmit("n0", Array(i, 3, "a"))
--- a/internal/sim/finished_jobs_test.go
+++ b/internal/sim/finished_jobs_test.go
@@ -48,9 +48,9 @@
 	Run(t, smallCacheOptions(), func(cluster *Cluster) {
 		cluster.finishJobs()
 		for _, name := range cluster.Members() {
-			cluster.getJobsConcurrently(name)
+			cluster.checkConcurrentReads(name)
 		}
-		cluster.getAllJobs()
+		cluster.checkAllJobs()
 		leader := cluster.Leader()
 		for _, name := range cluster.Members() {
 			cluster.Restart(name, time.Second)
@@ -58,35 +58,35 @@
 		cluster.WaitForLeader(time.Minute)
 		t.Logf("%s was leader, now %s is", leader, cluster.Leader())
 		time.Sleep(5 * time.Second)
-		cluster.getAllJobs()
+		cluster.checkAllJobs()
 	})
 }
 
-// getJobsConcurrently reads many evicted jobs and as many unknown ones from a controller at once.
-func (cluster *Cluster) getJobsConcurrently(name string) {
-	const many = 60
-	statuses := make(chan string, 2*many)
-	get := func(id string, want int) {
+// checkConcurrentReads reads many evicted jobs and as many unknown ones from a controller at once.
+func (cluster *Cluster) checkConcurrentReads(name string) {
+	const readCount = 60
+	failures := make(chan string, 2*readCount)
+	checkStatus := func(id string, want int) {
 		if response := cluster.GetJob(name, id); response.Status != want {
-			statuses <- fmt.Sprintf("%s answers %d for %s", name, response.Status, id)
+			failures <- fmt.Sprintf("%s answers %d for %s", name, response.Status, id)
 			return
 		}
-		statuses <- ""
+		failures <- ""
 	}
-	for i := range many {
-		go get(JobID(i), 200)
-		go get(JobID(500000+i), 404)
+	for i := range readCount {
+		go checkStatus(JobID(i), 200)
+		go checkStatus(JobID(500000+i), 404)
 	}
-	for range 2 * many {
-		if failure := <-statuses; failure != "" {
+	for range 2 * readCount {
+		if failure := <-failures; failure != "" {
 			cluster.t.Error(failure)
 		}
 	}
 }
 
-// getAllJobs reads every job from all controllers at once, one job after the other, repeats some
+// checkAllJobs reads every job from all controllers at once, one job after the other, repeats some
 // submissions and cancellations, and reads some unknown jobs.
-func (cluster *Cluster) getAllJobs() {
+func (cluster *Cluster) checkAllJobs() {
 	for i := range finishedJobCount {
 		id, failures := JobID(i), make(chan string, 3)
 		for _, name := range cluster.Members() {
@@ -149,9 +149,9 @@
 		for i := range 2 * cachedJobCount {
 			cluster.GetJob("n1", JobID(finishedJobCount-1-i))
 		}
-		later := Array(600004, 1, "a")
-		later.DependsOn = afterDone.DependsOn
-		cluster.MustSubmit("n2", later)
+		laterJob := Array(600004, 1, "a")
+		laterJob.DependsOn = afterDone.DependsOn
+		cluster.MustSubmit("n2", laterJob)
 		if response := cluster.Submit("n0", afterUnknown); response.Status != 422 {
 			t.Errorf("a job that depends on one that was never accepted gets %d", response.Status)
 		}
@@ -159,18 +159,18 @@
 			cluster.Restart(name, time.Second)
 		}
 		for _, name := range cluster.Members() {
-			cluster.WaitForState(name, later.ID, wire.JobDone, time.Minute)
+			cluster.WaitForState(name, laterJob.ID, wire.JobDone, time.Minute)
 		}
 	})
 }
 
 // During a store outage an evicted job is never called unknown, and requests for it are answered
 // in time.
-func TestEvictedJobsInStoreOutage(t *testing.T) {
+func TestEvictedJobsAreNeverUnknownDuringStoreOutage(t *testing.T) {
 	Run(t, smallCacheOptions(), func(cluster *Cluster) {
 		cluster.finishJobs()
 		cluster.Store.SetDown(true)
-		began := time.Now()
+		startedAt := time.Now()
 		for i := range 60 {
 			name := cluster.Members()[i%3]
 			if response := cluster.GetJob(name, JobID(i)); response.Status == 404 {
@@ -180,7 +180,7 @@
 				t.Errorf("a repeated submission of %s gets %d", JobID(i), response.Status)
 			}
 		}
-		if took := time.Since(began); took > 60*2*2*time.Second {
+		if took := time.Since(startedAt); took > 60*2*2*time.Second {
 			t.Errorf("120 replies took %v", took)
 		}
 		cluster.Store.SetDown(false)
@@ -195,10 +195,10 @@
 )
 
 // waitForArchived waits until so many records are in the archive, and the others where they were.
-func (cluster *Cluster) waitForArchived(archived int) {
+func (cluster *Cluster) waitForArchived(archivedCount int) {
 	cluster.t.Helper()
-	cluster.WaitFor(fmt.Sprintf("%d records are archived", archived), 10*time.Minute, func() bool {
-		return len(cluster.Store.Keys(archivedKeys)) == archived && len(cluster.Store.Keys(jobKeys)) == finishedJobCount-archived
+	cluster.WaitFor(fmt.Sprintf("%d records are archived", archivedCount), 10*time.Minute, func() bool {
+		return len(cluster.Store.Keys(archivedKeys)) == archivedCount && len(cluster.Store.Keys(jobKeys)) == finishedJobCount-archivedCount
 	})
 }
 
@@ -210,21 +210,21 @@
 	options.FinishedJobs.ArchiveAfter = archiveAfter
 	Run(t, options, func(cluster *Cluster) {
 		cluster.finishJobs()
-		submissions := cluster.Store.Transactions()
+		earlierTransactions := cluster.Store.Transactions()
 		cluster.injectFaultsWhileArchiving()
 		cluster.waitForArchived(finishedJobCount)
-		for _, transaction := range submissions {
+		for _, transaction := range earlierTransactions {
 			cluster.Store.ReapplyTransaction(transaction)
 		}
 		if left := cluster.Store.Keys(jobKeys); len(left) > 0 {
 			t.Errorf("replayed submissions brought back %d records", len(left))
 		}
-		cluster.getAllJobs()
+		cluster.checkAllJobs()
 		cluster.restartAllMembers()
-		cluster.getAllJobs()
+		cluster.checkAllJobs()
 		cluster.checkDependencyOnArchivedJob()
 
-		cluster.options.FinishedJobs.NotArchivedBy = cluster.Members()
+		cluster.options.FinishedJobs.NonArchivingMembers = cluster.Members()
 		cluster.restartAllMembers()
 		cluster.injectFaultsWhileArchiving()
 		cluster.WaitFor("all records are out of the archive", 10*time.Minute, func() bool {
@@ -238,7 +238,7 @@
 		if left := cluster.Store.Keys(archivedKeys); len(left) > 0 {
 			t.Errorf("replayed moves archived %d records again", len(left))
 		}
-		cluster.getAllJobs()
+		cluster.checkAllJobs()
 	})
 }
 
@@ -249,7 +249,7 @@
 		if leader := cluster.Leader(); leader != "" {
 			cluster.Store.SetFault(leader, fault)
 			time.Sleep(2 * time.Second)
-			cluster.getJobsConcurrently(cluster.OtherMembers(leader)[0])
+			cluster.checkConcurrentReads(cluster.OtherMembers(leader)[0])
 			cluster.Store.SetFault(leader, fake.StoreHealthy)
 			cluster.Restart(leader, 300*time.Millisecond)
 		}
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -36,7 +36,7 @@
 // submitJobs submits arrays whose tasks need a whole machine each and services whose replicas need
 // a quarter of one, to all controllers in turn, before any machine is up.
 func (fleet *largeFleet) submitJobs(machines int) {
-	const replicas = 24
+	const replicasPerService = 24
 	number := 0
 	submit := func(job *wire.Job) {
 		fleet.taskCount += job.TaskCount
@@ -49,23 +49,23 @@
 		job.CPUs = 8
 		submit(job)
 	}
-	for left := (machines - machines*9/10) * 4; left > 0; left -= replicas {
+	for left := (machines - machines*9/10) * 4; left > 0; left -= replicasPerService {
 		number++
-		submit(Service(number, min(left, replicas), "a"))
+		submit(Service(number, min(left, replicasPerService), "a"))
 	}
 }
 
 // waitForAllRunning waits until all tasks are on machines, and logs how long that took.
-func (fleet *largeFleet) waitForAllRunning(what string, timeout time.Duration) {
+func (fleet *largeFleet) waitForAllRunning(phase string, timeout time.Duration) {
 	fleet.t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	for fleet.Cloud.RunningTaskCount() != fleet.taskCount {
-		if time.Since(began) > timeout {
-			fleet.t.Fatalf("%s: after %v %d of %d tasks run", what, timeout, fleet.Cloud.RunningTaskCount(), fleet.taskCount)
+		if time.Since(startedAt) > timeout {
+			fleet.t.Fatalf("%s: after %v %d of %d tasks run", phase, timeout, fleet.Cloud.RunningTaskCount(), fleet.taskCount)
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
-	fleet.t.Logf("%s: all %d tasks run after %v", what, fleet.taskCount, time.Since(began).Round(time.Millisecond))
+	fleet.t.Logf("%s: all %d tasks run after %v", phase, fleet.taskCount, time.Since(startedAt).Round(time.Millisecond))
 }
 
 // checkMachineCount checks that there are not many more machines than are needed. Added after each
@@ -79,15 +79,15 @@
 	}
 }
 
-// waitForNewJob submits a small job and waits until it runs.
-func (fleet *largeFleet) waitForNewJob(number int, timeout time.Duration) {
+// submitAndWaitForJob submits a small job and waits until it runs.
+func (fleet *largeFleet) submitAndWaitForJob(number int, timeout time.Duration) {
 	fleet.t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	job := Array(number, 2, "a")
 	fleet.taskCount += job.TaskCount
 	fleet.MustSubmit("n0", job)
 	fleet.WaitFor(job.ID+" runs", timeout, func() bool { return fleet.GetJob("n1", job.ID).JobState() == wire.JobRunning })
-	fleet.t.Logf("a new job runs after %v", time.Since(began).Round(time.Millisecond))
+	fleet.t.Logf("a new job runs after %v", time.Since(startedAt).Round(time.Millisecond))
 }
 
 // A large fleet boots, all its workers send heartbeats at once after a store outage and after a
@@ -113,7 +113,7 @@
 	fleet.Store.SetDown(true)
 	time.Sleep(20 * time.Second)
 	fleet.Store.SetDown(false)
-	fleet.waitForNewJob(900001, 30*time.Second)
+	fleet.submitAndWaitForJob(900001, 30*time.Second)
 	fleet.waitForAllRunning("after a store outage", time.Minute)
 
 	fleet.Network.Partition("all workers", func(a, b string) bool {
@@ -121,17 +121,17 @@
 	})
 	time.Sleep(15 * time.Second)
 	fleet.Network.Heal("all workers")
-	fleet.waitForNewJob(900002, 30*time.Second)
+	fleet.submitAndWaitForJob(900002, 30*time.Second)
 	fleet.waitForAllRunning("after a partition of all workers", time.Minute)
 
 	fleet.PartitionZone("x")
 	time.Sleep(20 * time.Second)
 	fleet.ReconnectZone("x")
-	fleet.waitForNewJob(900003, 30*time.Second)
+	fleet.submitAndWaitForJob(900003, 30*time.Second)
 	fleet.waitForAllRunning("after a partition of a zone", time.Minute)
 
 	fleet.Restart(fleet.Leader(), 3*time.Second)
-	fleet.waitForNewJob(900004, 30*time.Second)
+	fleet.submitAndWaitForJob(900004, 30*time.Second)
 	fleet.waitForAllRunning("after a restart of the leader", time.Minute)
 
 	for _, job := range fleet.jobs[:len(fleet.jobs)/2] {
--- a/internal/sim/generated_history_test.go
+++ b/internal/sim/generated_history_test.go
@@ -28,11 +28,11 @@
 	cancelRequested map[string]bool
 	// cancelledWithDependency are the jobs that are cancelled with one that they depend on.
 	cancelledWithDependency map[string]bool
-	// faultsOverAt is when the last injected fault ends.
-	faultsOverAt    time.Time
+	// faultsEndAt is when the last injected fault ends.
+	faultsEndAt     time.Time
 	heartbeatCopies [][]byte
-	pendingRequests int           // submissions and cancellations that were begun
-	answered        chan struct{} // gets a value for each of them that has succeeded
+	startedRequests int           // submissions and cancellations that were begun
+	succeeded       chan struct{} // gets a value for each of them that has succeeded
 }
 
 func (history *generatedHistory) pickName(names []string) string {
@@ -49,8 +49,8 @@
 // injectFault injects a fault now and ends it after a duration.
 func (history *generatedHistory) injectFault(duration time.Duration, fault reversibleFault) {
 	fault.begin()
-	if end := time.Now().Add(duration); end.After(history.faultsOverAt) {
-		history.faultsOverAt = end
+	if end := time.Now().Add(duration); end.After(history.faultsEndAt) {
+		history.faultsEndAt = end
 	}
 	time.AfterFunc(duration, fault.end)
 }
@@ -106,14 +106,14 @@
 // retryInBackground retries a request at one controller after the other until it succeeds, while
 // the history goes on.
 func (history *generatedHistory) retryInBackground(try func(member string) bool) {
-	history.pendingRequests++
+	history.startedRequests++
 	members, next := history.Members(), history.random.IntN(3)
 	go func() {
 		for !try(members[next%len(members)]) {
 			next++
 			time.Sleep(time.Second)
 		}
-		history.answered <- struct{}{}
+		history.succeeded <- struct{}{}
 	}()
 }
 
@@ -236,13 +236,13 @@
 // waitForCompletion waits until all faults are over, and checks that every request is answered and
 // that every job that was not cancelled is done, or runs if it is a service.
 func (history *generatedHistory) waitForCompletion() {
-	if left := time.Until(history.faultsOverAt); left > 0 {
+	if left := time.Until(history.faultsEndAt); left > 0 {
 		time.Sleep(left)
 	}
 	time.Sleep(time.Second)
-	for range history.pendingRequests {
+	for range history.startedRequests {
 		select {
-		case <-history.answered:
+		case <-history.succeeded:
 		case <-time.After(75 * time.Second):
 			history.t.Fatal("a request gets no reply after the faults")
 		}
@@ -282,7 +282,7 @@
 			}
 			Run(t, options, func(cluster *Cluster) {
 				history := &generatedHistory{
-					Cluster: cluster, random: rand.New(rand.NewPCG(seed, 7)), cancelRequested: map[string]bool{}, cancelledWithDependency: map[string]bool{}, answered: make(chan struct{}, 1000),
+					Cluster: cluster, random: rand.New(rand.NewPCG(seed, 7)), cancelRequested: map[string]bool{}, cancelledWithDependency: map[string]bool{}, succeeded: make(chan struct{}, 1000),
 				}
 				for range 60 {
 					time.Sleep(history.randomDuration(0, 6))
--- a/internal/sim/member.go
+++ b/internal/sim/member.go
@@ -118,7 +118,7 @@
 	tuning := config.DefaultTuning()
 	tuning.Standby.Enabled = cluster.options.Standby.isEnabledFor(name)
 	tuning.FinishedJobs = cluster.options.FinishedJobs.CachedCount
-	tuning.ArchiveFinishedAfterS = cluster.options.FinishedJobs.archiveAfterFor(name).Seconds()
+	tuning.ArchiveFinishedAfterS = cluster.options.FinishedJobs.archiveDelayFor(name).Seconds()
 	member.instance = controller.New(member.cfg, tuning, log.With("member", name), dial)
 	ctx, cancel := context.WithCancel(context.Background())
 	member.cancelRun = cancel
--- a/internal/sim/metrics_test.go
+++ b/internal/sim/metrics_test.go
@@ -16,11 +16,11 @@
 }
 
 // hasMetric tells whether metrics have a line of this name and value.
-func hasMetric(text, line string) bool { return strings.Contains("\n"+text, "\n"+line+"\n") }
+func hasMetric(metrics, line string) bool { return strings.Contains("\n"+metrics, "\n"+line+"\n") }
 
 // Every member tells its metrics: who leads, and at the leader of a cancelled task on a machine that
 // hears nothing, for as long as it is there.
-func TestMetricsTellOfCancelledTasks(t *testing.T) {
+func TestMetricsCountCancelledTasks(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 4, "a"))
 		machine := cluster.MachinesRunning(JobID(1))[0]
@@ -35,8 +35,8 @@
 			if name == leader {
 				want = "firwood_leader 1"
 			}
-			if text := cluster.metricsOf(name); !hasMetric(text, want) {
-				t.Errorf("%s has no %s:\n%s", name, want, text)
+			if metrics := cluster.metricsOf(name); !hasMetric(metrics, want) {
+				t.Errorf("%s has no %s:\n%s", name, want, metrics)
 			}
 		}
 		cluster.Cloud.SetFault(machine, fake.MachineHealthy)
--- a/internal/sim/normal_operation_test.go
+++ b/internal/sim/normal_operation_test.go
@@ -8,7 +8,7 @@
 )
 
 // Without faults an array and a service run, and every controller shows them.
-func TestNormalOperation(t *testing.T) {
+func TestJobsRunOnHealthyCluster(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 5, "a"))
 		cluster.MustRun("n1", Service(2, 2, "a"))
--- a/internal/sim/options.go
+++ b/internal/sim/options.go
@@ -52,14 +52,14 @@
 
 // StandbyOptions say who keeps replicas of the leader's allocation table.
 type StandbyOptions struct {
-	// Enabled has every controller keep a replica, apart from the members ExceptFor.
-	Enabled   bool
-	ExceptFor []string
+	// Enabled has every controller keep a replica, apart from the members ExcludedMembers.
+	Enabled         bool
+	ExcludedMembers []string
 }
 
 // isEnabledFor reports whether a member keeps a replica.
 func (standby StandbyOptions) isEnabledFor(member string) bool {
-	return standby.Enabled && !slices.Contains(standby.ExceptFor, member)
+	return standby.Enabled && !slices.Contains(standby.ExcludedMembers, member)
 }
 
 // FinishedJobOptions say what controllers do with finished jobs.
@@ -67,14 +67,14 @@
 	// CachedCount, if set, is how many finished jobs a controller caches.
 	CachedCount int
 	// ArchiveAfter, if set, is after how long finished jobs are archived. The members
-	// NotArchivedBy move them back when they lead.
-	ArchiveAfter  time.Duration
-	NotArchivedBy []string
+	// NonArchivingMembers move them back when they lead.
+	ArchiveAfter        time.Duration
+	NonArchivingMembers []string
 }
 
-// archiveAfterFor is after how long a member archives finished jobs, 0 if it does not.
-func (finished FinishedJobOptions) archiveAfterFor(member string) time.Duration {
-	if slices.Contains(finished.NotArchivedBy, member) {
+// archiveDelayFor is after how long a member archives finished jobs, 0 if it does not.
+func (finished FinishedJobOptions) archiveDelayFor(member string) time.Duration {
+	if slices.Contains(finished.NonArchivingMembers, member) {
 		return 0
 	}
 	return finished.ArchiveAfter
@@ -84,21 +84,21 @@
 	if options.Teams == nil {
 		options.Teams = []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 16}}
 	}
-	defaultTo(&options.TaskDuration, 20*time.Second)
-	defaultTo(&options.BootDuration, 2*time.Second)
-	defaultTo(&options.Workers.LeaseTTL, 36*time.Second)
-	defaultTo(&options.Workers.CancellationGrace, 66*time.Second)
-	defaultTo(&options.Workers.HeartbeatInterval, 3*time.Second)
-	defaultTo(&options.Limits.WriteRPS, 80)
-	defaultTo(&options.Limits.CloudRPS, 10)
-	defaultTo(&options.Limits.MaxSockets, 900)
+	setIfZero(&options.TaskDuration, 20*time.Second)
+	setIfZero(&options.BootDuration, 2*time.Second)
+	setIfZero(&options.Workers.LeaseTTL, 36*time.Second)
+	setIfZero(&options.Workers.CancellationGrace, 66*time.Second)
+	setIfZero(&options.Workers.HeartbeatInterval, 3*time.Second)
+	setIfZero(&options.Limits.WriteRPS, 80)
+	setIfZero(&options.Limits.CloudRPS, 10)
+	setIfZero(&options.Limits.MaxSockets, 900)
 	options.Standby.Enabled = options.Standby.Enabled || *standbyInAllTests
 }
 
-// defaultTo sets a setting that is not set.
-func defaultTo[T comparable](setting *T, value T) {
-	var unset T
-	if *setting == unset {
+// setIfZero sets a setting that is not set.
+func setIfZero[T comparable](setting *T, value T) {
+	var zero T
+	if *setting == zero {
 		*setting = value
 	}
 }
--- a/internal/sim/soak_test.go
+++ b/internal/sim/soak_test.go
@@ -55,7 +55,7 @@
 	options := Options{TaskDuration: 100 * time.Second, Workers: soakWorkerTimes[seed%uint64(len(soakWorkerTimes))], Logger: controllerLogger()}
 	Run(t, options, func(cluster *Cluster) {
 		history := &soakHistory{generatedHistory: &generatedHistory{
-			Cluster: cluster, random: rand.New(rand.NewPCG(seed, 11)), cancelRequested: map[string]bool{}, cancelledWithDependency: map[string]bool{}, answered: make(chan struct{}, 1000),
+			Cluster: cluster, random: rand.New(rand.NewPCG(seed, 11)), cancelRequested: map[string]bool{}, cancelledWithDependency: map[string]bool{}, succeeded: make(chan struct{}, 1000),
 		}}
 		for range 6 {
 			history.submitRandomJob()
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -67,7 +67,7 @@
 // keeps none, while one machine after another hangs.
 func TestFailoversBetweenVersions(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
-	options.Standby.ExceptFor = []string{"n1"}
+	options.Standby.ExcludedMembers = []string{"n1"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 60, "b"))
 		cluster.MustSubmit("n0", Array(2, 20, "a"))
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -199,7 +199,7 @@
 // leader before does not cover what was started since.
 func TestLeaderWithoutReplicaInBetween(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
-	options.Standby.ExceptFor = []string{"n2"}
+	options.Standby.ExcludedMembers = []string{"n2"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
 		cluster.runQuotaBoundJob(40)
@@ -222,7 +222,7 @@
 // none of them before that has changed.
 func TestLeaderCrashesWithUnconfirmedTasks(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
-	options.Standby.ExceptFor = []string{"n0"}
+	options.Standby.ExcludedMembers = []string{"n0"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
 		cluster.hangOneMachine()
--- a/internal/sim/successive_failovers_test.go
+++ b/internal/sim/successive_failovers_test.go
@@ -125,7 +125,7 @@
 // begins with all tasks unconfirmed, and the one after that uses its replica again.
 func TestSuccessiveFailoversThroughLeaderWithoutReplica(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
-	options.Standby.ExceptFor = []string{"n2"}
+	options.Standby.ExcludedMembers = []string{"n2"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
 		cluster.hangOneMachine()
