--- a/internal/sim/client.go
+++ b/internal/sim/client.go
@@ -12,12 +12,15 @@
 
 // Response is a controller's reply to a request.
 type Response struct {
-	Status            int // of HTTP; 0: the controller is down, 504: no reply in time
-	Body              []byte
-	RetryAfterSeconds int // 0: none
+	// Status is the HTTP status, 0 if the controller is down, or 504 if no reply came in time.
+	Status int
+	Body   []byte
+	// RetryAfterSeconds is the value of the Retry-After header, or 0 if there is none.
+	RetryAfterSeconds int
 }
 
-// JobState is the job state in the body, empty if there is none.
+// JobState returns the job state in the body of a successful response, or an empty string if there
+// is none.
 func (response Response) JobState() string {
 	var status wire.JobStatus
 	if response.Status/100 != 2 || status.UnmarshalJSON(response.Body) != nil {
@@ -28,7 +31,7 @@
 
 func decodeJSON(r io.Reader, v any) error { return json.NewDecoder(r).Decode(v) }
 
-// awaitResponse makes a request and waits for its reply, 504 after the timeout.
+// awaitResponse makes a request and waits for the reply. After the timeout it returns status 504.
 func awaitResponse(request func(*server.Reply), timeout time.Duration) Response {
 	answered := make(chan Response, 1)
 	request(server.NewReply(func(status int, body []byte, retryAfter int) {
@@ -45,10 +48,10 @@
 // userTimeout is how long a user waits for a reply.
 const userTimeout = 5 * time.Second
 
-// JobID is the ID of the job of a number.
+// JobID returns the ID of the job with a number.
 func JobID(number int) string { return fmt.Sprintf("req-%06d", number) }
 
-// Array is an array job of a team, as a user submits it.
+// Array returns an array job of a team, as a user submits it.
 func Array(number, taskCount int, team string) *wire.Job {
 	return &wire.Job{
 		ID: JobID(number), Class: "c", Team: team, Kind: wire.KindArray, Priority: "standard",
@@ -56,14 +59,14 @@
 	}
 }
 
-// Service is a service of a team that is spread over zones, as a user submits it.
+// Service returns a service of a team, as a user submits it. Its replicas are spread over zones.
 func Service(number, taskCount int, team string) *wire.Job {
 	job := Array(number, taskCount, team)
 	job.Kind, job.Priority, job.SpreadZones, job.EstimatedRunSeconds = wire.KindService, "production", true, 0
 	return job
 }
 
-// Submit submits a job to a controller, once. The checker records it and the reply.
+// Submit sends a job to a controller once. The checker records the submission and the reply.
 func (cluster *Cluster) Submit(name string, job *wire.Job) Response {
 	instance := cluster.runningInstance(cluster.member(name))
 	sentAt := time.Now()
@@ -82,7 +85,7 @@
 	return response
 }
 
-// GetJob reads a job from a controller, once. The checker records the reply.
+// GetJob reads a job from a controller once. The checker records the reply.
 func (cluster *Cluster) GetJob(name, id string) Response {
 	instance := cluster.runningInstance(cluster.member(name))
 	if instance == nil {
@@ -99,8 +102,8 @@
 	return response
 }
 
-// Cancel requests the cancellation of a job at a controller, once. The checker records it and the
-// reply.
+// Cancel requests the cancellation of a job from a controller once. The checker records the request
+// and the reply.
 func (cluster *Cluster) Cancel(name, id string) Response {
 	instance := cluster.runningInstance(cluster.member(name))
 	if instance == nil {
@@ -115,7 +118,7 @@
 	return response
 }
 
-// MustSubmit submits a job to a controller until it is accepted.
+// MustSubmit submits a job to a controller repeatedly until the controller accepts it.
 func (cluster *Cluster) MustSubmit(name string, job *wire.Job) {
 	cluster.t.Helper()
 	cluster.WaitFor(job.ID+" is accepted", time.Minute, func() bool {
@@ -131,7 +134,8 @@
 	cluster.WaitForRunningTasks(job.ID, job.TaskCount)
 }
 
-// MustCancel requests the cancellation of a job at a controller until it is confirmed.
+// MustCancel requests the cancellation of a job from a controller repeatedly until the controller
+// confirms that the job is cancelled.
 func (cluster *Cluster) MustCancel(name, id string) {
 	cluster.t.Helper()
 	cluster.WaitFor(id+" is cancelled", time.Minute, func() bool { return cluster.Cancel(name, id).JobState() == wire.JobCancelled })
@@ -143,7 +147,8 @@
 	cluster.WaitFor(id+" is "+state+" at "+name, timeout, func() bool { return cluster.GetJob(name, id).JobState() == state })
 }
 
-// MustCancelUnlessDone requests the cancellation of a job until it is confirmed, or the job is done.
+// MustCancelUnlessDone requests the cancellation of a job from a controller repeatedly until the
+// controller confirms that the job is cancelled, or replies that it is done.
 func (cluster *Cluster) MustCancelUnlessDone(name, id string) {
 	cluster.t.Helper()
 	cluster.WaitFor(id+" is cancelled", time.Minute, func() bool { return cluster.Cancel(name, id).Status == 200 })
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -1,7 +1,7 @@
-// Package sim runs whole controllers in simulated time against the fakes of package fake, over a
-// network in memory. It is for tests inside a bubble of testing/synctest: time passes only when
-// every goroutine waits, so that minutes take a moment and no test depends on how busy the machine
-// is.
+// Package sim runs whole controllers in simulated time, with the fakes of package fake in place of
+// the services and workers, over an in-memory network. It is for tests in a bubble of
+// testing/synctest. There, time advances only when every goroutine is blocked: simulated minutes
+// take a moment, and no test depends on how busy the machine is.
 package sim
 
 import (
@@ -21,38 +21,38 @@
 
 const (
 	memberCount     = 3
-	servePort       = 8080 // of users and workers
-	peerPort        = 8081 // of other controllers
+	servePort       = 8080 // port of a controller for users and workers
+	peerPort        = 8081 // port of a controller for other controllers
 	userHost        = "user"
 	machineTypeName = "m"
-	pollInterval    = 50 * time.Millisecond // of WaitFor's conditions
+	pollInterval    = 50 * time.Millisecond // time between two checks of WaitFor's condition
 )
 
-// zones are the zones of every deployment; the members' locations go round them.
+// zones are the zones of every deployment. The controllers are placed in them in turn.
 var zones = []string{"x", "y"}
 
-// Cluster is a deployment: controllers, the services and workers around them, and a checker of the
-// protocol's rules.
+// Cluster is a deployment: controllers, fakes of the services and workers that they talk to, and a
+// checker of the protocol's rules.
 type Cluster struct {
 	t       testing.TB
 	options Options
 
-	// Network connects the hosts; tests partition it.
+	// Network connects the hosts. Tests partition it.
 	Network *fake.MemoryNetwork
-	// Store and Cloud are what controllers depend on; tests inject their faults.
+	// Store and Cloud are the services that controllers depend on. Tests inject faults into them.
 	Store *fake.Store
 	Cloud *fake.Cloud
-	// Checker sees what users and workers see.
+	// Checker records what users and workers see, and finds violations of the protocol's rules.
 	Checker *protocoltest.Checker
 
 	members     []*clusterMember
-	instancesMu sync.Mutex // guards the instances of members
+	instancesMu sync.Mutex // guards the field instance of each member
 	stopStore   func()
 	stopCloud   func()
 }
 
-// Run plays a test with a cluster that has a leader, stops the cluster, and fails the test if a
-// rule was violated.
+// Run starts a cluster in simulated time, waits until it has a leader, calls run, and fails the test
+// if a rule of the protocol was violated. It stops the cluster at the end.
 func Run(t *testing.T, options Options, run func(cluster *Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -96,7 +96,8 @@
 	return protocoltest.New(protocoltest.Config{CancellationGrace: options.Workers.CancellationGrace, QuotaByTeam: quotas})
 }
 
-// taskDuration is how long a task runs; 0 for a service's, which runs until it is stopped.
+// taskDuration returns how long a task runs, or 0 for a service's replica, which runs until it is
+// stopped.
 func (cluster *Cluster) taskDuration(task string) time.Duration {
 	id, index, _ := wire.ParseTaskID(task)
 	if cluster.Checker.IsService(id) {
@@ -140,11 +141,12 @@
 	for _, host := range append(cluster.Cloud.MachineNames(), fake.StoreHost, fake.CloudHost, userHost) {
 		cluster.Network.CloseConnections(host)
 	}
-	// Requests that still wait for replies time out.
+	// Requests that are still waiting for a reply time out.
 	time.Sleep(time.Minute)
 }
 
-// WaitFor waits until a condition holds, and fails the test after the timeout.
+// WaitFor waits until a condition holds, and fails the test after the timeout. The description
+// states the condition, as in "the job is done".
 func (cluster *Cluster) WaitFor(description string, timeout time.Duration, condition func() bool) {
 	cluster.t.Helper()
 	for waited := time.Duration(0); waited < timeout; waited += pollInterval {
@@ -153,10 +155,10 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	cluster.t.Fatalf("not within %v: %s", timeout, description)
+	cluster.t.Fatalf("timed out after %v waiting until %s", timeout, description)
 }
 
-// WaitForRunningTasks waits until so many tasks of a job are on machines.
+// WaitForRunningTasks waits until exactly taskCount tasks of a job are on machines.
 func (cluster *Cluster) WaitForRunningTasks(id string, taskCount int) {
 	cluster.t.Helper()
 	cluster.WaitFor(fmt.Sprintf("%d tasks of %s run", taskCount, id), 2*time.Minute, func() bool { return len(cluster.MachinesRunning(id)) == taskCount })
@@ -168,7 +170,7 @@
 	cluster.WaitFor("no task of "+id+" is on a machine", timeout, func() bool { return len(cluster.MachinesRunning(id)) == 0 })
 }
 
-// FailOnViolations fails the test if a rule was violated.
+// FailOnViolations fails the test if a rule of the protocol was violated.
 func (cluster *Cluster) FailOnViolations() {
 	cluster.t.Helper()
 	for _, violation := range cluster.Checker.Violations() {
@@ -176,7 +178,7 @@
 	}
 }
 
-// MachinesRunning lists the machines that run tasks of a job, one for each task.
+// MachinesRunning lists the machines that run tasks of a job. A machine is listed once for each task.
 func (cluster *Cluster) MachinesRunning(job string) []string {
 	var machines []string
 	for _, line := range cluster.Cloud.RunningTasks() {
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -8,53 +8,53 @@
 	"firwood.dev/firwood/wire"
 )
 
-// PartitionFromStore partitions a controller from the store, until ReconnectToStore.
+// PartitionFromStore partitions a controller from the store, until ReconnectToStore is called.
 func (cluster *Cluster) PartitionFromStore(name string) {
 	cluster.Network.Partition("store of "+name, fake.LinkBetween(name, fake.StoreHost))
 }
 
-// ReconnectToStore ends PartitionFromStore.
+// ReconnectToStore ends the partition that PartitionFromStore began.
 func (cluster *Cluster) ReconnectToStore(name string) { cluster.Network.Heal("store of " + name) }
 
-// PartitionFromPeers partitions a controller from all others, until ReconnectToPeers.
+// PartitionFromPeers partitions a controller from all others, until ReconnectToPeers is called.
 func (cluster *Cluster) PartitionFromPeers(name string) {
 	cluster.Network.Partition("peers of "+name, func(a, b string) bool {
 		return a != b && (a == name || b == name) && cluster.isController(a) && cluster.isController(b)
 	})
 }
 
-// ReconnectToPeers ends PartitionFromPeers.
+// ReconnectToPeers ends the partition that PartitionFromPeers began.
 func (cluster *Cluster) ReconnectToPeers(name string) { cluster.Network.Heal("peers of " + name) }
 
-// PartitionFromWorkers partitions a controller from all machines, until ReconnectToWorkers.
+// PartitionFromWorkers partitions a controller from all machines, until ReconnectToWorkers is called.
 func (cluster *Cluster) PartitionFromWorkers(name string) {
 	cluster.Network.Partition("workers of "+name, func(a, b string) bool {
 		return a == name && cluster.isMachine(b) || b == name && cluster.isMachine(a)
 	})
 }
 
-// ReconnectToWorkers ends PartitionFromWorkers.
+// ReconnectToWorkers ends the partition that PartitionFromWorkers began.
 func (cluster *Cluster) ReconnectToWorkers(name string) { cluster.Network.Heal("workers of " + name) }
 
 // PartitionZone partitions the controllers and machines of a zone from all other hosts, until
-// ReconnectZone.
+// ReconnectZone is called.
 func (cluster *Cluster) PartitionZone(zone string) {
 	cluster.Network.Partition("zone "+zone, func(a, b string) bool {
 		return (cluster.zoneOf(a) == zone) != (cluster.zoneOf(b) == zone)
 	})
 }
 
-// ReconnectZone ends PartitionZone.
+// ReconnectZone ends the partition that PartitionZone began.
 func (cluster *Cluster) ReconnectZone(zone string) { cluster.Network.Heal("zone " + zone) }
 
-// SetFaultOnAllMachines sets the fault of every machine that there is now.
+// SetFaultOnAllMachines sets the fault of every machine that exists now.
 func (cluster *Cluster) SetFaultOnAllMachines(fault fake.MachineFault) {
 	for _, machine := range cluster.Cloud.MachineNames() {
 		cluster.Cloud.SetFault(machine, fault)
 	}
 }
 
-// isMachine reports whether a host is, or was, a machine.
+// isMachine reports whether a host is a machine, or was one that is deleted now.
 func (cluster *Cluster) isMachine(host string) bool { return cluster.Cloud.ZoneOf(host) != "" }
 
 func (cluster *Cluster) isController(host string) bool {
@@ -66,7 +66,7 @@
 	return false
 }
 
-// zoneOf is the zone of a controller or machine; the store and the cloud have none.
+// zoneOf returns the zone of a controller or machine. The store and the cloud have none.
 func (cluster *Cluster) zoneOf(host string) string {
 	for _, member := range cluster.members {
 		if member.name == host {
@@ -76,8 +76,8 @@
 	return cluster.Cloud.ZoneOf(host)
 }
 
-// ReplayHeartbeats delivers copies of workers' heartbeats to every controller; the replies are
-// lost.
+// ReplayHeartbeats delivers copies of workers' heartbeats to every running controller. The replies
+// are discarded.
 func (cluster *Cluster) ReplayHeartbeats(heartbeats [][]byte) {
 	for _, member := range cluster.members {
 		instance := cluster.runningInstance(member)
@@ -94,7 +94,7 @@
 	}
 }
 
-// nextMember is the controller that workers try after another one.
+// nextMember returns the controller that follows name in the order in which workers try controllers.
 func (cluster *Cluster) nextMember(name string) string {
 	members := cluster.Members()
 	return members[(slices.Index(members, name)+1)%len(members)]
--- a/internal/sim/logger_test.go
+++ b/internal/sim/logger_test.go
@@ -6,10 +6,11 @@
 	"os"
 )
 
-// showControllerLogs has the controllers' logs of generated histories and large fleets written to
-// standard error.
+// showControllerLogs enables the controllers' logs on standard error, in tests whose options set
+// Logger to controllerLogger().
 var showControllerLogs = flag.Bool("controller-logs", false, "write the controllers' logs to standard error")
 
+// controllerLogger returns the logger for showControllerLogs, or nil if the flag is off.
 func controllerLogger() *slog.Logger {
 	if !*showControllerLogs {
 		return nil
--- a/internal/sim/member.go
+++ b/internal/sim/member.go
@@ -14,18 +14,18 @@
 	"firwood.dev/firwood/wire"
 )
 
-// clusterMember is a controller by name, over all its restarts.
+// clusterMember is a controller, identified by its name across restarts.
 type clusterMember struct {
 	name string
 	cfg  *config.Platform
-	// instance is the running controller, nil while it is crashed; cancelRun and stopServers end
-	// it.
+	// instance is the running controller, or nil while the member is crashed. cancelRun and
+	// stopServers stop it.
 	instance    *controller.Controller
 	cancelRun   context.CancelFunc
 	stopServers []func()
 }
 
-// member returns a controller by its name.
+// member returns the controller with a name.
 func (cluster *Cluster) member(name string) *clusterMember {
 	for _, member := range cluster.members {
 		if member.name == name {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// Members are the names of the controllers.
+// Members returns the names of the controllers.
 func (cluster *Cluster) Members() []string {
 	var names []string
 	for _, member := range cluster.members {
@@ -45,7 +45,7 @@
 	return names
 }
 
-// OtherMembers are the names of all controllers but one.
+// OtherMembers returns the names of all controllers except one.
 func (cluster *Cluster) OtherMembers(name string) []string {
 	var names []string
 	for _, member := range cluster.members {
@@ -56,14 +56,15 @@
 	return names
 }
 
-// runningInstance is the running controller of a member, nil while it is crashed.
+// runningInstance returns the running controller of a member, or nil while the member is crashed.
 func (cluster *Cluster) runningInstance(member *clusterMember) *controller.Controller {
 	cluster.instancesMu.Lock()
 	defer cluster.instancesMu.Unlock()
 	return member.instance
 }
 
-// Leader is the first controller that is leader by its own account, empty if there is none.
+// Leader returns the name of the first controller that considers itself the leader, or an empty
+// string if there is none.
 func (cluster *Cluster) Leader() string {
 	for _, member := range cluster.members {
 		if instance := cluster.runningInstance(member); instance != nil && instance.IsLeader() {
@@ -73,7 +74,7 @@
 	return ""
 }
 
-// WaitForLeader waits until some controller is leader, and returns its name.
+// WaitForLeader waits until some controller is the leader, and returns its name.
 func (cluster *Cluster) WaitForLeader(timeout time.Duration) (leader string) {
 	cluster.t.Helper()
 	cluster.WaitFor("some member is leader", timeout, func() bool {
@@ -83,8 +84,8 @@
 	return leader
 }
 
-// WaitForNewLeader waits until another controller than the previous leader is leader, and returns
-// its name.
+// WaitForNewLeader waits until a controller other than the previous leader is the leader, and
+// returns its name.
 func (cluster *Cluster) WaitForNewLeader(previous string, timeout time.Duration) (leader string) {
 	cluster.t.Helper()
 	cluster.WaitFor("another member than "+previous+" is leader", timeout, func() bool {
@@ -94,13 +95,13 @@
 	return leader
 }
 
-// WaitForLeaderToBe waits until the controller of a name is leader.
+// WaitForLeaderToBe waits until the controller with a name is the leader.
 func (cluster *Cluster) WaitForLeaderToBe(name string, timeout time.Duration) {
 	cluster.t.Helper()
 	cluster.WaitFor(name+" is leader", timeout, func() bool { return cluster.Leader() == name })
 }
 
-// Start starts a controller, unless it runs.
+// Start starts a controller unless it is running.
 func (cluster *Cluster) Start(name string) {
 	member := cluster.member(name)
 	cluster.instancesMu.Lock()
@@ -126,7 +127,7 @@
 	member.stopServers = []func(){cluster.serveHTTP(member), cluster.servePeers(member)}
 }
 
-// Crash stops a controller abruptly, unless it is crashed.
+// Crash stops a controller abruptly and closes its connections, unless it is already stopped.
 func (cluster *Cluster) Crash(name string) {
 	member := cluster.member(name)
 	cluster.instancesMu.Lock()
@@ -149,7 +150,7 @@
 	cluster.Start(name)
 }
 
-// serveHTTP serves the workers' interface of a controller.
+// serveHTTP receives the workers' heartbeats for a controller until stop is called.
 func (cluster *Cluster) serveHTTP(member *clusterMember) (stop func()) {
 	listener, err := cluster.Network.ListenAt(member.name, servePort)
 	if err != nil {
@@ -171,7 +172,7 @@
 	return func() { httpServer.Close() }
 }
 
-// servePeers receives the heartbeats of other controllers.
+// servePeers receives the heartbeats of other controllers for a controller until stop is called.
 func (cluster *Cluster) servePeers(member *clusterMember) (stop func()) {
 	listener, err := cluster.Network.ListenAt(member.name, peerPort)
 	if err != nil {
@@ -190,7 +191,8 @@
 	return func() { listener.Close() }
 }
 
-// readFrames hands a peer's heartbeats to a controller until the connection closes.
+// readFrames passes a peer's heartbeats to a controller until the connection closes or a frame is
+// malformed.
 func readFrames(conn net.Conn, instance *controller.Controller) {
 	defer conn.Close()
 	var frames peer.FrameReader
--- a/internal/sim/metrics_test.go
+++ b/internal/sim/metrics_test.go
@@ -9,17 +9,18 @@
 	"firwood.dev/firwood/internal/server"
 )
 
-// metricsOf reads a member's metrics.
+// metricsOf returns a member's metrics as text.
 func (cluster *Cluster) metricsOf(name string) string {
 	instance := cluster.runningInstance(cluster.member(name))
 	return string(awaitResponse(func(reply *server.Reply) { instance.SendMetrics(reply) }, userTimeout).Body)
 }
 
-// hasMetric tells whether metrics have a line of this name and value.
+// hasMetric reports whether metrics contain a line, which consists of a name and a value.
 func hasMetric(metrics, line string) bool { return strings.Contains("\n"+metrics, "\n"+line+"\n") }
 
-// Every member tells its metrics: who leads, and at the leader of a cancelled task on a machine that
-// hears nothing, for as long as it is there.
+// Every member reports in its metrics whether it leads. The leader also reports how many tasks of
+// cancelled jobs the workers still list: here the tasks on a machine that receives no commands, until
+// the machine recovers.
 func TestMetricsCountCancelledTasks(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 4, "a"))
@@ -27,7 +28,7 @@
 		cluster.Cloud.SetFault(machine, fake.MachineCommandsLost)
 		cluster.MustCancel("n0", JobID(1))
 		leader := cluster.Leader()
-		cluster.WaitFor("the metrics tell of 4 tasks", 10*time.Second, func() bool {
+		cluster.WaitFor("the metrics count 4 tasks of cancelled jobs", 10*time.Second, func() bool {
 			return hasMetric(cluster.metricsOf(leader), "firwood_cancelled_tasks_listed 4")
 		})
 		for _, name := range cluster.Members() {
@@ -36,12 +37,12 @@
 				want = "firwood_leader 1"
 			}
 			if metrics := cluster.metricsOf(name); !hasMetric(metrics, want) {
-				t.Errorf("%s has no %s:\n%s", name, want, metrics)
+				t.Errorf("metrics of %s lack the line %q:\n%s", name, want, metrics)
 			}
 		}
 		cluster.Cloud.SetFault(machine, fake.MachineHealthy)
 		cluster.WaitForNoTasks(JobID(1), 20*time.Second)
-		cluster.WaitFor("the metrics tell of none", 10*time.Second, func() bool {
+		cluster.WaitFor("the metrics count no tasks of cancelled jobs", 10*time.Second, func() bool {
 			return hasMetric(cluster.metricsOf(leader), "firwood_cancelled_tasks_listed 0")
 		})
 	})
--- a/internal/sim/normal_operation_test.go
+++ b/internal/sim/normal_operation_test.go
@@ -7,7 +7,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Without faults an array and a service run, and every controller shows them.
+// Without faults, the tasks of an array and of a service run, every controller shows the array as done
+// and the service as running, and the service's tasks stop when it is cancelled.
 func TestJobsRunOnHealthyCluster(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 5, "a"))
--- a/internal/sim/options.go
+++ b/internal/sim/options.go
@@ -9,15 +9,15 @@
 	"firwood.dev/firwood/internal/config"
 )
 
-// standbyInAllTests plays every test with replicas of the leader's allocation table.
+// standbyInAllTests enables replicas of the leader's allocation table in every test.
 var standbyInAllTests = flag.Bool("standby", false, "have controllers keep replicas of the leader's allocation table in every test")
 
-// Options describe a deployment. What is not set has the default that setDefaults gives.
+// Options describe a deployment. setDefaults sets fields that are zero to their defaults.
 type Options struct {
 	// Teams are the teams with their quotas.
 	Teams []config.Team
-	// TaskDuration is how long the first task of a job runs, TaskDurationStep by how much each
-	// next one runs longer. Tasks of services run until they are stopped.
+	// TaskDuration is how long the first task of a job runs. Each further task runs
+	// TaskDurationStep longer than the one before it. Tasks of services run until they are stopped.
 	TaskDuration, TaskDurationStep time.Duration
 	// BootDuration is the time from a scale-out request to the machine's first heartbeat.
 	BootDuration time.Duration
@@ -25,34 +25,35 @@
 	Limits       Limits
 	Standby      StandbyOptions
 	FinishedJobs FinishedJobOptions
-	// Logger, if set, gets what controllers log.
+	// Logger, if set, receives the controllers' logs.
 	Logger *slog.Logger
 }
 
-// WorkerTimes are the times of the deployment that workers and controllers agree on.
+// WorkerTimes are the durations that workers and controllers agree on.
 type WorkerTimes struct {
-	// LeaseTTL is how long a worker runs tasks without an answered heartbeat.
+	// LeaseTTL is how long a worker runs tasks without a reply to its heartbeats.
 	LeaseTTL time.Duration
-	// CancellationGrace is how long tasks may run on after the cancellation of their job was
+	// CancellationGrace is how long tasks may go on running after the cancellation of their job was
 	// confirmed.
 	CancellationGrace time.Duration
 	// HeartbeatInterval is the time between two heartbeats of a worker.
 	HeartbeatInterval time.Duration
 }
 
-// Limits bound what controllers may use.
+// Limits bound the controllers' use of services and connections.
 type Limits struct {
-	// WriteRPS is the store's rate of writes per second, CloudRPS the cloud's of requests.
+	// WriteRPS is the largest number of writes per second to the store, CloudRPS of requests per
+	// second to the cloud.
 	WriteRPS, CloudRPS float64
-	// MaxSockets is the limit of connections of a controller.
+	// MaxSockets is the largest number of connections of a controller.
 	MaxSockets int
-	// UpcomingStore are limits of the store that are announced, nil if there are none.
+	// UpcomingStore are the announced future limits of the store, or nil if none are announced.
 	UpcomingStore *config.UpcomingStoreLimits
 }
 
-// StandbyOptions say who keeps replicas of the leader's allocation table.
+// StandbyOptions say which controllers keep replicas of the leader's allocation table.
 type StandbyOptions struct {
-	// Enabled has every controller keep a replica, apart from the members ExcludedMembers.
+	// Enabled makes every controller keep a replica, except for the ExcludedMembers.
 	Enabled         bool
 	ExcludedMembers []string
 }
@@ -64,15 +65,16 @@
 
 // FinishedJobOptions say what controllers do with finished jobs.
 type FinishedJobOptions struct {
-	// CachedCount, if set, is how many finished jobs a controller caches.
+	// CachedCount is how many finished jobs a controller caches. If it is 0, the controller derives
+	// the number from its memory limit.
 	CachedCount int
-	// ArchiveAfter, if set, is after how long finished jobs are archived. The members
-	// NonArchivingMembers move them back when they lead.
+	// ArchiveAfter is the age at which finished jobs are archived, or 0 if they are not archived.
+	// The NonArchivingMembers do not archive jobs, and move archived jobs back when they lead.
 	ArchiveAfter        time.Duration
 	NonArchivingMembers []string
 }
 
-// archiveDelayFor is after how long a member archives finished jobs, 0 if it does not.
+// archiveDelayFor returns the age at which a member archives finished jobs, or 0 if it does not.
 func (finished FinishedJobOptions) archiveDelayFor(member string) time.Duration {
 	if slices.Contains(finished.NonArchivingMembers, member) {
 		return 0
@@ -95,7 +97,7 @@
 	options.Standby.Enabled = options.Standby.Enabled || *standbyInAllTests
 }
 
-// setIfZero sets a setting that is not set.
+// setIfZero sets a setting to a value if the setting is zero.
 func setIfZero[T comparable](setting *T, value T) {
 	var zero T
 	if *setting == zero {
