--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -10,13 +10,14 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Each test of this file combines two faults; Run checks the protocol's rules.
+// The tests of this file combine faults with other faults, concurrent requests or load. Run checks the
+// protocol's rules in each of them.
 
 // longTaskDuration is longer than any test runs.
 const longTaskDuration = 20 * time.Minute
 
-// Cancellations, reads and repeated submissions race with the end of a job's last task, at every
-// controller at once, some milliseconds earlier or later each time.
+// Users cancel, read and resubmit a job at every controller at once, while the job's last task ends.
+// The requests race with the end of the job: they are sent some milliseconds later in later rounds.
 func TestRequestsRaceWithJobCompletion(t *testing.T) {
 	Run(t, Options{TaskDuration: 2 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 60; i++ {
@@ -25,7 +26,7 @@
 			for len(cluster.MachinesRunning(job.ID)) > 0 {
 				time.Sleep(time.Millisecond)
 			}
-			// The worker's heartbeat follows some 20 ms later, and the end is written then.
+			// The worker reports the end some 20 ms later in a heartbeat, and then it is written to the store.
 			time.Sleep(time.Duration(18+i/4) * time.Millisecond)
 			for index, member := range cluster.Members() {
 				if index == i%3 {
@@ -37,15 +38,15 @@
 			time.Sleep(time.Second)
 			for _, member := range cluster.Members() {
 				if s := cluster.GetJob(member, job.ID).JobState(); s != wire.JobDone && s != wire.JobCancelled {
-					t.Errorf("%s is %q at %s", job.ID, s, member)
+					t.Errorf("state of %s: got %q at %s, want done or cancelled", job.ID, s, member)
 				}
 			}
 		}
 	})
 }
 
-// Users read a job at all controllers within milliseconds after it was accepted or its
-// cancellation confirmed, and repeat both requests: no reply is older than that.
+// Users read a job at all controllers within milliseconds after the job was accepted or its cancellation
+// was confirmed, and repeat both requests. No reply shows a state older than the confirmed one.
 func TestReadsRightAfterWritesAreNotStale(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 20; i++ {
@@ -72,8 +73,8 @@
 	})
 }
 
-// A team is at its quota while a job of it is cancelled whose machines are partitioned or hang,
-// and the leader changes: cancelled tasks that may still run count towards the quota.
+// A team is at its quota. A job of the team is cancelled while its machines hang or are partitioned, and
+// the leader changes. Cancelled tasks that may still be running count towards the quota.
 func TestQuotaCountsCancelledTasksOnFaultyMachines(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 8, "b"))
@@ -95,11 +96,11 @@
 	})
 }
 
-// Four one-task jobs are submitted a second and a quarter of them cancelled: each is answered and
-// ends.
+// Users submit four jobs of one task a second and cancel a quarter of them, while large arrays cause
+// many writes of progress. At most one submission in 20 takes more than a second, and every job ends.
 func TestManySmallJobsAreAcceptedPromptlyAndEnd(t *testing.T) {
 	Run(t, Options{TaskDuration: 3 * time.Second, Limits: Limits{WriteRPS: 30}}, func(cluster *Cluster) {
-		// Large arrays whose tasks end all the time cause many writes of progress.
+		// Tasks of these large arrays end all the time, which causes many writes of progress.
 		for i := 1001; i <= 1012; i++ {
 			cluster.MustSubmit("n0", Array(i, 60, "a"))
 		}
@@ -128,12 +129,12 @@
 			})
 		}
 		if lateCount := late.Load(); lateCount > jobs/20 {
-			t.Errorf("%d of %d submissions take over a second", lateCount, jobs)
+			t.Errorf("%d of %d submissions took more than a second, want at most 1 in 20", lateCount, jobs)
 		}
 	})
 }
 
-// A team has more work than its quota allows at a time, the leader changes, and every job gets
+// A team has more work than its quota allows to run at a time, and the leader changes. Every job gets
 // done.
 func TestWorkBeyondQuotaFinishes(t *testing.T) {
 	teams := []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 8}}
@@ -149,8 +150,8 @@
 	})
 }
 
-// Jobs that can't run are rejected by every controller alike, and jobs that nobody submitted are
-// not found. The leader, once the store rejects its requests, does not decide either.
+// Every controller rejects jobs that can't run, and replies that jobs which nobody submitted are not
+// found. A leader whose requests the store rejects does not decide either: it replies with status 503.
 func TestEveryMemberRejectsInvalidRequests(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
 		unknownTeam, tooLarge, overQuota := Array(1, 1, "nobody"), Array(2, 1, "a"), Service(3, 9, "b")
@@ -158,25 +159,25 @@
 		for _, member := range cluster.Members() {
 			for _, job := range []*wire.Job{unknownTeam, tooLarge, overQuota} {
 				if response := cluster.Submit(member, job); response.Status != 422 {
-					t.Errorf("%s gets %d at %s", job.ID, response.Status, member)
+					t.Errorf("submission of %s: got status %d at %s, want 422", job.ID, response.Status, member)
 				}
 			}
 			if response := cluster.GetJob(member, "req-999999"); response.Status != 404 {
-				t.Errorf("a job that nobody submitted gets %d at %s", response.Status, member)
+				t.Errorf("read of an unknown job: got status %d at %s, want 404", response.Status, member)
 			}
 			if response := cluster.Cancel(member, "req-999998"); response.Status != 404 {
-				t.Errorf("a job that nobody submitted gets %d at %s", response.Status, member)
+				t.Errorf("cancellation of an unknown job: got status %d at %s, want 404", response.Status, member)
 			}
 		}
 		leader := rejectLeaderRequests(cluster)
 		time.Sleep(2 * time.Second)
 		for _, job := range []*wire.Job{unknownTeam, tooLarge} {
 			if response := cluster.Submit(leader, job); response.Status != 503 || response.RetryAfterSeconds == 0 {
-				t.Errorf("a submission to a leader without the store gets %d, retry after %d s", response.Status, response.RetryAfterSeconds)
+				t.Errorf("submission to a leader without the store: got status %d, retry after %d s, want 503 and a retry time", response.Status, response.RetryAfterSeconds)
 			}
 		}
 		if response := cluster.GetJob(leader, "req-999997"); response.Status != 503 {
-			t.Errorf("a read of an unknown job at a leader without the store gets %d", response.Status)
+			t.Errorf("read of an unknown job at a leader without the store: got status %d, want 503", response.Status)
 		}
 	})
 }
--- a/internal/sim/dependencies_test.go
+++ b/internal/sim/dependencies_test.go
@@ -10,7 +10,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// dependentArray describes an array of two tasks that depends on the jobs of some numbers.
+// dependentArray returns an array of two tasks that depends on the jobs with the given numbers.
 func dependentArray(number int, team string, dependencies ...int) *wire.Job {
 	job := Array(number, 2, team)
 	for _, n := range dependencies {
@@ -19,8 +19,8 @@
 	return job
 }
 
-// Jobs of two teams run in the order of their dependencies, across failovers; a job that waits for
-// a dependency is pending and uses nothing of its team's quota.
+// Jobs of two teams run in the order of their dependencies, across failovers. A job that waits for a
+// dependency is pending and uses none of its team's quota.
 func TestJobsRunInDependencyOrder(t *testing.T) {
 	teams := []config.Team{{Name: "a"}, {Name: "b", MaxCPUs: 4}}
 	Run(t, Options{Teams: teams}, func(cluster *Cluster) {
@@ -28,9 +28,9 @@
 		cluster.MustSubmit("n1", dependentArray(2, "b", 1))
 		cluster.MustSubmit("n2", dependentArray(3, "a", 2))
 		cluster.MustSubmit("n0", dependentArray(4, "b", 1, 3))
-		cluster.MustRun("n1", Array(5, 2, "b")) // the whole quota, while 2 and 4 wait
+		cluster.MustRun("n1", Array(5, 2, "b")) // uses the whole quota while jobs 2 and 4 wait
 		if s := cluster.GetJob("n2", JobID(4)).JobState(); s != wire.JobPending {
-			t.Errorf("a job that waits for its dependencies is %q", s)
+			t.Errorf("state of a job that waits for its dependencies: got %q, want pending", s)
 		}
 		for range 4 {
 			cluster.Restart(cluster.Leader(), time.Second)
@@ -39,13 +39,13 @@
 		for i := 1; i <= 5; i++ {
 			cluster.WaitForState("n2", JobID(i), wire.JobDone, 3*time.Minute)
 		}
-		cluster.MustSubmit("n2", dependentArray(6, "a", 1, 4)) // long after its dependencies are done
+		cluster.MustSubmit("n2", dependentArray(6, "a", 1, 4)) // its dependencies were done long ago
 		cluster.WaitForState("n0", JobID(6), wire.JobDone, time.Minute)
 	})
 }
 
-// Cancelling a job cancels all its dependents at every controller, through a failover, a store
-// outage, and submissions that race with it.
+// Cancelling a job cancels all its direct and indirect dependents at every controller, even through a
+// failover, a store outage, and submissions of dependents that race with the cancellation.
 func TestDependentsAreCancelledWithRoot(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 2, "a"))
@@ -75,7 +75,7 @@
 			}
 		}
 		cluster.WaitForRunningTasks(JobID(1), 0)
-		// The dependents' cancellations become durable too.
+		// The cancellations of the dependents are written to the store as well.
 		cluster.WaitFor("every job's record is cancelled", time.Minute, func() bool {
 			for i := 1; i <= 25; i++ {
 				if !isRecordCancelled(cluster, i) {
@@ -87,7 +87,7 @@
 	})
 }
 
-// isRecordCancelled reports whether the stored record of a job says that it was cancelled.
+// isRecordCancelled reports whether a job's record in the store says that the job was cancelled.
 func isRecordCancelled(cluster *Cluster, number int) bool {
 	var record struct {
 		State string `json:"s"`
@@ -98,47 +98,47 @@
 	return record.State == wire.JobCancelled
 }
 
-// A cancellation of a job that is done already leaves its dependents alone.
+// Cancelling a job that is already done does not cancel its dependents.
 func TestCancelAfterDoneKeepsDependents(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 1, "a"))
 		cluster.MustSubmit("n1", dependentArray(2, "a", 1))
 		cluster.WaitForState("n2", JobID(1), wire.JobDone, time.Minute)
 		if s := cluster.Cancel("n0", JobID(1)).JobState(); s != wire.JobDone {
-			t.Errorf("the cancellation of a done job gets %q", s)
+			t.Errorf("state in the reply to the cancellation of a done job: got %q, want done", s)
 		}
 		cluster.WaitForState("n2", JobID(2), wire.JobDone, time.Minute)
 	})
 }
 
-// A job must not depend on one that was never accepted, on itself or on a service: every
-// controller rejects that, and a leader without the store answers when to retry. It may depend on
-// a job that another controller accepted a moment ago.
+// A job must not depend on itself, on a service, or on a job that was never accepted. Every controller
+// rejects such a job, and a leader without the store replies when to retry. A job may depend on one that
+// another controller accepted a moment ago.
 func TestDependenciesAreValidated(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Service(1, 1, "a"))
 		for _, member := range cluster.Members() {
 			for _, job := range []*wire.Job{dependentArray(2, "a", 99), dependentArray(3, "a", 3), dependentArray(4, "a", 1)} {
 				if response := cluster.Submit(member, job); response.Status != 422 {
-					t.Errorf("%s depending on %v gets %d at %s", job.ID, job.DependsOn, response.Status, member)
+					t.Errorf("submission of %s, which depends on %v: got status %d at %s, want 422", job.ID, job.DependsOn, response.Status, member)
 				}
 			}
 		}
 		for i := 10; i < 30; i += 2 {
 			cluster.MustSubmit(cluster.Members()[i%3], Array(i, 1, "a"))
 			if response := cluster.Submit(cluster.Members()[(i+1)%3], dependentArray(i+1, "a", i)); response.Status != 201 {
-				t.Errorf("a job that depends on one accepted a moment ago gets %d", response.Status)
+				t.Errorf("submission of a job that depends on one accepted a moment ago: got status %d, want 201", response.Status)
 			}
 		}
 		leader := rejectLeaderRequests(cluster)
 		if response := cluster.Submit(leader, dependentArray(5, "a", 98)); response.Status != 503 || response.RetryAfterSeconds == 0 {
-			t.Errorf("an unknown dependency at a leader without the store gets %d, retry after %d s", response.Status, response.RetryAfterSeconds)
+			t.Errorf("submission with an unknown dependency to a leader without the store: got status %d, retry after %d s, want 503 and a retry time", response.Status, response.RetryAfterSeconds)
 		}
 	})
 }
 
-// The store lowers its limits as announced: a job with hundreds of dependencies is accepted all the
-// same, no transaction is rejected for its size, and the next leader knows the job.
+// The store lowers its limits as announced. A job with hundreds of dependencies is still accepted, the
+// store rejects no transaction for its size, and the next leader knows the job.
 func TestManyDependenciesAreAcceptedUnderLowerStoreLimits(t *testing.T) {
 	upcomingLimits := &config.UpcomingStoreLimits{MaxValueKB: 1, MaxTransactionOps: 10, WriteRPS: 40}
 	Run(t, Options{Limits: Limits{UpcomingStore: upcomingLimits}, TaskDuration: 3 * time.Second}, func(cluster *Cluster) {
@@ -153,23 +153,23 @@
 		}
 		cluster.MustSubmit("n1", dependent)
 		if s := cluster.GetJob("n0", dependent.ID).JobState(); s != wire.JobPending && s != wire.JobDone {
-			t.Errorf("the job with %d dependencies is %q", dependencyCount, s)
+			t.Errorf("state of the job with %d dependencies: got %q, want pending or done", dependencyCount, s)
 		}
 		cluster.Restart(cluster.Leader(), time.Second)
 		cluster.WaitForState("n2", dependent.ID, wire.JobDone, 5*time.Minute)
 		if oversized := cluster.Store.OversizedCount(); oversized > 0 {
-			t.Errorf("%d transactions were rejected for their size", oversized)
+			t.Errorf("the store rejected %d transactions for their size, want 0", oversized)
 		}
 		if keys := cluster.Store.Keys("firwood/needs/"); len(keys) < 2 {
-			t.Errorf("a long list of dependencies is in %v alone", keys)
+			t.Errorf("keys of a long list of dependencies: got %v, want at least 2 keys", keys)
 		}
 		if !slices.Contains(cluster.Store.Keys(jobKeys), jobKeys+dependent.ID) {
-			t.Errorf("the record of %s is missing", dependent.ID)
+			t.Errorf("the store has no record of %s", dependent.ID)
 		}
 	})
 }
 
-// dagSubmitter submits jobs that depend on each other, numbered from 1, to all controllers in
+// dagSubmitter submits jobs that depend on each other, and are numbered from 1, to all controllers in
 // turn.
 type dagSubmitter struct {
 	*Cluster
@@ -185,8 +185,8 @@
 	return number
 }
 
-// submitDependents submits a chain, a fan and two diamonds of jobs that all depend on a root; it
-// returns their numbers with the root's.
+// submitDependents submits a chain, a fan and two diamonds of jobs that all depend on a root, directly or
+// indirectly. It returns the numbers of these jobs and of the root.
 func (submitter *dagSubmitter) submitDependents(root int) (jobs []int) {
 	submitter.t.Helper()
 	jobs = append(jobs, root)
@@ -206,14 +206,14 @@
 	return jobs
 }
 
-// A hundred jobs depend on each other in chains, fans and diamonds; half of them are cancelled with
-// their root as the leader crashes, while users submit more. Every controller shows the same of
-// each, submissions are answered in time, and the other jobs get done.
+// A hundred jobs depend on each other in chains, fans and diamonds. Half of them are cancelled with their
+// root as the leader crashes, while users submit more jobs. Every controller shows these jobs as
+// cancelled, submissions are answered within two seconds, and the other jobs get done.
 func TestManyDependentJobsEndAfterLeaderCrash(t *testing.T) {
 	Run(t, Options{TaskDuration: 2 * time.Second, Limits: Limits{WriteRPS: 200}}, func(cluster *Cluster) {
 		submitter := &dagSubmitter{Cluster: cluster}
 		leader := cluster.Leader()
-		cluster.Cloud.SetDown(true) // nothing starts until all are submitted
+		cluster.Cloud.SetDown(true) // no job starts until all are submitted
 		first, second := submitter.submit(), submitter.submit()
 		cancelled, kept := submitter.submitDependents(first), submitter.submitDependents(second)
 		go cluster.MustCancel(cluster.OtherMembers(leader)[0], JobID(first))
@@ -225,7 +225,7 @@
 			submitter.lastJobNumber++
 			cluster.MustSubmit(cluster.OtherMembers(leader)[i%2], dependentArray(submitter.lastJobNumber, "a"))
 			if took := time.Since(sentAt); took > 2*time.Second {
-				t.Errorf("a submission takes %v", took)
+				t.Errorf("a submission took %v, want at most 2s", took)
 			}
 		}
 		cluster.Start(leader)
--- a/internal/sim/failover_test.go
+++ b/internal/sim/failover_test.go
@@ -8,7 +8,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Jobs are cancelled in the seconds of a failover.
+// Users cancel jobs during the seconds of a failover. The tasks of these jobs stop within the cancellation
+// grace, and the task of another job goes on.
 func TestJobsCancelledDuringFailoverStop(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 8; i++ {
@@ -31,15 +32,15 @@
 	})
 }
 
-// The leader restarts while machines with long tasks hang, are slow, or lose heartbeats or
-// commands: no task runs on two machines.
+// The leader restarts while machines with long tasks hang, are slow, or lose heartbeats or commands. No
+// task runs on two machines, and all tasks run once the machines are healthy again.
 func TestNoTaskRunsTwiceOnFaultyMachinesAtFailover(t *testing.T) {
 	for _, fault := range []fake.MachineFault{fake.MachineHanging, fake.MachineCommandsLost, fake.MachineHeartbeatsLost, fake.MachineSlow} {
 		t.Run(fault.String(), func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 				cluster.MustRun("n0", Array(1, 8, "a"))
 				machines := cluster.Cloud.MachineNames()
-				cluster.MustRun("n0", Array(2, 1, "a")) // on a machine that has room for more
+				cluster.MustRun("n0", Array(2, 1, "a")) // on a machine that has room for more tasks
 				for _, machine := range machines {
 					cluster.Cloud.SetFault(machine, fault)
 				}
@@ -54,7 +55,7 @@
 	}
 }
 
-// The leader restarts ten times in two minutes, also during a store outage.
+// The leader restarts up to ten times in two minutes, also during a store outage. All jobs get done.
 func TestJobsFinishDespiteFrequentFailovers(t *testing.T) {
 	Run(t, Options{TaskDuration: 15 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
@@ -78,8 +79,9 @@
 	})
 }
 
-// All controllers crash; one is back within a second, or all stay down for longer than a worker's
-// lease.
+// All controllers crash. One starts again either within a second or only after longer than a worker's
+// lease, and confirms a cancellation before the others start. The service's tasks run afterwards, and the
+// cancelled job's tasks stop.
 func TestJobsSurviveCrashOfAllMembers(t *testing.T) {
 	for _, downtime := range []time.Duration{300 * time.Millisecond, 45 * time.Second} {
 		t.Run(downtime.String(), func(t *testing.T) {
@@ -103,8 +105,8 @@
 	}
 }
 
-// The tasks of a job end far apart, across failovers: tasks that are done are not run again, and no
-// job is called done before its last task.
+// The tasks of a job end far apart, across failovers. Tasks that are done are not run again, and no job is
+// reported as done before its last task ends.
 func TestDoneTasksAreNotRerunAcrossFailovers(t *testing.T) {
 	Run(t, Options{TaskDuration: 3 * time.Second, TaskDurationStep: 25 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
@@ -122,13 +124,14 @@
 			cluster.WaitForState("n1", JobID(i), wire.JobDone, 3*time.Minute)
 		}
 		if reruns := cluster.Checker.Reruns(); len(reruns) > 0 {
-			t.Errorf("done tasks were started again: %v", reruns)
+			t.Errorf("tasks that were done are started again: got %v, want none", reruns)
 		}
 	})
 }
 
-// The leader is partitioned from its workers and hands over, then the next one is and does, while
-// jobs are cancelled at both.
+// The leader is partitioned from its workers and hands over, and then the same happens to its successor.
+// A job is cancelled at each of the two during the partition. The cancelled jobs' tasks stop, and the
+// tasks of another job go on.
 func TestCancellationsSurviveRepeatedHandovers(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
--- a/internal/sim/finished_jobs_test.go
+++ b/internal/sim/finished_jobs_test.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// cachedJobCount is how many finished jobs controllers of these tests cache.
+	// cachedJobCount is how many finished jobs the controllers of these tests cache.
 	cachedJobCount   = 100
 	finishedJobCount = 3 * cachedJobCount
 )
 
-// smallCacheOptions is a deployment whose controllers cache few finished jobs.
+// smallCacheOptions returns a deployment whose controllers cache few finished jobs.
 func smallCacheOptions() Options {
 	return Options{FinishedJobs: FinishedJobOptions{CachedCount: cachedJobCount}, TaskDuration: time.Second, Limits: Limits{WriteRPS: 2000}}
 }
 
-// finishJobs has many more jobs finish than controllers cache; one in ten is cancelled.
+// finishJobs submits many more jobs than controllers cache, and waits until all are finished. It cancels
+// one in ten, unless that job is done already.
 func (cluster *Cluster) finishJobs() {
 	for i := range finishedJobCount {
 		job := Array(i, 1, "a")
@@ -41,9 +42,9 @@
 	time.Sleep(5 * time.Second)
 }
 
-// Controllers that have evicted most finished jobs from their caches show them as before, also to
-// many concurrent reads, to repeated submissions and to cancellations; only jobs that nobody
-// submitted get 404. So do controllers that have restarted.
+// Controllers that have evicted most finished jobs from their caches still know them: they reply to many
+// concurrent reads, to repeated submissions and to cancellations as before, and only jobs that nobody
+// submitted get 404. The same holds for controllers that have restarted.
 func TestEvictedJobsAreKnown(t *testing.T) {
 	Run(t, smallCacheOptions(), func(cluster *Cluster) {
 		cluster.finishJobs()
@@ -56,19 +57,20 @@
 			cluster.Restart(name, time.Second)
 		}
 		cluster.WaitForLeader(time.Minute)
-		t.Logf("%s was leader, now %s is", leader, cluster.Leader())
+		t.Logf("the leader was %s before the restarts and is %s now", leader, cluster.Leader())
 		time.Sleep(5 * time.Second)
 		cluster.checkAllJobs()
 	})
 }
 
-// checkConcurrentReads reads many evicted jobs and as many unknown ones from a controller at once.
+// checkConcurrentReads reads many evicted jobs and as many unknown ones from a controller at once, and
+// checks the statuses.
 func (cluster *Cluster) checkConcurrentReads(name string) {
 	const readCount = 60
 	failures := make(chan string, 2*readCount)
 	checkStatus := func(id string, want int) {
 		if response := cluster.GetJob(name, id); response.Status != want {
-			failures <- fmt.Sprintf("%s answers %d for %s", name, response.Status, id)
+			failures <- fmt.Sprintf("read at %s: got status %d for %s, want 200 for a submitted job and 404 for any other", name, response.Status, id)
 			return
 		}
 		failures <- ""
@@ -84,15 +86,16 @@
 	}
 }
 
-// checkAllJobs reads every job from all controllers at once, one job after the other, repeats some
-// submissions and cancellations, and reads some unknown jobs.
+// checkAllJobs checks that the controllers know every finished job and no others. It reads one job after
+// the other, each from all controllers at once, repeats some submissions and cancellations, and reads some
+// unknown jobs.
 func (cluster *Cluster) checkAllJobs() {
 	for i := range finishedJobCount {
 		id, failures := JobID(i), make(chan string, 3)
 		for _, name := range cluster.Members() {
 			go func() {
 				if response := cluster.GetJob(name, id); response.Status != 200 || response.JobState() != wire.JobDone && response.JobState() != wire.JobCancelled {
-					failures <- fmt.Sprintf("%s answers %d, %q for %s", name, response.Status, response.JobState(), id)
+					failures <- fmt.Sprintf("read at %s: got status %d, state %q for %s, want 200, done or cancelled", name, response.Status, response.JobState(), id)
 					return
 				}
 				failures <- ""
@@ -106,23 +109,24 @@
 		if i%7 == 0 {
 			name := cluster.Members()[i%3]
 			if response := cluster.Submit(name, Array(i, 1, "a")); response.Status != 200 || response.JobState() == wire.JobPending {
-				cluster.t.Errorf("a repeated submission of %s gets %d, %q", id, response.Status, response.JobState())
+				cluster.t.Errorf("repeated submission of %s: got status %d, state %q, want 200 and not pending", id, response.Status, response.JobState())
 			}
 			if response := cluster.Cancel(name, id); response.Status != 200 {
-				cluster.t.Errorf("a cancellation of %s gets %d", id, response.Status)
+				cluster.t.Errorf("cancellation of the finished job %s: got status %d, want 200", id, response.Status)
 			}
 		}
 	}
 	for i := range 50 {
 		id := JobID(500000 + i)
 		if response := cluster.GetJob(cluster.Members()[i%3], id); response.Status != 404 {
-			cluster.t.Errorf("a job that nobody submitted gets %d", response.Status)
+			cluster.t.Errorf("read of an unknown job: got status %d, want 404", response.Status)
 		}
 	}
 }
 
-// Jobs depend on evicted ones: they run if those are done, also after a restart of all controllers,
-// are cancelled if one is cancelled, and are rejected only for a dependency that was never accepted.
+// Jobs depend on evicted jobs. They run if their dependencies are done, also after a restart of all
+// controllers, and are cancelled if a dependency is cancelled. They are rejected only if a dependency was
+// never accepted.
 func TestEvictedJobsAsDependencies(t *testing.T) {
 	Run(t, smallCacheOptions(), func(cluster *Cluster) {
 		cluster.finishJobs()
@@ -135,7 +139,7 @@
 				cancelled = id
 			}
 		}
-		for i := range 2 * cachedJobCount { // so that done and cancelled are evicted again
+		for i := range 2 * cachedJobCount { // so that the jobs done and cancelled are evicted again
 			cluster.GetJob("n1", JobID(finishedJobCount-1-i))
 		}
 		afterDone, afterCancelled, afterUnknown := Array(600001, 1, "a"), Array(600002, 1, "a"), Array(600003, 1, "a")
@@ -153,7 +157,7 @@
 		laterJob.DependsOn = afterDone.DependsOn
 		cluster.MustSubmit("n2", laterJob)
 		if response := cluster.Submit("n0", afterUnknown); response.Status != 422 {
-			t.Errorf("a job that depends on one that was never accepted gets %d", response.Status)
+			t.Errorf("submission of a job that depends on an unknown job: got status %d, want 422", response.Status)
 		}
 		for _, name := range cluster.Members() {
 			cluster.Restart(name, time.Second)
@@ -164,8 +168,8 @@
 	})
 }
 
-// During a store outage an evicted job is never called unknown, and requests for it are answered
-// in time.
+// During a store outage, controllers never reply that an evicted job is unknown, and they answer requests
+// for it in time.
 func TestEvictedJobsAreNeverUnknownDuringStoreOutage(t *testing.T) {
 	Run(t, smallCacheOptions(), func(cluster *Cluster) {
 		cluster.finishJobs()
@@ -174,14 +178,14 @@
 		for i := range 60 {
 			name := cluster.Members()[i%3]
 			if response := cluster.GetJob(name, JobID(i)); response.Status == 404 {
-				t.Errorf("%s answers 404 for %s", name, JobID(i))
+				t.Errorf("read at %s during a store outage: got status 404 for %s", name, JobID(i))
 			}
 			if response := cluster.Submit(name, Array(i, 1, "a")); response.Status != 503 && response.Status != 200 {
-				t.Errorf("a repeated submission of %s gets %d", JobID(i), response.Status)
+				t.Errorf("repeated submission of %s during a store outage: got status %d, want 503 or 200", JobID(i), response.Status)
 			}
 		}
 		if took := time.Since(startedAt); took > 60*2*2*time.Second {
-			t.Errorf("120 replies took %v", took)
+			t.Errorf("120 replies took %v, want at most 2s each", took)
 		}
 		cluster.Store.SetDown(false)
 		time.Sleep(5 * time.Second)
@@ -194,7 +198,7 @@
 	archivedKeys = "firwood.finished/"
 )
 
-// waitForArchived waits until so many records are in the archive, and the others where they were.
+// waitForArchived waits until archivedCount records are in the archive and all others are not.
 func (cluster *Cluster) waitForArchived(archivedCount int) {
 	cluster.t.Helper()
 	cluster.WaitFor(fmt.Sprintf("%d records are archived", archivedCount), 10*time.Minute, func() bool {
@@ -202,9 +206,9 @@
 	})
 }
 
-// Finished jobs are moved to the archive, and back when archiving is turned off, while leaders
-// crash, the store is down, loses replies and delays writes, and old writes are applied again.
-// All the while every controller shows every job, also right after a restart.
+// Finished jobs are moved to the archive, and back when archiving is turned off. Meanwhile leaders crash,
+// and the store is down, rejects requests, loses replies, delays writes and applies old writes again. All
+// the while every controller shows every job, also right after a restart.
 func TestFinishedJobsAreArchived(t *testing.T) {
 	options := smallCacheOptions()
 	options.FinishedJobs.ArchiveAfter = archiveAfter
@@ -217,7 +221,7 @@
 			cluster.Store.ReapplyTransaction(transaction)
 		}
 		if left := cluster.Store.Keys(jobKeys); len(left) > 0 {
-			t.Errorf("replayed submissions brought back %d records", len(left))
+			t.Errorf("after old transactions were applied again: got %d job records outside the archive, want 0", len(left))
 		}
 		cluster.checkAllJobs()
 		cluster.restartAllMembers()
@@ -227,7 +231,7 @@
 		cluster.options.FinishedJobs.NonArchivingMembers = cluster.Members()
 		cluster.restartAllMembers()
 		cluster.injectFaultsWhileArchiving()
-		cluster.WaitFor("all records are out of the archive", 10*time.Minute, func() bool {
+		cluster.WaitFor("the archive is empty", 10*time.Minute, func() bool {
 			return len(cluster.Store.Keys(archivedKeys)) == 0 && len(cluster.Store.Keys("firwood/archive")) == 0
 		})
 		for _, transaction := range cluster.Store.Transactions() {
@@ -236,13 +240,13 @@
 			}
 		}
 		if left := cluster.Store.Keys(archivedKeys); len(left) > 0 {
-			t.Errorf("replayed moves archived %d records again", len(left))
+			t.Errorf("after old moves to the archive were applied again: got %d archived records, want 0", len(left))
 		}
 		cluster.checkAllJobs()
 	})
 }
 
-// injectFaultsWhileArchiving injects one fault after another while records are moved.
+// injectFaultsWhileArchiving injects one fault after another while records are moved to or from the archive.
 func (cluster *Cluster) injectFaultsWhileArchiving() {
 	time.Sleep(archiveAfter)
 	for _, fault := range []fake.StoreFault{fake.StoreRepliesLost, fake.StoreWritesDelayed, fake.StoreRequestsRejected} {
@@ -261,7 +265,7 @@
 	time.Sleep(3 * time.Second)
 }
 
-// restartAllMembers restarts one controller after the other, and waits for a leader.
+// restartAllMembers restarts one controller after the other and waits for a leader.
 func (cluster *Cluster) restartAllMembers() {
 	for _, name := range cluster.Members() {
 		cluster.Restart(name, time.Second)
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -10,12 +10,11 @@
 	"firwood.dev/firwood/wire"
 )
 
-// fleetSizes are the numbers of machines of the fleets that TestLargeFleet plays. The race detector
-// follows no more than some 8,000 goroutines at a time for long, so that test.sh plays the large one
-// without it.
+// fleetSizes are the numbers of machines of the fleets that TestLargeFleet runs. The race detector can't
+// follow more than some 8,000 goroutines at a time for long, so test.sh runs the largest fleet without it.
 var fleetSizes = flag.String("fleet-sizes", "400", "numbers of machines of the fleets that TestLargeFleet plays, separated by commas")
 
-// fleetOptions is a deployment whose limits allow so many machines.
+// fleetOptions returns a deployment whose limits allow the given number of machines.
 func fleetOptions(machines int) Options {
 	return Options{
 		TaskDuration: longTaskDuration, BootDuration: 5 * time.Second, Workers: WorkerTimes{HeartbeatInterval: 6 * time.Second},
@@ -26,15 +25,15 @@
 // maxArrayTasks is the number of tasks of the largest array.
 const maxArrayTasks = 250
 
-// largeFleet is a cluster whose machines are all in use.
+// largeFleet is a cluster whose machines all have work.
 type largeFleet struct {
 	*Cluster
 	taskCount int
 	jobs      []*wire.Job
 }
 
-// submitJobs submits arrays whose tasks need a whole machine each and services whose replicas need
-// a quarter of one, to all controllers in turn, before any machine is up.
+// submitJobs submits jobs to all controllers in turn before any machine has booted: arrays whose tasks
+// need a whole machine each, and services whose replicas need a quarter of a machine each.
 func (fleet *largeFleet) submitJobs(machines int) {
 	const replicasPerService = 24
 	number := 0
@@ -61,21 +60,22 @@
 	startedAt := time.Now()
 	for fleet.Cloud.RunningTaskCount() != fleet.taskCount {
 		if time.Since(startedAt) > timeout {
-			fleet.t.Fatalf("%s: after %v %d of %d tasks run", phase, timeout, fleet.Cloud.RunningTaskCount(), fleet.taskCount)
+			fleet.t.Fatalf("%s: after %v got %d running tasks, want %d", phase, timeout, fleet.Cloud.RunningTaskCount(), fleet.taskCount)
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
 	fleet.t.Logf("%s: all %d tasks run after %v", phase, fleet.taskCount, time.Since(startedAt).Round(time.Millisecond))
 }
 
-// checkMachineCount checks that there are not many more machines than are needed. Added after each
-// machine that came up was requested a second time, since it had not seen the token yet.
+// checkMachineCount checks that there are at most a tenth more machines than needed. It guards against a
+// leader that requests each machine a second time when the machine has booted, because the machine's
+// worker has not seen the leader's fencing token yet.
 func (fleet *largeFleet) checkMachineCount(needed int) {
 	fleet.t.Helper()
 	machines := len(fleet.Cloud.MachineNames())
-	fleet.t.Logf("%d machines for work on %d", machines, needed)
+	fleet.t.Logf("%d machines, %d needed", machines, needed)
 	if machines > needed+needed/10 {
-		fleet.t.Errorf("%d machines for work on %d", machines, needed)
+		fleet.t.Errorf("got %d machines for work that needs %d, want at most a tenth more", machines, needed)
 	}
 }
 
@@ -90,9 +90,9 @@
 	fleet.t.Logf("a new job runs after %v", time.Since(startedAt).Round(time.Millisecond))
 }
 
-// A large fleet boots, all its workers send heartbeats at once after a store outage and after a
-// partition from all controllers, a zone is partitioned, the leader restarts, half of the work is
-// cancelled: no running task is lost, and jobs that are submitted afterwards start.
+// A large fleet boots. All its workers send heartbeats at once after a store outage and after a partition
+// from all controllers, a zone is partitioned, the leader restarts, and half of the jobs are cancelled. No
+// running task is lost, and jobs that are submitted afterwards start.
 func TestLargeFleet(t *testing.T) {
 	for _, size := range strings.Split(*fleetSizes, ",") {
 		machines, err := strconv.Atoi(size)
@@ -105,7 +105,7 @@
 	}
 }
 
-// runLargeFleet plays TestLargeFleet with one size.
+// runLargeFleet runs TestLargeFleet with one fleet size.
 func runLargeFleet(fleet *largeFleet, machines int) {
 	fleet.submitJobs(machines)
 	fleet.waitForAllRunning("after the boot of the fleet", 3*time.Minute)
@@ -139,5 +139,5 @@
 		fleet.taskCount -= job.TaskCount
 	}
 	fleet.waitForAllRunning("after cancellations", fleet.options.Workers.CancellationGrace)
-	fleet.t.Logf("%d machines in the end", len(fleet.Cloud.MachineNames()))
+	fleet.t.Logf("%d machines at the end", len(fleet.Cloud.MachineNames()))
 }
--- a/internal/sim/generated_history_test.go
+++ b/internal/sim/generated_history_test.go
@@ -12,8 +12,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// historyCount is how many generated histories TestGeneratedHistories plays; firstSeed is the seed
-// of the first one, and the others' follow it.
+// historyCount is how many generated histories TestGeneratedHistories runs. firstSeed is the seed of the
+// first history; each further history has the next higher seed.
 var (
 	historyCount = flag.Int("histories", 10, "how many histories of overlapping faults TestGeneratedHistories plays")
 	firstSeed    = flag.Uint64("first-seed", 1, "seed of the first generated history")
@@ -24,15 +24,19 @@
 	*Cluster
 	random *rand.Rand
 	jobs   []*wire.Job
-	// cancelRequested are the jobs whose cancellation a user requests.
+	// cancelRequested are the IDs of the jobs whose cancellation a user requested.
 	cancelRequested map[string]bool
-	// cancelledWithDependency are the jobs that are cancelled with one that they depend on.
+	// cancelledWithDependency are the IDs of the jobs that are cancelled because one of their
+	// dependencies is.
 	cancelledWithDependency map[string]bool
 	// faultsEndAt is when the last injected fault ends.
-	faultsEndAt     time.Time
+	faultsEndAt time.Time
+	// heartbeatCopies are bodies of workers' heartbeats to deliver again.
 	heartbeatCopies [][]byte
-	startedRequests int           // submissions and cancellations that were begun
-	succeeded       chan struct{} // gets a value for each of them that has succeeded
+	// startedRequests is how many submissions and cancellations were started.
+	startedRequests int
+	// succeeded receives a value for each started request when it has succeeded.
+	succeeded chan struct{}
 }
 
 func (history *generatedHistory) pickName(names []string) string {
@@ -43,7 +47,7 @@
 	return time.Duration((from + history.random.Float64()*(to-from)) * float64(time.Second))
 }
 
-// reversibleFault is a fault that is injected and ended.
+// reversibleFault is a fault that can be injected with begin and ended with end.
 type reversibleFault struct{ begin, end func() }
 
 // injectFault injects a fault now and ends it after a duration.
@@ -60,7 +64,8 @@
 	team := []string{"a", "b", "b"}[history.random.IntN(3)]
 	var job *wire.Job
 	if history.random.IntN(4) == 0 {
-		// Of the team without a quota: services would use up the other's for good.
+		// Services belong to the team without a quota, because they would use up the other team's quota
+		// for good.
 		job = Service(number, 1+history.random.IntN(3), "a")
 	} else {
 		job = Array(number, 1+history.random.IntN(4), team)
@@ -91,7 +96,8 @@
 	history.cancelJob(history.jobs[history.random.IntN(len(history.jobs))].ID)
 }
 
-// cancelJob requests the cancellation of a job until it is confirmed, while the history goes on.
+// cancelJob requests the cancellation of a job repeatedly until it is confirmed or the job is done. It does
+// not wait: the history goes on meanwhile.
 func (history *generatedHistory) cancelJob(id string) {
 	history.cancelRequested[id] = true
 	history.retryInBackground(func(member string) bool {
@@ -103,8 +109,8 @@
 	})
 }
 
-// retryInBackground retries a request at one controller after the other until it succeeds, while
-// the history goes on.
+// retryInBackground retries a request at one controller after the other until it succeeds. It does not
+// wait: the history goes on meanwhile.
 func (history *generatedHistory) retryInBackground(try func(member string) bool) {
 	history.startedRequests++
 	members, next := history.Members(), history.random.IntN(3)
@@ -124,8 +130,9 @@
 	}
 }
 
-// injectRandomFault injects a random fault, into the leader more often than into another member.
-// The order of the cases, and of the random draws in each, is part of what a seed stands for.
+// injectRandomFault injects a random fault, into the leader more often than into other members. The order
+// of the cases, and of the random draws in each case, determines the history of a seed: a change of the
+// order gives every seed another history.
 func (history *generatedHistory) injectRandomFault() {
 	member := history.pickName(history.Members())
 	if leader := history.Leader(); leader != "" && history.random.IntN(3) > 0 {
@@ -145,7 +152,7 @@
 	case 2:
 		history.injectFault(history.randomDuration(1, 20), history.storeFault(member, fake.StoreRequestsRejected))
 	case 3:
-		// The store rejects the member alone first, then everybody.
+		// At first the store rejects the requests of this member alone, then those of everybody.
 		history.injectFault(history.randomDuration(5, 15), history.storeFault(member, fake.StoreRequestsRejected))
 		time.Sleep(history.randomDuration(0.2, 3))
 		history.injectFault(history.randomDuration(2, 90), history.storeOutage())
@@ -171,22 +178,22 @@
 	}
 }
 
-// crashFault crashes a controller and starts it again.
+// crashFault returns a fault that crashes a controller, and starts it again at the end.
 func (history *generatedHistory) crashFault(member string) reversibleFault {
 	return reversibleFault{func() { history.Crash(member) }, func() { history.Start(member) }}
 }
 
-// storeFault has the store treat a controller by a fault.
+// storeFault returns a fault of the store towards a single controller.
 func (history *generatedHistory) storeFault(member string, fault fake.StoreFault) reversibleFault {
 	return reversibleFault{func() { history.Store.SetFault(member, fault) }, func() { history.Store.SetFault(member, fake.StoreHealthy) }}
 }
 
-// storeOutage has the store down for everybody.
+// storeOutage returns a fault by which the store is down for everybody.
 func (history *generatedHistory) storeOutage() reversibleFault {
 	return reversibleFault{func() { history.Store.SetDown(true) }, func() { history.Store.SetDown(false) }}
 }
 
-// isolation partitions a controller from the store and from its peers.
+// isolation returns a fault that partitions a controller from the store and from its peers.
 func (history *generatedHistory) isolation(member string) reversibleFault {
 	return reversibleFault{
 		func() { history.PartitionFromStore(member); history.PartitionFromPeers(member) },
@@ -194,17 +201,17 @@
 	}
 }
 
-// workerPartition partitions a controller from the machines.
+// workerPartition returns a fault that partitions a controller from the machines.
 func (history *generatedHistory) workerPartition(member string) reversibleFault {
 	return reversibleFault{func() { history.PartitionFromWorkers(member) }, func() { history.ReconnectToWorkers(member) }}
 }
 
-// zonePartition partitions a zone from everything outside of it.
+// zonePartition returns a fault that partitions a zone from everything outside of it.
 func (history *generatedHistory) zonePartition(zone string) reversibleFault {
 	return reversibleFault{func() { history.PartitionZone(zone) }, func() { history.ReconnectZone(zone) }}
 }
 
-// machineFault gives a machine a fault.
+// machineFault returns a fault of a single machine.
 func (history *generatedHistory) machineFault(machine string, fault fake.MachineFault) reversibleFault {
 	return reversibleFault{func() { history.Cloud.SetFault(machine, fault) }, func() { history.Cloud.SetFault(machine, fake.MachineHealthy) }}
 }
@@ -228,13 +235,14 @@
 	}
 }
 
-// isCancellationPropagated reports whether the dependents of a job are to be cancelled with it.
+// isCancellationPropagated reports whether a job was cancelled, so that its dependents are cancelled with it.
 func (history *generatedHistory) isCancellationPropagated(id string) bool {
 	return history.cancelledWithDependency[id] || history.cancelRequested[id] && history.GetJob("n1", id).JobState() == wire.JobCancelled
 }
 
-// waitForCompletion waits until all faults are over, and checks that every request is answered and
-// that every job that was not cancelled is done, or runs if it is a service.
+// waitForCompletion waits until all faults have ended. It checks that every request succeeds, that a job
+// is cancelled with its dependencies, and that every other job whose cancellation nobody requested is done,
+// or running if it is a service. Finally, cancelled jobs have no tasks left on machines.
 func (history *generatedHistory) waitForCompletion() {
 	if left := time.Until(history.faultsEndAt); left > 0 {
 		time.Sleep(left)
@@ -244,7 +252,7 @@
 		select {
 		case <-history.succeeded:
 		case <-time.After(75 * time.Second):
-			history.t.Fatal("a request gets no reply after the faults")
+			history.t.Fatal("a request did not succeed within 75s of the previous one after the faults had ended")
 		}
 	}
 	for _, job := range history.jobs {
@@ -269,8 +277,8 @@
 	}
 }
 
-// In generated histories of jobs, cancellations, reads and overlapping faults no rule of the protocol
-// is violated, and every accepted job ends or runs.
+// In generated histories of jobs, cancellations, reads and overlapping faults, no rule of the protocol is
+// violated, and every accepted job ends or runs.
 func TestGeneratedHistories(t *testing.T) {
 	lateStarts := 0
 	for i := range *historyCount {
@@ -296,5 +304,5 @@
 			})
 		})
 	}
-	t.Logf("%d starts after a confirmed cancellation", lateStarts)
+	t.Logf("%d task starts after a confirmed cancellation", lateStarts)
 }
