--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -16,8 +16,8 @@
 // longTaskDuration is longer than any test runs.
 const longTaskDuration = 20 * time.Minute
 
-// Users cancel, read and resubmit a job at every controller at once, while the job's last task ends.
-// The requests race with the end of the job: they are sent some milliseconds later in later rounds.
+// Users cancel, read and resubmit a job at every controller at once, shortly after the job's only task has
+// ended. The requests race with the end of the job: their delay grows by 1 ms every four rounds.
 func TestRequestsRaceWithJobCompletion(t *testing.T) {
 	Run(t, Options{TaskDuration: 2 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 60; i++ {
--- a/internal/sim/finished_jobs_test.go
+++ b/internal/sim/finished_jobs_test.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// Jobs depend on evicted jobs. They run if their dependencies are done, also after a restart of all
-// controllers, and are cancelled if a dependency is cancelled. They are rejected only if a dependency was
-// never accepted.
+// Jobs whose dependencies were evicted from the caches run if the dependencies are done, also after a
+// restart of all controllers, and are cancelled if a dependency was cancelled. A job is rejected only if
+// one of its dependencies was never accepted.
 func TestEvictedJobsAsDependencies(t *testing.T) {
 	Run(t, smallCacheOptions(), func(cluster *Cluster) {
 		cluster.finishJobs()
--- a/internal/sim/generated_history_test.go
+++ b/internal/sim/generated_history_test.go
@@ -240,9 +240,9 @@
 	return history.cancelledWithDependency[id] || history.cancelRequested[id] && history.GetJob("n1", id).JobState() == wire.JobCancelled
 }
 
-// waitForCompletion waits until all faults have ended. It checks that every request succeeds, that a job
-// is cancelled with its dependencies, and that every other job whose cancellation nobody requested is done,
-// or running if it is a service. Finally, cancelled jobs have no tasks left on machines.
+// waitForCompletion waits until all faults have ended. It checks that every request succeeds, that jobs are
+// cancelled with their dependencies, and that every other job whose cancellation nobody requested is done,
+// or running if it is a service. It also checks that no tasks of cancelled jobs remain on machines.
 func (history *generatedHistory) waitForCompletion() {
 	if left := time.Until(history.faultsEndAt); left > 0 {
 		time.Sleep(left)
@@ -278,7 +278,7 @@
 }
 
 // In generated histories of jobs, cancellations, reads and overlapping faults, no rule of the protocol is
-// violated, and every accepted job ends or runs.
+// violated, and every accepted job ends, or runs if it is a service.
 func TestGeneratedHistories(t *testing.T) {
 	lateStarts := 0
 	for i := range *historyCount {
