--- a/internal/ci/knownred/knownred.go
+++ b/internal/ci/knownred/knownred.go
@@ -29,8 +29,8 @@
 // fieldsPerLine is how many fields a line has.
 const fieldsPerLine = 3
 
-// ErrTooMany means that the list is longer than MaxEntries.
-var ErrTooMany = errors.New("too many known failures")
+// ErrTooManyEntries means that the list is longer than MaxEntries.
+var ErrTooManyEntries = errors.New("too many known failures")
 
 // ErrMalformed means that a line of the list doesn't have the form of an Entry.
 var ErrMalformed = errors.New("malformed line")
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if len(entries) > MaxEntries {
-		return nil, fmt.Errorf("%w: %d, at most %d", ErrTooMany, len(entries), MaxEntries)
+		return nil, fmt.Errorf("%w: %d, at most %d", ErrTooManyEntries, len(entries), MaxEntries)
 	}
 	return entries, nil
 }
@@ -125,12 +125,12 @@
 // resultCollector collects the events of a run. Tests are named as in Entry; output of subtests
 // counts as their test's, and their other events are left out.
 type resultCollector struct {
-	out             io.Writer           // gets the output of packages and of failed tests
-	outputs         map[string][]string // lines of tests that have not passed
-	failedTests     map[string]bool
-	failedPackages  map[string]bool
-	crashedPackages map[string]bool // by isCrash
-	result          Result
+	out                 io.Writer           // gets the output of packages and of failed tests
+	testOutputs         map[string][]string // lines of tests that have not passed
+	failedTests         map[string]bool
+	failedPackages      map[string]bool
+	inexcusablePackages map[string]bool // by isInexcusableOutput
+	result              Result
 }
 
 // Judge reads the events of a run and compares them with the list. The output of
@@ -138,8 +138,8 @@
 // cannot be decoded, so that whoever writes them into a pipe isn't blocked.
 func Judge(events io.Reader, entries []Entry, out io.Writer) (*Result, error) {
 	collector := &resultCollector{
-		out: out, outputs: map[string][]string{}, failedTests: map[string]bool{},
-		failedPackages: map[string]bool{}, crashedPackages: map[string]bool{},
+		out: out, testOutputs: map[string][]string{}, failedTests: map[string]bool{},
+		failedPackages: map[string]bool{}, inexcusablePackages: map[string]bool{},
 	}
 	decoder := json.NewDecoder(events)
 	for {
@@ -162,7 +162,7 @@
 	case actionPass:
 		if event.isTopLevel() {
 			collector.result.Passed++
-			delete(collector.outputs, event.topLevelTest())
+			delete(collector.testOutputs, event.topLevelTest())
 		}
 	case actionSkip:
 		if event.isTopLevel() {
@@ -174,15 +174,15 @@
 }
 
 func (collector *resultCollector) recordOutput(event *testEvent) {
-	if isCrash(event.Output) {
-		collector.crashedPackages[event.Package] = true
+	if isInexcusableOutput(event.Output) {
+		collector.inexcusablePackages[event.Package] = true
 	}
 	if event.Test == "" {
 		fmt.Fprint(collector.out, event.Output)
 		return
 	}
 	test := event.topLevelTest()
-	collector.outputs[test] = append(collector.outputs[test], event.Output)
+	collector.testOutputs[test] = append(collector.testOutputs[test], event.Output)
 }
 
 func (collector *resultCollector) recordFailure(event *testEvent) {
@@ -193,14 +193,14 @@
 		test := event.topLevelTest()
 		collector.failedTests[test] = true
 		collector.result.Failed++
-		fmt.Fprint(collector.out, strings.Join(collector.outputs[test], ""))
+		fmt.Fprint(collector.out, strings.Join(collector.testOutputs[test], ""))
 	}
 }
 
-// isCrash reports that a line of output shows that the test binary crashed, timed out, had a data
+// isInexcusableOutput reports that a line of output shows that the test binary crashed, timed out, had a data
 // race or wasn't built. No entry excuses that: other tests may not have run, and a data race is
 // another fault than the listed one.
-func isCrash(line string) bool {
+func isInexcusableOutput(line string) bool {
 	return strings.HasPrefix(line, "panic: ") || strings.HasPrefix(line, "fatal error: ") ||
 		strings.HasPrefix(line, "*** Test killed") || strings.Contains(line, "[build failed]") ||
 		strings.Contains(line, "WARNING: DATA RACE")
@@ -225,7 +225,7 @@
 		}
 	}
 	for name := range collector.failedPackages {
-		if !packagesWithFailedTests[name] || collector.crashedPackages[name] {
+		if !packagesWithFailedTests[name] || collector.inexcusablePackages[name] {
 			collector.result.UnexpectedFailures = append(collector.result.UnexpectedFailures, name+" (the package)")
 		}
 	}
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -10,20 +10,20 @@
 func TestParse(t *testing.T) {
 	const good = "a/b.TestX | the lock is lost | 16"
 	for _, testCase := range []struct {
-		name, text string
-		entries    int
-		err        error
+		name, text  string
+		wantEntries int
+		wantErr     error
 	}{
 		{"empty", "\n# nothing\n", 0, nil},
 		{"one", good + "\n", 1, nil},
 		{"three", good + "\na.B|c|1\na.C|c|1\n", 3, nil},
-		{"four", good + "\na.B|c|1\na.C|c|1\na.D|c|1\n", 0, ErrTooMany},
+		{"four", good + "\na.B|c|1\na.C|c|1\na.D|c|1\n", 0, ErrTooManyEntries},
 		{"no issue", "a.B | cause", 0, ErrMalformed},
 		{"empty cause", "a.B | | 16", 0, ErrMalformed},
 		{"twice", good + "\n" + good, 0, ErrMalformed},
 	} {
 		entries, err := Parse(strings.NewReader(testCase.text))
-		if len(entries) != testCase.entries || !errors.Is(err, testCase.err) {
+		if len(entries) != testCase.wantEntries || !errors.Is(err, testCase.wantErr) {
 			t.Errorf("%s: %d entries, %v", testCase.name, len(entries), err)
 		}
 	}
@@ -37,8 +37,8 @@
 		failing = `{"Action":"fail","Package":"p","Test":"TestBad/sub"}` + "\n" +
 			`{"Action":"fail","Package":"p","Test":"TestBad"}` + "\n" +
 			`{"Action":"fail","Package":"p"}` + "\n"
-		panicking = `{"Action":"output","Package":"p","Test":"TestBad","Output":"panic: x\n"}` + "\n" + failing
-		building  = `{"Action":"output","Package":"q","Output":"FAIL\tq [build failed]\n"}` + "\n" +
+		panicking    = `{"Action":"output","Package":"p","Test":"TestBad","Output":"panic: x\n"}` + "\n" + failing
+		buildFailing = `{"Action":"output","Package":"q","Output":"FAIL\tq [build failed]\n"}` + "\n" +
 			`{"Action":"fail","Package":"q"}` + "\n"
 		timedOut = `{"Action":"output","Package":"p","Test":"TestBad","Output":"panic: test timed out after 1s\n"}` + "\n" + failing
 		racing   = `{"Action":"output","Package":"p","Test":"TestBad","Output":"WARNING: DATA RACE\n"}` + "\n" + failing
@@ -47,7 +47,7 @@
 	for _, testCase := range []struct {
 		name, events string
 		entries      []Entry
-		ok           bool
+		wantSuccess  bool
 	}{
 		{"all pass", passing, nil, true},
 		{"nothing ran", "", nil, false},
@@ -57,7 +57,7 @@
 		{"a listed test passes", passing + `{"Action":"pass","Package":"p","Test":"TestBad"}`, listed, false},
 		{"a listed test did not run", passing, listed, false},
 		{"a panic", passing + panicking, listed, false},
-		{"a build failure", passing + failing + building, listed, false},
+		{"a build failure", passing + failing + buildFailing, listed, false},
 		{"a timeout", passing + timedOut, listed, false},
 		{"a data race", passing + racing, listed, false},
 		{"a package that fails without a test", passing + `{"Action":"fail","Package":"r"}`, nil, false},
@@ -66,7 +66,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", testCase.name, err)
 		}
-		if result.IsSuccess() != testCase.ok {
+		if result.IsSuccess() != testCase.wantSuccess {
 			t.Errorf("%s: ok is %v: %+v", testCase.name, result.IsSuccess(), result)
 		}
 	}
@@ -84,12 +84,12 @@
 // Events that cannot be decoded are an error, and are read to their end: a writer that is not read
 // from would block once a pipe is full, and never end.
 func TestJudgeReadsUndecodableEventsToTheEnd(t *testing.T) {
-	const moreThanAPipeHolds = 1 << 20
-	events := strings.NewReader("no event\n" + strings.Repeat(" ", moreThanAPipeHolds))
+	const largerThanPipeBuffer = 1 << 20
+	events := strings.NewReader("no event\n" + strings.Repeat(" ", largerThanPipeBuffer))
 	if _, err := Judge(events, nil, io.Discard); err == nil {
 		t.Error("events that cannot be read pass")
 	}
-	if left := events.Len(); left != 0 {
-		t.Errorf("%d bytes are not read", left)
+	if unread := events.Len(); unread != 0 {
+		t.Errorf("%d bytes are not read", unread)
 	}
 }
--- a/internal/ci/layout/declarations.go
+++ b/internal/ci/layout/declarations.go
@@ -68,7 +68,7 @@
 			if declaration.Recv != nil {
 				declared = typeName(declaration.Recv.List[0].Type) + "." + declared
 			}
-			declarations.add(name, declared)
+			declarations.addName(name, declared)
 		case *ast.GenDecl:
 			for _, spec := range declaration.Specs {
 				declarations.addSpec(name, spec)
@@ -89,10 +89,10 @@
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
 		for _, identifier := range spec.Names {
-			declarations.add(name, identifier.Name)
+			declarations.addName(name, identifier.Name)
 		}
 	case *ast.TypeSpec:
-		declarations.add(name, spec.Name.Name)
+		declarations.addName(name, spec.Name.Name)
 		switch body := spec.Type.(type) {
 		case *ast.StructType:
 			declarations.addMembers(name, spec.Name.Name, body.Fields)
@@ -106,10 +106,10 @@
 	directory := path.Dir(name)
 	for _, member := range members.List {
 		for _, identifier := range member.Names {
-			declarations.add(name, owner+"."+identifier.Name)
+			declarations.addName(name, owner+"."+identifier.Name)
 		}
 		if embedded := typeName(member.Type); len(member.Names) == 0 && embedded != "" {
-			declarations.add(name, owner+"."+embedded)
+			declarations.addName(name, owner+"."+embedded)
 			declarations.embedded[directory][owner] = append(declarations.embedded[directory][owner], embedded)
 		}
 		if member.Tag != nil && directory == "internal/config" {
@@ -129,7 +129,7 @@
 	}
 }
 
-func (declarations *Declarations) add(file, name string) {
+func (declarations *Declarations) addName(file, name string) {
 	names := declarations.names[path.Dir(file)]
 	names[name] = append(names[name], file)
 }
@@ -148,28 +148,28 @@
 	return ""
 }
 
-// FilesOf lists the files that declare a name: "package.Name", "package.Type.Member", or without
+// FilesDeclaring lists the files that declare a name: "package.Name", "package.Type.Member", or without
 // the package's name, which may be of any package then.
-func (declarations *Declarations) FilesOf(name string) []string {
+func (declarations *Declarations) FilesDeclaring(name string) []string {
 	var files []string
 	first, rest, _ := strings.Cut(name, ".")
 	for directory := range declarations.names {
-		files = append(files, declarations.filesIn(directory, name)...)
+		files = append(files, declarations.packageFilesDeclaring(directory, name)...)
 		if path.Base(directory) == first {
-			files = append(files, declarations.filesIn(directory, rest)...)
+			files = append(files, declarations.packageFilesDeclaring(directory, rest)...)
 		}
 	}
 	slices.Sort(files)
 	return slices.Compact(files)
 }
 
-// filesIn lists the files of a package that declare a name; a member may be of an embedded type.
-func (declarations *Declarations) filesIn(directory, name string) []string {
+// packageFilesDeclaring lists the files of a package that declare a name; a member may be of an embedded type.
+func (declarations *Declarations) packageFilesDeclaring(directory, name string) []string {
 	files := slices.Clone(declarations.names[directory][name])
 	owner, member, isMember := strings.Cut(name, ".")
 	if isMember {
 		for _, embedded := range declarations.embedded[directory][owner] {
-			files = append(files, declarations.filesIn(directory, embedded+"."+member)...)
+			files = append(files, declarations.packageFilesDeclaring(directory, embedded+"."+member)...)
 		}
 	}
 	return files
--- a/internal/ci/layout/imports.go
+++ b/internal/ci/layout/imports.go
@@ -67,7 +67,7 @@
 	rank := map[string]int{}
 	for i, layer := range layers {
 		for _, name := range layer.Packages {
-			if _, isPlaced := rank[name]; isPlaced {
+			if _, hasLayer := rank[name]; hasLayer {
 				problems = append(problems, fmt.Sprintf("%s stands in two places of the layers", name))
 			}
 			if _, exists := imports[name]; !exists {
@@ -77,14 +77,14 @@
 		}
 	}
 	for name, imported := range imports {
-		own, isPlaced := rank[name]
-		if !isPlaced {
+		ownRank, hasLayer := rank[name]
+		if !hasLayer {
 			problems = append(problems, fmt.Sprintf("%s stands in no layer: give it a line in internal/ci/layout/layers.go", name))
 			continue
 		}
 		for _, other := range imported {
-			if otherRank, isPlaced := rank[other]; isPlaced && otherRank > own {
-				problems = append(problems, fmt.Sprintf("%s (layer %q) imports %s of the higher layer %q", name, layers[own].Name, other, layers[otherRank].Name))
+			if otherRank, hasLayer := rank[other]; hasLayer && otherRank > ownRank {
+				problems = append(problems, fmt.Sprintf("%s (layer %q) imports %s of the higher layer %q", name, layers[ownRank].Name, other, layers[otherRank].Name))
 			}
 		}
 	}
--- a/internal/ci/layout/imports_test.go
+++ b/internal/ci/layout/imports_test.go
@@ -11,7 +11,7 @@
 const modulePath = "firwood.dev/firwood"
 
 // Every package stands in a layer, and imports its own and lower layers only.
-func TestImportsFollowTheLayers(t *testing.T) {
+func TestImportsFollowLayers(t *testing.T) {
 	root := os.DirFS("../../..")
 	packages, err := ExistingPackages(root, "cmd", "internal", "wire")
 	if err != nil {
--- a/internal/ci/layout/layout.go
+++ b/internal/ci/layout/layout.go
@@ -24,10 +24,10 @@
 }
 
 // ExistingPackages lists the directories in and below the given ones that hold Go files.
-func ExistingPackages(root fs.FS, folders ...string) ([]string, error) {
+func ExistingPackages(root fs.FS, directories ...string) ([]string, error) {
 	var packages []string
-	for _, folder := range folders {
-		err := fs.WalkDir(root, folder, func(name string, entry fs.DirEntry, err error) error {
+	for _, directory := range directories {
+		err := fs.WalkDir(root, directory, func(name string, entry fs.DirEntry, err error) error {
 			if err == nil && !entry.IsDir() && strings.HasSuffix(name, ".go") {
 				packages = append(packages, path.Dir(name))
 			}
--- a/internal/ci/layout/layout_test.go
+++ b/internal/ci/layout/layout_test.go
@@ -9,7 +9,7 @@
 
 // README names every package, and none that does not exist: a careless replacement once
 // left words of a sentence where a package's name had stood.
-func TestReadmeListsEveryPackage(t *testing.T) {
+func TestReadmeListsExactlyTheExistingPackages(t *testing.T) {
 	const root = "../../.."
 	readme, err := os.ReadFile(root + "/README.md")
 	if err != nil {
--- a/internal/ci/layout/pages.go
+++ b/internal/ci/layout/pages.go
@@ -8,7 +8,7 @@
 )
 
 // quotation is a text in backquotes on a page.
-type quotation struct {
+type codeSpan struct {
 	line int
 	text string
 	// file is what follows in parentheses, if it is a Go file: `Type.Method` (`package/file.go`).
@@ -17,35 +17,35 @@
 
 // quotations lists what a page has in backquotes, fenced blocks apart. `.Member` is of what
 // stands before it in the line.
-func quotations(document string) []quotation {
-	var found []quotation
-	isFenced := false
+func codeSpans(document string) []codeSpan {
+	var spans []codeSpan
+	isInFencedBlock := false
 	for i, line := range strings.Split(document, "\n") {
 		isFence := strings.HasPrefix(line, "```")
-		isFenced = isFenced != isFence
-		if isFenced || isFence {
+		isInFencedBlock = isInFencedBlock != isFence
+		if isInFencedBlock || isFence {
 			continue
 		}
 		owner := ""
 		parts := strings.Split(line, "`")
 		for j := 1; j+1 < len(parts); j += 2 {
-			quoted := quotation{line: i + 1, text: parts[j]}
-			if strings.HasPrefix(quoted.text, ".") {
-				quoted.text = owner + quoted.text
+			span := codeSpan{line: i + 1, text: parts[j]}
+			if strings.HasPrefix(span.text, ".") {
+				span.text = owner + span.text
 			} else {
-				owner = quoted.text
+				owner = span.text
 			}
 			if parts[j+1] == " (" && strings.HasSuffix(parts[j+2], ".go") {
-				quoted.file = parts[j+2]
+				span.file = parts[j+2]
 			}
-			found = append(found, quoted)
+			spans = append(spans, span)
 		}
 	}
-	return found
+	return spans
 }
 
-// pageFile is the file that a page means: files are below internal/, or below cmd/.
-func pageFile(name string) string {
+// repositoryPath is the file that a page means: files are below internal/, or below cmd/.
+func repositoryPath(name string) string {
 	if strings.HasPrefix(name, "cmd/") {
 		return name
 	}
@@ -54,13 +54,13 @@
 
 // isGoName tells whether a quoted text is to be held to the code: identifiers joined by dots, or
 // one that has a capital letter or is said to be in a file.
-func (quoted quotation) isGoName() bool {
-	for part := range strings.SplitSeq(quoted.text, ".") {
+func (span codeSpan) isGoName() bool {
+	for part := range strings.SplitSeq(span.text, ".") {
 		if !token.IsIdentifier(part) && !token.IsKeyword(part) {
 			return false
 		}
 	}
-	return strings.Contains(quoted.text, ".") || quoted.file != "" || strings.ToLower(quoted.text) != quoted.text
+	return strings.Contains(span.text, ".") || span.file != "" || strings.ToLower(span.text) != span.text
 }
 
 // CheckPage lists what a page has in backquotes and the code doesn't have: Go files, packages, Go
@@ -68,36 +68,36 @@
 // like Go names, with the reason.
 func CheckPage(page, document string, declarations *Declarations, exceptions map[string]string) []string {
 	var problems []string
-	for _, quoted := range quotations(document) {
+	for _, span := range codeSpans(document) {
 		report := func(problem string) {
-			problems = append(problems, fmt.Sprintf("%s:%d: `%s` %s", page, quoted.line, quoted.text, problem))
+			problems = append(problems, fmt.Sprintf("%s:%d: `%s` %s", page, span.line, span.text, problem))
 		}
-		_, isException := exceptions[quoted.text]
+		_, isException := exceptions[span.text]
 		switch {
 		case isException:
-		case strings.HasSuffix(quoted.text, ".go"):
-			if !declarations.HasFile(pageFile(quoted.text)) {
+		case strings.HasSuffix(span.text, ".go"):
+			if !declarations.HasFile(repositoryPath(span.text)) {
 				report("is no file: name it by its path below internal/, or from cmd/ on")
 			}
-		case strings.HasPrefix(quoted.text, "internal/"):
-			if !declarations.HasPackage(quoted.text) {
+		case strings.HasPrefix(span.text, "internal/"):
+			if !declarations.HasPackage(span.text) {
 				report("is no package")
 			}
-		case !quoted.isGoName() || declarations.IsSetting(quoted.text):
+		case !span.isGoName() || declarations.IsSetting(span.text):
 		default:
-			files := declarations.FilesOf(quoted.text)
+			files := declarations.FilesDeclaring(span.text)
 			if len(files) == 0 {
 				report("is not declared")
-			} else if quoted.file != "" && !slices.Contains(files, pageFile(quoted.file)) {
-				report(fmt.Sprintf("is in %s, not in %s", strings.Join(files, ", "), quoted.file))
+			} else if span.file != "" && !slices.Contains(files, repositoryPath(span.file)) {
+				report(fmt.Sprintf("is in %s, not in %s", strings.Join(files, ", "), span.file))
 			}
 		}
 	}
 	return problems
 }
 
-// logTableHead begins the header of the table of log lines.
-const logTableHead = "| level | line | keys |"
+// logTableHeader begins the header of the table of log lines.
+const logTableHeader = "| level | line | keys |"
 
 // CheckLogTable lists the messages of a page's table of log lines that are no string literal of a
 // file that the row names. Rows without a message have a value of a key instead, as the reason of
@@ -105,23 +105,23 @@
 func CheckLogTable(page, document string, declarations *Declarations) (checked int, problems []string) {
 	isInTable := false
 	for i, line := range strings.Split(document, "\n") {
-		isInTable = strings.HasPrefix(line, logTableHead) || isInTable && strings.HasPrefix(line, "|")
+		isInTable = strings.HasPrefix(line, logTableHeader) || isInTable && strings.HasPrefix(line, "|")
 		cells := strings.Split(line, "|")
-		if !isInTable || strings.HasPrefix(line, logTableHead) || strings.HasPrefix(line, "| ---") {
+		if !isInTable || strings.HasPrefix(line, logTableHeader) || strings.HasPrefix(line, "| ---") {
 			continue
 		}
 		if len(cells) != 8 {
 			problems = append(problems, fmt.Sprintf("%s:%d: the row has %d cells, not 6", page, i+1, len(cells)-2))
 			continue
 		}
-		messages, writers := quotations(cells[2]), quotations(cells[5])
+		messages, writers := codeSpans(cells[2]), codeSpans(cells[5])
 		if len(messages) == 0 {
-			messages = quotations(cells[3])
+			messages = codeSpans(cells[3])
 		}
 		for _, message := range messages {
 			checked++
 			files := declarations.FilesWithLiteral(message.text)
-			isWriter := func(writer quotation) bool { return slices.Contains(files, pageFile(writer.text)) }
+			isWriter := func(writer codeSpan) bool { return slices.Contains(files, repositoryPath(writer.text)) }
 			if !slices.ContainsFunc(writers, isWriter) {
 				problems = append(problems, fmt.Sprintf("%s:%d: %q is not written by%s; it is in %q", page, i+1, message.text, cells[5], files))
 			}
--- a/internal/ci/layout/pages_test.go
+++ b/internal/ci/layout/pages_test.go
@@ -7,8 +7,8 @@
 	"testing/fstest"
 )
 
-// notGo are texts in backquotes that look like Go names and are none.
-var notGo = map[string]string{
+// notGoNames are texts in backquotes that look like Go names and are none.
+var notGoNames = map[string]string{
 	"LOG_LEVEL":        "a variable of the environment",
 	"FIRWOOD_SETTINGS": "a variable of the environment",
 }
@@ -38,21 +38,21 @@
 
 // The files and names on the pages that lead to the code are there: a move of files once left
 // a hundred of them behind.
-func TestPagesNameWhatTheCodeHas(t *testing.T) {
+func TestPagesNameOnlyExistingCode(t *testing.T) {
 	declarations := readProject(t)
 	for _, page := range []string{"docs/architecture.md", "docs/operations.md"} {
 		document := readPage(t, page)
-		if count := len(quotations(document)); count < 100 {
+		if count := len(codeSpans(document)); count < 100 {
 			t.Errorf("%s: only %d texts in backquotes are found", page, count)
 		}
-		for _, problem := range CheckPage(page, document, declarations, notGo) {
+		for _, problem := range CheckPage(page, document, declarations, notGoNames) {
 			t.Error(problem)
 		}
 	}
 }
 
 // Each log line that operators may look for is written by the file that its row names.
-func TestLogTableHasMessagesOfTheCode(t *testing.T) {
+func TestLogTableMessagesAreInTheNamedFiles(t *testing.T) {
 	const page = "docs/operations.md"
 	checked, problems := CheckLogTable(page, readPage(t, page), readProject(t))
 	if checked < 50 {
@@ -116,7 +116,7 @@
 
 func TestCheckLogTable(t *testing.T) {
 	declarations := exampleDeclarations(t)
-	const head = "| level | line | keys | means | written by | formerly |\n| --- | --- | --- | --- | --- | --- |\n"
+	const header = "| level | line | keys | means | written by | formerly |\n| --- | --- | --- | --- | --- | --- |\n"
 	for _, testCase := range []struct {
 		row         string
 		wantChecked int
@@ -134,7 +134,7 @@
 		if testCase.want != "" {
 			want = []string{testCase.want}
 		}
-		checked, got := CheckLogTable("page", head+testCase.row+"\n\n| `tree falls` | another table |\n", declarations)
+		checked, got := CheckLogTable("page", header+testCase.row+"\n\n| `tree falls` | another table |\n", declarations)
 		if checked != testCase.wantChecked || !slices.Equal(got, want) {
 			t.Errorf("%q: %d, %q; want %d, %q", testCase.row, checked, got, testCase.wantChecked, want)
 		}
