--- a/internal/ci/knownred/knownred.go
+++ b/internal/ci/knownred/knownred.go
@@ -1,6 +1,6 @@
-// Package knownred judges a test run against KNOWN-RED.txt, the list of at most three tests that
-// may fail because of a known fault that is not fixed yet. It reads the list and the events of
-// `go test -json`, and touches neither files nor processes.
+// Package knownred compares the result of a test run with KNOWN-RED.txt, a list of at most three
+// tests that may fail because of a known fault that is not fixed yet. The package reads the list and
+// the events of `go test -json` from readers; it opens no files and starts no processes.
 package knownred
 
 import (
@@ -13,12 +13,12 @@
 	"strings"
 )
 
-// MaxEntries is how many tests may be listed at a time.
+// MaxEntries is the largest number of tests that the list may hold.
 const MaxEntries = 3
 
 // Entry is one line of the list: "PACKAGE.TEST | CAUSE | ISSUE".
 type Entry struct {
-	// Test is the package path and the name of the test, with a dot between.
+	// Test is the package path and the name of the test, joined by a dot.
 	Test string
 	// Cause says why the test fails.
 	Cause string
@@ -26,16 +26,17 @@
 	Issue string
 }
 
-// fieldsPerLine is how many fields a line has.
+// fieldsPerLine is the number of fields in a line of the list.
 const fieldsPerLine = 3
 
-// ErrTooManyEntries means that the list is longer than MaxEntries.
+// ErrTooManyEntries means that the list holds more than MaxEntries tests.
 var ErrTooManyEntries = errors.New("too many known failures")
 
-// ErrMalformed means that a line of the list doesn't have the form of an Entry.
+// ErrMalformed means that a line of the list doesn't have the form of an Entry, or that it lists
+// a test for the second time.
 var ErrMalformed = errors.New("malformed line")
 
-// Parse reads the list. Blank lines and lines that begin with # are skipped.
+// Parse reads the list. It skips blank lines and lines that begin with #.
 func Parse(reader io.Reader) ([]Entry, error) {
 	var entries []Entry
 	scanner := bufio.NewScanner(reader)
@@ -73,7 +74,7 @@
 	return Entry{Test: fields[0], Cause: fields[1], Issue: fields[2]}, nil
 }
 
-// Actions of test events.
+// Values of testEvent.Action.
 const (
 	actionOutput      = "output"
 	actionBuildOutput = "build-output"
@@ -82,7 +83,7 @@
 	actionFail        = "fail"
 )
 
-// testEvent is a line of `go test -json`. Test is empty in events of a package.
+// testEvent is an event of `go test -json`. Test is empty if the event is about a whole package.
 type testEvent struct {
 	Action  string
 	Package string
@@ -90,52 +91,52 @@
 	Output  string
 }
 
-// topLevelTest is the package and the name of the event's test, or of the test that its
-// subtest belongs to.
+// topLevelTest returns the package and the name of the event's test, in the form of Entry.Test. For
+// a subtest it returns the top-level test that the subtest belongs to.
 func (event *testEvent) topLevelTest() string {
 	name, _, _ := strings.Cut(event.Test, "/")
 	return event.Package + "." + name
 }
 
-// isTopLevel reports that the event is of a test that is no subtest.
+// isTopLevel reports whether the event is about a test that isn't a subtest.
 func (event *testEvent) isTopLevel() bool {
 	return event.Test != "" && !strings.Contains(event.Test, "/")
 }
 
-// Result is the result of a run.
+// Result is the result of a test run.
 type Result struct {
-	// Passed, Failed and Skipped count tests, without subtests.
+	// Passed, Failed and Skipped are numbers of top-level tests; subtests are not counted.
 	Passed, Failed, Skipped int
-	// UnexpectedFailures are failures that the list does not excuse: tests, and packages
-	// that failed by other means than a test, such as a build failure, a panic
-	// or a timeout.
+	// UnexpectedFailures are the failures that the list does not excuse, sorted: tests that are not
+	// listed, and packages that failed for another reason than a failed test, such as a build
+	// failure, a panic or a timeout.
 	UnexpectedFailures []string
-	// KnownFailures are listed tests that failed; they don't fail the run.
+	// KnownFailures are the listed tests that failed. They don't fail the run.
 	KnownFailures []Entry
-	// StaleEntries are listed tests that passed, were skipped or did not run.
+	// StaleEntries are the listed tests that passed, were skipped or did not run. They fail the run.
 	StaleEntries []Entry
 }
 
-// IsSuccess reports that the run passes: no failure but listed ones, no listed test that did not fail,
-// and at least one test that passed.
+// IsSuccess reports whether the run passes: only listed tests failed, each listed test failed, and
+// at least one test passed.
 func (result *Result) IsSuccess() bool {
 	return len(result.UnexpectedFailures) == 0 && len(result.StaleEntries) == 0 && result.Passed > 0
 }
 
-// resultCollector collects the events of a run. Tests are named as in Entry; output of subtests
-// counts as their test's, and their other events are left out.
+// resultCollector collects the events of a run. It names tests as Entry.Test does. It adds the
+// output of a subtest to the output of its top-level test, and ignores the subtest's other events.
 type resultCollector struct {
-	out                 io.Writer           // gets the output of packages and of failed tests
-	testOutputs         map[string][]string // lines of tests that have not passed
+	out                 io.Writer           // receives the output of packages and of failed tests
+	testOutputs         map[string][]string // lines of output, by test; a test that passes is removed
 	failedTests         map[string]bool
 	failedPackages      map[string]bool
-	inexcusablePackages map[string]bool // by isInexcusableOutput
+	inexcusablePackages map[string]bool // packages whose output isInexcusableOutput matched
 	result              Result
 }
 
-// Judge reads the events of a run and compares them with the list. The output of
-// packages and of failed tests is copied to out. The events are read to their end also where they
-// cannot be decoded, so that whoever writes them into a pipe isn't blocked.
+// Judge reads the events of a run and compares the failures with the list. It copies the output of
+// packages and of failed tests to out. After an event that cannot be decoded it still reads the
+// remaining events, because the process that writes them would otherwise block on a full pipe.
 func Judge(events io.Reader, entries []Entry, out io.Writer) (*Result, error) {
 	collector := &resultCollector{
 		out: out, testOutputs: map[string][]string{}, failedTests: map[string]bool{},
@@ -147,8 +148,8 @@
 		if err := decoder.Decode(&event); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
-			_, _ = io.Copy(io.Discard, events) // the run fails by the first error
-			return nil, fmt.Errorf("the test events cannot be read: %w", err)
+			_, _ = io.Copy(io.Discard, events) // Judge returns the decoding error, so an error here adds nothing.
+			return nil, fmt.Errorf("decode the events of go test -json: %w", err)
 		}
 		collector.recordEvent(&event)
 	}
@@ -197,16 +198,17 @@
 	}
 }
 
-// isInexcusableOutput reports that a line of output shows that the test binary crashed, timed out, had a data
-// race or wasn't built. No entry excuses that: other tests may not have run, and a data race is
-// another fault than the listed one.
+// isInexcusableOutput reports whether a line of output shows that the test binary crashed, timed out,
+// had a data race or could not be built. No entry of the list excuses these failures: after a crash,
+// a timeout or a failed build other tests may not have run, and a data race is a different fault from
+// the listed one.
 func isInexcusableOutput(line string) bool {
 	return strings.HasPrefix(line, "panic: ") || strings.HasPrefix(line, "fatal error: ") ||
 		strings.HasPrefix(line, "*** Test killed") || strings.Contains(line, "[build failed]") ||
 		strings.Contains(line, "WARNING: DATA RACE")
 }
 
-// buildResult compares the failures with the list.
+// buildResult compares the failures with the list and returns the result of the run.
 func (collector *resultCollector) buildResult(entries []Entry) *Result {
 	listed := map[string]bool{}
 	for _, entry := range entries {
@@ -233,5 +235,6 @@
 	return &collector.result
 }
 
-// packageOf is the package in a test's name as in Entry. Names of tests have no dots, import paths may.
+// packageOf returns the package path in a test's name, which has the form of Entry.Test. The path
+// ends at the last dot: import paths may contain dots, names of tests don't.
 func packageOf(testName string) string { return testName[:strings.LastIndex(testName, ".")] }
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -10,9 +10,9 @@
 func TestParse(t *testing.T) {
 	const good = "a/b.TestX | the lock is lost | 16"
 	for _, testCase := range []struct {
-		name, text  string
-		wantEntries int
-		wantErr     error
+		name, text string
+		entries    int
+		err        error
 	}{
 		{"empty", "\n# nothing\n", 0, nil},
 		{"one", good + "\n", 1, nil},
@@ -23,14 +23,15 @@
 		{"twice", good + "\n" + good, 0, ErrMalformed},
 	} {
 		entries, err := Parse(strings.NewReader(testCase.text))
-		if len(entries) != testCase.wantEntries || !errors.Is(err, testCase.wantErr) {
-			t.Errorf("%s: %d entries, %v", testCase.name, len(entries), err)
+		if len(entries) != testCase.entries || !errors.Is(err, testCase.err) {
+			t.Errorf("%s: Parse: got %d entries, error %v; want those of the test case", testCase.name, len(entries), err)
 		}
 	}
 }
 
-// Each kind of failure that the list does not name fails the run, whatever is
-// listed beside it.
+// TestJudge checks that a run passes if only listed tests fail, and that it fails in each of these
+// cases, whatever the list holds: a failure that is not listed, a crash, a timeout, a data race, a
+// failed build, a listed test that passes or doesn't run, and a run in which no test passes.
 func TestJudge(t *testing.T) {
 	const (
 		passing = `{"Action":"pass","Package":"p","Test":"TestGood"}` + "\n"
@@ -64,32 +65,33 @@
 	} {
 		result, err := Judge(strings.NewReader(testCase.events), testCase.entries, io.Discard)
 		if err != nil {
-			t.Fatalf("%s: %v", testCase.name, err)
+			t.Fatalf("%s: Judge: %v", testCase.name, err)
 		}
 		if result.IsSuccess() != testCase.wantSuccess {
-			t.Errorf("%s: ok is %v: %+v", testCase.name, result.IsSuccess(), result)
+			t.Errorf("%s: IsSuccess: got %v, want the opposite; result %+v", testCase.name, result.IsSuccess(), result)
 		}
 	}
 	var out strings.Builder
 	events := `{"Action":"output","Package":"a/b","Test":"TestBad/sub","Output":"the cause\n"}` + "\n" +
 		`{"Action":"fail","Package":"a/b","Test":"TestBad"}` + "\n"
 	if _, err := Judge(strings.NewReader(events), nil, &out); err != nil || !strings.Contains(out.String(), "the cause") {
-		t.Errorf("a failed subtest's output is not shown: %q, %v", out.String(), err)
+		t.Errorf("Judge of a failed subtest: got output %q, error %v; want output with \"the cause\", no error", out.String(), err)
 	}
 	if _, err := Judge(strings.NewReader("{"), nil, io.Discard); err == nil {
-		t.Error("events that cannot be read pass")
+		t.Error("Judge of an incomplete JSON event: got no error")
 	}
 }
 
-// Events that cannot be decoded are an error, and are read to their end: a writer that is not read
-// from would block once a pipe is full, and never end.
+// TestJudgeReadsUndecodableEventsToTheEnd checks that Judge returns an error for events that cannot be
+// decoded, and still reads all input. If it stopped reading, `go test` would block on a full pipe and
+// never exit, and the run would hang.
 func TestJudgeReadsUndecodableEventsToTheEnd(t *testing.T) {
 	const largerThanPipeBuffer = 1 << 20
 	events := strings.NewReader("no event\n" + strings.Repeat(" ", largerThanPipeBuffer))
 	if _, err := Judge(events, nil, io.Discard); err == nil {
-		t.Error("events that cannot be read pass")
+		t.Error("Judge of input that is not JSON: got no error")
 	}
 	if unread := events.Len(); unread != 0 {
-		t.Errorf("%d bytes are not read", unread)
+		t.Errorf("Judge left %d bytes of its input unread, want 0", unread)
 	}
 }
--- a/internal/ci/layout/imports.go
+++ b/internal/ci/layout/imports.go
@@ -11,8 +11,9 @@
 	"strings"
 )
 
-// ReadImports finds which of the project's packages each of some packages imports outside test
-// files. Packages are directories below root; modulePath is the project's.
+// ReadImports returns, for each of the given packages, the project's packages that it imports outside
+// test files, sorted and without duplicates. Packages are directories below root; modulePath is the
+// project's module path.
 func ReadImports(root fs.FS, modulePath string, packages []string) (map[string][]string, error) {
 	imports := make(map[string][]string, len(packages))
 	for _, name := range packages {
@@ -44,13 +45,13 @@
 	}
 	file, err := parser.ParseFile(token.NewFileSet(), path.Base(name), source, parser.ImportsOnly)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", name, err)
+		return nil, fmt.Errorf("parse the imports of %s: %w", name, err)
 	}
 	var imported []string
 	for _, spec := range file.Imports {
 		importPath, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", name, err)
+			return nil, fmt.Errorf("unquote an import path of %s: %w", name, err)
 		}
 		if directory, isOwn := strings.CutPrefix(importPath, modulePath+"/"); isOwn {
 			imported = append(imported, directory)
@@ -59,9 +60,9 @@
 	return imported, nil
 }
 
-// CheckLayers lists what breaks the layers, one sentence each and sorted: packages in no layer or
-// in two, layers with a package that does not exist, and imports of a higher layer. imports has all
-// packages, as ReadImports returns them.
+// CheckLayers returns the violations of the layers as sentences, sorted: packages that are in no layer
+// or listed twice, layers with a package that does not exist, and imports of a package in a higher
+// layer. imports is the result of ReadImports for all packages.
 func CheckLayers(layers []Layer, imports map[string][]string) []string {
 	var problems []string
 	rank := map[string]int{}
--- a/internal/ci/layout/layers.go
+++ b/internal/ci/layout/layers.go
@@ -1,16 +1,16 @@
 package layout
 
-// Layer is a group of packages that may import those of its own layer and of lower ones.
+// Layer is a group of packages that may import packages of the same layer and of lower layers.
 type Layer struct {
 	// Name says what the packages have in common.
 	Name string
-	// Packages are their directories below the root of the repository.
+	// Packages are the packages' directories, relative to the root of the repository.
 	Packages []string
 }
 
-// Layers are the project's layers from the lowest to the highest. Each package stands in one of
-// them, on a line of its own: a new package goes into the lowest layer that is above what it
-// imports and fits what it does. Test files may import what they like.
+// Layers are the project's layers, the lowest first. Each package is listed in exactly one layer, on a
+// line of its own. A new package goes into the lowest layer whose description fits the package and that
+// is not below any package that it imports. Test files may import any package.
 var Layers = []Layer{
 	{"values, messages, settings and bounds", []string{
 		"internal/clock",
--- a/internal/ci/layout/layout.go
+++ b/internal/ci/layout/layout.go
@@ -1,5 +1,6 @@
-// Package layout holds the repository's packages to the table of them in README, their imports to
-// the project's layers, and the pages that lead to the code to its files, names and log messages.
+// Package layout checks three things: the table of packages in README lists the packages that exist,
+// imports follow the project's layers, and the pages that describe the code name only files, Go names
+// and log messages that the code has.
 package layout
 
 import (
@@ -10,10 +11,11 @@
 	"strings"
 )
 
-// packageReference matches a package's directory in backquotes.
+// packageReference matches the directory of a package in backquotes.
 var packageReference = regexp.MustCompile("`((?:cmd|internal|wire)(?:/[^`]*)?)`")
 
-// DocumentedPackages lists the packages that a document names, each once and sorted.
+// DocumentedPackages returns the packages that a document names in backquotes, sorted and without
+// duplicates.
 func DocumentedPackages(document string) []string {
 	var packages []string
 	for _, match := range packageReference.FindAllStringSubmatch(document, -1) {
@@ -23,7 +25,8 @@
 	return slices.Compact(packages)
 }
 
-// ExistingPackages lists the directories in and below the given ones that hold Go files.
+// ExistingPackages returns the directories that hold Go files, at or below the given directories of
+// root, sorted and without duplicates.
 func ExistingPackages(root fs.FS, directories ...string) ([]string, error) {
 	var packages []string
 	for _, directory := range directories {
--- a/internal/ci/runtests/main.go
+++ b/internal/ci/runtests/main.go
@@ -1,5 +1,5 @@
-// Command runtests runs `go test` with its own arguments and judges the result against
-// KNOWN-RED.txt; see package knownred.
+// Command runtests runs `go test` with the arguments that it is given. It fails if the test run fails,
+// except for failures that KNOWN-RED.txt lists; see package knownred.
 package main
 
 import (
@@ -13,7 +13,8 @@
 	"firwood.dev/firwood/internal/ci/knownred"
 )
 
-// knownFailuresFile is the list of known failures, at the root of the repository.
+// knownFailuresFile is the list of known failures. The command runs at the root of the repository,
+// where the file is; without the file the list is empty.
 const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
@@ -23,11 +24,11 @@
 	}
 }
 
-// runTests runs `go test` with the arguments and returns an error if the run fails.
+// runTests runs `go test -json` with the arguments, and returns an error if the run does not pass.
 func runTests(args []string, out io.Writer) error {
 	entries, err := loadKnownFailures()
 	if err != nil {
-		return fmt.Errorf("%s: %w", knownFailuresFile, err)
+		return fmt.Errorf("read %s: %w", knownFailuresFile, err)
 	}
 	command := exec.Command("go", append([]string{"test", "-json"}, args...)...)
 	command.Stderr = os.Stderr
@@ -58,14 +59,14 @@
 	return knownred.Parse(file)
 }
 
-// printResult prints the result and returns an error if the run fails: by its events, or because
-// `go test` failed although no known failure explains that.
+// printResult prints the result. It returns an error if the result is not a success, or if `go test`
+// exited with an error although no listed test failed that would explain it.
 func printResult(result *knownred.Result, exitErr error, out io.Writer) error {
 	for _, entry := range result.KnownFailures {
 		fmt.Fprintf(out, "known failure: %s: %s (issue %s)\n", entry.Test, entry.Cause, entry.Issue)
 	}
 	for _, entry := range result.StaleEntries {
-		fmt.Fprintf(out, "listed in %s, but it did not fail: %s\n", knownFailuresFile, entry.Test)
+		fmt.Fprintf(out, "%s lists a test that did not fail: %s\n", knownFailuresFile, entry.Test)
 	}
 	for _, name := range result.UnexpectedFailures {
 		fmt.Fprintf(out, "FAILED: %s\n", name)
@@ -73,7 +74,7 @@
 	fmt.Fprintf(out, "%d passed, %d failed, %d skipped\n", result.Passed, result.Failed, result.Skipped)
 	switch {
 	case !result.IsSuccess():
-		return errors.New("the tests failed")
+		return errors.New("the test run failed")
 	case exitErr != nil && len(result.KnownFailures) == 0:
 		return fmt.Errorf("go test: %w", exitErr)
 	}
