--- a/internal/ci/knownred/knownred.go
+++ b/internal/ci/knownred/knownred.go
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	if len(entries) > MaxEntries {
-		return nil, fmt.Errorf("%w: %d, at most %d", ErrTooManyEntries, len(entries), MaxEntries)
+		return nil, fmt.Errorf("%w: got %d, want at most %d", ErrTooManyEntries, len(entries), MaxEntries)
 	}
 	return entries, nil
 }
--- a/internal/ci/layout/declarations.go
+++ b/internal/ci/layout/declarations.go
@@ -13,23 +13,25 @@
 	"strings"
 )
 
-// Declarations are what the project's Go files declare, apart from test files.
+// Declarations holds the names that the project's Go files declare, and their struct tags and string
+// literals. Test files are left out.
 type Declarations struct {
-	// files are the files of each package, by its directory.
+	// files lists the files of each package, by package directory.
 	files map[string][]string
-	// names are the files that declare a name, by package directory and name: "Name" for what
-	// stands at the top of a file, "Type.Member" for methods and fields.
+	// names lists the files that declare a name, by package directory and name. The name is "Name"
+	// for a package-level declaration and "Type.Member" for a method or field.
 	names map[string]map[string][]string
-	// embedded are the types that a struct embeds, by package directory and type. Those of
-	// other packages are left out.
+	// embedded lists the types of the same package that a type embeds, by package directory and
+	// type name. Embedded types of other packages are left out.
 	embedded map[string]map[string][]string
-	// settings are the names in the struct tags of internal/config.
+	// settings holds the names in the json and yaml struct tags of internal/config.
 	settings map[string]bool
-	// literals are the files that have a string literal, by its value.
+	// literals lists the files that have a string literal, by the literal's value. A file is listed
+	// once for each time that it has the literal.
 	literals map[string][]string
 }
 
-// ReadDeclarations parses the Go files of some packages, which are directories below root.
+// ReadDeclarations parses the Go files of the given packages, which are directories below root.
 func ReadDeclarations(root fs.FS, packages []string) (*Declarations, error) {
 	declarations := &Declarations{
 		files: map[string][]string{}, names: map[string]map[string][]string{}, embedded: map[string]map[string][]string{},
@@ -51,7 +53,7 @@
 			}
 			file, err := parser.ParseFile(token.NewFileSet(), name, source, parser.SkipObjectResolution)
 			if err != nil {
-				return nil, fmt.Errorf("%s: %w", name, err)
+				return nil, fmt.Errorf("parse %s: %w", name, err)
 			}
 			declarations.files[directory] = append(declarations.files[directory], name)
 			declarations.addFile(name, file)
@@ -134,8 +136,8 @@
 	names[name] = append(names[name], file)
 }
 
-// typeName is the name of a type of the same package that an expression names, perhaps through a
-// pointer or with type arguments, else "".
+// typeName returns the name of the type in an expression like T, *T, T[A] or *T[A], where T is a type of
+// the same package. For any other expression it returns "".
 func typeName(expression ast.Expr) string {
 	switch expression := expression.(type) {
 	case *ast.Ident:
@@ -148,8 +150,9 @@
 	return ""
 }
 
-// FilesDeclaring lists the files that declare a name: "package.Name", "package.Type.Member", or without
-// the package's name, which may be of any package then.
+// FilesDeclaring returns the files that declare a name, sorted and without duplicates. The name is
+// "package.Name" or "package.Type.Member", where package is the last element of the package's directory.
+// Without "package." the name matches declarations of all packages.
 func (declarations *Declarations) FilesDeclaring(name string) []string {
 	var files []string
 	first, rest, _ := strings.Cut(name, ".")
@@ -163,7 +166,8 @@
 	return slices.Compact(files)
 }
 
-// packageFilesDeclaring lists the files of a package that declare a name; a member may be of an embedded type.
+// packageFilesDeclaring returns the files of a package that declare a name. A "Type.Member" may also be
+// a member of a type that Type embeds.
 func (declarations *Declarations) packageFilesDeclaring(directory, name string) []string {
 	files := slices.Clone(declarations.names[directory][name])
 	owner, member, isMember := strings.Cut(name, ".")
@@ -175,17 +179,18 @@
 	return files
 }
 
-// HasFile tells whether a Go file exists.
+// HasFile reports whether a Go file was read. Test files are not read.
 func (declarations *Declarations) HasFile(name string) bool {
 	return slices.Contains(declarations.files[path.Dir(name)], name)
 }
 
-// HasPackage tells whether a directory is a package, perhaps one of test files only.
+// HasPackage reports whether a directory is a package that was read. Its files may all be test files.
 func (declarations *Declarations) HasPackage(directory string) bool {
 	return declarations.names[directory] != nil
 }
 
-// IsSetting tells whether a name is the path of a setting, as "limits.ram_mb".
+// IsSetting reports whether each part of a dotted name, such as "limits.ram_mb", is the name of a
+// setting. It does not check that the settings are nested in this way.
 func (declarations *Declarations) IsSetting(name string) bool {
 	for part := range strings.SplitSeq(name, ".") {
 		if part == "" || !declarations.settings[part] {
@@ -195,7 +200,8 @@
 	return true
 }
 
-// FilesWithLiteral lists the files that have a string literal of this value.
+// FilesWithLiteral returns the files that have a string literal with the given value, one for each time
+// that the literal occurs.
 func (declarations *Declarations) FilesWithLiteral(value string) []string {
 	return declarations.literals[value]
 }
--- a/internal/ci/layout/imports_test.go
+++ b/internal/ci/layout/imports_test.go
@@ -10,7 +10,8 @@
 
 const modulePath = "firwood.dev/firwood"
 
-// Every package stands in a layer, and imports its own and lower layers only.
+// TestImportsFollowLayers checks that each package of the project is in exactly one layer, and that it
+// imports only packages of its own layer and of lower layers.
 func TestImportsFollowLayers(t *testing.T) {
 	root := os.DirFS("../../..")
 	packages, err := ExistingPackages(root, "cmd", "internal", "wire")
@@ -22,14 +23,15 @@
 		t.Fatal(err)
 	}
 	if !slices.Contains(imports["cmd/firwood"], "internal/controller") || !slices.Contains(imports["internal/kvstore"], "wire") {
-		t.Fatalf("imports are not found: %v", imports)
+		t.Fatalf("ReadImports did not find the imports that cmd/firwood and internal/kvstore are known to have: %v", imports)
 	}
 	for _, problem := range CheckLayers(Layers, imports) {
 		t.Error(problem)
 	}
 }
 
-// Imports of test files and of other modules don't count; each import counts once.
+// TestReadImports checks that imports of test files and of other modules are left out, that a package
+// imported by two files is returned once, and that a file that isn't Go source is an error.
 func TestReadImports(t *testing.T) {
 	root := fstest.MapFS{
 		"wire/a.go":           {Data: []byte("package wire\n")},
@@ -40,15 +42,16 @@
 	got, err := ReadImports(root, "m.org/m", []string{"internal/a", "wire"})
 	want := map[string][]string{"internal/a": {"internal/b", "wire"}, "wire": nil}
 	if err != nil || !maps.EqualFunc(got, want, slices.Equal) {
-		t.Errorf("%v, %v; want %v", got, err, want)
+		t.Errorf("ReadImports: got %v, error %v; want %v", got, err, want)
 	}
 	root["internal/a/c.go"] = &fstest.MapFile{Data: []byte("no Go")}
 	if _, err := ReadImports(root, "m.org/m", []string{"internal/a"}); err == nil {
-		t.Error("a file that is no Go is read")
+		t.Error("ReadImports with a file that is not Go source: got no error")
 	}
 }
 
-// Whatever breaks the layers is named.
+// TestCheckLayers checks that each kind of violation is reported, and that imports of the same layer
+// and of lower layers are allowed.
 func TestCheckLayers(t *testing.T) {
 	layers := []Layer{{"low", []string{"a", "b"}}, {"high", []string{"c"}}}
 	for _, testCase := range []struct {
@@ -64,7 +67,7 @@
 		{"twice", append(slices.Clone(layers), Layer{"top", []string{"a"}}), map[string][]string{"a": nil, "b": nil, "c": nil}, []string{`a stands in two places of the layers`}},
 	} {
 		if got := CheckLayers(testCase.layers, testCase.imports); !slices.Equal(got, testCase.want) {
-			t.Errorf("%s: %q, want %q", testCase.name, got, testCase.want)
+			t.Errorf("%s: CheckLayers: got %q, want %q", testCase.name, got, testCase.want)
 		}
 	}
 }
--- a/internal/ci/layout/layout_test.go
+++ b/internal/ci/layout/layout_test.go
@@ -7,8 +7,9 @@
 	"testing/fstest"
 )
 
-// README names every package, and none that does not exist: a careless replacement once
-// left words of a sentence where a package's name had stood.
+// TestReadmeListsExactlyTheExistingPackages checks that README names every package and no package that
+// doesn't exist. It guards against a search and replace that also hits a package's name in
+// README; one such replacement left words of a sentence in place of the name.
 func TestReadmeListsExactlyTheExistingPackages(t *testing.T) {
 	const root = "../../.."
 	readme, err := os.ReadFile(root + "/README.md")
@@ -20,17 +21,17 @@
 		t.Fatal(err)
 	}
 	if len(existing) < 10 {
-		t.Fatalf("only %v are found", existing)
+		t.Fatalf("ExistingPackages: got only %v, want at least 10 packages", existing)
 	}
 	documented := DocumentedPackages(string(readme))
 	for _, name := range documented {
 		if !slices.Contains(existing, name) {
-			t.Errorf("README names %q, which is no package", name)
+			t.Errorf("README names %q, which is not a package", name)
 		}
 	}
 	for _, name := range existing {
 		if !slices.Contains(documented, name) {
-			t.Errorf("README does not name %q", name)
+			t.Errorf("README does not name the package %q", name)
 		}
 	}
 }
@@ -38,14 +39,14 @@
 func TestDocumentedAndExistingPackages(t *testing.T) {
 	document := "| `wire` | forms |\n| `internal/a b`, `internal/c` | `other/d`; see `internal/c` |"
 	if got, want := DocumentedPackages(document), []string{"internal/a b", "internal/c", "wire"}; !slices.Equal(got, want) {
-		t.Errorf("named are %q", got)
+		t.Errorf("DocumentedPackages: got %q, want each package of the document once, sorted", got)
 	}
 	tree := fstest.MapFS{"internal/c/x.go": {}, "internal/c/testdata/y.txt": {}, "internal/e/f/z.go": {}, "other/d/w.go": {}}
 	got, err := ExistingPackages(tree, "internal")
 	if want := []string{"internal/c", "internal/e/f"}; err != nil || !slices.Equal(got, want) {
-		t.Errorf("present are %q, %v", got, err)
+		t.Errorf("ExistingPackages: got %q, error %v; want the directories below internal that hold Go files", got, err)
 	}
 	if _, err := ExistingPackages(tree, "missing"); err == nil {
-		t.Error("a folder that is missing is no error")
+		t.Error("ExistingPackages of a missing directory: got no error")
 	}
 }
--- a/internal/ci/layout/pages.go
+++ b/internal/ci/layout/pages.go
@@ -7,16 +7,17 @@
 	"strings"
 )
 
-// quotation is a text in backquotes on a page.
+// codeSpan is a text in backquotes on a page.
 type codeSpan struct {
 	line int
 	text string
-	// file is what follows in parentheses, if it is a Go file: `Type.Method` (`package/file.go`).
+	// file is the Go file in parentheses directly after the text, or "" if there is none. In
+	// `Type.Method` (`package/file.go`) it is package/file.go.
 	file string
 }
 
-// quotations lists what a page has in backquotes, fenced blocks apart. `.Member` is of what
-// stands before it in the line.
+// codeSpans returns the texts in backquotes on a page, except those in fenced code blocks. A text that
+// begins with a dot, like `.Member`, is prefixed with the last text before it in its line that doesn't.
 func codeSpans(document string) []codeSpan {
 	var spans []codeSpan
 	isInFencedBlock := false
@@ -44,7 +45,8 @@
 	return spans
 }
 
-// repositoryPath is the file that a page means: files are below internal/, or below cmd/.
+// repositoryPath returns the path, from the root of the repository, of a file that a page names. Pages
+// name files by their path below internal/, or by a path that begins with cmd/.
 func repositoryPath(name string) string {
 	if strings.HasPrefix(name, "cmd/") {
 		return name
@@ -52,8 +54,8 @@
 	return "internal/" + name
 }
 
-// isGoName tells whether a quoted text is to be held to the code: identifiers joined by dots, or
-// one that has a capital letter or is said to be in a file.
+// isGoName reports whether the text is checked as a Go name: it consists of identifiers or keywords
+// joined by dots, and it has a dot or a capital letter, or the page names the file that declares it.
 func (span codeSpan) isGoName() bool {
 	for part := range strings.SplitSeq(span.text, ".") {
 		if !token.IsIdentifier(part) && !token.IsKeyword(part) {
@@ -63,9 +65,10 @@
 	return strings.Contains(span.text, ".") || span.file != "" || strings.ToLower(span.text) != span.text
 }
 
-// CheckPage lists what a page has in backquotes and the code doesn't have: Go files, packages, Go
-// names, and names that are not in the file that follows them. Exceptions are texts that only look
-// like Go names, with the reason.
+// CheckPage returns the problems of a page's texts in backquotes: Go files, packages and Go names that
+// the code doesn't have, and Go names that the file named after them doesn't declare. Names of settings
+// are not checked, nor are the keys of exceptions: texts that look like Go names but are none. The
+// values of exceptions say what the texts are instead.
 func CheckPage(page, document string, declarations *Declarations, exceptions map[string]string) []string {
 	var problems []string
 	for _, span := range codeSpans(document) {
@@ -96,12 +99,13 @@
 	return problems
 }
 
-// logTableHeader begins the header of the table of log lines.
+// logTableHeader is the beginning of the header row of the table of log lines.
 const logTableHeader = "| level | line | keys |"
 
-// CheckLogTable lists the messages of a page's table of log lines that are no string literal of a
-// file that the row names. Rows without a message have a value of a key instead, as the reason of
-// the message above. It also tells how many messages and values it has looked at.
+// CheckLogTable checks a page's table of log lines. It returns the messages that are not a string
+// literal in any of the files that their row names, and the rows that don't have six cells. In a row
+// without a message it checks the values in the keys column instead, such as a reason that is logged
+// with the message of an earlier row. checked is the number of messages and values that it checked.
 func CheckLogTable(page, document string, declarations *Declarations) (checked int, problems []string) {
 	isInTable := false
 	for i, line := range strings.Split(document, "\n") {
--- a/internal/ci/layout/pages_test.go
+++ b/internal/ci/layout/pages_test.go
@@ -7,7 +7,8 @@
 	"testing/fstest"
 )
 
-// notGoNames are texts in backquotes that look like Go names and are none.
+// notGoNames are texts in backquotes on the pages that look like Go names but are none, each with what
+// it is instead.
 var notGoNames = map[string]string{
 	"LOG_LEVEL":        "a variable of the environment",
 	"FIRWOOD_SETTINGS": "a variable of the environment",
@@ -36,14 +37,15 @@
 	return string(document)
 }
 
-// The files and names on the pages that lead to the code are there: a move of files once left
-// a hundred of them behind.
+// TestPagesNameOnlyExistingCode checks that the files and names on the pages that describe the code
+// exist. It guards against moved files and renamed declarations that leave outdated names on the pages;
+// a move of files once left a hundred of them.
 func TestPagesNameOnlyExistingCode(t *testing.T) {
 	declarations := readProject(t)
 	for _, page := range []string{"docs/architecture.md", "docs/operations.md"} {
 		document := readPage(t, page)
 		if count := len(codeSpans(document)); count < 100 {
-			t.Errorf("%s: only %d texts in backquotes are found", page, count)
+			t.Errorf("%s: got only %d texts in backquotes, want at least 100", page, count)
 		}
 		for _, problem := range CheckPage(page, document, declarations, notGoNames) {
 			t.Error(problem)
@@ -51,12 +53,13 @@
 	}
 }
 
-// Each log line that operators may look for is written by the file that its row names.
+// TestLogTableMessagesAreInTheNamedFiles checks that each log message that operators may search for is
+// a string literal in a file that its row of the table names.
 func TestLogTableMessagesAreInTheNamedFiles(t *testing.T) {
 	const page = "docs/operations.md"
 	checked, problems := CheckLogTable(page, readPage(t, page), readProject(t))
 	if checked < 50 {
-		t.Errorf("%s: only %d log messages are found", page, checked)
+		t.Errorf("%s: got only %d log messages, want at least 50", page, checked)
 	}
 	for _, problem := range problems {
 		t.Error(problem)
@@ -78,7 +81,7 @@
 	}
 	root["internal/a/broken.go"] = &fstest.MapFile{Data: []byte("no Go")}
 	if _, err := ReadDeclarations(root, []string{"internal/a"}); err == nil {
-		t.Error("a file that is no Go is read")
+		t.Error("ReadDeclarations with a file that is not Go source: got no error")
 	}
 	return declarations
 }
@@ -109,7 +112,7 @@
 			want = []string{testCase.want}
 		}
 		if got := CheckPage("page", testCase.document, declarations, map[string]string{"EXCEPTION": "for the test"}); !slices.Equal(got, want) {
-			t.Errorf("%q: %q, want %q", testCase.document, got, want)
+			t.Errorf("CheckPage of %q: got %q, want %q", testCase.document, got, want)
 		}
 	}
 }
@@ -136,7 +139,7 @@
 		}
 		checked, got := CheckLogTable("page", header+testCase.row+"\n\n| `tree falls` | another table |\n", declarations)
 		if checked != testCase.wantChecked || !slices.Equal(got, want) {
-			t.Errorf("%q: %d, %q; want %d, %q", testCase.row, checked, got, testCase.wantChecked, want)
+			t.Errorf("CheckLogTable with row %q: got %d checked, problems %q; want %d, %q", testCase.row, checked, got, testCase.wantChecked, want)
 		}
 	}
 }
