--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -17,28 +17,29 @@
 		{"empty", "\n# nothing\n", 0, nil},
 		{"one", good + "\n", 1, nil},
 		{"three", good + "\na.B|c|1\na.C|c|1\n", 3, nil},
-		{"four", good + "\na.B|c|1\na.C|c|1\na.D|c|1\n", 0, ErrTooMany},
+		{"four", good + "\na.B|c|1\na.C|c|1\na.D|c|1\n", 0, ErrTooManyEntries},
 		{"no issue", "a.B | cause", 0, ErrMalformed},
 		{"empty cause", "a.B | | 16", 0, ErrMalformed},
 		{"twice", good + "\n" + good, 0, ErrMalformed},
 	} {
 		entries, err := Parse(strings.NewReader(testCase.text))
 		if len(entries) != testCase.entries || !errors.Is(err, testCase.err) {
-			t.Errorf("%s: %d entries, %v", testCase.name, len(entries), err)
+			t.Errorf("%s: Parse: got %d entries, error %v; want those of the test case", testCase.name, len(entries), err)
 		}
 	}
 }
 
-// Each kind of failure that the list does not name fails the run, whatever is
-// listed beside it.
+// TestJudge checks that a run passes if only listed tests fail, and that it fails in each of these
+// cases, whatever the list holds: a failure that is not listed, a crash, a timeout, a data race, a
+// failed build, a listed test that passes or doesn't run, and a run in which no test passes.
 func TestJudge(t *testing.T) {
 	const (
 		passing = `{"Action":"pass","Package":"p","Test":"TestGood"}` + "\n"
 		failing = `{"Action":"fail","Package":"p","Test":"TestBad/sub"}` + "\n" +
 			`{"Action":"fail","Package":"p","Test":"TestBad"}` + "\n" +
 			`{"Action":"fail","Package":"p"}` + "\n"
-		panicking = `{"Action":"output","Package":"p","Test":"TestBad","Output":"panic: x\n"}` + "\n" + failing
-		building  = `{"Action":"output","Package":"q","Output":"FAIL\tq [build failed]\n"}` + "\n" +
+		panicking    = `{"Action":"output","Package":"p","Test":"TestBad","Output":"panic: x\n"}` + "\n" + failing
+		buildFailing = `{"Action":"output","Package":"q","Output":"FAIL\tq [build failed]\n"}` + "\n" +
 			`{"Action":"fail","Package":"q"}` + "\n"
 		timedOut = `{"Action":"output","Package":"p","Test":"TestBad","Output":"panic: test timed out after 1s\n"}` + "\n" + failing
 		racing   = `{"Action":"output","Package":"p","Test":"TestBad","Output":"WARNING: DATA RACE\n"}` + "\n" + failing
@@ -47,7 +48,7 @@
 	for _, testCase := range []struct {
 		name, events string
 		entries      []Entry
-		ok           bool
+		wantSuccess  bool
 	}{
 		{"all pass", passing, nil, true},
 		{"nothing ran", "", nil, false},
@@ -57,39 +58,40 @@
 		{"a listed test passes", passing + `{"Action":"pass","Package":"p","Test":"TestBad"}`, listed, false},
 		{"a listed test did not run", passing, listed, false},
 		{"a panic", passing + panicking, listed, false},
-		{"a build failure", passing + failing + building, listed, false},
+		{"a build failure", passing + failing + buildFailing, listed, false},
 		{"a timeout", passing + timedOut, listed, false},
 		{"a data race", passing + racing, listed, false},
 		{"a package that fails without a test", passing + `{"Action":"fail","Package":"r"}`, nil, false},
 	} {
 		result, err := Judge(strings.NewReader(testCase.events), testCase.entries, io.Discard)
 		if err != nil {
-			t.Fatalf("%s: %v", testCase.name, err)
+			t.Fatalf("%s: Judge: %v", testCase.name, err)
 		}
-		if result.IsSuccess() != testCase.ok {
-			t.Errorf("%s: ok is %v: %+v", testCase.name, result.IsSuccess(), result)
+		if result.IsSuccess() != testCase.wantSuccess {
+			t.Errorf("%s: IsSuccess: got %v, want the opposite; result %+v", testCase.name, result.IsSuccess(), result)
 		}
 	}
 	var out strings.Builder
 	events := `{"Action":"output","Package":"a/b","Test":"TestBad/sub","Output":"the cause\n"}` + "\n" +
 		`{"Action":"fail","Package":"a/b","Test":"TestBad"}` + "\n"
 	if _, err := Judge(strings.NewReader(events), nil, &out); err != nil || !strings.Contains(out.String(), "the cause") {
-		t.Errorf("a failed subtest's output is not shown: %q, %v", out.String(), err)
+		t.Errorf("Judge of a failed subtest: got output %q, error %v; want output with \"the cause\", no error", out.String(), err)
 	}
 	if _, err := Judge(strings.NewReader("{"), nil, io.Discard); err == nil {
-		t.Error("events that cannot be read pass")
+		t.Error("Judge of an incomplete JSON event: got no error")
 	}
 }
 
-// Events that cannot be decoded are an error, and are read to their end: a writer that is not read
-// from would block once a pipe is full, and never end.
+// TestJudgeReadsUndecodableEventsToTheEnd checks that Judge returns an error for events that cannot be
+// decoded, and still reads all input. If it stopped reading, `go test` would block on a full pipe and
+// never exit, and the run would hang.
 func TestJudgeReadsUndecodableEventsToTheEnd(t *testing.T) {
-	const moreThanAPipeHolds = 1 << 20
-	events := strings.NewReader("no event\n" + strings.Repeat(" ", moreThanAPipeHolds))
+	const largerThanPipeBuffer = 1 << 20
+	events := strings.NewReader("no event\n" + strings.Repeat(" ", largerThanPipeBuffer))
 	if _, err := Judge(events, nil, io.Discard); err == nil {
-		t.Error("events that cannot be read pass")
+		t.Error("Judge of input that is not JSON: got no error")
 	}
-	if left := events.Len(); left != 0 {
-		t.Errorf("%d bytes are not read", left)
+	if unread := events.Len(); unread != 0 {
+		t.Errorf("Judge left %d bytes of its input unread, want 0", unread)
 	}
 }
