--- a/internal/e2e/deployment_test.go
+++ b/internal/e2e/deployment_test.go
@@ -55,7 +55,7 @@
 }
 
 // deploy starts the store and the cloud, and writes the controllers' platform settings.
-func deploy(t *testing.T) *testDeployment {
+func newTestDeployment(t *testing.T) *testDeployment {
 	t.Helper()
 	deployment := &testDeployment{t: t, dir: t.TempDir(), names: []string{"n0", "n1", "n2"}, members: map[string]*memberProcess{}}
 	var stop func()
@@ -63,7 +63,7 @@
 	t.Cleanup(stop)
 	addresses := map[string]string{}
 	for _, name := range deployment.names {
-		deployment.members[name] = &memberProcess{name: name, serveAddress: freePort(t), peerAddress: freePort(t), platformFile: filepath.Join(deployment.dir, name+".json")}
+		deployment.members[name] = &memberProcess{name: name, serveAddress: freeAddress(t), peerAddress: freeAddress(t), platformFile: filepath.Join(deployment.dir, name+".json")}
 		addresses[name] = deployment.members[name].serveAddress
 	}
 	deployment.checker = protocoltest.New(protocoltest.Config{CancellationGrace: cancellationGrace})
@@ -196,8 +196,8 @@
 	return status.State
 }
 
-// getState reads the state of an accepted job from a controller, once; empty if there is no answer.
-func (deployment *testDeployment) getState(member *memberProcess, id string) string {
+// queryJobState reads the state of an accepted job from a controller, once; empty if there is no answer.
+func (deployment *testDeployment) queryJobState(member *memberProcess, id string) string {
 	deployment.t.Helper()
 	sentAt := time.Now()
 	message := member.sendRequest("GET", "/api/jobs/"+id, nil)
@@ -210,7 +210,7 @@
 // waitForState waits until a controller shows a job in a state.
 func (deployment *testDeployment) waitForState(member *memberProcess, id, want string) {
 	deployment.t.Helper()
-	waitFor(deployment.t, fmt.Sprintf("%s is %s at %s", id, want, member.name), func() bool { return deployment.getState(member, id) == want })
+	waitFor(deployment.t, fmt.Sprintf("%s is %s at %s", id, want, member.name), func() bool { return deployment.queryJobState(member, id) == want })
 }
 
 // waitForStateEverywhere waits until every controller shows a job in a state.
@@ -233,11 +233,11 @@
 
 // checkRules fails the test if a rule of the protocol was violated, or fewer tasks were started
 // than expected.
-func (deployment *testDeployment) checkRules(leastStarts int) {
+func (deployment *testDeployment) checkRules(minStarts int) {
 	deployment.t.Helper()
 	violations, starts := deployment.cloud.Violations(), deployment.cloud.StartCount()
-	if len(violations) > 0 || starts < leastStarts {
-		deployment.t.Errorf("%d starts, at least %d expected; tasks that ran twice: %v", starts, leastStarts, violations)
+	if len(violations) > 0 || starts < minStarts {
+		deployment.t.Errorf("%d starts, at least %d expected; tasks that ran twice: %v", starts, minStarts, violations)
 	}
 	for _, violation := range deployment.checker.Violations() {
 		deployment.t.Errorf("%s: %s", violation.Rule, violation.Detail)
--- a/internal/e2e/leader_kill_test.go
+++ b/internal/e2e/leader_kill_test.go
@@ -18,7 +18,7 @@
 // The leader is killed again and again under load: no task runs twice, no job is lost, and each time
 // a task starts within maxFailoverTime.
 func TestKilledLeaders(t *testing.T) {
-	deployment := deploy(t)
+	deployment := newTestDeployment(t)
 	deployment.enableStandby()
 	deployment.startAll(buildProgram(t, ""))
 	waitFor(t, "both followers are in sync", deployment.isStandbyInSync)
@@ -69,12 +69,12 @@
 		defer close(cancellationDone)
 		deployment.cancel(deployment.members[others[1]], cancelled)
 	}()
-	before := deployment.cloud.StartCount()
-	after := deployment.nextJobID()
-	deployment.submit(deployment.members[others[0]], after, wire.KindArray, 2)
-	waitFor(t, "a task starts", func() bool { return deployment.cloud.StartCount() > before })
+	startsBefore := deployment.cloud.StartCount()
+	submittedAfterKill := deployment.nextJobID()
+	deployment.submit(deployment.members[others[0]], submittedAfterKill, wire.KindArray, 2)
+	waitFor(t, "a task starts", func() bool { return deployment.cloud.StartCount() > startsBefore })
 	duration = time.Since(killedAt)
 	<-cancellationDone
 	leader.start(t, leader.cmd.Path)
-	return []string{first, second, after}, duration
+	return []string{first, second, submittedAfterKill}, duration
 }
--- a/internal/e2e/leader_pause_test.go
+++ b/internal/e2e/leader_pause_test.go
@@ -25,7 +25,7 @@
 // followers and workers and requests of users that arrived meanwhile. No task runs twice, and no job
 // is lost.
 func TestPausedLeaders(t *testing.T) {
-	deployment := deploy(t)
+	deployment := newTestDeployment(t)
 	deployment.enableStandby()
 	deployment.startAll(buildProgram(t, ""))
 	waitFor(t, "both followers are in sync", deployment.isStandbyInSync)
--- a/internal/e2e/member_process_test.go
+++ b/internal/e2e/member_process_test.go
@@ -43,8 +43,8 @@
 	cmd                       *exec.Cmd // the last process
 }
 
-// freePort is an address on loopback that was free a moment ago.
-func freePort(t *testing.T) string {
+// freeAddress is an address on loopback that was free a moment ago.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/e2e/three_controllers_test.go
+++ b/internal/e2e/three_controllers_test.go
@@ -14,8 +14,8 @@
 // Three controllers work without faults, and then through the kill of the leader, the loss of a
 // machine, a store outage and the kill of all of them: no job is lost, no task runs twice, and every
 // controller shows the same in the end.
-func TestThreeControllersThroughFaults(t *testing.T) {
-	deployment := deploy(t)
+func TestThreeControllersSurviveFaults(t *testing.T) {
+	deployment := newTestDeployment(t)
 	program := buildProgram(t, "")
 	deployment.startAll(program)
 	deployment.runJobsWithoutFaults()
@@ -24,7 +24,7 @@
 	waitFor(t, "a machine with a task is deleted", deployment.cloud.KillBusyMachine)
 	deployment.waitForState(other, "req-000003", wire.JobRunning)
 	deployment.checkStoreOutage(other)
-	deployment.killAllInStoreOutage(other, program)
+	deployment.restartAllInStoreOutage(other, program)
 	deployment.cancelService(other)
 	deployment.checkRules(31)
 }
@@ -87,7 +87,7 @@
 	if message := member.sendRequest("GET", "/api/jobs/req-000003", nil); message.Status == 200 {
 		t.Error("a state that may be out of date is shown in a store outage")
 	}
-	if state := deployment.getState(member, "req-000001"); state != wire.JobDone {
+	if state := deployment.queryJobState(member, "req-000001"); state != wire.JobDone {
 		t.Errorf("a final state is shown as %q in a store outage", state)
 	}
 	time.Sleep(500 * time.Millisecond)
@@ -96,10 +96,10 @@
 	deployment.waitForState(member, "req-000006", wire.JobDone)
 }
 
-// killAllInStoreOutage restarts all controllers in a store outage with a job under way, and one again
+// restartAllInStoreOutage restarts all controllers in a store outage with a job under way, and one again
 // during the election after it. Every accepted job is known to every controller, and is done, or runs
 // if it is a service.
-func (deployment *testDeployment) killAllInStoreOutage(submitTo *memberProcess, program string) {
+func (deployment *testDeployment) restartAllInStoreOutage(submitTo *memberProcess, program string) {
 	deployment.t.Helper()
 	deployment.submit(submitTo, "req-000007", wire.KindArray, 12)
 	deployment.store.SetDown(true)
--- a/internal/e2e/upgrade_test.go
+++ b/internal/e2e/upgrade_test.go
@@ -28,7 +28,7 @@
 // one, with replicas wherever a version keeps them. No rule is violated, and every accepted job is
 // done.
 func TestStandbyAcrossVersions(t *testing.T) {
-	deployment := deploy(t)
+	deployment := newTestDeployment(t)
 	deployment.enableStandby()
 	currentProgram, earlierProgram := buildVersions(t)
 	settings := deployment.members["n0"].settingsFile
@@ -63,14 +63,14 @@
 	return deployment.members[deployment.names[index%len(deployment.names)]]
 }
 
-// mixedWork is the work of TestUpgradeAndRollback: which jobs are to be done and which to run.
-type mixedWork struct {
+// upgradeWorkload is the work of TestUpgradeAndRollback: which jobs are to be done and which to run.
+type upgradeWorkload struct {
 	*testDeployment
-	done, running []string
+	expectedDone, expectedRunning []string
 }
 
-// submitAt submits an array and two services, and cancels one of these at the other controller.
-func (work *mixedWork) submitAt(submitter, other *memberProcess) {
+// submitMixedJobs submits an array and two services, and cancels one of these at the other controller.
+func (work *upgradeWorkload) submitMixedJobs(submitter, other *memberProcess) {
 	work.t.Helper()
 	array, service, cancelled := work.nextJobID(), work.nextJobID(), work.nextJobID()
 	work.submit(submitter, array, wire.KindArray, 5)
@@ -78,28 +78,28 @@
 	work.submit(submitter, cancelled, wire.KindService, 2)
 	work.waitForState(other, cancelled, wire.JobRunning)
 	work.cancel(other, cancelled)
-	work.done, work.running = append(work.done, array), append(work.running, service)
+	work.expectedDone, work.expectedRunning = append(work.expectedDone, array), append(work.expectedRunning, service)
 }
 
 // submitDependentArrays submits an array at n0, one that depends on it at n1, and one that depends on
 // both at n2.
-func (work *mixedWork) submitDependentArrays() {
+func (work *upgradeWorkload) submitDependentArrays() {
 	work.t.Helper()
 	first, second, last := work.nextJobID(), work.nextJobID(), work.nextJobID()
 	work.submit(work.members["n0"], first, wire.KindArray, 4)
 	work.submit(work.members["n1"], second, wire.KindArray, 4, first)
 	work.submit(work.members["n2"], last, wire.KindArray, 2, first, second)
-	work.done = append(work.done, first, second, last)
+	work.expectedDone = append(work.expectedDone, first, second, last)
 }
 
 // waitForAll waits until every controller shows all arrays done and all services running.
-func (work *mixedWork) waitForAll() {
+func (work *upgradeWorkload) waitForAll() {
 	work.t.Helper()
 	for _, name := range work.names {
-		for _, id := range work.done {
+		for _, id := range work.expectedDone {
 			work.waitForState(work.members[name], id, wire.JobDone)
 		}
-		for _, id := range work.running {
+		for _, id := range work.expectedRunning {
 			work.waitForState(work.members[name], id, wire.JobRunning)
 		}
 	}
@@ -109,21 +109,21 @@
 // then dependent jobs, and when these are done a rollback that stops half-way and is undone. No rule
 // is violated, and every accepted job is done or runs.
 func TestUpgradeAndRollback(t *testing.T) {
-	deployment := deploy(t)
+	deployment := newTestDeployment(t)
 	currentProgram, earlierProgram := buildVersions(t)
 	deployment.startAll(earlierProgram)
-	work := &mixedWork{testDeployment: deployment}
+	work := &upgradeWorkload{testDeployment: deployment}
 	n0, n1, n2 := deployment.members["n0"], deployment.members["n1"], deployment.members["n2"]
 
-	work.submitAt(n0, n1)
+	work.submitMixedJobs(n0, n1)
 	deployment.restart("n0", currentProgram)
-	work.submitAt(n1, n0)
+	work.submitMixedJobs(n1, n0)
 	deployment.store.SetDown(true)
 	deployment.restart("n1", currentProgram)
 	time.Sleep(time.Second)
 	deployment.store.SetDown(false)
 	deployment.restart("n2", earlierProgram) // a crash before its upgrade
-	work.submitAt(n2, n1)
+	work.submitMixedJobs(n2, n1)
 	deployment.restart("n2", currentProgram)
 	work.waitForAll()
 
@@ -131,12 +131,12 @@
 	work.waitForAll()
 
 	deployment.restart("n1", earlierProgram)
-	work.submitAt(n1, n0)
+	work.submitMixedJobs(n1, n0)
 	deployment.restart("n0", earlierProgram)
-	work.submitAt(n2, n0) // two are rolled back, one is not
+	work.submitMixedJobs(n2, n0) // two are rolled back, one is not
 	deployment.restart("n1", currentProgram)
 	deployment.restart("n0", currentProgram)
-	work.submitAt(n0, n2)
+	work.submitMixedJobs(n0, n2)
 	work.waitForAll()
 	deployment.checkRules(40)
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -74,12 +74,12 @@
 	goroutines sync.WaitGroup // the workers and the loop that advances them
 }
 
-// NewCloud starts a cloud on loopback, whose tasks all run for runFor and whose workers have
+// NewCloud starts a cloud on loopback, whose tasks all run for taskDuration and whose workers have
 // leases of leaseTTL; the function stops it.
-func NewCloud(names []string, controllers map[string]string, types []wire.MachineType, runFor, leaseTTL time.Duration) (*Cloud, func()) {
+func NewCloud(controllerNames []string, controllerAddresses map[string]string, machineTypes []wire.MachineType, taskDuration, leaseTTL time.Duration) (*Cloud, func()) {
 	return NewCloudWithConfig(CloudConfig{
-		Network: Loopback{}, ControllerNames: names, ControllerAddresses: controllers, MachineTypes: types,
-		TaskDuration: func(string) time.Duration { return runFor }, LeaseTTL: leaseTTL, HeartbeatInterval: 300 * time.Millisecond,
+		Network: Loopback{}, ControllerNames: controllerNames, ControllerAddresses: controllerAddresses, MachineTypes: machineTypes,
+		TaskDuration: func(string) time.Duration { return taskDuration }, LeaseTTL: leaseTTL, HeartbeatInterval: 300 * time.Millisecond,
 	})
 }
 
@@ -230,8 +230,8 @@
 	return false
 }
 
-// Fail has a task exit with an error, on whatever machine it runs.
-func (cloud *Cloud) Fail(task string) {
+// FailTask has a task exit with an error, on whatever machine it runs.
+func (cloud *Cloud) FailTask(task string) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
 	for _, worker := range cloud.workers {
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -168,18 +168,18 @@
 			return nil, false
 		}
 	}
-	var failed []string
+	var failedKeys []string
 	for _, condition := range transaction.Conditions {
 		var version uint64 // 0: there is no such key
 		if stored := store.keys[condition.Key]; stored != nil {
 			version = stored.version
 		}
 		if version != condition.Version {
-			failed = append(failed, condition.Key)
+			failedKeys = append(failedKeys, condition.Key)
 		}
 	}
-	if failed != nil {
-		return failed, true
+	if failedKeys != nil {
+		return failedKeys, true
 	}
 	if len(transaction.Changes) > 0 {
 		store.revision++
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -107,8 +107,8 @@
 
 // StoreLimits bound transactions; 0 is no bound.
 type StoreLimits struct {
-	ValueBytes int // of each value that is put
-	TxnOps     int // changes of a transaction; it may have four times as many conditions
+	MaxValueBytes int // of each value that is put
+	MaxChanges    int // changes of a transaction; it may have four times as many conditions
 }
 
 // SetLimits sets the limits from now on; what is stored stays readable.
@@ -127,11 +127,11 @@
 
 // isWithinLimits reports whether a transaction is within the limits. The lock is held.
 func (store *Store) isWithinLimits(transaction *wire.Transaction) bool {
-	if store.limits.TxnOps > 0 && (len(transaction.Changes) > store.limits.TxnOps || len(transaction.Conditions) > 4*store.limits.TxnOps) {
+	if store.limits.MaxChanges > 0 && (len(transaction.Changes) > store.limits.MaxChanges || len(transaction.Conditions) > 4*store.limits.MaxChanges) {
 		return false
 	}
 	for _, change := range transaction.Changes {
-		if store.limits.ValueBytes > 0 && len(change.Value) > store.limits.ValueBytes {
+		if store.limits.MaxValueBytes > 0 && len(change.Value) > store.limits.MaxValueBytes {
 			return false
 		}
 	}
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -127,11 +127,11 @@
 		time.AfterFunc(writeDelay, func() { store.ReapplyTransaction(transaction) })
 		panic(http.ErrAbortHandler)
 	}
-	switch failed, ok := store.applyTransaction(transaction); {
+	switch failedKeys, ok := store.applyTransaction(transaction); {
 	case !ok:
 		writeJSON(w, 400, wire.ErrorResponse{Error: "no such lease"})
-	case failed != nil:
-		writeJSON(w, 409, wire.TransactionResult{Revision: store.revision, FailedKeys: failed})
+	case failedKeys != nil:
+		writeJSON(w, 409, wire.TransactionResult{Revision: store.revision, FailedKeys: failedKeys})
 	default:
 		writeJSON(w, 200, wire.TransactionResult{Revision: store.revision})
 	}
@@ -140,27 +140,27 @@
 // serveWatch answers once a key below the prefix has changed, or the time to block is over. In an
 // outage it waits. The lock is held, but not while it waits.
 func (store *Store) serveWatch(w http.ResponseWriter, caller string, query url.Values) {
-	since, err1 := strconv.ParseUint(query.Get("since"), 10, 64)
-	blockMs, err2 := strconv.Atoi(query.Get("blockMs"))
-	if err1 != nil || err2 != nil {
+	since, sinceErr := strconv.ParseUint(query.Get("since"), 10, 64)
+	blockMs, blockErr := strconv.Atoi(query.Get("blockMs"))
+	if sinceErr != nil || blockErr != nil {
 		writeJSON(w, 400, struct{}{})
 		return
 	}
 	deadline, prefix := time.Now().Add(time.Duration(blockMs)*time.Millisecond), query.Get("under")
 	for !store.isClosed() {
-		answer := wire.WatchResponse{Revision: store.revision, Events: []wire.WatchEvent{}}
+		response := wire.WatchResponse{Revision: store.revision, Events: []wire.WatchEvent{}}
 		first := sort.Search(len(store.changeLog), func(i int) bool { return store.changeLog[i].event.Version > since })
 		for _, record := range store.changeLog[first:] {
 			if strings.HasPrefix(record.key, prefix) {
-				answer.Events = append(answer.Events, record.event)
+				response.Events = append(response.Events, record.event)
 			}
 		}
 		if store.faults.byCaller[caller] == StoreReadsRejected {
 			writeUnavailable(w)
 			return
 		}
-		if !store.isOutOfService(caller) && (len(answer.Events) > 0 || !time.Now().Before(deadline)) {
-			writeJSON(w, 200, answer)
+		if !store.isOutOfService(caller) && (len(response.Events) > 0 || !time.Now().Before(deadline)) {
+			writeJSON(w, 200, response)
 			return
 		}
 		store.cond.Wait()
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// answerTimeout is how long a worker waits for a controller's reply.
-	answerTimeout = 4 * time.Second
+	// replyTimeout is how long a worker waits for a controller's reply.
+	replyTimeout = 4 * time.Second
 	// controllerRetryInterval is how long a worker waits before it tries another controller.
 	controllerRetryInterval = 200 * time.Millisecond
 	// tokenReportDelay is how long after a reply with a higher token the next heartbeat is due, if
 	// it is not due earlier.
 	tokenReportDelay = 500 * time.Millisecond
-	// changeDelay is how long after a change a worker reports it.
-	changeDelay = 20 * time.Millisecond
+	// changeReportDelay is how long after a change a worker reports it.
+	changeReportDelay = 20 * time.Millisecond
 )
 
 // workerProcess is a machine's worker. Its fields are guarded by the cloud's lock.
@@ -54,10 +54,10 @@
 		Incarnation: 1, Tasks: []wire.TaskStatus{},
 	}
 	worker.client = &http.Client{
-		Timeout:       answerTimeout,
+		Timeout:       replyTimeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: &http.Transport{DialContext: func(_ context.Context, _, address string) (net.Conn, error) {
-			return cloud.cfg.Network.Dial(name, address, answerTimeout)
+			return cloud.cfg.Network.Dial(name, address, replyTimeout)
 		}},
 	}
 	return worker
@@ -73,7 +73,7 @@
 		case <-cloud.done:
 			return
 		case <-worker.heartbeatRequested:
-			time.Sleep(changeDelay)
+			time.Sleep(changeReportDelay)
 		case <-time.After(wait):
 		}
 		cloud.mu.Lock()
--- a/internal/leader/cleanup_test.go
+++ b/internal/leader/cleanup_test.go
@@ -189,7 +189,7 @@
 		records.JobKey(id):         records.Job{SubmittedAt: int64(clock.WallTime()), Spec: &wire.Job{ID: id, Kind: wire.KindArray, Team: "t", TaskCount: tasks, Priority: wire.PriorityNormal}},
 		records.ProgressKey(id, 0): records.Progress{Bits: completedBefore.Encode()}, // as the previous version writes it
 	})
-	fakeStore.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 3})
+	fakeStore.SetLimits(fake.StoreLimits{MaxValueBytes: 1 << 10, MaxChanges: 3})
 	job := term.tracker.Jobs[id]
 	completedTasks := []int{0, 7, 6000, 12345, 33000, tasks - 1}
 	machine := term.tracker.AddMachine("i-1", "big", "x", false, term.scheduler.MachineCapacity("big"), clock.Now())
--- a/internal/sim/dependencies_test.go
+++ b/internal/sim/dependencies_test.go
@@ -148,7 +148,7 @@
 			cluster.MustSubmit(cluster.Members()[i%3], Array(i, 1, "a"))
 			last.DependsOn = append(last.DependsOn, JobID(i))
 			if i == dependencies/2 {
-				cluster.Store.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 10})
+				cluster.Store.SetLimits(fake.StoreLimits{MaxValueBytes: 1 << 10, MaxChanges: 10})
 			}
 		}
 		cluster.MustSubmit("n1", last)
--- a/internal/sim/isolated_leader_test.go
+++ b/internal/sim/isolated_leader_test.go
@@ -117,7 +117,7 @@
 		cluster.Store.SetFault(leader, fake.StoreReadsRejected)
 		cluster.Store.SetDown(false)
 		for i := range 8 {
-			cluster.Cloud.Fail(wire.TaskID(JobID(1), i)) // the quota has room for the other job
+			cluster.Cloud.FailTask(wire.TaskID(JobID(1), i)) // the quota has room for the other job
 			time.Sleep(time.Second / 2)
 		}
 		cluster.Store.SetFault(leader, fake.StoreHealthy)
--- a/internal/sim/stale_heartbeats_test.go
+++ b/internal/sim/stale_heartbeats_test.go
@@ -64,7 +64,7 @@
 		previousMachine := cluster.MachinesRunning(moved.ID)[0]
 		time.Sleep(5 * time.Second)
 		staleHeartbeats := cluster.Cloud.LastHeartbeats()
-		cluster.Cloud.Fail(wire.TaskID(moved.ID, 0))
+		cluster.Cloud.FailTask(wire.TaskID(moved.ID, 0))
 		cluster.MustSubmit("n0", filler)
 		cluster.WaitFor("the task has moved", time.Minute, func() bool {
 			on := cluster.MachinesRunning(moved.ID)
