--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -10,17 +10,17 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Observer receives the starts and exits of tasks on machines, in order and one at a time.
-// Its methods run under the cloud's lock: they must not call the cloud.
+// Observer is notified of each start and exit of a task on a machine, in order and one at a time.
+// The cloud calls its methods with its lock held, so they must not call the cloud.
 type Observer interface {
 	// RecordTaskStart is called when a task starts on a machine.
 	RecordTaskStart(machine wire.ListedMachine, task string)
-	// RecordTaskEnd is called when a task is no longer on a machine; the cause is the wire's
-	// (wire.ExitDone and its like).
+	// RecordTaskEnd is called when a task no longer runs on a machine. The cause is one of the
+	// wire package's exit causes, such as wire.ExitDone.
 	RecordTaskEnd(machine, task, cause string)
 }
 
-// noObserver is the observer of a cloud that has none.
+// noObserver is the Observer that is used if CloudConfig.Observer is nil.
 type noObserver struct{}
 
 // RecordTaskStart does nothing.
@@ -31,51 +31,52 @@
 
 // CloudConfig describes a cloud and its workers.
 type CloudConfig struct {
-	// Network is what the cloud and its workers listen and dial on.
+	// Network is the network on which the cloud and its workers listen and dial.
 	Network Network
-	// ControllerNames are the controllers in the order in which workers try them,
-	// ControllerAddresses their addresses (host:port) by name.
+	// ControllerNames lists the controllers in the order in which workers try them, and
+	// ControllerAddresses holds their addresses (host:port) by name.
 	ControllerNames     []string
 	ControllerAddresses map[string]string
 	MachineTypes        []wire.MachineType
-	// TaskDuration returns how long a task runs; 0: until it is stopped.
+	// TaskDuration returns how long a task runs, or 0 if the task runs until it is stopped.
 	TaskDuration func(task string) time.Duration
-	// LeaseTTL is how long a worker runs tasks without an answered heartbeat,
-	// HeartbeatInterval the time between two heartbeats (PROTOCOL, workers).
+	// LeaseTTL is how long a worker keeps tasks running after it has sent the last heartbeat that
+	// was answered. HeartbeatInterval is the time between two heartbeats. PROTOCOL specifies both in
+	// its section on workers.
 	LeaseTTL, HeartbeatInterval time.Duration
 	// BootDuration is the time from a scale-out request to the machine's first heartbeat.
 	BootDuration time.Duration
-	// Observer, if not nil, receives the starts and exits of tasks.
+	// Observer, if not nil, is notified of the starts and exits of tasks.
 	Observer Observer
 }
 
-// CloudHost is the host of the cloud's interface in a network.
+// CloudHost is the name of the host in a Network on which the cloud serves its API.
 const CloudHost = "cloud"
 
-// Cloud is a fake cloud: machines with workers that run tasks without fetching images.
+// Cloud is a fake cloud. Its machines have workers, which run tasks without fetching images.
 type Cloud struct {
-	Addr string // host:port of its interface
+	Addr string // host:port of the cloud's API
 
 	cfg               CloudConfig
 	mu                sync.Mutex
-	isDown            bool // its interface answers 503
-	workers           map[string]*workerProcess
-	machinesByRequest map[string][]string // by scale-out request
+	isDown            bool                      // whether every API request is answered with 503
+	workers           map[string]*workerProcess // by machine, without deleted machines
+	machinesByRequest map[string][]string       // machines that were booted, by ID of the scale-out request
 	nextMachineNumber int
-	zoneByMachine     sync.Map // zone by machine, of every machine that ever booted; written by bootMachine only
+	zoneByMachine     sync.Map // zone of every machine that ever booted; only bootMachine writes to it
 
-	// What is seen of tasks.
-	workerByTask map[string]*workerProcess // that last started each task, to detect duplicate execution
+	// The starts of tasks so far.
+	workerByTask map[string]*workerProcess // worker that last started each task, to detect duplicate execution
 	startCount   int
-	violations   []string // duplicate executions
+	violations   []string // descriptions of duplicate executions
 
 	// Lifecycle.
-	done       chan struct{}
-	goroutines sync.WaitGroup // the workers and the loop that advances them
+	done       chan struct{}  // closed when the cloud is stopped
+	goroutines sync.WaitGroup // the workers' goroutines and runAdvanceLoop
 }
 
-// NewCloud starts a cloud on loopback, whose tasks all run for taskDuration and whose workers have
-// leases of leaseTTL; the function stops it.
+// NewCloud starts a cloud on loopback. Every task runs for taskDuration, and a worker's lease lasts for
+// leaseTTL. The returned function stops the cloud.
 func NewCloud(controllerNames []string, controllerAddresses map[string]string, machineTypes []wire.MachineType, taskDuration, leaseTTL time.Duration) (*Cloud, func()) {
 	return NewCloudWithConfig(CloudConfig{
 		Network: Loopback{}, ControllerNames: controllerNames, ControllerAddresses: controllerAddresses, MachineTypes: machineTypes,
@@ -83,10 +84,10 @@
 	})
 }
 
-// advanceInterval is how often task ends and lease expiries are looked for.
+// advanceInterval is how often the cloud checks for tasks that are due to end and for expired leases.
 const advanceInterval = 50 * time.Millisecond
 
-// NewCloudWithConfig starts a cloud; the function stops it and its machines.
+// NewCloudWithConfig starts a cloud. The returned function stops the cloud and its machines.
 func NewCloudWithConfig(cfg CloudConfig) (*Cloud, func()) {
 	if cfg.Observer == nil {
 		cfg.Observer = noObserver{}
@@ -110,7 +111,7 @@
 	}
 }
 
-// runAdvanceLoop ends tasks and leases that are due, until the cloud is stopped.
+// runAdvanceLoop ends tasks that are due and leases that have expired, until the cloud is stopped.
 func (cloud *Cloud) runAdvanceLoop() {
 	ticker := time.NewTicker(advanceInterval)
 	defer ticker.Stop()
@@ -128,21 +129,21 @@
 	}
 }
 
-// Violations lists the starts of tasks that were running on another machine.
+// Violations describes each start of a task that was still running on another machine.
 func (cloud *Cloud) Violations() []string {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
 	return slices.Clone(cloud.violations)
 }
 
-// StartCount is how many tasks were started so far, each attempt counted.
+// StartCount returns how many tasks have been started so far, counting each attempt.
 func (cloud *Cloud) StartCount() int {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
 	return cloud.startCount
 }
 
-// MachineNames lists the machines that were not deleted, sorted.
+// MachineNames returns the sorted names of the machines that have not been deleted.
 func (cloud *Cloud) MachineNames() []string {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -154,7 +155,7 @@
 	return names
 }
 
-// SetFault sets the fault of a machine, in place of any other; MachineHealthy ends it.
+// SetFault replaces the fault of a machine. MachineHealthy ends the current fault.
 func (cloud *Cloud) SetFault(machine string, fault MachineFault) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -163,14 +164,14 @@
 	}
 }
 
-// SetDown begins or ends an outage of the cloud's interface; machines keep running.
+// SetDown begins or ends an outage of the cloud's API. Machines keep running in an outage.
 func (cloud *Cloud) SetDown(down bool) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
 	cloud.isDown = down
 }
 
-// LastHeartbeats are the bodies of the last heartbeat that each machine has sent.
+// LastHeartbeats returns the body of the last heartbeat that each machine sent, if it sent any.
 func (cloud *Cloud) LastHeartbeats() [][]byte {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -183,7 +184,7 @@
 	return bodies
 }
 
-// SeenToken is the highest fencing token that a machine's worker has seen, 0 if there is none.
+// SeenToken returns the highest fencing token that a machine's worker has seen, or 0 if there is none.
 func (cloud *Cloud) SeenToken(machine string) uint64 {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -193,7 +194,7 @@
 	return 0
 }
 
-// deleteMachine deletes a machine with its tasks. The lock is held.
+// deleteMachine deletes a machine and ends its tasks. The caller holds the cloud's lock.
 func (cloud *Cloud) deleteMachine(name string) {
 	worker := cloud.workers[name]
 	if worker == nil {
@@ -205,7 +206,7 @@
 	delete(cloud.workers, name)
 }
 
-// bootMachine adds a machine and returns its name. The lock is held.
+// bootMachine adds a machine and returns its name. The caller holds the cloud's lock.
 func (cloud *Cloud) bootMachine(request wire.ScaleOutRequest) string {
 	worker := newWorker(cloud, request, fmt.Sprintf("i-%06d", cloud.nextMachineNumber))
 	cloud.nextMachineNumber++
@@ -215,7 +216,7 @@
 	return worker.machine.ID
 }
 
-// KillBusyMachine deletes a machine that runs a task, without notice; false if there is none.
+// KillBusyMachine deletes a machine that runs a task, without notice, and reports whether there was one.
 func (cloud *Cloud) KillBusyMachine() bool {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -230,7 +231,7 @@
 	return false
 }
 
-// FailTask has a task exit with an error, on whatever machine it runs.
+// FailTask makes a running task exit with an error, whichever machine it runs on.
 func (cloud *Cloud) FailTask(task string) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -242,7 +243,7 @@
 	}
 }
 
-// RunningTaskCount is how many tasks are on machines and have not exited.
+// RunningTaskCount returns how many tasks are on machines and have not exited.
 func (cloud *Cloud) RunningTaskCount() int {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -257,7 +258,8 @@
 	return count
 }
 
-// RunningTasks lists the tasks that are on machines and have not exited, as "machine task", sorted.
+// RunningTasks returns the tasks that are on machines and have not exited, sorted, each in the form
+// "machine task".
 func (cloud *Cloud) RunningTasks() []string {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -273,7 +275,8 @@
 	return lines
 }
 
-// ZoneOf is the zone of a machine, also of a deleted one; empty if no machine had that name.
+// ZoneOf returns the zone of a machine, even if the machine has been deleted, or "" if no machine had
+// that name.
 func (cloud *Cloud) ZoneOf(machine string) string {
 	zone, _ := cloud.zoneByMachine.Load(machine)
 	name, _ := zone.(string)
--- a/internal/fake/cloud_http.go
+++ b/internal/fake/cloud_http.go
@@ -9,7 +9,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// ServeHTTP is the cloud's interface.
+// ServeHTTP serves the cloud's API.
 func (cloud *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -31,7 +31,7 @@
 	}
 }
 
-// serveMachineList answers with a page of the machines, in the order of their names.
+// serveMachineList answers with one page of the machines, in the order of their names.
 func (cloud *Cloud) serveMachineList(w http.ResponseWriter, query url.Values) {
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit < 1 || limit > wire.MaxMachinesPerPage {
@@ -51,7 +51,8 @@
 	writeJSON(w, 200, page)
 }
 
-// serveScaleOut boots the machines of a request; a repeated one gets the same machines again.
+// serveScaleOut boots the machines of a scale-out request and answers with their IDs. A repeated request
+// gets the same machines again.
 func (cloud *Cloud) serveScaleOut(w http.ResponseWriter, r *http.Request) {
 	var request wire.ScaleOutRequest
 	if !readJSON(r, &request) || request.Count < 1 || request.Count > wire.MaxScaleOutCount {
@@ -66,7 +67,7 @@
 	writeJSON(w, 200, wire.MachineIDs{IDs: cloud.machinesByRequest[request.RequestID]})
 }
 
-// serveDelete deletes machines; those that there are not are passed over.
+// serveDelete deletes the machines of a request and ignores those that do not exist.
 func (cloud *Cloud) serveDelete(w http.ResponseWriter, r *http.Request) {
 	var request wire.MachineIDs
 	if !readJSON(r, &request) {
--- a/internal/fake/http.go
+++ b/internal/fake/http.go
@@ -23,7 +23,7 @@
 	return err == nil && json.Unmarshal(b, v) == nil
 }
 
-// writeUnavailable answers as a service does that can't serve the request now.
+// writeUnavailable answers with 503, as a service does that cannot serve the request now.
 func writeUnavailable(w http.ResponseWriter) {
 	writeJSON(w, 503, wire.ErrorResponse{Error: "trouble"})
 }
--- a/internal/fake/machine_fault.go
+++ b/internal/fake/machine_fault.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// MachineFault is a fault of a machine, injected by a test.
+// MachineFault is a fault that a test injects into a machine.
 type MachineFault uint8
 
 // The faults of machines.
 const (
 	// MachineHealthy is the absence of a fault.
 	MachineHealthy MachineFault = iota
-	// MachineHanging machines neither finish tasks nor answer; their lease runs out all the same.
-	// Requests sent to them are carried out when the fault ends, if the worker still accepts them.
+	// MachineHanging makes a machine neither finish tasks nor send heartbeats or responses. The
+	// worker's lease still expires. The worker handles the requests that it received meanwhile when the
+	// fault ends, and executes their commands if their token and incarnation are still valid.
 	MachineHanging
-	// MachineCommandsLost machines send heartbeats that arrive, but replies and command
-	// requests to them are lost: controllers find them unreachable.
+	// MachineCommandsLost loses the replies to a machine's heartbeats and every request to the machine.
+	// The heartbeats themselves arrive, so controllers find the machine unreachable.
 	MachineCommandsLost
-	// MachineHeartbeatsLost machines reach no controller, but command requests reach them:
-	// controllers suspect them.
+	// MachineHeartbeatsLost keeps a machine from sending heartbeats, while command requests still reach
+	// it, so controllers suspect the machine.
 	MachineHeartbeatsLost
-	// MachineSlow machines carry out command requests slowCommandDelay late and do not answer
-	// them.
+	// MachineSlow makes a machine execute command requests after slowCommandDelay, without a response.
 	MachineSlow
 )
 
-// slowCommandDelay is how late a slow machine carries command requests out.
+// slowCommandDelay is the delay with which a slow machine executes command requests.
 const slowCommandDelay = 8 * time.Second
 
-// String is the fault's name in test names and messages.
+// String returns the name of the fault, as it stands in test names and messages.
 func (fault MachineFault) String() string {
 	switch fault {
 	case MachineHealthy:
--- a/internal/fake/memory_network.go
+++ b/internal/fake/memory_network.go
@@ -10,30 +10,31 @@
 	"time"
 )
 
-// MemoryNetwork is a network in memory, for tests in simulated time: hosts by name, and links
-// that can be partitioned. A partition delays data until it heals, and delivers it then even if
-// the sender has given up meanwhile; it drops nothing.
+// MemoryNetwork is a network in memory, for tests in simulated time. Hosts are identified by name, and
+// links between them can be partitioned. A partition drops no data: it delays the data until it heals
+// and then delivers it, even if the sender has given up meanwhile.
 type MemoryNetwork struct {
 	mu           sync.Mutex
-	latency      time.Duration            // of each piece of data
-	extraLatency map[string]time.Duration // added to it, to and from a host
-	listeners    map[string]*memoryListener
-	connections  map[string]map[net.Conn]bool // open ones, by host
-	partitions   map[string]LinkMatcher       // by name
+	latency      time.Duration                // of each chunk of data, between any two hosts
+	extraLatency map[string]time.Duration     // additional latency of data to and from a host, by host
+	listeners    map[string]*memoryListener   // by address
+	connections  map[string]map[net.Conn]bool // open connections, by host
+	partitions   map[string]LinkMatcher       // by the name of the partition
 	lastPort     int
 }
 
-// LinkMatcher reports whether the link between two hosts is meant. It must not depend on their order.
+// LinkMatcher reports whether a partition includes the link between two hosts. The result must not depend
+// on the order of the hosts.
 type LinkMatcher func(a, b string) bool
 
-// LinkBetween matches the link of a pair of hosts, in both directions.
+// LinkBetween returns a LinkMatcher for the link between two hosts, in both directions.
 func LinkBetween(a, b string) LinkMatcher {
 	return func(source, destination string) bool {
 		return source == a && destination == b || source == b && destination == a
 	}
 }
 
-// NewMemoryNetwork makes a network without hosts.
+// NewMemoryNetwork returns a network without hosts.
 func NewMemoryNetwork() *MemoryNetwork {
 	return &MemoryNetwork{
 		latency: time.Millisecond, extraLatency: map[string]time.Duration{},
@@ -41,14 +42,14 @@
 	}
 }
 
-// Partition begins a partition of a name, in place of any other of that name.
+// Partition begins a partition under a name and replaces any other partition of that name.
 func (network *MemoryNetwork) Partition(name string, links LinkMatcher) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	network.partitions[name] = links
 }
 
-// Heal ends the partition of a name.
+// Heal ends the partition that was begun under a name.
 func (network *MemoryNetwork) Heal(name string) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -62,7 +63,7 @@
 	clear(network.partitions)
 }
 
-// SetExtraLatency has each piece of data to and from a host take that much longer.
+// SetExtraLatency delays each chunk of data to and from a host by an additional duration.
 func (network *MemoryNetwork) SetExtraLatency(host string, extra time.Duration) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -86,16 +87,16 @@
 	return false
 }
 
-// memoryAddr is a net.Addr of the form "host:port".
+// memoryAddr is a net.Addr in the form "host:port".
 type memoryAddr string
 
-// Network is the name of the network.
+// Network returns the name of the network.
 func (memoryAddr) Network() string { return "memory" }
 
-// String is the address, "host:port".
+// String returns the address in the form "host:port".
 func (addr memoryAddr) String() string { return string(addr) }
 
-// memoryListener is a net.Listener of a host.
+// memoryListener is a net.Listener on a host of a MemoryNetwork.
 type memoryListener struct {
 	network  *MemoryNetwork
 	host     string
@@ -105,7 +106,7 @@
 	once     sync.Once
 }
 
-// Listen opens a listener of a host at a new address.
+// Listen opens a listener on a host, at a port that was not used before.
 func (network *MemoryNetwork) Listen(host string) (net.Listener, error) {
 	network.mu.Lock()
 	network.lastPort++
@@ -114,7 +115,7 @@
 	return network.ListenAt(host, port)
 }
 
-// ListenAt opens a listener of a host at a port, in place of any that is there.
+// ListenAt opens a listener on a host at a port and replaces any listener at that address.
 func (network *MemoryNetwork) ListenAt(host string, port int) (net.Listener, error) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -126,7 +127,7 @@
 	return listener, nil
 }
 
-// CloseConnections closes every connection of a host, as the end of its process would.
+// CloseConnections closes every connection of a host, as the exit of the host's process does.
 func (network *MemoryNetwork) CloseConnections(host string) {
 	network.mu.Lock()
 	connections := network.connections[host]
@@ -137,7 +138,7 @@
 	}
 }
 
-// trackConnection records an open connection of a host.
+// trackConnection adds an open connection to those of a host.
 func (network *MemoryNetwork) trackConnection(host string, connection net.Conn) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -147,14 +148,14 @@
 	network.connections[host][connection] = true
 }
 
-// untrackConnection records that a connection of a host has closed.
+// untrackConnection removes a closed connection from those of a host.
 func (network *MemoryNetwork) untrackConnection(host string, connection net.Conn) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	delete(network.connections[host], connection)
 }
 
-// Accept waits for the next connection; it returns net.ErrClosed after Close.
+// Accept waits for the next connection. After Close it returns net.ErrClosed.
 func (listener *memoryListener) Accept() (net.Conn, error) {
 	select {
 	case connection := <-listener.incoming:
@@ -164,7 +165,7 @@
 	}
 }
 
-// Close ends the listener; another one at the same address stays.
+// Close closes the listener. A listener that has replaced it at the same address stays open.
 func (listener *memoryListener) Close() error {
 	listener.once.Do(func() {
 		close(listener.done)
@@ -177,16 +178,17 @@
 	return nil
 }
 
-// Addr is the address that hosts dial.
+// Addr returns the address that hosts dial.
 func (listener *memoryListener) Addr() net.Addr { return listener.addr }
 
 var errConnectionRefused = errors.New("fake: connection refused")
 
-// partitionPollInterval is how often data and dials that a partition delays look whether it has
-// healed.
+// partitionPollInterval is how often dials and data that a partition delays check whether the partition
+// has healed.
 const partitionPollInterval = 20 * time.Millisecond
 
-// Dial connects a host to an address. In a partition it hangs until that heals, or the timeout.
+// Dial connects a host to an address. While a partition cuts the link, Dial waits until the partition
+// heals, and fails when it has waited for the timeout.
 func (network *MemoryNetwork) Dial(host, address string, timeout time.Duration) (net.Conn, error) {
 	network.mu.Lock()
 	listener := network.listeners[address]
@@ -224,7 +226,8 @@
 	}
 }
 
-// forward carries data one way until either end closes.
+// forward copies data in one direction until either end closes. It delays each chunk by the latency of the
+// link, and until the link is not partitioned.
 func (network *MemoryNetwork) forward(source, destination string, reader io.ReadCloser, writer io.WriteCloser) {
 	defer reader.Close()
 	defer writer.Close()
@@ -246,16 +249,17 @@
 	}
 }
 
-// memoryConn is the accepting side of a connection; its remote address names the host that dialled.
+// memoryConn is the accepting side of a connection. Its remote address names the host that dialled.
 type memoryConn struct {
 	net.Conn
 	remote memoryAddr
 }
 
-// RemoteAddr is the address of the host that dialled.
+// RemoteAddr returns the address of the host that dialled.
 func (conn *memoryConn) RemoteAddr() net.Addr { return conn.remote }
 
-// HostOf is the host of a remote address, "host:port"; empty if it is not one.
+// HostOf returns the host of a remote address in the form "host:port", or "" if the address has another
+// form.
 func HostOf(remote string) string {
 	host, _, err := net.SplitHostPort(remote)
 	if err != nil {
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// Network is how fakes listen and dial: over loopback (Loopback), or in memory (MemoryNetwork).
+// Network opens the listeners and connections of the fakes: over loopback (Loopback) or in memory
+// (MemoryNetwork).
 type Network interface {
-	// Listen opens a listener of a host.
+	// Listen opens a listener on a host.
 	Listen(host string) (net.Listener, error)
-	// Dial connects a host to an address.
+	// Dial opens a connection from a host to an address.
 	Dial(host, address string, timeout time.Duration) (net.Conn, error)
 }
 
-// Loopback is the loopback interface of this machine; it does not tell hosts apart.
+// Loopback is a Network on the loopback interface of this machine. It does not distinguish hosts.
 type Loopback struct{}
 
 // Listen opens a listener on a free port.
@@ -27,7 +28,8 @@
 	return net.DialTimeout("tcp4", address, timeout)
 }
 
-// Serve runs an HTTP server of a host until the returned function is called.
+// Serve runs an HTTP server on a host until the returned function is called. It returns the server's
+// address, host:port.
 func Serve(network Network, host string, handler http.Handler) (address string, stop func()) {
 	listener, err := network.Listen(host)
 	if err != nil {
@@ -38,8 +40,8 @@
 	return listener.Addr().String(), func() { server.Close() }
 }
 
-// bufferResponse has a handler's response written after the handler has returned: handlers hold
-// locks, and a partitioned peer takes no data.
+// bufferResponse returns a handler that writes the response of the given handler only after that handler
+// has returned. Handlers hold locks while they run, and a write to a partitioned peer blocks.
 func bufferResponse(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -106,7 +106,7 @@
 	url := "http://" + cloud.cfg.ControllerAddresses[controller] + "/checkin"
 	cloud.mu.Unlock()
 
-	status, answer := worker.post(url, body)
+	status, responseBody := worker.post(url, body)
 
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -116,13 +116,13 @@
 	switch status {
 	case 200:
 		var reply wire.HeartbeatResponse
-		if json.Unmarshal(answer, &reply) == nil && reply.FencingToken >= worker.heartbeat.FencingToken && incarnation == worker.heartbeat.Incarnation {
+		if json.Unmarshal(responseBody, &reply) == nil && reply.FencingToken >= worker.heartbeat.FencingToken && incarnation == worker.heartbeat.Incarnation {
 			worker.lastAckedHeartbeatAt = sentAt
 			return worker.applyReply(&reply)
 		}
 		return cloud.cfg.HeartbeatInterval
 	case 421:
-		if worker.followRedirect(answer, controller) {
+		if worker.followRedirect(responseBody, controller) {
 			return 0
 		}
 	}
@@ -145,24 +145,24 @@
 }
 
 // post sends a body and returns the answer; a status of 0 is none.
-func (worker *workerProcess) post(url string, body []byte) (status int, answer []byte) {
+func (worker *workerProcess) post(url string, body []byte) (status int, responseBody []byte) {
 	res, err := worker.client.Post(url, "application/json", strings.NewReader(string(body)))
 	if err != nil {
 		return 0, nil
 	}
 	defer res.Body.Close()
-	answer, err = io.ReadAll(res.Body)
+	responseBody, err = io.ReadAll(res.Body)
 	if err != nil {
 		return 0, nil
 	}
-	return res.StatusCode, answer
+	return res.StatusCode, responseBody
 }
 
 // followRedirect goes to the controller that an answer names, if it is another one. The lock
 // is held.
-func (worker *workerProcess) followRedirect(answer []byte, from string) bool {
+func (worker *workerProcess) followRedirect(responseBody []byte, from string) bool {
 	var redirect wire.Redirect
-	if json.Unmarshal(answer, &redirect) != nil {
+	if json.Unmarshal(responseBody, &redirect) != nil {
 		return false
 	}
 	for i, name := range worker.cloud.cfg.ControllerNames {
