--- a/internal/e2e/deployment_test.go
+++ b/internal/e2e/deployment_test.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	// leaseTTL is the workers' lease.
+	// leaseTTL is the duration of a worker's lease.
 	leaseTTL = 6 * time.Second
-	// cancellationGrace is how long tasks may run on after the cancellation of their job was
+	// cancellationGrace is how long tasks may keep running after the cancellation of their job has been
 	// confirmed.
 	cancellationGrace = 15 * time.Second
 	// heartbeatInterval is the time between two heartbeats of a worker.
 	heartbeatInterval = 300 * time.Millisecond
 )
 
-// zones are the zones of the deployment; all controllers are in the first one.
+// zones are the zones of the deployment. All controllers are in the first zone.
 var zones = []string{"x", "y"}
 
-// waitFor waits until a condition holds. The bound is far beyond what any condition takes; it ends
-// a test that fails.
+// waitFor waits until a condition holds, and fails the test if it does not hold within 90 s. That is far
+// longer than any condition takes.
 func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(90 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -38,14 +38,14 @@
 			return
 		}
 	}
-	t.Fatalf("not within 90 s: %s", description)
+	t.Fatalf("condition did not hold within 90 s: %s", description)
 }
 
-// testDeployment is three controllers as processes, with a fake store and a fake cloud. A checker
-// sees what users and workers see.
+// testDeployment consists of three controllers, which run as processes, a fake store and a fake cloud. A
+// checker observes what users and workers see.
 type testDeployment struct {
 	t             *testing.T
-	dir           string // of settings and logs
+	dir           string // directory of the settings and logs
 	names         []string
 	members       map[string]*memberProcess
 	store         *fake.Store
@@ -54,7 +54,8 @@
 	lastJobNumber int
 }
 
-// deploy starts the store and the cloud, and writes the controllers' platform settings.
+// newTestDeployment starts the store and the cloud, and writes the controllers' platform settings. It does
+// not start the controllers.
 func newTestDeployment(t *testing.T) *testDeployment {
 	t.Helper()
 	deployment := &testDeployment{t: t, dir: t.TempDir(), names: []string{"n0", "n1", "n2"}, members: map[string]*memberProcess{}}
@@ -79,7 +80,8 @@
 	return deployment
 }
 
-// taskDuration is how long a task runs; 0 for a service's, which runs until it is stopped.
+// taskDuration returns how long a task runs. It returns 0 for a service's task, which runs until it is
+// stopped.
 func (deployment *testDeployment) taskDuration(task string) time.Duration {
 	id, _, _ := wire.ParseTaskID(task)
 	if deployment.checker.IsService(id) {
@@ -88,7 +90,7 @@
 	return 500 * time.Millisecond
 }
 
-// writePlatformFile writes the platform settings of a controller.
+// writePlatformFile writes the file with the platform settings of a controller.
 func (deployment *testDeployment) writePlatformFile(member *memberProcess) {
 	deployment.t.Helper()
 	platform := config.Platform{Member: member.name, Location: zones[0], ListenAddress: member.serveAddress, PeerListenAddress: member.peerAddress}
@@ -117,7 +119,8 @@
 	}
 }
 
-// startAll starts every controller, and kills all at the end of the test.
+// startAll starts every controller from a program, and kills all of them at the end of the test. If the
+// test has failed by then, it also prints their logs.
 func (deployment *testDeployment) startAll(program string) {
 	t := deployment.t
 	t.Helper()
@@ -141,28 +144,28 @@
 	})
 }
 
-// restart kills a controller and starts it again, as a program that may be of another version.
+// restart kills a controller and starts it again from a program, which may be of another version.
 func (deployment *testDeployment) restart(name, program string) {
 	deployment.t.Helper()
 	deployment.members[name].kill(deployment.t)
 	deployment.members[name].start(deployment.t, program)
 }
 
-// otherNames are the names of the controllers but one, in their order.
+// otherNames returns the names of all controllers except the given one, in their order.
 func (deployment *testDeployment) otherNames(name string) []string {
 	return slices.DeleteFunc(slices.Clone(deployment.names), func(other string) bool { return other == name })
 }
 
-// jobID is the ID of the job of a number.
+// jobID returns the ID of the job with a number.
 func jobID(number int) string { return fmt.Sprintf("req-%06d", number) }
 
-// nextJobID is an ID that no job of the deployment has yet.
+// nextJobID returns a job ID that nextJobID has not returned before in this deployment.
 func (deployment *testDeployment) nextJobID() string {
 	deployment.lastJobNumber++
 	return jobID(deployment.lastJobNumber)
 }
 
-// submit submits a job of team a to a controller until it is accepted.
+// submit submits a job of team a to a controller, and repeats the request until the job is accepted.
 func (deployment *testDeployment) submit(member *memberProcess, id, kind string, tasks int, dependencies ...string) {
 	deployment.t.Helper()
 	job := &wire.Job{
@@ -185,8 +188,8 @@
 	})
 }
 
-// recordJobState hands the state in a response to the checker and returns it, empty if there is
-// none.
+// recordJobState passes the job state in a response to the checker and returns it. If the response holds
+// no state, it returns "".
 func (deployment *testDeployment) recordJobState(id string, message *http1.Message, sentAt time.Time) string {
 	var status wire.JobStatus
 	if message.Status/100 != 2 || status.UnmarshalJSON(message.Body) != nil {
@@ -196,24 +199,25 @@
 	return status.State
 }
 
-// queryJobState reads the state of an accepted job from a controller, once; empty if there is no answer.
+// queryJobState requests the state of an accepted job from a controller, once. It returns "" if the
+// response holds no state, and fails the test if the controller does not know the job.
 func (deployment *testDeployment) queryJobState(member *memberProcess, id string) string {
 	deployment.t.Helper()
 	sentAt := time.Now()
 	message := member.sendRequest("GET", "/api/jobs/"+id, nil)
 	if message.Status == 404 {
-		deployment.t.Errorf("%s does not know %s, which was accepted", member.name, id)
+		deployment.t.Errorf("controller %s: GET of the accepted job %s: got status 404, want its state", member.name, id)
 	}
 	return deployment.recordJobState(id, message, sentAt)
 }
 
-// waitForState waits until a controller shows a job in a state.
+// waitForState waits until a controller shows the wanted state of a job.
 func (deployment *testDeployment) waitForState(member *memberProcess, id, want string) {
 	deployment.t.Helper()
 	waitFor(deployment.t, fmt.Sprintf("%s is %s at %s", id, want, member.name), func() bool { return deployment.queryJobState(member, id) == want })
 }
 
-// waitForStateEverywhere waits until every controller shows a job in a state.
+// waitForStateEverywhere waits until every controller shows the wanted state of a job.
 func (deployment *testDeployment) waitForStateEverywhere(id, want string) {
 	deployment.t.Helper()
 	for _, name := range deployment.names {
@@ -221,7 +225,8 @@
 	}
 }
 
-// cancel requests the cancellation of a job at a controller until it is confirmed.
+// cancel requests the cancellation of a job from a controller, and repeats the request until the
+// cancellation is confirmed.
 func (deployment *testDeployment) cancel(member *memberProcess, id string) {
 	deployment.t.Helper()
 	deployment.checker.RecordCancelRequest(id)
@@ -231,13 +236,13 @@
 	})
 }
 
-// checkRules fails the test if a rule of the protocol was violated, or fewer tasks were started
-// than expected.
+// checkRules fails the test if a rule of the protocol has been violated, or if fewer than minStarts tasks
+// have been started, counting each attempt.
 func (deployment *testDeployment) checkRules(minStarts int) {
 	deployment.t.Helper()
 	violations, starts := deployment.cloud.Violations(), deployment.cloud.StartCount()
 	if len(violations) > 0 || starts < minStarts {
-		deployment.t.Errorf("%d starts, at least %d expected; tasks that ran twice: %v", starts, minStarts, violations)
+		deployment.t.Errorf("got %d task starts, want at least %d; got duplicate executions %v, want none", starts, minStarts, violations)
 	}
 	for _, violation := range deployment.checker.Violations() {
 		deployment.t.Errorf("%s: %s", violation.Rule, violation.Detail)
--- a/internal/e2e/leader_kill_test.go
+++ b/internal/e2e/leader_kill_test.go
@@ -12,11 +12,12 @@
 // leaderKills is how many leaders TestKilledLeaders kills.
 var leaderKills = flag.Int("leader-kills", 20, "how many leaders TestKilledLeaders kills")
 
-// maxFailoverTime is how long it may take from the kill of a leader to the next start of a task.
+// maxFailoverTime is the longest permitted time from the kill of a leader to the next start of a task.
 const maxFailoverTime = 10 * time.Second
 
-// The leader is killed again and again under load: no task runs twice, no job is lost, and each time
-// a task starts within maxFailoverTime.
+// The test guards against duplicate execution, lost jobs and slow failovers when leaders crash under load.
+// It kills one leader after another. No task may run twice, every job must be done, and after each kill a
+// task must start within maxFailoverTime. At least half of the failovers must use a replica.
 func TestKilledLeaders(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.enableStandby()
@@ -40,19 +41,20 @@
 		deployment.waitForState(deployment.members["n0"], id, wire.JobDone)
 	}
 	slices.Sort(durations)
-	t.Logf("%d of %d failovers used a replica; from the kill to the next start %v", replicaUses, *leaderKills, durations)
+	t.Logf("%d of %d failovers used a replica; times from the kill to the next task start: %v", replicaUses, *leaderKills, durations)
 	if durations[len(durations)-1] > maxFailoverTime {
-		t.Errorf("a failover took %v, more than %v", durations[len(durations)-1], maxFailoverTime)
+		t.Errorf("longest time from a kill to the next task start: got %v, want at most %v", durations[len(durations)-1], maxFailoverTime)
 	}
 	if replicaUses < *leaderKills/2 {
-		t.Errorf("%d of %d failovers used a replica, fewer than half", replicaUses, *leaderKills)
+		t.Errorf("got %d of %d failovers that used a replica, want at least half", replicaUses, *leaderKills)
 	}
 	deployment.checkRules(*leaderKills * 10)
 }
 
-// killLeaderUnderLoad submits jobs, kills the leader, cancels one of them and submits another while
-// there is no leader, and starts the killed member again. It returns the jobs that are to be done,
-// and the time from the kill to the next start of a task.
+// killLeaderUnderLoad submits jobs, kills the leader, cancels one of the jobs and submits another job while
+// there is no leader. When a task has started and the cancellation is confirmed, it starts the killed
+// controller again. It returns the jobs that must become done, and the time from the kill to the next start
+// of a task.
 func (deployment *testDeployment) killLeaderUnderLoad() (ids []string, duration time.Duration) {
 	t := deployment.t
 	t.Helper()
--- a/internal/e2e/leader_pause_test.go
+++ b/internal/e2e/leader_pause_test.go
@@ -12,7 +12,7 @@
 // leaderPauses is how many leaders TestPausedLeaders pauses.
 var leaderPauses = flag.Int("leader-pauses", 6, "how many leaders TestPausedLeaders pauses")
 
-// signal sends the controller's process a signal.
+// signal sends a signal to the controller's process.
 func (member *memberProcess) signal(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := member.cmd.Process.Signal(signal); err != nil {
@@ -20,10 +20,11 @@
 	}
 }
 
-// The leader's process is stopped in the middle of its work, for longer than its leader lease, and
-// resumed when another member is leader with its replica: with starts half sent, with replies of
-// followers and workers and requests of users that arrived meanwhile. No task runs twice, and no job
-// is lost.
+// The test guards against a leader that is paused in the middle of its work and, once resumed, still acts
+// although another controller leads. Each leader's process is stopped for longer than its leader lease and
+// resumed when another controller has become leader with its replica. Starts may then be half sent, and
+// replies of followers and workers and requests of users have arrived meanwhile. No task may run twice, and
+// every job must be done.
 func TestPausedLeaders(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.enableStandby()
@@ -37,7 +38,7 @@
 			ids = append(ids, id)
 			deployment.submit(leader, id, wire.KindArray, 8)
 		}
-		// Each time at another point of the plans and messages that follow.
+		// Each pause begins at another point of the planning and the messages that follow the submissions.
 		time.Sleep(time.Duration(i) * 7 * time.Millisecond)
 		leader.signal(t, syscall.SIGSTOP)
 		waitFor(t, "another controller is leader", func() bool { return deployment.leaderExcept(leader) != nil })
--- a/internal/e2e/member_process_test.go
+++ b/internal/e2e/member_process_test.go
@@ -12,8 +12,8 @@
 	"firwood.dev/firwood/internal/http1"
 )
 
-// buildProgram builds the program from these sources, or from a revision in the repository's
-// history if one is given.
+// buildProgram builds the program from the present sources, or from the given revision in the repository's
+// history if it is not empty. It returns the path of the program.
 func buildProgram(t *testing.T, revision string) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "firwood")
@@ -23,27 +23,27 @@
 		checkOut := exec.Command("sh", "-c", `git archive "$1" go.mod go.sum cmd internal wire | tar -x -C "$2"`, "sh", revision, sources)
 		checkOut.Dir = filepath.Join("..", "..")
 		if out, err := checkOut.CombinedOutput(); err != nil {
-			t.Fatalf("%v: %s", err, out)
+			t.Fatalf("extract the sources of the revision with git archive: %v: %s", err, out)
 		}
 		command.Dir = sources
 	}
 	if out, err := command.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("build the program: %v: %s", err, out)
 	}
 	return program
 }
 
-// memberProcess is a controller that runs as a process, over all its restarts.
+// memberProcess is a controller that runs as a process. It persists across restarts of the process.
 type memberProcess struct {
 	name                      string
-	serveAddress, peerAddress string // host:port for users and workers, and for other controllers
+	serveAddress, peerAddress string // host:port that users and workers, and other controllers, connect to
 	platformFile              string
-	settingsFile              string    // the operators' settings, empty if there are none
-	logFile                   *os.File  // standard error of all its processes
-	cmd                       *exec.Cmd // the last process
+	settingsFile              string    // file of the operators' settings, or empty if there is none
+	logFile                   *os.File  // receives the standard error of all processes of the member
+	cmd                       *exec.Cmd // most recently started process
 }
 
-// freeAddress is an address on loopback that was free a moment ago.
+// freeAddress returns a loopback address whose port is free when freeAddress returns.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 	return listener.Addr().String()
 }
 
-// start starts a process of a program.
+// start starts a process of the member from a program.
 func (member *memberProcess) start(t *testing.T, program string) {
 	t.Helper()
 	member.cmd = exec.Command(program, "--config", member.platformFile)
@@ -67,7 +67,7 @@
 	}
 }
 
-// kill kills the process and waits for its end.
+// kill kills the process and waits until it has exited.
 func (member *memberProcess) kill(t *testing.T) {
 	t.Helper()
 	if err := member.cmd.Process.Kill(); err != nil {
@@ -76,7 +76,7 @@
 	member.cmd.Wait() //nolint:errcheck // killed
 }
 
-// logOutput is what all processes of the member have logged.
+// logOutput returns what all processes of the member have logged so far.
 func (member *memberProcess) logOutput(t *testing.T) string {
 	t.Helper()
 	b, err := os.ReadFile(member.logFile.Name())
@@ -86,7 +86,8 @@
 	return string(b)
 }
 
-// sendRequest sends a request to the member; a status of 0 is no response.
+// sendRequest sends an HTTP request to the member. The message that it returns has the status 0 if there
+// was no response.
 func (member *memberProcess) sendRequest(method, target string, body []byte) *http1.Message {
 	host := client.NewHost(client.DialTCP, member.serveAddress, 0, 1<<20)
 	message, err := host.Do(client.Request{Method: method, Target: target, Body: body, Timeout: 3 * clock.Second})
--- a/internal/e2e/standby_test.go
+++ b/internal/e2e/standby_test.go
@@ -9,8 +9,8 @@
 	"firwood.dev/firwood/internal/jobreport"
 )
 
-// enableStandby has every controller keep a replica of the leader's allocation table, with a leader
-// lease of 1.5 s.
+// enableStandby configures every controller to keep a replica of the leader's allocation table, and sets
+// the TTL of the leader lease to 1.5 s.
 func (deployment *testDeployment) enableStandby() {
 	t := deployment.t
 	t.Helper()
@@ -24,7 +24,7 @@
 	}
 }
 
-// standbyStatus is the controller's standby report; the zero value if it does not answer.
+// standbyStatus returns the controller's standby report, or the zero value if the controller sends none.
 func (member *memberProcess) standbyStatus() (s jobreport.StandbyStatus) {
 	if message := member.sendRequest("GET", "/ops/v1/standby", nil); message.Status != 200 || json.Unmarshal(message.Body, &s) != nil {
 		return jobreport.StandbyStatus{}
@@ -32,10 +32,10 @@
 	return s
 }
 
-// leader is a controller that is leader by its own account; nil if there is none.
+// leader returns a controller that reports itself as leader, or nil if there is none.
 func (deployment *testDeployment) leader() *memberProcess { return deployment.leaderExcept(nil) }
 
-// waitForLeader waits until some controller is leader.
+// waitForLeader waits until some controller is leader and returns it.
 func (deployment *testDeployment) waitForLeader() (leader *memberProcess) {
 	deployment.t.Helper()
 	waitFor(deployment.t, "some controller is leader", func() bool {
@@ -45,7 +45,8 @@
 	return leader
 }
 
-// leaderExcept is a leader among all controllers but one, which is not asked.
+// leaderExcept returns a controller that reports itself as leader, or nil if there is none. It does not ask
+// the stopped controller. Only a leader's standby report lists followers.
 func (deployment *testDeployment) leaderExcept(stopped *memberProcess) *memberProcess {
 	for _, name := range deployment.names {
 		if deployment.members[name] == stopped {
--- a/internal/e2e/three_controllers_test.go
+++ b/internal/e2e/three_controllers_test.go
@@ -1,5 +1,5 @@
-// Package e2e holds the end-to-end tests: three controllers as processes of the built program on
-// loopback, against the services of package fake.
+// Package e2e holds the end-to-end tests. They run three controllers as processes of the built program on
+// loopback, against the fake store and the fake cloud of package fake.
 package e2e
 
 import (
@@ -11,16 +11,17 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Three controllers work without faults, and then through the kill of the leader, the loss of a
-// machine, a store outage and the kill of all of them: no job is lost, no task runs twice, and every
-// controller shows the same in the end.
+// The test guards against lost jobs, duplicate execution and differing views of the controllers. Three
+// controllers work first without faults, and then through the kill of the leader, the loss of a machine, a
+// store outage, and a restart of all controllers during another outage. In the end every controller must
+// show the same state of every job.
 func TestThreeControllersSurviveFaults(t *testing.T) {
 	deployment := newTestDeployment(t)
 	program := buildProgram(t, "")
 	deployment.startAll(program)
 	deployment.runJobsWithoutFaults()
 	other := deployment.killLeaderDuringJob(program)
-	// A machine is lost, and its tasks run elsewhere.
+	// A machine is lost; its tasks must be started on other machines.
 	waitFor(t, "a machine with a task is deleted", deployment.cloud.KillBusyMachine)
 	deployment.waitForState(other, "req-000003", wire.JobRunning)
 	deployment.checkStoreOutage(other)
@@ -29,8 +30,8 @@
 	deployment.checkRules(31)
 }
 
-// runJobsWithoutFaults submits an array, a gang and a service, and reads them from other controllers
-// than they were submitted to; requests that are not valid are rejected.
+// runJobsWithoutFaults submits an array, a gang and a service, each to one controller, and reads its state
+// from another controller. It also checks that invalid requests are rejected.
 func (deployment *testDeployment) runJobsWithoutFaults() {
 	t, members := deployment.t, deployment.members
 	t.Helper()
@@ -41,20 +42,20 @@
 	deployment.waitForState(members["n2"], "req-000002", wire.JobDone)
 	deployment.waitForState(members["n0"], "req-000003", wire.JobRunning)
 	if message := members["n0"].sendRequest("GET", "/api/jobs/req-999999", nil); message.Status != 404 {
-		t.Errorf("a job that nobody submitted gets %d", message.Status)
+		t.Errorf("GET of a job that was never submitted: got status %d, want 404", message.Status)
 	}
 	for _, request := range []struct {
 		body   string
 		status int
 	}{{"{", 400}, {`{"nameId":"req-000009"}`, 400}} {
 		if message := members["n0"].sendRequest("POST", "/api/jobs", []byte(request.body)); message.Status != request.status {
-			t.Errorf("the submission %s gets %d", request.body, message.Status)
+			t.Errorf("submission of the invalid job %s: got status %d, want 400", request.body, message.Status)
 		}
 	}
 }
 
-// killLeaderDuringJob kills the leader in the middle of a job and starts it again when the job is
-// done. It returns the member after it.
+// killLeaderDuringJob kills the leader while a job runs, and starts it again when the job is done. It
+// returns the controller that follows the killed one in the order of the names.
 func (deployment *testDeployment) killLeaderDuringJob(program string) (other *memberProcess) {
 	t, members := deployment.t, deployment.members
 	t.Helper()
@@ -78,17 +79,17 @@
 	return other
 }
 
-// checkStoreOutage checks that in a store outage a controller shows final states and nothing that
-// may be out of date, and that jobs run when it is over.
+// checkStoreOutage checks that during a store outage a controller shows final job states, but no state that
+// may be stale, and that jobs run again after the outage.
 func (deployment *testDeployment) checkStoreOutage(member *memberProcess) {
 	t := deployment.t
 	t.Helper()
 	deployment.store.SetDown(true)
 	if message := member.sendRequest("GET", "/api/jobs/req-000003", nil); message.Status == 200 {
-		t.Error("a state that may be out of date is shown in a store outage")
+		t.Error("GET of a running job in a store outage: got status 200, want no state, since it may be stale")
 	}
 	if state := deployment.queryJobState(member, "req-000001"); state != wire.JobDone {
-		t.Errorf("a final state is shown as %q in a store outage", state)
+		t.Errorf("state of a completed job in a store outage: got %q, want done", state)
 	}
 	time.Sleep(500 * time.Millisecond)
 	deployment.store.SetDown(false)
@@ -96,9 +97,9 @@
 	deployment.waitForState(member, "req-000006", wire.JobDone)
 }
 
-// restartAllInStoreOutage restarts all controllers in a store outage with a job under way, and one again
-// during the election after it. Every accepted job is known to every controller, and is done, or runs
-// if it is a service.
+// restartAllInStoreOutage restarts all controllers in a store outage while a job runs, and one of them again
+// during the election that follows. Every controller must know every accepted job, and show it as done, or
+// as running if it is a service.
 func (deployment *testDeployment) restartAllInStoreOutage(submitTo *memberProcess, program string) {
 	deployment.t.Helper()
 	deployment.submit(submitTo, "req-000007", wire.KindArray, 12)
@@ -118,8 +119,8 @@
 	}
 }
 
-// cancelService cancels the service, at every controller's sight; once its tasks are gone nothing is
-// stored of any job's progress.
+// cancelService cancels the service through one controller and waits until every controller shows it as
+// cancelled. Once the service's tasks are gone, the store must hold no progress of any job.
 func (deployment *testDeployment) cancelService(member *memberProcess) {
 	deployment.t.Helper()
 	deployment.cancel(member, "req-000003")
--- a/internal/e2e/upgrade_test.go
+++ b/internal/e2e/upgrade_test.go
@@ -8,13 +8,14 @@
 	"firwood.dev/firwood/wire"
 )
 
-// earlierRevision is the version that tests upgrade from and roll back to.
+// earlierRevision is the revision of the version that the tests upgrade from and roll back to.
 var earlierRevision = flag.String("earlier-version", "", "a revision in the repository's history that TestUpgradeAndRollback and TestStandbyAcrossVersions upgrade from and roll back to; the present sources if empty")
 
-// earlierHasStandby is whether the earlier version accepts the settings of the standby.
+// earlierHasStandby is set if the earlier version accepts the standby settings.
 var earlierHasStandby = flag.Bool("earlier-has-standby", true, "the earlier version knows the settings of the standby")
 
-// buildVersions builds the program from these sources and the earlier version of it.
+// buildVersions builds the program from the present sources and from earlierRevision. Both results are the
+// same program if earlierRevision is empty.
 func buildVersions(t *testing.T) (current, earlier string) {
 	t.Helper()
 	current = buildProgram(t, "")
@@ -24,9 +25,10 @@
 	return current, buildProgram(t, *earlierRevision)
 }
 
-// Controllers are killed in turn, two within seconds, and restart as another version or as the same
-// one, with replicas wherever a version keeps them. No rule is violated, and every accepted job is
-// done.
+// The test guards against faults of the standby when controllers of two versions work together. Controllers
+// are killed in turn, two within seconds of each other, and restarted as the other version or the same one.
+// Every controller whose version has the standby keeps a replica. No rule of the protocol may be violated,
+// and every accepted job must be done.
 func TestStandbyAcrossVersions(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.enableStandby()
@@ -58,18 +60,20 @@
 	deployment.checkRules(rounds * 16)
 }
 
-// memberAt is the controller at an index, counted round all of them.
+// memberAt returns the controller at an index, modulo the number of controllers.
 func (deployment *testDeployment) memberAt(index int) *memberProcess {
 	return deployment.members[deployment.names[index%len(deployment.names)]]
 }
 
-// upgradeWorkload is the work of TestUpgradeAndRollback: which jobs are to be done and which to run.
+// upgradeWorkload is the workload of TestUpgradeAndRollback: the jobs that must become done, and those that
+// must keep running.
 type upgradeWorkload struct {
 	*testDeployment
 	expectedDone, expectedRunning []string
 }
 
-// submitMixedJobs submits an array and two services, and cancels one of these at the other controller.
+// submitMixedJobs submits an array and a service to stay, and a service that it cancels through the other
+// controller once its tasks run.
 func (work *upgradeWorkload) submitMixedJobs(submitter, other *memberProcess) {
 	work.t.Helper()
 	array, service, cancelled := work.nextJobID(), work.nextJobID(), work.nextJobID()
@@ -81,8 +85,8 @@
 	work.expectedDone, work.expectedRunning = append(work.expectedDone, array), append(work.expectedRunning, service)
 }
 
-// submitDependentArrays submits an array at n0, one that depends on it at n1, and one that depends on
-// both at n2.
+// submitDependentArrays submits an array to n0, an array that depends on it to n1, and an array that depends
+// on both to n2.
 func (work *upgradeWorkload) submitDependentArrays() {
 	work.t.Helper()
 	first, second, last := work.nextJobID(), work.nextJobID(), work.nextJobID()
@@ -92,7 +96,7 @@
 	work.expectedDone = append(work.expectedDone, first, second, last)
 }
 
-// waitForAll waits until every controller shows all arrays done and all services running.
+// waitForAll waits until every controller shows all arrays as done and all remaining services as running.
 func (work *upgradeWorkload) waitForAll() {
 	work.t.Helper()
 	for _, name := range work.names {
@@ -105,9 +109,11 @@
 	}
 }
 
-// An upgrade while jobs run and are cancelled, with a crash and a store outage in the middle of it;
-// then dependent jobs, and when these are done a rollback that stops half-way and is undone. No rule
-// is violated, and every accepted job is done or runs.
+// The test guards against lost jobs and duplicate execution while controllers of two versions work together.
+// It upgrades the controllers while jobs run and are cancelled, with a crash and a store outage during the
+// upgrade. Then it submits dependent jobs, and when these are done it begins a rollback, stops half-way and
+// undoes it. No rule of the protocol may be violated, and every accepted job must be done or, if it is a
+// service that is not cancelled, run.
 func TestUpgradeAndRollback(t *testing.T) {
 	deployment := newTestDeployment(t)
 	currentProgram, earlierProgram := buildVersions(t)
@@ -122,7 +128,7 @@
 	deployment.restart("n1", currentProgram)
 	time.Sleep(time.Second)
 	deployment.store.SetDown(false)
-	deployment.restart("n2", earlierProgram) // a crash before its upgrade
+	deployment.restart("n2", earlierProgram) // a crash of n2 before its upgrade
 	work.submitMixedJobs(n2, n1)
 	deployment.restart("n2", currentProgram)
 	work.waitForAll()
@@ -133,7 +139,7 @@
 	deployment.restart("n1", earlierProgram)
 	work.submitMixedJobs(n1, n0)
 	deployment.restart("n0", earlierProgram)
-	work.submitMixedJobs(n2, n0) // two are rolled back, one is not
+	work.submitMixedJobs(n2, n0) // n0 and n1 are rolled back, n2 is not
 	deployment.restart("n1", currentProgram)
 	deployment.restart("n0", currentProgram)
 	work.submitMixedJobs(n0, n2)
--- a/internal/fake/memory_network.go
+++ b/internal/fake/memory_network.go
@@ -106,7 +106,7 @@
 	once     sync.Once
 }
 
-// Listen opens a listener on a host, at a port that was not used before.
+// Listen opens a listener on a host, at a port that no other call of Listen returns.
 func (network *MemoryNetwork) Listen(host string) (net.Listener, error) {
 	network.mu.Lock()
 	network.lastPort++
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -1,6 +1,6 @@
-// Package fake implements the services that controllers depend on: a key-value store and a
-// cloud with workers, written from PROTOCOL. Tests run controllers against them on loopback,
-// or over a network in memory and in simulated time, and inject faults into them.
+// Package fake implements the services that controllers depend on, as PROTOCOL describes them: a
+// key-value store, and a cloud with workers. Tests run controllers against the fakes on loopback, or over
+// a network in memory and in simulated time, and inject faults into the fakes.
 package fake
 
 import (
@@ -13,53 +13,53 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Store is a key-value store in memory.
+// Store is a fake key-value store. It keeps all data in memory.
 type Store struct {
-	Addr string // host:port of its interface
+	Addr string // host:port of the store's API
 
 	mu             sync.Mutex
-	cond           *sync.Cond // wakes watches: on changes, faults, and every expiryInterval
+	cond           *sync.Cond // wakes blocked watches on changes and faults, and at every expiryInterval
 	revision       uint64
 	keys           map[string]*storedValue
 	changeLog      []changeRecord
-	transactions   []wire.Transaction // all that were applied and changed something
+	transactions   []wire.Transaction // applied transactions that have at least one change
 	leases         map[uint64]*storeLease
 	lastLeaseID    uint64
 	limits         StoreLimits
-	oversizedCount int // transactions rejected for their size
+	oversizedCount int // transactions rejected because they exceeded the limits
 	faults         storeFaults
-	done           chan struct{}
+	done           chan struct{} // closed when the store is stopped
 }
 
-// storedValue is what the store keeps of a key.
+// storedValue is the value of a key with its metadata.
 type storedValue struct {
 	value   json.RawMessage
-	version uint64 // the revision that wrote it
-	lease   uint64 // 0: none
+	version uint64 // revision of the store that wrote the value
+	lease   uint64 // ID of the lease that the key is bound to, or 0 if there is none
 }
 
-// changeRecord is a change as watches get it.
+// changeRecord is a change of a key, with the event that watches receive for it.
 type changeRecord struct {
 	key   string
 	event wire.WatchEvent
 }
 
-// storeLease is a lease that has not expired yet.
+// storeLease is a lease that has not been removed yet.
 type storeLease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// NewStore starts a store on loopback; the function stops it.
+// NewStore starts a store on loopback. The returned function stops the store.
 func NewStore() (*Store, func()) { return NewStoreOnNetwork(Loopback{}) }
 
-// StoreHost is the host of the store in a network.
+// StoreHost is the name of the host in a Network on which the store serves its API.
 const StoreHost = "state"
 
-// expiryInterval is how often expired leases and watches whose time is over are looked for.
+// expiryInterval is how often the store checks for expired leases, and watches for their deadlines.
 const expiryInterval = 20 * time.Millisecond
 
-// NewStoreOnNetwork starts a store on a network; the function stops it.
+// NewStoreOnNetwork starts a store on a network. The returned function stops the store.
 func NewStoreOnNetwork(network Network) (*Store, func()) {
 	store := &Store{
 		keys: map[string]*storedValue{}, leases: map[uint64]*storeLease{}, faults: storeFaults{byCaller: map[string]StoreFault{}}, done: make(chan struct{}),
@@ -83,8 +83,8 @@
 	return store, func() { close(store.done); stop() }
 }
 
-// SetDown begins or ends an outage. Either gives every lease its whole TTL again, as PROTOCOL
-// has it at the end of an outage.
+// SetDown begins or ends an outage of the store. Both restart the TTL of every lease, as PROTOCOL requires
+// at the end of an outage.
 func (store *Store) SetDown(down bool) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -95,7 +95,7 @@
 	store.cond.Broadcast()
 }
 
-// Keys lists the keys below a prefix.
+// Keys returns the sorted keys that begin with a prefix.
 func (store *Store) Keys(prefix string) []string {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -109,7 +109,7 @@
 	return keys
 }
 
-// Value is the value of a key, empty if the key does not exist.
+// Value returns the value of a key, or "" if the key does not exist.
 func (store *Store) Value(key string) string {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -119,21 +119,21 @@
 	return ""
 }
 
-// Transactions are the transactions that were applied so far and changed something.
+// Transactions returns the transactions that have been applied so far and have at least one change.
 func (store *Store) Transactions() []wire.Transaction {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	return append([]wire.Transaction(nil), store.transactions...)
 }
 
-// ReapplyTransaction applies a transaction again, as a delayed copy would be.
+// ReapplyTransaction applies a transaction outside of any request, as when a delayed copy of it arrives.
 func (store *Store) ReapplyTransaction(transaction wire.Transaction) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.applyTransaction(transaction)
 }
 
-// expireLeases removes expired leases, which an outage suspends, and wakes the watches.
+// expireLeases removes expired leases, except in an outage, which suspends expiry, and wakes the watches.
 func (store *Store) expireLeases() {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -144,10 +144,10 @@
 			}
 		}
 	}
-	store.cond.Broadcast() // watches check their deadlines
+	store.cond.Broadcast() // so that watches check their deadlines
 }
 
-// removeLease removes a lease and the keys bound to it. The lock is held.
+// removeLease removes a lease and the keys bound to it. The caller holds the lock.
 func (store *Store) removeLease(id uint64) {
 	delete(store.leases, id)
 	for key, stored := range store.keys {
@@ -160,8 +160,9 @@
 	store.cond.Broadcast()
 }
 
-// applyTransaction applies a transaction, or returns the keys whose conditions failed; not ok
-// means that a lease of it does not exist. The lock is held.
+// applyTransaction applies a transaction if all its conditions hold, and otherwise returns the keys whose
+// conditions failed. If ok is false, nothing was applied because the transaction refers to a lease that
+// does not exist. The caller holds the lock.
 func (store *Store) applyTransaction(transaction wire.Transaction) (_ []string, ok bool) {
 	for _, change := range transaction.Changes {
 		if change.PutKey != "" && change.LeaseID != 0 && store.leases[change.LeaseID] == nil {
@@ -170,7 +171,7 @@
 	}
 	var failedKeys []string
 	for _, condition := range transaction.Conditions {
-		var version uint64 // 0: there is no such key
+		var version uint64 // 0 if the key does not exist
 		if stored := store.keys[condition.Key]; stored != nil {
 			version = stored.version
 		}
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -8,27 +8,27 @@
 	"firwood.dev/firwood/wire"
 )
 
-// StoreFault is a fault of the store towards one caller, injected by a test.
+// StoreFault is a fault of the store that a test injects for a single caller.
 type StoreFault uint8
 
-// The faults of the store towards a caller.
+// The faults of the store for a caller.
 const (
 	// StoreHealthy is the absence of a fault.
 	StoreHealthy StoreFault = iota
-	// StoreRequestsRejected has each request answered with 503; open watches wait.
+	// StoreRequestsRejected answers every request with 503. Watches that are already open stay blocked.
 	StoreRequestsRejected
-	// StoreRepliesLost has transactions applied and their replies lost.
+	// StoreRepliesLost applies transactions but loses their replies.
 	StoreRepliesLost
-	// StoreReadsRejected has reads and watches answered with 503; the rest is served.
+	// StoreReadsRejected answers reads and watches, also open ones, with 503 and serves all other requests.
 	StoreReadsRejected
-	// StoreWritesDelayed has transactions get no reply and applied writeDelay later.
+	// StoreWritesDelayed leaves transactions without a reply and applies them after writeDelay.
 	StoreWritesDelayed
-	// StoreRenewalsRejected has leases neither granted nor renewed nor revoked; the rest is
-	// served.
+	// StoreRenewalsRejected answers requests to grant, renew or revoke a lease with 503 and serves all
+	// other requests.
 	StoreRenewalsRejected
 )
 
-// String is the fault's name in test names and messages.
+// String returns the name of the fault, as it stands in test names and messages.
 func (fault StoreFault) String() string {
 	switch fault {
 	case StoreHealthy:
@@ -48,17 +48,17 @@
 	}
 }
 
-// storeFaults are the faults injected into a store.
+// storeFaults holds the faults that are injected into a store.
 type storeFaults struct {
-	isDown        bool                  // an outage for every caller
-	byCaller      map[string]StoreFault // of single callers, by host
-	delayedPrefix string                // writes to keys below it are delayed, whoever sends them; empty: none
+	isDown        bool                  // whether the store is in an outage, for every caller
+	byCaller      map[string]StoreFault // faults for single callers, by host
+	delayedPrefix string                // prefix of keys whose writes are delayed for every caller; none if empty
 }
 
-// writeDelay is how late delayed transactions are applied.
+// writeDelay is the delay with which delayed transactions are applied.
 const writeDelay = 5 * time.Second
 
-// SetFault sets the fault towards a caller, in place of any other; StoreHealthy ends it.
+// SetFault replaces the fault for a caller. StoreHealthy ends the current fault.
 func (store *Store) SetFault(host string, fault StoreFault) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -66,21 +66,22 @@
 	store.cond.Broadcast()
 }
 
-// SetDelayedPrefix delays transactions that write a key below a prefix, as StoreWritesDelayed
-// does, whoever sends them; an empty prefix ends that.
+// SetDelayedPrefix delays the transactions of all callers that write a key with a prefix, as
+// StoreWritesDelayed does. An empty prefix ends the delay.
 func (store *Store) SetDelayedPrefix(prefix string) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.faults.delayedPrefix = prefix
 }
 
-// isOutOfService reports whether a caller gets nothing from the store: in an outage, or with its
-// requests rejected. The lock is held.
+// isOutOfService reports whether the store rejects every request of a caller, because of an outage or of
+// StoreRequestsRejected. The caller of the method holds the lock.
 func (store *Store) isOutOfService(caller string) bool {
 	return store.faults.isDown || store.faults.byCaller[caller] == StoreRequestsRejected
 }
 
-// isRejected reports whether a request to a path gets 503. The lock is held.
+// isRejected reports whether a request of a caller to a path is answered with 503. The caller of the
+// method holds the lock.
 func (store *Store) isRejected(caller, path string) bool {
 	if store.isOutOfService(caller) {
 		return true
@@ -95,7 +96,8 @@
 	}
 }
 
-// isDelayed reports whether a transaction writes a key below the delayed prefix. The lock is held.
+// isDelayed reports whether a transaction writes a key that begins with the delayed prefix. The caller
+// holds the lock.
 func (store *Store) isDelayed(transaction *wire.Transaction) bool {
 	if store.faults.delayedPrefix == "" {
 		return false
@@ -105,27 +107,27 @@
 	})
 }
 
-// StoreLimits bound transactions; 0 is no bound.
+// StoreLimits bounds the size of transactions. A limit of 0 means that there is no bound.
 type StoreLimits struct {
-	MaxValueBytes int // of each value that is put
-	MaxChanges    int // changes of a transaction; it may have four times as many conditions
+	MaxValueBytes int // size of each value that a transaction puts
+	MaxChanges    int // changes in a transaction, which may have four times as many conditions
 }
 
-// SetLimits sets the limits from now on; what is stored stays readable.
+// SetLimits sets the limits for future transactions. Stored values above them stay readable.
 func (store *Store) SetLimits(limits StoreLimits) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.limits = limits
 }
 
-// OversizedCount is how many transactions were rejected for their size.
+// OversizedCount returns how many transactions were rejected because they exceeded the limits.
 func (store *Store) OversizedCount() int {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	return store.oversizedCount
 }
 
-// isWithinLimits reports whether a transaction is within the limits. The lock is held.
+// isWithinLimits reports whether a transaction is within the limits. The caller holds the lock.
 func (store *Store) isWithinLimits(transaction *wire.Transaction) bool {
 	if store.limits.MaxChanges > 0 && (len(transaction.Changes) > store.limits.MaxChanges || len(transaction.Conditions) > 4*store.limits.MaxChanges) {
 		return false
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -11,10 +11,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// maxKeysPerPage is how many keys a page of the listing holds at most.
+// maxKeysPerPage is the largest number of keys in a page of the key listing.
 const maxKeysPerPage = 1000
 
-// ServeHTTP is the store's interface; faults of the caller come first.
+// ServeHTTP serves the store's API, subject to the faults that are injected for the caller.
 func (store *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// serveKeyPage answers with a page of the keys below a prefix, in their order.
+// serveKeyPage answers with one page of the keys that begin with a prefix, in order.
 func (store *Store) serveKeyPage(w http.ResponseWriter, query url.Values) {
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit > maxKeysPerPage {
@@ -65,7 +65,7 @@
 	writeJSON(w, 200, page)
 }
 
-// serveKey answers with one key, or with the revision at which it is missing.
+// serveKey answers with the value of a key, or with 404 and the store's revision if the key does not exist.
 func (store *Store) serveKey(w http.ResponseWriter, key string) {
 	stored := store.keys[key]
 	if stored == nil {
@@ -104,7 +104,7 @@
 	writeJSON(w, 200, struct{}{})
 }
 
-// serveTransaction applies a transaction, as the caller's fault has it. The lock is held.
+// serveTransaction applies a transaction, subject to the caller's fault. The lock is held.
 func (store *Store) serveTransaction(w http.ResponseWriter, r *http.Request, fault StoreFault) {
 	var transaction wire.Transaction
 	if !readJSON(r, &transaction) {
@@ -122,7 +122,7 @@
 	switch fault {
 	case StoreRepliesLost:
 		store.applyTransaction(transaction)
-		panic(http.ErrAbortHandler) // the connection ends without an answer
+		panic(http.ErrAbortHandler) // close the connection without a response
 	case StoreWritesDelayed:
 		time.AfterFunc(writeDelay, func() { store.ReapplyTransaction(transaction) })
 		panic(http.ErrAbortHandler)
@@ -137,8 +137,9 @@
 	}
 }
 
-// serveWatch answers once a key below the prefix has changed, or the time to block is over. In an
-// outage it waits. The lock is held, but not while it waits.
+// serveWatch answers once a key that begins with the prefix has changed, or blockMs milliseconds have
+// passed. While the store is out of service for the caller, serveWatch keeps waiting. The lock is held
+// when serveWatch is called and when it returns, but not while it waits.
 func (store *Store) serveWatch(w http.ResponseWriter, caller string, query url.Values) {
 	since, sinceErr := strconv.ParseUint(query.Get("since"), 10, 64)
 	blockMs, blockErr := strconv.Atoi(query.Get("blockMs"))
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -13,35 +13,39 @@
 )
 
 const (
-	// replyTimeout is how long a worker waits for a controller's reply.
+	// replyTimeout is how long a worker waits for a controller's reply to a heartbeat.
 	replyTimeout = 4 * time.Second
 	// controllerRetryInterval is how long a worker waits before it tries another controller.
 	controllerRetryInterval = 200 * time.Millisecond
-	// tokenReportDelay is how long after a reply with a higher token the next heartbeat is due, if
-	// it is not due earlier.
+	// tokenReportDelay is the longest time from a reply with a higher token to the next heartbeat,
+	// which reports the token.
 	tokenReportDelay = 500 * time.Millisecond
-	// changeReportDelay is how long after a change a worker reports it.
+	// changeReportDelay is the time from a change of the worker's state to the heartbeat that reports it.
 	changeReportDelay = 20 * time.Millisecond
 )
 
-// workerProcess is a machine's worker. Its fields are guarded by the cloud's lock.
+// workerProcess is the worker on a machine. The cloud's lock guards its fields.
 type workerProcess struct {
 	cloud   *Cloud
 	machine wire.ListedMachine // as the cloud lists it
 	fault   MachineFault
 
-	heartbeat            wire.Heartbeat // the next one, with the tasks on the machine
-	lastHeartbeatBody    []byte
-	lastAckedHeartbeatAt time.Time // when the last heartbeat that was answered was sent
-	tokenReportedAt      time.Time // when a higher token was last reported without waiting
-	taskEndsAt           map[string]time.Time
-
-	controllerIndex    int           // of the controller that heartbeats go to
-	heartbeatRequested chan struct{} // holds one request at most
+	// heartbeat is the next heartbeat. It also holds the present state of the tasks on the machine.
+	heartbeat         wire.Heartbeat
+	lastHeartbeatBody []byte
+	// lastAckedHeartbeatAt is when the last answered heartbeat was sent, or when the lease last began
+	// anew: at the creation of the worker and after an expiry.
+	lastAckedHeartbeatAt time.Time
+	// tokenReportedAt is when a reply with a higher token last made the worker send a heartbeat early.
+	tokenReportedAt time.Time
+	taskEndsAt      map[string]time.Time // when each task is due to end, without tasks that run until stopped
+
+	controllerIndex    int           // index of the controller that receives the heartbeats, modulo their number
+	heartbeatRequested chan struct{} // holds at most one request to send a heartbeat early
 	client             *http.Client
 
 	isDeleted bool
-	stop      func() // stops its server
+	stop      func() // stops the worker's HTTP server
 }
 
 func newWorker(cloud *Cloud, request wire.ScaleOutRequest, name string) *workerProcess {
@@ -63,7 +67,7 @@
 	return worker
 }
 
-// run sends heartbeats from the end of the boot until the machine is deleted.
+// run sends heartbeats from the end of the machine's boot until the machine is deleted or the cloud stops.
 func (worker *workerProcess) run() {
 	cloud := worker.cloud
 	defer worker.client.CloseIdleConnections()
@@ -90,7 +94,7 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat and applies its reply; it returns when the next is due.
+// sendHeartbeat sends a heartbeat, applies the reply and returns how long to wait before the next heartbeat.
 func (worker *workerProcess) sendHeartbeat() time.Duration {
 	cloud := worker.cloud
 	cloud.mu.Lock()
@@ -130,9 +134,9 @@
 	return controllerRetryInterval
 }
 
-// applyReply takes over the token and the commands of a reply; it returns when the next
-// heartbeat is due. A higher token is reported soon, once in half a lease at most. The lock is
-// held.
+// applyReply stores the token of a reply, executes the reply's commands and returns how long to wait
+// before the next heartbeat. After a higher token it returns at most tokenReportDelay, but not more often
+// than once in half the duration of a lease. The caller holds the cloud's lock.
 func (worker *workerProcess) applyReply(reply *wire.HeartbeatResponse) time.Duration {
 	next := worker.cloud.cfg.HeartbeatInterval
 	if now := time.Now(); reply.FencingToken > worker.heartbeat.FencingToken && now.Sub(worker.tokenReportedAt) > worker.cloud.cfg.LeaseTTL/2 {
@@ -144,7 +148,8 @@
 	return next
 }
 
-// post sends a body and returns the answer; a status of 0 is none.
+// post sends a body and returns the status and the body of the response. The status is 0 if there is no
+// complete response.
 func (worker *workerProcess) post(url string, body []byte) (status int, responseBody []byte) {
 	res, err := worker.client.Post(url, "application/json", strings.NewReader(string(body)))
 	if err != nil {
@@ -158,8 +163,9 @@
 	return res.StatusCode, responseBody
 }
 
-// followRedirect goes to the controller that an answer names, if it is another one. The lock
-// is held.
+// followRedirect switches to the controller that a redirect names and reports whether it did. It does
+// nothing if the redirect names an unknown controller, or the one that sent it. The caller holds the
+// cloud's lock.
 func (worker *workerProcess) followRedirect(responseBody []byte, from string) bool {
 	var redirect wire.Redirect
 	if json.Unmarshal(responseBody, &redirect) != nil {
@@ -174,8 +180,9 @@
 	return false
 }
 
-// advance ends a lease that has expired, with its tasks and incarnation, and tasks whose time
-// is over; a hanging machine's tasks don't finish. The lock is held.
+// advance applies what has become due by now. If the lease has expired, it ends the tasks and begins a new
+// incarnation. It also ends the tasks whose duration has passed, except on a hanging machine. The caller
+// holds the cloud's lock.
 func (worker *workerProcess) advance() {
 	now := time.Now()
 	if now.Sub(worker.lastAckedHeartbeatAt) > worker.cloud.cfg.LeaseTTL {
@@ -196,7 +203,7 @@
 	}
 }
 
-// requestHeartbeat has a change reported before the next regular heartbeat.
+// requestHeartbeat makes run send a heartbeat before the next regular one, to report a change.
 func (worker *workerProcess) requestHeartbeat() {
 	select {
 	case worker.heartbeatRequested <- struct{}{}:
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -8,13 +8,13 @@
 	"firwood.dev/firwood/wire"
 )
 
-// ServeHTTP is the worker's interface: POST /commands and GET /status.
+// ServeHTTP serves the worker's API: POST /commands and GET /status.
 func (worker *workerProcess) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	worker.cloud.mu.Lock()
 	defer worker.cloud.mu.Unlock()
 	worker.waitWhileHanging()
 	if worker.isDeleted || worker.fault == MachineCommandsLost {
-		panic(http.ErrAbortHandler) // the connection ends without an answer
+		panic(http.ErrAbortHandler) // close the connection without a response
 	}
 	if r.Method == "GET" && r.URL.Path == "/status" {
 		worker.advance()
@@ -25,8 +25,8 @@
 	worker.serveCommandRequest(w, r)
 }
 
-// waitWhileHanging waits until the machine no longer hangs, or is deleted. The lock is held
-// when it is called and when it returns, not in between.
+// waitWhileHanging waits until the machine no longer hangs or is deleted. The cloud's lock is held when
+// waitWhileHanging is called and when it returns, but not while it waits.
 func (worker *workerProcess) waitWhileHanging() {
 	for worker.fault == MachineHanging && !worker.isDeleted {
 		worker.cloud.mu.Unlock()
@@ -35,8 +35,8 @@
 	}
 }
 
-// serveCommandRequest executes commands that a controller sends; a slow machine does so late
-// and without an answer. The lock is held.
+// serveCommandRequest executes the commands that a controller sends. A slow machine executes them late and
+// sends no response. The caller holds the cloud's lock.
 func (worker *workerProcess) serveCommandRequest(w http.ResponseWriter, r *http.Request) {
 	var request wire.CommandRequest
 	if !readJSON(r, &request) {
@@ -49,7 +49,7 @@
 			defer worker.cloud.mu.Unlock()
 			worker.applyCommandRequest(&request)
 		})
-		panic(http.ErrAbortHandler) // the connection ends without an answer
+		panic(http.ErrAbortHandler) // close the connection without a response
 	}
 	status := 409
 	if worker.applyCommandRequest(&request) {
@@ -60,8 +60,9 @@
 	worker.requestHeartbeat()
 }
 
-// applyCommandRequest executes a command request and reports whether it did: its token must
-// not be older than the last one seen, and its incarnation the worker's. The lock is held.
+// applyCommandRequest executes a command request and reports whether it did. It rejects a request whose
+// token is lower than the last one that the worker has seen, or whose incarnation is not the worker's, and
+// any request to a deleted machine. The caller holds the cloud's lock.
 func (worker *workerProcess) applyCommandRequest(request *wire.CommandRequest) bool {
 	worker.advance()
 	if worker.isDeleted || request.FencingToken < worker.heartbeat.FencingToken || request.Incarnation != worker.heartbeat.Incarnation {
@@ -72,8 +73,8 @@
 	return true
 }
 
-// executeCommands carries out commands in their order; stops and reaps of another attempt are
-// passed over. The lock is held.
+// executeCommands executes commands in order. It ignores commands for another attempt of a task that is on
+// the machine. The caller holds the cloud's lock.
 func (worker *workerProcess) executeCommands(commands []wire.Command) {
 	for _, command := range commands {
 		index := worker.taskIndex(command.TaskID)
@@ -97,7 +98,7 @@
 	}
 }
 
-// startTask starts a task that is not on the machine. The lock is held.
+// startTask starts a task that is not on the machine. The caller holds the cloud's lock.
 func (worker *workerProcess) startTask(command wire.Command) {
 	cloud := worker.cloud
 	worker.checkDuplicateExecution(command.TaskID)
@@ -111,8 +112,8 @@
 	cloud.cfg.Observer.RecordTaskStart(worker.machine, command.TaskID)
 }
 
-// checkDuplicateExecution records a violation if the machine that last started a task still
-// runs it. The lock is held.
+// checkDuplicateExecution records a violation if the task still runs on the machine that last started it
+// and that is another one than this machine. The caller holds the cloud's lock.
 func (worker *workerProcess) checkDuplicateExecution(task string) {
 	cloud := worker.cloud
 	previous := cloud.workerByTask[task]
@@ -120,17 +121,17 @@
 		return
 	}
 	if index := previous.taskIndex(task); index >= 0 && previous.heartbeat.Tasks[index].State != wire.TaskExited {
-		cloud.violations = append(cloud.violations, fmt.Sprintf("%s starts on %s while on %s", task, worker.machine.ID, previous.machine.ID))
+		cloud.violations = append(cloud.violations, fmt.Sprintf("task %s starts on machine %s while it still runs on machine %s", task, worker.machine.ID, previous.machine.ID))
 	}
 }
 
-// exitTask ends a task for a cause of the wire. The lock is held.
+// exitTask marks a task as exited, with an exit cause of the wire package. The caller holds the cloud's lock.
 func (worker *workerProcess) exitTask(task *wire.TaskStatus, cause string) {
 	task.State, task.ExitCause = wire.TaskExited, cause
 	worker.cloud.cfg.Observer.RecordTaskEnd(worker.machine.ID, task.TaskID, cause)
 }
 
-// killAllTasks stops every running task, as an expired lease does. The lock is held.
+// killAllTasks ends every running task, as the expiry of a lease does. The caller holds the cloud's lock.
 func (worker *workerProcess) killAllTasks() {
 	for i := range worker.heartbeat.Tasks {
 		if task := &worker.heartbeat.Tasks[i]; task.State != wire.TaskExited {
@@ -139,7 +140,7 @@
 	}
 }
 
-// taskIndex is a task's place in the heartbeat, -1 if the machine does not have it.
+// taskIndex returns the index of a task in the heartbeat, or -1 if the task is not on the machine.
 func (worker *workerProcess) taskIndex(id string) int {
 	for i := range worker.heartbeat.Tasks {
 		if worker.heartbeat.Tasks[i].TaskID == id {
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -1,5 +1,5 @@
-// Package seed fixes the seed of property-based tests (pgregory.net/rapid), so that every run
-// has the same inputs and the same verdict. A longer search is a matter of rapid's flags.
+// Package seed fixes the seed of property-based tests (pgregory.net/rapid), so that every run has the same
+// inputs and the same result. Longer searches use rapid's own flags.
 package seed
 
 import (
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// fixedSeed is the seed of all tests, for rapid's flag rapid.seed.
+// fixedSeed is the default value for rapid's flag rapid.seed in all tests.
 const fixedSeed = "20260101"
 
-// Main runs the tests of a package, as its TestMain, with the fixed seed; a seed given by the
-// flag rapid.seed takes precedence.
+// Main runs the tests of a package with fixedSeed and exits. It is called by the package's TestMain. A
+// seed that is set with the flag rapid.seed takes precedence.
 func Main(m *testing.M) {
 	flag.Parse()
 	if seedFlag := flag.Lookup("rapid.seed"); seedFlag != nil && seedFlag.Value.String() == "0" {
