--- a/internal/e2e/member_process_test.go
+++ b/internal/e2e/member_process_test.go
@@ -43,7 +43,8 @@
 	cmd                       *exec.Cmd // most recently started process
 }
 
-// freeAddress returns a loopback address whose port is free when freeAddress returns.
+// freeAddress returns a loopback address whose port is free. Another process may still take the port before
+// it is used.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/e2e/upgrade_test.go
+++ b/internal/e2e/upgrade_test.go
@@ -72,8 +72,8 @@
 	expectedDone, expectedRunning []string
 }
 
-// submitMixedJobs submits an array and a service to stay, and a service that it cancels through the other
-// controller once its tasks run.
+// submitMixedJobs submits an array and two services. When the second service runs, it cancels this service
+// through the other controller.
 func (work *upgradeWorkload) submitMixedJobs(submitter, other *memberProcess) {
 	work.t.Helper()
 	array, service, cancelled := work.nextJobID(), work.nextJobID(), work.nextJobID()
--- a/internal/fake/memory_network.go
+++ b/internal/fake/memory_network.go
@@ -187,8 +187,8 @@
 // has healed.
 const partitionPollInterval = 20 * time.Millisecond
 
-// Dial connects a host to an address. While a partition cuts the link, Dial waits until the partition
-// heals, and fails when it has waited for the timeout.
+// Dial connects a host to an address. While the link is partitioned, Dial waits. If the partition has not
+// healed within the timeout, Dial returns os.ErrDeadlineExceeded.
 func (network *MemoryNetwork) Dial(host, address string, timeout time.Duration) (net.Conn, error) {
 	network.mu.Lock()
 	listener := network.listeners[address]
@@ -227,7 +227,7 @@
 }
 
 // forward copies data in one direction until either end closes. It delays each chunk by the latency of the
-// link, and until the link is not partitioned.
+// link, and holds it back while the link is partitioned.
 func (network *MemoryNetwork) forward(source, destination string, reader io.ReadCloser, writer io.WriteCloser) {
 	defer reader.Close()
 	defer writer.Close()
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -27,7 +27,7 @@
 // workerProcess is the worker on a machine. The cloud's lock guards its fields.
 type workerProcess struct {
 	cloud   *Cloud
-	machine wire.ListedMachine // as the cloud lists it
+	machine wire.ListedMachine // the machine's entry in the cloud's list
 	fault   MachineFault
 
 	// heartbeat is the next heartbeat. It also holds the present state of the tasks on the machine.
@@ -38,7 +38,7 @@
 	lastAckedHeartbeatAt time.Time
 	// tokenReportedAt is when a reply with a higher token last made the worker send a heartbeat early.
 	tokenReportedAt time.Time
-	taskEndsAt      map[string]time.Time // when each task is due to end, without tasks that run until stopped
+	taskEndsAt      map[string]time.Time // by task ID; holds no tasks that run until they are stopped
 
 	controllerIndex    int           // index of the controller that receives the heartbeats, modulo their number
 	heartbeatRequested chan struct{} // holds at most one request to send a heartbeat early
@@ -135,8 +135,9 @@
 }
 
 // applyReply stores the token of a reply, executes the reply's commands and returns how long to wait
-// before the next heartbeat. After a higher token it returns at most tokenReportDelay, but not more often
-// than once in half the duration of a lease. The caller holds the cloud's lock.
+// before the next heartbeat. After a higher token it returns at most tokenReportDelay, so that the worker
+// reports the token soon, but it does so at most once in half the duration of a lease. The caller holds the
+// cloud's lock.
 func (worker *workerProcess) applyReply(reply *wire.HeartbeatResponse) time.Duration {
 	next := worker.cloud.cfg.HeartbeatInterval
 	if now := time.Now(); reply.FencingToken > worker.heartbeat.FencingToken && now.Sub(worker.tokenReportedAt) > worker.cloud.cfg.LeaseTTL/2 {
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -73,8 +73,8 @@
 	return true
 }
 
-// executeCommands executes commands in order. It ignores commands for another attempt of a task that is on
-// the machine. The caller holds the cloud's lock.
+// executeCommands executes commands in order. It ignores starts of tasks that are on the machine already,
+// and stops and reaps of another attempt. The caller holds the cloud's lock.
 func (worker *workerProcess) executeCommands(commands []wire.Command) {
 	for _, command := range commands {
 		index := worker.taskIndex(command.TaskID)
@@ -112,8 +112,8 @@
 	cloud.cfg.Observer.RecordTaskStart(worker.machine, command.TaskID)
 }
 
-// checkDuplicateExecution records a violation if the task still runs on the machine that last started it
-// and that is another one than this machine. The caller holds the cloud's lock.
+// checkDuplicateExecution records a violation if the machine that last started a task is another machine
+// than this worker's and still runs the task. The caller holds the cloud's lock.
 func (worker *workerProcess) checkDuplicateExecution(task string) {
 	cloud := worker.cloud
 	previous := cloud.workerByTask[task]
