--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -11,10 +11,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// maxKeysPerPage is how many keys a page of the listing holds at most.
+// maxKeysPerPage is the largest number of keys in a page of the key listing.
 const maxKeysPerPage = 1000
 
-// ServeHTTP is the store's interface; faults of the caller come first.
+// ServeHTTP serves the store's API, subject to the faults that are injected for the caller.
 func (store *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// serveKeyPage answers with a page of the keys below a prefix, in their order.
+// serveKeyPage answers with one page of the keys that begin with a prefix, in order.
 func (store *Store) serveKeyPage(w http.ResponseWriter, query url.Values) {
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit > maxKeysPerPage {
@@ -65,7 +65,7 @@
 	writeJSON(w, 200, page)
 }
 
-// serveKey answers with one key, or with the revision at which it is missing.
+// serveKey answers with the value of a key, or with 404 and the store's revision if the key does not exist.
 func (store *Store) serveKey(w http.ResponseWriter, key string) {
 	stored := store.keys[key]
 	if stored == nil {
@@ -104,7 +104,7 @@
 	writeJSON(w, 200, struct{}{})
 }
 
-// serveTransaction applies a transaction, as the caller's fault has it. The lock is held.
+// serveTransaction applies a transaction, subject to the caller's fault. The lock is held.
 func (store *Store) serveTransaction(w http.ResponseWriter, r *http.Request, fault StoreFault) {
 	var transaction wire.Transaction
 	if !readJSON(r, &transaction) {
@@ -122,45 +122,46 @@
 	switch fault {
 	case StoreRepliesLost:
 		store.applyTransaction(transaction)
-		panic(http.ErrAbortHandler) // the connection ends without an answer
+		panic(http.ErrAbortHandler) // close the connection without a response
 	case StoreWritesDelayed:
 		time.AfterFunc(writeDelay, func() { store.ReapplyTransaction(transaction) })
 		panic(http.ErrAbortHandler)
 	}
-	switch failed, ok := store.applyTransaction(transaction); {
+	switch failedKeys, ok := store.applyTransaction(transaction); {
 	case !ok:
 		writeJSON(w, 400, wire.ErrorResponse{Error: "no such lease"})
-	case failed != nil:
-		writeJSON(w, 409, wire.TransactionResult{Revision: store.revision, FailedKeys: failed})
+	case failedKeys != nil:
+		writeJSON(w, 409, wire.TransactionResult{Revision: store.revision, FailedKeys: failedKeys})
 	default:
 		writeJSON(w, 200, wire.TransactionResult{Revision: store.revision})
 	}
 }
 
-// serveWatch answers once a key below the prefix has changed, or the time to block is over. In an
-// outage it waits. The lock is held, but not while it waits.
+// serveWatch answers once a key that begins with the prefix has changed, or blockMs milliseconds have
+// passed. While the store is out of service for the caller, serveWatch keeps waiting. The lock is held
+// when serveWatch is called and when it returns, but not while it waits.
 func (store *Store) serveWatch(w http.ResponseWriter, caller string, query url.Values) {
-	since, err1 := strconv.ParseUint(query.Get("since"), 10, 64)
-	blockMs, err2 := strconv.Atoi(query.Get("blockMs"))
-	if err1 != nil || err2 != nil {
+	since, sinceErr := strconv.ParseUint(query.Get("since"), 10, 64)
+	blockMs, blockErr := strconv.Atoi(query.Get("blockMs"))
+	if sinceErr != nil || blockErr != nil {
 		writeJSON(w, 400, struct{}{})
 		return
 	}
 	deadline, prefix := time.Now().Add(time.Duration(blockMs)*time.Millisecond), query.Get("under")
 	for !store.isClosed() {
-		answer := wire.WatchResponse{Revision: store.revision, Events: []wire.WatchEvent{}}
+		response := wire.WatchResponse{Revision: store.revision, Events: []wire.WatchEvent{}}
 		first := sort.Search(len(store.changeLog), func(i int) bool { return store.changeLog[i].event.Version > since })
 		for _, record := range store.changeLog[first:] {
 			if strings.HasPrefix(record.key, prefix) {
-				answer.Events = append(answer.Events, record.event)
+				response.Events = append(response.Events, record.event)
 			}
 		}
 		if store.faults.byCaller[caller] == StoreReadsRejected {
 			writeUnavailable(w)
 			return
 		}
-		if !store.isOutOfService(caller) && (len(answer.Events) > 0 || !time.Now().Before(deadline)) {
-			writeJSON(w, 200, answer)
+		if !store.isOutOfService(caller) && (len(response.Events) > 0 || !time.Now().Before(deadline)) {
+			writeJSON(w, 200, response)
 			return
 		}
 		store.cond.Wait()
--- a/internal/sim/dependencies_test.go
+++ b/internal/sim/dependencies_test.go
@@ -148,7 +148,7 @@
 			cluster.MustSubmit(cluster.Members()[i%3], Array(i, 1, "a"))
 			dependent.DependsOn = append(dependent.DependsOn, JobID(i))
 			if i == dependencyCount/2 {
-				cluster.Store.SetLimits(fake.StoreLimits{ValueBytes: 1 << 10, TxnOps: 10})
+				cluster.Store.SetLimits(fake.StoreLimits{MaxValueBytes: 1 << 10, MaxChanges: 10})
 			}
 		}
 		cluster.MustSubmit("n1", dependent)
