--- a/internal/allocation/cancelled_tasks.go
+++ b/internal/allocation/cancelled_tasks.go
@@ -42,9 +42,9 @@
 	return count, earliest
 }
 
-// UnconfirmedMachines returns the number of machines whose worker has not shown this leader's token.
+// UnconfirmedMachineCount returns the number of machines whose worker has not shown this leader's token.
 // It leaves out machines that were added by this leader and have not sent their first heartbeat yet.
-func (tracker *Tracker) UnconfirmedMachines() int {
+func (tracker *Tracker) UnconfirmedMachineCount() int {
 	count := 0
 	for _, machine := range tracker.SortedMachines() {
 		isBooting := machine.FirstHeartbeatAt == 0 && machine.Reconciled
--- a/internal/allocation/commands.go
+++ b/internal/allocation/commands.go
@@ -11,7 +11,7 @@
 	if !machine.TokenConfirmed {
 		return tracker.RenewalStops(machine)
 	}
-	commands := tracker.exitCleanupCommands(machine)
+	commands := tracker.unplacedAttemptCommands(machine)
 	for _, placement := range machine.placements {
 		if placement.Phase != PhaseReported || placement.isStopping {
 			commands = tracker.appendCommands(commands, placement, now, channelHeartbeatReply)
@@ -20,23 +20,23 @@
 	return commands
 }
 
-// exitCleanupCommands returns the commands that make the worker forget (reap) exited attempts, and
+// unplacedAttemptCommands returns the commands that make the worker forget (reap) exited attempts, and
 // stop tasks whose job isn't in the tracker. The worker keeps listing an exited attempt that must not
 // be reaped yet.
-func (tracker *Tracker) exitCleanupCommands(machine *Machine) []wire.Command {
+func (tracker *Tracker) unplacedAttemptCommands(machine *Machine) []wire.Command {
 	var commands []wire.Command
 	for i := range machine.unplacedAttempts {
-		exited := &machine.unplacedAttempts[i]
+		unplaced := &machine.unplacedAttempts[i]
 		switch {
-		case exited.isRunning:
-			commands = append(commands, stopCommand(exited.taskID, exited.attempt, 0))
-		case exited.needsDurableCompletion(): // invariant 5
-		case machine.lateStarts[exited.key()]: // invariant 2
-		case machine.startTokens[exited.key()] != 0: // invariant 2: a copy of the start may arrive
+		case unplaced.isRunning:
+			commands = append(commands, stopCommand(unplaced.taskID, unplaced.attempt, 0))
+		case unplaced.needsDurableCompletion(): // invariant 5
+		case machine.lateStarts[unplaced.key()]: // invariant 2
+		case machine.startTokens[unplaced.key()] != 0: // invariant 2: a copy of the start may arrive
 			tracker.needsHigherToken = true
-		case machine.hasPlacement(exited.key()):
+		case machine.hasPlacement(unplaced.key()):
 		default:
-			commands = append(commands, wire.Command{Action: wire.ActionReap, TaskID: exited.taskID, Attempt: exited.attempt})
+			commands = append(commands, wire.Command{Action: wire.ActionReap, TaskID: unplaced.taskID, Attempt: unplaced.attempt})
 		}
 	}
 	return commands
--- a/internal/allocation/history_test.go
+++ b/internal/allocation/history_test.go
@@ -11,7 +11,7 @@
 // Random histories of messages, failures and failovers keep the invariants of the protocol, and the
 // tracker's counts and sums agree with its placements after each step.
 func TestRandomHistories(t *testing.T) {
-	starts, completeGangs, replicaFailovers, listedTasks := 0, 0, 0, 0
+	starts, completeGangs, replicaFailovers, cancelledListings := 0, 0, 0, 0
 	for seed := uint64(1); seed <= 4000; seed++ {
 		sim := newSimulation(t, seed)
 		actions := sim.actions()
@@ -24,10 +24,10 @@
 		starts += sim.startCount
 		completeGangs += sim.completeGangCount
 		replicaFailovers += sim.replicaFailoverCount
-		listedTasks += sim.stopCount
+		cancelledListings += sim.cancelledListingCount
 	}
-	t.Logf("%d starts, %d complete gangs, %d failovers with a follower's table, %d listings of cancelled tasks", starts, completeGangs, replicaFailovers, listedTasks)
-	if starts == 0 || completeGangs < 200 || replicaFailovers < 1000 || listedTasks < 500 {
+	t.Logf("%d starts, %d complete gangs, %d failovers with a follower's table, %d listings of cancelled tasks", starts, completeGangs, replicaFailovers, cancelledListings)
+	if starts == 0 || completeGangs < 200 || replicaFailovers < 1000 || cancelledListings < 500 {
 		t.Fatal("the histories cover too little, want at least 1 start, 200 complete gangs, 1000 failovers with a follower's table and 500 listings of cancelled tasks")
 	}
 }
--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -61,7 +61,7 @@
 	JobFailures
 	jobKind
 	taskCounts
-	unpublishedState
+	publicationState
 
 	// StartsRecorded reports whether the key-value store records that tasks of the job may have been
 	// started. No task is placed before that.
@@ -125,8 +125,8 @@
 	placementCountByZone map[string]int // placements by zone, orphans included
 }
 
-// unpublishedState holds what standbys still have to be told of a job, see Replicator.
-type unpublishedState struct {
+// publicationState holds what standbys still have to be told of a job, see Replicator.
+type publicationState struct {
 	// unpublishedEnds are the ended placements whose completion isn't durable yet.
 	unpublishedEnds []*Placement
 	// hasWholeJobEntry reports whether one entry for the whole job was published instead of one for
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -15,8 +15,8 @@
 
 // needsDurableCompletion reports whether the attempt completed its task and the completion is not
 // durable yet.
-func (exited *unplacedAttempt) needsDurableCompletion() bool {
-	return exited.isCompleted && !exited.job.IsService() && !exited.job.Tasks[exited.taskIndex].CompletionDurable
+func (unplaced *unplacedAttempt) needsDurableCompletion() bool {
+	return unplaced.isCompleted && !unplaced.job.IsService() && !unplaced.job.Tasks[unplaced.taskIndex].CompletionDurable
 }
 
 // attemptKey identifies an attempt of a task.
@@ -25,7 +25,9 @@
 	attempt uint64
 }
 
-func (exited *unplacedAttempt) key() attemptKey { return attemptKey{exited.taskID, exited.attempt} }
+func (unplaced *unplacedAttempt) key() attemptKey {
+	return attemptKey{unplaced.taskID, unplaced.attempt}
+}
 
 // Machine is a machine that exists or may exist. Its fields are grouped by concern.
 type Machine struct {
--- a/internal/allocation/renewal_stops.go
+++ b/internal/allocation/renewal_stops.go
@@ -13,8 +13,8 @@
 func (tracker *Tracker) RenewalStops(machine *Machine) []wire.Command {
 	var commands []wire.Command
 	for i := range machine.unplacedAttempts {
-		if exited := &machine.unplacedAttempts[i]; exited.isRunning && !tracker.mayBeActive(exited.taskID) {
-			commands = append(commands, stopCommand(exited.taskID, exited.attempt, 0))
+		if unplaced := &machine.unplacedAttempts[i]; unplaced.isRunning && !tracker.mayBeActive(unplaced.taskID) {
+			commands = append(commands, stopCommand(unplaced.taskID, unplaced.attempt, 0))
 		}
 	}
 	for _, placement := range machine.placements {
--- a/internal/allocation/simulation_test.go
+++ b/internal/allocation/simulation_test.go
@@ -61,10 +61,10 @@
 
 // simulationCounts show whether the histories cover enough cases.
 type simulationCounts struct {
-	startCount           int // number of task starts
-	completeGangCount    int // number of gangs whose tasks have all started
-	replicaFailoverCount int // number of failovers that used a follower's table
-	stopCount            int // number of tasks of cancelled jobs that heartbeats listed
+	startCount            int // number of task starts
+	completeGangCount     int // number of gangs whose tasks have all started
+	replicaFailoverCount  int // number of failovers that used a follower's table
+	cancelledListingCount int // number of tasks of cancelled jobs that heartbeats listed
 }
 
 // follower is the allocation table of a standby that learns each decision at once.
@@ -215,7 +215,7 @@
 		if !sim.cancelled[job] || task.State == wire.TaskExited {
 			continue
 		}
-		sim.stopCount++
+		sim.cancelledListingCount++
 		isStopped := slices.ContainsFunc(commands, func(command wire.Command) bool {
 			return command.Action == wire.ActionStop && command.TaskID == task.TaskID && command.Attempt == task.Attempt
 		})
