--- a/internal/allocation/actions_test.go
+++ b/internal/allocation/actions_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// sendCommandRequest builds the command request due to a worker, which is lost, delayed or delivered.
+// sendCommandRequest builds a command request to a worker, if one is due, and loses, delays or delivers it.
 func (sim *simulation) sendCommandRequest() {
 	worker := sim.pickWorker()
 	machine := sim.machine(worker)
--- a/internal/allocation/cancelled_tasks.go
+++ b/internal/allocation/cancelled_tasks.go
@@ -31,7 +31,7 @@
 }
 
 // ListedCancelledTasks returns the number of tasks of cancelled jobs that workers still list as not
-// exited, and the instant of the earliest cancellation among those jobs.
+// exited, and the time of the earliest cancellation among those jobs.
 func (tracker *Tracker) ListedCancelledTasks() (count int, earliest clock.Micros) {
 	for placement := range tracker.listedCancelled {
 		if cancelledAt := placement.Job.CancelledAt; count == 0 || cancelledAt < earliest {
@@ -42,9 +42,9 @@
 	return count, earliest
 }
 
-// UnconfirmedMachineCount returns the number of machines whose worker has not shown this leader's token.
+// UnconfirmedMachines returns the number of machines whose worker has not confirmed this leader's token.
 // It leaves out machines that were added by this leader and have not sent their first heartbeat yet.
-func (tracker *Tracker) UnconfirmedMachineCount() int {
+func (tracker *Tracker) UnconfirmedMachines() int {
 	count := 0
 	for _, machine := range tracker.SortedMachines() {
 		isBooting := machine.FirstHeartbeatAt == 0 && machine.Reconciled
--- a/internal/allocation/command_request.go
+++ b/internal/allocation/command_request.go
@@ -86,7 +86,7 @@
 }
 
 // FinishCommandRequest records the outcome of a command request. If the response has a heartbeat, the
-// caller passes that to RecordCommandHeartbeat afterwards.
+// caller passes the heartbeat to RecordCommandHeartbeat afterwards.
 func (tracker *Tracker) FinishCommandRequest(machine *Machine, starts []*Placement, result CommandResult, now clock.Micros) {
 	isConfirmation := machine.isConfirmationRequest
 	machine.hasCommandInFlight, machine.isConfirmationRequest = false, false
@@ -96,11 +96,11 @@
 	case CommandOutcomeUnknown:
 		if isConfirmation {
 			// The worker gets no tasks before it confirms the token, so the machine need not be marked
-			// unreachable. Marking it left machines that had lost responses for a minute during a
-			// leader change without tasks for a while after they were reachable again.
+			// unreachable. When it was marked, machines whose responses were lost for a minute during a
+			// leader change got no tasks for a while after they were reachable again.
 			break
 		}
-		// If no message reaches the worker, its lease and its incarnation have ended by this time.
+		// If no message reaches the worker until then, its lease and its incarnation have ended.
 		machine.UnreachableUntil = now + tracker.cfg.LeaseTTL
 	}
 	tracker.queueDispatch(machine)
--- a/internal/allocation/commands.go
+++ b/internal/allocation/commands.go
@@ -66,7 +66,7 @@
 )
 
 // appendCommands appends the commands that a placement needs. It ends a placement in PhaseAssigned
-// whose start isn't allowed any more.
+// whose start is no longer allowed.
 func (tracker *Tracker) appendCommands(commands []wire.Command, placement *Placement, now clock.Micros, channel commandChannel) []wire.Command {
 	switch {
 	case placement.Phase == PhaseReported && placement.isStopping:
--- a/internal/allocation/dispatch.go
+++ b/internal/allocation/dispatch.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// mayDispatch reports whether enough standbys know of a placement for its start to be sent. If not,
-// it records that the machine waits for RetryUnreplicatedStarts.
+// mayDispatch reports whether the start of a placement may be sent, for which enough standbys must have
+// the placement. If it may not, the machine waits for RetryUnreplicatedStarts.
 func (tracker *Tracker) mayDispatch(placement *Placement) bool {
 	if tracker.cfg.Replicator == nil || tracker.cfg.Replicator.MaySendStart(placement.decisionNumber) {
 		return true
--- a/internal/allocation/doc.go
+++ b/internal/allocation/doc.go
@@ -9,7 +9,7 @@
 // the worker's heartbeat or in a command request.
 //
 // Comments cite the invariants below by number. TestRandomHistories checks them on random
-// histories; TestStartIsCheckedAgainWhenSent checks the second check of a start (6).
+// histories; TestStartIsCheckedAgainWhenSent tests invariant 6.
 //
 //  1. A placement whose start was sent ends only on proof. Each of these is proof: a newer heartbeat
 //     (by incarnation and sequence), made when the worker could no longer accept the start, lacks
@@ -35,7 +35,7 @@
 //  6. Machine type, zone, spot, quota and the places of the job's other tasks are checked again
 //     when a start is put into a message.
 //  7. A reply that renews a worker's lease carries the stop of every task that the heartbeat lists
-//     and that has to end, whatever token the worker has seen. So only controllers that don't know
-//     yet that a task has to end can leave it running and renew the lease of its worker, however many
-//     leaders there are; package staleness bounds how long a controller may not know.
+//     and that has to end, whatever token the worker has seen. So a reply renews the lease of a worker
+//     without stopping such a task only if the controller that sends it doesn't know yet that the task
+//     has to end, however many leaders there are. Package staleness bounds how long it may not know.
 package allocation
--- a/internal/allocation/eligibility.go
+++ b/internal/allocation/eligibility.go
@@ -44,8 +44,8 @@
 	return job.IsGang() && job.GangAttempt != 0 && !job.GangAborting && !job.GangStarted && !job.Cancelled && job.unconfirmedCount == 0
 }
 
-// canStart checks invariant 6 again when a start is about to be sent. Unlike in IsEligible, the
-// placement itself is already included in the counts.
+// canStart reports whether the start of a placement is allowed when it is about to be sent (invariant 6).
+// Unlike in IsEligible, the placement itself is already included in the counts.
 func (tracker *Tracker) canStart(placement *Placement) bool {
 	job, machine := placement.Job, placement.Machine
 	if job.Cancelled || job.GangAborting || placement.isStopping || !job.StartsRecorded || !machine.RecordedInStore {
--- a/internal/allocation/heartbeat.go
+++ b/internal/allocation/heartbeat.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// SetCachedImages sets the hint, from an earlier leader, of the images that the machine has in an
-// incarnation. The tracker applies it once it has accepted a heartbeat of that incarnation.
+// SetCachedImages sets a hint from an earlier leader: the images that the machine had in an incarnation.
+// The tracker applies the hint once it has accepted a heartbeat of that incarnation.
 func (machine *Machine) SetCachedImages(incarnation uint64, images []string, now clock.Micros) {
 	machine.hintedImages, machine.hintedIncarnation = images, incarnation
 	if machine.Incarnation == incarnation {
--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -53,7 +53,7 @@
 type Job struct {
 	Spec     *wire.Job
 	Request  Resources // of one task
-	Priority int       // index from wire.PriorityIndex, of the job's own priority or a dependent's
+	Priority int       // index from wire.PriorityIndex, of the job's own priority or a dependent job's
 	Tasks    []Task
 	JobTimes
 	JobCancellation
@@ -82,9 +82,9 @@
 	// the last of its dependencies.
 	ReleasedAt clock.Micros
 	// Deadline is the wall-clock time by which the job should be done, for its own deadline or for that
-	// of a dependent. It is 0 if there is no deadline.
+	// of a dependent job. It is 0 if there is no deadline.
 	Deadline     clock.Micros
-	AddedAt      clock.Micros // when this leader first knew of the job, on the monotonic clock
+	AddedAt      clock.Micros // when this leader first learned of the job, on the monotonic clock
 	FirstStartAt clock.Micros // when the first task started, on the monotonic clock; 0 before
 }
 
@@ -93,8 +93,8 @@
 	Cancelled bool
 	// CancelledAt is the time of the cancellation on the monotonic clock. Cancel sets it to the time of
 	// its call; the controller then moves it back to the end time in the job's record, which this leader may
-	// have read late. The time that the job's tasks have to end counts from CancelledAt (PROTOCOL,
-	// cancel_s).
+	// have read late. The cancellation timeout, within which the job's tasks have to end, counts from
+	// CancelledAt (PROTOCOL, cancel_s).
 	CancelledAt clock.Micros
 }
 
@@ -125,7 +125,8 @@
 	placementCountByZone map[string]int // placements by zone, orphans included
 }
 
-// publicationState holds what standbys still have to be told of a job, see Replicator.
+// publicationState holds what the Replicator has of a job's unconfirmed tasks, and which entries it gets
+// only once a completion is durable.
 type publicationState struct {
 	// unpublishedEnds are the ended placements whose completion isn't durable yet.
 	unpublishedEnds []*Placement
--- a/internal/allocation/job_tracking.go
+++ b/internal/allocation/job_tracking.go
@@ -8,8 +8,8 @@
 // AddJob adds an accepted job. Tasks whose completion is durable are done. Before FinishRecovery,
 // the other tasks of a job with recorded starts are unconfirmed if they may have been started.
 //
-// releasedAt is a wall-clock time; now is a time of the monotonic clock. If isDurable is nil, no task
-// is done.
+// releasedAt is a wall-clock time; now is a time of the monotonic clock. isDurable reports whether the
+// completion of the task with an index is durable; if it is nil, no task is done.
 func (tracker *Tracker) AddJob(spec *wire.Job, releasedAt, now clock.Micros, startsRecorded bool, isDurable func(int) bool) *Job {
 	job := &Job{
 		Spec: spec, Request: NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB),
--- a/internal/allocation/lease.go
+++ b/internal/allocation/lease.go
@@ -2,9 +2,9 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// SetDelegatedUntil sets the instant until which other controllers may have renewed workers' leases as
-// delegates of this leader or an earlier one. untilByZone replaces that instant for the zones that it
-// lists. The tracker assumes that every lease was renewed at that instant.
+// SetDelegatedUntil sets the time until which other controllers may have renewed workers' leases as
+// delegates of this leader or an earlier one. untilByZone replaces that time for the zones that it
+// lists. The tracker assumes that every lease was renewed at that time.
 func (tracker *Tracker) SetDelegatedUntil(until clock.Micros, untilByZone map[string]clock.Micros) {
 	tracker.delegatedUntil, tracker.delegatedUntilByZone = until, untilByZone
 }
@@ -15,7 +15,7 @@
 	machine.leaseRenewedAt = min(machine.leaseRenewedAt, latestRenewalAt)
 }
 
-// LastRenewalAt returns the last instant at which a leader may have renewed the machine's lease. It
+// LastRenewalAt returns the latest time at which a leader may have renewed the machine's lease. It
 // doesn't include renewals by delegates.
 func (machine *Machine) LastRenewalAt() clock.Micros { return machine.leaseRenewedAt }
 
@@ -23,7 +23,7 @@
 // worker that kills its tasks somewhat after the end of its lease.
 const leaseSlack = clock.Second
 
-// LeaseEndsAt returns the instant of the monotonic clock from which the machine's lease has certainly
+// LeaseEndsAt returns the time on the monotonic clock from which the machine's lease has certainly
 // run out, if no further heartbeat of the machine is answered.
 func (tracker *Tracker) LeaseEndsAt(machine *Machine) clock.Micros {
 	delegatedUntil, ok := tracker.delegatedUntilByZone[machine.Zone]
@@ -33,8 +33,8 @@
 	return max(machine.leaseRenewedAt, delegatedUntil) + tracker.cfg.LeaseTTL + clock.MutualDrift(tracker.cfg.LeaseTTL) + leaseSlack
 }
 
-// ExpireLease ends the placements of a machine if its lease has certainly run out, and reports whether
-// it has. The machine gets no task before it sends a heartbeat of a new incarnation.
+// ExpireLease ends the placements of a machine if its lease has certainly run out, and reports whether the
+// lease has run out. After that, the machine gets no task before it sends a heartbeat of a new incarnation.
 func (tracker *Tracker) ExpireLease(machine *Machine, now clock.Micros) bool {
 	if now < tracker.LeaseEndsAt(machine) {
 		return false
@@ -52,7 +52,7 @@
 }
 
 // endAfterLeaseExpiry ends a placement whose machine's lease has ended: the worker has killed the task and
-// refuses commands for the incarnation, so no start of it can have an effect any more.
+// refuses commands for the incarnation, so no start of the task can have an effect.
 func (tracker *Tracker) endAfterLeaseExpiry(placement *Placement, now clock.Micros) {
 	placement.mayArriveLate, placement.startsInFlight = false, 0
 	tracker.endPlacement(placement, CauseVanished, now)
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -78,7 +78,7 @@
 type MachineRestrictions struct {
 	// ReclaimAt is when the cloud reclaims a spot machine, or 0 if no reclaim is announced.
 	ReclaimAt clock.Micros
-	// UnreachableUntil is set after a command request without an answer. Until then commands may not
+	// UnreachableUntil is set after a command request without a response. Until then commands may not
 	// reach the worker, even if its heartbeats arrive.
 	UnreachableUntil clock.Micros
 	// BackoffUntil is set while tasks fail on the machine for a cause other than the machine itself.
@@ -116,7 +116,7 @@
 	isConfirmationRequest bool // the request in flight is from BuildConfirmationRequest
 }
 
-// attemptRecords holds what decides when the worker may be told to forget (reap) an attempt (invariant 2).
+// attemptRecords decide when the worker may be told to forget (reap) an attempt (invariant 2).
 type attemptRecords struct {
 	unplacedAttempts []unplacedAttempt   // from the last accepted heartbeat
 	lateStarts       map[attemptKey]bool // ended attempts whose start may still arrive
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -146,14 +146,15 @@
 	return nil
 }
 
-// isPlaceable reports whether a task waits, can't be running anywhere, and its job may be started.
+// isPlaceable reports whether a task waits and can't be running anywhere, and its job may be started.
 func (job *Job) isPlaceable(taskIndex int) bool {
 	task := &job.Tasks[taskIndex]
 	return task.State == TaskWaiting && !task.Unconfirmed && task.Placement == nil && !job.Cancelled && job.StartsRecorded
 }
 
 // canUseAttempt reports whether a task may be placed under an attempt. All tasks of a gang share one
-// attempt. After an attempt has begun, only a gang that may replace lost tasks gets more tasks in it.
+// attempt. Once a gang has one, its tasks are placed only under that attempt and only while
+// CanReplaceLostTasks returns true.
 func (job *Job) canUseAttempt(attempt uint64) bool {
 	return !job.IsGang() || job.GangAttempt == 0 || job.GangAttempt == attempt && job.CanReplaceLostTasks()
 }
@@ -235,8 +236,8 @@
 }
 
 // updateMachineAfterPlacement updates the machine of an ended placement: when the image was last used,
-// or that the task doesn't wait for it any more; whether the machine is idle; and whether a start of
-// the ended attempt may still arrive (invariant 2).
+// or that the task no longer waits for it; whether the machine is idle; and whether a start of the
+// ended attempt may still arrive (invariant 2).
 func (tracker *Tracker) updateMachineAfterPlacement(placement *Placement, now clock.Micros) {
 	job, machine := placement.Job, placement.Machine
 	if placement.StartedAt != 0 {
--- a/internal/allocation/renewal_stops.go
+++ b/internal/allocation/renewal_stops.go
@@ -8,7 +8,7 @@
 // one attempt and attempt numbers are never used again.
 //
 // It was added after several leaders in turn renewed the lease of one machine without sending stops. Each
-// of them ended within one heartbeat interval, and had left the stops to its second reply
+// of them left the stops to its second reply, but ended within one heartbeat interval, before that reply
 // (docs/incidents/renewed-without-stops.md).
 func (tracker *Tracker) RenewalStops(machine *Machine) []wire.Command {
 	var commands []wire.Command
@@ -39,8 +39,9 @@
 	return placement.Phase == PhaseReported && placement.isStopping && !isSaving
 }
 
-// StopsOfListedTasks returns the stops for the reply to a heartbeat of a machine that no tracker knows.
-// They have no grace, and are for the listed tasks whose jobs have to end (invariant 7).
+// StopsOfListedTasks returns the stops for the reply to a heartbeat of a machine that the caller has in no
+// Tracker: a leader that doesn't know the machine, or a delegate. The stops have no grace, and are for the
+// listed tasks whose jobs have to end (invariant 7).
 func StopsOfListedTasks(heartbeat *wire.Heartbeat, mustEnd func(jobID string) bool) []wire.Command {
 	var commands []wire.Command
 	for i := range heartbeat.Tasks {
--- a/internal/allocation/renewal_stops_test.go
+++ b/internal/allocation/renewal_stops_test.go
@@ -8,7 +8,7 @@
 )
 
 // A leader's first reply to a worker renews the worker's lease, so it must also carry the stops of cancelled
-// tasks, although that heartbeat still shows the token of an earlier leader. When stops waited for the
+// tasks, although the heartbeat still shows the token of an earlier leader. When stops waited for the
 // second heartbeat, which shows the new token, controllers that ended every few seconds left a cancelled
 // task running: three leaders in a row replied to one heartbeat each, without stops, and ended before the
 // next one. The machine was then cut off, and the lease that the last reply had renewed kept the task on its
--- a/internal/allocation/replication.go
+++ b/internal/allocation/replication.go
@@ -2,8 +2,8 @@
 
 import "firwood.dev/firwood/wire"
 
-// Replicator is told of each placement whose start may be sent and of each placement that is proved to
-// be over, so that standbys can follow the allocation table (docs/standby.md).
+// Replicator records each placement whose start may be sent and each placement that is proved to be
+// over, so that standbys can follow the allocation table (docs/standby.md).
 type Replicator interface {
 	// RecordStarted records a placement whose start may be sent from now on. It returns the decision
 	// number of the record, which MaySendStart takes.
@@ -13,7 +13,7 @@
 	// RecordUnconfirmed records an unconfirmed task, or a job all of whose unfinished tasks are
 	// unconfirmed.
 	RecordUnconfirmed(id string)
-	// RecordResolved records that a task or job is not unconfirmed any more: its tasks are recorded as
+	// RecordResolved records that a task or job is no longer unconfirmed: its tasks are recorded as
 	// started, are on no machine, or are durably done.
 	RecordResolved(id string)
 	// MaySendStart reports whether the start with this decision number may be sent.
@@ -61,7 +61,7 @@
 	}
 }
 
-// publishResolved publishes that a task is not unconfirmed any more. The task's placement has to be
+// publishResolved publishes that a task is no longer unconfirmed. The task's placement has to be
 // published before that and, if the task is done, its completion has to be durable. Otherwise a standby
 // would meanwhile take the task for one that is on no machine and has yet to run.
 func (tracker *Tracker) publishResolved(job *Job, taskIndex int) {
@@ -146,7 +146,7 @@
 }
 
 // unconfirmedFilter returns a function that reports whether the task with an index may have been started
-// by an earlier leader. If any task of a gang may have been started, all tasks of the gang count as such.
+// by an earlier leader. If any task of a gang may have been started, so may all tasks of the gang.
 func (tracker *Tracker) unconfirmedFilter(job *Job, mayTaskHaveStarted func(i int) bool) func(i int) bool {
 	if tracker.cfg.MayHaveStarted == nil {
 		return func(int) bool { return true }
--- a/internal/allocation/replication_test.go
+++ b/internal/allocation/replication_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Standbys are told that a completed task's placement has ended only once the completion is durable or the
-// job is over. If they were told earlier, the next leader would run the task again.
+// Standbys learn that a completed task's placement has ended only once the completion is durable or the job
+// is over. If they learned it earlier, the next leader would run the task again.
 func TestCompletionIsDurableBeforeEndIsPublished(t *testing.T) {
 	tracker, machine, job, replicator := newReplicatedTracker(t)
 	tracker.HeartbeatCommands(machine, 2)
@@ -97,7 +97,7 @@
 	}
 }
 
-// Only tasks that an earlier leader may have started are unconfirmed. Of a gang, all tasks are or none.
+// Only tasks that an earlier leader may have started are unconfirmed. In a gang, all tasks are or none is.
 func TestOnlyPossiblyStartedTasksAreUnconfirmed(t *testing.T) {
 	for kind, want := range map[string]int{wire.KindArray: 1, wire.KindGang: 3} {
 		tracker := New(Config{FencingToken: 9, LeaseTTL: testLeaseTTL, MayHaveStarted: func(task string) bool { return task == wire.TaskID("req-000001", 1) }})
--- a/internal/allocation/simulation_test.go
+++ b/internal/allocation/simulation_test.go
@@ -22,7 +22,7 @@
 	worker  *fakeWorker
 	request *wire.CommandRequest
 	tracker *Tracker // the tracker that built the request
-	machine *Machine // nil if the leader doesn't wait for the answer any more
+	machine *Machine // nil if the leader no longer waits for the response
 	starts  []*Placement
 }
 
@@ -34,7 +34,7 @@
 	workers []*fakeWorker
 	token   uint64
 	tracker *Tracker // of the current leader
-	// delegatedUntil is until when other controllers may answer workers.
+	// delegatedUntil is until when other controllers may renew workers' leases.
 	delegatedUntil clock.Micros
 	follower       *follower // the standby that follows the current leader
 	cpuLimit       int64     // CPU limit of each team, in thousandths
@@ -64,7 +64,7 @@
 	startCount            int // number of task starts
 	completeGangCount     int // number of gangs whose tasks have all started
 	replicaFailoverCount  int // number of failovers that used a follower's table
-	cancelledListingCount int // number of tasks of cancelled jobs that heartbeats listed
+	cancelledListingCount int // listings of tasks of cancelled jobs in heartbeats
 }
 
 // follower is the allocation table of a standby that learns each decision at once.
@@ -220,12 +220,12 @@
 			return command.Action == wire.ActionStop && command.TaskID == task.TaskID && command.Attempt == task.Attempt
 		})
 		if !isStopped {
-			sim.fatal("the reply renews a lease with the cancelled task %s on %s, got no stop of it, want one", task.TaskID, heartbeat.MachineID)
+			sim.fatal("the cancelled task %s is listed by %s, whose lease the reply renews: got no stop of the task, want one", task.TaskID, heartbeat.MachineID)
 		}
 	}
 }
 
-// deliverReply delivers the reply to a worker's last heartbeat, unless the worker doesn't accept it any more.
+// deliverReply delivers the reply to a worker's last heartbeat, unless the worker no longer accepts it.
 func (sim *simulation) deliverReply(worker *fakeWorker) {
 	incarnation := worker.incarnation
 	sim.expireLease(worker)
--- a/internal/allocation/start_check_test.go
+++ b/internal/allocation/start_check_test.go
@@ -8,8 +8,8 @@
 )
 
 // Between the decision to start a task and the message with the start, another task of the job may be
-// found elsewhere, or the machine or the job may change. A start that is not allowed any more is not
-// sent, and its task waits again.
+// found elsewhere, or the machine or the job may change. A start that is no longer allowed is not sent,
+// and its task waits again.
 func TestStartIsCheckedAgainWhenSent(t *testing.T) {
 	type fixture struct {
 		tracker         *Tracker
--- a/internal/allocation/stop.go
+++ b/internal/allocation/stop.go
@@ -15,7 +15,7 @@
 }
 
 // StopPlacement ends a placement at once if no start of it has reached, or may still reach, the worker.
-// Otherwise it requests a stop that gives the task the grace as time to save its progress. A later request
+// Otherwise it requests a stop, and the task gets the grace as time to save its progress. A later request
 // may shorten the grace but not extend it.
 func (tracker *Tracker) StopPlacement(placement *Placement, grace clock.Micros) {
 	if placement.Phase == PhaseAssigned && !placement.mayStartArrive() {
--- a/internal/allocation/task_report.go
+++ b/internal/allocation/task_report.go
@@ -5,8 +5,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// applyTaskReport applies one entry of a heartbeat's list of tasks. It reports whether the entry is the
-// first in the list that is for one of the tracker's placements on this machine.
+// applyTaskReport applies one entry of a heartbeat's list of tasks. It reports whether the entry is for a
+// placement on this machine that no earlier entry of the list was for.
 func (tracker *Tracker) applyTaskReport(machine *Machine, taskReport *wire.TaskStatus, now clock.Micros, tokenConfirmed bool) bool {
 	placement := machine.placements[taskReport.TaskID]
 	if placement != nil && tracker.isUnchanged(placement, taskReport) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// markListed records that the current heartbeat lists the placement. It reports whether the heartbeat's
-// list names the placement for the first time.
+// markListed records that the current heartbeat lists the placement. It reports whether no earlier entry
+// of the heartbeat's list was for the placement.
 func (tracker *Tracker) markListed(placement *Placement) bool {
 	tracker.recordListedIfCancelled(placement)
 	isFirstTime := placement.lastSeenHeartbeat != tracker.heartbeatCount
--- a/internal/allocation/token.go
+++ b/internal/allocation/token.go
@@ -3,7 +3,7 @@
 // FencingToken returns the token that messages to workers carry.
 //
 // At first this is the revision of the leader's lock. It rises during a term, because the network may
-// deliver a copy of a command request that was answered already. While the worker lists the request's
+// deliver a copy of a command request that already got a response. While the worker lists the request's
 // attempt, the copy has no effect. After the attempt is reaped, the copy would run the task again if the
 // token and the incarnation were unchanged. So the token is raised to the revision of a later transaction
 // that was conditional on the lock. That revision is higher than the lock's own and lower than that of
@@ -23,8 +23,8 @@
 // RaiseToken makes messages carry the highest token that was issued.
 func (tracker *Tracker) RaiseToken() { tracker.currentToken = tracker.issuedToken }
 
-// TakeTokenRaiseRequest reports whether a higher token is needed, and resets the request. A higher token
-// is needed if an exit can't be reaped under the current one, or if it has few attempt numbers left.
+// TakeTokenRaiseRequest reports whether a higher token is needed, and resets the request. A higher token is
+// needed if an exited attempt can't be reaped under the current one, or if it has few attempt numbers left.
 func (tracker *Tracker) TakeTokenRaiseRequest() bool {
 	needed := tracker.needsHigherToken
 	tracker.needsHigherToken = false
--- a/internal/allocation/tracker.go
+++ b/internal/allocation/tracker.go
@@ -15,13 +15,13 @@
 	// CancelFenceWindow is for how long after a job's cancellation a start that may still arrive may be
 	// fenced by sending a start and a stop in one message. See appendStartFence.
 	CancelFenceWindow clock.Micros
-	// Replicator, if not nil, is told of each placement, so that standbys can follow.
+	// Replicator, if not nil, records each placement, so that standbys can follow the allocation table.
 	Replicator Replicator
 	// MayHaveStarted, if not nil, reports whether an earlier leader may have started a task. If it is nil,
 	// any task of a job with recorded starts may have been started.
 	MayHaveStarted func(task string) bool
-	// MayBeActive, if not nil, reports whether a job that the tracker does not have may be active all the
-	// same, because not all of its dependencies are known yet.
+	// MayBeActive, if not nil, reports whether a job that the tracker does not have may be active anyway,
+	// because not all of its dependencies are known yet.
 	MayBeActive func(jobID string) bool
 }
 
@@ -32,7 +32,7 @@
 	Cause string
 }
 
-// CauseVanished is the cause for a placement that is proved not to be on its machine any more
+// CauseVanished is the cause for a placement that is proved to be no longer on its machine
 // (invariant 1), without a report of its exit. It was on the machine, or may have been.
 const CauseVanished = "vanished"
 
@@ -76,8 +76,8 @@
 	// currentToken is the token that messages carry. issuedToken is the highest token that a worker may
 	// have seen; delegates learn it before it is used. Both are the token of the lock at first.
 	currentToken, issuedToken uint64
-	// needsHigherToken is set if an exit can't be reaped before the token rises (invariant 2), or if the
-	// token has few attempt numbers left (invariant 3).
+	// needsHigherToken is set if an exited attempt can't be reaped before the token rises (invariant 2),
+	// or if the token has few attempt numbers left (invariant 3).
 	needsHigherToken bool
 }
 
--- a/internal/allocation/tracker_test.go
+++ b/internal/allocation/tracker_test.go
@@ -25,7 +25,7 @@
 	return tracker, job, machine
 }
 
-// A start in a command request that got no answer may arrive late. If the worker had been told to forget
+// A start in a command request that got no response may arrive late. If the worker had been told to forget
 // the attempt before, the late start would run the task again.
 func TestAttemptIsNotReapedWhileStartMayArrive(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
@@ -51,8 +51,9 @@
 	}
 }
 
-// A start in a heartbeat's reply may still be in flight when the worker answers a command request. That
-// the answer doesn't list the task proves nothing; only the worker's next own heartbeat does.
+// A start in a heartbeat's reply may still be in flight when the worker responds to a command request. If
+// the response doesn't list the task, that doesn't prove that the start was lost. Only the worker's next own
+// heartbeat does.
 func TestCommandResponseDoesNotDisproveHeartbeatReply(t *testing.T) {
 	tracker, job, machine := newSmallTracker(t, wire.KindArray, 1)
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), 2); err != nil {
@@ -94,7 +95,7 @@
 		t.Fatalf("commands 30 s after the cancellation, with a fence window of 20 s: got %v, want none", commands)
 	}
 	if !tracker.HasUnfenceableStart(machine, 4+30*clock.Second) {
-		t.Fatal("IsCordoned 30 s after the cancellation, with a fence window of 20 s = false, want true")
+		t.Fatal("HasUnfenceableStart 30 s after the cancellation, with a fence window of 20 s = false, want true")
 	}
 }
 
@@ -157,7 +158,7 @@
 }
 
 // A worker whose lease has run out begins a new incarnation, whose own lease begins without any reply from
-// a leader. If the leader first sees the incarnation in the answer to a probe and starts tasks under it, the
+// a leader. If the leader first sees the incarnation in the response to a probe and starts tasks under it, the
 // end of the old incarnation's lease proves nothing about these tasks
 // (docs/incidents/session-seen-by-probe.md).
 func TestNewIncarnationHasOwnLease(t *testing.T) {
@@ -165,7 +166,7 @@
 	tracker.RecordLeaseRenewal(machine, 1)
 	now := testLeaseTTL - clock.Second
 	if tracker.RecordCommandHeartbeat(machine, newHeartbeat(machine, 2, 2, 7), now) != HeartbeatAccepted {
-		t.Fatal("the heartbeat in the answer to the probe is not accepted")
+		t.Fatal("the heartbeat in the response to the probe is not accepted")
 	}
 	if err := tracker.PlaceTask(job, 0, machine, tracker.NextAttempt(), now); err != nil {
 		t.Fatal(err)
--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -1,9 +1,9 @@
 // Package cancellation keeps a log of recent durable cancellations, which members send each other in
 // heartbeats.
 //
-// The leader learns of cancellations from the key-value store. If the store refuses only the leader,
-// other members continue to confirm cancellations, and the store may then become unavailable to all
-// members before another leader is elected. So every member forwards the cancellations that it knows to
+// The leader learns of cancellations from the key-value store. If the store refuses only the leader's
+// requests, other members continue to confirm cancellations, and the store may then become unavailable to
+// all members before another leader is elected. So every member forwards the cancellations that it knows to
 // be durable until the other members' views are as recent, and the leader stops the tasks concerned
 // while it may still act.
 package cancellation
--- a/internal/leader/metrics.go
+++ b/internal/leader/metrics.go
@@ -9,7 +9,7 @@
 // if they belong to cancelled jobs and are still listed by workers.
 func (term *Term) MetricsStatus(now clock.Micros) metrics.LeaderStatus {
 	count, earliest := term.tracker.ListedCancelledTasks()
-	status := metrics.LeaderStatus{Machines: len(term.tracker.Machines), UnconfirmedMachines: term.tracker.UnconfirmedMachineCount(), ListedCancelledTasks: count}
+	status := metrics.LeaderStatus{Machines: len(term.tracker.Machines), UnconfirmedMachines: term.tracker.UnconfirmedMachines(), ListedCancelledTasks: count}
 	if count > 0 {
 		status.OldestCancellationAge = max(now-earliest, 0)
 	}
