--- a/internal/allocation/command_request.go
+++ b/internal/allocation/command_request.go
@@ -100,7 +100,8 @@
 			// leader change got no tasks for a while after they were reachable again.
 			break
 		}
-		// If no message reaches the worker until then, its lease and its incarnation have ended.
+		// If no message reaches the worker before UnreachableUntil, its lease and its incarnation have
+		// ended by then.
 		machine.UnreachableUntil = now + tracker.cfg.LeaseTTL
 	}
 	tracker.queueDispatch(machine)
--- a/internal/allocation/doc.go
+++ b/internal/allocation/doc.go
@@ -37,5 +37,6 @@
 //  7. A reply that renews a worker's lease carries the stop of every task that the heartbeat lists
 //     and that has to end, whatever token the worker has seen. So a reply renews the lease of a worker
 //     without stopping such a task only if the controller that sends it doesn't know yet that the task
-//     has to end, however many leaders there are. Package staleness bounds how long it may not know.
+//     has to end, however many leaders there are. Package staleness bounds how long a controller may
+//     not know.
 package allocation
--- a/internal/allocation/replication_test.go
+++ b/internal/allocation/replication_test.go
@@ -138,7 +138,7 @@
 }
 
 // An unconfirmed task that turns out to be done stays published until its completion is durable.
-func TestTaskStaysUnconfirmedUntilCompletionIsDurable(t *testing.T) {
+func TestTaskStaysPublishedUntilCompletionIsDurable(t *testing.T) {
 	for name, tasks := range map[string]int{"few": 3, "many": maxUnconfirmedTasksPublished + 1} {
 		tracker, machine, job, replicator := newTrackerWithUnconfirmed(t, tasks, nil)
 		replicator.requiredID = wire.TaskID("req-000001", 0)
--- a/internal/allocation/token.go
+++ b/internal/allocation/token.go
@@ -24,7 +24,8 @@
 func (tracker *Tracker) RaiseToken() { tracker.currentToken = tracker.issuedToken }
 
 // TakeTokenRaiseRequest reports whether a higher token is needed, and resets the request. A higher token is
-// needed if an exited attempt can't be reaped under the current one, or if it has few attempt numbers left.
+// needed if an exited attempt can't be reaped under the current token, or if that token has few attempt
+// numbers left.
 func (tracker *Tracker) TakeTokenRaiseRequest() bool {
 	needed := tracker.needsHigherToken
 	tracker.needsHigherToken = false
