--- a/internal/leader/archive.go
+++ b/internal/leader/archive.go
@@ -113,7 +113,7 @@
 	return record.UnmarshalJSON(value) == nil && record.IsFinished() && clock.Micros(record.EndedAt) <= finishedBefore
 }
 
-// hasOnlyRecord reports whether nothing but its record is left of a job: it has no other keys, and the
+// hasOnlyRecord reports whether only the record of a job is left: the job has no other keys, and the
 // leader doesn't track it.
 func (archiver *archiver) hasOnlyRecord(id string) bool {
 	term := archiver.term
--- a/internal/leader/cancelled_task_log.go
+++ b/internal/leader/cancelled_task_log.go
@@ -20,8 +20,8 @@
 )
 
 // logUnexpectedTasks logs the tasks of cancelled and unknown jobs that a worker's message lists.
-// canReply says whether the message has a reply, which can carry stops. A task of a cancelled job is
-// logged once in a term. The number of lines is bounded for both kinds together.
+// canReply is whether the leader replies to the message; a reply can carry stops. A task of a cancelled
+// job is logged once in a term. The number of lines is bounded for both kinds together.
 func (term *Term) logUnexpectedTasks(machine *allocation.Machine, heartbeat *wire.Heartbeat, canReply bool, now clock.Micros) {
 	for _, placement := range term.tracker.NewlyListedCancelled {
 		cancelledFor := now - placement.Job.CancelledAt
--- a/internal/leader/cleanup.go
+++ b/internal/leader/cleanup.go
@@ -22,7 +22,7 @@
 	cleanupRetryDelay = 2 * clock.Second
 )
 
-// cleaner deletes keys from the key-value store that are no longer of use, and that nobody waits for:
+// cleaner deletes obsolete keys from the key-value store. No request waits for these deletions. The keys are:
 //   - the dependencies of jobs that have ended;
 //   - the progress of jobs that have ended. Such a key remains if the write of the job's end had no
 //     room for its deletion in its transaction, and returns if an earlier write is executed late.
@@ -101,7 +101,7 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// obsoleteKeys returns the keys of a job that are no longer of use. While tasks of a cancelled job may
+// obsoleteKeys returns the keys of a job that are no longer needed. While tasks of a cancelled job may
 // be on machines, its progress is kept: it tells the next leader to look for these tasks.
 func (cleaner *cleaner) obsoleteKeys(id string) []string {
 	view := cleaner.term.environment.View
@@ -131,12 +131,13 @@
 	for _, key := range keys[:min(len(keys), cleaner.term.maxTransactionOps())] {
 		write.Changes = append(write.Changes, wire.Change{DeleteKey: key})
 	}
-	// The next sweep finds what is left after this write, or after its failure.
+	// The next sweep finds the keys that this write leaves, and all of them again if the write fails.
 	cleaner.commit(write, func(kvstore.Outcome) {})
 }
 
 // writeImpliedCancellation writes the end of a job that was cancelled because a job that it depends on
-// was cancelled. Users are shown that end without this write, which saves later readers deriving it.
+// was cancelled. Users are shown that end even before the write; the write only spares later readers of
+// the record from deriving the end.
 func (cleaner *cleaner) writeImpliedCancellation(id string) {
 	term := cleaner.term
 	record := term.environment.View.Jobs[id]
--- a/internal/leader/cleanup_test.go
+++ b/internal/leader/cleanup_test.go
@@ -218,8 +218,8 @@
 	if got := job.DoneCount(); got != len(completedTasks)+2 {
 		t.Errorf("the next leader has %d tasks as done, want two more than the heartbeat listed", got)
 	}
-	// The version in production takes a key's number for the position of its first task, so it must not
-	// take any task for done that isn't.
+	// The version in production infers from a key's number which tasks the key's value is about. It must
+	// not take any task for done that isn't.
 	for _, key := range fakeStore.Keys(records.ProgressPrefix) {
 		var record productionProgress
 		if err := json.Unmarshal([]byte(fakeStore.Value(key)), &record); err != nil {
--- a/internal/leader/command_requests.go
+++ b/internal/leader/command_requests.go
@@ -80,7 +80,7 @@
 	})
 }
 
-// classifyCommandResponse returns what is known of the execution of the commands.
+// classifyCommandResponse returns whether the worker executed the commands, as far as is known.
 func classifyCommandResponse(response *http1.Message, err error) allocation.CommandResult {
 	var notSent *client.NotSentError
 	switch {
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -42,7 +42,7 @@
 		runIfSet(handlers.notExecuted)
 	case kvstore.Unknown:
 		runIfSet(handlers.unknown)
-	case kvstore.Fenced: // commitWithRevision handles it
+	case kvstore.Fenced: // commitWithRevision handles this outcome
 	}
 	runIfSet(handlers.afterwards)
 }
@@ -91,7 +91,7 @@
 // afterSync returns a handler for a write whose outcome is unknown or whose conditions didn't hold. The
 // handler waits until the view is newer than the response to the write, and then calls resume, which
 // reads the effect of the write from the view. If the view isn't updated within verifyTimeout or the
-// update fails, resume is called all the same. It is not called once the term is closed.
+// update fails, resume is called anyway. It is not called once the term is closed.
 func (term *Term) afterSync(resume func()) func() {
 	return func() {
 		term.environment.View.RequestSync(func(error) {
@@ -102,10 +102,10 @@
 	}
 }
 
-// maxTransactionOps is how many changes one transaction may have.
+// maxTransactionOps returns the maximum number of changes in one transaction.
 func (term *Term) maxTransactionOps() int {
 	return term.environment.Config.Deployment.Store.Effective().MaxTransactionOps
 }
 
-// backlogThreshold is the time to send all waiting writes above which the leader has a backlog.
+// backlogThreshold is how long sending all waiting writes has to take for the leader to have a backlog.
 const backlogThreshold = rateshare.BacklogThreshold
--- a/internal/leader/constraints.go
+++ b/internal/leader/constraints.go
@@ -115,7 +115,7 @@
 	return grantUntil
 }
 
-// zoneStatus tells whether a zone has machines that are up, and whether any of them is reachable.
+// zoneStatus holds whether a zone has machines that are up, and whether any of them is reachable.
 type zoneStatus struct {
 	hasMachinesUp, isReachable bool
 	lastReplyAt                clock.Micros // when the last reply that may have renewed a lease was sent
@@ -179,7 +179,7 @@
 }
 
 // handleConstraintsCommitted applies constraints that have become durable, and starts the next write if
-// more zones are to be lifted.
+// the constraints of more zones are to be lifted.
 func (term *Term) handleConstraintsCommitted(constraints delegation.Constraints, revision uint64) {
 	term.renewals.constraints.RecordCommit(revision)
 	term.environment.View.SetConstraints(constraints, revision)
@@ -198,7 +198,7 @@
 }
 
 // maxDeferral is the age above which a deferred heartbeat is refused. retryDeferredHeartbeats checks it
-// after each read of the view and after each write of constraints.
+// after each sync of the view and after each write of constraints.
 const maxDeferral = clock.Second
 
 // deferIfRenewalBlocked reports whether a heartbeat must not be handled now, since its reply would renew
@@ -208,7 +208,7 @@
 // instead, since it does not show that the zone is reachable.
 func (term *Term) deferIfRenewalBlocked(heartbeat *wire.Heartbeat, reply *server.Reply, now clock.Micros) bool {
 	if !term.entitlement.viewAge.MayRenewLeases(now) {
-		// No reply may renew a lease before the view has been read again.
+		// No reply may renew a lease before the view has been synced with the store.
 		term.deferHeartbeat(deferredHeartbeat{heartbeat, reply, now}, "the view is too old")
 		term.refreshView(now)
 		return true
@@ -233,7 +233,7 @@
 func (term *Term) deferHeartbeat(deferred deferredHeartbeat, reason string) {
 	term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, deferred)
 	term.environment.Metrics.CountReply(metrics.ReplyDeferred)
-	if suppressed, isAllowed := term.logs.heldBackHeartbeats.allow(deferred.receivedAt); isAllowed {
+	if suppressed, isAllowed := term.logs.deferrals.allow(deferred.receivedAt); isAllowed {
 		term.environment.Log.Info("heartbeat held back", "reason", reason, "machine", deferred.heartbeat.MachineID, "zone", deferred.heartbeat.Zone,
 			"read_age_s", term.viewAge(deferred.receivedAt).Seconds(), "suppressed", suppressed)
 	}
--- a/internal/leader/controller_calls.go
+++ b/internal/leader/controller_calls.go
@@ -69,7 +69,7 @@
 }
 
 // RecordReceipt records that a member has received the heartbeat that this leader sent at stampedAt, and
-// that the member had answered no worker as delegate for silentFor when it said so. See
+// that the member, when it reported this, had answered no worker as a delegate for silentFor. See
 // delegation.Grants.
 func (term *Term) RecordReceipt(member string, now, stampedAt, silentFor clock.Micros) {
 	term.renewals.grants.RecordReceipt(member, now, stampedAt, silentFor)
@@ -79,11 +79,11 @@
 // the other members.
 func (term *Term) AddToHeartbeat(heartbeat *peer.Heartbeat) {
 	heartbeat.Leader, heartbeat.Token = term.environment.Config.Member, term.tracker.IssuedToken()
-	term.hints.counts.Add(heartbeat, term.tracker.Jobs)
+	term.hints.progress.Add(heartbeat, term.tracker.Jobs)
 	term.addHints(heartbeat)
 }
 
-// ResendHints causes all hints to be sent again, for a member that may have missed some.
+// ResendHints causes the hints of all machines to be sent again, for a member that may have missed some.
 func (term *Term) ResendHints(now clock.Micros) { term.hints.images.ResendAll(now) }
 
 // ObserveStandbyRecord applies a newer record of the in-sync members from the view.
--- a/internal/leader/doc.go
+++ b/internal/leader/doc.go
@@ -9,7 +9,7 @@
 // (what the controller calls).
 //
 //   - A job: the view has its record, and ApplyJobRecord tracks it (tracked_jobs.go). Before Plan
-//     places its tasks (scheduling.go), it is recorded that they may start (job_persistence.go). Plan
+//     places its tasks (scheduling.go), recordStarts records that they may start (job_persistence.go). Plan
 //     requests machines if there are too few (scale_out.go). Starts are sent in command requests
 //     (command_requests.go) or in replies to heartbeats. progress_writer.go writes the job's progress
 //     and job_end_writer.go its end. Later, cleanup.go deletes obsolete keys and archive.go moves the
@@ -18,7 +18,7 @@
 //     cancelled_jobs.go removes the submission from its record.
 //   - A worker's heartbeat: HandleHeartbeat (worker_heartbeats.go) updates the allocation table, records
 //     the tasks that ended, and replies with commands, which renews the worker's lease. constraints.go
-//     defers a heartbeat from a zone for which it is recorded that leases are no longer renewed.
+//     defers a heartbeat from a zone in which, by a recorded constraint, no leases are renewed.
 //   - A machine without heartbeats: machine_health.go, probes.go, faulty_machines.go and
 //     machine_listing.go decide on its state, and machine_deletion.go has it deleted. If it is this
 //     member that is cut off, handover.go gives up leadership instead.
--- a/internal/leader/entitlement.go
+++ b/internal/leader/entitlement.go
@@ -2,8 +2,8 @@
 
 import "firwood.dev/firwood/internal/clock"
 
-// sendDeadline returns the end of the leader's lease as known: nothing may be sent from then on. It may
-// be called on any goroutine, right before a message is sent.
+// sendDeadline returns the end of the lock's lease, as far as this process knows. Nothing may be sent from
+// then on. It may be called on any goroutine, right before a message is sent.
 func (term *Term) sendDeadline() clock.Micros {
 	return clock.Micros(term.entitlement.actDeadline.Load())
 }
@@ -30,7 +30,7 @@
 }
 
 // resumeAfterLapse is called while the leader is entitled to act. If it was not entitled before, it has
-// answered nobody in that time, so machines and members without heartbeats since then must not be
+// answered no one in that time, so machines and members without heartbeats since then must not be
 // suspected. Without this, a leader handed over for lack of heartbeats after the key-value store had
 // been unavailable for 75 s.
 func (term *Term) resumeAfterLapse(now clock.Micros) {
@@ -45,7 +45,7 @@
 	term.updateDeadlines()
 }
 
-// pauseStartsIfStale pauses starts while the view is too old for them, and requests a read of the view.
+// pauseStartsIfStale pauses starts while the view is too old for them, and requests a sync of the view.
 // It reports whether tasks may be started.
 func (term *Term) pauseStartsIfStale(now clock.Micros) (mayStart bool) {
 	mayStart = term.entitlement.viewAge.MayStartTasks(now)
@@ -75,8 +75,8 @@
 	return max(now-term.entitlement.viewAge.LastReadSentAt(), 0)
 }
 
-// refreshView requests a read of the view when it is too old to start tasks, or even to renew leases. At
-// most one such read is in flight.
+// refreshView requests a sync of the view with the store. It is called when the view is too old to start
+// tasks, or even to renew leases. At most one such sync is in flight.
 func (term *Term) refreshView(now clock.Micros) {
 	if term.entitlement.isRefreshingView {
 		return
--- a/internal/leader/environment.go
+++ b/internal/leader/environment.go
@@ -16,10 +16,10 @@
 	"firwood.dev/firwood/internal/tracing"
 )
 
-// Environment holds the objects that a term works with. The controller shares them, and sets them once
-// for each term. They belong to the controller's goroutine, except for the clients, which may be used on
-// any goroutine. A term changes only two of them: it adds what it has made durable to the view, and it
-// records the times of the failover.
+// Environment holds the objects that a term works with. The controller shares them with the term, and sets
+// them once for each term. They belong to the controller's goroutine, except for the clients, which may be
+// used on any goroutine. A term changes only two of them: it adds what it has made durable to the view, and
+// it records the times of the failover.
 type Environment struct {
 	Config *config.Platform
 	Tuning *config.Tuning
@@ -35,7 +35,7 @@
 	Hints *hints.Hints
 
 	Delegate *delegation.Delegate // this member's grant from the previous leader
-	Replica  *standby.Replica     // the replica of the last leader's allocation table, nil if standby is off
+	Replica  *standby.Replica     // the replica of the previous leader's allocation table, nil if standby is off
 	Failover *FailoverTimes       // the times of the failover that began this term
 	Tracer   *tracing.Tracer
 	Metrics  *metrics.Metrics
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -35,7 +35,8 @@
 	}, now+HeartbeatInterval)
 }
 
-// isCancellationOverdue reports whether any cancelled job still has tasks after CancellationGrace.
+// isCancellationOverdue reports whether tasks of any cancelled job may still be on machines although
+// CancellationGrace has passed since the cancellation.
 func (term *Term) isCancellationOverdue() bool {
 	for _, job := range term.tracker.Jobs {
 		if job.Cancelled && !term.tracker.IsVacated(job) && clock.Now()-job.CancelledAt > term.environment.Delegation.CancellationGrace {
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -8,10 +8,12 @@
 // handOverBackoff is how long a leader that has handed over does not run for election.
 const handOverBackoff = 30 * clock.Second
 
-// candidateWindow is the age of its last heartbeat up to which another member counts as able to lead.
+// candidateWindow is the maximum age of another member's last heartbeat for the member to count as able to
+// lead.
 const candidateWindow = 2 * clock.Second
 
-// workerContactTTL is the age up to which another member's report of workers that contact it counts.
+// workerContactTTL is the maximum age of another member's report of how many workers contact it for the
+// report to count.
 const workerContactTTL = 5 * clock.Second
 
 // handOverIfCutOff hands leadership over if few machines reach this leader while many contact another
--- a/internal/leader/hints.go
+++ b/internal/leader/hints.go
@@ -6,7 +6,7 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// restoreHints applies the hints that the last leader sent to a new leader's machines and scheduler.
+// restoreHints applies the previous leader's hints to the machines and the scheduler of a new leader.
 func (term *Term) restoreHints(now clock.Micros) {
 	term.environment.Hints.Restore(term.tracker.Machines, term.scheduler, now)
 }
--- a/internal/leader/hints_test.go
+++ b/internal/leader/hints_test.go
@@ -11,7 +11,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The next leader starts with the hints from the last leader's heartbeats, each of which covers only some
+// The next leader starts with the hints from its predecessor's heartbeats, each of which covers only some
 // machines: cached images of machines that are still in the same incarnation, run times and boot times.
 // Impossible hints are ignored.
 func TestNextLeaderRestoresHints(t *testing.T) {
@@ -84,7 +84,7 @@
 		}
 	}
 	if boot := term.scheduler.BootTime(term.host.MachineTypes()[0].Name, 50); boot < 19*clock.Second || boot > 21*clock.Second {
-		t.Errorf("machines are expected to boot in %.1f s, want about 20 s as observed by the last leader", boot.Seconds())
+		t.Errorf("machines are expected to boot in %.1f s, want about 20 s as observed by the previous leader", boot.Seconds())
 	}
 	for class, want := range map[string]float64{"c": 50, "d": 100, "e": 100} {
 		if got := term.scheduler.RunTimeModel(class).PredictedSeconds(100); math.Abs(got-want) > 1e-9 {
--- a/internal/leader/host.go
+++ b/internal/leader/host.go
@@ -23,7 +23,7 @@
 	PostResult(command func())
 
 	// IsEntitled reports whether this process may act as leader now. EntitledUntil returns the end of
-	// the lock's lease as known.
+	// the lock's lease, as far as this process knows.
 	IsEntitled() bool
 	EntitledUntil() clock.Micros
 	// HandleFenced ends the term that has this token, since a write has shown that the token is stale.
--- a/internal/leader/machine_health.go
+++ b/internal/leader/machine_health.go
@@ -117,8 +117,8 @@
 )
 
 // deleteUnknownMachines deletes machines that no record names. Such a machine comes from a scale-out
-// request that was executed late, and has no tasks. It is deleted once no scale-out request that it might
-// belong to is unanswered.
+// request that was executed late, and has no tasks. None is deleted while any scale-out request is
+// unanswered, since the machine might belong to that request.
 func (term *Term) deleteUnknownMachines(now clock.Micros) {
 	for _, request := range term.scaleOuts {
 		if !request.IsAnswered() {
--- a/internal/leader/metrics.go
+++ b/internal/leader/metrics.go
@@ -16,5 +16,5 @@
 	return status
 }
 
-// ViewAge returns the time since the newest completed read of the store was sent, as known to the term.
+// ViewAge returns the time since the newest completed read of the store that the term knows of was sent.
 func (term *Term) ViewAge(now clock.Micros) clock.Micros { return term.viewAge(now) }
--- a/internal/leader/owner_test.go
+++ b/internal/leader/owner_test.go
@@ -29,7 +29,7 @@
 // test runs them.
 type testOwner struct {
 	*Environment
-	term     *Term // the term that is told of the view's changes, or nil
+	term     *Term // the term that gets the view's changes, or nil
 	commands *commandqueue.Queue
 
 	hasReportedHigherToken bool
@@ -85,7 +85,7 @@
 	return owner
 }
 
-// newTerm begins a term. The term is told of the view's changes once the test sets it as the owner's.
+// newTerm begins a term. The term gets the view's changes once the test sets owner.term to it.
 func (owner *testOwner) newTerm(token uint64, readAt clock.Micros) *Term {
 	return New(owner.Environment, owner, token, readAt)
 }
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -18,8 +18,8 @@
 
 // sendProbes probes the machines that are due: first those that missed a probe or whose heartbeat is
 // overdue, then those with replicas, in turn. The number of probes in flight is bounded, so each round
-// continues where the last one ended; otherwise the first machines by name would be probed again and
-// again and the last ones never, as happened once.
+// continues where the last one ended. Before rounds did so, the first machines by name were probed again
+// and again and the last ones never.
 func (term *Term) sendProbes(now clock.Micros) {
 	machines := term.tracker.SortedMachines()
 	for _, machine := range machines {
@@ -118,14 +118,15 @@
 	}
 }
 
-// isZoneAnswering reports whether the network to a machine's zone works. It counts the machines of the
-// zone that were heard later than half a probe timeout after since, and those not heard by then that have
-// missed a probe; at least two in three of them must have been heard.
-func (term *Term) isZoneAnswering(machine *allocation.Machine, since clock.Micros) bool {
+// isZoneAnswering reports whether the network to a machine's zone works, judging by the machines of the zone
+// that answered a probe or sent a heartbeat more than half of health.ProbeTimeout after firstMissSentAt,
+// and by the other machines of the zone that have missed a probe. At least two in three of these machines
+// must have answered.
+func (term *Term) isZoneAnswering(machine *allocation.Machine, firstMissSentAt clock.Micros) bool {
 	var answers health.ZoneAnswers
 	for _, other := range term.tracker.Machines {
 		if machineInfo := term.machines[other.Name]; other.Zone == machine.Zone && machineInfo != nil {
-			answers.Add(&machineInfo.probes, other.LastHeartbeatAt, since)
+			answers.Add(&machineInfo.probes, other.LastHeartbeatAt, firstMissSentAt)
 		}
 	}
 	return answers.IsMostlyAnswering()
--- a/internal/leader/reconciliation_times.go
+++ b/internal/leader/reconciliation_times.go
@@ -12,8 +12,8 @@
 // reconciliationTimes measures how long after the start of the term the machines of earlier leaders are
 // reconciled. A machine is reconciled once it may get commands or is gone.
 type reconciliationTimes struct {
-	machines     int                                   // the number to be reconciled once the table was rebuilt
-	reachedAfter [len(reconciledPercents)]clock.Micros // the time until each percentage was reached, or 0
+	machines     int                                   // the number to be reconciled, counted when the table had been rebuilt
+	reachedAfter [len(reconciledPercents)]clock.Micros // the time until each percentage was reached, or 0 before
 	isLogged     bool
 }
 
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -12,7 +12,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A new leader rebuilds its state from the records in the key-value store, from the hints of the last
+// A new leader rebuilds its state from the records in the key-value store, from the hints of the previous
 // leader, and, if this member had a replica of that leader's allocation table, from the replica. The rest
 // of its state comes with the workers' heartbeats.
 
@@ -124,9 +124,9 @@
 
 // restore restores the scale-out requests and jobs that the view has, adopts the constraints and hints of
 // earlier leaders, and completes the allocation table. The order matters: arrivals, constraints and hints
-// apply to the jobs and machines that were restored before them. Every job and machine of which, or on
-// which, earlier leaders may have started tasks has to be restored before FinishRecovery, since jobs and
-// machines added after it count as new.
+// apply to the jobs and machines that were restored before them. Every job whose tasks an earlier leader
+// may have started, and every machine on which such tasks may be, has to be restored before
+// FinishRecovery, since jobs and machines added after it count as new.
 func (term *Term) restore(now, wallTime clock.Micros) {
 	term.restoreScaleOuts(now, wallTime)
 	cancelled := term.restoreJobs(now)
--- a/internal/leader/renewal_stops_test.go
+++ b/internal/leader/renewal_stops_test.go
@@ -48,9 +48,9 @@
 }
 
 // Every reply that renews a lease has to stop the listed tasks that have to end. That holds for a heartbeat
-// with an earlier leader's token, for one that the answer to a command request or a probe has overtaken, and
-// for a machine that no record names. The tasks may be those of a cancelled job or of a job that this leader
-// doesn't know.
+// with an earlier leader's token, for one that the response to a command request or a probe has overtaken,
+// and for a machine that no record names. The tasks may be those of a cancelled job or of a job that this
+// leader doesn't know.
 func TestEveryRenewingReplyCarriesStops(t *testing.T) {
 	const unknownTask = "req-000002/0"
 	for name, heartbeat := range map[string]*wire.Heartbeat{
@@ -80,7 +80,8 @@
 }
 
 // A job whose dependency is not known yet is missing from the allocation table, although an earlier leader
-// may have started it. The first reply must not stop its tasks, on known and unknown machines.
+// may have started it. The first reply to a machine must not stop the job's tasks, whether a record names
+// the machine or not.
 func TestTasksOfBlockedJobsAreNotStoppedAtOnce(t *testing.T) {
 	term := newTermWithCancelledJob(t)
 	spec := &wire.Job{ID: "req-000002", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 1, CPUs: 1, Team: "t", DependsOn: []string{"req-000009"}}
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -27,8 +27,8 @@
 )
 
 // maxScaleOutsInFlight returns the maximum number of requests in flight: as many as the cloud answers in
-// two seconds, but no more than half a second of the store's write rate allows at two records a request,
-// and at least two.
+// two seconds, but at least two, and otherwise no more than the store's write rate can record in half a
+// second, at two writes for each request.
 func (term *Term) maxScaleOutsInFlight() int {
 	deployment := &term.environment.Config.Deployment
 	return max(int(min(2*deployment.Cloud.RPS, deployment.Store.Effective().WriteRPS/4)), 2)
@@ -90,7 +90,7 @@
 }
 
 // verifyScaleOutRecord reads back the version of a request's record after scaleOutVerifyDelay, and then
-// calls rewrite. It retries until the view could be brought up to date.
+// calls rewrite. It retries until the view has been brought up to date.
 func (term *Term) verifyScaleOutRecord(request *scaleout.Request, rewrite func()) {
 	term.runAfter(scaleOutVerifyDelay, func() {
 		term.environment.View.RequestSync(func(err error) {
--- a/internal/leader/standby_stream.go
+++ b/internal/leader/standby_stream.go
@@ -15,7 +15,7 @@
 	inSync *standby.InSyncSet
 }
 
-// setUpStandby creates the stream of a new leader's decisions. If this member's replica of the last
+// setUpStandby creates the stream of a new leader's decisions. If this member's replica of the previous
 // leader's table can be trusted, the new allocation table uses it to tell which tasks may have started.
 func (term *Term) setUpStandby(allocationConfig *allocation.Config) {
 	environment := term.environment
@@ -43,8 +43,8 @@
 	}
 }
 
-// RecordStarted appends the start of an attempt, which may be sent from now on, and returns the
-// decision's number.
+// RecordStarted appends the start of an attempt, before that start may be sent, and returns the decision's
+// number.
 func (decisions *decisionStream) RecordStarted(task string, attempt uint64, machine string) uint64 {
 	placement := standby.Placement{Task: task, Attempt: attempt, Machine: machine}
 	return decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: placement})
@@ -56,13 +56,13 @@
 	decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: placement})
 }
 
-// RecordUnconfirmed appends that a task, or any task of a whole job, may be running on an unknown machine
-// because an earlier leader started it.
+// RecordUnconfirmed appends an entry that says that a task, or any task of a whole job, may be running on
+// an unknown machine because an earlier leader started it.
 func (decisions *decisionStream) RecordUnconfirmed(id string) {
 	decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Started, Placement: standby.UnconfirmedPlacement(id)})
 }
 
-// RecordResolved appends that the entry of an earlier RecordUnconfirmed no longer holds.
+// RecordResolved appends an entry that says that the entry of an earlier RecordUnconfirmed no longer holds.
 func (decisions *decisionStream) RecordResolved(id string) {
 	decisions.publisher.AppendDecision(standby.Decision{Kind: standby.Ended, Placement: standby.UnconfirmedPlacement(id)})
 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -36,9 +36,9 @@
 	backgroundWork
 }
 
-// entitlement is the time until which the leader may act, and how it depends on the view's age.
+// entitlement holds until when the leader may act and start tasks, and the view's age, on which this depends.
 type entitlement struct {
-	// actDeadline is the end of the lock's lease as far as known, or 0 once the term is closed.
+	// actDeadline is the end of the lock's lease, as far as this process knows, or 0 once the term is closed.
 	// startDeadline is the end of the time in which tasks may be started; it is never later than
 	// actDeadline. The controller's goroutine writes both, senders on other goroutines read them.
 	actDeadline, startDeadline atomic.Int64
@@ -73,8 +73,8 @@
 	// to be in the view.
 	cancellationsKnownAt clock.Micros
 	// constraints are the renewal constraints recorded for later leaders. liftingZones are the
-	// zones whose constraint is being lifted; deferredHeartbeats are those that can't be replied
-	// to yet.
+	// zones whose constraint is being lifted. deferredHeartbeats are the workers' heartbeats that
+	// cannot be answered yet.
 	constraints        *delegation.ConstraintTracker
 	liftingZones       map[string]bool
 	deferredHeartbeats []deferredHeartbeat
@@ -82,8 +82,8 @@
 
 // logLimits bounds the log lines that many machines or tasks may cause at once.
 type logLimits struct {
-	listedTasks, heldBackHeartbeats logLimit
-	isPauseLogged                   bool // the last logged change of the starts was a pause
+	listedTasks, deferrals logLimit
+	isPauseLogged          bool // the last logged change of the starts was a pause
 }
 
 // tickPace holds when the periodic steps of a tick are due.
@@ -98,8 +98,8 @@
 
 // hintSender tracks which advisory state the leader has sent to the other members.
 type hintSender struct {
-	images hints.ImageSender
-	counts hints.ProgressSender
+	images   hints.ImageSender
+	progress hints.ProgressSender
 }
 
 // backgroundWork is the state of everything that a term does besides placing tasks.
@@ -143,7 +143,7 @@
 // probing is the state of probing machines.
 type probing struct {
 	inFlight         int
-	nextMachineIndex int // the machine at which the next round over machines with replicas begins
+	nextMachineIndex int // index of the machine at which the next round over machines with replicas begins
 }
 
 // requestPlan has a plan run at the next tick, or at the first one after the plan interval has passed.
@@ -181,8 +181,8 @@
 // term ended.
 const termOverReply = "the lead is over"
 
-// Close ends the term: nothing is sent any more, and workers whose heartbeats are deferred get an
-// error reply. Close returns the zones that this leader has constrained or may have constrained.
+// Close ends the term: nothing more is sent, and workers whose heartbeats are deferred get an error
+// reply. Close returns the zones that this leader has constrained or may have constrained.
 func (term *Term) Close() (constrainedZones map[string]bool) {
 	term.isClosed = true
 	term.entitlement.actDeadline.Store(0)
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -13,7 +13,8 @@
 )
 
 // A new leader has had no heartbeats yet from the machines that an earlier leader requested. Missing
-// heartbeats don't show that such a machine never booted; the cloud's list does if it says so.
+// heartbeats don't show that such a machine never booted. The cloud's list shows it by listing the machine
+// as booting.
 func TestMachineWithoutHeartbeatIsDeletedOnlyIfListedBooting(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2", "i-3")
 	later := term.liveness.startedAt + term.environment.Timing.SuspectTimeout + 2*clock.Second
--- a/internal/leader/token.go
+++ b/internal/leader/token.go
@@ -23,8 +23,8 @@
 		committed: func(revision uint64) {
 			term.tokenIssue.issuedAt = clock.Now()
 			term.tracker.IssueToken(revision)
-			// The members learn the token first, from two heartbeats: a delegate can't answer a
-			// worker that has seen a higher token than the delegate knows.
+			// The other members have to learn the token before it takes effect, from two heartbeats: a
+			// delegate can't answer a worker that has seen a higher token than the delegate knows.
 			term.tokenIssue.raiseAt = term.tokenIssue.issuedAt + 2*HeartbeatInterval
 			term.host.SendHeartbeatNow()
 		},
--- a/internal/leader/token_confirmation.go
+++ b/internal/leader/token_confirmation.go
@@ -10,8 +10,9 @@
 // time it would show the token only in its next regular heartbeat. So the leader sends a request that
 // asks the worker to confirm the token.
 //
-// Without these requests a leader replied to a machine and ended 2.8 s later, before the machine's next
-// heartbeat; its first decision had come 2 s after the reply (docs/incidents/renewed-without-stops.md).
+// Before these requests existed, a leader replied to a machine, made its first decision 2 s after the
+// reply, and ended 2.8 s after the reply, before the machine's next heartbeat
+// (docs/incidents/renewed-without-stops.md).
 
 // confirmationDelay is the time from the first reply to a worker until the leader asks the worker to
 // confirm the token. It is longer than a worker that confirms on its own takes, so that an ordinary
--- a/internal/leader/token_confirmation_test.go
+++ b/internal/leader/token_confirmation_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// A confirmation request carries the stops that are due and nothing else, and its answer confirms the
+// A confirmation request carries the stops that are due and nothing else, and its response confirms the
 // token.
 func TestConfirmationRequestCarriesStops(t *testing.T) {
 	term := newTermWithCancelledJob(t)
@@ -75,7 +75,7 @@
 	}
 	term.handleCommandResponse(machine, term.machines["i-1"], nil, allocation.CommandExecuted, &wire.Heartbeat{MachineID: "i-1", Incarnation: 1, Sequence: 6, FencingToken: 9})
 	if !machine.TokenConfirmed || !machine.Reconciled {
-		t.Fatal("the token is not confirmed, or the machine not reconciled, after the answer; want both")
+		t.Fatal("the token is not confirmed, or the machine not reconciled, after the response; want both")
 	}
 	if term.tracker.BuildConfirmationRequest(machine, clock.Now()) != nil {
 		t.Fatal("got a request to a machine that has confirmed, want none")
@@ -101,8 +101,8 @@
 	}
 }
 
-// A machine that leaves a confirmation request unanswered is not considered unreachable for that: it gets
-// tasks as soon as it confirms. A machine that leaves commands unanswered is considered unreachable.
+// A machine that leaves a confirmation request unanswered does not count as unreachable because of it: it
+// gets tasks as soon as it confirms. A machine that leaves commands unanswered counts as unreachable.
 func TestUnansweredConfirmationLeavesMachineReachable(t *testing.T) {
 	term := newTermWithCancelledJob(t)
 	machine := term.tracker.Machines["i-1"]
--- a/internal/leader/tracked_jobs.go
+++ b/internal/leader/tracked_jobs.go
@@ -12,9 +12,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// replayArrivals passes the arrivals of the jobs that the view still has to the scheduler's forecasts.
-// Otherwise the forecasts of a new leader know of no arrivals: new leaders scaled in every idle machine
-// within seconds of a failover although the classes of waiting jobs were about to need them.
+// replayArrivals passes the arrivals of the restored jobs to the scheduler's forecasts. Otherwise the
+// forecasts of a new leader know of no arrivals: new leaders scaled in every idle machine within seconds
+// of a failover although the classes of waiting jobs were about to need them.
 func (term *Term) replayArrivals(now, wallTime clock.Micros) {
 	jobs := slices.Collect(maps.Values(term.tracker.Jobs))
 	slices.SortFunc(jobs, func(a, b *allocation.Job) int {
--- a/internal/leader/tracked_state.go
+++ b/internal/leader/tracked_state.go
@@ -11,7 +11,7 @@
 )
 
 // trackedState is what the leader knows of scale-out requests, machines and jobs in addition to the
-// allocation table. Each map is by name or id.
+// allocation table. Each map is by name or ID.
 type trackedState struct {
 	scaleOuts map[string]*scaleout.Request
 	machines  map[string]*machineState
--- a/internal/leader/worker_client.go
+++ b/internal/leader/worker_client.go
@@ -9,7 +9,7 @@
 // maxWorkerResponseBytes is the maximum size of the body of a worker's response.
 const maxWorkerResponseBytes = 4 * wire.MaxBodyBytes
 
-// workerHost returns the client of the worker on a machine, which is created at its first use.
+// workerHost returns the client of the worker on a machine. It creates the client at its first use.
 func (term *Term) workerHost(machine *allocation.Machine, machineInfo *machineState) *client.Host {
 	if machineInfo.workerHost == nil {
 		machineInfo.workerHost = term.environment.WorkerRequests.Pool.NewHost(machine.Address, 1, maxWorkerResponseBytes)
--- a/internal/leader/worker_heartbeats.go
+++ b/internal/leader/worker_heartbeats.go
@@ -91,9 +91,9 @@
 	return result
 }
 
-// replyCommands returns the commands in the reply to a heartbeat. The reply to a repeated or older
-// heartbeat, which the answer to a command request or a probe may have overtaken, has only stops: it
-// renews the lease too.
+// replyCommands returns the commands in the reply to a heartbeat. A heartbeat may be repeated, or overtaken
+// by the response to a command request or a probe. The reply to such a heartbeat contains only stops. It
+// has to contain them, since it renews the lease too.
 func (term *Term) replyCommands(result allocation.HeartbeatResult, machine *allocation.Machine, now clock.Micros) []wire.Command {
 	if result != allocation.HeartbeatAccepted {
 		return term.tracker.RenewalStops(machine)
