--- a/internal/protocoltest/checker.go
+++ b/internal/protocoltest/checker.go
@@ -167,7 +167,7 @@
 		checker.addViolation(UnknownJob, "%s starts", task)
 		return
 	}
-	if other, on := job.machineByTask[index]; on {
+	if other, isRunning := job.machineByTask[index]; isRunning {
 		checker.addViolation(DuplicateExecution, "%s starts on %s while on %s", task, machine.ID, other.ID)
 	}
 	checker.checkPlacement(job, machine, task)
--- a/internal/protocoltest/checker_test.go
+++ b/internal/protocoltest/checker_test.go
@@ -47,7 +47,7 @@
 	for _, test := range []struct {
 		name string
 		rule Rule // violated; empty: none
-		play func(scenario singleJobScenario)
+		run  func(scenario singleJobScenario)
 	}{
 		{"job runs to completion", "", func(scenario singleJobScenario) {
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
@@ -157,7 +157,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				scenario := newScenario()
-				test.play(scenario)
+				test.run(scenario)
 				got := scenario.Violations()
 				switch {
 				case test.rule == "" && len(got) != 0:
--- a/internal/protocoltest/checks.go
+++ b/internal/protocoltest/checks.go
@@ -28,15 +28,15 @@
 // allowsZone reports whether one more task of a job may be in a zone, given where the others are:
 // with SingleZone all in one, with SpreadZones at most half of the job's tasks, rounded up, in each.
 func allowsZone(job *jobRecord, zone string) bool {
-	inZone := 1
+	tasksInZone := 1
 	for _, other := range job.machineByTask {
 		if other.Zone == zone {
-			inZone++
+			tasksInZone++
 		} else if job.spec.SingleZone {
 			return false
 		}
 	}
-	return !job.spec.SpreadZones || inZone <= (job.spec.TaskCount+1)/2
+	return !job.spec.SpreadZones || tasksInZone <= (job.spec.TaskCount+1)/2
 }
 
 // checkDependencies checks that each job that the starting task's job names as a dependency has all
@@ -51,7 +51,7 @@
 
 // checkQuota checks that a team's tasks on machines are within its quota.
 func (checker *Checker) checkQuota(team string) {
-	limit := checker.cfg.QuotaByTeam[team]
+	quota := checker.cfg.QuotaByTeam[team]
 	var cpus, gpus float64
 	for _, job := range checker.jobs {
 		if job.spec.Team == team {
@@ -59,7 +59,7 @@
 			gpus += float64(len(job.machineByTask)) * job.spec.GPUs
 		}
 	}
-	if limit.CPUs > 0 && cpus > limit.CPUs || limit.GPUs > 0 && gpus > limit.GPUs {
+	if quota.CPUs > 0 && cpus > quota.CPUs || quota.GPUs > 0 && gpus > quota.GPUs {
 		checker.addViolation(QuotaExceeded, "%s uses %g CPUs and %g GPUs", team, cpus, gpus)
 	}
 }
@@ -92,14 +92,14 @@
 	}
 }
 
-// anyDependency reports whether any dependency of a job, direct or through other jobs, matches. It
+// hasMatchingDependency reports whether any dependency of a job, direct or through other jobs, matches. It
 // stops at the first one.
-func (checker *Checker) anyDependency(job *jobRecord, matches func(*jobRecord) bool) bool {
+func (checker *Checker) hasMatchingDependency(job *jobRecord, matches func(*jobRecord) bool) bool {
 	seen := map[*jobRecord]bool{job: true}
-	queue := []*jobRecord{job}
-	for len(queue) > 0 {
-		next := queue[len(queue)-1]
-		queue = queue[:len(queue)-1]
+	stack := []*jobRecord{job}
+	for len(stack) > 0 {
+		next := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
 		for _, id := range next.spec.DependsOn {
 			dependency := checker.jobs[id]
 			if dependency == nil || seen[dependency] {
@@ -109,7 +109,7 @@
 				return true
 			}
 			seen[dependency] = true
-			queue = append(queue, dependency)
+			stack = append(stack, dependency)
 		}
 	}
 	return false
@@ -118,13 +118,13 @@
 // isCancellationExpected reports whether a user requested the cancellation of a job, or of one
 // that it depends on.
 func (checker *Checker) isCancellationExpected(job *jobRecord) bool {
-	return job.cancelRequested || checker.anyDependency(job, func(dependency *jobRecord) bool { return dependency.cancelRequested })
+	return job.cancelRequested || checker.hasMatchingDependency(job, func(dependency *jobRecord) bool { return dependency.cancelRequested })
 }
 
 // dependencyCancelledAt returns whether the cancellation of a dependency of a job, direct or through
 // other jobs, was confirmed, and when.
 func (checker *Checker) dependencyCancelledAt(job *jobRecord) (at time.Time, cancelled bool) {
-	cancelled = checker.anyDependency(job, func(dependency *jobRecord) bool {
+	cancelled = checker.hasMatchingDependency(job, func(dependency *jobRecord) bool {
 		at = dependency.finalStateAt
 		return dependency.finalState == wire.JobCancelled
 	})
--- a/internal/sim/isolated_leader_test.go
+++ b/internal/sim/isolated_leader_test.go
@@ -10,8 +10,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// leaseTimes are worker times to play a test with: the default ones, and short ones.
-var leaseTimes = []WorkerTimes{
+// workerTimesCases are worker times to play a test with: the default ones, and short ones.
+var workerTimesCases = []WorkerTimes{
 	{LeaseTTL: 36 * time.Second, CancellationGrace: 66 * time.Second},
 	{LeaseTTL: 14 * time.Second, CancellationGrace: 44 * time.Second},
 }
@@ -27,7 +27,7 @@
 // then the store is down for everybody for longer than the cancellation grace, while workers send
 // their heartbeats to the old leader. It learns of the cancellation from its peers, and stops the
 // tasks while it holds the leader lease.
-func TestRejectedLeaderThenStoreOutage(t *testing.T) {
+func TestPeersForwardCancellationToRejectedLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 4, "a"))
 		cluster.MustSubmit("n0", Array(2, 2, "a"))
@@ -51,8 +51,8 @@
 // The same where the leader is partitioned from its peers too, so that it does not learn of the
 // cancellation. Its workers' leases expire in time, and when the end of the outage gives it the
 // leader lease back, it reads before it starts anything.
-func TestPartitionedLeaderThenStoreOutage(t *testing.T) {
-	for _, times := range leaseTimes {
+func TestPartitionedLeaderStartsNothingAfterOutage(t *testing.T) {
+	for _, times := range workerTimesCases {
 		t.Run(times.LeaseTTL.String(), func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration, Workers: times}, func(cluster *Cluster) {
 				cluster.MustRun("n0", Array(1, 4, "a"))
@@ -75,7 +75,7 @@
 
 // The end of an outage gives the old leader its lease back before it can read what was cancelled
 // meanwhile: it starts nothing until it has read.
-func TestLeaseRegainedBeforeRead(t *testing.T) {
+func TestNoStartsBetweenLeaseRenewalAndRead(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 4, "a"))
 		cluster.MustSubmit("n0", Service(2, 2, "a")) // its machines are probed for their state
@@ -100,7 +100,7 @@
 // The leader lease is not renewed for a while though reads are answered, an outage gives it its TTL
 // back, and then reads are rejected. However recent the leader's view is, a cancellation between the
 // last read and the outage is not in it: nothing is started.
-func TestLeaseRegainedWithRecentView(t *testing.T) {
+func TestNoStartsAfterLeaseRenewalWithRecentView(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{HeartbeatInterval: time.Second / 2}}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 8, "b"))
 		cluster.MustSubmit("n0", Array(2, 2, "b")) // over the team's quota, so it waits
@@ -132,7 +132,7 @@
 // The leader renews its lease, but every read of it is rejected. Where its peers can't tell it of
 // cancellations, it answers workers no longer than the cancellation grace; where they can, and are
 // served by the store, it hands over long before that.
-func TestLeaderWithoutReads(t *testing.T) {
+func TestLeaderWithoutReadsHandsOverOrStopsReplying(t *testing.T) {
 	for _, peersReachable := range []bool{false, true} {
 		t.Run(fmt.Sprint("peers reachable ", peersReachable), func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
@@ -151,8 +151,8 @@
 					cluster.WaitForNewLeader(leader, 20*time.Second)
 				}
 				time.Sleep(cluster.options.Workers.CancellationGrace + 5*time.Second)
-				if on := cluster.MachinesRunning("req-000002"); peersReachable && len(on) != 2 {
-					t.Errorf("%d of 2 tasks of the job that was not cancelled run", len(on))
+				if machines := cluster.MachinesRunning("req-000002"); peersReachable && len(machines) != 2 {
+					t.Errorf("%d of 2 tasks of the job that was not cancelled run", len(machines))
 				}
 				cluster.ReconnectToPeers(leader)
 				cluster.Store.SetFault(leader, fake.StoreHealthy)
@@ -164,7 +164,7 @@
 
 // Jobs are cancelled just as the store begins to reject the leader's requests alone, and a second
 // later the store is down for longer than the cancellation grace.
-func TestCancelWhileLeaderIsRejected(t *testing.T) {
+func TestConcurrentCancellationsReachRejectedLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 6; i++ {
 			cluster.MustSubmit("n0", Array(i, 2, "a"))
@@ -195,8 +195,8 @@
 
 // The leader is partitioned from the store and its peers while workers and users still reach it,
 // and a job is cancelled at the new leader.
-func TestPartitionedLeaderKeepsWorkers(t *testing.T) {
-	for _, times := range leaseTimes {
+func TestPartitionedLeaderStopsAnsweringUsers(t *testing.T) {
+	for _, times := range workerTimesCases {
 		t.Run(times.LeaseTTL.String(), func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration, Workers: times}, func(cluster *Cluster) {
 				cluster.MustSubmit("n0", Array(1, 4, "a"))
--- a/internal/sim/short_lived_leaders_test.go
+++ b/internal/sim/short_lived_leaders_test.go
@@ -7,8 +7,8 @@
 	"firwood.dev/firwood/internal/fake"
 )
 
-// restartAll ends all controllers at once and starts them again a second later.
-func (cluster *Cluster) restartAll() {
+// crashAndStartAllMembers ends all controllers at once and starts them again a second later.
+func (cluster *Cluster) crashAndStartAllMembers() {
 	for _, member := range cluster.Members() {
 		cluster.Crash(member)
 	}
@@ -47,7 +47,7 @@
 		workers := cluster.options.Workers
 		for time.Since(cancelledAt) < workers.CancellationGrace-workers.LeaseTTL+5*time.Second {
 			cluster.waitForHigherToken(machine)
-			cluster.restartAll()
+			cluster.crashAndStartAllMembers()
 		}
 		cluster.SetFaultOnAllMachines(fake.MachineCommandsLost)
 		time.Sleep(workers.LeaseTTL + time.Second)
--- a/internal/sim/soak_test.go
+++ b/internal/sim/soak_test.go
@@ -36,22 +36,22 @@
 // In random chains of short-lived leaders, cuts, deaf and mute machines, cancellations and late copies no
 // rule of the protocol is violated, and every job that was not cancelled ends or runs.
 func TestSoakOfShortLivedLeaders(t *testing.T) {
-	began := time.Now()
-	goesOn := func(i int) bool {
+	startedAt := time.Now()
+	mayStartHistory := func(i int) bool {
 		if *soakTime > 0 {
-			return time.Since(began) < *soakTime
+			return time.Since(startedAt) < *soakTime
 		}
 		return i < *soakHistories
 	}
 	played := 0
-	for ; goesOn(played); played++ {
+	for ; mayStartHistory(played); played++ {
 		seed := *soakSeed + uint64(played)
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playSoakHistory(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoakHistory(t, seed) })
 	}
-	t.Logf("%d histories from seed %d on in %v", played, *soakSeed, time.Since(began).Round(time.Second))
+	t.Logf("%d histories from seed %d on in %v", played, *soakSeed, time.Since(startedAt).Round(time.Second))
 }
 
-func playSoakHistory(t *testing.T, seed uint64) {
+func runSoakHistory(t *testing.T, seed uint64) {
 	options := Options{TaskDuration: 100 * time.Second, Workers: soakWorkerTimes[seed%uint64(len(soakWorkerTimes))], Logger: controllerLogger()}
 	Run(t, options, func(cluster *Cluster) {
 		history := &soakHistory{generatedHistory: &generatedHistory{
@@ -63,9 +63,9 @@
 		time.Sleep(history.randomDuration(8, 25))
 		for range 2 {
 			if history.random.IntN(2) == 0 {
-				history.playChain()
+				history.runLeaderChain()
 			} else {
-				history.playChainAgainstMachine()
+				history.runLeaderChainForMachine()
 			}
 			history.submitRandomJob()
 			time.Sleep(history.randomDuration(0, 20))
@@ -74,20 +74,20 @@
 	})
 }
 
-// playChain has the leader go, users cancel jobs while there is none, leaders come and go for as long as a
+// runLeaderChain has the leader go, users cancel jobs while there is none, leaders come and go for as long as a
 // cancelled task may run on past a lease, and most machines lose their controllers in the end.
-func (history *soakHistory) playChain() {
+func (history *soakHistory) runLeaderChain() {
 	workers := history.options.Workers
-	history.loseLeader()
+	history.disruptLeader()
 	for range 1 + history.random.IntN(3) {
 		history.cancelRandomJob()
 		time.Sleep(history.randomDuration(0, 1))
 	}
 	chainEndsAt := time.Now().Add(history.randomDuration(0.5, 1.3*(workers.CancellationGrace-workers.LeaseTTL).Seconds()))
 	for time.Now().Before(chainEndsAt) {
-		history.waitForShortLife()
-		history.replayCopies()
-		history.loseLeader()
+		history.waitForBriefTerm()
+		history.replayOrCopyHeartbeats()
+		history.disruptLeader()
 		if history.random.IntN(4) == 0 {
 			history.cancelRandomJob()
 		}
@@ -104,16 +104,16 @@
 	time.Sleep(history.randomDuration(1, workers.LeaseTTL.Seconds()))
 }
 
-// playChainAgainstMachine has all controllers end again and again, each time right after a leader has
+// runLeaderChainForMachine has all controllers end again and again, each time right after a leader has
 // replied to one machine, whose jobs are cancelled as the first leader ends. In the end that machine
 // hears nothing for longer than a lease.
-func (history *soakHistory) playChainAgainstMachine() {
+func (history *soakHistory) runLeaderChainForMachine() {
 	running := history.Cloud.RunningTasks()
 	if len(running) == 0 {
 		return
 	}
 	machine, _, _ := strings.Cut(history.pickName(running), " ")
-	history.crashAll()
+	history.crashAllMembers()
 	for _, line := range running {
 		if host, task, _ := strings.Cut(line, " "); host == machine {
 			id, _, _ := wire.ParseTaskID(task)
@@ -126,16 +126,16 @@
 	chainEndsAt := time.Now().Add(history.randomDuration(1, 1.3) * time.Duration((workers.CancellationGrace - workers.LeaseTTL).Seconds()))
 	for time.Now().Before(chainEndsAt) {
 		history.waitForReply(machine)
-		history.replayCopies()
-		history.crashAll()
+		history.replayOrCopyHeartbeats()
+		history.crashAllMembers()
 	}
 	fault := []fake.MachineFault{fake.MachineCommandsLost, fake.MachineHeartbeatsLost}[history.random.IntN(2)]
 	history.injectFault(history.randomDuration(1, 1.5)*time.Duration(workers.LeaseTTL.Seconds()), history.machineFault(machine, fault))
 	time.Sleep(workers.LeaseTTL)
 }
 
-// crashAll ends all controllers; each is back within a second and a half.
-func (history *soakHistory) crashAll() {
+// crashAllMembers ends all controllers; each is back within a second and a half.
+func (history *soakHistory) crashAllMembers() {
 	for _, member := range history.Members() {
 		history.injectFault(history.randomDuration(0.1, 1.5), history.crashFault(member))
 	}
@@ -149,8 +149,8 @@
 	}
 }
 
-// waitForShortLife lets a leader live until it has replied to one machine, or for some seconds.
-func (history *soakHistory) waitForShortLife() {
+// waitForBriefTerm lets a leader live until it has replied to one machine, or for some seconds.
+func (history *soakHistory) waitForBriefTerm() {
 	machines := history.Cloud.MachineNames()
 	if len(machines) == 0 || history.random.IntN(3) == 0 {
 		time.Sleep(history.randomDuration(0.1, 7))
@@ -159,8 +159,8 @@
 	history.waitForReply(history.pickName(machines))
 }
 
-// replayCopies delivers copies of earlier heartbeats, at times, and takes new ones.
-func (history *soakHistory) replayCopies() {
+// replayOrCopyHeartbeats delivers copies of earlier heartbeats, at times, and takes new ones.
+func (history *soakHistory) replayOrCopyHeartbeats() {
 	switch history.random.IntN(4) {
 	case 0:
 		history.ReplayHeartbeats(history.heartbeatCopies)
@@ -169,8 +169,8 @@
 	}
 }
 
-// loseLeader ends all controllers or the leader, cuts it off, or takes a machine or the store from it.
-func (history *soakHistory) loseLeader() {
+// disruptLeader ends all controllers or the leader, cuts it off, or takes a machine or the store from it.
+func (history *soakHistory) disruptLeader() {
 	member := history.Leader()
 	if member == "" {
 		member = history.pickName(history.Members())
--- a/internal/sim/stale_heartbeats_test.go
+++ b/internal/sim/stale_heartbeats_test.go
@@ -67,8 +67,8 @@
 		cluster.Cloud.Fail(wire.TaskID(moved.ID, 0))
 		cluster.MustSubmit("n0", filler)
 		cluster.WaitFor("the task has moved", time.Minute, func() bool {
-			on := cluster.MachinesRunning(moved.ID)
-			return len(on) == 1 && on[0] != previousMachine && len(cluster.MachinesRunning(filler.ID)) == 1
+			machines := cluster.MachinesRunning(moved.ID)
+			return len(machines) == 1 && machines[0] != previousMachine && len(cluster.MachinesRunning(filler.ID)) == 1
 		})
 		time.Sleep(5 * time.Second)
 		currentMachine := cluster.MachinesRunning(moved.ID)[0]
@@ -100,8 +100,8 @@
 		cluster.MustSubmit("n0", Array(3, 2, "a"))
 		time.Sleep(500 * time.Millisecond)
 		cluster.MustCancel(cluster.OtherMembers(cluster.Leader())[0], "req-000001")
-		old := cluster.Leader()
-		cluster.Restart(old, 200*time.Millisecond)
+		formerLeader := cluster.Leader()
+		cluster.Restart(formerLeader, 200*time.Millisecond)
 		cluster.WaitForLeader(5 * time.Second)
 		time.Sleep(2 * time.Second) // by then the workers have the new leader's token
 		cluster.MustCancel(cluster.Leader(), "req-000003")
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -65,7 +65,7 @@
 
 // The leader restarts five times in two minutes, among members that keep replicas and one that
 // keeps none, while one machine after another hangs.
-func TestFailoversBetweenVersions(t *testing.T) {
+func TestFailoversWithOneMemberWithoutReplica(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n1"}
 	Run(t, options, func(cluster *Cluster) {
@@ -123,9 +123,9 @@
 		time.Sleep(15 * time.Second)
 		leader := cluster.Leader()
 		follower := cluster.OtherMembers(leader)[0]
-		for _, after := range []time.Duration{1100 * time.Millisecond, 1005 * time.Millisecond} {
+		for _, delay := range []time.Duration{1100 * time.Millisecond, 1005 * time.Millisecond} {
 			cluster.Restart(follower, time.Second)
-			time.Sleep(after)
+			time.Sleep(delay)
 		}
 		cluster.Restart(follower, time.Second)
 		time.Sleep(1050 * time.Millisecond)
@@ -167,7 +167,7 @@
 // that it is out of sync: starts wait for it until the leader lease ends, as they would a little
 // later anyway. When the store is back they go on.
 func TestUnresponsiveFollowerInStoreOutage(t *testing.T) {
-	run := func(isUnresponsive bool) (starts int, after time.Duration) {
+	measureStarts := func(isUnresponsive bool) (starts int, resumedAfter time.Duration) {
 		options, _ := quotaBoundOptions(true)
 		options.TaskDuration, options.TaskDurationStep = 3*time.Second, 100*time.Millisecond
 		Run(t, options, func(cluster *Cluster) {
@@ -181,14 +181,14 @@
 			time.Sleep(12 * time.Second)
 			starts = cluster.Cloud.StartCount() - before
 			cluster.Store.SetDown(false)
-			after = cluster.waitForNextStart(20 * time.Second)
+			resumedAfter = cluster.waitForNextStart(20 * time.Second)
 		})
-		return starts, after
+		return starts, resumedAfter
 	}
-	startsUnresponsive, afterUnresponsive := run(true)
-	starts, after := run(false)
-	t.Logf("starts in an outage of 12 s: %d with an unresponsive follower, %d without; the first one after it: %v, %v", startsUnresponsive, starts, afterUnresponsive, after)
-	if afterUnresponsive > after+3*time.Second {
-		t.Errorf("starts go on %v after the outage, %v without an unresponsive follower", afterUnresponsive, after)
+	startsUnresponsive, resumedAfterUnresponsive := measureStarts(true)
+	starts, resumedAfter := measureStarts(false)
+	t.Logf("starts in an outage of 12 s: %d with an unresponsive follower, %d without; the first one after it: %v, %v", startsUnresponsive, starts, resumedAfterUnresponsive, resumedAfter)
+	if resumedAfterUnresponsive > resumedAfter+3*time.Second {
+		t.Errorf("starts go on %v after the outage, %v without an unresponsive follower", resumedAfterUnresponsive, resumedAfter)
 	}
 }
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -64,11 +64,11 @@
 
 // last returns whether the last failover used a replica, and how many there were.
 func (recorder *failoverRecorder) last() (replicaUsed bool, count int) {
-	all := recorder.records()
-	if len(all) == 0 {
+	records := recorder.records()
+	if len(records) == 0 {
 		return false, 0
 	}
-	return all[len(all)-1].isReplicaUsed, len(all)
+	return records[len(records)-1].isReplicaUsed, len(records)
 }
 
 // quotaBoundTasks is how many tasks of a quota-bound job run at a time: team b's quota.
@@ -89,30 +89,30 @@
 	cluster.WaitForRunningTasks(JobID(1), quotaBoundTasks)
 }
 
-// hangOneMachine runs a quota-bound job, and has one of its two machines hang once every start is
+// runJobWithHangingMachine runs a quota-bound job, and has one of its two machines hang once every start is
 // confirmed.
-func (cluster *Cluster) hangOneMachine() {
+func (cluster *Cluster) runJobWithHangingMachine() {
 	cluster.t.Helper()
 	cluster.runQuotaBoundJob(40)
 	time.Sleep(9 * time.Second) // by then every start is confirmed
 	cluster.Cloud.SetFault(cluster.MachinesRunning(JobID(1))[0], fake.MachineHanging)
 }
 
-// failOverPast crashes the leader and has the next member become leader though another one stands
+// failOverSkipping crashes the leader and has the next member become leader though another one stands
 // by: that one is partitioned from the store meanwhile.
-func (cluster *Cluster) failOverPast(leader, passedOver, next string) {
+func (cluster *Cluster) failOverSkipping(leader, skipped, next string) {
 	cluster.t.Helper()
 	cluster.Crash(leader)
-	cluster.PartitionFromStore(passedOver)
+	cluster.PartitionFromStore(skipped)
 	cluster.WaitForLeaderToBe(next, time.Minute)
-	cluster.ReconnectToStore(passedOver)
+	cluster.ReconnectToStore(skipped)
 }
 
 // waitForNextStart waits until a task starts, and returns how long that took.
 func (cluster *Cluster) waitForNextStart(timeout time.Duration) time.Duration {
-	began, before := time.Now(), cluster.Cloud.StartCount()
+	startedAt, before := time.Now(), cluster.Cloud.StartCount()
 	cluster.WaitFor("a task starts", timeout, func() bool { return cluster.Cloud.StartCount() > before })
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
 // The leader crashes while a machine hangs, so that its tasks can't be confirmed before its lease
@@ -120,40 +120,40 @@
 // replica shows on no machine start within ten seconds.
 func TestReplicaConfirmsTasks(t *testing.T) {
 	for i := range *failoverRounds {
-		t.Run(strconv.Itoa(i), func(t *testing.T) { compareFailover(t, time.Duration(i)*700*time.Millisecond) })
+		t.Run(strconv.Itoa(i), func(t *testing.T) { compareFailovers(t, time.Duration(i)*700*time.Millisecond) })
 	}
 }
 
-// compareFailover plays a failover with replicas and without, with tasks that run longer than usual
+// compareFailovers plays a failover with replicas and without, with tasks that run longer than usual
 // by some time.
-func compareFailover(t *testing.T, longer time.Duration) {
-	after := func(standby bool) (first, done time.Duration) {
+func compareFailovers(t *testing.T, extraDuration time.Duration) {
+	measureFailover := func(standby bool) (firstStart, jobDone time.Duration) {
 		options, failovers := quotaBoundOptions(standby)
-		options.TaskDuration += longer
+		options.TaskDuration += extraDuration
 		Run(t, options, func(cluster *Cluster) {
-			cluster.hangOneMachine()
-			killed := time.Now()
+			cluster.runJobWithHangingMachine()
+			crashedAt := time.Now()
 			cluster.Crash(cluster.Leader())
-			first = cluster.waitForNextStart(2 * time.Minute)
+			firstStart = cluster.waitForNextStart(2 * time.Minute)
 			if used, _ := failovers.last(); used != standby {
 				t.Errorf("replica used: %v", used)
 			}
 			cluster.WaitForState(cluster.Leader(), "req-000001", wire.JobDone, 8*time.Minute)
-			done = time.Since(killed).Round(time.Second)
+			jobDone = time.Since(crashedAt).Round(time.Second)
 		})
-		return first, done
+		return firstStart, jobDone
 	}
-	with, doneWith := after(true)
-	if with > 10*time.Second+longer {
-		t.Errorf("with a replica the first start took %v", with)
+	startWithReplica, doneWithReplica := measureFailover(true)
+	if startWithReplica > 10*time.Second+extraDuration {
+		t.Errorf("with a replica the first start took %v", startWithReplica)
 	}
 	if *standbyInAllTests {
 		return
 	}
-	without, doneWithout := after(false)
-	t.Logf("from the leader's crash to the first start and to the job's end: %v and %v with a replica, %v and %v without", with, doneWith, without, doneWithout)
-	if without < 20*time.Second {
-		t.Errorf("without a replica the first start took %v: no task was unconfirmed", without)
+	startWithoutReplica, doneWithoutReplica := measureFailover(false)
+	t.Logf("from the leader's crash to the first start and to the job's end: %v and %v with a replica, %v and %v without", startWithReplica, doneWithReplica, startWithoutReplica, doneWithoutReplica)
+	if startWithoutReplica < 20*time.Second {
+		t.Errorf("without a replica the first start took %v: no task was unconfirmed", startWithoutReplica)
 	}
 }
 
@@ -197,14 +197,14 @@
 
 // A member that keeps no replica was leader in between: a record that still names a follower of the
 // leader before does not cover what was started since.
-func TestLeaderWithoutReplicaInBetween(t *testing.T) {
+func TestReplicaOfEarlierTermIsNotUsed(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n2"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
 		cluster.runQuotaBoundJob(40)
 		time.Sleep(6 * time.Second)
-		cluster.failOverPast("n0", "n1", "n2")
+		cluster.failOverSkipping("n0", "n1", "n2")
 		time.Sleep(40 * time.Second)
 		cluster.SetFaultOnAllMachines(fake.MachineHanging)
 		cluster.Crash("n2")
@@ -225,17 +225,17 @@
 	options.Standby.ExceptFor = []string{"n0"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
-		cluster.hangOneMachine()
+		cluster.runJobWithHangingMachine()
 		cluster.Crash("n0")
 		cluster.WaitForLeader(time.Minute)
 		time.Sleep(4 * time.Second)
 		cluster.Crash(cluster.Leader())
 		cluster.WaitForLeader(time.Minute)
-		all := failovers.records()
-		last, before := all[len(all)-1], all[len(all)-2]
+		records := failovers.records()
+		last, previous := records[len(records)-1], records[len(records)-2]
 		// Of the eight tasks that ran some may be durably done by now.
-		if !last.isReplicaUsed || before.isReplicaUsed || last.unconfirmed > before.unconfirmed || last.unconfirmed < before.unconfirmed-8 {
-			t.Errorf("the last failover has %+v, the one before %+v", last, before)
+		if !last.isReplicaUsed || previous.isReplicaUsed || last.unconfirmed > previous.unconfirmed || last.unconfirmed < previous.unconfirmed-8 {
+			t.Errorf("the last failover has %+v, the one before %+v", last, previous)
 		}
 		time.Sleep(20 * time.Second)
 		cluster.WaitForState(cluster.Leader(), "req-000001", wire.JobDone, 6*time.Minute)
--- a/internal/sim/store_transactions_test.go
+++ b/internal/sim/store_transactions_test.go
@@ -28,7 +28,7 @@
 		if response := cluster.Submit(writer, job); response.Status != 503 {
 			t.Errorf("a submission whose write gets no reply gets %d", response.Status)
 		}
-		if s := cluster.GetJob(reader, job.ID).JobState(); s == "" {
+		if state := cluster.GetJob(reader, job.ID).JobState(); state == "" {
 			t.Errorf("%s does not know a job that was written", reader)
 		}
 		// A writer that got no reply for a second may answer 503 with a time to retry after; in the
@@ -77,9 +77,9 @@
 // jobs and scale-out requests, and progress, stay as they are.
 func (cluster *Cluster) replayAllTransactions(when string) {
 	cluster.t.Helper()
-	watched := []string{jobKeys, scaleOutKeys, progressKeys}
+	checkedPrefixes := []string{jobKeys, scaleOutKeys, progressKeys}
 	before := map[string]string{}
-	for _, prefix := range watched {
+	for _, prefix := range checkedPrefixes {
 		for _, key := range cluster.Store.Keys(prefix) {
 			before[key] = cluster.Store.Value(key)
 		}
@@ -88,10 +88,10 @@
 		cluster.Store.ReapplyTransaction(transaction)
 		for _, change := range transaction.Changes {
 			key := change.PutKey + change.DeleteKey
-			isWatched := slices.ContainsFunc(watched, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
+			isChecked := slices.ContainsFunc(checkedPrefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 			// Progress may come back after its job has ended; the leader removes it.
 			isLateProgress := strings.HasPrefix(key, progressKeys) && before[key] == ""
-			if value := cluster.Store.Value(key); isWatched && !isLateProgress && value != before[key] {
+			if value := cluster.Store.Value(key); isChecked && !isLateProgress && value != before[key] {
 				cluster.t.Errorf("%s, %s was %q and is %q", when, key, before[key], value)
 			}
 		}
@@ -100,7 +100,7 @@
 
 // Every transaction so far is applied again, under the same leader and once another one has written:
 // records of jobs and scale-out requests, and progress, stay as they are.
-func TestEveryTransactionReplayed(t *testing.T) {
+func TestReplayedTransactionsChangeNothing(t *testing.T) {
 	Run(t, Options{TaskDuration: 3 * time.Second, TaskDurationStep: 4 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
 			cluster.MustSubmit("n0", Array(i, 6, "a"))
@@ -130,7 +130,7 @@
 
 // New machines are up at once while writes are delayed, and the leader crashes: no task is on a
 // machine that the next leader may not know of when it starts the task again.
-func TestFastBootWithDelayedWrites(t *testing.T) {
+func TestNoTaskOnUnrecordedMachine(t *testing.T) {
 	Run(t, Options{BootDuration: 200 * time.Millisecond, Workers: WorkerTimes{HeartbeatInterval: time.Second}, TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		leader := cluster.Leader()
 		// Once a scale-out request is recorded, the names that the cloud gives are not written for
@@ -166,7 +166,7 @@
 
 // The store is slow while users submit, cancel and read, and the leader restarts: reads are
 // answered, and no reply is older than one before.
-func TestSlowStore(t *testing.T) {
+func TestReadsAreAnsweredWithSlowStore(t *testing.T) {
 	Run(t, Options{TaskDuration: 10 * time.Second}, func(cluster *Cluster) {
 		cluster.Network.SetExtraLatency(fake.StoreHost, 250*time.Millisecond)
 		for i := 1; i <= 6; i++ {
--- a/internal/sim/successive_failovers_test.go
+++ b/internal/sim/successive_failovers_test.go
@@ -17,9 +17,9 @@
 // returns its name.
 func (cluster *Cluster) failOver() string {
 	cluster.t.Helper()
-	before := cluster.Leader()
-	cluster.Restart(before, time.Second)
-	cluster.WaitForNewLeader(before, 15*time.Second)
+	previous := cluster.Leader()
+	cluster.Restart(previous, time.Second)
+	cluster.WaitForNewLeader(previous, 15*time.Second)
 	return cluster.Leader()
 }
 
@@ -32,17 +32,17 @@
 		options, failovers := quotaBoundOptions(true)
 		options.TaskDuration += time.Duration(i) * 700 * time.Millisecond
 		Run(t, options, func(cluster *Cluster) {
-			cluster.hangOneMachine()
+			cluster.runJobWithHangingMachine()
 			cluster.failOver()
 			time.Sleep(3 * time.Second)
 			cluster.Crash(cluster.Leader())
-			first := cluster.waitForNextStart(2 * time.Minute)
-			durations = append(durations, first.Round(100*time.Millisecond))
+			firstStart := cluster.waitForNextStart(2 * time.Minute)
+			durations = append(durations, firstStart.Round(100*time.Millisecond))
 			if replicaUsed, _ := failovers.last(); !replicaUsed {
 				t.Error("the third leader used no replica")
 			}
-			if longest := 10*time.Second + options.TaskDuration - 15*time.Second; first > longest {
-				t.Errorf("the first start took %v", first)
+			if maxWait := 10*time.Second + options.TaskDuration - 15*time.Second; firstStart > maxWait {
+				t.Errorf("the first start took %v", firstStart)
 			}
 			cluster.WaitForState(cluster.Leader(), "req-000001", wire.JobDone, 8*time.Minute)
 		})
@@ -94,20 +94,20 @@
 func TestSuccessiveFailoversWithStaleHeartbeats(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
-		cluster.hangOneMachine()
-		var copies [][][]byte
+		cluster.runJobWithHangingMachine()
+		var heartbeatCopies [][][]byte
 		for i := range 5 {
-			first, after, cancelled := Array(10*i+2, 2, "a"), Array(10*i+3, 2, "a"), Array(10*i+4, 30, "a")
-			after.DependsOn = []string{first.ID}
-			for _, job := range []*wire.Job{first, after, cancelled} {
+			dependency, dependent, cancelled := Array(10*i+2, 2, "a"), Array(10*i+3, 2, "a"), Array(10*i+4, 30, "a")
+			dependent.DependsOn = []string{dependency.ID}
+			for _, job := range []*wire.Job{dependency, dependent, cancelled} {
 				cluster.MustSubmit(cluster.Leader(), job)
 			}
-			copies = append(copies, cluster.Cloud.LastHeartbeats())
+			heartbeatCopies = append(heartbeatCopies, cluster.Cloud.LastHeartbeats())
 			leader := cluster.failOver()
 			go cluster.MustCancel(cluster.OtherMembers(leader)[0], cancelled.ID)
 			time.Sleep(time.Second)
 			if i >= 2 {
-				cluster.ReplayHeartbeats(copies[i-2])
+				cluster.ReplayHeartbeats(heartbeatCopies[i-2])
 			}
 			time.Sleep(2 * time.Second)
 		}
@@ -128,8 +128,8 @@
 	options.Standby.ExceptFor = []string{"n2"}
 	Run(t, options, func(cluster *Cluster) {
 		cluster.makeLeader("n0")
-		cluster.hangOneMachine()
-		cluster.failOverPast("n0", "n1", "n2")
+		cluster.runJobWithHangingMachine()
+		cluster.failOverSkipping("n0", "n1", "n2")
 		cluster.Start("n0")
 		time.Sleep(3 * time.Second)
 		cluster.Crash("n2")
--- a/internal/sim/token_confirmation_test.go
+++ b/internal/sim/token_confirmation_test.go
@@ -24,10 +24,10 @@
 // the lock again.
 func (cluster *Cluster) failOverToOther() {
 	cluster.t.Helper()
-	before := cluster.Leader()
-	cluster.Crash(before)
-	cluster.WaitForNewLeader(before, 30*time.Second)
-	cluster.Start(before)
+	previous := cluster.Leader()
+	cluster.Crash(previous)
+	cluster.WaitForNewLeader(previous, 30*time.Second)
+	cluster.Start(previous)
 }
 
 // Seen: a leader had replied to a machine, and might command it only 8.7 s later, at its next heartbeat.
@@ -57,7 +57,7 @@
 type reconciliationRecorder struct {
 	slog.Handler
 	mu    sync.Mutex
-	times []string // one line for each failover
+	lines []string // one line for each failover
 }
 
 // Enabled implements slog.Handler.
@@ -75,7 +75,7 @@
 	})
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
-	recorder.times = append(recorder.times, line.String())
+	recorder.lines = append(recorder.lines, line.String())
 	return nil
 }
 
@@ -100,12 +100,12 @@
 				fleet.waitForAllRunning("after the boot of the fleet", 3*time.Minute)
 				for range 2 {
 					cluster.failOverToOther()
-					began := time.Now()
+					startedAt := time.Now()
 					cluster.waitForConfirmedTokens(2 * options.Workers.HeartbeatInterval)
-					t.Logf("all machines have confirmed the token after %v", time.Since(began).Round(100*time.Millisecond))
+					t.Logf("all machines have confirmed the token after %v", time.Since(startedAt).Round(100*time.Millisecond))
 				}
-				for _, times := range recorder.times {
-					t.Log(times)
+				for _, line := range recorder.lines {
+					t.Log(line)
 				}
 			})
 		})
--- a/internal/sim/zone_partition_test.go
+++ b/internal/sim/zone_partition_test.go
@@ -11,22 +11,22 @@
 	for _, zone := range []string{"x", "y"} {
 		t.Run(zone, func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
-				inside, everywhere := Array(1, 4, "a"), Service(2, 4, "a")
-				inside.Zone = zone
-				cluster.MustSubmit("n0", inside)
-				cluster.MustSubmit("n1", everywhere)
-				cluster.WaitForRunningTasks(inside.ID, 4)
-				cluster.WaitForRunningTasks(everywhere.ID, 4)
+				zoneJob, service := Array(1, 4, "a"), Service(2, 4, "a")
+				zoneJob.Zone = zone
+				cluster.MustSubmit("n0", zoneJob)
+				cluster.MustSubmit("n1", service)
+				cluster.WaitForRunningTasks(zoneJob.ID, 4)
+				cluster.WaitForRunningTasks(service.ID, 4)
 				cluster.PartitionZone(zone)
-				outside := "n1"
+				outsideMember := "n1"
 				if zone == "y" {
-					outside = "n0"
+					outsideMember = "n0"
 				}
 				time.Sleep(2 * time.Second)
-				cluster.MustCancel(outside, inside.ID)
+				cluster.MustCancel(outsideMember, zoneJob.ID)
 				time.Sleep(cluster.options.Workers.CancellationGrace + time.Second)
 				cluster.ReconnectZone(zone)
-				cluster.WaitForRunningTasks(everywhere.ID, 4)
+				cluster.WaitForRunningTasks(service.ID, 4)
 			})
 		})
 	}
@@ -58,7 +58,7 @@
 }
 
 // A single-zone job loses machines, and the leader restarts: its tasks run again each time.
-func TestOneZoneJobLosesMachines(t *testing.T) {
+func TestSingleZoneJobSurvivesMachineLoss(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		job := Array(1, 6, "a")
 		job.SingleZone = true
