--- a/internal/protocoltest/checker.go
+++ b/internal/protocoltest/checker.go
@@ -1,6 +1,6 @@
 // Package protocoltest checks histories of users' requests and workers' tasks against the rules
-// of PROTOCOL. It is for tests: it sees what users and workers see, and nothing of the
-// controllers.
+// of PROTOCOL. It is for tests. A checker sees what users and workers see, and nothing of the
+// controllers' internal state.
 package protocoltest
 
 import (
@@ -12,20 +12,20 @@
 	"firwood.dev/firwood/wire"
 )
 
-// jobRecord is what users and workers have seen of a job.
+// jobRecord holds what users and workers have seen of a job.
 type jobRecord struct {
 	spec            *wire.Job
-	accepted        bool
+	accepted        bool // whether a user got a reply with a state of the job
 	acceptedAt      time.Time
 	cancelRequested bool
-	finalState      string // wire.JobDone or wire.JobCancelled, once a user got it; empty before
+	finalState      string // wire.JobDone or wire.JobCancelled, or empty until a user gets one of them
 	finalStateAt    time.Time
-	doneTasks       map[int]bool               // by index
-	machineByTask   map[int]wire.ListedMachine // of the tasks on machines, by index
-	overdueReported bool                       // its tasks that outlasted the cancellation are violations already
+	doneTasks       map[int]bool               // by task index
+	machineByTask   map[int]wire.ListedMachine // machines of the tasks that run, by task index
+	overdueReported bool                       // whether checkOverdueCancellations has checked the job
 }
 
-// Checker records a history as it happens and finds the violations in it. It is safe for
+// Checker records a history while it happens and finds the violations in it. A Checker is safe for
 // concurrent use.
 type Checker struct {
 	cfg Config
@@ -33,17 +33,17 @@
 	mu         sync.Mutex
 	jobs       map[string]*jobRecord
 	violations []Violation
-	// lateStarts are starts after a confirmed cancellation, which violate no rule within
-	// Config.CancellationGrace.
+	// lateStarts describes the starts of tasks after the cancellation of their job was confirmed.
+	// Within Config.CancellationGrace such a start violates no rule.
 	lateStarts []string
-	// reruns are starts of tasks that were done before, which violate no rule.
+	// reruns describes the starts of tasks that were already done. They violate no rule.
 	reruns []string
 }
 
-// New returns a checker of an empty history.
+// New returns a checker with an empty history.
 func New(cfg Config) *Checker { return &Checker{cfg: cfg, jobs: map[string]*jobRecord{}} }
 
-// Violations lists the violations so far.
+// Violations returns the violations found so far.
 func (checker *Checker) Violations() []Violation {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -51,21 +51,21 @@
 	return slices.Clone(checker.violations)
 }
 
-// LateStarts lists the starts of tasks whose job was confirmed as cancelled before.
+// LateStarts describes the starts of tasks after the cancellation of their job was confirmed.
 func (checker *Checker) LateStarts() []string {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	return slices.Clone(checker.lateStarts)
 }
 
-// Reruns lists the starts of tasks that were done before.
+// Reruns describes the starts of tasks that were already done.
 func (checker *Checker) Reruns() []string {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
 	return slices.Clone(checker.reruns)
 }
 
-// IsService reports whether a submitted job is a service.
+// IsService reports whether a job was submitted and is a service.
 func (checker *Checker) IsService(id string) bool {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -77,7 +77,7 @@
 	checker.violations = append(checker.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// RecordSubmission records that a user submits a job, for the first time or again.
+// RecordSubmission records that a user submits a job. A repeated submission changes nothing.
 func (checker *Checker) RecordSubmission(spec *wire.Job) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -95,8 +95,8 @@
 	}
 }
 
-// RecordJobState records the state of a job that a user got in reply to a request, and when the
-// request was sent.
+// RecordJobState records the state of a job that a user got in reply to a request. The request was
+// sent at sentAt.
 func (checker *Checker) RecordJobState(id, state string, sentAt time.Time) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -132,7 +132,7 @@
 	job.finalState, job.finalStateAt = state, time.Now()
 }
 
-// AcceptedJobs lists the jobs whose acceptance a user has seen, sorted.
+// AcceptedJobs returns the IDs of the jobs whose acceptance a user has seen, sorted.
 func (checker *Checker) AcceptedJobs() []string {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -146,8 +146,8 @@
 	return ids
 }
 
-// RecordRejection records a reply that denies a job: 404 to a read, 400 or 422 to a submission;
-// and when the request was sent.
+// RecordRejection records a reply that denies that a job exists or was accepted: status 404 to a
+// read, 400 or 422 to a submission. The request was sent at sentAt.
 func (checker *Checker) RecordRejection(id string, status int, sentAt time.Time) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
@@ -180,7 +180,7 @@
 	checker.checkLateStart(job, machine.ID, task)
 }
 
-// RecordTaskEnd records that a task is no longer on a machine, with the wire's cause.
+// RecordTaskEnd records that a task is no longer on a machine. The cause is one of package wire's.
 func (checker *Checker) RecordTaskEnd(machine, task, cause string) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
--- a/internal/protocoltest/checker_test.go
+++ b/internal/protocoltest/checker_test.go
@@ -10,7 +10,7 @@
 
 const jobID = "req-000001"
 
-// singleJobScenario drives a checker over a history of one job of two tasks.
+// singleJobScenario is a checker with a history of one job that has two tasks.
 type singleJobScenario struct {
 	*Checker
 	spec *wire.Job
@@ -41,12 +41,13 @@
 	return wire.ListedMachine{ID: name, MachineType: "m", Zone: zone}
 }
 
-// Each rule is found violated in a history that violates it, and in no other.
+// Each case records a history that violates one rule, or none. The checker has to find exactly that
+// violation.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	const first, second = jobID + "/0", jobID + "/1"
 	for _, test := range []struct {
 		name string
-		rule Rule // violated; empty: none
+		rule Rule // the violated rule, or empty if the history violates none
 		run  func(scenario singleJobScenario)
 	}{
 		{"job runs to completion", "", func(scenario singleJobScenario) {
@@ -161,23 +162,24 @@
 				got := scenario.Violations()
 				switch {
 				case test.rule == "" && len(got) != 0:
-					t.Fatalf("found %v", got)
+					t.Fatalf("got violations %v, want none", got)
 				case test.rule != "" && (len(got) != 1 || got[0].Rule != test.rule):
-					t.Fatalf("found %v, want %s", got, test.rule)
+					t.Fatalf("got violations %v, want one of rule %s", got, test.rule)
 				}
 			})
 		})
 	}
 }
 
-// Starts after a confirmed cancellation are counted though they violate no rule within the grace.
+// A start after a confirmed cancellation is listed by LateStarts although it violates no rule within
+// the grace.
 func TestLateStartsAreCountedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		scenario := newScenario()
 		scenario.cancelJob()
 		scenario.RecordTaskStart(newMachine("i-1", "x"), jobID+"/0")
 		if len(scenario.LateStarts()) != 1 || len(scenario.Violations()) != 0 {
-			t.Fatalf("late starts %v, violations %v", scenario.LateStarts(), scenario.Violations())
+			t.Fatalf("got late starts %v and violations %v, want 1 late start and no violation", scenario.LateStarts(), scenario.Violations())
 		}
 	})
 }
--- a/internal/protocoltest/checks.go
+++ b/internal/protocoltest/checks.go
@@ -8,16 +8,16 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The lock of the checker is held in all functions of this file.
+// All functions of this file expect the checker's lock to be held.
 
-// checkPlacement checks that a job allows a machine for one more task, given its other tasks.
+// checkPlacement checks that a job allows one more task on a machine, given where its other tasks are.
 func (checker *Checker) checkPlacement(job *jobRecord, machine wire.ListedMachine, task string) {
 	if !allowsMachine(job.spec, machine) || !allowsZone(job, machine.Zone) {
 		checker.addViolation(PlacementViolated, "%s starts on %s (%s, %s, spot %v)", task, machine.ID, machine.MachineType, machine.Zone, machine.Spot)
 	}
 }
 
-// allowsMachine reports whether a job allows a machine, its other tasks apart.
+// allowsMachine reports whether a job allows a machine, regardless of where its other tasks are.
 func allowsMachine(spec *wire.Job, machine wire.ListedMachine) bool {
 	if machine.Spot && !spec.AllowsSpot || spec.Zone != "" && spec.Zone != machine.Zone {
 		return false
@@ -25,8 +25,9 @@
 	return spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, machine.MachineType)
 }
 
-// allowsZone reports whether one more task of a job may be in a zone, given where the others are:
-// with SingleZone all in one, with SpreadZones at most half of the job's tasks, rounded up, in each.
+// allowsZone reports whether one more task of a job may be in a zone, given where the others are.
+// With SingleZone, all tasks have to be in one zone. With SpreadZones, each zone may have at most
+// half of the job's tasks, rounded up.
 func allowsZone(job *jobRecord, zone string) bool {
 	tasksInZone := 1
 	for _, other := range job.machineByTask {
@@ -39,8 +40,7 @@
 	return !job.spec.SpreadZones || tasksInZone <= (job.spec.TaskCount+1)/2
 }
 
-// checkDependencies checks that each job that the starting task's job names as a dependency has all
-// its tasks done.
+// checkDependencies checks that each dependency of a starting task's job has all its tasks done.
 func (checker *Checker) checkDependencies(job *jobRecord, task string) {
 	for _, id := range job.spec.DependsOn {
 		if dependency := checker.jobs[id]; dependency == nil || len(dependency.doneTasks) < dependency.spec.TaskCount {
@@ -49,7 +49,7 @@
 	}
 }
 
-// checkQuota checks that a team's tasks on machines are within its quota.
+// checkQuota checks that the running tasks of a team are within the team's quota.
 func (checker *Checker) checkQuota(team string) {
 	quota := checker.cfg.QuotaByTeam[team]
 	var cpus, gpus float64
@@ -64,8 +64,8 @@
 	}
 }
 
-// checkLateStart counts a start after the confirmed cancellation of the job, which is a
-// violation once the grace is over.
+// checkLateStart records the start of a task after the cancellation of its job was confirmed. After
+// the cancellation grace, the start is a violation.
 func (checker *Checker) checkLateStart(job *jobRecord, machine, task string) {
 	if job.finalState != wire.JobCancelled {
 		return
@@ -77,9 +77,9 @@
 	}
 }
 
-// checkOverdueCancellations finds tasks that are on machines although the cancellation of their job
-// was confirmed longer ago than the grace. Each job is checked once, the first time after its
-// grace; tasks that start later are found by checkLateStart.
+// checkOverdueCancellations finds tasks that are still on machines later than the cancellation grace
+// after the cancellation of their job was confirmed. Each job is checked once, at the first call after
+// its grace. checkLateStart finds tasks that start later.
 func (checker *Checker) checkOverdueCancellations() {
 	for id, job := range checker.jobs {
 		if job.overdueReported || job.finalState != wire.JobCancelled || time.Since(job.finalStateAt) <= checker.cfg.CancellationGrace {
@@ -92,8 +92,8 @@
 	}
 }
 
-// hasMatchingDependency reports whether any dependency of a job, direct or through other jobs, matches. It
-// stops at the first one.
+// hasMatchingDependency reports whether any dependency of a job, direct or transitive, matches. It
+// returns at the first match.
 func (checker *Checker) hasMatchingDependency(job *jobRecord, matches func(*jobRecord) bool) bool {
 	seen := map[*jobRecord]bool{job: true}
 	stack := []*jobRecord{job}
@@ -115,14 +115,14 @@
 	return false
 }
 
-// isCancellationExpected reports whether a user requested the cancellation of a job, or of one
-// that it depends on.
+// isCancellationExpected reports whether a user requested the cancellation of a job or of one of its
+// dependencies, direct or transitive.
 func (checker *Checker) isCancellationExpected(job *jobRecord) bool {
 	return job.cancelRequested || checker.hasMatchingDependency(job, func(dependency *jobRecord) bool { return dependency.cancelRequested })
 }
 
-// dependencyCancelledAt returns whether the cancellation of a dependency of a job, direct or through
-// other jobs, was confirmed, and when.
+// dependencyCancelledAt returns whether the cancellation of a dependency of a job, direct or
+// transitive, was confirmed, and when. If several were, it takes the first that the search finds.
 func (checker *Checker) dependencyCancelledAt(job *jobRecord) (at time.Time, cancelled bool) {
 	cancelled = checker.hasMatchingDependency(job, func(dependency *jobRecord) bool {
 		at = dependency.finalStateAt
--- a/internal/protocoltest/rules.go
+++ b/internal/protocoltest/rules.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// Rule names a way in which a history can violate PROTOCOL. Its values appear in test output only.
+// Rule names a rule of PROTOCOL that a history can violate. The values appear in test output only.
 type Rule string
 
 const (
-	// DuplicateExecution is the violation by a task that starts while it is on another machine.
+	// DuplicateExecution is violated by a task that starts on a machine while it is on another one.
 	DuplicateExecution Rule = "ran_twice"
-	// QuotaExceeded is the violation by a team whose tasks on machines use more than its quota.
+	// QuotaExceeded is violated by a team whose running tasks use more than its quota.
 	QuotaExceeded Rule = "quota"
-	// PlacementViolated is the violation by a task on a machine that its job does not allow: of
-	// another type, zone or market, or against SingleZone or SpreadZones.
+	// PlacementViolated is violated by a task on a machine that its job does not allow: a machine of
+	// another type, zone or market, or one that breaks SingleZone or SpreadZones.
 	PlacementViolated Rule = "wrong_place"
-	// CancelledTaskRan is the violation by a task on a machine later than Config.CancellationGrace
-	// after the cancellation of its job was confirmed.
+	// CancelledTaskRan is violated by a task that is on a machine later than
+	// Config.CancellationGrace after the cancellation of its job was confirmed.
 	CancelledTaskRan Rule = "ran_cancelled"
-	// AcceptedJobLost is the violation by a reply that denies a job after it was accepted.
+	// AcceptedJobLost is violated by a reply that denies a job that was accepted before.
 	AcceptedJobLost Rule = "forgotten"
-	// UnknownJob is the violation by a state or a task of a job that nobody submitted.
+	// UnknownJob is violated by a reply about a job that nobody submitted, and by a task of such a job.
 	UnknownJob Rule = "invented"
-	// IncompleteJobDone is the violation by a job that is called done before its last task is.
+	// IncompleteJobDone is violated by a reply that gives a job as done before all its tasks are done.
 	IncompleteJobDone Rule = "not_done"
-	// StateRegressed is the violation by a final state that is followed by another one, and by a
-	// cancellation that no user requested.
+	// StateRegressed is violated by a reply that gives a job another state after a final one, and by
+	// a cancellation that no user requested.
 	StateRegressed Rule = "went_back"
-	// DependencyNotDone is the violation by a task that starts before all dependencies of its job
-	// are done.
+	// DependencyNotDone is violated by a task that starts before all dependencies of its job are
+	// done.
 	DependencyNotDone Rule = "too_early"
-	// DependentNotCancelled is the violation by a job that is still called pending or running when
+	// DependentNotCancelled is violated by a reply that gives a job as pending or running although
 	// the cancellation of one of its dependencies was confirmed more than Config.CancellationGrace
-	// before the request.
+	// before the request was sent.
 	DependentNotCancelled Rule = "orphaned"
 )
 
-// Violation is a violated rule.
+// Violation describes one violation of a rule.
 type Violation struct {
 	Rule Rule
-	// Detail says which job or task, and where.
+	// Detail names the job, task or team, and what was observed.
 	Detail string
 }
 
-// TeamQuota is what a team's tasks may use at a time; 0 is no limit.
+// TeamQuota bounds what the running tasks of a team may use; 0 means no limit.
 type TeamQuota struct{ CPUs, GPUs float64 }
 
 // Config holds the deployment's settings that rules depend on.
 type Config struct {
-	// CancellationGrace is how long tasks of a job may stay after its cancellation was
-	// confirmed.
+	// CancellationGrace is how long tasks of a job may stay on machines after the cancellation of
+	// the job was confirmed.
 	CancellationGrace time.Duration
-	// QuotaByTeam is the quota of each team; a team that is missing has none.
+	// QuotaByTeam maps each team to its quota. A team that is not in the map has no limit.
 	QuotaByTeam map[string]TeamQuota
 }
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -64,11 +64,11 @@
 
 // last returns whether the last failover used a replica, and how many there were.
 func (recorder *failoverRecorder) last() (replicaUsed bool, count int) {
-	records := recorder.records()
-	if len(records) == 0 {
+	all := recorder.records()
+	if len(all) == 0 {
 		return false, 0
 	}
-	return records[len(records)-1].isReplicaUsed, len(records)
+	return all[len(all)-1].isReplicaUsed, len(all)
 }
 
 // quotaBoundTasks is how many tasks of a quota-bound job run at a time: team b's quota.
@@ -231,8 +231,8 @@
 		time.Sleep(4 * time.Second)
 		cluster.Crash(cluster.Leader())
 		cluster.WaitForLeader(time.Minute)
-		records := failovers.records()
-		last, previous := records[len(records)-1], records[len(records)-2]
+		all := failovers.records()
+		last, previous := all[len(all)-1], all[len(all)-2]
 		// Of the eight tasks that ran some may be durably done by now.
 		if !last.isReplicaUsed || previous.isReplicaUsed || last.unconfirmed > previous.unconfirmed || last.unconfirmed < previous.unconfirmed-8 {
 			t.Errorf("the last failover has %+v, the one before %+v", last, previous)
--- a/internal/sim/token_confirmation_test.go
+++ b/internal/sim/token_confirmation_test.go
@@ -57,7 +57,7 @@
 type reconciliationRecorder struct {
 	slog.Handler
 	mu    sync.Mutex
-	lines []string // one line for each failover
+	times []string // one line for each failover
 }
 
 // Enabled implements slog.Handler.
@@ -75,7 +75,7 @@
 	})
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
-	recorder.lines = append(recorder.lines, line.String())
+	recorder.times = append(recorder.times, line.String())
 	return nil
 }
 
@@ -104,8 +104,8 @@
 					cluster.waitForConfirmedTokens(2 * options.Workers.HeartbeatInterval)
 					t.Logf("all machines have confirmed the token after %v", time.Since(startedAt).Round(100*time.Millisecond))
 				}
-				for _, line := range recorder.lines {
-					t.Log(line)
+				for _, times := range recorder.times {
+					t.Log(times)
 				}
 			})
 		})
