--- a/internal/sim/isolated_leader_test.go
+++ b/internal/sim/isolated_leader_test.go
@@ -10,23 +10,23 @@
 	"firwood.dev/firwood/wire"
 )
 
-// workerTimesCases are worker times to play a test with: the default ones, and short ones.
+// workerTimesCases are the worker times that tests run with: the default ones, and shorter ones.
 var workerTimesCases = []WorkerTimes{
 	{LeaseTTL: 36 * time.Second, CancellationGrace: 66 * time.Second},
 	{LeaseTTL: 14 * time.Second, CancellationGrace: 44 * time.Second},
 }
 
-// rejectLeaderRequests has the store reject the requests of the leader alone, and returns its name.
+// rejectLeaderRequests makes the store reject only the leader's requests, and returns the leader's name.
 func rejectLeaderRequests(cluster *Cluster) string {
 	leader := cluster.Leader()
 	cluster.Store.SetFault(leader, fake.StoreRequestsRejected)
 	return leader
 }
 
-// The store rejects the leader's requests alone, another controller confirms a cancellation, and
-// then the store is down for everybody for longer than the cancellation grace, while workers send
-// their heartbeats to the old leader. It learns of the cancellation from its peers, and stops the
-// tasks while it holds the leader lease.
+// The store rejects only the leader's requests, and another controller confirms a cancellation. Then
+// the store is down for everybody for longer than the cancellation grace, while workers still send
+// their heartbeats to the old leader. The old leader learns of the cancellation from its peers, and
+// stops the tasks while it holds the leader lease.
 func TestPeersForwardCancellationToRejectedLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 4, "a"))
@@ -43,14 +43,15 @@
 		cluster.WaitForRunningTasks("req-000002", 2)
 		time.Sleep(30 * time.Second)
 		if late := cluster.Checker.LateStarts(); len(late) > 0 {
-			t.Errorf("started after the cancellation was confirmed: %v", late)
+			t.Errorf("got task starts after the cancellation was confirmed: %v, want none", late)
 		}
 	})
 }
 
-// The same where the leader is partitioned from its peers too, so that it does not learn of the
-// cancellation. Its workers' leases expire in time, and when the end of the outage gives it the
-// leader lease back, it reads before it starts anything.
+// As in TestPeersForwardCancellationToRejectedLeader, but the leader is also partitioned from its
+// peers, so that it does not learn of the cancellation. The leases of its workers expire in time. The
+// end of the outage gives the old leader its leader lease back; it reads the store before it starts
+// any task.
 func TestPartitionedLeaderStartsNothingAfterOutage(t *testing.T) {
 	for _, times := range workerTimesCases {
 		t.Run(times.LeaseTTL.String(), func(t *testing.T) {
@@ -66,19 +67,19 @@
 				cluster.Store.SetDown(false)
 				time.Sleep(30 * time.Second)
 				if late := cluster.Checker.LateStarts(); len(late) > 0 {
-					t.Errorf("started after the cancellation was confirmed: %v", late)
+					t.Errorf("got task starts after the cancellation was confirmed: %v, want none", late)
 				}
 			})
 		})
 	}
 }
 
-// The end of an outage gives the old leader its lease back before it can read what was cancelled
-// meanwhile: it starts nothing until it has read.
+// The end of an outage gives the old leader its lease back before it can read which jobs were
+// cancelled meanwhile. It starts no task until it has read the store.
 func TestNoStartsBetweenLeaseRenewalAndRead(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 4, "a"))
-		cluster.MustSubmit("n0", Service(2, 2, "a")) // its machines are probed for their state
+		cluster.MustSubmit("n0", Service(2, 2, "a")) // the leader probes the state of the service's machines
 		cluster.WaitForRunningTasks("req-000001", 4)
 		cluster.WaitForRunningTasks("req-000002", 2)
 		leader := rejectLeaderRequests(cluster)
@@ -92,46 +93,46 @@
 		cluster.Store.SetFault(leader, fake.StoreHealthy)
 		time.Sleep(20 * time.Second)
 		if late := cluster.Checker.LateStarts(); len(late) > 0 {
-			t.Errorf("started after the cancellation was confirmed: %v", late)
+			t.Errorf("got task starts after the cancellation was confirmed: %v, want none", late)
 		}
 	})
 }
 
-// The leader lease is not renewed for a while though reads are answered, an outage gives it its TTL
-// back, and then reads are rejected. However recent the leader's view is, a cancellation between the
-// last read and the outage is not in it: nothing is started.
+// The leader can't renew its lease for a while although the store answers its reads. An outage gives
+// the lease its whole TTL back, and then the leader's reads are rejected. However recent the leader's
+// view is, it lacks a cancellation between the last read and the outage, so the leader starts no task.
 func TestNoStartsAfterLeaseRenewalWithRecentView(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{HeartbeatInterval: time.Second / 2}}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 8, "b"))
-		cluster.MustSubmit("n0", Array(2, 2, "b")) // over the team's quota, so it waits
+		cluster.MustSubmit("n0", Array(2, 2, "b")) // exceeds the team's quota, so its tasks wait
 		time.Sleep(time.Second)
 		leader := cluster.Leader()
 		cluster.PartitionFromPeers(leader)
 		cluster.Store.SetFault(leader, fake.StoreRenewalsRejected)
 		time.Sleep(4 * time.Second)
 		cluster.Store.SetFault(leader, fake.StoreRequestsRejected)
-		time.Sleep(100 * time.Millisecond) // by then the last read is answered
+		time.Sleep(100 * time.Millisecond) // by then the store has answered the last read
 		cluster.MustCancel(cluster.OtherMembers(leader)[0], JobID(2))
 		cluster.Store.SetDown(true)
 		time.Sleep(2 * time.Second) // the leader is no longer entitled to act
 		cluster.Store.SetFault(leader, fake.StoreReadsRejected)
 		cluster.Store.SetDown(false)
 		for i := range 8 {
-			cluster.Cloud.Fail(wire.TaskID(JobID(1), i)) // the quota has room for the other job
+			cluster.Cloud.Fail(wire.TaskID(JobID(1), i)) // then the quota has room for job 2
 			time.Sleep(time.Second / 2)
 		}
 		cluster.Store.SetFault(leader, fake.StoreHealthy)
 		cluster.ReconnectToPeers(leader)
 		time.Sleep(20 * time.Second)
 		if late := cluster.Checker.LateStarts(); len(late) > 0 {
-			t.Errorf("started after the cancellation was confirmed: %v", late)
+			t.Errorf("got task starts after the cancellation was confirmed: %v, want none", late)
 		}
 	})
 }
 
-// The leader renews its lease, but every read of it is rejected. Where its peers can't tell it of
-// cancellations, it answers workers no longer than the cancellation grace; where they can, and are
-// served by the store, it hands over long before that.
+// The leader renews its lease, but the store rejects all its reads. If its peers can't tell it of
+// cancellations, it answers workers for no longer than the cancellation grace. If they can, and the
+// store serves them, it hands over the leadership long before that.
 func TestLeaderWithoutReadsHandsOverOrStopsReplying(t *testing.T) {
 	for _, peersReachable := range []bool{false, true} {
 		t.Run(fmt.Sprint("peers reachable ", peersReachable), func(t *testing.T) {
@@ -152,7 +153,7 @@
 				}
 				time.Sleep(cluster.options.Workers.CancellationGrace + 5*time.Second)
 				if machines := cluster.MachinesRunning("req-000002"); peersReachable && len(machines) != 2 {
-					t.Errorf("%d of 2 tasks of the job that was not cancelled run", len(machines))
+					t.Errorf("got %d running tasks of the job that was not cancelled, want 2", len(machines))
 				}
 				cluster.ReconnectToPeers(leader)
 				cluster.Store.SetFault(leader, fake.StoreHealthy)
@@ -162,8 +163,8 @@
 	}
 }
 
-// Jobs are cancelled just as the store begins to reject the leader's requests alone, and a second
-// later the store is down for longer than the cancellation grace.
+// Jobs are cancelled just when the store begins to reject only the leader's requests. A second later
+// the store goes down for longer than the cancellation grace.
 func TestConcurrentCancellationsReachRejectedLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 6; i++ {
@@ -181,9 +182,9 @@
 		cluster.Store.SetDown(true)
 		for i := 1; i <= 5; i++ {
 			if !confirmed[i].Load() {
-				t.Errorf("%s is not cancelled before the outage", JobID(i))
+				t.Errorf("%s is not confirmed as cancelled before the outage", JobID(i))
 			}
-			// The peers tell the old leader, which stops the tasks while it holds its lease.
+			// The peers tell the old leader, which stops the tasks while it still holds its lease.
 			cluster.WaitForNoTasks(JobID(i), 3*time.Second)
 		}
 		time.Sleep(75 * time.Second)
@@ -193,8 +194,9 @@
 	})
 }
 
-// The leader is partitioned from the store and its peers while workers and users still reach it,
-// and a job is cancelled at the new leader.
+// The leader is partitioned from the store and its peers, but workers and users still reach it. A job
+// is cancelled at the new leader. The old leader no longer answers users, and the tasks of the job end
+// within the cancellation grace.
 func TestPartitionedLeaderStopsAnsweringUsers(t *testing.T) {
 	for _, times := range workerTimesCases {
 		t.Run(times.LeaseTTL.String(), func(t *testing.T) {
@@ -210,10 +212,10 @@
 				cluster.WaitForNewLeader(isolated, 30*time.Second)
 				cluster.MustCancel(other, JobID(1))
 				if response := cluster.GetJob(isolated, JobID(1)); response.JobState() != "" {
-					t.Errorf("the partitioned leader answers %q", response.JobState())
+					t.Errorf("the partitioned leader answers a read with state %q, want no state", response.JobState())
 				}
 				cluster.WaitForNoTasks(JobID(1), cluster.options.Workers.CancellationGrace)
-				// The new leader knows the workers' leases to have expired, and starts the replicas again.
+				// The new leader knows that the workers' leases have expired, and starts the replicas again.
 				time.Sleep(times.LeaseTTL)
 				cluster.ReconnectToStore(isolated)
 				cluster.ReconnectToPeers(isolated)
--- a/internal/sim/short_lived_leaders_test.go
+++ b/internal/sim/short_lived_leaders_test.go
@@ -7,7 +7,7 @@
 	"firwood.dev/firwood/internal/fake"
 )
 
-// crashAndStartAllMembers ends all controllers at once and starts them again a second later.
+// crashAndStartAllMembers crashes all controllers at once and starts them again a second later.
 func (cluster *Cluster) crashAndStartAllMembers() {
 	for _, member := range cluster.Members() {
 		cluster.Crash(member)
@@ -18,22 +18,21 @@
 	}
 }
 
-// waitForHigherToken waits until a leader has replied to a machine that had not seen its token.
+// waitForHigherToken waits until some leader has replied to a machine that had not seen its token.
 func (cluster *Cluster) waitForHigherToken(machine string) {
 	cluster.t.Helper()
 	before := cluster.Cloud.SeenToken(machine)
 	cluster.WaitFor(machine+" has seen a higher token", time.Minute, func() bool { return cluster.Cloud.SeenToken(machine) > before })
 }
 
-// Seen: tasks of a cancelled job ran on past the cancellation timeout.
+// Tasks of a cancelled job must not run on past the cancellation grace when leaders live only briefly.
 //
-// How: the leader ended, another member confirmed the cancellation, and then all controllers ended
-// again and again, each leader after one reply to the machine. After that the machine heard nothing.
+// The leader crashes, and another member confirms the cancellation. Then all controllers crash again
+// and again, each leader after one reply to the machine. After that the machine gets no replies.
 //
-// Cause: the reply to the first heartbeat under a new token renewed the lease without stopping the
-// tasks, see TestFirstReplyUnderNewTokenStopsCancelledTasks in package allocation.
-//
-// Proof: with stops in that reply, and nothing else changed, the tasks end with the first leader.
+// Tasks ran on when the reply to the first heartbeat under a new token renewed the worker's lease
+// without stopping the tasks; see TestFirstReplyUnderNewTokenStopsCancelledTasks in package allocation.
+// With stops in that reply, and no other change, the tasks end under the first leader.
 func TestShortLivedLeadersStopCancelledTasks(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{HeartbeatInterval: 6 * time.Second}}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 4, "a"))
--- a/internal/sim/soak_test.go
+++ b/internal/sim/soak_test.go
@@ -12,29 +12,31 @@
 	"firwood.dev/firwood/wire"
 )
 
-// soakHistories, soakSeed and soakTime say what TestSoakOfShortLivedLeaders plays: so many histories with
-// the seeds from soakSeed on, or as many as begin within soakTime of real time if that is set.
+// soakHistories, soakSeed and soakTime select the histories that TestSoakOfShortLivedLeaders plays. It
+// plays soakHistories of them with consecutive seeds from soakSeed on or, if soakTime is set, as many
+// as begin within soakTime of real time.
 var (
 	soakHistories = flag.Int("soak-histories", 24, "how many histories TestSoakOfShortLivedLeaders plays")
 	soakSeed      = flag.Uint64("soak-seed", 1, "seed of the first history of TestSoakOfShortLivedLeaders")
 	soakTime      = flag.Duration("soak-time", 0, "for how long TestSoakOfShortLivedLeaders begins new histories, in place of -soak-histories")
 )
 
-// soakWorkerTimes are the deployments that a soak plays in turn.
+// soakWorkerTimes are the worker times of deployments. The seed of a history selects one of them.
 var soakWorkerTimes = []WorkerTimes{
 	{LeaseTTL: 36 * time.Second, CancellationGrace: 66 * time.Second, HeartbeatInterval: 6 * time.Second},
 	{LeaseTTL: 14 * time.Second, CancellationGrace: 44 * time.Second, HeartbeatInterval: 2 * time.Second},
 	{LeaseTTL: 26500 * time.Millisecond, CancellationGrace: 56500 * time.Millisecond, HeartbeatInterval: 5 * time.Second},
 }
 
-// soakHistory is a random chain of short-lived leaders.
+// soakHistory is a random history with chains of short-lived leaders.
 type soakHistory struct {
 	*generatedHistory
-	heartbeatCopies [][]byte // of one or two leaders ago
+	heartbeatCopies [][]byte // the machines' last heartbeats when replayOrCopyHeartbeats copied them
 }
 
-// In random chains of short-lived leaders, cuts, deaf and mute machines, cancellations and late copies no
-// rule of the protocol is violated, and every job that was not cancelled ends or runs.
+// Chains of short-lived leaders are combined at random with partitions, machines that lose commands or
+// heartbeats, cancellations and late copies of heartbeats. No rule of the protocol is violated, and
+// every job that was not cancelled is done in the end, or runs if it is a service.
 func TestSoakOfShortLivedLeaders(t *testing.T) {
 	startedAt := time.Now()
 	mayStartHistory := func(i int) bool {
@@ -74,8 +76,10 @@
 	})
 }
 
-// runLeaderChain has the leader go, users cancel jobs while there is none, leaders come and go for as long as a
-// cancelled task may run on past a lease, and most machines lose their controllers in the end.
+// runLeaderChain disrupts the leader, has users cancel one to three jobs, and then disrupts one
+// short-lived leader after another while users cancel more jobs. The chain lasts up to 1.3 times as
+// long as a cancelled task may run on past a lease, which is the cancellation grace less the lease
+// TTL. Finally nine in ten machines lose their heartbeats, or the replies and commands to them.
 func (history *soakHistory) runLeaderChain() {
 	workers := history.options.Workers
 	history.disruptLeader()
@@ -104,9 +108,10 @@
 	time.Sleep(history.randomDuration(1, workers.LeaseTTL.Seconds()))
 }
 
-// runLeaderChainForMachine has all controllers end again and again, each time right after a leader has
-// replied to one machine, whose jobs are cancelled as the first leader ends. In the end that machine
-// hears nothing for longer than a lease.
+// runLeaderChainForMachine crashes all controllers again and again, each time right after a leader has
+// replied to one machine. The jobs with tasks on that machine are cancelled when the first leader
+// crashes. Finally the machine's heartbeats, or the replies and commands to it, are lost for one to
+// 1.5 times the lease TTL in whole seconds.
 func (history *soakHistory) runLeaderChainForMachine() {
 	running := history.Cloud.RunningTasks()
 	if len(running) == 0 {
@@ -134,14 +139,15 @@
 	time.Sleep(workers.LeaseTTL)
 }
 
-// crashAllMembers ends all controllers; each is back within a second and a half.
+// crashAllMembers crashes all controllers, and starts each again within 1.5 seconds.
 func (history *soakHistory) crashAllMembers() {
 	for _, member := range history.Members() {
 		history.injectFault(history.randomDuration(0.1, 1.5), history.crashFault(member))
 	}
 }
 
-// waitForReply waits until some leader has replied to a machine that had not seen its token.
+// waitForReply waits until some leader has replied to a machine that had not seen its token, for at
+// most 15 seconds.
 func (history *soakHistory) waitForReply(machine string) {
 	before := history.Cloud.SeenToken(machine)
 	for waited := time.Duration(0); waited < 15*time.Second && history.Cloud.SeenToken(machine) == before; waited += pollInterval {
@@ -149,7 +155,7 @@
 	}
 }
 
-// waitForBriefTerm lets a leader live until it has replied to one machine, or for some seconds.
+// waitForBriefTerm lets a leader live until it has replied to one machine, or for up to 7 seconds.
 func (history *soakHistory) waitForBriefTerm() {
 	machines := history.Cloud.MachineNames()
 	if len(machines) == 0 || history.random.IntN(3) == 0 {
@@ -159,7 +165,8 @@
 	history.waitForReply(history.pickName(machines))
 }
 
-// replayOrCopyHeartbeats delivers copies of earlier heartbeats, at times, and takes new ones.
+// replayOrCopyHeartbeats replays the copied heartbeats, copies the machines' last heartbeats, or does
+// neither, at random.
 func (history *soakHistory) replayOrCopyHeartbeats() {
 	switch history.random.IntN(4) {
 	case 0:
@@ -169,7 +176,9 @@
 	}
 }
 
-// disruptLeader ends all controllers or the leader, cuts it off, or takes a machine or the store from it.
+// disruptLeader crashes all controllers or only the leader, isolates the leader from the store and its
+// peers, has the store reject its requests, or crashes it while a machine has a fault. If there is no
+// leader, it takes a random member instead.
 func (history *soakHistory) disruptLeader() {
 	member := history.Leader()
 	if member == "" {
--- a/internal/sim/stale_heartbeats_test.go
+++ b/internal/sim/stale_heartbeats_test.go
@@ -8,8 +8,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Copies of old heartbeats reach every controller during a failover, and once more when the new
-// leader has acted.
+// Copies of old heartbeats reach every controller during a failover, and again after the new leader
+// has acted. All tasks keep running.
 func TestStaleHeartbeatsAtFailover(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 6, "a"))
@@ -32,8 +32,8 @@
 	})
 }
 
-// A copy of a heartbeat from before tasks were started reaches the leader that started them: that
-// it lacks them does not mean that they have exited.
+// A copy of a heartbeat from before some tasks were started reaches the leader that started them.
+// The heartbeat does not list the tasks, but that does not mean that they have exited.
 func TestStaleHeartbeatsUnderSameLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 2, "a")) // half a machine
@@ -41,8 +41,8 @@
 		staleHeartbeats := cluster.Cloud.LastHeartbeats()
 		cluster.MustRun("n0", Array(2, 2, "a"))
 		time.Sleep(5 * time.Second)
-		// More than there is room for, and of a higher priority: were the tasks taken for exited,
-		// their room would be given away.
+		// The service needs more room than there is and has a higher priority. If the leader took
+		// the tasks for exited, it would give their room to the service.
 		cluster.MustSubmit("n0", Service(3, 24, "a"))
 		for range 30 {
 			cluster.ReplayHeartbeats(staleHeartbeats)
@@ -54,8 +54,8 @@
 }
 
 // A task moves from one machine to another, which then hangs. The first heartbeat that a new leader
-// gets of the former machine is a copy from when it had the task. Neither that copy, nor that the
-// machine's next heartbeat lacks the task, means that the task has exited.
+// gets from the former machine is a copy from when that machine had the task. The task is missing from
+// the machine's next heartbeat. Neither of the two means that the task has exited.
 func TestStaleHeartbeatOfMovedTask(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		moved, filler := Array(1, 1, "a"), Array(2, 1, "a")
@@ -91,7 +91,8 @@
 	})
 }
 
-// Command requests of the former leader are carried out seconds late, after those of the new one.
+// Workers carry out command requests of the former leader seconds late, after those of the new
+// leader.
 func TestLateCommandsOfFormerLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 2, "a"))
@@ -107,7 +108,7 @@
 		cluster.MustCancel(cluster.Leader(), "req-000003")
 		time.Sleep(10 * time.Second)
 		if late := cluster.Checker.LateStarts(); len(late) > 0 {
-			t.Errorf("started by a command of the former leader: %v", late)
+			t.Errorf("got task starts by commands of the former leader: %v, want none", late)
 		}
 		cluster.SetFaultOnAllMachines(fake.MachineHealthy)
 		cluster.WaitForRunningTasks("req-000002", 4)
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -8,9 +8,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A follower lags, and is partitioned from the store just as the leader crashes: it decides nothing
-// and delays nobody. Reconnected, it follows the new leader, and when that one crashes takes over
-// with a replica that the new leader has recorded as in sync.
+// A follower lags, and is partitioned from the store when the leader crashes. The follower decides
+// nothing and delays no other member. After it is reconnected it follows the new leader, which records
+// its replica as in sync. When the new leader crashes, the follower takes over with that replica.
 func TestFollowerPartitionedFromStoreAtLeaderCrash(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -28,14 +28,14 @@
 		cluster.ReconnectToPeers(isolated)
 		time.Sleep(5 * time.Second)
 		if cluster.Leader() != other {
-			t.Errorf("%s is leader, though %s is partitioned from the store", cluster.Leader(), isolated)
+			t.Errorf("%s is leader, want the other follower, since %s is partitioned from the store", cluster.Leader(), isolated)
 		}
 		cluster.ReconnectToStore(isolated)
 		time.Sleep(20 * time.Second)
 		cluster.Crash(other)
 		cluster.WaitForLeaderToBe(isolated, 12*time.Second)
 		if used, _ := failovers.last(); !used {
-			t.Errorf("%s has not used its replica", isolated)
+			t.Errorf("%s took over without its replica, want the replica to be used", isolated)
 		}
 		cluster.WaitForState(isolated, "req-000001", wire.JobDone, 6*time.Minute)
 	})
@@ -63,8 +63,8 @@
 	})
 }
 
-// The leader restarts five times in two minutes, among members that keep replicas and one that
-// keeps none, while one machine after another hangs.
+// The leader restarts five times in two minutes while one machine after another hangs. Two members
+// keep replicas and one keeps none.
 func TestFailoversWithOneMemberWithoutReplica(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n1"}
@@ -86,7 +86,8 @@
 	})
 }
 
-// Of two followers the one in sync becomes leader, also where the other is as quick.
+// Of two followers, only one is in sync with the leader. It becomes the next leader even though the
+// other one is as quick.
 func TestOutOfSyncFollowerYields(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -101,7 +102,7 @@
 			cluster.Crash(leader)
 			cluster.WaitForLeader(15 * time.Second)
 			if cluster.Leader() != inSync {
-				t.Errorf("%s is leader, which was out of sync", cluster.Leader())
+				t.Errorf("%s is leader, which was out of sync; want the follower that was in sync", cluster.Leader())
 			}
 			cluster.Network.Heal("out of sync")
 			cluster.Start(leader)
@@ -109,8 +110,8 @@
 	})
 }
 
-// The allocation table is larger than a message. A follower crashes while it receives a snapshot,
-// and again; then the leader crashes while the follower receives another one.
+// The allocation table is larger than one message. A follower crashes twice, each time while it
+// receives a snapshot of the table. Then the leader crashes while the follower receives another one.
 func TestFollowersCrashDuringSnapshot(t *testing.T) {
 	const machines = 160
 	options := fleetOptions(machines)
@@ -133,13 +134,13 @@
 		cluster.WaitForLeader(15 * time.Second)
 		cluster.MustRun("n0", Array(2, 4, "a"))
 		if running := cluster.Cloud.RunningTaskCount(); running != machines*4+4 {
-			t.Errorf("%d of %d tasks run", running, machines*4+4)
+			t.Errorf("got %d running tasks, want %d", running, machines*4+4)
 		}
 	})
 }
 
-// The leader is back at once after its crash, without its allocation table: a follower with a
-// replica becomes leader all the same.
+// The leader is back at once after its crash, but without its allocation table. A follower with a
+// replica becomes leader although the restarted leader would be quicker.
 func TestRestartedLeaderYields(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -149,23 +150,23 @@
 			_, before := failovers.last()
 			leader := cluster.Leader()
 			for _, other := range cluster.OtherMembers(leader) {
-				cluster.Network.SetExtraLatency(other, 12*time.Millisecond) // the restarted leader would be quicker
+				cluster.Network.SetExtraLatency(other, 12*time.Millisecond) // without yielding, the restarted leader would be quicker
 			}
 			cluster.Network.SetExtraLatency(leader, 0)
 			cluster.Crash(leader)
 			cluster.Start(leader)
 			cluster.WaitFor("a failover", 15*time.Second, func() bool { _, count := failovers.last(); return count > before })
 			if used, _ := failovers.last(); !used {
-				t.Error("the new leader used no replica")
+				t.Error("the new leader used no replica, want a follower with a replica to become leader")
 			}
 		}
 		cluster.WaitForState("n0", "req-000001", wire.JobDone, 6*time.Minute)
 	})
 }
 
-// A follower in sync becomes unresponsive as the store goes down, so that the leader can't record
-// that it is out of sync: starts wait for it until the leader lease ends, as they would a little
-// later anyway. When the store is back they go on.
+// A follower in sync becomes unresponsive when the store goes down, so that the leader can't record the
+// follower as out of sync. Starts wait for the follower until the leader lease ends, and would have to
+// stop then in any case. When the store is back they go on.
 func TestUnresponsiveFollowerInStoreOutage(t *testing.T) {
 	measureStarts := func(isUnresponsive bool) (starts int, resumedAfter time.Duration) {
 		options, _ := quotaBoundOptions(true)
@@ -187,8 +188,8 @@
 	}
 	startsUnresponsive, resumedAfterUnresponsive := measureStarts(true)
 	starts, resumedAfter := measureStarts(false)
-	t.Logf("starts in an outage of 12 s: %d with an unresponsive follower, %d without; the first one after it: %v, %v", startsUnresponsive, starts, resumedAfterUnresponsive, resumedAfter)
+	t.Logf("starts in a 12 s outage: %d with an unresponsive follower, %d without; first start after the outage: %v with, %v without", startsUnresponsive, starts, resumedAfterUnresponsive, resumedAfter)
 	if resumedAfterUnresponsive > resumedAfter+3*time.Second {
-		t.Errorf("starts go on %v after the outage, %v without an unresponsive follower", resumedAfterUnresponsive, resumedAfter)
+		t.Errorf("starts resume %v after the outage with an unresponsive follower, %v without; want at most 3 s more", resumedAfterUnresponsive, resumedAfter)
 	}
 }
