--- a/internal/sim/store_transactions_test.go
+++ b/internal/sim/store_transactions_test.go
@@ -10,15 +10,15 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Prefixes of stored keys: records of jobs, of scale-out requests, and which tasks are done.
+// Prefixes of stored keys: records of jobs, records of scale-out requests, and which tasks are done.
 const (
 	jobKeys      = "firwood/job/"
 	scaleOutKeys = "firwood/hire/"
 	progressKeys = "firwood/done/"
 )
 
-// A transaction is applied and its reply lost, while other controllers read what it wrote: the
-// writer's replies agree with theirs, also to a repeated submission.
+// The store applies a transaction but its reply is lost, and other controllers read what it wrote. The
+// writer's replies to users agree with theirs, also the reply to a repeated submission.
 func TestLostTransactionReplies(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		leader := cluster.Leader()
@@ -26,23 +26,23 @@
 		cluster.Store.SetFault(writer, fake.StoreRepliesLost)
 		job := Array(1, 1, "a")
 		if response := cluster.Submit(writer, job); response.Status != 503 {
-			t.Errorf("a submission whose write gets no reply gets %d", response.Status)
+			t.Errorf("a submission whose write gets no reply: got status %d, want 503", response.Status)
 		}
 		if state := cluster.GetJob(reader, job.ID).JobState(); state == "" {
-			t.Errorf("%s does not know a job that was written", reader)
+			t.Errorf("%s does not know a job that the store has", reader)
 		}
-		// A writer that got no reply for a second may answer 503 with a time to retry after; in the
-		// end it answers that the job is known.
+		// A writer that got no reply for a second may answer 503 with a time to retry after. In the
+		// end it answers 200, since the job is already known.
 		cluster.WaitFor("the repeated submission is answered", 5*time.Second, func() bool {
 			response := cluster.Submit(writer, job)
 			if response.Status != 200 && (response.Status != 503 || response.RetryAfterSeconds == 0) {
-				t.Fatalf("the repeated submission gets %d", response.Status)
+				t.Fatalf("the repeated submission: got status %d, want 200, or 503 with a time to retry after", response.Status)
 			}
 			return response.Status == 200
 		})
 		cluster.WaitForRunningTasks(job.ID, 1)
 		if response := cluster.Cancel(writer, job.ID); response.Status != 503 {
-			t.Errorf("a cancellation whose write gets no reply gets %d", response.Status)
+			t.Errorf("a cancellation whose write gets no reply: got status %d, want 503", response.Status)
 		}
 		cluster.WaitForState(reader, job.ID, wire.JobCancelled, 5*time.Second)
 		for _, member := range cluster.Members() {
@@ -52,7 +52,8 @@
 	})
 }
 
-// Transactions that got no reply are applied seconds later, after newer ones of the same controller.
+// The store applies transactions seconds after they were sent and without a reply, after newer ones of
+// the same controller. All jobs get done, and stay done.
 func TestDelayedTransactions(t *testing.T) {
 	Run(t, Options{TaskDuration: 10 * time.Second}, func(cluster *Cluster) {
 		leader := cluster.Leader()
@@ -73,8 +74,8 @@
 	})
 }
 
-// replayAllTransactions applies every transaction of the store again, and checks that records of
-// jobs and scale-out requests, and progress, stay as they are.
+// replayAllTransactions applies every transaction of the store again, and checks that this leaves the
+// records of jobs and of scale-out requests, and the progress of jobs, as they are.
 func (cluster *Cluster) replayAllTransactions(when string) {
 	cluster.t.Helper()
 	checkedPrefixes := []string{jobKeys, scaleOutKeys, progressKeys}
@@ -89,17 +90,17 @@
 		for _, change := range transaction.Changes {
 			key := change.PutKey + change.DeleteKey
 			isChecked := slices.ContainsFunc(checkedPrefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
-			// Progress may come back after its job has ended; the leader removes it.
+			// Progress may come back after its job has ended; then the leader deletes it.
 			isLateProgress := strings.HasPrefix(key, progressKeys) && before[key] == ""
 			if value := cluster.Store.Value(key); isChecked && !isLateProgress && value != before[key] {
-				cluster.t.Errorf("%s, %s was %q and is %q", when, key, before[key], value)
+				cluster.t.Errorf("replayed %s, %s was %q and is now %q, want no change", when, key, before[key], value)
 			}
 		}
 	}
 }
 
-// Every transaction so far is applied again, under the same leader and once another one has written:
-// records of jobs and scale-out requests, and progress, stay as they are.
+// Every transaction so far is applied again, under the same leader and after another leader has
+// written. The records of jobs and of scale-out requests, and the progress of jobs, stay as they are.
 func TestReplayedTransactionsChangeNothing(t *testing.T) {
 	Run(t, Options{TaskDuration: 3 * time.Second, TaskDurationStep: 4 * time.Second}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
@@ -128,13 +129,13 @@
 	})
 }
 
-// New machines are up at once while writes are delayed, and the leader crashes: no task is on a
+// New machines come up at once while writes are delayed, and the leader crashes. No task is on a
 // machine that the next leader may not know of when it starts the task again.
 func TestNoTaskOnUnrecordedMachine(t *testing.T) {
 	Run(t, Options{BootDuration: 200 * time.Millisecond, Workers: WorkerTimes{HeartbeatInterval: time.Second}, TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		leader := cluster.Leader()
-		// Once a scale-out request is recorded, the names that the cloud gives are not written for
-		// seconds; the next leader gets them by repeating the request.
+		// Once a scale-out request is recorded, the machine names that the cloud returns are not
+		// written for seconds. The next leader gets them by repeating the request.
 		go func() {
 			for len(cluster.Store.Keys(scaleOutKeys)) == 0 {
 				time.Sleep(time.Millisecond)
@@ -149,7 +150,7 @@
 			t.Error("no machine is up")
 		}
 		if running := cluster.Cloud.RunningTasks(); len(running) > 0 {
-			t.Errorf("tasks on machines that no record names: %v", running)
+			t.Errorf("got tasks on machines that no record names: %v, want none", running)
 		}
 		cluster.SetFaultOnAllMachines(fake.MachineHanging)
 		cluster.Crash(leader)
@@ -164,8 +165,8 @@
 	})
 }
 
-// The store is slow while users submit, cancel and read, and the leader restarts: reads are
-// answered, and no reply is older than one before.
+// The store is slow while users submit, cancel and read, and the leader restarts. Reads are answered,
+// and no reply is older than an earlier one.
 func TestReadsAreAnsweredWithSlowStore(t *testing.T) {
 	Run(t, Options{TaskDuration: 10 * time.Second}, func(cluster *Cluster) {
 		cluster.Network.SetExtraLatency(fake.StoreHost, 250*time.Millisecond)
@@ -185,7 +186,7 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		if answered < 40 {
-			t.Errorf("%d of 60 reads are answered", answered)
+			t.Errorf("got %d of 60 reads answered, want at least 40", answered)
 		}
 		for i := 1; i <= 5; i++ {
 			cluster.WaitForState("n2", JobID(i), wire.JobDone, 2*time.Minute)
--- a/internal/sim/successive_failovers_test.go
+++ b/internal/sim/successive_failovers_test.go
@@ -10,11 +10,11 @@
 	"firwood.dev/firwood/wire"
 )
 
-// secondFailoverRounds is how many second crashes TestSecondLeaderCrash plays.
+// secondFailoverRounds is how many times TestSecondLeaderCrash plays its failovers.
 var secondFailoverRounds = flag.Int("second-deaths", 1, "how many times TestSecondLeaderCrash crashes a leader that still has unconfirmed tasks")
 
-// failOver restarts the leader with a delay of a second, waits until another member is leader, and
-// returns its name.
+// failOver crashes the leader, starts it again a second later, waits until another member is leader,
+// and returns the new leader's name.
 func (cluster *Cluster) failOver() string {
 	cluster.t.Helper()
 	previous := cluster.Leader()
@@ -23,9 +23,9 @@
 	return cluster.Leader()
 }
 
-// A leader crashes while a machine hangs, and the next one three seconds after its failover, with
-// that machine's tasks unconfirmed. No more are for the third one, so that the next tasks of the job
-// start when tasks elsewhere end.
+// A leader crashes while a machine hangs. The next leader crashes three seconds after its failover,
+// while that machine's tasks are unconfirmed. No more tasks are unconfirmed for the third leader, so that
+// the job's next tasks start when tasks elsewhere end.
 func TestSecondLeaderCrash(t *testing.T) {
 	var durations []time.Duration
 	for i := range *secondFailoverRounds {
@@ -42,7 +42,7 @@
 				t.Error("the third leader used no replica")
 			}
 			if maxWait := 10*time.Second + options.TaskDuration - 15*time.Second; firstStart > maxWait {
-				t.Errorf("the first start took %v", firstStart)
+				t.Errorf("the first start took %v, want at most 10 s plus the extra duration of tasks", firstStart)
 			}
 			cluster.WaitForState(cluster.Leader(), "req-000001", wire.JobDone, 8*time.Minute)
 		})
@@ -51,9 +51,9 @@
 	t.Logf("from the second crash to the first start: %v", durations)
 }
 
-// Five leaders restart in a row, each while tasks are unconfirmed: a machine hangs, loses commands or
-// heartbeats, and is back in a new incarnation in the end. All use their replicas, and have no more
-// tasks unconfirmed than may run.
+// Five leaders restart in a row, each while tasks are unconfirmed because a machine hangs, or loses
+// commands or heartbeats. Finally the machine is back in a new incarnation. All new leaders use their
+// replicas, and have no more unconfirmed tasks than may be running.
 func TestSuccessiveFailoversWithUnconfirmedTasks(t *testing.T) {
 	for _, fault := range []fake.MachineFault{fake.MachineHanging, fake.MachineCommandsLost, fake.MachineHeartbeatsLost} {
 		t.Run(fault.String(), func(t *testing.T) {
@@ -67,7 +67,7 @@
 					cluster.failOver()
 					time.Sleep(3 * time.Second)
 				}
-				// Eight tasks run at a time, and the ends of eight may not be durable yet.
+				// Eight tasks run at a time, and the ends of eight more may not be durable yet.
 				cluster.checkReplicasUsed(failovers.records()[1:], 16)
 				time.Sleep(20 * time.Second) // the worker's lease expires, and its incarnation ends
 				cluster.Cloud.SetFault(faulty, fake.MachineHealthy)
@@ -78,19 +78,19 @@
 	}
 }
 
-// checkReplicasUsed checks that failovers used replicas, and that no more tasks than a bound were
-// unconfirmed after each.
+// checkReplicasUsed checks that each failover used a replica and left at most maxUnconfirmed tasks
+// unconfirmed.
 func (cluster *Cluster) checkReplicasUsed(failovers []failoverRecord, maxUnconfirmed int64) {
 	cluster.t.Helper()
 	for i, failover := range failovers {
 		if !failover.isReplicaUsed || failover.unconfirmed > maxUnconfirmed {
-			cluster.t.Errorf("failover %d: %+v, with at most %d unconfirmed", i, failover, maxUnconfirmed)
+			cluster.t.Errorf("failover %d: got %+v, want a replica used and at most %d unconfirmed tasks", i, failover, maxUnconfirmed)
 		}
 	}
 }
 
-// Leaders restart one after another while jobs are cancelled, jobs wait for dependencies, and copies
-// of heartbeats from two leaders ago reach the newest one.
+// Leaders restart one after another while jobs are cancelled and jobs wait for dependencies. Copies of
+// heartbeats from two leaders ago reach the newest leader.
 func TestSuccessiveFailoversWithStaleHeartbeats(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -121,8 +121,8 @@
 	})
 }
 
-// A member that keeps no replicas is leader in the middle of a series of failovers: the next one
-// begins with all tasks unconfirmed, and the one after that uses its replica again.
+// A member that keeps no replica leads in the middle of a series of failovers. The leader after it begins
+// with all tasks unconfirmed, and the one after that uses its replica again.
 func TestSuccessiveFailoversThroughLeaderWithoutReplica(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	options.Standby.ExceptFor = []string{"n2"}
@@ -135,12 +135,12 @@
 		cluster.Crash("n2")
 		cluster.WaitForLeader(time.Minute)
 		if used, _ := failovers.last(); used {
-			t.Error("a replica from before n2 was leader was used")
+			t.Error("the new leader used a replica from before n2 was leader, want no replica used")
 		}
 		time.Sleep(3 * time.Second)
 		cluster.failOver()
 		if used, _ := failovers.last(); !used {
-			t.Error("the leader after that used no replica")
+			t.Error("the second leader after n2 used no replica, want its replica used")
 		}
 		cluster.Start("n2")
 		cluster.WaitForState(cluster.Leader(), "req-000001", wire.JobDone, 8*time.Minute)
--- a/internal/sim/token_confirmation_test.go
+++ b/internal/sim/token_confirmation_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// waitForConfirmedTokens waits until the leader has no machine left that it may not command.
+// waitForConfirmedTokens waits until all machines have confirmed the leader's token, so that the leader
+// may command them.
 func (cluster *Cluster) waitForConfirmedTokens(timeout time.Duration) {
 	cluster.t.Helper()
 	cluster.WaitFor("all machines have confirmed the token", timeout, func() bool {
@@ -20,8 +21,8 @@
 	})
 }
 
-// failOverToOther ends the leader for as long as no other member leads: one that is back at once may win
-// the lock again.
+// failOverToOther crashes the leader, and starts it again once another member is leader. A leader that
+// is back at once may win the lock again.
 func (cluster *Cluster) failOverToOther() {
 	cluster.t.Helper()
 	previous := cluster.Leader()
@@ -30,15 +31,11 @@
 	cluster.Start(previous)
 }
 
-// Seen: a leader had replied to a machine, and might command it only 8.7 s later, at its next heartbeat.
-//
-// How: two leaders ended within half a lease. A worker reports a higher token at once only once in that
-// time, so after the second failover it waited for its next regular heartbeat.
-//
-// Cause: a leader left it to the worker to show that it has seen the token.
-//
-// Proof: after the first failover the machine is confirmed half a second after the reply, after the
-// second a heartbeat interval after it.
+// A leader that has replied to a machine may soon command it, also after the second of two failovers
+// within half a lease. A worker reports a higher token at once, but only once in half a lease. When
+// leaders relied on that report alone, a machine confirmed the token half a second after the reply in
+// the first failover, but a heartbeat interval after it in the second, with its next regular heartbeat.
+// One leader might command a machine only 8.7 s after its reply.
 func TestTokenIsConfirmedSoonAfterSecondFailover(t *testing.T) {
 	options := Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{HeartbeatInterval: 12 * time.Second}}
 	Run(t, options, func(cluster *Cluster) {
@@ -53,11 +50,11 @@
 	})
 }
 
-// reconciliationRecorder collects how long failovers took until machines could be commanded.
+// reconciliationRecorder collects log lines with the time from a failover until machines could be commanded.
 type reconciliationRecorder struct {
 	slog.Handler
 	mu    sync.Mutex
-	times []string // one line for each failover
+	times []string // the attributes of one log record for each failover
 }
 
 // Enabled implements slog.Handler.
@@ -82,8 +79,9 @@
 // WithAttrs implements slog.Handler.
 func (recorder *reconciliationRecorder) WithAttrs([]slog.Attr) slog.Handler { return recorder }
 
-// A large fleet fails over twice within half a lease: after each failover nearly all machines may be
-// commanded within a little more than a heartbeat interval. The log has the times.
+// A large fleet fails over twice within half a lease. After each failover the leader may command nearly
+// all machines within a little more than a heartbeat interval, and all within two. The test logs the
+// times.
 func TestLargeFleetIsReconciledAfterEachFailover(t *testing.T) {
 	for _, size := range strings.Split(*fleetSizes, ",") {
 		machines, err := strconv.Atoi(size)
--- a/internal/sim/zone_partition_test.go
+++ b/internal/sim/zone_partition_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A zone with workers and a controller is partitioned for longer than a lease, and a job that runs
-// there is cancelled meanwhile.
+// A zone with workers and one or two controllers is partitioned for longer than a lease. A job that
+// runs there is cancelled meanwhile.
 func TestZonePartitionLongerThanLease(t *testing.T) {
 	for _, zone := range []string{"x", "y"} {
 		t.Run(zone, func(t *testing.T) {
@@ -32,9 +32,9 @@
 	}
 }
 
-// A zone is partitioned while the cloud is down, so that machines whose leases are known to have
-// expired can't be deleted: tasks start elsewhere only once nobody in the zone can have renewed
-// those leases for long enough.
+// A zone is partitioned while the cloud is down, so that machines whose leases are known to have expired
+// can't be deleted. Tasks start elsewhere only once it is certain that no controller in the zone has
+// renewed those leases for long enough.
 func TestZonePartitionInCloudOutage(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		job := Array(1, 2, "a")
@@ -57,7 +57,8 @@
 	})
 }
 
-// A single-zone job loses machines, and the leader restarts: its tasks run again each time.
+// A single-zone job loses a machine and the leader restarts, three times. Each time all its tasks run
+// again.
 func TestSingleZoneJobSurvivesMachineLoss(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		job := Array(1, 6, "a")
@@ -71,8 +72,8 @@
 	})
 }
 
-// A controller that is partitioned from its peers and the store, but not from its workers, does not
-// redirect them to a leader that has crashed by then: they find the present one.
+// A controller is partitioned from its peers and the store, but not from its workers. It does not
+// redirect them to a leader that has crashed by then, and they find the present leader.
 func TestWorkersLeavePartitionedMember(t *testing.T) {
 	Run(t, Options{TaskDuration: 15 * time.Second, TaskDurationStep: 300 * time.Millisecond}, func(cluster *Cluster) {
 		cluster.runQuotaBoundJob(60)
