--- a/internal/protocoltest/checks.go
+++ b/internal/protocoltest/checks.go
@@ -121,8 +121,8 @@
 	return job.cancelRequested || checker.hasMatchingDependency(job, func(dependency *jobRecord) bool { return dependency.cancelRequested })
 }
 
-// dependencyCancelledAt returns whether the cancellation of a dependency of a job, direct or
-// transitive, was confirmed, and when. If several were, it takes the first that the search finds.
+// dependencyCancelledAt reports whether the cancellation of a dependency of a job, direct or
+// transitive, was confirmed, and if so when. If there are several, the first one found counts.
 func (checker *Checker) dependencyCancelledAt(job *jobRecord) (at time.Time, cancelled bool) {
 	cancelled = checker.hasMatchingDependency(job, func(dependency *jobRecord) bool {
 		at = dependency.finalStateAt
--- a/internal/protocoltest/rules.go
+++ b/internal/protocoltest/rules.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Rule names a rule of PROTOCOL that a history can violate. The values appear in test output only.
+// Rule names a way in which a history can violate PROTOCOL. Its values appear in test output only.
 type Rule string
 
 const (
-	// DuplicateExecution is violated by a task that starts on a machine while it is on another one.
+	// DuplicateExecution reports a task that starts on a machine while it is on another one.
 	DuplicateExecution Rule = "ran_twice"
-	// QuotaExceeded is violated by a team whose running tasks use more than its quota.
+	// QuotaExceeded reports a team whose running tasks use more than its quota.
 	QuotaExceeded Rule = "quota"
-	// PlacementViolated is violated by a task on a machine that its job does not allow: a machine of
+	// PlacementViolated reports a task on a machine that its job does not allow: a machine of
 	// another type, zone or market, or one that breaks SingleZone or SpreadZones.
 	PlacementViolated Rule = "wrong_place"
-	// CancelledTaskRan is violated by a task that is on a machine later than
+	// CancelledTaskRan reports a task that is on a machine later than
 	// Config.CancellationGrace after the cancellation of its job was confirmed.
 	CancelledTaskRan Rule = "ran_cancelled"
-	// AcceptedJobLost is violated by a reply that denies a job that was accepted before.
+	// AcceptedJobLost reports a reply that denies a job that was accepted before.
 	AcceptedJobLost Rule = "forgotten"
-	// UnknownJob is violated by a reply about a job that nobody submitted, and by a task of such a job.
+	// UnknownJob reports a reply about a job that nobody submitted, and by a task of such a job.
 	UnknownJob Rule = "invented"
-	// IncompleteJobDone is violated by a reply that gives a job as done before all its tasks are done.
+	// IncompleteJobDone reports a reply that gives a job as done before all its tasks are done.
 	IncompleteJobDone Rule = "not_done"
-	// StateRegressed is violated by a reply that gives a job another state after a final one, and by
+	// StateRegressed reports a reply that gives a job another state after a final one, and by
 	// a cancellation that no user requested.
 	StateRegressed Rule = "went_back"
-	// DependencyNotDone is violated by a task that starts before all dependencies of its job are
+	// DependencyNotDone reports a task that starts before all dependencies of its job are
 	// done.
 	DependencyNotDone Rule = "too_early"
-	// DependentNotCancelled is violated by a reply that gives a job as pending or running although
+	// DependentNotCancelled reports a reply that gives a job as pending or running although
 	// the cancellation of one of its dependencies was confirmed more than Config.CancellationGrace
 	// before the request was sent.
 	DependentNotCancelled Rule = "orphaned"
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -98,8 +98,8 @@
 	cluster.Cloud.SetFault(cluster.MachinesRunning(JobID(1))[0], fake.MachineHanging)
 }
 
-// failOverSkipping crashes the leader and waits until the member next is leader. The third member is
-// skipped: it is partitioned from the store until then.
+// failOverSkipping crashes the leader and waits until the member named next is leader. The third member,
+// skipped, is partitioned from the store until then, so that it can't become leader.
 func (cluster *Cluster) failOverSkipping(leader, skipped, next string) {
 	cluster.t.Helper()
 	cluster.Crash(leader)
--- a/internal/sim/token_confirmation_test.go
+++ b/internal/sim/token_confirmation_test.go
@@ -31,11 +31,11 @@
 	cluster.Start(previous)
 }
 
-// A leader that has replied to a machine may soon command it, also after the second of two failovers
-// within half a lease. A worker reports a higher token at once, but only once in half a lease. When
-// leaders relied on that report alone, a machine confirmed the token half a second after the reply in
-// the first failover, but a heartbeat interval after it in the second, with its next regular heartbeat.
-// One leader might command a machine only 8.7 s after its reply.
+// A leader that has replied to a machine must soon be allowed to command it, also after the second of
+// two failovers within half a lease. A worker reports a higher token at once, but only once in half a
+// lease. When leaders relied on that report alone, a machine confirmed the token half a second after
+// the reply in the first failover, but a heartbeat interval after it in the second, with its next
+// regular heartbeat. In one case a leader had to wait 8.7 s after its reply.
 func TestTokenIsConfirmedSoonAfterSecondFailover(t *testing.T) {
 	options := Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{HeartbeatInterval: 12 * time.Second}}
 	Run(t, options, func(cluster *Cluster) {
@@ -50,7 +50,8 @@
 	})
 }
 
-// reconciliationRecorder collects log lines with the time from a failover until machines could be commanded.
+// reconciliationRecorder is a slog.Handler that collects the log records on how long machines could not be
+// commanded after a failover.
 type reconciliationRecorder struct {
 	slog.Handler
 	mu    sync.Mutex
@@ -79,9 +80,9 @@
 // WithAttrs implements slog.Handler.
 func (recorder *reconciliationRecorder) WithAttrs([]slog.Attr) slog.Handler { return recorder }
 
-// A large fleet fails over twice within half a lease. After each failover the leader may command nearly
-// all machines within a little more than a heartbeat interval, and all within two. The test logs the
-// times.
+// A large fleet fails over twice within half a lease. After each failover the leader is allowed to command
+// nearly all machines within a little more than a heartbeat interval, and all within two. The test logs
+// the times.
 func TestLargeFleetIsReconciledAfterEachFailover(t *testing.T) {
 	for _, size := range strings.Split(*fleetSizes, ",") {
 		machines, err := strconv.Atoi(size)
