--- a/internal/protocoltest/rules.go
+++ b/internal/protocoltest/rules.go
@@ -18,11 +18,11 @@
 	CancelledTaskRan Rule = "ran_cancelled"
 	// AcceptedJobLost reports a reply that denies a job that was accepted before.
 	AcceptedJobLost Rule = "forgotten"
-	// UnknownJob reports a reply about a job that nobody submitted, and by a task of such a job.
+	// UnknownJob reports a reply about a job that nobody submitted, or a task of such a job.
 	UnknownJob Rule = "invented"
 	// IncompleteJobDone reports a reply that gives a job as done before all its tasks are done.
 	IncompleteJobDone Rule = "not_done"
-	// StateRegressed reports a reply that gives a job another state after a final one, and by
+	// StateRegressed reports a reply that gives a job another state after a final one, or
 	// a cancellation that no user requested.
 	StateRegressed Rule = "went_back"
 	// DependencyNotDone reports a task that starts before all dependencies of its job are
