--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -30,8 +30,8 @@
 
 // poolBackoff is the backoff of a pool that did not supply all the machines requested from it.
 type poolBackoff struct {
-	backoffUntil   clock.Micros
-	emptyResponses int // consecutive requests that the pool did not fill
+	backoffUntil     clock.Micros
+	unfilledRequests int // consecutive requests that the pool did not fill
 }
 
 const (
@@ -43,8 +43,8 @@
 // 2 s; the time doubles with each consecutive call, up to maxPoolBackoff.
 func (scheduler *Scheduler) ObserveEmptyPool(pool Pool, now clock.Micros) {
 	backoff := scheduler.backoffFor(pool)
-	backoff.emptyResponses++
-	backoff.backoffUntil = now + min(clock.Second<<min(backoff.emptyResponses, maxBackoffShift), maxPoolBackoff)
+	backoff.unfilledRequests++
+	backoff.backoffUntil = now + min(clock.Second<<min(backoff.unfilledRequests, maxBackoffShift), maxPoolBackoff)
 }
 
 // ObserveScaleOutResult records how many of the requested machines a pool granted. A complete
@@ -52,7 +52,7 @@
 func (scheduler *Scheduler) ObserveScaleOutResult(pool Pool, requested, granted int, now clock.Micros) {
 	backoff := scheduler.backoffFor(pool)
 	if granted >= requested {
-		backoff.emptyResponses, backoff.backoffUntil = 0, 0
+		backoff.unfilledRequests, backoff.backoffUntil = 0, 0
 		return
 	}
 	scheduler.ObserveEmptyPool(pool, now)
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -114,7 +114,7 @@
 				if tasksPerMachine == 0 || !isPoolAllowed(queued.job, pool) || requiredZone != "" && zone != requiredZone {
 					continue
 				}
-				if cycle.scheduler.backoffFor(pool).emptyResponses == 0 {
+				if cycle.scheduler.backoffFor(pool).unfilledRequests == 0 {
 					return false
 				}
 				taskCapacity += tasksPerMachine * cycle.machineCount(pool)
