--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -255,8 +255,8 @@
 	return pending
 }
 
-// Remove removes a job that has ended, which has no effect on other jobs. If a later record names the job
-// as a dependency, the job is unknown until its end is recorded again.
+// Remove removes a job that has ended. The removal has no effect on other jobs. If a later record names
+// the job as a dependency, the job is unknown until its end is recorded again.
 func (graph *Graph) Remove(id string) {
 	if jobNode := graph.nodes[id]; jobNode != nil && jobNode.hasEnded() {
 		delete(graph.nodes, id)
--- a/internal/health/faults.go
+++ b/internal/health/faults.go
@@ -56,8 +56,8 @@
 
 // Faults records the failed tasks of one machine.
 type Faults struct {
-	// firstAt and lastAt are the instants of the first and the last failure that count, or 0 if there
-	// is none.
+	// firstAt and lastAt are the times of the first and the last failure that count, or 0 if there is
+	// none.
 	firstAt, lastAt clock.Micros
 	// retryAt is when a faulty machine that still has tasks may get new ones again, or 0 if the machine
 	// is not drained for faults.
@@ -70,7 +70,7 @@
 // caller has to add the task's job to machine.FailedJobs before the call. A machine on which tasks of
 // minFaultyJobs jobs have failed is drained, or only paused while failures are widespread. A machine that
 // is already drained or paused needs no action. isWidespread, which examines the other machines, is called
-// only if the decision depends on it. The returned instant is the end of the pause, or 0 for other actions.
+// only if the decision depends on it. The returned time is the end of the pause, or 0 for other actions.
 func (faults *Faults) RecordFailure(machine *allocation.Machine, isWidespread func() bool, now clock.Micros) (FaultAction, clock.Micros) {
 	if faults.firstAt == 0 || now-faults.lastAt > faultTTL {
 		*faults = Faults{firstAt: now, retryAt: faults.retryAt}
--- a/internal/health/handover.go
+++ b/internal/health/handover.go
@@ -42,11 +42,11 @@
 // other members.
 type LeaderReach struct {
 	Fleet Reachability
-	// HadMostReachable reports whether the fleet was mostly reachable (see
+	// HadMostReachable is true if the fleet was mostly reachable (see
 	// Reachability.IsMostlyReachable) at some time in this term. A leader that never reached the
 	// machines doesn't hand over because none is reachable.
 	HadMostReachable bool
-	// HasCandidate reports whether another member that sends heartbeats and reaches the store could
+	// HasCandidate is true if another member that sends heartbeats and reaches the store could
 	// become leader.
 	HasCandidate bool
 	// ReadAge is the time since the newest read that the store has answered was sent, or since the end
@@ -54,7 +54,7 @@
 	ReadAge clock.Micros
 	// LeaderTTL is how long the leader's lock lasts without renewal.
 	LeaderTTL clock.Micros
-	// HasWaitedForWorkers reports whether workers have had enough time to send heartbeats again since
+	// HasWaitedForWorkers is true if workers have had enough time to send heartbeats again since
 	// the process's last stall.
 	HasWaitedForWorkers bool
 	// ContactingOther is the largest number of workers that contact any single other member.
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -3,8 +3,8 @@
 // key-value store. It only decides; the controller deletes machines, hands leadership over and sends
 // probes.
 //
-// The package does no I/O and never reads a clock. Every instant is a parameter and belongs to the
-// process's monotonic clock.
+// The package does no I/O and never reads a clock. All times are parameters and belong to the process's
+// monotonic clock.
 package health
 
 import "firwood.dev/firwood/internal/clock"
--- a/internal/health/probe.go
+++ b/internal/health/probe.go
@@ -31,7 +31,7 @@
 // RecordAnswer records that a probe was answered.
 func (probes *Probes) RecordAnswer(now clock.Micros) { probes.Misses, probes.AnsweredAt = 0, now }
 
-// RecordMiss records that a probe sent at sentAt stayed unanswered. reachableSince is the instant since
+// RecordMiss records that a probe sent at sentAt stayed unanswered. reachableSince is the time since
 // which this process has run without a stall and the machine's zone has been mostly reachable. A probe
 // that was sent earlier proves nothing about the machine, so it resets the count of misses.
 func (probes *Probes) RecordMiss(sentAt, reachableSince clock.Micros) {
@@ -60,7 +60,7 @@
 
 // NeedsProbe reports whether a machine, with or without replicas, is to be probed out of turn. After a miss,
 // a probe is due once missRetryInterval has passed since the last probe or heartbeat. Otherwise it is due if
-// the heartbeat is overdue and ProbeInterval has passed since the last probe. resumedAt is the instant since
+// the heartbeat is overdue and ProbeInterval has passed since the last probe. resumedAt is the time since
 // which this process has been able to receive heartbeats; no heartbeat is overdue until ProbeAfter later.
 func (probes *Probes) NeedsProbe(lastHeartbeatAt, resumedAt, now clock.Micros, timing Timing) bool {
 	if probes.Misses > 0 {
--- a/internal/health/verdict.go
+++ b/internal/health/verdict.go
@@ -52,13 +52,13 @@
 	BootTimeout    func(machineType string) clock.Micros
 }
 
-// Evidence is what else is known about one machine.
+// Evidence is what the leader knows about a machine beyond the fields of allocation.Machine.
 type Evidence struct {
 	// Silence is how long the machine's heartbeats have been missing although they could have arrived.
 	// It starts no earlier than the end of this process's last stall, and no earlier than the last time
 	// that the machine's zone was mostly unreachable.
 	Silence clock.Micros
-	// IsListedBooting reports whether the cloud's last list showed the machine as booting.
+	// IsListedBooting is true if the cloud's last list showed the machine as booting.
 	IsListedBooting bool
 	// Zone counts the booted machines of the machine's zone.
 	Zone Reachability
--- a/internal/scaleout/request.go
+++ b/internal/scaleout/request.go
@@ -26,10 +26,10 @@
 	write       recordWrite
 	// version is the last known revision of the record, or 0 if there is no record.
 	version uint64
-	// isShrinkScheduled reports whether a write that removes deleted machines from the record is
+	// isShrinkScheduled is true if a write that removes deleted machines from the record is
 	// scheduled.
 	isShrinkScheduled bool
-	// isOver reports whether the record was deleted.
+	// isOver is true if the record was deleted.
 	isOver bool
 }
 
@@ -37,13 +37,13 @@
 type recordWrite struct {
 	isInFlight bool
 	isDelete   bool
-	// isStale reports whether the record has changed since the write began, so that it has to be
+	// isStale is true if the record has changed since the write began, so that it has to be
 	// written again.
 	isStale bool
 }
 
-// New returns a request whose record has yet to be written. requestedAt is the current instant of the
-// monotonic clock, and record.RequestedAt the current wall-clock time.
+// New returns a request whose record has yet to be written. requestedAt is the current monotonic time,
+// and record.RequestedAt the current wall-clock time.
 func New(name string, record records.ScaleOut, requestedAt clock.Micros) *Request {
 	return &Request{name: name, record: record, requestedAt: requestedAt, state: Recording}
 }
@@ -63,7 +63,7 @@
 // State returns the request's state.
 func (request *Request) State() State { return request.state }
 
-// RequestedAt returns the instant of the monotonic clock at which the request was made.
+// RequestedAt returns the monotonic time at which the request was made.
 func (request *Request) RequestedAt() clock.Micros { return request.requestedAt }
 
 // Version returns the last known revision of the record, or 0 if there is no record.
--- a/internal/scaleout/state.go
+++ b/internal/scaleout/state.go
@@ -15,7 +15,7 @@
 	Granted
 	// Refused means that the cloud granted no machines, and that the record is being deleted.
 	Refused
-	// Resolved means that the answer is durable. The record is deleted once the last machine has been.
+	// Resolved means that the answer is durable. The record is deleted once the last machine is deleted.
 	Resolved
 )
 
--- a/internal/scaleout/write.go
+++ b/internal/scaleout/write.go
@@ -6,8 +6,8 @@
 )
 
 // Write is a write of a request's record. It is conditional on the record's version: a write that is
-// executed late, or twice, must not undo a later write, since that one may name machines that have
-// tasks by then.
+// executed late, or twice, must not undo a later write, since the machines that the later write names
+// may have tasks by then.
 type Write struct {
 	Condition wire.Condition
 	Change    wire.Change
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -130,12 +130,13 @@
 	return free
 }
 
-// isExpected reports whether a machine that is not unavailable will soon take tasks. This holds in
-// three cases: its worker has confirmed the fencing token; or its first heartbeat arrived less than
-// a heartbeat window ago, so that its next heartbeat is due to confirm the token; or it has sent no
-// heartbeat and is still within the boot time of its type. The second case was added after machines
-// that had just booted were not counted and each was requested once more. A worker that has sent
-// heartbeats for longer without confirming the token gets no commands.
+// isExpected reports whether a machine will soon take tasks; the caller has to exclude machines that
+// are unavailable. The result is true in three cases: the machine's worker has confirmed the fencing
+// token; or the machine's first heartbeat arrived less than a heartbeat window ago, so that its next
+// heartbeat is due to confirm the token; or the machine has sent no heartbeat and is still within the
+// boot time of its type. The second case was added after machines that had just booted were not
+// counted and another machine was requested for each of them. A worker that has sent heartbeats for
+// longer without confirming the token gets no commands.
 func (cycle *schedulingCycle) isExpected(machine *allocation.Machine, latestBootTime clock.Micros) bool {
 	switch {
 	case machine.TokenConfirmed:
--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -17,8 +17,8 @@
 // half used and runs only replicas, all of which fit on other machines that have their images, so
 // that each is down only briefly while it moves. The emptied machine can be deleted. The free
 // capacity that remains after the deletion must cover minFreeMachines, the spare target. No machine
-// is picked while any on-demand machine is draining or has not confirmed the fencing token, as while
-// it boots.
+// is picked while any on-demand machine is draining or has not confirmed the fencing token, for
+// example because it is booting.
 func (cycle *schedulingCycle) chooseConsolidation(minFreeMachines int) *allocation.Machine {
 	freeMachines := 0.0
 	for _, machine := range cycle.machines {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -96,7 +96,8 @@
 
 // placeGang places either all waiting tasks of a gang or none. In a gang that is partly placed these
 // are the tasks that it lost before it was complete. If the best slots are not all free yet, it
-// reserves them instead. It returns the result of placeOnSlots, or 0 if it did not call that.
+// reserves them instead. It returns the number of tasks that placeOnSlots placed or reserved room for,
+// or 0 if placeOnSlots was not called.
 func (cycle *schedulingCycle) placeGang(queued *queuedJob) int {
 	if len(queued.readyTasks) != queued.job.WaitingCount() || queued.taskLimit < len(queued.readyTasks) {
 		return 0
@@ -147,8 +148,8 @@
 	}
 }
 
-// reserveForGang reserves room on one machine. As far as the room requires it, it stops placements
-// that would not end in time by themselves.
+// reserveForGang reserves room on one machine. It stops placements that would not end in time by
+// themselves, but only as many as the room requires.
 func (cycle *schedulingCycle) reserveForGang(queued *queuedJob, machine *allocation.Machine, wanted allocation.Resources, readyBy float64) {
 	cycle.gangReserved[machine.SortIndex] = true
 	fetchSeconds := cycle.imageReadySeconds(queued.job, machine)
--- a/internal/scheduler/gangslots.go
+++ b/internal/scheduler/gangslots.go
@@ -81,7 +81,7 @@
 
 	freeIfDrained    allocation.Resources    // free resources if nothing is stopped
 	endingPlacements []*allocation.Placement // placements that drainUntilFits has not counted as ended
-	drainSeconds     float64                 // seconds until the last placement counted as ended does end
+	drainSeconds     float64                 // seconds until the last placement counted as ended is expected to end
 
 	freeIfPreempted allocation.Resources    // free resources if work is stopped
 	victims         []*allocation.Placement // placements that may be stopped and are not counted as stopped
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -7,8 +7,8 @@
 )
 
 // Points and penalties of the placement score. Failures on the machine outweigh all else. The match of
-// spot or on-demand comes next, then the image, then what leaves other machines idle so that they can
-// be deleted.
+// spot or on-demand comes next, then the image, then whatever helps other machines to become idle so
+// that they can be deleted.
 const (
 	pointsForSpotMatch         = 100  // a spot machine for a job that allows spot, an on-demand machine for others
 	pointsForReplicaColocation = 50   // a replica on a machine that already has replicas
@@ -52,8 +52,8 @@
 }
 
 // imageScore returns the part of the score that depends on the job's image. All fetches of a machine
-// share its fetch rate. Added after many replicas that had lost their machines were all placed on
-// one machine after another, each of which then fetched every image.
+// share its fetch rate. The penalties for fetches were added after many replicas that had lost their
+// machines filled one machine after another, and each of these machines had to fetch every image.
 func imageScore(job *allocation.Job, machine *allocation.Machine) float64 {
 	switch _, cached := machine.ImageUsedAt[job.Spec.Image]; {
 	case cached && job.IsService():
@@ -83,7 +83,7 @@
 	return *busy
 }
 
-// candidate is a machine on which a task of a job can start now.
+// candidate is a machine on which a task of a job can start.
 type candidate struct {
 	machine *allocation.Machine
 	score   float64
--- a/internal/scheduler/poolchoice.go
+++ b/internal/scheduler/poolchoice.go
@@ -7,9 +7,9 @@
 // chooseZone returns the zone that all tasks of a SingleZone job have to run in, or "" for other
 // jobs. It is the zone that has tasks of the job or that its spec names; otherwise it is the zone
 // where most of its tasks will find room. A zone where machines can be requested counts as having
-// room for one task at least; one where none can be requested counts only if all tasks fit there.
-// All requests for such a job have to go to the same zone, since machines in several zones are of
-// no use to it.
+// room for at least one task; a zone where none can be requested counts only if all tasks fit there.
+// All requests for such a job have to go to the same zone, since the job can't use machines in several
+// zones.
 func (cycle *schedulingCycle) chooseZone(job *allocation.Job, forecast *capacityForecast) string {
 	if !job.Spec.SingleZone {
 		return ""
@@ -76,9 +76,10 @@
 	return !pool.Spot && cycle.scheduler.MachineTypes[pool.Type].SpotPrice > 0 && urgency != critical && cycle.mayWaitForSpot(job)
 }
 
-// mayWaitForSpot reports whether a job may wait for a spot machine. It may until SpotWaitTimeout has
-// passed since this leader first knew of the job, and at any time while tasks of the job are active.
-// A gang does not wait: all its machines would have to become available within that time.
+// mayWaitForSpot reports whether a job may wait for a spot machine. A job may wait until
+// SpotWaitTimeout has passed since this leader learned of the job, and at any time while tasks of the
+// job are active. A gang does not wait: all its machines would have to become available within that
+// time.
 func (cycle *schedulingCycle) mayWaitForSpot(job *allocation.Job) bool {
 	return job.Spec.AllowsSpot && !job.IsGang() && (job.ActiveCount() > 0 || cycle.now-job.AddedAt < cycle.scheduler.Settings.SpotWaitTimeout)
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// activeIndependentJobs lists the jobs, other than gangs, that have active tasks: no other tasks
-// are ever stopped for a job. The result is never nil.
+// activeIndependentJobs lists the jobs, other than gangs, that have active tasks. Only their tasks are
+// ever stopped to make room for a job. The result is never nil.
 func (cycle *schedulingCycle) activeIndependentJobs() []*allocation.Job {
 	active := []*allocation.Job{}
 	for _, job := range cycle.tracker.Jobs {
@@ -70,8 +70,8 @@
 // within the guaranteed quota of another team; production jobs and entitled jobs may preempt it
 // even then. An entitled job may also preempt a victim of the same priority and another team,
 // unless the victim is entitled too, is a service, or was started by aging. Without the exception
-// for aging, an entitled job stops aged work as soon as it is placed and the next plan places it
-// again; this has repeated thousands of times.
+// for aging, an entitled job stops aged work as soon as that work is placed, and the next plan places
+// the work again; this has repeated thousands of times.
 func (cycle *schedulingCycle) mayPreempt(queued *queuedJob, victim *allocation.Job) bool {
 	job := queued.job
 	switch {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -18,18 +18,18 @@
 
 	machinesNeeded int     // r (4): the machines that a gang needs; 1 for other kinds of jobs
 	runSeconds     float64 // the predicted run time of a task
-	remainingWork  float64 // seconds of waiting work: runSeconds for a gang, or for each ready task of another job
+	remainingWork  float64 // seconds of waiting work: one runSeconds for a gang, one per ready task for other jobs
 
 	readyTasks []int // indices of the waiting tasks that may be placed now
 	unplaced   int   // tasks within the team's limit that have no room in this plan yet
 	taskLimit  int   // how many more tasks the team's limit allows
 
-	// isLossUnconfirmed reports whether the job's tasks may still be running on lost machines.
+	// isLossUnconfirmed is true if the job's tasks may still be running on lost machines.
 	// Machines may be requested for such a job, but none of its tasks may be started.
 	isLossUnconfirmed bool
-	// hasShortfall reports whether the job needs more room than will be free one boot time from now.
+	// hasShortfall is true if the job needs more room than will be free one boot time from now.
 	hasShortfall bool
-	// hasReservation reports whether this plan has reserved room for the job; the rest of the plan
+	// hasReservation is true if this plan has reserved room for the job; the rest of the plan
 	// skips it.
 	hasReservation bool
 }
@@ -50,8 +50,9 @@
 }
 
 // isWaiting reports whether a job has tasks that may need to be started. Unconfirmed tasks do not
-// count, since they may still be running. A gang is started as a whole; once it has active tasks,
-// only one that has never been complete gets replacements for the tasks that it lacks.
+// count, since they may still be running. A gang is started as a whole, so it does not wait while any
+// of its tasks is unconfirmed. A gang with active tasks waits only if it has never been complete: it
+// then gets replacements for the tasks that it has lost.
 func isWaiting(job *allocation.Job) bool {
 	if job.Cancelled || job.WaitingCount() == 0 || job.ActiveCount() == 0 && job.WaitingCount() == job.UnconfirmedCount() {
 		return false
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -8,7 +8,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Each resource of a guaranteed quota counts for itself: a guarantee of 0 entitles no job and limits
+// Each resource of a guaranteed quota counts independently: a guarantee of 0 entitles no job and limits
 // none. Otherwise a quota of GPUs alone would entitle no job, since all jobs take CPUs too.
 func TestQuotaEntitlementsPerResource(t *testing.T) {
 	both := wire.Job{TaskCount: 2, CPUs: 4, GPUs: 1}
@@ -43,7 +43,7 @@
 }
 
 // The free fraction of a machine is that of its scarcest resource: a machine with all GPUs in use has
-// no room and counts for no spare, however many CPUs are free.
+// no room and does not count as a spare, however many CPUs are free.
 func TestFreeFractionIsThatOfScarcestResource(t *testing.T) {
 	size := allocation.Resources{MilliCPU: 12000, MilliGPU: 2000, MemoryMB: 96000}
 	for _, testCase := range []struct {
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -15,8 +15,8 @@
 	return share
 }
 
-// freeFraction is the free share of a machine's scarcest resource. By CPUs alone, machines whose
-// GPUs are all in use would count as room for spares.
+// freeFraction is the free share of a machine's scarcest resource. If only CPUs counted, a machine
+// whose GPUs are all in use would count as room for spares.
 func freeFraction(free, size allocation.Resources) float64 {
 	return max(1-dominantShare(size.Sub(free), size), 0)
 }
--- a/internal/scheduler/scalein.go
+++ b/internal/scheduler/scalein.go
@@ -33,8 +33,8 @@
 }
 
 // isIdleTooLong reports whether an idle machine is to be deleted. A machine younger than
-// minChargedDuration is paid for until then in any case, so it is kept unless it has been idle for
-// the whole of idleTimeout.
+// minChargedDuration is paid for until it reaches that age in any case, so it is kept unless it has
+// been idle for the whole of idleTimeout.
 func (cycle *schedulingCycle) isIdleTooLong(machine *allocation.Machine, kind machineKind, idleTimeout clock.Micros) bool {
 	timeout := idleTimeout
 	if !cycle.scheduler.needsWarmSpares(cycle.scheduler.demandForKind(kind), cycle.scheduler.BootTime(machine.Type, medianBootPercentile)) {
@@ -60,9 +60,9 @@
 }
 
 // hasUnconfirmedTasks reports whether there are unconfirmed tasks that may use machines of a kind.
-// Each of them is either found on a machine, or has to be started again, possibly all at once.
-// Without this check a new leader deleted a fleet's idle machines while two in three of its tasks
-// were unconfirmed.
+// Idle machines are kept for them: each task will either be found on a machine or has to be started
+// again, possibly all of them at once. Without this check a new leader deleted a fleet's idle machines
+// while two in three of its tasks were unconfirmed.
 func (cycle *schedulingCycle) hasUnconfirmedTasks(kind machineKind) bool {
 	for _, job := range cycle.tracker.Jobs {
 		if job.UnconfirmedCount() > 0 && !job.Cancelled && (job.Spec.AllowsSpot || kind == onDemandMachines) {
--- a/internal/scheduler/scaleout.go
+++ b/internal/scheduler/scaleout.go
@@ -39,11 +39,11 @@
 	}
 }
 
-// jobShortfall tracks which of a job's tasks have found no room in the forecast yet.
+// jobShortfall tracks how many of a job's tasks have found no room in the forecast yet.
 type jobShortfall struct {
 	queued       *queuedJob
 	remaining    int            // tasks without room
-	tasksByZone  map[string]int // tasks for which this plan has found room
+	tasksByZone  map[string]int // tasks for which this plan has found room, by zone
 	requiredZone string         // the only zone that the job may use, or "" if it may use any
 }
 
@@ -86,7 +86,7 @@
 		if capacity == nil || capacity.requested >= wire.MaxScaleOutCount {
 			break
 		}
-		// Tasks of this job fill the new machine at once.
+		// The new machine is filled with tasks of this job before other jobs may use it.
 		expected := expectedMachine{free: cycle.scheduler.MachineCapacity(capacity.pool.Type)}
 		for count := shortfall.zoneAllowance(capacity.pool.Zone); count > 0 && job.Request.IsWithin(expected.free); count-- {
 			expected.free = expected.free.Sub(job.Request)
--- a/internal/scheduler/scaleout_test.go
+++ b/internal/scheduler/scaleout_test.go
@@ -9,10 +9,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A machine that has just come up shows with its next heartbeat that it has seen the fencing token,
-// and then takes tasks, so no other machine may be requested in its place. A machine that sends
-// heartbeats for longer than the window without showing the token is unreachable; it is not
-// counted on, and another is requested.
+// A machine that has just come up confirms the fencing token with its next heartbeat and then takes
+// tasks, so no other machine may be requested in its place. A machine that sends heartbeats for longer
+// than the window without confirming the token is unreachable: it is no longer expected to take tasks,
+// and another machine is requested.
 func TestNoScaleOutForMachineThatJustCameUp(t *testing.T) {
 	fixture := newFixture(nil)
 	fixture.scheduler.HeartbeatWindow = 8 * clock.Second
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -33,7 +33,8 @@
 	// done; it applies to jobs without a deadline of their own. WaitObjectives maps each class to
 	// the seconds within which users expect its jobs to start.
 	CompletionObjectives, WaitObjectives map[string]float64
-	// HeartbeatWindow is the age of the last heartbeat beyond which a machine is suspected.
+	// HeartbeatWindow is the age of the last heartbeat beyond which the scheduler suspects a machine
+	// and gives it no tasks. A machine is deleted as health.Suspected only after a longer silence.
 	HeartbeatWindow clock.Micros
 	// TermStartedAt is when this leader's term began. ResumedAt is when the leader last resumed
 	// after a stall of the process or a lapse of its entitlement to lead. During those, no heartbeat
@@ -162,9 +163,9 @@
 	scheduler.demandForJob(job).ObserveTaskRun(seconds, &scheduler.Settings.Smoothing)
 }
 
-// ObserveJobRun records the mean run time of a job's tasks. The screen uses one sample per job, as
-// for arrivals: the tasks of one array are not independent samples, and a thousand of them from a
-// few jobs would not fit any distribution.
+// ObserveJobRun records the mean run time of a job's tasks. screenDemand uses one run-time sample per
+// job, as it does for arrivals: the tasks of one array are not independent samples, and a thousand of
+// them from a few jobs would not fit any distribution.
 func (scheduler *Scheduler) ObserveJobRun(job *allocation.Job, seconds float64, now clock.Micros) {
 	scheduler.demandForJob(job).JobRunTimes.Add(now, seconds)
 }
@@ -199,7 +200,7 @@
 }
 
 // medianBootPercentile is the percentile of a type's boot times by which a machine is expected to
-// have booted. A machine that takes longer than latestBootPercentile is no longer counted on.
+// have booted. A machine that takes longer than latestBootPercentile is no longer expected to come up.
 const (
 	medianBootPercentile = 50
 	latestBootPercentile = 95
--- a/internal/scheduler/spares.go
+++ b/internal/scheduler/spares.go
@@ -58,9 +58,9 @@
 // does not add a machine.
 const roundingMargin = 1e-9
 
-// screenDemand decides whether spares are planned for a kind of machine. They are if the demand
-// passes the screen, every waiting job will find room within a boot time, and the last arrival is
-// recent.
+// screenDemand decides whether spares are planned for a kind of machine. Spares are planned if the
+// demand passes the screen, every waiting job will find room within a boot time, and the last arrival
+// is recent.
 func (cycle *schedulingCycle) screenDemand(kind machineKind, queue []*queuedJob) SpareReport {
 	settings, demand := &cycle.scheduler.Settings, cycle.scheduler.demandForKind(kind)
 	report := SpareReport{ArrivalScreen: demand.ArrivalGaps.Screen(&settings.Screen, cycle.now), RunTimeScreen: demand.JobRunTimes.Screen(&settings.Screen, cycle.now)}
@@ -156,7 +156,7 @@
 }
 
 // needsWarmSpares reports whether users expect jobs of this demand to start sooner than a machine
-// boots, or have set no such objective for any class. Only then is an idle machine worth its price:
+// boots, or whether no class has a wait objective at all. Only then is an idle machine worth its price:
 // if users accept a wait longer than a boot, requesting a machine on arrival is enough.
 func (scheduler *Scheduler) needsWarmSpares(demand *forecast.DemandModel, bootTime clock.Micros) bool {
 	waitObjective := demand.WaitObjective()
