--- a/internal/controller/availability.go
+++ b/internal/controller/availability.go
@@ -15,12 +15,12 @@
 // delay users' requests after the outage.
 func (controller *Controller) updateAvailability(now clock.Micros) {
 	isReady := controller.view.IsLoaded && len(controller.machineTypes.list) > 0
-	isCutOffFromStore := controller.isStoreRefusing(now) && controller.isStoreReachableElsewhere(now)
+	isCutOffFromStore := controller.isStoreFailing(now) && controller.isStoreReachableElsewhere(now)
 	controller.process.isUnavailable.Store(!isReady || isCutOffFromStore)
 }
 
-// isStoreRefusing reports whether this member's requests to the store have failed for more than a second.
-func (controller *Controller) isStoreRefusing(now clock.Micros) bool {
+// isStoreFailing reports whether this member's requests to the store have failed for more than a second.
+func (controller *Controller) isStoreFailing(now clock.Micros) bool {
 	lastSuccessAt := controller.store.LastSuccessAt()
 	return controller.store.LastFailureAt() > lastSuccessAt && now-lastSuccessAt > clock.Second
 }
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -64,8 +64,8 @@
 // tries an unreachable leader, so shortly before the grant ends each of the worker's heartbeats is answered.
 func (controller *Controller) isRedirectDue(machine string, grantUntil, now clock.Micros) bool {
 	workers := &controller.cfg.Deployment.Workers
-	lastReplyAt, wasAnswered := controller.delegation.lastReplyAt[machine]
-	if !wasAnswered || now-lastReplyAt > clock.FromSeconds(workers.LeaseSeconds) {
+	lastReplyAt, hasReplied := controller.delegation.lastReplyAt[machine]
+	if !hasReplied || now-lastReplyAt > clock.FromSeconds(workers.LeaseSeconds) {
 		return false
 	}
 	return grantUntil-now > clock.FromSeconds(2*workers.HeartbeatIntervalSeconds)+redirectMargin
