--- a/internal/commandqueue/queue_test.go
+++ b/internal/commandqueue/queue_test.go
@@ -54,7 +54,7 @@
 			userCommands++
 		}
 		if userCommands < minUserCommands || userCommands < maxSockets/4 {
-			t.Errorf("with %d sockets, Post accepted %d user commands, want at least minUserCommands and one for four sockets", maxSockets, userCommands)
+			t.Errorf("with %d sockets, Post accepted %d user commands, want at least minUserCommands and one per four sockets", maxSockets, userCommands)
 		}
 	}
 }
--- a/internal/controller/availability.go
+++ b/internal/controller/availability.go
@@ -9,10 +9,10 @@
 // IsHealthy reports whether users may be routed to this member. It may be called on any goroutine.
 func (controller *Controller) IsHealthy() bool { return !controller.process.isUnavailable.Load() }
 
-// updateAvailability decides whether GET /up replies 200, so that users are routed to this member. They are
-// not before the view and the machine types are loaded, nor while the store refuses only this member's
-// requests. In an outage of the store every member is refused. Reporting unavailability then would only
-// delay users' requests after the outage.
+// updateAvailability decides whether GET /up replies 200, so that users are routed to this member. Users are
+// not routed to a member before its view and its machine types are loaded, nor while the store fails for this
+// member but not for others. In an outage the store fails for every member. Reporting unavailability then
+// would only delay users' requests after the outage.
 func (controller *Controller) updateAvailability(now clock.Micros) {
 	isReady := controller.view.IsLoaded && len(controller.machineTypes.list) > 0
 	isCutOffFromStore := controller.isStoreFailing(now) && controller.isStoreReachableElsewhere(now)
--- a/internal/controller/controller_state.go
+++ b/internal/controller/controller_state.go
@@ -53,10 +53,10 @@
 // processStatus is the status of this process.
 type processStatus struct {
 	lastTickAt clock.Micros // 0 before the first tick
-	// isUnavailable reports whether users should not be routed to this member. The goroutine of Run writes
+	// isUnavailable is true if users should not be routed to this member. The goroutine of Run writes
 	// it before each regular heartbeat to the other members, and the server's event loop reads it.
 	isUnavailable atomic.Bool
-	// isActiveLeader reports whether this process may answer workers as leader. The goroutine of Run
+	// isActiveLeader is true if this process may reply to workers as leader. The goroutine of Run
 	// writes it with each tick, and any goroutine may read it.
 	isActiveLeader atomic.Bool
 	nextDropLogAt  map[string]clock.Micros // when logDropped may next log each message
@@ -105,7 +105,7 @@
 // delegationState is the state for renewing workers' leases while the leader is unreachable.
 type delegationState struct {
 	delegate *delegation.Delegate // this member's grant
-	// lastReplyAt is when this member last answered each worker under the grant. Redirecting a worker
+	// lastReplyAt is when this member last replied to each worker under the grant. Redirecting a worker
 	// deletes its entry.
 	lastReplyAt map[string]clock.Micros
 	// unconfirmedConstraints are the zones that this member may have constrained in its last term. The
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -14,7 +14,7 @@
 )
 
 // newTestController returns a controller whose view records the given machines, requested 300 s ago. It has
-// no term, and its requests reach nobody.
+// no term, and no server answers its requests.
 func newTestController(t testing.TB, machines ...string) *Controller {
 	t.Helper()
 	cfg := &config.Platform{Member: "a", Location: "x", Peers: []config.Peer{{Member: "b", Location: "y", Address: "127.0.0.1:1"}}}
--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -11,8 +11,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// In a store outage the leader cannot renew its lock. It then answers workers as a delegate: without
-// commands, redirecting each worker after every answer, until its grant ends and no longer. If all workers are
+// In a store outage the leader cannot renew its lock. It then replies to workers as delegate: without
+// commands, redirecting each worker after every reply, until its grant ends and no longer. If all workers are
 // in one zone, there are grants even with leases that are too short for delegation in a partition between
 // zones.
 func TestDelegateRenewsLeasesDuringStoreOutage(t *testing.T) {
@@ -29,12 +29,12 @@
 		return New(cfg, config.DefaultTuning(), slog.New(slog.DiscardHandler), client.DialTCP)
 	}
 	if controller := newController("x", "y"); controller.settings.Delegation.GrantTTL != 0 {
-		t.Fatal("two zones have grants, want none: a redirected worker may be back too late in a partition between zones")
+		t.Fatal("GrantTTL is above 0 with two zones, want 0: a redirected worker may be back too late in a partition between zones")
 	}
 	controller := newController("x")
 	leaseDuration, cancelTimeout := 10*clock.Second, 35*clock.Second
 	if controller.settings.Delegation.GrantTTL < leaseDuration || controller.settings.Delegation.CancellationGrace+controller.settings.Delegation.GrantTTL+leaseDuration >= cancelTimeout {
-		t.Fatalf("a grant lasts %d us, want at least a lease, and with grace and lease less than the cancel timeout", controller.settings.Delegation.GrantTTL)
+		t.Fatalf("GrantTTL = %d us, want at least a lease, and less than the cancellation timeout when added to CancellationGrace and a lease", controller.settings.Delegation.GrantTTL)
 	}
 	controller.view.IsLoaded = true
 	term := controller.newTerm(9, clock.Now())
@@ -45,7 +45,7 @@
 	now := 100 * clock.Second
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", Zone: "x", FencingToken: 9}
 	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
-		t.Fatal("the member answers as a delegate, but has never known of all cancellations")
+		t.Fatal("the member replies as delegate, but has never known of all cancellations")
 	}
 	makeEntitled(t, controller, 9)
 	term.AcknowledgeTimestamps(now, func() {})
@@ -53,7 +53,7 @@
 	batch.Complete(nil)
 	controller.elector.StepDown(clock.Now(), clock.Second)
 	if controller.isEntitled() || term.CancellationsKnownAt() != now {
-		t.Fatalf("entitled %v, want false; knows all cancellations before %d, want %d", controller.isEntitled(), term.CancellationsKnownAt(), now)
+		t.Fatalf("isEntitled = %v, want false; CancellationsKnownAt = %d, want %d", controller.isEntitled(), term.CancellationsKnownAt(), now)
 	}
 	grantEnd := now + controller.settings.Delegation.GrantTTL
 	var lastReplyAt, longestGap clock.Micros
@@ -61,7 +61,7 @@
 	for heartbeatAt := now; heartbeatAt < grantEnd+leaseDuration; {
 		if controller.replyAsDelegate(heartbeat, &server.Reply{}, heartbeatAt) {
 			if heartbeatAt >= grantEnd {
-				t.Fatalf("the member answers as a delegate %d us after the end of its grant", heartbeatAt-grantEnd)
+				t.Fatalf("the member replies as delegate %d us after the end of its grant", heartbeatAt-grantEnd)
 			}
 			if lastReplyAt != 0 {
 				longestGap = max(longestGap, heartbeatAt-lastReplyAt)
@@ -71,16 +71,16 @@
 			continue
 		}
 		if heartbeatAt < grantEnd && heartbeatAt == now {
-			t.Fatal("the member does not answer the first heartbeat of a worker that comes from another member")
+			t.Fatal("the member does not reply to the first heartbeat of a worker that comes from another member")
 		}
 		heartbeatAt += 5 * clock.Second / 2
 	}
 	if longestGap >= leaseDuration/2 || lastReplyAt < grantEnd-leaseDuration/2 {
-		t.Fatalf("answers are up to %d us apart and the last is %d us before the grant's end, want less than half a lease", longestGap, grantEnd-lastReplyAt)
+		t.Fatalf("replies are up to %d us apart and the last is %d us before the grant's end, want less than half a lease", longestGap, grantEnd-lastReplyAt)
 	}
 	// A newer leader sends a heartbeat.
 	controller.delegation.delegate.RecordLeaderHeartbeat(now, 10, controller.delegation.delegate.Timestamp(now))
 	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
-		t.Fatal("the member answers as a delegate while a newer leader sends heartbeats")
+		t.Fatal("the member replies as delegate while a newer leader sends heartbeats")
 	}
 }
--- a/internal/controller/delegate_replies.go
+++ b/internal/controller/delegate_replies.go
@@ -52,16 +52,16 @@
 	return true
 }
 
-// isCancelled reports whether a job is durably cancelled, as far as the view knows. A job that is not in the
+// isCancelled reports whether a job is durably cancelled according to the view. A job that is not in the
 // view may be new, so its tasks are left to the leader.
 func (controller *Controller) isCancelled(jobID string) bool {
 	record := controller.view.Jobs[jobID]
 	return record != nil && record.State == wire.JobCancelled
 }
 
-// isRedirectDue reports whether this member answered a worker's previous heartbeat under the grant, at most a
+// isRedirectDue reports whether this member replied to a worker's previous heartbeat under the grant, at most a
 // lease ago, and the worker can be back before the grant ends. A worker's lease is not renewed while the worker
-// tries an unreachable leader, so shortly before the grant ends each of the worker's heartbeats is answered.
+// tries an unreachable leader, so shortly before the grant ends each of the worker's heartbeats gets a reply.
 func (controller *Controller) isRedirectDue(machine string, grantUntil, now clock.Micros) bool {
 	workers := &controller.cfg.Deployment.Workers
 	lastReplyAt, hasReplied := controller.delegation.lastReplyAt[machine]
@@ -71,8 +71,8 @@
 	return grantUntil-now > clock.FromSeconds(2*workers.HeartbeatIntervalSeconds)+redirectMargin
 }
 
-// recordDelegatedReply records a renewal under the grant. A leader whose entitlement has run out also answers
-// as a delegate. If it renews the lock after that and continues its term, the term must know of the leases
+// recordDelegatedReply records a renewal under the grant. A leader whose entitlement has run out also replies
+// as delegate. If it renews the lock after that and continues its term, the term must know of the leases
 // that were renewed meanwhile.
 func (controller *Controller) recordDelegatedReply(machineName string, sendDeadline, now clock.Micros) {
 	controller.delegation.lastReplyAt[machineName] = now
--- a/internal/controller/delegate_replies_test.go
+++ b/internal/controller/delegate_replies_test.go
@@ -12,8 +12,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// repliesToOneOfTwoHeartbeats reports whether the member answers, as a delegate, one of two heartbeats in a
-// row. One heartbeat is not enough to tell, since a worker is redirected after each answer.
+// repliesToOneOfTwoHeartbeats reports whether the member replies, as delegate, to one of two heartbeats in a
+// row. One heartbeat is not enough to tell, since a worker is redirected after each reply.
 func repliesToOneOfTwoHeartbeats(controller *Controller, heartbeat *wire.Heartbeat, now clock.Micros) bool {
 	first := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
 	second := controller.replyAsDelegate(heartbeat, &server.Reply{}, now)
@@ -21,7 +21,7 @@
 }
 
 // A follower that reaches neither the leader nor the store renews a worker's lease at once, and redirects the
-// worker after each answer. While the leader is reachable the follower renews nothing, so that it keeps no
+// worker after each reply. While the leader is reachable the follower renews nothing, so that it keeps no
 // worker from the leader.
 func TestDelegateRedirectsAfterEachReply(t *testing.T) {
 	controller := newTestController(t)
@@ -30,20 +30,20 @@
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", FencingToken: 5}
 	controller.delegation.delegate = delegation.NewDelegate(controller.settings.Delegation, 1, now-60*clock.Second)
 	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
-		t.Fatal("the member answers as a delegate without a grant")
+		t.Fatal("the member replies as delegate without a grant")
 	}
 	controller.delegation.delegate.RecordLeaderHeartbeat(now-leaderSilence, 5, controller.delegation.delegate.Timestamp(now-leaderSilence))
 	for i, want := range []bool{true, false, true, false} {
 		if got := controller.replyAsDelegate(heartbeat, &server.Reply{}, now); got != want {
-			t.Fatalf("heartbeat %d: answered as a delegate %v, want the opposite", i, got)
+			t.Fatalf("heartbeat %d: replyAsDelegate = %v, want the opposite", i, got)
 		}
 	}
 	if controller.replyAsDelegate(&wire.Heartbeat{MachineID: "i-1", FencingToken: 6}, &server.Reply{}, now) {
-		t.Fatal("the member answers as a delegate to a worker that knows a newer leader")
+		t.Fatal("the member replies as delegate to a worker that knows a newer leader")
 	}
 	controller.delegation.delegate.RecordLeaderHeartbeat(now, 5, controller.delegation.delegate.Timestamp(now))
 	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
-		t.Fatal("the member answers as a delegate while the leader is reachable")
+		t.Fatal("the member replies as delegate while the leader is reachable")
 	}
 }
 
@@ -72,7 +72,7 @@
 		}
 	})
 	if !controller.replyAsDelegate(heartbeat, reply, now) {
-		t.Fatal("the member does not answer as a delegate")
+		t.Fatal("the member does not reply as delegate")
 	}
 	var stopped []string
 	for _, command := range response.Commands {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -10,7 +10,7 @@
 
 // Whether a job may start, whether it is cancelled with a dependency, and how urgent it is follow from the
 // dependencies between jobs. None of this is stored. Every controller derives it from the jobs' records alone.
-// The leader's allocation table holds only released jobs.
+// The leader's allocation table holds only released jobs, that is, jobs whose dependencies are all done.
 
 // startOverhead is about how long a job takes in addition to its run, to get a machine and an image.
 const startOverhead = 5 * clock.Second
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// A long list of dependencies is split so that each part fits into a value of the store. It is put together
-// again in whatever order the keys are read.
+// A long list of dependencies is split so that each part fits into a value of the store. The parts are
+// joined again in whatever order the keys are read.
 func TestLongDependencyListsAreSplit(t *testing.T) {
 	controller := newTestController(t)
 	controller.cfg.Deployment.Store.MaxValueKB = 1
@@ -153,5 +153,5 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("the awaited condition does not hold after 10000 tries")
+	t.Fatal("isDone still returns false after 10000 tries")
 }
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -15,6 +15,6 @@
 //     the other members at once, and the leader's term sees it as a change of the job's record.
 //   - A request for a job's status: job_status.go. The job report: job_report.go.
 //   - A worker's heartbeat: worker_heartbeats.go passes it to the term if this member leads,
-//     answers it under a grant (delegate_replies.go), or redirects the worker.
+//     replies under a grant (delegate_replies.go), or redirects the worker.
 //   - A member's heartbeat: peer_heartbeats.go; replica.go takes the leader's standby stream.
 package controller
--- a/internal/controller/eviction.go
+++ b/internal/controller/eviction.go
@@ -10,7 +10,7 @@
 // requested most recently, and fetches others on demand; see package jobhistory.
 
 const (
-	// Finished jobs may take one part in finishedMemoryDivisor of the process's memory.
+	// Finished jobs may take the process's memory divided by finishedMemoryDivisor.
 	// finishedJobBytes is about how much memory one of them takes.
 	finishedMemoryDivisor, finishedJobBytes = 16, 512
 	// minFinishedJobs is how many finished jobs are kept however little memory there is.
@@ -30,7 +30,7 @@
 
 // evictedJobs summarizes finished jobs that are no longer in the view.
 type evictedJobs struct {
-	// mayExist reports whether a job that is not in the view may have a record in the store. It is never
+	// mayExist is true if a job that is not in the view may have a record in the store. It is never
 	// reset: counts that are 0 don't prove that no job is evicted, since they are for display and may lag.
 	mayExist bool
 	// evictions counts how often a job may have left the view, so that a request that has waited can tell
--- a/internal/controller/forwarded_cancellations.go
+++ b/internal/controller/forwarded_cancellations.go
@@ -8,8 +8,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// addToCancellationLog adds a job to the log of cancellations if its record says that it is cancelled and its tasks
-// may still run.
+// addToCancellationLog adds a job to the log of cancellations if its record says that it is cancelled and
+// its tasks may still run.
 func (controller *Controller) addToCancellationLog(id string, record *storeview.Job) {
 	if record.State != wire.JobCancelled || record.Spec == nil {
 		return
--- a/internal/controller/job_lookup.go
+++ b/internal/controller/job_lookup.go
@@ -62,7 +62,7 @@
 	}()
 }
 
-// readJobRecords reads the records of a few of the given jobs. areOthersAbsent reports that no other job has a
+// readJobRecords reads the records of a few of the given jobs. areOthersAbsent is true if no other job has a
 // record, which is known only if none of the jobs has one.
 func (controller *Controller) readJobRecords(jobs []string) (read []wire.KeyValue, areOthersAbsent bool, err error) {
 	var keys []string
--- a/internal/controller/job_status.go
+++ b/internal/controller/job_status.go
@@ -8,9 +8,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// The status of a job that has ended is answered from the view at once. Another status could be outdated by
-// what another member has confirmed, so the answer waits for a sync of the view. A job that may have been
-// evicted from the view is looked up in the store.
+// The status of a job that has ended is sent from the view at once. Another status could be outdated by what
+// another member has confirmed, so the reply waits for a sync of the view. A job that may have been evicted
+// from the view is looked up in the store.
 
 // maxDependenciesShown bounds how many pending dependencies a job's status lists.
 const maxDependenciesShown = 50
@@ -61,7 +61,7 @@
 
 // replyStatusFromFreshView replies with a job's status from a view that has just been proven new enough. If the
 // process stalls after that proof, it must not send the status as if it were new: another member may have told
-// somebody of the job's end meanwhile. So a reply that isn't final is sent before a deadline or not at all.
+// a user of the job's end meanwhile. So a reply that isn't final is sent before a deadline or not at all.
 func (controller *Controller) replyStatusFromFreshView(id string, reply *server.Reply) {
 	sendDeadline := clock.Now() + syncTimeout
 	switch record := controller.view.Jobs[id]; {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -24,7 +24,7 @@
 	// delay before the next attempt.
 	rebuildSyncTimeout   = 2 * clock.Second
 	rebuildRetryInterval = clock.Second / 10
-	// releaseBackoff is how long a member that shuts down does not run for election; releaseTimeout bounds
+	// releaseBackoff is how long a member that shuts down does not campaign; releaseTimeout bounds
 	// how long the shutdown waits for the lease to be revoked.
 	releaseBackoff = 3600 * clock.Second
 	releaseTimeout = 2 * time.Second
@@ -33,8 +33,8 @@
 // isEntitled reports whether this process may act as leader now.
 func (controller *Controller) isEntitled() bool { return controller.elector.IsEntitled(clock.Now()) }
 
-// IsLeader reports whether this process answers workers as leader, as of the last tick. It may be called on any
-// goroutine.
+// IsLeader reports whether this process replies to workers as leader, as of the last tick. It may be called
+// on any goroutine.
 func (controller *Controller) IsLeader() bool { return controller.process.isActiveLeader.Load() }
 
 // startFailoverIfElected begins the failover once this member holds the lock.
@@ -67,8 +67,8 @@
 	}, clock.Now()+rebuildSyncTimeout)
 }
 
-// retryRebuild rebuilds again after the view was too old or the machine types, which come from the store or
-// the cloud, were not known.
+// retryRebuild rebuilds again after the sync failed, the view was too old, or the machine types, which come
+// from the store or the cloud, were not known.
 func (controller *Controller) retryRebuild(token uint64) {
 	if controller.elector.Token() != token || !controller.failover.isRebuilding {
 		controller.restartFailover()
@@ -84,8 +84,8 @@
 	controller.startFailoverIfElected()
 }
 
-// endTerm ends the leadership term, if there is one. This member's own grant as a delegate begins then, so that
-// it may continue to renew workers' leases until there is another leader.
+// endTerm ends the leadership term, if there is one. It gives this member a grant as delegate, so that the
+// member may continue to renew workers' leases until there is another leader.
 func (controller *Controller) endTerm(reason endReason) {
 	if controller.term == nil {
 		return
@@ -129,7 +129,7 @@
 	}
 }
 
-// traceObservedFailover traces, on a follower, how long there was no leader during a failover.
+// traceObservedFailover traces, on a follower, how long no leader's heartbeat was received during a failover.
 func (controller *Controller) traceObservedFailover(token uint64) {
 	if controller.failover.leaderHeartbeatAt == 0 || controller.isLeading() || controller.elector.Token() == token {
 		return
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -12,7 +12,7 @@
 	"firwood.dev/firwood/internal/peer"
 )
 
-// storeReachableWindow is the greatest age of the store's last successful answer at which this member
+// storeReachableWindow is the greatest age of the store's last successful response at which this member
 // reports that it reaches the store.
 const storeReachableWindow = 12 * clock.Second
 
@@ -59,7 +59,7 @@
 }
 
 // recordDelegation updates the state of lease delegation from a heartbeat. On a follower, the leader's
-// heartbeat extends this member's grant. On the leader, a follower's heartbeat tells which of the
+// heartbeat extends this member's grant. On the leader, a follower's heartbeat shows which of the
 // leader's timestamps the follower has received, and for how long the follower has not acted as
 // delegate.
 func (controller *Controller) recordDelegation(heartbeat *peer.Heartbeat, now clock.Micros) {
@@ -94,7 +94,7 @@
 }
 
 // knownLeader returns the member with the highest token among the lock's holder and the members that
-// recently reported that they lead; "" if there is none.
+// recently reported that they lead, or "" if there is none.
 func (controller *Controller) knownLeader() string {
 	holder, token := controller.elector.LockHolder()
 	for member, received := range controller.members.heartbeats {
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -14,7 +14,7 @@
 	return peer.StandbyProtocolVersion
 }
 
-// handleStandbyMessage handles a message of the leader's standby stream, or a replica's answer to one.
+// handleStandbyMessage handles a message of the leader's standby stream, or a replica's reply to one.
 func (controller *Controller) handleStandbyMessage(heartbeat *peer.Heartbeat) {
 	switch {
 	case controller.failover.replica == nil:
@@ -32,7 +32,7 @@
 	return controller.term != nil || controller.failover.isRebuilding
 }
 
-// applyStreamMessage applies a message of the leader's stream to the replica, and answers with
+// applyStreamMessage applies a message of the leader's stream to the replica, and replies with
 // the position that the replica has reached.
 func (controller *Controller) applyStreamMessage(from string, message *standby.Message) {
 	before := controller.failover.replica.DropCounts()
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -18,7 +18,7 @@
 // looked up in the store. Second, the submission is validated. Third, the job's record is written on the
 // condition that no record exists.
 //
-// A repeated submission, at this member or another one, is answered with the status of the accepted
+// A repeated submission, at this member or another one, gets a reply with the status of the accepted
 // job and never rejected.
 
 // SubmitJob makes a job durable, and replies with its status. It may be called on any goroutine.
--- a/internal/controller/view_observer.go
+++ b/internal/controller/view_observer.go
@@ -37,7 +37,7 @@
 }
 
 // MachineTypesRead implements storeview.Observer. It ignores the stored types once any are known, since
-// the cloud's own answer is newer.
+// the cloud's own response is newer.
 func (observer viewObserver) MachineTypesRead(types []wire.MachineType) {
 	if len(observer.controller.machineTypes.list) == 0 {
 		observer.controller.setMachineTypes(types)
--- a/internal/controller/watch.go
+++ b/internal/controller/watch.go
@@ -19,7 +19,7 @@
 	// minSyncInterval is the least time between the starts of two syncs. minLeaderSyncInterval is
 	// that of a leader, whose task starts wait for syncs.
 	minSyncInterval, minLeaderSyncInterval = 60 * clock.Millisecond, 25 * clock.Millisecond
-	// pollTimeout is how long the store may hold back its answer to a poll while there are no
+	// pollTimeout is how long the store may hold back its response to a poll while there are no
 	// changes. A poll is a watch that waits for changes.
 	pollTimeout = 10 * clock.Second
 	// pollInterval is the time from the end of a poll to the start of the next, leaderPollInterval
@@ -130,7 +130,7 @@
 }
 
 // watch requests the changes since the view's revision and applies them. While there are no changes, the
-// store may hold back its answer for up to the duration of block. watch runs on its own goroutine; done
+// store may hold back its response for up to the duration of block. watch runs on its own goroutine; done
 // runs on the controller's.
 func (controller *Controller) watch(block clock.Micros, done func(error)) {
 	revisions := make(chan uint64, 1)
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -12,7 +12,7 @@
 const (
 	// leaderRedirectWindow is how long after a leader's last heartbeat workers are redirected to it.
 	leaderRedirectWindow = 3 * leader.HeartbeatInterval
-	// lockHolderRedirectWindow is how long after the store's last answer workers are redirected to the
+	// lockHolderRedirectWindow is how long after the store's last response workers are redirected to the
 	// known leader even if its heartbeats don't arrive.
 	lockHolderRedirectWindow = 12 * clock.Second
 )
@@ -49,7 +49,7 @@
 }
 
 // redirectTarget returns the leader to which workers are redirected, or "" if none is known well enough.
-// A member that reaches neither the leader nor the store names nobody. Before that rule, a member
+// A member that reaches neither the leader nor the store names no leader. Before that rule, a member
 // redirected workers to a leader that was down. The member was also the next one in the workers' lists,
 // so they went back and forth between the two for minutes while a third member led.
 func (controller *Controller) redirectTarget(now clock.Micros) string {
--- a/internal/delegation/config.go
+++ b/internal/delegation/config.go
@@ -58,10 +58,10 @@
 // isEnabled reports whether members get any grants.
 func (cfg Config) isEnabled() bool { return cfg.GrantTTL > 0 }
 
-// Timestamp is an instant of a member's monotonic clock, meaningful for one incarnation of the member.
+// Timestamp is a time on a member's monotonic clock, meaningful for one incarnation of the member.
 type Timestamp struct {
 	// Incarnation identifies the process whose clock it is.
 	Incarnation uint64
-	// At is the instant; it is positive.
+	// At is the time; it is positive.
 	At clock.Micros
 }
--- a/internal/delegation/constraints.go
+++ b/internal/delegation/constraints.go
@@ -39,9 +39,9 @@
 		maps.Equal(constraints.MemberGrantUntil, other.MemberGrantUntil)
 }
 
-// ConstraintTracker tracks which constraints are, or may be, in force, as known to a leader. All
-// constraints are stored under one key; see package versionedwrite. The leader has to honor a constraint
-// as soon as BeginWrite has been called for it.
+// ConstraintTracker tracks which constraints a leader has to treat as in force, or as possibly in force.
+// All constraints are stored under one key; see package versionedwrite. The leader has to honor a
+// constraint as soon as BeginWrite has been called for it.
 //
 // DropSupersededValues of the embedded Tracker is not used: honoring a constraint for longer than
 // necessary is safe.
--- a/internal/delegation/delegate.go
+++ b/internal/delegation/delegate.go
@@ -47,9 +47,9 @@
 }
 
 // GrantToSelf gives this member a grant when its own entitlement as leader has ended, if only
-// temporarily, and lets it reply as delegate at once. cancellationsKnownAt is the latest instant before
-// which this member, while entitled, knew of every cancellation; if it is 0, there is none and the member
-// gets no grant. GrantToSelf may be called repeatedly, and in a term that continues later.
+// temporarily, and lets it reply as delegate at once. While it was entitled, this member knew of every
+// cancellation made before cancellationsKnownAt; if cancellationsKnownAt is 0, the member gets no grant.
+// GrantToSelf may be called repeatedly, and in a term that continues later.
 func (delegate *Delegate) GrantToSelf(token uint64, cancellationsKnownAt clock.Micros) {
 	if token < delegate.leaderToken || !delegate.cfg.isEnabled() || cancellationsKnownAt == 0 {
 		return
--- a/internal/delegation/grants.go
+++ b/internal/delegation/grants.go
@@ -7,7 +7,7 @@
 )
 
 // Grants is the leader's side of delegation: it bounds until when other members may have renewed leases
-// as delegates. All its instants are of the leader's monotonic clock.
+// as delegates. All its times are on the leader's monotonic clock.
 type Grants struct {
 	cfg              Config
 	termStartedAt    clock.Micros
@@ -43,7 +43,7 @@
 
 // ApplyInheritedConstraint applies an earlier leader's constraint that no leader has removed since: the
 // member's last grant ends by grantUntil. The constraint is stored in wall-clock time; the caller has
-// converted it to an instant of this member's monotonic clock.
+// converted it to a time on this member's monotonic clock.
 func (grants *Grants) ApplyInheritedConstraint(name string, grantUntil clock.Micros) {
 	if member := grants.members[name]; member != nil {
 		member.grantUntil = min(member.grantUntil, grantUntil)
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -87,7 +87,8 @@
 	entitledUntil clock.Micros // end of the entitlement to act
 }
 
-// requestState describes the requests to the store that have a response.
+// requestState describes the GrantLease, AcquireLock and RenewLease requests. At most one response to them
+// is expected at a time.
 type requestState struct {
 	isInFlight    bool
 	sentAt        clock.Micros // send time of the last grant or renewal
@@ -165,8 +166,8 @@
 	return elector.revokeEarlierLease(now, lock)
 }
 
-// hasUnresolvedAcquisition reports whether the outcome of AcquireLock is unknown and no response is
-// awaited any more. Only the lock itself can then show the outcome.
+// hasUnresolvedAcquisition reports whether the outcome of AcquireLock is unknown and its response is no
+// longer expected. Only the lock itself can then show the outcome.
 func (elector *Elector) hasUnresolvedAcquisition() bool {
 	return elector.phase == AcquiringLock && !elector.request.isInFlight
 }
@@ -177,7 +178,7 @@
 }
 
 // revokeEarlierLease revokes the lease of an earlier incarnation of this member, so that no member has to
-// wait for its TTL. That process has ended, since the platform runs one process per member.
+// wait for the lease's TTL. That process has ended, since the platform runs one process per member.
 func (elector *Elector) revokeEarlierLease(now clock.Micros, lock Lock) []Action {
 	if !elector.isFromEarlierIncarnation(lock) || elector.revocation.revoked[lock.LeaseID] {
 		return nil
@@ -229,7 +230,7 @@
 	return elector.observed.isFree() && now >= elector.backoffUntil && elector.isRequestDue(now)
 }
 
-// isRequestDue reports whether no response is awaited and the time of the next request has come.
+// isRequestDue reports whether no request is in flight and the time of the next one has come.
 func (elector *Elector) isRequestDue(now clock.Micros) bool {
 	return !elector.request.isInFlight && now >= elector.request.nextAttemptAt
 }
--- a/internal/election/lock.go
+++ b/internal/election/lock.go
@@ -2,7 +2,7 @@
 
 // Lock is the lock key as last observed.
 type Lock struct {
-	// Exists reports whether any member has the lock; the other fields are zero if none has.
+	// Exists is true if any member has the lock; the other fields are zero if none has.
 	Exists bool
 	// Holder is the member that created the key.
 	Holder string
--- a/internal/hints/hints.go
+++ b/internal/hints/hints.go
@@ -1,4 +1,4 @@
-// Package hints has the advisory data that a leader sends in heartbeats: hints for the next leader, and
+// Package hints handles the advisory data that a leader sends in heartbeats: hints for the next leader, and
 // counts of the jobs' progress, which other members show to users.
 //
 // The hints are the images that machines have cached, how run times compare with estimates, and how long
@@ -20,7 +20,7 @@
 // there are hints for more machines than Store's maxMachines.
 const imageHintTTL = 600 * clock.Second
 
-// Hints are the hints that this member has received from leaders, in case it is the next leader.
+// Hints holds the hints that this member has received from leaders, in case it is the next leader.
 type Hints struct {
 	cachedImages map[string]receivedImages         // by machine
 	runTimes     map[string]peer.RunTimeStatistics // by class
--- a/internal/versionedwrite/tracker.go
+++ b/internal/versionedwrite/tracker.go
@@ -1,5 +1,5 @@
-// Package versionedwrite tracks which values of one key of the key-value store may be in force, that
-// is stored, as known to the only process that writes the key. The package performs no I/O: its callers
+// Package versionedwrite tracks which values of one key of the key-value store may be in force, that is,
+// stored. The tracking process is the only one that writes the key. The package performs no I/O: its callers
 // pass in the results of writes and reads.
 //
 // The key is never deleted, and every write is conditional on the version that the writer knows. Once a
