--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -35,7 +35,7 @@
 	pending            []*Write
 	activeSenders      int  // goroutines in runSender, at most maxSenders; each ends when it may send no write
 	isRecheckScheduled bool // whether recheckPending is due to run for deferred background writes
-	// isPromotedNext tells whether a promoted required write goes first in the next transaction,
+	// isPromotedNext is whether a promoted required write goes first in the next transaction,
 	// because the last transaction began with an interactive write.
 	isPromotedNext bool
 
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// A request whose send deadline has passed is not sent, and a request to an address where nobody
+// A request whose send deadline has passed is not sent, and a request to an address where no process
 // listens fails with a NotSentError.
 func TestExpiredRequestIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -157,7 +157,7 @@
 	listener.Close()
 	var notSentError *client.NotSentError
 	if _, err := host.Do(client.Request{Method: "GET", Target: "/", Timeout: clock.Second}); !errors.As(err, &notSentError) {
-		t.Fatalf("request where nobody listens: got %v, want a NotSentError", err)
+		t.Fatalf("request where no process listens: got %v, want a NotSentError", err)
 	}
 }
 
@@ -216,8 +216,8 @@
 }
 
 // Under a flood of interactive writes, required writes alternate with them once they have been
-// queued for requiredPromotionAge, and a flood of required writes does not cause users' requests to
-// be refused.
+// queued for requiredPromotionAge. A flood of required writes does not delay interactive writes for
+// so long that they are refused.
 func TestRequiredWritesAreNotStarved(t *testing.T) {
 	store := New(client.DialTCP, "127.0.0.1:1", Limits{RPS: 1000, WriteRPS: 8, MaxTransactionOps: 1}, "lead")
 	store.writeBudget = client.NewTokenBucket(8, 8)
--- a/internal/kvstore/queue.go
+++ b/internal/kvstore/queue.go
@@ -39,8 +39,8 @@
 }
 
 // InteractiveDelay returns how long an interactive write of one change, if queued now, would wait for
-// the write rate. The queued critical and interactive changes go before it. So do promoted ones, up
-// to one more than these, since promoted writes alternate with interactive ones.
+// the write rate. All queued critical and interactive changes go before it. Promoted writes alternate
+// with interactive ones, so promoted changes go before it too: at most one more than those.
 func (store *Client) InteractiveDelay() clock.Micros {
 	interactive, promoted := store.countQueuedChanges()
 	return store.writeBudget.Delay(float64(interactive + min(promoted, interactive+1) + 1))
--- a/internal/kvstore/reads.go
+++ b/internal/kvstore/reads.go
@@ -15,7 +15,7 @@
 
 // LoadPrefix reads all keys with a prefix and passes them to visit page by page, since all of them
 // may not fit into memory. Later pages may be of later revisions. LoadPrefix returns the revision of
-// the first page: a watch from there shows every change that a page lacks.
+// the first page: a watch from that revision shows every change that a page lacks.
 func (store *Client) LoadPrefix(prefix string, visit func(items []wire.KeyValue)) (uint64, error) {
 	var revision uint64
 	after := ""
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -155,7 +155,8 @@
 }
 
 // commitSeparately handles a 400, for example for a put with an expired lease. One write that the
-// store does not accept must not fail the others of its transaction, so each is sent in its own.
+// store does not accept must not fail the others of its transaction, so each write is sent in a
+// transaction of its own.
 func (store *Client) commitSeparately(batch []*Write) {
 	if len(batch) == 1 {
 		completeWrites(batch, NotExecuted, 0)
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -23,8 +23,9 @@
 	// ConstraintsKey holds the renewal constraints of this leader and of earlier ones, a Constraints
 	// record. Leaders rewrite the key; it is never deleted.
 	ConstraintsKey = WatchedPrefix + "word"
-	// TokenKey is written by a leader only to get a new revision, which becomes the leader's next
-	// fencing token. The value is always `{}` and never read. The key is never deleted.
+	// TokenKey is written by a leader only to get a new revision, which becomes the fencing token in
+	// later messages to workers. Writes to the store stay conditional on the version of LockKey.
+	// The value is always `{}` and never read. The key is never deleted.
 	TokenKey = WatchedPrefix + "token"
 	// StandbyKey holds the list of members whose replica of the leader's decisions is in sync, a
 	// standby.InSyncRecord. Leaders rewrite the key; it is never deleted.
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -18,7 +18,7 @@
 	// Member is the leader, and Lease is the lease of the key-value store that the lock is bound to.
 	Member string `json:"m"`
 	Lease  uint64 `json:"l"`
-	// NeedsStandbyRecord reports whether the leader is record-first: it sends no worker a task start
+	// NeedsStandbyRecord is whether the leader is record-first: it sends no worker a task start
 	// before a record that it has written itself is durable under StandbyKey (docs/standby.md, "The
 	// argument").
 	NeedsStandbyRecord bool `json:"s,omitempty"`
@@ -28,7 +28,7 @@
 // machines. After that it has only what users and operators may ask for. Its times are wall-clock
 // times, in microseconds since the Unix epoch.
 type Job struct {
-	// Spec is the submission, or nil once no task of the job can be on a machine any more. Its list of
+	// Spec is the submission, or nil once no task of the job can still be on a machine. Its list of
 	// dependencies is empty if the list has keys of its own; see DependencyParts.
 	Spec *wire.Job `json:"j,omitempty"`
 	// SubmittedAt is the time at which the submission was accepted.
@@ -100,7 +100,7 @@
 	Count int    `json:"n"`
 	// RequestedAt is the wall-clock time of the request, in microseconds since the Unix epoch.
 	RequestedAt int64 `json:"at"`
-	// IsResolved reports whether the cloud has answered. Machines are then the names of the machines
+	// IsResolved is whether the cloud has answered. Machines are then the names of the machines
 	// that the cloud provided and that have not been deleted.
 	IsResolved bool     `json:"ok,omitempty"`
 	Machines   []string `json:"m,omitempty"`
--- a/internal/standby/in_sync_set.go
+++ b/internal/standby/in_sync_set.go
@@ -114,7 +114,7 @@
 		switch {
 		case isInSync:
 			wanted.Members = append(wanted.Members, member)
-		case set.isMemberAwaited(name, now):
+		case set.isWaitingForMember(name, now):
 			return InSyncRecord{}, 0, false
 		}
 	}
@@ -125,8 +125,9 @@
 	return wanted, version, ok
 }
 
-// isMemberAwaited reports whether the leader's first record still waits for a member.
-func (set *InSyncSet) isMemberAwaited(name string, now clock.Micros) bool {
+// isWaitingForMember reports whether the leader's first record still waits for the member with this
+// name to come into sync.
+func (set *InSyncSet) isWaitingForMember(name string, now clock.Micros) bool {
 	record := set.records.Confirmed()
 	if now >= set.firstRecordDeadline || set.isOwn(record) {
 		return false
@@ -174,9 +175,9 @@
 // MarkWriteUnresolved records that the last write may have been committed, or may yet be committed.
 func (set *InSyncSet) MarkWriteUnresolved() { set.records.RecordUnknownOutcome() }
 
-// ObserveRecord records the record as read from the key-value store. It drops the records that the
-// one read supersedes at once, since starts wait for the members of every record that may be in
-// force.
+// ObserveRecord updates the set with the record as read from the key-value store. If that record is
+// newer, ObserveRecord immediately drops the records that it supersedes, since starts wait for the
+// members of every record that may be in force.
 func (set *InSyncSet) ObserveRecord(record InSyncRecord, version uint64) {
 	if set.records.ObserveStored(record, version) {
 		set.records.DropSupersededValues()
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -96,8 +96,8 @@
 }
 
 // keepEarlierReplica keeps a replica that gets no more decisions. Over the bound it drops the second
-// oldest, because the oldest is the replica of the leader whose record was in force at the last call
-// of PruneEarlierReplicas.
+// oldest, because the oldest may be the replica of the leader whose record was in force at the last
+// call of PruneEarlierReplicas.
 func (replica *Replica) keepEarlierReplica(earlier earlierReplica) {
 	replica.earlier = append(replica.earlier, earlier)
 	if len(replica.earlier) > maxEarlierReplicas {
@@ -106,7 +106,7 @@
 }
 
 // PruneEarlierReplicas drops the replicas of leaders before the one whose record is in force. They
-// can't be needed any more, since the record's token only grows.
+// can no longer be needed, since the record's token only grows.
 func (replica *Replica) PruneEarlierReplicas(recordToken uint64) {
 	replica.earlier = slices.DeleteFunc(replica.earlier, func(earlier earlierReplica) bool { return earlier.token < recordToken })
 }
@@ -171,11 +171,11 @@
 	return position
 }
 
-// Table returns the replica's present table, complete or not. Only TrustedTable says whether a table
-// may be relied on.
+// Table returns the replica's present table, complete or not. Only TrustedTable reports whether a
+// table may be relied on.
 func (replica *Replica) Table() *Table { return replica.table }
 
-// DropCounts returns the counts of messages that were not applied so far.
+// DropCounts returns the counts so far.
 func (replica *Replica) DropCounts() DropCounts { return replica.dropped }
 
 // TrustedTable returns the table of the leader that wrote the in-sync record, and reports whether the
--- a/internal/storeview/job.go
+++ b/internal/storeview/job.go
@@ -11,9 +11,9 @@
 	records.Job
 	// Version is the revision of the record.
 	Version uint64
-	// IsArchived tells whether the record is in the archive.
+	// IsArchived is whether the record is in the archive.
 	IsArchived bool
-	// IsCancelledByDependency tells whether a job that this one depends on is durably cancelled. This
+	// IsCancelledByDependency is whether a job that this one depends on is durably cancelled. This
 	// job is then cancelled too, whether or not its own record says so yet. The Observer sets the
 	// field, since it follows from the dependency graph.
 	IsCancelledByDependency bool
@@ -31,7 +31,7 @@
 	return records.JobKey(id)
 }
 
-// EffectiveState returns the state that users are told of a job that has ended.
+// EffectiveState returns the state that users are shown for a job that has ended.
 func (job *Job) EffectiveState() string {
 	if job.IsCancelledByDependency {
 		return wire.JobCancelled
--- a/internal/storeview/load.go
+++ b/internal/storeview/load.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// LoadFilter collects, page by page, what is read from the store. Of the finished jobs it keeps only
-// those that ended last and counts the others, so that memory is bounded for any number of jobs.
+// LoadFilter collects, page by page, what is read from the store. It counts all finished jobs but keeps
+// only those that ended last, so that memory is bounded for any number of jobs.
 type LoadFilter struct {
 	others   []wire.KeyValue
 	finished *jobhistory.Newest[wire.KeyValue]
@@ -60,10 +60,9 @@
 	return append(filter.others, newest...), dropped
 }
 
-// Load replaces the view's contents by what filter kept of the store as of revision, and returns how
-// many finished jobs the filter dropped. Jobs that the view already
-// holds stay unless the filter has a newer record of them. If the view is newer than revision, Load
-// changes nothing and ok is false.
+// Load replaces the view's contents with what filter kept of the store as of revision, and returns how
+// many finished jobs the filter dropped. Jobs that the view already holds stay unless the filter has a
+// newer record of them. If the view is newer than revision, Load changes nothing and ok is false.
 func (view *View) Load(filter *LoadFilter, revision uint64) (dropped int, ok bool) {
 	if view.IsLoaded && revision < view.Revision {
 		return 0, false
--- a/internal/storeview/sync.go
+++ b/internal/storeview/sync.go
@@ -14,7 +14,7 @@
 type syncWaiter struct {
 	callback    func(error)
 	deadline    clock.Micros
-	hasWatch    bool // whether a watch that will complete this sync has been claimed by ClaimSyncs
+	hasWatch    bool // whether ClaimSyncs has returned this sync, so that a watch will complete it
 	isCompleted bool
 }
 
@@ -25,8 +25,8 @@
 	}
 }
 
-// RequestSync calls callback once, when the view is at least as new as the store was at this call,
-// that is when the response of a watch that was opened after it has been applied. It passes an error
+// RequestSync calls callback once, when the view is at least as new as the store was at this call:
+// when the response of a watch that was opened after the call has been applied. It passes an error
 // if that watch fails, and ErrSyncTimeout if neither happens by the deadline.
 func (view *View) RequestSync(callback func(error), deadline clock.Micros) {
 	view.waiters = append(view.waiters, &syncWaiter{callback: callback, deadline: deadline})
--- a/internal/storeview/view.go
+++ b/internal/storeview/view.go
@@ -14,9 +14,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// Observer is told what changes in a View. Each method is called while changes are being applied, right
-// after the change that it reports and before the next one. It may read the view; the only part of
-// the view that it may change is Job.IsCancelledByDependency.
+// Observer is notified of the changes in a View. Each method is called while changes are being applied,
+// right after the change that it reports and before the next one. It may read the view; the only part
+// of the view that it may change is Job.IsCancelledByDependency.
 type Observer interface {
 	// JobChanged reports a newer record of a job, or that all dependencies of a job have become known.
 	// The method sets IsCancelledByDependency of this job and of those that depend on it.
@@ -44,7 +44,7 @@
 // that thus proves the view's revision (see RequestSync). Other packages only read the exported
 // fields; the methods change them. A View belongs to the controller's goroutine.
 type View struct {
-	// IsLoaded tells whether all keys have been read once. Revision is the revision of the store that
+	// IsLoaded is whether all keys have been read once. Revision is the revision of the store that
 	// the view has reached.
 	IsLoaded bool
 	Revision uint64
@@ -64,7 +64,7 @@
 	// Standby is the record of the members in sync with a leader; StandbyVersion is its revision.
 	Standby        standby.InSyncRecord
 	StandbyVersion uint64
-	// HasArchive tells whether there may be finished jobs in the archive.
+	// HasArchive is whether there may be finished jobs in the archive.
 	HasArchive bool
 	// Terms holds the leadership terms that were observed since all keys were last read.
 	Terms standby.TermHistory
@@ -81,8 +81,8 @@
 	}
 }
 
-// SetJob stores a newer record of a job: one that was read, or one that this process has written and
-// that no watch has returned yet.
+// SetJob stores a newer record of a job: one that was read, or one that this process or another member
+// has written and that no watch has returned yet.
 func (view *View) SetJob(id string, job *Job) {
 	view.Jobs[id] = job
 	view.observer.JobChanged(id, job)
@@ -102,7 +102,8 @@
 }
 
 // SetDependencies stores one part of a job's list of dependencies, whether or not the view already has
-// the job's record. If it has, and no part is missing any more, the Observer is told of the job again.
+// the job's record. If it has, and no part is missing any longer, the Observer is notified of the job
+// again.
 func (view *View) SetDependencies(id string, part int, ids []string) {
 	parts := view.Dependencies[id]
 	if parts == nil {
@@ -115,8 +116,8 @@
 	}
 }
 
-// DependenciesOf returns the ids of the jobs that an active job depends on. isComplete tells whether
-// all parts of the list are known; if not, ids is nil.
+// DependenciesOf returns the ids of the jobs that an active job depends on. isComplete is whether all
+// parts of the list are known; if not, ids is nil.
 func (view *View) DependenciesOf(id string, job *Job) (ids []string, isComplete bool) {
 	if job.DependencyParts == 0 {
 		return job.Spec.DependsOn, true
