--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -13,35 +13,39 @@
 )
 
 const (
-	// answerTimeout is how long a worker waits for a controller's reply.
-	answerTimeout = 4 * time.Second
+	// replyTimeout is how long a worker waits for a controller's reply to a heartbeat.
+	replyTimeout = 4 * time.Second
 	// controllerRetryInterval is how long a worker waits before it tries another controller.
 	controllerRetryInterval = 200 * time.Millisecond
-	// tokenReportDelay is how long after a reply with a higher token the next heartbeat is due, if
-	// it is not due earlier.
+	// tokenReportDelay is the longest time from a reply with a higher token to the next heartbeat,
+	// which reports the token.
 	tokenReportDelay = 500 * time.Millisecond
-	// changeDelay is how long after a change a worker reports it.
-	changeDelay = 20 * time.Millisecond
+	// changeReportDelay is the time from a change of the worker's state to the heartbeat that reports it.
+	changeReportDelay = 20 * time.Millisecond
 )
 
-// workerProcess is a machine's worker. Its fields are guarded by the cloud's lock.
+// workerProcess is the worker on a machine. The cloud's lock guards its fields.
 type workerProcess struct {
 	cloud   *Cloud
-	machine wire.ListedMachine // as the cloud lists it
+	machine wire.ListedMachine // the machine's entry in the cloud's list
 	fault   MachineFault
 
-	heartbeat            wire.Heartbeat // the next one, with the tasks on the machine
-	lastHeartbeatBody    []byte
-	lastAckedHeartbeatAt time.Time // when the last heartbeat that was answered was sent
-	tokenReportedAt      time.Time // when a higher token was last reported without waiting
-	taskEndsAt           map[string]time.Time
-
-	controllerIndex    int           // of the controller that heartbeats go to
-	heartbeatRequested chan struct{} // holds one request at most
+	// heartbeat is the next heartbeat. It also holds the present state of the tasks on the machine.
+	heartbeat         wire.Heartbeat
+	lastHeartbeatBody []byte
+	// lastAckedHeartbeatAt is when the last answered heartbeat was sent, or when the lease last began
+	// anew: at the creation of the worker and after an expiry.
+	lastAckedHeartbeatAt time.Time
+	// tokenReportedAt is when a reply with a higher token last made the worker send a heartbeat early.
+	tokenReportedAt time.Time
+	taskEndsAt      map[string]time.Time // by task ID; holds no tasks that run until they are stopped
+
+	controllerIndex    int           // index of the controller that receives the heartbeats, modulo their number
+	heartbeatRequested chan struct{} // holds at most one request to send a heartbeat early
 	client             *http.Client
 
 	isDeleted bool
-	stop      func() // stops its server
+	stop      func() // stops the worker's HTTP server
 }
 
 func newWorker(cloud *Cloud, request wire.ScaleOutRequest, name string) *workerProcess {
@@ -54,16 +58,16 @@
 		Incarnation: 1, Tasks: []wire.TaskStatus{},
 	}
 	worker.client = &http.Client{
-		Timeout:       answerTimeout,
+		Timeout:       replyTimeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: &http.Transport{DialContext: func(_ context.Context, _, address string) (net.Conn, error) {
-			return cloud.cfg.Network.Dial(name, address, answerTimeout)
+			return cloud.cfg.Network.Dial(name, address, replyTimeout)
 		}},
 	}
 	return worker
 }
 
-// run sends heartbeats from the end of the boot until the machine is deleted.
+// run sends heartbeats from the end of the machine's boot until the machine is deleted or the cloud stops.
 func (worker *workerProcess) run() {
 	cloud := worker.cloud
 	defer worker.client.CloseIdleConnections()
@@ -73,7 +77,7 @@
 		case <-cloud.done:
 			return
 		case <-worker.heartbeatRequested:
-			time.Sleep(changeDelay)
+			time.Sleep(changeReportDelay)
 		case <-time.After(wait):
 		}
 		cloud.mu.Lock()
@@ -90,7 +94,7 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat and applies its reply; it returns when the next is due.
+// sendHeartbeat sends a heartbeat, applies the reply and returns how long to wait before the next heartbeat.
 func (worker *workerProcess) sendHeartbeat() time.Duration {
 	cloud := worker.cloud
 	cloud.mu.Lock()
@@ -106,7 +110,7 @@
 	url := "http://" + cloud.cfg.ControllerAddresses[controller] + "/checkin"
 	cloud.mu.Unlock()
 
-	status, answer := worker.post(url, body)
+	status, responseBody := worker.post(url, body)
 
 	cloud.mu.Lock()
 	defer cloud.mu.Unlock()
@@ -116,13 +120,13 @@
 	switch status {
 	case 200:
 		var reply wire.HeartbeatResponse
-		if json.Unmarshal(answer, &reply) == nil && reply.FencingToken >= worker.heartbeat.FencingToken && incarnation == worker.heartbeat.Incarnation {
+		if json.Unmarshal(responseBody, &reply) == nil && reply.FencingToken >= worker.heartbeat.FencingToken && incarnation == worker.heartbeat.Incarnation {
 			worker.lastAckedHeartbeatAt = sentAt
 			return worker.applyReply(&reply)
 		}
 		return cloud.cfg.HeartbeatInterval
 	case 421:
-		if worker.followRedirect(answer, controller) {
+		if worker.followRedirect(responseBody, controller) {
 			return 0
 		}
 	}
@@ -130,9 +134,10 @@
 	return controllerRetryInterval
 }
 
-// applyReply takes over the token and the commands of a reply; it returns when the next
-// heartbeat is due. A higher token is reported soon, once in half a lease at most. The lock is
-// held.
+// applyReply stores the token of a reply, executes the reply's commands and returns how long to wait
+// before the next heartbeat. After a higher token it returns at most tokenReportDelay, so that the worker
+// reports the token soon, but it does so at most once in half the duration of a lease. The caller holds the
+// cloud's lock.
 func (worker *workerProcess) applyReply(reply *wire.HeartbeatResponse) time.Duration {
 	next := worker.cloud.cfg.HeartbeatInterval
 	if now := time.Now(); reply.FencingToken > worker.heartbeat.FencingToken && now.Sub(worker.tokenReportedAt) > worker.cloud.cfg.LeaseTTL/2 {
@@ -144,25 +149,27 @@
 	return next
 }
 
-// post sends a body and returns the answer; a status of 0 is none.
-func (worker *workerProcess) post(url string, body []byte) (status int, answer []byte) {
+// post sends a body and returns the status and the body of the response. The status is 0 if there is no
+// complete response.
+func (worker *workerProcess) post(url string, body []byte) (status int, responseBody []byte) {
 	res, err := worker.client.Post(url, "application/json", strings.NewReader(string(body)))
 	if err != nil {
 		return 0, nil
 	}
 	defer res.Body.Close()
-	answer, err = io.ReadAll(res.Body)
+	responseBody, err = io.ReadAll(res.Body)
 	if err != nil {
 		return 0, nil
 	}
-	return res.StatusCode, answer
+	return res.StatusCode, responseBody
 }
 
-// followRedirect goes to the controller that an answer names, if it is another one. The lock
-// is held.
-func (worker *workerProcess) followRedirect(answer []byte, from string) bool {
+// followRedirect switches to the controller that a redirect names and reports whether it did. It does
+// nothing if the redirect names an unknown controller, or the one that sent it. The caller holds the
+// cloud's lock.
+func (worker *workerProcess) followRedirect(responseBody []byte, from string) bool {
 	var redirect wire.Redirect
-	if json.Unmarshal(answer, &redirect) != nil {
+	if json.Unmarshal(responseBody, &redirect) != nil {
 		return false
 	}
 	for i, name := range worker.cloud.cfg.ControllerNames {
@@ -174,8 +181,9 @@
 	return false
 }
 
-// advance ends a lease that has expired, with its tasks and incarnation, and tasks whose time
-// is over; a hanging machine's tasks don't finish. The lock is held.
+// advance applies what has become due by now. If the lease has expired, it ends the tasks and begins a new
+// incarnation. It also ends the tasks whose duration has passed, except on a hanging machine. The caller
+// holds the cloud's lock.
 func (worker *workerProcess) advance() {
 	now := time.Now()
 	if now.Sub(worker.lastAckedHeartbeatAt) > worker.cloud.cfg.LeaseTTL {
@@ -196,7 +204,7 @@
 	}
 }
 
-// requestHeartbeat has a change reported before the next regular heartbeat.
+// requestHeartbeat makes run send a heartbeat before the next regular one, to report a change.
 func (worker *workerProcess) requestHeartbeat() {
 	select {
 	case worker.heartbeatRequested <- struct{}{}:
--- a/internal/sim/zone_partition_test.go
+++ b/internal/sim/zone_partition_test.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// A zone with workers and a controller is partitioned for longer than a lease, and a job that runs
-// there is cancelled meanwhile.
+// A zone with workers and one or two controllers is partitioned for longer than a lease. A job that
+// runs there is cancelled meanwhile.
 func TestZonePartitionLongerThanLease(t *testing.T) {
 	for _, zone := range []string{"x", "y"} {
 		t.Run(zone, func(t *testing.T) {
 			Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
-				inside, everywhere := Array(1, 4, "a"), Service(2, 4, "a")
-				inside.Zone = zone
-				cluster.MustSubmit("n0", inside)
-				cluster.MustSubmit("n1", everywhere)
-				cluster.WaitForRunningTasks(inside.ID, 4)
-				cluster.WaitForRunningTasks(everywhere.ID, 4)
+				zoneJob, service := Array(1, 4, "a"), Service(2, 4, "a")
+				zoneJob.Zone = zone
+				cluster.MustSubmit("n0", zoneJob)
+				cluster.MustSubmit("n1", service)
+				cluster.WaitForRunningTasks(zoneJob.ID, 4)
+				cluster.WaitForRunningTasks(service.ID, 4)
 				cluster.PartitionZone(zone)
-				outside := "n1"
+				outsideMember := "n1"
 				if zone == "y" {
-					outside = "n0"
+					outsideMember = "n0"
 				}
 				time.Sleep(2 * time.Second)
-				cluster.MustCancel(outside, inside.ID)
+				cluster.MustCancel(outsideMember, zoneJob.ID)
 				time.Sleep(cluster.options.Workers.CancellationGrace + time.Second)
 				cluster.ReconnectZone(zone)
-				cluster.WaitForRunningTasks(everywhere.ID, 4)
+				cluster.WaitForRunningTasks(service.ID, 4)
 			})
 		})
 	}
 }
 
-// A zone is partitioned while the cloud is down, so that machines whose leases are known to have
-// expired can't be deleted: tasks start elsewhere only once nobody in the zone can have renewed
-// those leases for long enough.
+// A zone is partitioned while the cloud is down, so that machines whose leases are known to have expired
+// can't be deleted. Tasks start elsewhere only once it is certain that no controller in the zone has
+// renewed those leases for long enough.
 func TestZonePartitionInCloudOutage(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		job := Array(1, 2, "a")
@@ -57,8 +57,9 @@
 	})
 }
 
-// A single-zone job loses machines, and the leader restarts: its tasks run again each time.
-func TestOneZoneJobLosesMachines(t *testing.T) {
+// A single-zone job loses a machine and the leader restarts, three times. Each time all its tasks run
+// again.
+func TestSingleZoneJobSurvivesMachineLoss(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		job := Array(1, 6, "a")
 		job.SingleZone = true
@@ -71,8 +72,8 @@
 	})
 }
 
-// A controller that is partitioned from its peers and the store, but not from its workers, does not
-// redirect them to a leader that has crashed by then: they find the present one.
+// A controller is partitioned from its peers and the store, but not from its workers. It does not
+// redirect them to a leader that has crashed by then, and they find the present leader.
 func TestWorkersLeavePartitionedMember(t *testing.T) {
 	Run(t, Options{TaskDuration: 15 * time.Second, TaskDurationStep: 300 * time.Millisecond}, func(cluster *Cluster) {
 		cluster.runQuotaBoundJob(60)
--- a/internal/storeview/job.go
+++ b/internal/storeview/job.go
@@ -11,9 +11,9 @@
 	records.Job
 	// Version is the revision of the record.
 	Version uint64
-	// IsArchived tells whether the record is in the archive.
+	// IsArchived is whether the record is in the archive.
 	IsArchived bool
-	// IsCancelledByDependency tells whether a job that this one depends on is durably cancelled. This
+	// IsCancelledByDependency is whether a job that this one depends on is durably cancelled. This
 	// job is then cancelled too, whether or not its own record says so yet. The Observer sets the
 	// field, since it follows from the dependency graph.
 	IsCancelledByDependency bool
@@ -31,7 +31,7 @@
 	return records.JobKey(id)
 }
 
-// EffectiveState returns the state that users are told of a job that has ended.
+// EffectiveState returns the state that users are shown for a job that has ended.
 func (job *Job) EffectiveState() string {
 	if job.IsCancelledByDependency {
 		return wire.JobCancelled
@@ -42,7 +42,7 @@
 // NewEndedJob returns a job that ends now in state. The caller sets its Version once the record is
 // written.
 func NewEndedJob(job *Job, state string, now clock.Micros) *Job {
-	return &Job{Job: *records.NewEndRecord(&job.Job, state, now)}
+	return &Job{Job: *records.NewEndedRecord(&job.Job, state, now)}
 }
 
 // ScaleOut is a scale-out request's record with its revision.
