--- a/cmd/firwood/job_test.go
+++ b/cmd/firwood/job_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	requests = &[]string{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		*requests = append(*requests, r.Method+" "+r.URL.Path) // commands send one request at a time
+		*requests = append(*requests, r.Method+" "+r.URL.Path) // needs no lock: commands send one request at a time
 		w.WriteHeader(status)
 		_, _ = w.Write([]byte(body)) // an error shows in the command's output
 	}))
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,5 +1,5 @@
 // Package cloud is the client of the cloud's API (PROTOCOL, "Controller nodes -> cloud"). It gets the
-// machine types, requests machines under unique request ids, lists machines and deletes them. It
+// machine types, requests machines under unique request IDs, lists machines and deletes them. It
 // limits its request rate to this process's share. Its calls block, so callers make them on
 // goroutines of their own.
 package cloud
@@ -43,7 +43,8 @@
 	initialRateShare = 0.25
 	// initialBurst is how many requests may be sent at once until the first call of SetRateShare.
 	initialBurst = 2
-	// burstSeconds is the burst that the cloud accepts, in seconds' worth of requests at the full rate.
+	// burstSeconds defines the burst that the cloud accepts: as many requests as the full rate allows in
+	// this number of seconds.
 	burstSeconds = 2
 	// noCapacityErrorText is the error text in a 503 response that means ErrNoCapacity. A 503 response
 	// with any other text means ErrUnavailable.
@@ -54,12 +55,12 @@
 type Client struct {
 	host   *client.Host
 	bucket *client.TokenBucket
-	// requestsPerSecond is the rate that the cloud allows to all controllers together.
+	// requestsPerSecond is the rate that the cloud allows all controllers together.
 	requestsPerSecond float64
 }
 
 // New returns a client of the cloud at an address. requestsPerSecond is the rate that the cloud allows
-// to all controllers together.
+// all controllers together.
 func New(dial client.Dialer, address string, requestsPerSecond float64) *Client {
 	return &Client{
 		host:              client.NewHost(dial, address, maxIdleConnections, maxResponseBytes),
@@ -133,7 +134,7 @@
 	return machineType.Name != "" && hasSize && hasPrice
 }
 
-// ScaleOut requests machines, at most wire.MaxScaleOutCount, and returns the ids of the machines that the
+// ScaleOut requests machines, at most wire.MaxScaleOutCount, and returns the IDs of the machines that the
 // cloud created. These may be fewer than requested. After an error the caller may repeat the same
 // request: because of its RequestID, the cloud creates the machines only once. If sendDeadline is not
 // nil, the request is not sent at or after the instant that sendDeadline returns.
@@ -150,7 +151,7 @@
 	return machines.IDs, nil
 }
 
-// DeleteMachines deletes machines, at most wire.MaxMachinesPerDelete. The cloud ignores unknown ids. If
+// DeleteMachines deletes machines, at most wire.MaxMachinesPerDelete. The cloud ignores unknown IDs. If
 // DeleteMachines returns nil, the machines and all tasks on them are gone. If sendDeadline is not nil,
 // the request is not sent at or after the instant that sendDeadline returns.
 func (c *Client) DeleteMachines(ids []string, sendDeadline func() clock.Micros) error {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// A setting of the wrong type must be rejected by its field name alone, without the name of the Go
-// struct in which the field is grouped.
+// A setting of the wrong type must be rejected with an error that names the field directly within Tuning,
+// without the name of the embedded Go struct in which the field is grouped.
 func TestTuningTypeErrorsNameTheField(t *testing.T) {
 	for _, testCase := range [][2]string{
 		{"alpha: x\n", "Go struct field Tuning.Alpha of type float64"},
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -119,8 +119,8 @@
 	// minScreenSamples is the smallest number of samples for which the screen's statistics are
 	// defined.
 	minScreenSamples = 3
-	// minArchiveAfterSeconds is the lowest age for archiving. At that age no late messages about a
-	// finished job arrive any more.
+	// minArchiveAfterSeconds is the lowest age for archiving. Late messages about a finished job no
+	// longer arrive at that age.
 	minArchiveAfterSeconds = 600
 	maxArchiveAfterSeconds = 1e9
 	// minFinishedJobs is the smallest capacity of the cache. Users poll a job until they have seen
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -7,10 +7,11 @@
 import "sync"
 
 // Limiter counts connections. The sum of inbound and outbound connections exceeds the limit only by
-// the few that ForceInbound admits while others are being closed for them. Package server bounds those.
+// the few that ForceInbound admits while others are being closed for them. Package server bounds the
+// number of connections that are being closed.
 type Limiter struct {
 	limit           int
-	outboundMinimum int // outbound connections that may use the headroom and that AcquireInbound leaves room for
+	outboundMinimum int // outbound connections that may use the headroom; AcquireInbound leaves room for them
 	inboundHeadroom int // room that outbound connections beyond the minimum leave free for inbound ones
 
 	mu                sync.Mutex
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Outbound connections must not keep inbound ones out. With the limits of both fleets, at their numbers of
-// machines and at half as many machines again, every worker and 300 users get a connection, however many
-// outbound connections are requested. Outbound connections get the rest, at least a few.
+// Outbound connections must not keep inbound ones out. With the connection limits of two fleets, each with
+// its number of machines and with 1.5 times that number, every worker and 300 users get a connection, however
+// many outbound connections are requested. Outbound connections get the rest, at least a few.
 func TestInboundHasPriorityOverOutbound(t *testing.T) {
 	for _, fleet := range []struct{ limit, machines, users int }{
 		{3172, 1457, 300}, {3172, 2190, 300}, {2215, 1205, 300}, {2215, 1810, 300},
--- a/internal/http1/parser_body.go
+++ b/internal/http1/parser_body.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// maxChunkSizeDigits is the largest number of hexadecimal digits in a chunk size, so that it fits 32 bits.
+// maxChunkSizeDigits is the largest number of hexadecimal digits in a chunk size, which must fit into 32 bits.
 const maxChunkSizeDigits = 8
 
 // readBody moves buffered bytes of the body or chunk to the message, and reports whether the body or chunk
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -49,7 +49,7 @@
 	return append(dst, response.Body...)
 }
 
-// AppendRequest appends an encoded request to dst. It has a JSON body unless body is nil.
+// AppendRequest appends an encoded request to dst. The request has a JSON body unless body is nil.
 func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
--- a/internal/jobreport/assess.go
+++ b/internal/jobreport/assess.go
@@ -8,7 +8,7 @@
 // StateActive is the reported state of a job that has not ended.
 const StateActive = "active"
 
-// Job holds what is known of a job. Its instants are wall-clock times, or 0 if they are not known.
+// Job holds the facts about a job that Assess uses. Its times are wall-clock times, or 0 if they are not known.
 type Job struct {
 	ID, Class string
 	State     string // StateActive, or the state in which it ended
--- a/internal/jobreport/report.go
+++ b/internal/jobreport/report.go
@@ -42,7 +42,7 @@
 	Done      int `json:"done"`
 	Cancelled int `json:"aborted"`
 	Active    int `json:"active"`
-	// Problems holds the worst problems, the latest jobs first.
+	// Problems holds at most maxProblems problems, those with the greatest LateByS first.
 	Problems []Problem `json:"troubles"`
 }
 
@@ -61,7 +61,8 @@
 	}
 }
 
-// SelectWorst sorts problems, the latest jobs first, and returns the first maxProblems of them.
+// SelectWorst sorts problems by LateByS, the greatest first and equal ones by job, and returns the first
+// maxProblems of them.
 func SelectWorst(problems []Problem) []Problem {
 	slices.SortFunc(problems, func(a, b Problem) int {
 		return cmp.Or(-cmp.Compare(a.LateByS, b.LateByS), cmp.Compare(a.Job, b.Job))
--- a/internal/jobreport/report_test.go
+++ b/internal/jobreport/report_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// The latest jobs must come first, and no more than maxProblems may be returned.
+// The problems with the greatest LateByS must come first, and no more than maxProblems may be returned.
 func TestSelectWorstSortsAndTruncates(t *testing.T) {
 	problems := []Problem{{Job: "b", LateByS: 1}, {Job: "a", LateByS: 1}}
 	for i := range maxProblems {
@@ -51,7 +51,7 @@
 	}
 	worst := SelectWorst(problems)
 	if len(worst) != maxProblems || worst[0].LateByS != maxProblems-1 || worst[len(worst)-1].Job != "a" {
-		t.Errorf("SelectWorst returned %d problems, from %+v to %+v; want 200, the latest first and equally late ones by job", len(worst), worst[0], worst[len(worst)-1])
+		t.Errorf("SelectWorst returned %d problems, from %+v to %+v; want 200, the greatest LateByS first and equal ones by job", len(worst), worst[0], worst[len(worst)-1])
 	}
 }
 
--- a/internal/jobreport/standby.go
+++ b/internal/jobreport/standby.go
@@ -2,9 +2,10 @@
 
 import "firwood.dev/firwood/internal/standby"
 
-// StandbyStatus describes the replicas of the leader's allocation table, as one controller knows them.
+// StandbyStatus describes what one controller knows about the replicas of the leader's allocation table.
 type StandbyStatus struct {
-	// Member is the controller that answers. Leader is the controller that it takes for the leader.
+	// Member is the controller that sends the status. Leader is the leader that this controller knows,
+	// or "" if it knows none.
 	Member string `json:"member"`
 	Leader string `json:"leader"`
 	// Enabled reports whether the controller keeps a replica as a follower and streams its table to
--- a/internal/metrics/labels.go
+++ b/internal/metrics/labels.go
@@ -74,7 +74,7 @@
 	return fmt.Sprintf("CommandChannel(%d)", uint8(channel))
 }
 
-// CommandOutcome is what is known of the execution of a command.
+// CommandOutcome is what the controller knows about the execution of a command.
 type CommandOutcome uint8
 
 // Outcomes of commands, as values of the label.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -20,7 +20,8 @@
 
 var textFormat = expfmt.NewFormat(expfmt.TypeTextPlain)
 
-// failoverBuckets holds the histogram's upper bounds of the durations of a failover's parts, in seconds.
+// failoverBuckets holds the upper bounds of the histogram's buckets for the durations of a failover's
+// parts, in seconds.
 var failoverBuckets = []float64{0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 15, 30, 60, 120}
 
 // Status holds a controller's state at one instant. Fields that only a leader knows are zero at other
@@ -28,7 +29,7 @@
 type Status struct {
 	// IsLeader reports whether the member leads and may act.
 	IsLeader bool
-	// Token is the fencing token of the newest leader that is known; at a leader it is its own.
+	// Token is the fencing token of the newest leader that the member knows. A leader's Token is its own.
 	Token uint64
 	// EntitledFor is how long the leader may still act without another renewal of its lock.
 	EntitledFor clock.Micros
@@ -113,8 +114,8 @@
 	}
 }
 
-// commandKind returns the value of the label kind for an action of the protocol. It is the usual term
-// where the protocol has another name.
+// commandKind returns the value of the label kind for an action of the protocol. Where the protocol's
+// name differs from the usual term, the label has the usual term.
 func commandKind(action string) string {
 	switch action {
 	case wire.ActionStart:
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -26,8 +26,8 @@
 	return local, nil
 }
 
-// A frame that is pending when a dial fails is sent after the redial, without another call of Send. The
-// failed dial consumes the wake-up for the frame, so the link has to wake itself again.
+// A frame that is pending when a dial fails is sent after the redial, without another call of SendHeartbeat.
+// The failed dial consumes the wake-up for the frame, so the link has to wake itself again.
 func TestFrameIsSentAfterAFailedDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dialer := &pipeDialer{failures: 1}
--- a/internal/server/eviction.go
+++ b/internal/server/eviction.go
@@ -12,8 +12,8 @@
 	// maxClosingConnections bounds the number of connections that are being closed to make room for
 	// others, and thereby by how many connections the limit may be exceeded.
 	maxClosingConnections = 16
-	// evictionGrace is how long a connection is not evicted after its state has changed. A connection
-	// that was just opened may be about to send its first request.
+	// evictionGrace is how long a connection is safe from eviction after its state has changed. A
+	// connection that was just opened may be about to send its first request.
 	evictionGrace = clock.Second
 	// tickInterval is the interval between checks for connections whose timeout has passed.
 	tickInterval = time.Second
--- a/internal/server/reply.go
+++ b/internal/server/reply.go
@@ -13,7 +13,7 @@
 	retryAfter  int    // Retry-After header in seconds; 0 for no header
 	contentType string // media type; "" means JSON
 	body        []byte
-	deadline    clock.Micros // instant from which a 503 is sent instead; 0 for no deadline
+	deadline    clock.Micros // instant from which a 503 is sent in place of this response; 0 for no deadline
 }
 
 // Reply takes the response to one request. The zero Reply discards the response.
--- a/wire/decode.go
+++ b/wire/decode.go
@@ -31,8 +31,8 @@
 var errNotAnObject = errors.New("the body is not a JSON object")
 
 // DecodeJob decodes and checks a submission, the body of POST /api/jobs. Every error is a fault of the
-// sender (status 400): the body is not a JSON object, or can't be decoded, or a *FieldError names the
-// first field whose value is missing or invalid.
+// sender (status 400). It is a *FieldError, which names the first field whose value is missing or invalid,
+// unless the body is not a JSON object or can't be decoded.
 func DecodeJob(body []byte) (*Job, error) {
 	if !hasOpeningBrace(body) {
 		return nil, errNotAnObject
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// checkNames checks the job's id, which must have a fixed form, and its kind and priority, which must each be
+// checkNames checks the job's ID, which must have a fixed form, and its kind and priority, which must each be
 // one of a fixed set of values.
 func checkNames(job *Job) error {
 	if !IsValidJobID(job.ID) {
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// decodeDependencies stores the ids of the jobs that the job depends on, sorted and without duplicates.
+// decodeDependencies stores the IDs of the jobs that the job depends on, sorted and without duplicates.
 func (submitted *submission) decodeDependencies(job *Job) error {
 	for _, id := range submitted.DependsOn {
 		if !IsValidJobID(id) {
--- a/wire/dependencies_test.go
+++ b/wire/dependencies_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// DecodeJob accepts a list of job ids as a job's dependencies and removes duplicates. It rejects any
+// DecodeJob accepts a list of job IDs as a job's dependencies and removes duplicates. It rejects any
 // other value.
 func TestDecodeJobDependencies(t *testing.T) {
 	const form = `{"nameId":"req-000009","lot":"c","crew":"a","shape":"array","rank":"low","pieces":1,"cores":1,"gpus":0,"ramGb":1,` +
@@ -33,11 +33,11 @@
 			continue
 		}
 		if err == nil && !slices.Equal(job.DependsOn, testCase.want) {
-			t.Errorf("job with %q: got other dependencies than expected: %v", testCase.awaits, job.DependsOn)
+			t.Errorf("job with %q: got dependencies %v, want those of the test case", testCase.awaits, job.DependsOn)
 		}
 	}
 	longList := `,"awaits":["` + strings.Repeat(`req-000001","`, 3000) + `req-000002"]`
 	if job, err := DecodeJob([]byte(fmt.Sprintf(form, longList))); err != nil || len(job.DependsOn) != 2 {
-		t.Errorf("job with 3001 dependencies on 2 different jobs: got error %v, or not 2 dependencies", err)
+		t.Errorf("job with 3001 dependencies on 2 different jobs: got error %v or another number of dependencies, want 2", err)
 	}
 }
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -35,7 +35,7 @@
 //	log         Events                         events of a watch
 //	lot         Class                          class of jobs, which has objectives
 //	markS       CheckpointIntervalSeconds      checkpoint interval
-//	nameId      ID                             id of a job or a machine
+//	nameId      ID                             ID of a job or a machine
 //	oneZone     SingleZone                     all tasks in one zone
 //	orders      Commands                       commands to a worker
 //	pairs       KeyValues                      keys with their values
--- a/wire/job.go
+++ b/wire/job.go
@@ -118,7 +118,7 @@
 	Error string `json:"error"`
 }
 
-// Maximum number of digits in a job id after "req-", and in the index of a task id.
+// Maximum number of digits in a job ID after "req-", and in the index of a task ID.
 const (
 	maxJobIDDigits     = 18
 	maxTaskIndexDigits = 6
@@ -138,10 +138,11 @@
 	return true
 }
 
-// TaskID returns the id of the task of a job with the given index, such as "req-000412/3".
+// TaskID returns the ID of the task of a job with the given index, such as "req-000412/3".
 func TaskID(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTaskID is the inverse of TaskID. ok is false if TaskID returns taskID for no valid job id and index.
+// ParseTaskID is the inverse of TaskID. ok is false if taskID is not the result of TaskID for a valid job ID
+// and a valid index.
 func ParseTaskID(taskID string) (job string, index int, ok bool) {
 	job, digits, found := strings.Cut(taskID, "/")
 	if !found || !IsValidJobID(job) || len(digits) == 0 || len(digits) > maxTaskIndexDigits {
--- a/wire/roundtrip_test.go
+++ b/wire/roundtrip_test.go
@@ -110,7 +110,7 @@
 					t.Fatalf("decode %s with encoding/json: %v", encoded, err)
 				}
 				if err := json.Unmarshal(reencoded, &got); err != nil || !reflect.DeepEqual(want, got) {
-					t.Fatalf("decode %s with encoding/json: error %v, or not the values of the first encoding", reencoded, err)
+					t.Fatalf("decode %s with encoding/json: got error %v or other values, want the values of the first encoding", reencoded, err)
 				}
 			})
 		})
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -151,7 +151,7 @@
 		index := rapid.IntRange(0, MaxTasks-1).Draw(t, "task")
 		job, parsedIndex, ok := ParseTaskID(TaskID(id, index))
 		if !ok || job != id || parsedIndex != index {
-			t.Fatalf("ParseTaskID(%q): got %s, %d, %v, want the job and the index in that id", TaskID(id, index), job, parsedIndex, ok)
+			t.Fatalf("ParseTaskID(%q): got %s, %d, %v, want the job and the index in that ID", TaskID(id, index), job, parsedIndex, ok)
 		}
 	})
 	for _, s := range []string{"", "req-000001", "req-000001/", "req-000001/-1", "req-000001/01", "req-000001/100000", "x/1", "req-000001/1/2"} {
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -4,7 +4,7 @@
 const (
 	TaskFetching       = "fetching" // waiting for its image
 	TaskWaitingForGang = "waiting"  // waiting for the other tasks of its attempt
-	TaskRunning        = "running"  // running, also if its gang has lost a task or is being stopped
+	TaskRunning        = "running"  // running, even if its gang has lost a task or is being stopped
 	TaskCheckpointing  = "flushing" // saving its progress after a stop; not set for periodic checkpoints
 	TaskExited         = "exited"
 )
@@ -12,7 +12,7 @@
 // Causes of a task's exit, in TaskStatus.ExitCause. The last three mean that the worker refused to start
 // the task.
 const (
-	ExitDone            = "done"       // completed; if started again, it exits as done once it has its image
+	ExitDone            = "done"       // completed; if started again, the task exits as done once it has its image
 	ExitStopped         = "stopped"    // stopped by a command
 	ExitPeerLost        = "peers"      // another task of its gang is gone
 	ExitGangIncomplete  = "incomplete" // its gang was not complete in time
