--- a/internal/protocoltest/checker.go
+++ b/internal/protocoltest/checker.go
@@ -22,7 +22,7 @@
 	finalStateAt    time.Time
 	doneTasks       map[int]bool               // by task index
 	machineByTask   map[int]wire.ListedMachine // machines of the tasks that run, by task index
-	overdueReported bool                       // whether checkOverdueCancellations has checked the job
+	overdueChecked  bool                       // whether checkOverdueCancellations has checked the job
 }
 
 // Checker records a history while it happens and finds the violations in it. A Checker is safe for
--- a/internal/protocoltest/checks.go
+++ b/internal/protocoltest/checks.go
@@ -82,10 +82,10 @@
 // its grace. checkLateStart finds tasks that start later.
 func (checker *Checker) checkOverdueCancellations() {
 	for id, job := range checker.jobs {
-		if job.overdueReported || job.finalState != wire.JobCancelled || time.Since(job.finalStateAt) <= checker.cfg.CancellationGrace {
+		if job.overdueChecked || job.finalState != wire.JobCancelled || time.Since(job.finalStateAt) <= checker.cfg.CancellationGrace {
 			continue
 		}
-		job.overdueReported = true
+		job.overdueChecked = true
 		for index, machine := range job.machineByTask {
 			checker.addViolation(CancelledTaskRan, "%s/%d is on %s %v after its job was cancelled", id, index, machine.ID, time.Since(job.finalStateAt))
 		}
--- a/internal/sim/soak_test.go
+++ b/internal/sim/soak_test.go
@@ -45,12 +45,12 @@
 		}
 		return i < *soakHistories
 	}
-	played := 0
-	for ; mayStartHistory(played); played++ {
-		seed := *soakSeed + uint64(played)
+	historiesRun := 0
+	for ; mayStartHistory(historiesRun); historiesRun++ {
+		seed := *soakSeed + uint64(historiesRun)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoakHistory(t, seed) })
 	}
-	t.Logf("%d histories from seed %d on in %v", played, *soakSeed, time.Since(startedAt).Round(time.Second))
+	t.Logf("%d histories from seed %d on in %v", historiesRun, *soakSeed, time.Since(startedAt).Round(time.Second))
 }
 
 func runSoakHistory(t *testing.T, seed uint64) {
--- a/internal/sim/stale_heartbeats_test.go
+++ b/internal/sim/stale_heartbeats_test.go
@@ -61,14 +61,14 @@
 		moved, filler := Array(1, 1, "a"), Array(2, 1, "a")
 		moved.CPUs, filler.CPUs = 8, 8
 		cluster.MustRun("n0", moved)
-		previousMachine := cluster.MachinesRunning(moved.ID)[0]
+		formerMachine := cluster.MachinesRunning(moved.ID)[0]
 		time.Sleep(5 * time.Second)
 		staleHeartbeats := cluster.Cloud.LastHeartbeats()
 		cluster.Cloud.FailTask(wire.TaskID(moved.ID, 0))
 		cluster.MustSubmit("n0", filler)
 		cluster.WaitFor("the task has moved", time.Minute, func() bool {
 			machines := cluster.MachinesRunning(moved.ID)
-			return len(machines) == 1 && machines[0] != previousMachine && len(cluster.MachinesRunning(filler.ID)) == 1
+			return len(machines) == 1 && machines[0] != formerMachine && len(cluster.MachinesRunning(filler.ID)) == 1
 		})
 		time.Sleep(5 * time.Second)
 		currentMachine := cluster.MachinesRunning(moved.ID)[0]
@@ -76,7 +76,7 @@
 		cluster.MustCancel("n1", filler.ID) // the former machine has room again
 		time.Sleep(time.Second)
 		// The new leader gets the copies before any other heartbeat of the former machine.
-		cluster.Network.Partition("former machine", func(a, b string) bool { return a == previousMachine || b == previousMachine })
+		cluster.Network.Partition("former machine", func(a, b string) bool { return a == formerMachine || b == formerMachine })
 		cluster.Restart(cluster.Leader(), 200*time.Millisecond)
 		cluster.WaitForLeader(20 * time.Second)
 		for range 20 {
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -54,12 +54,12 @@
 		cluster.Crash(cluster.OtherMembers(leader)[0])
 		time.Sleep(2 * time.Second) // the leader lease has not expired when the store is back
 		cluster.Store.SetDown(false)
-		last := cluster.OtherMembers(leader)[1]
-		cluster.WaitForLeaderToBe(last, 15*time.Second)
+		remaining := cluster.OtherMembers(leader)[1]
+		cluster.WaitForLeaderToBe(remaining, 15*time.Second)
 		time.Sleep(5 * time.Second)
 		cluster.Start(leader)
 		cluster.Start(cluster.OtherMembers(leader)[0])
-		cluster.WaitForState(last, "req-000001", wire.JobDone, 6*time.Minute)
+		cluster.WaitForState(remaining, "req-000001", wire.JobDone, 6*time.Minute)
 	})
 }
 
--- a/internal/sim/token_confirmation_test.go
+++ b/internal/sim/token_confirmation_test.go
@@ -54,8 +54,8 @@
 // commanded after a failover.
 type reconciliationRecorder struct {
 	slog.Handler
-	mu    sync.Mutex
-	times []string // the attributes of one log record for each failover
+	mu         sync.Mutex
+	attributes []string // the attributes of one log record for each failover
 }
 
 // Enabled implements slog.Handler.
@@ -73,7 +73,7 @@
 	})
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
-	recorder.times = append(recorder.times, line.String())
+	recorder.attributes = append(recorder.attributes, line.String())
 	return nil
 }
 
@@ -103,7 +103,7 @@
 					cluster.waitForConfirmedTokens(2 * options.Workers.HeartbeatInterval)
 					t.Logf("all machines have confirmed the token after %v", time.Since(startedAt).Round(100*time.Millisecond))
 				}
-				for _, times := range recorder.times {
+				for _, times := range recorder.attributes {
 					t.Log(times)
 				}
 			})
