--- a/internal/ci/layout/imports.go
+++ b/internal/ci/layout/imports.go
@@ -69,10 +69,10 @@
 	for i, layer := range layers {
 		for _, name := range layer.Packages {
 			if _, hasLayer := rank[name]; hasLayer {
-				problems = append(problems, fmt.Sprintf("%s stands in two places of the layers", name))
+				problems = append(problems, fmt.Sprintf("%s is listed twice in the layers", name))
 			}
 			if _, exists := imports[name]; !exists {
-				problems = append(problems, fmt.Sprintf("%s stands in layer %q and does not exist", name, layer.Name))
+				problems = append(problems, fmt.Sprintf("%s is listed in layer %q but does not exist", name, layer.Name))
 			}
 			rank[name] = i
 		}
@@ -80,7 +80,7 @@
 	for name, imported := range imports {
 		ownRank, hasLayer := rank[name]
 		if !hasLayer {
-			problems = append(problems, fmt.Sprintf("%s stands in no layer: give it a line in internal/ci/layout/layers.go", name))
+			problems = append(problems, fmt.Sprintf("%s is in no layer: list it in internal/ci/layout/layers.go", name))
 			continue
 		}
 		for _, other := range imported {
--- a/internal/ci/layout/imports_test.go
+++ b/internal/ci/layout/imports_test.go
@@ -62,9 +62,9 @@
 	}{
 		{"downwards and within a layer", layers, map[string][]string{"a": {"b"}, "b": nil, "c": {"a", "b"}}, nil},
 		{"upwards", layers, map[string][]string{"a": {"c"}, "b": nil, "c": nil}, []string{`a (layer "low") imports c of the higher layer "high"`}},
-		{"in no layer", layers, map[string][]string{"a": nil, "b": nil, "c": nil, "d": nil}, []string{`d stands in no layer: give it a line in internal/ci/layout/layers.go`}},
-		{"missing", layers, map[string][]string{"a": nil, "c": nil}, []string{`b stands in layer "low" and does not exist`}},
-		{"twice", append(slices.Clone(layers), Layer{"top", []string{"a"}}), map[string][]string{"a": nil, "b": nil, "c": nil}, []string{`a stands in two places of the layers`}},
+		{"in no layer", layers, map[string][]string{"a": nil, "b": nil, "c": nil, "d": nil}, []string{`d is in no layer: list it in internal/ci/layout/layers.go`}},
+		{"missing", layers, map[string][]string{"a": nil, "c": nil}, []string{`b is listed in layer "low" but does not exist`}},
+		{"twice", append(slices.Clone(layers), Layer{"top", []string{"a"}}), map[string][]string{"a": nil, "b": nil, "c": nil}, []string{`a is listed twice in the layers`}},
 	} {
 		if got := CheckLayers(testCase.layers, testCase.imports); !slices.Equal(got, testCase.want) {
 			t.Errorf("%s: CheckLayers: got %q, want %q", testCase.name, got, testCase.want)
--- a/internal/ci/layout/pages.go
+++ b/internal/ci/layout/pages.go
@@ -17,7 +17,8 @@
 }
 
 // codeSpans returns the texts in backquotes on a page, except those in fenced code blocks. A text that
-// begins with a dot, like `.Member`, is prefixed with the last text before it in its line that doesn't.
+// begins with a dot, like `.Member`, is prefixed with the last text before it in the same line that does
+// not begin with a dot.
 func codeSpans(document string) []codeSpan {
 	var spans []codeSpan
 	isInFencedBlock := false
@@ -54,8 +55,9 @@
 	return "internal/" + name
 }
 
-// isGoName reports whether the text is checked as a Go name: it consists of identifiers or keywords
-// joined by dots, and it has a dot or a capital letter, or the page names the file that declares it.
+// isGoName reports whether the text is checked as a Go name. It has to consist of identifiers or keywords
+// joined by dots. It also has to contain a dot or a capital letter, unless the page names the file that
+// declares it.
 func (span codeSpan) isGoName() bool {
 	for part := range strings.SplitSeq(span.text, ".") {
 		if !token.IsIdentifier(part) && !token.IsKeyword(part) {
--- a/internal/e2e/leader_pause_test.go
+++ b/internal/e2e/leader_pause_test.go
@@ -21,10 +21,10 @@
 }
 
 // The test guards against a leader that is paused in the middle of its work and, once resumed, still acts
-// although another controller leads. Each leader's process is stopped for longer than its leader lease and
-// resumed when another controller has become leader with its replica. Starts may then be half sent, and
-// replies of followers and workers and requests of users have arrived meanwhile. No task may run twice, and
-// every job must be done.
+// although another controller leads. Each leader's process is stopped for longer than its leader lease, and
+// resumed when another controller has become leader with its replica. The paused leader may have sent only
+// some of its starts, and replies of followers and workers and requests of users may have arrived during
+// the pause. No task may run twice, and every job must be done.
 func TestPausedLeaders(t *testing.T) {
 	deployment := newTestDeployment(t)
 	deployment.enableStandby()
@@ -38,7 +38,8 @@
 			ids = append(ids, id)
 			deployment.submit(leader, id, wire.KindArray, 8)
 		}
-		// Each pause begins at another point of the planning and the messages that follow the submissions.
+		// Each pause begins 7 ms later after the submissions than the one before it, and so at another point
+		// of the planning and the messages that follow the submissions.
 		time.Sleep(time.Duration(i) * 7 * time.Millisecond)
 		leader.signal(t, syscall.SIGSTOP)
 		waitFor(t, "another controller is leader", func() bool { return deployment.leaderExcept(leader) != nil })
--- a/internal/fake/machine_fault.go
+++ b/internal/fake/machine_fault.go
@@ -10,8 +10,8 @@
 	// MachineHealthy is the absence of a fault.
 	MachineHealthy MachineFault = iota
 	// MachineHanging makes a machine neither finish tasks nor send heartbeats or responses. The
-	// worker's lease still expires. The worker handles the requests that it received meanwhile when the
-	// fault ends, and executes their commands if their token and incarnation are still valid.
+	// worker's lease still expires. When the fault ends, the worker handles the requests that it
+	// received meanwhile, and executes their commands if their token and incarnation are still valid.
 	MachineHanging
 	// MachineCommandsLost loses the replies to a machine's heartbeats and every request to the machine.
 	// The heartbeats themselves arrive, so controllers find the machine unreachable.
@@ -26,7 +26,7 @@
 // slowCommandDelay is the delay with which a slow machine executes command requests.
 const slowCommandDelay = 8 * time.Second
 
-// String returns the name of the fault, as it stands in test names and messages.
+// String returns the name of the fault, as it appears in test names and messages.
 func (fault MachineFault) String() string {
 	switch fault {
 	case MachineHealthy:
--- a/internal/fake/memory_network.go
+++ b/internal/fake/memory_network.go
@@ -11,11 +11,11 @@
 )
 
 // MemoryNetwork is a network in memory, for tests in simulated time. Hosts are identified by name, and
-// links between them can be partitioned. A partition drops no data: it delays the data until it heals
-// and then delivers it, even if the sender has given up meanwhile.
+// links between them can be partitioned. A partition drops no data: the data waits until the partition
+// heals and is then delivered, even if the sender has given up meanwhile.
 type MemoryNetwork struct {
 	mu           sync.Mutex
-	latency      time.Duration                // of each chunk of data, between any two hosts
+	latency      time.Duration                // delay of each chunk of data between any two hosts
 	extraLatency map[string]time.Duration     // additional latency of data to and from a host, by host
 	listeners    map[string]*memoryListener   // by address
 	connections  map[string]map[net.Conn]bool // open connections, by host
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -28,7 +28,7 @@
 	StoreRenewalsRejected
 )
 
-// String returns the name of the fault, as it stands in test names and messages.
+// String returns the name of the fault, as it appears in test names and messages.
 func (fault StoreFault) String() string {
 	switch fault {
 	case StoreHealthy:
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -33,8 +33,8 @@
 	// heartbeat is the next heartbeat. It also holds the present state of the tasks on the machine.
 	heartbeat         wire.Heartbeat
 	lastHeartbeatBody []byte
-	// lastAckedHeartbeatAt is when the last answered heartbeat was sent, or when the lease last began
-	// anew: at the creation of the worker and after an expiry.
+	// lastAckedHeartbeatAt is when the worker's lease last began: when the last answered heartbeat was
+	// sent, when the worker was created, or when the previous lease was found to have expired.
 	lastAckedHeartbeatAt time.Time
 	// tokenReportedAt is when a reply with a higher token last made the worker send a heartbeat early.
 	tokenReportedAt time.Time
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -25,8 +25,8 @@
 	worker.serveCommandRequest(w, r)
 }
 
-// waitWhileHanging waits until the machine no longer hangs or is deleted. The cloud's lock is held when
-// waitWhileHanging is called and when it returns, but not while it waits.
+// waitWhileHanging waits while the machine hangs, unless the machine is deleted. The cloud's lock is held
+// when waitWhileHanging is called and when it returns, but not while it waits.
 func (worker *workerProcess) waitWhileHanging() {
 	for worker.fault == MachineHanging && !worker.isDeleted {
 		worker.cloud.mu.Unlock()
--- a/internal/protocoltest/checker_test.go
+++ b/internal/protocoltest/checker_test.go
@@ -114,13 +114,13 @@
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
 		}},
 		{"accepted job is not found", AcceptedJobLost, func(scenario singleJobScenario) { scenario.RecordRejection(jobID, 404, time.Now()) }},
-		{"job that nobody submitted", UnknownJob, func(scenario singleJobScenario) { scenario.RecordJobState("req-000002", wire.JobPending, time.Now()) }},
+		{"job that was never submitted", UnknownJob, func(scenario singleJobScenario) { scenario.RecordJobState("req-000002", wire.JobPending, time.Now()) }},
 		{"job done before its tasks", IncompleteJobDone, func(scenario singleJobScenario) { scenario.recordState(wire.JobDone) }},
 		{"cancelled job is running again", StateRegressed, func(scenario singleJobScenario) {
 			scenario.cancelJob()
 			scenario.recordState(wire.JobRunning)
 		}},
-		{"cancellation that nobody requested", StateRegressed, func(scenario singleJobScenario) { scenario.recordState(wire.JobCancelled) }},
+		{"cancellation that no user requested", StateRegressed, func(scenario singleJobScenario) { scenario.recordState(wire.JobCancelled) }},
 		{"task starts before the dependency is done", DependencyNotDone, func(scenario singleJobScenario) {
 			scenario.RecordSubmission(&wire.Job{ID: "req-000002", Team: "a", Kind: wire.KindArray, TaskCount: 1, DependsOn: []string{jobID}})
 			scenario.RecordTaskStart(newMachine("i-1", "x"), first)
--- a/internal/protocoltest/checks.go
+++ b/internal/protocoltest/checks.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// checkOverdueCancellations finds tasks that are still on machines later than the cancellation grace
-// after the cancellation of their job was confirmed. Each job is checked once, at the first call after
-// its grace. checkLateStart finds tasks that start later.
+// checkOverdueCancellations finds tasks that are still on machines when the cancellation grace has passed
+// since the cancellation of their job was confirmed. Each job is checked once, at the first call after its
+// grace. checkLateStart finds tasks that start later.
 func (checker *Checker) checkOverdueCancellations() {
 	for id, job := range checker.jobs {
 		if job.overdueChecked || job.finalState != wire.JobCancelled || time.Since(job.finalStateAt) <= checker.cfg.CancellationGrace {
--- a/internal/protocoltest/rules.go
+++ b/internal/protocoltest/rules.go
@@ -13,24 +13,24 @@
 	// PlacementViolated reports a task on a machine that its job does not allow: a machine of
 	// another type, zone or market, or one that breaks SingleZone or SpreadZones.
 	PlacementViolated Rule = "wrong_place"
-	// CancelledTaskRan reports a task that is on a machine later than
-	// Config.CancellationGrace after the cancellation of its job was confirmed.
+	// CancelledTaskRan reports a task that is on a machine more than Config.CancellationGrace after the
+	// cancellation of its job was confirmed.
 	CancelledTaskRan Rule = "ran_cancelled"
 	// AcceptedJobLost reports a reply that denies a job that was accepted before.
 	AcceptedJobLost Rule = "forgotten"
-	// UnknownJob reports a reply about a job that nobody submitted, or a task of such a job.
+	// UnknownJob reports a reply about a job that was never submitted, or a task of such a job.
 	UnknownJob Rule = "invented"
-	// IncompleteJobDone reports a reply that gives a job as done before all its tasks are done.
+	// IncompleteJobDone reports a reply that shows a job as done before all its tasks are done.
 	IncompleteJobDone Rule = "not_done"
-	// StateRegressed reports a reply that gives a job another state after a final one, or
-	// a cancellation that no user requested.
+	// StateRegressed reports a reply that shows a job in another state after a final one, or a
+	// cancellation that no user requested.
 	StateRegressed Rule = "went_back"
 	// DependencyNotDone reports a task that starts before all dependencies of its job are
 	// done.
 	DependencyNotDone Rule = "too_early"
-	// DependentNotCancelled reports a reply that gives a job as pending or running although
-	// the cancellation of one of its dependencies was confirmed more than Config.CancellationGrace
-	// before the request was sent.
+	// DependentNotCancelled reports a reply that shows a job as pending or running although the
+	// cancellation of one of its dependencies was confirmed more than Config.CancellationGrace before
+	// the request was sent.
 	DependentNotCancelled Rule = "orphaned"
 )
 
--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -96,8 +96,9 @@
 	})
 }
 
-// Users submit four jobs of one task a second and cancel a quarter of them, while large arrays cause
-// many writes of progress. At most one submission in 20 takes more than a second, and every job ends.
+// Every second, users submit four jobs of one task each. They cancel a quarter of these jobs, while large
+// arrays cause many writes of progress. At most one submission in 20 takes more than a second, and every
+// job ends.
 func TestManySmallJobsAreAcceptedPromptlyAndEnd(t *testing.T) {
 	Run(t, Options{TaskDuration: 3 * time.Second, Limits: Limits{WriteRPS: 30}}, func(cluster *Cluster) {
 		// Tasks of these large arrays end all the time, which causes many writes of progress.
@@ -150,8 +151,8 @@
 	})
 }
 
-// Every controller rejects jobs that can't run, and replies that jobs which nobody submitted are not
-// found. A leader whose requests the store rejects does not decide either: it replies with status 503.
+// Every controller rejects jobs that can't run, and replies with 404 to requests for jobs that were never
+// submitted. A leader whose requests the store rejects can decide neither: it replies with 503.
 func TestEveryMemberRejectsInvalidRequests(t *testing.T) {
 	Run(t, Options{}, func(cluster *Cluster) {
 		unknownTeam, tooLarge, overQuota := Array(1, 1, "nobody"), Array(2, 1, "a"), Service(3, 9, "b")
--- a/internal/sim/failover_test.go
+++ b/internal/sim/failover_test.go
@@ -9,7 +9,7 @@
 )
 
 // Users cancel jobs during the seconds of a failover. The tasks of these jobs stop within the cancellation
-// grace, and the task of another job goes on.
+// grace, and the task of another job keeps running.
 func TestJobsCancelledDuringFailoverStop(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 8; i++ {
@@ -79,7 +79,7 @@
 	})
 }
 
-// All controllers crash. One starts again either within a second or only after longer than a worker's
+// All controllers crash. One of them starts again after less than a second, or after longer than a worker's
 // lease, and confirms a cancellation before the others start. The service's tasks run afterwards, and the
 // cancelled job's tasks stop.
 func TestJobsSurviveCrashOfAllMembers(t *testing.T) {
@@ -131,7 +131,7 @@
 
 // The leader is partitioned from its workers and hands over, and then the same happens to its successor.
 // A job is cancelled at each of the two during the partition. The cancelled jobs' tasks stop, and the
-// tasks of another job go on.
+// tasks of another job keep running.
 func TestCancellationsSurviveRepeatedHandovers(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 4; i++ {
--- a/internal/sim/finished_jobs_test.go
+++ b/internal/sim/finished_jobs_test.go
@@ -43,8 +43,8 @@
 }
 
 // Controllers that have evicted most finished jobs from their caches still know them: they reply to many
-// concurrent reads, to repeated submissions and to cancellations as before, and only jobs that nobody
-// submitted get 404. The same holds for controllers that have restarted.
+// concurrent reads, to repeated submissions and to cancellations as before, and only requests for jobs
+// that were never submitted get 404. The same holds for controllers that have restarted.
 func TestEvictedJobsAreKnown(t *testing.T) {
 	Run(t, smallCacheOptions(), func(cluster *Cluster) {
 		cluster.finishJobs()
--- a/internal/sim/generated_history_test.go
+++ b/internal/sim/generated_history_test.go
@@ -152,7 +152,7 @@
 	case 2:
 		history.injectFault(history.randomDuration(1, 20), history.storeFault(member, fake.StoreRequestsRejected))
 	case 3:
-		// At first the store rejects the requests of this member alone, then those of everybody.
+		// At first the store rejects the requests of this member alone, then those of all members.
 		history.injectFault(history.randomDuration(5, 15), history.storeFault(member, fake.StoreRequestsRejected))
 		time.Sleep(history.randomDuration(0.2, 3))
 		history.injectFault(history.randomDuration(2, 90), history.storeOutage())
@@ -188,7 +188,7 @@
 	return reversibleFault{func() { history.Store.SetFault(member, fault) }, func() { history.Store.SetFault(member, fake.StoreHealthy) }}
 }
 
-// storeOutage returns a fault by which the store is down for everybody.
+// storeOutage returns a fault by which the store is down for all members.
 func (history *generatedHistory) storeOutage() reversibleFault {
 	return reversibleFault{func() { history.Store.SetDown(true) }, func() { history.Store.SetDown(false) }}
 }
@@ -241,7 +241,7 @@
 }
 
 // waitForCompletion waits until all faults have ended. It checks that every request succeeds, that jobs are
-// cancelled with their dependencies, and that every other job whose cancellation nobody requested is done,
+// cancelled with their dependencies, and that every other job whose cancellation no user requested is done,
 // or running if it is a service. It also checks that no tasks of cancelled jobs remain on machines.
 func (history *generatedHistory) waitForCompletion() {
 	if left := time.Until(history.faultsEndAt); left > 0 {
--- a/internal/sim/isolated_leader_test.go
+++ b/internal/sim/isolated_leader_test.go
@@ -24,9 +24,9 @@
 }
 
 // The store rejects only the leader's requests, and another controller confirms a cancellation. Then
-// the store is down for everybody for longer than the cancellation grace, while workers still send
-// their heartbeats to the old leader. The old leader learns of the cancellation from its peers, and
-// stops the tasks while it holds the leader lease.
+// the store is down for all controllers for longer than the cancellation grace, while workers still
+// send their heartbeats to the old leader. The old leader learns of the cancellation from its peers,
+// and stops the tasks while it holds the leader lease.
 func TestPeersForwardCancellationToRejectedLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 4, "a"))
@@ -50,8 +50,8 @@
 
 // As in TestPeersForwardCancellationToRejectedLeader, but the leader is also partitioned from its
 // peers, so that it does not learn of the cancellation. The leases of its workers expire in time. The
-// end of the outage gives the old leader its leader lease back; it reads the store before it starts
-// any task.
+// end of the outage restarts the TTL of the old leader's leader lease; the old leader reads the store
+// before it starts any task.
 func TestPartitionedLeaderStartsNothingAfterOutage(t *testing.T) {
 	for _, times := range workerTimesCases {
 		t.Run(times.LeaseTTL.String(), func(t *testing.T) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// The end of an outage gives the old leader its lease back before it can read which jobs were
-// cancelled meanwhile. It starts no task until it has read the store.
+// The end of an outage restarts the TTL of the old leader's leader lease before the old leader can read
+// which jobs were cancelled meanwhile. It starts no task until it has read the store.
 func TestNoStartsBetweenLeaseRenewalAndRead(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustSubmit("n0", Array(1, 4, "a"))
@@ -98,8 +98,8 @@
 	})
 }
 
-// The leader can't renew its lease for a while although the store answers its reads. An outage gives
-// the lease its whole TTL back, and then the leader's reads are rejected. However recent the leader's
+// The leader can't renew its leader lease for a while although the store answers its reads. An outage
+// then restarts the TTL of the lease, and the leader's reads are rejected. However recent the leader's
 // view is, it lacks a cancellation between the last read and the outage, so the leader starts no task.
 func TestNoStartsAfterLeaseRenewalWithRecentView(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration, Workers: WorkerTimes{HeartbeatInterval: time.Second / 2}}, func(cluster *Cluster) {
@@ -130,8 +130,8 @@
 	})
 }
 
-// The leader renews its lease, but the store rejects all its reads. If its peers can't tell it of
-// cancellations, it answers workers for no longer than the cancellation grace. If they can, and the
+// The leader renews its leader lease, but the store rejects all its reads. If its peers can't inform it
+// of cancellations, it answers workers for no longer than the cancellation grace. If they can, and the
 // store serves them, it hands over the leadership long before that.
 func TestLeaderWithoutReadsHandsOverOrStopsReplying(t *testing.T) {
 	for _, peersReachable := range []bool{false, true} {
--- a/internal/sim/options.go
+++ b/internal/sim/options.go
@@ -33,7 +33,7 @@
 type WorkerTimes struct {
 	// LeaseTTL is how long a worker runs tasks without a reply to its heartbeats.
 	LeaseTTL time.Duration
-	// CancellationGrace is how long tasks may go on running after the cancellation of their job was
+	// CancellationGrace is how long tasks may keep running after the cancellation of their job was
 	// confirmed.
 	CancellationGrace time.Duration
 	// HeartbeatInterval is the time between two heartbeats of a worker.
--- a/internal/sim/short_lived_leaders_test.go
+++ b/internal/sim/short_lived_leaders_test.go
@@ -25,12 +25,12 @@
 	cluster.WaitFor(machine+" has seen a higher token", time.Minute, func() bool { return cluster.Cloud.SeenToken(machine) > before })
 }
 
-// Tasks of a cancelled job must not run on past the cancellation grace when leaders live only briefly.
+// Tasks of a cancelled job must not keep running past the cancellation grace when leaders live only briefly.
 //
 // The leader crashes, and another member confirms the cancellation. Then all controllers crash again
 // and again, each leader after one reply to the machine. After that the machine gets no replies.
 //
-// Tasks ran on when the reply to the first heartbeat under a new token renewed the worker's lease
+// Tasks kept running when the reply to the first heartbeat under a new token renewed the worker's lease
 // without stopping the tasks; see TestFirstReplyUnderNewTokenStopsCancelledTasks in package allocation.
 // With stops in that reply, and no other change, the tasks end under the first leader.
 func TestShortLivedLeadersStopCancelledTasks(t *testing.T) {
--- a/internal/sim/soak_test.go
+++ b/internal/sim/soak_test.go
@@ -12,9 +12,9 @@
 	"firwood.dev/firwood/wire"
 )
 
-// soakHistories, soakSeed and soakTime select the histories that TestSoakOfShortLivedLeaders plays. It
-// plays soakHistories of them with consecutive seeds from soakSeed on or, if soakTime is set, as many
-// as begin within soakTime of real time.
+// soakHistories, soakSeed and soakTime select the histories that TestSoakOfShortLivedLeaders runs. It
+// runs soakHistories of them, with consecutive seeds beginning with soakSeed. If soakTime is set, it
+// runs as many as begin within soakTime of real time instead.
 var (
 	soakHistories = flag.Int("soak-histories", 24, "how many histories TestSoakOfShortLivedLeaders plays")
 	soakSeed      = flag.Uint64("soak-seed", 1, "seed of the first history of TestSoakOfShortLivedLeaders")
@@ -77,9 +77,9 @@
 }
 
 // runLeaderChain disrupts the leader, has users cancel one to three jobs, and then disrupts one
-// short-lived leader after another while users cancel more jobs. The chain lasts up to 1.3 times as
-// long as a cancelled task may run on past a lease, which is the cancellation grace less the lease
-// TTL. Finally nine in ten machines lose their heartbeats, or the replies and commands to them.
+// short-lived leader after another while users cancel more jobs. The chain lasts up to 1.3 times the
+// cancellation grace less the lease TTL, which is how much longer than a lease a cancelled task may
+// run. Finally about nine in ten machines lose their heartbeats, or the replies and commands to them.
 func (history *soakHistory) runLeaderChain() {
 	workers := history.options.Workers
 	history.disruptLeader()
--- a/internal/sim/stale_heartbeats_test.go
+++ b/internal/sim/stale_heartbeats_test.go
@@ -41,8 +41,8 @@
 		staleHeartbeats := cluster.Cloud.LastHeartbeats()
 		cluster.MustRun("n0", Array(2, 2, "a"))
 		time.Sleep(5 * time.Second)
-		// The service needs more room than there is and has a higher priority. If the leader took
-		// the tasks for exited, it would give their room to the service.
+		// The service needs more room than there is and has a higher priority. If the leader treated
+		// the tasks as exited, it would give their room to the service.
 		cluster.MustSubmit("n0", Service(3, 24, "a"))
 		for range 30 {
 			cluster.ReplayHeartbeats(staleHeartbeats)
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -164,9 +164,9 @@
 	})
 }
 
-// A follower in sync becomes unresponsive when the store goes down, so that the leader can't record the
+// An in-sync follower becomes unresponsive when the store goes down, so that the leader can't record the
 // follower as out of sync. Starts wait for the follower until the leader lease ends, and would have to
-// stop then in any case. When the store is back they go on.
+// stop then in any case. When the store is back, tasks start again.
 func TestUnresponsiveFollowerInStoreOutage(t *testing.T) {
 	measureStarts := func(isUnresponsive bool) (starts int, resumedAfter time.Duration) {
 		options, _ := quotaBoundOptions(true)
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -14,7 +14,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// failoverRounds is how many failovers TestReplicaConfirmsTasks plays with replicas and without.
+// failoverRounds is how many failovers TestReplicaConfirmsTasks runs with replicas and without.
 var failoverRounds = flag.Int("take-over-plays", 1, "how many failovers TestReplicaConfirmsTasks plays with replicas and without")
 
 // failoverRecord is what a new leader logged about its rebuilt allocation table.
@@ -75,7 +75,7 @@
 const quotaBoundTasks = 8
 
 // quotaBoundOptions returns options for jobs that have more tasks than their team's quota allows at a
-// time, so that each end of a task allows a start. The returned recorder records the failovers.
+// time, so that a task can start whenever another one ends. The returned recorder records the failovers.
 func quotaBoundOptions(standby bool) (Options, *failoverRecorder) {
 	failovers := &failoverRecorder{}
 	return Options{Standby: StandbyOptions{Enabled: standby}, TaskDuration: 15 * time.Second, TaskDurationStep: 300 * time.Millisecond, Logger: failovers.logger()}, failovers
@@ -124,7 +124,7 @@
 	}
 }
 
-// compareFailovers plays a failover with replicas and one without. Each task runs longer than usual by
+// compareFailovers runs a failover with replicas and one without. Each task runs longer than usual by
 // extraDuration.
 func compareFailovers(t *testing.T, extraDuration time.Duration) {
 	measureFailover := func(standby bool) (firstStart, jobDone time.Duration) {
@@ -196,7 +196,7 @@
 }
 
 // A member that keeps no replica leads between two others. The record of in-sync members may still name
-// a follower of the leader before it, but that follower's replica lacks what was started since.
+// a follower of the first leader, but that follower's replica lacks what was started since.
 func TestReplicaOfEarlierTermIsNotUsed(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	options.Standby.ExcludedMembers = []string{"n2"}
--- a/internal/sim/store_transactions_test.go
+++ b/internal/sim/store_transactions_test.go
@@ -18,7 +18,7 @@
 )
 
 // The store applies a transaction but its reply is lost, and other controllers read what it wrote. The
-// writer's replies to users agree with theirs, also the reply to a repeated submission.
+// writer's replies to users agree with theirs, also the writer's reply to a repeated submission.
 func TestLostTransactionReplies(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		leader := cluster.Leader()
@@ -129,8 +129,8 @@
 	})
 }
 
-// New machines come up at once while writes are delayed, and the leader crashes. No task is on a
-// machine that the next leader may not know of when it starts the task again.
+// Writes are delayed while new machines boot at once, and the leader crashes. No task may run on a machine
+// that is not recorded: the next leader may not know of the machine when it starts the task again.
 func TestNoTaskOnUnrecordedMachine(t *testing.T) {
 	Run(t, Options{BootDuration: 200 * time.Millisecond, Workers: WorkerTimes{HeartbeatInterval: time.Second}, TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		leader := cluster.Leader()
@@ -147,7 +147,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		if len(cluster.Cloud.MachineNames()) == 0 {
-			t.Error("no machine is up")
+			t.Error("got no machines, want at least 1 for the submitted jobs")
 		}
 		if running := cluster.Cloud.RunningTasks(); len(running) > 0 {
 			t.Errorf("got tasks on machines that no record names: %v, want none", running)
--- a/internal/sim/successive_failovers_test.go
+++ b/internal/sim/successive_failovers_test.go
@@ -10,7 +10,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// secondFailoverRounds is how many times TestSecondLeaderCrash plays its failovers.
+// secondFailoverRounds is how many times TestSecondLeaderCrash runs its failovers.
 var secondFailoverRounds = flag.Int("second-deaths", 1, "how many times TestSecondLeaderCrash crashes a leader that still has unconfirmed tasks")
 
 // failOver crashes the leader, starts it again a second later, waits until another member is leader,
@@ -24,8 +24,8 @@
 }
 
 // A leader crashes while a machine hangs. The next leader crashes three seconds after its failover,
-// while that machine's tasks are unconfirmed. No more tasks are unconfirmed for the third leader, so that
-// the job's next tasks start when tasks elsewhere end.
+// while that machine's tasks are unconfirmed. This adds no unconfirmed tasks for the third leader, so
+// that the job's next tasks start when tasks elsewhere end.
 func TestSecondLeaderCrash(t *testing.T) {
 	var durations []time.Duration
 	for i := range *secondFailoverRounds {
--- a/internal/sim/token_confirmation_test.go
+++ b/internal/sim/token_confirmation_test.go
@@ -80,9 +80,9 @@
 // WithAttrs implements slog.Handler.
 func (recorder *reconciliationRecorder) WithAttrs([]slog.Attr) slog.Handler { return recorder }
 
-// A large fleet fails over twice within half a lease. After each failover the leader is allowed to command
-// nearly all machines within a little more than a heartbeat interval, and all within two. The test logs
-// the times.
+// A large fleet fails over twice within half a lease. After each failover the leader must be allowed to
+// command all machines within two heartbeat intervals. The test also logs the times: nearly all machines
+// should take little more than one interval.
 func TestLargeFleetIsReconciledAfterEachFailover(t *testing.T) {
 	for _, size := range strings.Split(*fleetSizes, ",") {
 		machines, err := strconv.Atoi(size)
@@ -103,8 +103,8 @@
 					cluster.waitForConfirmedTokens(2 * options.Workers.HeartbeatInterval)
 					t.Logf("all machines have confirmed the token after %v", time.Since(startedAt).Round(100*time.Millisecond))
 				}
-				for _, times := range recorder.attributes {
-					t.Log(times)
+				for _, attributes := range recorder.attributes {
+					t.Log(attributes)
 				}
 			})
 		})
--- a/internal/sim/zone_partition_test.go
+++ b/internal/sim/zone_partition_test.go
@@ -33,8 +33,8 @@
 }
 
 // A zone is partitioned while the cloud is down, so that machines whose leases are known to have expired
-// can't be deleted. Tasks start elsewhere only once it is certain that no controller in the zone has
-// renewed those leases for long enough.
+// can't be deleted. Tasks start elsewhere only once it is certain that any renewal of those leases by a
+// controller in the zone is long enough ago.
 func TestZonePartitionInCloudOutage(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		job := Array(1, 2, "a")
@@ -72,8 +72,9 @@
 	})
 }
 
-// A controller is partitioned from its peers and the store, but not from its workers. It does not
-// redirect them to a leader that has crashed by then, and they find the present leader.
+// A controller is partitioned from its peers and the store, but not from its workers, and the leader
+// crashes. The partitioned controller does not redirect its workers to the crashed leader, and they find
+// the present leader.
 func TestWorkersLeavePartitionedMember(t *testing.T) {
 	Run(t, Options{TaskDuration: 15 * time.Second, TaskDurationStep: 300 * time.Millisecond}, func(cluster *Cluster) {
 		cluster.runQuotaBoundJob(60)
