--- a/internal/sim/isolated_leader_test.go
+++ b/internal/sim/isolated_leader_test.go
@@ -164,7 +164,8 @@
 }
 
 // Jobs are cancelled just when the store begins to reject only the leader's requests. A second later
-// the store goes down for longer than the cancellation grace.
+// the store goes down for longer than the cancellation grace. The cancelled jobs' tasks stop soon after the
+// beginning of the outage, and the tasks of another job run after it.
 func TestConcurrentCancellationsReachRejectedLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		for i := 1; i <= 6; i++ {
--- a/internal/sim/stale_heartbeats_test.go
+++ b/internal/sim/stale_heartbeats_test.go
@@ -91,8 +91,8 @@
 	})
 }
 
-// Workers carry out command requests of the former leader seconds late, after those of the new
-// leader.
+// Workers get to the command requests of the former leader seconds late, after they have the token of the
+// new leader. No task of a cancelled job starts.
 func TestLateCommandsOfFormerLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 2, "a"))
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -8,9 +8,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A follower lags, and is partitioned from the store when the leader crashes. The follower decides
-// nothing and delays no other member. After it is reconnected it follows the new leader, which records
-// its replica as in sync. When the new leader crashes, the follower takes over with that replica.
+// A follower is partitioned from the leader, so that its replica lags, and also from the store when the
+// leader crashes. The follower decides nothing and delays no other member. After it is reconnected it
+// follows the new leader, which records its replica as in sync. When the new leader crashes, the follower
+// takes over with that replica.
 func TestFollowerPartitionedFromStoreAtLeaderCrash(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -41,7 +42,8 @@
 	})
 }
 
-// The leader and a follower crash together during a store outage.
+// The leader and a follower crash together during a store outage. After the outage the remaining follower
+// becomes leader, and the job gets done.
 func TestTwoMembersCrashInStoreOutage(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -64,7 +66,7 @@
 }
 
 // The leader restarts five times in two minutes while one machine after another hangs. Two members
-// keep replicas and one keeps none.
+// keep replicas and one keeps none. All jobs get done.
 func TestFailoversWithOneMemberWithoutReplica(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	options.Standby.ExcludedMembers = []string{"n1"}
@@ -112,6 +114,7 @@
 
 // The allocation table is larger than one message. A follower crashes twice, each time while it
 // receives a snapshot of the table. Then the leader crashes while the follower receives another one.
+// No running task is lost, and a job that is submitted afterwards runs.
 func TestFollowersCrashDuringSnapshot(t *testing.T) {
 	const machines = 160
 	options := fleetOptions(machines)
--- a/internal/sim/successive_failovers_test.go
+++ b/internal/sim/successive_failovers_test.go
@@ -90,7 +90,8 @@
 }
 
 // Leaders restart one after another while jobs are cancelled and jobs wait for dependencies. Copies of
-// heartbeats from two leaders ago reach the newest leader.
+// heartbeats from two leaders ago reach the newest leader. Every new leader uses its replica, cancelled
+// jobs stop, and the other jobs get done.
 func TestSuccessiveFailoversWithStaleHeartbeats(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
--- a/internal/sim/zone_partition_test.go
+++ b/internal/sim/zone_partition_test.go
@@ -6,7 +6,8 @@
 )
 
 // A zone with workers and one or two controllers is partitioned for longer than a lease. A job that
-// runs there is cancelled meanwhile.
+// runs there is cancelled meanwhile. Its tasks stop within the cancellation grace, and all replicas of a
+// service run after the partition.
 func TestZonePartitionLongerThanLease(t *testing.T) {
 	for _, zone := range []string{"x", "y"} {
 		t.Run(zone, func(t *testing.T) {
