--- a/internal/sim/stale_heartbeats_test.go
+++ b/internal/sim/stale_heartbeats_test.go
@@ -41,8 +41,8 @@
 		staleHeartbeats := cluster.Cloud.LastHeartbeats()
 		cluster.MustRun("n0", Array(2, 2, "a"))
 		time.Sleep(5 * time.Second)
-		// The service needs more room than there is and has a higher priority. If the leader took
-		// the tasks for exited, it would give their room to the service.
+		// The service needs more room than there is and has a higher priority. If the leader treated
+		// the tasks as exited, it would give their room to the service.
 		cluster.MustSubmit("n0", Service(3, 24, "a"))
 		for range 30 {
 			cluster.ReplayHeartbeats(staleHeartbeats)
@@ -61,14 +61,14 @@
 		moved, filler := Array(1, 1, "a"), Array(2, 1, "a")
 		moved.CPUs, filler.CPUs = 8, 8
 		cluster.MustRun("n0", moved)
-		previousMachine := cluster.MachinesRunning(moved.ID)[0]
+		formerMachine := cluster.MachinesRunning(moved.ID)[0]
 		time.Sleep(5 * time.Second)
 		staleHeartbeats := cluster.Cloud.LastHeartbeats()
 		cluster.Cloud.FailTask(wire.TaskID(moved.ID, 0))
 		cluster.MustSubmit("n0", filler)
 		cluster.WaitFor("the task has moved", time.Minute, func() bool {
 			machines := cluster.MachinesRunning(moved.ID)
-			return len(machines) == 1 && machines[0] != previousMachine && len(cluster.MachinesRunning(filler.ID)) == 1
+			return len(machines) == 1 && machines[0] != formerMachine && len(cluster.MachinesRunning(filler.ID)) == 1
 		})
 		time.Sleep(5 * time.Second)
 		currentMachine := cluster.MachinesRunning(moved.ID)[0]
@@ -76,7 +76,7 @@
 		cluster.MustCancel("n1", filler.ID) // the former machine has room again
 		time.Sleep(time.Second)
 		// The new leader gets the copies before any other heartbeat of the former machine.
-		cluster.Network.Partition("former machine", func(a, b string) bool { return a == previousMachine || b == previousMachine })
+		cluster.Network.Partition("former machine", func(a, b string) bool { return a == formerMachine || b == formerMachine })
 		cluster.Restart(cluster.Leader(), 200*time.Millisecond)
 		cluster.WaitForLeader(20 * time.Second)
 		for range 20 {
@@ -91,8 +91,8 @@
 	})
 }
 
-// Workers carry out command requests of the former leader seconds late, after those of the new
-// leader.
+// Workers get to the command requests of the former leader seconds late, after they have the token of the
+// new leader. No task of a cancelled job starts.
 func TestLateCommandsOfFormerLeader(t *testing.T) {
 	Run(t, Options{TaskDuration: longTaskDuration}, func(cluster *Cluster) {
 		cluster.MustRun("n0", Array(1, 2, "a"))
--- a/internal/sim/standby_faults_test.go
+++ b/internal/sim/standby_faults_test.go
@@ -8,9 +8,10 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A follower lags, and is partitioned from the store when the leader crashes. The follower decides
-// nothing and delays no other member. After it is reconnected it follows the new leader, which records
-// its replica as in sync. When the new leader crashes, the follower takes over with that replica.
+// A follower is partitioned from the leader, so that its replica lags, and also from the store when the
+// leader crashes. The follower decides nothing and delays no other member. After it is reconnected it
+// follows the new leader, which records its replica as in sync. When the new leader crashes, the follower
+// takes over with that replica.
 func TestFollowerPartitionedFromStoreAtLeaderCrash(t *testing.T) {
 	options, failovers := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -41,7 +42,8 @@
 	})
 }
 
-// The leader and a follower crash together during a store outage.
+// The leader and a follower crash together during a store outage. After the outage the remaining follower
+// becomes leader, and the job gets done.
 func TestTwoMembersCrashInStoreOutage(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	Run(t, options, func(cluster *Cluster) {
@@ -54,17 +56,17 @@
 		cluster.Crash(cluster.OtherMembers(leader)[0])
 		time.Sleep(2 * time.Second) // the leader lease has not expired when the store is back
 		cluster.Store.SetDown(false)
-		last := cluster.OtherMembers(leader)[1]
-		cluster.WaitForLeaderToBe(last, 15*time.Second)
+		remaining := cluster.OtherMembers(leader)[1]
+		cluster.WaitForLeaderToBe(remaining, 15*time.Second)
 		time.Sleep(5 * time.Second)
 		cluster.Start(leader)
 		cluster.Start(cluster.OtherMembers(leader)[0])
-		cluster.WaitForState(last, "req-000001", wire.JobDone, 6*time.Minute)
+		cluster.WaitForState(remaining, "req-000001", wire.JobDone, 6*time.Minute)
 	})
 }
 
 // The leader restarts five times in two minutes while one machine after another hangs. Two members
-// keep replicas and one keeps none.
+// keep replicas and one keeps none. All jobs get done.
 func TestFailoversWithOneMemberWithoutReplica(t *testing.T) {
 	options, _ := quotaBoundOptions(true)
 	options.Standby.ExcludedMembers = []string{"n1"}
@@ -112,6 +114,7 @@
 
 // The allocation table is larger than one message. A follower crashes twice, each time while it
 // receives a snapshot of the table. Then the leader crashes while the follower receives another one.
+// No running task is lost, and a job that is submitted afterwards runs.
 func TestFollowersCrashDuringSnapshot(t *testing.T) {
 	const machines = 160
 	options := fleetOptions(machines)
@@ -164,9 +167,9 @@
 	})
 }
 
-// A follower in sync becomes unresponsive when the store goes down, so that the leader can't record the
+// An in-sync follower becomes unresponsive when the store goes down, so that the leader can't record the
 // follower as out of sync. Starts wait for the follower until the leader lease ends, and would have to
-// stop then in any case. When the store is back they go on.
+// stop then in any case. When the store is back, tasks start again.
 func TestUnresponsiveFollowerInStoreOutage(t *testing.T) {
 	measureStarts := func(isUnresponsive bool) (starts int, resumedAfter time.Duration) {
 		options, _ := quotaBoundOptions(true)
