--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -116,7 +116,7 @@
 	}
 	controller.log.Info("process stalled", "gap_s", (now - previousTickAt).Seconds())
 	if controller.term != nil {
-		controller.term.RecordResume(now)
+		controller.term.ResetSilence(now)
 	}
 }
 
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -26,7 +26,7 @@
 	if !slices.ContainsFunc(controller.cfg.Peers, func(other config.Peer) bool { return other.Member == heartbeat.Member }) {
 		return
 	}
-	if heartbeat.IsStandby() {
+	if heartbeat.IsStandbyFrame() {
 		controller.handleStandbyMessage(heartbeat)
 		return
 	}
--- a/internal/delegation/constraints.go
+++ b/internal/delegation/constraints.go
@@ -57,7 +57,7 @@
 
 // MayConstrainZone reports whether a constraint on the zone may be in force.
 func (tracker *ConstraintTracker) MayConstrainZone(zone string) bool {
-	for constraints := range tracker.Possible() {
+	for constraints := range tracker.PossibleValues() {
 		if _, ok := constraints.Zones[zone]; ok {
 			return true
 		}
@@ -67,7 +67,7 @@
 
 // MayConstrainMember reports whether a constraint on the member may be in force.
 func (tracker *ConstraintTracker) MayConstrainMember(name string) bool {
-	for constraints := range tracker.Possible() {
+	for constraints := range tracker.PossibleValues() {
 		if _, ok := constraints.MemberGrantUntil[name]; ok {
 			return true
 		}
@@ -78,7 +78,7 @@
 // ConstrainedZones returns the zones on which a constraint may be in force.
 func (tracker *ConstraintTracker) ConstrainedZones() map[string]bool {
 	zones := map[string]bool{}
-	for constraints := range tracker.Possible() {
+	for constraints := range tracker.PossibleValues() {
 		for zone := range constraints.Zones {
 			zones[zone] = true
 		}
--- a/internal/health/handover.go
+++ b/internal/health/handover.go
@@ -42,10 +42,10 @@
 // other members.
 type LeaderReach struct {
 	Fleet Reachability
-	// HadMostReachable is true if the fleet was mostly reachable (see
+	// WasMostlyReachable is true if the fleet was mostly reachable (see
 	// Reachability.IsMostlyReachable) at some time in this term. A leader that never reached the
 	// machines doesn't hand over because none is reachable.
-	HadMostReachable bool
+	WasMostlyReachable bool
 	// HasCandidate is true if another member that sends heartbeats and reaches the store could
 	// become leader.
 	HasCandidate bool
@@ -67,7 +67,7 @@
 	switch {
 	case reach.HasCandidate && reach.ReadAge > 2*reach.LeaderTTL:
 		return StoreUnreadable
-	case reach.HadMostReachable && reach.HasCandidate && reach.Fleet.IsFullyUnreachable():
+	case reach.WasMostlyReachable && reach.HasCandidate && reach.Fleet.IsFullyUnreachable():
 		return NoneReachable
 	case reach.HasWaitedForWorkers && reach.Fleet.IsOnlyLeaderCutOff(reach.ContactingOther):
 		return OnlyLeaderCutOff
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -41,12 +41,12 @@
 	}{
 		{"many workers contact another member", cutOff, OnlyLeaderCutOff},
 		{"workers had no time to return", with(func(reach *LeaderReach) { reach.HasWaitedForWorkers = false }), KeepLeadership},
-		{"no reads are answered", with(func(reach *LeaderReach) { reach.ReadAge = 9 * clock.Second; reach.HadMostReachable = true }), StoreUnreadable},
+		{"no reads are answered", with(func(reach *LeaderReach) { reach.ReadAge = 9 * clock.Second; reach.WasMostlyReachable = true }), StoreUnreadable},
 		{"reads are slightly late", with(func(reach *LeaderReach) { reach.ReadAge = 8 * clock.Second; reach.HasWaitedForWorkers = false }), KeepLeadership},
 		{"no reads are answered, no candidate", with(func(reach *LeaderReach) {
 			reach.ReadAge, reach.HasCandidate, reach.ContactingOther = 9*clock.Second, false, 0
 		}), KeepLeadership},
-		{"all machines become unreachable", with(func(reach *LeaderReach) { reach.HadMostReachable, reach.HasWaitedForWorkers = true, false }), NoneReachable},
+		{"all machines become unreachable", with(func(reach *LeaderReach) { reach.WasMostlyReachable, reach.HasWaitedForWorkers = true, false }), NoneReachable},
 	} {
 		if got := test.reach.HandOverReason(); got != test.want {
 			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
--- a/internal/jobhistory/jobhistory_test.go
+++ b/internal/jobhistory/jobhistory_test.go
@@ -30,13 +30,13 @@
 	}
 }
 
-// Newest keeps the records with the latest end, whatever their number and order, and never holds more
+// NewestRecords keeps the records with the latest end, whatever their number and order, and never holds more
 // than twice its capacity.
 func TestNewestKeepsLatestRecords(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
 		count, capacity := rng.IntN(60), 1+rng.IntN(10)
-		newest := NewNewest[int](capacity)
+		newest := NewNewestRecords[int](capacity)
 		for _, i := range rng.Perm(count) {
 			newest.Add(int64(i), i)
 			if len(newest.entries) > 2*capacity {
--- a/internal/jobhistory/newest.go
+++ b/internal/jobhistory/newest.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Newest keeps the records with the latest end, up to its capacity. Records may be added in any order. It
+// NewestRecords keeps the records with the latest end, up to its capacity. Records may be added in any order. It
 // holds at most twice its capacity.
-type Newest[R any] struct {
+type NewestRecords[R any] struct {
 	capacity int
 	entries  []entry[R]
 	dropped  int
@@ -18,11 +18,13 @@
 	record  R
 }
 
-// NewNewest returns an empty Newest for the given number of records.
-func NewNewest[R any](capacity int) *Newest[R] { return &Newest[R]{capacity: capacity} }
+// NewNewestRecords returns an empty Newest for the given number of records.
+func NewNewestRecords[R any](capacity int) *NewestRecords[R] {
+	return &NewestRecords[R]{capacity: capacity}
+}
 
 // Add adds the record of a job. endedAt is the wall-clock time of its end in microseconds.
-func (newest *Newest[R]) Add(endedAt int64, record R) {
+func (newest *NewestRecords[R]) Add(endedAt int64, record R) {
 	newest.entries = append(newest.entries, entry[R]{endedAt, record})
 	if len(newest.entries) >= 2*newest.capacity+1 {
 		newest.trim()
@@ -30,7 +32,7 @@
 }
 
 // trim drops the records with the earliest end beyond the capacity.
-func (newest *Newest[R]) trim() {
+func (newest *NewestRecords[R]) trim() {
 	if len(newest.entries) <= newest.capacity {
 		return
 	}
@@ -41,7 +43,7 @@
 }
 
 // Records returns the kept records and the number of dropped ones.
-func (newest *Newest[R]) Records() (records []R, dropped int) {
+func (newest *NewestRecords[R]) Records() (records []R, dropped int) {
 	newest.trim()
 	for _, entry := range newest.entries {
 		records = append(records, entry.record)
--- a/internal/leader/entitlement.go
+++ b/internal/leader/entitlement.go
@@ -8,10 +8,10 @@
 	return clock.Micros(term.entitlement.actDeadline.Load())
 }
 
-// RecordResume makes the silence of machines and members count from now at the earliest. No heartbeat
+// ResetSilence makes the silence of machines and members count from now at the earliest. No heartbeat
 // could arrive while the process was stalled, and none was answered while the leader was not entitled
 // to act.
-func (term *Term) RecordResume(now clock.Micros) {
+func (term *Term) ResetSilence(now clock.Micros) {
 	term.liveness.resumedAt, term.scheduler.ResumedAt = now, now
 }
 
@@ -38,7 +38,7 @@
 		return
 	}
 	term.entitlement.hasLapsed = false
-	term.RecordResume(now)
+	term.ResetSilence(now)
 	// Other members may have recorded cancellations while the store refused only this member. Without
 	// this, a leader restarted tasks of a job that had been cancelled in that time.
 	term.entitlement.viewAge.RecordEntitlementRegained(now)
--- a/internal/leader/fleet_log.go
+++ b/internal/leader/fleet_log.go
@@ -39,10 +39,10 @@
 // logFleet logs, at debug level, the number of machines and how they are used, and the number of waiting
 // tasks.
 func (term *Term) logFleet(now clock.Micros) {
-	if now < term.pace.nextFleetLogAt {
+	if now < term.periodic.nextFleetLogAt {
 		return
 	}
-	term.pace.nextFleetLogAt = now + fleetLogInterval
+	term.periodic.nextFleetLogAt = now + fleetLogInterval
 	var onDemand, spot fleetUse
 	for _, machine := range term.tracker.Machines {
 		if machine.Spot {
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -20,9 +20,9 @@
 // member, if all machines have become unreachable, or if the store answers no reads. It reports whether
 // it has done so. See health.LeaderReach for the exact conditions and their reasons.
 func (term *Term) handOverIfCutOff(fleet health.Reachability, now clock.Micros) bool {
-	reach := term.reach(fleet, now)
+	reach := term.leaderReach(fleet, now)
 	reason := reach.HandOverReason()
-	term.liveness.hadMostReachable = term.liveness.hadMostReachable || fleet.IsMostlyReachable()
+	term.liveness.wasMostlyReachable = term.liveness.wasMostlyReachable || fleet.IsMostlyReachable()
 	if reason == health.KeepLeadership {
 		return false
 	}
@@ -34,10 +34,10 @@
 
 // reach returns what this leader knows of its connections to the machines, the store and the other
 // members.
-func (term *Term) reach(fleet health.Reachability, now clock.Micros) health.LeaderReach {
+func (term *Term) leaderReach(fleet health.Reachability, now clock.Micros) health.LeaderReach {
 	reach := health.LeaderReach{
 		Fleet:               fleet,
-		HadMostReachable:    term.liveness.hadMostReachable,
+		WasMostlyReachable:  term.liveness.wasMostlyReachable,
 		ReadAge:             now - max(term.entitlement.viewAge.LastReadSentAt(), term.liveness.resumedAt),
 		LeaderTTL:           term.environment.LeaderTTL,
 		HasWaitedForWorkers: now-term.liveness.resumedAt >= term.environment.Timing.SuspectTimeout,
--- a/internal/leader/machine_health.go
+++ b/internal/leader/machine_health.go
@@ -145,7 +145,7 @@
 func (term *Term) evacuateReclaimed(machine *allocation.Machine, now clock.Micros) {
 	remaining := machine.ReclaimAt - now
 	machine.ForEachPlacement(func(placement *allocation.Placement) {
-		if placement.IsStopping() || term.scheduler.RemainingRun(placement, now) <= remaining || isBetterLeftRunning(placement, remaining) {
+		if placement.IsStopping() || term.scheduler.RemainingRun(placement, now) <= remaining || mayKeepRunning(placement, remaining) {
 			return
 		}
 		job := placement.Job
@@ -158,10 +158,10 @@
 	})
 }
 
-// isBetterLeftRunning reports whether a task that saves checkpoints should keep running although its
+// mayKeepRunning reports whether a task that saves checkpoints should keep running although its
 // machine is being reclaimed: either there is enough time to run further and still save a checkpoint, or
 // too little time to save one at all.
-func isBetterLeftRunning(placement *allocation.Placement, remaining clock.Micros) bool {
+func mayKeepRunning(placement *allocation.Placement, remaining clock.Micros) bool {
 	spec := placement.Job.Spec
 	saveTime := clock.FromSeconds(spec.CheckpointSaveSeconds)
 	if spec.CheckpointIntervalSeconds <= 0 || saveTime <= 0 {
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -32,8 +32,8 @@
 		term.environment.Log.Debug("deleting idle machine", "machine", machine.Name)
 		term.deleteMachine(machine)
 	}
-	if decision.Drain != nil && now-term.pace.consolidatedAt > consolidationInterval {
-		term.pace.consolidatedAt = now
+	if decision.Drain != nil && now-term.periodic.consolidatedAt > consolidationInterval {
+		term.periodic.consolidatedAt = now
 		term.consolidateReplicas(decision.Drain)
 	}
 	term.logSpares("spot", &decision.SpotSpares)
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -26,7 +26,7 @@
 	entitlement entitlement
 	liveness    liveness
 	renewals    leaseRenewals
-	pace        tickPace
+	periodic    periodicSteps
 	hints       hintSender
 	logs        logLimits
 	// reconciliation measures the last phase of the failover.
@@ -55,9 +55,9 @@
 	// resumedAt is the instant since which this process has been able to receive heartbeats.
 	// Machines that sent none while the process itself was stalled are not suspected.
 	resumedAt clock.Micros
-	// hadMostReachable is whether the fleet was mostly reachable at some time in this term; see
+	// wasMostlyReachable is whether the fleet was mostly reachable at some time in this term; see
 	// health.Reachability.
-	hadMostReachable bool
+	wasMostlyReachable bool
 	// zoneUnreachableAt holds, by zone, the last instant at which the zone was not mostly reachable;
 	// see health.Reachability.
 	zoneUnreachableAt map[string]clock.Micros
@@ -86,8 +86,8 @@
 	isPauseLogged          bool // the last logged change of the starts was a pause
 }
 
-// tickPace holds when the periodic steps of a tick are due.
-type tickPace struct {
+// periodicSteps holds when the periodic steps of a tick are due.
+type periodicSteps struct {
 	needsPlan      bool // something has changed since the last plan
 	nextPlanAt     clock.Micros
 	planInterval   clock.Micros // the time between the last plan and the next one
@@ -135,9 +135,9 @@
 
 // tokenIssue is the state of issuing a higher fencing token during the term.
 type tokenIssue struct {
-	raiseAt    clock.Micros // when the issued token takes effect, or 0 if none is pending
-	issuedAt   clock.Micros // when the last token was issued, or 0 if none was
-	isInFlight bool
+	takesEffectAt clock.Micros // when the issued token takes effect, or 0 if none is pending
+	issuedAt      clock.Micros // when the last token was issued, or 0 if none was
+	isInFlight    bool
 }
 
 // probing is the state of probing machines.
@@ -147,7 +147,7 @@
 }
 
 // requestPlan has a plan run at the next tick, or at the first one after the plan interval has passed.
-func (term *Term) requestPlan() { term.pace.needsPlan = true }
+func (term *Term) requestPlan() { term.periodic.needsPlan = true }
 
 // New returns a term whose state is rebuilt from the view, which is as new as a read sent at
 // readAt.
@@ -165,7 +165,7 @@
 	term.setUpStandby(&allocationConfig)
 	term.tracker = allocation.New(allocationConfig)
 	term.scheduler = environment.newScheduler(host.MachineTypes(), now)
-	term.pace.planInterval = minPlanInterval
+	term.periodic.planInterval = minPlanInterval
 	term.listing.nextAt = now + firstListDelay
 	term.updateDeadlines()
 	term.renewals = environment.newLeaseRenewals(now)
@@ -207,7 +207,7 @@
 	}
 	term.resumeAfterLapse(now)
 	mayStart := term.pauseStartsIfStale(now)
-	if now >= term.pace.nextSlowTickAt {
+	if now >= term.periodic.nextSlowTickAt {
 		if isOver := term.slowTick(now); isOver {
 			return
 		}
@@ -228,7 +228,7 @@
 // slowTick performs the steps that are not needed at every tick. It reports whether they ended the
 // term.
 func (term *Term) slowTick(now clock.Micros) (isOver bool) {
-	term.pace.nextSlowTickAt = now + slowTickInterval
+	term.periodic.nextSlowTickAt = now + slowTickInterval
 	term.reviewMachines(now)
 	if term.isClosed {
 		return true
@@ -247,13 +247,13 @@
 // longer the more tasks wait and the more machines have free capacity. The interval grows with that
 // duration, so that heartbeats and users' requests get their share of the processor.
 func (term *Term) planIfDue(now clock.Micros) {
-	if !term.pace.needsPlan || now < term.pace.nextPlanAt {
+	if !term.periodic.needsPlan || now < term.periodic.nextPlanAt {
 		return
 	}
-	term.pace.needsPlan = false
+	term.periodic.needsPlan = false
 	term.Plan(now)
 	term.persistJobs(now)
 	took := clock.Now() - now
-	term.pace.planInterval = min(max(planIntervalFactor*took, minPlanInterval), maxPlanInterval)
-	term.pace.nextPlanAt = now + took + term.pace.planInterval
+	term.periodic.planInterval = min(max(planIntervalFactor*took, minPlanInterval), maxPlanInterval)
+	term.periodic.nextPlanAt = now + took + term.periodic.planInterval
 }
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -45,7 +45,7 @@
 	firstMachine := term.tracker.Machines["i-1"]
 	firstMachine.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
 	owner.heartbeats["b"] = &ReceivedHeartbeat{Heartbeat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, ReceivedAt: now}
-	term.RecordResume(now)
+	term.ResetSilence(now)
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 0 || len(term.renewals.constraints.ConstrainedZones()) != 0 || term.isClosed {
 		t.Fatalf("after a stall: got deletions of %v, constrained zones %v and term closed %v, want none of them", term.deletions.pending, term.renewals.constraints.ConstrainedZones(), term.isClosed)
--- a/internal/leader/token.go
+++ b/internal/leader/token.go
@@ -8,10 +8,10 @@
 )
 
 // issueToken issues a higher fencing token when the tracker asks for one, so that the tracker can
-// forget attempts; see package allocation. The token takes effect later, at raiseAt.
+// forget attempts; see package allocation. The token takes effect later, at takesEffectAt.
 func (term *Term) issueToken(now clock.Micros) {
-	if term.tokenIssue.raiseAt != 0 && now >= term.tokenIssue.raiseAt {
-		term.tokenIssue.raiseAt = 0
+	if term.tokenIssue.takesEffectAt != 0 && now >= term.tokenIssue.takesEffectAt {
+		term.tokenIssue.takesEffectAt = 0
 		term.tracker.RaiseToken()
 	}
 	if !term.mayIssueToken(now) || !term.tracker.TakeTokenRaiseRequest() {
@@ -25,7 +25,7 @@
 			term.tracker.IssueToken(revision)
 			// The other members have to learn the token before it takes effect, from two heartbeats: a
 			// delegate can't answer a worker that has seen a higher token than the delegate knows.
-			term.tokenIssue.raiseAt = term.tokenIssue.issuedAt + 2*HeartbeatInterval
+			term.tokenIssue.takesEffectAt = term.tokenIssue.issuedAt + 2*HeartbeatInterval
 			term.host.SendHeartbeatNow()
 		},
 		afterwards: func() { term.tokenIssue.isInFlight = false },
@@ -39,5 +39,5 @@
 func (term *Term) mayIssueToken(now clock.Micros) bool {
 	issue := &term.tokenIssue
 	interval := clock.FromSeconds(term.environment.Config.Deployment.Workers.LeaseSeconds) / 2
-	return !issue.isInFlight && issue.raiseAt == 0 && now-max(issue.issuedAt, term.liveness.startedAt) >= interval
+	return !issue.isInFlight && issue.takesEffectAt == 0 && now-max(issue.issuedAt, term.liveness.startedAt) >= interval
 }
--- a/internal/peer/standby_codec.go
+++ b/internal/peer/standby_codec.go
@@ -12,8 +12,8 @@
 // StandbyProtocolVersion is the version of the standby messages that this build reads.
 const StandbyProtocolVersion = standby.ProtocolVersion
 
-// IsStandby reports whether the frame is a standby message or position rather than a heartbeat.
-func (heartbeat *Heartbeat) IsStandby() bool {
+// IsStandbyFrame reports whether the frame is a standby message or position rather than a heartbeat.
+func (heartbeat *Heartbeat) IsStandbyFrame() bool {
 	return heartbeat.StandbyMessage != nil || heartbeat.StandbyPosition != nil
 }
 
--- a/internal/standby/in_sync_set.go
+++ b/internal/standby/in_sync_set.go
@@ -76,7 +76,7 @@
 // requiredMembers returns the members of all of this leader's records that may be in force.
 func (set *InSyncSet) requiredMembers() []Member {
 	var all []Member
-	for record := range set.records.Possible() {
+	for record := range set.records.PossibleValues() {
 		if set.isOwn(record) {
 			all = append(all, record.Members...)
 		}
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -35,11 +35,11 @@
 	position    Position
 	hasPosition bool
 
-	laggingSince    clock.Micros // since when the replica has been incomplete or behind, or 0 if it is up to date
-	isAnswerPending bool         // whether a message is in flight
-	sentAt          clock.Micros
-	digestSentAt    clock.Micros // when the last digest without decisions, or the last announcement, was sent
-	transfer        *snapshotTransfer
+	laggingSince       clock.Micros // since when the replica has been incomplete or behind, or 0 if it is up to date
+	isAwaitingPosition bool         // whether a message is in flight
+	sentAt             clock.Micros
+	digestSentAt       clock.Micros // when the last digest without decisions, or the last announcement, was sent
+	transfer           *snapshotTransfer
 }
 
 // NewPublisher returns the publisher of a leader whose table is empty, for the given other members.
@@ -90,7 +90,7 @@
 	if !isSameProcess {
 		follower.transfer = nil
 	}
-	follower.position, follower.hasPosition, follower.isAnswerPending = position, true, false
+	follower.position, follower.hasPosition, follower.isAwaitingPosition = position, true, false
 }
 
 // NextMessage returns the next message to a follower, and reports whether one is due.
@@ -100,14 +100,14 @@
 		return nil, false
 	}
 	publisher.trackLag(follower, now)
-	if follower.isAnswerPending && now-follower.sentAt < resendTimeout {
+	if follower.isAwaitingPosition && now-follower.sentAt < resendTimeout {
 		return nil, false
 	}
 	message := publisher.buildMessage(follower, now)
 	if message == nil {
 		return nil, false
 	}
-	follower.isAnswerPending, follower.sentAt = true, now
+	follower.isAwaitingPosition, follower.sentAt = true, now
 	return message, true
 }
 
--- a/internal/storeview/load.go
+++ b/internal/storeview/load.go
@@ -27,14 +27,14 @@
 // only those that ended last, so that memory is bounded for any number of jobs.
 type LoadFilter struct {
 	others   []wire.KeyValue
-	finished *jobhistory.Newest[wire.KeyValue]
+	finished *jobhistory.NewestRecords[wire.KeyValue]
 	// FinishedCounts counts all finished jobs, including those that are kept.
 	FinishedCounts FinishedCounts
 }
 
 // NewLoadFilter returns a filter that keeps up to capacity finished jobs.
 func NewLoadFilter(capacity int) *LoadFilter {
-	return &LoadFilter{finished: jobhistory.NewNewest[wire.KeyValue](capacity)}
+	return &LoadFilter{finished: jobhistory.NewNewestRecords[wire.KeyValue](capacity)}
 }
 
 // Add adds a page. The filter may refer to the page's memory for records other than those of finished
--- a/internal/versionedwrite/tracker.go
+++ b/internal/versionedwrite/tracker.go
@@ -43,8 +43,8 @@
 // IsInFlight reports whether a write awaits its outcome.
 func (tracker *Tracker[T]) IsInFlight() bool { return tracker.isInFlight }
 
-// Possible yields every value that may be in force: Confirmed, then the unresolved ones.
-func (tracker *Tracker[T]) Possible() iter.Seq[T] {
+// PossibleValues yields every value that may be in force: Confirmed, then the unresolved ones.
+func (tracker *Tracker[T]) PossibleValues() iter.Seq[T] {
 	return func(yield func(T) bool) {
 		if !yield(tracker.confirmed) {
 			return
--- a/internal/versionedwrite/tracker_test.go
+++ b/internal/versionedwrite/tracker_test.go
@@ -9,7 +9,7 @@
 // checkState checks everything that a tracker reports.
 func checkState(t *testing.T, tracker *Tracker[string], wantPossible []string, wantInFlight bool) {
 	t.Helper()
-	if got := slices.Collect(tracker.Possible()); !slices.Equal(got, wantPossible) {
+	if got := slices.Collect(tracker.PossibleValues()); !slices.Equal(got, wantPossible) {
 		t.Errorf("Possible = %q, want %q", got, wantPossible)
 	}
 	if tracker.Confirmed() != wantPossible[0] || tracker.IsConfirmed() != (len(wantPossible) == 1) || tracker.IsInFlight() != wantInFlight {
@@ -171,7 +171,7 @@
 					tracker.DropSupersededValues()
 				}
 			}
-			if !slices.Contains(slices.Collect(tracker.Possible()), store.value) {
+			if !slices.Contains(slices.Collect(tracker.PossibleValues()), store.value) {
 				t.Fatalf("history %d, step %d: the tracker doesn't list the stored value %d as possible", seed, step, store.value)
 			}
 			if !tracker.IsConfirmed() {
