--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -130,7 +130,7 @@
 	if !probes.HasTooManyMisses() || probes.FirstMissSentAt() != now {
 		t.Fatal("after two misses: want HasTooManyMisses true, and FirstMissSentAt the time of the first miss")
 	}
-	probes.RecordAnswer(now + 2)
+	probes.RecordResponse(now + 2)
 	if probes.HasTooManyMisses() || probes.Misses != 0 {
 		t.Fatal("after an answer: want no misses")
 	}
--- a/internal/health/probe.go
+++ b/internal/health/probe.go
@@ -28,8 +28,8 @@
 // RecordSent records that a probe is sent.
 func (probes *Probes) RecordSent(now clock.Micros) { probes.IsInFlight, probes.sentAt = true, now }
 
-// RecordAnswer records that a probe was answered.
-func (probes *Probes) RecordAnswer(now clock.Micros) { probes.Misses, probes.AnsweredAt = 0, now }
+// RecordResponse records that a probe was answered.
+func (probes *Probes) RecordResponse(now clock.Micros) { probes.Misses, probes.AnsweredAt = 0, now }
 
 // RecordMiss records that a probe sent at sentAt stayed unanswered. reachableSince is the time since
 // which this process has run without a stall and the machine's zone has been mostly reachable. A probe
--- a/internal/leader/cancelled_task_log_test.go
+++ b/internal/leader/cancelled_task_log_test.go
@@ -36,7 +36,7 @@
 			for sequence := uint64(5); sequence < 8; sequence++ {
 				heartbeat := heartbeatWith("i-1", cancelledTask, sequence, test.workerToken)
 				if test.isProbe {
-					term.handleProbeAnswer(term.tracker.Machines["i-1"], term.machines["i-1"], heartbeat, clock.Now())
+					term.handleProbeResponse(term.tracker.Machines["i-1"], term.machines["i-1"], heartbeat, clock.Now())
 				} else {
 					replyTo(t, term, heartbeat)
 				}
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -86,7 +86,7 @@
 	case term.tracker.Machines[machine.Name] != machine:
 		// The machine has been deleted meanwhile.
 	case heartbeat != nil:
-		term.handleProbeAnswer(machine, machineInfo, heartbeat, now)
+		term.handleProbeResponse(machine, machineInfo, heartbeat, now)
 	case errors.Is(err, client.ErrPoolExhausted), errors.Is(err, client.ErrSendDeadlinePassed), health.IsResultTooLate(sentAt, now):
 		// The probe was not sent, or this process was too late to handle the answer: the result says
 		// nothing about the machine.
@@ -95,8 +95,8 @@
 	}
 }
 
-func (term *Term) handleProbeAnswer(machine *allocation.Machine, machineInfo *machineState, heartbeat *wire.Heartbeat, now clock.Micros) {
-	machineInfo.probes.RecordAnswer(now)
+func (term *Term) handleProbeResponse(machine *allocation.Machine, machineInfo *machineState, heartbeat *wire.Heartbeat, now clock.Micros) {
+	machineInfo.probes.RecordResponse(now)
 	if term.renewals.constraints.MayConstrainZone(machine.Zone) {
 		term.renewals.liftingZones[machine.Zone] = true // reachable again; the next review lifts its constraint
 	}
--- a/internal/leader/renewal_stops_test.go
+++ b/internal/leader/renewal_stops_test.go
@@ -66,7 +66,7 @@
 			term := newTermWithCancelledJob(t)
 			// The worker sent the answer to a probe after the overtaken heartbeat and before the others.
 			probed := heartbeatWith("i-1", heartbeat.Tasks[0].TaskID, 5, 4)
-			term.handleProbeAnswer(term.tracker.Machines["i-1"], term.machines["i-1"], probed, clock.Now())
+			term.handleProbeResponse(term.tracker.Machines["i-1"], term.machines["i-1"], probed, clock.Now())
 			status, response := replyTo(t, term, heartbeat)
 			if status != 200 || len(response.Commands) != 1 {
 				t.Fatalf("got status %d and commands %+v, want status 200 and one command", status, response.Commands)
--- a/internal/leader/worker_heartbeats_test.go
+++ b/internal/leader/worker_heartbeats_test.go
@@ -21,7 +21,7 @@
 			term.handleCommandResponse(machine, machineInfo, nil, allocation.CommandRejected, heartbeat)
 		},
 		"probe": func(term *Term, machine *allocation.Machine, machineInfo *machineState) {
-			term.handleProbeAnswer(machine, machineInfo, heartbeat, clock.Now())
+			term.handleProbeResponse(machine, machineInfo, heartbeat, clock.Now())
 		},
 	} {
 		term := newTestTerm(t, "i-1")
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -26,27 +26,27 @@
 	isClosed        bool         // handleData has returned evio.Close; evio closes the connection after writing
 
 	mu           sync.Mutex
-	pendingReply *pendingResponse // set by any goroutine, taken by the event loop
+	pendingReply *pendingReply // set by any goroutine, taken by the event loop
 }
 
 // takePendingReply removes and returns the reply that waits to be written, or returns nil.
-func (connection *conn) takePendingReply() *pendingResponse {
+func (connection *conn) takePendingReply() *pendingReply {
 	connection.mu.Lock()
 	defer connection.mu.Unlock()
-	response := connection.pendingReply
+	pending := connection.pendingReply
 	connection.pendingReply = nil
-	return response
+	return pending
 }
 
-func (connection *conn) setPendingReply(response *pendingResponse) {
+func (connection *conn) setPendingReply(pending *pendingReply) {
 	connection.mu.Lock()
 	defer connection.mu.Unlock()
-	connection.pendingReply = response
+	connection.pendingReply = pending
 }
 
 // replyNow sets the reply from the event loop itself, where no wake is needed.
 func (connection *conn) replyNow(status int, body []byte) {
-	connection.setPendingReply(&pendingResponse{status: status, body: body})
+	connection.setPendingReply(&pendingReply{status: status, body: body})
 }
 
 // isReceiving reports whether a part of a request has been received.
--- a/internal/server/input.go
+++ b/internal/server/input.go
@@ -47,15 +47,15 @@
 // processRequests writes the pending reply, if there is one, and then processes requests until one of
 // them has to wait for its reply.
 func (server *Server) processRequests(connection *conn, input []byte) (output []byte, action evio.Action) {
-	response := connection.takePendingReply()
-	if connection.isClosing && response == nil && !connection.isBusy {
+	pending := connection.takePendingReply()
+	if connection.isClosing && pending == nil && !connection.isBusy {
 		return nil, evio.Close
 	}
 	if len(input) > 0 && !connection.feedParser(input) {
 		return nil, evio.Close
 	}
-	if response != nil {
-		output = connection.writeReply(output, response)
+	if pending != nil {
+		output = connection.writeReply(output, pending)
 		connection.stateChangedAt = clock.Now()
 		if connection.closeAfterReply {
 			return output, evio.Close
@@ -75,8 +75,8 @@
 		connection.isBusy, connection.closeAfterReply = true, request.Close
 		server.routeRequest(connection, request)
 		// A synchronous handler has set its reply by now.
-		if response = connection.takePendingReply(); response != nil {
-			output = connection.writeReply(output, response)
+		if pending = connection.takePendingReply(); pending != nil {
+			output = connection.writeReply(output, pending)
 			if connection.closeAfterReply {
 				return output, evio.Close
 			}
@@ -99,12 +99,12 @@
 // write, evio replaces output that it has not written yet, so a reply would be lost. This cannot happen
 // without pipelining, which the protocol does not use: the next request arrives only after this reply. A
 // client that pipelines nevertheless gets one reply, and its connection is closed.
-func (connection *conn) writeReply(output []byte, response *pendingResponse) []byte {
+func (connection *conn) writeReply(output []byte, pending *pendingReply) []byte {
 	connection.closeAfterReply = connection.closeAfterReply || connection.parser.Buffered() > 0
 	connection.isBusy = false
-	response = response.enforceDeadline()
+	pending = pending.enforceDeadline()
 	return http1.AppendResponse(output, &http1.Response{
-		Status: response.status, ContentType: response.contentType, Body: response.body, RetryAfter: response.retryAfter, Close: connection.closeAfterReply,
+		Status: pending.status, ContentType: pending.contentType, Body: pending.body, RetryAfter: pending.retryAfter, Close: connection.closeAfterReply,
 	})
 }
 
--- a/internal/server/reply.go
+++ b/internal/server/reply.go
@@ -7,8 +7,8 @@
 	"firwood.dev/firwood/wire"
 )
 
-// pendingResponse is a response that waits to be written.
-type pendingResponse struct {
+// pendingReply is a response that waits to be written.
+type pendingReply struct {
 	status      int
 	retryAfter  int    // Retry-After header in seconds; 0 for no header
 	contentType string // media type; "" means JSON
@@ -41,25 +41,25 @@
 // the deadline has passed when the event loop takes the response, a 503 is sent instead, since the process
 // may have stalled and may no longer be entitled to answer.
 func (reply *Reply) SendBefore(status int, body []byte, retryAfter int, deadline clock.Micros) {
-	reply.deliverResponse(&pendingResponse{status: status, retryAfter: retryAfter, body: body, deadline: deadline})
+	reply.deliver(&pendingReply{status: status, retryAfter: retryAfter, body: body, deadline: deadline})
 }
 
 // SendText sends a response with status 200 whose body has a media type other than JSON.
 func (reply *Reply) SendText(contentType string, body []byte) {
-	reply.deliverResponse(&pendingResponse{status: http.StatusOK, contentType: contentType, body: body})
+	reply.deliver(&pendingReply{status: http.StatusOK, contentType: contentType, body: body})
 }
 
-// deliverResponse has the event loop write the response, or passes the response to the callback.
-func (reply *Reply) deliverResponse(response *pendingResponse) {
+// deliver has the event loop write the response, or passes the response to the callback.
+func (reply *Reply) deliver(pending *pendingReply) {
 	if reply.callback != nil {
-		response = response.enforceDeadline()
-		reply.callback(response.status, response.body, response.retryAfter)
+		pending = pending.enforceDeadline()
+		reply.callback(pending.status, pending.body, pending.retryAfter)
 		return
 	}
 	if reply.conn == nil {
 		return
 	}
-	reply.conn.setPendingReply(response)
+	reply.conn.setPendingReply(pending)
 	reply.conn.evioConn.Wake()
 }
 
@@ -67,11 +67,11 @@
 const expiredRetryAfter = 1
 
 // enforceDeadline returns the response, or a 503 if the response's deadline has passed.
-func (response *pendingResponse) enforceDeadline() *pendingResponse {
-	if response.deadline != 0 && clock.Now() >= response.deadline {
-		return &pendingResponse{status: http.StatusServiceUnavailable, retryAfter: expiredRetryAfter, body: ErrorBody("no longer entitled to answer")}
+func (pending *pendingReply) enforceDeadline() *pendingReply {
+	if pending.deadline != 0 && clock.Now() >= pending.deadline {
+		return &pendingReply{status: http.StatusServiceUnavailable, retryAfter: expiredRetryAfter, body: ErrorBody("no longer entitled to answer")}
 	}
-	return response
+	return pending
 }
 
 // ErrorBody returns the JSON body of an error response.
