--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -43,12 +43,12 @@
 	Machine   *Machine
 	taskID    string
 	Phase     Phase
-	// Adopted reports whether the placement came from a heartbeat and not from PlaceTask: an earlier leader
+	// Adopted is true if the placement came from a heartbeat and not from PlaceTask: an earlier leader
 	// started the task, at an unknown time.
 	Adopted bool
-	// ProgressSaved reports whether the task exited with its progress saved.
+	// ProgressSaved is true if the task exited with its progress saved.
 	ProgressSaved bool
-	// Orphaned reports whether the placement is not the current one of its task. An orphan has to be stopped.
+	// Orphaned is true if the placement is not the current one of its task. An orphan has to be stopped.
 	Orphaned      bool
 	ReportedState string // one of wire's task states, "" before PhaseReported
 	PlacementTimes
--- a/internal/allocation/simulation_test.go
+++ b/internal/allocation/simulation_test.go
@@ -246,7 +246,7 @@
 		Quotas: map[string]TeamQuota{"a": {MaxMilliCPU: sim.cpuLimit}, "b": {MaxMilliCPU: sim.cpuLimit}},
 	}
 	if sim.follower != nil && sim.rng.IntN(4) > 0 {
-		// The follower of the last leader takes over. That leader may itself have begun with a follower's table.
+		// The follower of the previous leader takes over. That leader may itself have begun with a follower's table.
 		cfg.MayHaveStarted = sim.follower.table.MayBeRunning
 		sim.replicaFailoverCount++
 	}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Micros is a duration, or an instant of either clock, in whole microseconds.
+// Micros is a duration, or an instant on either clock, in whole microseconds.
 type Micros int64
 
 // Units of Micros.
--- a/internal/controller/hints_test.go
+++ b/internal/controller/hints_test.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// A member begins its own term with the hints about run times and machines from the last leader's heartbeats.
+// A member begins its own term with the hints about run times and machines from the previous leader's
+// heartbeats.
 func TestNextTermBeginsWithStoredHints(t *testing.T) {
 	controller := newTestController(t, "i-1")
 	now := clock.Now()
--- a/internal/controller/worker_contact.go
+++ b/internal/controller/worker_contact.go
@@ -68,8 +68,8 @@
 }
 
 // applyWorkerContact records a member's report. The report may be read long after it was written, so
-// its age is taken from the writer's wall-clock time, minus the maximum clock skew. A report is
-// therefore never taken for older than it is.
+// its age is taken from the writer's wall-clock time, minus the maximum clock skew. The age is therefore
+// never overestimated.
 func (controller *Controller) applyWorkerContact(member string, record records.WorkerContact) {
 	now := clock.Now()
 	age := max(clock.WallTime()-clock.Micros(record.ReportedAt)-leader.MaxClockSkew(controller.cfg), 0)
--- a/internal/controller/worker_contact_test.go
+++ b/internal/controller/worker_contact_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// The age of a member's report is the time since it was written, minus the maximum clock skew, so that a
-// report is never taken for older than it is.
+// The age of a member's report is the time since it was written, minus the maximum clock skew, so that it is
+// never overestimated.
 func TestWorkerContactAgeAllowsForClockSkew(t *testing.T) {
 	controller := newTestController(t)
 	for _, test := range []struct {
--- a/internal/election/transitions.go
+++ b/internal/election/transitions.go
@@ -79,8 +79,8 @@
 
 // StepDown gives up leadership, and prevents a new campaign before the backoff has passed. The backoff has
 // to be longer than the timeout of a request to the store. Results of GrantLease and AcquireLock do not
-// say which campaign they belong to, so a late result would be taken for that of the next campaign. The
-// request of that campaign was sent later, so the late result would seem to entitle the member for longer
+// say which campaign they belong to, so a late result would be mistaken for the result of the next campaign.
+// The request of that campaign was sent later, so the late result would seem to entitle the member for longer
 // than it does.
 func (elector *Elector) StepDown(now, backoff clock.Micros) []Action {
 	elector.backoffUntil = now + backoff
--- a/internal/health/probe.go
+++ b/internal/health/probe.go
@@ -7,7 +7,7 @@
 	ProbeInterval = 2 * clock.Second
 	// ProbeTimeout is the timeout of a probe. It allows for one retransmission of a lost packet.
 	ProbeTimeout = 1500 * clock.Millisecond
-	// maxProbeResultDelay is how long after ProbeTimeout the controller may handle a missing answer and
+	// maxProbeResultDelay is how long after ProbeTimeout the controller may handle a missing response and
 	// still count it as a miss; see IsResultTooLate.
 	maxProbeResultDelay = clock.Second / 2
 	// missRetryInterval is the time after which a machine that missed a probe is probed again.
@@ -20,7 +20,7 @@
 type Probes struct {
 	IsInFlight      bool
 	Misses          int          // consecutive unanswered probes
-	AnsweredAt      clock.Micros // when the last answer came
+	AnsweredAt      clock.Micros // when the last response came
 	sentAt          clock.Micros // when the last probe was sent
 	firstMissSentAt clock.Micros // when the first of the consecutive unanswered probes was sent
 }
@@ -28,7 +28,7 @@
 // RecordSent records that a probe is sent.
 func (probes *Probes) RecordSent(now clock.Micros) { probes.IsInFlight, probes.sentAt = true, now }
 
-// RecordResponse records that a probe was answered.
+// RecordResponse records that the machine has answered a probe.
 func (probes *Probes) RecordResponse(now clock.Micros) { probes.Misses, probes.AnsweredAt = 0, now }
 
 // RecordMiss records that a probe sent at sentAt stayed unanswered. reachableSince is the time since
@@ -53,7 +53,7 @@
 func (probes *Probes) FirstMissSentAt() clock.Micros { return probes.firstMissSentAt }
 
 // IsResultTooLate reports whether the controller handles a probe's result so late, for example after a
-// stall, that a missing answer says nothing about the machine.
+// stall, that a missing response says nothing about the machine.
 func IsResultTooLate(sentAt, now clock.Micros) bool {
 	return now-sentAt > ProbeTimeout+maxProbeResultDelay
 }
@@ -85,7 +85,7 @@
 type ZoneAnswers struct{ answered, missed int }
 
 // Add counts one machine of the zone. firstMissSentAt is when the first unanswered probe was sent to the
-// machine that may have to be deleted. A machine counts as answering only if its last answer or heartbeat
+// machine that may have to be deleted. A machine counts as answering only if its last response or heartbeat
 // came more than half of ProbeTimeout after that.
 func (answers *ZoneAnswers) Add(probes *Probes, lastHeartbeatAt, firstMissSentAt clock.Micros) {
 	switch {
--- a/internal/jobhistory/jobhistory_test.go
+++ b/internal/jobhistory/jobhistory_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// NewestRecords keeps the records with the latest end, whatever their number and order, and never holds more
-// than twice its capacity.
+// NewestRecords keeps the records with the latest end, whatever their number and order, and never holds
+// more than twice its capacity.
 func TestNewestKeepsLatestRecords(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
--- a/internal/jobhistory/newest.go
+++ b/internal/jobhistory/newest.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// NewestRecords keeps the records with the latest end, up to its capacity. Records may be added in any order. It
-// holds at most twice its capacity.
+// NewestRecords keeps the records with the latest end, up to its capacity. Records may be added in any
+// order. It holds at most twice its capacity.
 type NewestRecords[R any] struct {
 	capacity int
 	entries  []entry[R]
@@ -18,7 +18,7 @@
 	record  R
 }
 
-// NewNewestRecords returns an empty Newest for the given number of records.
+// NewNewestRecords returns an empty NewestRecords for the given number of records.
 func NewNewestRecords[R any](capacity int) *NewestRecords[R] {
 	return &NewestRecords[R]{capacity: capacity}
 }
--- a/internal/leader/cancelled_task_log_test.go
+++ b/internal/leader/cancelled_task_log_test.go
@@ -19,7 +19,7 @@
 }
 
 // The log shows once in a term each task of a cancelled job that a worker lists, with the channel that
-// its stop is sent through. For the answer to a probe, there is no channel before the token is confirmed.
+// its stop is sent through. For the response to a probe, there is no channel before the token is confirmed.
 func TestListedCancelledTaskIsLoggedOnce(t *testing.T) {
 	for _, test := range []struct {
 		name, channel string
--- a/internal/leader/constraints.go
+++ b/internal/leader/constraints.go
@@ -22,7 +22,7 @@
 	return 2 * clock.FromSeconds(cfg.Deployment.ClockErrorMillis/1000)
 }
 
-// latestMonotonicTime converts a wall-clock time noted by any member to an instant of this process's
+// latestMonotonicTime converts a wall-clock time noted by any member to an instant on this process's
 // monotonic clock, rounded up by the maximum clock skew.
 func (term *Term) latestMonotonicTime(now, wall clock.Micros) clock.Micros {
 	return now - (clock.WallTime() - wall) + MaxClockSkew(term.environment.Config)
@@ -42,8 +42,8 @@
 	}
 }
 
-// updateRenewalBounds tells the tracker until when other members, or this one before its term, may have
-// renewed leases as delegates.
+// updateRenewalBounds gives the tracker the latest times at which other members, or this one before its
+// term, may have renewed leases as delegates.
 func (term *Term) updateRenewalBounds(now clock.Micros) {
 	constraints := term.renewals.constraints.Confirmed()
 	renewalsUntil := map[string]clock.Micros{}
@@ -65,7 +65,7 @@
 	}
 }
 
-// wallTimeAt converts an instant of the monotonic clock to wall-clock time.
+// wallTimeAt converts an instant on the monotonic clock to wall-clock time.
 func wallTimeAt(at, now clock.Micros) clock.Micros { return clock.WallTime() - (now - at) }
 
 // zoneConstraints returns the constraints that zones should have: the current ones, except for zones
@@ -190,7 +190,7 @@
 	}
 }
 
-// deferredHeartbeat is a worker's heartbeat that cannot be answered yet.
+// deferredHeartbeat is a worker's heartbeat to which the leader may not reply yet.
 type deferredHeartbeat struct {
 	heartbeat  *wire.Heartbeat
 	reply      *server.Reply
@@ -229,7 +229,7 @@
 	return true
 }
 
-// deferHeartbeat keeps a heartbeat until it may be answered, and logs why it has to wait.
+// deferHeartbeat keeps a heartbeat until the leader may reply to it, and logs why it has to wait.
 func (term *Term) deferHeartbeat(deferred deferredHeartbeat, reason string) {
 	term.renewals.deferredHeartbeats = append(term.renewals.deferredHeartbeats, deferred)
 	term.environment.Metrics.CountReply(metrics.ReplyDeferred)
--- a/internal/leader/constraints_test.go
+++ b/internal/leader/constraints_test.go
@@ -11,7 +11,7 @@
 )
 
 // A new leader that finds a constrained zone bounds the leases there by the last reply recorded, and not
-// by the start of its own term. It answers no heartbeat from the zone until the constraint has been
+// by the start of its own term. It replies to no heartbeat from the zone until the constraint has been
 // lifted. When its term ends, it returns the zones that it has constrained.
 func TestNewLeaderAdoptsZoneConstraint(t *testing.T) {
 	term := newTestTerm(t, "i-1", "i-2")
--- a/internal/leader/controller_calls.go
+++ b/internal/leader/controller_calls.go
@@ -54,7 +54,7 @@
 	term.renewals.constraints.ObserveStored(constraints, version)
 }
 
-// RecordDelegatedRenewal records that this member, as a delegate, may renew the lease of a machine's
+// RecordDelegatedRenewal records that this member, as delegate, may renew the lease of a machine's
 // worker until the given instant.
 func (term *Term) RecordDelegatedRenewal(machineName string, until clock.Micros) {
 	if machine := term.tracker.Machines[machineName]; machine != nil {
@@ -69,7 +69,7 @@
 }
 
 // RecordReceipt records that a member has received the heartbeat that this leader sent at stampedAt, and
-// that the member, when it reported this, had answered no worker as a delegate for silentFor. See
+// that the member, when it reported this, had replied to no worker as delegate for silentFor. See
 // delegation.Grants.
 func (term *Term) RecordReceipt(member string, now, stampedAt, silentFor clock.Micros) {
 	term.renewals.grants.RecordReceipt(member, now, stampedAt, silentFor)
--- a/internal/leader/entitlement.go
+++ b/internal/leader/entitlement.go
@@ -8,9 +8,9 @@
 	return clock.Micros(term.entitlement.actDeadline.Load())
 }
 
-// ResetSilence makes the silence of machines and members count from now at the earliest. No heartbeat
-// could arrive while the process was stalled, and none was answered while the leader was not entitled
-// to act.
+// ResetSilence makes the silence of machines and members count from now at the earliest. It is called
+// after the process was stalled, when no heartbeat could arrive, and after the leader was not entitled to
+// act, when it replied to none.
 func (term *Term) ResetSilence(now clock.Micros) {
 	term.liveness.resumedAt, term.scheduler.ResumedAt = now, now
 }
@@ -30,7 +30,7 @@
 }
 
 // resumeAfterLapse is called while the leader is entitled to act. If it was not entitled before, it has
-// answered no one in that time, so machines and members without heartbeats since then must not be
+// replied to no one in that time, so machines and members without heartbeats since then must not be
 // suspected. Without this, a leader handed over for lack of heartbeats after the key-value store had
 // been unavailable for 75 s.
 func (term *Term) resumeAfterLapse(now clock.Micros) {
--- a/internal/leader/failover_times.go
+++ b/internal/leader/failover_times.go
@@ -9,8 +9,8 @@
 	"firwood.dev/firwood/internal/tracing"
 )
 
-// FailoverTimes holds the instants of this member's last failover. An instant is 0 if its event has not
-// happened.
+// FailoverTimes holds when the events of this member's last failover happened. A time is 0 if its event has
+// not happened.
 type FailoverTimes struct {
 	LeaderHeartbeatAt clock.Micros // when the previous leader's last heartbeat was received
 	LockWonAt         clock.Micros
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -20,7 +20,7 @@
 // member, if all machines have become unreachable, or if the store answers no reads. It reports whether
 // it has done so. See health.LeaderReach for the exact conditions and their reasons.
 func (term *Term) handOverIfCutOff(fleet health.Reachability, now clock.Micros) bool {
-	reach := term.leaderReach(fleet, now)
+	reach := term.reach(fleet, now)
 	reason := reach.HandOverReason()
 	term.liveness.wasMostlyReachable = term.liveness.wasMostlyReachable || fleet.IsMostlyReachable()
 	if reason == health.KeepLeadership {
@@ -34,7 +34,7 @@
 
 // reach returns what this leader knows of its connections to the machines, the store and the other
 // members.
-func (term *Term) leaderReach(fleet health.Reachability, now clock.Micros) health.LeaderReach {
+func (term *Term) reach(fleet health.Reachability, now clock.Micros) health.LeaderReach {
 	reach := health.LeaderReach{
 		Fleet:               fleet,
 		WasMostlyReachable:  term.liveness.wasMostlyReachable,
--- a/internal/leader/machine_health.go
+++ b/internal/leader/machine_health.go
@@ -158,9 +158,9 @@
 	})
 }
 
-// mayKeepRunning reports whether a task that saves checkpoints should keep running although its
-// machine is being reclaimed: either there is enough time to run further and still save a checkpoint, or
-// too little time to save one at all.
+// mayKeepRunning reports whether a task that saves checkpoints may keep running although its machine is
+// being reclaimed: either there is enough time to run further and still save a checkpoint, or too little
+// time to save one at all.
 func mayKeepRunning(placement *allocation.Placement, remaining clock.Micros) bool {
 	spec := placement.Job.Spec
 	saveTime := clock.FromSeconds(spec.CheckpointSaveSeconds)
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -77,8 +77,8 @@
 	})
 }
 
-// handleProbeResult handles the result of a probe that was sent at sentAt. heartbeat is the answer, or
-// nil if the machine didn't answer.
+// handleProbeResult handles the result of a probe that was sent at sentAt. heartbeat is that of the
+// machine's response, or nil if there was none.
 func (term *Term) handleProbeResult(machine *allocation.Machine, machineInfo *machineState, sentAt clock.Micros, heartbeat *wire.Heartbeat, err error) {
 	now := clock.Now()
 	machineInfo.probes.IsInFlight = false
@@ -88,7 +88,7 @@
 	case heartbeat != nil:
 		term.handleProbeResponse(machine, machineInfo, heartbeat, now)
 	case errors.Is(err, client.ErrPoolExhausted), errors.Is(err, client.ErrSendDeadlinePassed), health.IsResultTooLate(sentAt, now):
-		// The probe was not sent, or this process was too late to handle the answer: the result says
+		// The probe was not sent, or this process was too late to handle the response: the result says
 		// nothing about the machine.
 	default:
 		term.handleProbeMiss(machine, machineInfo, sentAt, now)
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -80,7 +80,7 @@
 	return created
 }
 
-// delegatedZones returns the zones in which some member may renew leases as a delegate, or nil if
+// delegatedZones returns the zones in which some member may renew leases as delegate, or nil if
 // delegation is disabled.
 func (environment *Environment) delegatedZones() map[string]bool {
 	if environment.Delegation.GrantTTL <= 0 {
@@ -108,7 +108,7 @@
 }
 
 // newLeaseRenewals returns the bounds on what other members may have renewed. They follow from what this
-// member knows as a delegate itself and from the constraints in the store.
+// member knows as delegate itself and from the constraints in the store.
 func (environment *Environment) newLeaseRenewals(now clock.Micros) leaseRenewals {
 	var others []string
 	for _, other := range environment.Config.Peers {
--- a/internal/leader/renewal_stops_test.go
+++ b/internal/leader/renewal_stops_test.go
@@ -64,7 +64,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			term := newTermWithCancelledJob(t)
-			// The worker sent the answer to a probe after the overtaken heartbeat and before the others.
+			// The worker sent the response to a probe after the overtaken heartbeat and before the others.
 			probed := heartbeatWith("i-1", heartbeat.Tasks[0].TaskID, 5, 4)
 			term.handleProbeResponse(term.tracker.Machines["i-1"], term.machines["i-1"], probed, clock.Now())
 			status, response := replyTo(t, term, heartbeat)
@@ -94,8 +94,8 @@
 	}
 }
 
-// A heartbeat that waited for a read of the store is answered from what the read returned, which may include
-// a cancellation.
+// The reply to a heartbeat that waited for a read of the store has to reflect what the read returned, which
+// may include a cancellation.
 func TestDeferredHeartbeatIsAnsweredWithNewStops(t *testing.T) {
 	term := newTestTerm(t, "i-1")
 	owner := ownerOf(term)
--- a/internal/leader/repeated_writes_test.go
+++ b/internal/leader/repeated_writes_test.go
@@ -58,8 +58,8 @@
 	if len(before) < 3 {
 		t.Fatalf("got records %v, want at least 3", before)
 	}
-	// If a transaction was executed and its answer lost, its outcome is unknown. The next write reads
-	// back the version that the transaction left.
+	// If a transaction was executed and the store's response lost, its outcome is unknown. The next write
+	// reads back the version that the transaction left.
 	written := request.Version()
 	request.RetryFrom(1)
 	term.writeScaleOutRecord(request, kvstore.Required)
--- a/internal/leader/scale_out.go
+++ b/internal/leader/scale_out.go
@@ -153,8 +153,8 @@
 	})
 }
 
-// handleScaleOutResult handles the cloud's answer to a request. A request without an answer is sent again;
-// the cloud executes it only once.
+// handleScaleOutResult handles the cloud's response to a request. A request without a response is sent
+// again; the cloud executes it only once.
 func (term *Term) handleScaleOutResult(request *scaleout.Request, machines []string, err error) {
 	now := clock.Now()
 	pool, requested := poolOf(request), request.CloudRequest().Count
@@ -178,7 +178,7 @@
 }
 
 // addGrantedMachines tracks the machines that the cloud granted, except those that were deleted as unknown
-// before the answer came.
+// before the response came.
 func (term *Term) addGrantedMachines(request *scaleout.Request) {
 	for _, name := range request.Machines() {
 		delete(term.listing.unknownSince, name)
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -52,7 +52,7 @@
 }
 
 // requestScaleOuts requests machines, with few requests in flight: the cloud takes few requests a second,
-// and later requests should be based on the answers to these.
+// and later requests should be based on the responses to these.
 func (term *Term) requestScaleOuts(requests []scheduler.ScaleOutRequest, pending int, now clock.Micros) {
 	free := max(term.maxScaleOutsInFlight()-pending, 0)
 	for _, request := range requests[:min(free, len(requests))] {
--- a/internal/leader/settings.go
+++ b/internal/leader/settings.go
@@ -37,7 +37,7 @@
 const minLeaderTTL, maxLeaderTTL = 3 * clock.Second, 6 * clock.Second
 
 // leaderTTL returns the TTL of the leader's lock, which is a sixth of a worker's lease, within bounds,
-// unless the tuning file sets it. The lock's expiry, the election and the first answered heartbeat must
+// unless the tuning file sets it. The lock's expiry, the election and the first reply to a heartbeat must
 // all fit into a worker's lease, and a leader that is cut off or stalled is replaced only when its lock
 // expires.
 func leaderTTL(cfg *config.Platform, tunedSeconds float64) clock.Micros {
@@ -63,7 +63,7 @@
 // newDelegationConfig returns the delegation settings for workers that may try every other member before
 // they come back to this one. A worker waits one second before each other member and tries it for four
 // seconds. If there is only one zone, no partition leaves a worker with a single member: the other members
-// answer at once, and grants only bridge an outage of the store.
+// reply at once, and grants only bridge an outage of the store.
 func newDelegationConfig(cfg *config.Platform, cancelTimeout, leaseTTL clock.Micros) delegation.Config {
 	attemptTime := 5 * clock.Second
 	if len(cfg.Deployment.Zones) == 1 {
--- a/internal/leader/small_limits_test.go
+++ b/internal/leader/small_limits_test.go
@@ -29,7 +29,7 @@
 	return fakeStore, startNewTerm(t, owner)
 }
 
-// startNewTerm takes the lock, whoever holds it, and begins a term.
+// startNewTerm takes the lock, even if another leader holds it, and begins a term.
 func startNewTerm(t *testing.T, owner *testOwner) *Term {
 	t.Helper()
 	if owner.term != nil {
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -73,8 +73,8 @@
 	// to be in the view.
 	cancellationsKnownAt clock.Micros
 	// constraints are the renewal constraints recorded for later leaders. liftingZones are the
-	// zones whose constraint is being lifted. deferredHeartbeats are the workers' heartbeats that
-	// cannot be answered yet.
+	// zones whose constraint is being lifted. deferredHeartbeats are the workers' heartbeats to which
+	// the leader may not reply yet.
 	constraints        *delegation.ConstraintTracker
 	liftingZones       map[string]bool
 	deferredHeartbeats []deferredHeartbeat
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -63,7 +63,7 @@
 
 // A machine that answers no probe is deleted only while its zone mostly answers. If the zone is cut off, no
 // machine in it answers. If this process handled the result too late itself, or had no connection free,
-// the missing answer proves nothing.
+// the missing response proves nothing.
 func TestProbeMissesDeleteMachineOnlyIfZoneAnswers(t *testing.T) {
 	errNoAnswer := errors.New("no answer")
 	for _, test := range []struct {
--- a/internal/leader/token.go
+++ b/internal/leader/token.go
@@ -24,7 +24,7 @@
 			term.tokenIssue.issuedAt = clock.Now()
 			term.tracker.IssueToken(revision)
 			// The other members have to learn the token before it takes effect, from two heartbeats: a
-			// delegate can't answer a worker that has seen a higher token than the delegate knows.
+			// delegate can't reply to a worker that has seen a higher token than the delegate knows.
 			term.tokenIssue.takesEffectAt = term.tokenIssue.issuedAt + 2*HeartbeatInterval
 			term.host.SendHeartbeatNow()
 		},
--- a/internal/leader/worker_heartbeats_test.go
+++ b/internal/leader/worker_heartbeats_test.go
@@ -9,7 +9,7 @@
 	"firwood.dev/firwood/wire"
 )
 
-// A worker may show a higher token in a heartbeat, in a command response or in the answer to a probe. Each
+// A worker may show a higher token in a heartbeat, in a command response or in the response to a probe. Each
 // of them is reported to the host and ends the term.
 func TestHigherTokenFromWorkerEndsTerm(t *testing.T) {
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", Zone: "x", Incarnation: 1, Sequence: 1, FencingToken: 10}
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -26,11 +26,11 @@
 	isClosed        bool         // handleData has returned evio.Close; evio closes the connection after writing
 
 	mu           sync.Mutex
-	pendingReply *pendingReply // set by any goroutine, taken by the event loop
+	pendingReply *unsentReply // set by any goroutine, taken by the event loop
 }
 
 // takePendingReply removes and returns the reply that waits to be written, or returns nil.
-func (connection *conn) takePendingReply() *pendingReply {
+func (connection *conn) takePendingReply() *unsentReply {
 	connection.mu.Lock()
 	defer connection.mu.Unlock()
 	pending := connection.pendingReply
@@ -38,7 +38,7 @@
 	return pending
 }
 
-func (connection *conn) setPendingReply(pending *pendingReply) {
+func (connection *conn) setPendingReply(pending *unsentReply) {
 	connection.mu.Lock()
 	defer connection.mu.Unlock()
 	connection.pendingReply = pending
@@ -46,7 +46,7 @@
 
 // replyNow sets the reply from the event loop itself, where no wake is needed.
 func (connection *conn) replyNow(status int, body []byte) {
-	connection.setPendingReply(&pendingReply{status: status, body: body})
+	connection.setPendingReply(&unsentReply{status: status, body: body})
 }
 
 // isReceiving reports whether a part of a request has been received.
--- a/internal/server/input.go
+++ b/internal/server/input.go
@@ -99,7 +99,7 @@
 // write, evio replaces output that it has not written yet, so a reply would be lost. This cannot happen
 // without pipelining, which the protocol does not use: the next request arrives only after this reply. A
 // client that pipelines nevertheless gets one reply, and its connection is closed.
-func (connection *conn) writeReply(output []byte, pending *pendingReply) []byte {
+func (connection *conn) writeReply(output []byte, pending *unsentReply) []byte {
 	connection.closeAfterReply = connection.closeAfterReply || connection.parser.Buffered() > 0
 	connection.isBusy = false
 	pending = pending.enforceDeadline()
@@ -108,7 +108,7 @@
 	})
 }
 
-// appendParseError appends the response to input that is not a valid request.
+// appendParseError appends the reply to input that is not a valid request.
 func appendParseError(output []byte, err error) []byte {
 	status := http.StatusBadRequest
 	var httpError *http1.Error
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -43,7 +43,7 @@
 		{post("/api/jobs", "[]"), 400},
 		{post("/checkin", "{}"), 400},
 		{post("/checkin", `{"box":"i-1","tick":18446744073709551616}`), 400},
-		// The reply's deadline has passed when the event loop takes the response.
+		// The reply's deadline has passed when the event loop takes the reply.
 		{post("/checkin", `{"box":"i-1"}`), 503},
 		{"POST /api/jobs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413},
 		{"GET /up HTTP/1.1\r\nA: " + strings.Repeat("a", 9000), 431},
@@ -149,7 +149,7 @@
 	}
 }
 
-// Metrics must have the media type of text, while all other responses are JSON.
+// Metrics must have the media type of text, while all other replies are JSON.
 func TestMetricsAreText(t *testing.T) {
 	address, _ := startServer(t, &echoApp{}, 100)
 	for path, want := range map[string]string{"/metrics": "text/plain; version=0.0.4", "/up": "application/json"} {
--- a/internal/sim/standby_test.go
+++ b/internal/sim/standby_test.go
@@ -210,7 +210,7 @@
 		cluster.Crash("n2")
 		cluster.WaitForLeaderToBe("n1", time.Minute)
 		if used, _ := failovers.last(); used {
-			t.Error("the new leader used a replica from before the last leader's term, want no replica used")
+			t.Error("the new leader used a replica from before the previous leader's term, want no replica used")
 		}
 		time.Sleep(time.Minute)
 		cluster.WaitForState("n1", "req-000001", wire.JobDone, 5*time.Minute)
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -36,7 +36,7 @@
 	hasPosition bool
 
 	laggingSince       clock.Micros // since when the replica has been incomplete or behind, or 0 if it is up to date
-	isAwaitingPosition bool         // whether a message is in flight
+	isAwaitingPosition bool         // no position has arrived since the last message was sent
 	sentAt             clock.Micros
 	digestSentAt       clock.Micros // when the last digest without decisions, or the last announcement, was sent
 	transfer           *snapshotTransfer
@@ -85,7 +85,7 @@
 	}
 	isSameProcess := position.Incarnation == follower.position.Incarnation
 	if follower.hasPosition && isSameProcess && position.isBehind(follower.position) {
-		return // a delayed answer
+		return // a delayed position
 	}
 	if !isSameProcess {
 		follower.transfer = nil
--- a/internal/standby/simulation_test.go
+++ b/internal/standby/simulation_test.go
@@ -38,8 +38,8 @@
 
 // lockState is the present state of the leader's lock.
 type lockState struct {
-	lockToken uint64 // token of the last leader
-	// isRecordFirst is whether the last leader sends no start before a record of its own is in force.
+	lockToken uint64 // token of the leader that acquired the lock last
+	// isRecordFirst is whether that leader sends no start before a record of its own is in force.
 	isRecordFirst bool
 }
 
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -105,7 +105,7 @@
 	return trace.NewSpanContext(trace.SpanContextConfig{TraceID: traceID, SpanID: spanID, TraceFlags: trace.FlagsSampled, Remote: true})
 }
 
-// wallTime converts an instant of the monotonic clock to wall-clock time, by the current difference of
+// wallTime converts an instant on the monotonic clock to wall-clock time, by the current difference of
 // the two clocks.
 func wallTime(instant clock.Micros) time.Time {
 	wallMicros := clock.WallTime() - (clock.Now() - instant)
--- a/internal/versionedwrite/tracker.go
+++ b/internal/versionedwrite/tracker.go
@@ -3,12 +3,12 @@
 // pass in the results of writes and reads.
 //
 // The key is never deleted, and every write is conditional on the version that the writer knows. Once a
-// write is committed or a newer version has been read, no earlier write can be committed any more. Until
+// write is committed or a newer version has been read, no earlier write can still be committed. Until
 // then, a write with an unknown outcome may be in force already or may come into force later. The writer
 // has to honor its value as well as the last confirmed one.
 //
-// Invariant: the stored value is always Confirmed or one of the unresolved values; see Possible. The
-// proofs that rest on this invariant are in docs/standby.md, "The argument", and docs/design.md,
+// Invariant: the stored value is always Confirmed or one of the unresolved values; see PossibleValues.
+// The proofs that rest on this invariant are in docs/standby.md, "The argument", and docs/design.md,
 // "Delegated renewal of leases".
 package versionedwrite
 
--- a/internal/versionedwrite/tracker_test.go
+++ b/internal/versionedwrite/tracker_test.go
@@ -10,7 +10,7 @@
 func checkState(t *testing.T, tracker *Tracker[string], wantPossible []string, wantInFlight bool) {
 	t.Helper()
 	if got := slices.Collect(tracker.PossibleValues()); !slices.Equal(got, wantPossible) {
-		t.Errorf("Possible = %q, want %q", got, wantPossible)
+		t.Errorf("PossibleValues = %q, want %q", got, wantPossible)
 	}
 	if tracker.Confirmed() != wantPossible[0] || tracker.IsConfirmed() != (len(wantPossible) == 1) || tracker.IsInFlight() != wantInFlight {
 		t.Errorf("Confirmed = %q, IsConfirmed = %v, IsInFlight = %v; want the values that follow from checkState's parameters", tracker.Confirmed(), tracker.IsConfirmed(), tracker.IsInFlight())
