--- a/internal/allocation/job.go
+++ b/internal/allocation/job.go
@@ -33,10 +33,10 @@
 // Task is one task of a job.
 type Task struct {
 	State TaskState
-	// Unconfirmed reports whether an earlier leader may have started the task somewhere (invariant 4).
+	// Unconfirmed is true if an earlier leader may have started the task somewhere (invariant 4).
 	// An unconfirmed task may have a placement, from a heartbeat that may be a late copy.
 	Unconfirmed bool
-	// CompletionDurable reports whether the task's completion is in the key-value store.
+	// CompletionDurable is true if the task's completion is in the key-value store.
 	CompletionDurable bool
 	FailureCount      uint8      // number of exits with an error, at most 255
 	Placement         *Placement // the task's placement, or nil; never an orphan
@@ -63,10 +63,10 @@
 	taskCounts
 	publicationState
 
-	// StartsRecorded reports whether the key-value store records that tasks of the job may have been
+	// StartsRecorded is true if the key-value store records that tasks of the job may have been
 	// started. No task is placed before that.
 	StartsRecorded bool
-	// StartedByAging reports whether the job was started because it had waited too long.
+	// StartedByAging is true if the job was started because it had waited too long.
 	StartedByAging bool
 	// StartedCount is the number of current placements whose task a worker has listed with its image
 	// fetched.
@@ -130,7 +130,7 @@
 type publicationState struct {
 	// unpublishedEnds are the ended placements whose completion isn't durable yet.
 	unpublishedEnds []*Placement
-	// hasWholeJobEntry reports whether one entry for the whole job was published instead of one for
+	// hasWholeJobEntry is true if one entry for the whole job was published instead of one for
 	// each unconfirmed task.
 	hasWholeJobEntry bool
 	// unpublishedResolved are the indices of tasks that are no longer unconfirmed, but whose completion
--- a/internal/allocation/machine.go
+++ b/internal/allocation/machine.go
@@ -40,7 +40,7 @@
 	attemptRecords
 	leaseState
 
-	// RecordedInStore reports whether the key-value store has a record of the machine. Only
+	// RecordedInStore is true if the key-value store has a record of the machine. Only
 	// then may the machine get tasks.
 	RecordedInStore bool
 	// CreatedAt is when this leader first learned of the machine. The controller replaces it with the
@@ -67,10 +67,10 @@
 	HeartbeatSequence uint64 // of the last accepted heartbeat
 	LastHeartbeatAt   clock.Micros
 	FirstHeartbeatAt  clock.Micros // 0 before the first heartbeat
-	// TokenConfirmed reports whether the worker has sent a heartbeat under this leader's token, and its lease
+	// TokenConfirmed is true if the worker has sent a heartbeat under this leader's token, and its lease
 	// has not run out since.
 	TokenConfirmed bool
-	// Reconciled reports whether this leader knows everything that earlier leaders started on the machine.
+	// Reconciled is true if this leader knows everything that earlier leaders started on the machine.
 	Reconciled bool
 }
 
--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -24,7 +24,7 @@
 	maxEntries int          // when the log holds this many, the next Add first drops the older half
 	// nextIndex is the index of the first entry of the next message when not all entries fit into one.
 	nextIndex int
-	// hasUnsentEntry reports whether an entry was added since the last early send.
+	// hasUnsentEntry is true if an entry was added since the last early send.
 	hasUnsentEntry  bool
 	lastEarlySendAt clock.Micros
 }
--- a/internal/controller/delegate_outage_test.go
+++ b/internal/controller/delegate_outage_test.go
@@ -45,7 +45,7 @@
 	now := 100 * clock.Second
 	heartbeat := &wire.Heartbeat{MachineID: "i-1", Zone: "x", FencingToken: 9}
 	if repliesToOneOfTwoHeartbeats(controller, heartbeat, now) {
-		t.Fatal("the member replies as delegate, but has never known of all cancellations")
+		t.Fatal("the member replies as delegate, but has never known all cancellations")
 	}
 	makeEntitled(t, controller, 9)
 	term.AcknowledgeTimestamps(now, func() {})
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -33,9 +33,9 @@
 	// heartbeat is the next heartbeat. It also holds the present state of the tasks on the machine.
 	heartbeat         wire.Heartbeat
 	lastHeartbeatBody []byte
-	// lastAckedHeartbeatAt is when the worker's lease last began: when the last answered heartbeat was
+	// leaseStartedAt is when the worker's lease last began: when the last answered heartbeat was
 	// sent, when the worker was created, or when the previous lease was found to have expired.
-	lastAckedHeartbeatAt time.Time
+	leaseStartedAt time.Time
 	// tokenReportedAt is when a reply with a higher token last made the worker send a heartbeat early.
 	tokenReportedAt time.Time
 	taskEndsAt      map[string]time.Time // by task ID; holds no tasks that run until they are stopped
@@ -49,7 +49,7 @@
 }
 
 func newWorker(cloud *Cloud, request wire.ScaleOutRequest, name string) *workerProcess {
-	worker := &workerProcess{cloud: cloud, taskEndsAt: map[string]time.Time{}, lastAckedHeartbeatAt: time.Now(), heartbeatRequested: make(chan struct{}, 1)}
+	worker := &workerProcess{cloud: cloud, taskEndsAt: map[string]time.Time{}, leaseStartedAt: time.Now(), heartbeatRequested: make(chan struct{}, 1)}
 	worker.machine = wire.ListedMachine{ID: name, MachineType: request.MachineType, Zone: request.Zone, Spot: request.Spot, State: wire.MachineRunning}
 	worker.machine.Address, worker.stop = Serve(cloud.cfg.Network, name, worker)
 	machine := worker.machine
@@ -121,7 +121,7 @@
 	case 200:
 		var reply wire.HeartbeatResponse
 		if json.Unmarshal(responseBody, &reply) == nil && reply.FencingToken >= worker.heartbeat.FencingToken && incarnation == worker.heartbeat.Incarnation {
-			worker.lastAckedHeartbeatAt = sentAt
+			worker.leaseStartedAt = sentAt
 			return worker.applyReply(&reply)
 		}
 		return cloud.cfg.HeartbeatInterval
@@ -186,11 +186,11 @@
 // holds the cloud's lock.
 func (worker *workerProcess) advance() {
 	now := time.Now()
-	if now.Sub(worker.lastAckedHeartbeatAt) > worker.cloud.cfg.LeaseTTL {
+	if now.Sub(worker.leaseStartedAt) > worker.cloud.cfg.LeaseTTL {
 		worker.killAllTasks()
 		worker.heartbeat.Incarnation++
 		worker.heartbeat.Tasks = []wire.TaskStatus{}
-		worker.lastAckedHeartbeatAt = now
+		worker.leaseStartedAt = now
 	}
 	if worker.fault == MachineHanging {
 		return
--- a/internal/health/faults.go
+++ b/internal/health/faults.go
@@ -106,9 +106,9 @@
 
 // BeginRetry ends the drain of a faulty machine that can't be deleted, because it still has tasks, once
 // its retry is due. It reports whether it did so, which happens once per drain. The caller then has to
-// clear machine.FailedJobs and machine.Draining, so that the count of failures starts again. Without such retries,
-// two of a fleet's three machines once got no tasks for eight minutes: replicas kept running on them
-// without a fault, and the cloud had no machines to replace them (docs/incidents/all-faulty.md).
+// clear machine.FailedJobs and machine.Draining, so that the count of failures starts again. Without such
+// retries, two of a fleet's three machines once got no tasks for eight minutes: replicas kept running on
+// them without a fault, and the cloud had no machines to replace them (docs/incidents/all-faulty.md).
 func (faults *Faults) BeginRetry(machine *allocation.Machine, now clock.Micros) bool {
 	if faults.retryAt == 0 || now < faults.retryAt || machine.IsIdle() {
 		return false
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -40,10 +40,10 @@
 	Target string // set for requests
 	Status int    // set for responses
 	Body   []byte
-	// Close reports whether the sender closes the connection after this exchange.
+	// Close is true if the sender closes the connection after this exchange.
 	Close bool
 	// RetryAfter is the value of the Retry-After header in seconds, or 0 if it is absent or not a number.
 	RetryAfter int
-	// ExpectContinue reports whether the sender waits for a 100 Continue before it sends the body.
+	// ExpectContinue is true if the sender waits for a 100 Continue before it sends the body.
 	ExpectContinue bool
 }
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -59,7 +59,7 @@
 	remaining int      // number of bytes of the body or chunk that have not been read
 	err       *Error   // the error that Next returns; set in phaseFailed
 
-	// isContinuePending reports whether the sender of a message whose head is complete waits for a 100
+	// isContinuePending is true if the sender of a message whose head is complete waits for a 100
 	// Continue. It stays set until TakeContinueRequest is called, even if the message ends before that.
 	isContinuePending bool
 }
--- a/internal/jobreport/report.go
+++ b/internal/jobreport/report.go
@@ -17,7 +17,7 @@
 	Class string `json:"class"`
 	// State is StateActive, or the state in which the job ended.
 	State string `json:"state"`
-	// IsLate reports whether the job ended, or is still running, after its deadline.
+	// IsLate is true if the job ended, or is still running, after its deadline.
 	IsLate bool `json:"late"`
 	// Reason is the likely cause in words, or "" if no cause is known.
 	Reason string `json:"why"`
--- a/internal/jobreport/standby.go
+++ b/internal/jobreport/standby.go
@@ -8,7 +8,7 @@
 	// or "" if it knows none.
 	Member string `json:"member"`
 	Leader string `json:"leader"`
-	// Enabled reports whether the controller keeps a replica as a follower and streams its table to
+	// Enabled is true if the controller keeps a replica as a follower and streams its table to
 	// replicas as leader.
 	Enabled bool `json:"enabled"`
 	// Replica describes this controller's copy of the leader's allocation table, or is nil if the
@@ -24,7 +24,7 @@
 type ReplicaStatus struct {
 	// Token is the fencing token of the leader that the replica follows.
 	Token uint64 `json:"token"`
-	// IsComplete reports whether the replica has the leader's whole table.
+	// IsComplete is true if the replica has the leader's whole table.
 	IsComplete bool `json:"complete"`
 	// Decisions is the number of the leader's decisions that the replica has. Placements is the number
 	// of placements in its table, including unconfirmed entries.
@@ -43,7 +43,7 @@
 type FollowerStatus struct {
 	// Member is the follower's name.
 	Member string `json:"member"`
-	// IsInSync reports whether the follower is recorded as in sync with the leader.
+	// IsInSync is true if the follower is recorded as in sync with the leader.
 	IsInSync bool `json:"in_step"`
 	// LagDecisions is how many decisions the replica lacks. For an incomplete replica it is one more
 	// than the number of the leader's decisions.
@@ -56,7 +56,7 @@
 type FailoverStatus struct {
 	// Token is the new leader's fencing token.
 	Token uint64 `json:"token"`
-	// IsReplicaUsed reports whether the new leader started from a replica of the allocation table.
+	// IsReplicaUsed is true if the new leader started from a replica of the allocation table.
 	IsReplicaUsed bool `json:"replica_used"`
 	// Unconfirmed is the number of tasks that were unconfirmed when the allocation table was rebuilt.
 	Unconfirmed int `json:"in_doubt"`
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -27,7 +27,7 @@
 // Status holds a controller's state at one instant. Fields that only a leader knows are zero at other
 // members.
 type Status struct {
-	// IsLeader reports whether the member leads and may act.
+	// IsLeader is true if the member leads and may act.
 	IsLeader bool
 	// Token is the fencing token of the newest leader that the member knows. A leader's Token is its own.
 	Token uint64
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -96,7 +96,7 @@
 type Heartbeat struct {
 	// Member is the name of the sender.
 	Member string
-	// IsStoreReachable reports whether the key-value store answers the sender.
+	// IsStoreReachable is true if the key-value store answers the sender.
 	IsStoreReachable bool
 	// Leader and Token are the name and the fencing token of the leader that the sender knows.
 	Leader string
