--- a/internal/jobhistory/jobhistory_test.go
+++ b/internal/jobhistory/jobhistory_test.go
@@ -40,7 +40,7 @@
 		for _, i := range rng.Perm(count) {
 			newest.Add(int64(i), i)
 			if len(newest.entries) > 2*capacity {
-				t.Fatalf("Newest holds %d records with a capacity of %d, want at most twice that", len(newest.entries), capacity)
+				t.Fatalf("NewestRecords holds %d records with a capacity of %d, want at most twice that", len(newest.entries), capacity)
 			}
 		}
 		kept, dropped := newest.Records()
