--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -22,7 +22,7 @@
 func (term *Term) handOverIfCutOff(fleet health.Reachability, now clock.Micros) bool {
 	reach := term.reach(fleet, now)
 	reason := reach.HandOverReason()
-	term.liveness.hadMostReachable = term.liveness.hadMostReachable || fleet.IsMostlyReachable()
+	term.liveness.wasMostlyReachable = term.liveness.wasMostlyReachable || fleet.IsMostlyReachable()
 	if reason == health.KeepLeadership {
 		return false
 	}
@@ -37,7 +37,7 @@
 func (term *Term) reach(fleet health.Reachability, now clock.Micros) health.LeaderReach {
 	reach := health.LeaderReach{
 		Fleet:               fleet,
-		HadMostReachable:    term.liveness.hadMostReachable,
+		WasMostlyReachable:  term.liveness.wasMostlyReachable,
 		ReadAge:             now - max(term.entitlement.viewAge.LastReadSentAt(), term.liveness.resumedAt),
 		LeaderTTL:           term.environment.LeaderTTL,
 		HasWaitedForWorkers: now-term.liveness.resumedAt >= term.environment.Timing.SuspectTimeout,
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -45,7 +45,7 @@
 	firstMachine := term.tracker.Machines["i-1"]
 	firstMachine.LastHeartbeatAt, term.tracker.Machines["i-2"].LastHeartbeatAt = now, now
 	owner.heartbeats["b"] = &ReceivedHeartbeat{Heartbeat: &peer.Heartbeat{Member: "b", IsStoreReachable: true, WorkerCount: 4}, ReceivedAt: now}
-	term.RecordResume(now)
+	term.ResetSilence(now)
 	term.reviewMachines(now)
 	if len(term.deletions.pending) != 0 || len(term.renewals.constraints.ConstrainedZones()) != 0 || term.isClosed {
 		t.Fatalf("after a stall: got deletions of %v, constrained zones %v and term closed %v, want none of them", term.deletions.pending, term.renewals.constraints.ConstrainedZones(), term.isClosed)
@@ -63,7 +63,7 @@
 
 // A machine that answers no probe is deleted only while its zone mostly answers. If the zone is cut off, no
 // machine in it answers. If this process handled the result too late itself, or had no connection free,
-// the missing answer proves nothing.
+// the missing response proves nothing.
 func TestProbeMissesDeleteMachineOnlyIfZoneAnswers(t *testing.T) {
 	errNoAnswer := errors.New("no answer")
 	for _, test := range []struct {
