--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -41,12 +41,12 @@
 	}{
 		{"many workers contact another member", cutOff, OnlyLeaderCutOff},
 		{"workers had no time to return", with(func(reach *LeaderReach) { reach.HasWaitedForWorkers = false }), KeepLeadership},
-		{"no reads are answered", with(func(reach *LeaderReach) { reach.ReadAge = 9 * clock.Second; reach.HadMostReachable = true }), StoreUnreadable},
+		{"no reads are answered", with(func(reach *LeaderReach) { reach.ReadAge = 9 * clock.Second; reach.WasMostlyReachable = true }), StoreUnreadable},
 		{"reads are slightly late", with(func(reach *LeaderReach) { reach.ReadAge = 8 * clock.Second; reach.HasWaitedForWorkers = false }), KeepLeadership},
 		{"no reads are answered, no candidate", with(func(reach *LeaderReach) {
 			reach.ReadAge, reach.HasCandidate, reach.ContactingOther = 9*clock.Second, false, 0
 		}), KeepLeadership},
-		{"all machines become unreachable", with(func(reach *LeaderReach) { reach.HadMostReachable, reach.HasWaitedForWorkers = true, false }), NoneReachable},
+		{"all machines become unreachable", with(func(reach *LeaderReach) { reach.WasMostlyReachable, reach.HasWaitedForWorkers = true, false }), NoneReachable},
 	} {
 		if got := test.reach.HandOverReason(); got != test.want {
 			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
@@ -130,7 +130,7 @@
 	if !probes.HasTooManyMisses() || probes.FirstMissSentAt() != now {
 		t.Fatal("after two misses: want HasTooManyMisses true, and FirstMissSentAt the time of the first miss")
 	}
-	probes.RecordAnswer(now + 2)
+	probes.RecordResponse(now + 2)
 	if probes.HasTooManyMisses() || probes.Misses != 0 {
 		t.Fatal("after an answer: want no misses")
 	}
--- a/internal/jobhistory/jobhistory_test.go
+++ b/internal/jobhistory/jobhistory_test.go
@@ -30,17 +30,17 @@
 	}
 }
 
-// Newest keeps the records with the latest end, whatever their number and order, and never holds more
-// than twice its capacity.
+// NewestRecords keeps the records with the latest end, whatever their number and order, and never holds
+// more than twice its capacity.
 func TestNewestKeepsLatestRecords(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
 		count, capacity := rng.IntN(60), 1+rng.IntN(10)
-		newest := NewNewest[int](capacity)
+		newest := NewNewestRecords[int](capacity)
 		for _, i := range rng.Perm(count) {
 			newest.Add(int64(i), i)
 			if len(newest.entries) > 2*capacity {
-				t.Fatalf("Newest holds %d records with a capacity of %d, want at most twice that", len(newest.entries), capacity)
+				t.Fatalf("NewestRecords holds %d records with a capacity of %d, want at most twice that", len(newest.entries), capacity)
 			}
 		}
 		kept, dropped := newest.Records()
